--- a/src/jmh/java/damsonworks/DecisionBenchmark.java
+++ b/src/jmh/java/cacheproxy/DecisionBenchmark.java
@@ -1,16 +1,16 @@
-package damsonworks;
-
-import damsonworks.RoutingApi.Actions;
-import damsonworks.RoutingApi.AttemptEnd;
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Reports;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Settings;
+package cacheproxy;
+
+import cacheproxy.RoutingApi.Actions;
+import cacheproxy.RoutingApi.AttemptEnd;
+import cacheproxy.RoutingApi.Effect;
+import cacheproxy.RoutingApi.Group;
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.RoutingApi.Reports;
+import cacheproxy.RoutingApi.Request;
+import cacheproxy.RoutingApi.ServiceClass;
+import cacheproxy.RoutingApi.Settings;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/jmh/java/damsonworks/MembershipBenchmark.java
+++ b/src/jmh/java/cacheproxy/MembershipBenchmark.java
@@ -1,9 +1,9 @@
-package damsonworks;
+package cacheproxy;
 
-import damsonworks.member.MemberSettings;
-import damsonworks.member.Membership;
-import damsonworks.member.Send;
-import damsonworks.member.Send.Urgency;
+import cacheproxy.member.MemberSettings;
+import cacheproxy.member.Membership;
+import cacheproxy.member.Send;
+import cacheproxy.member.Send.Urgency;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
--- a/src/jmh/java/damsonworks/RouteMatchBenchmark.java
+++ b/src/jmh/java/cacheproxy/RouteMatchBenchmark.java
@@ -1,9 +1,9 @@
-package damsonworks;
+package cacheproxy;
 
-import damsonworks.route.Glob;
-import damsonworks.route.Route;
-import damsonworks.route.RouteTable;
-import damsonworks.route.Routing;
+import cacheproxy.route.Glob;
+import cacheproxy.route.Route;
+import cacheproxy.route.RouteTable;
+import cacheproxy.route.Routing;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/damsonworks/Carp.java
+++ b/src/main/java/cacheproxy/Carp.java
@@ -1,4 +1,4 @@
-package damsonworks;
+package cacheproxy;
 
 /** The pure functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4) as our design fixes them. */
 public final class Carp {
--- a/src/main/java/damsonworks/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -1,14 +1,14 @@
-package damsonworks;
+package cacheproxy;
 
-import damsonworks.cli.Cli;
-import damsonworks.config.edge.EdgeFile;
-import damsonworks.control.ControlRegistry;
-import damsonworks.control.ControlServer;
-import damsonworks.control.Door;
-import damsonworks.control.ProxyControl;
-import damsonworks.proxy.Proxy;
-import damsonworks.proxy.SighupHandler;
-import damsonworks.wire.Drill;
+import cacheproxy.cli.Cli;
+import cacheproxy.config.edge.EdgeFile;
+import cacheproxy.control.ControlRegistry;
+import cacheproxy.control.ControlServer;
+import cacheproxy.control.Door;
+import cacheproxy.control.ProxyControl;
+import cacheproxy.proxy.Proxy;
+import cacheproxy.proxy.SighupHandler;
+import cacheproxy.wire.Drill;
 import java.io.IOException;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
--- a/src/main/java/damsonworks/Policy.java
+++ b/src/main/java/cacheproxy/Policy.java
@@ -1,7 +1,7 @@
-package damsonworks;
+package cacheproxy;
 
-import damsonworks.peer.PeerMessage;
-import damsonworks.roster.RetryPause;
+import cacheproxy.peer.PeerMessage;
+import cacheproxy.roster.RetryPause;
 import java.util.*;
 
 /**
--- a/src/main/java/damsonworks/RoutingApi.java
+++ b/src/main/java/cacheproxy/RoutingApi.java
@@ -1,4 +1,4 @@
-package damsonworks;
+package cacheproxy;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/damsonworks/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -1,4 +1,4 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
 import java.io.PrintWriter;
 import picocli.CommandLine;
@@ -9,9 +9,9 @@
 
 /** The root of the command line. */
 @Command(
-        name = "damsonworks",
+        name = "cacheproxy",
         mixinStandardHelpOptions = true,
-        version = "damsonworks 0.1.0",
+        version = "cacheproxy 0.1.0",
         description = "A proxy in front of caching nodes and one slow origin, and the tools to see it work.",
         subcommands = {
             DemoCommand.class,
@@ -35,8 +35,8 @@
             "  train   starts a proxy and ends it, so that a build can archive its classes",
             "",
             "Examples:",
-            "  java -jar target/damsonworks.jar demo",
-            "  java -jar target/damsonworks.jar load --target 127.0.0.1:11211 --rate 1000 --for 30s --html out.html"
+            "  java -jar target/cacheproxy.jar demo",
+            "  java -jar target/cacheproxy.jar load --target 127.0.0.1:11211 --rate 1000 --for 30s --html out.html"
         })
 public final class Cli implements Runnable {
     /** Exit codes: all well, a rule broken or a run that failed, wrong use, a schedule that was not kept. */
--- a/src/main/java/damsonworks/cli/ControlOption.java
+++ b/src/main/java/cacheproxy/cli/ControlOption.java
@@ -1,6 +1,6 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.control.ControlClient;
+import cacheproxy.control.ControlClient;
 import java.io.IOException;
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
--- a/src/main/java/damsonworks/cli/DemoCommand.java
+++ b/src/main/java/cacheproxy/cli/DemoCommand.java
@@ -1,15 +1,15 @@
-package damsonworks.cli;
-
-import damsonworks.demo.OracleObserver;
-import damsonworks.demo.ProxiedFleet;
-import damsonworks.fleet.Fault;
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.FrontLayer;
-import damsonworks.fleet.Oracle;
-import damsonworks.fleet.Unrest;
-import damsonworks.load.Generator;
-import damsonworks.load.Report;
-import damsonworks.load.Workload;
+package cacheproxy.cli;
+
+import cacheproxy.demo.OracleObserver;
+import cacheproxy.demo.ProxiedFleet;
+import cacheproxy.fleet.Fault;
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.FrontLayer;
+import cacheproxy.fleet.Oracle;
+import cacheproxy.fleet.Unrest;
+import cacheproxy.load.Generator;
+import cacheproxy.load.Report;
+import cacheproxy.load.Workload;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/damsonworks/cli/DrainCommand.java
+++ b/src/main/java/cacheproxy/cli/DrainCommand.java
@@ -1,7 +1,7 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
+import cacheproxy.control.ControlClient;
 import com.google.gson.JsonObject;
-import damsonworks.control.ControlClient;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.util.concurrent.Callable;
--- a/src/main/java/damsonworks/cli/Duration.java
+++ b/src/main/java/cacheproxy/cli/Duration.java
@@ -1,6 +1,6 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.fleet.FaultScript;
+import cacheproxy.fleet.FaultScript;
 import picocli.CommandLine.TypeConversionException;
 
 /** A time on the command line, such as {@code 300ms}, {@code 20s} or {@code 2m}; in milliseconds. */
--- a/src/main/java/damsonworks/cli/FiguresCommand.java
+++ b/src/main/java/cacheproxy/cli/FiguresCommand.java
@@ -1,8 +1,8 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.figures.FleetWork;
-import damsonworks.figures.Work;
-import damsonworks.figures.WorkLine;
+import cacheproxy.figures.FleetWork;
+import cacheproxy.figures.Work;
+import cacheproxy.figures.WorkLine;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/src/main/java/damsonworks/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -1,11 +1,11 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
+import cacheproxy.demo.ProxiedFleet;
+import cacheproxy.fleet.Fault;
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.Oracle;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonObject;
-import damsonworks.demo.ProxiedFleet;
-import damsonworks.fleet.Fault;
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.Oracle;
 import java.io.PrintWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/damsonworks/cli/FleetOptions.java
+++ b/src/main/java/cacheproxy/cli/FleetOptions.java
@@ -1,9 +1,9 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.fleet.Fault;
-import damsonworks.fleet.FaultScript;
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.TrafficClass;
+import cacheproxy.fleet.Fault;
+import cacheproxy.fleet.FaultScript;
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.TrafficClass;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/damsonworks/cli/LabCommand.java
+++ b/src/main/java/cacheproxy/cli/LabCommand.java
@@ -1,14 +1,14 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.config.Problems;
-import damsonworks.fleet.Layout;
-import damsonworks.lab.LabRun;
-import damsonworks.lab.Outcome;
-import damsonworks.lab.OutcomeText;
-import damsonworks.lab.Scenario;
-import damsonworks.lab.ScenarioFile;
-import damsonworks.lab.SoakPlan;
-import damsonworks.lab.SoakRun;
+import cacheproxy.config.Problems;
+import cacheproxy.fleet.Layout;
+import cacheproxy.lab.LabRun;
+import cacheproxy.lab.Outcome;
+import cacheproxy.lab.OutcomeText;
+import cacheproxy.lab.Scenario;
+import cacheproxy.lab.ScenarioFile;
+import cacheproxy.lab.SoakPlan;
+import cacheproxy.lab.SoakRun;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/src/main/java/damsonworks/cli/LoadCommand.java
+++ b/src/main/java/cacheproxy/cli/LoadCommand.java
@@ -1,12 +1,12 @@
-package damsonworks.cli;
-
-import damsonworks.fleet.TrafficClass;
-import damsonworks.load.Generator;
-import damsonworks.load.Observer;
-import damsonworks.load.Report;
-import damsonworks.load.TraceFormat;
-import damsonworks.load.TraceWorkload;
-import damsonworks.load.Workload;
+package cacheproxy.cli;
+
+import cacheproxy.fleet.TrafficClass;
+import cacheproxy.load.Generator;
+import cacheproxy.load.Observer;
+import cacheproxy.load.Report;
+import cacheproxy.load.TraceFormat;
+import cacheproxy.load.TraceWorkload;
+import cacheproxy.load.Workload;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/src/main/java/damsonworks/cli/ModelCheckCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelCheckCommand.java
@@ -1,8 +1,8 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.model.check.Explorer;
-import damsonworks.model.check.MemberProtocol;
-import damsonworks.model.check.ZoneProtocol;
+import cacheproxy.model.check.Explorer;
+import cacheproxy.model.check.MemberProtocol;
+import cacheproxy.model.check.ZoneProtocol;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
--- a/src/main/java/damsonworks/cli/ModelColdCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelColdCommand.java
@@ -1,8 +1,8 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.model.ColdCase;
-import damsonworks.model.ColdRamp;
-import damsonworks.model.ColdStudy;
+import cacheproxy.model.ColdCase;
+import cacheproxy.model.ColdRamp;
+import cacheproxy.model.ColdStudy;
 import java.io.PrintWriter;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/damsonworks/cli/ModelCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelCommand.java
@@ -1,10 +1,10 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
+import cacheproxy.model.Day;
+import cacheproxy.model.FleetDraw;
+import cacheproxy.model.PlayReport;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
-import damsonworks.model.Day;
-import damsonworks.model.FleetDraw;
-import damsonworks.model.PlayReport;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/src/main/java/damsonworks/cli/ModelNewsCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelNewsCommand.java
@@ -1,10 +1,10 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.model.NewsPlay;
-import damsonworks.model.NewsPlay.Failure;
-import damsonworks.model.NewsPlay.Result;
-import damsonworks.model.NewsPlay.Setup;
-import damsonworks.model.NewsPlay.Sharing;
+import cacheproxy.model.NewsPlay;
+import cacheproxy.model.NewsPlay.Failure;
+import cacheproxy.model.NewsPlay.Result;
+import cacheproxy.model.NewsPlay.Setup;
+import cacheproxy.model.NewsPlay.Sharing;
 import java.io.PrintWriter;
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/damsonworks/cli/ModelZonesCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelZonesCommand.java
@@ -1,6 +1,6 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.model.ZoneStudy;
+import cacheproxy.model.ZoneStudy;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
--- a/src/main/java/damsonworks/cli/QuotaCommand.java
+++ b/src/main/java/cacheproxy/cli/QuotaCommand.java
@@ -1,12 +1,12 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.config.ConfigFile;
-import damsonworks.config.Configuration;
-import damsonworks.config.Problems;
-import damsonworks.config.edge.EdgeFile;
-import damsonworks.config.edge.QuotaSections;
-import damsonworks.quota.QuotaReplay;
-import damsonworks.quota.QuotaSpec;
+import cacheproxy.config.ConfigFile;
+import cacheproxy.config.Configuration;
+import cacheproxy.config.Problems;
+import cacheproxy.config.edge.EdgeFile;
+import cacheproxy.config.edge.QuotaSections;
+import cacheproxy.quota.QuotaReplay;
+import cacheproxy.quota.QuotaSpec;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
--- a/src/main/java/damsonworks/cli/Runs.java
+++ b/src/main/java/cacheproxy/cli/Runs.java
@@ -1,8 +1,8 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.load.Generator;
-import damsonworks.load.HtmlReport;
-import damsonworks.load.Report;
+import cacheproxy.load.Generator;
+import cacheproxy.load.HtmlReport;
+import cacheproxy.load.Report;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
--- a/src/main/java/damsonworks/cli/StateCommand.java
+++ b/src/main/java/cacheproxy/cli/StateCommand.java
@@ -1,10 +1,10 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.state.Header;
-import damsonworks.state.Inspection;
-import damsonworks.state.Keeper;
-import damsonworks.state.Opened;
-import damsonworks.state.StateFolder;
+import cacheproxy.state.Header;
+import cacheproxy.state.Inspection;
+import cacheproxy.state.Keeper;
+import cacheproxy.state.Opened;
+import cacheproxy.state.StateFolder;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/src/main/java/damsonworks/cli/StatusCommand.java
+++ b/src/main/java/cacheproxy/cli/StatusCommand.java
@@ -1,8 +1,8 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
+import cacheproxy.control.ControlClient;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import damsonworks.control.ControlClient;
 import java.io.PrintWriter;
 import java.util.Map;
 import java.util.concurrent.Callable;
--- a/src/main/java/damsonworks/cli/Target.java
+++ b/src/main/java/cacheproxy/cli/Target.java
@@ -1,4 +1,4 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
 import java.net.InetSocketAddress;
 import picocli.CommandLine.TypeConversionException;
--- a/src/main/java/damsonworks/cli/TrafficOptions.java
+++ b/src/main/java/cacheproxy/cli/TrafficOptions.java
@@ -1,9 +1,9 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.fleet.TrafficClass;
-import damsonworks.load.Shape;
-import damsonworks.load.SyntheticWorkload;
-import damsonworks.load.SyntheticWorkload.Arrivals;
+import cacheproxy.fleet.TrafficClass;
+import cacheproxy.load.Shape;
+import cacheproxy.load.SyntheticWorkload;
+import cacheproxy.load.SyntheticWorkload.Arrivals;
 import java.util.List;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
--- a/src/main/java/damsonworks/cli/ValueOptions.java
+++ b/src/main/java/cacheproxy/cli/ValueOptions.java
@@ -1,7 +1,7 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.ValueSizes;
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.ValueSizes;
 import picocli.CommandLine.Option;
 
 /** How long values are: an option that {@code fleet}, {@code load} and {@code demo} share. */
--- a/src/main/java/damsonworks/cli/package-info.java
+++ b/src/main/java/cacheproxy/cli/package-info.java
@@ -3,4 +3,4 @@
  * commands that need it, so that {@code serve}, {@code drill} and {@code train} start without it. May use everything;
  * nothing uses it but {@code Main}.
  */
-package damsonworks.cli;
+package cacheproxy.cli;
--- a/src/main/java/damsonworks/config/ConfigFile.java
+++ b/src/main/java/cacheproxy/config/ConfigFile.java
@@ -1,10 +1,10 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.config.Configuration.Entry;
-import damsonworks.config.Configuration.Origin;
-import damsonworks.config.Configuration.Setting;
-import damsonworks.config.Section.Naming;
-import damsonworks.config.Syntax.Document;
+import cacheproxy.config.Configuration.Entry;
+import cacheproxy.config.Configuration.Origin;
+import cacheproxy.config.Configuration.Setting;
+import cacheproxy.config.Section.Naming;
+import cacheproxy.config.Syntax.Document;
 import java.nio.file.Path;
 import java.util.List;
 
--- a/src/main/java/damsonworks/config/Difference.java
+++ b/src/main/java/cacheproxy/config/Difference.java
@@ -1,7 +1,7 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.config.Configuration.Entry;
-import damsonworks.config.Configuration.Setting;
+import cacheproxy.config.Configuration.Entry;
+import cacheproxy.config.Configuration.Setting;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/damsonworks/config/Formatter.java
+++ b/src/main/java/cacheproxy/config/Formatter.java
@@ -1,17 +1,17 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.config.Syntax.Attribute;
-import damsonworks.config.Syntax.Block;
-import damsonworks.config.Syntax.Document;
-import damsonworks.config.Syntax.Element;
-import damsonworks.config.Syntax.Include;
-import damsonworks.config.Syntax.Item;
-import damsonworks.config.Syntax.Label;
-import damsonworks.config.Syntax.Listing;
-import damsonworks.config.Syntax.Quantity;
-import damsonworks.config.Syntax.Text;
-import damsonworks.config.Syntax.Value;
-import damsonworks.config.Syntax.Word;
+import cacheproxy.config.Syntax.Attribute;
+import cacheproxy.config.Syntax.Block;
+import cacheproxy.config.Syntax.Document;
+import cacheproxy.config.Syntax.Element;
+import cacheproxy.config.Syntax.Include;
+import cacheproxy.config.Syntax.Item;
+import cacheproxy.config.Syntax.Label;
+import cacheproxy.config.Syntax.Listing;
+import cacheproxy.config.Syntax.Quantity;
+import cacheproxy.config.Syntax.Text;
+import cacheproxy.config.Syntax.Value;
+import cacheproxy.config.Syntax.Word;
 import java.util.List;
 
 /** Prints a file in the one layout that all files have: two blanks a level, an item a line, comments kept. */
--- a/src/main/java/damsonworks/config/Lexer.java
+++ b/src/main/java/cacheproxy/config/Lexer.java
@@ -1,7 +1,7 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.config.Source.Place;
-import damsonworks.config.Token.Kind;
+import cacheproxy.config.Source.Place;
+import cacheproxy.config.Token.Kind;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/damsonworks/config/Loader.java
+++ b/src/main/java/cacheproxy/config/Loader.java
@@ -1,9 +1,9 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.config.Source.Place;
-import damsonworks.config.Syntax.Document;
-import damsonworks.config.Syntax.Include;
-import damsonworks.config.Syntax.Item;
+import cacheproxy.config.Source.Place;
+import cacheproxy.config.Syntax.Document;
+import cacheproxy.config.Syntax.Include;
+import cacheproxy.config.Syntax.Item;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
--- a/src/main/java/damsonworks/config/Parser.java
+++ b/src/main/java/cacheproxy/config/Parser.java
@@ -1,20 +1,20 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.config.Source.Place;
-import damsonworks.config.Syntax.Attribute;
-import damsonworks.config.Syntax.Block;
-import damsonworks.config.Syntax.Document;
-import damsonworks.config.Syntax.Element;
-import damsonworks.config.Syntax.Include;
-import damsonworks.config.Syntax.Item;
-import damsonworks.config.Syntax.Label;
-import damsonworks.config.Syntax.Listing;
-import damsonworks.config.Syntax.Notes;
-import damsonworks.config.Syntax.Quantity;
-import damsonworks.config.Syntax.Text;
-import damsonworks.config.Syntax.Value;
-import damsonworks.config.Syntax.Word;
-import damsonworks.config.Token.Kind;
+import cacheproxy.config.Source.Place;
+import cacheproxy.config.Syntax.Attribute;
+import cacheproxy.config.Syntax.Block;
+import cacheproxy.config.Syntax.Document;
+import cacheproxy.config.Syntax.Element;
+import cacheproxy.config.Syntax.Include;
+import cacheproxy.config.Syntax.Item;
+import cacheproxy.config.Syntax.Label;
+import cacheproxy.config.Syntax.Listing;
+import cacheproxy.config.Syntax.Notes;
+import cacheproxy.config.Syntax.Quantity;
+import cacheproxy.config.Syntax.Text;
+import cacheproxy.config.Syntax.Value;
+import cacheproxy.config.Syntax.Word;
+import cacheproxy.config.Token.Kind;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/damsonworks/config/Problems.java
+++ b/src/main/java/cacheproxy/config/Problems.java
@@ -1,6 +1,6 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.config.Source.Place;
+import cacheproxy.config.Source.Place;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashSet;
--- a/src/main/java/damsonworks/config/Schema.java
+++ b/src/main/java/cacheproxy/config/Schema.java
@@ -1,4 +1,4 @@
-package damsonworks.config;
+package cacheproxy.config;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/damsonworks/config/Source.java
+++ b/src/main/java/cacheproxy/config/Source.java
@@ -1,4 +1,4 @@
-package damsonworks.config;
+package cacheproxy.config;
 
 /**
  * A file's text, by the name that it is told by. Lines and columns count from 1; a column is a code unit of UTF-16, as
--- a/src/main/java/damsonworks/config/Syntax.java
+++ b/src/main/java/cacheproxy/config/Syntax.java
@@ -1,6 +1,6 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.config.Source.Place;
+import cacheproxy.config.Source.Place;
 import java.util.List;
 
 /** A file as it is written: what the formatter prints and the checker reads. */
--- a/src/main/java/damsonworks/config/Type.java
+++ b/src/main/java/cacheproxy/config/Type.java
@@ -1,9 +1,9 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.config.Syntax.Quantity;
-import damsonworks.config.Syntax.Text;
-import damsonworks.config.Syntax.Value;
-import damsonworks.config.Syntax.Word;
+import cacheproxy.config.Syntax.Quantity;
+import cacheproxy.config.Syntax.Text;
+import cacheproxy.config.Syntax.Value;
+import cacheproxy.config.Syntax.Word;
 import java.math.BigDecimal;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
--- a/src/main/java/damsonworks/config/edge/Changes.java
+++ b/src/main/java/cacheproxy/config/edge/Changes.java
@@ -1,11 +1,11 @@
-package damsonworks.config.edge;
+package cacheproxy.config.edge;
 
-import damsonworks.config.Configuration;
-import damsonworks.config.Configuration.Entry;
-import damsonworks.config.Difference;
-import damsonworks.config.Difference.Kind;
-import damsonworks.route.Route;
-import damsonworks.route.Routing;
+import cacheproxy.config.Configuration;
+import cacheproxy.config.Configuration.Entry;
+import cacheproxy.config.Difference;
+import cacheproxy.config.Difference.Kind;
+import cacheproxy.route.Route;
+import cacheproxy.route.Routing;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/damsonworks/config/edge/EdgeFile.java
+++ b/src/main/java/cacheproxy/config/edge/EdgeFile.java
@@ -1,12 +1,12 @@
-package damsonworks.config.edge;
+package cacheproxy.config.edge;
 
-import damsonworks.config.ConfigFile;
-import damsonworks.config.Configuration;
-import damsonworks.config.Problems;
-import damsonworks.config.Schema;
-import damsonworks.proxy.Proxy;
-import damsonworks.route.Known;
-import damsonworks.route.Routing;
+import cacheproxy.config.ConfigFile;
+import cacheproxy.config.Configuration;
+import cacheproxy.config.Problems;
+import cacheproxy.config.Schema;
+import cacheproxy.proxy.Proxy;
+import cacheproxy.route.Known;
+import cacheproxy.route.Routing;
 import java.nio.file.Path;
 
 /** An installation's file: routes for a proxy, read at its start and again at each SIGHUP. */
--- a/src/main/java/damsonworks/config/edge/Explanation.java
+++ b/src/main/java/cacheproxy/config/edge/Explanation.java
@@ -1,12 +1,12 @@
-package damsonworks.config.edge;
+package cacheproxy.config.edge;
 
-import damsonworks.proxy.Installation;
-import damsonworks.route.Known;
-import damsonworks.route.Pool;
-import damsonworks.route.Route;
-import damsonworks.route.RoutePolicy;
-import damsonworks.route.RouteTable;
-import damsonworks.route.Routing;
+import cacheproxy.proxy.Installation;
+import cacheproxy.route.Known;
+import cacheproxy.route.Pool;
+import cacheproxy.route.Route;
+import cacheproxy.route.RoutePolicy;
+import cacheproxy.route.RouteTable;
+import cacheproxy.route.Routing;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
--- a/src/main/java/damsonworks/config/edge/QuotaSections.java
+++ b/src/main/java/cacheproxy/config/edge/QuotaSections.java
@@ -1,15 +1,15 @@
-package damsonworks.config.edge;
-
-import damsonworks.config.Configuration;
-import damsonworks.config.Configuration.Entry;
-import damsonworks.config.Problems;
-import damsonworks.config.Schema;
-import damsonworks.config.Section;
-import damsonworks.config.Section.Naming;
-import damsonworks.config.Type;
-import damsonworks.quota.Limit;
-import damsonworks.quota.Measure;
-import damsonworks.quota.QuotaSpec;
+package cacheproxy.config.edge;
+
+import cacheproxy.config.Configuration;
+import cacheproxy.config.Configuration.Entry;
+import cacheproxy.config.Problems;
+import cacheproxy.config.Schema;
+import cacheproxy.config.Section;
+import cacheproxy.config.Section.Naming;
+import cacheproxy.config.Type;
+import cacheproxy.quota.Limit;
+import cacheproxy.quota.Measure;
+import cacheproxy.quota.QuotaSpec;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/damsonworks/control/ControlRegistry.java
+++ b/src/main/java/cacheproxy/control/ControlRegistry.java
@@ -1,4 +1,4 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/main/java/damsonworks/control/ControlServer.java
+++ b/src/main/java/cacheproxy/control/ControlServer.java
@@ -1,6 +1,6 @@
-package damsonworks.control;
+package cacheproxy.control;
 
-import damsonworks.proxy.Transport;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/damsonworks/control/DoorCall.java
+++ b/src/main/java/cacheproxy/control/DoorCall.java
@@ -1,4 +1,4 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 /** What operators can ask for at the door: one word on a line. Answered on the event loop, so it must not wait. */
 interface DoorCall {
--- a/src/main/java/damsonworks/control/DumpCall.java
+++ b/src/main/java/cacheproxy/control/DumpCall.java
@@ -1,4 +1,4 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 /** All figures in the line form of statsd, then {@code END}. */
 final class DumpCall implements DoorCall {
--- a/src/main/java/damsonworks/control/Figure.java
+++ b/src/main/java/cacheproxy/control/Figure.java
@@ -1,4 +1,4 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 /**
  * One figure that a proxy reports.
--- a/src/main/java/damsonworks/control/HealthCall.java
+++ b/src/main/java/cacheproxy/control/HealthCall.java
@@ -1,4 +1,4 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 /** Whether this process takes clients. The door opens when it does, so whoever can ask hears yes. */
 final class HealthCall implements DoorCall {
--- a/src/main/java/damsonworks/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -1,13 +1,13 @@
-package damsonworks.control;
+package cacheproxy.control;
 
+import cacheproxy.control.Figure.Kind;
+import cacheproxy.drain.Drain;
+import cacheproxy.member.View;
+import cacheproxy.proxy.Proxy;
+import cacheproxy.proxy.RuleCounts;
+import cacheproxy.route.Router;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.control.Figure.Kind;
-import damsonworks.drain.Drain;
-import damsonworks.member.View;
-import damsonworks.proxy.Proxy;
-import damsonworks.proxy.RuleCounts;
-import damsonworks.route.Router;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/damsonworks/control/RecoveryCall.java
+++ b/src/main/java/cacheproxy/control/RecoveryCall.java
@@ -1,11 +1,11 @@
-package damsonworks.control;
+package cacheproxy.control;
 
+import cacheproxy.proxy.Recovering;
+import cacheproxy.recovery.Progress;
+import cacheproxy.recovery.Trust;
+import cacheproxy.state.Keeper;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.proxy.Recovering;
-import damsonworks.recovery.Progress;
-import damsonworks.recovery.Trust;
-import damsonworks.state.Keeper;
 import java.util.Locale;
 import java.util.function.Supplier;
 
--- a/src/main/java/damsonworks/control/SocketFile.java
+++ b/src/main/java/cacheproxy/control/SocketFile.java
@@ -1,4 +1,4 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 import java.io.IOException;
 import java.net.StandardProtocolFamily;
--- a/src/main/java/damsonworks/control/ZoneCall.java
+++ b/src/main/java/cacheproxy/control/ZoneCall.java
@@ -1,10 +1,10 @@
-package damsonworks.control;
+package cacheproxy.control;
 
+import cacheproxy.proxy.FleetZones;
+import cacheproxy.zone.Zones;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import damsonworks.proxy.FleetZones;
-import damsonworks.zone.Zones;
 import java.util.Locale;
 import java.util.function.Supplier;
 
--- a/src/main/java/damsonworks/control/package-info.java
+++ b/src/main/java/cacheproxy/control/package-info.java
@@ -6,4 +6,4 @@
  * <p>A request is one line, {@code {"v":1,"command":"drain","deadline_ms":30000}}; its answer is one line,
  * {@code {"v":1,"ok":true,"result":{...}}} or {@code {"v":1,"ok":false,"error":"..."}}.
  */
-package damsonworks.control;
+package cacheproxy.control;
--- a/src/main/java/damsonworks/demo/OracleObserver.java
+++ b/src/main/java/cacheproxy/demo/OracleObserver.java
@@ -1,12 +1,12 @@
-package damsonworks.demo;
+package cacheproxy.demo;
 
-import damsonworks.fleet.Oracle;
-import damsonworks.fleet.Series.What;
-import damsonworks.fleet.StandInFleet;
-import damsonworks.fleet.meta.MetaAnswer;
-import damsonworks.fleet.meta.MetaAnswerDecoder;
-import damsonworks.load.Observer;
-import damsonworks.load.Planned;
+import cacheproxy.fleet.Oracle;
+import cacheproxy.fleet.Series.What;
+import cacheproxy.fleet.StandInFleet;
+import cacheproxy.fleet.meta.MetaAnswer;
+import cacheproxy.fleet.meta.MetaAnswerDecoder;
+import cacheproxy.load.Observer;
+import cacheproxy.load.Planned;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/damsonworks/demo/ProxiedFleet.java
+++ b/src/main/java/cacheproxy/demo/ProxiedFleet.java
@@ -1,15 +1,15 @@
-package damsonworks.demo;
-
+package cacheproxy.demo;
+
+import cacheproxy.control.ControlClient;
+import cacheproxy.fleet.Fault;
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.FrontLayer;
+import cacheproxy.fleet.LinkFault;
+import cacheproxy.fleet.Sockets;
+import cacheproxy.fleet.StandInFleet;
+import cacheproxy.fleet.TrafficClass;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.control.ControlClient;
-import damsonworks.fleet.Fault;
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.FrontLayer;
-import damsonworks.fleet.LinkFault;
-import damsonworks.fleet.Sockets;
-import damsonworks.fleet.StandInFleet;
-import damsonworks.fleet.TrafficClass;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -70,7 +70,7 @@
         this.memoryMb = memoryMb;
         turns = new int[spec.proxies()];
         retuned = new boolean[spec.proxies()];
-        folder = Files.createTempDirectory("damsonworks");
+        folder = Files.createTempDirectory("cacheproxy");
         Runtime.getRuntime().addShutdownHook(hook);
         fleet = new StandInFleet(spec);
         try {
--- a/src/main/java/damsonworks/demo/ProxyConfig.java
+++ b/src/main/java/cacheproxy/demo/ProxyConfig.java
@@ -1,11 +1,11 @@
-package damsonworks.demo;
+package cacheproxy.demo;
 
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.Keys;
+import cacheproxy.fleet.StandInFleet;
+import cacheproxy.fleet.TrafficClass;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.Keys;
-import damsonworks.fleet.StandInFleet;
-import damsonworks.fleet.TrafficClass;
 import java.net.InetSocketAddress;
 
 /** The configuration that a proxy in front of a fleet of stand-ins is started with. */
--- a/src/main/java/damsonworks/demo/ProxyProcess.java
+++ b/src/main/java/cacheproxy/demo/ProxyProcess.java
@@ -1,7 +1,7 @@
-package damsonworks.demo;
+package cacheproxy.demo;
 
+import cacheproxy.fleet.Layout.Part;
 import com.google.gson.JsonObject;
-import damsonworks.fleet.Layout.Part;
 import java.io.File;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -135,7 +135,7 @@
             words.add("-Xshare:auto");
         }
         words.addAll(List.of(
-                "-cp", path, "damsonworks.Main", "serve", "--control", control().toString()));
+                "-cp", path, "cacheproxy.Main", "serve", "--control", control().toString()));
         words.addAll(options());
         if (edge != null) {
             words.addAll(List.of("--edge", edge.toAbsolutePath().toString()));
--- a/src/main/java/damsonworks/demo/ProxyWatch.java
+++ b/src/main/java/cacheproxy/demo/ProxyWatch.java
@@ -1,7 +1,7 @@
-package damsonworks.demo;
+package cacheproxy.demo;
 
+import cacheproxy.control.ControlClient;
 import com.google.gson.JsonObject;
-import damsonworks.control.ControlClient;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/damsonworks/demo/StateFolder.java
+++ b/src/main/java/cacheproxy/demo/StateFolder.java
@@ -1,6 +1,6 @@
-package damsonworks.demo;
+package cacheproxy.demo;
 
-import damsonworks.fleet.Fault;
+import cacheproxy.fleet.Fault;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/damsonworks/demo/package-info.java
+++ b/src/main/java/cacheproxy/demo/package-info.java
@@ -3,4 +3,4 @@
  * {@code fleet} start. May use {@code fleet} and {@code load}; meets the proxies by their published protocol, their
  * configuration, signals and control sockets, not by their classes.
  */
-package damsonworks.demo;
+package cacheproxy.demo;
--- a/src/main/java/damsonworks/drain/Drain.java
+++ b/src/main/java/cacheproxy/drain/Drain.java
@@ -1,4 +1,4 @@
-package damsonworks.drain;
+package cacheproxy.drain;
 
 /**
  * The state machine of an instance's end: serving, draining, drained, or past its deadline; a cancel leads back to
--- a/src/main/java/damsonworks/drain/DrainPlan.java
+++ b/src/main/java/cacheproxy/drain/DrainPlan.java
@@ -1,4 +1,4 @@
-package damsonworks.drain;
+package cacheproxy.drain;
 
 /**
  * How a drain goes. Times in milliseconds.
--- a/src/main/java/damsonworks/figures/Work.java
+++ b/src/main/java/cacheproxy/figures/Work.java
@@ -1,4 +1,4 @@
-package damsonworks.figures;
+package cacheproxy.figures;
 
 import java.util.Locale;
 
--- a/src/main/java/damsonworks/figures/WorkLine.java
+++ b/src/main/java/cacheproxy/figures/WorkLine.java
@@ -1,4 +1,4 @@
-package damsonworks.figures;
+package cacheproxy.figures;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
--- a/src/main/java/damsonworks/fleet/CacheNode.java
+++ b/src/main/java/cacheproxy/fleet/CacheNode.java
@@ -1,7 +1,7 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
-import damsonworks.fleet.meta.MetaCommand;
-import damsonworks.fleet.meta.MetaCommandDecoder;
+import cacheproxy.fleet.meta.MetaCommand;
+import cacheproxy.fleet.meta.MetaCommandDecoder;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/damsonworks/fleet/DiscoveryServer.java
+++ b/src/main/java/cacheproxy/fleet/DiscoveryServer.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
--- a/src/main/java/damsonworks/fleet/Fault.java
+++ b/src/main/java/cacheproxy/fleet/Fault.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 /**
  * One thing that goes wrong in one part of a fleet, when, and where. What goes wrong between two is a
--- a/src/main/java/damsonworks/fleet/Filler.java
+++ b/src/main/java/cacheproxy/fleet/Filler.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/src/main/java/damsonworks/fleet/FrontLayer.java
+++ b/src/main/java/cacheproxy/fleet/FrontLayer.java
@@ -1,7 +1,7 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
-import damsonworks.fleet.meta.MetaAnswer;
-import damsonworks.fleet.meta.MetaAnswerDecoder;
+import cacheproxy.fleet.meta.MetaAnswer;
+import cacheproxy.fleet.meta.MetaAnswerDecoder;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/damsonworks/fleet/Hosts.java
+++ b/src/main/java/cacheproxy/fleet/Hosts.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import java.net.InetAddress;
 import java.net.UnknownHostException;
--- a/src/main/java/damsonworks/fleet/LruStore.java
+++ b/src/main/java/cacheproxy/fleet/LruStore.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/damsonworks/fleet/OriginServer.java
+++ b/src/main/java/cacheproxy/fleet/OriginServer.java
@@ -1,6 +1,6 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
-import damsonworks.fleet.meta.MetaCommand;
+import cacheproxy.fleet.meta.MetaCommand;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/damsonworks/fleet/Parties.java
+++ b/src/main/java/cacheproxy/fleet/Parties.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
--- a/src/main/java/damsonworks/fleet/PeerRelay.java
+++ b/src/main/java/cacheproxy/fleet/PeerRelay.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/damsonworks/fleet/Sockets.java
+++ b/src/main/java/cacheproxy/fleet/Sockets.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import io.netty.channel.Channel;
 import io.netty.channel.IoHandlerFactory;
--- a/src/main/java/damsonworks/fleet/StandInFleet.java
+++ b/src/main/java/cacheproxy/fleet/StandInFleet.java
@@ -1,7 +1,7 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
+import cacheproxy.fleet.meta.MetaCommand;
 import com.google.gson.JsonObject;
-import damsonworks.fleet.meta.MetaCommand;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.net.InetAddress;
--- a/src/main/java/damsonworks/fleet/Way.java
+++ b/src/main/java/cacheproxy/fleet/Way.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 /**
  * What the way from one part of a fleet to another does to what is sent. Shares from 0 to 1, times in milliseconds.
--- a/src/main/java/damsonworks/fleet/meta/MetaAnswerDecoder.java
+++ b/src/main/java/cacheproxy/fleet/meta/MetaAnswerDecoder.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet.meta;
+package cacheproxy.fleet.meta;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/damsonworks/fleet/meta/MetaCommand.java
+++ b/src/main/java/cacheproxy/fleet/meta/MetaCommand.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet.meta;
+package cacheproxy.fleet.meta;
 
 /** One command as a server reads it. */
 public sealed interface MetaCommand {
--- a/src/main/java/damsonworks/fleet/package-info.java
+++ b/src/main/java/cacheproxy/fleet/package-info.java
@@ -8,4 +8,4 @@
  * carries it out. All of one fleet runs on one event loop. It may use Netty and Gson; {@code proxy}, the decision
  * files, {@code wire}, {@code load}, {@code demo} and {@code cli} are out of bounds.
  */
-package damsonworks.fleet;
+package cacheproxy.fleet;
--- a/src/main/java/damsonworks/flow/ArrivalTimes.java
+++ b/src/main/java/cacheproxy/flow/ArrivalTimes.java
@@ -1,4 +1,4 @@
-package damsonworks.flow;
+package cacheproxy.flow;
 
 import java.util.ArrayDeque;
 
--- a/src/main/java/damsonworks/flow/ReadAhead.java
+++ b/src/main/java/cacheproxy/flow/ReadAhead.java
@@ -1,4 +1,4 @@
-package damsonworks.flow;
+package cacheproxy.flow;
 
 /**
  * How much of what clients send may be read before it can be looked at. Reading on tells when bytes came, and shows a
--- a/src/main/java/damsonworks/flow/ReadTimeout.java
+++ b/src/main/java/cacheproxy/flow/ReadTimeout.java
@@ -1,4 +1,4 @@
-package damsonworks.flow;
+package cacheproxy.flow;
 
 /**
  * How long a client may take over the rest of a request that it has begun, or over its first one. Decides without a
--- a/src/main/java/damsonworks/lab/BadClients.java
+++ b/src/main/java/cacheproxy/lab/BadClients.java
@@ -1,7 +1,7 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
-import damsonworks.demo.ProxyProcess;
-import damsonworks.fleet.Fault;
+import cacheproxy.demo.ProxyProcess;
+import cacheproxy.fleet.Fault;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
--- a/src/main/java/damsonworks/lab/Companion.java
+++ b/src/main/java/cacheproxy/lab/Companion.java
@@ -1,6 +1,6 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
-import damsonworks.demo.ProxyProcess;
+import cacheproxy.demo.ProxyProcess;
 import java.io.IOException;
 import java.util.List;
 
--- a/src/main/java/damsonworks/lab/Expectation.java
+++ b/src/main/java/cacheproxy/lab/Expectation.java
@@ -1,6 +1,6 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
-import damsonworks.fleet.Oracle;
+import cacheproxy.fleet.Oracle;
 import java.util.List;
 import java.util.Locale;
 
--- a/src/main/java/damsonworks/lab/Outcome.java
+++ b/src/main/java/cacheproxy/lab/Outcome.java
@@ -1,9 +1,9 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
-import damsonworks.fleet.Oracle;
-import damsonworks.fleet.Series;
-import damsonworks.fleet.Series.What;
-import damsonworks.load.Report;
+import cacheproxy.fleet.Oracle;
+import cacheproxy.fleet.Series;
+import cacheproxy.fleet.Series.What;
+import cacheproxy.load.Report;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Stream;
--- a/src/main/java/damsonworks/lab/OutcomeText.java
+++ b/src/main/java/cacheproxy/lab/OutcomeText.java
@@ -1,13 +1,13 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
+import cacheproxy.fleet.Layout;
+import cacheproxy.fleet.Oracle;
+import cacheproxy.fleet.Series;
+import cacheproxy.fleet.Series.What;
+import cacheproxy.load.LineChart;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.fleet.Layout;
-import damsonworks.fleet.Oracle;
-import damsonworks.fleet.Series;
-import damsonworks.fleet.Series.What;
-import damsonworks.load.LineChart;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/damsonworks/lab/ProcessUse.java
+++ b/src/main/java/cacheproxy/lab/ProcessUse.java
@@ -1,4 +1,4 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/damsonworks/lab/RecoveryExpectation.java
+++ b/src/main/java/cacheproxy/lab/RecoveryExpectation.java
@@ -1,7 +1,7 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
-import damsonworks.fleet.Series;
-import damsonworks.fleet.Series.What;
+import cacheproxy.fleet.Series;
+import cacheproxy.fleet.Series.What;
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/damsonworks/lab/Scenario.java
+++ b/src/main/java/cacheproxy/lab/Scenario.java
@@ -1,8 +1,8 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
-import damsonworks.fleet.Fault;
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.LinkFault;
+import cacheproxy.fleet.Fault;
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.LinkFault;
 import java.util.List;
 
 /**
--- a/src/main/java/damsonworks/lab/SoakPlan.java
+++ b/src/main/java/cacheproxy/lab/SoakPlan.java
@@ -1,4 +1,4 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/damsonworks/lab/SoakRun.java
+++ b/src/main/java/cacheproxy/lab/SoakRun.java
@@ -1,7 +1,7 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
-import damsonworks.config.Problems;
-import damsonworks.demo.ProxyProcess;
+import cacheproxy.config.Problems;
+import cacheproxy.demo.ProxyProcess;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/damsonworks/lab/ZoneExpectation.java
+++ b/src/main/java/cacheproxy/lab/ZoneExpectation.java
@@ -1,8 +1,8 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
-import damsonworks.fleet.Layout;
-import damsonworks.fleet.Series;
-import damsonworks.fleet.Series.What;
+import cacheproxy.fleet.Layout;
+import cacheproxy.fleet.Series;
+import cacheproxy.fleet.Series.What;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/damsonworks/load/Connection.java
+++ b/src/main/java/cacheproxy/load/Connection.java
@@ -1,9 +1,9 @@
-package damsonworks.load;
+package cacheproxy.load;
 
-import damsonworks.fleet.TrafficClass;
-import damsonworks.fleet.meta.MetaAnswer;
-import damsonworks.fleet.meta.MetaAnswerDecoder;
-import damsonworks.load.Generator.Pending;
+import cacheproxy.fleet.TrafficClass;
+import cacheproxy.fleet.meta.MetaAnswer;
+import cacheproxy.fleet.meta.MetaAnswerDecoder;
+import cacheproxy.load.Generator.Pending;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/damsonworks/load/Descriptors.java
+++ b/src/main/java/cacheproxy/load/Descriptors.java
@@ -1,4 +1,4 @@
-package damsonworks.load;
+package cacheproxy.load;
 
 import com.sun.management.UnixOperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
--- a/src/main/java/damsonworks/load/Generator.java
+++ b/src/main/java/cacheproxy/load/Generator.java
@@ -1,9 +1,9 @@
-package damsonworks.load;
+package cacheproxy.load;
 
-import damsonworks.fleet.Keys;
-import damsonworks.fleet.Sockets;
-import damsonworks.fleet.TrafficClass;
-import damsonworks.fleet.meta.MetaAnswer;
+import cacheproxy.fleet.Keys;
+import cacheproxy.fleet.Sockets;
+import cacheproxy.fleet.TrafficClass;
+import cacheproxy.fleet.meta.MetaAnswer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
--- a/src/main/java/damsonworks/load/HtmlReport.java
+++ b/src/main/java/cacheproxy/load/HtmlReport.java
@@ -1,4 +1,4 @@
-package damsonworks.load;
+package cacheproxy.load;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/damsonworks/load/Observer.java
+++ b/src/main/java/cacheproxy/load/Observer.java
@@ -1,6 +1,6 @@
-package damsonworks.load;
+package cacheproxy.load;
 
-import damsonworks.fleet.meta.MetaAnswer;
+import cacheproxy.fleet.meta.MetaAnswer;
 
 /** What watches each request of a run. Called on the generator's event loop; times are {@link System#nanoTime()}. */
 public interface Observer {
--- a/src/main/java/damsonworks/load/Planned.java
+++ b/src/main/java/cacheproxy/load/Planned.java
@@ -1,4 +1,4 @@
-package damsonworks.load;
+package cacheproxy.load;
 
 /**
  * One request that is meant to be sent.
--- a/src/main/java/damsonworks/load/Report.java
+++ b/src/main/java/cacheproxy/load/Report.java
@@ -1,4 +1,4 @@
-package damsonworks.load;
+package cacheproxy.load;
 
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
--- a/src/main/java/damsonworks/load/Shape.java
+++ b/src/main/java/cacheproxy/load/Shape.java
@@ -1,4 +1,4 @@
-package damsonworks.load;
+package cacheproxy.load;
 
 /**
  * How a rate goes over a run: a factor on the rate asked for, by the time since the start and the run's length, both in
--- a/src/main/java/damsonworks/load/SyntheticWorkload.java
+++ b/src/main/java/cacheproxy/load/SyntheticWorkload.java
@@ -1,8 +1,8 @@
-package damsonworks.load;
+package cacheproxy.load;
 
-import damsonworks.fleet.Keys;
-import damsonworks.fleet.TrafficClass;
-import damsonworks.fleet.ValueSizes;
+import cacheproxy.fleet.Keys;
+import cacheproxy.fleet.TrafficClass;
+import cacheproxy.fleet.ValueSizes;
 import java.util.List;
 import java.util.SplittableRandom;
 
--- a/src/main/java/damsonworks/load/TraceFormat.java
+++ b/src/main/java/cacheproxy/load/TraceFormat.java
@@ -1,7 +1,7 @@
-package damsonworks.load;
+package cacheproxy.load;
 
-import damsonworks.fleet.Keys;
-import damsonworks.fleet.TrafficClass;
+import cacheproxy.fleet.Keys;
+import cacheproxy.fleet.TrafficClass;
 import java.util.List;
 
 /** How one line of a trace is read. */
--- a/src/main/java/damsonworks/load/TraceWorkload.java
+++ b/src/main/java/cacheproxy/load/TraceWorkload.java
@@ -1,6 +1,6 @@
-package damsonworks.load;
+package cacheproxy.load;
 
-import damsonworks.fleet.TrafficClass;
+import cacheproxy.fleet.TrafficClass;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/damsonworks/load/Workload.java
+++ b/src/main/java/cacheproxy/load/Workload.java
@@ -1,4 +1,4 @@
-package damsonworks.load;
+package cacheproxy.load;
 
 import java.util.List;
 
--- a/src/main/java/damsonworks/member/Configured.java
+++ b/src/main/java/cacheproxy/member/Configured.java
@@ -1,4 +1,4 @@
-package damsonworks.member;
+package cacheproxy.member;
 
 /**
  * How many instances the settings name, at least 1. What a rule rests on counts all of them for as long as one that is
--- a/src/main/java/damsonworks/member/Hearing.java
+++ b/src/main/java/cacheproxy/member/Hearing.java
@@ -1,4 +1,4 @@
-package damsonworks.member;
+package cacheproxy.member;
 
 /** Which part of the configured fleet an instance can hear, itself among it. */
 public enum Hearing {
--- a/src/main/java/damsonworks/member/Membership.java
+++ b/src/main/java/cacheproxy/member/Membership.java
@@ -1,7 +1,7 @@
-package damsonworks.member;
+package cacheproxy.member;
 
-import damsonworks.member.Message.Kind;
-import damsonworks.member.Send.Urgency;
+import cacheproxy.member.Message.Kind;
+import cacheproxy.member.Send.Urgency;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
--- a/src/main/java/damsonworks/member/Message.java
+++ b/src/main/java/cacheproxy/member/Message.java
@@ -1,4 +1,4 @@
-package damsonworks.member;
+package cacheproxy.member;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
--- a/src/main/java/damsonworks/member/News.java
+++ b/src/main/java/cacheproxy/member/News.java
@@ -1,4 +1,4 @@
-package damsonworks.member;
+package cacheproxy.member;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/damsonworks/member/Phase.java
+++ b/src/main/java/cacheproxy/member/Phase.java
@@ -1,4 +1,4 @@
-package damsonworks.member;
+package cacheproxy.member;
 
 /** What an instance says of its own service. */
 public enum Phase {
--- a/src/main/java/damsonworks/member/Probe.java
+++ b/src/main/java/cacheproxy/member/Probe.java
@@ -1,4 +1,4 @@
-package damsonworks.member;
+package cacheproxy.member;
 
 /** An instance that has been asked whether it lives. */
 final class Probe {
--- a/src/main/java/damsonworks/member/Send.java
+++ b/src/main/java/cacheproxy/member/Send.java
@@ -1,4 +1,4 @@
-package damsonworks.member;
+package cacheproxy.member;
 
 /**
  * A message that is to go out.
--- a/src/main/java/damsonworks/member/Suspicion.java
+++ b/src/main/java/cacheproxy/member/Suspicion.java
@@ -1,4 +1,4 @@
-package damsonworks.member;
+package cacheproxy.member;
 
 /**
  * A suspicion under way. It lasts the longer the fewer confirm it: from the longest time with one who suspects down to
--- a/src/main/java/damsonworks/model/Ask.java
+++ b/src/main/java/cacheproxy/model/Ask.java
@@ -1,7 +1,7 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.ServiceClass;
+import cacheproxy.RoutingApi.Request;
+import cacheproxy.RoutingApi.ServiceClass;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/damsonworks/model/Attempt.java
+++ b/src/main/java/cacheproxy/model/Attempt.java
@@ -1,4 +1,4 @@
-package damsonworks.model;
+package cacheproxy.model;
 
 /** One try of a request at a server, as one instance sees it. */
 final class Attempt {
--- a/src/main/java/damsonworks/model/ClientsModel.java
+++ b/src/main/java/cacheproxy/model/ClientsModel.java
@@ -1,9 +1,9 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.load.Zipf;
+import cacheproxy.RoutingApi.Effect;
+import cacheproxy.RoutingApi.Request;
+import cacheproxy.RoutingApi.ServiceClass;
+import cacheproxy.load.Zipf;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/damsonworks/model/ColdCase.java
+++ b/src/main/java/cacheproxy/model/ColdCase.java
@@ -1,6 +1,6 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.model.FleetDraw.Traffic;
+import cacheproxy.model.FleetDraw.Traffic;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
--- a/src/main/java/damsonworks/model/ColdRamp.java
+++ b/src/main/java/cacheproxy/model/ColdRamp.java
@@ -1,4 +1,4 @@
-package damsonworks.model;
+package cacheproxy.model;
 
 /** How a node that has just started comes to its full capacity; the settings tell its beginning and its end. */
 public enum ColdRamp {
--- a/src/main/java/damsonworks/model/ColdStudy.java
+++ b/src/main/java/cacheproxy/model/ColdStudy.java
@@ -1,6 +1,6 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.model.ColdLoad.Window;
+import cacheproxy.model.ColdLoad.Window;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/damsonworks/model/Day.java
+++ b/src/main/java/cacheproxy/model/Day.java
@@ -1,4 +1,4 @@
-package damsonworks.model;
+package cacheproxy.model;
 
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/main/java/damsonworks/model/DiscoveryModel.java
+++ b/src/main/java/cacheproxy/model/DiscoveryModel.java
@@ -1,7 +1,7 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.State;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/damsonworks/model/Figure.java
+++ b/src/main/java/cacheproxy/model/Figure.java
@@ -1,4 +1,4 @@
-package damsonworks.model;
+package cacheproxy.model;
 
 /** What is counted, second by second, over all instances. */
 public enum Figure {
--- a/src/main/java/damsonworks/model/FleetDraw.java
+++ b/src/main/java/cacheproxy/model/FleetDraw.java
@@ -1,11 +1,11 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.Reports;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.Tenant;
+import cacheproxy.RoutingApi.Effect;
+import cacheproxy.RoutingApi.Group;
+import cacheproxy.RoutingApi.Reports;
+import cacheproxy.RoutingApi.ServiceClass;
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.RoutingApi.Tenant;
 import java.util.List;
 import java.util.SplittableRandom;
 
--- a/src/main/java/damsonworks/model/FleetPlay.java
+++ b/src/main/java/cacheproxy/model/FleetPlay.java
@@ -1,12 +1,12 @@
-package damsonworks.model;
-
-import damsonworks.Carp;
-import damsonworks.Policy;
-import damsonworks.RoutingApi;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
+package cacheproxy.model;
+
+import cacheproxy.Carp;
+import cacheproxy.Policy;
+import cacheproxy.RoutingApi;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.ServiceClass;
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.RoutingApi.State;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/main/java/damsonworks/model/LineDiscovery.java
+++ b/src/main/java/cacheproxy/model/LineDiscovery.java
@@ -1,4 +1,4 @@
-package damsonworks.model;
+package cacheproxy.model;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/damsonworks/model/Link.java
+++ b/src/main/java/cacheproxy/model/Link.java
@@ -1,6 +1,6 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.RoutingApi.Outcome;
+import cacheproxy.RoutingApi.Outcome;
 import java.util.ArrayDeque;
 import java.util.List;
 
--- a/src/main/java/damsonworks/model/NewsPlay.java
+++ b/src/main/java/cacheproxy/model/NewsPlay.java
@@ -1,17 +1,17 @@
-package damsonworks.model;
-
-import damsonworks.Policy;
-import damsonworks.RoutingApi;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
-import damsonworks.peer.AntiEntropy;
-import damsonworks.peer.ListNews;
-import damsonworks.peer.ListNews.Order;
-import damsonworks.peer.ListUpdate;
-import damsonworks.peer.ProvisionalMembership;
-import damsonworks.roster.ListCalls;
+package cacheproxy.model;
+
+import cacheproxy.Policy;
+import cacheproxy.RoutingApi;
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.RoutingApi.State;
+import cacheproxy.peer.AntiEntropy;
+import cacheproxy.peer.ListNews;
+import cacheproxy.peer.ListNews.Order;
+import cacheproxy.peer.ListUpdate;
+import cacheproxy.peer.ProvisionalMembership;
+import cacheproxy.roster.ListCalls;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
--- a/src/main/java/damsonworks/model/NodeModel.java
+++ b/src/main/java/cacheproxy/model/NodeModel.java
@@ -1,9 +1,9 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.fleet.ColdStart;
-import damsonworks.fleet.LruStore;
-import damsonworks.fleet.ServiceModel;
+import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.fleet.ColdStart;
+import cacheproxy.fleet.LruStore;
+import cacheproxy.fleet.ServiceModel;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/main/java/damsonworks/model/OriginModel.java
+++ b/src/main/java/cacheproxy/model/OriginModel.java
@@ -1,6 +1,6 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.fleet.ServiceModel;
+import cacheproxy.fleet.ServiceModel;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
--- a/src/main/java/damsonworks/model/PlayReport.java
+++ b/src/main/java/cacheproxy/model/PlayReport.java
@@ -1,8 +1,8 @@
-package damsonworks.model;
+package cacheproxy.model;
 
+import cacheproxy.load.LineChart;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.load.LineChart;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/damsonworks/model/Tally.java
+++ b/src/main/java/cacheproxy/model/Tally.java
@@ -1,4 +1,4 @@
-package damsonworks.model;
+package cacheproxy.model;
 
 /**
  * Counts by the second. Seconds are those of the run, from 0; what comes before or after it goes to the first or last.
--- a/src/main/java/damsonworks/model/ViewPlay.java
+++ b/src/main/java/cacheproxy/model/ViewPlay.java
@@ -1,14 +1,14 @@
-package damsonworks.model;
-
-import damsonworks.member.Entry;
-import damsonworks.member.MemberSettings;
-import damsonworks.member.Membership;
-import damsonworks.member.Phase;
-import damsonworks.member.Send;
-import damsonworks.member.State;
-import damsonworks.peer.Envelope;
-import damsonworks.peer.MemberBudget;
-import damsonworks.peer.Outbox;
+package cacheproxy.model;
+
+import cacheproxy.member.Entry;
+import cacheproxy.member.MemberSettings;
+import cacheproxy.member.Membership;
+import cacheproxy.member.Phase;
+import cacheproxy.member.Send;
+import cacheproxy.member.State;
+import cacheproxy.peer.Envelope;
+import cacheproxy.peer.MemberBudget;
+import cacheproxy.peer.Outbox;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/damsonworks/model/ZonePlay.java
+++ b/src/main/java/cacheproxy/model/ZonePlay.java
@@ -1,9 +1,9 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.RoutingApi.ZoneOrder;
-import damsonworks.member.Membership;
-import damsonworks.zone.ZoneSettings;
-import damsonworks.zone.Zones;
+import cacheproxy.RoutingApi.ZoneOrder;
+import cacheproxy.member.Membership;
+import cacheproxy.zone.ZoneSettings;
+import cacheproxy.zone.Zones;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
--- a/src/main/java/damsonworks/model/check/Explorer.java
+++ b/src/main/java/cacheproxy/model/check/Explorer.java
@@ -1,4 +1,4 @@
-package damsonworks.model.check;
+package cacheproxy.model.check;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/damsonworks/model/check/MemberProtocol.java
+++ b/src/main/java/cacheproxy/model/check/MemberProtocol.java
@@ -1,8 +1,8 @@
-package damsonworks.model.check;
+package cacheproxy.model.check;
 
-import damsonworks.member.Entry;
-import damsonworks.member.Knowledge;
-import damsonworks.member.State;
+import cacheproxy.member.Entry;
+import cacheproxy.member.Knowledge;
+import cacheproxy.member.State;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/damsonworks/model/check/ZoneProtocol.java
+++ b/src/main/java/cacheproxy/model/check/ZoneProtocol.java
@@ -1,8 +1,8 @@
-package damsonworks.model.check;
+package cacheproxy.model.check;
 
-import damsonworks.zone.Plan;
-import damsonworks.zone.ZoneState;
-import damsonworks.zone.ZoneState.Cause;
+import cacheproxy.zone.Plan;
+import cacheproxy.zone.ZoneState;
+import cacheproxy.zone.ZoneState.Cause;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
--- a/src/main/java/damsonworks/model/package-info.java
+++ b/src/main/java/cacheproxy/model/package-info.java
@@ -5,4 +5,4 @@
  * the same run. The rules are checked over all instances for each request. Models of a server that the stand-in fleet
  * runs on sockets are used here as they are.
  */
-package damsonworks.model;
+package cacheproxy.model;
--- a/src/main/java/damsonworks/peer/AntiEntropy.java
+++ b/src/main/java/cacheproxy/peer/AntiEntropy.java
@@ -1,4 +1,4 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
 import java.util.SplittableRandom;
 
--- a/src/main/java/damsonworks/peer/ListChange.java
+++ b/src/main/java/cacheproxy/peer/ListChange.java
@@ -1,6 +1,6 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
-import damsonworks.RoutingApi.State;
+import cacheproxy.RoutingApi.State;
 
 /**
  * What has become of one server, as the list of a certain version has it.
--- a/src/main/java/damsonworks/peer/ListNews.java
+++ b/src/main/java/cacheproxy/peer/ListNews.java
@@ -1,6 +1,6 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
-import damsonworks.member.Living;
+import cacheproxy.member.Living;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
--- a/src/main/java/damsonworks/peer/ListUpdate.java
+++ b/src/main/java/cacheproxy/peer/ListUpdate.java
@@ -1,6 +1,6 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
-import damsonworks.RoutingApi.State;
+import cacheproxy.RoutingApi.State;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/damsonworks/peer/MemberBudget.java
+++ b/src/main/java/cacheproxy/peer/MemberBudget.java
@@ -1,7 +1,7 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
-import damsonworks.member.Membership;
-import damsonworks.member.Send.Urgency;
+import cacheproxy.member.Membership;
+import cacheproxy.member.Send.Urgency;
 
 /** The budget of an instance as its membership sees it: each of its messages is a datagram of its own. */
 public record MemberBudget(Outbox outbox) implements Membership.Allowance {
--- a/src/main/java/damsonworks/peer/Outbox.java
+++ b/src/main/java/cacheproxy/peer/Outbox.java
@@ -1,4 +1,4 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
 /**
  * What an instance may send to its peers: one budget for all parts of the program, in bytes a second, whatever the size
--- a/src/main/java/damsonworks/peer/ProvisionalMembership.java
+++ b/src/main/java/cacheproxy/peer/ProvisionalMembership.java
@@ -1,7 +1,7 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.State;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/src/main/java/damsonworks/peer/StartTimes.java
+++ b/src/main/java/cacheproxy/peer/StartTimes.java
@@ -1,6 +1,6 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
-import damsonworks.RoutingApi.Member;
+import cacheproxy.RoutingApi.Member;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/damsonworks/permit/Permits.java
+++ b/src/main/java/cacheproxy/permit/Permits.java
@@ -1,8 +1,8 @@
-package damsonworks.permit;
+package cacheproxy.permit;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ServiceClass;
+import cacheproxy.RoutingApi.Effect;
+import cacheproxy.RoutingApi.Group;
+import cacheproxy.RoutingApi.ServiceClass;
 import java.util.List;
 
 /**
--- a/src/main/java/damsonworks/permit/RequestState.java
+++ b/src/main/java/cacheproxy/permit/RequestState.java
@@ -1,4 +1,4 @@
-package damsonworks.permit;
+package cacheproxy.permit;
 
 /**
  * What has become of a request that has been taken.
--- a/src/main/java/damsonworks/permit/Verdict.java
+++ b/src/main/java/cacheproxy/permit/Verdict.java
@@ -1,4 +1,4 @@
-package damsonworks.permit;
+package cacheproxy.permit;
 
 import java.util.Locale;
 
--- a/src/main/java/damsonworks/proxy/Acceptor.java
+++ b/src/main/java/cacheproxy/proxy/Acceptor.java
@@ -1,6 +1,6 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.proxy.transport.AcceptErrors;
+import cacheproxy.proxy.transport.AcceptErrors;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
--- a/src/main/java/damsonworks/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.proxy.Exchange.Attempt;
-import damsonworks.proxy.Exchange.Command;
+import cacheproxy.RoutingApi;
+import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.proxy.Exchange.Attempt;
+import cacheproxy.proxy.Exchange.Command;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/damsonworks/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/ClientConnection.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.figures.EventKind;
-import damsonworks.flow.ReadTimeout;
-import damsonworks.proxy.Exchange.Command;
-import damsonworks.route.Routing;
+import cacheproxy.figures.EventKind;
+import cacheproxy.flow.ReadTimeout;
+import cacheproxy.proxy.Exchange.Command;
+import cacheproxy.route.Routing;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/damsonworks/proxy/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/ClientInput.java
@@ -1,7 +1,7 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.flow.ArrivalTimes;
-import damsonworks.flow.ReadAhead;
+import cacheproxy.flow.ArrivalTimes;
+import cacheproxy.flow.ReadAhead;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 
--- a/src/main/java/damsonworks/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -1,5 +1,12 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.proxy.discovery.Addresses;
+import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.ListForm;
+import cacheproxy.roster.ListCalls;
+import cacheproxy.route.Known;
+import cacheproxy.wire.SettingsParser;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -8,13 +15,6 @@
 import com.google.gson.Strictness;
 import com.google.gson.stream.JsonReader;
 import com.google.gson.stream.JsonToken;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.proxy.discovery.Addresses;
-import damsonworks.proxy.discovery.DiscoveryClient;
-import damsonworks.proxy.discovery.ListForm;
-import damsonworks.roster.ListCalls;
-import damsonworks.route.Known;
-import damsonworks.wire.SettingsParser;
 import java.io.IOException;
 import java.io.StringReader;
 import java.net.InetSocketAddress;
--- a/src/main/java/damsonworks/proxy/Counters.java
+++ b/src/main/java/cacheproxy/proxy/Counters.java
@@ -1,6 +1,6 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.figures.Work;
+import cacheproxy.figures.Work;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
--- a/src/main/java/damsonworks/proxy/DeadlineText.java
+++ b/src/main/java/cacheproxy/proxy/DeadlineText.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 /**
  * A text of a request that names how long its client waits, kept apart at that figure. Each attempt is told the time
--- a/src/main/java/damsonworks/proxy/Drainer.java
+++ b/src/main/java/cacheproxy/proxy/Drainer.java
@@ -1,7 +1,7 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.drain.Drain;
-import damsonworks.drain.DrainPlan;
+import cacheproxy.drain.Drain;
+import cacheproxy.drain.DrainPlan;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
--- a/src/main/java/damsonworks/proxy/EventLog.java
+++ b/src/main/java/cacheproxy/proxy/EventLog.java
@@ -1,7 +1,7 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.figures.EventKind;
-import damsonworks.figures.LogBudget;
+import cacheproxy.figures.EventKind;
+import cacheproxy.figures.LogBudget;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.function.DoubleSupplier;
--- a/src/main/java/damsonworks/proxy/Exchange.java
+++ b/src/main/java/cacheproxy/proxy/Exchange.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.flow.ByteBudget;
-import damsonworks.permit.Permits;
-import damsonworks.permit.RequestState;
-import damsonworks.proxy.Timers.Timer;
+import cacheproxy.RoutingApi.ServiceClass;
+import cacheproxy.flow.ByteBudget;
+import cacheproxy.permit.Permits;
+import cacheproxy.permit.RequestState;
+import cacheproxy.proxy.Timers.Timer;
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayList;
 import java.util.List;
@@ -68,7 +68,7 @@
 
     /** What is asked for, as a front has read it. */
     static final class Command {
-        /** The front's index in {@link damsonworks.route.Routing#FRONTS}. */
+        /** The front's index in {@link cacheproxy.route.Routing#FRONTS}. */
         final int front;
 
         final String key;
--- a/src/main/java/damsonworks/proxy/FileWatch.java
+++ b/src/main/java/cacheproxy/proxy/FileWatch.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/damsonworks/proxy/FleetZones.java
+++ b/src/main/java/cacheproxy/proxy/FleetZones.java
@@ -1,6 +1,6 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.zone.Zones;
+import cacheproxy.zone.Zones;
 import java.util.List;
 
 /** The zones as operators see and order them by one proxy. On the event loop only. */
--- a/src/main/java/damsonworks/proxy/HandoverLink.java
+++ b/src/main/java/cacheproxy/proxy/HandoverLink.java
@@ -1,6 +1,6 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.takeover.Handover;
+import cacheproxy.takeover.Handover;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/damsonworks/proxy/Initializer.java
+++ b/src/main/java/cacheproxy/proxy/Initializer.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
--- a/src/main/java/damsonworks/proxy/Installation.java
+++ b/src/main/java/cacheproxy/proxy/Installation.java
@@ -1,11 +1,11 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.Carp;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
-import damsonworks.proxy.discovery.Host;
-import damsonworks.route.Known;
-import damsonworks.route.Pool;
+import cacheproxy.Carp;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.State;
+import cacheproxy.proxy.discovery.Host;
+import cacheproxy.route.Known;
+import cacheproxy.route.Pool;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/damsonworks/proxy/LearntForm.java
+++ b/src/main/java/cacheproxy/proxy/LearntForm.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
+import cacheproxy.RoutingApi.Experience;
+import cacheproxy.RoutingApi.Hot;
+import cacheproxy.RoutingApi.Load;
+import cacheproxy.RoutingApi.Seen;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import damsonworks.RoutingApi.Experience;
-import damsonworks.RoutingApi.Hot;
-import damsonworks.RoutingApi.Load;
-import damsonworks.RoutingApi.Seen;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/damsonworks/proxy/LoopClock.java
+++ b/src/main/java/cacheproxy/proxy/LoopClock.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
--- a/src/main/java/damsonworks/proxy/MemberLink.java
+++ b/src/main/java/cacheproxy/proxy/MemberLink.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.Settings;
-import damsonworks.member.Living;
-import damsonworks.member.MemberSettings;
-import damsonworks.member.Membership;
-import damsonworks.member.Phase;
-import damsonworks.member.View;
-import damsonworks.peer.MemberBudget;
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.member.Living;
+import cacheproxy.member.MemberSettings;
+import cacheproxy.member.Membership;
+import cacheproxy.member.Phase;
+import cacheproxy.member.View;
+import cacheproxy.peer.MemberBudget;
 import java.util.function.Consumer;
 
 /** Carries out what {@link Membership} decides: its messages and its times. On the event loop only. */
--- a/src/main/java/damsonworks/proxy/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/MetaCodec.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
--- a/src/main/java/damsonworks/proxy/MetaCommand.java
+++ b/src/main/java/cacheproxy/proxy/MetaCommand.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.proxy.Exchange.Command;
-import damsonworks.proxy.Exchange.Terms;
-import damsonworks.route.Routing;
+import cacheproxy.proxy.Exchange.Command;
+import cacheproxy.proxy.Exchange.Terms;
+import cacheproxy.route.Routing;
 
 /**
  * What a client's line of the meta protocol asks for.
--- a/src/main/java/damsonworks/proxy/NodeTalk.java
+++ b/src/main/java/cacheproxy/proxy/NodeTalk.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.Evidence;
-import damsonworks.member.View;
-import damsonworks.peer.BadNodes;
-import damsonworks.peer.PeerMessage;
+import cacheproxy.RoutingApi.Evidence;
+import cacheproxy.member.View;
+import cacheproxy.peer.BadNodes;
+import cacheproxy.peer.PeerMessage;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/damsonworks/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.flow.ByteBudget;
-import damsonworks.proxy.Exchange.Attempt;
-import damsonworks.proxy.Exchange.Command;
-import damsonworks.proxy.discovery.Addresses;
+import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.flow.ByteBudget;
+import cacheproxy.proxy.Exchange.Attempt;
+import cacheproxy.proxy.Exchange.Command;
+import cacheproxy.proxy.discovery.Addresses;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/damsonworks/proxy/PausableDecoder.java
+++ b/src/main/java/cacheproxy/proxy/PausableDecoder.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.ByteToMessageDecoder;
--- a/src/main/java/damsonworks/proxy/PeerNews.java
+++ b/src/main/java/cacheproxy/proxy/PeerNews.java
@@ -1,14 +1,14 @@
-package damsonworks.proxy;
-
-import damsonworks.member.Living;
-import damsonworks.peer.AntiEntropy;
-import damsonworks.peer.ListNews;
-import damsonworks.peer.ListNews.Order;
-import damsonworks.peer.ListUpdate;
-import damsonworks.peer.PeerMessage;
-import damsonworks.peer.ProvisionalMembership;
-import damsonworks.proxy.discovery.DiscoveryClient;
-import damsonworks.proxy.discovery.ProvisionalList;
+package cacheproxy.proxy;
+
+import cacheproxy.member.Living;
+import cacheproxy.peer.AntiEntropy;
+import cacheproxy.peer.ListNews;
+import cacheproxy.peer.ListNews.Order;
+import cacheproxy.peer.ListUpdate;
+import cacheproxy.peer.PeerMessage;
+import cacheproxy.peer.ProvisionalMembership;
+import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.ProvisionalList;
 import java.util.SplittableRandom;
 
 /**
--- a/src/main/java/damsonworks/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerSocket.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.figures.Work;
-import damsonworks.peer.AntiEntropy;
-import damsonworks.peer.Envelope;
-import damsonworks.peer.Envelope.Item;
-import damsonworks.peer.Outbox;
+import cacheproxy.figures.Work;
+import cacheproxy.peer.AntiEntropy;
+import cacheproxy.peer.Envelope;
+import cacheproxy.peer.Envelope.Item;
+import cacheproxy.peer.Outbox;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/damsonworks/proxy/RecallLink.java
+++ b/src/main/java/cacheproxy/proxy/RecallLink.java
@@ -1,14 +1,14 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.Experience;
-import damsonworks.RoutingApi.Load;
-import damsonworks.RoutingApi.Seen;
-import damsonworks.proxy.discovery.DiscoveryClient;
-import damsonworks.recovery.Memory;
-import damsonworks.recovery.Recall;
-import damsonworks.recovery.Recall.Recalled;
-import damsonworks.recovery.Source;
-import damsonworks.recovery.Trust;
+import cacheproxy.RoutingApi.Experience;
+import cacheproxy.RoutingApi.Load;
+import cacheproxy.RoutingApi.Seen;
+import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.recovery.Memory;
+import cacheproxy.recovery.Recall;
+import cacheproxy.recovery.Recall.Recalled;
+import cacheproxy.recovery.Source;
+import cacheproxy.recovery.Trust;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/damsonworks/proxy/Recovering.java
+++ b/src/main/java/cacheproxy/proxy/Recovering.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.recovery.Progress;
-import damsonworks.recovery.Spread;
-import damsonworks.recovery.Trust;
-import damsonworks.state.Keeper;
-import damsonworks.state.Opened;
+import cacheproxy.recovery.Progress;
+import cacheproxy.recovery.Spread;
+import cacheproxy.recovery.Trust;
+import cacheproxy.state.Keeper;
+import cacheproxy.state.Opened;
 
 /**
  * How far this process has come since its start, and what it keeps; for operators. On the event loop only.
--- a/src/main/java/damsonworks/proxy/RuleCounts.java
+++ b/src/main/java/cacheproxy/proxy/RuleCounts.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import java.util.Map;
 
--- a/src/main/java/damsonworks/proxy/RuleMonitor.java
+++ b/src/main/java/cacheproxy/proxy/RuleMonitor.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.figures.EventKind;
-import damsonworks.permit.Breach;
-import damsonworks.permit.Permits;
-import damsonworks.permit.Verdict;
-import damsonworks.proxy.Exchange.Attempt;
+import cacheproxy.figures.EventKind;
+import cacheproxy.permit.Breach;
+import cacheproxy.permit.Permits;
+import cacheproxy.permit.Verdict;
+import cacheproxy.proxy.Exchange.Attempt;
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/damsonworks/proxy/Servers.java
+++ b/src/main/java/cacheproxy/proxy/Servers.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy;
-
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
-import damsonworks.figures.Work;
-import damsonworks.figures.WorkLine;
-import damsonworks.permit.Permits;
-import damsonworks.proxy.discovery.Host;
+package cacheproxy.proxy;
+
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.RoutingApi.State;
+import cacheproxy.figures.Work;
+import cacheproxy.figures.WorkLine;
+import cacheproxy.permit.Permits;
+import cacheproxy.proxy.discovery.Host;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.util.collection.IntObjectHashMap;
 import java.util.ArrayList;
--- a/src/main/java/damsonworks/proxy/SighupHandler.java
+++ b/src/main/java/cacheproxy/proxy/SighupHandler.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import java.lang.invoke.MethodHandle;
 import java.lang.invoke.MethodHandleProxies;
--- a/src/main/java/damsonworks/proxy/TakeoverLink.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverLink.java
@@ -1,6 +1,6 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.takeover.Takeover;
+import cacheproxy.takeover.Takeover;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/damsonworks/proxy/TakeoverState.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverState.java
@@ -1,11 +1,11 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
+import cacheproxy.RoutingApi.Experience;
+import cacheproxy.state.Kind;
+import cacheproxy.state.Record;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import damsonworks.RoutingApi.Experience;
-import damsonworks.state.Kind;
-import damsonworks.state.Record;
 import java.util.EnumMap;
 import java.util.Map;
 
--- a/src/main/java/damsonworks/proxy/Timers.java
+++ b/src/main/java/cacheproxy/proxy/Timers.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
--- a/src/main/java/damsonworks/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -1,7 +1,7 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.permit.Permits;
-import damsonworks.proxy.Exchange.Attempt;
+import cacheproxy.permit.Permits;
+import cacheproxy.proxy.Exchange.Attempt;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
--- a/src/main/java/damsonworks/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.figures.EventKind;
-import damsonworks.figures.Work;
-import damsonworks.proxy.Exchange.Attempt;
-import damsonworks.proxy.transport.Connecting;
+import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.figures.EventKind;
+import cacheproxy.figures.Work;
+import cacheproxy.proxy.Exchange.Attempt;
+import cacheproxy.proxy.transport.Connecting;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/damsonworks/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -1,11 +1,11 @@
-package damsonworks.proxy;
-
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
-import damsonworks.proxy.discovery.Host;
-import damsonworks.proxy.discovery.ListSource;
-import damsonworks.route.Pool;
+package cacheproxy.proxy;
+
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.State;
+import cacheproxy.proxy.discovery.Host;
+import cacheproxy.proxy.discovery.ListSource;
+import cacheproxy.route.Pool;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/damsonworks/proxy/WorkLog.java
+++ b/src/main/java/cacheproxy/proxy/WorkLog.java
@@ -1,7 +1,7 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.figures.Work;
-import damsonworks.figures.WorkLine;
+import cacheproxy.figures.Work;
+import cacheproxy.figures.WorkLine;
 import io.netty.channel.EventLoop;
 import java.io.PrintStream;
 import java.util.EnumMap;
--- a/src/main/java/damsonworks/proxy/ZoneForm.java
+++ b/src/main/java/cacheproxy/proxy/ZoneForm.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
+import cacheproxy.zone.ZoneState;
+import cacheproxy.zone.ZoneState.Cause;
+import cacheproxy.zone.Zones.Held;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import damsonworks.zone.ZoneState;
-import damsonworks.zone.ZoneState.Cause;
-import damsonworks.zone.Zones.Held;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/damsonworks/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.Evidence;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.ZoneOrder;
-import damsonworks.state.Kind;
-import damsonworks.zone.ZoneSettings;
-import damsonworks.zone.ZoneState;
-import damsonworks.zone.Zones;
+import cacheproxy.RoutingApi.Evidence;
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.RoutingApi.ZoneOrder;
+import cacheproxy.state.Kind;
+import cacheproxy.zone.ZoneSettings;
+import cacheproxy.zone.ZoneState;
+import cacheproxy.zone.Zones;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/damsonworks/proxy/discovery/Addresses.java
+++ b/src/main/java/cacheproxy/proxy/discovery/Addresses.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy.discovery;
+package cacheproxy.proxy.discovery;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/damsonworks/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -1,17 +1,17 @@
-package damsonworks.proxy.discovery;
+package cacheproxy.proxy.discovery;
 
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.roster.ListCalls;
+import cacheproxy.roster.ListCalls.Begin;
+import cacheproxy.roster.ListCalls.Failure;
+import cacheproxy.roster.ListCalls.Form;
+import cacheproxy.roster.ListCalls.GiveUp;
+import cacheproxy.roster.ListCalls.Order;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.roster.ListCalls;
-import damsonworks.roster.ListCalls.Begin;
-import damsonworks.roster.ListCalls.Failure;
-import damsonworks.roster.ListCalls.Form;
-import damsonworks.roster.ListCalls.GiveUp;
-import damsonworks.roster.ListCalls.Order;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
--- a/src/main/java/damsonworks/proxy/discovery/Host.java
+++ b/src/main/java/cacheproxy/proxy/discovery/Host.java
@@ -1,7 +1,7 @@
-package damsonworks.proxy.discovery;
+package cacheproxy.proxy.discovery;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.route.Pool;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.route.Pool;
 import java.net.SocketAddress;
 
 /**
--- a/src/main/java/damsonworks/proxy/discovery/ListConnection.java
+++ b/src/main/java/cacheproxy/proxy/discovery/ListConnection.java
@@ -1,6 +1,6 @@
-package damsonworks.proxy.discovery;
+package cacheproxy.proxy.discovery;
 
-import damsonworks.proxy.transport.Connecting;
+import cacheproxy.proxy.transport.Connecting;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/damsonworks/proxy/discovery/ListForm.java
+++ b/src/main/java/cacheproxy/proxy/discovery/ListForm.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy.discovery;
+package cacheproxy.proxy.discovery;
 
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.State;
+import cacheproxy.route.Pool;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
-import damsonworks.route.Pool;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/damsonworks/proxy/discovery/ListSource.java
+++ b/src/main/java/cacheproxy/proxy/discovery/ListSource.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy.discovery;
+package cacheproxy.proxy.discovery;
 
 /** Where the decision module's calls for the list of servers go. */
 public interface ListSource {
--- a/src/main/java/damsonworks/proxy/discovery/ProvisionalList.java
+++ b/src/main/java/cacheproxy/proxy/discovery/ProvisionalList.java
@@ -1,11 +1,11 @@
-package damsonworks.proxy.discovery;
-
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
-import damsonworks.peer.ListUpdate;
-import damsonworks.peer.ProvisionalMembership;
-import damsonworks.peer.StartTimes;
+package cacheproxy.proxy.discovery;
+
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.State;
+import cacheproxy.peer.ListUpdate;
+import cacheproxy.peer.ProvisionalMembership;
+import cacheproxy.peer.StartTimes;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/damsonworks/proxy/transport/AcceptErrors.java
+++ b/src/main/java/cacheproxy/proxy/transport/AcceptErrors.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy.transport;
+package cacheproxy.proxy.transport;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
--- a/src/main/java/damsonworks/proxy/transport/Connecting.java
+++ b/src/main/java/cacheproxy/proxy/transport/Connecting.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy.transport;
+package cacheproxy.proxy.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/damsonworks/proxy/transport/package-info.java
+++ b/src/main/java/cacheproxy/proxy/transport/package-info.java
@@ -1,2 +1,2 @@
 /** What the sides of the proxy share of sockets: how connections are made and accepted while system calls fail. */
-package damsonworks.proxy.transport;
+package cacheproxy.proxy.transport;
--- a/src/main/java/damsonworks/quota/LeaseHolder.java
+++ b/src/main/java/cacheproxy/quota/LeaseHolder.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.quota;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/damsonworks/quota/Lending.java
+++ b/src/main/java/cacheproxy/quota/Lending.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.quota;
 
 /**
  * Who gets what of a rate that is free: by weight, nobody more than wanted, and what one leaves goes to the others
--- a/src/main/java/damsonworks/quota/Limit.java
+++ b/src/main/java/cacheproxy/quota/Limit.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.quota;
 
 /**
  * One quota of one node of the tree.
--- a/src/main/java/damsonworks/quota/Measure.java
+++ b/src/main/java/cacheproxy/quota/Measure.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.quota;
 
 /** What a quota counts. */
 public enum Measure {
--- a/src/main/java/damsonworks/quota/Meter.java
+++ b/src/main/java/cacheproxy/quota/Meter.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.quota;
 
 /**
  * One quota of one node at work. What is its own it may use in any order within the window; what is lent to it comes at
--- a/src/main/java/damsonworks/quota/QuotaSpec.java
+++ b/src/main/java/cacheproxy/quota/QuotaSpec.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.quota;
 
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/damsonworks/quota/Ticket.java
+++ b/src/main/java/cacheproxy/quota/Ticket.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.quota;
 
 /**
  * What one request has been charged, for its end: held by whoever holds the request, and used for one at a time. One
--- a/src/main/java/damsonworks/quota/package-info.java
+++ b/src/main/java/cacheproxy/quota/package-info.java
@@ -3,4 +3,4 @@
  * lending of those that lie idle. Decisions alone: no input or output, and time is an argument.
  * {@code docs/design/quotas.md} tells what was weighed.
  */
-package damsonworks.quota;
+package cacheproxy.quota;
--- a/src/main/java/damsonworks/recovery/Load.java
+++ b/src/main/java/cacheproxy/recovery/Load.java
@@ -1,4 +1,4 @@
-package damsonworks.recovery;
+package cacheproxy.recovery;
 
 /**
  * What an instance is asked, as a byte that others can be told: its requests a second on a scale of steps of a quarter,
--- a/src/main/java/damsonworks/recovery/Memory.java
+++ b/src/main/java/cacheproxy/recovery/Memory.java
@@ -1,4 +1,4 @@
-package damsonworks.recovery;
+package cacheproxy.recovery;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/src/main/java/damsonworks/recovery/Progress.java
+++ b/src/main/java/cacheproxy/recovery/Progress.java
@@ -1,4 +1,4 @@
-package damsonworks.recovery;
+package cacheproxy.recovery;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/src/main/java/damsonworks/recovery/Recall.java
+++ b/src/main/java/cacheproxy/recovery/Recall.java
@@ -1,8 +1,8 @@
-package damsonworks.recovery;
+package cacheproxy.recovery;
 
-import damsonworks.member.Entry;
-import damsonworks.member.Phase;
-import damsonworks.member.View;
+import cacheproxy.member.Entry;
+import cacheproxy.member.Phase;
+import cacheproxy.member.View;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/damsonworks/recovery/Sample.java
+++ b/src/main/java/cacheproxy/recovery/Sample.java
@@ -1,4 +1,4 @@
-package damsonworks.recovery;
+package cacheproxy.recovery;
 
 /**
  * What an instance has done since its start, as far as recovery looks at it.
--- a/src/main/java/damsonworks/recovery/Source.java
+++ b/src/main/java/cacheproxy/recovery/Source.java
@@ -1,4 +1,4 @@
-package damsonworks.recovery;
+package cacheproxy.recovery;
 
 /** Where something that an instance works with came from. */
 public enum Source {
--- a/src/main/java/damsonworks/roster/ListCalls.java
+++ b/src/main/java/cacheproxy/roster/ListCalls.java
@@ -1,4 +1,4 @@
-package damsonworks.roster;
+package cacheproxy.roster;
 
 import java.util.ArrayList;
 import java.util.Iterator;
--- a/src/main/java/damsonworks/route/Glob.java
+++ b/src/main/java/cacheproxy/route/Glob.java
@@ -1,4 +1,4 @@
-package damsonworks.route;
+package cacheproxy.route;
 
 /**
  * A pattern over a whole text: {@code *} stands for any characters or none, {@code ?} for exactly one. The literal
--- a/src/main/java/damsonworks/route/RetryBudget.java
+++ b/src/main/java/cacheproxy/route/RetryBudget.java
@@ -1,4 +1,4 @@
-package damsonworks.route;
+package cacheproxy.route;
 
 /**
  * How many further attempts there may be: a share of the requests, saved up for some seconds, and a few a second
--- a/src/main/java/damsonworks/route/Route.java
+++ b/src/main/java/cacheproxy/route/Route.java
@@ -1,4 +1,4 @@
-package damsonworks.route;
+package cacheproxy.route;
 
 import java.util.Set;
 
--- a/src/main/java/damsonworks/route/RoutePolicy.java
+++ b/src/main/java/cacheproxy/route/RoutePolicy.java
@@ -1,4 +1,4 @@
-package damsonworks.route;
+package cacheproxy.route;
 
 /**
  * Limits that hold for the requests of the routes that name it, beside those of the settings: the narrower holds.
--- a/src/main/java/damsonworks/route/RouteTable.java
+++ b/src/main/java/cacheproxy/route/RouteTable.java
@@ -1,4 +1,4 @@
-package damsonworks.route;
+package cacheproxy.route;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/damsonworks/route/Router.java
+++ b/src/main/java/cacheproxy/route/Router.java
@@ -1,7 +1,7 @@
-package damsonworks.route;
+package cacheproxy.route;
 
-import damsonworks.Policy;
-import damsonworks.RoutingApi;
+import cacheproxy.Policy;
+import cacheproxy.RoutingApi;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/damsonworks/state/Authority.java
+++ b/src/main/java/cacheproxy/state/Authority.java
@@ -1,4 +1,4 @@
-package damsonworks.state;
+package cacheproxy.state;
 
 /** Whose word a record is; what is told by a later one of the same or a higher authority takes its place. */
 public enum Authority {
--- a/src/main/java/damsonworks/state/Finding.java
+++ b/src/main/java/cacheproxy/state/Finding.java
@@ -1,4 +1,4 @@
-package damsonworks.state;
+package cacheproxy.state;
 
 /**
  * Something about a folder that its owner should know.
--- a/src/main/java/damsonworks/state/Header.java
+++ b/src/main/java/cacheproxy/state/Header.java
@@ -1,4 +1,4 @@
-package damsonworks.state;
+package cacheproxy.state;
 
 /**
  * Whose file it is, and which one.
--- a/src/main/java/damsonworks/state/Inspection.java
+++ b/src/main/java/cacheproxy/state/Inspection.java
@@ -1,9 +1,9 @@
-package damsonworks.state;
+package cacheproxy.state;
 
+import cacheproxy.state.Finding.Harm;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import damsonworks.state.Finding.Harm;
 import java.util.Locale;
 import java.util.function.Function;
 
--- a/src/main/java/damsonworks/state/Kind.java
+++ b/src/main/java/cacheproxy/state/Kind.java
@@ -1,4 +1,4 @@
-package damsonworks.state;
+package cacheproxy.state;
 
 import java.util.Arrays;
 import java.util.Locale;
--- a/src/main/java/damsonworks/state/Opened.java
+++ b/src/main/java/cacheproxy/state/Opened.java
@@ -1,8 +1,8 @@
-package damsonworks.state;
+package cacheproxy.state;
 
+import cacheproxy.state.Finding.Harm;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import damsonworks.state.Finding.Harm;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
--- a/src/main/java/damsonworks/state/StateFolder.java
+++ b/src/main/java/cacheproxy/state/StateFolder.java
@@ -1,6 +1,6 @@
-package damsonworks.state;
+package cacheproxy.state;
 
-import damsonworks.state.Finding.Harm;
+import cacheproxy.state.Finding.Harm;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
--- a/src/main/java/damsonworks/state/StateText.java
+++ b/src/main/java/cacheproxy/state/StateText.java
@@ -1,4 +1,4 @@
-package damsonworks.state;
+package cacheproxy.state;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/main/java/damsonworks/state/Use.java
+++ b/src/main/java/cacheproxy/state/Use.java
@@ -1,4 +1,4 @@
-package damsonworks.state;
+package cacheproxy.state;
 
 /** How far something that was kept may still be used. */
 public enum Use {
--- a/src/main/java/damsonworks/takeover/Handover.java
+++ b/src/main/java/cacheproxy/takeover/Handover.java
@@ -1,4 +1,4 @@
-package damsonworks.takeover;
+package cacheproxy.takeover;
 
 /**
  * The side of the process that serves. It accepts clients until a successor says that it serves, and again if that one
--- a/src/main/java/damsonworks/takeover/Takeover.java
+++ b/src/main/java/cacheproxy/takeover/Takeover.java
@@ -1,4 +1,4 @@
-package damsonworks.takeover;
+package cacheproxy.takeover;
 
 /**
  * The side of the process that starts. Whatever goes wrong on the way, it comes to serve: with the old process's socket
--- a/src/main/java/damsonworks/wire/Drill.java
+++ b/src/main/java/cacheproxy/wire/Drill.java
@@ -1,13 +1,13 @@
-package damsonworks.wire;
+package cacheproxy.wire;
 
-import damsonworks.Policy;
-import damsonworks.RoutingApi;
-import damsonworks.RoutingApi.AttemptEnd;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.State;
+import cacheproxy.Policy;
+import cacheproxy.RoutingApi;
+import cacheproxy.RoutingApi.AttemptEnd;
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.RoutingApi.Request;
+import cacheproxy.RoutingApi.State;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.EOFException;
--- a/src/main/java/damsonworks/wire/ReplyFrame.java
+++ b/src/main/java/cacheproxy/wire/ReplyFrame.java
@@ -1,6 +1,6 @@
-package damsonworks.wire;
+package cacheproxy.wire;
 
-import damsonworks.RoutingApi.Actions;
+import cacheproxy.RoutingApi.Actions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
--- a/src/main/java/damsonworks/wire/WireException.java
+++ b/src/main/java/cacheproxy/wire/WireException.java
@@ -1,4 +1,4 @@
-package damsonworks.wire;
+package cacheproxy.wire;
 
 /** Input that is not the wire's; the message names what and where. */
 public final class WireException extends RuntimeException {
--- a/src/main/java/damsonworks/zone/Judge.java
+++ b/src/main/java/cacheproxy/zone/Judge.java
@@ -1,4 +1,4 @@
-package damsonworks.zone;
+package cacheproxy.zone;
 
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/damsonworks/zone/Observer.java
+++ b/src/main/java/cacheproxy/zone/Observer.java
@@ -1,4 +1,4 @@
-package damsonworks.zone;
+package cacheproxy.zone;
 
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/src/main/java/damsonworks/zone/Pace.java
+++ b/src/main/java/cacheproxy/zone/Pace.java
@@ -1,4 +1,4 @@
-package damsonworks.zone;
+package cacheproxy.zone;
 
 /**
  * How soon a zone's next step may come. Nodes that stayed warm get their keys back in three steps; the keys of cold
--- a/src/main/java/damsonworks/zone/Plan.java
+++ b/src/main/java/cacheproxy/zone/Plan.java
@@ -1,4 +1,4 @@
-package damsonworks.zone;
+package cacheproxy.zone;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/src/main/java/damsonworks/zone/ZoneSettings.java
+++ b/src/main/java/cacheproxy/zone/ZoneSettings.java
@@ -1,4 +1,4 @@
-package damsonworks.zone;
+package cacheproxy.zone;
 
 /**
  * What holds for leaving zones and returning to them.
--- a/src/main/java/damsonworks/zone/ZoneState.java
+++ b/src/main/java/cacheproxy/zone/ZoneState.java
@@ -1,4 +1,4 @@
-package damsonworks.zone;
+package cacheproxy.zone;
 
 /**
  * What is decided of one zone.
--- a/src/main/java/damsonworks/zone/Zones.java
+++ b/src/main/java/cacheproxy/zone/Zones.java
@@ -1,10 +1,10 @@
-package damsonworks.zone;
+package cacheproxy.zone;
 
-import damsonworks.RoutingApi.ZoneOrder;
-import damsonworks.member.Entry;
-import damsonworks.member.View;
-import damsonworks.zone.Judge.Verdict;
-import damsonworks.zone.ZoneState.Cause;
+import cacheproxy.RoutingApi.ZoneOrder;
+import cacheproxy.member.Entry;
+import cacheproxy.member.View;
+import cacheproxy.zone.Judge.Verdict;
+import cacheproxy.zone.ZoneState.Cause;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
--- a/src/test/java/damsonworks/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package damsonworks;
+package cacheproxy;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
@@ -13,7 +13,7 @@
 class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("damsonworks");
+            .importPackages("cacheproxy");
 
     private static final String[] IO = {
         "io.netty..", "java.net..", "java.nio..", "java.io..", "sun..", "java.util.concurrent.."
@@ -23,24 +23,24 @@
     void decisionsDoNoInputOrOutputAndReadNoClock() {
         noClasses()
                 .that()
-                .haveFullyQualifiedName("damsonworks.Policy")
+                .haveFullyQualifiedName("cacheproxy.Policy")
                 .or()
-                .haveFullyQualifiedName("damsonworks.Carp")
+                .haveFullyQualifiedName("cacheproxy.Carp")
                 .or()
-                .haveFullyQualifiedName("damsonworks.RoutingApi")
+                .haveFullyQualifiedName("cacheproxy.RoutingApi")
                 .or()
                 .resideInAnyPackage(
-                        "damsonworks.drain..",
-                        "damsonworks.route..",
-                        "damsonworks.takeover..",
-                        "damsonworks.flow..",
-                        "damsonworks.permit..",
-                        "damsonworks.roster..",
-                        "damsonworks.ledger..",
-                        "damsonworks.figures..",
-                        "damsonworks.quota..",
-                        "damsonworks.hotkey..",
-                        "damsonworks.evidence..")
+                        "cacheproxy.drain..",
+                        "cacheproxy.route..",
+                        "cacheproxy.takeover..",
+                        "cacheproxy.flow..",
+                        "cacheproxy.permit..",
+                        "cacheproxy.roster..",
+                        "cacheproxy.ledger..",
+                        "cacheproxy.figures..",
+                        "cacheproxy.quota..",
+                        "cacheproxy.hotkey..",
+                        "cacheproxy.evidence..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(IO)
@@ -60,7 +60,7 @@
         noClasses()
                 .that()
                 .resideInAnyPackage(
-                        "damsonworks.member..", "damsonworks.peer..", "damsonworks.zone..", "damsonworks.recovery..")
+                        "cacheproxy.member..", "cacheproxy.peer..", "cacheproxy.zone..", "cacheproxy.recovery..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -70,10 +70,10 @@
                         "java.nio.file..",
                         "java.io..",
                         "java.util.concurrent..",
-                        "damsonworks.proxy..",
-                        "damsonworks.fleet..",
-                        "damsonworks.model..",
-                        "damsonworks.cli..")
+                        "cacheproxy.proxy..",
+                        "cacheproxy.fleet..",
+                        "cacheproxy.model..",
+                        "cacheproxy.cli..")
                 .orShould()
                 .dependOnClassesThat()
                 .haveFullyQualifiedName("java.lang.Thread")
@@ -89,9 +89,9 @@
     void whatIsKeptIsDecidedApartFromFiles() {
         noClasses()
                 .that()
-                .resideInAPackage("damsonworks.state..")
+                .resideInAPackage("cacheproxy.state..")
                 .and()
-                .doNotHaveFullyQualifiedName("damsonworks.state.StateFolder")
+                .doNotHaveFullyQualifiedName("cacheproxy.state.StateFolder")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -101,8 +101,8 @@
                         "java.nio.file..",
                         "java.io..",
                         "java.util.concurrent..",
-                        "damsonworks.proxy..",
-                        "damsonworks.cli..")
+                        "cacheproxy.proxy..",
+                        "cacheproxy.cli..")
                 .orShould()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -110,7 +110,7 @@
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("damsonworks.proxy..")
+                .resideInAPackage("cacheproxy.proxy..")
                 .should()
                 .callMethod(FileChannel.class, "force", boolean.class)
                 .check(ALL);
@@ -120,38 +120,38 @@
     void theLanguageKnowsNoSubsystemAndOnlyItsLoaderReadsFiles() {
         noClasses()
                 .that()
-                .resideInAPackage("damsonworks.config")
+                .resideInAPackage("cacheproxy.config")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "damsonworks",
-                        "damsonworks.proxy..",
-                        "damsonworks.route..",
-                        "damsonworks.config.edge..",
-                        "damsonworks.cli..")
+                        "cacheproxy",
+                        "cacheproxy.proxy..",
+                        "cacheproxy.route..",
+                        "cacheproxy.config.edge..",
+                        "cacheproxy.cli..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("damsonworks.config")
+                .resideInAPackage("cacheproxy.config")
                 .and()
-                .haveNameNotMatching("damsonworks\\.config\\.(Loader|ConfigFile)(\\$.*)?")
+                .haveNameNotMatching("cacheproxy\\.config\\.(Loader|ConfigFile)(\\$.*)?")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("java.io..", "java.nio.file..", "java.net..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAnyPackage("damsonworks.proxy..", "damsonworks.route..", "damsonworks.drain..")
+                .resideInAnyPackage("cacheproxy.proxy..", "cacheproxy.route..", "cacheproxy.drain..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("damsonworks.config..")
+                .resideInAnyPackage("cacheproxy.config..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("damsonworks.route..")
+                .resideInAPackage("cacheproxy.route..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("damsonworks.proxy..")
+                .resideInAPackage("cacheproxy.proxy..")
                 .check(ALL);
     }
 
@@ -159,10 +159,10 @@
     void theModelsOfStandInsAndLoadDoNoInputOrOutput() {
         noClasses()
                 .that()
-                .haveNameMatching("damsonworks\\.fleet\\.(Oracle|ServiceModel|ColdStart|LruStore|Roster|"
+                .haveNameMatching("cacheproxy\\.fleet\\.(Oracle|ServiceModel|ColdStart|LruStore|Roster|"
                         + "FaultScript|Fault|Payload|Keys|TrafficClass|FleetSpec)(\\$.*)?")
                 .or()
-                .haveNameMatching("damsonworks\\.load\\.(Shape|Zipf|SyntheticWorkload|Planned)(\\$.*)?")
+                .haveNameMatching("cacheproxy\\.load\\.(Shape|Zipf|SyntheticWorkload|Planned)(\\$.*)?")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("io.netty..", "java.net..", "java.io..")
@@ -176,13 +176,13 @@
     void theModelOfTheFleetDoesNoInputOrOutputAndReadsNoClock() {
         noClasses()
                 .that()
-                .resideInAPackage("damsonworks.model..")
+                .resideInAPackage("cacheproxy.model..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(IO)
                 .orShould()
                 .dependOnClassesThat()
-                .resideInAnyPackage("damsonworks.proxy..", "damsonworks.cli..", "damsonworks.demo..")
+                .resideInAnyPackage("cacheproxy.proxy..", "cacheproxy.cli..", "cacheproxy.demo..")
                 .orShould()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -194,15 +194,15 @@
     void theProxyKnowsNothingOfTheTools() {
         noClasses()
                 .that()
-                .resideInAnyPackage("damsonworks.proxy..", "damsonworks.wire..")
+                .resideInAnyPackage("cacheproxy.proxy..", "cacheproxy.wire..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "damsonworks.fleet..",
-                        "damsonworks.load..",
-                        "damsonworks.demo..",
-                        "damsonworks.model..",
-                        "damsonworks.cli..",
+                        "cacheproxy.fleet..",
+                        "cacheproxy.load..",
+                        "cacheproxy.demo..",
+                        "cacheproxy.model..",
+                        "cacheproxy.cli..",
                         "picocli..",
                         "org.HdrHistogram..")
                 .check(ALL);
@@ -212,36 +212,36 @@
     void standInsKnowTheProtocolAndNotTheProxy() {
         noClasses()
                 .that()
-                .resideInAPackage("damsonworks.fleet..")
+                .resideInAPackage("cacheproxy.fleet..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "damsonworks",
-                        "damsonworks.proxy..",
-                        "damsonworks.wire..",
-                        "damsonworks.load..",
-                        "damsonworks.demo..",
-                        "damsonworks.model..",
-                        "damsonworks.cli..")
+                        "cacheproxy",
+                        "cacheproxy.proxy..",
+                        "cacheproxy.wire..",
+                        "cacheproxy.load..",
+                        "cacheproxy.demo..",
+                        "cacheproxy.model..",
+                        "cacheproxy.cli..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("damsonworks.load..")
+                .resideInAPackage("cacheproxy.load..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "damsonworks",
-                        "damsonworks.proxy..",
-                        "damsonworks.wire..",
-                        "damsonworks.demo..",
-                        "damsonworks.cli..")
+                        "cacheproxy",
+                        "cacheproxy.proxy..",
+                        "cacheproxy.wire..",
+                        "cacheproxy.demo..",
+                        "cacheproxy.cli..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("damsonworks.demo..")
+                .resideInAPackage("cacheproxy.demo..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("damsonworks", "damsonworks.proxy..", "damsonworks.wire..", "damsonworks.cli..")
+                .resideInAnyPackage("cacheproxy", "cacheproxy.proxy..", "cacheproxy.wire..", "cacheproxy.cli..")
                 .check(ALL);
     }
 
@@ -250,10 +250,10 @@
     void discoveryKnowsNothingOfTheCore() {
         noClasses()
                 .that()
-                .resideInAPackage("damsonworks.proxy.discovery")
+                .resideInAPackage("cacheproxy.proxy.discovery")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("damsonworks.proxy")
+                .resideInAPackage("cacheproxy.proxy")
                 .check(ALL);
     }
 
@@ -261,10 +261,10 @@
     void onlyTheMainClassKnowsTheCommandLine() {
         classes()
                 .that()
-                .resideInAPackage("damsonworks.cli..")
+                .resideInAPackage("cacheproxy.cli..")
                 .should()
                 .onlyHaveDependentClassesThat()
-                .resideInAnyPackage("damsonworks", "damsonworks.cli..")
+                .resideInAnyPackage("cacheproxy", "cacheproxy.cli..")
                 .check(ALL);
     }
 }
--- a/src/test/java/damsonworks/Await.java
+++ b/src/test/java/cacheproxy/Await.java
@@ -1,4 +1,4 @@
-package damsonworks;
+package cacheproxy;
 
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
--- a/src/test/java/damsonworks/HerdTest.java
+++ b/src/test/java/cacheproxy/HerdTest.java
@@ -1,12 +1,12 @@
-package damsonworks;
+package cacheproxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
+import cacheproxy.RoutingApi.Group;
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.RoutingApi.State;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonworks/JarIT.java
+++ b/src/test/java/cacheproxy/JarIT.java
@@ -1,4 +1,4 @@
-package damsonworks;
+package cacheproxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -34,7 +34,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Djava.io.tmpdir=" + folder,
                 "-jar",
-                "target/damsonworks.jar",
+                "target/cacheproxy.jar",
                 command));
         words.addAll(List.of(flags));
         ProcessBuilder builder = new ProcessBuilder(words);
@@ -235,7 +235,7 @@
                     "trap '' HUP; exec \"$0\" \"$@\"",
                     Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "-jar",
-                    "target/damsonworks.jar",
+                    "target/cacheproxy.jar",
                     "serve");
             ProcessBuilder builder = new ProcessBuilder(words);
             builder.environment().put("TMPDIR", folder.toString());
@@ -512,7 +512,7 @@
                             "sh",
                             "-c",
                             "ulimit -n 100; exec '" + System.getProperty("java.home")
-                                    + "/bin/java' -jar target/damsonworks.jar " + load)
+                                    + "/bin/java' -jar target/cacheproxy.jar " + load)
                     .start();
             String told = new String(process.getInputStream().readAllBytes(), UTF_8);
             String errors = new String(process.getErrorStream().readAllBytes(), UTF_8);
--- a/src/test/java/damsonworks/KnownRed.java
+++ b/src/test/java/cacheproxy/KnownRed.java
@@ -1,4 +1,4 @@
-package damsonworks;
+package cacheproxy;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/damsonworks/LabIT.java
+++ b/src/test/java/cacheproxy/LabIT.java
@@ -1,4 +1,4 @@
-package damsonworks;
+package cacheproxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -29,7 +29,7 @@
         List<String> all = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-jar",
-                "target/damsonworks.jar",
+                "target/cacheproxy.jar",
                 "lab"));
         all.addAll(List.of(words));
         int code = new ProcessBuilder(all)
@@ -65,7 +65,7 @@
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
                             "-jar",
-                            "target/damsonworks.jar",
+                            "target/cacheproxy.jar",
                             "lab",
                             "soak",
                             "--proxies",
--- a/src/test/java/damsonworks/ModuleSizeTest.java
+++ b/src/test/java/cacheproxy/ModuleSizeTest.java
@@ -1,4 +1,4 @@
-package damsonworks;
+package cacheproxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/PolicyTest.java
+++ b/src/test/java/cacheproxy/PolicyTest.java
@@ -1,16 +1,16 @@
-package damsonworks;
+package cacheproxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
-import damsonworks.peer.PeerMessage;
+import cacheproxy.RoutingApi.Group;
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.RoutingApi.Request;
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.RoutingApi.State;
+import cacheproxy.peer.PeerMessage;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/damsonworks/PolicyZonesTest.java
+++ b/src/test/java/cacheproxy/PolicyZonesTest.java
@@ -1,10 +1,10 @@
-package damsonworks;
+package cacheproxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.ZoneOrder;
-import damsonworks.peer.PeerMessage;
+import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.RoutingApi.ZoneOrder;
+import cacheproxy.peer.PeerMessage;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/damsonworks/Rig.java
+++ b/src/test/java/cacheproxy/Rig.java
@@ -1,17 +1,17 @@
-package damsonworks;
-
-import damsonworks.RoutingApi.AttemptEnd;
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Reports;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
-import damsonworks.RoutingApi.Tenant;
+package cacheproxy;
+
+import cacheproxy.RoutingApi.AttemptEnd;
+import cacheproxy.RoutingApi.Effect;
+import cacheproxy.RoutingApi.Group;
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.RoutingApi.Reports;
+import cacheproxy.RoutingApi.Request;
+import cacheproxy.RoutingApi.ServiceClass;
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.RoutingApi.State;
+import cacheproxy.RoutingApi.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/damsonworks/cli/CliTest.java
+++ b/src/test/java/cacheproxy/cli/CliTest.java
@@ -1,13 +1,13 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.figures.Work;
+import cacheproxy.figures.WorkLine;
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.StandInFleet;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import damsonworks.figures.Work;
-import damsonworks.figures.WorkLine;
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.StandInFleet;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/test/java/damsonworks/cli/ConfigCommandTest.java
+++ b/src/test/java/cacheproxy/cli/ConfigCommandTest.java
@@ -1,4 +1,4 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/cli/QuotaCommandTest.java
+++ b/src/test/java/cacheproxy/cli/QuotaCommandTest.java
@@ -1,8 +1,8 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.quota.ExactLog;
+import cacheproxy.quota.ExactLog;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/damsonworks/cli/Terminal.java
+++ b/src/test/java/cacheproxy/cli/Terminal.java
@@ -1,4 +1,4 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
 import java.io.PrintWriter;
 import java.io.StringWriter;
--- a/src/test/java/damsonworks/config/LoaderTest.java
+++ b/src/test/java/cacheproxy/config/LoaderTest.java
@@ -1,8 +1,8 @@
-package damsonworks.config;
+package cacheproxy.config;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.config.edge.EdgeFile;
+import cacheproxy.config.edge.EdgeFile;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
--- a/src/test/java/damsonworks/control/ControlServerTest.java
+++ b/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -1,12 +1,12 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.Await;
+import cacheproxy.proxy.Transport;
 import com.google.gson.JsonObject;
-import damsonworks.Await;
-import damsonworks.proxy.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
--- a/src/test/java/damsonworks/control/DoorTest.java
+++ b/src/test/java/cacheproxy/control/DoorTest.java
@@ -1,11 +1,11 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.Await;
+import cacheproxy.control.Figure.Kind;
+import cacheproxy.proxy.Transport;
 import com.google.gson.JsonObject;
-import damsonworks.Await;
-import damsonworks.control.Figure.Kind;
-import damsonworks.proxy.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
--- a/src/test/java/damsonworks/demo/BrokenProxy.java
+++ b/src/test/java/cacheproxy/demo/BrokenProxy.java
@@ -1,6 +1,6 @@
-package damsonworks.demo;
+package cacheproxy.demo;
 
-import damsonworks.fleet.StandInFleet;
+import cacheproxy.fleet.StandInFleet;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
--- a/src/test/java/damsonworks/demo/OracleCatchesTest.java
+++ b/src/test/java/cacheproxy/demo/OracleCatchesTest.java
@@ -1,20 +1,20 @@
-package damsonworks.demo;
+package cacheproxy.demo;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Await;
-import damsonworks.demo.BrokenProxy.Breach;
-import damsonworks.fleet.Fault;
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.Oracle;
-import damsonworks.fleet.Oracle.Rule;
-import damsonworks.fleet.StandInFleet;
-import damsonworks.fleet.TrafficClass;
-import damsonworks.fleet.ValueSizes;
-import damsonworks.load.Generator;
-import damsonworks.load.Shape;
-import damsonworks.load.SyntheticWorkload;
+import cacheproxy.Await;
+import cacheproxy.demo.BrokenProxy.Breach;
+import cacheproxy.fleet.Fault;
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.Oracle;
+import cacheproxy.fleet.Oracle.Rule;
+import cacheproxy.fleet.StandInFleet;
+import cacheproxy.fleet.TrafficClass;
+import cacheproxy.fleet.ValueSizes;
+import cacheproxy.load.Generator;
+import cacheproxy.load.Shape;
+import cacheproxy.load.SyntheticWorkload;
 import java.io.InputStream;
 import java.net.URI;
 import java.util.List;
--- a/src/test/java/damsonworks/demo/StateFolderTest.java
+++ b/src/test/java/cacheproxy/demo/StateFolderTest.java
@@ -1,8 +1,8 @@
-package damsonworks.demo;
+package cacheproxy.demo;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.fleet.Fault.State;
+import cacheproxy.fleet.Fault.State;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/damsonworks/drain/DrainTest.java
+++ b/src/test/java/cacheproxy/drain/DrainTest.java
@@ -1,11 +1,11 @@
-package damsonworks.drain;
+package cacheproxy.drain;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.drain.Drain.Counts;
-import damsonworks.drain.Drain.Orders;
-import damsonworks.drain.Drain.Phase;
+import cacheproxy.drain.Drain.Counts;
+import cacheproxy.drain.Drain.Orders;
+import cacheproxy.drain.Drain.Phase;
 import java.util.List;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
--- a/src/test/java/damsonworks/figures/FleetWorkTest.java
+++ b/src/test/java/cacheproxy/figures/FleetWorkTest.java
@@ -1,9 +1,9 @@
-package damsonworks.figures;
+package cacheproxy.figures;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.figures.FleetWork.Left;
-import damsonworks.figures.WorkLine.Node;
+import cacheproxy.figures.FleetWork.Left;
+import cacheproxy.figures.WorkLine.Node;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.EnumMap;
--- a/src/test/java/damsonworks/figures/LogBudgetTest.java
+++ b/src/test/java/cacheproxy/figures/LogBudgetTest.java
@@ -1,4 +1,4 @@
-package damsonworks.figures;
+package cacheproxy.figures;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/fleet/LinksTest.java
+++ b/src/test/java/cacheproxy/fleet/LinksTest.java
@@ -1,9 +1,9 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.Await;
+import cacheproxy.Await;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
--- a/src/test/java/damsonworks/fleet/OracleTest.java
+++ b/src/test/java/cacheproxy/fleet/OracleTest.java
@@ -1,11 +1,11 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
-import static damsonworks.fleet.Oracle.Ending.FAILED;
-import static damsonworks.fleet.Oracle.Ending.REFUSED;
-import static damsonworks.fleet.Oracle.Ending.SERVED;
+import static cacheproxy.fleet.Oracle.Ending.FAILED;
+import static cacheproxy.fleet.Oracle.Ending.REFUSED;
+import static cacheproxy.fleet.Oracle.Ending.SERVED;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.fleet.Oracle.Rule;
+import cacheproxy.fleet.Oracle.Rule;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonworks/fleet/Peer.java
+++ b/src/test/java/cacheproxy/fleet/Peer.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/test/java/damsonworks/fleet/StandInFleetTest.java
+++ b/src/test/java/cacheproxy/fleet/StandInFleetTest.java
@@ -1,11 +1,11 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.Await;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import damsonworks.Await;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketException;
--- a/src/test/java/damsonworks/fleet/ValueSizesTest.java
+++ b/src/test/java/cacheproxy/fleet/ValueSizesTest.java
@@ -1,4 +1,4 @@
-package damsonworks.fleet;
+package cacheproxy.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/damsonworks/flow/ByteBudgetTest.java
+++ b/src/test/java/cacheproxy/flow/ByteBudgetTest.java
@@ -1,8 +1,8 @@
-package damsonworks.flow;
+package cacheproxy.flow;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.flow.ByteBudget.Ticket;
+import cacheproxy.flow.ByteBudget.Ticket;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
--- a/src/test/java/damsonworks/flow/ReadTimeoutTest.java
+++ b/src/test/java/cacheproxy/flow/ReadTimeoutTest.java
@@ -1,4 +1,4 @@
-package damsonworks.flow;
+package cacheproxy.flow;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/lab/RecoveryExpectationTest.java
+++ b/src/test/java/cacheproxy/lab/RecoveryExpectationTest.java
@@ -1,10 +1,10 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.Series;
-import damsonworks.fleet.Series.What;
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.Series;
+import cacheproxy.fleet.Series.What;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/damsonworks/lab/ScenarioFileTest.java
+++ b/src/test/java/cacheproxy/lab/ScenarioFileTest.java
@@ -1,10 +1,10 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.config.Problems;
-import damsonworks.fleet.Fault;
-import damsonworks.fleet.LinkFault;
+import cacheproxy.config.Problems;
+import cacheproxy.fleet.Fault;
+import cacheproxy.fleet.LinkFault;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/damsonworks/lab/SoakPlanTest.java
+++ b/src/test/java/cacheproxy/lab/SoakPlanTest.java
@@ -1,10 +1,10 @@
-package damsonworks.lab;
+package cacheproxy.lab;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.config.Problems;
-import damsonworks.fleet.Fault;
+import cacheproxy.config.Problems;
+import cacheproxy.fleet.Fault;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/damsonworks/load/GeneratorTest.java
+++ b/src/test/java/cacheproxy/load/GeneratorTest.java
@@ -1,17 +1,17 @@
-package damsonworks.load;
+package cacheproxy.load;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.Await;
+import cacheproxy.fleet.Fault;
+import cacheproxy.fleet.FleetSpec;
+import cacheproxy.fleet.StandInFleet;
+import cacheproxy.fleet.TrafficClass;
+import cacheproxy.fleet.ValueSizes;
+import cacheproxy.load.SyntheticWorkload.Arrivals;
 import com.google.gson.JsonObject;
-import damsonworks.Await;
-import damsonworks.fleet.Fault;
-import damsonworks.fleet.FleetSpec;
-import damsonworks.fleet.StandInFleet;
-import damsonworks.fleet.TrafficClass;
-import damsonworks.fleet.ValueSizes;
-import damsonworks.load.SyntheticWorkload.Arrivals;
 import java.io.BufferedReader;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
--- a/src/test/java/damsonworks/load/WorkloadTest.java
+++ b/src/test/java/cacheproxy/load/WorkloadTest.java
@@ -1,13 +1,13 @@
-package damsonworks.load;
+package cacheproxy.load;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 import static org.assertj.core.api.Assertions.within;
 
-import damsonworks.fleet.Keys;
-import damsonworks.fleet.TrafficClass;
-import damsonworks.fleet.ValueSizes;
-import damsonworks.load.SyntheticWorkload.Arrivals;
+import cacheproxy.fleet.Keys;
+import cacheproxy.fleet.TrafficClass;
+import cacheproxy.fleet.ValueSizes;
+import cacheproxy.load.SyntheticWorkload.Arrivals;
 import java.io.ByteArrayInputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/damsonworks/member/EntryTest.java
+++ b/src/test/java/cacheproxy/member/EntryTest.java
@@ -1,4 +1,4 @@
-package damsonworks.member;
+package cacheproxy.member;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/member/MembershipTest.java
+++ b/src/test/java/cacheproxy/member/MembershipTest.java
@@ -1,10 +1,10 @@
-package damsonworks.member;
+package cacheproxy.member;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.member.Send.Urgency;
-import damsonworks.model.ViewPlay;
-import damsonworks.model.ViewStudy;
+import cacheproxy.member.Send.Urgency;
+import cacheproxy.model.ViewPlay;
+import cacheproxy.model.ViewStudy;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/test/java/damsonworks/model/ColdLoadTest.java
+++ b/src/test/java/cacheproxy/model/ColdLoadTest.java
@@ -1,10 +1,10 @@
-package damsonworks.model;
+package cacheproxy.model;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import damsonworks.RoutingApi.Request;
-import damsonworks.model.ColdLoad.Limits;
+import cacheproxy.RoutingApi.Request;
+import cacheproxy.model.ColdLoad.Limits;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/damsonworks/model/FleetPlayTest.java
+++ b/src/test/java/cacheproxy/model/FleetPlayTest.java
@@ -1,11 +1,11 @@
-package damsonworks.model;
+package cacheproxy.model;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.Policy;
-import damsonworks.RoutingApi;
-import damsonworks.RoutingApi.Settings;
+import cacheproxy.Policy;
+import cacheproxy.RoutingApi;
+import cacheproxy.RoutingApi.Settings;
 import java.lang.reflect.Field;
 import java.util.Collection;
 import java.util.List;
--- a/src/test/java/damsonworks/model/Mutant.java
+++ b/src/test/java/cacheproxy/model/Mutant.java
@@ -1,12 +1,12 @@
-package damsonworks.model;
+package cacheproxy.model;
 
-import damsonworks.Policy;
-import damsonworks.RoutingApi;
-import damsonworks.RoutingApi.Actions;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
+import cacheproxy.Policy;
+import cacheproxy.RoutingApi;
+import cacheproxy.RoutingApi.Actions;
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.Settings;
+import cacheproxy.RoutingApi.State;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import java.util.List;
--- a/src/test/java/damsonworks/model/NewsPlayTest.java
+++ b/src/test/java/cacheproxy/model/NewsPlayTest.java
@@ -1,11 +1,11 @@
-package damsonworks.model;
+package cacheproxy.model;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.model.NewsPlay.Failure;
-import damsonworks.model.NewsPlay.Result;
-import damsonworks.model.NewsPlay.Setup;
-import damsonworks.model.NewsPlay.Sharing;
+import cacheproxy.model.NewsPlay.Failure;
+import cacheproxy.model.NewsPlay.Result;
+import cacheproxy.model.NewsPlay.Setup;
+import cacheproxy.model.NewsPlay.Sharing;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/damsonworks/model/check/ExplorerTest.java
+++ b/src/test/java/cacheproxy/model/check/ExplorerTest.java
@@ -1,10 +1,10 @@
-package damsonworks.model.check;
+package cacheproxy.model.check;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.member.Entry;
-import damsonworks.member.Knowledge;
-import damsonworks.member.State;
+import cacheproxy.member.Entry;
+import cacheproxy.member.Knowledge;
+import cacheproxy.member.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/damsonworks/model/check/ZoneProtocolTest.java
+++ b/src/test/java/cacheproxy/model/check/ZoneProtocolTest.java
@@ -1,9 +1,9 @@
-package damsonworks.model.check;
+package cacheproxy.model.check;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.zone.Plan;
-import damsonworks.zone.ZoneState;
+import cacheproxy.zone.Plan;
+import cacheproxy.zone.ZoneState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BinaryOperator;
--- a/src/test/java/damsonworks/peer/AntiEntropyTest.java
+++ b/src/test/java/cacheproxy/peer/AntiEntropyTest.java
@@ -1,4 +1,4 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/peer/BadNodesTest.java
+++ b/src/test/java/cacheproxy/peer/BadNodesTest.java
@@ -1,8 +1,8 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.peer.BadNodes.Node;
+import cacheproxy.peer.BadNodes.Node;
 import org.junit.jupiter.api.Test;
 
 class BadNodesTest {
--- a/src/test/java/damsonworks/peer/EnvelopeTest.java
+++ b/src/test/java/cacheproxy/peer/EnvelopeTest.java
@@ -1,10 +1,10 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.peer.Envelope.Item;
-import damsonworks.peer.Outbox.Level;
+import cacheproxy.peer.Envelope.Item;
+import cacheproxy.peer.Outbox.Level;
 import java.util.Arrays;
 import java.util.HexFormat;
 import java.util.List;
--- a/src/test/java/damsonworks/peer/ListNewsTest.java
+++ b/src/test/java/cacheproxy/peer/ListNewsTest.java
@@ -1,9 +1,9 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.peer.ListNews.Order;
+import cacheproxy.peer.ListNews.Order;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/test/java/damsonworks/peer/ProvisionalMembershipTest.java
+++ b/src/test/java/cacheproxy/peer/ProvisionalMembershipTest.java
@@ -1,9 +1,9 @@
-package damsonworks.peer;
+package cacheproxy.peer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/damsonworks/permit/PermitsTest.java
+++ b/src/test/java/cacheproxy/permit/PermitsTest.java
@@ -1,13 +1,13 @@
-package damsonworks.permit;
+package cacheproxy.permit;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.permit.Permits.Earlier;
-import damsonworks.permit.Permits.Place;
-import damsonworks.permit.Permits.Send;
+import cacheproxy.RoutingApi.Effect;
+import cacheproxy.RoutingApi.Group;
+import cacheproxy.RoutingApi.ServiceClass;
+import cacheproxy.permit.Permits.Earlier;
+import cacheproxy.permit.Permits.Place;
+import cacheproxy.permit.Permits.Send;
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/damsonworks/proxy/ArrivalTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Await;
+import cacheproxy.Await;
 import java.io.IOException;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
--- a/src/test/java/damsonworks/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -1,15 +1,15 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.Await;
+import cacheproxy.RoutingApi.State;
+import cacheproxy.peer.Envelope;
+import cacheproxy.peer.ListChange;
+import cacheproxy.peer.ListUpdate;
+import cacheproxy.peer.PeerMessage;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.Await;
-import damsonworks.RoutingApi.State;
-import damsonworks.peer.Envelope;
-import damsonworks.peer.ListChange;
-import damsonworks.peer.ListUpdate;
-import damsonworks.peer.PeerMessage;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
--- a/src/test/java/damsonworks/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.Await;
+import cacheproxy.drain.Drain;
+import cacheproxy.drain.Drain.Phase;
+import cacheproxy.drain.DrainPlan;
 import com.google.gson.JsonArray;
-import damsonworks.Await;
-import damsonworks.drain.Drain;
-import damsonworks.drain.Drain.Phase;
-import damsonworks.drain.DrainPlan;
 import java.net.ConnectException;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
--- a/src/test/java/damsonworks/proxy/FakeServer.java
+++ b/src/test/java/cacheproxy/proxy/FakeServer.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/test/java/damsonworks/proxy/FiguresTest.java
+++ b/src/test/java/cacheproxy/proxy/FiguresTest.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Await;
-import damsonworks.proxy.Proxy.Endings;
+import cacheproxy.Await;
+import cacheproxy.proxy.Proxy.Endings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
--- a/src/test/java/damsonworks/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
+import cacheproxy.route.Routing;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import damsonworks.route.Routing;
 import java.io.BufferedInputStream;
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/test/java/damsonworks/proxy/Keys.java
+++ b/src/test/java/cacheproxy/proxy/Keys.java
@@ -1,6 +1,6 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.Carp;
+import cacheproxy.Carp;
 
 /** Keys for tests that must know which node of equal weights takes them. */
 final class Keys {
--- a/src/test/java/damsonworks/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -1,14 +1,14 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.Await;
+import cacheproxy.RoutingApi.Evidence;
+import cacheproxy.figures.Work;
+import cacheproxy.peer.Envelope;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonPrimitive;
-import damsonworks.Await;
-import damsonworks.RoutingApi.Evidence;
-import damsonworks.figures.Work;
-import damsonworks.peer.Envelope;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
--- a/src/test/java/damsonworks/proxy/LargeList.java
+++ b/src/test/java/cacheproxy/proxy/LargeList.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
--- a/src/test/java/damsonworks/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Await;
+import cacheproxy.Await;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/test/java/damsonworks/proxy/LateConnectionsTest.java
+++ b/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.Await;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.Await;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonworks/proxy/ListCallsTest.java
+++ b/src/test/java/cacheproxy/proxy/ListCallsTest.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/proxy/OlderListTest.java
+++ b/src/test/java/cacheproxy/proxy/OlderListTest.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.Await;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.Await;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/damsonworks/proxy/PeerListIT.java
+++ b/src/test/java/cacheproxy/proxy/PeerListIT.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.Await;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import damsonworks.Await;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
--- a/src/test/java/damsonworks/proxy/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerSocketTest.java
@@ -1,11 +1,11 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.figures.Work;
+import cacheproxy.peer.Envelope;
 import com.google.gson.JsonArray;
-import damsonworks.figures.Work;
-import damsonworks.peer.Envelope;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.net.DatagramPacket;
--- a/src/test/java/damsonworks/proxy/PermitsOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
@@ -1,11 +1,11 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Await;
-import damsonworks.flow.ReadAhead;
-import damsonworks.permit.Breach;
-import damsonworks.permit.Verdict;
+import cacheproxy.Await;
+import cacheproxy.flow.ReadAhead;
+import cacheproxy.permit.Breach;
+import cacheproxy.permit.Verdict;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/damsonworks/proxy/ProcessFigures.java
+++ b/src/test/java/cacheproxy/proxy/ProcessFigures.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import com.google.gson.JsonObject;
 import java.io.BufferedInputStream;
@@ -22,7 +22,7 @@
  * What the real process takes at several sizes of the fleet: starts the deploy file's {@code run} line with so many
  * servers and peers, before a discovery and a node of its own, and prints a row of a table for each size. Run by hand,
  * from the root, after the build, by {@code java -cp target/test-classes:target/classes:target/lib/*
- * damsonworks.proxy.ProcessFigures SIZE...}.
+ * cacheproxy.proxy.ProcessFigures SIZE...}.
  */
 final class ProcessFigures {
     private static final int REQUESTS = 4000;
--- a/src/test/java/damsonworks/proxy/RemainingTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Await;
+import cacheproxy.Await;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonworks/proxy/RoutesTest.java
+++ b/src/test/java/cacheproxy/proxy/RoutesTest.java
@@ -1,16 +1,16 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Await;
-import damsonworks.config.ConfigFile;
-import damsonworks.config.Configuration;
-import damsonworks.config.Problems;
-import damsonworks.config.Source;
-import damsonworks.config.edge.EdgeFile;
-import damsonworks.config.edge.RoutingSections;
-import damsonworks.route.Router;
-import damsonworks.route.Routing;
+import cacheproxy.Await;
+import cacheproxy.config.ConfigFile;
+import cacheproxy.config.Configuration;
+import cacheproxy.config.Problems;
+import cacheproxy.config.Source;
+import cacheproxy.config.edge.EdgeFile;
+import cacheproxy.config.edge.RoutingSections;
+import cacheproxy.route.Router;
+import cacheproxy.route.Routing;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
--- a/src/test/java/damsonworks/proxy/ServeProcess.java
+++ b/src/test/java/cacheproxy/proxy/ServeProcess.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import java.io.IOException;
 import java.net.DatagramSocket;
@@ -27,7 +27,7 @@
         ProcessBuilder builder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-jar",
-                        "target/damsonworks.jar",
+                        "target/cacheproxy.jar",
                         "serve")
                 .redirectErrorStream(true)
                 .redirectOutput(log.toFile());
--- a/src/test/java/damsonworks/proxy/SettingsReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.Await;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import damsonworks.Await;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/damsonworks/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.route.Routing;
+import cacheproxy.route.Routing;
 import io.netty.buffer.ByteBuf;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/damsonworks/proxy/SyscallFaultsIT.java
+++ b/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.fail;
 import static org.junit.jupiter.api.Assumptions.abort;
 
+import cacheproxy.Await;
 import com.google.gson.JsonArray;
-import damsonworks.Await;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
--- a/src/test/java/damsonworks/proxy/TakeoverStateTest.java
+++ b/src/test/java/cacheproxy/proxy/TakeoverStateTest.java
@@ -1,17 +1,17 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.RoutingApi.Experience;
+import cacheproxy.RoutingApi.Hot;
+import cacheproxy.RoutingApi.Load;
+import cacheproxy.RoutingApi.Seen;
+import cacheproxy.state.Kind;
+import cacheproxy.state.Record;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonPrimitive;
-import damsonworks.RoutingApi.Experience;
-import damsonworks.RoutingApi.Hot;
-import damsonworks.RoutingApi.Load;
-import damsonworks.RoutingApi.Seen;
-import damsonworks.state.Kind;
-import damsonworks.state.Record;
 import java.util.List;
 import java.util.Map;
 import net.jqwik.api.Example;
--- a/src/test/java/damsonworks/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Await;
-import damsonworks.takeover.Handover.Phase;
+import cacheproxy.Await;
+import cacheproxy.takeover.Handover.Phase;
 import java.io.IOException;
 import java.net.StandardProtocolFamily;
 import java.net.UnixDomainSocketAddress;
--- a/src/test/java/damsonworks/proxy/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/WarmUpTest.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.Await;
 import com.google.gson.JsonArray;
-import damsonworks.Await;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonworks/proxy/WorkLogTest.java
+++ b/src/test/java/cacheproxy/proxy/WorkLogTest.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Await;
-import damsonworks.figures.Work;
-import damsonworks.figures.WorkLine;
+import cacheproxy.Await;
+import cacheproxy.figures.Work;
+import cacheproxy.figures.WorkLine;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/damsonworks/proxy/discovery/ListFormTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/ListFormTest.java
@@ -1,11 +1,11 @@
-package damsonworks.proxy.discovery;
+package cacheproxy.proxy.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.RoutingApi.State;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import damsonworks.RoutingApi.State;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/damsonworks/quota/LeaseTest.java
+++ b/src/test/java/cacheproxy/quota/LeaseTest.java
@@ -1,8 +1,8 @@
-package damsonworks.quota;
+package cacheproxy.quota;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.model.VirtualTime;
+import cacheproxy.model.VirtualTime;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/test/java/damsonworks/quota/LendingTest.java
+++ b/src/test/java/cacheproxy/quota/LendingTest.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.quota;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/recovery/ProgressTest.java
+++ b/src/test/java/cacheproxy/recovery/ProgressTest.java
@@ -1,8 +1,8 @@
-package damsonworks.recovery;
+package cacheproxy.recovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.recovery.Progress.Stage;
+import cacheproxy.recovery.Progress.Stage;
 import org.junit.jupiter.api.Test;
 
 /** The way back goes by evidence, and by the clock only at its end. */
--- a/src/test/java/damsonworks/recovery/RecallTest.java
+++ b/src/test/java/cacheproxy/recovery/RecallTest.java
@@ -1,16 +1,16 @@
-package damsonworks.recovery;
+package cacheproxy.recovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.member.Configured;
-import damsonworks.member.Entry;
-import damsonworks.member.MemberSettings;
-import damsonworks.member.Membership;
-import damsonworks.member.Phase;
-import damsonworks.member.Send;
-import damsonworks.member.View;
-import damsonworks.recovery.Recall.Recalled;
-import damsonworks.recovery.Recall.State;
+import cacheproxy.member.Configured;
+import cacheproxy.member.Entry;
+import cacheproxy.member.MemberSettings;
+import cacheproxy.member.Membership;
+import cacheproxy.member.Phase;
+import cacheproxy.member.Send;
+import cacheproxy.member.View;
+import cacheproxy.recovery.Recall.Recalled;
+import cacheproxy.recovery.Recall.State;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
--- a/src/test/java/damsonworks/recovery/SpreadTest.java
+++ b/src/test/java/cacheproxy/recovery/SpreadTest.java
@@ -1,4 +1,4 @@
-package damsonworks.recovery;
+package cacheproxy.recovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/roster/ListCallsPropertyTest.java
+++ b/src/test/java/cacheproxy/roster/ListCallsPropertyTest.java
@@ -1,12 +1,12 @@
-package damsonworks.roster;
+package cacheproxy.roster;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.roster.ListCalls.Begin;
-import damsonworks.roster.ListCalls.Failure;
-import damsonworks.roster.ListCalls.Form;
-import damsonworks.roster.ListCalls.GiveUp;
-import damsonworks.roster.ListCalls.Order;
+import cacheproxy.roster.ListCalls.Begin;
+import cacheproxy.roster.ListCalls.Failure;
+import cacheproxy.roster.ListCalls.Form;
+import cacheproxy.roster.ListCalls.GiveUp;
+import cacheproxy.roster.ListCalls.Order;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/damsonworks/route/GlobTest.java
+++ b/src/test/java/cacheproxy/route/GlobTest.java
@@ -1,4 +1,4 @@
-package damsonworks.route;
+package cacheproxy.route;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/damsonworks/route/RouteTableTest.java
+++ b/src/test/java/cacheproxy/route/RouteTableTest.java
@@ -1,9 +1,9 @@
-package damsonworks.route;
+package cacheproxy.route;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.route.RouteTable.Conflict;
+import cacheproxy.route.RouteTable.Conflict;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/test/java/damsonworks/route/RouterTest.java
+++ b/src/test/java/cacheproxy/route/RouterTest.java
@@ -1,14 +1,14 @@
-package damsonworks.route;
+package cacheproxy.route;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.State;
-import damsonworks.route.RoutePolicy.TurnAway;
-import damsonworks.route.RouterRig.Asked;
-import damsonworks.route.RouterRig.Out;
+import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.RoutingApi.Member;
+import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.RoutingApi.State;
+import cacheproxy.route.RoutePolicy.TurnAway;
+import cacheproxy.route.RouterRig.Asked;
+import cacheproxy.route.RouterRig.Out;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
--- a/src/test/java/damsonworks/state/CrashTest.java
+++ b/src/test/java/cacheproxy/state/CrashTest.java
@@ -1,10 +1,10 @@
-package damsonworks.state;
+package cacheproxy.state;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.state.Finding.Harm;
+import cacheproxy.state.Keeper.Write;
 import com.google.gson.JsonObject;
-import damsonworks.state.Finding.Harm;
-import damsonworks.state.Keeper.Write;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/test/java/damsonworks/state/KeeperTest.java
+++ b/src/test/java/cacheproxy/state/KeeperTest.java
@@ -1,10 +1,10 @@
-package damsonworks.state;
+package cacheproxy.state;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.state.Finding.Harm;
+import cacheproxy.state.Keeper.Write;
 import com.google.gson.JsonPrimitive;
-import damsonworks.state.Finding.Harm;
-import damsonworks.state.Keeper.Write;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.zip.CRC32C;
--- a/src/test/java/damsonworks/state/StateFolderTest.java
+++ b/src/test/java/cacheproxy/state/StateFolderTest.java
@@ -1,10 +1,10 @@
-package damsonworks.state;
+package cacheproxy.state;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.state.Finding.Harm;
 import com.google.gson.JsonPrimitive;
-import damsonworks.state.Finding.Harm;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/damsonworks/takeover/HandoverTest.java
+++ b/src/test/java/cacheproxy/takeover/HandoverTest.java
@@ -1,8 +1,8 @@
-package damsonworks.takeover;
+package cacheproxy.takeover;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.takeover.Handover.Phase;
+import cacheproxy.takeover.Handover.Phase;
 import java.util.List;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
--- a/src/test/java/damsonworks/wire/DrillTest.java
+++ b/src/test/java/cacheproxy/wire/DrillTest.java
@@ -1,4 +1,4 @@
-package damsonworks.wire;
+package cacheproxy.wire;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/damsonworks/zone/PlanTest.java
+++ b/src/test/java/cacheproxy/zone/PlanTest.java
@@ -1,8 +1,8 @@
-package damsonworks.zone;
+package cacheproxy.zone;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.zone.ZoneState.Cause;
+import cacheproxy.zone.ZoneState.Cause;
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Set;
--- a/src/test/java/damsonworks/zone/RememberTest.java
+++ b/src/test/java/cacheproxy/zone/RememberTest.java
@@ -1,12 +1,12 @@
-package damsonworks.zone;
+package cacheproxy.zone;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.member.Configured;
-import damsonworks.member.Entry;
-import damsonworks.member.View;
-import damsonworks.zone.ZoneState.Cause;
-import damsonworks.zone.Zones.Held;
+import cacheproxy.member.Configured;
+import cacheproxy.member.Entry;
+import cacheproxy.member.View;
+import cacheproxy.zone.ZoneState.Cause;
+import cacheproxy.zone.Zones.Held;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonworks/zone/ZonesTest.java
+++ b/src/test/java/cacheproxy/zone/ZonesTest.java
@@ -1,10 +1,10 @@
-package damsonworks.zone;
+package cacheproxy.zone;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.model.ZonePlay;
-import damsonworks.zone.ZoneState.Cause;
+import cacheproxy.model.ZonePlay;
+import cacheproxy.zone.ZoneState.Cause;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
