--- a/src/jmh/java/cacheproxy/MembershipBenchmark.java
+++ b/src/jmh/java/cacheproxy/MembershipBenchmark.java
@@ -1,9 +1,9 @@
 package cacheproxy;
 
-import cacheproxy.member.MemberSettings;
-import cacheproxy.member.Membership;
-import cacheproxy.member.Send;
-import cacheproxy.member.Send.Urgency;
+import cacheproxy.membership.MemberSettings;
+import cacheproxy.membership.Membership;
+import cacheproxy.membership.Send;
+import cacheproxy.membership.Send.Urgency;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -8,7 +8,7 @@
 import cacheproxy.control.ProxyControl;
 import cacheproxy.proxy.Proxy;
 import cacheproxy.proxy.SighupHandler;
-import cacheproxy.wire.Drill;
+import cacheproxy.simulator.Drill;
 import java.io.IOException;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
--- a/src/main/java/cacheproxy/Policy.java
+++ b/src/main/java/cacheproxy/Policy.java
@@ -1,7 +1,7 @@
 package cacheproxy;
 
-import cacheproxy.peer.PeerMessage;
-import cacheproxy.roster.RetryPause;
+import cacheproxy.gossip.PeerMessage;
+import cacheproxy.endpoints.RetryPause;
 import java.util.*;
 
 /**
--- a/src/main/java/cacheproxy/permit/RequestState.java
+++ b/src/main/java/cacheproxy/admission/RequestState.java
@@ -1,4 +1,4 @@
-package cacheproxy.permit;
+package cacheproxy.admission;
 
 /**
  * What has become of a request that has been taken.
--- a/src/main/java/cacheproxy/permit/Verdict.java
+++ b/src/main/java/cacheproxy/admission/Verdict.java
@@ -1,4 +1,4 @@
-package cacheproxy.permit;
+package cacheproxy.admission;
 
 import java.util.Locale;
 
--- a/src/main/java/cacheproxy/permit/package-info.java
+++ b/src/main/java/cacheproxy/admission/package-info.java
@@ -3,4 +3,4 @@
  * answer may be given. Decisions over explicit states, without sockets, threads or clocks; whoever acts asks at the
  * moment of the act. Breaches that are seen afterwards are counted by kind.
  */
-package cacheproxy.permit;
+package cacheproxy.admission;
--- a/src/main/java/cacheproxy/cli/DemoCommand.java
+++ b/src/main/java/cacheproxy/cli/DemoCommand.java
@@ -2,11 +2,11 @@
 
 import cacheproxy.demo.OracleObserver;
 import cacheproxy.demo.ProxiedFleet;
-import cacheproxy.fleet.Fault;
-import cacheproxy.fleet.FleetSpec;
-import cacheproxy.fleet.FrontLayer;
-import cacheproxy.fleet.Oracle;
-import cacheproxy.fleet.Unrest;
+import cacheproxy.emulator.Fault;
+import cacheproxy.emulator.FleetSpec;
+import cacheproxy.emulator.FrontLayer;
+import cacheproxy.emulator.Oracle;
+import cacheproxy.emulator.Unrest;
 import cacheproxy.load.Generator;
 import cacheproxy.load.Report;
 import cacheproxy.load.Workload;
--- a/src/main/java/cacheproxy/cli/Duration.java
+++ b/src/main/java/cacheproxy/cli/Duration.java
@@ -1,6 +1,6 @@
 package cacheproxy.cli;
 
-import cacheproxy.fleet.FaultScript;
+import cacheproxy.emulator.FaultScript;
 import picocli.CommandLine.TypeConversionException;
 
 /** A time on the command line, such as {@code 300ms}, {@code 20s} or {@code 2m}; in milliseconds. */
--- a/src/main/java/cacheproxy/cli/FiguresCommand.java
+++ b/src/main/java/cacheproxy/cli/FiguresCommand.java
@@ -1,8 +1,8 @@
 package cacheproxy.cli;
 
-import cacheproxy.figures.FleetWork;
-import cacheproxy.figures.Work;
-import cacheproxy.figures.WorkLine;
+import cacheproxy.metrics.FleetWork;
+import cacheproxy.metrics.Work;
+import cacheproxy.metrics.WorkLine;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/src/main/java/cacheproxy/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -1,9 +1,9 @@
 package cacheproxy.cli;
 
 import cacheproxy.demo.ProxiedFleet;
-import cacheproxy.fleet.Fault;
-import cacheproxy.fleet.FleetSpec;
-import cacheproxy.fleet.Oracle;
+import cacheproxy.emulator.Fault;
+import cacheproxy.emulator.FleetSpec;
+import cacheproxy.emulator.Oracle;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonObject;
 import java.io.PrintWriter;
--- a/src/main/java/cacheproxy/cli/FleetOptions.java
+++ b/src/main/java/cacheproxy/cli/FleetOptions.java
@@ -1,9 +1,9 @@
 package cacheproxy.cli;
 
-import cacheproxy.fleet.Fault;
-import cacheproxy.fleet.FaultScript;
-import cacheproxy.fleet.FleetSpec;
-import cacheproxy.fleet.TrafficClass;
+import cacheproxy.emulator.Fault;
+import cacheproxy.emulator.FaultScript;
+import cacheproxy.emulator.FleetSpec;
+import cacheproxy.emulator.TrafficClass;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/cacheproxy/cli/LabCommand.java
+++ b/src/main/java/cacheproxy/cli/LabCommand.java
@@ -1,7 +1,7 @@
 package cacheproxy.cli;
 
 import cacheproxy.config.Problems;
-import cacheproxy.fleet.Layout;
+import cacheproxy.emulator.Layout;
 import cacheproxy.lab.LabRun;
 import cacheproxy.lab.Outcome;
 import cacheproxy.lab.OutcomeText;
--- a/src/main/java/cacheproxy/cli/LoadCommand.java
+++ b/src/main/java/cacheproxy/cli/LoadCommand.java
@@ -1,6 +1,6 @@
 package cacheproxy.cli;
 
-import cacheproxy.fleet.TrafficClass;
+import cacheproxy.emulator.TrafficClass;
 import cacheproxy.load.Generator;
 import cacheproxy.load.Observer;
 import cacheproxy.load.Report;
--- a/src/main/java/cacheproxy/cli/TrafficOptions.java
+++ b/src/main/java/cacheproxy/cli/TrafficOptions.java
@@ -1,6 +1,6 @@
 package cacheproxy.cli;
 
-import cacheproxy.fleet.TrafficClass;
+import cacheproxy.emulator.TrafficClass;
 import cacheproxy.load.Shape;
 import cacheproxy.load.SyntheticWorkload;
 import cacheproxy.load.SyntheticWorkload.Arrivals;
--- a/src/main/java/cacheproxy/cli/ValueOptions.java
+++ b/src/main/java/cacheproxy/cli/ValueOptions.java
@@ -1,7 +1,7 @@
 package cacheproxy.cli;
 
-import cacheproxy.fleet.FleetSpec;
-import cacheproxy.fleet.ValueSizes;
+import cacheproxy.emulator.FleetSpec;
+import cacheproxy.emulator.ValueSizes;
 import picocli.CommandLine.Option;
 
 /** How long values are: an option that {@code fleet}, {@code load} and {@code demo} share. */
--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.control.Figure.Kind;
 import cacheproxy.drain.Drain;
-import cacheproxy.member.View;
+import cacheproxy.membership.View;
 import cacheproxy.proxy.Proxy;
 import cacheproxy.proxy.RuleCounts;
 import cacheproxy.route.Router;
--- a/src/main/java/cacheproxy/control/ZoneCall.java
+++ b/src/main/java/cacheproxy/control/ZoneCall.java
@@ -1,7 +1,7 @@
 package cacheproxy.control;
 
+import cacheproxy.failover.Zones;
 import cacheproxy.proxy.FleetZones;
-import cacheproxy.zone.Zones;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/main/java/cacheproxy/demo/OracleObserver.java
+++ b/src/main/java/cacheproxy/demo/OracleObserver.java
@@ -1,10 +1,10 @@
 package cacheproxy.demo;
 
-import cacheproxy.fleet.Oracle;
-import cacheproxy.fleet.Series.What;
-import cacheproxy.fleet.StandInFleet;
-import cacheproxy.fleet.meta.MetaAnswer;
-import cacheproxy.fleet.meta.MetaAnswerDecoder;
+import cacheproxy.emulator.Oracle;
+import cacheproxy.emulator.Series.What;
+import cacheproxy.emulator.StandInFleet;
+import cacheproxy.emulator.meta.MetaAnswer;
+import cacheproxy.emulator.meta.MetaAnswerDecoder;
 import cacheproxy.load.Observer;
 import cacheproxy.load.Planned;
 import java.util.HashMap;
--- a/src/main/java/cacheproxy/demo/ProxiedFleet.java
+++ b/src/main/java/cacheproxy/demo/ProxiedFleet.java
@@ -1,13 +1,13 @@
 package cacheproxy.demo;
 
 import cacheproxy.control.ControlClient;
-import cacheproxy.fleet.Fault;
-import cacheproxy.fleet.FleetSpec;
-import cacheproxy.fleet.FrontLayer;
-import cacheproxy.fleet.LinkFault;
-import cacheproxy.fleet.Sockets;
-import cacheproxy.fleet.StandInFleet;
-import cacheproxy.fleet.TrafficClass;
+import cacheproxy.emulator.Fault;
+import cacheproxy.emulator.FleetSpec;
+import cacheproxy.emulator.FrontLayer;
+import cacheproxy.emulator.LinkFault;
+import cacheproxy.emulator.Sockets;
+import cacheproxy.emulator.StandInFleet;
+import cacheproxy.emulator.TrafficClass;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/main/java/cacheproxy/demo/ProxyConfig.java
+++ b/src/main/java/cacheproxy/demo/ProxyConfig.java
@@ -1,9 +1,9 @@
 package cacheproxy.demo;
 
-import cacheproxy.fleet.FleetSpec;
-import cacheproxy.fleet.Keys;
-import cacheproxy.fleet.StandInFleet;
-import cacheproxy.fleet.TrafficClass;
+import cacheproxy.emulator.FleetSpec;
+import cacheproxy.emulator.Keys;
+import cacheproxy.emulator.StandInFleet;
+import cacheproxy.emulator.TrafficClass;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.net.InetSocketAddress;
--- a/src/main/java/cacheproxy/demo/ProxyProcess.java
+++ b/src/main/java/cacheproxy/demo/ProxyProcess.java
@@ -1,6 +1,6 @@
 package cacheproxy.demo;
 
-import cacheproxy.fleet.Layout.Part;
+import cacheproxy.emulator.Layout.Part;
 import com.google.gson.JsonObject;
 import java.io.File;
 import java.io.IOException;
--- a/src/main/java/cacheproxy/demo/StateFolder.java
+++ b/src/main/java/cacheproxy/demo/StateFolder.java
@@ -1,6 +1,6 @@
 package cacheproxy.demo;
 
-import cacheproxy.fleet.Fault;
+import cacheproxy.emulator.Fault;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/cacheproxy/fleet/AnswerLine.java
+++ b/src/main/java/cacheproxy/emulator/AnswerLine.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 import io.netty.channel.Channel;
 import java.util.ArrayDeque;
--- a/src/main/java/cacheproxy/fleet/CacheNode.java
+++ b/src/main/java/cacheproxy/emulator/CacheNode.java
@@ -1,7 +1,7 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
-import cacheproxy.fleet.meta.MetaCommand;
-import cacheproxy.fleet.meta.MetaCommandDecoder;
+import cacheproxy.emulator.meta.MetaCommand;
+import cacheproxy.emulator.meta.MetaCommandDecoder;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/cacheproxy/fleet/DiscoveryServer.java
+++ b/src/main/java/cacheproxy/emulator/DiscoveryServer.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
--- a/src/main/java/cacheproxy/fleet/Fault.java
+++ b/src/main/java/cacheproxy/emulator/Fault.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 /**
  * One thing that goes wrong in one part of a fleet, when, and where. What goes wrong between two is a
--- a/src/main/java/cacheproxy/fleet/FrontLayer.java
+++ b/src/main/java/cacheproxy/emulator/FrontLayer.java
@@ -1,7 +1,7 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
-import cacheproxy.fleet.meta.MetaAnswer;
-import cacheproxy.fleet.meta.MetaAnswerDecoder;
+import cacheproxy.emulator.meta.MetaAnswer;
+import cacheproxy.emulator.meta.MetaAnswerDecoder;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cacheproxy/fleet/Hosts.java
+++ b/src/main/java/cacheproxy/emulator/Hosts.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 import java.net.InetAddress;
 import java.net.UnknownHostException;
--- a/src/main/java/cacheproxy/fleet/Keys.java
+++ b/src/main/java/cacheproxy/emulator/Keys.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 /** The key space of a run: key number {@code i} as sixteen hexadecimal digits, spread evenly over all hashes. */
 public final class Keys {
--- a/src/main/java/cacheproxy/fleet/LruStore.java
+++ b/src/main/java/cacheproxy/emulator/LruStore.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/cacheproxy/fleet/OriginServer.java
+++ b/src/main/java/cacheproxy/emulator/OriginServer.java
@@ -1,6 +1,6 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
-import cacheproxy.fleet.meta.MetaCommand;
+import cacheproxy.emulator.meta.MetaCommand;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/cacheproxy/fleet/Payload.java
+++ b/src/main/java/cacheproxy/emulator/Payload.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
--- a/src/main/java/cacheproxy/fleet/PeerRelay.java
+++ b/src/main/java/cacheproxy/emulator/PeerRelay.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cacheproxy/fleet/Service.java
+++ b/src/main/java/cacheproxy/emulator/Service.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/cacheproxy/fleet/StandInFleet.java
+++ b/src/main/java/cacheproxy/emulator/StandInFleet.java
@@ -1,6 +1,6 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
-import cacheproxy.fleet.meta.MetaCommand;
+import cacheproxy.emulator.meta.MetaCommand;
 import com.google.gson.JsonObject;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/main/java/cacheproxy/fleet/Way.java
+++ b/src/main/java/cacheproxy/emulator/Way.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 /**
  * What the way from one part of a fleet to another does to what is sent. Shares from 0 to 1, times in milliseconds.
--- a/src/main/java/cacheproxy/fleet/meta/MetaAnswer.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaAnswer.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet.meta;
+package cacheproxy.emulator.meta;
 
 /** One answer as a client reads it. {@code id} is null where the line carries none. */
 public sealed interface MetaAnswer {
--- a/src/main/java/cacheproxy/fleet/meta/MetaCommand.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaCommand.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet.meta;
+package cacheproxy.emulator.meta;
 
 /** One command as a server reads it. */
 public sealed interface MetaCommand {
--- a/src/main/java/cacheproxy/fleet/meta/MetaCommandDecoder.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaCommandDecoder.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet.meta;
+package cacheproxy.emulator.meta;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/cacheproxy/fleet/package-info.java
+++ b/src/main/java/cacheproxy/emulator/package-info.java
@@ -6,6 +6,6 @@
  * proxy's grammar can't hide behind the same mistake here. What is decided here (a node's core, its ramp, its memory,
  * the roster, the oracle) stands in classes without I/O that take the time as an argument; what owns a socket only
  * carries it out. All of one fleet runs on one event loop. It may use Netty and Gson; {@code proxy}, the decision
- * files, {@code wire}, {@code load}, {@code demo} and {@code cli} are out of bounds.
+ * files, {@code simulator}, {@code load}, {@code demo} and {@code cli} are out of bounds.
  */
-package cacheproxy.fleet;
+package cacheproxy.emulator;
--- a/src/main/java/cacheproxy/roster/RetryPause.java
+++ b/src/main/java/cacheproxy/endpoints/RetryPause.java
@@ -1,4 +1,4 @@
-package cacheproxy.roster;
+package cacheproxy.endpoints;
 
 import java.util.SplittableRandom;
 
--- a/src/main/java/cacheproxy/zone/Judge.java
+++ b/src/main/java/cacheproxy/failover/Judge.java
@@ -1,4 +1,4 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/cacheproxy/zone/Observer.java
+++ b/src/main/java/cacheproxy/failover/Observer.java
@@ -1,4 +1,4 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/src/main/java/cacheproxy/zone/Pace.java
+++ b/src/main/java/cacheproxy/failover/Pace.java
@@ -1,4 +1,4 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 /**
  * How soon a zone's next step may come. Nodes that stayed warm get their keys back in three steps; the keys of cold
--- a/src/main/java/cacheproxy/zone/Plan.java
+++ b/src/main/java/cacheproxy/failover/Plan.java
@@ -1,4 +1,4 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/src/main/java/cacheproxy/zone/Sight.java
+++ b/src/main/java/cacheproxy/failover/Sight.java
@@ -1,4 +1,4 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 /** What one instance sees of the cache nodes of a zone now; its place is its form on the wire. */
 public enum Sight {
--- a/src/main/java/cacheproxy/zone/ZoneSettings.java
+++ b/src/main/java/cacheproxy/failover/ZoneSettings.java
@@ -1,4 +1,4 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 /**
  * What holds for leaving zones and returning to them.
--- a/src/main/java/cacheproxy/zone/ZoneState.java
+++ b/src/main/java/cacheproxy/failover/ZoneState.java
@@ -1,4 +1,4 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 /**
  * What is decided of one zone.
--- a/src/main/java/cacheproxy/zone/Zones.java
+++ b/src/main/java/cacheproxy/failover/Zones.java
@@ -1,10 +1,10 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 import cacheproxy.RoutingApi.ZoneOrder;
-import cacheproxy.member.Entry;
-import cacheproxy.member.View;
-import cacheproxy.zone.Judge.Verdict;
-import cacheproxy.zone.ZoneState.Cause;
+import cacheproxy.failover.Judge.Verdict;
+import cacheproxy.failover.ZoneState.Cause;
+import cacheproxy.membership.Entry;
+import cacheproxy.membership.View;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
--- a/src/main/java/cacheproxy/peer/BadNodes.java
+++ b/src/main/java/cacheproxy/gossip/BadNodes.java
@@ -1,4 +1,4 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/cacheproxy/peer/ChangeLog.java
+++ b/src/main/java/cacheproxy/gossip/ChangeLog.java
@@ -1,4 +1,4 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
 import java.util.ArrayList;
 import java.util.Iterator;
--- a/src/main/java/cacheproxy/peer/Envelope.java
+++ b/src/main/java/cacheproxy/gossip/Envelope.java
@@ -1,4 +1,4 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/src/main/java/cacheproxy/peer/ListNews.java
+++ b/src/main/java/cacheproxy/gossip/ListNews.java
@@ -1,6 +1,6 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
-import cacheproxy.member.Living;
+import cacheproxy.membership.Living;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
--- a/src/main/java/cacheproxy/peer/ListUpdate.java
+++ b/src/main/java/cacheproxy/gossip/ListUpdate.java
@@ -1,4 +1,4 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
 import cacheproxy.RoutingApi.State;
 import java.nio.ByteBuffer;
--- a/src/main/java/cacheproxy/peer/MemberBudget.java
+++ b/src/main/java/cacheproxy/gossip/MemberBudget.java
@@ -1,7 +1,7 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
-import cacheproxy.member.Membership;
-import cacheproxy.member.Send.Urgency;
+import cacheproxy.membership.Membership;
+import cacheproxy.membership.Send.Urgency;
 
 /** The budget of an instance as its membership sees it: each of its messages is a datagram of its own. */
 public record MemberBudget(Outbox outbox) implements Membership.Allowance {
--- a/src/main/java/cacheproxy/peer/Outbox.java
+++ b/src/main/java/cacheproxy/gossip/Outbox.java
@@ -1,4 +1,4 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
 /**
  * What an instance may send to its peers: one budget for all parts of the program, in bytes a second, whatever the size
--- a/src/main/java/cacheproxy/peer/package-info.java
+++ b/src/main/java/cacheproxy/gossip/package-info.java
@@ -3,4 +3,4 @@
  * Messages are late, lost, repeated or wrong; by themselves they shun no server, and what they change of the list is
  * provisional.
  */
-package cacheproxy.peer;
+package cacheproxy.gossip;
--- a/src/main/java/cacheproxy/lab/BadClients.java
+++ b/src/main/java/cacheproxy/lab/BadClients.java
@@ -1,7 +1,7 @@
 package cacheproxy.lab;
 
 import cacheproxy.demo.ProxyProcess;
-import cacheproxy.fleet.Fault;
+import cacheproxy.emulator.Fault;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
--- a/src/main/java/cacheproxy/lab/Expectation.java
+++ b/src/main/java/cacheproxy/lab/Expectation.java
@@ -1,6 +1,6 @@
 package cacheproxy.lab;
 
-import cacheproxy.fleet.Oracle;
+import cacheproxy.emulator.Oracle;
 import java.util.List;
 import java.util.Locale;
 
--- a/src/main/java/cacheproxy/lab/Outcome.java
+++ b/src/main/java/cacheproxy/lab/Outcome.java
@@ -1,8 +1,8 @@
 package cacheproxy.lab;
 
-import cacheproxy.fleet.Oracle;
-import cacheproxy.fleet.Series;
-import cacheproxy.fleet.Series.What;
+import cacheproxy.emulator.Oracle;
+import cacheproxy.emulator.Series;
+import cacheproxy.emulator.Series.What;
 import cacheproxy.load.Report;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/cacheproxy/lab/OutcomeText.java
+++ b/src/main/java/cacheproxy/lab/OutcomeText.java
@@ -1,9 +1,9 @@
 package cacheproxy.lab;
 
-import cacheproxy.fleet.Layout;
-import cacheproxy.fleet.Oracle;
-import cacheproxy.fleet.Series;
-import cacheproxy.fleet.Series.What;
+import cacheproxy.emulator.Layout;
+import cacheproxy.emulator.Oracle;
+import cacheproxy.emulator.Series;
+import cacheproxy.emulator.Series.What;
 import cacheproxy.load.LineChart;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
--- a/src/main/java/cacheproxy/lab/RecoveryExpectation.java
+++ b/src/main/java/cacheproxy/lab/RecoveryExpectation.java
@@ -1,7 +1,7 @@
 package cacheproxy.lab;
 
-import cacheproxy.fleet.Series;
-import cacheproxy.fleet.Series.What;
+import cacheproxy.emulator.Series;
+import cacheproxy.emulator.Series.What;
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/cacheproxy/lab/Scenario.java
+++ b/src/main/java/cacheproxy/lab/Scenario.java
@@ -1,8 +1,8 @@
 package cacheproxy.lab;
 
-import cacheproxy.fleet.Fault;
-import cacheproxy.fleet.FleetSpec;
-import cacheproxy.fleet.LinkFault;
+import cacheproxy.emulator.Fault;
+import cacheproxy.emulator.FleetSpec;
+import cacheproxy.emulator.LinkFault;
 import java.util.List;
 
 /**
--- a/src/main/java/cacheproxy/lab/ZoneExpectation.java
+++ b/src/main/java/cacheproxy/lab/ZoneExpectation.java
@@ -1,8 +1,8 @@
 package cacheproxy.lab;
 
-import cacheproxy.fleet.Layout;
-import cacheproxy.fleet.Series;
-import cacheproxy.fleet.Series.What;
+import cacheproxy.emulator.Layout;
+import cacheproxy.emulator.Series;
+import cacheproxy.emulator.Series.What;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/cacheproxy/load/Connection.java
+++ b/src/main/java/cacheproxy/load/Connection.java
@@ -1,8 +1,8 @@
 package cacheproxy.load;
 
-import cacheproxy.fleet.TrafficClass;
-import cacheproxy.fleet.meta.MetaAnswer;
-import cacheproxy.fleet.meta.MetaAnswerDecoder;
+import cacheproxy.emulator.TrafficClass;
+import cacheproxy.emulator.meta.MetaAnswer;
+import cacheproxy.emulator.meta.MetaAnswerDecoder;
 import cacheproxy.load.Generator.Pending;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cacheproxy/load/Generator.java
+++ b/src/main/java/cacheproxy/load/Generator.java
@@ -1,9 +1,9 @@
 package cacheproxy.load;
 
-import cacheproxy.fleet.Keys;
-import cacheproxy.fleet.Sockets;
-import cacheproxy.fleet.TrafficClass;
-import cacheproxy.fleet.meta.MetaAnswer;
+import cacheproxy.emulator.Keys;
+import cacheproxy.emulator.Sockets;
+import cacheproxy.emulator.TrafficClass;
+import cacheproxy.emulator.meta.MetaAnswer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
--- a/src/main/java/cacheproxy/load/Observer.java
+++ b/src/main/java/cacheproxy/load/Observer.java
@@ -1,6 +1,6 @@
 package cacheproxy.load;
 
-import cacheproxy.fleet.meta.MetaAnswer;
+import cacheproxy.emulator.meta.MetaAnswer;
 
 /** What watches each request of a run. Called on the generator's event loop; times are {@link System#nanoTime()}. */
 public interface Observer {
--- a/src/main/java/cacheproxy/load/SyntheticWorkload.java
+++ b/src/main/java/cacheproxy/load/SyntheticWorkload.java
@@ -1,8 +1,8 @@
 package cacheproxy.load;
 
-import cacheproxy.fleet.Keys;
-import cacheproxy.fleet.TrafficClass;
-import cacheproxy.fleet.ValueSizes;
+import cacheproxy.emulator.Keys;
+import cacheproxy.emulator.TrafficClass;
+import cacheproxy.emulator.ValueSizes;
 import java.util.List;
 import java.util.SplittableRandom;
 
--- a/src/main/java/cacheproxy/load/TraceFormat.java
+++ b/src/main/java/cacheproxy/load/TraceFormat.java
@@ -1,7 +1,7 @@
 package cacheproxy.load;
 
-import cacheproxy.fleet.Keys;
-import cacheproxy.fleet.TrafficClass;
+import cacheproxy.emulator.Keys;
+import cacheproxy.emulator.TrafficClass;
 import java.util.List;
 
 /** How one line of a trace is read. */
--- a/src/main/java/cacheproxy/load/TraceWorkload.java
+++ b/src/main/java/cacheproxy/load/TraceWorkload.java
@@ -1,6 +1,6 @@
 package cacheproxy.load;
 
-import cacheproxy.fleet.TrafficClass;
+import cacheproxy.emulator.TrafficClass;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/cacheproxy/load/package-info.java
+++ b/src/main/java/cacheproxy/load/package-info.java
@@ -4,7 +4,7 @@
  * ({@link cacheproxy.load.Recorder}) and how it is shown ({@link cacheproxy.load.Report} and its writers).
  *
  * <p>A request's latency counts from the time at which it was <em>meant</em> to be sent; nothing that the target does
- * moves that time. May use {@code fleet.meta} and the key space of {@code fleet}, Netty, HdrHistogram and Gson; knows
- * nothing of {@code proxy}, {@code demo} or {@code cli}.
+ * moves that time. May use {@code emulator.meta} and the key space of {@code emulator}, Netty, HdrHistogram and Gson;
+ * knows nothing of {@code proxy}, {@code demo} or {@code cli}.
  */
 package cacheproxy.load;
--- a/src/main/java/cacheproxy/member/Configured.java
+++ b/src/main/java/cacheproxy/membership/Configured.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 /**
  * How many instances the settings name, at least 1. What a rule rests on counts all of them for as long as one that is
--- a/src/main/java/cacheproxy/member/Health.java
+++ b/src/main/java/cacheproxy/membership/Health.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 /**
  * How well this instance itself is doing: Lifeguard's local health multiplier (section IV.A there), by other signs. An
--- a/src/main/java/cacheproxy/member/Hearing.java
+++ b/src/main/java/cacheproxy/membership/Hearing.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 /** Which part of the configured fleet an instance can hear, itself among it. */
 public enum Hearing {
--- a/src/main/java/cacheproxy/member/Living.java
+++ b/src/main/java/cacheproxy/membership/Living.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 /**
  * How many instances live as far as this one knows, itself among them; at least 1. Advice: it may save work, as turns,
--- a/src/main/java/cacheproxy/member/Membership.java
+++ b/src/main/java/cacheproxy/membership/Membership.java
@@ -1,7 +1,7 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
-import cacheproxy.member.Message.Kind;
-import cacheproxy.member.Send.Urgency;
+import cacheproxy.membership.Message.Kind;
+import cacheproxy.membership.Send.Urgency;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
--- a/src/main/java/cacheproxy/member/Message.java
+++ b/src/main/java/cacheproxy/membership/Message.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
--- a/src/main/java/cacheproxy/member/Own.java
+++ b/src/main/java/cacheproxy/membership/Own.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 import java.util.Arrays;
 import java.util.function.BinaryOperator;
--- a/src/main/java/cacheproxy/member/Phase.java
+++ b/src/main/java/cacheproxy/membership/Phase.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 /** What an instance says of its own service. */
 public enum Phase {
--- a/src/main/java/cacheproxy/member/Probe.java
+++ b/src/main/java/cacheproxy/membership/Probe.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 /** An instance that has been asked whether it lives. */
 final class Probe {
--- a/src/main/java/cacheproxy/member/Send.java
+++ b/src/main/java/cacheproxy/membership/Send.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 /**
  * A message that is to go out.
--- a/src/main/java/cacheproxy/member/State.java
+++ b/src/main/java/cacheproxy/membership/State.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 /** What is believed of an instance's life; of two beliefs in the same life and incarnation the later one here holds. */
 public enum State {
--- a/src/main/java/cacheproxy/member/Suspicion.java
+++ b/src/main/java/cacheproxy/membership/Suspicion.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 /**
  * A suspicion under way. It lasts the longer the fewer confirm it: from the longest time with one who suspects down to
--- a/src/main/java/cacheproxy/figures/Work.java
+++ b/src/main/java/cacheproxy/metrics/Work.java
@@ -1,4 +1,4 @@
-package cacheproxy.figures;
+package cacheproxy.metrics;
 
 import java.util.Locale;
 
--- a/src/main/java/cacheproxy/figures/WorkLine.java
+++ b/src/main/java/cacheproxy/metrics/WorkLine.java
@@ -1,4 +1,4 @@
-package cacheproxy.figures;
+package cacheproxy.metrics;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
--- a/src/main/java/cacheproxy/model/NodeModel.java
+++ b/src/main/java/cacheproxy/model/NodeModel.java
@@ -1,9 +1,9 @@
 package cacheproxy.model;
 
 import cacheproxy.RoutingApi.Outcome;
-import cacheproxy.fleet.ColdStart;
-import cacheproxy.fleet.LruStore;
-import cacheproxy.fleet.ServiceModel;
+import cacheproxy.emulator.ColdStart;
+import cacheproxy.emulator.LruStore;
+import cacheproxy.emulator.ServiceModel;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/main/java/cacheproxy/model/OriginModel.java
+++ b/src/main/java/cacheproxy/model/OriginModel.java
@@ -1,6 +1,6 @@
 package cacheproxy.model;
 
-import cacheproxy.fleet.ServiceModel;
+import cacheproxy.emulator.ServiceModel;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
--- a/src/main/java/cacheproxy/model/ViewPlay.java
+++ b/src/main/java/cacheproxy/model/ViewPlay.java
@@ -1,14 +1,14 @@
 package cacheproxy.model;
 
-import cacheproxy.member.Entry;
-import cacheproxy.member.MemberSettings;
-import cacheproxy.member.Membership;
-import cacheproxy.member.Phase;
-import cacheproxy.member.Send;
-import cacheproxy.member.State;
-import cacheproxy.peer.Envelope;
-import cacheproxy.peer.MemberBudget;
-import cacheproxy.peer.Outbox;
+import cacheproxy.gossip.Envelope;
+import cacheproxy.gossip.MemberBudget;
+import cacheproxy.gossip.Outbox;
+import cacheproxy.membership.Entry;
+import cacheproxy.membership.MemberSettings;
+import cacheproxy.membership.Membership;
+import cacheproxy.membership.Phase;
+import cacheproxy.membership.Send;
+import cacheproxy.membership.State;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/cacheproxy/model/ZonePlay.java
+++ b/src/main/java/cacheproxy/model/ZonePlay.java
@@ -1,9 +1,9 @@
 package cacheproxy.model;
 
 import cacheproxy.RoutingApi.ZoneOrder;
-import cacheproxy.member.Membership;
-import cacheproxy.zone.ZoneSettings;
-import cacheproxy.zone.Zones;
+import cacheproxy.failover.ZoneSettings;
+import cacheproxy.failover.Zones;
+import cacheproxy.membership.Membership;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
--- a/src/main/java/cacheproxy/model/check/MemberProtocol.java
+++ b/src/main/java/cacheproxy/model/check/MemberProtocol.java
@@ -1,8 +1,8 @@
 package cacheproxy.model.check;
 
-import cacheproxy.member.Entry;
-import cacheproxy.member.Knowledge;
-import cacheproxy.member.State;
+import cacheproxy.membership.Entry;
+import cacheproxy.membership.Knowledge;
+import cacheproxy.membership.State;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/cacheproxy/model/check/ZoneProtocol.java
+++ b/src/main/java/cacheproxy/model/check/ZoneProtocol.java
@@ -1,8 +1,8 @@
 package cacheproxy.model.check;
 
-import cacheproxy.zone.Plan;
-import cacheproxy.zone.ZoneState;
-import cacheproxy.zone.ZoneState.Cause;
+import cacheproxy.failover.Plan;
+import cacheproxy.failover.ZoneState;
+import cacheproxy.failover.ZoneState.Cause;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/ClientConnection.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.figures.EventKind;
 import cacheproxy.flow.ReadTimeout;
+import cacheproxy.metrics.EventKind;
 import cacheproxy.proxy.Exchange.Command;
 import cacheproxy.route.Routing;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -1,12 +1,12 @@
 package cacheproxy.proxy;
 
 import cacheproxy.RoutingApi.Settings;
+import cacheproxy.endpoints.ListCalls;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.ListForm;
-import cacheproxy.roster.ListCalls;
 import cacheproxy.route.Known;
-import cacheproxy.wire.SettingsParser;
+import cacheproxy.simulator.SettingsParser;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/main/java/cacheproxy/proxy/Counters.java
+++ b/src/main/java/cacheproxy/proxy/Counters.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.figures.Work;
+import cacheproxy.metrics.Work;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
--- a/src/main/java/cacheproxy/proxy/EventLog.java
+++ b/src/main/java/cacheproxy/proxy/EventLog.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.figures.EventKind;
-import cacheproxy.figures.LogBudget;
+import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogBudget;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.function.DoubleSupplier;
--- a/src/main/java/cacheproxy/proxy/Exchange.java
+++ b/src/main/java/cacheproxy/proxy/Exchange.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy;
 
 import cacheproxy.RoutingApi.ServiceClass;
+import cacheproxy.admission.Permits;
+import cacheproxy.admission.RequestState;
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.permit.Permits;
-import cacheproxy.permit.RequestState;
 import cacheproxy.proxy.Timers.Timer;
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayList;
--- a/src/main/java/cacheproxy/proxy/FleetZones.java
+++ b/src/main/java/cacheproxy/proxy/FleetZones.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.zone.Zones;
+import cacheproxy.failover.Zones;
 import java.util.List;
 
 /** The zones as operators see and order them by one proxy. On the event loop only. */
--- a/src/main/java/cacheproxy/proxy/MemberLink.java
+++ b/src/main/java/cacheproxy/proxy/MemberLink.java
@@ -1,12 +1,12 @@
 package cacheproxy.proxy;
 
 import cacheproxy.RoutingApi.Settings;
-import cacheproxy.member.Living;
-import cacheproxy.member.MemberSettings;
-import cacheproxy.member.Membership;
-import cacheproxy.member.Phase;
-import cacheproxy.member.View;
-import cacheproxy.peer.MemberBudget;
+import cacheproxy.gossip.MemberBudget;
+import cacheproxy.membership.Living;
+import cacheproxy.membership.MemberSettings;
+import cacheproxy.membership.Membership;
+import cacheproxy.membership.Phase;
+import cacheproxy.membership.View;
 import java.util.function.Consumer;
 
 /** Carries out what {@link Membership} decides: its messages and its times. On the event loop only. */
--- a/src/main/java/cacheproxy/proxy/NodeTalk.java
+++ b/src/main/java/cacheproxy/proxy/NodeTalk.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy;
 
 import cacheproxy.RoutingApi.Evidence;
-import cacheproxy.member.View;
-import cacheproxy.peer.BadNodes;
-import cacheproxy.peer.PeerMessage;
+import cacheproxy.gossip.BadNodes;
+import cacheproxy.gossip.PeerMessage;
+import cacheproxy.membership.View;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/cacheproxy/proxy/PeerNews.java
+++ b/src/main/java/cacheproxy/proxy/PeerNews.java
@@ -1,12 +1,12 @@
 package cacheproxy.proxy;
 
-import cacheproxy.member.Living;
-import cacheproxy.peer.AntiEntropy;
-import cacheproxy.peer.ListNews;
-import cacheproxy.peer.ListNews.Order;
-import cacheproxy.peer.ListUpdate;
-import cacheproxy.peer.PeerMessage;
-import cacheproxy.peer.ProvisionalMembership;
+import cacheproxy.gossip.AntiEntropy;
+import cacheproxy.gossip.ListNews;
+import cacheproxy.gossip.ListNews.Order;
+import cacheproxy.gossip.ListUpdate;
+import cacheproxy.gossip.PeerMessage;
+import cacheproxy.gossip.ProvisionalMembership;
+import cacheproxy.membership.Living;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.ProvisionalList;
 import java.util.SplittableRandom;
--- a/src/main/java/cacheproxy/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerSocket.java
@@ -1,10 +1,10 @@
 package cacheproxy.proxy;
 
-import cacheproxy.figures.Work;
-import cacheproxy.peer.AntiEntropy;
-import cacheproxy.peer.Envelope;
-import cacheproxy.peer.Envelope.Item;
-import cacheproxy.peer.Outbox;
+import cacheproxy.gossip.AntiEntropy;
+import cacheproxy.gossip.Envelope;
+import cacheproxy.gossip.Envelope.Item;
+import cacheproxy.gossip.Outbox;
+import cacheproxy.metrics.Work;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -1,10 +1,10 @@
 package cacheproxy.proxy;
 
 import cacheproxy.RoutingApi.ListKind;
-import cacheproxy.figures.Work;
-import cacheproxy.member.Entry;
-import cacheproxy.member.Phase;
-import cacheproxy.member.View;
+import cacheproxy.membership.Entry;
+import cacheproxy.membership.Phase;
+import cacheproxy.membership.View;
+import cacheproxy.metrics.Work;
 import cacheproxy.recovery.Load;
 import cacheproxy.recovery.Progress;
 import cacheproxy.recovery.Progress.Stage;
--- a/src/main/java/cacheproxy/proxy/RuleMonitor.java
+++ b/src/main/java/cacheproxy/proxy/RuleMonitor.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy;
 
-import cacheproxy.figures.EventKind;
-import cacheproxy.permit.Breach;
-import cacheproxy.permit.Permits;
-import cacheproxy.permit.Verdict;
+import cacheproxy.admission.Breach;
+import cacheproxy.admission.Permits;
+import cacheproxy.admission.Verdict;
+import cacheproxy.metrics.EventKind;
 import cacheproxy.proxy.Exchange.Attempt;
 import java.util.EnumMap;
 import java.util.Locale;
--- a/src/main/java/cacheproxy/proxy/StateLink.java
+++ b/src/main/java/cacheproxy/proxy/StateLink.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.RoutingApi.ListKind;
+import cacheproxy.failover.Zones.Held;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.state.Finding;
 import cacheproxy.state.Finding.Harm;
@@ -10,7 +11,6 @@
 import cacheproxy.state.Opened;
 import cacheproxy.state.Record;
 import cacheproxy.state.StateFolder;
-import cacheproxy.zone.Zones.Held;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonPrimitive;
 import java.io.IOException;
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.permit.Permits;
+import cacheproxy.admission.Permits;
 import cacheproxy.proxy.Exchange.Attempt;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.RoutingApi.Outcome;
-import cacheproxy.figures.EventKind;
-import cacheproxy.figures.Work;
+import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.Work;
 import cacheproxy.proxy.Exchange.Attempt;
 import cacheproxy.proxy.transport.Connecting;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cacheproxy/proxy/WorkLog.java
+++ b/src/main/java/cacheproxy/proxy/WorkLog.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.figures.Work;
-import cacheproxy.figures.WorkLine;
+import cacheproxy.metrics.Work;
+import cacheproxy.metrics.WorkLine;
 import io.netty.channel.EventLoop;
 import java.io.PrintStream;
 import java.util.EnumMap;
--- a/src/main/java/cacheproxy/proxy/ZoneForm.java
+++ b/src/main/java/cacheproxy/proxy/ZoneForm.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.zone.ZoneState;
-import cacheproxy.zone.ZoneState.Cause;
-import cacheproxy.zone.Zones.Held;
+import cacheproxy.failover.ZoneState;
+import cacheproxy.failover.ZoneState.Cause;
+import cacheproxy.failover.Zones.Held;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.util.List;
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -1,12 +1,12 @@
 package cacheproxy.proxy.discovery;
 
 import cacheproxy.RoutingApi.ListKind;
-import cacheproxy.roster.ListCalls;
-import cacheproxy.roster.ListCalls.Begin;
-import cacheproxy.roster.ListCalls.Failure;
-import cacheproxy.roster.ListCalls.Form;
-import cacheproxy.roster.ListCalls.GiveUp;
-import cacheproxy.roster.ListCalls.Order;
+import cacheproxy.endpoints.ListCalls;
+import cacheproxy.endpoints.ListCalls.Begin;
+import cacheproxy.endpoints.ListCalls.Failure;
+import cacheproxy.endpoints.ListCalls.Form;
+import cacheproxy.endpoints.ListCalls.GiveUp;
+import cacheproxy.endpoints.ListCalls.Order;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/main/java/cacheproxy/recovery/Recall.java
+++ b/src/main/java/cacheproxy/recovery/Recall.java
@@ -1,8 +1,8 @@
 package cacheproxy.recovery;
 
-import cacheproxy.member.Entry;
-import cacheproxy.member.Phase;
-import cacheproxy.member.View;
+import cacheproxy.membership.Entry;
+import cacheproxy.membership.Phase;
+import cacheproxy.membership.View;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/cacheproxy/wire/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -1,4 +1,4 @@
-package cacheproxy.wire;
+package cacheproxy.simulator;
 
 import cacheproxy.RoutingApi.Effect;
 import cacheproxy.RoutingApi.Group;
--- a/src/main/java/cacheproxy/wire/WireException.java
+++ b/src/main/java/cacheproxy/simulator/WireException.java
@@ -1,4 +1,4 @@
-package cacheproxy.wire;
+package cacheproxy.simulator;
 
 /** Input that is not the wire's; the message names what and where. */
 public final class WireException extends RuntimeException {
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -34,10 +34,10 @@
                         "cacheproxy.route..",
                         "cacheproxy.takeover..",
                         "cacheproxy.flow..",
-                        "cacheproxy.permit..",
-                        "cacheproxy.roster..",
+                        "cacheproxy.admission..",
+                        "cacheproxy.endpoints..",
                         "cacheproxy.ledger..",
-                        "cacheproxy.figures..",
+                        "cacheproxy.metrics..",
                         "cacheproxy.quota..",
                         "cacheproxy.hotkey..",
                         "cacheproxy.evidence..")
@@ -60,7 +60,10 @@
         noClasses()
                 .that()
                 .resideInAnyPackage(
-                        "cacheproxy.member..", "cacheproxy.peer..", "cacheproxy.zone..", "cacheproxy.recovery..")
+                        "cacheproxy.membership..",
+                        "cacheproxy.gossip..",
+                        "cacheproxy.failover..",
+                        "cacheproxy.recovery..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -71,7 +74,7 @@
                         "java.io..",
                         "java.util.concurrent..",
                         "cacheproxy.proxy..",
-                        "cacheproxy.fleet..",
+                        "cacheproxy.emulator..",
                         "cacheproxy.model..",
                         "cacheproxy.cli..")
                 .orShould()
@@ -194,11 +197,11 @@
     void theProxyKnowsNothingOfTheTools() {
         noClasses()
                 .that()
-                .resideInAnyPackage("cacheproxy.proxy..", "cacheproxy.wire..")
+                .resideInAnyPackage("cacheproxy.proxy..", "cacheproxy.simulator..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "cacheproxy.fleet..",
+                        "cacheproxy.emulator..",
                         "cacheproxy.load..",
                         "cacheproxy.demo..",
                         "cacheproxy.model..",
@@ -212,13 +215,13 @@
     void standInsKnowTheProtocolAndNotTheProxy() {
         noClasses()
                 .that()
-                .resideInAPackage("cacheproxy.fleet..")
+                .resideInAPackage("cacheproxy.emulator..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "cacheproxy",
                         "cacheproxy.proxy..",
-                        "cacheproxy.wire..",
+                        "cacheproxy.simulator..",
                         "cacheproxy.load..",
                         "cacheproxy.demo..",
                         "cacheproxy.model..",
@@ -232,7 +235,7 @@
                 .resideInAnyPackage(
                         "cacheproxy",
                         "cacheproxy.proxy..",
-                        "cacheproxy.wire..",
+                        "cacheproxy.simulator..",
                         "cacheproxy.demo..",
                         "cacheproxy.cli..")
                 .check(ALL);
@@ -241,7 +244,7 @@
                 .resideInAPackage("cacheproxy.demo..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("cacheproxy", "cacheproxy.proxy..", "cacheproxy.wire..", "cacheproxy.cli..")
+                .resideInAnyPackage("cacheproxy", "cacheproxy.proxy..", "cacheproxy.simulator..", "cacheproxy.cli..")
                 .check(ALL);
     }
 
--- a/src/test/java/cacheproxy/PolicyTest.java
+++ b/src/test/java/cacheproxy/PolicyTest.java
@@ -10,7 +10,7 @@
 import cacheproxy.RoutingApi.Request;
 import cacheproxy.RoutingApi.Settings;
 import cacheproxy.RoutingApi.State;
-import cacheproxy.peer.PeerMessage;
+import cacheproxy.gossip.PeerMessage;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/cacheproxy/PolicyZonesTest.java
+++ b/src/test/java/cacheproxy/PolicyZonesTest.java
@@ -4,7 +4,7 @@
 
 import cacheproxy.RoutingApi.Outcome;
 import cacheproxy.RoutingApi.ZoneOrder;
-import cacheproxy.peer.PeerMessage;
+import cacheproxy.gossip.PeerMessage;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/cacheproxy/permit/PermitsTest.java
+++ b/src/test/java/cacheproxy/admission/PermitsTest.java
@@ -1,13 +1,13 @@
-package cacheproxy.permit;
+package cacheproxy.admission;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.RoutingApi.Effect;
 import cacheproxy.RoutingApi.Group;
 import cacheproxy.RoutingApi.ServiceClass;
-import cacheproxy.permit.Permits.Earlier;
-import cacheproxy.permit.Permits.Place;
-import cacheproxy.permit.Permits.Send;
+import cacheproxy.admission.Permits.Earlier;
+import cacheproxy.admission.Permits.Place;
+import cacheproxy.admission.Permits.Send;
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/cacheproxy/cli/CliTest.java
+++ b/src/test/java/cacheproxy/cli/CliTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.figures.Work;
-import cacheproxy.figures.WorkLine;
-import cacheproxy.fleet.FleetSpec;
-import cacheproxy.fleet.StandInFleet;
+import cacheproxy.emulator.FleetSpec;
+import cacheproxy.emulator.StandInFleet;
+import cacheproxy.metrics.Work;
+import cacheproxy.metrics.WorkLine;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.nio.file.Files;
--- a/src/test/java/cacheproxy/demo/BrokenProxy.java
+++ b/src/test/java/cacheproxy/demo/BrokenProxy.java
@@ -1,6 +1,6 @@
 package cacheproxy.demo;
 
-import cacheproxy.fleet.StandInFleet;
+import cacheproxy.emulator.StandInFleet;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
--- a/src/test/java/cacheproxy/demo/StateFolderTest.java
+++ b/src/test/java/cacheproxy/demo/StateFolderTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.fleet.Fault.State;
+import cacheproxy.emulator.Fault.State;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/cacheproxy/fleet/OracleTest.java
+++ b/src/test/java/cacheproxy/emulator/OracleTest.java
@@ -1,11 +1,11 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
-import static cacheproxy.fleet.Oracle.Ending.FAILED;
-import static cacheproxy.fleet.Oracle.Ending.REFUSED;
-import static cacheproxy.fleet.Oracle.Ending.SERVED;
+import static cacheproxy.emulator.Oracle.Ending.FAILED;
+import static cacheproxy.emulator.Oracle.Ending.REFUSED;
+import static cacheproxy.emulator.Oracle.Ending.SERVED;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.fleet.Oracle.Rule;
+import cacheproxy.emulator.Oracle.Rule;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cacheproxy/fleet/UnrestTest.java
+++ b/src/test/java/cacheproxy/emulator/UnrestTest.java
@@ -1,4 +1,4 @@
-package cacheproxy.fleet;
+package cacheproxy.emulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/cacheproxy/roster/ListCallsPropertyTest.java
+++ b/src/test/java/cacheproxy/endpoints/ListCallsPropertyTest.java
@@ -1,12 +1,12 @@
-package cacheproxy.roster;
+package cacheproxy.endpoints;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.roster.ListCalls.Begin;
-import cacheproxy.roster.ListCalls.Failure;
-import cacheproxy.roster.ListCalls.Form;
-import cacheproxy.roster.ListCalls.GiveUp;
-import cacheproxy.roster.ListCalls.Order;
+import cacheproxy.endpoints.ListCalls.Begin;
+import cacheproxy.endpoints.ListCalls.Failure;
+import cacheproxy.endpoints.ListCalls.Form;
+import cacheproxy.endpoints.ListCalls.GiveUp;
+import cacheproxy.endpoints.ListCalls.Order;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/cacheproxy/zone/PlanTest.java
+++ b/src/test/java/cacheproxy/failover/PlanTest.java
@@ -1,8 +1,8 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.zone.ZoneState.Cause;
+import cacheproxy.failover.ZoneState.Cause;
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Set;
--- a/src/test/java/cacheproxy/zone/RememberTest.java
+++ b/src/test/java/cacheproxy/failover/RememberTest.java
@@ -1,12 +1,12 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.member.Configured;
-import cacheproxy.member.Entry;
-import cacheproxy.member.View;
-import cacheproxy.zone.ZoneState.Cause;
-import cacheproxy.zone.Zones.Held;
+import cacheproxy.failover.ZoneState.Cause;
+import cacheproxy.failover.Zones.Held;
+import cacheproxy.membership.Configured;
+import cacheproxy.membership.Entry;
+import cacheproxy.membership.View;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cacheproxy/zone/ZonesTest.java
+++ b/src/test/java/cacheproxy/failover/ZonesTest.java
@@ -1,10 +1,10 @@
-package cacheproxy.zone;
+package cacheproxy.failover;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.failover.ZoneState.Cause;
 import cacheproxy.model.ZonePlay;
-import cacheproxy.zone.ZoneState.Cause;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cacheproxy/peer/BadNodesTest.java
+++ b/src/test/java/cacheproxy/gossip/BadNodesTest.java
@@ -1,8 +1,8 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.peer.BadNodes.Node;
+import cacheproxy.gossip.BadNodes.Node;
 import org.junit.jupiter.api.Test;
 
 class BadNodesTest {
--- a/src/test/java/cacheproxy/peer/EnvelopeTest.java
+++ b/src/test/java/cacheproxy/gossip/EnvelopeTest.java
@@ -1,10 +1,10 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cacheproxy.peer.Envelope.Item;
-import cacheproxy.peer.Outbox.Level;
+import cacheproxy.gossip.Envelope.Item;
+import cacheproxy.gossip.Outbox.Level;
 import java.util.Arrays;
 import java.util.HexFormat;
 import java.util.List;
--- a/src/test/java/cacheproxy/peer/ListNewsTest.java
+++ b/src/test/java/cacheproxy/gossip/ListNewsTest.java
@@ -1,9 +1,9 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cacheproxy.peer.ListNews.Order;
+import cacheproxy.gossip.ListNews.Order;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/test/java/cacheproxy/peer/StartTimesTest.java
+++ b/src/test/java/cacheproxy/gossip/StartTimesTest.java
@@ -1,4 +1,4 @@
-package cacheproxy.peer;
+package cacheproxy.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/cacheproxy/lab/RecoveryExpectationTest.java
+++ b/src/test/java/cacheproxy/lab/RecoveryExpectationTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.fleet.FleetSpec;
-import cacheproxy.fleet.Series;
-import cacheproxy.fleet.Series.What;
+import cacheproxy.emulator.FleetSpec;
+import cacheproxy.emulator.Series;
+import cacheproxy.emulator.Series.What;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/cacheproxy/lab/ScenarioFileTest.java
+++ b/src/test/java/cacheproxy/lab/ScenarioFileTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.config.Problems;
-import cacheproxy.fleet.Fault;
-import cacheproxy.fleet.LinkFault;
+import cacheproxy.emulator.Fault;
+import cacheproxy.emulator.LinkFault;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/cacheproxy/lab/SoakPlanTest.java
+++ b/src/test/java/cacheproxy/lab/SoakPlanTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.config.Problems;
-import cacheproxy.fleet.Fault;
+import cacheproxy.emulator.Fault;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/cacheproxy/load/GeneratorTest.java
+++ b/src/test/java/cacheproxy/load/GeneratorTest.java
@@ -5,11 +5,11 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.Await;
-import cacheproxy.fleet.Fault;
-import cacheproxy.fleet.FleetSpec;
-import cacheproxy.fleet.StandInFleet;
-import cacheproxy.fleet.TrafficClass;
-import cacheproxy.fleet.ValueSizes;
+import cacheproxy.emulator.Fault;
+import cacheproxy.emulator.FleetSpec;
+import cacheproxy.emulator.StandInFleet;
+import cacheproxy.emulator.TrafficClass;
+import cacheproxy.emulator.ValueSizes;
 import cacheproxy.load.SyntheticWorkload.Arrivals;
 import com.google.gson.JsonObject;
 import java.io.BufferedReader;
--- a/src/test/java/cacheproxy/load/WorkloadTest.java
+++ b/src/test/java/cacheproxy/load/WorkloadTest.java
@@ -4,9 +4,9 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 import static org.assertj.core.api.Assertions.within;
 
-import cacheproxy.fleet.Keys;
-import cacheproxy.fleet.TrafficClass;
-import cacheproxy.fleet.ValueSizes;
+import cacheproxy.emulator.Keys;
+import cacheproxy.emulator.TrafficClass;
+import cacheproxy.emulator.ValueSizes;
 import cacheproxy.load.SyntheticWorkload.Arrivals;
 import java.io.ByteArrayInputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/cacheproxy/member/EntryTest.java
+++ b/src/test/java/cacheproxy/membership/EntryTest.java
@@ -1,4 +1,4 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/cacheproxy/member/MembershipTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTest.java
@@ -1,8 +1,8 @@
-package cacheproxy.member;
+package cacheproxy.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.member.Send.Urgency;
+import cacheproxy.membership.Send.Urgency;
 import cacheproxy.model.ViewPlay;
 import cacheproxy.model.ViewStudy;
 import java.util.ArrayList;
--- a/src/test/java/cacheproxy/figures/FleetWorkTest.java
+++ b/src/test/java/cacheproxy/metrics/FleetWorkTest.java
@@ -1,9 +1,9 @@
-package cacheproxy.figures;
+package cacheproxy.metrics;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.figures.FleetWork.Left;
-import cacheproxy.figures.WorkLine.Node;
+import cacheproxy.metrics.FleetWork.Left;
+import cacheproxy.metrics.WorkLine.Node;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.EnumMap;
--- a/src/test/java/cacheproxy/figures/LogBudgetTest.java
+++ b/src/test/java/cacheproxy/metrics/LogBudgetTest.java
@@ -1,4 +1,4 @@
-package cacheproxy.figures;
+package cacheproxy.metrics;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/cacheproxy/model/check/ExplorerTest.java
+++ b/src/test/java/cacheproxy/model/check/ExplorerTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.member.Entry;
-import cacheproxy.member.Knowledge;
-import cacheproxy.member.State;
+import cacheproxy.membership.Entry;
+import cacheproxy.membership.Knowledge;
+import cacheproxy.membership.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/cacheproxy/model/check/ZoneProtocolTest.java
+++ b/src/test/java/cacheproxy/model/check/ZoneProtocolTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.zone.Plan;
-import cacheproxy.zone.ZoneState;
+import cacheproxy.failover.Plan;
+import cacheproxy.failover.ZoneState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BinaryOperator;
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -4,10 +4,10 @@
 
 import cacheproxy.Await;
 import cacheproxy.RoutingApi.State;
-import cacheproxy.peer.Envelope;
-import cacheproxy.peer.ListChange;
-import cacheproxy.peer.ListUpdate;
-import cacheproxy.peer.PeerMessage;
+import cacheproxy.gossip.Envelope;
+import cacheproxy.gossip.ListChange;
+import cacheproxy.gossip.ListUpdate;
+import cacheproxy.gossip.PeerMessage;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.net.DatagramPacket;
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -4,8 +4,8 @@
 
 import cacheproxy.Await;
 import cacheproxy.RoutingApi.Evidence;
-import cacheproxy.figures.Work;
-import cacheproxy.peer.Envelope;
+import cacheproxy.gossip.Envelope;
+import cacheproxy.metrics.Work;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonPrimitive;
--- a/src/test/java/cacheproxy/proxy/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerSocketTest.java
@@ -3,8 +3,8 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.figures.Work;
-import cacheproxy.peer.Envelope;
+import cacheproxy.gossip.Envelope;
+import cacheproxy.metrics.Work;
 import com.google.gson.JsonArray;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
+import cacheproxy.admission.Breach;
+import cacheproxy.admission.Verdict;
 import cacheproxy.flow.ReadAhead;
-import cacheproxy.permit.Breach;
-import cacheproxy.permit.Verdict;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/cacheproxy/proxy/WorkLogTest.java
+++ b/src/test/java/cacheproxy/proxy/WorkLogTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
-import cacheproxy.figures.Work;
-import cacheproxy.figures.WorkLine;
+import cacheproxy.metrics.Work;
+import cacheproxy.metrics.WorkLine;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/cacheproxy/recovery/RecallTest.java
+++ b/src/test/java/cacheproxy/recovery/RecallTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.member.Configured;
-import cacheproxy.member.Entry;
-import cacheproxy.member.MemberSettings;
-import cacheproxy.member.Membership;
-import cacheproxy.member.Phase;
-import cacheproxy.member.Send;
-import cacheproxy.member.View;
+import cacheproxy.membership.Configured;
+import cacheproxy.membership.Entry;
+import cacheproxy.membership.MemberSettings;
+import cacheproxy.membership.Membership;
+import cacheproxy.membership.Phase;
+import cacheproxy.membership.Send;
+import cacheproxy.membership.View;
 import cacheproxy.recovery.Recall.Recalled;
 import cacheproxy.recovery.Recall.State;
 import java.util.ArrayList;
--- a/src/test/java/cacheproxy/wire/DrillTest.java
+++ b/src/test/java/cacheproxy/simulator/DrillTest.java
@@ -1,4 +1,4 @@
-package cacheproxy.wire;
+package cacheproxy.simulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
