--- a/src/jmh/java/cacheproxy/DecisionBenchmark.java
+++ b/src/jmh/java/cacheproxy/routing/DecisionBenchmark.java
@@ -1,16 +1,5 @@
-package cacheproxy;
-
-import cacheproxy.RoutingApi.Actions;
-import cacheproxy.RoutingApi.AttemptEnd;
-import cacheproxy.RoutingApi.Effect;
-import cacheproxy.RoutingApi.Group;
-import cacheproxy.RoutingApi.ListKind;
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.Outcome;
-import cacheproxy.RoutingApi.Reports;
-import cacheproxy.RoutingApi.Request;
-import cacheproxy.RoutingApi.ServiceClass;
-import cacheproxy.RoutingApi.Settings;
+package cacheproxy.routing;
+
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -47,25 +36,25 @@
 
     private final SplittableRandom random = new SplittableRandom(1);
     private final Orders orders = new Orders();
-    private Policy module;
+    private CarpLoadBalancer module;
     private double now = 1e12;
     private int id;
 
     private record Timer(double atMs, int token) {}
 
     /** Remembers where the module sends a request and which timers it wants, and drops all else. */
-    private static final class Orders implements Actions {
+    private static final class Orders implements RoutingActions {
         private int server;
         private double now;
         private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparingDouble(Timer::atMs));
 
         @Override
-        public void place(int request, int to, double timeoutMs) {
+        public void send(int request, int to, double timeoutMs) {
             server = to;
         }
 
         @Override
-        public void deny(int request, double retryAfterMs) {
+        public void reject(int request, double retryAfterMs) {
             server = 0;
         }
 
@@ -83,19 +72,19 @@
         }
 
         @Override
-        public void probe(int to) {}
+        public void checkHealth(int to) {}
 
         @Override
         public void closeIdle(int to) {}
 
         @Override
-        public void tell(int peer, byte[] message) {}
+        public void sendToPeer(int peer, byte[] message) {}
 
         @Override
-        public void watch(boolean on) {}
+        public void setWatch(boolean on) {}
 
         @Override
-        public void fetchList() {}
+        public void fetchEndpointList() {}
 
         @Override
         public void log(String line) {}
@@ -104,8 +93,9 @@
     /** A fleet that is warm. */
     @Setup
     public void start() {
-        ServiceClass read = new ServiceClass("read", Effect.SAFE, Group.ALL, 0, 250, 1000, 1, 0.3, false);
-        Settings settings = new Settings(
+        ServiceClass read =
+                new ServiceClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 250, 1000, 1, 0.3, false);
+        RoutingSettings settings = new RoutingSettings(
                 0,
                 5,
                 0,
@@ -114,7 +104,7 @@
                 true,
                 true,
                 2,
-                Reports.NONE,
+                LoadReportSource.NONE,
                 List.of(),
                 false,
                 0.1,
@@ -137,13 +127,13 @@
                 3000,
                 List.of(read),
                 List.of());
-        module = new Policy(settings, 1);
-        List<Member> members = new ArrayList<>();
+        module = new CarpLoadBalancer(settings, 1);
+        List<Endpoint> members = new ArrayList<>();
         for (int i = 1; i <= servers; i++) {
-            members.add(new Member(i * 7919, i % 4, i % 2, i % 5, RoutingApi.State.READY, 1, 0));
+            members.add(new Endpoint(i * 7919, i % 4, i % 2, i % 5, EndpointState.READY, 1, 0));
         }
-        members.add(new Member(3, 0, 2, 0, RoutingApi.State.READY, 1, 0));
-        module.onList(now, ListKind.FULL, members, orders);
+        members.add(new Endpoint(3, 0, 2, 0, EndpointState.READY, 1, 0));
+        module.onEndpointUpdate(now, EndpointUpdateKind.SNAPSHOT, members, orders);
     }
 
     /** One request from its coming to its end, at ten a second for each server, with the timers that come due. */
@@ -161,7 +151,8 @@
         module.onRequest(now, new Request(request, 0, 0, key, now + 1000, Double.NaN, 0, false, false), orders);
         int server = orders.server;
         if (server != 0) {
-            module.onAttemptEnd(now + 0.5, new AttemptEnd(request, 0, server, Outcome.OK, 0.5, true, 1, null), orders);
+            module.onAttemptEnd(
+                    now + 0.5, new AttemptEnd(request, 0, server, AttemptOutcome.OK, 0.5, true, 1, null), orders);
         }
         return server;
     }
--- a/src/main/java/cacheproxy/admission/Permits.java
+++ b/src/main/java/cacheproxy/admission/Permits.java
@@ -1,8 +1,8 @@
 package cacheproxy.admission;
 
-import cacheproxy.RoutingApi.Effect;
-import cacheproxy.RoutingApi.Group;
-import cacheproxy.RoutingApi.ServiceClass;
+import cacheproxy.routing.DeduplicationScope;
+import cacheproxy.routing.Idempotency;
+import cacheproxy.routing.ServiceClass;
 import java.util.List;
 
 /**
@@ -19,7 +19,7 @@
 
     /** Where a server stands, as far as a keyed repeat asks. */
     public record Place(int zone, int cell) {
-        boolean sameGroup(Group group, Place other) {
+        boolean sameGroup(DeduplicationScope group, Place other) {
             return switch (group) {
                 case ALL -> true;
                 case ZONE -> zone == other.zone;
@@ -95,22 +95,24 @@
         if (!earlier.mayHaveRun) {
             return Verdict.ALLOWED;
         }
-        return switch (send.kind.effect()) {
-            case SAFE -> Verdict.ALLOWED;
-            case UNSAFE -> Verdict.MAY_HAVE_RUN;
+        return switch (send.kind.idempotency()) {
+            case IDEMPOTENT -> Verdict.ALLOWED;
+            case NON_IDEMPOTENT -> Verdict.MAY_HAVE_RUN;
             case KEYED -> {
-                if (!send.at.sameGroup(send.kind.group(), earlier.at)) {
+                if (!send.at.sameGroup(send.kind.deduplicationScope(), earlier.at)) {
                     yield Verdict.OTHER_GROUP;
                 }
-                yield nowMs < earlier.sentMs + send.kind.windowMs() ? Verdict.ALLOWED : Verdict.WINDOW_OVER;
+                yield nowMs < earlier.sentMs + send.kind.deduplicationWindowMs()
+                        ? Verdict.ALLOWED
+                        : Verdict.WINDOW_OVER;
             }
         };
     }
 
     /** Whether a request of this class may be refused, which promises that a repeat does no harm. */
     public static Verdict refuse(ServiceClass kind, List<Earlier> attempts) {
-        boolean harmless = kind.effect() == Effect.SAFE
-                || (kind.effect() == Effect.KEYED && kind.group() == Group.ALL)
+        boolean harmless = kind.idempotency() == Idempotency.IDEMPOTENT
+                || (kind.idempotency() == Idempotency.KEYED && kind.deduplicationScope() == DeduplicationScope.ALL)
                 || attempts.stream().noneMatch(Earlier::mayHaveRun);
         return harmless ? Verdict.ALLOWED : Verdict.MAY_HAVE_RUN;
     }
--- a/src/main/java/cacheproxy/failover/Zones.java
+++ b/src/main/java/cacheproxy/failover/Zones.java
@@ -1,10 +1,10 @@
 package cacheproxy.failover;
 
-import cacheproxy.RoutingApi.ZoneOrder;
 import cacheproxy.failover.Judge.Verdict;
 import cacheproxy.failover.ZoneState.Cause;
 import cacheproxy.membership.Entry;
 import cacheproxy.membership.View;
+import cacheproxy.routing.ZoneDirective;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -77,7 +77,7 @@
     /**
      * How a zone stands.
      *
-     * @param open for so much of its keys, 0 to 1, as this instance's decision module is told
+     * @param openFraction for so much of its keys, 0 to 1, as this instance's decision module is told
      * @param state as decided
      * @param sight this instance's own
      * @param verdict of those who are heard
@@ -310,7 +310,7 @@
     /**
      * Takes the fleet's view, decides what is due, and says what holds for the decision module where that has changed.
      */
-    public List<ZoneOrder> tick(double nowMs, View view) {
+    public List<ZoneDirective> tick(double nowMs, View view) {
         List<Report> reports = new ArrayList<>();
         Set<Integer> homes = new HashSet<>();
         if (read.size() > 2 * view.entries().size()) {
@@ -568,9 +568,9 @@
 
     // ---- what goes out
 
-    private List<ZoneOrder> orders(double nowMs, List<Report> reports, boolean regained) {
+    private List<ZoneDirective> orders(double nowMs, List<Report> reports, boolean regained) {
         everQuorum |= quorum;
-        List<ZoneOrder> orders = new ArrayList<>();
+        List<ZoneDirective> orders = new ArrayList<>();
         for (int z = 0; z < parts.size(); z++) {
             Part p = parts.get(z);
             int open = effective(z);
@@ -585,7 +585,7 @@
             }
             if (open != p.ordered || tries || afresh) {
                 p.ordered = open;
-                orders.add(new ZoneOrder(z, (double) open / ZoneState.WHOLE, tries, afresh));
+                orders.add(new ZoneDirective(z, (double) open / ZoneState.WHOLE, tries, afresh));
             }
         }
         return orders;
--- a/src/main/java/cacheproxy/gossip/ListChange.java
+++ b/src/main/java/cacheproxy/gossip/ListChange.java
@@ -1,13 +1,13 @@
 package cacheproxy.gossip;
 
-import cacheproxy.RoutingApi.State;
+import cacheproxy.routing.EndpointState;
 
 /**
  * What has become of one server, as the list of a certain version has it.
  *
  * @param version the version of discovery's list in which it was first told so
  * @param server the server's number, the same at all instances
- * @param state {@code GONE} if that list does not name it
- * @param bornMs when it last started, Unix time in milliseconds; 0 for long ago
+ * @param state {@code REMOVED} if that list does not name it
+ * @param startTimeMs when it last started, Unix time in milliseconds; 0 for long ago
  */
-public record ListChange(long version, int server, State state, double bornMs) {}
+public record ListChange(long version, int server, EndpointState state, double bornMs) {}
--- a/src/main/java/cacheproxy/gossip/ListUpdate.java
+++ b/src/main/java/cacheproxy/gossip/ListUpdate.java
@@ -1,6 +1,6 @@
 package cacheproxy.gossip;
 
-import cacheproxy.RoutingApi.State;
+import cacheproxy.routing.EndpointState;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,7 +24,7 @@
     /** The most servers that one message holds. */
     public static final int MOST_SERVERS = (Envelope.MOST_BODY - HEAD_BYTES) / SERVER_BYTES;
 
-    private static final State[] STATES = State.values();
+    private static final EndpointState[] STATES = EndpointState.values();
 
     /** Copies the servers. */
     public ListUpdate {
--- a/src/main/java/cacheproxy/gossip/ProvisionalMembership.java
+++ b/src/main/java/cacheproxy/gossip/ProvisionalMembership.java
@@ -1,7 +1,7 @@
 package cacheproxy.gossip;
 
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.State;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -53,32 +53,32 @@
      * How a server is to be used in place of what discovery's last list has.
      *
      * @param drains whether it is left alone
-     * @param bornMs when it last started
+     * @param startTimeMs when it last started
      * @param version discovery's word of it, or a later one, ends this
      * @param untilMs from then on any answer of discovery's ends it
      */
     private record Restriction(Source source, boolean drains, double bornMs, long version, double untilMs) {
-        Member applied(Member member) {
-            return new Member(
+        Endpoint applied(Endpoint member) {
+            return new Endpoint(
                     member.id(),
                     member.zone(),
                     member.kind(),
                     member.cell(),
-                    drains ? State.DRAINING : member.state(),
+                    drains ? EndpointState.DRAINING : member.state(),
                     member.weight(),
-                    Math.max(bornMs, member.bornMs()));
+                    Math.max(bornMs, member.startTimeMs()));
         }
 
-        boolean endedBy(double nowMs, long version, Member member) {
-            boolean startedSince = source == Source.NEWER_LIST && member.bornMs() > bornMs;
-            return this.version <= version || untilMs <= nowMs || member.state() != State.READY || startedSince;
+        boolean endedBy(double nowMs, long version, Endpoint member) {
+            boolean startedSince = source == Source.NEWER_LIST && member.startTimeMs() > bornMs;
+            return this.version <= version || untilMs <= nowMs || member.state() != EndpointState.READY || startedSince;
         }
     }
 
     private record Relayed(ListUpdate update, double untilMs) {}
 
     private final int originKind;
-    private final Map<Integer, Member> told = new LinkedHashMap<>();
+    private final Map<Integer, Endpoint> told = new LinkedHashMap<>();
     private final Map<Integer, Restriction> restrictions = new LinkedHashMap<>();
     private final ChangeLog log = new ChangeLog();
     private final Deque<Relayed> relayed = new ArrayDeque<>();
@@ -93,7 +93,7 @@
     }
 
     /** The list that this proxy starts with. */
-    public void begin(long listVersion, List<Member> members) {
+    public void begin(long listVersion, List<Endpoint> members) {
         told.clear();
         restrictions.clear();
         members.forEach(m -> told.put(m.id(), m));
@@ -119,7 +119,7 @@
      * @return what to use in its place: the same kind of list, restricted as it should be, and with what becomes of
      *     servers whose restrictions have ended
      */
-    public List<Member> told(double nowMs, long listVersion, boolean whole, List<Member> members) {
+    public List<Endpoint> told(double nowMs, long listVersion, boolean whole, List<Endpoint> members) {
         if (listVersion < version) { // out of turn, or it numbers anew
             keepRestrictions(nowMs, members);
             restart(listVersion);
@@ -131,7 +131,7 @@
         version = listVersion;
         known = Math.max(known, listVersion);
         relayed.removeIf(r -> r.update().version() <= listVersion);
-        Map<Integer, Member> used = new LinkedHashMap<>();
+        Map<Integer, Endpoint> used = new LinkedHashMap<>();
         members.forEach(m -> used.put(m.id(), m));
         for (int id : endedRestrictions(nowMs)) {
             restrictions.remove(id);
@@ -144,16 +144,16 @@
     }
 
     /** Of servers that were told to drain or to be gone, and that an older list has ready. */
-    private void keepRestrictions(double nowMs, List<Member> olderList) {
-        for (Member older : olderList) {
-            if (older.state() != State.READY) {
+    private void keepRestrictions(double nowMs, List<Endpoint> olderList) {
+        for (Endpoint older : olderList) {
+            if (older.state() != EndpointState.READY) {
                 continue;
             }
             ListChange last = log.last(older.id());
-            Member before = told.get(older.id());
-            boolean drained = before != null ? before.state() != State.READY : last != null;
-            double bornMs = before != null ? before.bornMs() : last != null ? last.bornMs() : 0;
-            if (drained && older.bornMs() <= bornMs) { // else it has started since then
+            Endpoint before = told.get(older.id());
+            boolean drained = before != null ? before.state() != EndpointState.READY : last != null;
+            double bornMs = before != null ? before.startTimeMs() : last != null ? last.bornMs() : 0;
+            if (drained && older.startTimeMs() <= bornMs) { // else it has started since then
                 restrictions.put(
                         older.id(), new Restriction(Source.NEWER_LIST, true, bornMs, version, nowMs + OLDER_LIST_MS));
             }
@@ -163,7 +163,7 @@
     private List<Integer> endedRestrictions(double nowMs) {
         List<Integer> ended = new ArrayList<>();
         restrictions.forEach((id, restriction) -> {
-            Member member = told.get(id);
+            Endpoint member = told.get(id);
             if (member == null || restriction.endedBy(nowMs, version, member)) {
                 ended.add(id);
             }
@@ -171,27 +171,27 @@
         return ended;
     }
 
-    private void record(long listVersion, boolean whole, List<Member> members) {
+    private void record(long listVersion, boolean whole, List<Endpoint> members) {
         Set<Integer> named = new HashSet<>();
-        for (Member m : members) {
+        for (Endpoint m : members) {
             named.add(m.id());
-            Member before = m.state() == State.GONE ? told.remove(m.id()) : told.put(m.id(), m);
-            if (before == null || before.state() != m.state() || before.bornMs() != m.bornMs()) {
-                log.add(new ListChange(listVersion, m.id(), m.state(), m.bornMs()));
+            Endpoint before = m.state() == EndpointState.REMOVED ? told.remove(m.id()) : told.put(m.id(), m);
+            if (before == null || before.state() != m.state() || before.startTimeMs() != m.startTimeMs()) {
+                log.add(new ListChange(listVersion, m.id(), m.state(), m.startTimeMs()));
             }
         }
         if (whole) {
-            for (Member m : List.copyOf(told.values())) {
+            for (Endpoint m : List.copyOf(told.values())) {
                 if (!named.contains(m.id())) {
                     told.remove(m.id());
-                    log.add(new ListChange(listVersion, m.id(), State.GONE, m.bornMs()));
+                    log.add(new ListChange(listVersion, m.id(), EndpointState.REMOVED, m.startTimeMs()));
                 }
             }
         }
     }
 
     /** A peer tells what discovery told it. What comes back are changes to use at once. */
-    public List<Member> heard(double nowMs, ListUpdate update) {
+    public List<Endpoint> heard(double nowMs, ListUpdate update) {
         double untilMs = nowMs + Math.min(HOLD_MS, update.holdMs());
         if (update.version() <= version || untilMs <= nowMs) {
             return List.of();
@@ -200,9 +200,9 @@
         if (update.after() <= known) {
             known = Math.max(known, update.version());
         }
-        List<Member> changed = new ArrayList<>();
+        List<Endpoint> changed = new ArrayList<>();
         for (ListChange change : update.servers()) {
-            Member member = told.get(change.server());
+            Endpoint member = told.get(change.server());
             Restriction before = restrictions.get(change.server());
             Restriction next = member == null ? null : restriction(nowMs, untilMs, member, before, change);
             if (next != null) {
@@ -231,16 +231,16 @@
 
     /** How a server is to be used by a peer's word; null if that says nothing that counts here. */
     private Restriction restriction(
-            double nowMs, double untilMs, Member member, Restriction before, ListChange change) {
+            double nowMs, double untilMs, Endpoint member, Restriction before, ListChange change) {
         if (member.kind() == originKind
-                || member.state() != State.READY
+                || member.state() != EndpointState.READY
                 || change.bornMs() > nowMs + MOST_AHEAD_MS
                 || (before != null && before.version() >= change.version())) {
             return null;
         }
         boolean drained = before != null && before.drains();
-        double bornMs = before == null ? member.bornMs() : Math.max(before.bornMs(), member.bornMs());
-        boolean drains = change.state() != State.READY;
+        double bornMs = before == null ? member.startTimeMs() : Math.max(before.bornMs(), member.startTimeMs());
+        boolean drains = change.state() != EndpointState.READY;
         if (drains && !drained && !mayLeaveOneMore()) {
             return null;
         }
@@ -252,7 +252,7 @@
 
     private boolean mayLeaveOneMore() {
         long ready = told.values().stream()
-                .filter(m -> m.state() == State.READY && m.kind() != originKind)
+                .filter(m -> m.state() == EndpointState.READY && m.kind() != originKind)
                 .count();
         long left = restrictions.values().stream().filter(Restriction::drains).count();
         return 2 * (left + 1) <= ready;
--- a/src/main/java/cacheproxy/gossip/StartTimes.java
+++ b/src/main/java/cacheproxy/gossip/StartTimes.java
@@ -1,6 +1,6 @@
 package cacheproxy.gossip;
 
-import cacheproxy.RoutingApi.Member;
+import cacheproxy.routing.Endpoint;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -25,36 +25,36 @@
     private record Start(double bornMs, double startedMs) {}
 
     /** A list that is older than this process; the next one may tell of starts of any age. */
-    public List<Member> begin(double nowMs, List<Member> members) {
+    public List<Endpoint> begin(double nowMs, List<Endpoint> members) {
         heardMs = Double.NaN;
         return timed(nowMs, members);
     }
 
     /** A list has come, or changes of one. */
-    public List<Member> told(double nowMs, List<Member> members) {
-        List<Member> timed = timed(nowMs, members);
+    public List<Endpoint> told(double nowMs, List<Endpoint> members) {
+        List<Endpoint> timed = timed(nowMs, members);
         heardMs = nowMs;
         return timed;
     }
 
     /** The same members, each with when it started on this process's clock; news of others than discovery. */
-    public List<Member> timed(double nowMs, List<Member> members) {
-        List<Member> timed = new ArrayList<>(members.size());
-        for (Member member : members) {
-            timed.add(member.bornMs() == 0 ? member : member.startedAt(startedMs(nowMs, member)));
+    public List<Endpoint> timed(double nowMs, List<Endpoint> members) {
+        List<Endpoint> timed = new ArrayList<>(members.size());
+        for (Endpoint member : members) {
+            timed.add(member.startTimeMs() == 0 ? member : member.withLocalStartTime(startedMs(nowMs, member)));
         }
         return timed;
     }
 
-    private double startedMs(double nowMs, Member member) {
+    private double startedMs(double nowMs, Endpoint member) {
         Start known = starts.get(member.id());
-        if (known != null && known.bornMs == member.bornMs()) {
+        if (known != null && known.bornMs == member.startTimeMs()) {
             return known.startedMs;
         }
-        boolean otherClock = member.bornMs() > nowMs || member.bornMs() < heardMs - MOST_LATE_MS;
-        double startedMs = otherClock ? nowMs : member.bornMs();
+        boolean otherClock = member.startTimeMs() > nowMs || member.startTimeMs() < heardMs - MOST_LATE_MS;
+        double startedMs = otherClock ? nowMs : member.startTimeMs();
         starts.remove(member.id());
-        starts.put(member.id(), new Start(member.bornMs(), startedMs));
+        starts.put(member.id(), new Start(member.startTimeMs(), startedMs));
         if (starts.size() > MAX_SERVERS) {
             starts.remove(starts.keySet().iterator().next());
         }
--- a/src/main/java/cacheproxy/model/Ask.java
+++ b/src/main/java/cacheproxy/model/Ask.java
@@ -1,7 +1,7 @@
 package cacheproxy.model;
 
-import cacheproxy.RoutingApi.Request;
-import cacheproxy.RoutingApi.ServiceClass;
+import cacheproxy.routing.Request;
+import cacheproxy.routing.ServiceClass;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/cacheproxy/model/ClientsModel.java
+++ b/src/main/java/cacheproxy/model/ClientsModel.java
@@ -1,9 +1,9 @@
 package cacheproxy.model;
 
-import cacheproxy.RoutingApi.Effect;
-import cacheproxy.RoutingApi.Request;
-import cacheproxy.RoutingApi.ServiceClass;
 import cacheproxy.load.Zipf;
+import cacheproxy.routing.Idempotency;
+import cacheproxy.routing.Request;
+import cacheproxy.routing.ServiceClass;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -155,7 +155,7 @@
         private final double cameMs = play.time().now();
         private final int classIndex = FleetDraw.classOf(random.nextDouble());
         private final ServiceClass kind = FleetDraw.CLASSES.get(classIndex);
-        private final boolean write = kind.effect() != Effect.SAFE;
+        private final boolean write = kind.idempotency() != Idempotency.IDEMPOTENT;
         private final long key =
                 hotPart > 0 && random.nextDouble() < hotPart ? hotKey : 1 + keys.rank(random.nextDouble());
         private final double workMs = draw.workMs()
@@ -166,7 +166,7 @@
         private Ask open;
 
         void come() {
-            play.tally().add(cameMs, Figure.WORTH_ASKED, kind.worth());
+            play.tally().add(cameMs, Figure.WORTH_ASKED, kind.priorityWeight());
             play.tally().add(cameMs, Figure.FIRST_TRIES);
             go();
         }
@@ -210,7 +210,7 @@
                             == ask) { // nothing came: what may have run is asked for again only where that does no harm
                         open = null;
                         at.leave(ask);
-                        if (!early && kind.effect() != Effect.UNSAFE) {
+                        if (!early && kind.idempotency() != Idempotency.NON_IDEMPOTENT) {
                             again(0);
                         }
                     }
@@ -231,10 +231,12 @@
                             .add(
                                     cameMs,
                                     Figure.WORTH_EARNED,
-                                    took <= kind.aimMs()
-                                            ? kind.worth()
-                                            : took <= kind.deadlineMs() ? kind.worth() * kind.lateShare() : 0);
-                } else if (answer == Ask.Answer.REFUSED || kind.effect() != Effect.UNSAFE) {
+                                    took <= kind.latencyObjectiveMs()
+                                            ? kind.priorityWeight()
+                                            : took <= kind.deadlineMs()
+                                                    ? kind.priorityWeight() * kind.lateValueShare()
+                                                    : 0);
+                } else if (answer == Ask.Answer.REFUSED || kind.idempotency() != Idempotency.NON_IDEMPOTENT) {
                     again(random.nextDouble() < HONOUR ? retryAfterMs : 0);
                 }
             });
--- a/src/main/java/cacheproxy/model/DiscoveryModel.java
+++ b/src/main/java/cacheproxy/model/DiscoveryModel.java
@@ -1,7 +1,7 @@
 package cacheproxy.model;
 
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.State;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointState;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -19,7 +19,7 @@
     /** Who waits for changes. */
     interface Watcher {
         /** The whole list, or changes since what it had. */
-        void list(long version, boolean whole, List<Member> members);
+        void list(long version, boolean whole, List<Endpoint> members);
 
         void failed();
     }
@@ -33,7 +33,7 @@
     private double lateMs;
     private boolean down;
     private long version = 1;
-    private final Map<Integer, Member> members = new TreeMap<>();
+    private final Map<Integer, Endpoint> members = new TreeMap<>();
     private final TreeSet<Integer> late = new TreeSet<>();
     private final Map<Integer, Watcher> calling = new TreeMap<>();
     private final Map<Integer, Watcher> watchers = new TreeMap<>();
@@ -47,7 +47,7 @@
     }
 
     /** The list as it stands, for those who begin with it. */
-    List<Member> known() {
+    List<Endpoint> known() {
         return List.copyOf(members.values());
     }
 
@@ -56,15 +56,15 @@
     }
 
     /** It is there from the beginning. */
-    void begin(Member member) {
+    void begin(Endpoint member) {
         members.put(member.id(), member);
     }
 
     /** It will come to know of this. */
-    void changed(Member member) {
+    void changed(Endpoint member) {
         time.after(noticeMs, () -> {
             version++;
-            if (member.state() == State.GONE) {
+            if (member.state() == EndpointState.REMOVED) {
                 members.remove(member.id());
             } else {
                 members.put(member.id(), member);
@@ -122,7 +122,7 @@
             if (calling.remove(instance, watcher)) {
                 watchers.put(instance, watcher);
                 long held = version;
-                List<Member> list = known();
+                List<Endpoint> list = known();
                 time.after(extra, () -> {
                     if (watchers.get(instance) == watcher) {
                         watcher.list(held, true, list);
--- a/src/main/java/cacheproxy/model/FleetDraw.java
+++ b/src/main/java/cacheproxy/model/FleetDraw.java
@@ -1,20 +1,20 @@
 package cacheproxy.model;
 
-import cacheproxy.RoutingApi.Effect;
-import cacheproxy.RoutingApi.Group;
-import cacheproxy.RoutingApi.Reports;
-import cacheproxy.RoutingApi.ServiceClass;
-import cacheproxy.RoutingApi.Settings;
-import cacheproxy.RoutingApi.Tenant;
+import cacheproxy.routing.DeduplicationScope;
+import cacheproxy.routing.Idempotency;
+import cacheproxy.routing.LoadReportSource;
+import cacheproxy.routing.RoutingSettings;
+import cacheproxy.routing.ServiceClass;
+import cacheproxy.routing.Tenant;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /**
  * A deployment, drawn from a seed within the ranges that the operators state for theirs. Times in milliseconds.
  *
- * @param instances proxies, 1 to 4,096
+ * @param instanceCount proxies, 1 to 4,096
  * @param nodes cache nodes, 2 to 4,096
- * @param zones data centres; instances and nodes are dealt out to them in turn
+ * @param zoneCount data centres; instances and nodes are dealt out to them in turn
  * @param load the requests asked for over what the nodes can do
  * @param fastShare the part of the nodes that are fast
  * @param workMs what a read costs a node of speed 1 on average
@@ -98,10 +98,12 @@
 
     /** The classes of requests and what they weigh among all. */
     static final List<ServiceClass> CLASSES = List.of(
-            new ServiceClass("seg-text", Effect.SAFE, Group.ALL, 0, 250, 1000, 1, 0.35, false),
-            new ServiceClass("seg-image", Effect.SAFE, Group.ALL, 0, 300, 1000, 1, 0.35, false),
-            new ServiceClass("fix-submit", Effect.UNSAFE, Group.ALL, 0, 250, 600, 5, 0.35, false),
-            new ServiceClass("track-publish", Effect.KEYED, Group.ALL, 1500, 500, 1000, 10, 0.35, false));
+            new ServiceClass("seg-text", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 250, 1000, 1, 0.35, false),
+            new ServiceClass("seg-image", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.35, false),
+            new ServiceClass(
+                    "fix-submit", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 250, 600, 5, 0.35, false),
+            new ServiceClass(
+                    "track-publish", Idempotency.KEYED, DeduplicationScope.ALL, 1500, 500, 1000, 10, 0.35, false));
 
     private static final double[] UP_TO = {0.57, 0.955, 0.982, 1};
 
@@ -252,8 +254,8 @@
     }
 
     /** What one of the instances is told. */
-    Settings settings(int me) {
-        return new Settings(
+    RoutingSettings settings(int me) {
+        return new RoutingSettings(
                 me,
                 instances,
                 me % zones,
@@ -262,7 +264,7 @@
                 true,
                 true,
                 ORIGIN_KIND,
-                Reports.NONE,
+                LoadReportSource.NONE,
                 List.of(),
                 false,
                 1,
--- a/src/main/java/cacheproxy/model/FleetPart.java
+++ b/src/main/java/cacheproxy/model/FleetPart.java
@@ -1,10 +1,5 @@
 package cacheproxy.model;
 
-import cacheproxy.RoutingApi.Evidence;
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.Settings;
-import cacheproxy.RoutingApi.State;
-import cacheproxy.RoutingApi.ZoneOrder;
 import cacheproxy.failover.ZoneSettings;
 import cacheproxy.failover.Zones;
 import cacheproxy.gossip.MemberBudget;
@@ -12,6 +7,11 @@
 import cacheproxy.membership.MemberSettings;
 import cacheproxy.membership.Membership;
 import cacheproxy.membership.Phase;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointSignal;
+import cacheproxy.routing.EndpointState;
+import cacheproxy.routing.RoutingSettings;
+import cacheproxy.routing.ZoneDirective;
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.BiConsumer;
@@ -20,35 +20,36 @@
 /** One life of an instance's part in the view and in leaving zones, as the proxy carries it out: the real decisions. */
 final class FleetPart {
     private final VirtualTime time;
-    private final Settings settings;
+    private final RoutingSettings settings;
     private final Membership members;
     private final Zones zones;
     private final BiConsumer<Integer, byte[]> post;
-    private final Consumer<List<ZoneOrder>> order;
+    private final Consumer<List<ZoneDirective>> order;
     private byte[] plan = {};
     private byte[] sight = {};
 
     /** {@code post}: sends a message to an instance; {@code order}: hands orders to the decision module. */
     FleetPart(
-            Settings settings,
+            RoutingSettings settings,
             long seed,
             VirtualTime time,
             BiConsumer<Integer, byte[]> post,
-            Consumer<List<ZoneOrder>> order) {
+            Consumer<List<ZoneDirective>> order) {
         this.settings = settings;
         this.time = time;
         this.post = post;
         this.order = order;
         members = new Membership(
-                MemberSettings.of(settings.instances()),
-                settings.me(),
+                MemberSettings.of(settings.instanceCount()),
+                settings.instanceIndex(),
                 settings.zone(),
                 new byte[0],
                 0,
                 seed,
                 new MemberBudget(new Outbox(ViewPlay.BYTES_PER_SECOND, ViewPlay.BURST)));
         members.phase(Phase.SERVING);
-        zones = new Zones(new ZoneSettings(settings.me(), settings.zone(), settings.zones(), settings.warmUpMs()));
+        zones = new Zones(
+                new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs()));
     }
 
     /** Does what is due of the view; when to call again. */
@@ -63,12 +64,13 @@
     }
 
     /** What the list holds now. */
-    void listed(List<Member> listed) {
-        for (int z = 0; z < settings.zones(); z++) {
+    void listed(List<Endpoint> listed) {
+        for (int z = 0; z < settings.zoneCount(); z++) {
             int zone = z;
             double[] warmAt = listed.stream()
-                    .filter(m -> m.zone() == zone && m.state() == State.READY && m.kind() != settings.originKind())
-                    .mapToDouble(m -> m.bornMs() == 0 ? 0 : m.bornMs() + settings.warmUpMs())
+                    .filter(m ->
+                            m.zone() == zone && m.state() == EndpointState.READY && m.kind() != settings.originKind())
+                    .mapToDouble(m -> m.startTimeMs() == 0 ? 0 : m.startTimeMs() + settings.warmUpMs())
                     .sorted()
                     .toArray();
             zones.listed(z, warmAt.length, warmAt.length == 0 ? 0 : warmAt[warmAt.length / 2]);
@@ -80,7 +82,7 @@
      * tell.
      */
     boolean decide() {
-        List<ZoneOrder> orders = zones.tick(time.now(), members.view(time.now()));
+        List<ZoneDirective> orders = zones.tick(time.now(), members.view(time.now()));
         if (!orders.isEmpty()) {
             order.accept(orders);
         }
@@ -97,13 +99,13 @@
     }
 
     /** The decision module has met this at a node of a zone, or at the origin. */
-    void saw(int zone, int server, boolean origin, Evidence what) {
+    void saw(int zone, int server, boolean origin, EndpointSignal what) {
         if (origin) {
-            zones.origin(time.now(), what == Evidence.ANSWERED);
-        } else if (what == Evidence.SILENT) {
+            zones.origin(time.now(), what == EndpointSignal.RESPONDED);
+        } else if (what == EndpointSignal.UNRESPONSIVE) {
             zones.silent(time.now(), zone, server);
         } else {
-            zones.answered(time.now(), zone, what == Evidence.ANSWERED);
+            zones.answered(time.now(), zone, what == EndpointSignal.RESPONDED);
         }
     }
 }
--- a/src/main/java/cacheproxy/model/FleetPlay.java
+++ b/src/main/java/cacheproxy/model/FleetPlay.java
@@ -1,12 +1,12 @@
 package cacheproxy.model;
 
-import cacheproxy.Carp;
-import cacheproxy.Policy;
-import cacheproxy.RoutingApi;
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.ServiceClass;
-import cacheproxy.RoutingApi.Settings;
-import cacheproxy.RoutingApi.State;
+import cacheproxy.routing.CarpHash;
+import cacheproxy.routing.CarpLoadBalancer;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointState;
+import cacheproxy.routing.LoadBalancer;
+import cacheproxy.routing.RoutingSettings;
+import cacheproxy.routing.ServiceClass;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -52,18 +52,18 @@
     private final TreeMap<Integer, NodeModel> nodes = new TreeMap<>();
     private final List<ColdLoad> coldLoads = new ArrayList<>();
     private final InstanceModel[] instances;
-    private final BiFunction<Settings, Long, RoutingApi> modules;
+    private final BiFunction<RoutingSettings, Long, LoadBalancer> modules;
     private final int entries;
     private int nextNode = 1;
     private boolean leaves;
 
     /** A run with the program's own decision module. */
     public FleetPlay(FleetDraw draw, double seconds) {
-        this(draw, seconds, Policy::new);
+        this(draw, seconds, CarpLoadBalancer::new);
     }
 
     /** {@code modules}: makes the decision module of an instance from its settings and seed. */
-    FleetPlay(FleetDraw draw, double seconds, BiFunction<Settings, Long, RoutingApi> modules) {
+    FleetPlay(FleetDraw draw, double seconds, BiFunction<RoutingSettings, Long, LoadBalancer> modules) {
         if (!(seconds >= 1 && seconds <= 100_000)) {
             throw new IllegalArgumentException("a run of " + seconds + " s; it takes 1 to 100,000");
         }
@@ -78,10 +78,11 @@
         clients = new ClientsModel(this, random.split());
         int held = clients.keysFor(Math.min(MOST_HELD, draw.hits() + VOIDED));
         entries = (int) Math.max(1, held * ROOM / draw.nodes());
-        discovery.begin(new Member(FleetDraw.ORIGIN, OriginModel.ZONE, FleetDraw.ORIGIN_KIND, 0, State.READY, 1, 0));
+        discovery.begin(
+                new Endpoint(FleetDraw.ORIGIN, OriginModel.ZONE, FleetDraw.ORIGIN_KIND, 0, EndpointState.READY, 1, 0));
         for (int i = 0; i < draw.nodes(); i++) {
             NodeModel n = newNode(0);
-            discovery.begin(member(n, State.READY));
+            discovery.begin(member(n, EndpointState.READY));
         }
         warm(held);
         instances = new InstanceModel[draw.instances()];
@@ -97,13 +98,13 @@
         for (int i = 0; i < shares.length; i++) {
             shares[i] = all.get(i).weight;
         }
-        float[] multipliers = Carp.multipliers(shares);
+        float[] multipliers = CarpHash.multipliers(shares);
         for (long key = held; key >= 1; key--) {
-            int hash = Carp.keyHash(key);
+            int hash = CarpHash.keyHash(key);
             int best = 0;
             double score = -1;
             for (int i = 0; i < shares.length; i++) {
-                double s = Carp.score(hash, Carp.memberHash(all.get(i).id), multipliers[i]);
+                double s = CarpHash.score(hash, CarpHash.endpointHash(all.get(i).id), multipliers[i]);
                 if (s > score) {
                     score = s;
                     best = i;
@@ -130,8 +131,8 @@
         return n;
     }
 
-    private static Member member(NodeModel n, State state) {
-        return new Member(n.id, n.zone, 0, n.id / 8, state, n.weight, n.bornMs);
+    private static Endpoint member(NodeModel n, EndpointState state) {
+        return new Endpoint(n.id, n.zone, 0, n.id / 8, state, n.weight, n.bornMs);
     }
 
     // ---- the run
@@ -217,7 +218,7 @@
         return clients;
     }
 
-    RoutingApi module(Settings settings, long seed) {
+    LoadBalancer module(RoutingSettings settings, long seed) {
         return modules.apply(settings, seed);
     }
 
@@ -244,7 +245,9 @@
     void stored(Attempt a) {
         Ask ask = a.ask;
         if (ask.request.write()) {
-            boolean again = ask.ran++ > 0 && (ask.kind.windowMs() == 0 || time.now() > ask.ranMs + ask.kind.windowMs());
+            boolean again = ask.ran++ > 0
+                    && (ask.kind.deduplicationWindowMs() == 0
+                            || time.now() > ask.ranMs + ask.kind.deduplicationWindowMs());
             if (again || ask.answer == Ask.Answer.REFUSED) {
                 rules.broken(
                         Rules.Rule.NO_EFFECT_TWICE,
@@ -333,14 +336,14 @@
     void replace(NodeModel n, double drainMs) {
         if (drainMs > 0) {
             n.drain();
-            discovery.changed(member(n, State.DRAINING));
+            discovery.changed(member(n, EndpointState.DRAINING));
         }
         time.after(drainMs, () -> {
             n.go();
             nodes.remove(n.id, n);
-            discovery.changed(new Member(n.id, n.zone, 0, n.id / 8, State.GONE, n.weight, n.bornMs));
+            discovery.changed(new Endpoint(n.id, n.zone, 0, n.id / 8, EndpointState.REMOVED, n.weight, n.bornMs));
             NodeModel cold = newNode(time.now());
-            discovery.changed(member(cold, State.READY));
+            discovery.changed(member(cold, EndpointState.READY));
         });
     }
 
@@ -351,7 +354,7 @@
             if (nodes.get(n.id) == n) {
                 n.go();
                 NodeModel back = node(n.id, n.zone, time.now());
-                discovery.changed(member(back, State.READY));
+                discovery.changed(member(back, EndpointState.READY));
             }
         });
     }
@@ -361,7 +364,7 @@
         n.go();
         time.after(ms, () -> {
             if (nodes.get(n.id) == n) {
-                discovery.changed(member(node(n.id, n.zone, time.now()), State.READY));
+                discovery.changed(member(node(n.id, n.zone, time.now()), EndpointState.READY));
             }
         });
     }
--- a/src/main/java/cacheproxy/model/InstanceModel.java
+++ b/src/main/java/cacheproxy/model/InstanceModel.java
@@ -1,14 +1,5 @@
 package cacheproxy.model;
 
-import cacheproxy.RoutingApi;
-import cacheproxy.RoutingApi.AttemptEnd;
-import cacheproxy.RoutingApi.Effect;
-import cacheproxy.RoutingApi.Evidence;
-import cacheproxy.RoutingApi.ListKind;
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.Outcome;
-import cacheproxy.RoutingApi.Settings;
-import cacheproxy.RoutingApi.State;
 import cacheproxy.failover.Zones;
 import cacheproxy.gossip.AntiEntropy;
 import cacheproxy.gossip.ListNews;
@@ -16,6 +7,16 @@
 import cacheproxy.gossip.ListUpdate;
 import cacheproxy.gossip.ProvisionalMembership;
 import cacheproxy.model.Rules.Rule;
+import cacheproxy.routing.AttemptEnd;
+import cacheproxy.routing.AttemptOutcome;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointSignal;
+import cacheproxy.routing.EndpointState;
+import cacheproxy.routing.EndpointUpdateKind;
+import cacheproxy.routing.Idempotency;
+import cacheproxy.routing.LoadBalancer;
+import cacheproxy.routing.RoutingActions;
+import cacheproxy.routing.RoutingSettings;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -28,7 +29,7 @@
  * One proxy: the real decision module and the real news of the list, and what carries their orders out as the core
  * does. It can be killed, drained and started again. Holds each order against the rules.
  */
-final class InstanceModel implements RoutingApi.Actions {
+final class InstanceModel implements RoutingActions {
     /** Part of a watch's time, at random, after which it is begun anew; as the discovery client has it. */
     private static final double WATCH_MS = 10_000;
     /** A final answer counts as held back if for so long, and to the end of its time, nothing was out for it. */
@@ -45,7 +46,7 @@
     private final VirtualTime time;
     private final Tally tally;
     private final Rules rules;
-    private final Settings settings;
+    private final RoutingSettings settings;
     private final SplittableRandom random;
     private final Map<Integer, Ask> asks = new HashMap<>();
     private final Map<Integer, Link> links = new TreeMap<>();
@@ -54,7 +55,7 @@
     /** When the nodes of its list started, as this instance was told. */
     private final Map<Integer, Double> toldBornMs = new HashMap<>();
 
-    private RoutingApi policy;
+    private LoadBalancer policy;
     private ListNews news;
     private ProvisionalMembership membership;
     private AntiEntropy antiEntropy;
@@ -63,7 +64,7 @@
     /** A wait for the view that was begun before the last is void. */
     private long viewWaits;
 
-    private List<Member> kept = List.of();
+    private List<Endpoint> kept = List.of();
     private long version;
     private int life;
     private boolean up;
@@ -113,7 +114,7 @@
         return toldBornMs.getOrDefault(node.id, Double.NaN) == node.bornMs;
     }
 
-    RoutingApi policy() {
+    LoadBalancer policy() {
         return policy;
     }
 
@@ -125,7 +126,7 @@
         up = true;
         draining = false;
         policy = play.module(settings, random.nextLong());
-        news = new ListNews(settings.instances(), settings.ownSeed(random.nextLong()));
+        news = new ListNews(settings.instanceCount(), settings.instanceSeed(random.nextLong()));
         news.begin(version);
         if (kept.isEmpty()) {
             kept = play.discovery().known();
@@ -135,8 +136,8 @@
         antiEntropy = new AntiEntropy(time.now());
         wantedNothingMs.clear();
         toldBornMs.clear();
-        kept.forEach(m -> toldBornMs.put(m.id(), m.bornMs()));
-        policy.onList(time.now(), ListKind.CACHED, kept, this);
+        kept.forEach(m -> toldBornMs.put(m.id(), m.startTimeMs()));
+        policy.onEndpointUpdate(time.now(), EndpointUpdateKind.CACHED, kept, this);
         part = !play.leaves()
                 ? null
                 : new FleetPart(
@@ -144,7 +145,7 @@
                         random.nextLong(),
                         time,
                         (to, body) -> play.post(this, to, other -> other.heard(me, body)),
-                        orders -> policy.onZones(time.now(), orders, this));
+                        orders -> policy.onZoneDirectives(time.now(), orders, this));
         if (part != null) {
             part.listed(kept);
             view();
@@ -179,7 +180,7 @@
     }
 
     @Override
-    public void saw(int server, Evidence what) {
+    public void report(int server, EndpointSignal what) {
         if (part != null) {
             boolean origin = server == FleetDraw.ORIGIN;
             int zone = origin ? 0 : play.zoneOf(server);
@@ -241,7 +242,7 @@
         asks.put(ask.request.id(), ask);
         ask.idleSinceMs = time.now();
         tally.add(time.now(), Figure.REQUESTS);
-        double left = ask.request.dueMs() - time.now();
+        double left = ask.request.deadlineMs() - time.now();
         later(
                 left,
                 () -> { // before the module's own timer: a silent server's attempt ends as a time-out then
@@ -261,7 +262,7 @@
     void leave(Ask ask) {
         if (up && !ask.over && asks.get(ask.request.id()) == ask) {
             over(ask);
-            policy.onGone(time.now(), ask.request.id(), this);
+            policy.onClientDisconnected(time.now(), ask.request.id(), this);
         }
     }
 
@@ -281,7 +282,7 @@
         if (answer != Ask.Answer.SERVED
                 && ask.out == 0
                 && time.now() - ask.idleSinceMs > HELD_MS
-                && time.now() >= ask.request.dueMs() - 1) {
+                && time.now() >= ask.request.deadlineMs() - 1) {
             tally.add(time.now(), Figure.HELD_BACK);
         }
         ask.answer = answer;
@@ -297,10 +298,10 @@
     }
 
     @Override
-    public void deny(int request, double retryAfterMs) {
+    public void reject(int request, double retryAfterMs) {
         Ask ask = asks.get(request);
         if (ask != null
-                && ask.kind.effect() != Effect.SAFE
+                && ask.kind.idempotency() != Idempotency.IDEMPOTENT
                 && ask.attempts.stream().anyMatch(a -> !a.neverRan)) {
             rules.broken(Rule.NO_EFFECT_TWICE, time.now(), name(ask) + " was refused and may have run");
         }
@@ -315,7 +316,7 @@
     // ---- attempts
 
     @Override
-    public void place(int request, int server, double timeoutMs) {
+    public void send(int request, int server, double timeoutMs) {
         Ask ask = asks.get(request);
         if (ask == null || ask.over) {
             rules.broken(
@@ -332,7 +333,7 @@
         }
         ask.attempts.add(a);
         ask.out++;
-        double left = ask.request.dueMs() - time.now();
+        double left = ask.request.deadlineMs() - time.now();
         if (timeoutMs > 0 && timeoutMs < left) {
             later(timeoutMs, () -> expire(a));
         }
@@ -355,10 +356,11 @@
                     name(ask) + " goes to node " + server + ", told of " + Math.round(time.now() - told) + " ms ago");
         }
         for (Attempt a : ask.attempts) {
-            if (a.neverRan || ask.kind.effect() == Effect.SAFE) {
+            if (a.neverRan || ask.kind.idempotency() == Idempotency.IDEMPOTENT) {
                 continue;
             }
-            if (ask.kind.effect() == Effect.UNSAFE || time.now() > a.sentMs + ask.kind.windowMs() + SLACK_MS) {
+            if (ask.kind.idempotency() == Idempotency.NON_IDEMPOTENT
+                    || time.now() > a.sentMs + ask.kind.deduplicationWindowMs() + SLACK_MS) {
                 rules.broken(Rule.NO_EFFECT_TWICE, time.now(), name(ask) + " is sent again and may have run");
             }
         }
@@ -367,19 +369,19 @@
     private void send(Attempt a) {
         NodeModel node = play.node(a.server);
         if (node == null || node.gone()) {
-            later(2 * play.network().delayMs(zone(), zone()), () -> ended(a, Outcome.CONNECT_FAILED));
+            later(2 * play.network().delayMs(zone(), zone()), () -> ended(a, AttemptOutcome.CONNECT_FAILED));
             return;
         }
         Link link = links.get(a.server);
         if (link == null || !link.usable() || link.node() != node) {
             if (!node.answers() || !play.network().passes(zone(), node.zone)) {
-                later(settings.connectTimeoutMs(), () -> ended(a, Outcome.CONNECT_FAILED));
+                later(settings.connectTimeoutMs(), () -> ended(a, AttemptOutcome.CONNECT_FAILED));
                 return;
             }
             link = new Link(this, node, time, play.network());
             if (!node.accept(link)) {
                 tally.add(time.now(), Figure.NO_PLACE);
-                later(4 * play.network().delayMs(zone(), node.zone), () -> ended(a, Outcome.NO_PLACE));
+                later(4 * play.network().delayMs(zone(), node.zone), () -> ended(a, AttemptOutcome.CONNECTION_LIMIT));
                 return;
             }
             tally.add(time.now(), Figure.CONNECTIONS);
@@ -401,7 +403,7 @@
                     }
                     time.after(delay, () -> {
                         if (play.network().passes(zone(), OriginModel.ZONE)) {
-                            ended(a, done ? Outcome.OK : Outcome.FULL);
+                            ended(a, done ? AttemptOutcome.OK : AttemptOutcome.REJECTED);
                         }
                     });
                 }));
@@ -410,7 +412,7 @@
     private void expire(Attempt a) {
         if (!a.ended) {
             tally.add(time.now(), Figure.TIMED_OUT);
-            ended(a, Outcome.TIMEOUT);
+            ended(a, AttemptOutcome.TIMEOUT);
             gaveUp(a);
         }
     }
@@ -433,7 +435,7 @@
                     0,
                     () -> { // not within the module's own call
                         if (!a.ended) {
-                            ended(a, Outcome.CANCELLED);
+                            ended(a, AttemptOutcome.CANCELLED);
                             gaveUp(a);
                         }
                     });
@@ -441,21 +443,21 @@
     }
 
     /** The one end of an attempt, if this life of the instance began it. */
-    void ended(Attempt a, Outcome outcome) {
+    void ended(Attempt a, AttemptOutcome outcome) {
         Ask ask = a.ask;
         if (a.ended || asks.get(ask.request.id()) != ask) {
             return;
         }
         a.ended = true;
         a.neverRan = !outcome.mayHaveRun();
-        a.missed = outcome == Outcome.MISS;
+        a.missed = outcome == AttemptOutcome.MISS;
         if (--ask.out == 0) {
             ask.idleSinceMs = time.now();
         }
-        if (outcome == Outcome.RESET) {
+        if (outcome == AttemptOutcome.RESET) {
             tally.add(time.now(), Figure.RESETS);
         }
-        if (outcome == Outcome.OK && !ask.over) {
+        if (outcome == AttemptOutcome.OK && !ask.over) {
             answer(ask, Ask.Answer.SERVED, 0);
         } else if (ask.over && ask.out == 0) {
             asks.remove(ask.request.id());
@@ -485,12 +487,12 @@
     // ---- the list, and what peers tell of it
 
     @Override
-    public void watch(boolean on) {
+    public void setWatch(boolean on) {
         call();
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         call();
     }
 
@@ -498,7 +500,7 @@
         int mine = life;
         play.discovery().call(me, new DiscoveryModel.Watcher() {
             @Override
-            public void list(long told, boolean whole, List<Member> members) {
+            public void list(long told, boolean whole, List<Endpoint> members) {
                 if (mine == life) {
                     listed(told, whole, members);
                     if (whole) {
@@ -510,20 +512,20 @@
             @Override
             public void failed() {
                 if (mine == life) {
-                    policy.onList(time.now(), ListKind.FAILED, List.of(), InstanceModel.this);
+                    policy.onEndpointUpdate(time.now(), EndpointUpdateKind.FAILED, List.of(), InstanceModel.this);
                     alert();
                 }
             }
         });
     }
 
-    private void listed(long told, boolean whole, List<Member> members) {
+    private void listed(long told, boolean whole, List<Endpoint> members) {
         version = Math.max(version, told);
         Set<Integer> named = new HashSet<>();
-        for (Member m : members) {
+        for (Endpoint m : members) {
             named.add(m.id());
-            toldBornMs.put(m.id(), m.bornMs());
-            if (m.state() == State.READY) {
+            toldBornMs.put(m.id(), m.startTimeMs());
+            if (m.state() == EndpointState.READY) {
                 wantedNothingMs.remove(m.id());
             } else {
                 wantedNothingMs.putIfAbsent(m.id(), time.now());
@@ -535,9 +537,9 @@
             }
         }
         wantedNothingMs.values().removeIf(at -> time.now() - at > 10 * settings.drainGraceMs());
-        policy.onList(
+        policy.onEndpointUpdate(
                 time.now(),
-                whole ? ListKind.FULL : ListKind.CHANGES,
+                whole ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA,
                 membership.told(time.now(), told, whole, members),
                 this);
         if (part != null) {
@@ -562,32 +564,32 @@
 
     /** A peer tells what discovery has told it. */
     private void heard(ListUpdate update) {
-        List<Member> changed = membership.heard(time.now(), update);
+        List<Endpoint> changed = membership.heard(time.now(), update);
         if (!changed.isEmpty()) {
-            policy.onList(time.now(), ListKind.PROVISIONAL, changed, this);
+            policy.onEndpointUpdate(time.now(), EndpointUpdateKind.PROVISIONAL, changed, this);
         }
         carryOut(news.heard(time.now(), update.version()));
     }
 
     /** Asks some peer what it was told that is not known here. */
     private void alert() {
-        if (settings.instances() < 2 || !antiEntropy.alerted(time.now())) {
+        if (settings.instanceCount() < 2 || !antiEntropy.alerted(time.now())) {
             return;
         }
         long known = membership.known();
         play.post(
                 this,
-                AntiEntropy.partner(random, me, settings.instances()),
+                AntiEntropy.partner(random, me, settings.instanceCount()),
                 peer -> peer.membership
                         .since(time.now(), known)
                         .forEach(u -> play.post(peer, me, asker -> asker.heard(u))));
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         play.tell(this, other -> {
             if (peer < 0 || peer == other.me) {
-                other.policy.onPeer(time.now(), me, message, other);
+                other.policy.onPeerMessage(time.now(), me, message, other);
             }
         });
     }
@@ -605,7 +607,7 @@
     }
 
     @Override
-    public void probe(int server) {}
+    public void checkHealth(int server) {}
 
     @Override
     public void closeIdle(int server) {
--- a/src/main/java/cacheproxy/model/Link.java
+++ b/src/main/java/cacheproxy/model/Link.java
@@ -1,6 +1,6 @@
 package cacheproxy.model;
 
-import cacheproxy.RoutingApi.Outcome;
+import cacheproxy.routing.AttemptOutcome;
 import java.util.ArrayDeque;
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * that come after it, as on a link that swallows packets.
  */
 final class Link {
-    private record Answer(Attempt attempt, Outcome outcome) {}
+    private record Answer(Attempt attempt, AttemptOutcome outcome) {}
 
     private final InstanceModel owner;
     private final NodeModel node;
@@ -65,7 +65,7 @@
     }
 
     /** The node has an answer; it comes in its turn. */
-    void answered(Attempt attempt, Outcome outcome, int from) {
+    void answered(Attempt attempt, AttemptOutcome outcome, int from) {
         if (mute || network.losesAnswer() || !network.passes(from, owner.zone())) {
             mute = true; // what comes after it can't be told from its answer
             return;
@@ -115,7 +115,7 @@
     void reset() {
         if (!closed) {
             close();
-            List.copyOf(out).forEach(a -> owner.ended(a, Outcome.RESET));
+            List.copyOf(out).forEach(a -> owner.ended(a, AttemptOutcome.RESET));
             out.clear();
         }
     }
--- a/src/main/java/cacheproxy/model/NewsPlay.java
+++ b/src/main/java/cacheproxy/model/NewsPlay.java
@@ -1,17 +1,17 @@
 package cacheproxy.model;
 
-import cacheproxy.Policy;
-import cacheproxy.RoutingApi;
-import cacheproxy.RoutingApi.ListKind;
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.Settings;
-import cacheproxy.RoutingApi.State;
 import cacheproxy.endpoints.ListCalls;
 import cacheproxy.gossip.AntiEntropy;
 import cacheproxy.gossip.ListNews;
 import cacheproxy.gossip.ListNews.Order;
 import cacheproxy.gossip.ListUpdate;
 import cacheproxy.gossip.ProvisionalMembership;
+import cacheproxy.routing.CarpLoadBalancer;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointState;
+import cacheproxy.routing.EndpointUpdateKind;
+import cacheproxy.routing.RoutingActions;
+import cacheproxy.routing.RoutingSettings;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -53,7 +53,7 @@
     /**
      * What to play.
      *
-     * @param instances how many, at least 1
+     * @param instanceCount how many, at least 1
      * @param newCallsPerSecond what discovery takes, of all instances together
      * @param seed the same gives the same play
      */
@@ -162,12 +162,12 @@
     }
 
     /** One proxy, as far as it asks for the list and talks of it. */
-    private final class Instance implements RoutingApi.Actions, LineDiscovery.Caller {
+    private final class Instance implements RoutingActions, LineDiscovery.Caller {
         private final int me;
-        private final Policy policy;
+        private final CarpLoadBalancer policy;
         private final ListNews news;
         private final ProvisionalMembership membership = new ProvisionalMembership(FleetDraw.ORIGIN_KIND);
-        private final List<Member> list = new ArrayList<>();
+        private final List<Endpoint> list = new ArrayList<>();
         private long version = 1;
         private final ListCalls calls;
         private final AntiEntropy antiEntropy = new AntiEntropy(START_MS);
@@ -177,29 +177,29 @@
         private double plannedMs = Double.NaN;
         private double knownMs = Double.POSITIVE_INFINITY;
 
-        Instance(int me, Settings settings) {
+        Instance(int me, RoutingSettings settings) {
             this.me = me;
-            policy = new Policy(settings, random.nextLong());
-            news = new ListNews(settings.instances(), settings.ownSeed(random.nextLong()));
+            policy = new CarpLoadBalancer(settings, random.nextLong());
+            news = new ListNews(settings.instanceCount(), settings.instanceSeed(random.nextLong()));
             calls = new ListCalls(
                     new ListCalls.Settings(
-                            settings.askForList(),
-                            settings.askWithinMs(),
-                            settings.instances(),
+                            settings.pollsDiscovery(),
+                            settings.pollIntervalMs(),
+                            settings.instanceCount(),
                             setup.sharing() == Sharing.CHANGES),
                     random.nextLong());
-            list.add(server(State.READY));
-            list.add(new Member(SERVER + 1, 0, 0, 0, State.READY, 1, 0));
+            list.add(server(EndpointState.READY));
+            list.add(new Endpoint(SERVER + 1, 0, 0, 0, EndpointState.READY, 1, 0));
         }
 
-        private Member server(State state) {
-            return new Member(SERVER, 0, 0, 0, state, 1, 0);
+        private Endpoint server(EndpointState state) {
+            return new Endpoint(SERVER, 0, 0, 0, state, 1, 0);
         }
 
         void start() {
             news.begin(version);
             membership.begin(version, list);
-            policy.onList(time.now(), ListKind.CACHED, list, this);
+            policy.onEndpointUpdate(time.now(), EndpointUpdateKind.CACHED, list, this);
             queryWhenDue();
         }
 
@@ -215,7 +215,7 @@
         // ---- calls, as the discovery client makes them
 
         @Override
-        public void watch(boolean on) {
+        public void setWatch(boolean on) {
             carryOut(on ? calls.follow(time.now()) : calls.stop(), false);
         }
 
@@ -258,10 +258,11 @@
             }
             antiEntropy.answered(time.now());
             boolean newer = told > version;
-            List<Member> changed = newer ? List.of(server(State.DRAINING)) : List.of();
+            List<Endpoint> changed = newer ? List.of(server(EndpointState.DRAINING)) : List.of();
             version = told;
             carryOut(news.held(time.now(), told));
-            policy.onList(time.now(), ListKind.CHANGES, membership.told(time.now(), told, false, changed), this);
+            policy.onEndpointUpdate(
+                    time.now(), EndpointUpdateKind.DELTA, membership.told(time.now(), told, false, changed), this);
             know();
             carryOut(calls.answered(time.now(), which, newer), true);
         }
@@ -296,9 +297,9 @@
 
         private void heard(ListUpdate update) {
             if (setup.sharing() == Sharing.CHANGES) {
-                List<Member> changed = membership.heard(time.now(), update);
+                List<Endpoint> changed = membership.heard(time.now(), update);
                 if (!changed.isEmpty()) {
-                    policy.onList(time.now(), ListKind.PROVISIONAL, changed, this);
+                    policy.onEndpointUpdate(time.now(), EndpointUpdateKind.PROVISIONAL, changed, this);
                 }
                 know();
             }
@@ -336,10 +337,10 @@
         }
 
         @Override
-        public void place(int request, int server, double timeoutMs) {}
+        public void send(int request, int server, double timeoutMs) {}
 
         @Override
-        public void deny(int request, double retryAfterMs) {}
+        public void reject(int request, double retryAfterMs) {}
 
         @Override
         public void fail(int request) {}
@@ -348,16 +349,16 @@
         public void cancel(int request, int attempt) {}
 
         @Override
-        public void probe(int server) {}
+        public void checkHealth(int server) {}
 
         @Override
         public void closeIdle(int server) {}
 
         @Override
-        public void tell(int peer, byte[] message) {}
+        public void sendToPeer(int peer, byte[] message) {}
 
         @Override
-        public void fetchList() {}
+        public void fetchEndpointList() {}
 
         @Override
         public void log(String line) {}
--- a/src/main/java/cacheproxy/model/NodeModel.java
+++ b/src/main/java/cacheproxy/model/NodeModel.java
@@ -1,9 +1,9 @@
 package cacheproxy.model;
 
-import cacheproxy.RoutingApi.Outcome;
 import cacheproxy.emulator.ColdStart;
 import cacheproxy.emulator.LruStore;
 import cacheproxy.emulator.ServiceModel;
+import cacheproxy.routing.AttemptOutcome;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -194,12 +194,12 @@
             if (random.nextBoolean()) {
                 link.reset();
             } else {
-                link.answered(attempt, Outcome.ERROR, zone);
+                link.answered(attempt, AttemptOutcome.ERROR, zone);
             }
             return;
         }
         if (draining || !take(new Job(link, attempt), work)) {
-            link.answered(attempt, Outcome.FULL, zone);
+            link.answered(attempt, AttemptOutcome.REJECTED, zone);
         }
     }
 
@@ -235,7 +235,9 @@
         for (Job job : core.advance(time.now(), speedNow())) {
             if (job.link() != null && answers()) {
                 long key = job.attempt().ask.request.key();
-                job.link().answered(job.attempt(), store.get(key) != null ? Outcome.OK : Outcome.MISS, zone);
+                job.link()
+                        .answered(
+                                job.attempt(), store.get(key) != null ? AttemptOutcome.OK : AttemptOutcome.MISS, zone);
             }
         }
         arm();
--- a/src/main/java/cacheproxy/model/ZonePlay.java
+++ b/src/main/java/cacheproxy/model/ZonePlay.java
@@ -1,9 +1,9 @@
 package cacheproxy.model;
 
-import cacheproxy.RoutingApi.ZoneOrder;
 import cacheproxy.failover.ZoneSettings;
 import cacheproxy.failover.Zones;
 import cacheproxy.membership.Membership;
+import cacheproxy.routing.ZoneDirective;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -32,7 +32,7 @@
 
     /** What the instances of the fleet did in a step, for whoever looks on. */
     public interface Watcher {
-        /** {@code open}: by instance how far each zone is open to it; null for those that are dead. */
+        /** {@code openFraction}: by instance how far each zone is open to it; null for those that are dead. */
         void looked(double nowMs, double[][] open);
     }
 
@@ -243,9 +243,9 @@
             }
             i.zones.listed(z, ready, coldUntil);
         }
-        for (ZoneOrder o : i.zones.tick(now(), i.members.view(now()))) {
-            i.open[o.zone()] = o.open();
-            i.tries[o.zone()] |= o.tries();
+        for (ZoneDirective o : i.zones.tick(now(), i.members.view(now()))) {
+            i.open[o.zone()] = o.openFraction();
+            i.tries[o.zone()] |= o.probeAllowed();
         }
         byte[] plan = i.zones.planNote();
         byte[] sight = i.zones.sightNote();
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi;
-import cacheproxy.RoutingApi.Outcome;
 import cacheproxy.proxy.Exchange.Attempt;
 import cacheproxy.proxy.Exchange.Command;
+import cacheproxy.routing.AttemptOutcome;
+import cacheproxy.routing.LoadBalancer;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -86,9 +86,9 @@
         if (attempt.exchange == null) {
             probed(line);
         } else if (line.startsWith(MetaCodec.BUSY)) {
-            connection.ended(Outcome.FULL, 0, report(line), null);
+            connection.ended(AttemptOutcome.REJECTED, 0, report(line), null);
         } else if (line.startsWith("SERVER_ERROR")) {
-            connection.ended(Outcome.ERROR, 0, report(line), null);
+            connection.ended(AttemptOutcome.ERROR, 0, report(line), null);
         } else if (line.startsWith("VA ") && !attempt.exchange.command.write) {
             String word = MetaCodec.wordAt(line, 3);
             length = MetaCodec.length(word);
@@ -104,10 +104,10 @@
             if (receipt == null) {
                 throw new MetaCodec.SyntaxException("no receipt");
             }
-            connection.ended(Outcome.OK, note, report, new Answer.Receipt(receipt));
+            connection.ended(AttemptOutcome.OK, note, report, new Answer.Receipt(receipt));
         } else if (line.startsWith("EN")) {
             flags(attempt, line, 3);
-            connection.ended(Outcome.MISS, note, report, null);
+            connection.ended(AttemptOutcome.MISS, note, report, null);
         } else {
             throw new MetaCodec.SyntaxException("unknown line");
         }
@@ -125,7 +125,9 @@
         String hit = MetaCodec.flag(line, from, 'h');
         note = "1".equals(hit)
                 ? 1
-                : !"0".equals(hit) ? 0 : MetaCodec.flag(line, from, 'Z') != null ? RoutingApi.NOTE_FETCH_OUT : 2;
+                : !"0".equals(hit)
+                        ? 0
+                        : MetaCodec.flag(line, from, 'Z') != null ? LoadBalancer.NOTE_FETCH_IN_FLIGHT : 2;
         report = dispatcher.report(MetaCodec.flag(line, from, 'L'));
     }
 
@@ -139,7 +141,7 @@
             ByteBuf value = in.readRetainedSlice(length);
             in.skipBytes(2);
             missing = -1;
-            connection.ended(Outcome.OK, note, report, new Answer.Value(value));
+            connection.ended(AttemptOutcome.OK, note, report, new Answer.Value(value));
             return;
         }
         // The value's end of line is passed on only when it is seen to be one.
@@ -156,7 +158,7 @@
             end(in, in.readerIndex());
             in.skipBytes(2);
             missing = -1;
-            connection.ended(Outcome.OK, note, report, dropped ? null : Answer.End.INSTANCE);
+            connection.ended(AttemptOutcome.OK, note, report, dropped ? null : Answer.End.INSTANCE);
         }
     }
 
@@ -174,7 +176,7 @@
             boolean ok = line.equals("MN") || line.equals("END");
             float[] figures = MetaCodec.report(stats, dispatcher.reportNames());
             stats = "";
-            connection.ended(ok ? Outcome.OK : Outcome.ERROR, 0, figures, null);
+            connection.ended(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -1,11 +1,11 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Settings;
 import cacheproxy.endpoints.ListCalls;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.ListForm;
 import cacheproxy.route.Known;
+import cacheproxy.routing.RoutingSettings;
 import cacheproxy.simulator.SettingsParser;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -41,7 +41,7 @@
         List<InetSocketAddress> peers,
         InetSocketAddress peersAll,
         JsonObject known,
-        Settings settings,
+        RoutingSettings settings,
         List<String> zones,
         List<String> kinds,
         double idleCloseMs,
@@ -68,9 +68,12 @@
         return new DiscoveryClient.Settings(
                 discovery,
                 listForm(),
-                settings.ownSeed(seed),
+                settings.instanceSeed(seed),
                 new ListCalls.Settings(
-                        settings.askForList(), settings.askWithinMs(), settings.instances(), settings.peers()));
+                        settings.pollsDiscovery(),
+                        settings.pollIntervalMs(),
+                        settings.instanceCount(),
+                        settings.peerMessagesAllowed()));
     }
 
     /** Reads the file; an IllegalArgumentException says in one line what is wrong. */
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -1,18 +1,5 @@
 package cacheproxy.proxy;
 
-import cacheproxy.Policy;
-import cacheproxy.RoutingApi;
-import cacheproxy.RoutingApi.Actions;
-import cacheproxy.RoutingApi.AttemptEnd;
-import cacheproxy.RoutingApi.Evidence;
-import cacheproxy.RoutingApi.Experience;
-import cacheproxy.RoutingApi.ListKind;
-import cacheproxy.RoutingApi.Outcome;
-import cacheproxy.RoutingApi.Reports;
-import cacheproxy.RoutingApi.Request;
-import cacheproxy.RoutingApi.ServiceClass;
-import cacheproxy.RoutingApi.Settings;
-import cacheproxy.RoutingApi.ZoneOrder;
 import cacheproxy.admission.Breach;
 import cacheproxy.admission.Permits;
 import cacheproxy.admission.RequestState;
@@ -34,6 +21,19 @@
 import cacheproxy.recovery.Trust;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
+import cacheproxy.routing.AttemptEnd;
+import cacheproxy.routing.AttemptOutcome;
+import cacheproxy.routing.CarpLoadBalancer;
+import cacheproxy.routing.EndpointSignal;
+import cacheproxy.routing.EndpointUpdateKind;
+import cacheproxy.routing.LearnedState;
+import cacheproxy.routing.LoadBalancer;
+import cacheproxy.routing.LoadReportSource;
+import cacheproxy.routing.Request;
+import cacheproxy.routing.RoutingActions;
+import cacheproxy.routing.RoutingSettings;
+import cacheproxy.routing.ServiceClass;
+import cacheproxy.routing.ZoneDirective;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -57,7 +57,7 @@
  * in: an attempt ends once, a request is answered once. All of it runs on the event loop; the module is never called
  * from within one of its own orders, what happens meanwhile waits in line.
  */
-final class Dispatcher implements Actions, ProvisionalList.User {
+final class Dispatcher implements RoutingActions, ProvisionalList.User {
     /** What was last known of clients and servers may be so old when an attempt begins, in milliseconds. */
     private static final double STALE_MS = 50;
     /** What a request that the module left unanswered at its due time may still wait for it. */
@@ -95,8 +95,8 @@
     private final ReadAhead readAhead = new ReadAhead(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
     private final Servers servers;
     private Config config;
-    private Settings settings;
-    private RoutingApi module;
+    private RoutingSettings settings;
+    private LoadBalancer module;
     /** The module where routes are set, else null. */
     private Router router;
 
@@ -113,7 +113,7 @@
     /** What is worked with that was not seen here, and until when it may be. */
     private final Trust trust = new Trust();
     /** Who wants to know of news of the list once it is in use. */
-    private final List<Consumer<ListKind>> followers = new ArrayList<>();
+    private final List<Consumer<EndpointUpdateKind>> followers = new ArrayList<>();
 
     private ClientListener listener;
     private Future<?> sweeper;
@@ -170,7 +170,7 @@
         peers = socket;
         listener = clients;
         router = routing == null ? null : new Router(settings, config.seed(), routing);
-        module = router != null ? router : new Policy(settings, config.seed());
+        module = router != null ? router : new CarpLoadBalancer(settings, config.seed());
         sweeper = loop.scheduleWithFixedDelay(servers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -195,12 +195,12 @@
     }
 
     /** What the module has learnt, for another process that takes over. */
-    Map<String, Experience> experience() {
-        return module.experience(now());
+    Map<String, LearnedState> experience() {
+        return module.learnedState(now());
     }
 
     /** Goes on where another process left off; after the list that it held. */
-    void resume(Map<String, Experience> learnt) {
+    void resume(Map<String, LearnedState> learnt) {
         tell(() -> module.resume(now(), learnt));
     }
 
@@ -232,10 +232,10 @@
 
     /** Whether the module sends this server nothing ordinary now. */
     boolean avoids(int server) {
-        return module.avoids(now(), server);
+        return module.isAvoided(now(), server);
     }
 
-    Settings settings() {
+    RoutingSettings settings() {
         return settings;
     }
 
@@ -284,15 +284,17 @@
     }
 
     List<String> reportNames() {
-        return settings.reportNames();
+        return settings.loadReportFields();
     }
 
     float[] report(String list) {
-        return settings.reports() == Reports.WITH_ANSWERS ? MetaCodec.report(list, settings.reportNames()) : null;
+        return settings.loadReportSource() == LoadReportSource.WITH_RESPONSES
+                ? MetaCodec.report(list, settings.loadReportFields())
+                : null;
     }
 
     boolean probesLoad() {
-        return settings.reports() == Reports.BY_PROBE;
+        return settings.loadReportSource() == LoadReportSource.BY_HEALTH_CHECK;
     }
 
     // ---- bounds
@@ -353,7 +355,7 @@
             boolean refused = !streaming && refusable(x);
             ended(x, refused ? Ending.DECLINED : Ending.ABORTED);
             log(EventKind.REQUEST_CUT, "by the end of a drain: request " + x.command.id);
-            tell(() -> module.onGone(now(), x.id, this));
+            tell(() -> module.onClientDisconnected(now(), x.id, this));
             if (streaming) {
                 x.sink.breakOff();
             } else if (refused) {
@@ -439,14 +441,15 @@
     }
 
     @Override
-    public void listed(ListKind kind, List<Host> hosts) {
+    public void listed(EndpointUpdateKind kind, List<Host> hosts) {
         servers.listed(kind, hosts, config.streamsPerConnection());
         long faultsBefore = faults;
         tell(() -> {
             if (router != null) { // with its event and not before it: another may wait in line
                 hosts.forEach(h -> router.describe(h.member().id(), h.server()));
             }
-            module.onList(now(), kind, hosts.stream().map(Host::member).toList(), this);
+            module.onEndpointUpdate(
+                    now(), kind, hosts.stream().map(Host::member).toList(), this);
         });
         boolean taken = faults == faultsBefore;
         tell(servers::withdraw);
@@ -457,7 +460,7 @@
     }
 
     /** This is told of news of the list once it is in use. */
-    void follow(Consumer<ListKind> follower) {
+    void follow(Consumer<EndpointUpdateKind> follower) {
         followers.add(follower);
     }
 
@@ -508,8 +511,8 @@
     }
 
     /** What the fleet has decided of zones. */
-    void order(List<ZoneOrder> orders) {
-        tell(() -> module.onZones(now(), orders, this));
+    void order(List<ZoneDirective> orders) {
+        tell(() -> module.onZoneDirectives(now(), orders, this));
     }
 
     void heard(int peer, PeerSocket.Kind kind, byte[] message) {
@@ -519,7 +522,7 @@
                     news.heard(peer, message);
                 }
             }
-            case MODULE -> tell(() -> module.onPeer(now(), peer, message, this));
+            case MODULE -> tell(() -> module.onPeerMessage(now(), peer, message, this));
             case MEMBERS -> {
                 if (members != null) {
                     members.heard(peer, message);
@@ -612,9 +615,9 @@
         if (!a.ended) {
             if (a.connection != null) {
                 boolean unsent = a.connection.giveUp(a);
-                end(a, unsent ? Outcome.CONNECT_FAILED : Outcome.TIMEOUT, 0, null, null);
+                end(a, unsent ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT, 0, null, null);
             } else {
-                end(a, Outcome.NOT_SENT, 0, null, null);
+                end(a, AttemptOutcome.NOT_SENT, 0, null, null);
             }
         }
     }
@@ -626,11 +629,11 @@
                 rules.breached(Breach.CLOSED_OWING, x, "its connection was closed from this side");
             }
             over(x, RequestState.CLIENT_GONE, Ending.GONE);
-            tell(() -> module.onGone(now(), x.id, this));
+            tell(() -> module.onClientDisconnected(now(), x.id, this));
             for (Attempt a : x.attempts) {
                 if (a.firstByteMs != 0 && !a.ended) { // the rest of a long value is of no use to anyone
                     a.connection.giveUp(a);
-                    end(a, Outcome.CANCELLED, 0, null, null);
+                    end(a, AttemptOutcome.CANCELLED, 0, null, null);
                 }
             }
             free(x);
@@ -640,7 +643,7 @@
     // ---- ends of attempts
 
     /** The one end of an attempt. An answer, where there is one, is the client's if none has come before. */
-    void end(Attempt a, Outcome outcome, int note, float[] report, Answer answer) {
+    void end(Attempt a, AttemptOutcome outcome, int note, float[] report, Answer answer) {
         if (a.ended) {
             if (answer != null) {
                 answer.release();
@@ -653,7 +656,7 @@
         double elapsed = (a.firstByteMs != 0 ? a.firstByteMs : now()) - a.sentMs;
         Exchange x = a.exchange;
         if (x == null) {
-            tell(() -> module.onProbed(now(), a.server, outcome, elapsed, report, this));
+            tell(() -> module.onHealthCheckResult(now(), a.server, outcome, elapsed, report, this));
             return;
         }
         x.out--;
@@ -747,7 +750,7 @@
         }
         for (Attempt a : x.attempts) {
             if (!a.ended && (a.connection == null || a.connection.takeBack(a))) {
-                end(a, Outcome.NOT_SENT, 0, null, null);
+                end(a, AttemptOutcome.NOT_SENT, 0, null, null);
             }
         }
         if (open.remove(x.command.id, x)) {
@@ -762,7 +765,7 @@
     // ---- the module's orders
 
     @Override
-    public void place(int request, int server, double timeoutMs) {
+    public void send(int request, int server, double timeoutMs) {
         Exchange x = exchanges.get(request);
         if (x == null || x.over()) {
             log(EventKind.FAULT, "order for a request that is over");
@@ -793,9 +796,9 @@
             return;
         }
         if (!mayBegin(a)) {
-            tell(() -> end(a, Outcome.NOT_SENT, 0, null, null));
+            tell(() -> end(a, AttemptOutcome.NOT_SENT, 0, null, null));
         } else if (!servers.get(a.server).send(a)) {
-            tell(() -> end(a, Outcome.CONNECT_FAILED, 0, null, null));
+            tell(() -> end(a, AttemptOutcome.CONNECT_FAILED, 0, null, null));
         }
     }
 
@@ -820,7 +823,7 @@
                         a.place,
                         a.index,
                         Math.min(x.maxAttempts, settings.maxAttempts()),
-                        settings.secondCopies(),
+                        settings.hedgingAllowed(),
                         x.attemptsBut(a)));
         if (!verdict.allowed()) {
             rules.forbade(a, verdict);
@@ -856,7 +859,7 @@
     }
 
     @Override
-    public void deny(int request, double retryAfterMs) {
+    public void reject(int request, double retryAfterMs) {
         Exchange x = exchanges.get(request);
         if (x == null) {
             return;
@@ -867,7 +870,7 @@
             fail(request);
             return;
         }
-        finish(x, Ending.DECLINED, s -> s.refused(settings.retryAdvice() ? retryAfterMs : 0));
+        finish(x, Ending.DECLINED, s -> s.refused(settings.retryAfterSupported() ? retryAfterMs : 0));
     }
 
     @Override
@@ -887,13 +890,13 @@
         }
         // Another attempt may follow. Where second copies are forbidden this one must be over then, or it stays waited
         // for.
-        if (!x.over() && !settings.secondCopies() && a.connection != null && !a.connection.endsAlone()) {
+        if (!x.over() && !settings.hedgingAllowed() && a.connection != null && !a.connection.endsAlone()) {
             return;
         }
         if (a.connection != null) {
             a.connection.giveUp(a);
         }
-        tell(() -> end(a, Outcome.CANCELLED, 0, null, null));
+        tell(() -> end(a, AttemptOutcome.CANCELLED, 0, null, null));
     }
 
     @Override
@@ -902,13 +905,13 @@
     }
 
     @Override
-    public void probe(int server) {
+    public void checkHealth(int server) {
         Upstream u = servers.get(server);
         counters.did(Work.TRIALS);
         double now = now();
         Attempt a = new Attempt(null, 0, server, NOWHERE, now, now + PROBE_TIMEOUT_MS);
         if (u == null || !u.ready || !u.send(a)) {
-            tell(() -> end(a, Outcome.CONNECT_FAILED, 0, null, null));
+            tell(() -> end(a, AttemptOutcome.CONNECT_FAILED, 0, null, null));
         } else {
             a.timer = after(PROBE_TIMEOUT_MS, () -> expire(a));
         }
@@ -923,22 +926,22 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         peers.send(peer, PeerSocket.Kind.MODULE, message);
     }
 
     @Override
-    public void watch(boolean on) {
+    public void setWatch(boolean on) {
         discovery.watch(on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         discovery.fetch();
     }
 
     @Override
-    public void saw(int server, Evidence what) {
+    public void report(int server, EndpointSignal what) {
         if (nodes != null) {
             nodes.saw(server, what);
         }
--- a/src/main/java/cacheproxy/proxy/Installation.java
+++ b/src/main/java/cacheproxy/proxy/Installation.java
@@ -1,11 +1,11 @@
 package cacheproxy.proxy;
 
-import cacheproxy.Carp;
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.State;
 import cacheproxy.proxy.discovery.Host;
 import cacheproxy.route.Known;
 import cacheproxy.route.Pool;
+import cacheproxy.routing.CarpHash;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointState;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -39,10 +39,10 @@
     public List<String> ranks(Pool pool, String key) {
         List<Host> own = new ArrayList<>();
         for (Host h : hosts) {
-            Member m = h.member();
-            boolean origin =
-                    config.settings().aside() && m.kind() == config.settings().originKind();
-            if (m.state() == State.READY && !origin && pool.selects(h.server())) {
+            Endpoint m = h.member();
+            boolean origin = config.settings().cacheAside()
+                    && m.kind() == config.settings().originKind();
+            if (m.state() == EndpointState.READY && !origin && pool.selects(h.server())) {
                 own.add(h);
             }
         }
@@ -51,12 +51,13 @@
         for (int i = 0; i < weights.length; i++) {
             weights[i] = pool.weight(own.get(i).server(), own.get(i).member().weight());
         }
-        float[] multipliers = Carp.multipliers(weights);
-        int hash = Carp.keyHash(key(key));
+        float[] multipliers = CarpHash.multipliers(weights);
+        int hash = CarpHash.keyHash(key(key));
         double[] scores = new double[weights.length];
         List<Integer> order = new ArrayList<>();
         for (int i = 0; i < weights.length; i++) {
-            scores[i] = Carp.score(hash, Carp.memberHash(own.get(i).member().id()), multipliers[i]);
+            scores[i] = CarpHash.score(
+                    hash, CarpHash.endpointHash(own.get(i).member().id()), multipliers[i]);
             order.add(i);
         }
         order.sort(Comparator.comparingDouble(i -> -scores[i]));
--- a/src/main/java/cacheproxy/proxy/LearntForm.java
+++ b/src/main/java/cacheproxy/proxy/LearntForm.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Experience;
-import cacheproxy.RoutingApi.Hot;
-import cacheproxy.RoutingApi.Load;
-import cacheproxy.RoutingApi.Seen;
+import cacheproxy.routing.EndpointHealthRecord;
+import cacheproxy.routing.HotKey;
+import cacheproxy.routing.LearnedState;
+import cacheproxy.routing.LoadCount;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -23,39 +23,41 @@
     private LearntForm() {}
 
     /** By the pools' names. */
-    static JsonObject json(Map<String, Experience> learnt) {
+    static JsonObject json(Map<String, LearnedState> learnt) {
         JsonObject pools = new JsonObject();
         learnt.forEach((name, e) -> pools.add(name, json(e)));
         return pools;
     }
 
     /** Reads it; an exception says that it is of no use. */
-    static Map<String, Experience> read(JsonObject pools) {
-        Map<String, Experience> learnt = new HashMap<>();
+    static Map<String, LearnedState> read(JsonObject pools) {
+        Map<String, LearnedState> learnt = new HashMap<>();
         pools.entrySet()
                 .forEach(e -> learnt.put(e.getKey(), experience(e.getValue().getAsJsonObject())));
         return learnt;
     }
 
-    private static JsonObject json(Experience e) {
+    private static JsonObject json(LearnedState e) {
         JsonObject o = new JsonObject();
         o.add(
                 "figures",
                 array(
-                        e.fetchMs(),
-                        e.paceMs(),
-                        e.paceDeviationMs(),
-                        e.usualCost(),
-                        e.origin().asked(),
-                        e.origin().answered(),
-                        e.crowd().asked(),
-                        e.crowd().answered(),
-                        e.asked()));
+                        e.originFetchMs(),
+                        e.usualLatencyMs(),
+                        e.latencyDeviationMs(),
+                        e.usualCostMs(),
+                        e.originLoad().requested(),
+                        e.originLoad().completedInTime(),
+                        e.endpointLoad().requested(),
+                        e.endpointLoad().completedInTime(),
+                        e.keyRequestCount()));
         JsonArray hot = new JsonArray();
-        e.hot().forEach(h -> hot.add(array(h.key(), h.count())));
+        e.hotKeys().forEach(h -> hot.add(array(h.key(), h.count())));
         o.add("hot", hot);
         JsonArray servers = new JsonArray();
-        e.servers().forEach(s -> servers.add(array(s.id(), s.bornMs(), s.failures(), s.shunnedUntilMs(), s.doubts())));
+        e.endpoints()
+                .forEach(s -> servers.add(
+                        array(s.id(), s.startTimeMs(), s.failures(), s.ejectedUntilMs(), s.slowResponses())));
         o.add("servers", servers);
         return o;
     }
@@ -68,26 +70,27 @@
         return array;
     }
 
-    private static Experience experience(JsonObject o) {
+    private static LearnedState experience(JsonObject o) {
         List<Double> f = new ArrayList<>();
         o.getAsJsonArray("figures").forEach(n -> f.add(figure(n)));
-        List<Hot> hot = new ArrayList<>();
+        List<HotKey> hot = new ArrayList<>();
         entries(o, "hot")
-                .forEach(h -> hot.add(new Hot(h.getAsJsonArray().get(0).getAsLong(), (int)
+                .forEach(h -> hot.add(new HotKey(h.getAsJsonArray().get(0).getAsLong(), (int)
                         figure(h.getAsJsonArray().get(1)))));
-        List<Seen> servers = new ArrayList<>();
+        List<EndpointHealthRecord> servers = new ArrayList<>();
         entries(o, "servers").forEach(e -> {
             JsonArray s = e.getAsJsonArray();
-            servers.add(new Seen(s.get(0).getAsInt(), figure(s.get(1)), (int) figure(s.get(2)), figure(s.get(3)), (int)
-                    figure(s.get(4))));
+            servers.add(new EndpointHealthRecord(
+                    s.get(0).getAsInt(), figure(s.get(1)), (int) figure(s.get(2)), figure(s.get(3)), (int)
+                            figure(s.get(4))));
         });
-        return new Experience(
+        return new LearnedState(
                 f.get(0),
                 f.get(1),
                 f.get(2),
                 f.get(3),
-                new Load(f.get(4), f.get(5)),
-                new Load(f.get(6), f.get(7)),
+                new LoadCount(f.get(4), f.get(5)),
+                new LoadCount(f.get(6), f.get(7)),
                 f.get(8),
                 hot,
                 servers);
--- a/src/main/java/cacheproxy/proxy/MemberLink.java
+++ b/src/main/java/cacheproxy/proxy/MemberLink.java
@@ -1,12 +1,12 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Settings;
 import cacheproxy.gossip.MemberBudget;
 import cacheproxy.membership.Living;
 import cacheproxy.membership.MemberSettings;
 import cacheproxy.membership.Membership;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
+import cacheproxy.routing.RoutingSettings;
 import java.util.function.Consumer;
 
 /** Carries out what {@link Membership} decides: its messages and its times. On the event loop only. */
@@ -28,7 +28,7 @@
     MemberLink(
             Dispatcher dispatcher,
             PeerSocket peers,
-            Settings settings,
+            RoutingSettings settings,
             long remembered,
             long seed,
             Phase phase,
@@ -37,12 +37,12 @@
         this.peers = peers;
         this.advised = advised;
         members = new Membership(
-                MemberSettings.of(settings.instances()),
-                settings.me(),
+                MemberSettings.of(settings.instanceCount()),
+                settings.instanceIndex(),
                 settings.zone(),
                 new byte[0],
                 remembered,
-                settings.ownSeed(seed),
+                settings.instanceSeed(seed),
                 new MemberBudget(peers.outbox()));
         members.phase(phase);
         run();
--- a/src/main/java/cacheproxy/proxy/NodeTalk.java
+++ b/src/main/java/cacheproxy/proxy/NodeTalk.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Evidence;
 import cacheproxy.gossip.BadNodes;
 import cacheproxy.gossip.PeerMessage;
 import cacheproxy.membership.View;
+import cacheproxy.routing.EndpointSignal;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -34,9 +34,9 @@
     }
 
     /** The decision module has met this at a server. */
-    void saw(int server, Evidence what) {
+    void saw(int server, EndpointSignal what) {
         Upstream u = dispatcher.servers().get(server);
-        if (what != Evidence.SILENT || u == null || u.origin) {
+        if (what != EndpointSignal.UNRESPONSIVE || u == null || u.origin) {
             return;
         }
         double now = dispatcher.now();
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -1,10 +1,10 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Outcome;
 import cacheproxy.flow.ByteBudget;
 import cacheproxy.proxy.Exchange.Attempt;
 import cacheproxy.proxy.Exchange.Command;
 import cacheproxy.proxy.discovery.Addresses;
+import cacheproxy.routing.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -230,14 +230,14 @@
         int code = r.status().code();
         if (attempt.exchange == null) {
             release(whole);
-            connection.ended(code == 200 ? Outcome.OK : Outcome.ERROR, 0, report, null);
+            connection.ended(code == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, report, null);
         } else if (code == 200) {
-            connection.ended(Outcome.OK, 0, report, answer(attempt.exchange.command, whole));
+            connection.ended(AttemptOutcome.OK, 0, report, answer(attempt.exchange.command, whole));
         } else {
             release(whole);
             boolean declined =
                     (code == 503 || code == 504) && "1".equals(r.headers().get("Srv-Declined"));
-            connection.ended(declined ? Outcome.FULL : Outcome.ERROR, 0, report, null);
+            connection.ended(declined ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR, 0, report, null);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/PeerNews.java
+++ b/src/main/java/cacheproxy/proxy/PeerNews.java
@@ -61,7 +61,7 @@
     }
 
     private boolean sharesChanges() {
-        return dispatcher.settings().askForList();
+        return dispatcher.settings().pollsDiscovery();
     }
 
     /** Discovery has told that version. */
--- a/src/main/java/cacheproxy/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerSocket.java
@@ -77,7 +77,7 @@
         for (int i = 0; i < config.peers().size(); i++) {
             numbers.putIfAbsent(config.peers().get(i), i);
         }
-        if (config.settings().peers() && config.peerListen() != null) {
+        if (config.settings().peerMessagesAllowed() && config.peerListen() != null) {
             ChannelFuture bound = bind().awaitUninterruptibly();
             channel = bound.channel(); // what is sent before is lost
             if (!bound.isSuccess()) {
@@ -118,7 +118,7 @@
     /** The number of some other proxy of the tier; negative if there is none. */
     int another(SplittableRandom random) {
         return AntiEntropy.partner(
-                random, config.settings().me(), config.peers().size());
+                random, config.settings().instanceIndex(), config.peers().size());
     }
 
     /** Sends to the proxy of this number, or to all of the tier if it is negative, if the budget has room for it. */
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -1,7 +1,5 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Experience;
-import cacheproxy.RoutingApi.Settings;
 import cacheproxy.drain.Drain;
 import cacheproxy.drain.DrainPlan;
 import cacheproxy.failover.Zones.Held;
@@ -18,6 +16,8 @@
 import cacheproxy.route.Known;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
+import cacheproxy.routing.LearnedState;
+import cacheproxy.routing.RoutingSettings;
 import cacheproxy.state.Kind;
 import cacheproxy.state.Opened;
 import cacheproxy.state.Record;
@@ -97,10 +97,10 @@
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
         peers = new PeerSocket(loop, config, dispatcher::heard, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
-        Settings atStart = config.settings();
+        RoutingSettings atStart = config.settings();
         ProvisionalList list = new ProvisionalList(
                 dispatcher,
-                new ProvisionalMembership(atStart.aside() ? atStart.originKind() : NO_KIND),
+                new ProvisionalMembership(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
                 dispatcher::now);
         discovery = new DiscoveryClient(
                 loop,
@@ -125,12 +125,12 @@
         loop.submit(() -> {
                     dispatcher.start(discovery, peers, acceptor, routing);
                     discovery.start(remembered.list(config.known()));
-                    if (config.settings().peers()) {
-                        Settings settings = config.settings();
-                        ListNews news = new ListNews(settings.instances(), settings.ownSeed(config.seed()));
+                    if (config.settings().peerMessagesAllowed()) {
+                        RoutingSettings settings = config.settings();
+                        ListNews news = new ListNews(settings.instanceCount(), settings.instanceSeed(config.seed()));
                         news.begin(discovery.version());
                         dispatcher.news(new PeerNews(
-                                dispatcher, peers, discovery, list, news, settings.ownSeed(config.seed() + 1)));
+                                dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
                     }
                     dispatcher.resume(remembered.learnt());
                     if (kept != null) {
@@ -171,7 +171,7 @@
     }
 
     /** What is passed over of what has been learnt; for tests, on the event loop only. */
-    Map<String, Experience> knows() {
+    Map<String, LearnedState> knows() {
         return dispatcher.experience();
     }
 
@@ -321,7 +321,7 @@
      * What a proxy does with the others of its fleet, where the settings allow peers to talk.
      *
      * @param view takes part in the view that the fleet keeps of itself; implied by the others
-     * @param zones takes part in what the fleet decides of zones
+     * @param zoneCount takes part in what the fleet decides of zones
      * @param recovers comes back with the others in mind
      */
     public record Together(boolean view, boolean zones, boolean recovers) {}
@@ -329,7 +329,7 @@
     /** Begins to do so. */
     public void join(Together parts) {
         loop.execute(() -> {
-            boolean peersTalk = config.settings().peers();
+            boolean peersTalk = config.settings().peerMessagesAllowed();
             if (peersTalk && (parts.view() || parts.zones() || parts.recovers())) {
                 members = new MemberLink(
                         dispatcher,
--- a/src/main/java/cacheproxy/proxy/RecallLink.java
+++ b/src/main/java/cacheproxy/proxy/RecallLink.java
@@ -1,14 +1,14 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Experience;
-import cacheproxy.RoutingApi.Load;
-import cacheproxy.RoutingApi.Seen;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.recovery.Memory;
 import cacheproxy.recovery.Recall;
 import cacheproxy.recovery.Recall.Recalled;
 import cacheproxy.recovery.Source;
 import cacheproxy.recovery.Trust;
+import cacheproxy.routing.EndpointHealthRecord;
+import cacheproxy.routing.LearnedState;
+import cacheproxy.routing.LoadCount;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -35,7 +35,7 @@
         this.peers = peers;
         this.members = members;
         this.discovery = discovery;
-        recall = asks ? new Recall(dispatcher.settings().me(), dispatcher.now()) : null;
+        recall = asks ? new Recall(dispatcher.settings().instanceIndex(), dispatcher.now()) : null;
         if (asks) {
             run();
         }
@@ -54,28 +54,28 @@
 
     /** What this proxy has learnt itself, as far as it goes into a datagram. */
     private void answer(int peer) {
-        Experience e = dispatcher.experience().get("");
+        LearnedState e = dispatcher.experience().get("");
         if (e == null) {
             return; // it has pools, and none of all servers
         }
-        List<Integer> bad = e.servers().stream()
+        List<Integer> bad = e.endpoints().stream()
                 .filter(s -> s.failures() > 0 && dispatcher.avoids(s.id()))
-                .sorted(Comparator.comparingInt(Seen::failures).reversed())
+                .sorted(Comparator.comparingInt(EndpointHealthRecord::failures).reversed())
                 .limit(Memory.MOST_BAD)
-                .map(Seen::id)
+                .map(EndpointHealthRecord::id)
                 .toList();
-        double asked = e.origin().asked();
+        double asked = e.originLoad().requested();
         peers.send(
                 peer,
                 PeerSocket.Kind.RECALL,
                 new Memory(
                                 Math.max(0, discovery.version()),
-                                (float) e.fetchMs(),
-                                (float) e.paceMs(),
+                                (float) e.originFetchMs(),
+                                (float) e.usualLatencyMs(),
                                 asked < 1
                                         ? 1
                                         : (float) Math.max(
-                                                0, Math.min(1, e.origin().answered() / asked)),
+                                                0, Math.min(1, e.originLoad().completedInTime() / asked)),
                                 bad)
                         .encode());
     }
@@ -99,19 +99,19 @@
             inZone.merge(u.place.zone(), 1, Integer::sum);
         });
         Recalled r = recall.recalled(zoneOf, inZone);
-        List<Seen> doubts = r.bad().stream()
-                .map(id -> new Seen(id, dispatcher.servers().get(id).bornMs, 1, 0, 0))
+        List<EndpointHealthRecord> doubts = r.bad().stream()
+                .map(id -> new EndpointHealthRecord(id, dispatcher.servers().get(id).bornMs, 1, 0, 0))
                 .toList();
         double now = dispatcher.now();
         dispatcher.resume(Map.of(
                 "",
-                new Experience(
+                new LearnedState(
                         r.fetchMs(),
                         r.paceMs(),
                         r.paceMs() / 2,
                         0,
-                        new Load(ORIGIN_WEIGHT, ORIGIN_WEIGHT * r.originShare()),
-                        new Load(0, 0),
+                        new LoadCount(ORIGIN_WEIGHT, ORIGIN_WEIGHT * r.originShare()),
+                        new LoadCount(0, 0),
                         0,
                         List.of(),
                         doubts)));
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -1,6 +1,5 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.ListKind;
 import cacheproxy.membership.Entry;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
@@ -11,6 +10,7 @@
 import cacheproxy.recovery.Sample;
 import cacheproxy.recovery.Spread;
 import cacheproxy.recovery.Trust.Thing;
+import cacheproxy.routing.EndpointUpdateKind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -61,10 +61,10 @@
         run();
     }
 
-    private void listed(ListKind kind) {
-        if (kind == ListKind.FULL || kind == ListKind.CHANGES) {
+    private void listed(EndpointUpdateKind kind) {
+        if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
             progress.listed(dispatcher.now(), true);
-        } else if (kind == ListKind.CACHED && dispatcher.servers().discovered() == 0) {
+        } else if (kind == EndpointUpdateKind.CACHED && dispatcher.servers().discovered() == 0) {
             progress.unlisted();
         }
     }
--- a/src/main/java/cacheproxy/proxy/Remembered.java
+++ b/src/main/java/cacheproxy/proxy/Remembered.java
@@ -1,13 +1,13 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Experience;
-import cacheproxy.RoutingApi.Load;
-import cacheproxy.RoutingApi.Seen;
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.membership.Entry;
 import cacheproxy.recovery.Source;
 import cacheproxy.recovery.Trust;
 import cacheproxy.recovery.Trust.Thing;
+import cacheproxy.routing.EndpointHealthRecord;
+import cacheproxy.routing.LearnedState;
+import cacheproxy.routing.LoadCount;
 import cacheproxy.state.Kind;
 import cacheproxy.state.Opened;
 import cacheproxy.state.Record;
@@ -117,7 +117,7 @@
     }
 
     /** What was learnt, or of what is too old to hold the doubts alone; empty for nothing. */
-    Map<String, Experience> learnt() {
+    Map<String, LearnedState> learnt() {
         Use use = use(Kind.LEARNT);
         if (use == Use.NOTHING) {
             if (records.containsKey(Kind.LEARNT)) {
@@ -126,7 +126,7 @@
             return Map.of();
         }
         try {
-            Map<String, Experience> all = new HashMap<>(
+            Map<String, LearnedState> all = new HashMap<>(
                     LearntForm.read(records.get(Kind.LEARNT).body().getAsJsonObject()));
             if (use == Use.HINT) {
                 all.replaceAll((pool, e) -> doubts(e));
@@ -143,18 +143,18 @@
      * Servers that failed last are tried by one request before the others; of the origin's jam and hot keys nothing is
      * left.
      */
-    private static Experience doubts(Experience e) {
-        List<Seen> seen = e.servers().stream()
+    private static LearnedState doubts(LearnedState e) {
+        List<EndpointHealthRecord> seen = e.endpoints().stream()
                 .filter(s -> s.failures() > 0)
-                .map(s -> new Seen(s.id(), s.bornMs(), 1, 0, 0))
+                .map(s -> new EndpointHealthRecord(s.id(), s.startTimeMs(), 1, 0, 0))
                 .toList();
-        return new Experience(
-                e.fetchMs(),
-                e.paceMs(),
-                e.paceDeviationMs(),
-                e.usualCost(),
-                new Load(0, 0),
-                new Load(0, 0),
+        return new LearnedState(
+                e.originFetchMs(),
+                e.usualLatencyMs(),
+                e.latencyDeviationMs(),
+                e.usualCostMs(),
+                new LoadCount(0, 0),
+                new LoadCount(0, 0),
                 0,
                 List.of(),
                 seen);
--- a/src/main/java/cacheproxy/proxy/Servers.java
+++ b/src/main/java/cacheproxy/proxy/Servers.java
@@ -1,12 +1,12 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.ListKind;
-import cacheproxy.RoutingApi.Settings;
-import cacheproxy.RoutingApi.State;
 import cacheproxy.admission.Permits;
 import cacheproxy.metrics.Work;
 import cacheproxy.metrics.WorkLine;
 import cacheproxy.proxy.discovery.Host;
+import cacheproxy.routing.EndpointState;
+import cacheproxy.routing.EndpointUpdateKind;
+import cacheproxy.routing.RoutingSettings;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.util.collection.IntObjectHashMap;
 import java.util.ArrayList;
@@ -57,10 +57,10 @@
     }
 
     /** Takes news of the list: who is new, gone, or at another address. */
-    void listed(ListKind kind, List<Host> hosts, int streams) {
+    void listed(EndpointUpdateKind kind, List<Host> hosts, int streams) {
         for (Host h : hosts) {
             int id = h.member().id();
-            if (h.member().state() == State.GONE) {
+            if (h.member().state() == EndpointState.REMOVED) {
                 forget(id);
                 continue;
             }
@@ -68,16 +68,16 @@
             if (u == null) {
                 u = added(h, streams);
             }
-            if (!h.dial().equals(u.dial) || u.bornMs != h.member().bornMs()) {
+            if (!h.dial().equals(u.dial) || u.bornMs != h.member().startTimeMs()) {
                 u.retire();
             }
             u.dial = h.dial();
-            u.bornMs = h.member().bornMs();
-            u.startedMs = h.member().startedMs();
+            u.bornMs = h.member().startTimeMs();
+            u.startedMs = h.member().localStartTimeMs();
             u.place = new Permits.Place(h.member().zone(), h.member().cell());
-            u.ready = h.member().state() == State.READY;
+            u.ready = h.member().state() == EndpointState.READY;
         }
-        if (kind.whole()) {
+        if (kind.isSnapshot()) {
             Set<Integer> named = new HashSet<>();
             hosts.forEach(h -> named.add(h.member().id()));
             for (Integer id : List.copyOf(servers.keySet())) {
@@ -89,8 +89,8 @@
     }
 
     private Upstream added(Host h, int streams) {
-        Settings settings = dispatcher.settings();
-        boolean origin = settings.aside() && h.member().kind() == settings.originKind();
+        RoutingSettings settings = dispatcher.settings();
+        boolean origin = settings.cacheAside() && h.member().kind() == settings.originKind();
         int id = h.member().id();
         Upstream u = origin
                 ? new Upstream(id, true, dispatcher, bootstrap, originConnections(), originConnections(), 1)
@@ -127,14 +127,14 @@
      * for.
      */
     private int cacheConnections(int most) {
-        Settings settings = dispatcher.settings();
-        return settings.secondCopies()
-                ? Math.max(1, Math.min(most, 28 / Math.max(1, settings.instances())))
+        RoutingSettings settings = dispatcher.settings();
+        return settings.hedgingAllowed()
+                ? Math.max(1, Math.min(most, 28 / Math.max(1, settings.instanceCount())))
                 : CONNECTIONS_IN_ALL;
     }
 
     private int originConnections() {
-        return Math.max(4, Math.min(48, 240 / Math.max(1, dispatcher.settings().instances())));
+        return Math.max(4, Math.min(48, 240 / Math.max(1, dispatcher.settings().instanceCount())));
     }
 
     // ---- bounds
@@ -159,7 +159,7 @@
         double now = dispatcher.now();
         closes = Math.min(CLOSES_SAVED, closes + (now - closesAtMs) / 1000 * CLOSES_PER_SECOND);
         closesAtMs = now;
-        if (closes < 1 && dispatcher.settings().secondCopies()) {
+        if (closes < 1 && dispatcher.settings().hedgingAllowed()) {
             return false;
         }
         closes--;
--- a/src/main/java/cacheproxy/proxy/StateLink.java
+++ b/src/main/java/cacheproxy/proxy/StateLink.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.ListKind;
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.routing.EndpointUpdateKind;
 import cacheproxy.state.Finding;
 import cacheproxy.state.Finding.Harm;
 import cacheproxy.state.Header;
@@ -107,8 +107,8 @@
         fleetChanged();
     }
 
-    private void listed(ListKind kind) {
-        if (kind == ListKind.FULL || kind == ListKind.CHANGES) {
+    private void listed(EndpointUpdateKind kind) {
+        if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
             JsonElement list = discovery.list();
             Record before = keeper.get(Kind.LIST);
             if (before == null || !before.body().equals(list) || dispatcher.now() - before.toldMs() > LIST_REFRESH_MS) {
--- a/src/main/java/cacheproxy/proxy/TakeoverState.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverState.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Experience;
+import cacheproxy.routing.LearnedState;
 import cacheproxy.state.Kind;
 import cacheproxy.state.Record;
 import com.google.gson.JsonArray;
@@ -17,7 +17,7 @@
  * @param learnt by the pools' names; may be empty, as a process of an earlier version tells nothing of it
  * @param kept what else outlasts a process, as it would be stored; empty from an earlier version
  */
-record TakeoverState(JsonObject list, Map<String, Experience> learnt, Map<Kind, Record> kept) {
+record TakeoverState(JsonObject list, Map<String, LearnedState> learnt, Map<Kind, Record> kept) {
     /** The version of what is passed over; a process that speaks another starts beside this one, without it. */
     static final int VERSION = 1;
 
@@ -38,7 +38,7 @@
         if (state.get("v").getAsInt() != VERSION) {
             throw new IllegalArgumentException("version " + state.get("v"));
         }
-        Map<String, Experience> learnt =
+        Map<String, LearnedState> learnt =
                 state.has("learnt") ? LearntForm.read(state.getAsJsonObject("learnt")) : Map.of();
         Map<Kind, Record> kept = new EnumMap<>(Kind.class);
         if (state.has("kept")) {
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -1,10 +1,10 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Outcome;
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.Work;
 import cacheproxy.proxy.Exchange.Attempt;
 import cacheproxy.proxy.transport.Connecting;
+import cacheproxy.routing.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -96,7 +96,7 @@
                 write(waiting);
             } else {
                 attempts.remove(waiting);
-                upstream.dispatcher().end(waiting, Outcome.NOT_SENT, 0, null, null);
+                upstream.dispatcher().end(waiting, AttemptOutcome.NOT_SENT, 0, null, null);
             }
         }
     }
@@ -185,7 +185,7 @@
         if (!connected) {
             retired = true;
             for (Attempt a; (a = attempts.poll()) != null; ) {
-                upstream.dispatcher().end(a, Outcome.NOT_SENT, 0, null, null);
+                upstream.dispatcher().end(a, AttemptOutcome.NOT_SENT, 0, null, null);
             }
             close();
         }
@@ -268,7 +268,7 @@
     }
 
     /** A short answer or a long one's end has come whole. */
-    void ended(Outcome outcome, int note, float[] report, Answer answer) {
+    void ended(AttemptOutcome outcome, int note, float[] report, Answer answer) {
         Attempt attempt = attempts.poll();
         begun = false;
         partial = false;
@@ -280,9 +280,9 @@
         }
         boolean first = !answered;
         answered = true;
-        if (first && outcome == Outcome.FULL && !upstream.origin) {
+        if (first && outcome == AttemptOutcome.REJECTED && !upstream.origin) {
             turnedAway = attempt;
-            upstream.dispatcher().after(PLACE_MS, () -> turnedAway(Outcome.FULL));
+            upstream.dispatcher().after(PLACE_MS, () -> turnedAway(AttemptOutcome.REJECTED));
         } else {
             upstream.dispatcher().end(attempt, outcome, note, report, answer);
         }
@@ -297,7 +297,7 @@
      * The end of a first attempt that was turned away. Guards against proxies that ask again and again for a place at a
      * server which has given all of them to others: only one that ends the connection as well has none left.
      */
-    private void turnedAway(Outcome outcome) {
+    private void turnedAway(AttemptOutcome outcome) {
         if (turnedAway != null) {
             Attempt attempt = turnedAway;
             turnedAway = null;
@@ -357,13 +357,13 @@
         upstream.closed(this);
         if (turnedAway != null) {
             // Where the end is ours (what came behind could not be read), it tells nothing of places.
-            turnedAway(!retired && upstream.turnedAway() ? Outcome.NO_PLACE : Outcome.FULL);
+            turnedAway(!retired && upstream.turnedAway() ? AttemptOutcome.CONNECTION_LIMIT : AttemptOutcome.REJECTED);
         }
         for (Attempt a; (a = attempts.poll()) != null; ) {
             if (!connected && !a.ended && upstream.sendElsewhere(a)) {
                 continue;
             }
-            Outcome outcome = a.written ? Outcome.RESET : Outcome.CONNECT_FAILED;
+            AttemptOutcome outcome = a.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
             upstream.dispatcher().end(a, outcome, 0, null, null);
         }
     }
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -1,11 +1,11 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.ListKind;
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.State;
 import cacheproxy.proxy.discovery.Host;
 import cacheproxy.proxy.discovery.ListSource;
 import cacheproxy.route.Pool;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointState;
+import cacheproxy.routing.EndpointUpdateKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -111,7 +111,7 @@
                                 public void retire(ClientConnection client) {}
                             },
                             null);
-                    dispatcher.listed(ListKind.CACHED, hosts);
+                    dispatcher.listed(EndpointUpdateKind.CACHED, hosts);
                 })
                 .sync();
         new Bootstrap()
@@ -144,7 +144,8 @@
     }
 
     private static Host host(int id, int kind, SocketAddress dial) {
-        return new Host(new Member(id, 0, kind, 0, State.READY, 1, 0), dial, new Pool.Server("", "", "", Set.of()));
+        return new Host(
+                new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), dial, new Pool.Server("", "", "", Set.of()));
     }
 
     /** One whose connection ends with the warm-up, and be it by a reset. */
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -1,11 +1,11 @@
 package cacheproxy.proxy;
 
-import cacheproxy.RoutingApi.Evidence;
-import cacheproxy.RoutingApi.Settings;
-import cacheproxy.RoutingApi.ZoneOrder;
 import cacheproxy.failover.ZoneSettings;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.Zones;
+import cacheproxy.routing.EndpointSignal;
+import cacheproxy.routing.RoutingSettings;
+import cacheproxy.routing.ZoneDirective;
 import cacheproxy.state.Kind;
 import java.util.Arrays;
 import java.util.List;
@@ -25,11 +25,12 @@
     private byte[] sight = {};
 
     /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
-    ZoneLink(Dispatcher dispatcher, MemberLink members, Settings settings, List<String> names, Remembered last) {
+    ZoneLink(Dispatcher dispatcher, MemberLink members, RoutingSettings settings, List<String> names, Remembered last) {
         this.dispatcher = dispatcher;
         this.members = members;
         this.names = List.copyOf(names);
-        this.settings = new ZoneSettings(settings.me(), settings.zone(), settings.zones(), settings.warmUpMs());
+        this.settings =
+                new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
         zones = new Zones(this.settings);
         zones.remember(dispatcher.now(), last.zones(Kind.ZONES, names), last.holds(Kind.ZONES));
         zones.remember(dispatcher.now(), last.zones(Kind.ORDERS, names), last.holds(Kind.ORDERS));
@@ -39,19 +40,19 @@
     }
 
     /** The decision module has met this at a server. */
-    void saw(int server, Evidence what) {
+    void saw(int server, EndpointSignal what) {
         Upstream u = dispatcher.servers().get(server);
         if (u == null) {
             return;
         }
         double now = dispatcher.now();
         if (u.origin) {
-            zones.origin(now, what == Evidence.ANSWERED);
+            zones.origin(now, what == EndpointSignal.RESPONDED);
             return;
         }
         switch (what) {
-            case ANSWERED, MISSED -> zones.answered(now, u.place.zone(), what == Evidence.ANSWERED);
-            case SILENT -> zones.silent(now, u.place.zone(), server);
+            case RESPONDED, CACHE_MISS -> zones.answered(now, u.place.zone(), what == EndpointSignal.RESPONDED);
+            case UNRESPONSIVE -> zones.silent(now, u.place.zone(), server);
         }
     }
 
@@ -71,7 +72,7 @@
 
     /** The view has changed, or an operator has spoken: what follows from it need not wait. */
     void tick() {
-        List<ZoneOrder> orders = zones.tick(dispatcher.now(), members.view());
+        List<ZoneDirective> orders = zones.tick(dispatcher.now(), members.view());
         if (!orders.isEmpty()) {
             dispatcher.order(orders);
         }
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -1,12 +1,12 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.RoutingApi.ListKind;
 import cacheproxy.endpoints.ListCalls;
 import cacheproxy.endpoints.ListCalls.Begin;
 import cacheproxy.endpoints.ListCalls.Failure;
 import cacheproxy.endpoints.ListCalls.Form;
 import cacheproxy.endpoints.ListCalls.GiveUp;
 import cacheproxy.endpoints.ListCalls.Order;
+import cacheproxy.routing.EndpointUpdateKind;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -37,7 +37,7 @@
          * The list that this proxy starts with, or what discovery has told: all of it or changes up to this version.
          * What can't be used throws, and is asked for anew, whole.
          */
-        void listed(ListKind kind, long version, List<Host> hosts);
+        void listed(EndpointUpdateKind kind, long version, List<Host> hosts);
 
         /** Discovery is being asked. */
         void called();
@@ -132,7 +132,7 @@
                 listener.leftOut("the list in the configuration: " + e.getMessage());
             }
         }
-        listener.listed(ListKind.CACHED, version, known);
+        listener.listed(EndpointUpdateKind.CACHED, version, known);
         if (!settings.calls().asked()) {
             watch(true);
         }
@@ -256,7 +256,8 @@
             throw new JsonParseException("changes up to " + read.version() + ", where all is needed");
         }
         try {
-            listener.listed(read.whole() ? ListKind.FULL : ListKind.CHANGES, read.version(), hosts(read));
+            listener.listed(
+                    read.whole() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, read.version(), hosts(read));
         } catch (RuntimeException e) {
             needsAll = true;
             throw e;
--- a/src/main/java/cacheproxy/proxy/discovery/Host.java
+++ b/src/main/java/cacheproxy/proxy/discovery/Host.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.RoutingApi.Member;
 import cacheproxy.route.Pool;
+import cacheproxy.routing.Endpoint;
 import java.net.SocketAddress;
 
 /**
@@ -11,4 +11,4 @@
  * @param dial where it listens
  * @param server what pools select it by
  */
-public record Host(Member member, SocketAddress dial, Pool.Server server) {}
+public record Host(Endpoint member, SocketAddress dial, Pool.Server server) {}
--- a/src/main/java/cacheproxy/proxy/discovery/ListForm.java
+++ b/src/main/java/cacheproxy/proxy/discovery/ListForm.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.State;
 import cacheproxy.route.Pool;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointState;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -88,7 +88,7 @@
                 if (other != null) {
                     wrong.add("host " + name + " is listed twice");
                 }
-                if (other == null || other.member().state() == State.READY) {
+                if (other == null || other.member().state() == EndpointState.READY) {
                     hosts.put(name, host);
                     entries.put(name, element.getAsJsonObject());
                 }
@@ -147,10 +147,10 @@
 
     private Host host(JsonObject h, Map<String, Integer> zoneNumbers, Map<String, Integer> kindNumbers) {
         String name = h.get("host").getAsString();
-        State state = switch (h.get("health").getAsString()) {
-            case "up" -> State.READY;
-            case "draining" -> State.DRAINING;
-            case "removed" -> State.GONE;
+        EndpointState state = switch (h.get("health").getAsString()) {
+            case "up" -> EndpointState.READY;
+            case "draining" -> EndpointState.DRAINING;
+            case "removed" -> EndpointState.REMOVED;
             default -> throw new IllegalArgumentException("host " + name + ": unknown health");
         };
         int zone = zoneNumbers.getOrDefault(word(h.get("site").getAsString()), -1);
@@ -162,7 +162,7 @@
         double born = h.has("born_ms") ? h.get("born_ms").getAsDouble() : 0;
         int cell = h.has("block") ? h.get("block").getAsInt() : 0;
         return new Host(
-                new Member(id(name), zone, kind, cell, state, weight, born),
+                new Endpoint(id(name), zone, kind, cell, state, weight, born),
                 Addresses.parse(h.get("dial").getAsString()),
                 new Pool.Server(name, zones.get(zone), kinds.get(kind), labels(name, h)));
     }
--- a/src/main/java/cacheproxy/proxy/discovery/ProvisionalList.java
+++ b/src/main/java/cacheproxy/proxy/discovery/ProvisionalList.java
@@ -1,11 +1,11 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.RoutingApi.ListKind;
-import cacheproxy.RoutingApi.Member;
-import cacheproxy.RoutingApi.State;
 import cacheproxy.gossip.ListUpdate;
 import cacheproxy.gossip.ProvisionalMembership;
 import cacheproxy.gossip.StartTimes;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointState;
+import cacheproxy.routing.EndpointUpdateKind;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -22,7 +22,7 @@
     /** Who uses the list. */
     public interface User {
         /** The list, changes of it, or what peers tell of it ({@code PROVISIONAL}). What can't be used throws. */
-        void listed(ListKind kind, List<Host> hosts);
+        void listed(EndpointUpdateKind kind, List<Host> hosts);
 
         /** The list has changed: to which version, by whose word, and what of it, in words for people. */
         void changed(String what);
@@ -62,44 +62,44 @@
     }
 
     @Override
-    public void listed(ListKind kind, long version, List<Host> list) {
-        if (kind.whole()) {
+    public void listed(EndpointUpdateKind kind, long version, List<Host> list) {
+        if (kind.isSnapshot()) {
             hosts.clear();
         }
-        List<Member> members = new ArrayList<>();
+        List<Endpoint> members = new ArrayList<>();
         for (Host host : list) {
             hosts.put(host.member().id(), host);
             members.add(host.member());
         }
         double now = nowMs.getAsDouble();
-        if (kind == ListKind.CACHED) {
+        if (kind == EndpointUpdateKind.CACHED) {
             membership.begin(version, members);
             user.listed(kind, hosts(startTimes.begin(now, members)));
         } else {
-            List<Member> used = membership.told(now, version, kind.whole(), members);
+            List<Endpoint> used = membership.told(now, version, kind.isSnapshot(), members);
             user.listed(kind, hosts(startTimes.told(now, used)));
             user.inUse(version);
-            changed("version " + version + " by discovery" + (kind.whole() ? ", whole" : ""), used);
+            changed("version " + version + " by discovery" + (kind.isSnapshot() ? ", whole" : ""), used);
         }
-        hosts.values().removeIf(host -> host.member().state() == State.GONE);
+        hosts.values().removeIf(host -> host.member().state() == EndpointState.REMOVED);
     }
 
     /** A peer tells what discovery told it. */
     public void heard(double nowMs, int peer, ListUpdate update) {
-        List<Member> changed = membership.heard(nowMs, update);
+        List<Endpoint> changed = membership.heard(nowMs, update);
         if (!changed.isEmpty()) {
-            user.listed(ListKind.PROVISIONAL, hosts(startTimes.timed(nowMs, changed)));
+            user.listed(EndpointUpdateKind.PROVISIONAL, hosts(startTimes.timed(nowMs, changed)));
             changed("version " + update.version() + " by peer " + peer, changed);
         }
     }
 
-    private void changed(String version, List<Member> members) {
+    private void changed(String version, List<Endpoint> members) {
         if (members.isEmpty()) {
             return;
         }
         StringBuilder line = new StringBuilder(version);
-        for (State state : State.values()) {
-            List<Member> these =
+        for (EndpointState state : EndpointState.values()) {
+            List<Endpoint> these =
                     members.stream().filter(m -> m.state() == state).toList();
             if (!these.isEmpty()) {
                 line.append(", ")
@@ -112,9 +112,9 @@
         user.changed(line.toString());
     }
 
-    private List<Host> hosts(List<Member> members) {
+    private List<Host> hosts(List<Endpoint> members) {
         List<Host> used = new ArrayList<>();
-        for (Member member : members) {
+        for (Endpoint member : members) {
             Host host = hosts.get(member.id());
             used.add(new Host(member, host.dial(), host.server()));
         }
--- a/src/main/java/cacheproxy/route/Router.java
+++ b/src/main/java/cacheproxy/route/Router.java
@@ -1,7 +1,21 @@
 package cacheproxy.route;
 
-import cacheproxy.Policy;
-import cacheproxy.RoutingApi;
+import cacheproxy.routing.AttemptEnd;
+import cacheproxy.routing.AttemptOutcome;
+import cacheproxy.routing.CarpLoadBalancer;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointSignal;
+import cacheproxy.routing.EndpointState;
+import cacheproxy.routing.EndpointUpdateKind;
+import cacheproxy.routing.Idempotency;
+import cacheproxy.routing.LearnedState;
+import cacheproxy.routing.LoadBalancer;
+import cacheproxy.routing.Request;
+import cacheproxy.routing.RoutingActions;
+import cacheproxy.routing.RoutingSettings;
+import cacheproxy.routing.ServiceClass;
+import cacheproxy.routing.Tenant;
+import cacheproxy.routing.ZoneDirective;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -23,7 +37,7 @@
  * repeat only if no attempt of it may have run. A server that is in several pools is known to each of their modules,
  * and what it is told, to drain or that it is cold, holds in each.
  */
-public final class Router implements RoutingApi {
+public final class Router implements LoadBalancer {
     /** What a pool has done, for the operators. */
     public record PoolStatus(String name, int servers, int open, boolean leaving) {}
 
@@ -33,7 +47,7 @@
     /** A pool with its module. */
     private final class Lane {
         final String name;
-        final Policy module;
+        final CarpLoadBalancer module;
         Pool pool;
         /** Requests that it has now. */
         int open;
@@ -47,15 +61,15 @@
         Lane(Pool pool, long seed) {
             this.pool = pool;
             name = pool.name();
-            module = new Policy(settings, seed);
-            module.onZones(0, List.copyOf(zones.values()), null);
+            module = new CarpLoadBalancer(settings, seed);
+            module.onZoneDirectives(0, List.copyOf(zones.values()), null);
         }
 
         boolean serves() {
             return ready.containsValue(true);
         }
 
-        Orders orders(double now, Actions out) {
+        Orders orders(double now, RoutingActions out) {
             return new Orders(this, now, out);
         }
     }
@@ -134,20 +148,20 @@
 
     private final long seed;
     private final Map<Integer, Pool.Server> described = new HashMap<>();
-    private final Map<Integer, Member> members = new LinkedHashMap<>();
+    private final Map<Integer, Endpoint> members = new LinkedHashMap<>();
     private final Map<Integer, Journey> journeys = new HashMap<>();
     private final Map<Integer, Due> timers = new HashMap<>();
     private final Map<Integer, Set<Lane>> probing = new HashMap<>();
     /** How far the fleet has zones open; what is made anew is told of it. */
-    private final Map<Integer, ZoneOrder> zones = new HashMap<>();
+    private final Map<Integer, ZoneDirective> zones = new HashMap<>();
 
-    private final ArrayDeque<Consumer<Actions>> later = new ArrayDeque<>();
+    private final ArrayDeque<Consumer<RoutingActions>> later = new ArrayDeque<>();
     /** Those in use and those that still have open requests. */
     private final List<Lane> lanes = new ArrayList<>();
 
     private final Lane all;
     private final Way anyWay;
-    private Settings settings;
+    private RoutingSettings settings;
     private Routing routing;
     private RouteTable.Matcher matcher;
     /** How many routings there have been. */
@@ -158,7 +172,7 @@
     private int nextToken;
 
     /** Begins with these routes; requests that none matches go to all servers by the settings. */
-    public Router(Settings settings, long seed, Routing routing) {
+    public Router(RoutingSettings settings, long seed, Routing routing) {
         this.settings = settings;
         this.seed = seed;
         all = new Lane(Pool.ALL, seed);
@@ -177,10 +191,10 @@
      * Takes other routes at once and whole. Open requests go on under those they began with; a pool that is not named
      * any more serves these and then ends.
      */
-    public void replace(double now, Routing next, Actions out) {
+    public void replace(double now, Routing next, RoutingActions out) {
         replace(next);
         for (Lane lane : List.copyOf(lanes)) {
-            select(now, lane, ListKind.FULL, List.copyOf(members.values()), out);
+            select(now, lane, EndpointUpdateKind.SNAPSHOT, List.copyOf(members.values()), out);
         }
         drain(out);
     }
@@ -234,7 +248,7 @@
     }
 
     @Override
-    public void onSettings(double now, Settings next, Actions out) {
+    public void onSettings(double now, RoutingSettings next, RoutingActions out) {
         for (Lane lane : List.copyOf(lanes)) {
             lane.module.onSettings(now, next, lane.orders(now, out));
         }
@@ -244,16 +258,16 @@
     }
 
     @Override
-    public Map<String, Experience> experience(double now) {
-        Map<String, Experience> learnt = new HashMap<>();
+    public Map<String, LearnedState> learnedState(double now) {
+        Map<String, LearnedState> learnt = new HashMap<>();
         lanes.stream()
                 .filter(l -> !l.leaving)
-                .forEach(l -> learnt.put(l.name, l.module.experience(now).get("")));
+                .forEach(l -> learnt.put(l.name, l.module.learnedState(now).get("")));
         return learnt;
     }
 
     @Override
-    public void resume(double now, Map<String, Experience> learnt) {
+    public void resume(double now, Map<String, LearnedState> learnt) {
         for (Lane lane : lanes) {
             if (learnt.containsKey(lane.name)) {
                 lane.module.resume(now, Map.of("", learnt.get(lane.name)));
@@ -263,12 +277,12 @@
 
     /** A server that one pool still uses is not avoided. */
     @Override
-    public boolean avoids(double now, int server) {
+    public boolean isAvoided(double now, int server) {
         boolean listed = false;
         for (Lane lane : lanes) {
             if (lane.ready.containsKey(server)) {
                 listed = true;
-                if (!lane.module.avoids(now, server)) {
+                if (!lane.module.isAvoided(now, server)) {
                     return false;
                 }
             }
@@ -319,13 +333,13 @@
     }
 
     @Override
-    public void onList(double now, ListKind kind, List<Member> changes, Actions out) {
-        if (kind != ListKind.FAILED) {
-            if (kind.whole()) {
+    public void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> changes, RoutingActions out) {
+        if (kind != EndpointUpdateKind.FAILED) {
+            if (kind.isSnapshot()) {
                 members.clear();
             }
-            for (Member m : changes) {
-                if (m.state() == State.GONE) {
+            for (Endpoint m : changes) {
+                if (m.state() == EndpointState.REMOVED) {
                     members.remove(m.id());
                 } else {
                     members.put(m.id(), m);
@@ -334,7 +348,7 @@
             described.keySet().retainAll(members.keySet());
         }
         for (Lane lane : List.copyOf(lanes)) {
-            if (kind != ListKind.FAILED || lane == all) { // the one that asks for the list
+            if (kind != EndpointUpdateKind.FAILED || lane == all) { // the one that asks for the list
                 select(now, lane, kind, changes, out);
             }
         }
@@ -342,50 +356,54 @@
     }
 
     /** Hands a lane what of the list is its own; what it had and has no more is gone for it. */
-    private void select(double now, Lane lane, ListKind kind, List<Member> changes, Actions out) {
-        List<Member> own = new ArrayList<>();
-        for (Member m : changes) {
+    private void select(double now, Lane lane, EndpointUpdateKind kind, List<Endpoint> changes, RoutingActions out) {
+        List<Endpoint> own = new ArrayList<>();
+        for (Endpoint m : changes) {
             Pool.Server s = described.get(m.id());
             if (s != null && (lane == all || (origin(m) ? lane.pool.origin() : lane.pool.selects(s)))) {
                 own.add(with(m, m.state(), lane.pool.weight(s, m.weight())));
             } else if (lane == all || origin(m) || lane.ready.containsKey(m.id())) {
-                own.add(with(m, State.GONE, m.weight()));
+                own.add(with(m, EndpointState.REMOVED, m.weight()));
             }
         }
-        if (kind.whole()) {
+        if (kind.isSnapshot()) {
             lane.ready.clear();
         }
-        for (Member m : own) {
-            if (m.state() == State.GONE) {
+        for (Endpoint m : own) {
+            if (m.state() == EndpointState.REMOVED) {
                 lane.ready.remove(m.id());
             } else if (!origin(m)) {
-                lane.ready.put(m.id(), m.state() == State.READY);
+                lane.ready.put(m.id(), m.state() == EndpointState.READY);
             }
         }
-        lane.module.onList(
-                now, kind == ListKind.CACHED && lane != all ? ListKind.FULL : kind, own, lane.orders(now, out));
+        lane.module.onEndpointUpdate(
+                now,
+                kind == EndpointUpdateKind.CACHED && lane != all ? EndpointUpdateKind.SNAPSHOT : kind,
+                own,
+                lane.orders(now, out));
     }
 
-    private boolean origin(Member m) {
-        return settings.aside() && m.kind() == settings.originKind();
+    private boolean origin(Endpoint m) {
+        return settings.cacheAside() && m.kind() == settings.originKind();
     }
 
-    private static Member with(Member m, State state, float weight) {
+    private static Endpoint with(Endpoint m, EndpointState state, float weight) {
         return state == m.state() && weight == m.weight()
                 ? m
-                : new Member(m.id(), m.zone(), m.kind(), m.cell(), state, weight, m.bornMs(), m.startedMs());
+                : new Endpoint(
+                        m.id(), m.zone(), m.kind(), m.cell(), state, weight, m.startTimeMs(), m.localStartTimeMs());
     }
 
     // ---- requests
 
     /** A request without the text of its key, so that only routes for any key can match. */
     @Override
-    public void onRequest(double now, Request request, Actions out) {
+    public void onRequest(double now, Request request, RoutingActions out) {
         onRequest(now, request, "", Routing.META, out);
     }
 
     /** A client's request with its key's text and its front's index in {@link Routing#FRONTS}. */
-    public void onRequest(double now, Request request, CharSequence key, int front, Actions out) {
+    public void onRequest(double now, Request request, CharSequence key, int front, RoutingActions out) {
         Route route =
                 matcher.match(key, settings.tenants().isEmpty() ? -1 : request.tenant(), request.serviceClass(), front);
         Way way = route == null ? anyWay : ways.get(route);
@@ -394,12 +412,12 @@
         RoutePolicy policy = limits.policy;
         if (policy.turnsAway(request.write()) || limits.open >= policy.maxOpen()) {
             way.turnedAway++;
-            out.deny(request.id(), policy.retryAfterMs());
+            out.reject(request.id(), policy.retryAfterMs());
             return;
         }
         limits.budget.request(now);
-        double due = Math.min(request.dueMs(), now + policy.deadlineMs());
-        Request own = due == request.dueMs()
+        double due = Math.min(request.deadlineMs(), now + policy.deadlineMs());
+        Request own = due == request.deadlineMs()
                 ? request
                 : new Request(
                         request.id(),
@@ -410,9 +428,9 @@
                         request.costMs(),
                         request.bytes(),
                         request.write(),
-                        request.repeat());
+                        request.clientRetry());
         Journey j = new Journey(
-                own, way, settings.classes().get(request.serviceClass()).effect() == Effect.SAFE);
+                own, way, settings.classes().get(request.serviceClass()).idempotency() == Idempotency.IDEMPOTENT);
         journeys.put(request.id(), j);
         limits.open++;
         j.lane.open++;
@@ -425,7 +443,7 @@
         drain(out);
     }
 
-    private void enter(double now, Journey j, Actions out) {
+    private void enter(double now, Journey j, RoutingActions out) {
         Lane lane = j.lane;
         guarded(j, () -> lane.module.onRequest(now, j.request, lane.orders(now, out)));
     }
@@ -445,13 +463,13 @@
                 && !j.fellBack
                 && !j.over
                 && j.out == 0
-                && now < j.request.dueMs()
+                && now < j.request.deadlineMs()
                 && (j.safe || !j.mayHaveRun)
                 && j.tries < j.way.limits.policy.attempts()
                 && j.lanes.size() < settings.maxAttempts();
     }
 
-    private void fallBack(double now, Journey j, Actions out) {
+    private void fallBack(double now, Journey j, RoutingActions out) {
         j.fellBack = true;
         j.way.fallbacks++;
         j.lane.open--;
@@ -476,7 +494,7 @@
     }
 
     @Override
-    public void onFirstByte(double now, int request, int attempt, int server, Actions out) {
+    public void onFirstByte(double now, int request, int attempt, int server, RoutingActions out) {
         Journey j = journeys.get(request);
         if (j != null && attempt < j.lanes.size()) {
             Lane lane = j.lanes.get(attempt);
@@ -486,7 +504,7 @@
     }
 
     @Override
-    public void onAttemptEnd(double now, AttemptEnd end, Actions out) {
+    public void onAttemptEnd(double now, AttemptEnd end, RoutingActions out) {
         Journey j = journeys.get(end.request());
         if (j == null || end.attempt() >= j.lanes.size()) {
             return;
@@ -500,34 +518,34 @@
                 end.server(),
                 end.outcome(),
                 end.elapsedMs(),
-                end.over(),
+                end.requestCompleted(),
                 end.note(),
                 end.report());
-        j.missed = end.outcome() == Outcome.MISS;
+        j.missed = end.outcome() == AttemptOutcome.MISS;
         j.failed |= switch (end.outcome()) {
-            case FULL, TIMEOUT, CONNECT_FAILED, RESET, NOT_SENT, NO_PLACE -> true;
+            case REJECTED, TIMEOUT, CONNECT_FAILED, RESET, NOT_SENT, CONNECTION_LIMIT -> true;
             default -> false;
         };
         guarded(j, () -> lane.module.onAttemptEnd(now, own, lane.orders(now, out)));
-        if (end.over() || j.over) {
+        if (end.requestCompleted() || j.over) {
             over(j);
         }
         drain(out);
     }
 
     @Override
-    public void onGone(double now, int request, Actions out) {
+    public void onClientDisconnected(double now, int request, RoutingActions out) {
         Journey j = journeys.get(request);
         if (j != null) {
             Lane lane = j.lane;
-            lane.module.onGone(now, request, lane.orders(now, out));
+            lane.module.onClientDisconnected(now, request, lane.orders(now, out));
             over(j);
         }
         drain(out);
     }
 
     @Override
-    public void onTimer(double now, int token, Actions out) {
+    public void onTimer(double now, int token, RoutingActions out) {
         Due due = timers.remove(token);
         if (due != null) {
             due.lane().module.onTimer(now, due.token(), due.lane().orders(now, out));
@@ -536,55 +554,57 @@
     }
 
     @Override
-    public void onProbed(double now, int server, Outcome outcome, double elapsedMs, float[] report, Actions out) {
+    public void onHealthCheckResult(
+            double now, int server, AttemptOutcome outcome, double elapsedMs, float[] report, RoutingActions out) {
         Set<Lane> asked = probing.remove(server);
         if (asked != null) {
-            asked.forEach(lane -> lane.module.onProbed(now, server, outcome, elapsedMs, report, lane.orders(now, out)));
+            asked.forEach(lane ->
+                    lane.module.onHealthCheckResult(now, server, outcome, elapsedMs, report, lane.orders(now, out)));
         }
         drain(out);
     }
 
     @Override
-    public void onPeer(double now, int peer, byte[] message, Actions out) {
-        all.module.onPeer(now, peer, message, all.orders(now, out));
+    public void onPeerMessage(double now, int peer, byte[] message, RoutingActions out) {
+        all.module.onPeerMessage(now, peer, message, all.orders(now, out));
         drain(out);
     }
 
     @Override
-    public void onZones(double now, List<ZoneOrder> orders, Actions out) {
-        orders.forEach(o -> zones.put(o.zone(), new ZoneOrder(o.zone(), o.open(), false, false)));
-        lanes.forEach(lane -> lane.module.onZones(now, orders, lane.orders(now, out)));
+    public void onZoneDirectives(double now, List<ZoneDirective> orders, RoutingActions out) {
+        orders.forEach(o -> zones.put(o.zone(), new ZoneDirective(o.zone(), o.openFraction(), false, false)));
+        lanes.forEach(lane -> lane.module.onZoneDirectives(now, orders, lane.orders(now, out)));
         drain(out);
     }
 
     // ---- orders of the modules
 
     /** Carries out what could not be done within a module's own order, as that is not to be called from there. */
-    private void drain(Actions out) {
-        for (Consumer<Actions> next; (next = later.poll()) != null; ) {
+    private void drain(RoutingActions out) {
+        for (Consumer<RoutingActions> next; (next = later.poll()) != null; ) {
             next.accept(out);
         }
     }
 
     /** What the module of one pool orders at one time. */
-    private final class Orders implements Actions {
+    private final class Orders implements RoutingActions {
         private final Lane lane;
         private final double now;
-        private final Actions out;
+        private final RoutingActions out;
 
-        Orders(Lane lane, double now, Actions out) {
+        Orders(Lane lane, double now, RoutingActions out) {
             this.lane = lane;
             this.now = now;
             this.out = out;
         }
 
         @Override
-        public void place(int request, int server, double timeoutMs) {
+        public void send(int request, int server, double timeoutMs) {
             Journey j = journeys.get(request);
             int number = j.ordered++;
             if (!may(j, server)) {
                 j.way.heldBack++;
-                AttemptEnd end = new AttemptEnd(request, number, server, Outcome.NOT_SENT, 0, false, 0, null);
+                AttemptEnd end = new AttemptEnd(request, number, server, AttemptOutcome.NOT_SENT, 0, false, 0, null);
                 later.add(o -> guarded(j, () -> lane.module.onAttemptEnd(now, end, lane.orders(now, o))));
                 return;
             }
@@ -593,7 +613,7 @@
             j.lanes.add(lane);
             j.numbers.add(number);
             j.out++;
-            out.place(request, server, timeoutMs);
+            out.send(request, server, timeoutMs);
         }
 
         /** Asking the origin for what a server lacks is no further attempt; anything else after the first is. */
@@ -611,12 +631,12 @@
         }
 
         private boolean cold(int server) {
-            Member m = members.get(server);
-            return m != null && m.bornMs() != 0 && now - m.startedMs() < settings.warmUpMs();
+            Endpoint m = members.get(server);
+            return m != null && m.startTimeMs() != 0 && now - m.localStartTimeMs() < settings.warmUpMs();
         }
 
         @Override
-        public void deny(int request, double retryAfterMs) {
+        public void reject(int request, double retryAfterMs) {
             Journey j = journeys.get(request);
             if (j != null && (j.failed || !lane.serves()) && mayFallBack(now, j)) {
                 later.add(o -> fallBack(now, j, o));
@@ -624,7 +644,7 @@
                 if (j != null) {
                     over(j);
                 }
-                out.deny(request, retryAfterMs);
+                out.reject(request, retryAfterMs);
             }
         }
 
@@ -655,10 +675,10 @@
         }
 
         @Override
-        public void probe(int server) {
+        public void checkHealth(int server) {
             Set<Lane> asking = probing.computeIfAbsent(server, k -> new HashSet<>());
             if (asking.isEmpty()) {
-                out.probe(server);
+                out.checkHealth(server);
             }
             asking.add(lane);
         }
@@ -669,28 +689,28 @@
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
-            out.tell(peer, message);
+        public void sendToPeer(int peer, byte[] message) {
+            out.sendToPeer(peer, message);
         }
 
         /** The list is one for all pools, and the module of all servers looks after it. */
         @Override
-        public void watch(boolean on) {
+        public void setWatch(boolean on) {
             if (lane == all) {
-                out.watch(on);
+                out.setWatch(on);
             }
         }
 
         @Override
-        public void fetchList() {
+        public void fetchEndpointList() {
             if (lane == all) {
-                out.fetchList();
+                out.fetchEndpointList();
             }
         }
 
         @Override
-        public void saw(int server, Evidence what) {
-            out.saw(server, what);
+        public void report(int server, EndpointSignal what) {
+            out.report(server, what);
         }
 
         @Override
--- a/src/main/java/cacheproxy/Carp.java
+++ b/src/main/java/cacheproxy/routing/CarpHash.java
@@ -1,11 +1,11 @@
-package cacheproxy;
+package cacheproxy.routing;
 
 /** The pure functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4) as our design fixes them. */
-public final class Carp {
+public final class CarpHash {
     private static final int SPREAD = 0x62531965;
     private static final double UNSIGNED = 4294967296.0;
 
-    private Carp() { }
+    private CarpHash() { }
 
     /** Draft 3.1 over the key's text form: 16 lower-case hexadecimal digits. */
     public static int keyHash(long key) {
@@ -13,7 +13,7 @@
     }
 
     /** Draft 3.1 for members over the id's text form: 8 lower-case hexadecimal digits. */
-    public static int memberHash(int id) {
+    public static int endpointHash(int id) {
         return spread(textHash(Integer.toUnsignedLong(id), 8));
     }
 
@@ -82,7 +82,7 @@
     /**
      * A number in [0, 1) from key and member, independent of their score: decides who of a key's ranks waits.
      */
-    public static double lot(int keyHash, int memberHash) {
+    public static double keyFraction(int keyHash, int memberHash) {
         int h = keyHash * 0x9E3779B1 + memberHash;
         h = (h ^ (h >>> 16)) * 0x85EBCA6B;
         h = (h ^ (h >>> 13)) * 0xC2B2AE35;
--- a/src/main/java/cacheproxy/Policy.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -1,16 +1,23 @@
-package cacheproxy;
+package cacheproxy.routing;
 
 import cacheproxy.gossip.PeerMessage;
 import cacheproxy.endpoints.RetryPause;
-import java.util.*;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
 
 /**
- * The decisions of one balancer instance. Types, events and actions: RoutingApi.java; hashes and ranking:
- * Carp.java. CARP's top score takes each request; what departs from it says at its place when it acts and
+ * The decisions of one balancer instance. Events: {@link LoadBalancer}; orders: {@link RoutingActions}; hashes
+ * and ranking: {@link CarpHash}. CARP's top score takes each request; what departs from it says at its place when it acts and
  * what it guards.
  */
 @SuppressWarnings("OperatorPrecedence") // && binds before ||; parentheses follow as lines are touched
-public final class Policy implements RoutingApi {
+public final class CarpLoadBalancer implements LoadBalancer {
     private static final int DUE = 0, PATIENCE = 1, AGAIN = 2, WATCH = 3;
     private static final int CACHE_TRIES = 2;
     private static final double DOUBT_SHARE = 0.05;
@@ -38,7 +45,7 @@
     private final HotKeys hot = new HotKeys();
     private final Throttle throttle = new Throttle();
     private final Throttle crowd = new Throttle();
-    private Settings cfg;
+    private RoutingSettings cfg;
     private Shares shares;
     private Server[] ranked = new Server[0];
     private Server[] top = new Server[RANKS];
@@ -91,7 +98,7 @@
     private static final class Server {
         final int id;
         final int hash;
-        Member member;
+        Endpoint member;
         float multiplier;
         double share;
         int failures;
@@ -105,7 +112,7 @@
 
         Server(int id) {
             this.id = id;
-            this.hash = Carp.memberHash(id);
+            this.hash = CarpHash.endpointHash(id);
         }
     }
 
@@ -137,8 +144,8 @@
             this.request = request;
             arrivedMs = now;
             kind = cfg.classes().get(request.serviceClass());
-            safe = kind.effect() == Effect.SAFE;
-            keyHash = Carp.keyHash(request.key() != 0 ? request.key() : Integer.toUnsignedLong(request.id()));
+            safe = kind.idempotency() == Idempotency.IDEMPOTENT;
+            keyHash = CarpHash.keyHash(request.key() != 0 ? request.key() : Integer.toUnsignedLong(request.id()));
         }
 
         int maxAttempts() { // fewer than at its start where the settings have become stricter
@@ -171,14 +178,14 @@
             return ++counts.computeIfAbsent(key, k -> new int[1])[0];
         }
 
-        List<Hot> hottest() {
+        List<HotKey> hottest() {
             return counts.entrySet().stream().filter(e -> e.getValue()[0] >= MIN_COUNT)
                     .sorted((a, b) -> b.getValue()[0] - a.getValue()[0]).limit(MAX_TOLD)
-                    .map(e -> new Hot(e.getKey(), e.getValue()[0])).toList();
+                    .map(e -> new HotKey(e.getKey(), e.getValue()[0])).toList();
         }
 
         /** As if this had been seen here: not more than that, since the other may go on for a while. */
-        void resume(double now, double asked, List<Hot> hottest) {
+        void resume(double now, double asked, List<HotKey> hottest) {
             total = asked;
             halvedAt = now;
             hottest.forEach(h -> counts.put(h.key(), new int[] {h.count()}));
@@ -236,14 +243,14 @@
             asked = Math.max(0, asked - 1);
         }
 
-        Load load(double now) {
+        LoadCount load(double now) {
             fade(now);
-            return new Load(asked, answered);
+            return new LoadCount(asked, answered);
         }
 
-        void resume(double now, Load load) {
-            asked = load.asked();
-            answered = load.answered();
+        void resume(double now, LoadCount load) {
+            asked = load.requested();
+            answered = load.completedInTime();
             at = now;
         }
     }
@@ -303,78 +310,78 @@
     }
 
     /** A fresh instance that knows nothing yet. */
-    public Policy(Settings settings, long seed) {
-        random = new SplittableRandom(settings.ownSeed(seed));
+    public CarpLoadBalancer(RoutingSettings settings, long seed) {
+        random = new SplittableRandom(settings.instanceSeed(seed));
         onSettings(0, settings, null);
-        double shortestAim = settings.classes().stream().mapToDouble(ServiceClass::aimMs).min().orElseThrow();
+        double shortestAim = settings.classes().stream().mapToDouble(ServiceClass::latencyObjectiveMs).min().orElseThrow();
         fetchMs = shortestAim / 4;
         pace = shortestAim / 8;
         paceDeviation = pace;
     }
 
     @Override
-    public void onSettings(double now, Settings next, Actions out) {
+    public void onSettings(double now, RoutingSettings next, RoutingActions out) {
         if (next.classes().isEmpty() || next.maxAttempts() < 1) {
             throw new IllegalArgumentException("no class, or max attempts " + next.maxAttempts());
         }
         boolean same = cfg != null && cfg.tenants().equals(next.tenants())
-                && cfg.overShareWorth() == next.overShareWorth();
-        if (cfg == null || cfg.askWithinMs() != next.askWithinMs()) {
-            listRetry = new RetryPause(next.askWithinMs());
+                && cfg.overQuotaPriorityWeight() == next.overQuotaPriorityWeight();
+        if (cfg == null || cfg.pollIntervalMs() != next.pollIntervalMs()) {
+            listRetry = new RetryPause(next.pollIntervalMs());
         }
         cfg = next;
         if (!same) { // open requests stay charged where they were
-            shares = next.overShareWorth() < 1 && next.tenants().size() > 1 ? new Shares() : null;
+            shares = next.overQuotaPriorityWeight() < 1 && next.tenants().size() > 1 ? new Shares() : null;
         }
         rank(now);
     }
 
     @Override
-    public boolean avoids(double now, int server) {
+    public boolean isAvoided(double now, int server) {
         Server s = servers.get(server);
-        return s != null && (s.member.state() != State.READY || s.failures > 0 && (!s.probed || s.trial));
+        return s != null && (s.member.state() != EndpointState.READY || s.failures > 0 && (!s.probed || s.trial));
     }
 
     @Override
-    public Map<String, Experience> experience(double now) {
-        List<Seen> seen = servers.values().stream().filter(s -> s.failures > 0 || s.doubts > 0)
-                .map(s -> new Seen(s.id, s.member.bornMs(), s.failures, s.shunnedUntil, s.doubts)).toList();
-        return Map.of("", new Experience(fetchMs, pace, paceDeviation, usualCost, throttle.load(now),
+    public Map<String, LearnedState> learnedState(double now) {
+        List<EndpointHealthRecord> seen = servers.values().stream().filter(s -> s.failures > 0 || s.doubts > 0)
+                .map(s -> new EndpointHealthRecord(s.id, s.member.startTimeMs(), s.failures, s.shunnedUntil, s.doubts)).toList();
+        return Map.of("", new LearnedState(fetchMs, pace, paceDeviation, usualCost, throttle.load(now),
                 crowd.load(now), hot.total, hot.hottest(), seen));
     }
 
     /** Guards against a successor that sends to servers known to be silent, and floods a cold origin. */
     @Override
-    public void resume(double now, Map<String, Experience> learnt) {
-        Experience e = learnt.get("");
+    public void resume(double now, Map<String, LearnedState> learnt) {
+        LearnedState e = learnt.get("");
         if (e == null) {
             return;
         }
-        fetchMs = e.fetchMs();
-        pace = e.paceMs();
-        paceDeviation = e.paceDeviationMs();
-        usualCost = e.usualCost();
-        throttle.resume(now, e.origin());
-        crowd.resume(now, e.crowd());
-        hot.resume(now, e.asked(), e.hot());
-        for (Seen seen : e.servers()) {
+        fetchMs = e.originFetchMs();
+        pace = e.usualLatencyMs();
+        paceDeviation = e.latencyDeviationMs();
+        usualCost = e.usualCostMs();
+        throttle.resume(now, e.originLoad());
+        crowd.resume(now, e.endpointLoad());
+        hot.resume(now, e.keyRequestCount(), e.hotKeys());
+        for (EndpointHealthRecord seen : e.endpoints()) {
             Server s = servers.get(seen.id());
-            if (s != null && s.member.bornMs() == seen.bornMs()) {
+            if (s != null && s.member.startTimeMs() == seen.startTimeMs()) {
                 s.failures = seen.failures();
-                s.shunnedUntil = seen.shunnedUntilMs();
-                s.doubts = seen.doubts();
+                s.shunnedUntil = seen.ejectedUntilMs();
+                s.doubts = seen.slowResponses();
             }
         }
     }
 
     /** What the fleet finds of a zone goes before what this instance has seen there. */
     @Override
-    public void onZones(double now, List<ZoneOrder> orders, Actions out) {
-        for (ZoneOrder o : orders) {
+    public void onZoneDirectives(double now, List<ZoneDirective> orders, RoutingActions out) {
+        for (ZoneDirective o : orders) {
             Way w = ways.computeIfAbsent(o.zone(), z -> new Way());
-            w.open = o.open();
-            w.tries = o.open() < 1 && (w.tries || o.tries());
-            if (o.afresh()) {
+            w.open = o.openFraction();
+            w.tries = o.openFraction() < 1 && (w.tries || o.probeAllowed());
+            if (o.resetHealth()) {
                 w.answered();
                 servers.values().stream().filter(s -> s.member.zone() == o.zone()).forEach(s -> {
                     s.failures = s.doubts = 0;
@@ -388,36 +395,36 @@
     // ---- the list
 
     @Override
-    public void onList(double now, ListKind kind, List<Member> members, Actions out) {
-        if (kind == ListKind.FAILED) {
+    public void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> members, RoutingActions out) {
+        if (kind == EndpointUpdateKind.FAILED) {
             watching = false;
             asking = false;
             askAgain(now, out);
             return;
         }
-        if (kind == ListKind.CACHED && cfg.askForList()) {
+        if (kind == EndpointUpdateKind.CACHED && cfg.pollsDiscovery()) {
             // The list service is small: all instances starting together must not call at once.
-            double within = Math.min(cfg.askWithinMs(), RetryPause.TOLD_MS);
-            double span = Math.min(within, cfg.instances() * cfg.connectTimeoutMs()) / 2;
+            double within = Math.min(cfg.pollIntervalMs(), RetryPause.TOLD_MS);
+            double span = Math.min(within, cfg.instanceCount() * cfg.connectTimeoutMs()) / 2;
             timer(random.nextDouble() * span, WATCH, null, out);
-        } else if (asking && kind != ListKind.PROVISIONAL) {
+        } else if (asking && kind != EndpointUpdateKind.PROVISIONAL) {
             asking = false;
             watching = true;
             listRetry.answered();
         }
         check(members);
-        if (kind.whole()) {
+        if (kind.isSnapshot()) {
             Set<Integer> named = new HashSet<>();
             members.forEach(m -> named.add(m.id()));
             servers.values().removeIf(s -> !named.contains(s.id));
         }
-        for (Member m : members) {
-            if (m.state() == State.GONE) {
+        for (Endpoint m : members) {
+            if (m.state() == EndpointState.REMOVED) {
                 servers.remove(m.id());
                 continue;
             }
             Server s = servers.computeIfAbsent(m.id(), Server::new);
-            if (s.member != null && s.member.bornMs() != m.bornMs()) {
+            if (s.member != null && s.member.startTimeMs() != m.startTimeMs()) {
                 s.failures = s.turnedAway = 0;
                 s.shunnedUntil = s.noPlaceUntil = 0;
                 s.answeredAt = Double.NEGATIVE_INFINITY;
@@ -427,9 +434,9 @@
         rank(now);
     }
 
-    private void check(List<Member> members) {
+    private void check(List<Endpoint> members) {
         Set<Integer> seen = new HashSet<>();
-        for (Member m : members) {
+        for (Endpoint m : members) {
             String id = Integer.toUnsignedString(m.id());
             if (!seen.add(m.id())) {
                 throw new IllegalArgumentException("member " + id + " is listed twice");
@@ -437,7 +444,7 @@
             if (!(m.weight() >= 0) || Float.isInfinite(m.weight())) {
                 throw new IllegalArgumentException("member " + id + " has weight " + m.weight());
             }
-            if (m.zone() < 0 || m.zone() >= cfg.zones() || m.kind() < 0 || m.kind() >= cfg.kinds()) {
+            if (m.zone() < 0 || m.zone() >= cfg.zoneCount() || m.kind() < 0 || m.kind() >= cfg.kindCount()) {
                 throw new IllegalArgumentException(
                         "member " + id + ": zone " + m.zone() + ", kind " + m.kind());
             }
@@ -448,10 +455,10 @@
         origin = null;
         List<Server> list = new ArrayList<>();
         for (Server s : servers.values()) {
-            if (s.member.state() != State.READY) {
+            if (s.member.state() != EndpointState.READY) {
                 continue;
             }
-            if (cfg.aside() && s.member.kind() == cfg.originKind()) {
+            if (cfg.cacheAside() && s.member.kind() == cfg.originKind()) {
                 origin = s;
             } else {
                 list.add(s);
@@ -469,21 +476,21 @@
         double fade = Math.pow(0.5, (now - weighedAt) / Math.max(1, USUAL_WARM_UPS * cfg.warmUpMs()));
         usualWeight = Math.max(sum, usualWeight * fade);
         weighedAt = now;
-        float[] x = Carp.multipliers(weights);
+        float[] x = CarpHash.multipliers(weights);
         for (int i = 0; i < ranked.length; i++) {
             ranked[i].multiplier = x[i];
             ranked[i].share = sum > 0 ? weights[i] / sum : 1.0 / ranked.length;
         }
     }
 
-    private void askAgain(double now, Actions out) {
+    private void askAgain(double now, RoutingActions out) {
         timer(listRetry.failed(now - askedAt, random), WATCH, null, out);
     }
 
     // ---- requests
 
     @Override
-    public void onRequest(double now, Request request, Actions out) {
+    public void onRequest(double now, Request request, RoutingActions out) {
         if (request.serviceClass() < 0 || request.serviceClass() >= cfg.classes().size()) {
             throw new IllegalArgumentException("class " + request.serviceClass() + " is not in the settings");
         }
@@ -499,8 +506,8 @@
         trials = Math.min(1, trials + DOUBT_SHARE);
         Flight f = new Flight(request, now);
         flights.put(request.id(), f);
-        timer(Math.max(0, request.dueMs() - now), DUE, f, out);
-        f.toOrigin = cfg.aside() && request.write();
+        timer(Math.max(0, request.deadlineMs() - now), DUE, f, out);
+        f.toOrigin = cfg.cacheAside() && request.write();
         if (!f.toOrigin && request.key() != 0) {
             measureOffered(now);
             f.seen = hot.seen(request.key(), now);
@@ -515,10 +522,10 @@
      * one read in the time that one usually takes there: what jams counts as more than it is.
      */
     private void measureOffered(double now) {
-        double halfMs = Math.max(1, cfg.fallMs());
+        double halfMs = Math.max(1, cfg.overloadWindowMs());
         reads *= Math.pow(0.5, (now - readsAt) / halfMs);
         readsAt = now;
-        double perMs = cfg.instances() * reads * Math.log(2) / halfMs;
+        double perMs = cfg.instanceCount() * reads * Math.log(2) / halfMs;
         offered = perMs * pace / Math.max(1, ranked.length);
         reads++;
     }
@@ -532,18 +539,18 @@
         return Math.max(1, Math.min(n, ranked.length));
     }
 
-    private void advance(double now, Flight f, Actions out) {
+    private void advance(double now, Flight f, RoutingActions out) {
         f.waiting = false;
         if (f.done || f.streaming) {
             return;
         }
         // What nobody gains from any more is given up, and so answered, at once.
-        boolean worthless = f.safe && f.kind.lateShare() == 0 && now > f.arrivedMs + f.kind.aimMs();
+        boolean worthless = f.safe && f.kind.lateValueShare() == 0 && now > f.arrivedMs + f.kind.latencyObjectiveMs();
         Server s = null;
-        if (!worthless && f.attempts < f.maxAttempts() && now < f.request.dueMs()) {
-            s = f.toOrigin || cfg.aside() && f.safe && f.attempts >= CACHE_TRIES && f.missedAt == null
+        if (!worthless && f.attempts < f.maxAttempts() && now < f.request.deadlineMs()) {
+            s = f.toOrigin || cfg.cacheAside() && f.safe && f.attempts >= CACHE_TRIES && f.missedAt == null
                     ? origin : choose(now, f, out);
-            if (s == null && cfg.aside() && f.safe) {
+            if (s == null && cfg.cacheAside() && f.safe) {
                 s = origin;
             }
         }
@@ -567,7 +574,7 @@
                 return;
             }
             double excess = throttle.excess(now);
-            boolean tooLate = excess > 0 && now + fetchMs > f.arrivedMs + f.kind.aimMs();
+            boolean tooLate = excess > 0 && now + fetchMs > f.arrivedMs + f.kind.latencyObjectiveMs();
             if (!tooLate) { // who is turned away as too late does not count, or the throttle stays shut
                 throttle.asked(now);
             }
@@ -583,13 +590,13 @@
         place(now, f, s, out);
     }
 
-    private void place(double now, Flight f, Server s, Actions out) {
+    private void place(double now, Flight f, Server s, RoutingActions out) {
         int a = f.attempts++;
         f.at[a] = s;
         f.sentAt[a] = now;
         f.out++;
-        boolean worthlessLate = s != origin && f.safe && f.kind.lateShare() == 0;
-        out.place(f.request.id(), s.id, worthlessLate ? Math.max(1, f.arrivedMs + f.kind.aimMs() - now) : 0);
+        boolean worthlessLate = s != origin && f.safe && f.kind.lateValueShare() == 0;
+        out.send(f.request.id(), s.id, worthlessLate ? Math.max(1, f.arrivedMs + f.kind.latencyObjectiveMs() - now) : 0);
         if (s != origin && f.safe && f.attempts < f.maxAttempts() && f.attempts <= CACHE_TRIES) {
             timer(patience(now, f), PATIENCE, f, out);
         }
@@ -601,7 +608,7 @@
      */
     private double patience(double now, Flight f) {
         double usual = (pace + 3 * paceDeviation) * f.work();
-        double left = Math.min(f.kind.aimMs(), f.request.dueMs() - now);
+        double left = Math.min(f.kind.latencyObjectiveMs(), f.request.deadlineMs() - now);
         return Math.max(left / 4, Math.min(usual, left - 2 * fetchMs));
     }
 
@@ -610,22 +617,22 @@
      * the attempt stays out, its answer clears the server; where it must be called off, one slow answer is no
      * evidence, two in a row are: shunning sound servers moves their keys to the origin.
      */
-    private void overdue(double now, Flight f, Actions out) {
+    private void overdue(double now, Flight f, RoutingActions out) {
         int a = f.attempts - 1;
         Server s = f.at[a];
         if (f.done || f.streaming || f.ended[a] || s == origin) {
             return;
         }
-        out.saw(s.id, Evidence.SILENT);
-        if (cfg.secondCopies() || ++s.doubts > 1) {
+        out.report(s.id, EndpointSignal.UNRESPONSIVE);
+        if (cfg.hedgingAllowed() || ++s.doubts > 1) {
             silent(now, s);
         }
-        if (doubts < 1 || f.request.dueMs() - now < fetchMs || !cfg.secondCopies() && !cfg.mayCancel()) {
+        if (doubts < 1 || f.request.deadlineMs() - now < fetchMs || !cfg.hedgingAllowed() && !cfg.cancellationAllowed()) {
             return;
         }
         doubts--;
         f.doubted = true;
-        if (cfg.secondCopies()) {
+        if (cfg.hedgingAllowed()) {
             advance(now, f, out);
         } else {
             out.cancel(f.request.id(), a);
@@ -656,18 +663,18 @@
      * the later the more they are, as it is all together that ask; and it tells the others, who would else
      * find the same out one by one, each at the cost of an attempt.
      */
-    private void noPlace(double now, Server s, Actions out) {
+    private void noPlace(double now, Server s, RoutingActions out) {
         boolean told = now < s.noPlaceUntil; // by a peer, while this attempt was out
         leave(now, s, 1 << Math.min(s.turnedAway++, MAX_TURNED_AWAY));
-        if (cfg.peers() && !told) {
-            out.tell(ALL_PEERS, PeerMessage.full(s.id));
+        if (cfg.peerMessagesAllowed() && !told) {
+            out.sendToPeer(ALL_PEERS, PeerMessage.full(s.id));
         }
     }
 
     private void leave(double now, Server s, int times) {
         double least = SHUN_CONNECTS * cfg.connectTimeoutMs();
         double wait = Math.min(least * (1 << MAX_TURNED_AWAY),
-                Math.max(least, cfg.instances() * cfg.connectTimeoutMs()) * times);
+                Math.max(least, cfg.instanceCount() * cfg.connectTimeoutMs()) * times);
         s.noPlaceUntil = Math.max(s.noPlaceUntil, now + wait * (0.5 + random.nextDouble()));
     }
 
@@ -677,7 +684,7 @@
      * Where several have found one silent, it is left alone here too, unless it has answered just now.
      */
     @Override
-    public void onPeer(double now, int peer, byte[] message, Actions out) {
+    public void onPeerMessage(double now, int peer, byte[] message, RoutingActions out) {
         Server b = servers.get(PeerMessage.badServer(message));
         if (b != null && b != origin && b.failures == 0
                 && now - b.answeredAt > SHUN_CONNECTS * cfg.connectTimeoutMs()) {
@@ -694,7 +701,7 @@
     }
 
     private boolean maySend(double now, Flight f, Server s) {
-        if (f.out > 0 && !(cfg.secondCopies() && f.safe)) {
+        if (f.out > 0 && !(cfg.hedgingAllowed() && f.safe)) {
             return false;
         }
         if (Double.isNaN(f.maybeRanSince) || f.safe) {
@@ -702,11 +709,11 @@
         }
         // A connection for it may take its time to come up, and servers go by when the repeat reaches them.
         double begins = now + cfg.connectTimeoutMs();
-        return f.kind.effect() == Effect.KEYED && begins < f.maybeRanSince + f.kind.windowMs()
-                && sameGroup(f.kind.group(), f.maybeRanAt.member, s.member);
+        return f.kind.idempotency() == Idempotency.KEYED && begins < f.maybeRanSince + f.kind.deduplicationWindowMs()
+                && sameGroup(f.kind.deduplicationScope(), f.maybeRanAt.member, s.member);
     }
 
-    private static boolean sameGroup(Group group, Member a, Member b) {
+    private static boolean sameGroup(DeduplicationScope group, Endpoint a, Endpoint b) {
         return switch (group) {
             case ALL -> true;
             case ZONE -> a.zone() == b.zone();
@@ -714,7 +721,7 @@
         };
     }
 
-    private void giveUp(Flight f, Actions out) {
+    private void giveUp(Flight f, RoutingActions out) {
         if (f.out > 0 && f.safe) {
             return;
         }
@@ -723,9 +730,9 @@
     }
 
     /** The final answer: a refusal only where no attempt may have run. */
-    private void answer(Flight f, Actions out) {
+    private void answer(Flight f, RoutingActions out) {
         if (f.safe || Double.isNaN(f.maybeRanSince) && f.out == 0) {
-            out.deny(f.request.id(), comeBackMs());
+            out.reject(f.request.id(), comeBackMs());
         } else {
             out.fail(f.request.id());
         }
@@ -748,7 +755,7 @@
 
     // ---- choice of a server
 
-    private Server choose(double now, Flight f, Actions out) {
+    private Server choose(double now, Flight f, RoutingActions out) {
         int want = Math.min(ranked.length, Math.max(RANKS, f.spread + RANKS));
         topRanks(f.keyHash, want);
         int offset = f.spread > 1 ? random.nextInt(f.spread) : 0;
@@ -784,7 +791,7 @@
      */
     private boolean left(Flight f, Server s) {
         double open = way(s).open;
-        return open < 1 && Carp.lot(f.keyHash, Carp.memberHash(s.member.zone())) >= open;
+        return open < 1 && CarpHash.keyFraction(f.keyHash, CarpHash.endpointHash(s.member.zone())) >= open;
     }
 
     /** Few instances try a zone that is left, on the fleet's order; each of all would else, and at once. */
@@ -797,7 +804,7 @@
         return true;
     }
 
-    private boolean open(double now, Flight f, Server s, Actions out) {
+    private boolean open(double now, Flight f, Server s, RoutingActions out) {
         if (now < s.noPlaceUntil) {
             return false;
         }
@@ -809,8 +816,8 @@
         }
         trials--;
         s.trial = true;
-        if (cfg.mayProbe()) {
-            out.probe(s.id);
+        if (cfg.healthChecksAllowed()) {
+            out.checkHealth(s.id);
             return false;
         }
         return warmEnough(now, f, s);
@@ -828,21 +835,21 @@
         if (!cold(now, s)) {
             return true;
         }
-        if (f.attempts > 0 || f.request.repeat() || f.spread > 1) {
+        if (f.attempts > 0 || f.request.clientRetry() || f.spread > 1) {
             return false;
         }
-        double age = now - s.member.startedMs();
-        double steady = cfg.startCapacity() + (1 - cfg.startCapacity()) * Math.max(0, age) / cfg.warmUpMs();
+        double age = now - s.member.localStartTimeMs();
+        double steady = cfg.initialCapacity() + (1 - cfg.initialCapacity()) * Math.max(0, age) / cfg.warmUpMs();
         // How it warms up is not told: it must also stand what it gets if it stays at its start for long.
-        double capacity = Math.min(steady, cfg.tipMultiple() * cfg.startCapacity() / offered);
-        double room = Math.min(1, cfg.tipMultiple() * COLD_ROOM / crowd.pressure(now));
+        double capacity = Math.min(steady, cfg.overloadMultiple() * cfg.initialCapacity() / offered);
+        double room = Math.min(1, cfg.overloadMultiple() * COLD_ROOM / crowd.pressure(now));
         double ramp = capacity * (usualWeight > 0 ? weight / usualWeight : 1) * room;
         boolean fair = f.seen <= 1 || random.nextDouble() * f.seen < hot.total * s.share;
-        return fair && Carp.lot(f.keyHash, s.hash) < ramp;
+        return fair && CarpHash.keyFraction(f.keyHash, s.hash) < ramp;
     }
 
     private boolean cold(double now, Server s) {
-        return s.member.bornMs() != 0 && now - s.member.startedMs() < cfg.warmUpMs();
+        return s.member.startTimeMs() != 0 && now - s.member.localStartTimeMs() < cfg.warmUpMs();
     }
 
     private void topRanks(int keyHash, int want) {
@@ -852,7 +859,7 @@
         }
         topCount = 0;
         for (Server s : ranked) {
-            double score = Carp.score(keyHash, s.hash, s.multiplier);
+            double score = CarpHash.score(keyHash, s.hash, s.multiplier);
             if (topCount == want && score <= topScore[want - 1]) {
                 continue;
             }
@@ -883,7 +890,7 @@
     // ---- ends of attempts
 
     @Override
-    public void onAttemptEnd(double now, AttemptEnd end, Actions out) {
+    public void onAttemptEnd(double now, AttemptEnd end, RoutingActions out) {
         Flight f = flights.get(end.request());
         if (f == null || end.attempt() >= f.attempts || f.ended[end.attempt()]) {
             return;
@@ -897,30 +904,30 @@
             f.maybeRanAt = s;
         }
         boolean wasDone = f.done;
-        if (end.over() || f.done) {
+        if (end.requestCompleted() || f.done) {
             finish(f);
         }
         if (f.followers != null && s == origin) {
-            fetchEnded(now, f, end.outcome() == Outcome.OK, out);
+            fetchEnded(now, f, end.outcome() == AttemptOutcome.OK, out);
         }
-        if (!wasDone && end.over()) {
+        if (!wasDone && end.requestCompleted()) {
             cancelRest(f, out);
         } else if (!f.done) {
             next(now, f, s, end, out);
         }
     }
 
-    private void next(double now, Flight f, Server s, AttemptEnd end, Actions out) {
-        if (end.outcome() == Outcome.MISS) {
+    private void next(double now, Flight f, Server s, AttemptEnd end, RoutingActions out) {
+        if (end.outcome() == AttemptOutcome.MISS) {
             f.toOrigin = true;
             f.missedAt = s;
-            if (end.note() == NOTE_FETCH_OUT && f.attempts + 2 <= f.maxAttempts()) {
+            if (end.note() == NOTE_FETCH_IN_FLIGHT && f.attempts + 2 <= f.maxAttempts()) {
                 f.toOrigin = false;
                 f.waiting = true;
                 timer(fetchMs, AGAIN, f, out);
                 return;
             }
-        } else if (s == origin && end.outcome() == Outcome.FULL && f.request.write()
+        } else if (s == origin && end.outcome() == AttemptOutcome.REJECTED && f.request.write()
                 && f.attempts < f.maxAttempts()) {
             f.waiting = true;
             timer(fetchMs * (0.5 + random.nextDouble()), AGAIN, f, out);
@@ -928,13 +935,13 @@
         }
         if (s == origin && !f.request.write()) {
             giveUp(f, out);
-        } else if (f.out == 0 || f.safe && cfg.secondCopies()) {
+        } else if (f.out == 0 || f.safe && cfg.hedgingAllowed()) {
             advance(now, f, out);
         }
     }
 
-    private void cancelRest(Flight f, Actions out) {
-        for (int a = 0; cfg.mayCancel() && a < f.attempts; a++) {
+    private void cancelRest(Flight f, RoutingActions out) {
+        for (int a = 0; cfg.cancellationAllowed() && a < f.attempts; a++) {
             if (!f.ended[a]) {
                 out.cancel(f.request.id(), a);
             }
@@ -945,7 +952,7 @@
      * Those who waited for a fetch find its object where it was missed; where the fetch failed, one of them
      * tries.
      */
-    private void fetchEnded(double now, Flight f, boolean stored, Actions out) {
+    private void fetchEnded(double now, Flight f, boolean stored, RoutingActions out) {
         ArrayDeque<Flight> followers = f.followers;
         fetches.remove(f.request.key());
         f.followers = null;
@@ -958,40 +965,40 @@
         }
     }
 
-    private void learn(double now, Flight f, Server s, AttemptEnd end, Actions out) {
-        if (f.doubted && end.attempt() > 0 && end.outcome() == Outcome.OK) {
+    private void learn(double now, Flight f, Server s, AttemptEnd end, RoutingActions out) {
+        if (f.doubted && end.attempt() > 0 && end.outcome() == AttemptOutcome.OK) {
             doubts++;
         }
         if (s == origin && outOfReach(end.outcome())) {
             throttle.withdrawn(now);
         }
-        if (s == origin && end.outcome() == Outcome.CONNECT_FAILED) {
+        if (s == origin && end.outcome() == AttemptOutcome.CONNECT_FAILED) {
             toOrigin.suspected(now, SHUN_CONNECTS / 2 * cfg.connectTimeoutMs(), 0);
-        } else if (s == origin && end.outcome() != Outcome.TIMEOUT && end.outcome() != Outcome.CANCELLED) {
+        } else if (s == origin && end.outcome() != AttemptOutcome.TIMEOUT && end.outcome() != AttemptOutcome.CANCELLED) {
             toOrigin.answered();
         }
         switch (end.outcome()) {
-            case OK, MISS, FULL -> {
+            case OK, MISS, REJECTED -> {
                 s.answeredAt = now;
                 s.noPlaceUntil = 0;
                 if (s != origin) {
                     way(s).answered();
-                    out.saw(s.id, end.outcome() == Outcome.MISS ? Evidence.MISSED : Evidence.ANSWERED);
+                    out.report(s.id, end.outcome() == AttemptOutcome.MISS ? EndpointSignal.CACHE_MISS : EndpointSignal.RESPONDED);
                 } else {
-                    boolean inTime = end.outcome() == Outcome.OK && now <= f.arrivedMs + f.kind.aimMs();
-                    out.saw(s.id, inTime ? Evidence.ANSWERED : Evidence.SILENT);
+                    boolean inTime = end.outcome() == AttemptOutcome.OK && now <= f.arrivedMs + f.kind.latencyObjectiveMs();
+                    out.report(s.id, inTime ? EndpointSignal.RESPONDED : EndpointSignal.UNRESPONSIVE);
                 }
-                if (s != origin && end.outcome() == Outcome.FULL && end.attempt() > 0) {
+                if (s != origin && end.outcome() == AttemptOutcome.REJECTED && end.attempt() > 0) {
                     crowd.asked(now);
                 }
-                boolean timely = end.elapsedMs() <= f.kind.aimMs() || crowd.pressure(now) > Throttle.HEADROOM;
+                boolean timely = end.elapsedMs() <= f.kind.latencyObjectiveMs() || crowd.pressure(now) > Throttle.HEADROOM;
                 if (s == origin || timely) {
                     s.failures = s.doubts = s.turnedAway = 0;
                 }
                 s.trial = false;
-                if (s != origin && end.outcome() == Outcome.OK) {
+                if (s != origin && end.outcome() == AttemptOutcome.OK) {
                     crowd.asked(now);
-                    if (end.elapsedMs() <= f.kind.aimMs() - fetchMs) {
+                    if (end.elapsedMs() <= f.kind.latencyObjectiveMs() - fetchMs) {
                         crowd.answered(now);
                     }
                     double x = end.elapsedMs() / f.work();
@@ -999,27 +1006,27 @@
                     pace += (x - pace) / 16;
                     doubts = Math.min(DOUBT_SAVED, doubts + DOUBT_SHARE);
                 }
-                if (s == origin && end.outcome() == Outcome.OK) {
-                    if (now <= f.arrivedMs + f.kind.aimMs()) {
+                if (s == origin && end.outcome() == AttemptOutcome.OK) {
+                    if (now <= f.arrivedMs + f.kind.latencyObjectiveMs()) {
                         throttle.answered(now);
                     }
                     fetchMs += (end.elapsedMs() - fetchMs) / 8;
                 }
             }
-            case NO_PLACE -> {
+            case CONNECTION_LIMIT -> {
                 s.trial = false;
                 noPlace(now, s, out);
             }
             case CONNECT_FAILED, RESET, TIMEOUT -> {
                 if (s != origin) {
                     boolean shared = crowd.pressure(now) > Throttle.HEADROOM;
-                    if (end.outcome() == Outcome.TIMEOUT && s.failures <= (shared ? 1 : 0)) {
+                    if (end.outcome() == AttemptOutcome.TIMEOUT && s.failures <= (shared ? 1 : 0)) {
                         crowd.asked(now);
                     }
-                    if (end.outcome() != Outcome.TIMEOUT) { // that was seen when it was overdue
-                        out.saw(s.id, Evidence.SILENT);
+                    if (end.outcome() != AttemptOutcome.TIMEOUT) { // that was seen when it was overdue
+                        out.report(s.id, EndpointSignal.UNRESPONSIVE);
                     }
-                    if (end.outcome() != Outcome.RESET) {
+                    if (end.outcome() != AttemptOutcome.RESET) {
                         silent(now, s);
                     } else if (s.failures > 0 || ++s.doubts > 1) {
                         suspect(now, s);
@@ -1030,12 +1037,13 @@
         }
     }
 
-    private static boolean outOfReach(Outcome outcome) {
-        return outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET || outcome == Outcome.NOT_SENT;
+    private static boolean outOfReach(AttemptOutcome outcome) {
+        return outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.RESET
+                || outcome == AttemptOutcome.NOT_SENT;
     }
 
     @Override
-    public void onFirstByte(double now, int request, int attempt, int server, Actions out) {
+    public void onFirstByte(double now, int request, int attempt, int server, RoutingActions out) {
         Flight f = flights.get(request);
         if (f != null) {
             f.streaming = true;
@@ -1043,7 +1051,7 @@
     }
 
     @Override
-    public void onGone(double now, int request, Actions out) {
+    public void onClientDisconnected(double now, int request, RoutingActions out) {
         Flight f = flights.get(request);
         if (f != null && !f.done) {
             leave(now, f, out);
@@ -1051,7 +1059,7 @@
     }
 
     @SuppressWarnings("UnusedVariable") // now: as all handlers take it
-    private void leave(double now, Flight f, Actions out) {
+    private void leave(double now, Flight f, RoutingActions out) {
         finish(f);
         if (f.streaming) {
             return;
@@ -1062,7 +1070,7 @@
     }
 
     @Override
-    public void onTimer(double now, int token, Actions out) {
+    public void onTimer(double now, int token, RoutingActions out) {
         Flight f = timers.remove(token);
         switch (token & 3) {
             case DUE -> {
@@ -1085,13 +1093,13 @@
                 if (!watching && !asking) {
                     asking = true;
                     askedAt = now;
-                    out.watch(true);
+                    out.setWatch(true);
                 }
             }
         }
     }
 
-    private void timer(double afterMs, int kind, Flight f, Actions out) {
+    private void timer(double afterMs, int kind, Flight f, RoutingActions out) {
         int token = nextToken++ << 2 | kind;
         if (f != null) {
             timers.put(token, f);
@@ -1100,13 +1108,13 @@
     }
 
     @Override
-    public void onProbed(double now, int server, Outcome outcome, double elapsedMs, float[] report,
-            Actions out) {
+    public void onHealthCheckResult(double now, int server, AttemptOutcome outcome, double elapsedMs, float[] report,
+            RoutingActions out) {
         Server s = servers.get(server);
         if (s == null || s.failures == 0) {
             return;
         }
-        if (outcome == Outcome.OK) {
+        if (outcome == AttemptOutcome.OK) {
             s.trial = false;
             s.probed = true;
         } else {
--- /dev/null
+++ b/src/main/java/cacheproxy/routing/EndpointState.java
@@ -0,0 +1,8 @@
+package cacheproxy.routing;
+
+/** State of a server on the list. */
+public enum EndpointState {
+    REMOVED,
+    DRAINING,
+    READY
+}
