--- a/src/main/java/cacheproxy/failover/Zones.java
+++ b/src/main/java/cacheproxy/failover/Zones.java
@@ -77,7 +77,7 @@
     /**
      * How a zone stands.
      *
-     * @param openFraction for so much of its keys, 0 to 1, as this instance's decision module is told
+     * @param open for so much of its keys, 0 to 1, as this instance's decision module is told
      * @param state as decided
      * @param sight this instance's own
      * @param verdict of those who are heard
--- a/src/main/java/cacheproxy/gossip/ListChange.java
+++ b/src/main/java/cacheproxy/gossip/ListChange.java
@@ -8,6 +8,6 @@
  * @param version the version of discovery's list in which it was first told so
  * @param server the server's number, the same at all instances
  * @param state {@code REMOVED} if that list does not name it
- * @param startTimeMs when it last started, Unix time in milliseconds; 0 for long ago
+ * @param bornMs when it last started, Unix time in milliseconds; 0 for long ago
  */
 public record ListChange(long version, int server, EndpointState state, double bornMs) {}
--- a/src/main/java/cacheproxy/gossip/ProvisionalMembership.java
+++ b/src/main/java/cacheproxy/gossip/ProvisionalMembership.java
@@ -53,7 +53,7 @@
      * How a server is to be used in place of what discovery's last list has.
      *
      * @param drains whether it is left alone
-     * @param startTimeMs when it last started
+     * @param bornMs when it last started
      * @param version discovery's word of it, or a later one, ends this
      * @param untilMs from then on any answer of discovery's ends it
      */
--- a/src/main/java/cacheproxy/membership/Entry.java
+++ b/src/main/java/cacheproxy/membership/Entry.java
@@ -14,7 +14,7 @@
  *   <li>The higher incarnation holds; an instance raises its own, nobody else's.
  *   <li>In one incarnation the higher life holds: two processes under one name, of which one has to go beyond the
  *       other.
- *   <li>In one life the later {@link EndpointState} holds, and what the instance says of itself by the higher version.
+ *   <li>In one life the later {@link State} holds, and what the instance says of itself by the higher version.
  * </ol>
  *
  * @param id its number, 0 to {@link #MAX_ID}
--- a/src/main/java/cacheproxy/model/FleetDraw.java
+++ b/src/main/java/cacheproxy/model/FleetDraw.java
@@ -12,9 +12,9 @@
 /**
  * A deployment, drawn from a seed within the ranges that the operators state for theirs. Times in milliseconds.
  *
- * @param instanceCount proxies, 1 to 4,096
+ * @param instances proxies, 1 to 4,096
  * @param nodes cache nodes, 2 to 4,096
- * @param zoneCount data centres; instances and nodes are dealt out to them in turn
+ * @param zones data centres; instances and nodes are dealt out to them in turn
  * @param load the requests asked for over what the nodes can do
  * @param fastShare the part of the nodes that are fast
  * @param workMs what a read costs a node of speed 1 on average
--- a/src/main/java/cacheproxy/model/NewsPlay.java
+++ b/src/main/java/cacheproxy/model/NewsPlay.java
@@ -53,7 +53,7 @@
     /**
      * What to play.
      *
-     * @param instanceCount how many, at least 1
+     * @param instances how many, at least 1
      * @param newCallsPerSecond what discovery takes, of all instances together
      * @param seed the same gives the same play
      */
--- a/src/main/java/cacheproxy/model/ZonePlay.java
+++ b/src/main/java/cacheproxy/model/ZonePlay.java
@@ -32,7 +32,7 @@
 
     /** What the instances of the fleet did in a step, for whoever looks on. */
     public interface Watcher {
-        /** {@code openFraction}: by instance how far each zone is open to it; null for those that are dead. */
+        /** {@code open}: by instance how far each zone is open to it; null for those that are dead. */
         void looked(double nowMs, double[][] open);
     }
 
--- a/src/main/java/cacheproxy/proxy/Exchange.java
+++ b/src/main/java/cacheproxy/proxy/Exchange.java
@@ -117,7 +117,7 @@
      * @param waitMs how long it waits for the answer, in milliseconds; NaN if it does not say
      * @param work what it costs a server, in microseconds; NaN if it does not say
      * @param bytes how long its value is, 0 if it does not say
-     * @param clientRetry whether it was asked before
+     * @param repeat whether it was asked before
      */
     record Terms(String kind, String tenant, double waitMs, double work, float bytes, boolean repeat) {}
 
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -321,7 +321,7 @@
      * What a proxy does with the others of its fleet, where the settings allow peers to talk.
      *
      * @param view takes part in the view that the fleet keeps of itself; implied by the others
-     * @param zoneCount takes part in what the fleet decides of zones
+     * @param zones takes part in what the fleet decides of zones
      * @param recovers comes back with the others in mind
      */
     public record Together(boolean view, boolean zones, boolean recovers) {}
--- a/src/main/java/cacheproxy/routing/CarpHash.java
+++ b/src/main/java/cacheproxy/routing/CarpHash.java
@@ -5,7 +5,7 @@
     private static final int SPREAD = 0x62531965;
     private static final double UNSIGNED = 4294967296.0;
 
-    private CarpHash() { }
+    private CarpHash() {}
 
     /** Draft 3.1 over the key's text form: 16 lower-case hexadecimal digits. */
     public static int keyHash(long key) {
@@ -30,10 +30,9 @@
     }
 
     /**
-     * Draft 3.2: both hashes combined, to be read as unsigned. Departure, always on: the draft's two steps
-     * run once more. After one pass the top ten bits hang on ten bits of the XOR alone, so keys fall into
-     * 1,024 lots and in a fleet of 120 equal members one gets 2.2 times its share; a second pass spreads them
-     * as evenly as chance.
+     * Draft 3.2: both hashes combined, to be read as unsigned. Departure, always on: the draft's two steps run once
+     * more. After one pass the top ten bits hang on ten bits of the XOR alone, so keys fall into 1,024 lots and in a
+     * fleet of 120 equal members one gets 2.2 times its share; a second pass spreads them as evenly as chance.
      */
     public static int combine(int keyHash, int memberHash) {
         return spread(spread(keyHash ^ memberHash));
@@ -45,9 +44,8 @@
     }
 
     /**
-     * Draft 3.3: the load factor multipliers, in the order of the weights. The running product is kept as a
-     * logarithm, so hundreds of members do not underflow; rounding below zero is clamped. All weights zero:
-     * equal.
+     * Draft 3.3: the load factor multipliers, in the order of the weights. The running product is kept as a logarithm,
+     * so hundreds of members do not underflow; rounding below zero is clamped. All weights zero: equal.
      */
     public static float[] multipliers(float[] weights) {
         int n = weights.length;
@@ -79,9 +77,7 @@
         return x;
     }
 
-    /**
-     * A number in [0, 1) from key and member, independent of their score: decides who of a key's ranks waits.
-     */
+    /** A number in [0, 1) from key and member, independent of their score: decides who of a key's ranks waits. */
     public static double keyFraction(int keyHash, int memberHash) {
         int h = keyHash * 0x9E3779B1 + memberHash;
         h = (h ^ (h >>> 16)) * 0x85EBCA6B;
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -1,7 +1,7 @@
 package cacheproxy.routing;
 
-import cacheproxy.gossip.PeerMessage;
 import cacheproxy.endpoints.RetryPause;
+import cacheproxy.gossip.PeerMessage;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,9 +12,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one balancer instance. Events: {@link LoadBalancer}; orders: {@link RoutingActions}; hashes
- * and ranking: {@link CarpHash}. CARP's top score takes each request; what departs from it says at its place when it acts and
- * what it guards.
+ * The decisions of one balancer instance. Events: {@link LoadBalancer}; orders: {@link RoutingActions}; hashes and
+ * ranking: {@link CarpHash}. CARP's top score takes each request; what departs from it says at its place when it acts
+ * and what it guards.
  */
 @SuppressWarnings("OperatorPrecedence") // && binds before ||; parentheses follow as lines are touched
 public final class CarpLoadBalancer implements LoadBalancer {
@@ -26,11 +26,13 @@
     private static final double COLD_ROOM = 0.5;
     /** In so many warm-ups a fleet that has shrunk counts as the usual one by half. */
     private static final double USUAL_WARM_UPS = 4;
+
     private static final int RANKS = 8;
     private static final int SHUN_CONNECTS = 10;
     private static final int MAX_TURNED_AWAY = 4;
     /** So many servers of a zone in a row, and no other that answers, are a way that is cut off. */
     private static final int CUT_SERVERS = 3;
+
     private static final int ALL_PEERS = -1;
     /** Who was answered within so many connect time-outs, 20 s here, still has the connection. */
     private static final int HELD_CONNECTS = 200;
@@ -55,14 +57,17 @@
     private double fetchMs;
     /** Reads, fading by half in the time over which the fall of a cold server is counted. */
     private double reads;
+
     private double readsAt;
     /** What the fleet is asked to read over what its servers can do, as far as this instance can tell. */
     private double offered;
+
     private double usualCost;
     private double pace;
     private double paceDeviation;
     /** What the list's servers are together, and what they usually are; the latter fades to the former. */
     private double weight;
+
     private double usualWeight;
     private double weighedAt;
     private double doubts = DOUBT_SAVED;
@@ -80,6 +85,7 @@
         boolean tries;
         /** Servers in a row that became suspect, with no answer from any other in between. */
         int silent;
+
         double closedUntil;
 
         void suspected(double now, double ms, int doublings) {
@@ -161,10 +167,12 @@
     private static final class HotKeys {
         /** Halving span: long enough for a hot key to show at a proxy with a few requests a second. */
         static final double SPAN_MS = 4000;
+
         static final int MIN_COUNT = 6;
         private final Map<Long, int[]> counts = new HashMap<>();
         /** As many keys as can be hot at a time are passed on, with room. */
         static final int MAX_TOLD = 256;
+
         private double total;
         private double halvedAt;
 
@@ -179,9 +187,12 @@
         }
 
         List<HotKey> hottest() {
-            return counts.entrySet().stream().filter(e -> e.getValue()[0] >= MIN_COUNT)
-                    .sorted((a, b) -> b.getValue()[0] - a.getValue()[0]).limit(MAX_TOLD)
-                    .map(e -> new HotKey(e.getKey(), e.getValue()[0])).toList();
+            return counts.entrySet().stream()
+                    .filter(e -> e.getValue()[0] >= MIN_COUNT)
+                    .sorted((a, b) -> b.getValue()[0] - a.getValue()[0])
+                    .limit(MAX_TOLD)
+                    .map(e -> new HotKey(e.getKey(), e.getValue()[0]))
+                    .toList();
         }
 
         /** As if this had been seen here: not more than that, since the other may go on for a while. */
@@ -193,12 +204,13 @@
     }
 
     /**
-     * What the origin was asked and what it answered in time of that, both fading. Guards against the jam in
-     * which late and refused fetches are asked for again and the origin works for nobody.
+     * What the origin was asked and what it answered in time of that, both fading. Guards against the jam in which late
+     * and refused fetches are asked for again and the origin works for nobody.
      */
     private static final class Throttle {
         /** Halves in this time: some ten fetches at a proxy with a few a second. */
         static final double HALF_MS = 4000;
+
         static final double HEADROOM = 1.2;
         private double asked;
         private double answered;
@@ -256,8 +268,8 @@
     }
 
     /**
-     * What each tenant asks of this instance, fading. What must be refused comes off those that ask most over
-     * their quotas (max-min fair), as that is worth little. Clients' repeats swell all alike.
+     * What each tenant asks of this instance, fading. What must be refused comes off those that ask most over their
+     * quotas (max-min fair), as that is worth little. Clients' repeats swell all alike.
      */
     private final class Shares {
         private final List<Tenant> tenants = cfg.tenants();
@@ -313,7 +325,10 @@
     public CarpLoadBalancer(RoutingSettings settings, long seed) {
         random = new SplittableRandom(settings.instanceSeed(seed));
         onSettings(0, settings, null);
-        double shortestAim = settings.classes().stream().mapToDouble(ServiceClass::latencyObjectiveMs).min().orElseThrow();
+        double shortestAim = settings.classes().stream()
+                .mapToDouble(ServiceClass::latencyObjectiveMs)
+                .min()
+                .orElseThrow();
         fetchMs = shortestAim / 4;
         pace = shortestAim / 8;
         paceDeviation = pace;
@@ -324,7 +339,8 @@
         if (next.classes().isEmpty() || next.maxAttempts() < 1) {
             throw new IllegalArgumentException("no class, or max attempts " + next.maxAttempts());
         }
-        boolean same = cfg != null && cfg.tenants().equals(next.tenants())
+        boolean same = cfg != null
+                && cfg.tenants().equals(next.tenants())
                 && cfg.overQuotaPriorityWeight() == next.overQuotaPriorityWeight();
         if (cfg == null || cfg.pollIntervalMs() != next.pollIntervalMs()) {
             listRetry = new RetryPause(next.pollIntervalMs());
@@ -344,10 +360,22 @@
 
     @Override
     public Map<String, LearnedState> learnedState(double now) {
-        List<EndpointHealthRecord> seen = servers.values().stream().filter(s -> s.failures > 0 || s.doubts > 0)
-                .map(s -> new EndpointHealthRecord(s.id, s.member.startTimeMs(), s.failures, s.shunnedUntil, s.doubts)).toList();
-        return Map.of("", new LearnedState(fetchMs, pace, paceDeviation, usualCost, throttle.load(now),
-                crowd.load(now), hot.total, hot.hottest(), seen));
+        List<EndpointHealthRecord> seen = servers.values().stream()
+                .filter(s -> s.failures > 0 || s.doubts > 0)
+                .map(s -> new EndpointHealthRecord(s.id, s.member.startTimeMs(), s.failures, s.shunnedUntil, s.doubts))
+                .toList();
+        return Map.of(
+                "",
+                new LearnedState(
+                        fetchMs,
+                        pace,
+                        paceDeviation,
+                        usualCost,
+                        throttle.load(now),
+                        crowd.load(now),
+                        hot.total,
+                        hot.hottest(),
+                        seen));
     }
 
     /** Guards against a successor that sends to servers known to be silent, and floods a cold origin. */
@@ -383,11 +411,13 @@
             w.tries = o.openFraction() < 1 && (w.tries || o.probeAllowed());
             if (o.resetHealth()) {
                 w.answered();
-                servers.values().stream().filter(s -> s.member.zone() == o.zone()).forEach(s -> {
-                    s.failures = s.doubts = 0;
-                    s.shunnedUntil = 0;
-                    s.trial = false;
-                });
+                servers.values().stream()
+                        .filter(s -> s.member.zone() == o.zone())
+                        .forEach(s -> {
+                            s.failures = s.doubts = 0;
+                            s.shunnedUntil = 0;
+                            s.trial = false;
+                        });
             }
         }
     }
@@ -445,8 +475,7 @@
                 throw new IllegalArgumentException("member " + id + " has weight " + m.weight());
             }
             if (m.zone() < 0 || m.zone() >= cfg.zoneCount() || m.kind() < 0 || m.kind() >= cfg.kindCount()) {
-                throw new IllegalArgumentException(
-                        "member " + id + ": zone " + m.zone() + ", kind " + m.kind());
+                throw new IllegalArgumentException("member " + id + ": zone " + m.zone() + ", kind " + m.kind());
             }
         }
     }
@@ -491,10 +520,12 @@
 
     @Override
     public void onRequest(double now, Request request, RoutingActions out) {
-        if (request.serviceClass() < 0 || request.serviceClass() >= cfg.classes().size()) {
+        if (request.serviceClass() < 0
+                || request.serviceClass() >= cfg.classes().size()) {
             throw new IllegalArgumentException("class " + request.serviceClass() + " is not in the settings");
         }
-        if (request.tenant() < 0 || request.tenant() > 0 && request.tenant() >= cfg.tenants().size()) {
+        if (request.tenant() < 0
+                || request.tenant() > 0 && request.tenant() >= cfg.tenants().size()) {
             throw new IllegalArgumentException("tenant " + request.tenant() + " is not in the settings");
         }
         if (request.costMs() > 0) {
@@ -517,9 +548,9 @@
     }
 
     /**
-     * Each instance takes the others to be asked as much as it is itself, so that those which are asked more
-     * send a cold server less, and all together send it no more than was reckoned. A server can do more than
-     * one read in the time that one usually takes there: what jams counts as more than it is.
+     * Each instance takes the others to be asked as much as it is itself, so that those which are asked more send a
+     * cold server less, and all together send it no more than was reckoned. A server can do more than one read in the
+     * time that one usually takes there: what jams counts as more than it is.
      */
     private void measureOffered(double now) {
         double halfMs = Math.max(1, cfg.overloadWindowMs());
@@ -531,8 +562,8 @@
     }
 
     /**
-     * The draft sends all of a key to one member. A key that locally exceeds a server's fair part is
-     * spread over as many of its top ranks as bring each under that, wherever it is as hot.
+     * The draft sends all of a key to one member. A key that locally exceeds a server's fair part is spread over as
+     * many of its top ranks as bring each under that, wherever it is as hot.
      */
     private int spread(int seen) {
         int n = seen < HotKeys.MIN_COUNT ? 1 : (int) Math.ceil(seen / hot.total * ranked.length);
@@ -549,7 +580,8 @@
         Server s = null;
         if (!worthless && f.attempts < f.maxAttempts() && now < f.request.deadlineMs()) {
             s = f.toOrigin || cfg.cacheAside() && f.safe && f.attempts >= CACHE_TRIES && f.missedAt == null
-                    ? origin : choose(now, f, out);
+                    ? origin
+                    : choose(now, f, out);
             if (s == null && cfg.cacheAside() && f.safe) {
                 s = origin;
             }
@@ -596,15 +628,16 @@
         f.sentAt[a] = now;
         f.out++;
         boolean worthlessLate = s != origin && f.safe && f.kind.lateValueShare() == 0;
-        out.send(f.request.id(), s.id, worthlessLate ? Math.max(1, f.arrivedMs + f.kind.latencyObjectiveMs() - now) : 0);
+        out.send(
+                f.request.id(), s.id, worthlessLate ? Math.max(1, f.arrivedMs + f.kind.latencyObjectiveMs() - now) : 0);
         if (s != origin && f.safe && f.attempts < f.maxAttempts() && f.attempts <= CACHE_TRIES) {
             timer(patience(now, f), PATIENCE, f, out);
         }
     }
 
     /**
-     * How long a cache server may take before it is doubted: three deviations over the usual time for the
-     * work hinted at, but early enough that runner-up and origin can still answer within the aim.
+     * How long a cache server may take before it is doubted: three deviations over the usual time for the work hinted
+     * at, but early enough that runner-up and origin can still answer within the aim.
      */
     private double patience(double now, Flight f) {
         double usual = (pace + 3 * paceDeviation) * f.work();
@@ -613,9 +646,9 @@
     }
 
     /**
-     * The server is overdue: runner-up if the budget allows; guards against silent and hung servers. Where
-     * the attempt stays out, its answer clears the server; where it must be called off, one slow answer is no
-     * evidence, two in a row are: shunning sound servers moves their keys to the origin.
+     * The server is overdue: runner-up if the budget allows; guards against silent and hung servers. Where the attempt
+     * stays out, its answer clears the server; where it must be called off, one slow answer is no evidence, two in a
+     * row are: shunning sound servers moves their keys to the origin.
      */
     private void overdue(double now, Flight f, RoutingActions out) {
         int a = f.attempts - 1;
@@ -627,7 +660,9 @@
         if (cfg.hedgingAllowed() || ++s.doubts > 1) {
             silent(now, s);
         }
-        if (doubts < 1 || f.request.deadlineMs() - now < fetchMs || !cfg.hedgingAllowed() && !cfg.cancellationAllowed()) {
+        if (doubts < 1
+                || f.request.deadlineMs() - now < fetchMs
+                || !cfg.hedgingAllowed() && !cfg.cancellationAllowed()) {
             return;
         }
         doubts--;
@@ -640,8 +675,8 @@
     }
 
     /**
-     * A fault between zones would else be found server by server, each at the cost of a request that waits:
-     * where several of a zone fall silent and none answers, all of it is left alone as one server would be.
+     * A fault between zones would else be found server by server, each at the cost of a request that waits: where
+     * several of a zone fall silent and none answers, all of it is left alone as one server would be.
      */
     private void silent(double now, Server s) {
         if (s.failures == 0) { // one server is one, with however many attempts at it
@@ -658,10 +693,10 @@
     }
 
     /**
-     * All the server's places are taken by others: it can't be contacted, and the runner-up has its keys
-     * until one may have come free. It is not at fault. Each instance asks again at a time of its own, and
-     * the later the more they are, as it is all together that ask; and it tells the others, who would else
-     * find the same out one by one, each at the cost of an attempt.
+     * All the server's places are taken by others: it can't be contacted, and the runner-up has its keys until one may
+     * have come free. It is not at fault. Each instance asks again at a time of its own, and the later the more they
+     * are, as it is all together that ask; and it tells the others, who would else find the same out one by one, each
+     * at the cost of an attempt.
      */
     private void noPlace(double now, Server s, RoutingActions out) {
         boolean told = now < s.noPlaceUntil; // by a peer, while this attempt was out
@@ -673,20 +708,22 @@
 
     private void leave(double now, Server s, int times) {
         double least = SHUN_CONNECTS * cfg.connectTimeoutMs();
-        double wait = Math.min(least * (1 << MAX_TURNED_AWAY),
-                Math.max(least, cfg.instanceCount() * cfg.connectTimeoutMs()) * times);
+        double wait = Math.min(
+                least * (1 << MAX_TURNED_AWAY), Math.max(least, cfg.instanceCount() * cfg.connectTimeoutMs()) * times);
         s.noPlaceUntil = Math.max(s.noPlaceUntil, now + wait * (0.5 + random.nextDouble()));
     }
 
     /**
-     * A peer has found no place at a server. Who has a place of its own there keeps to it, so a peer that is
-     * wrong costs no more than that: until the time is over, the runner-up has what had no place here anyway.
-     * Where several have found one silent, it is left alone here too, unless it has answered just now.
+     * A peer has found no place at a server. Who has a place of its own there keeps to it, so a peer that is wrong
+     * costs no more than that: until the time is over, the runner-up has what had no place here anyway. Where several
+     * have found one silent, it is left alone here too, unless it has answered just now.
      */
     @Override
     public void onPeerMessage(double now, int peer, byte[] message, RoutingActions out) {
         Server b = servers.get(PeerMessage.badServer(message));
-        if (b != null && b != origin && b.failures == 0
+        if (b != null
+                && b != origin
+                && b.failures == 0
                 && now - b.answeredAt > SHUN_CONNECTS * cfg.connectTimeoutMs()) {
             suspect(now, b);
         }
@@ -709,7 +746,8 @@
         }
         // A connection for it may take its time to come up, and servers go by when the repeat reaches them.
         double begins = now + cfg.connectTimeoutMs();
-        return f.kind.idempotency() == Idempotency.KEYED && begins < f.maybeRanSince + f.kind.deduplicationWindowMs()
+        return f.kind.idempotency() == Idempotency.KEYED
+                && begins < f.maybeRanSince + f.kind.deduplicationWindowMs()
                 && sameGroup(f.kind.deduplicationScope(), f.maybeRanAt.member, s.member);
     }
 
@@ -739,8 +777,8 @@
     }
 
     /**
-     * When to come back: a server's present work is half done on average, and then it has a place again.
-     * Guards against clients that ask again at once and keep up the jam they were turned away for.
+     * When to come back: a server's present work is half done on average, and then it has a place again. Guards against
+     * clients that ask again at once and keep up the jam they were turned away for.
      */
     private double comeBackMs() {
         return Math.min(cfg.maxRetryAfterMs(), pace / 2);
@@ -786,8 +824,8 @@
     }
 
     /**
-     * The draft's member that can't be contacted: where the fleet has left a zone for a part of its keys, the
-     * same at all instances, these go to their runner-up. No other key moves.
+     * The draft's member that can't be contacted: where the fleet has left a zone for a part of its keys, the same at
+     * all instances, these go to their runner-up. No other key moves.
      */
     private boolean left(Flight f, Server s) {
         double open = way(s).open;
@@ -824,12 +862,12 @@
     }
 
     /**
-     * The draft knows no cold member. Of one key it takes no more than a server's fair part of what this
-     * instance sees. For its warm-up a server takes only keys whose lot, the same at all instances, lies
-     * under its ramp; the others stay with their runner-up. The ramp is what it can do, less where servers
-     * are missing and each has the keys of others, and where a jam brings clients' repeats. Any less would
-     * leave the keys of a replaced server to warm ones that have their own: all instances alike would jam
-     * these. Hot keys and repeats, a client's as well, keep off it: they are what pushes it over.
+     * The draft knows no cold member. Of one key it takes no more than a server's fair part of what this instance sees.
+     * For its warm-up a server takes only keys whose lot, the same at all instances, lies under its ramp; the others
+     * stay with their runner-up. The ramp is what it can do, less where servers are missing and each has the keys of
+     * others, and where a jam brings clients' repeats. Any less would leave the keys of a replaced server to warm ones
+     * that have their own: all instances alike would jam these. Hot keys and repeats, a client's as well, keep off it:
+     * they are what pushes it over.
      */
     private boolean warmEnough(double now, Flight f, Server s) {
         if (!cold(now, s)) {
@@ -927,7 +965,9 @@
                 timer(fetchMs, AGAIN, f, out);
                 return;
             }
-        } else if (s == origin && end.outcome() == AttemptOutcome.REJECTED && f.request.write()
+        } else if (s == origin
+                && end.outcome() == AttemptOutcome.REJECTED
+                && f.request.write()
                 && f.attempts < f.maxAttempts()) {
             f.waiting = true;
             timer(fetchMs * (0.5 + random.nextDouble()), AGAIN, f, out);
@@ -948,10 +988,7 @@
         }
     }
 
-    /**
-     * Those who waited for a fetch find its object where it was missed; where the fetch failed, one of them
-     * tries.
-     */
+    /** Those who waited for a fetch find its object where it was missed; where the fetch failed, one of them tries. */
     private void fetchEnded(double now, Flight f, boolean stored, RoutingActions out) {
         ArrayDeque<Flight> followers = f.followers;
         fetches.remove(f.request.key());
@@ -974,7 +1011,9 @@
         }
         if (s == origin && end.outcome() == AttemptOutcome.CONNECT_FAILED) {
             toOrigin.suspected(now, SHUN_CONNECTS / 2 * cfg.connectTimeoutMs(), 0);
-        } else if (s == origin && end.outcome() != AttemptOutcome.TIMEOUT && end.outcome() != AttemptOutcome.CANCELLED) {
+        } else if (s == origin
+                && end.outcome() != AttemptOutcome.TIMEOUT
+                && end.outcome() != AttemptOutcome.CANCELLED) {
             toOrigin.answered();
         }
         switch (end.outcome()) {
@@ -983,15 +1022,21 @@
                 s.noPlaceUntil = 0;
                 if (s != origin) {
                     way(s).answered();
-                    out.report(s.id, end.outcome() == AttemptOutcome.MISS ? EndpointSignal.CACHE_MISS : EndpointSignal.RESPONDED);
+                    out.report(
+                            s.id,
+                            end.outcome() == AttemptOutcome.MISS
+                                    ? EndpointSignal.CACHE_MISS
+                                    : EndpointSignal.RESPONDED);
                 } else {
-                    boolean inTime = end.outcome() == AttemptOutcome.OK && now <= f.arrivedMs + f.kind.latencyObjectiveMs();
+                    boolean inTime =
+                            end.outcome() == AttemptOutcome.OK && now <= f.arrivedMs + f.kind.latencyObjectiveMs();
                     out.report(s.id, inTime ? EndpointSignal.RESPONDED : EndpointSignal.UNRESPONSIVE);
                 }
                 if (s != origin && end.outcome() == AttemptOutcome.REJECTED && end.attempt() > 0) {
                     crowd.asked(now);
                 }
-                boolean timely = end.elapsedMs() <= f.kind.latencyObjectiveMs() || crowd.pressure(now) > Throttle.HEADROOM;
+                boolean timely =
+                        end.elapsedMs() <= f.kind.latencyObjectiveMs() || crowd.pressure(now) > Throttle.HEADROOM;
                 if (s == origin || timely) {
                     s.failures = s.doubts = s.turnedAway = 0;
                 }
@@ -1038,7 +1083,8 @@
     }
 
     private static boolean outOfReach(AttemptOutcome outcome) {
-        return outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.RESET
+        return outcome == AttemptOutcome.CONNECT_FAILED
+                || outcome == AttemptOutcome.RESET
                 || outcome == AttemptOutcome.NOT_SENT;
     }
 
@@ -1108,8 +1154,8 @@
     }
 
     @Override
-    public void onHealthCheckResult(double now, int server, AttemptOutcome outcome, double elapsedMs, float[] report,
-            RoutingActions out) {
+    public void onHealthCheckResult(
+            double now, int server, AttemptOutcome outcome, double elapsedMs, float[] report, RoutingActions out) {
         Server s = servers.get(server);
         if (s == null || s.failures == 0) {
             return;
