--- /dev/null
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
@@ -0,0 +1,114 @@
+package cacheproxy.proxy.discovery;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.WireSamples;
+import cacheproxy.endpoints.ListCalls;
+import cacheproxy.routing.EndpointUpdateKind;
+import com.google.gson.JsonParser;
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** What is sent to discovery, byte for byte: a watch, a poll, the whole list, and what follows a fetch. */
+@Timeout(60)
+class DiscoveryRequestsTest {
+    private static final ListForm FORM = new ListForm(List.of("east", "west_coast"), List.of("fast", "slow", "origin"));
+    private static final String NO_NEWS = "{\"seq\":41,\"whole\":false,\"hosts\":[]}";
+
+    /** Takes the list and says nothing. */
+    private static final class Ignored implements DiscoveryClient.Listener {
+        @Override
+        public void listed(EndpointUpdateKind kind, long version, List<Host> hosts) {}
+
+        @Override
+        public void called() {}
+
+        @Override
+        public void callFailed(String why) {}
+
+        @Override
+        public void leftOut(String what) {}
+    }
+
+    private static String head(InputStream in) throws IOException {
+        StringBuilder head = new StringBuilder();
+        while (head.indexOf("\r\n\r\n") < 0) {
+            head.append((char) in.read());
+        }
+        return head.toString();
+    }
+
+    private static void answer(Socket socket, String body) throws IOException {
+        String head = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n";
+        socket.getOutputStream().write((head + body).getBytes(StandardCharsets.US_ASCII));
+    }
+
+    /** The next request, with the port of its host named PORT and the end of each line shown. */
+    private static String request(Socket socket) throws IOException {
+        return head(socket.getInputStream())
+                .replace(":" + socket.getLocalPort(), ":PORT")
+                .replace("\r\n", "\\r\\n\n");
+    }
+
+    private static String requests(ServerSocket server, EventLoop loop, DiscoveryClient client) throws Exception {
+        StringBuilder sent = new StringBuilder();
+        try (Socket socket = server.accept()) {
+            sent.append("# a watch\n").append(request(socket));
+            answer(socket, NO_NEWS);
+            sent.append("# a watch after an answer\n").append(request(socket));
+            answer(socket, "no JSON");
+        }
+        try (Socket socket = server.accept()) {
+            sent.append("# a poll after a watch that failed\n").append(request(socket));
+            answer(socket, "no JSON");
+        }
+        try (Socket socket = server.accept()) {
+            sent.append("# the whole list after a poll that failed\n").append(request(socket));
+            answer(socket, WireSamples.text("discovery/list-whole.json"));
+            sent.append("# a watch after the whole list\n").append(request(socket));
+            loop.submit(client::fetch).sync();
+        }
+        try (Socket socket = server.accept()) {
+            sent.append("# a fetch\n").append(request(socket));
+        }
+        return sent.toString();
+    }
+
+    @Test
+    void requestsAreSentAsRecorded() throws Exception {
+        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        EventLoop loop = group.next();
+        try (ServerSocket server = new ServerSocket(0, 10, InetAddress.getByName("127.0.0.1"))) {
+            DiscoveryClient client = new DiscoveryClient(
+                    loop,
+                    new Bootstrap().group(loop).channel(NioSocketChannel.class),
+                    new DiscoveryClient.Settings(
+                            (InetSocketAddress) server.getLocalSocketAddress(),
+                            FORM,
+                            7,
+                            new ListCalls.Settings(false, 10_000, 1, false)),
+                    new Ignored(),
+                    () -> System.nanoTime() / 1e6);
+            String known = WireSamples.text("discovery/list-whole.json");
+            loop.submit(() -> client.start(JsonParser.parseString(known).getAsJsonObject()))
+                    .sync();
+            assertThat(requests(server, loop, client)).isEqualTo(WireSamples.text("discovery/requests.txt"));
+        } finally {
+            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
+        }
+    }
+}
