--- a/src/main/java/cacheproxy/failover/Report.java
+++ b/src/main/java/cacheproxy/failover/Report.java
@@ -50,7 +50,7 @@
     static byte[] encode(List<Sight> sights, Set<Integer> cold, boolean originTight) {
         int bits = originTight ? 1 : 0;
         for (int z = 0; z < sights.size(); z++) {
-            bits |= (sights.get(z).ordinal() << 1 | (cold.contains(z) ? 1 : 0)) << (3 * z + 1);
+            bits |= (sights.get(z).code() << 1 | (cold.contains(z) ? 1 : 0)) << (3 * z + 1);
         }
         return bits == 0 ? new byte[0] : new byte[] {(byte) (bits >> 16), (byte) (bits >> 8), (byte) bits};
     }
--- a/src/main/java/cacheproxy/failover/Sight.java
+++ b/src/main/java/cacheproxy/failover/Sight.java
@@ -1,20 +1,35 @@
 package cacheproxy.failover;
 
-/** What one instance sees of the cache nodes of a zone now; its place is its form on the wire. */
+/** What one instance sees of the cache nodes of a zone now. */
 public enum Sight {
     /** Too little was sent there lately to say anything. */
-    NONE,
+    NONE(0),
     /** What is sent there is answered. */
-    GOOD,
+    GOOD(1),
     /** A good part of what is sent there is not answered, or long overdue, at several of its nodes. */
-    POOR,
+    POOR(2),
     /** Several of its nodes in a row said nothing, and none has answered since. */
-    LOST;
+    LOST(3);
 
-    private static final Sight[] ALL = values();
+    private final int code;
 
-    static Sight of(int number) {
-        return ALL[number & 3];
+    Sight(int code) {
+        this.code = code;
+    }
+
+    /** Its code on the wire, in two bits. */
+    int code() {
+        return code;
+    }
+
+    /** The one whose code stands in the lowest two bits. */
+    static Sight of(int bits) {
+        return switch (bits & 3) {
+            case 0 -> NONE;
+            case 1 -> GOOD;
+            case 2 -> POOR;
+            default -> LOST;
+        };
     }
 
     /** Whether it speaks against the zone. */
--- a/src/main/java/cacheproxy/failover/ZoneState.java
+++ b/src/main/java/cacheproxy/failover/ZoneState.java
@@ -22,18 +22,33 @@
     /** On whose account a state holds; the later of them is the stronger among decisions of one epoch. */
     public enum Cause {
         /** What the fleet sees. */
-        EVIDENCE,
+        EVIDENCE(0),
         /** An operator has it opened step by step; what is seen holds again when it is open. */
-        RETURN,
+        RETURN(1),
         /** An operator has it kept as it is. */
-        HOLD,
+        HOLD(2),
         /** An operator has it left and kept so. */
-        LEAVE;
+        LEAVE(3);
 
-        private static final Cause[] ALL = values();
+        private final int code;
 
-        static Cause of(int number) {
-            return ALL[number & 3];
+        Cause(int code) {
+            this.code = code;
+        }
+
+        /** Its code on the wire, in two bits. */
+        int code() {
+            return code;
+        }
+
+        /** The one whose code stands in the lowest two bits. */
+        static Cause of(int bits) {
+            return switch (bits & 3) {
+                case 0 -> EVIDENCE;
+                case 1 -> RETURN;
+                case 2 -> HOLD;
+                default -> LEAVE;
+            };
         }
     }
 
@@ -73,7 +88,7 @@
     }
 
     int bits() {
-        return epoch << 8 | open << 4 | leaves << 2 | cause.ordinal();
+        return epoch << 8 | open << 4 | leaves << 2 | cause.code();
     }
 
     static ZoneState of(int bits) {
--- a/src/main/java/cacheproxy/gossip/ListUpdate.java
+++ b/src/main/java/cacheproxy/gossip/ListUpdate.java
@@ -24,8 +24,6 @@
     /** The most servers that one message holds. */
     public static final int MOST_SERVERS = (Envelope.MOST_BODY - HEAD_BYTES) / SERVER_BYTES;
 
-    private static final EndpointState[] STATES = EndpointState.values();
-
     /** Copies the servers. */
     public ListUpdate {
         servers = List.copyOf(servers);
@@ -40,11 +38,30 @@
         ByteBuffer out = ByteBuffer.allocate(HEAD_BYTES + SERVER_BYTES * servers.size());
         out.put(MARK).putLong(after).putLong(version).putShort((short) holdMs);
         for (ListChange c : servers) {
-            out.putInt(c.server()).put((byte) c.state().ordinal()).putDouble(c.bornMs());
+            out.putInt(c.server()).put(code(c.state())).putDouble(c.bornMs());
         }
         return out.array();
     }
 
+    /** The code of a state in a message: 0 removed, 1 draining, 2 ready. */
+    private static byte code(EndpointState state) {
+        return switch (state) {
+            case REMOVED -> 0;
+            case DRAINING -> 1;
+            case READY -> 2;
+        };
+    }
+
+    /** The state of that code; null if there is none. */
+    private static EndpointState state(byte code) {
+        return switch (code) {
+            case 0 -> EndpointState.REMOVED;
+            case 1 -> EndpointState.DRAINING;
+            case 2 -> EndpointState.READY;
+            default -> null;
+        };
+    }
+
     /** Reads a message; null if it is none of this kind, or none that can be read. */
     public static ListUpdate decode(byte[] message) {
         int body = message.length - HEAD_BYTES;
@@ -58,12 +75,12 @@
         List<ListChange> servers = new ArrayList<>();
         while (in.hasRemaining()) {
             int server = in.getInt();
-            int state = in.get();
+            EndpointState state = state(in.get());
             double bornMs = in.getDouble();
-            if (state < 0 || state >= STATES.length || !(bornMs >= 0) || Double.isInfinite(bornMs)) {
+            if (state == null || !(bornMs >= 0) || Double.isInfinite(bornMs)) {
                 return null;
             }
-            servers.add(new ListChange(version, server, STATES[state], bornMs));
+            servers.add(new ListChange(version, server, state, bornMs));
         }
         return after < 0 || after > version ? null : new ListUpdate(after, version, holdMs, servers);
     }
--- a/src/main/java/cacheproxy/gossip/MemberBudget.java
+++ b/src/main/java/cacheproxy/gossip/MemberBudget.java
@@ -7,7 +7,15 @@
 public record MemberBudget(Outbox outbox) implements Membership.Allowance {
     @Override
     public boolean take(double nowMs, int bytes, Urgency urgency) {
-        return outbox.admits(nowMs, Envelope.bytes(bytes), Outbox.Level.values()[urgency.ordinal()]);
+        return outbox.admits(nowMs, Envelope.bytes(bytes), level(urgency));
+    }
+
+    private static Outbox.Level level(Urgency urgency) {
+        return switch (urgency) {
+            case ANSWER -> Outbox.Level.FIRST;
+            case CHANGE -> Outbox.Level.SECOND;
+            case OTHER -> Outbox.Level.THIRD;
+        };
     }
 
     @Override
--- a/src/main/java/cacheproxy/membership/Entry.java
+++ b/src/main/java/cacheproxy/membership/Entry.java
@@ -197,7 +197,7 @@
 
     @Override
     public int hashCode() {
-        return Long.hashCode(hash()) * 31 + state.ordinal() + confirmers.hashCode();
+        return Long.hashCode(hash()) * 31 + state.code() + confirmers.hashCode();
     }
 
     @Override
--- a/src/main/java/cacheproxy/membership/Message.java
+++ b/src/main/java/cacheproxy/membership/Message.java
@@ -32,17 +32,38 @@
     /** The kinds. */
     public enum Kind {
         /** Do you live? */
-        PING,
+        PING(0),
         /** I do, or the one that was asked after does. */
-        ACK,
+        ACK(1),
         /** Ask after that one for me. */
-        HELP,
+        HELP(2),
         /** What has changed; wants no answer. */
-        NEWS,
+        NEWS(3),
         /** Our digests differ; mine by slice. Wants the entries of the slices that differ, and yours. */
-        DIFFER,
+        DIFFER(4),
         /** The entries of slices that differ; wants no answer. */
-        SLICES
+        SLICES(5);
+
+        private final int code;
+
+        Kind(int code) {
+            this.code = code;
+        }
+
+        /** Its code on the wire. */
+        int code() {
+            return code;
+        }
+
+        /** The kind of that code; null if it is unknown. */
+        static Kind of(int code) {
+            for (Kind kind : values()) {
+                if (kind.code == code) {
+                    return kind;
+                }
+            }
+            return null;
+        }
     }
 
     // ---- to bytes
@@ -72,7 +93,7 @@
     public byte[] encode() {
         int size = headBytes(kind) + entries.stream().mapToInt(Message::bytes).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
-        out.put((byte) kind.ordinal())
+        out.put((byte) kind.code())
                 .put((byte) entries.size())
                 .putShort((short) number)
                 .putShort((short) target)
@@ -87,8 +108,8 @@
     }
 
     private static void encode(Entry e, ByteBuffer out) {
-        out.put((byte) (e.state().ordinal()
-                | e.phase().ordinal() << 2
+        out.put((byte) (e.state().code()
+                | e.phase().code() << 2
                 | (e.address().length > 0 ? ADDRESS : 0)
                 | (e.notes().isEmpty() ? 0 : NOTES)
                 | (e.confirmers().isEmpty() ? 0 : CONFIRMERS)));
@@ -135,15 +156,15 @@
         if (bytes.length < HEAD_BYTES) {
             return null;
         }
-        int kind = in.get();
+        Kind kind = Kind.of(in.get());
         int many = in.get() & 0xff;
-        if (kind < 0 || kind >= Kind.values().length || bytes.length < headBytes(Kind.values()[kind])) {
+        if (kind == null || bytes.length < headBytes(kind)) {
             return null;
         }
         int number = in.getShort() & 0xffff;
         int target = in.getShort() & 0xffff;
         int digest = in.getInt();
-        int[] slices = new int[kind == Kind.DIFFER.ordinal() ? Table.SLICES : 0];
+        int[] slices = new int[kind == Kind.DIFFER ? Table.SLICES : 0];
         for (int i = 0; i < slices.length; i++) {
             slices[i] = in.getShort() & 0xffff;
         }
@@ -155,9 +176,7 @@
         } catch (BufferUnderflowException | IllegalArgumentException e) {
             return null;
         }
-        return in.hasRemaining() || many == 0
-                ? null
-                : new Message(Kind.values()[kind], number, target, digest, slices, entries);
+        return in.hasRemaining() || many == 0 ? null : new Message(kind, number, target, digest, slices, entries);
     }
 
     private static Entry entry(ByteBuffer in) {
@@ -187,11 +206,11 @@
                 id,
                 incarnation,
                 life,
-                State.values()[flags & 3],
+                State.of(flags & 3),
                 confirmers,
                 (int) zone,
                 (int) version,
-                Phase.values()[flags >> 2 & 3],
+                Phase.of(flags >> 2 & 3),
                 Map.copyOf(notes),
                 address);
     }
--- a/src/main/java/cacheproxy/membership/Phase.java
+++ b/src/main/java/cacheproxy/membership/Phase.java
@@ -3,11 +3,33 @@
 /** What an instance says of its own service. */
 public enum Phase {
     /** It takes no requests yet. */
-    STARTING,
+    STARTING(0),
     /** It serves what it can and learns the rest. */
-    RECOVERING,
+    RECOVERING(1),
     /** It serves. */
-    SERVING,
+    SERVING(2),
     /** It takes nothing new. */
-    DRAINING
+    DRAINING(3);
+
+    private final int code;
+
+    Phase(int code) {
+        this.code = code;
+    }
+
+    /** Its code on the wire, in two bits. */
+    int code() {
+        return code;
+    }
+
+    /** The phase of that code, 0 to 3. */
+    static Phase of(int code) {
+        return switch (code) {
+            case 0 -> STARTING;
+            case 1 -> RECOVERING;
+            case 2 -> SERVING;
+            case 3 -> DRAINING;
+            default -> throw new IllegalArgumentException("phase " + code + ", expected 0 to 3");
+        };
+    }
 }
--- a/src/main/java/cacheproxy/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerSocket.java
@@ -36,21 +36,38 @@
     /** The kinds of item. */
     enum Kind {
         /** The version of the list, as {@code ListNews} has it. */
-        LIST,
+        LIST(1),
         /** What the decision module tells. */
-        MODULE,
+        MODULE(2),
         /** Who lives. */
-        MEMBERS,
+        MEMBERS(3),
         /** Which nodes were found silent. */
-        NODES,
+        NODES(4),
         /** What somebody who comes back asks for, and is told. */
-        RECALL;
+        RECALL(5);
 
         /** The version of all forms so far. */
         static final int VERSION = 0;
 
+        private final int number;
+
+        Kind(int number) {
+            this.number = number;
+        }
+
+        /** Its code on the wire. */
         int number() {
-            return ordinal() + 1;
+            return number;
+        }
+
+        /** The kind of that code; null if it is unknown, as that of a later program. */
+        static Kind of(int number) {
+            for (Kind kind : values()) {
+                if (kind.number == number) {
+                    return kind;
+                }
+            }
+            return null;
         }
     }
 
@@ -152,8 +169,9 @@
             }
             counters.did(Work.MESSAGES_HEARD);
             for (Item item : Envelope.open(ByteBufUtil.getBytes(packet.content()))) {
-                if (item.version() == Kind.VERSION && item.kind() <= Kind.values().length) {
-                    receiver.heard(peer, Kind.values()[item.kind() - 1], item.body());
+                Kind kind = Kind.of(item.kind());
+                if (item.version() == Kind.VERSION && kind != null) {
+                    receiver.heard(peer, kind, item.body());
                 }
             }
         }
