--- a/src/main/java/cacheproxy/endpoints/ListCalls.java
+++ b/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
@@ -7,7 +7,7 @@
 
 /**
  * Which calls for the list of servers are made, in which form, and when each is given up. A change that discovery has
- * counts as told {@link RetryPause#TOLD_MS} after it could be learnt, by whatever form of call, so:
+ * counts as told {@link PollBackoff#MAX_STALENESS_MS} after it could be learnt, by whatever form of call, so:
  *
  * <ul>
  *   <li>A call that is overdue is not given up for the next one, which would lose its answer just before it comes, for
@@ -16,13 +16,13 @@
  *   <li>A form that has failed is followed by another: a watch by a poll for changes, and where answers break off or do
  *       not come, this by the whole list.
  *   <li>How long a call may stay out at the very most doubles each time that passes without an answer.
- *   <li>After a failure that came at once there is a pause, which grows ({@link RetryPause}).
+ *   <li>After a failure that came at once there is a pause, which grows ({@link PollBackoff}).
  * </ul>
  *
  * <p>Where discovery is one service for all instances, a whole list costs it as much as many changes, and all instances
  * at once would jam it. There only some of them ask for it, and pass on what they are told.
  */
-public final class ListCalls {
+public final class EndpointListPoller {
     /** How long a watch may wait for news, in milliseconds, give or take a tenth. */
     static final double WAIT_MS = 1600;
 
@@ -57,25 +57,36 @@
     private static final double WHOLE_LISTS = 2;
 
     /** The forms of a call. */
-    public enum Form {
+    public enum PollKind {
         /** Waits until there is something newer than the version held. */
-        WATCH,
+        WATCH("WATCH"),
         /** Asks for what is newer and does not wait. */
-        POLL,
+        DELTA("POLL"),
         /** Asks for the whole list. */
-        WHOLE
+        SNAPSHOT("WHOLE");
+
+        private final String logName;
+
+        PollKind(String logName) {
+            this.logName = logName;
+        }
+
+        /** Its name in the log. */
+        public String logName() {
+            return logName;
+        }
     }
 
     /** Why a call has ended without an answer that can be used. */
-    public enum Failure {
+    public enum PollFailure {
         /** No connection, or turned away: whatever its form, it would have been. */
-        REFUSED,
+        REJECTED,
         /** It broke off, or its answer can't be used. */
         BROKEN
     }
 
     /** What is to be done. */
-    public sealed interface Order {}
+    public sealed interface PollAction {}
 
     /**
      * A call is to be made.
@@ -84,23 +95,24 @@
      * @param waitMs how long discovery may wait for news
      * @param newConnection whether a connection that stood before may not be used
      */
-    public record Begin(int id, Form form, double waitMs, boolean newConnection) implements Order {}
+    public record StartPoll(int id, PollKind kind, double waitMs, boolean newConnection) implements PollAction {}
 
     /** A call is to be ended; nothing is told of it any more. */
-    public record GiveUp(int id) implements Order {}
+    public record CancelPoll(int id) implements PollAction {}
 
     /**
      * What the settings say.
      *
-     * @param asked whether discovery is one service for all instances; else lists are pushed by an agent on this
-     *     machine
-     * @param askWithinMs within which a proxy with no watch has to ask
-     * @param instances how many there are of this tier, at least 1
-     * @param peers whether instances pass on to each other what they are told
+     * @param sharedDiscovery whether discovery is one service for all instances; else lists are pushed by an agent on
+     *     this machine
+     * @param maxPollIntervalMs within which a proxy with no watch has to ask
+     * @param instanceCount how many there are of this tier, at least 1
+     * @param gossipEnabled whether instances pass on to each other what they are told
      */
-    public record Settings(boolean asked, double askWithinMs, int instances, boolean peers) {}
+    public record PollerSettings(
+            boolean sharedDiscovery, double maxPollIntervalMs, int instanceCount, boolean gossipEnabled) {}
 
-    private record Out(int id, Form form, double begunMs, double waitMs, double overdueMs) {
+    private record Out(int id, PollKind form, double begunMs, double waitMs, double overdueMs) {
         Out overdueAt(double ms) {
             return new Out(id, form, begunMs, waitMs, ms);
         }
@@ -108,12 +120,12 @@
 
     private final SplittableRandom random;
     private final List<Out> out = new ArrayList<>();
-    private Settings settings;
-    private RetryPause pause;
-    private boolean following;
+    private PollerSettings settings;
+    private PollBackoff pause;
+    private boolean isRunning;
     private boolean continues;
     private int lastId;
-    private Form lastForm = Form.WHOLE;
+    private PollKind lastForm = PollKind.SNAPSHOT;
     /** Calls that brought no answer since a watch or a poll was answered last, and that another form may have. */
     private int unanswered;
     /** Whether a call has failed since one was answered last. */
@@ -124,45 +136,45 @@
     private double nextMs = Double.POSITIVE_INFINITY;
 
     /** {@code seed}: apart from that of other instances, so that they do not call at once. */
-    public ListCalls(Settings settings, long seed) {
+    public EndpointListPoller(PollerSettings settings, long seed) {
         random = new SplittableRandom(seed);
-        settle(settings);
+        updateSettings(settings);
     }
 
     /** Goes on by other settings; calls that are out are none of its. */
-    public void settle(Settings next) {
+    public void updateSettings(PollerSettings next) {
         settings = next;
-        pause = new RetryPause(next.askWithinMs());
+        pause = new PollBackoff(next.maxPollIntervalMs());
     }
 
     /** The list is to be followed from now on, by new calls. */
-    public List<Order> follow(double nowMs) {
-        List<Order> orders = stop();
-        following = true;
+    public List<PollAction> start(double nowMs) {
+        List<PollAction> orders = stop();
+        isRunning = true;
         unanswered = 0;
         nextMs = nowMs;
-        orders.addAll(due(nowMs));
+        orders.addAll(onTimer(nowMs));
         return orders;
     }
 
     /** The list is not to be followed any more. */
-    public List<Order> stop() {
-        List<Order> orders = new ArrayList<>();
+    public List<PollAction> stop() {
+        List<PollAction> orders = new ArrayList<>();
         giveUpAll(orders);
-        following = false;
+        isRunning = false;
         continues = false;
         nextMs = Double.POSITIVE_INFINITY;
         return orders;
     }
 
-    private void giveUpAll(List<Order> orders) {
-        out.forEach(o -> orders.add(new GiveUp(o.id())));
+    private void giveUpAll(List<PollAction> orders) {
+        out.forEach(o -> orders.add(new CancelPoll(o.id())));
         out.clear();
     }
 
     /** Whether the list is followed. */
-    public boolean following() {
-        return following;
+    public boolean isRunning() {
+        return isRunning;
     }
 
     /**
@@ -170,62 +182,62 @@
      *
      * @param news whether it is newer than all that was known before
      */
-    public List<Order> answered(double nowMs, int id, boolean news) {
+    public List<PollAction> onResponse(double nowMs, int id, boolean news) {
         Out answered = remove(id);
-        List<Order> orders = new ArrayList<>();
+        List<PollAction> orders = new ArrayList<>();
         if (answered == null) {
             return orders;
         }
-        pause.answered();
+        pause.reset();
         givenUp = 0;
         failedBefore = false;
-        if (answered.form() != Form.WHOLE) {
+        if (answered.form() != PollKind.SNAPSHOT) {
             unanswered = 0;
             continues = true;
             giveUpAll(orders); // what is newer comes by this one's next
         }
         nextMs = news ? nowMs : Math.max(nowMs, answered.begunMs() + PACE_MS);
-        orders.addAll(due(nowMs));
+        orders.addAll(onTimer(nowMs));
         return orders;
     }
 
     /** An answer has begun to come: the call stands in no line any more. */
-    public List<Order> begun(double nowMs, int id) {
+    public List<PollAction> onResponseStarted(double nowMs, int id) {
         out.replaceAll(o -> o.id() == id ? o.overdueAt(Math.min(o.overdueMs(), nowMs + BODY_MS)) : o);
         return List.of();
     }
 
     /** A call has ended without an answer that can be used. */
-    public List<Order> failed(double nowMs, int id, Failure why) {
+    public List<PollAction> onFailure(double nowMs, int id, PollFailure why) {
         Out failed = remove(id);
         if (failed == null) {
             return List.of();
         }
         continues = false;
         failedBefore = true;
-        if (why == Failure.BROKEN) {
+        if (why == PollFailure.BROKEN) {
             unanswered++;
         }
         pauseAfter(nowMs, failed);
-        return due(nowMs);
+        return onTimer(nowMs);
     }
 
     private void pauseAfter(double nowMs, Out failed) {
-        double pauseMs = settings.asked()
-                ? Math.min(MOST_PAUSE_MS, pause.failed(nowMs - failed.begunMs(), random))
+        double pauseMs = settings.sharedDiscovery()
+                ? Math.min(MOST_PAUSE_MS, pause.nextDelayMs(nowMs - failed.begunMs(), random))
                 : AGENT_PAUSE_MS;
         nextMs = nowMs + pauseMs;
     }
 
     /** A peer has been told of a version that this instance has not: another call may be worth it. */
-    public List<Order> peerIsAhead(double nowMs) {
+    public List<PollAction> onPeerAhead(double nowMs) {
         // One discovery for all would be jammed by calls that peers' words bring about.
-        if (!following || settings.asked() || out.isEmpty()) {
+        if (!isRunning || settings.sharedDiscovery() || out.isEmpty()) {
             return List.of();
         }
-        List<Order> orders = new ArrayList<>();
+        List<PollAction> orders = new ArrayList<>();
         if (out.size() < MOST_OUT) {
-            begin(nowMs, Form.POLL, orders);
+            begin(nowMs, PollKind.DELTA, orders);
         }
         return orders;
     }
@@ -241,13 +253,13 @@
         return null;
     }
 
-    /** When to call {@link #due} next, in milliseconds; infinite for never. */
-    public double dueMs() {
+    /** When to call {@link #onTimer} next, in milliseconds; infinite for never. */
+    public double nextTimerMs() {
         double due = Double.POSITIVE_INFINITY;
         for (Out o : out) {
             due = Math.min(due, limitMs(o));
         }
-        if (!following) {
+        if (!isRunning) {
             return due;
         }
         double next = out.isEmpty() ? nextMs : Math.max(nextMs, newest().overdueMs());
@@ -259,17 +271,17 @@
     }
 
     /** The time has come, or a timer thinks so. */
-    public List<Order> due(double nowMs) {
-        List<Order> orders = new ArrayList<>();
+    public List<PollAction> onTimer(double nowMs) {
+        List<PollAction> orders = new ArrayList<>();
         for (Out o : List.copyOf(out)) {
             if (limitMs(o) <= nowMs) {
                 out.remove(o);
-                orders.add(new GiveUp(o.id()));
+                orders.add(new CancelPoll(o.id()));
                 givenUp++;
                 pauseAfter(nowMs, o);
             }
         }
-        if (!following || nowMs < nextMs) {
+        if (!isRunning || nowMs < nextMs) {
             return orders;
         }
         if (out.isEmpty()) {
@@ -284,39 +296,41 @@
     }
 
     /** The oldest call is nearest to a late answer: it stays out for all of its time. */
-    private void makeRoom(List<Order> orders) {
+    private void makeRoom(List<PollAction> orders) {
         if (out.size() >= MOST_OUT) {
-            orders.add(new GiveUp(out.remove(1).id()));
+            orders.add(new CancelPoll(out.remove(1).id()));
         }
     }
 
-    private Form formAfterFailures() {
-        if (lastForm == Form.WATCH && failedBefore) {
-            return unanswered > 1 && mayAskForAll() ? Form.WHOLE : Form.POLL;
+    private PollKind formAfterFailures() {
+        if (lastForm == PollKind.WATCH && failedBefore) {
+            return unanswered > 1 && mayAskForAll() ? PollKind.SNAPSHOT : PollKind.DELTA;
         }
-        return lastForm == Form.POLL && unanswered > 1 && mayAskForAll() ? Form.WHOLE : Form.WATCH;
+        return lastForm == PollKind.DELTA && unanswered > 1 && mayAskForAll() ? PollKind.SNAPSHOT : PollKind.WATCH;
     }
 
-    private Form formBesideAnOverdueCall() {
-        if (lastForm == Form.WHOLE) {
-            return Form.WATCH;
+    private PollKind formBesideAnOverdueCall() {
+        if (lastForm == PollKind.SNAPSHOT) {
+            return PollKind.WATCH;
         }
-        return mayAskForAll() ? Form.WHOLE : Form.POLL;
+        return mayAskForAll() ? PollKind.SNAPSHOT : PollKind.DELTA;
     }
 
     private boolean mayAskForAll() {
-        return !settings.asked() || !settings.peers() || random.nextDouble() * settings.instances() < WHOLE_LISTS;
+        return !settings.sharedDiscovery()
+                || !settings.gossipEnabled()
+                || random.nextDouble() * settings.instanceCount() < WHOLE_LISTS;
     }
 
-    private void begin(double nowMs, Form form, List<Order> orders) {
+    private void begin(double nowMs, PollKind form, List<PollAction> orders) {
         double spread = 1 - WAIT_SPREAD + 2 * WAIT_SPREAD * random.nextDouble(); // or those of all end together
-        double waitMs = form == Form.WATCH ? WAIT_MS * spread : 0;
+        double waitMs = form == PollKind.WATCH ? WAIT_MS * spread : 0;
         boolean newConnection = !out.isEmpty();
         Out begun = new Out(++lastId, form, nowMs, waitMs, nowMs + overdueAfterMs(form, waitMs));
         out.add(begun);
         lastForm = form;
         nextMs = nowMs;
-        orders.add(new Begin(begun.id(), form, waitMs, newConnection));
+        orders.add(new StartPoll(begun.id(), form, waitMs, newConnection));
     }
 
     /** When a call is given up: later for those that are out as well once another has been. */
@@ -329,17 +343,17 @@
      * a line; where many instances make the line long, peers tell sooner than a further call would, and it does.
      */
     private double besidePatienceMs() {
-        return settings.instances() <= FEW_INSTANCES ? PATIENCE_MS : 2 * PATIENCE_MS;
+        return settings.instanceCount() <= FEW_INSTANCES ? PATIENCE_MS : 2 * PATIENCE_MS;
     }
 
-    private double overdueAfterMs(Form form, double waitMs) {
-        if (!settings.asked()) {
+    private double overdueAfterMs(PollKind form, double waitMs) {
+        if (!settings.sharedDiscovery()) {
             return waitMs + AGENT_PATIENCE_MS;
         }
         if (!out.isEmpty()) {
             return waitMs + besidePatienceMs();
         }
-        if (form != Form.WATCH) {
+        if (form != PollKind.WATCH) {
             return WAIT_MS + PATIENCE_MS;
         }
         return waitMs + (continues ? CONTINUED_PATIENCE_MS : PATIENCE_MS);
--- a/src/main/java/cacheproxy/model/NewsPlay.java
+++ b/src/main/java/cacheproxy/model/NewsPlay.java
@@ -1,6 +1,6 @@
 package cacheproxy.model;
 
-import cacheproxy.endpoints.ListCalls;
+import cacheproxy.endpoints.EndpointListPoller;
 import cacheproxy.gossip.AntiEntropy;
 import cacheproxy.gossip.ListNews;
 import cacheproxy.gossip.ListNews.Order;
@@ -169,7 +169,7 @@
         private final ProvisionalMembership membership = new ProvisionalMembership(FleetDraw.ORIGIN_KIND);
         private final List<Endpoint> list = new ArrayList<>();
         private long version = 1;
-        private final ListCalls calls;
+        private final EndpointListPoller calls;
         private final AntiEntropy antiEntropy = new AntiEntropy(START_MS);
         /** The calls that are out. */
         private final Set<Integer> out = new HashSet<>();
@@ -181,8 +181,8 @@
             this.me = me;
             policy = new CarpLoadBalancer(settings, random.nextLong());
             news = new ListNews(settings.instanceCount(), settings.instanceSeed(random.nextLong()));
-            calls = new ListCalls(
-                    new ListCalls.Settings(
+            calls = new EndpointListPoller(
+                    new EndpointListPoller.PollerSettings(
                             settings.pollsDiscovery(),
                             settings.pollIntervalMs(),
                             settings.instanceCount(),
@@ -216,28 +216,30 @@
 
         @Override
         public void setWatch(boolean on) {
-            carryOut(on ? calls.follow(time.now()) : calls.stop(), false);
+            carryOut(on ? calls.start(time.now()) : calls.stop(), false);
         }
 
-        private void carryOut(List<ListCalls.Order> orders, boolean afterAnAnswer) {
-            for (ListCalls.Order order : orders) {
-                if (order instanceof ListCalls.Begin begin) {
+        private void carryOut(List<EndpointListPoller.PollAction> orders, boolean afterAnAnswer) {
+            for (EndpointListPoller.PollAction order : orders) {
+                if (order instanceof EndpointListPoller.StartPoll begin) {
                     out.add(begin.id());
-                    boolean goesOn = afterAnAnswer && begin.form() == ListCalls.Form.WATCH && !begin.newConnection();
+                    boolean goesOn = afterAnAnswer
+                            && begin.kind() == EndpointListPoller.PollKind.WATCH
+                            && !begin.newConnection();
                     discovery.call(this, begin.id(), version, begin.waitMs(), goesOn);
-                } else if (order instanceof ListCalls.GiveUp giveUp) {
+                } else if (order instanceof EndpointListPoller.CancelPoll giveUp) {
                     out.remove(giveUp.id());
                     discovery.giveUp(this, giveUp.id());
                     alert();
                 }
             }
-            double due = calls.dueMs();
+            double due = calls.nextTimerMs();
             if (due != Double.POSITIVE_INFINITY && due != plannedMs) {
                 plannedMs = due;
                 time.at(Math.max(due, time.now() + 0.01), () -> {
                     if (plannedMs == due) {
                         plannedMs = Double.NaN;
-                        carryOut(calls.due(time.now()), false);
+                        carryOut(calls.onTimer(time.now()), false);
                     }
                 });
             }
@@ -246,7 +248,7 @@
         @Override
         public void failed(int which) {
             if (out.remove(which)) {
-                carryOut(calls.failed(time.now(), which, ListCalls.Failure.REFUSED), false);
+                carryOut(calls.onFailure(time.now(), which, EndpointListPoller.PollFailure.REJECTED), false);
                 alert();
             }
         }
@@ -264,7 +266,7 @@
             policy.onEndpointUpdate(
                     time.now(), EndpointUpdateKind.DELTA, membership.told(time.now(), told, false, changed), this);
             know();
-            carryOut(calls.answered(time.now(), which, newer), true);
+            carryOut(calls.onResponse(time.now(), which, newer), true);
         }
 
         private void know() {
@@ -310,7 +312,7 @@
             if (setup.sharing() == Sharing.CHANGES) {
                 alert();
             } else {
-                carryOut(calls.peerIsAhead(time.now()), false);
+                carryOut(calls.onPeerAhead(time.now()), false);
             }
         }
 
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.endpoints.ListCalls;
+import cacheproxy.endpoints.EndpointListPoller;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.ListForm;
@@ -69,7 +69,7 @@
                 discovery,
                 listForm(),
                 settings.instanceSeed(seed),
-                new ListCalls.Settings(
+                new EndpointListPoller.PollerSettings(
                         settings.pollsDiscovery(),
                         settings.pollIntervalMs(),
                         settings.instanceCount(),
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -1,11 +1,11 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.endpoints.ListCalls;
-import cacheproxy.endpoints.ListCalls.Begin;
-import cacheproxy.endpoints.ListCalls.Failure;
-import cacheproxy.endpoints.ListCalls.Form;
-import cacheproxy.endpoints.ListCalls.GiveUp;
-import cacheproxy.endpoints.ListCalls.Order;
+import cacheproxy.endpoints.EndpointListPoller;
+import cacheproxy.endpoints.EndpointListPoller.CancelPoll;
+import cacheproxy.endpoints.EndpointListPoller.PollAction;
+import cacheproxy.endpoints.EndpointListPoller.PollFailure;
+import cacheproxy.endpoints.EndpointListPoller.PollKind;
+import cacheproxy.endpoints.EndpointListPoller.StartPoll;
 import cacheproxy.routing.EndpointUpdateKind;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -27,8 +27,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Follows discovery's list of servers, and holds it as it was told last. Carries out what {@link ListCalls} orders. The
- * version that is asked for moves on only once an answer is in use everywhere. On the event loop only.
+ * Follows discovery's list of servers, and holds it as it was told last. Carries out what {@link EndpointListPoller}
+ * orders. The version that is asked for moves on only once an answer is in use everywhere. On the event loop only.
  */
 public final class DiscoveryClient implements ListSource {
     /** What is done with the news. */
@@ -57,7 +57,8 @@
      * @param seed apart from that of other instances, so that they do not call at once
      * @param calls what decides which calls are made
      */
-    public record Settings(InetSocketAddress address, ListForm form, long seed, ListCalls.Settings calls) {}
+    public record Settings(
+            InetSocketAddress address, ListForm form, long seed, EndpointListPoller.PollerSettings calls) {}
 
     private static final int CONNECT_MS = 1000;
 
@@ -65,7 +66,7 @@
     private final Bootstrap bootstrap;
     private final Listener listener;
     private final DoubleSupplier nowMs;
-    private final ListCalls calls;
+    private final EndpointListPoller calls;
     private final Map<Integer, ListConnection> out = new HashMap<>();
     private final List<ListConnection> kept = new ArrayList<>();
     /** The entries of the list as discovery words them, by their hosts' names. */
@@ -90,7 +91,7 @@
         this.settings = settings;
         this.listener = listener;
         this.nowMs = nowMs;
-        calls = new ListCalls(settings.calls(), settings.seed());
+        calls = new EndpointListPoller(settings.calls(), settings.seed());
     }
 
     /**
@@ -101,7 +102,7 @@
     public void settle(Settings next) {
         boolean moved = !next.address().equals(settings.address());
         settings = next;
-        calls.settle(next.calls());
+        calls.updateSettings(next.calls());
         if (moved) {
             highest = 0;
             carryOut(calls.stop());
@@ -133,14 +134,14 @@
             }
         }
         listener.listed(EndpointUpdateKind.CACHED, version, known);
-        if (!settings.calls().asked()) {
+        if (!settings.calls().sharedDiscovery()) {
             watch(true);
         }
     }
 
     @Override
     public void watch(boolean on) {
-        carryOut(on ? calls.follow(nowMs.getAsDouble()) : calls.stop());
+        carryOut(on ? calls.start(nowMs.getAsDouble()) : calls.stop());
     }
 
     @Override
@@ -161,14 +162,14 @@
 
     /** A peer has been told of a version that this proxy has not. */
     public void peerIsAhead() {
-        carryOut(calls.peerIsAhead(nowMs.getAsDouble()));
+        carryOut(calls.onPeerAhead(nowMs.getAsDouble()));
     }
 
-    private void carryOut(List<Order> orders) {
-        for (Order order : orders) {
-            if (order instanceof Begin begin) {
+    private void carryOut(List<PollAction> orders) {
+        for (PollAction order : orders) {
+            if (order instanceof StartPoll begin) {
                 begin(begin);
-            } else if (order instanceof GiveUp giveUp) {
+            } else if (order instanceof CancelPoll giveUp) {
                 out.remove(giveUp.id()).close();
                 listener.callFailed("given up");
             }
@@ -176,14 +177,14 @@
         if (timer != null) {
             timer.cancel(false);
         }
-        double due = calls.dueMs();
+        double due = calls.nextTimerMs();
         if (due != Double.POSITIVE_INFINITY) {
             long micros = (long) Math.ceil(1000 * Math.max(0, due - nowMs.getAsDouble()));
-            timer = loop.schedule(() -> carryOut(calls.due(nowMs.getAsDouble())), micros, TimeUnit.MICROSECONDS);
+            timer = loop.schedule(() -> carryOut(calls.onTimer(nowMs.getAsDouble())), micros, TimeUnit.MICROSECONDS);
         }
     }
 
-    private void begin(Begin call) {
+    private void begin(StartPoll call) {
         listener.called();
         if (call.newConnection()) {
             kept.forEach(ListConnection::close);
@@ -195,7 +196,7 @@
         connection.call(path(call), new ListConnection.Answered() {
             @Override
             public void begun() {
-                carryOut(calls.begun(nowMs.getAsDouble(), call.id()));
+                carryOut(calls.onResponseStarted(nowMs.getAsDouble(), call.id()));
             }
 
             @Override
@@ -210,41 +211,41 @@
             @Override
             public void refused(String why) {
                 out.remove(call.id());
-                failed(call, Failure.REFUSED, why);
+                failed(call, PollFailure.REJECTED, why);
             }
 
             @Override
             public void broken(String why) {
                 out.remove(call.id());
-                failed(call, Failure.BROKEN, why);
+                failed(call, PollFailure.BROKEN, why);
             }
         });
     }
 
-    private String path(Begin call) {
-        if (call.form() == Form.WHOLE) {
+    private String path(StartPoll call) {
+        if (call.kind() == PollKind.SNAPSHOT) {
             return "/discovery/hosts";
         }
         return "/discovery/hosts?since=" + (needsAll ? 0 : version) + "&timeout_ms=" + (int) call.waitMs();
     }
 
-    private void answered(Begin call, String body) {
+    private void answered(StartPoll call, String body) {
         boolean news;
         try {
             news = apply(JsonParser.parseString(body));
         } catch (RuntimeException e) {
             kept.forEach(ListConnection::close); // what follows on it may be the rest of what can't be read
             kept.clear();
-            failed(call, Failure.BROKEN, e.getMessage());
+            failed(call, PollFailure.BROKEN, e.getMessage());
             return;
         }
         answeredMs = nowMs.getAsDouble();
-        carryOut(calls.answered(answeredMs, call.id(), news));
+        carryOut(calls.onResponse(answeredMs, call.id(), news));
     }
 
-    private void failed(Begin call, Failure failure, String why) {
-        listener.callFailed(call.form() + ": " + why);
-        carryOut(calls.failed(nowMs.getAsDouble(), call.id(), failure));
+    private void failed(StartPoll call, PollFailure failure, String why) {
+        listener.callFailed(call.kind().logName() + ": " + why);
+        carryOut(calls.onFailure(nowMs.getAsDouble(), call.id(), failure));
     }
 
     /** Takes an answer into use; whether it is newer than all before. What can't be used throws. */
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -1,6 +1,6 @@
 package cacheproxy.routing;
 
-import cacheproxy.endpoints.RetryPause;
+import cacheproxy.endpoints.PollBackoff;
 import cacheproxy.gossip.PeerMessage;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -75,7 +75,7 @@
     private int nextToken;
     private boolean watching;
     private boolean asking;
-    private RetryPause listRetry;
+    private PollBackoff listRetry;
     /** When the last call for a watch began. */
     private double askedAt;
 
@@ -343,7 +343,7 @@
                 && cfg.tenants().equals(next.tenants())
                 && cfg.overQuotaPriorityWeight() == next.overQuotaPriorityWeight();
         if (cfg == null || cfg.pollIntervalMs() != next.pollIntervalMs()) {
-            listRetry = new RetryPause(next.pollIntervalMs());
+            listRetry = new PollBackoff(next.pollIntervalMs());
         }
         cfg = next;
         if (!same) { // open requests stay charged where they were
@@ -434,13 +434,13 @@
         }
         if (kind == EndpointUpdateKind.CACHED && cfg.pollsDiscovery()) {
             // The list service is small: all instances starting together must not call at once.
-            double within = Math.min(cfg.pollIntervalMs(), RetryPause.TOLD_MS);
+            double within = Math.min(cfg.pollIntervalMs(), PollBackoff.MAX_STALENESS_MS);
             double span = Math.min(within, cfg.instanceCount() * cfg.connectTimeoutMs()) / 2;
             timer(random.nextDouble() * span, WATCH, null, out);
         } else if (asking && kind != EndpointUpdateKind.PROVISIONAL) {
             asking = false;
             watching = true;
-            listRetry.answered();
+            listRetry.reset();
         }
         check(members);
         if (kind.isSnapshot()) {
@@ -513,7 +513,7 @@
     }
 
     private void askAgain(double now, RoutingActions out) {
-        timer(listRetry.failed(now - askedAt, random), WATCH, null, out);
+        timer(listRetry.nextDelayMs(now - askedAt, random), WATCH, null, out);
     }
 
     // ---- requests
--- a/src/test/java/cacheproxy/proxy/ListCallsTest.java
+++ b/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
@@ -24,7 +24,7 @@
  * before failed: it counts as told after 6 s, whatever that was.
  */
 @Timeout(120)
-class ListCallsTest {
+class EndpointListPollingTest {
     /** Under the 6 s with a margin for a busy machine and for the line at a discovery that many ask. */
     private static final double KNOWN_MS = 4500;
     /** Failures in a row before discovery is well: as many as lengthen the waits between calls. */
