--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -3,7 +3,7 @@
 import cacheproxy.endpoints.EndpointListPoller;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.proxy.discovery.ListForm;
+import cacheproxy.proxy.discovery.EndpointListCodec;
 import cacheproxy.route.Known;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.simulator.SettingsParser;
@@ -59,8 +59,8 @@
     }
 
     /** What discovery's list may name. */
-    ListForm listForm() {
-        return new ListForm(zones, kinds);
+    EndpointListCodec listForm() {
+        return new EndpointListCodec(zones, kinds);
     }
 
     /** Where the list comes from, and how. */
@@ -209,7 +209,7 @@
             int i = 0;
             for (JsonElement e : value.getAsJsonArray()) {
                 if (e.isJsonPrimitive()) {
-                    plain.add(ListForm.word(e.getAsString()));
+                    plain.add(EndpointListCodec.settingsName(e.getAsString()));
                 } else {
                     flatten(path + "." + i, e, out);
                 }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -15,9 +15,9 @@
 import cacheproxy.proxy.Exchange.Attempt;
 import cacheproxy.proxy.Exchange.Command;
 import cacheproxy.proxy.Timers.Timer;
-import cacheproxy.proxy.discovery.Host;
-import cacheproxy.proxy.discovery.ListSource;
-import cacheproxy.proxy.discovery.ProvisionalList;
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
+import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.recovery.Trust;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
@@ -57,7 +57,7 @@
  * in: an attempt ends once, a request is answered once. All of it runs on the event loop; the module is never called
  * from within one of its own orders, what happens meanwhile waits in line.
  */
-final class Dispatcher implements RoutingActions, ProvisionalList.User {
+final class Dispatcher implements RoutingActions, EndpointListPublisher.Subscriber {
     /** What was last known of clients and servers may be so old when an attempt begins, in milliseconds. */
     private static final double STALE_MS = 50;
     /** What a request that the module left unanswered at its due time may still wait for it. */
@@ -100,7 +100,7 @@
     /** The module where routes are set, else null. */
     private Router router;
 
-    private ListSource discovery;
+    private EndpointListSource discovery;
     private PeerSocket peers;
     private PeerNews news;
     /** Mistakes of the program that were met so far. */
@@ -165,7 +165,7 @@
      *
      * @param routing null: one pool, and the settings' own policy
      */
-    void start(ListSource source, PeerSocket socket, ClientListener clients, Routing routing) {
+    void start(EndpointListSource source, PeerSocket socket, ClientListener clients, Routing routing) {
         discovery = source;
         peers = socket;
         listener = clients;
@@ -422,12 +422,12 @@
     }
 
     @Override
-    public void called() {
+    public void onPollStarted() {
         counters.did(Work.LIST_CALLS);
     }
 
     @Override
-    public void callFailed(String why) {
+    public void onPollFailed(String why) {
         counters.did(Work.LIST_FAILURES);
         log(EventKind.LIST_CALL_FAILED, why);
         if (news != null) {
@@ -436,20 +436,23 @@
     }
 
     @Override
-    public void leftOut(String what) {
+    public void onEntryRejected(String what) {
         log(EventKind.LIST_ENTRY_UNUSABLE, what);
     }
 
     @Override
-    public void listed(EndpointUpdateKind kind, List<Host> hosts) {
+    public void onEndpoints(EndpointUpdateKind kind, List<DiscoveredEndpoint> hosts) {
         servers.listed(kind, hosts, config.streamsPerConnection());
         long faultsBefore = faults;
         tell(() -> {
             if (router != null) { // with its event and not before it: another may wait in line
-                hosts.forEach(h -> router.describe(h.member().id(), h.server()));
+                hosts.forEach(h -> router.describe(h.endpoint().id(), h.poolMember()));
             }
             module.onEndpointUpdate(
-                    now(), kind, hosts.stream().map(Host::member).toList(), this);
+                    now(),
+                    kind,
+                    hosts.stream().map(DiscoveredEndpoint::endpoint).toList(),
+                    this);
         });
         boolean taken = faults == faultsBefore;
         tell(servers::withdraw);
@@ -470,12 +473,12 @@
     }
 
     @Override
-    public void changed(String what) {
+    public void onListChanged(String what) {
         log(EventKind.LIST_CHANGED, what);
     }
 
     @Override
-    public void inUse(long version) {
+    public void onListApplied(long version) {
         trust.confirmed(Trust.Thing.LIST);
         if (news != null) {
             news.held(version);
@@ -932,12 +935,12 @@
 
     @Override
     public void setWatch(boolean on) {
-        discovery.watch(on);
+        discovery.setWatch(on);
     }
 
     @Override
     public void fetchEndpointList() {
-        discovery.fetch();
+        discovery.fetchSnapshot();
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/Installation.java
+++ b/src/main/java/cacheproxy/proxy/Installation.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.proxy.discovery.Host;
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.route.Known;
 import cacheproxy.route.Pool;
 import cacheproxy.routing.CarpHash;
@@ -13,11 +13,11 @@
 /** What an instance's own configuration tells of the installation, for tools that look at it without a proxy. */
 public final class Installation {
     private final Config config;
-    private final List<Host> hosts;
+    private final List<DiscoveredEndpoint> hosts;
 
     private Installation(Config config) {
         this.config = config;
-        hosts = config.known() == null ? List.of() : config.listForm().hosts(config.known());
+        hosts = config.known() == null ? List.of() : config.listForm().decodeAll(config.known());
     }
 
     /** Reads the file that a proxy is configured by; an IllegalArgumentException says what is wrong with it. */
@@ -32,24 +32,25 @@
 
     /** The servers of the list as it was last had. */
     public List<Pool.Server> servers() {
-        return hosts.stream().map(Host::server).toList();
+        return hosts.stream().map(DiscoveredEndpoint::poolMember).toList();
     }
 
     /** A pool's servers for a key, the one that takes it first; those that drain and the origin are left out. */
     public List<String> ranks(Pool pool, String key) {
-        List<Host> own = new ArrayList<>();
-        for (Host h : hosts) {
-            Endpoint m = h.member();
+        List<DiscoveredEndpoint> own = new ArrayList<>();
+        for (DiscoveredEndpoint h : hosts) {
+            Endpoint m = h.endpoint();
             boolean origin = config.settings().cacheAside()
                     && m.kind() == config.settings().originKind();
-            if (m.state() == EndpointState.READY && !origin && pool.selects(h.server())) {
+            if (m.state() == EndpointState.READY && !origin && pool.selects(h.poolMember())) {
                 own.add(h);
             }
         }
-        own.sort(Comparator.comparing(h -> h.member().id(), Integer::compareUnsigned));
+        own.sort(Comparator.comparing(h -> h.endpoint().id(), Integer::compareUnsigned));
         float[] weights = new float[own.size()];
         for (int i = 0; i < weights.length; i++) {
-            weights[i] = pool.weight(own.get(i).server(), own.get(i).member().weight());
+            weights[i] =
+                    pool.weight(own.get(i).poolMember(), own.get(i).endpoint().weight());
         }
         float[] multipliers = CarpHash.multipliers(weights);
         int hash = CarpHash.keyHash(key(key));
@@ -57,11 +58,11 @@
         List<Integer> order = new ArrayList<>();
         for (int i = 0; i < weights.length; i++) {
             scores[i] = CarpHash.score(
-                    hash, CarpHash.endpointHash(own.get(i).member().id()), multipliers[i]);
+                    hash, CarpHash.endpointHash(own.get(i).endpoint().id()), multipliers[i]);
             order.add(i);
         }
         order.sort(Comparator.comparingDouble(i -> -scores[i]));
-        return order.stream().map(i -> own.get(i).server().host()).toList();
+        return order.stream().map(i -> own.get(i).poolMember().host()).toList();
     }
 
     /** The module's key: what the text's hexadecimal digits say, else a hash of it that is alike everywhere. */
--- a/src/main/java/cacheproxy/proxy/PeerNews.java
+++ b/src/main/java/cacheproxy/proxy/PeerNews.java
@@ -8,7 +8,7 @@
 import cacheproxy.gossip.ProvisionalMembership;
 import cacheproxy.membership.Living;
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.proxy.discovery.ProvisionalList;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
 import java.util.SplittableRandom;
 
 /**
@@ -24,7 +24,7 @@
     private final Dispatcher dispatcher;
     private final PeerSocket peers;
     private final DiscoveryClient discovery;
-    private final ProvisionalList list;
+    private final EndpointListPublisher list;
     private final ListNews news;
     private final SplittableRandom random;
     private final AntiEntropy antiEntropy;
@@ -34,7 +34,7 @@
             Dispatcher dispatcher,
             PeerSocket peers,
             DiscoveryClient discovery,
-            ProvisionalList list,
+            EndpointListPublisher list,
             ListNews news,
             long seed) {
         this.dispatcher = dispatcher;
@@ -57,7 +57,7 @@
     }
 
     private ProvisionalMembership membership() {
-        return list.membership();
+        return list.provisionalEndpoints();
     }
 
     private boolean sharesChanges() {
@@ -87,7 +87,7 @@
         }
         ListUpdate update = ListUpdate.decode(message);
         if (update != null) {
-            list.heard(dispatcher.now(), peer, update);
+            list.onPeerUpdate(dispatcher.now(), peer, update);
             carryOut(news.heard(dispatcher.now(), update.version()));
             return;
         }
@@ -123,7 +123,7 @@
 
     /** Peers hold a version that discovery has not told here. */
     private void ask() {
-        discovery.peerIsAhead();
+        discovery.onPeerAhead();
         queryUnlessJustDone();
     }
 
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -10,7 +10,7 @@
 import cacheproxy.membership.View;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.proxy.discovery.ProvisionalList;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.recovery.Source;
 import cacheproxy.recovery.Trust;
 import cacheproxy.route.Known;
@@ -98,7 +98,7 @@
         peers = new PeerSocket(loop, config, dispatcher::heard, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
-        ProvisionalList list = new ProvisionalList(
+        EndpointListPublisher list = new EndpointListPublisher(
                 dispatcher,
                 new ProvisionalMembership(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
                 dispatcher::now);
@@ -167,7 +167,7 @@
             records.put(
                     Kind.ORDERS, new Record(Kind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
-        return new TakeoverState(discovery.list(), dispatcher.experience(), records);
+        return new TakeoverState(discovery.snapshot(), dispatcher.experience(), records);
     }
 
     /** What is passed over of what has been learnt; for tests, on the event loop only. */
@@ -415,7 +415,7 @@
             config = next;
             loop.execute(() -> {
                 dispatcher.settle(next);
-                discovery.settle(next.discoverySettings());
+                discovery.updateSettings(next.discoverySettings());
                 if (routing != null) {
                     dispatcher.route(routing);
                 }
@@ -546,7 +546,7 @@
 
     /** How fresh the list is. On the event loop only. */
     public ListStatus list() {
-        return new ListStatus(discovery.version(), dispatcher.now() - discovery.answeredMs());
+        return new ListStatus(discovery.version(), dispatcher.now() - discovery.lastResponseMs());
     }
 
     /**
--- a/src/main/java/cacheproxy/proxy/RecallLink.java
+++ b/src/main/java/cacheproxy/proxy/RecallLink.java
@@ -117,7 +117,7 @@
                         doubts)));
         dispatcher.trust().taken(now, Trust.Thing.LEARNT, Source.PEERS, 0, BOUND_MS, true);
         if (r.listVersion() > discovery.version()) {
-            discovery.peerIsAhead(); // a claim is no list, but worth a call
+            discovery.onPeerAhead(); // a claim is no list, but worth a call
         }
         dispatcher.log(String.format(
                 Locale.ROOT,
--- a/src/main/java/cacheproxy/proxy/Servers.java
+++ b/src/main/java/cacheproxy/proxy/Servers.java
@@ -3,7 +3,7 @@
 import cacheproxy.admission.Permits;
 import cacheproxy.metrics.Work;
 import cacheproxy.metrics.WorkLine;
-import cacheproxy.proxy.discovery.Host;
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.routing.EndpointState;
 import cacheproxy.routing.EndpointUpdateKind;
 import cacheproxy.routing.RoutingSettings;
@@ -57,10 +57,10 @@
     }
 
     /** Takes news of the list: who is new, gone, or at another address. */
-    void listed(EndpointUpdateKind kind, List<Host> hosts, int streams) {
-        for (Host h : hosts) {
-            int id = h.member().id();
-            if (h.member().state() == EndpointState.REMOVED) {
+    void listed(EndpointUpdateKind kind, List<DiscoveredEndpoint> hosts, int streams) {
+        for (DiscoveredEndpoint h : hosts) {
+            int id = h.endpoint().id();
+            if (h.endpoint().state() == EndpointState.REMOVED) {
                 forget(id);
                 continue;
             }
@@ -68,18 +68,18 @@
             if (u == null) {
                 u = added(h, streams);
             }
-            if (!h.dial().equals(u.dial) || u.bornMs != h.member().startTimeMs()) {
+            if (!h.address().equals(u.dial) || u.bornMs != h.endpoint().startTimeMs()) {
                 u.retire();
             }
-            u.dial = h.dial();
-            u.bornMs = h.member().startTimeMs();
-            u.startedMs = h.member().localStartTimeMs();
-            u.place = new Permits.Place(h.member().zone(), h.member().cell());
-            u.ready = h.member().state() == EndpointState.READY;
+            u.dial = h.address();
+            u.bornMs = h.endpoint().startTimeMs();
+            u.startedMs = h.endpoint().localStartTimeMs();
+            u.place = new Permits.Place(h.endpoint().zone(), h.endpoint().cell());
+            u.ready = h.endpoint().state() == EndpointState.READY;
         }
         if (kind.isSnapshot()) {
             Set<Integer> named = new HashSet<>();
-            hosts.forEach(h -> named.add(h.member().id()));
+            hosts.forEach(h -> named.add(h.endpoint().id()));
             for (Integer id : List.copyOf(servers.keySet())) {
                 if (!named.contains(id)) {
                     forget(id);
@@ -88,10 +88,10 @@
         }
     }
 
-    private Upstream added(Host h, int streams) {
+    private Upstream added(DiscoveredEndpoint h, int streams) {
         RoutingSettings settings = dispatcher.settings();
-        boolean origin = settings.cacheAside() && h.member().kind() == settings.originKind();
-        int id = h.member().id();
+        boolean origin = settings.cacheAside() && h.endpoint().kind() == settings.originKind();
+        int id = h.endpoint().id();
         Upstream u = origin
                 ? new Upstream(id, true, dispatcher, bootstrap, originConnections(), originConnections(), 1)
                 : new Upstream(
--- a/src/main/java/cacheproxy/proxy/StateLink.java
+++ b/src/main/java/cacheproxy/proxy/StateLink.java
@@ -109,7 +109,7 @@
 
     private void listed(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
-            JsonElement list = discovery.list();
+            JsonElement list = discovery.snapshot();
             Record before = keeper.get(Kind.LIST);
             if (before == null || !before.body().equals(list) || dispatcher.now() - before.toldMs() > LIST_REFRESH_MS) {
                 put(Kind.LIST, list);
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.proxy.discovery.Host;
-import cacheproxy.proxy.discovery.ListSource;
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
+import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.route.Pool;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
@@ -92,15 +92,16 @@
         SocketAddress origin = listen("o", Origin::new);
         SocketAddress proxy = listen("p", () -> new ClientConnection(dispatcher, false));
         int originKind = config.settings().originKind();
-        List<Host> hosts = List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
+        List<DiscoveredEndpoint> hosts =
+                List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
         loop.submit(() -> {
                     dispatcher.start(
-                            new ListSource() {
+                            new EndpointListSource() {
                                 @Override
-                                public void watch(boolean on) {}
+                                public void setWatch(boolean on) {}
 
                                 @Override
-                                public void fetch() {}
+                                public void fetchSnapshot() {}
                             },
                             null,
                             new Dispatcher.ClientListener() {
@@ -111,7 +112,7 @@
                                 public void retire(ClientConnection client) {}
                             },
                             null);
-                    dispatcher.listed(EndpointUpdateKind.CACHED, hosts);
+                    dispatcher.onEndpoints(EndpointUpdateKind.CACHED, hosts);
                 })
                 .sync();
         new Bootstrap()
@@ -143,8 +144,8 @@
         return address;
     }
 
-    private static Host host(int id, int kind, SocketAddress dial) {
-        return new Host(
+    private static DiscoveredEndpoint host(int id, int kind, SocketAddress dial) {
+        return new DiscoveredEndpoint(
                 new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), dial, new Pool.Server("", "", "", Set.of()));
     }
 
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -30,35 +30,35 @@
  * Follows discovery's list of servers, and holds it as it was told last. Carries out what {@link EndpointListPoller}
  * orders. The version that is asked for moves on only once an answer is in use everywhere. On the event loop only.
  */
-public final class DiscoveryClient implements ListSource {
+public final class DiscoveryClient implements EndpointListSource {
     /** What is done with the news. */
     public interface Listener {
         /**
          * The list that this proxy starts with, or what discovery has told: all of it or changes up to this version.
          * What can't be used throws, and is asked for anew, whole.
          */
-        void listed(EndpointUpdateKind kind, long version, List<Host> hosts);
+        void onEndpoints(EndpointUpdateKind kind, long version, List<DiscoveredEndpoint> hosts);
 
         /** Discovery is being asked. */
-        void called();
+        void onPollStarted();
 
         /** A call has failed: why, in words for people. */
-        void callFailed(String why);
+        void onPollFailed(String why);
 
         /** Something of an answer was left out: what, in words for people. */
-        void leftOut(String what);
+        void onEntryRejected(String what);
     }
 
     /**
      * What the configuration says of discovery.
      *
      * @param address where it listens
-     * @param form what entries of its list may name
+     * @param codec what entries of its list may name
      * @param seed apart from that of other instances, so that they do not call at once
-     * @param calls what decides which calls are made
+     * @param polling what decides which calls are made
      */
     public record Settings(
-            InetSocketAddress address, ListForm form, long seed, EndpointListPoller.PollerSettings calls) {}
+            InetSocketAddress address, EndpointListCodec codec, long seed, EndpointListPoller.PollerSettings polling) {}
 
     private static final int CONNECT_MS = 1000;
 
@@ -67,8 +67,8 @@
     private final Listener listener;
     private final DoubleSupplier nowMs;
     private final EndpointListPoller calls;
-    private final Map<Integer, ListConnection> out = new HashMap<>();
-    private final List<ListConnection> kept = new ArrayList<>();
+    private final Map<Integer, DiscoveryConnection> out = new HashMap<>();
+    private final List<DiscoveryConnection> kept = new ArrayList<>();
     /** The entries of the list as discovery words them, by their hosts' names. */
     private final Map<String, JsonObject> entries = new LinkedHashMap<>();
 
@@ -80,7 +80,7 @@
     /** Whether the next call has to bring the whole list, as what is held can't be built on. */
     private boolean needsAll;
 
-    private double answeredMs = Double.NaN;
+    private double lastResponseMs = Double.NaN;
     private Future<?> timer;
 
     /** Calls nobody yet. {@code bootstrap}: for connections on this event loop; {@code nowMs}: a monotonic clock. */
@@ -91,7 +91,7 @@
         this.settings = settings;
         this.listener = listener;
         this.nowMs = nowMs;
-        calls = new EndpointListPoller(settings.calls(), settings.seed());
+        calls = new EndpointListPoller(settings.polling(), settings.seed());
     }
 
     /**
@@ -99,16 +99,16 @@
      * and where nothing does, a watch begins: what the new one has to tell counts as told soon, whenever the module
      * would have asked next.
      */
-    public void settle(Settings next) {
+    public void updateSettings(Settings next) {
         boolean moved = !next.address().equals(settings.address());
         settings = next;
-        calls.updateSettings(next.calls());
+        calls.updateSettings(next.polling());
         if (moved) {
             highest = 0;
             carryOut(calls.stop());
-            kept.forEach(ListConnection::close);
+            kept.forEach(DiscoveryConnection::close);
             kept.clear();
-            watch(true);
+            setWatch(true);
         }
     }
 
@@ -116,38 +116,38 @@
      * Hands over the list as it was last had, in place of whatever is held, and where lists are pushed begins to follow
      * it.
      *
-     * @param list in discovery's form; null if there is none
+     * @param snapshot in discovery's form; null if there is none
      */
     public void start(JsonObject list) {
-        List<Host> known = List.of();
+        List<DiscoveredEndpoint> known = List.of();
         entries.clear();
         version = 0;
         if (list != null) {
             try {
-                ListForm.Read read = settings.form().read(list);
-                read.wrong().forEach(listener::leftOut);
-                known = read.hosts();
+                EndpointListCodec.DecodedList read = settings.codec().decode(list);
+                read.errors().forEach(listener::onEntryRejected);
+                known = read.endpoints();
                 version = read.version();
                 keep(read);
             } catch (JsonParseException e) {
-                listener.leftOut("the list in the configuration: " + e.getMessage());
+                listener.onEntryRejected("the list in the configuration: " + e.getMessage());
             }
         }
-        listener.listed(EndpointUpdateKind.CACHED, version, known);
-        if (!settings.calls().sharedDiscovery()) {
-            watch(true);
+        listener.onEndpoints(EndpointUpdateKind.CACHED, version, known);
+        if (!settings.polling().sharedDiscovery()) {
+            setWatch(true);
         }
     }
 
     @Override
-    public void watch(boolean on) {
+    public void setWatch(boolean on) {
         carryOut(on ? calls.start(nowMs.getAsDouble()) : calls.stop());
     }
 
     @Override
-    public void fetch() {
+    public void fetchSnapshot() {
         needsAll = true;
-        watch(true);
+        setWatch(true);
     }
 
     /** The version of the list that is held. */
@@ -156,12 +156,12 @@
     }
 
     /** When discovery last answered, with or without news; NaN: not yet. */
-    public double answeredMs() {
-        return answeredMs;
+    public double lastResponseMs() {
+        return lastResponseMs;
     }
 
     /** A peer has been told of a version that this proxy has not. */
-    public void peerIsAhead() {
+    public void onPeerAhead() {
         carryOut(calls.onPeerAhead(nowMs.getAsDouble()));
     }
 
@@ -171,7 +171,7 @@
                 begin(begin);
             } else if (order instanceof CancelPoll giveUp) {
                 out.remove(giveUp.id()).close();
-                listener.callFailed("given up");
+                listener.onPollFailed("given up");
             }
         }
         if (timer != null) {
@@ -185,22 +185,23 @@
     }
 
     private void begin(StartPoll call) {
-        listener.called();
+        listener.onPollStarted();
         if (call.newConnection()) {
-            kept.forEach(ListConnection::close);
+            kept.forEach(DiscoveryConnection::close);
             kept.clear();
         }
-        ListConnection connection =
-                kept.isEmpty() ? new ListConnection(loop, bootstrap, settings.address()) : kept.remove(kept.size() - 1);
+        DiscoveryConnection connection = kept.isEmpty()
+                ? new DiscoveryConnection(loop, bootstrap, settings.address())
+                : kept.remove(kept.size() - 1);
         out.put(call.id(), connection);
-        connection.call(path(call), new ListConnection.Answered() {
+        connection.send(path(call), new DiscoveryConnection.ResponseHandler() {
             @Override
-            public void begun() {
+            public void onResponseStarted() {
                 carryOut(calls.onResponseStarted(nowMs.getAsDouble(), call.id()));
             }
 
             @Override
-            public void answer(String body) {
+            public void onResponse(String body) {
                 out.remove(call.id());
                 if (connection.isActive()) {
                     kept.add(connection);
@@ -209,13 +210,13 @@
             }
 
             @Override
-            public void refused(String why) {
+            public void onRejected(String why) {
                 out.remove(call.id());
                 failed(call, PollFailure.REJECTED, why);
             }
 
             @Override
-            public void broken(String why) {
+            public void onBroken(String why) {
                 out.remove(call.id());
                 failed(call, PollFailure.BROKEN, why);
             }
@@ -234,39 +235,41 @@
         try {
             news = apply(JsonParser.parseString(body));
         } catch (RuntimeException e) {
-            kept.forEach(ListConnection::close); // what follows on it may be the rest of what can't be read
+            kept.forEach(DiscoveryConnection::close); // what follows on it may be the rest of what can't be read
             kept.clear();
             failed(call, PollFailure.BROKEN, e.getMessage());
             return;
         }
-        answeredMs = nowMs.getAsDouble();
-        carryOut(calls.onResponse(answeredMs, call.id(), news));
+        lastResponseMs = nowMs.getAsDouble();
+        carryOut(calls.onResponse(lastResponseMs, call.id(), news));
     }
 
     private void failed(StartPoll call, PollFailure failure, String why) {
-        listener.callFailed(call.kind().logName() + ": " + why);
+        listener.onPollFailed(call.kind().logName() + ": " + why);
         carryOut(calls.onFailure(nowMs.getAsDouble(), call.id(), failure));
     }
 
     /** Takes an answer into use; whether it is newer than all before. What can't be used throws. */
     private boolean apply(JsonElement json) {
-        ListForm.Read read = settings.form().read(json);
-        if (!read.whole() && (read.version() < version || needsAll)) {
+        EndpointListCodec.DecodedList read = settings.codec().decode(json);
+        if (!read.snapshot() && (read.version() < version || needsAll)) {
             // It numbers anew, as one that has moved or lost its memory may, or what is held can't be built on.
             needsAll = true;
             throw new JsonParseException("changes up to " + read.version() + ", where all is needed");
         }
         try {
-            listener.listed(
-                    read.whole() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, read.version(), hosts(read));
+            listener.onEndpoints(
+                    read.snapshot() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA,
+                    read.version(),
+                    hosts(read));
         } catch (RuntimeException e) {
             needsAll = true;
             throw e;
         }
         keep(read);
-        if (!read.wrong().isEmpty()) {
-            read.wrong().forEach(listener::leftOut);
-            throw new JsonParseException(read.wrong().size() + " entries that can't be used");
+        if (!read.errors().isEmpty()) {
+            read.errors().forEach(listener::onEntryRejected);
+            throw new JsonParseException(read.errors().size() + " entries that can't be used");
         }
         needsAll = false;
         version = read.version();
@@ -276,26 +279,26 @@
     }
 
     /** What it names, and of a whole list also what is held of servers whose entries can't be used. */
-    private List<Host> hosts(ListForm.Read read) {
-        if (!read.whole() || read.wrong().isEmpty()) {
-            return read.hosts();
+    private List<DiscoveredEndpoint> hosts(EndpointListCodec.DecodedList read) {
+        if (!read.snapshot() || read.errors().isEmpty()) {
+            return read.endpoints();
         }
-        List<Host> hosts = new ArrayList<>(read.hosts());
+        List<DiscoveredEndpoint> hosts = new ArrayList<>(read.endpoints());
         JsonArray held = new JsonArray();
         for (Entry<String, JsonObject> entry : entries.entrySet()) {
-            if (read.unusable().contains(entry.getKey())) {
+            if (read.rejectedHosts().contains(entry.getKey())) {
                 held.add(entry.getValue());
             }
         }
-        hosts.addAll(settings.form().read(list(version, held)).hosts());
+        hosts.addAll(settings.codec().decode(snapshot(version, held)).endpoints());
         return hosts;
     }
 
-    private void keep(ListForm.Read read) {
-        if (read.whole()) {
-            entries.keySet().removeIf(name -> !read.unusable().contains(name));
+    private void keep(EndpointListCodec.DecodedList read) {
+        if (read.snapshot()) {
+            entries.keySet().removeIf(name -> !read.rejectedHosts().contains(name));
         }
-        read.entries().forEach((name, entry) -> {
+        read.rawEntries().forEach((name, entry) -> {
             if (entry.get("health").getAsString().equals("removed")) {
                 entries.remove(name);
             } else {
@@ -305,13 +308,13 @@
     }
 
     /** The whole list as it is held now, in discovery's form. */
-    public JsonObject list() {
+    public JsonObject snapshot() {
         JsonArray hosts = new JsonArray();
         entries.values().forEach(hosts::add);
-        return list(version, hosts);
+        return snapshot(version, hosts);
     }
 
-    private static JsonObject list(long version, JsonArray hosts) {
+    private static JsonObject snapshot(long version, JsonArray hosts) {
         JsonObject list = new JsonObject();
         list.addProperty("seq", version);
         list.addProperty("whole", true);
--- a/src/main/java/cacheproxy/proxy/discovery/ListConnection.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryConnection.java
@@ -24,32 +24,32 @@
 import java.nio.charset.StandardCharsets;
 
 /** A connection to discovery for one call at a time, kept between calls. On the event loop only. */
-final class ListConnection {
+final class DiscoveryConnection {
     private static final int MAX_LIST_BYTES = 4 << 20;
 
     /** How a call ends: one of these, once. */
-    interface Answered {
+    interface ResponseHandler {
         /** An answer has begun to come. */
-        void begun();
+        void onResponseStarted();
 
         /** The body of an answer that came whole with status 200. */
-        void answer(String body);
+        void onResponse(String body);
 
         /** None comes: its connection could not be made, or the call was turned away. */
-        void refused(String why);
+        void onRejected(String why);
 
         /** None comes: it broke off, or it is none that can be read. */
-        void broken(String why);
+        void onBroken(String why);
     }
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final InetSocketAddress address;
     private Channel channel;
-    private Answered waiting;
+    private ResponseHandler waiting;
     private boolean written;
 
-    ListConnection(EventLoop loop, Bootstrap bootstrap, InetSocketAddress address) {
+    DiscoveryConnection(EventLoop loop, Bootstrap bootstrap, InetSocketAddress address) {
         this.loop = loop;
         this.bootstrap = bootstrap;
         this.address = address;
@@ -66,7 +66,7 @@
     }
 
     /** Calls. It must be idle. */
-    void call(String path, Answered then) {
+    void send(String path, ResponseHandler then) {
         waiting = then;
         written = false;
         if (isActive()) {
@@ -96,7 +96,7 @@
             if (connecting.isSuccess()) {
                 write(path);
             } else {
-                end().refused("no connection");
+                end().onRejected("no connection");
             }
         });
     }
@@ -119,8 +119,8 @@
         }
     }
 
-    private Answered end() {
-        Answered ended = waiting;
+    private ResponseHandler end() {
+        ResponseHandler ended = waiting;
         close();
         return ended;
     }
@@ -129,7 +129,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof HttpResponse && ctx.channel() == channel && waiting != null) {
-                waiting.begun();
+                waiting.onResponseStarted();
             }
             ctx.fireChannelRead(message);
         }
@@ -142,19 +142,19 @@
                 return; // given up: its end brings out what had come of an answer
             }
             if (!response.decoderResult().isSuccess()) {
-                end().broken("no HTTP");
+                end().onBroken("no HTTP");
                 return;
             }
             if (response.status().code() != HttpResponseStatus.OK.code()) {
-                end().refused("status " + response.status().code());
+                end().onRejected("status " + response.status().code());
                 return;
             }
-            Answered answered = waiting;
+            ResponseHandler answered = waiting;
             waiting = null;
             if (!HttpUtil.isKeepAlive(response)) {
                 close();
             }
-            answered.answer(response.content().toString(StandardCharsets.UTF_8));
+            answered.onResponse(response.content().toString(StandardCharsets.UTF_8));
         }
 
         @Override
@@ -165,7 +165,7 @@
             if (waiting == null) {
                 channel = null;
             } else if (written) {
-                end().broken("no answer");
+                end().onBroken("no answer");
             } // else it did not come up, which is told elsewhere
         }
 
--- a/src/main/java/cacheproxy/proxy/discovery/ListForm.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
@@ -23,7 +23,7 @@
  * @param zones the sites that an entry may name, by whose places here the decision module knows them
  * @param kinds the kinds of machine that it may name, likewise
  */
-public record ListForm(List<String> zones, List<String> kinds) {
+public record EndpointListCodec(List<String> zones, List<String> kinds) {
     private static final int MAX_LABELS = 64;
     /** Versions are whole numbers up to the highest that any reader of JSON keeps exact. */
     private static final double MAX_VERSION = 1L << 53;
@@ -32,22 +32,22 @@
      * An answer of discovery's.
      *
      * @param version of the list
-     * @param whole whether it names all servers
-     * @param hosts its entries that can be used
-     * @param entries the same as discovery words them, by name
-     * @param unusable names of servers whose entries can't be used
-     * @param wrong what is wrong with it, a line for each entry that can't be used
+     * @param snapshot whether it names all servers
+     * @param decodeAll its entries that can be used
+     * @param rawEntries the same as discovery words them, by name
+     * @param rejectedHosts names of servers whose entries can't be used
+     * @param errors what is wrong with it, a line for each entry that can't be used
      */
-    public record Read(
+    public record DecodedList(
             long version,
-            boolean whole,
-            List<Host> hosts,
-            Map<String, JsonObject> entries,
-            Set<String> unusable,
-            List<String> wrong) {}
+            boolean snapshot,
+            List<DiscoveredEndpoint> endpoints,
+            Map<String, JsonObject> rawEntries,
+            Set<String> rejectedHosts,
+            List<String> errors) {}
 
     /** A name as the settings word it, where a list stands on one line. */
-    public static String word(String text) {
+    public static String settingsName(String text) {
         return text.replace(' ', '_').replace(',', '_');
     }
 
@@ -58,24 +58,24 @@
      *
      * @throws JsonParseException if it is no list, or no entry of it can be used
      */
-    public Read read(JsonElement json) {
+    public DecodedList decode(JsonElement json) {
         if (!json.isJsonObject()
                 || !json.getAsJsonObject().has("hosts")
                 || !json.getAsJsonObject().get("hosts").isJsonArray()) {
             throw new JsonParseException("no list");
         }
         JsonObject list = json.getAsJsonObject();
-        Read read = entries(version(list), list.get("whole").getAsBoolean(), list.getAsJsonArray("hosts"));
-        if (read.hosts().isEmpty() && !read.wrong().isEmpty()) {
-            throw new JsonParseException(read.wrong().get(0));
+        DecodedList read = entries(version(list), list.get("whole").getAsBoolean(), list.getAsJsonArray("hosts"));
+        if (read.endpoints().isEmpty() && !read.errors().isEmpty()) {
+            throw new JsonParseException(read.errors().get(0));
         }
         return read;
     }
 
-    private Read entries(long version, boolean all, JsonArray list) {
+    private DecodedList entries(long version, boolean all, JsonArray list) {
         Map<String, Integer> zoneNumbers = numbers(zones);
         Map<String, Integer> kindNumbers = numbers(kinds);
-        Map<String, Host> hosts = new LinkedHashMap<>();
+        Map<String, DiscoveredEndpoint> hosts = new LinkedHashMap<>();
         Map<String, JsonObject> entries = new LinkedHashMap<>();
         Set<String> unusable = new HashSet<>();
         List<String> wrong = new ArrayList<>();
@@ -83,12 +83,12 @@
         for (JsonElement element : list) {
             String name = name(element);
             try {
-                Host host = host(element.getAsJsonObject(), zoneNumbers, kindNumbers);
-                Host other = hosts.get(name);
+                DiscoveredEndpoint host = host(element.getAsJsonObject(), zoneNumbers, kindNumbers);
+                DiscoveredEndpoint other = hosts.get(name);
                 if (other != null) {
                     wrong.add("host " + name + " is listed twice");
                 }
-                if (other == null || other.member().state() == EndpointState.READY) {
+                if (other == null || other.endpoint().state() == EndpointState.READY) {
                     hosts.put(name, host);
                     entries.put(name, element.getAsJsonObject());
                 }
@@ -102,7 +102,7 @@
         }
         unusable.removeAll(hosts.keySet());
         boolean whole = all && !anonymous;
-        return new Read(version, whole, List.copyOf(hosts.values()), entries, unusable, wrong);
+        return new DecodedList(version, whole, List.copyOf(hosts.values()), entries, unusable, wrong);
     }
 
     private static String name(JsonElement entry) {
@@ -128,12 +128,12 @@
     }
 
     /** The hosts of a list; an exception says what is wrong with one. */
-    public List<Host> hosts(JsonObject json) {
-        Read read = entries(0, true, json.getAsJsonArray("hosts"));
-        if (!read.wrong().isEmpty()) {
-            throw new IllegalArgumentException(read.wrong().get(0));
+    public List<DiscoveredEndpoint> decodeAll(JsonObject json) {
+        DecodedList read = entries(0, true, json.getAsJsonArray("hosts"));
+        if (!read.errors().isEmpty()) {
+            throw new IllegalArgumentException(read.errors().get(0));
         }
-        return read.hosts();
+        return read.endpoints();
     }
 
     /** The places of words in a list, by the words: a search for each host would take the product of both. */
@@ -145,7 +145,7 @@
         return numbers;
     }
 
-    private Host host(JsonObject h, Map<String, Integer> zoneNumbers, Map<String, Integer> kindNumbers) {
+    private DiscoveredEndpoint host(JsonObject h, Map<String, Integer> zoneNumbers, Map<String, Integer> kindNumbers) {
         String name = h.get("host").getAsString();
         EndpointState state = switch (h.get("health").getAsString()) {
             case "up" -> EndpointState.READY;
@@ -153,16 +153,16 @@
             case "removed" -> EndpointState.REMOVED;
             default -> throw new IllegalArgumentException("host " + name + ": unknown health");
         };
-        int zone = zoneNumbers.getOrDefault(word(h.get("site").getAsString()), -1);
-        int kind = kindNumbers.getOrDefault(word(h.get("class").getAsString()), -1);
+        int zone = zoneNumbers.getOrDefault(settingsName(h.get("site").getAsString()), -1);
+        int kind = kindNumbers.getOrDefault(settingsName(h.get("class").getAsString()), -1);
         float weight = h.has("share") ? h.get("share").getAsFloat() : 1;
         if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
             throw new IllegalArgumentException("host " + name + ": unknown site or class, or bad share");
         }
         double born = h.has("born_ms") ? h.get("born_ms").getAsDouble() : 0;
         int cell = h.has("block") ? h.get("block").getAsInt() : 0;
-        return new Host(
-                new Endpoint(id(name), zone, kind, cell, state, weight, born),
+        return new DiscoveredEndpoint(
+                new Endpoint(endpointId(name), zone, kind, cell, state, weight, born),
                 Addresses.parse(h.get("dial").getAsString()),
                 new Pool.Server(name, zones.get(zone), kinds.get(kind), labels(name, h)));
     }
@@ -181,7 +181,7 @@
     }
 
     /** The number that stands for a host in hashes, the same at all instances. */
-    static int id(String name) {
+    static int endpointId(String name) {
         String digits = name.substring(name.lastIndexOf('-') + 1);
         try {
             if (digits.length() <= 8) {
--- a/src/main/java/cacheproxy/proxy/discovery/ProvisionalList.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
@@ -18,77 +18,77 @@
  * what peers were told restricts it until discovery's own word comes. Keeps the servers' addresses, which peers do not
  * tell. On the event loop only.
  */
-public final class ProvisionalList implements DiscoveryClient.Listener {
+public final class EndpointListPublisher implements DiscoveryClient.Listener {
     /** Who uses the list. */
-    public interface User {
+    public interface Subscriber {
         /** The list, changes of it, or what peers tell of it ({@code PROVISIONAL}). What can't be used throws. */
-        void listed(EndpointUpdateKind kind, List<Host> hosts);
+        void onEndpoints(EndpointUpdateKind kind, List<DiscoveredEndpoint> hosts);
 
         /** The list has changed: to which version, by whose word, and what of it, in words for people. */
-        void changed(String what);
+        void onListChanged(String what);
 
         /** What discovery has told up to this version is in use. */
-        void inUse(long version);
+        void onListApplied(long version);
 
         /** Discovery is being asked. */
-        void called();
+        void onPollStarted();
 
         /** A call has failed: why, in words for people. */
-        void callFailed(String why);
+        void onPollFailed(String why);
 
         /** Something of an answer was left out: what, in words for people. */
-        void leftOut(String what);
+        void onEntryRejected(String what);
     }
 
     /** Of the servers in a state, so many are named in a line for people. */
     private static final int MOST_NAMES = 12;
 
-    private final User user;
-    private final ProvisionalMembership membership;
+    private final Subscriber user;
+    private final ProvisionalMembership provisionalEndpoints;
     private final DoubleSupplier nowMs;
     private final StartTimes startTimes = new StartTimes();
-    private final Map<Integer, Host> hosts = new HashMap<>();
+    private final Map<Integer, DiscoveredEndpoint> hosts = new HashMap<>();
 
     /** {@code nowMs}: the user's clock. */
-    public ProvisionalList(User user, ProvisionalMembership membership, DoubleSupplier nowMs) {
+    public EndpointListPublisher(Subscriber user, ProvisionalMembership membership, DoubleSupplier nowMs) {
         this.user = user;
-        this.membership = membership;
+        this.provisionalEndpoints = membership;
         this.nowMs = nowMs;
     }
 
     /** What is known of the list, by discovery or by peers. */
-    public ProvisionalMembership membership() {
-        return membership;
+    public ProvisionalMembership provisionalEndpoints() {
+        return provisionalEndpoints;
     }
 
     @Override
-    public void listed(EndpointUpdateKind kind, long version, List<Host> list) {
+    public void onEndpoints(EndpointUpdateKind kind, long version, List<DiscoveredEndpoint> list) {
         if (kind.isSnapshot()) {
             hosts.clear();
         }
         List<Endpoint> members = new ArrayList<>();
-        for (Host host : list) {
-            hosts.put(host.member().id(), host);
-            members.add(host.member());
+        for (DiscoveredEndpoint host : list) {
+            hosts.put(host.endpoint().id(), host);
+            members.add(host.endpoint());
         }
         double now = nowMs.getAsDouble();
         if (kind == EndpointUpdateKind.CACHED) {
-            membership.begin(version, members);
-            user.listed(kind, hosts(startTimes.begin(now, members)));
+            provisionalEndpoints.begin(version, members);
+            user.onEndpoints(kind, hosts(startTimes.begin(now, members)));
         } else {
-            List<Endpoint> used = membership.told(now, version, kind.isSnapshot(), members);
-            user.listed(kind, hosts(startTimes.told(now, used)));
-            user.inUse(version);
+            List<Endpoint> used = provisionalEndpoints.told(now, version, kind.isSnapshot(), members);
+            user.onEndpoints(kind, hosts(startTimes.told(now, used)));
+            user.onListApplied(version);
             changed("version " + version + " by discovery" + (kind.isSnapshot() ? ", whole" : ""), used);
         }
-        hosts.values().removeIf(host -> host.member().state() == EndpointState.REMOVED);
+        hosts.values().removeIf(host -> host.endpoint().state() == EndpointState.REMOVED);
     }
 
     /** A peer tells what discovery told it. */
-    public void heard(double nowMs, int peer, ListUpdate update) {
-        List<Endpoint> changed = membership.heard(nowMs, update);
+    public void onPeerUpdate(double nowMs, int peer, ListUpdate update) {
+        List<Endpoint> changed = provisionalEndpoints.heard(nowMs, update);
         if (!changed.isEmpty()) {
-            user.listed(EndpointUpdateKind.PROVISIONAL, hosts(startTimes.timed(nowMs, changed)));
+            user.onEndpoints(EndpointUpdateKind.PROVISIONAL, hosts(startTimes.timed(nowMs, changed)));
             changed("version " + update.version() + " by peer " + peer, changed);
         }
     }
@@ -109,30 +109,30 @@
                 these.stream().limit(MOST_NAMES).forEach(m -> line.append(' ').append(Integer.toHexString(m.id())));
             }
         }
-        user.changed(line.toString());
+        user.onListChanged(line.toString());
     }
 
-    private List<Host> hosts(List<Endpoint> members) {
-        List<Host> used = new ArrayList<>();
+    private List<DiscoveredEndpoint> hosts(List<Endpoint> members) {
+        List<DiscoveredEndpoint> used = new ArrayList<>();
         for (Endpoint member : members) {
-            Host host = hosts.get(member.id());
-            used.add(new Host(member, host.dial(), host.server()));
+            DiscoveredEndpoint host = hosts.get(member.id());
+            used.add(new DiscoveredEndpoint(member, host.address(), host.poolMember()));
         }
         return used;
     }
 
     @Override
-    public void called() {
-        user.called();
+    public void onPollStarted() {
+        user.onPollStarted();
     }
 
     @Override
-    public void callFailed(String why) {
-        user.callFailed(why);
+    public void onPollFailed(String why) {
+        user.onPollFailed(why);
     }
 
     @Override
-    public void leftOut(String what) {
-        user.leftOut(what);
+    public void onEntryRejected(String what) {
+        user.onEntryRejected(what);
     }
 }
--- a/src/main/java/cacheproxy/proxy/discovery/ListSource.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListSource.java
@@ -1,10 +1,10 @@
 package cacheproxy.proxy.discovery;
 
 /** Where the decision module's calls for the list of servers go. */
-public interface ListSource {
+public interface EndpointListSource {
     /** Subscribes to changes, or ends that. */
-    void watch(boolean on);
+    void setWatch(boolean on);
 
     /** Asks for the whole list once. */
-    void fetch();
+    void fetchSnapshot();
 }
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
@@ -26,22 +26,23 @@
 /** What is sent to discovery, byte for byte: a watch, a poll, the whole list, and what follows a fetch. */
 @Timeout(60)
 class DiscoveryRequestsTest {
-    private static final ListForm FORM = new ListForm(List.of("east", "west_coast"), List.of("fast", "slow", "origin"));
+    private static final EndpointListCodec FORM =
+            new EndpointListCodec(List.of("east", "west_coast"), List.of("fast", "slow", "origin"));
     private static final String NO_NEWS = "{\"seq\":41,\"whole\":false,\"hosts\":[]}";
 
     /** Takes the list and says nothing. */
     private static final class Ignored implements DiscoveryClient.Listener {
         @Override
-        public void listed(EndpointUpdateKind kind, long version, List<Host> hosts) {}
+        public void onEndpoints(EndpointUpdateKind kind, long version, List<DiscoveredEndpoint> hosts) {}
 
         @Override
-        public void called() {}
+        public void onPollStarted() {}
 
         @Override
-        public void callFailed(String why) {}
+        public void onPollFailed(String why) {}
 
         @Override
-        public void leftOut(String what) {}
+        public void onEntryRejected(String what) {}
     }
 
     private static String head(InputStream in) throws IOException {
@@ -80,7 +81,7 @@
             sent.append("# the whole list after a poll that failed\n").append(request(socket));
             answer(socket, WireSamples.text("discovery/list-whole.json"));
             sent.append("# a watch after the whole list\n").append(request(socket));
-            loop.submit(client::fetch).sync();
+            loop.submit(client::fetchSnapshot).sync();
         }
         try (Socket socket = server.accept()) {
             sent.append("# a fetch\n").append(request(socket));
--- a/src/test/java/cacheproxy/proxy/discovery/ListFormTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/EndpointListCodecTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What an entry of discovery's list may say. */
-class ListFormTest {
-    private static final ListForm FORM = new ListForm(List.of("east", "west_coast"), List.of("fast", "origin"));
+class EndpointListCodecTest {
+    private static final EndpointListCodec FORM =
+            new EndpointListCodec(List.of("east", "west_coast"), List.of("fast", "origin"));
     private static final String ENTRY = "{'host':'s-5be2a07c','dial':'127.0.0.1:9','site':'west coast','class':'fast',"
             + "'block':3,'health':'draining','share':0.5,'born_ms':7}";
 
@@ -24,14 +25,14 @@
 
     @Test
     void anEntryIsReadAsTheSettingsWordIt() {
-        Host host = FORM.hosts(list(ENTRY)).get(0);
-        assertThat(host.member().id()).isEqualTo(0x5be2a07c);
-        assertThat(host.member().zone()).isEqualTo(1);
-        assertThat(host.member().state()).isEqualTo(EndpointState.DRAINING);
-        assertThat(host.member().weight()).isEqualTo(0.5f);
-        assertThat(host.member().startTimeMs()).isEqualTo(7);
-        assertThat(host.dial()).isEqualTo(Addresses.parse("127.0.0.1:9"));
-        assertThat(Addresses.text(host.dial())).isEqualTo("127.0.0.1:9");
+        DiscoveredEndpoint host = FORM.decodeAll(list(ENTRY)).get(0);
+        assertThat(host.endpoint().id()).isEqualTo(0x5be2a07c);
+        assertThat(host.endpoint().zone()).isEqualTo(1);
+        assertThat(host.endpoint().state()).isEqualTo(EndpointState.DRAINING);
+        assertThat(host.endpoint().weight()).isEqualTo(0.5f);
+        assertThat(host.endpoint().startTimeMs()).isEqualTo(7);
+        assertThat(host.address()).isEqualTo(Addresses.parse("127.0.0.1:9"));
+        assertThat(Addresses.text(host.address())).isEqualTo("127.0.0.1:9");
     }
 
     @ParameterizedTest
@@ -48,20 +49,21 @@
     void oneOfNoUseIsToldWithItsReason(String there, String instead, String told) {
         String entry = ENTRY.replace(there, instead);
         assertThat(entry).isNotEqualTo(ENTRY);
-        assertThatThrownBy(() -> FORM.hosts(list(entry)))
+        assertThatThrownBy(() -> FORM.decodeAll(list(entry)))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining(told);
     }
 
     @Test
     void aHostIsListedOnce() {
-        assertThatThrownBy(() -> FORM.hosts(list(ENTRY, ENTRY))).hasMessageContaining("listed twice");
+        assertThatThrownBy(() -> FORM.decodeAll(list(ENTRY, ENTRY))).hasMessageContaining("listed twice");
     }
 
     @Test
     void idsComeFromTheHostsNames() {
-        assertThat(ListForm.id("s-5be2a07c")).isEqualTo(0x5be2a07c);
-        assertThat(ListForm.id("s-f2ffffff")).isEqualTo(0xf2ffffff);
-        assertThat(ListForm.id("cache.example")).isEqualTo(ListForm.id("cache.example"));
+        assertThat(EndpointListCodec.endpointId("s-5be2a07c")).isEqualTo(0x5be2a07c);
+        assertThat(EndpointListCodec.endpointId("s-f2ffffff")).isEqualTo(0xf2ffffff);
+        assertThat(EndpointListCodec.endpointId("cache.example"))
+                .isEqualTo(EndpointListCodec.endpointId("cache.example"));
     }
 }
