--- a/src/main/java/cacheproxy/gossip/AntiEntropy.java
+++ b/src/main/java/cacheproxy/gossip/AntiEntropy.java
@@ -9,20 +9,20 @@
  */
 public final class AntiEntropy {
     /** A sound watch is answered sooner than this: its wait is 1.8 s at most. */
-    static final double STALE_MS = 2000;
+    static final double STALE_AFTER_MS = 2000;
     /** The least time between two questions, which some other peer is asked each time. */
-    static final double INTERVAL_MS = 500;
+    static final double MIN_QUERY_INTERVAL_MS = 500;
 
-    private double answeredMs;
-    private double queriedMs = Double.NEGATIVE_INFINITY;
+    private double lastResponseMs;
+    private double lastQueryMs = Double.NEGATIVE_INFINITY;
 
     /** Discovery counts as answered at this time, in milliseconds. */
     public AntiEntropy(double nowMs) {
-        answeredMs = nowMs;
+        lastResponseMs = nowMs;
     }
 
     /** The number of some instance but this one, each as likely; negative if this is the only one. */
-    public static int partner(SplittableRandom random, int me, int instances) {
+    public static int randomPeer(SplittableRandom random, int me, int instances) {
         if (instances < 2) {
             return -1;
         }
@@ -31,26 +31,26 @@
     }
 
     /** Discovery has answered, with or without news. */
-    public void answered(double nowMs) {
-        answeredMs = nowMs;
+    public void onDiscoveryResponse(double nowMs) {
+        lastResponseMs = nowMs;
     }
 
     /** Something is amiss: a call has failed, or a peer has claimed what is not known here. Whether to ask one now. */
-    public boolean alerted(double nowMs) {
-        if (nowMs - queriedMs < INTERVAL_MS) {
+    public boolean onFault(double nowMs) {
+        if (nowMs - lastQueryMs < MIN_QUERY_INTERVAL_MS) {
             return false;
         }
-        queriedMs = nowMs;
+        lastQueryMs = nowMs;
         return true;
     }
 
-    /** When to call {@link #due} next, in milliseconds. */
-    public double dueMs() {
-        return Math.max(answeredMs + STALE_MS, queriedMs + INTERVAL_MS);
+    /** When to call {@link #onTimer} next, in milliseconds. */
+    public double nextTimerMs() {
+        return Math.max(lastResponseMs + STALE_AFTER_MS, lastQueryMs + MIN_QUERY_INTERVAL_MS);
     }
 
     /** That time may have come. Whether to ask a peer now. */
-    public boolean due(double nowMs) {
-        return nowMs >= dueMs() && alerted(nowMs);
+    public boolean onTimer(double nowMs) {
+        return nowMs >= nextTimerMs() && onFault(nowMs);
     }
 }
--- a/src/main/java/cacheproxy/gossip/ChangeLog.java
+++ b/src/main/java/cacheproxy/gossip/ChangeLog.java
@@ -14,29 +14,29 @@
     /** Servers whose last change is kept: four times the largest fleet that is planned for. */
     static final int CAPACITY = 4096;
 
-    private final Map<Integer, ListChange> byServer = new LinkedHashMap<>();
+    private final Map<Integer, EndpointChange> byEndpoint = new LinkedHashMap<>();
     private long completeAfter;
 
     /** Begins anew: whatever comes after this version will be in it. */
     void clear(long version) {
-        byServer.clear();
+        byEndpoint.clear();
         completeAfter = version;
     }
 
     /** Adds a change of no older version than those that it holds. */
-    void add(ListChange change) {
-        byServer.remove(change.server()); // so that it goes to the end
-        byServer.put(change.server(), change);
-        if (byServer.size() > CAPACITY) {
-            Iterator<ListChange> eldest = byServer.values().iterator();
+    void add(EndpointChange change) {
+        byEndpoint.remove(change.endpointId()); // so that it goes to the end
+        byEndpoint.put(change.endpointId(), change);
+        if (byEndpoint.size() > CAPACITY) {
+            Iterator<EndpointChange> eldest = byEndpoint.values().iterator();
             completeAfter = eldest.next().version();
             eldest.remove();
         }
     }
 
     /** The last change of a server; null if none is known. */
-    ListChange last(int server) {
-        return byServer.get(server);
+    EndpointChange last(int server) {
+        return byEndpoint.get(server);
     }
 
     /** What is missing from it are changes of this version and older ones. */
@@ -45,9 +45,9 @@
     }
 
     /** The changes of versions after this one, the newest last. */
-    List<ListChange> after(long version) {
-        List<ListChange> changes = new ArrayList<>();
-        for (ListChange change : byServer.values()) {
+    List<EndpointChange> after(long version) {
+        List<EndpointChange> changes = new ArrayList<>();
+        for (EndpointChange change : byEndpoint.values()) {
             if (change.version() > version) {
                 changes.add(change);
             }
--- a/src/main/java/cacheproxy/gossip/ListUpdate.java
+++ b/src/main/java/cacheproxy/gossip/EndpointListDelta.java
@@ -10,35 +10,35 @@
  * as they are in the latter. Its form, big-endian: a byte for the kind, both versions, how long it holds, and for each
  * server its number, a byte for its state and the time of its start.
  *
- * @param after changes of this version and older ones are not in it
+ * @param afterVersion changes of this version and older ones are not in it
  * @param version the version in which the servers stand so
- * @param holdMs how long it may be used without discovery's word, in milliseconds, 0 to 65,535; a peer that passes on
+ * @param ttlMs how long it may be used without discovery's word, in milliseconds, 0 to 65,535; a peer that passes on
  *     what it was told itself by a peer passes on what is left of that time, so that a mistake ends by itself
- * @param servers the servers that changed; their own versions are not sent, so those read are {@code version}
+ * @param changes the servers that changed; their own versions are not sent, so those read are {@code version}
  */
-public record ListUpdate(long after, long version, int holdMs, List<ListChange> servers) {
+public record EndpointListDelta(long afterVersion, long version, int ttlMs, List<EndpointChange> changes) {
     private static final byte MARK = 'C';
-    private static final int MOST_HOLD_MS = 0xffff;
+    private static final int MAX_TTL_MS = 0xffff;
     private static final int HEAD_BYTES = 1 + 2 * Long.BYTES + Short.BYTES;
-    private static final int SERVER_BYTES = Integer.BYTES + 1 + Double.BYTES;
+    private static final int CHANGE_BYTES = Integer.BYTES + 1 + Double.BYTES;
     /** The most servers that one message holds. */
-    public static final int MOST_SERVERS = (Envelope.MOST_BODY - HEAD_BYTES) / SERVER_BYTES;
+    public static final int MAX_CHANGES = (Envelope.MAX_BODY_BYTES - HEAD_BYTES) / CHANGE_BYTES;
 
     /** Copies the servers. */
-    public ListUpdate {
-        servers = List.copyOf(servers);
-        if (servers.size() > MOST_SERVERS || holdMs < 0 || holdMs > MOST_HOLD_MS) {
+    public EndpointListDelta {
+        changes = List.copyOf(changes);
+        if (changes.size() > MAX_CHANGES || ttlMs < 0 || ttlMs > MAX_TTL_MS) {
             throw new IllegalArgumentException(
-                    servers.size() + " servers for " + holdMs + " ms; a message holds " + MOST_SERVERS);
+                    changes.size() + " servers for " + ttlMs + " ms; a message holds " + MAX_CHANGES);
         }
     }
 
     /** The bytes of the message. */
     public byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(HEAD_BYTES + SERVER_BYTES * servers.size());
-        out.put(MARK).putLong(after).putLong(version).putShort((short) holdMs);
-        for (ListChange c : servers) {
-            out.putInt(c.server()).put(code(c.state())).putDouble(c.bornMs());
+        ByteBuffer out = ByteBuffer.allocate(HEAD_BYTES + CHANGE_BYTES * changes.size());
+        out.put(MARK).putLong(afterVersion).putLong(version).putShort((short) ttlMs);
+        for (EndpointChange c : changes) {
+            out.putInt(c.endpointId()).put(code(c.state())).putDouble(c.startTimeMs());
         }
         return out.array();
     }
@@ -63,16 +63,16 @@
     }
 
     /** Reads a message; null if it is none of this kind, or none that can be read. */
-    public static ListUpdate decode(byte[] message) {
+    public static EndpointListDelta decode(byte[] message) {
         int body = message.length - HEAD_BYTES;
-        if (body < 0 || body % SERVER_BYTES != 0 || message[0] != MARK || body / SERVER_BYTES > MOST_SERVERS) {
+        if (body < 0 || body % CHANGE_BYTES != 0 || message[0] != MARK || body / CHANGE_BYTES > MAX_CHANGES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(message, 1, message.length - 1);
         long after = in.getLong();
         long version = in.getLong();
         int holdMs = Short.toUnsignedInt(in.getShort());
-        List<ListChange> servers = new ArrayList<>();
+        List<EndpointChange> servers = new ArrayList<>();
         while (in.hasRemaining()) {
             int server = in.getInt();
             EndpointState state = state(in.get());
@@ -80,8 +80,8 @@
             if (state == null || !(bornMs >= 0) || Double.isInfinite(bornMs)) {
                 return null;
             }
-            servers.add(new ListChange(version, server, state, bornMs));
+            servers.add(new EndpointChange(version, server, state, bornMs));
         }
-        return after < 0 || after > version ? null : new ListUpdate(after, version, holdMs, servers);
+        return after < 0 || after > version ? null : new EndpointListDelta(after, version, holdMs, servers);
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/gossip/MembershipBudget.java
@@ -0,0 +1,25 @@
+package cacheproxy.gossip;
+
+import cacheproxy.membership.Membership;
+import cacheproxy.membership.Send.Urgency;
+
+/** The budget of an instance as its membership sees it: each of its messages is a datagram of its own. */
+public record MembershipBudget(SendBudget budget) implements Membership.Allowance {
+    @Override
+    public boolean take(double nowMs, int bytes, Urgency urgency) {
+        return budget.tryAcquire(nowMs, Envelope.datagramBytes(bytes), priority(urgency));
+    }
+
+    private static SendBudget.Priority priority(Urgency urgency) {
+        return switch (urgency) {
+            case ANSWER -> SendBudget.Priority.HIGH;
+            case CHANGE -> SendBudget.Priority.NORMAL;
+            case OTHER -> SendBudget.Priority.LOW;
+        };
+    }
+
+    @Override
+    public int spare(double nowMs) {
+        return budget.availableForLowPriority(nowMs);
+    }
+}
--- a/src/main/java/cacheproxy/gossip/PeerMessage.java
+++ b/src/main/java/cacheproxy/gossip/PeerMessage.java
@@ -15,7 +15,7 @@
     private PeerMessage() {}
 
     /** The sender has been told this version of the list by discovery. */
-    public static byte[] list(long version) {
+    public static byte[] listVersionAnnouncement(long version) {
         return ByteBuffer.allocate(LIST_BYTES).put(LIST).putLong(version).array();
     }
 
@@ -25,17 +25,17 @@
     }
 
     /** The version that a question for changes of the list names; negative if it is none, or none that can be read. */
-    public static long queriedVersion(byte[] message) {
+    public static long readListQuery(byte[] message) {
         return version(QUERY, message);
     }
 
     /** The sender found no place for a connection at this server. */
-    public static byte[] full(int server) {
+    public static byte[] endpointFull(int server) {
         return ofServer(FULL, server);
     }
 
     /** The sender got no answer from this server. */
-    public static byte[] bad(int server) {
+    public static byte[] endpointUnresponsive(int server) {
         return ofServer(BAD, server);
     }
 
@@ -44,12 +44,12 @@
     }
 
     /** The server of a message about places; null if it is none, or none that can be read. */
-    public static Integer fullServer(byte[] message) {
+    public static Integer readEndpointFull(byte[] message) {
         return server(FULL, message);
     }
 
     /** The server of a message about silence; null if it is none, or none that can be read. */
-    public static Integer badServer(byte[] message) {
+    public static Integer readEndpointUnresponsive(byte[] message) {
         return server(BAD, message);
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** The version of a message about the list; negative if it is none, or none that can be read. */
-    public static long listVersion(byte[] message) {
+    public static long readListVersion(byte[] message) {
         return version(LIST, message);
     }
 
--- a/src/main/java/cacheproxy/gossip/Outbox.java
+++ b/src/main/java/cacheproxy/gossip/SendBudget.java
@@ -5,28 +5,28 @@
  * of the fleet. A bucket that fills evenly; the less urgent a datagram is, the more it leaves in it. What finds no room
  * is not sent: messages between peers may be lost anyway, and what they say is said again.
  */
-public final class Outbox {
+public final class SendBudget {
     /** How urgent a datagram is; each leaves this part of the bucket to those before it. */
-    public enum Level {
+    public enum Priority {
         /** Somebody waits for it, or it says that something is wrong. */
-        FIRST(0),
+        HIGH(0),
         /** Something has changed. */
-        SECOND(0.25),
+        NORMAL(0.25),
         /** The rest. */
-        THIRD(0.5);
+        LOW(0.5);
 
-        private final double leaves;
+        private final double reservedFraction;
 
-        Level(double leaves) {
-            this.leaves = leaves;
+        Priority(double leaves) {
+            this.reservedFraction = leaves;
         }
     }
 
     private final double bytesPerMs;
-    private final double most;
-    private double has;
-    private double lastMs = Double.NaN;
-    private long dropped;
+    private final double capacityBytes;
+    private double availableBytes;
+    private double lastRefillMs = Double.NaN;
+    private long droppedDatagrams;
 
     /**
      * A full bucket.
@@ -34,42 +34,42 @@
      * @param bytesPerSecond 100 to 1,000,000
      * @param burst what it holds, in bytes; a datagram at least
      */
-    public Outbox(double bytesPerSecond, double burst) {
-        if (!(bytesPerSecond >= 100 && bytesPerSecond <= 1_000_000 && burst >= Envelope.MOST_BYTES)) {
+    public SendBudget(double bytesPerSecond, double burst) {
+        if (!(bytesPerSecond >= 100 && bytesPerSecond <= 1_000_000 && burst >= Envelope.MAX_DATAGRAM_BYTES)) {
             throw new IllegalArgumentException(
                     "a budget of " + bytesPerSecond + " bytes a second, " + burst + " at once");
         }
         bytesPerMs = bytesPerSecond / 1000;
-        most = burst;
-        has = burst;
+        capacityBytes = burst;
+        availableBytes = burst;
     }
 
     /** Whether a datagram of so many bytes may go out now; it is charged then. */
-    public boolean admits(double nowMs, int bytes, Level level) {
-        fill(nowMs);
-        if (has - bytes < most * level.leaves) {
-            dropped++;
+    public boolean tryAcquire(double nowMs, int bytes, Priority level) {
+        refill(nowMs);
+        if (availableBytes - bytes < capacityBytes * level.reservedFraction) {
+            droppedDatagrams++;
             return false;
         }
-        has -= bytes;
+        availableBytes -= bytes;
         return true;
     }
 
     /** What is there beyond what the most urgent are left, in bytes; negative if that is not there either. */
-    public int spare(double nowMs) {
-        fill(nowMs);
-        return (int) (has - most * Level.THIRD.leaves);
+    public int availableForLowPriority(double nowMs) {
+        refill(nowMs);
+        return (int) (availableBytes - capacityBytes * Priority.LOW.reservedFraction);
     }
 
-    private void fill(double nowMs) {
-        if (!Double.isNaN(lastMs)) {
-            has = Math.min(most, has + Math.max(0, nowMs - lastMs) * bytesPerMs);
+    private void refill(double nowMs) {
+        if (!Double.isNaN(lastRefillMs)) {
+            availableBytes = Math.min(capacityBytes, availableBytes + Math.max(0, nowMs - lastRefillMs) * bytesPerMs);
         }
-        lastMs = Double.isNaN(lastMs) ? nowMs : Math.max(lastMs, nowMs);
+        lastRefillMs = Double.isNaN(lastRefillMs) ? nowMs : Math.max(lastRefillMs, nowMs);
     }
 
     /** Datagrams that found no room since the start. */
-    public long dropped() {
-        return dropped;
+    public long droppedDatagrams() {
+        return droppedDatagrams;
     }
 }
--- a/src/main/java/cacheproxy/model/FleetPart.java
+++ b/src/main/java/cacheproxy/model/FleetPart.java
@@ -2,8 +2,8 @@
 
 import cacheproxy.failover.ZoneSettings;
 import cacheproxy.failover.Zones;
-import cacheproxy.gossip.MemberBudget;
-import cacheproxy.gossip.Outbox;
+import cacheproxy.gossip.MembershipBudget;
+import cacheproxy.gossip.SendBudget;
 import cacheproxy.membership.MemberSettings;
 import cacheproxy.membership.Membership;
 import cacheproxy.membership.Phase;
@@ -46,7 +46,7 @@
                 new byte[0],
                 0,
                 seed,
-                new MemberBudget(new Outbox(ViewPlay.BYTES_PER_SECOND, ViewPlay.BURST)));
+                new MembershipBudget(new SendBudget(ViewPlay.BYTES_PER_SECOND, ViewPlay.BURST)));
         members.phase(Phase.SERVING);
         zones = new Zones(
                 new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs()));
--- a/src/main/java/cacheproxy/model/InstanceModel.java
+++ b/src/main/java/cacheproxy/model/InstanceModel.java
@@ -2,10 +2,10 @@
 
 import cacheproxy.failover.Zones;
 import cacheproxy.gossip.AntiEntropy;
-import cacheproxy.gossip.ListNews;
-import cacheproxy.gossip.ListNews.Order;
-import cacheproxy.gossip.ListUpdate;
-import cacheproxy.gossip.ProvisionalMembership;
+import cacheproxy.gossip.EndpointListDelta;
+import cacheproxy.gossip.ListVersionGossip;
+import cacheproxy.gossip.ListVersionGossip.Action;
+import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.model.Rules.Rule;
 import cacheproxy.routing.AttemptEnd;
 import cacheproxy.routing.AttemptOutcome;
@@ -56,8 +56,8 @@
     private final Map<Integer, Double> toldBornMs = new HashMap<>();
 
     private LoadBalancer policy;
-    private ListNews news;
-    private ProvisionalMembership membership;
+    private ListVersionGossip news;
+    private ProvisionalEndpoints membership;
     private AntiEntropy antiEntropy;
     /** Null where the fleet leaves no zones. */
     private FleetPart part;
@@ -126,13 +126,13 @@
         up = true;
         draining = false;
         policy = play.module(settings, random.nextLong());
-        news = new ListNews(settings.instanceCount(), settings.instanceSeed(random.nextLong()));
-        news.begin(version);
+        news = new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(random.nextLong()));
+        news.start(version);
         if (kept.isEmpty()) {
             kept = play.discovery().known();
         }
-        membership = new ProvisionalMembership(FleetDraw.ORIGIN_KIND);
-        membership.begin(version, kept);
+        membership = new ProvisionalEndpoints(FleetDraw.ORIGIN_KIND);
+        membership.reset(version, kept);
         antiEntropy = new AntiEntropy(time.now());
         wantedNothingMs.clear();
         toldBornMs.clear();
@@ -540,48 +540,48 @@
         policy.onEndpointUpdate(
                 time.now(),
                 whole ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA,
-                membership.told(time.now(), told, whole, members),
+                membership.onDiscoveryUpdate(time.now(), told, whole, members),
                 this);
         if (part != null) {
             part.listed(play.discovery().known());
         }
-        carryOut(news.held(time.now(), version));
+        carryOut(news.onVersionApplied(time.now(), version));
     }
 
-    private void carryOut(Order order) {
+    private void carryOut(Action order) {
         switch (order) {
-            case TELL -> {
-                ListUpdate update = membership.news();
+            case ANNOUNCE -> {
+                EndpointListDelta update = membership.recentChanges();
                 play.tell(this, peer -> peer.heard(update));
             }
-            case ASK -> alert();
+            case POLL_DISCOVERY -> alert();
             case NONE, WAIT -> {}
         }
-        if (order != Order.NONE && news.dueMs() != Double.POSITIVE_INFINITY) {
-            later(Math.max(0.01, news.dueMs() - time.now()), () -> carryOut(news.due(time.now())));
+        if (order != Action.NONE && news.nextTimerMs() != Double.POSITIVE_INFINITY) {
+            later(Math.max(0.01, news.nextTimerMs() - time.now()), () -> carryOut(news.onTimer(time.now())));
         }
     }
 
     /** A peer tells what discovery has told it. */
-    private void heard(ListUpdate update) {
-        List<Endpoint> changed = membership.heard(time.now(), update);
+    private void heard(EndpointListDelta update) {
+        List<Endpoint> changed = membership.onPeerUpdate(time.now(), update);
         if (!changed.isEmpty()) {
             policy.onEndpointUpdate(time.now(), EndpointUpdateKind.PROVISIONAL, changed, this);
         }
-        carryOut(news.heard(time.now(), update.version()));
+        carryOut(news.onPeerVersion(time.now(), update.version()));
     }
 
     /** Asks some peer what it was told that is not known here. */
     private void alert() {
-        if (settings.instanceCount() < 2 || !antiEntropy.alerted(time.now())) {
+        if (settings.instanceCount() < 2 || !antiEntropy.onFault(time.now())) {
             return;
         }
-        long known = membership.known();
+        long known = membership.knownVersion();
         play.post(
                 this,
-                AntiEntropy.partner(random, me, settings.instanceCount()),
+                AntiEntropy.randomPeer(random, me, settings.instanceCount()),
                 peer -> peer.membership
-                        .since(time.now(), known)
+                        .changesSince(time.now(), known)
                         .forEach(u -> play.post(peer, me, asker -> asker.heard(u))));
     }
 
--- a/src/main/java/cacheproxy/model/NewsPlay.java
+++ b/src/main/java/cacheproxy/model/NewsPlay.java
@@ -2,10 +2,10 @@
 
 import cacheproxy.endpoints.EndpointListPoller;
 import cacheproxy.gossip.AntiEntropy;
-import cacheproxy.gossip.ListNews;
-import cacheproxy.gossip.ListNews.Order;
-import cacheproxy.gossip.ListUpdate;
-import cacheproxy.gossip.ProvisionalMembership;
+import cacheproxy.gossip.EndpointListDelta;
+import cacheproxy.gossip.ListVersionGossip;
+import cacheproxy.gossip.ListVersionGossip.Action;
+import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.routing.CarpLoadBalancer;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
@@ -165,8 +165,8 @@
     private final class Instance implements RoutingActions, LineDiscovery.Caller {
         private final int me;
         private final CarpLoadBalancer policy;
-        private final ListNews news;
-        private final ProvisionalMembership membership = new ProvisionalMembership(FleetDraw.ORIGIN_KIND);
+        private final ListVersionGossip news;
+        private final ProvisionalEndpoints membership = new ProvisionalEndpoints(FleetDraw.ORIGIN_KIND);
         private final List<Endpoint> list = new ArrayList<>();
         private long version = 1;
         private final EndpointListPoller calls;
@@ -180,7 +180,7 @@
         Instance(int me, RoutingSettings settings) {
             this.me = me;
             policy = new CarpLoadBalancer(settings, random.nextLong());
-            news = new ListNews(settings.instanceCount(), settings.instanceSeed(random.nextLong()));
+            news = new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(random.nextLong()));
             calls = new EndpointListPoller(
                     new EndpointListPoller.PollerSettings(
                             settings.pollsDiscovery(),
@@ -197,15 +197,15 @@
         }
 
         void start() {
-            news.begin(version);
-            membership.begin(version, list);
+            news.start(version);
+            membership.reset(version, list);
             policy.onEndpointUpdate(time.now(), EndpointUpdateKind.CACHED, list, this);
             queryWhenDue();
         }
 
         private void queryWhenDue() {
-            time.after(Math.max(1, antiEntropy.dueMs() - time.now()), () -> {
-                if (antiEntropy.due(time.now())) {
+            time.after(Math.max(1, antiEntropy.nextTimerMs() - time.now()), () -> {
+                if (antiEntropy.onTimer(time.now())) {
                     query();
                 }
                 queryWhenDue();
@@ -258,38 +258,41 @@
             if (!out.remove(which)) {
                 return;
             }
-            antiEntropy.answered(time.now());
+            antiEntropy.onDiscoveryResponse(time.now());
             boolean newer = told > version;
             List<Endpoint> changed = newer ? List.of(server(EndpointState.DRAINING)) : List.of();
             version = told;
-            carryOut(news.held(time.now(), told));
+            carryOut(news.onVersionApplied(time.now(), told));
             policy.onEndpointUpdate(
-                    time.now(), EndpointUpdateKind.DELTA, membership.told(time.now(), told, false, changed), this);
+                    time.now(),
+                    EndpointUpdateKind.DELTA,
+                    membership.onDiscoveryUpdate(time.now(), told, false, changed),
+                    this);
             know();
             carryOut(calls.onResponse(time.now(), which, newer), true);
         }
 
         private void know() {
-            if (knownMs == Double.POSITIVE_INFINITY && Math.max(version, membership.known()) > 1) {
+            if (knownMs == Double.POSITIVE_INFINITY && Math.max(version, membership.knownVersion()) > 1) {
                 knownMs = time.now();
             }
         }
 
         // ---- peers
 
-        private void carryOut(Order order) {
+        private void carryOut(Action order) {
             switch (order) {
-                case TELL -> tellAll();
-                case ASK -> ask();
+                case ANNOUNCE -> tellAll();
+                case POLL_DISCOVERY -> ask();
                 case NONE, WAIT -> {}
             }
-            if (order != Order.NONE && news.dueMs() != Double.POSITIVE_INFINITY) {
-                time.after(Math.max(0.01, news.dueMs() - time.now()), () -> carryOut(news.due(time.now())));
+            if (order != Action.NONE && news.nextTimerMs() != Double.POSITIVE_INFINITY) {
+                time.after(Math.max(0.01, news.nextTimerMs() - time.now()), () -> carryOut(news.onTimer(time.now())));
             }
         }
 
         private void tellAll() {
-            ListUpdate update = membership.news();
+            EndpointListDelta update = membership.recentChanges();
             for (Instance peer : instances) {
                 if (peer != this && setup.sharing() != Sharing.NONE) {
                     post(() -> peer.heard(update));
@@ -297,15 +300,15 @@
             }
         }
 
-        private void heard(ListUpdate update) {
+        private void heard(EndpointListDelta update) {
             if (setup.sharing() == Sharing.CHANGES) {
-                List<Endpoint> changed = membership.heard(time.now(), update);
+                List<Endpoint> changed = membership.onPeerUpdate(time.now(), update);
                 if (!changed.isEmpty()) {
                     policy.onEndpointUpdate(time.now(), EndpointUpdateKind.PROVISIONAL, changed, this);
                 }
                 know();
             }
-            carryOut(news.heard(time.now(), update.version()));
+            carryOut(news.onPeerVersion(time.now(), update.version()));
         }
 
         private void ask() {
@@ -317,7 +320,7 @@
         }
 
         private void alert() {
-            if (antiEntropy.alerted(time.now())) {
+            if (antiEntropy.onFault(time.now())) {
                 query();
             }
         }
@@ -326,9 +329,9 @@
             if (setup.sharing() != Sharing.CHANGES || instances.length < 2) {
                 return;
             }
-            Instance peer = instances[AntiEntropy.partner(random, me, instances.length)];
-            long held = membership.known();
-            post(() -> peer.membership.since(time.now(), held).forEach(u -> post(() -> heard(u))));
+            Instance peer = instances[AntiEntropy.randomPeer(random, me, instances.length)];
+            long held = membership.knownVersion();
+            post(() -> peer.membership.changesSince(time.now(), held).forEach(u -> post(() -> heard(u))));
         }
 
         // ---- the rest
--- a/src/main/java/cacheproxy/model/ViewPlay.java
+++ b/src/main/java/cacheproxy/model/ViewPlay.java
@@ -1,8 +1,8 @@
 package cacheproxy.model;
 
 import cacheproxy.gossip.Envelope;
-import cacheproxy.gossip.MemberBudget;
-import cacheproxy.gossip.Outbox;
+import cacheproxy.gossip.MembershipBudget;
+import cacheproxy.gossip.SendBudget;
 import cacheproxy.membership.Entry;
 import cacheproxy.membership.MemberSettings;
 import cacheproxy.membership.Membership;
@@ -33,7 +33,7 @@
     private final class Instance {
         final int id;
         Membership members;
-        Outbox outbox;
+        SendBudget outbox;
         double stoppedUntilMs;
         long bytes;
         /** Events of an earlier wait are void. */
@@ -46,9 +46,9 @@
         }
 
         void start(long remembered) {
-            outbox = new Outbox(BYTES_PER_SECOND, BURST);
+            outbox = new SendBudget(BYTES_PER_SECOND, BURST);
             members = new Membership(
-                    settings, id, id % ZONES, new byte[0], remembered, random.nextLong(), new MemberBudget(outbox));
+                    settings, id, id % ZONES, new byte[0], remembered, random.nextLong(), new MembershipBudget(outbox));
             members.phase(Phase.SERVING);
             go();
         }
@@ -57,7 +57,7 @@
             long mine = ++waits;
             members.tick(time.now());
             for (Send s : members.outgoing()) {
-                bytes += Envelope.bytes(s.body().length);
+                bytes += Envelope.datagramBytes(s.body().length);
                 post(id, s.to(), s.body());
             }
             watch(this);
--- a/src/main/java/cacheproxy/proxy/MemberLink.java
+++ b/src/main/java/cacheproxy/proxy/MemberLink.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.gossip.MemberBudget;
+import cacheproxy.gossip.MembershipBudget;
 import cacheproxy.membership.Living;
 import cacheproxy.membership.MemberSettings;
 import cacheproxy.membership.Membership;
@@ -43,7 +43,7 @@
                 new byte[0],
                 remembered,
                 settings.instanceSeed(seed),
-                new MemberBudget(peers.outbox()));
+                new MembershipBudget(peers.outbox()));
         members.phase(phase);
         run();
     }
--- a/src/main/java/cacheproxy/proxy/NodeTalk.java
+++ b/src/main/java/cacheproxy/proxy/NodeTalk.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.gossip.BadNodes;
+import cacheproxy.gossip.OutlierGossip;
 import cacheproxy.gossip.PeerMessage;
 import cacheproxy.membership.View;
 import cacheproxy.routing.EndpointSignal;
@@ -19,7 +19,7 @@
     private final Dispatcher dispatcher;
     private final PeerSocket peers;
     private final MemberLink members;
-    private final BadNodes bad = new BadNodes();
+    private final OutlierGossip bad = new OutlierGossip();
     /** When peers were told of a node last; of those in the list alone. */
     private final Map<Integer, Double> toldMs = new HashMap<>();
     /** Where peers stand that live; as of some time ago, as many messages come at once where much is wrong. */
@@ -41,15 +41,16 @@
         }
         double now = dispatcher.now();
         toldMs.values()
-                .removeIf(at -> now - at >= BadNodes.KEPT_MS / 2); // told anew while it lasts, before the word is void
-        if (!bad.knownToAll(now, server) && toldMs.putIfAbsent(server, now) == null) {
-            peers.send(ALL, PeerSocket.Kind.NODES, PeerMessage.bad(server));
+                .removeIf(at -> now - at
+                        >= OutlierGossip.REPORT_TTL_MS / 2); // told anew while it lasts, before the word is void
+        if (!bad.isWidelyReported(now, server) && toldMs.putIfAbsent(server, now) == null) {
+            peers.send(ALL, PeerSocket.Kind.NODES, PeerMessage.endpointUnresponsive(server));
         }
     }
 
     /** A peer says that a node is silent. */
     void heard(int peer, byte[] message) {
-        Integer server = PeerMessage.badServer(message);
+        Integer server = PeerMessage.readEndpointUnresponsive(message);
         Upstream u = server == null ? null : dispatcher.servers().get(server);
         if (u == null || u.origin) {
             return;
@@ -64,9 +65,9 @@
                     .forEach(e -> zones.put(e.id(), e.zone()));
         }
         Integer zone = zones.get(peer);
-        BadNodes.Node node =
-                new BadNodes.Node(server, u.place.zone(), dispatcher.servers().inZone(u.place.zone()));
-        if (zone != null && bad.claimed(now, peer, zone, node, zones.size(), new HashSet<>(zones.values()).size())) {
+        OutlierGossip.ReportedNode node = new OutlierGossip.ReportedNode(
+                server, u.place.zone(), dispatcher.servers().inZone(u.place.zone()));
+        if (zone != null && bad.onReport(now, peer, zone, node, zones.size(), new HashSet<>(zones.values()).size())) {
             dispatcher.heard(peer, PeerSocket.Kind.MODULE, message);
         }
     }
--- a/src/main/java/cacheproxy/proxy/PeerNews.java
+++ b/src/main/java/cacheproxy/proxy/PeerNews.java
@@ -1,20 +1,20 @@
 package cacheproxy.proxy;
 
 import cacheproxy.gossip.AntiEntropy;
-import cacheproxy.gossip.ListNews;
-import cacheproxy.gossip.ListNews.Order;
-import cacheproxy.gossip.ListUpdate;
+import cacheproxy.gossip.EndpointListDelta;
+import cacheproxy.gossip.ListVersionGossip;
+import cacheproxy.gossip.ListVersionGossip.Action;
 import cacheproxy.gossip.PeerMessage;
-import cacheproxy.gossip.ProvisionalMembership;
+import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.membership.Living;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import java.util.SplittableRandom;
 
 /**
- * Carries out what {@link ListNews} orders: tells peers, and has discovery or a peer asked. Where one discovery serves
- * all instances, peers tell each other what has changed; where lists are pushed, each has an agent of its own to ask,
- * and the version is enough. On the event loop only.
+ * Carries out what {@link ListVersionGossip} orders: tells peers, and has discovery or a peer asked. Where one
+ * discovery serves all instances, peers tell each other what has changed; where lists are pushed, each has an agent of
+ * its own to ask, and the version is enough. On the event loop only.
  */
 final class PeerNews {
     private static final int ALL = -1;
@@ -25,7 +25,7 @@
     private final PeerSocket peers;
     private final DiscoveryClient discovery;
     private final EndpointListPublisher list;
-    private final ListNews news;
+    private final ListVersionGossip news;
     private final SplittableRandom random;
     private final AntiEntropy antiEntropy;
 
@@ -35,7 +35,7 @@
             PeerSocket peers,
             DiscoveryClient discovery,
             EndpointListPublisher list,
-            ListNews news,
+            ListVersionGossip news,
             long seed) {
         this.dispatcher = dispatcher;
         this.peers = peers;
@@ -48,15 +48,15 @@
     }
 
     private void queryWhenDue() {
-        dispatcher.after(Math.max(1, antiEntropy.dueMs() - dispatcher.now()), () -> {
-            if (antiEntropy.due(dispatcher.now())) {
+        dispatcher.after(Math.max(1, antiEntropy.nextTimerMs() - dispatcher.now()), () -> {
+            if (antiEntropy.onTimer(dispatcher.now())) {
                 query();
             }
             queryWhenDue();
         });
     }
 
-    private ProvisionalMembership membership() {
+    private ProvisionalEndpoints membership() {
         return list.provisionalEndpoints();
     }
 
@@ -66,8 +66,8 @@
 
     /** Discovery has told that version. */
     void held(long version) {
-        antiEntropy.answered(dispatcher.now());
-        carryOut(news.held(dispatcher.now(), version));
+        antiEntropy.onDiscoveryResponse(dispatcher.now());
+        carryOut(news.onVersionApplied(dispatcher.now(), version));
     }
 
     /** A call for the list failed: a peer may know what it would have told. */
@@ -77,23 +77,23 @@
 
     /** A peer says which version it holds, what has changed, or wants to know that. */
     void heard(int peer, byte[] message) {
-        long version = PeerMessage.listVersion(message);
+        long version = PeerMessage.readListVersion(message);
         if (version >= 0) {
-            carryOut(news.heard(dispatcher.now(), version));
+            carryOut(news.onPeerVersion(dispatcher.now(), version));
             return;
         }
         if (!sharesChanges()) {
             return;
         }
-        ListUpdate update = ListUpdate.decode(message);
+        EndpointListDelta update = EndpointListDelta.decode(message);
         if (update != null) {
             list.onPeerUpdate(dispatcher.now(), peer, update);
-            carryOut(news.heard(dispatcher.now(), update.version()));
+            carryOut(news.onPeerVersion(dispatcher.now(), update.version()));
             return;
         }
-        long queried = PeerMessage.queriedVersion(message);
+        long queried = PeerMessage.readListQuery(message);
         if (queried >= 0) {
-            membership().since(dispatcher.now(), queried).stream()
+            membership().changesSince(dispatcher.now(), queried).stream()
                     .limit(MOST_ANSWERS)
                     .forEach(u -> peers.send(peer, PeerSocket.Kind.LIST, u.encode()));
         }
@@ -101,23 +101,25 @@
 
     /** So many live. */
     void among(Living living) {
-        news.among(living);
+        news.setLiveMembers(living);
     }
 
-    private void carryOut(Order order) {
+    private void carryOut(Action order) {
         switch (order) {
-            case TELL -> tell();
-            case ASK -> ask();
+            case ANNOUNCE -> tell();
+            case POLL_DISCOVERY -> ask();
             case NONE, WAIT -> {}
         }
-        double due = news.dueMs();
-        if (order != Order.NONE && due != Double.POSITIVE_INFINITY) {
-            dispatcher.after(Math.max(0, due - dispatcher.now()), () -> carryOut(news.due(dispatcher.now())));
+        double due = news.nextTimerMs();
+        if (order != Action.NONE && due != Double.POSITIVE_INFINITY) {
+            dispatcher.after(Math.max(0, due - dispatcher.now()), () -> carryOut(news.onTimer(dispatcher.now())));
         }
     }
 
     private void tell() {
-        byte[] message = sharesChanges() ? membership().news().encode() : PeerMessage.list(discovery.version());
+        byte[] message = sharesChanges()
+                ? membership().recentChanges().encode()
+                : PeerMessage.listVersionAnnouncement(discovery.version());
         peers.send(ALL, PeerSocket.Kind.LIST, message);
     }
 
@@ -128,7 +130,7 @@
     }
 
     private void queryUnlessJustDone() {
-        if (antiEntropy.alerted(dispatcher.now())) {
+        if (antiEntropy.onFault(dispatcher.now())) {
             query();
         }
     }
@@ -140,7 +142,7 @@
             peers.send(
                     peer,
                     PeerSocket.Kind.LIST,
-                    PeerMessage.listQuery(membership().known()));
+                    PeerMessage.listQuery(membership().knownVersion()));
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerSocket.java
@@ -3,7 +3,7 @@
 import cacheproxy.gossip.AntiEntropy;
 import cacheproxy.gossip.Envelope;
 import cacheproxy.gossip.Envelope.Item;
-import cacheproxy.gossip.Outbox;
+import cacheproxy.gossip.SendBudget;
 import cacheproxy.metrics.Work;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -75,7 +75,7 @@
     private final Config config;
     private final Receiver receiver;
     private final Counters counters;
-    private final Outbox outbox = new Outbox(BYTES_PER_SECOND, BURST);
+    private final SendBudget outbox = new SendBudget(BYTES_PER_SECOND, BURST);
     /** The peers' numbers by address: where all talk, a search for each datagram would grow with the fleet's square. */
     private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
 
@@ -128,20 +128,21 @@
         return channel == null ? null : (InetSocketAddress) channel.localAddress();
     }
 
-    Outbox outbox() {
+    SendBudget outbox() {
         return outbox;
     }
 
     /** The number of some other proxy of the tier; negative if there is none. */
     int another(SplittableRandom random) {
-        return AntiEntropy.partner(
+        return AntiEntropy.randomPeer(
                 random, config.settings().instanceIndex(), config.peers().size());
     }
 
     /** Sends to the proxy of this number, or to all of the tier if it is negative, if the budget has room for it. */
     void send(int peer, Kind kind, byte[] body) {
-        if (body.length <= Envelope.MOST_BODY
-                && outbox.admits(System.nanoTime() / 1e6, Envelope.bytes(body.length), Outbox.Level.SECOND)) {
+        if (body.length <= Envelope.MAX_BODY_BYTES
+                && outbox.tryAcquire(
+                        System.nanoTime() / 1e6, Envelope.datagramBytes(body.length), SendBudget.Priority.NORMAL)) {
             sendAdmitted(peer, kind, body);
         }
     }
@@ -156,7 +157,7 @@
         }
         counters.did(Work.MESSAGES_SENT);
         channel.writeAndFlush(new DatagramPacket(
-                Unpooled.wrappedBuffer(Envelope.seal(List.of(new Item(kind.number(), Kind.VERSION, body)))), to));
+                Unpooled.wrappedBuffer(Envelope.encode(List.of(new Item(kind.number(), Kind.VERSION, body)))), to));
     }
 
     /** What does not come from a peer, is longer than the protocol has it or was changed on its way, is dropped. */
@@ -164,11 +165,11 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             Integer peer = numbers.get(packet.sender());
-            if (peer == null || packet.content().readableBytes() > Envelope.MOST_BYTES) {
+            if (peer == null || packet.content().readableBytes() > Envelope.MAX_DATAGRAM_BYTES) {
                 return;
             }
             counters.did(Work.MESSAGES_HEARD);
-            for (Item item : Envelope.open(ByteBufUtil.getBytes(packet.content()))) {
+            for (Item item : Envelope.decode(ByteBufUtil.getBytes(packet.content()))) {
                 Kind kind = Kind.of(item.kind());
                 if (item.version() == Kind.VERSION && kind != null) {
                     receiver.heard(peer, kind, item.body());
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -4,8 +4,8 @@
 import cacheproxy.drain.DrainPlan;
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.gossip.ListNews;
-import cacheproxy.gossip.ProvisionalMembership;
+import cacheproxy.gossip.ListVersionGossip;
+import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
 import cacheproxy.proxy.discovery.Addresses;
@@ -100,7 +100,7 @@
         RoutingSettings atStart = config.settings();
         EndpointListPublisher list = new EndpointListPublisher(
                 dispatcher,
-                new ProvisionalMembership(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
+                new ProvisionalEndpoints(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
                 dispatcher::now);
         discovery = new DiscoveryClient(
                 loop,
@@ -127,8 +127,9 @@
                     discovery.start(remembered.list(config.known()));
                     if (config.settings().peerMessagesAllowed()) {
                         RoutingSettings settings = config.settings();
-                        ListNews news = new ListNews(settings.instanceCount(), settings.instanceSeed(config.seed()));
-                        news.begin(discovery.version());
+                        ListVersionGossip news =
+                                new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
+                        news.start(discovery.version());
                         dispatcher.news(new PeerNews(
                                 dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
                     }
@@ -390,7 +391,7 @@
                         members.view(),
                         members.unreadable(),
                         members.deathsRefuted(),
-                        peers.outbox().dropped());
+                        peers.outbox().droppedDatagrams());
     }
 
     /**
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.gossip.ListUpdate;
-import cacheproxy.gossip.ProvisionalMembership;
-import cacheproxy.gossip.StartTimes;
+import cacheproxy.gossip.EndpointListDelta;
+import cacheproxy.gossip.LocalStartTimes;
+import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
 import cacheproxy.routing.EndpointUpdateKind;
@@ -14,7 +14,7 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Stands between discovery and whoever uses the list, and carries out what {@link ProvisionalMembership} makes of it:
+ * Stands between discovery and whoever uses the list, and carries out what {@link ProvisionalEndpoints} makes of it:
  * what peers were told restricts it until discovery's own word comes. Keeps the servers' addresses, which peers do not
  * tell. On the event loop only.
  */
@@ -44,20 +44,20 @@
     private static final int MOST_NAMES = 12;
 
     private final Subscriber user;
-    private final ProvisionalMembership provisionalEndpoints;
+    private final ProvisionalEndpoints provisionalEndpoints;
     private final DoubleSupplier nowMs;
-    private final StartTimes startTimes = new StartTimes();
+    private final LocalStartTimes startTimes = new LocalStartTimes();
     private final Map<Integer, DiscoveredEndpoint> hosts = new HashMap<>();
 
     /** {@code nowMs}: the user's clock. */
-    public EndpointListPublisher(Subscriber user, ProvisionalMembership membership, DoubleSupplier nowMs) {
+    public EndpointListPublisher(Subscriber user, ProvisionalEndpoints membership, DoubleSupplier nowMs) {
         this.user = user;
         this.provisionalEndpoints = membership;
         this.nowMs = nowMs;
     }
 
     /** What is known of the list, by discovery or by peers. */
-    public ProvisionalMembership provisionalEndpoints() {
+    public ProvisionalEndpoints provisionalEndpoints() {
         return provisionalEndpoints;
     }
 
@@ -73,11 +73,11 @@
         }
         double now = nowMs.getAsDouble();
         if (kind == EndpointUpdateKind.CACHED) {
-            provisionalEndpoints.begin(version, members);
-            user.onEndpoints(kind, hosts(startTimes.begin(now, members)));
+            provisionalEndpoints.reset(version, members);
+            user.onEndpoints(kind, hosts(startTimes.reset(now, members)));
         } else {
-            List<Endpoint> used = provisionalEndpoints.told(now, version, kind.isSnapshot(), members);
-            user.onEndpoints(kind, hosts(startTimes.told(now, used)));
+            List<Endpoint> used = provisionalEndpoints.onDiscoveryUpdate(now, version, kind.isSnapshot(), members);
+            user.onEndpoints(kind, hosts(startTimes.onUpdate(now, used)));
             user.onListApplied(version);
             changed("version " + version + " by discovery" + (kind.isSnapshot() ? ", whole" : ""), used);
         }
@@ -85,10 +85,10 @@
     }
 
     /** A peer tells what discovery told it. */
-    public void onPeerUpdate(double nowMs, int peer, ListUpdate update) {
-        List<Endpoint> changed = provisionalEndpoints.heard(nowMs, update);
+    public void onPeerUpdate(double nowMs, int peer, EndpointListDelta update) {
+        List<Endpoint> changed = provisionalEndpoints.onPeerUpdate(nowMs, update);
         if (!changed.isEmpty()) {
-            user.onEndpoints(EndpointUpdateKind.PROVISIONAL, hosts(startTimes.timed(nowMs, changed)));
+            user.onEndpoints(EndpointUpdateKind.PROVISIONAL, hosts(startTimes.withLocalStartTimes(nowMs, changed)));
             changed("version " + update.version() + " by peer " + peer, changed);
         }
     }
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -702,7 +702,7 @@
         boolean told = now < s.noPlaceUntil; // by a peer, while this attempt was out
         leave(now, s, 1 << Math.min(s.turnedAway++, MAX_TURNED_AWAY));
         if (cfg.peerMessagesAllowed() && !told) {
-            out.sendToPeer(ALL_PEERS, PeerMessage.full(s.id));
+            out.sendToPeer(ALL_PEERS, PeerMessage.endpointFull(s.id));
         }
     }
 
@@ -720,14 +720,14 @@
      */
     @Override
     public void onPeerMessage(double now, int peer, byte[] message, RoutingActions out) {
-        Server b = servers.get(PeerMessage.badServer(message));
+        Server b = servers.get(PeerMessage.readEndpointUnresponsive(message));
         if (b != null
                 && b != origin
                 && b.failures == 0
                 && now - b.answeredAt > SHUN_CONNECTS * cfg.connectTimeoutMs()) {
             suspect(now, b);
         }
-        Server s = servers.get(PeerMessage.fullServer(message));
+        Server s = servers.get(PeerMessage.readEndpointFull(message));
         if (s != null && s != origin && now - s.answeredAt > HELD_CONNECTS * cfg.connectTimeoutMs()) {
             leave(now, s, 1);
         }
--- a/src/test/java/cacheproxy/gossip/AntiEntropyTest.java
+++ b/src/test/java/cacheproxy/gossip/AntiEntropyTest.java
@@ -14,8 +14,8 @@
     @Test
     void whoIsAnsweredAsksNobody() {
         for (double now = 0; now < 60_000; now += 1800) {
-            antiEntropy.answered(now);
-            assertThat(antiEntropy.due(now + 1799)).isFalse();
+            antiEntropy.onDiscoveryResponse(now);
+            assertThat(antiEntropy.onTimer(now + 1799)).isFalse();
         }
     }
 
@@ -23,17 +23,17 @@
     void whoIsNotAnsweredAsksAgainAndAgain() {
         int asked = 0;
         for (double now = 0; now <= 4000; now += 10) {
-            asked += antiEntropy.due(now) ? 1 : 0;
+            asked += antiEntropy.onTimer(now) ? 1 : 0;
         }
         assertThat(asked).as("at 2, 2.5, 3, 3.5 and 4 s").isEqualTo(5);
     }
 
     @Test
     void failuresOneAfterAnotherLeadToOneQuestion() {
-        assertThat(antiEntropy.alerted(100)).isTrue();
-        assertThat(antiEntropy.alerted(200)).isFalse();
-        assertThat(antiEntropy.alerted(600)).isTrue();
-        assertThat(antiEntropy.dueMs()).isEqualTo(AntiEntropy.STALE_MS);
+        assertThat(antiEntropy.onFault(100)).isTrue();
+        assertThat(antiEntropy.onFault(200)).isFalse();
+        assertThat(antiEntropy.onFault(600)).isTrue();
+        assertThat(antiEntropy.nextTimerMs()).isEqualTo(AntiEntropy.STALE_AFTER_MS);
     }
 
     @Test
@@ -41,9 +41,9 @@
         SplittableRandom random = new SplittableRandom(1);
         Set<Integer> asked = new TreeSet<>();
         for (int i = 0; i < 200; i++) {
-            asked.add(AntiEntropy.partner(random, 2, 5));
+            asked.add(AntiEntropy.randomPeer(random, 2, 5));
         }
         assertThat(asked).containsExactly(0, 1, 3, 4);
-        assertThat(AntiEntropy.partner(random, 0, 1)).isNegative();
+        assertThat(AntiEntropy.randomPeer(random, 0, 1)).isNegative();
     }
 }
--- a/src/test/java/cacheproxy/gossip/EnvelopeTest.java
+++ b/src/test/java/cacheproxy/gossip/EnvelopeTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.gossip.Envelope.Item;
-import cacheproxy.gossip.Outbox.Level;
+import cacheproxy.gossip.SendBudget.Priority;
 import java.util.Arrays;
 import java.util.HexFormat;
 import java.util.List;
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 class EnvelopeTest {
-    private static final byte[] TWO =
-            Envelope.seal(List.of(new Item(1, 0, new byte[] {0, 0, 0, 0, 0, 0, 0, 41}), new Item(31, 7, new byte[0])));
+    private static final byte[] TWO = Envelope.encode(
+            List.of(new Item(1, 0, new byte[] {0, 0, 0, 0, 0, 0, 0, 41}), new Item(31, 7, new byte[0])));
 
     /** The form on the wire; the test vector of the wire page. */
     @Test
@@ -22,7 +22,7 @@
         assertThat(HexFormat.of().formatHex(TWO))
                 .startsWith("e108080000000000000029ff00")
                 .hasSize(30);
-        assertThat(Envelope.open(TWO)).hasSize(2).first().satisfies(i -> {
+        assertThat(Envelope.decode(TWO)).hasSize(2).first().satisfies(i -> {
             assertThat(i.kind()).isEqualTo(1);
             assertThat(i.body()).hasSize(8).endsWith(41);
         });
@@ -31,35 +31,37 @@
     @Test
     void whatIsCutOrChangedIsNothing() {
         for (int i = 0; i < TWO.length; i++) {
-            assertThat(Envelope.open(Arrays.copyOf(TWO, i))).isEmpty();
+            assertThat(Envelope.decode(Arrays.copyOf(TWO, i))).isEmpty();
             byte[] changed = TWO.clone();
             changed[i] ^= 4;
-            assertThat(Envelope.open(changed)).isEmpty();
+            assertThat(Envelope.decode(changed)).isEmpty();
         }
-        assertThatThrownBy(() -> Envelope.seal(List.of(new Item(1, 0, new byte[200]), new Item(1, 0, new byte[60]))))
+        assertThatThrownBy(() -> Envelope.encode(List.of(new Item(1, 0, new byte[200]), new Item(1, 0, new byte[60]))))
                 .isInstanceOf(IllegalArgumentException.class);
-        assertThat(Envelope.open(Envelope.seal(List.of(new Item(1, 0, new byte[Envelope.MOST_BODY])))))
+        assertThat(Envelope.decode(Envelope.encode(List.of(new Item(1, 0, new byte[Envelope.MAX_BODY_BYTES])))))
                 .hasSize(1);
     }
 
     @Property(seed = "45", tries = 20_000)
     void noiseIsDropped(@ForAll byte[] noise) {
-        Envelope.open(noise);
+        Envelope.decode(noise);
     }
 
     @Test
     void theLessUrgentLeaveRoomForTheMoreUrgent() {
-        Outbox box = new Outbox(1000, 1000);
-        assertThat(box.spare(0)).isEqualTo(500);
-        assertThat(box.admits(0, 400, Level.THIRD)).isTrue();
-        assertThat(box.admits(0, 200, Level.THIRD)).isFalse();
-        assertThat(box.admits(0, 200, Level.SECOND)).isTrue();
-        assertThat(box.admits(0, 200, Level.SECOND)).isFalse();
-        assertThat(box.admits(0, 400, Level.FIRST)).isTrue();
-        assertThat(box.admits(0, 1, Level.FIRST)).isFalse();
-        assertThat(box.dropped()).isEqualTo(3);
-        assertThat(box.admits(600, 100, Level.THIRD)).as("a second fills it").isTrue();
-        assertThat(box.admits(100_000, 501, Level.THIRD))
+        SendBudget box = new SendBudget(1000, 1000);
+        assertThat(box.availableForLowPriority(0)).isEqualTo(500);
+        assertThat(box.tryAcquire(0, 400, Priority.LOW)).isTrue();
+        assertThat(box.tryAcquire(0, 200, Priority.LOW)).isFalse();
+        assertThat(box.tryAcquire(0, 200, Priority.NORMAL)).isTrue();
+        assertThat(box.tryAcquire(0, 200, Priority.NORMAL)).isFalse();
+        assertThat(box.tryAcquire(0, 400, Priority.HIGH)).isTrue();
+        assertThat(box.tryAcquire(0, 1, Priority.HIGH)).isFalse();
+        assertThat(box.droppedDatagrams()).isEqualTo(3);
+        assertThat(box.tryAcquire(600, 100, Priority.LOW))
+                .as("a second fills it")
+                .isTrue();
+        assertThat(box.tryAcquire(100_000, 501, Priority.LOW))
                 .as("and no more than it holds")
                 .isFalse();
     }
--- a/src/test/java/cacheproxy/gossip/ListNewsTest.java
+++ b/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cacheproxy.gossip.ListNews.Order;
+import cacheproxy.gossip.ListVersionGossip.Action;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.Test;
 
 /** A tier of proxies before one discovery, in virtual time. */
-class ListNewsTest {
+class ListVersionGossipTest {
     private static final double STEP_MS = 10;
 
     /** Proxies of which some hear nothing on their watch until they ask anew. */
     private static final class Tier {
-        final ListNews[] proxies;
+        final ListVersionGossip[] proxies;
         final long[] holds;
         final boolean[] silent;
         final int[] asked;
@@ -32,14 +32,14 @@
         final List<Told> underWay = new ArrayList<>();
 
         Tier(int instances, double loss, long seed) {
-            proxies = new ListNews[instances];
+            proxies = new ListVersionGossip[instances];
             holds = new long[instances];
             silent = new boolean[instances];
             asked = new int[instances];
             random = new SplittableRandom(seed);
             this.loss = loss;
             for (int i = 0; i < instances; i++) {
-                proxies[i] = new ListNews(instances, seed + i);
+                proxies[i] = new ListVersionGossip(instances, seed + i);
             }
         }
 
@@ -54,7 +54,7 @@
 
         void told(int i) {
             holds[i] = discovery;
-            proxies[i].held(now, discovery);
+            proxies[i].onVersionApplied(now, discovery);
         }
 
         void tell(int i) {
@@ -69,19 +69,19 @@
         }
 
         void claim(int to, long version) {
-            proxies[to].heard(now, version);
+            proxies[to].onPeerVersion(now, version);
         }
 
         void pass(double ms) {
             for (double end = now + ms; now < end; now += STEP_MS) {
                 underWay.stream().filter(t -> t.at <= now).toList().forEach(t -> {
                     underWay.remove(t);
-                    claim(t.to, PeerMessage.listVersion(PeerMessage.list(t.version)));
+                    claim(t.to, PeerMessage.readListVersion(PeerMessage.listVersionAnnouncement(t.version)));
                 });
                 for (int i = 0; i < proxies.length; i++) {
-                    switch (proxies[i].due(now)) {
-                        case TELL -> tell(i);
-                        case ASK -> {
+                    switch (proxies[i].onTimer(now)) {
+                        case ANNOUNCE -> tell(i);
+                        case POLL_DISCOVERY -> {
                             asked[i]++;
                             silent[i] = false;
                             told(i);
@@ -108,7 +108,7 @@
         }
         for (int change = 0; change < 8; change++) {
             tier.change();
-            tier.pass(3 * ListNews.LAG_MS + 3 * ListNews.TURN_MS * instances);
+            tier.pass(3 * ListVersionGossip.MIN_POLL_DELAY_MS + 3 * ListVersionGossip.TURN_PER_INSTANCE_MS * instances);
         }
         assertThat(tier.holds).containsOnly(8);
         assertThat(Arrays.stream(tier.asked).max().orElseThrow()).isLessThanOrEqualTo(3);
@@ -125,7 +125,7 @@
         int versions = 12;
         for (int change = 0; change < versions; change++) {
             tier.change();
-            tier.pass(2 * ListNews.TURN_MS * instances + 100);
+            tier.pass(2 * ListVersionGossip.TURN_PER_INSTANCE_MS * instances + 100);
         }
         assertThat(tier.messages / (double) (instances - 1) / versions)
                 .as("who tell one version")
@@ -135,9 +135,9 @@
 
     @Test
     void oneAloneHasNobodyToTell() {
-        ListNews alone = new ListNews(1, 1);
-        assertThat(alone.held(0, 5)).isEqualTo(Order.NONE);
-        assertThat(alone.dueMs()).isInfinite();
+        ListVersionGossip alone = new ListVersionGossip(1, 1);
+        assertThat(alone.onVersionApplied(0, 5)).isEqualTo(Action.NONE);
+        assertThat(alone.nextTimerMs()).isInfinite();
     }
 
     /** Guards against a peer that makes all the others call, or keeps them from telling. */
@@ -153,17 +153,18 @@
         assertThat(Arrays.stream(tier.asked).max().orElseThrow()).isLessThanOrEqualTo(7);
         tier.silent[3] = true;
         tier.change();
-        tier.pass(ListNews.LONGEST_MS);
+        tier.pass(ListVersionGossip.MAX_POLL_DELAY_MS);
         assertThat(tier.holds).containsOnly(1);
     }
 
     @Test
     void whatIsNoMessageAboutTheListIsNone() {
-        assertThat(PeerMessage.listVersion(new byte[0])).isNegative();
-        assertThat(PeerMessage.listVersion(new byte[9])).isNegative();
-        assertThat(PeerMessage.listVersion(new byte[] {'L', 0, 0, 0, 0, 0, 0, 0}))
+        assertThat(PeerMessage.readListVersion(new byte[0])).isNegative();
+        assertThat(PeerMessage.readListVersion(new byte[9])).isNegative();
+        assertThat(PeerMessage.readListVersion(new byte[] {'L', 0, 0, 0, 0, 0, 0, 0}))
                 .isNegative();
-        assertThat(PeerMessage.listVersion(PeerMessage.list(77))).isEqualTo(77);
-        assertThatThrownBy(() -> new ListNews(0, 1)).hasMessageContaining("0 instances");
+        assertThat(PeerMessage.readListVersion(PeerMessage.listVersionAnnouncement(77)))
+                .isEqualTo(77);
+        assertThatThrownBy(() -> new ListVersionGossip(0, 1)).hasMessageContaining("0 instances");
     }
 }
--- /dev/null
+++ b/src/test/java/cacheproxy/gossip/LocalStartTimesTest.java
@@ -0,0 +1,83 @@
+package cacheproxy.gossip;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointState;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** When servers started, by a clock that others' clocks may differ from. */
+class LocalStartTimesTest {
+    private static final double NOW_MS = 1.8e12;
+    private static final double HOUR_MS = 3_600_000;
+
+    private static Endpoint member(int id, double bornMs) {
+        return new Endpoint(id, 0, 0, 0, EndpointState.READY, 1, bornMs);
+    }
+
+    private static double started(List<Endpoint> members) {
+        return members.get(0).localStartTimeMs();
+    }
+
+    @Test
+    void aStartIsTakenAtItsWordWhereItMayBeTrue() {
+        LocalStartTimes times = new LocalStartTimes();
+        times.reset(NOW_MS, List.of(member(1, 0)));
+        times.onUpdate(NOW_MS + 100, List.of());
+        assertThat(started(times.onUpdate(NOW_MS + 5000, List.of(member(2, NOW_MS + 3000)))))
+                .isEqualTo(NOW_MS + 3000);
+        assertThat(started(times.onUpdate(NOW_MS + 6000, List.of(member(1, 0)))))
+                .isZero();
+    }
+
+    /** This machine's clock is an hour ahead. */
+    @Test
+    void aStartThatIsNewsIsNotAnHourOld() {
+        LocalStartTimes times = new LocalStartTimes();
+        times.reset(NOW_MS, List.of());
+        times.onUpdate(NOW_MS + 100, List.of(member(1, 0)));
+        assertThat(started(times.onUpdate(NOW_MS + 5000, List.of(member(2, NOW_MS - HOUR_MS)))))
+                .isEqualTo(NOW_MS + 5000);
+    }
+
+    /** This machine's clock is an hour behind. */
+    @Test
+    void aStartIsNotInTheFuture() {
+        LocalStartTimes times = new LocalStartTimes();
+        assertThat(started(times.reset(NOW_MS, List.of(member(1, NOW_MS + HOUR_MS)))))
+                .isEqualTo(NOW_MS);
+        assertThat(started(times.withLocalStartTimes(NOW_MS + 50, List.of(member(2, NOW_MS + HOUR_MS)))))
+                .isEqualTo(NOW_MS + 50);
+    }
+
+    @Test
+    void whatWasFoundOfAStartHoldsUntilTheNext() {
+        LocalStartTimes times = new LocalStartTimes();
+        times.reset(NOW_MS, List.of());
+        times.onUpdate(NOW_MS, List.of());
+        times.onUpdate(NOW_MS + 5000, List.of(member(2, NOW_MS - HOUR_MS)));
+        assertThat(started(times.onUpdate(NOW_MS + 90_000, List.of(member(2, NOW_MS - HOUR_MS)))))
+                .isEqualTo(NOW_MS + 5000);
+        assertThat(started(times.onUpdate(NOW_MS + 95_000, List.of(member(2, NOW_MS + 94_000)))))
+                .isEqualTo(NOW_MS + 94_000);
+    }
+
+    /** What a process starts with may be older than the first list by any time. */
+    @Test
+    void theFirstListMayTellOfStartsOfAnyAge() {
+        LocalStartTimes times = new LocalStartTimes();
+        times.reset(NOW_MS, List.of());
+        assertThat(started(times.onUpdate(NOW_MS + 100, List.of(member(2, NOW_MS - HOUR_MS)))))
+                .isEqualTo(NOW_MS - HOUR_MS);
+    }
+
+    @Test
+    void anOutageOfDiscoveryMakesOldStartsNews() {
+        LocalStartTimes times = new LocalStartTimes();
+        times.reset(NOW_MS, List.of());
+        times.onUpdate(NOW_MS, List.of());
+        assertThat(started(times.onUpdate(NOW_MS + 600_000, List.of(member(2, NOW_MS + 10_000)))))
+                .isEqualTo(NOW_MS + 10_000);
+    }
+}
--- a/src/test/java/cacheproxy/gossip/PeerMessageFormatTest.java
+++ b/src/test/java/cacheproxy/gossip/PeerMessageFormatTest.java
@@ -14,33 +14,34 @@
 class PeerMessageFormatTest {
     private static final String SAMPLES = "wire/peer-messages.txt";
 
-    private static final ListUpdate UPDATE = new ListUpdate(
+    private static final EndpointListDelta UPDATE = new EndpointListDelta(
             41,
             43,
             15_000,
             List.of(
-                    new ListChange(43, 0x5be2a07c, EndpointState.REMOVED, 0),
-                    new ListChange(43, 0xf2ffffff, EndpointState.DRAINING, 1_764_000_000_123.0),
-                    new ListChange(43, 7, EndpointState.READY, 1e12)));
-    private static final ListUpdate EMPTY_UPDATE = new ListUpdate(0, 1L << 53, 0xffff, List.of());
+                    new EndpointChange(43, 0x5be2a07c, EndpointState.REMOVED, 0),
+                    new EndpointChange(43, 0xf2ffffff, EndpointState.DRAINING, 1_764_000_000_123.0),
+                    new EndpointChange(43, 7, EndpointState.READY, 1e12)));
+    private static final EndpointListDelta EMPTY_UPDATE = new EndpointListDelta(0, 1L << 53, 0xffff, List.of());
 
     /** Every kind of message, by the name of its sample. */
     static Map<String, byte[]> messages() {
         Map<String, byte[]> messages = new LinkedHashMap<>();
-        messages.put("list-version", PeerMessage.list(43));
+        messages.put("list-version", PeerMessage.listVersionAnnouncement(43));
         messages.put("list-query", PeerMessage.listQuery(1L << 53));
         messages.put("list-update", UPDATE.encode());
         messages.put("list-update-without-servers", EMPTY_UPDATE.encode());
-        messages.put("server-full", PeerMessage.full(0x5be2a07c));
-        messages.put("server-unresponsive", PeerMessage.bad(0xf2ffffff));
-        messages.put("datagram-of-one", Envelope.seal(List.of(new Item(1, 0, PeerMessage.list(43)))));
+        messages.put("server-full", PeerMessage.endpointFull(0x5be2a07c));
+        messages.put("server-unresponsive", PeerMessage.endpointUnresponsive(0xf2ffffff));
+        messages.put(
+                "datagram-of-one", Envelope.encode(List.of(new Item(1, 0, PeerMessage.listVersionAnnouncement(43)))));
         messages.put(
                 "datagram-of-four",
-                Envelope.seal(List.of(
+                Envelope.encode(List.of(
                         new Item(1, 0, UPDATE.encode()),
-                        new Item(4, 0, PeerMessage.bad(0xf2ffffff)),
+                        new Item(4, 0, PeerMessage.endpointUnresponsive(0xf2ffffff)),
                         new Item(31, 7, new byte[0]),
-                        new Item(2, 0, PeerMessage.full(7)))));
+                        new Item(2, 0, PeerMessage.endpointFull(7)))));
         return messages;
     }
 
@@ -52,22 +53,23 @@
     @Test
     void recordedMessagesAreRead() {
         Map<String, byte[]> samples = WireSamples.bytes(SAMPLES);
-        assertThat(PeerMessage.listVersion(samples.get("list-version"))).isEqualTo(43);
-        assertThat(PeerMessage.queriedVersion(samples.get("list-query"))).isEqualTo(1L << 53);
-        assertThat(ListUpdate.decode(samples.get("list-update"))).isEqualTo(UPDATE);
-        assertThat(ListUpdate.decode(samples.get("list-update-without-servers")))
+        assertThat(PeerMessage.readListVersion(samples.get("list-version"))).isEqualTo(43);
+        assertThat(PeerMessage.readListQuery(samples.get("list-query"))).isEqualTo(1L << 53);
+        assertThat(EndpointListDelta.decode(samples.get("list-update"))).isEqualTo(UPDATE);
+        assertThat(EndpointListDelta.decode(samples.get("list-update-without-servers")))
                 .isEqualTo(EMPTY_UPDATE);
-        assertThat(PeerMessage.fullServer(samples.get("server-full"))).isEqualTo(0x5be2a07c);
-        assertThat(PeerMessage.badServer(samples.get("server-unresponsive"))).isEqualTo(0xf2ffffff);
+        assertThat(PeerMessage.readEndpointFull(samples.get("server-full"))).isEqualTo(0x5be2a07c);
+        assertThat(PeerMessage.readEndpointUnresponsive(samples.get("server-unresponsive")))
+                .isEqualTo(0xf2ffffff);
     }
 
     @Test
     void recordedDatagramsAreRead() {
         Map<String, byte[]> samples = WireSamples.bytes(SAMPLES);
-        List<Item> one = Envelope.open(samples.get("datagram-of-one"));
+        List<Item> one = Envelope.decode(samples.get("datagram-of-one"));
         assertThat(one).hasSize(1);
         assertThat(one.get(0).body()).isEqualTo(samples.get("list-version"));
-        List<Item> four = Envelope.open(samples.get("datagram-of-four"));
+        List<Item> four = Envelope.decode(samples.get("datagram-of-four"));
         assertThat(four).extracting(Item::kind).containsExactly(1, 4, 31, 2);
         assertThat(four).extracting(Item::version).containsExactly(0, 0, 7, 0);
         assertThat(four.get(0).body()).isEqualTo(samples.get("list-update"));
@@ -82,7 +84,7 @@
         assertThat(update[state]).isZero();
         for (int code : new int[] {3, 127, -1}) {
             update[state] = (byte) code;
-            assertThat(ListUpdate.decode(update)).as("state %d", code).isNull();
+            assertThat(EndpointListDelta.decode(update)).as("state %d", code).isNull();
         }
     }
 }
--- a/src/test/java/cacheproxy/gossip/ProvisionalMembershipTest.java
+++ b/src/test/java/cacheproxy/gossip/ProvisionalEndpointsTest.java
@@ -15,22 +15,22 @@
 import org.junit.jupiter.api.Test;
 
 /** What peers tell of the list: used until discovery's word comes, and for no longer than that may take. */
-class ProvisionalMembershipTest {
+class ProvisionalEndpointsTest {
     private static final int ORIGIN_KIND = 1;
     private static final double NOW = 1e12;
 
-    private final ProvisionalMembership membership = new ProvisionalMembership(ORIGIN_KIND);
+    private final ProvisionalEndpoints membership = new ProvisionalEndpoints(ORIGIN_KIND);
 
     private static Endpoint member(int id, EndpointState state, double bornMs) {
         return new Endpoint(id, 0, 0, 0, state, 1, bornMs);
     }
 
-    private static ListChange change(long version, int server, EndpointState state, double bornMs) {
-        return new ListChange(version, server, state, bornMs);
+    private static EndpointChange change(long version, int server, EndpointState state, double bornMs) {
+        return new EndpointChange(version, server, state, bornMs);
     }
 
-    private static ListUpdate update(long after, long version, ListChange... changes) {
-        return new ListUpdate(after, version, ProvisionalMembership.HOLD_MS, List.of(changes));
+    private static EndpointListDelta update(long after, long version, EndpointChange... changes) {
+        return new EndpointListDelta(after, version, ProvisionalEndpoints.PEER_UPDATE_TTL_MS, List.of(changes));
     }
 
     /** Servers 1 to {@code n} and the origin, in version 41. */
@@ -39,13 +39,13 @@
                 .mapToObj(i -> member(i, EndpointState.READY, 0))
                 .toList());
         members.add(new Endpoint(100, 0, ORIGIN_KIND, 0, EndpointState.READY, 1, 0));
-        membership.begin(41, members);
+        membership.reset(41, members);
     }
 
     @Test
     void aServerThatAPeerKnowsToDrainOrToBeGoneIsLeftAlone() {
         begin(5);
-        assertThat(membership.heard(
+        assertThat(membership.onPeerUpdate(
                         NOW,
                         update(
                                 41,
@@ -53,56 +53,56 @@
                                 change(43, 1, EndpointState.DRAINING, 0),
                                 change(43, 2, EndpointState.REMOVED, 0))))
                 .containsExactly(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.DRAINING, 0));
-        assertThat(membership.known()).isEqualTo(43);
+        assertThat(membership.knownVersion()).isEqualTo(43);
     }
 
     @Test
     void aServerThatAPeerKnowsToHaveStartedAgainIsCold() {
         begin(2);
-        assertThat(membership.heard(NOW, update(41, 43, change(43, 1, EndpointState.READY, NOW - 10))))
+        assertThat(membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.READY, NOW - 10))))
                 .containsExactly(member(1, EndpointState.READY, NOW - 10));
     }
 
     @Test
     void peersAddNoServerAndChangeNoOriginNorStartAnythingInTheFuture() {
         begin(5);
-        assertThat(membership.heard(
+        assertThat(membership.onPeerUpdate(
                         NOW,
                         update(
                                 41,
                                 43,
                                 change(43, 6, EndpointState.READY, 0),
                                 change(43, 100, EndpointState.REMOVED, 0),
-                                change(43, 1, EndpointState.READY, NOW + 2 * ProvisionalMembership.MOST_AHEAD_MS))))
+                                change(43, 1, EndpointState.READY, NOW + 2 * ProvisionalEndpoints.MAX_START_AHEAD_MS))))
                 .isEmpty();
     }
 
     @Test
     void peersHaveNoMoreThanHalfOfTheServersLeftAlone() {
         begin(5);
-        ListChange[] all = IntStream.rangeClosed(1, 5)
+        EndpointChange[] all = IntStream.rangeClosed(1, 5)
                 .mapToObj(i -> change(43, i, EndpointState.REMOVED, 0))
-                .toArray(ListChange[]::new);
-        assertThat(membership.heard(NOW, update(41, 43, all))).hasSize(2);
-        ProvisionalMembership one = new ProvisionalMembership(ORIGIN_KIND);
-        one.begin(41, List.of(member(1, EndpointState.READY, 0)));
-        assertThat(one.heard(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
+                .toArray(EndpointChange[]::new);
+        assertThat(membership.onPeerUpdate(NOW, update(41, 43, all))).hasSize(2);
+        ProvisionalEndpoints one = new ProvisionalEndpoints(ORIGIN_KIND);
+        one.reset(41, List.of(member(1, EndpointState.READY, 0)));
+        assertThat(one.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
                 .isEmpty();
     }
 
     @Test
     void whatDiscoveryHasToldOfThatVersionGoesBeforePeers() {
         begin(5);
-        membership.told(NOW, 43, false, List.of());
-        assertThat(membership.heard(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
+        membership.onDiscoveryUpdate(NOW, 43, false, List.of());
+        assertThat(membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
                 .isEmpty();
     }
 
     @Test
     void discoverysOlderListLeavesWhatPeersToldOfALaterOne() {
         begin(3);
-        membership.heard(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(membership.told(
+        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(membership.onDiscoveryUpdate(
                         NOW, 42, true, List.of(member(1, EndpointState.READY, 0), member(2, EndpointState.READY, 0))))
                 .containsExactly(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.READY, 0));
     }
@@ -110,11 +110,11 @@
     @Test
     void discoverysListOfThatVersionSettlesIt() {
         begin(3);
-        membership.heard(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(membership.told(NOW, 43, false, List.of(member(2, EndpointState.DRAINING, 0))))
+        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(membership.onDiscoveryUpdate(NOW, 43, false, List.of(member(2, EndpointState.DRAINING, 0))))
                 .as("a wrong word is undone by changes that do not name the server")
                 .containsExactlyInAnyOrder(member(2, EndpointState.DRAINING, 0), member(1, EndpointState.READY, 0));
-        assertThat(membership.told(NOW + ProvisionalMembership.HOLD_MS, 44, false, List.of()))
+        assertThat(membership.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 44, false, List.of()))
                 .as("nothing is left to end")
                 .isEmpty();
     }
@@ -123,22 +123,23 @@
     @Test
     void whatDiscoveryDoesNotConfirmEndsWithItsFirstAnswerAfterTheTime() {
         begin(3);
-        membership.heard(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
-        assertThat(membership.told(NOW + ProvisionalMembership.HOLD_MS - 1, 42, false, List.of()))
+        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
+        assertThat(membership.onDiscoveryUpdate(
+                        NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 1, 42, false, List.of()))
                 .isEmpty();
-        assertThat(membership.told(NOW + ProvisionalMembership.HOLD_MS, 42, false, List.of()))
+        assertThat(membership.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 42, false, List.of()))
                 .containsExactly(member(1, EndpointState.READY, 0));
     }
 
     @Test
     void noPeerLiftsWhatDiscoveryHasTold() {
         begin(5);
-        membership.told(
+        membership.onDiscoveryUpdate(
                 NOW,
                 42,
                 false,
                 List.of(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.READY, NOW - 10)));
-        assertThat(membership.heard(
+        assertThat(membership.onPeerUpdate(
                         NOW,
                         update(42, 43, change(43, 1, EndpointState.READY, NOW), change(43, 2, EndpointState.READY, 0))))
                 .isEmpty();
@@ -147,11 +148,11 @@
     @Test
     void noPeerLiftsWhatAnotherHasTold() {
         begin(5);
-        membership.heard(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(membership.heard(NOW, update(43, 44, change(44, 1, EndpointState.READY, NOW))))
+        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(membership.onPeerUpdate(NOW, update(43, 44, change(44, 1, EndpointState.READY, NOW))))
                 .as("left alone all the same, but cold as soon as it is used")
                 .containsExactly(member(1, EndpointState.DRAINING, NOW));
-        assertThat(membership.told(NOW, 44, false, List.of(member(1, EndpointState.READY, NOW))))
+        assertThat(membership.onDiscoveryUpdate(NOW, 44, false, List.of(member(1, EndpointState.READY, NOW))))
                 .containsExactly(member(1, EndpointState.READY, NOW));
     }
 
@@ -161,81 +162,83 @@
     @Test
     void anOlderListLiftsNothingBeforeItHasStoodForSomeTime() {
         begin(3);
-        membership.told(
+        membership.onDiscoveryUpdate(
                 NOW, 44, false, List.of(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.REMOVED, 0)));
         List<Endpoint> older = List.of(
                 member(1, EndpointState.READY, 0),
                 member(2, EndpointState.READY, 0),
                 member(3, EndpointState.READY, 0));
-        assertThat(membership.told(NOW, 42, true, older))
+        assertThat(membership.onDiscoveryUpdate(NOW, 42, true, older))
                 .containsExactly(
                         member(1, EndpointState.DRAINING, 0),
                         member(2, EndpointState.DRAINING, 0),
                         member(3, EndpointState.READY, 0));
-        assertThat(membership.told(NOW + ProvisionalMembership.OLDER_LIST_MS - 1, 43, false, List.of()))
+        assertThat(membership.onDiscoveryUpdate(
+                        NOW + ProvisionalEndpoints.OLDER_LIST_DELAY_MS - 1, 43, false, List.of()))
                 .isEmpty();
-        assertThat(membership.told(NOW + ProvisionalMembership.OLDER_LIST_MS, 43, false, List.of()))
+        assertThat(membership.onDiscoveryUpdate(NOW + ProvisionalEndpoints.OLDER_LIST_DELAY_MS, 43, false, List.of()))
                 .containsExactly(member(1, EndpointState.READY, 0), member(2, EndpointState.READY, 0));
     }
 
     @Test
     void anOlderListIsTakenAtItsWordOnServersThatHaveStartedSince() {
         begin(3);
-        membership.told(
+        membership.onDiscoveryUpdate(
                 NOW, 44, false, List.of(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.DRAINING, 0)));
         List<Endpoint> older = List.of(member(1, EndpointState.READY, NOW - 10), member(2, EndpointState.READY, 0));
-        assertThat(membership.told(NOW, 2, true, older))
+        assertThat(membership.onDiscoveryUpdate(NOW, 2, true, older))
                 .containsExactly(member(1, EndpointState.READY, NOW - 10), member(2, EndpointState.DRAINING, 0));
-        assertThat(membership.told(NOW, 3, false, List.of(member(2, EndpointState.READY, NOW))))
+        assertThat(membership.onDiscoveryUpdate(NOW, 3, false, List.of(member(2, EndpointState.READY, NOW))))
                 .containsExactly(member(2, EndpointState.READY, NOW));
     }
 
     @Test
     void anOlderListLeavesWhatPeersToldOfALaterOneForItsTime() {
         begin(3);
-        membership.heard(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(membership.told(NOW, 2, false, List.of())).isEmpty();
-        assertThat(membership.known()).isEqualTo(2);
-        assertThat(membership.told(NOW + ProvisionalMembership.HOLD_MS, 2, false, List.of()))
+        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(membership.onDiscoveryUpdate(NOW, 2, false, List.of())).isEmpty();
+        assertThat(membership.knownVersion()).isEqualTo(2);
+        assertThat(membership.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 2, false, List.of()))
                 .containsExactly(member(1, EndpointState.READY, 0));
     }
 
     @Test
     void whoMissedSeveralVersionsIsToldAllOfThem() {
         begin(3);
-        membership.told(NOW, 42, false, List.of(member(1, EndpointState.DRAINING, 0)));
-        membership.told(
+        membership.onDiscoveryUpdate(NOW, 42, false, List.of(member(1, EndpointState.DRAINING, 0)));
+        membership.onDiscoveryUpdate(
                 NOW, 43, false, List.of(member(1, EndpointState.REMOVED, 0), member(2, EndpointState.DRAINING, 0)));
-        assertThat(membership.since(NOW, 41))
+        assertThat(membership.changesSince(NOW, 41))
                 .containsExactly(update(
                         41, 43, change(43, 1, EndpointState.REMOVED, 0), change(43, 2, EndpointState.DRAINING, 0)));
-        assertThat(membership.since(NOW, 43)).isEmpty();
-        assertThat(membership.news().after()).isEqualTo(41);
+        assertThat(membership.changesSince(NOW, 43)).isEmpty();
+        assertThat(membership.recentChanges().afterVersion()).isEqualTo(41);
     }
 
     /** Of a message that was lost any peer that heard it can tell, but nobody can make it last longer than it does. */
     @Test
     void whatAPeerToldIsPassedOnForTheTimeThatIsLeft() {
         begin(5);
-        membership.heard(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
-        List<ListUpdate> passedOn = membership.since(NOW + 5000, 41);
+        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
+        List<EndpointListDelta> passedOn = membership.changesSince(NOW + 5000, 41);
         assertThat(passedOn)
-                .containsExactly(new ListUpdate(
+                .containsExactly(new EndpointListDelta(
                         41,
                         43,
-                        ProvisionalMembership.HOLD_MS - 5000,
+                        ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 5000,
                         List.of(change(43, 1, EndpointState.REMOVED, 0))));
-        assertThat(membership.since(NOW + ProvisionalMembership.HOLD_MS, 41)).isEmpty();
-        ProvisionalMembership other = new ProvisionalMembership(ORIGIN_KIND);
-        other.begin(41, List.of(member(1, EndpointState.READY, 0), member(2, EndpointState.READY, 0)));
-        other.heard(NOW + 5000, passedOn.get(0));
-        assertThat(other.told(NOW + ProvisionalMembership.HOLD_MS - 1, 42, false, List.of()))
+        assertThat(membership.changesSince(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 41))
                 .isEmpty();
-        assertThat(other.told(NOW + ProvisionalMembership.HOLD_MS, 42, false, List.of()))
+        ProvisionalEndpoints other = new ProvisionalEndpoints(ORIGIN_KIND);
+        other.reset(41, List.of(member(1, EndpointState.READY, 0), member(2, EndpointState.READY, 0)));
+        other.onPeerUpdate(NOW + 5000, passedOn.get(0));
+        assertThat(other.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 1, 42, false, List.of()))
+                .isEmpty();
+        assertThat(other.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 42, false, List.of()))
                 .as("ends when it would have ended where it was heard first")
                 .containsExactly(member(1, EndpointState.READY, 0));
-        other.told(NOW + 5000, 43, false, List.of());
-        assertThat(other.since(NOW + 5000, 41))
+        other.onDiscoveryUpdate(NOW + 5000, 43, false, List.of());
+        assertThat(other.changesSince(NOW + 5000, 41))
                 .as("discovery's word goes before")
                 .isEmpty();
     }
@@ -244,29 +247,29 @@
     @Test
     void whatAWholeListNamesNoMoreIsToldAsGone() {
         begin(2);
-        membership.told(NOW, 42, true, List.of(member(1, EndpointState.READY, 0)));
-        assertThat(membership.since(NOW, 41))
+        membership.onDiscoveryUpdate(NOW, 42, true, List.of(member(1, EndpointState.READY, 0)));
+        assertThat(membership.changesSince(NOW, 41))
                 .containsExactly(update(
                         41, 42, change(42, 2, EndpointState.REMOVED, 0), change(42, 100, EndpointState.REMOVED, 0)));
     }
 
     @Test
     void moreThanAMessageHoldsGoesIntoSeveralAndTheNewestIntoOne() {
-        int servers = 3 * ListUpdate.MOST_SERVERS;
+        int servers = 3 * EndpointListDelta.MAX_CHANGES;
         begin(servers);
         for (int i = 1; i <= servers; i++) {
-            membership.told(NOW, 41 + i, false, List.of(member(i, EndpointState.DRAINING, 0)));
+            membership.onDiscoveryUpdate(NOW, 41 + i, false, List.of(member(i, EndpointState.DRAINING, 0)));
         }
-        assertThat(membership.since(NOW, 41)).hasSize(3);
-        assertThat(membership.since(NOW, 41).stream()
-                        .flatMap(u -> u.servers().stream())
-                        .map(ListChange::server)
+        assertThat(membership.changesSince(NOW, 41)).hasSize(3);
+        assertThat(membership.changesSince(NOW, 41).stream()
+                        .flatMap(u -> u.changes().stream())
+                        .map(EndpointChange::endpointId)
                         .distinct()
                         .count())
                 .isEqualTo(servers);
-        membership.told(NOW, 1000, true, List.of(member(1, EndpointState.READY, 0)));
-        assertThat(membership.news().servers()).hasSize(ListUpdate.MOST_SERVERS);
-        assertThat(membership.news().after())
+        membership.onDiscoveryUpdate(NOW, 1000, true, List.of(member(1, EndpointState.READY, 0)));
+        assertThat(membership.recentChanges().changes()).hasSize(EndpointListDelta.MAX_CHANGES);
+        assertThat(membership.recentChanges().afterVersion())
                 .as("what was dropped is not claimed")
                 .isEqualTo(1000);
     }
@@ -285,7 +288,7 @@
                     member(1 + random.nextInt(8), EndpointState.values()[random.nextInt(3)], random.nextInt(3) * 1000);
             if (random.nextBoolean()) {
                 membership
-                        .heard(
+                        .onPeerUpdate(
                                 NOW,
                                 update(
                                         41,
@@ -294,7 +297,7 @@
                         .forEach(m -> used.put(m.id(), m));
             } else {
                 truth.put(next.id(), next);
-                membership.told(NOW, version, false, List.of(next)).forEach(m -> used.put(m.id(), m));
+                membership.onDiscoveryUpdate(NOW, version, false, List.of(next)).forEach(m -> used.put(m.id(), m));
             }
             used.forEach((id, member) -> {
                 Endpoint own = truth.get(id);
@@ -306,24 +309,26 @@
                         .isGreaterThanOrEqualTo(own.startTimeMs());
             });
         }
-        membership.told(NOW, 100, false, List.of()).forEach(m -> used.put(m.id(), m));
+        membership.onDiscoveryUpdate(NOW, 100, false, List.of()).forEach(m -> used.put(m.id(), m));
         assertThat(used).isEqualTo(truth);
     }
 
     @Property(seed = "1", tries = 2000)
     void whatCannotBeReadIsNoUpdate(@ForAll byte[] bytes) {
-        ListUpdate update = ListUpdate.decode(bytes);
+        EndpointListDelta update = EndpointListDelta.decode(bytes);
         assertThat(update == null || update.encode().length == bytes.length).isTrue();
     }
 
     @Test
     void anUpdateIsReadAsItWasWritten() {
-        ListUpdate update =
+        EndpointListDelta update =
                 update(41, 43, change(43, -5, EndpointState.REMOVED, 0), change(43, 7, EndpointState.READY, NOW));
-        assertThat(ListUpdate.decode(update.encode())).isEqualTo(update);
+        assertThat(EndpointListDelta.decode(update.encode())).isEqualTo(update);
         byte[] bytes = update.encode();
         bytes[1 + 2 * Long.BYTES + Short.BYTES + Integer.BYTES] = 9;
-        assertThat(ListUpdate.decode(bytes)).as("no such state").isNull();
-        assertThat(ListUpdate.decode(update(43, 41).encode())).as("backwards").isNull();
+        assertThat(EndpointListDelta.decode(bytes)).as("no such state").isNull();
+        assertThat(EndpointListDelta.decode(update(43, 41).encode()))
+                .as("backwards")
+                .isNull();
     }
 }
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
+import cacheproxy.gossip.EndpointChange;
+import cacheproxy.gossip.EndpointListDelta;
 import cacheproxy.gossip.Envelope;
-import cacheproxy.gossip.ListChange;
-import cacheproxy.gossip.ListUpdate;
 import cacheproxy.gossip.PeerMessage;
 import cacheproxy.routing.EndpointState;
 import com.google.gson.JsonArray;
@@ -82,7 +82,7 @@
     }
 
     private static void claimVersion(DatagramSocket peer, long version, Fleet fleet) throws Exception {
-        send(peer, PeerMessage.list(version), fleet);
+        send(peer, PeerMessage.listVersionAnnouncement(version), fleet);
     }
 
     /** Guards against a list that stays old for as long as a watch may wait, where another proxy has the news. */
@@ -145,7 +145,7 @@
     }
 
     private static void send(DatagramSocket peer, byte[] body, Fleet fleet) throws Exception {
-        byte[] sealed = Envelope.seal(List.of(new Envelope.Item(PeerSocket.Kind.LIST.number(), 0, body)));
+        byte[] sealed = Envelope.encode(List.of(new Envelope.Item(PeerSocket.Kind.LIST.number(), 0, body)));
         peer.send(new DatagramPacket(sealed, sealed.length, fleet.proxy.peerAddress()));
     }
 
@@ -154,7 +154,7 @@
         peer.setSoTimeout(20_000);
         DatagramPacket packet = new DatagramPacket(new byte[1000], 1000);
         peer.receive(packet);
-        return Envelope.open(Arrays.copyOf(packet.getData(), packet.getLength()))
+        return Envelope.decode(Arrays.copyOf(packet.getData(), packet.getLength()))
                 .get(0)
                 .body();
     }
@@ -182,12 +182,13 @@
                 client.say(read.formatted(1)).line();
                 client.line();
                 assertThat(drained.next()).contains("O1 ");
-                assertThat(PeerMessage.queriedVersion(receive(peer)))
+                assertThat(PeerMessage.readListQuery(receive(peer)))
                         .as("a call has failed")
                         .isEqualTo(41);
                 send(
                         peer,
-                        new ListUpdate(41, 43, HOLD_MS, List.of(new ListChange(43, 1, EndpointState.DRAINING, 0)))
+                        new EndpointListDelta(
+                                        41, 43, HOLD_MS, List.of(new EndpointChange(43, 1, EndpointState.DRAINING, 0)))
                                 .encode(),
                         fleet);
                 Await.until(
@@ -222,9 +223,9 @@
             discovery.next();
             assertThat(discovery.next()).contains("since=43&");
             send(peer, PeerMessage.listQuery(41), fleet);
-            assertThat(ListUpdate.decode(receive(peer)))
-                    .isEqualTo(new ListUpdate(
-                            41, 43, HOLD_MS, List.of(new ListChange(43, 0xbeef, EndpointState.READY, 0))));
+            assertThat(EndpointListDelta.decode(receive(peer)))
+                    .isEqualTo(new EndpointListDelta(
+                            41, 43, HOLD_MS, List.of(new EndpointChange(43, 0xbeef, EndpointState.READY, 0))));
         }
         node.close();
     }
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -304,7 +304,7 @@
             fleet.config.getAsJsonArray("peers").set(PEERS - 1, new JsonPrimitive("127.0.0.1:" + last.getLocalPort()));
             fleet.node(node).start();
             assertThat(served(fleet, 1)).isEqualTo(1);
-            byte[] bytes = Envelope.seal(List.of(
+            byte[] bytes = Envelope.encode(List.of(
                     new Envelope.Item(PeerSocket.Kind.MODULE.number(), PeerSocket.Kind.VERSION, new byte[] {0})));
             last.send(new DatagramPacket(bytes, bytes.length, fleet.proxy.peerAddress()));
             Counters counters = fleet.proxy.core().counters();
@@ -314,7 +314,7 @@
                 return null;
             });
             last.setSoTimeout(20_000);
-            last.receive(new DatagramPacket(new byte[Envelope.MOST_BYTES], Envelope.MOST_BYTES));
+            last.receive(new DatagramPacket(new byte[Envelope.MAX_DATAGRAM_BYTES], Envelope.MAX_DATAGRAM_BYTES));
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerSocketTest.java
@@ -27,13 +27,13 @@
         socket.setSoTimeout(20_000);
         DatagramPacket packet = new DatagramPacket(new byte[1000], 1000);
         socket.receive(packet);
-        Envelope.Item item = Envelope.open(Arrays.copyOf(packet.getData(), packet.getLength()))
+        Envelope.Item item = Envelope.decode(Arrays.copyOf(packet.getData(), packet.getLength()))
                 .get(0);
         return item.kind() + new String(item.body(), UTF_8);
     }
 
     private static byte[] sealed(int kind, int version, String text) {
-        return Envelope.seal(List.of(new Envelope.Item(kind, version, text.getBytes(UTF_8))));
+        return Envelope.encode(List.of(new Envelope.Item(kind, version, text.getBytes(UTF_8))));
     }
 
     private static void send(DatagramSocket from, byte[] bytes, PeerSocket to) throws Exception {
@@ -67,7 +67,7 @@
             assertThat(receive(peer)).isEqualTo("1to one");
             socket.send(-1, PeerSocket.Kind.MODULE, "to all".getBytes(UTF_8));
             assertThat(receive(all)).isEqualTo("2to all");
-            socket.send(1, PeerSocket.Kind.LIST, new byte[Envelope.MOST_BODY + 1]);
+            socket.send(1, PeerSocket.Kind.LIST, new byte[Envelope.MAX_BODY_BYTES + 1]);
             socket.send(1, PeerSocket.Kind.MEMBERS, "after".getBytes(UTF_8));
             assertThat(receive(peer)).isEqualTo("3after");
             send(stranger, sealed(1, 0, "lie"), socket);
--- a/src/test/java/cacheproxy/routing/CarpLoadBalancerTest.java
+++ b/src/test/java/cacheproxy/routing/CarpLoadBalancerTest.java
@@ -471,9 +471,9 @@
         rig.read(1, 77);
         LoadBalancerHarness.Placed first = rig.last();
         rig.end(first, AttemptOutcome.OK);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.full(first.server()), rig);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.full(12345), rig);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.full(LoadBalancerHarness.ORIGIN), rig);
+        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointFull(first.server()), rig);
+        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointFull(12345), rig);
+        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointFull(LoadBalancerHarness.ORIGIN), rig);
         rig.loadBalancer.onPeerMessage(rig.now, 0, new byte[] {'F', 1}, rig);
         rig.loadBalancer.onPeerMessage(rig.now, 0, new byte[0], rig);
         rig.read(2, 77);
@@ -488,7 +488,7 @@
         LoadBalancerHarness rig = LoadBalancerHarness.peers(1, 100).fleet(6);
         rig.read(1, 77);
         LoadBalancerHarness.Placed first = rig.last();
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.full(first.server()), rig);
+        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointFull(first.server()), rig);
         rig.end(first, AttemptOutcome.CONNECTION_LIMIT);
         assertThat(rig.told).isEmpty();
     }
--- a/src/test/java/cacheproxy/routing/ZoneDirectivesTest.java
+++ b/src/test/java/cacheproxy/routing/ZoneDirectivesTest.java
@@ -108,14 +108,14 @@
         rig.read(++id, 77);
         LoadBalancerHarness.Placed first = rig.last();
         rig.end(first, AttemptOutcome.OK);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.bad(first.server()), rig);
+        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointUnresponsive(first.server()), rig);
         rig.read(++id, 77);
         assertThat(rig.last().server()).as("it has just answered").isEqualTo(first.server());
         rig.end(rig.last(), AttemptOutcome.OK);
         rig.pass(2000);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.bad(first.server()), rig);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.bad(LoadBalancerHarness.ORIGIN), rig);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.bad(4711), rig);
+        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointUnresponsive(first.server()), rig);
+        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointUnresponsive(LoadBalancerHarness.ORIGIN), rig);
+        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointUnresponsive(4711), rig);
         rig.read(++id, 77);
         assertThat(rig.last().server()).isNotEqualTo(first.server());
         rig.end(rig.last(), AttemptOutcome.OK);
