--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -101,13 +101,13 @@
     private Router router;
 
     private EndpointListSource discovery;
-    private PeerSocket peers;
-    private PeerNews news;
+    private PeerDatagramSocket peers;
+    private EndpointGossipLink news;
     /** Mistakes of the program that were met so far. */
     private long faults;
 
     private MemberLink members;
-    private NodeTalk nodes;
+    private OutlierGossipLink nodes;
     private ZoneLink zones;
     private RecallLink recall;
     /** What is worked with that was not seen here, and until when it may be. */
@@ -165,7 +165,7 @@
      *
      * @param routing null: one pool, and the settings' own policy
      */
-    void start(EndpointListSource source, PeerSocket socket, ClientListener clients, Routing routing) {
+    void start(EndpointListSource source, PeerDatagramSocket socket, ClientListener clients, Routing routing) {
         discovery = source;
         peers = socket;
         listener = clients;
@@ -431,7 +431,7 @@
         counters.did(Work.LIST_FAILURES);
         log(EventKind.LIST_CALL_FAILED, why);
         if (news != null) {
-            news.callFailed();
+            news.onPollFailed();
         }
     }
 
@@ -481,24 +481,24 @@
     public void onListApplied(long version) {
         trust.confirmed(Trust.Thing.LIST);
         if (news != null) {
-            news.held(version);
+            news.onVersionApplied(version);
         }
     }
 
     /** What peers are told of the list, and what they tell; null: nothing. */
-    void news(PeerNews by) {
+    void news(EndpointGossipLink by) {
         news = by;
     }
 
     /** So many of the fleet live. */
     void among(Living living) {
         if (news != null) {
-            news.among(living);
+            news.setLiveMembers(living);
         }
     }
 
     /** Who takes part in the fleet's view by this proxy, and what it tells of nodes. */
-    void members(MemberLink by, NodeTalk talk) {
+    void members(MemberLink by, OutlierGossipLink talk) {
         members = by;
         nodes = talk;
     }
@@ -518,25 +518,25 @@
         tell(() -> module.onZoneDirectives(now(), orders, this));
     }
 
-    void heard(int peer, PeerSocket.Kind kind, byte[] message) {
+    void heard(int peer, PeerMessageKind kind, byte[] message) {
         switch (kind) {
-            case LIST -> {
+            case ENDPOINT_LIST -> {
                 if (news != null) {
-                    news.heard(peer, message);
+                    news.onMessage(peer, message);
                 }
             }
-            case MODULE -> tell(() -> module.onPeerMessage(now(), peer, message, this));
-            case MEMBERS -> {
+            case LOAD_BALANCER -> tell(() -> module.onPeerMessage(now(), peer, message, this));
+            case MEMBERSHIP -> {
                 if (members != null) {
                     members.heard(peer, message);
                 }
             }
-            case NODES -> {
+            case OUTLIERS -> {
                 if (nodes != null) {
-                    nodes.heard(peer, message);
+                    nodes.onMessage(peer, message);
                 }
             }
-            case RECALL -> {
+            case STATE_QUERY -> {
                 if (recall != null) {
                     recall.heard(peer, message);
                 }
@@ -930,7 +930,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        peers.send(peer, PeerSocket.Kind.MODULE, message);
+        peers.send(peer, PeerMessageKind.LOAD_BALANCER, message);
     }
 
     @Override
@@ -946,7 +946,7 @@
     @Override
     public void report(int server, EndpointSignal what) {
         if (nodes != null) {
-            nodes.saw(server, what);
+            nodes.onEndpointSignal(server, what);
         }
         if (zones != null) {
             zones.saw(server, what);
--- a/src/main/java/cacheproxy/proxy/PeerNews.java
+++ b/src/main/java/cacheproxy/proxy/EndpointGossipLink.java
@@ -16,13 +16,13 @@
  * discovery serves all instances, peers tell each other what has changed; where lists are pushed, each has an agent of
  * its own to ask, and the version is enough. On the event loop only.
  */
-final class PeerNews {
-    private static final int ALL = -1;
+final class EndpointGossipLink {
+    private static final int ALL_PEERS = -1;
     /** Of what somebody has missed, so many messages are sent at most; who needs more has discovery tell it. */
-    private static final int MOST_ANSWERS = 4;
+    private static final int MAX_ANSWER_MESSAGES = 4;
 
     private final Dispatcher dispatcher;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
     private final DiscoveryClient discovery;
     private final EndpointListPublisher list;
     private final ListVersionGossip news;
@@ -30,9 +30,9 @@
     private final AntiEntropy antiEntropy;
 
     /** {@code seed}: apart from that of other instances, so that they do not all ask one peer. */
-    PeerNews(
+    EndpointGossipLink(
             Dispatcher dispatcher,
-            PeerSocket peers,
+            PeerDatagramSocket peers,
             DiscoveryClient discovery,
             EndpointListPublisher list,
             ListVersionGossip news,
@@ -65,18 +65,18 @@
     }
 
     /** Discovery has told that version. */
-    void held(long version) {
+    void onVersionApplied(long version) {
         antiEntropy.onDiscoveryResponse(dispatcher.now());
         carryOut(news.onVersionApplied(dispatcher.now(), version));
     }
 
     /** A call for the list failed: a peer may know what it would have told. */
-    void callFailed() {
+    void onPollFailed() {
         queryUnlessJustDone();
     }
 
     /** A peer says which version it holds, what has changed, or wants to know that. */
-    void heard(int peer, byte[] message) {
+    void onMessage(int peer, byte[] message) {
         long version = PeerMessage.readListVersion(message);
         if (version >= 0) {
             carryOut(news.onPeerVersion(dispatcher.now(), version));
@@ -94,13 +94,13 @@
         long queried = PeerMessage.readListQuery(message);
         if (queried >= 0) {
             membership().changesSince(dispatcher.now(), queried).stream()
-                    .limit(MOST_ANSWERS)
-                    .forEach(u -> peers.send(peer, PeerSocket.Kind.LIST, u.encode()));
+                    .limit(MAX_ANSWER_MESSAGES)
+                    .forEach(u -> peers.send(peer, PeerMessageKind.ENDPOINT_LIST, u.encode()));
         }
     }
 
     /** So many live. */
-    void among(Living living) {
+    void setLiveMembers(Living living) {
         news.setLiveMembers(living);
     }
 
@@ -120,7 +120,7 @@
         byte[] message = sharesChanges()
                 ? membership().recentChanges().encode()
                 : PeerMessage.listVersionAnnouncement(discovery.version());
-        peers.send(ALL, PeerSocket.Kind.LIST, message);
+        peers.send(ALL_PEERS, PeerMessageKind.ENDPOINT_LIST, message);
     }
 
     /** Peers hold a version that discovery has not told here. */
@@ -137,11 +137,11 @@
 
     /** Asks some peer for what is not known here. */
     private void query() {
-        int peer = peers.another(random);
+        int peer = peers.randomPeer(random);
         if (sharesChanges() && peer >= 0) {
             peers.send(
                     peer,
-                    PeerSocket.Kind.LIST,
+                    PeerMessageKind.ENDPOINT_LIST,
                     PeerMessage.listQuery(membership().knownVersion()));
         }
     }
--- a/src/main/java/cacheproxy/proxy/MemberLink.java
+++ b/src/main/java/cacheproxy/proxy/MemberLink.java
@@ -12,7 +12,7 @@
 /** Carries out what {@link Membership} decides: its messages and its times. On the event loop only. */
 final class MemberLink {
     private final Dispatcher dispatcher;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
     private final Membership members;
     private final Consumer<Living> advised;
     /** A timer that was set before the last one is void. */
@@ -27,7 +27,7 @@
      */
     MemberLink(
             Dispatcher dispatcher,
-            PeerSocket peers,
+            PeerDatagramSocket peers,
             RoutingSettings settings,
             long remembered,
             long seed,
@@ -43,7 +43,7 @@
                 new byte[0],
                 remembered,
                 settings.instanceSeed(seed),
-                new MembershipBudget(peers.outbox()));
+                new MembershipBudget(peers.budget()));
         members.phase(phase);
         run();
     }
@@ -101,7 +101,7 @@
     private void run() {
         long mine = ++waits;
         members.tick(now());
-        members.outgoing().forEach(s -> peers.sendAdmitted(s.to(), PeerSocket.Kind.MEMBERS, s.body()));
+        members.outgoing().forEach(s -> peers.sendWithinBudget(s.to(), PeerMessageKind.MEMBERSHIP, s.body()));
         Living lives = members.living();
         if (!lives.equals(living)) {
             living = lives;
--- a/src/main/java/cacheproxy/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerDatagramSocket.java
@@ -25,80 +25,42 @@
  * Messages between the proxies of a tier: datagrams that come late or not at all. The one owner of what may be sent to
  * peers: all parts of the program share its budget.
  */
-final class PeerSocket {
+final class PeerDatagramSocket {
     /** What an instance may send, whatever the size of the fleet. */
     private static final double BYTES_PER_SECOND = 2000;
 
-    private static final double BURST = 6000;
+    private static final double BURST_BYTES = 6000;
     /** A predecessor that has passed its clients on still holds the address for a while. */
-    private static final long AGAIN_MS = 500;
-
-    /** The kinds of item. */
-    enum Kind {
-        /** The version of the list, as {@code ListNews} has it. */
-        LIST(1),
-        /** What the decision module tells. */
-        MODULE(2),
-        /** Who lives. */
-        MEMBERS(3),
-        /** Which nodes were found silent. */
-        NODES(4),
-        /** What somebody who comes back asks for, and is told. */
-        RECALL(5);
-
-        /** The version of all forms so far. */
-        static final int VERSION = 0;
-
-        private final int number;
-
-        Kind(int number) {
-            this.number = number;
-        }
-
-        /** Its code on the wire. */
-        int number() {
-            return number;
-        }
-
-        /** The kind of that code; null if it is unknown, as that of a later program. */
-        static Kind of(int number) {
-            for (Kind kind : values()) {
-                if (kind.number == number) {
-                    return kind;
-                }
-            }
-            return null;
-        }
-    }
+    private static final long BIND_RETRY_MS = 500;
 
     private final EventLoop loop;
     private final Config config;
     private final Receiver receiver;
     private final Counters counters;
-    private final SendBudget outbox = new SendBudget(BYTES_PER_SECOND, BURST);
+    private final SendBudget budget = new SendBudget(BYTES_PER_SECOND, BURST_BYTES);
     /** The peers' numbers by address: where all talk, a search for each datagram would grow with the fleet's square. */
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
 
     private Channel channel;
 
     /** What takes the messages of peers. */
     interface Receiver {
-        void heard(int peer, Kind kind, byte[] body);
+        void onMessage(int peer, PeerMessageKind kind, byte[] body);
     }
 
-    PeerSocket(EventLoop loop, Config config, Receiver receiver, Counters counters) {
+    PeerDatagramSocket(EventLoop loop, Config config, Receiver receiver, Counters counters) {
         this.loop = loop;
         this.config = config;
         this.receiver = receiver;
         this.counters = counters;
         for (int i = 0; i < config.peers().size(); i++) {
-            numbers.putIfAbsent(config.peers().get(i), i);
+            peerNumbers.putIfAbsent(config.peers().get(i), i);
         }
         if (config.settings().peerMessagesAllowed() && config.peerListen() != null) {
             ChannelFuture bound = bind().awaitUninterruptibly();
             channel = bound.channel(); // what is sent before is lost
             if (!bound.isSuccess()) {
-                again();
+                retryBind();
             }
         }
     }
@@ -111,16 +73,16 @@
                 .bind(config.peerListen());
     }
 
-    private void again() {
+    private void retryBind() {
         loop.schedule(
                 () -> bind().addListener(f -> {
                     if (f.isSuccess()) {
                         channel = ((ChannelFuture) f).channel();
                     } else {
-                        again();
+                        retryBind();
                     }
                 }),
-                AGAIN_MS,
+                BIND_RETRY_MS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -128,27 +90,27 @@
         return channel == null ? null : (InetSocketAddress) channel.localAddress();
     }
 
-    SendBudget outbox() {
-        return outbox;
+    SendBudget budget() {
+        return budget;
     }
 
     /** The number of some other proxy of the tier; negative if there is none. */
-    int another(SplittableRandom random) {
+    int randomPeer(SplittableRandom random) {
         return AntiEntropy.randomPeer(
                 random, config.settings().instanceIndex(), config.peers().size());
     }
 
     /** Sends to the proxy of this number, or to all of the tier if it is negative, if the budget has room for it. */
-    void send(int peer, Kind kind, byte[] body) {
+    void send(int peer, PeerMessageKind kind, byte[] body) {
         if (body.length <= Envelope.MAX_BODY_BYTES
-                && outbox.tryAcquire(
+                && budget.tryAcquire(
                         System.nanoTime() / 1e6, Envelope.datagramBytes(body.length), SendBudget.Priority.NORMAL)) {
-            sendAdmitted(peer, kind, body);
+            sendWithinBudget(peer, kind, body);
         }
     }
 
     /** The same for what has been taken out of the budget already. */
-    void sendAdmitted(int peer, Kind kind, byte[] body) {
+    void sendWithinBudget(int peer, PeerMessageKind kind, byte[] body) {
         InetSocketAddress to = peer < 0
                 ? config.peersAll()
                 : peer < config.peers().size() ? config.peers().get(peer) : null;
@@ -157,22 +119,23 @@
         }
         counters.did(Work.MESSAGES_SENT);
         channel.writeAndFlush(new DatagramPacket(
-                Unpooled.wrappedBuffer(Envelope.encode(List.of(new Item(kind.number(), Kind.VERSION, body)))), to));
+                Unpooled.wrappedBuffer(Envelope.encode(List.of(new Item(kind.code(), PeerMessageKind.VERSION, body)))),
+                to));
     }
 
     /** What does not come from a peer, is longer than the protocol has it or was changed on its way, is dropped. */
     private final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            Integer peer = numbers.get(packet.sender());
+            Integer peer = peerNumbers.get(packet.sender());
             if (peer == null || packet.content().readableBytes() > Envelope.MAX_DATAGRAM_BYTES) {
                 return;
             }
             counters.did(Work.MESSAGES_HEARD);
             for (Item item : Envelope.decode(ByteBufUtil.getBytes(packet.content()))) {
-                Kind kind = Kind.of(item.kind());
-                if (item.version() == Kind.VERSION && kind != null) {
-                    receiver.heard(peer, kind, item.body());
+                PeerMessageKind kind = PeerMessageKind.of(item.kind());
+                if (item.version() == PeerMessageKind.VERSION && kind != null) {
+                    receiver.onMessage(peer, kind, item.body());
                 }
             }
         }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/PeerMessageKind.java
@@ -0,0 +1,51 @@
+package cacheproxy.proxy;
+
+/**
+ * The kind of an item in a datagram between proxies; says which part of the program reads its body. The kinds on the
+ * wire ({@code docs/design/members-wire.md}):
+ *
+ * <pre>
+ * code  on the page           here
+ * 1     list                  ENDPOINT_LIST
+ * 2     module                LOAD_BALANCER
+ * 3     members               MEMBERSHIP
+ * 4     nodes                 OUTLIERS
+ * 5     what is remembered    STATE_QUERY
+ * </pre>
+ */
+enum PeerMessageKind {
+    /** The version of the endpoint list, its changes, or a query for them: {@code EndpointGossipLink}. */
+    ENDPOINT_LIST(1),
+    /** A message of the load balancer to its peers: {@code LoadBalancer.onPeerMessage}. */
+    LOAD_BALANCER(2),
+    /** A message of the membership protocol: {@code MemberLink}. */
+    MEMBERSHIP(3),
+    /** Cache nodes that did not respond: {@code OutlierGossipLink}. */
+    OUTLIERS(4),
+    /** What an instance that restarts asks of its peers, and their answers: {@code RecallLink}. */
+    STATE_QUERY(5);
+
+    /** The version of the body's form, the same for all kinds so far. */
+    static final int VERSION = 0;
+
+    private final int code;
+
+    PeerMessageKind(int code) {
+        this.code = code;
+    }
+
+    /** Its code on the wire. */
+    int code() {
+        return code;
+    }
+
+    /** The kind of that code; null if it is unknown, as that of a later program. */
+    static PeerMessageKind of(int code) {
+        for (PeerMessageKind kind : values()) {
+            if (kind.code == code) {
+                return kind;
+            }
+        }
+        return null;
+    }
+}
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -64,7 +64,7 @@
 
     private final Dispatcher dispatcher;
     private final DiscoveryClient discovery;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
     private final Acceptor acceptor;
     private final Drainer drainer;
     private final Edge edge;
@@ -95,7 +95,7 @@
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
-        peers = new PeerSocket(loop, config, dispatcher::heard, dispatcher.counters());
+        peers = new PeerDatagramSocket(loop, config, dispatcher::heard, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
         EndpointListPublisher list = new EndpointListPublisher(
@@ -130,7 +130,7 @@
                         ListVersionGossip news =
                                 new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
                         news.start(discovery.version());
-                        dispatcher.news(new PeerNews(
+                        dispatcher.news(new EndpointGossipLink(
                                 dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
                     }
                     dispatcher.resume(remembered.learnt());
@@ -340,7 +340,7 @@
                         config.seed(),
                         parts.recovers() ? Phase.STARTING : Phase.SERVING,
                         dispatcher::among);
-                dispatcher.members(members, new NodeTalk(dispatcher, peers, members));
+                dispatcher.members(members, new OutlierGossipLink(dispatcher, peers, members));
                 if (parts.zones()) {
                     zones = new ZoneLink(dispatcher, members, config.settings(), config.zones(), remembered);
                     dispatcher.zones(zones);
@@ -391,7 +391,7 @@
                         members.view(),
                         members.unreadable(),
                         members.deathsRefuted(),
-                        peers.outbox().droppedDatagrams());
+                        peers.budget().droppedDatagrams());
     }
 
     /**
--- a/src/main/java/cacheproxy/proxy/RecallLink.java
+++ b/src/main/java/cacheproxy/proxy/RecallLink.java
@@ -24,13 +24,18 @@
     private static final double BOUND_MS = 60_000;
 
     private final Dispatcher dispatcher;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
     private final MemberLink members;
     private final DiscoveryClient discovery;
     private final Recall recall;
 
     /** {@code asks}: whether there is anything to ask for. */
-    RecallLink(Dispatcher dispatcher, PeerSocket peers, MemberLink members, DiscoveryClient discovery, boolean asks) {
+    RecallLink(
+            Dispatcher dispatcher,
+            PeerDatagramSocket peers,
+            MemberLink members,
+            DiscoveryClient discovery,
+            boolean asks) {
         this.dispatcher = dispatcher;
         this.peers = peers;
         this.members = members;
@@ -67,7 +72,7 @@
         double asked = e.originLoad().requested();
         peers.send(
                 peer,
-                PeerSocket.Kind.RECALL,
+                PeerMessageKind.STATE_QUERY,
                 new Memory(
                                 Math.max(0, discovery.version()),
                                 (float) e.originFetchMs(),
@@ -82,7 +87,7 @@
 
     private void run() {
         recall.tick(dispatcher.now(), members.view())
-                .forEach(p -> peers.send(p, PeerSocket.Kind.RECALL, Memory.question()));
+                .forEach(p -> peers.send(p, PeerMessageKind.STATE_QUERY, Memory.question()));
         switch (recall.state()) {
             case ASKING -> dispatcher.after(TICK_MS, this::run);
             case DONE -> take();
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -145,7 +145,7 @@
     }
 
     private static void send(DatagramSocket peer, byte[] body, Fleet fleet) throws Exception {
-        byte[] sealed = Envelope.encode(List.of(new Envelope.Item(PeerSocket.Kind.LIST.number(), 0, body)));
+        byte[] sealed = Envelope.encode(List.of(new Envelope.Item(PeerMessageKind.ENDPOINT_LIST.code(), 0, body)));
         peer.send(new DatagramPacket(sealed, sealed.length, fleet.proxy.peerAddress()));
     }
 
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -305,7 +305,7 @@
             fleet.node(node).start();
             assertThat(served(fleet, 1)).isEqualTo(1);
             byte[] bytes = Envelope.encode(List.of(
-                    new Envelope.Item(PeerSocket.Kind.MODULE.number(), PeerSocket.Kind.VERSION, new byte[] {0})));
+                    new Envelope.Item(PeerMessageKind.LOAD_BALANCER.code(), PeerMessageKind.VERSION, new byte[] {0})));
             last.send(new DatagramPacket(bytes, bytes.length, fleet.proxy.peerAddress()));
             Counters counters = fleet.proxy.core().counters();
             Await.until("the message", () -> fleet.on(() -> counters.done(Work.MESSAGES_HEARD)) == 1);
--- a/src/test/java/cacheproxy/proxy/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Messages between proxies, on loopback datagrams. */
-class PeerSocketTest {
+class PeerDatagramSocketTest {
     private static String text(DatagramSocket socket) {
         return "127.0.0.1:" + socket.getLocalPort();
     }
@@ -36,7 +36,7 @@
         return Envelope.encode(List.of(new Envelope.Item(kind, version, text.getBytes(UTF_8))));
     }
 
-    private static void send(DatagramSocket from, byte[] bytes, PeerSocket to) throws Exception {
+    private static void send(DatagramSocket from, byte[] bytes, PeerDatagramSocket to) throws Exception {
         from.send(new DatagramPacket(bytes, bytes.length, to.address()));
     }
 
@@ -58,17 +58,17 @@
             EventLoop loop = group.next();
             Counters counters = new Counters();
             LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
-            PeerSocket socket = new PeerSocket(
+            PeerDatagramSocket socket = new PeerDatagramSocket(
                     loop,
                     config,
                     (from, kind, body) -> heard.add(from + kind.name() + new String(body, UTF_8)),
                     counters);
-            socket.send(1, PeerSocket.Kind.LIST, "to one".getBytes(UTF_8));
+            socket.send(1, PeerMessageKind.ENDPOINT_LIST, "to one".getBytes(UTF_8));
             assertThat(receive(peer)).isEqualTo("1to one");
-            socket.send(-1, PeerSocket.Kind.MODULE, "to all".getBytes(UTF_8));
+            socket.send(-1, PeerMessageKind.LOAD_BALANCER, "to all".getBytes(UTF_8));
             assertThat(receive(all)).isEqualTo("2to all");
-            socket.send(1, PeerSocket.Kind.LIST, new byte[Envelope.MAX_BODY_BYTES + 1]);
-            socket.send(1, PeerSocket.Kind.MEMBERS, "after".getBytes(UTF_8));
+            socket.send(1, PeerMessageKind.ENDPOINT_LIST, new byte[Envelope.MAX_BODY_BYTES + 1]);
+            socket.send(1, PeerMessageKind.MEMBERSHIP, "after".getBytes(UTF_8));
             assertThat(receive(peer)).isEqualTo("3after");
             send(stranger, sealed(1, 0, "lie"), socket);
             send(peer, new byte[300], socket);
@@ -76,11 +76,11 @@
             send(peer, sealed(30, 0, "of a kind to come"), socket);
             send(peer, sealed(1, 5, "of a version to come"), socket);
             send(peer, sealed(2, 0, "hi"), socket);
-            assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("1MODULEhi");
+            assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("1LOAD_BALANCERhi");
             assertThat(counters.done(Work.MESSAGES_SENT)).isEqualTo(3);
             assertThat(counters.done(Work.MESSAGES_HEARD)).isEqualTo(4);
             for (int i = 0; i < 200; i++) {
-                socket.send(1, PeerSocket.Kind.LIST, new byte[200]);
+                socket.send(1, PeerMessageKind.ENDPOINT_LIST, new byte[200]);
             }
             assertThat(counters.done(Work.MESSAGES_SENT)).as("the budget").isBetween(20L, 40L);
         } finally {
