--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -63,6 +63,12 @@
         return new EndpointListCodec(zones, kinds);
     }
 
+    /** Where the proxies of the tier exchange datagrams; without an address of its own where the settings forbid it. */
+    PeerAddresses peerAddresses() {
+        return new PeerAddresses(
+                settings.peerMessagesAllowed() ? peerListen : null, peers, peersAll, settings.instanceIndex());
+    }
+
     /** Where the list comes from, and how. */
     DiscoveryClient.Settings discoverySettings() {
         return new DiscoveryClient.Settings(
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
@@ -0,0 +1,33 @@
+package cacheproxy.proxy;
+
+import java.util.OptionalInt;
+
+/** What the links to peers use of the core: its clock, its timers and the cache nodes of its list. */
+final class DispatcherPeerPorts implements EventScheduler, CacheNodes {
+    private final Dispatcher dispatcher;
+
+    DispatcherPeerPorts(Dispatcher dispatcher) {
+        this.dispatcher = dispatcher;
+    }
+
+    @Override
+    public double nowMs() {
+        return dispatcher.now();
+    }
+
+    @Override
+    public void schedule(double delayMs, Runnable task) {
+        dispatcher.after(delayMs, task);
+    }
+
+    @Override
+    public OptionalInt zoneOf(int endpointId) {
+        Upstream upstream = dispatcher.servers().get(endpointId);
+        return upstream == null || upstream.origin ? OptionalInt.empty() : OptionalInt.of(upstream.place.zone());
+    }
+
+    @Override
+    public int countInZone(int zone) {
+        return dispatcher.servers().inZone(zone);
+    }
+}
--- a/src/main/java/cacheproxy/proxy/EndpointGossipLink.java
+++ b/src/main/java/cacheproxy/proxy/EndpointGossipLink.java
@@ -10,139 +10,146 @@
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import java.util.SplittableRandom;
+import java.util.function.BooleanSupplier;
 
 /**
- * Carries out what {@link ListVersionGossip} orders: tells peers, and has discovery or a peer asked. Where one
- * discovery serves all instances, peers tell each other what has changed; where lists are pushed, each has an agent of
- * its own to ask, and the version is enough. On the event loop only.
+ * Exchanges what is known of the endpoint list with the other proxies: carries out what {@link ListVersionGossip} and
+ * {@link AntiEntropy} decide. Where one discovery serves all instances, peers pass on to each other what has changed;
+ * where each has an agent of its own, the version of the list is enough. On the event loop only.
  */
-final class EndpointGossipLink {
-    private static final int ALL_PEERS = -1;
-    /** Of what somebody has missed, so many messages are sent at most; who needs more has discovery tell it. */
+public final class EndpointGossipLink {
+    /** A peer that has missed more than so many messages hold learns it from discovery. */
     private static final int MAX_ANSWER_MESSAGES = 4;
 
-    private final Dispatcher dispatcher;
+    private final EventScheduler scheduler;
     private final PeerDatagramSocket peers;
     private final DiscoveryClient discovery;
     private final EndpointListPublisher list;
-    private final ListVersionGossip news;
+    private final ListVersionGossip versionGossip;
+    private final BooleanSupplier sharedDiscovery;
     private final SplittableRandom random;
     private final AntiEntropy antiEntropy;
 
-    /** {@code seed}: apart from that of other instances, so that they do not all ask one peer. */
-    EndpointGossipLink(
-            Dispatcher dispatcher,
+    /**
+     * Begins to query peers whenever {@link AntiEntropy} is due.
+     *
+     * @param sharedDiscovery whether one discovery serves all instances, by the settings that hold at the moment
+     * @param seed other than that of any other instance, so that they do not all query one peer
+     */
+    public EndpointGossipLink(
+            EventScheduler scheduler,
             PeerDatagramSocket peers,
             DiscoveryClient discovery,
             EndpointListPublisher list,
-            ListVersionGossip news,
+            ListVersionGossip versionGossip,
+            BooleanSupplier sharedDiscovery,
             long seed) {
-        this.dispatcher = dispatcher;
+        this.scheduler = scheduler;
         this.peers = peers;
         this.discovery = discovery;
         this.list = list;
-        this.news = news;
+        this.versionGossip = versionGossip;
+        this.sharedDiscovery = sharedDiscovery;
         random = new SplittableRandom(seed);
-        antiEntropy = new AntiEntropy(dispatcher.now());
-        queryWhenDue();
+        antiEntropy = new AntiEntropy(scheduler.nowMs());
+        scheduleAntiEntropy();
     }
 
-    private void queryWhenDue() {
-        dispatcher.after(Math.max(1, antiEntropy.nextTimerMs() - dispatcher.now()), () -> {
-            if (antiEntropy.onTimer(dispatcher.now())) {
-                query();
+    private void scheduleAntiEntropy() {
+        scheduler.schedule(Math.max(1, antiEntropy.nextTimerMs() - scheduler.nowMs()), () -> {
+            if (antiEntropy.onTimer(scheduler.nowMs())) {
+                queryPeer();
             }
-            queryWhenDue();
+            scheduleAntiEntropy();
         });
     }
 
-    private ProvisionalEndpoints membership() {
+    private ProvisionalEndpoints endpoints() {
         return list.provisionalEndpoints();
     }
 
-    private boolean sharesChanges() {
-        return dispatcher.settings().pollsDiscovery();
+    /** A list or changes of this version, from discovery, are in use. */
+    public void onVersionApplied(long version) {
+        antiEntropy.onDiscoveryResponse(scheduler.nowMs());
+        carryOut(versionGossip.onVersionApplied(scheduler.nowMs(), version));
     }
 
-    /** Discovery has told that version. */
-    void onVersionApplied(long version) {
-        antiEntropy.onDiscoveryResponse(dispatcher.now());
-        carryOut(news.onVersionApplied(dispatcher.now(), version));
+    /** A poll of discovery has failed: a peer may know what it would have brought. */
+    public void onPollFailed() {
+        queryPeerUnlessRecent();
     }
 
-    /** A call for the list failed: a peer may know what it would have told. */
-    void onPollFailed() {
-        queryUnlessJustDone();
-    }
-
-    /** A peer says which version it holds, what has changed, or wants to know that. */
-    void onMessage(int peer, byte[] message) {
-        long version = PeerMessage.readListVersion(message);
-        if (version >= 0) {
-            carryOut(news.onPeerVersion(dispatcher.now(), version));
+    /** A peer announces its version of the list, sends changes, or queries for them. */
+    public void onMessage(int peer, byte[] message) {
+        long announced = PeerMessage.readListVersion(message);
+        if (announced >= 0) {
+            carryOut(versionGossip.onPeerVersion(scheduler.nowMs(), announced));
             return;
         }
-        if (!sharesChanges()) {
+        if (!sharedDiscovery.getAsBoolean()) {
             return;
         }
-        EndpointListDelta update = EndpointListDelta.decode(message);
-        if (update != null) {
-            list.onPeerUpdate(dispatcher.now(), peer, update);
-            carryOut(news.onPeerVersion(dispatcher.now(), update.version()));
+        EndpointListDelta delta = EndpointListDelta.decode(message);
+        if (delta != null) {
+            list.onPeerUpdate(scheduler.nowMs(), peer, delta);
+            carryOut(versionGossip.onPeerVersion(scheduler.nowMs(), delta.version()));
             return;
         }
         long queried = PeerMessage.readListQuery(message);
         if (queried >= 0) {
-            membership().changesSince(dispatcher.now(), queried).stream()
-                    .limit(MAX_ANSWER_MESSAGES)
-                    .forEach(u -> peers.send(peer, PeerMessageKind.ENDPOINT_LIST, u.encode()));
+            answerQuery(peer, queried);
         }
     }
 
-    /** So many live. */
-    void setLiveMembers(Living living) {
-        news.setLiveMembers(living);
+    private void answerQuery(int peer, long version) {
+        endpoints().changesSince(scheduler.nowMs(), version).stream()
+                .limit(MAX_ANSWER_MESSAGES)
+                .forEach(delta -> peers.send(peer, PeerMessageKind.ENDPOINT_LIST, delta.encode()));
+    }
+
+    /** The number of live instances has changed. */
+    public void setLiveMembers(Living living) {
+        versionGossip.setLiveMembers(living);
     }
 
-    private void carryOut(Action order) {
-        switch (order) {
-            case ANNOUNCE -> tell();
-            case POLL_DISCOVERY -> ask();
+    private void carryOut(Action action) {
+        switch (action) {
+            case ANNOUNCE -> announce();
+            case POLL_DISCOVERY -> pollDiscovery();
             case NONE, WAIT -> {}
         }
-        double due = news.nextTimerMs();
-        if (order != Action.NONE && due != Double.POSITIVE_INFINITY) {
-            dispatcher.after(Math.max(0, due - dispatcher.now()), () -> carryOut(news.onTimer(dispatcher.now())));
+        double timerMs = versionGossip.nextTimerMs();
+        if (action != Action.NONE && timerMs != Double.POSITIVE_INFINITY) {
+            scheduler.schedule(
+                    Math.max(0, timerMs - scheduler.nowMs()), () -> carryOut(versionGossip.onTimer(scheduler.nowMs())));
         }
     }
 
-    private void tell() {
-        byte[] message = sharesChanges()
-                ? membership().recentChanges().encode()
+    private void announce() {
+        byte[] message = sharedDiscovery.getAsBoolean()
+                ? endpoints().recentChanges().encode()
                 : PeerMessage.listVersionAnnouncement(discovery.version());
-        peers.send(ALL_PEERS, PeerMessageKind.ENDPOINT_LIST, message);
+        peers.send(PeerDatagramSocket.ALL_PEERS, PeerMessageKind.ENDPOINT_LIST, message);
     }
 
-    /** Peers hold a version that discovery has not told here. */
-    private void ask() {
+    /** Peers hold a version that discovery has not brought here. */
+    private void pollDiscovery() {
         discovery.onPeerAhead();
-        queryUnlessJustDone();
+        queryPeerUnlessRecent();
     }
 
-    private void queryUnlessJustDone() {
-        if (antiEntropy.onFault(dispatcher.now())) {
-            query();
+    private void queryPeerUnlessRecent() {
+        if (antiEntropy.onFault(scheduler.nowMs())) {
+            queryPeer();
         }
     }
 
-    /** Asks some peer for what is not known here. */
-    private void query() {
+    /** Queries some peer for what is not known here. */
+    private void queryPeer() {
         int peer = peers.randomPeer(random);
-        if (sharesChanges() && peer >= 0) {
-            peers.send(
-                    peer,
-                    PeerMessageKind.ENDPOINT_LIST,
-                    PeerMessage.listQuery(membership().knownVersion()));
+        if (sharedDiscovery.getAsBoolean() && peer >= 0) {
+            byte[] query = PeerMessage.listQuery(endpoints().knownVersion());
+            peers.send(peer, PeerMessageKind.ENDPOINT_LIST, query);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/OutlierGossipLink.java
+++ b/src/main/java/cacheproxy/proxy/OutlierGossipLink.java
@@ -1,77 +1,107 @@
 package cacheproxy.proxy;
 
 import cacheproxy.gossip.OutlierGossip;
+import cacheproxy.gossip.OutlierGossip.ReportedNode;
 import cacheproxy.gossip.PeerMessage;
 import cacheproxy.membership.View;
 import cacheproxy.routing.EndpointSignal;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
+import java.util.OptionalInt;
+import java.util.function.DoubleSupplier;
+import java.util.function.Supplier;
 
 /**
- * Tells peers of nodes that were found silent, and passes on to the decision module what several say. On the event loop
- * only.
+ * Reports unresponsive cache nodes to the other proxies, and passes reports of theirs on to the load balancer once
+ * {@link OutlierGossip} finds enough of them. On the event loop only.
  */
-final class OutlierGossipLink {
-    private static final int ALL_PEERS = -1;
+public final class OutlierGossipLink {
+    /** The zones of live peers are read anew after this time: where much is wrong, many reports come at once. */
     private static final double ZONES_CACHED_MS = 500;
+    /** A node is reported again after this time, so that the first report has not expired yet. */
+    private static final double REPORT_INTERVAL_MS = OutlierGossip.REPORT_TTL_MS / 2;
 
-    private final Dispatcher dispatcher;
+    /** Takes a report that enough peers agree on. */
+    public interface OutlierListener {
+        /** The last of these reports: the peer's number, and its message as it came. */
+        void onOutlier(int peer, byte[] message);
+    }
+
+    private final DoubleSupplier nowMs;
     private final PeerDatagramSocket peers;
-    private final MemberLink members;
+    private final CacheNodes nodes;
+    private final Supplier<View> members;
+    private final OutlierListener listener;
     private final OutlierGossip outliers = new OutlierGossip();
-    /** When peers were told of a node last; of those in the list alone. */
+    /** When each node was reported last by this proxy. */
     private final Map<Integer, Double> reportedMs = new HashMap<>();
-    /** Where peers stand that live; as of some time ago, as many messages come at once where much is wrong. */
+    /** The zones of live peers, by their numbers; as of {@link #zonesReadMs}. */
     private final Map<Integer, Integer> zoneOfPeer = new HashMap<>();
 
     private double zonesReadMs = Double.NEGATIVE_INFINITY;
 
-    OutlierGossipLink(Dispatcher dispatcher, PeerDatagramSocket peers, MemberLink members) {
-        this.dispatcher = dispatcher;
+    /**
+     * Reports nothing yet.
+     *
+     * @param nowMs a monotonic clock, in milliseconds
+     * @param members the fleet as membership sees it now
+     */
+    public OutlierGossipLink(
+            DoubleSupplier nowMs,
+            PeerDatagramSocket peers,
+            CacheNodes nodes,
+            Supplier<View> members,
+            OutlierListener listener) {
+        this.nowMs = nowMs;
         this.peers = peers;
+        this.nodes = nodes;
         this.members = members;
+        this.listener = listener;
     }
 
-    /** The decision module has met this at a server. */
-    void onEndpointSignal(int server, EndpointSignal what) {
-        Upstream u = dispatcher.servers().get(server);
-        if (what != EndpointSignal.UNRESPONSIVE || u == null || u.origin) {
+    /** The load balancer has observed this at an endpoint; reports a cache node that did not respond. */
+    public void onEndpointSignal(int endpointId, EndpointSignal signal) {
+        if (signal != EndpointSignal.UNRESPONSIVE || nodes.zoneOf(endpointId).isEmpty()) {
             return;
         }
-        double now = dispatcher.now();
-        reportedMs
-                .values()
-                .removeIf(at -> now - at
-                        >= OutlierGossip.REPORT_TTL_MS / 2); // told anew while it lasts, before the word is void
-        if (!outliers.isWidelyReported(now, server) && reportedMs.putIfAbsent(server, now) == null) {
-            peers.send(ALL_PEERS, PeerMessageKind.OUTLIERS, PeerMessage.endpointUnresponsive(server));
+        double now = nowMs.getAsDouble();
+        reportedMs.values().removeIf(at -> now - at >= REPORT_INTERVAL_MS);
+        if (!outliers.isWidelyReported(now, endpointId) && reportedMs.putIfAbsent(endpointId, now) == null) {
+            byte[] report = PeerMessage.endpointUnresponsive(endpointId);
+            peers.send(PeerDatagramSocket.ALL_PEERS, PeerMessageKind.OUTLIERS, report);
         }
     }
 
-    /** A peer says that a node is silent. */
-    void onMessage(int peer, byte[] message) {
-        Integer server = PeerMessage.readEndpointUnresponsive(message);
-        Upstream u = server == null ? null : dispatcher.servers().get(server);
-        if (u == null || u.origin) {
+    /** A peer reports a node that did not respond; anything else is ignored. */
+    public void onMessage(int peer, byte[] message) {
+        Integer endpointId = PeerMessage.readEndpointUnresponsive(message);
+        OptionalInt zone = endpointId == null ? OptionalInt.empty() : nodes.zoneOf(endpointId);
+        if (zone.isEmpty()) {
+            return;
+        }
+        double now = nowMs.getAsDouble();
+        readZonesIfOld(now);
+        Integer peerZone = zoneOfPeer.get(peer);
+        if (peerZone == null) {
             return;
         }
-        double now = dispatcher.now();
-        if (now - zonesReadMs >= ZONES_CACHED_MS) {
-            View view = members.view();
-            zonesReadMs = now;
-            zoneOfPeer.clear();
-            view.entries().stream()
-                    .filter(e -> e.id() != view.me() && e.state().lives())
-                    .forEach(e -> zoneOfPeer.put(e.id(), e.zone()));
+        ReportedNode node = new ReportedNode(endpointId, zone.getAsInt(), nodes.countInZone(zone.getAsInt()));
+        int zonesOfPeers = new HashSet<>(zoneOfPeer.values()).size();
+        if (outliers.onReport(now, peer, peerZone, node, zoneOfPeer.size(), zonesOfPeers)) {
+            listener.onOutlier(peer, message);
         }
-        Integer zone = zoneOfPeer.get(peer);
-        OutlierGossip.ReportedNode node = new OutlierGossip.ReportedNode(
-                server, u.place.zone(), dispatcher.servers().inZone(u.place.zone()));
-        if (zone != null
-                && outliers.onReport(
-                        now, peer, zone, node, zoneOfPeer.size(), new HashSet<>(zoneOfPeer.values()).size())) {
-            dispatcher.heard(peer, PeerMessageKind.LOAD_BALANCER, message);
+    }
+
+    private void readZonesIfOld(double now) {
+        if (now - zonesReadMs < ZONES_CACHED_MS) {
+            return;
         }
+        View view = members.get();
+        zonesReadMs = now;
+        zoneOfPeer.clear();
+        view.entries().stream()
+                .filter(e -> e.id() != view.me() && e.state().lives())
+                .forEach(e -> zoneOfPeer.put(e.id(), e.zone()));
     }
 }
--- a/src/main/java/cacheproxy/proxy/PeerDatagramSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerDatagramSocket.java
@@ -20,13 +20,20 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 
 /**
- * Messages between the proxies of a tier: datagrams that come late or not at all. The one owner of what may be sent to
- * peers: all parts of the program share its budget.
+ * Sends datagrams to the other proxies of a tier and receives theirs. Delivery is best effort: a datagram may be late,
+ * lost or repeated. All parts of the program send through this one socket and share its {@link SendBudget}.
+ *
+ * <p>Everything but the constructor runs on the event loop. Nothing here throws for what a peer sends: a datagram that
+ * can't be read is dropped.
  */
-final class PeerDatagramSocket {
-    /** What an instance may send, whatever the size of the fleet. */
+public final class PeerDatagramSocket {
+    /** Stands for all other proxies of the tier where a peer's number is asked for. */
+    public static final int ALL_PEERS = -1;
+
+    /** What an instance may send, in bytes a second, whatever the size of the fleet. */
     private static final double BYTES_PER_SECOND = 2000;
 
     private static final double BURST_BYTES = 6000;
@@ -34,31 +41,47 @@
     private static final long BIND_RETRY_MS = 500;
 
     private final EventLoop loop;
-    private final Config config;
-    private final Receiver receiver;
-    private final Counters counters;
+    private final Class<? extends Channel> channelType;
+    private final PeerAddresses addresses;
+    private final Listener listener;
+    private final Consumer<Work> counter;
     private final SendBudget budget = new SendBudget(BYTES_PER_SECOND, BURST_BYTES);
-    /** The peers' numbers by address: where all talk, a search for each datagram would grow with the fleet's square. */
+    /** By address: where all send, a search for each datagram would grow with the square of the fleet. */
     private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
 
+    /** Null until the socket is bound; what is sent before is lost. */
     private Channel channel;
 
-    /** What takes the messages of peers. */
-    interface Receiver {
+    /** Receives the messages of peers, on the event loop. */
+    public interface Listener {
+        /** A message has come: from the proxy of this number, of a kind and version of form that are known here. */
         void onMessage(int peer, PeerMessageKind kind, byte[] body);
     }
 
-    PeerDatagramSocket(EventLoop loop, Config config, Receiver receiver, Counters counters) {
+    /**
+     * Binds the socket and waits until it is bound or has failed; not to be called on the event loop. An address that
+     * is in use is tried again every {@value #BIND_RETRY_MS} ms.
+     *
+     * @param channelType of datagram channels on this event loop
+     * @param counter is told each datagram that was sent or received
+     */
+    public PeerDatagramSocket(
+            EventLoop loop,
+            Class<? extends Channel> channelType,
+            PeerAddresses addresses,
+            Listener listener,
+            Consumer<Work> counter) {
         this.loop = loop;
-        this.config = config;
-        this.receiver = receiver;
-        this.counters = counters;
-        for (int i = 0; i < config.peers().size(); i++) {
-            peerNumbers.putIfAbsent(config.peers().get(i), i);
+        this.channelType = channelType;
+        this.addresses = addresses;
+        this.listener = listener;
+        this.counter = counter;
+        for (int i = 0; i < addresses.peers().size(); i++) {
+            peerNumbers.putIfAbsent(addresses.peers().get(i), i);
         }
-        if (config.settings().peerMessagesAllowed() && config.peerListen() != null) {
+        if (addresses.listen() != null) {
             ChannelFuture bound = bind().awaitUninterruptibly();
-            channel = bound.channel(); // what is sent before is lost
+            channel = bound.channel();
             if (!bound.isSuccess()) {
                 retryBind();
             }
@@ -68,9 +91,9 @@
     private ChannelFuture bind() {
         return new Bootstrap()
                 .group(loop)
-                .channel(Transport.BEST.datagram())
-                .handler(new Handler())
-                .bind(config.peerListen());
+                .channel(channelType)
+                .handler(new DatagramHandler())
+                .bind(addresses.listen());
     }
 
     private void retryBind() {
@@ -86,22 +109,28 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    InetSocketAddress address() {
+    /** Where it is bound; null if this proxy takes no part. */
+    public InetSocketAddress address() {
         return channel == null ? null : (InetSocketAddress) channel.localAddress();
     }
 
-    SendBudget budget() {
+    /** What all parts of the program together may send. */
+    public SendBudget budget() {
         return budget;
     }
 
-    /** The number of some other proxy of the tier; negative if there is none. */
-    int randomPeer(SplittableRandom random) {
+    /** The number of some other proxy of the tier, each as likely; negative if there is none. */
+    public int randomPeer(SplittableRandom random) {
         return AntiEntropy.randomPeer(
-                random, config.settings().instanceIndex(), config.peers().size());
+                random, addresses.self(), addresses.peers().size());
     }
 
-    /** Sends to the proxy of this number, or to all of the tier if it is negative, if the budget has room for it. */
-    void send(int peer, PeerMessageKind kind, byte[] body) {
+    /**
+     * Sends a message; drops it if the budget has no room for it or its body is too long for a datagram.
+     *
+     * @param peer the number of a proxy; {@link #ALL_PEERS}, or any other negative number, for all others at once
+     */
+    public void send(int peer, PeerMessageKind kind, byte[] body) {
         if (body.length <= Envelope.MAX_BODY_BYTES
                 && budget.tryAcquire(
                         System.nanoTime() / 1e6, Envelope.datagramBytes(body.length), SendBudget.Priority.NORMAL)) {
@@ -109,33 +138,38 @@
         }
     }
 
-    /** The same for what has been taken out of the budget already. */
-    void sendWithinBudget(int peer, PeerMessageKind kind, byte[] body) {
-        InetSocketAddress to = peer < 0
-                ? config.peersAll()
-                : peer < config.peers().size() ? config.peers().get(peer) : null;
+    /** Sends a message whose bytes have been taken from {@link #budget} already; {@code peer} as in {@link #send}. */
+    public void sendWithinBudget(int peer, PeerMessageKind kind, byte[] body) {
+        InetSocketAddress to = addressOf(peer);
         if (channel == null || to == null) {
             return;
         }
-        counters.did(Work.MESSAGES_SENT);
-        channel.writeAndFlush(new DatagramPacket(
-                Unpooled.wrappedBuffer(Envelope.encode(List.of(new Item(kind.code(), PeerMessageKind.VERSION, body)))),
-                to));
+        counter.accept(Work.MESSAGES_SENT);
+        byte[] datagram = Envelope.encode(List.of(new Item(kind.code(), PeerMessageKind.VERSION, body)));
+        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to));
+    }
+
+    /** Null where there is none. */
+    private InetSocketAddress addressOf(int peer) {
+        if (peer < 0) {
+            return addresses.all();
+        }
+        return peer < addresses.peers().size() ? addresses.peers().get(peer) : null;
     }
 
-    /** What does not come from a peer, is longer than the protocol has it or was changed on its way, is dropped. */
-    private final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
+    /** Drops what does not come from a peer, is longer than the protocol allows, or was changed on its way. */
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             Integer peer = peerNumbers.get(packet.sender());
             if (peer == null || packet.content().readableBytes() > Envelope.MAX_DATAGRAM_BYTES) {
                 return;
             }
-            counters.did(Work.MESSAGES_HEARD);
+            counter.accept(Work.MESSAGES_HEARD);
             for (Item item : Envelope.decode(ByteBufUtil.getBytes(packet.content()))) {
                 PeerMessageKind kind = PeerMessageKind.of(item.kind());
                 if (item.version() == PeerMessageKind.VERSION && kind != null) {
-                    receiver.onMessage(peer, kind, item.body());
+                    listener.onMessage(peer, kind, item.body());
                 }
             }
         }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -95,7 +95,8 @@
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
-        peers = new PeerDatagramSocket(loop, config, dispatcher::heard, dispatcher.counters());
+        peers = new PeerDatagramSocket(
+                loop, Transport.BEST.datagram(), config.peerAddresses(), dispatcher::heard, dispatcher.counters()::did);
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
         EndpointListPublisher list = new EndpointListPublisher(
@@ -131,7 +132,13 @@
                                 new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
                         news.start(discovery.version());
                         dispatcher.news(new EndpointGossipLink(
-                                dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
+                                new DispatcherPeerPorts(dispatcher),
+                                peers,
+                                discovery,
+                                list,
+                                news,
+                                () -> dispatcher.settings().pollsDiscovery(),
+                                settings.instanceSeed(config.seed() + 1)));
                     }
                     dispatcher.resume(remembered.learnt());
                     if (kept != null) {
@@ -340,7 +347,14 @@
                         config.seed(),
                         parts.recovers() ? Phase.STARTING : Phase.SERVING,
                         dispatcher::among);
-                dispatcher.members(members, new OutlierGossipLink(dispatcher, peers, members));
+                dispatcher.members(
+                        members,
+                        new OutlierGossipLink(
+                                dispatcher::now,
+                                peers,
+                                new DispatcherPeerPorts(dispatcher),
+                                members::view,
+                                (peer, message) -> dispatcher.heard(peer, PeerMessageKind.LOAD_BALANCER, message)));
                 if (parts.zones()) {
                     zones = new ZoneLink(dispatcher, members, config.settings(), config.zones(), remembered);
                     dispatcher.zones(zones);
--- a/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
@@ -60,9 +60,10 @@
             LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
             PeerDatagramSocket socket = new PeerDatagramSocket(
                     loop,
-                    config,
+                    Transport.BEST.datagram(),
+                    config.peerAddresses(),
                     (from, kind, body) -> heard.add(from + kind.name() + new String(body, UTF_8)),
-                    counters);
+                    counters::did);
             socket.send(1, PeerMessageKind.ENDPOINT_LIST, "to one".getBytes(UTF_8));
             assertThat(receive(peer)).isEqualTo("1to one");
             socket.send(-1, PeerMessageKind.LOAD_BALANCER, "to all".getBytes(UTF_8));
