--- a/src/main/java/cacheproxy/endpoints/PollBackoff.java
+++ b/src/main/java/cacheproxy/endpoints/PollBackoff.java
@@ -17,7 +17,7 @@
     private final double leastMs;
     private int failures;
 
-    /** {@code askWithinMs}: the settings' time within which a proxy with no watch has to ask. */
+    /** {@code maxPollIntervalMs}: the settings' time within which a proxy with no watch has to ask. */
     public PollBackoff(double askWithinMs) {
         leastMs = Math.min(askWithinMs, MAX_STALENESS_MS) / LEAST_PART;
     }
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -4,6 +4,7 @@
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListCodec;
+import cacheproxy.proxy.peer.PeerAddresses;
 import cacheproxy.route.Known;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.simulator.SettingsParser;
--- a/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
@@ -1,5 +1,7 @@
 package cacheproxy.proxy;
 
+import cacheproxy.proxy.peer.CacheNodes;
+import cacheproxy.proxy.peer.EventScheduler;
 import java.util.OptionalInt;
 
 /** What the links to peers use of the core: its clock, its timers and the cache nodes of its list. */
--- a/src/main/java/cacheproxy/proxy/MemberLink.java
+++ b/src/main/java/cacheproxy/proxy/MemberLink.java
@@ -6,6 +6,8 @@
 import cacheproxy.membership.Membership;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.RoutingSettings;
 import java.util.function.Consumer;
 
--- a/src/main/java/cacheproxy/proxy/RecallLink.java
+++ b/src/main/java/cacheproxy/proxy/RecallLink.java
@@ -1,6 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.recovery.Memory;
 import cacheproxy.recovery.Recall;
 import cacheproxy.recovery.Recall.Recalled;
--- a/src/main/java/cacheproxy/proxy/CacheNodes.java
+++ b/src/main/java/cacheproxy/proxy/peer/CacheNodes.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.peer;
 
 import java.util.OptionalInt;
 
--- a/src/main/java/cacheproxy/proxy/EventScheduler.java
+++ b/src/main/java/cacheproxy/proxy/peer/EventScheduler.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.peer;
 
 /** The clock and the timers of the event loop, for what runs on it. */
 public interface EventScheduler {
--- a/src/main/java/cacheproxy/proxy/PeerAddresses.java
+++ b/src/main/java/cacheproxy/proxy/peer/PeerAddresses.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.peer;
 
 import java.net.InetSocketAddress;
 import java.util.List;
--- a/src/main/java/cacheproxy/proxy/PeerMessageKind.java
+++ b/src/main/java/cacheproxy/proxy/peer/PeerMessageKind.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.peer;
 
 /**
  * The kind of an item in a datagram between proxies; says which part of the program reads its body. The kinds on the
@@ -13,7 +13,7 @@
  * 5     what is remembered    STATE_QUERY
  * </pre>
  */
-enum PeerMessageKind {
+public enum PeerMessageKind {
     /** The version of the endpoint list, its changes, or a query for them: {@code EndpointGossipLink}. */
     ENDPOINT_LIST(1),
     /** A message of the load balancer to its peers: {@code LoadBalancer.onPeerMessage}. */
@@ -26,7 +26,7 @@
     STATE_QUERY(5);
 
     /** The version of the body's form, the same for all kinds so far. */
-    static final int VERSION = 0;
+    public static final int VERSION = 0;
 
     private final int code;
 
@@ -35,7 +35,7 @@
     }
 
     /** Its code on the wire. */
-    int code() {
+    public int code() {
         return code;
     }
 
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -7,6 +7,7 @@
 import cacheproxy.gossip.EndpointListDelta;
 import cacheproxy.gossip.Envelope;
 import cacheproxy.gossip.PeerMessage;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.EndpointState;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -5,6 +5,7 @@
 import cacheproxy.Await;
 import cacheproxy.gossip.Envelope;
 import cacheproxy.metrics.Work;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.EndpointSignal;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
--- a/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
@@ -5,6 +5,8 @@
 
 import cacheproxy.gossip.Envelope;
 import cacheproxy.metrics.Work;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import com.google.gson.JsonArray;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/test/java/cacheproxy/proxy/PeerMessageKindTest.java
+++ b/src/test/java/cacheproxy/proxy/peer/PeerMessageKindTest.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.peer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
