--- /dev/null
+++ b/src/test/java/cacheproxy/proxy/LearntFormTest.java
@@ -0,0 +1,53 @@
+package cacheproxy.proxy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.PinnedFile;
+import cacheproxy.routing.EndpointHealthRecord;
+import cacheproxy.routing.HotKey;
+import cacheproxy.routing.LearnedState;
+import cacheproxy.routing.LoadCount;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** The stored form of what was learnt: each field stands where processes of other versions look for it. */
+class LearntFormTest {
+    private static final String FILE = "proxy/learned-state.json";
+
+    private static Map<String, LearnedState> everyField() {
+        Map<String, LearnedState> pools = new LinkedHashMap<>();
+        pools.put(
+                "",
+                new LearnedState(
+                        21.5,
+                        3.25,
+                        1.125,
+                        0.75,
+                        new LoadCount(110, 104.5),
+                        new LoadCount(220, 219),
+                        330.5,
+                        List.of(new HotKey(0x7f3a_9c21_e0b4_d655L, 41), new HotKey(-2, 7)),
+                        List.of(
+                                new EndpointHealthRecord(0xbeef, 1_700_000_000_001.0, 3, 1_700_000_060_000.0, 2),
+                                new EndpointHealthRecord(-5, 0, 0, 0, 0))));
+        pools.put(
+                "media",
+                new LearnedState(0, 0, 0, 0, new LoadCount(0, 0), new LoadCount(0, 0), 0, List.of(), List.of()));
+        return pools;
+    }
+
+    @Test
+    void everyFieldStandsWhereItStood() {
+        PinnedFile.assertText(FILE, LearntForm.json(everyField()) + "\n");
+    }
+
+    @Test
+    void theStoredFormReadsAsItWasMeant() {
+        JsonObject stored = JsonParser.parseString(PinnedFile.text(FILE)).getAsJsonObject();
+        assertThat(LearntForm.read(stored)).isEqualTo(everyField());
+    }
+}
--- a/src/test/java/cacheproxy/proxy/RoutesTest.java
+++ b/src/test/java/cacheproxy/proxy/RoutesTest.java
@@ -22,7 +22,7 @@
     private static final String ROUTES =
             POOLS + "route a { key = \"a*\" pool = one fallback = two } " + "route b { key = \"b*\" pool = two }";
 
-    private static Routing routing(String text) {
+    static Routing routing(String text) {
         Problems problems = new Problems();
         Configuration c = ConfigFile.read(new Source("x", text), EdgeFile.schema(null), problems);
         assertThat(problems.text()).isEmpty();
--- /dev/null
+++ b/src/test/java/cacheproxy/state/StoredFormTest.java
@@ -0,0 +1,132 @@
+package cacheproxy.state;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.PinnedFile;
+import cacheproxy.state.Keeper.Write;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonParser;
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** The stored form: folders of earlier processes, sound and damaged, are written and read as they were. */
+class StoredFormTest {
+    private static final String ME = "proxy-3";
+    private static final String FLEET = "edge";
+    private static final double TOLD_MS = 1_700_000_000_000.0;
+    private static final double NOW_MS = TOLD_MS + 45_000;
+
+    private static Record record(Kind kind, double toldMs, String body) {
+        JsonElement json = JsonParser.parseString(body);
+        return new Record(kind, toldMs, json);
+    }
+
+    private static String host(String name, String health) {
+        return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:9\",\"site\":\"east\",\"class\":\"node-fast\","
+                + "\"block\":0,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
+    }
+
+    /** The two files after a snapshot of all kinds and a journal of two. */
+    private static byte[][] written() {
+        Keeper keeper = new Keeper(Opened.EMPTY, ME, FLEET);
+        keeper.put(0, record(Kind.INCARNATION, TOLD_MS, "17"));
+        keeper.put(
+                0,
+                record(
+                        Kind.LIST,
+                        TOLD_MS + 1,
+                        "{\"seq\":43,\"whole\":true,\"hosts\":[" + host("s-0000beef", "up") + ","
+                                + host("s-0000bef0", "draining") + "]}"));
+        keeper.put(0, record(Kind.LEARNT, TOLD_MS + 2, PinnedFile.text("proxy/learned-state.json")));
+        keeper.put(
+                0,
+                record(
+                        Kind.ZONES,
+                        TOLD_MS + 3,
+                        "{\"east\":{\"epoch\":4,\"open\":15,\"cause\":\"evidence\",\"leaves\":1,\"floor\":4}}"));
+        keeper.put(
+                0,
+                record(
+                        Kind.ORDERS,
+                        TOLD_MS + 4,
+                        "{\"west\":{\"epoch\":9,\"open\":0,\"cause\":\"leave\",\"leaves\":2,\"floor\":9}}"));
+        Write.Replace first = (Write.Replace) keeper.next(0);
+        keeper.done(0);
+        ByteArrayOutputStream journal = new ByteArrayOutputStream();
+        journal.writeBytes(first.journal());
+        keeper.put(1, record(Kind.LEARNT, TOLD_MS + 40_000.5, "{}"));
+        keeper.put(1, record(Kind.LIST, TOLD_MS + 40_001, "{\"seq\":44,\"whole\":true,\"hosts\":[]}"));
+        journal.writeBytes(((Write.Append) keeper.next(10_000)).bytes());
+        return new byte[][] {first.snapshot(), journal.toByteArray()};
+    }
+
+    @Test
+    void theFilesAreWrittenAsTheyWere() {
+        byte[][] files = written();
+        PinnedFile.assertText("state/sound/snapshot", new String(files[0], StandardCharsets.UTF_8));
+        PinnedFile.assertText("state/sound/journal", new String(files[1], StandardCharsets.UTF_8));
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "sound",
+                "journal-torn",
+                "journal-damaged",
+                "journal-of-older-snapshot",
+                "journal-of-newer-snapshot",
+                "journal-header-torn",
+                "no-journal",
+                "no-snapshot",
+                "snapshot-damaged",
+                "snapshot-torn",
+                "snapshot-header-damaged",
+                "snapshot-not-a-record",
+                "snapshot-unknown-kind",
+                "snapshot-not-of-state",
+                "older-version",
+                "later-version",
+                "other-instance",
+                "other-fleet",
+                "other-bodies",
+                "empty-files"
+            })
+    void eachFolderIsReadAsItWas(String folder) {
+        Opened opened = new StateFolder(PinnedFile.path("state/" + folder)).open(ME, FLEET);
+        Inspection inspection = new Inspection(opened, NOW_MS);
+        PinnedFile.assertJson("state/" + folder + "/inspection.json", inspection.json());
+        PinnedFile.assertText("state/" + folder + "/inspection.txt", inspection.text());
+    }
+
+    /** How far each kind may be used over its age: what a process that starts decides by. */
+    @Test
+    void theAgesAtWhichUseEndsAreWhatTheyWere() {
+        StringBuilder table = new StringBuilder();
+        double[] agesMs = {
+            Double.NaN, -1, 0, 30_000, 30_001, 60_000, 60_001, 600_000, 600_001, 86_400_000, 86_400_001, 1e15
+        };
+        for (Kind kind : Kind.values()) {
+            table.append(kind.word()).append(':');
+            for (double age : agesMs) {
+                Record r = new Record(kind, 0, JsonParser.parseString("1"));
+                Opened opened = new Opened(new Header(ME, FLEET, 1, 1), Map.of(kind, r), List.of());
+                String use = new Inspection(opened, age)
+                        .json()
+                        .getAsJsonArray("records")
+                        .get(0)
+                        .getAsJsonObject()
+                        .get("use")
+                        .getAsString();
+                table.append(' ').append(age).append('=').append(use);
+            }
+            table.append('\n');
+        }
+        assertThat(table).isNotEmpty();
+        PinnedFile.assertText("state/use-by-age.txt", table.toString());
+    }
+}
