--- /dev/null
+++ b/src/main/java/cacheproxy/control/AnswerWords.java
@@ -0,0 +1,79 @@
+package cacheproxy.control;
+
+import cacheproxy.drain.Drain;
+import cacheproxy.failover.Sight;
+import cacheproxy.failover.ZoneState;
+import cacheproxy.membership.Hearing;
+import cacheproxy.membership.Phase;
+import cacheproxy.membership.State;
+import cacheproxy.takeover.Handover;
+
+/** The words by which answers to operators name the states of other packages; scripts depend on them. */
+final class AnswerWords {
+    private AnswerWords() {}
+
+    static String of(Handover.Phase phase) {
+        return switch (phase) {
+            case ALONE -> "alone";
+            case OFFERED -> "offered";
+            case TAKEN -> "taken";
+            case SERVED -> "served";
+            case RETIRING -> "retiring";
+            case ENDING -> "ending";
+        };
+    }
+
+    static String of(Drain.Phase phase) {
+        return switch (phase) {
+            case SERVING -> "serving";
+            case DRAINING -> "draining";
+            case DRAINED -> "drained";
+            case EXPIRED -> "expired";
+        };
+    }
+
+    static String of(Hearing reachability) {
+        return switch (reachability) {
+            case ALONE -> "alone";
+            case MINORITY -> "minority";
+            case MAJORITY -> "majority";
+            case ALL -> "all";
+        };
+    }
+
+    static String of(State state) {
+        return switch (state) {
+            case ALIVE -> "alive";
+            case SUSPECT -> "suspect";
+            case DEAD -> "dead";
+            case LEFT -> "left";
+        };
+    }
+
+    static String of(Phase phase) {
+        return switch (phase) {
+            case STARTING -> "starting";
+            case RECOVERING -> "recovering";
+            case SERVING -> "serving";
+            case DRAINING -> "draining";
+        };
+    }
+
+    static String of(ZoneState.Cause cause) {
+        return switch (cause) {
+            case EVIDENCE -> "evidence";
+            case RETURN -> "return";
+            case HOLD -> "hold";
+            case LEAVE -> "leave";
+        };
+    }
+
+    static String of(Sight health) {
+        return switch (health) {
+            case NONE -> "none";
+            case GOOD -> "good";
+            case POOR -> "poor";
+            case LOST -> "lost";
+        };
+    }
+}
--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -11,7 +11,6 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 
@@ -47,7 +46,7 @@
         registry.section(HandoverCall.SECTION, () -> {
             Proxy.Status s = proxy.status();
             JsonObject o = new JsonObject();
-            o.addProperty("phase", s.handover().name().toLowerCase(Locale.ROOT));
+            o.addProperty("phase", AnswerWords.of(s.handover()));
             o.addProperty("successors", s.handovers());
             return o;
         });
@@ -161,7 +160,7 @@
             return o;
         }
         View v = f.view();
-        o.addProperty("hearing", v.hearing().name().toLowerCase(Locale.ROOT));
+        o.addProperty("hearing", AnswerWords.of(v.hearing()));
         o.addProperty("living", v.living().count());
         o.addProperty("known", v.entries().size());
         if (v.configured() != null) {
@@ -187,8 +186,8 @@
             JsonObject row = new JsonObject();
             row.addProperty("instance", e.id());
             row.addProperty("zone", e.zone());
-            row.addProperty("state", e.state().name().toLowerCase(Locale.ROOT));
-            row.addProperty("phase", e.phase().name().toLowerCase(Locale.ROOT));
+            row.addProperty("state", AnswerWords.of(e.state()));
+            row.addProperty("phase", AnswerWords.of(e.phase()));
             row.addProperty("incarnation", e.incarnation());
             row.addProperty("life", String.format("%04x", e.life()));
             row.addProperty("version", e.version());
@@ -200,7 +199,7 @@
 
     private static JsonObject progress(Drain.Progress p) {
         JsonObject o = new JsonObject();
-        o.addProperty("phase", p.phase().name().toLowerCase(Locale.ROOT));
+        o.addProperty("phase", AnswerWords.of(p.phase()));
         o.addProperty("share", p.share());
         o.addProperty("owed", p.owed());
         o.addProperty("connections", p.connections());
--- a/src/main/java/cacheproxy/control/RecoveryCall.java
+++ b/src/main/java/cacheproxy/control/RecoveryCall.java
@@ -6,7 +6,6 @@
 import cacheproxy.state.Keeper;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import java.util.Locale;
 import java.util.function.Supplier;
 
 /** How a proxy comes back and what it keeps, as the section {@code recovery} of its status. */
@@ -22,7 +21,7 @@
     private static JsonObject json(Recovering r, double nowMs) {
         JsonObject o = new JsonObject();
         Progress p = r.progress();
-        o.addProperty("stage", p == null ? "not looked at" : p.stage().name().toLowerCase(Locale.ROOT));
+        o.addProperty("stage", p == null ? "not looked at" : p.stage().wireName());
         if (p != null) {
             seconds(o, "list_after_s", p.listAfterMs());
             seconds(o, "told_after_s", p.toldAfterMs());
@@ -36,8 +35,8 @@
         for (Trust.Thing thing : Trust.Thing.values()) {
             Trust.Standing s = r.trust().of(thing);
             JsonObject t = new JsonObject();
-            t.addProperty("thing", thing.name().toLowerCase(Locale.ROOT));
-            t.addProperty("from", s.source().name().toLowerCase(Locale.ROOT).replace('_', ' '));
+            t.addProperty("thing", thing.wireName());
+            t.addProperty("from", s.source().wireName());
             seconds(t, "age_s", s.ageMs());
             if (s.hint()) {
                 t.addProperty("hint", true);
--- a/src/main/java/cacheproxy/control/ZoneCall.java
+++ b/src/main/java/cacheproxy/control/ZoneCall.java
@@ -5,7 +5,6 @@
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import java.util.Locale;
 import java.util.function.Supplier;
 
 /** What operators ask and order of zones: the section {@code zones} of the status, and the command {@code zone}. */
@@ -43,9 +42,9 @@
         row.addProperty("zone", z.name(s.zone()));
         row.addProperty("open", Math.round(1000 * s.open()) / 1000.0);
         row.addProperty("epoch", s.state().epoch());
-        row.addProperty("cause", s.state().cause().name().toLowerCase(Locale.ROOT));
+        row.addProperty("cause", AnswerWords.of(s.state().cause()));
         row.addProperty("leaves", s.state().leaves());
-        row.addProperty("sight", s.sight().name().toLowerCase(Locale.ROOT));
+        row.addProperty("sight", AnswerWords.of(s.sight()));
         row.addProperty("verdict", s.verdict());
         if (s.sinceMs() < Double.POSITIVE_INFINITY) {
             row.addProperty("since_s", Math.round(s.sinceMs() / 100) / 10.0);
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -102,7 +102,7 @@
         dispatcher.log(String.format(
                 Locale.ROOT,
                 "recovery: %s %.1f s after the start%s",
-                stage.name().toLowerCase(Locale.ROOT),
+                stage.wireName(),
                 (dispatcher.now() - dispatcher.startedMs()) / 1000,
                 stage == Stage.SERVING && progress.endedByBound() ? ", by the clock alone" : ""));
     }
--- a/src/main/java/cacheproxy/proxy/StateLink.java
+++ b/src/main/java/cacheproxy/proxy/StateLink.java
@@ -91,9 +91,9 @@
                                     .map(r -> String.format(
                                             Locale.ROOT,
                                             "%s %.1f s old (%s)",
-                                            r.kind().word(),
+                                            r.kind().wireName(),
                                             (now - r.toldMs()) / 1000,
-                                            r.use(now).name().toLowerCase(Locale.ROOT)))
+                                            r.use(now).wireName()))
                                     .toList()));
         }
         dispatcher.follow(this::listed);
--- a/src/main/java/cacheproxy/recovery/Progress.java
+++ b/src/main/java/cacheproxy/recovery/Progress.java
@@ -13,9 +13,20 @@
 public final class Progress {
     /** Where an instance stands. */
     public enum Stage {
-        STARTING,
-        RECOVERING,
-        SERVING
+        STARTING("starting"),
+        RECOVERING("recovering"),
+        SERVING("serving");
+
+        private final String wireName;
+
+        Stage(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** Its name in status answers and log events. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** The longest that an instance may call itself recovering. */
--- a/src/main/java/cacheproxy/recovery/Source.java
+++ b/src/main/java/cacheproxy/recovery/Source.java
@@ -3,15 +3,26 @@
 /** Where something that an instance works with came from. */
 public enum Source {
     /** It has none. */
-    NONE,
+    NONE("none"),
     /** The configuration, as of no time that is known. */
-    CONFIGURED,
+    CONFIGURED("configured"),
     /** This instance's own folder. */
-    STORED,
+    STORED("stored"),
     /** Peers. */
-    PEERS,
+    PEERS("peers"),
     /** The process before, which served until now. */
-    PREDECESSOR,
+    PREDECESSOR("predecessor"),
     /** Discovery, or what was met at the servers themselves. */
-    FIRST_HAND
+    FIRST_HAND("first hand");
+
+    private final String wireName;
+
+    Source(String wireName) {
+        this.wireName = wireName;
+    }
+
+    /** Its name in status answers. */
+    public String wireName() {
+        return wireName;
+    }
 }
--- a/src/main/java/cacheproxy/recovery/Trust.java
+++ b/src/main/java/cacheproxy/recovery/Trust.java
@@ -12,13 +12,24 @@
     /** What may come from elsewhere. */
     public enum Thing {
         /** The list of servers. */
-        LIST,
+        LIST("list"),
         /** What was learnt of servers and the origin. */
-        LEARNT,
+        LEARNT("learnt"),
         /** How far zones are open. */
-        ZONES,
+        ZONES("zones"),
         /** The number of this instance's life. */
-        INCARNATION
+        INCARNATION("incarnation");
+
+        private final String wireName;
+
+        Thing(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** Its name in status answers. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /**
--- a/src/main/java/cacheproxy/state/Finding.java
+++ b/src/main/java/cacheproxy/state/Finding.java
@@ -12,11 +12,22 @@
     /** What follows from something that was found. */
     public enum Harm {
         /** Nothing: it is ordinary after a crash. */
-        NONE,
+        NONE("none"),
         /** Some records are lost, the others are sound. */
-        SOME,
+        SOME("some"),
         /** Nothing of the folder can be used. */
-        ALL
+        ALL("all");
+
+        private final String wireName;
+
+        Harm(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** Its name in reports. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     @Override
--- a/src/main/java/cacheproxy/state/Inspection.java
+++ b/src/main/java/cacheproxy/state/Inspection.java
@@ -34,8 +34,8 @@
             if (r != null) {
                 JsonObject one = r.json();
                 one.addProperty("age_s", Math.round((nowMs - r.toldMs()) / 1000));
-                one.addProperty("authority", kind.authority().name().toLowerCase(Locale.ROOT));
-                one.addProperty("use", r.use(nowMs).name().toLowerCase(Locale.ROOT));
+                one.addProperty("authority", kind.authority().wireName());
+                one.addProperty("use", r.use(nowMs).wireName());
                 records.add(one);
             }
         }
@@ -46,7 +46,7 @@
             one.addProperty("file", f.file());
             one.addProperty("line", f.line());
             one.addProperty("what", f.what());
-            one.addProperty("harm", f.harm().name().toLowerCase(Locale.ROOT));
+            one.addProperty("harm", f.harm().wireName());
             findings.add(one);
         });
         o.add("findings", findings);
@@ -76,10 +76,10 @@
                 s.append(String.format(
                         Locale.ROOT,
                         "%-13s%-11s%9.0fs  %-9s%s%n",
-                        kind.word(),
-                        kind.authority().name().toLowerCase(Locale.ROOT),
+                        kind.wireName(),
+                        kind.authority().wireName(),
                         (nowMs - r.toldMs()) / 1000,
-                        r.use(nowMs).name().toLowerCase(Locale.ROOT),
+                        r.use(nowMs).wireName(),
                         what(r)));
             }
         }
--- a/src/main/java/cacheproxy/state/Kind.java
+++ b/src/main/java/cacheproxy/state/Kind.java
@@ -1,7 +1,6 @@
 package cacheproxy.state;
 
 import java.util.Arrays;
-import java.util.Locale;
 import java.util.Optional;
 
 /**
@@ -11,29 +10,31 @@
  */
 public enum Kind {
     /** The number of this instance's life, which only goes up. Without it the first peer that contradicts tells it. */
-    INCARNATION(Authority.SELF, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0),
+    INCARNATION("incarnation", Authority.SELF, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0),
     /**
      * The list of servers with its version, as discovery told it: drains among it bind the next process as well. It
      * beats nothing that the configuration or discovery says with a higher version; a day later the nodes may be other
      * ones.
      */
-    LIST(Authority.DISCOVERY, 60_000, 86_400_000, 100),
+    LIST("list", Authority.DISCOVERY, 60_000, 86_400_000, 100),
     /**
      * What the decision module has learnt of servers and the origin. A node that was bad a minute ago is doubted, not
      * avoided; what was good is never taken from here, nor whether a node is warm.
      */
-    LEARNT(Authority.SEEN, 30_000, 600_000, 5000),
+    LEARNT("learnt", Authority.SEEN, 30_000, 600_000, 5000),
     /** Zones as decided on evidence: whether one is open is of the moment, its epoch never goes back. */
-    ZONES(Authority.FLEET, 60_000, Double.POSITIVE_INFINITY, 100),
+    ZONES("zones", Authority.FLEET, 60_000, Double.POSITIVE_INFINITY, 100),
     /** Zones as ordered by operators, until they take it back. */
-    ORDERS(Authority.OPERATOR, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 100);
+    ORDERS("orders", Authority.OPERATOR, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 100);
 
+    private final String wireName;
     private final Authority authority;
     private final double holdsMs;
     private final double hintMs;
     private final double gatherMs;
 
-    Kind(Authority authority, double holdsMs, double hintMs, double gatherMs) {
+    Kind(String wireName, Authority authority, double holdsMs, double hintMs, double gatherMs) {
+        this.wireName = wireName;
         this.authority = authority;
         this.holdsMs = holdsMs;
         this.hintMs = hintMs;
@@ -72,12 +73,14 @@
     }
 
     /** How it is called in files. */
-    public String word() {
-        return name().toLowerCase(Locale.ROOT);
+    public String wireName() {
+        return wireName;
     }
 
     /** What is called so in files; empty for what a later version may know. */
-    public static Optional<Kind> of(String word) {
-        return Arrays.stream(values()).filter(k -> k.word().equals(word)).findFirst();
+    public static Optional<Kind> of(String wireName) {
+        return Arrays.stream(values())
+                .filter(k -> k.wireName().equals(wireName))
+                .findFirst();
     }
 }
--- a/src/main/java/cacheproxy/state/StateText.java
+++ b/src/main/java/cacheproxy/state/StateText.java
@@ -52,7 +52,7 @@
     /** A record as it stands in files and in what a process tells its successor. */
     static JsonObject json(Record r) {
         JsonObject o = new JsonObject();
-        o.addProperty("kind", r.kind().word());
+        o.addProperty("kind", r.kind().wireName());
         o.addProperty("told_ms", r.toldMs());
         o.add("body", r.body());
         return o;
--- /dev/null
+++ b/src/test/java/cacheproxy/control/AnswerWordsTest.java
@@ -0,0 +1,33 @@
+package cacheproxy.control;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.drain.Drain;
+import cacheproxy.failover.Sight;
+import cacheproxy.failover.ZoneState;
+import cacheproxy.membership.Hearing;
+import cacheproxy.membership.Phase;
+import cacheproxy.membership.State;
+import cacheproxy.takeover.Handover;
+import java.util.Arrays;
+import org.junit.jupiter.api.Test;
+
+/** The words that scripts of operators look for. */
+class AnswerWordsTest {
+    @Test
+    void eachStateIsNamedAsItWas() {
+        assertThat(Arrays.stream(Handover.Phase.values()).map(AnswerWords::of))
+                .containsExactly("alone", "offered", "taken", "served", "retiring", "ending");
+        assertThat(Arrays.stream(Drain.Phase.values()).map(AnswerWords::of))
+                .containsExactly("serving", "draining", "drained", "expired");
+        assertThat(Arrays.stream(Hearing.values()).map(AnswerWords::of))
+                .containsExactly("alone", "minority", "majority", "all");
+        assertThat(Arrays.stream(State.values()).map(AnswerWords::of))
+                .containsExactly("alive", "suspect", "dead", "left");
+        assertThat(Arrays.stream(Phase.values()).map(AnswerWords::of))
+                .containsExactly("starting", "recovering", "serving", "draining");
+        assertThat(Arrays.stream(ZoneState.Cause.values()).map(AnswerWords::of))
+                .containsExactly("evidence", "return", "hold", "leave");
+        assertThat(Arrays.stream(Sight.values()).map(AnswerWords::of)).containsExactly("none", "good", "poor", "lost");
+    }
+}
--- a/src/test/java/cacheproxy/state/StoredFormTest.java
+++ b/src/test/java/cacheproxy/state/StoredFormTest.java
@@ -111,7 +111,7 @@
             Double.NaN, -1, 0, 30_000, 30_001, 60_000, 60_001, 600_000, 600_001, 86_400_000, 86_400_001, 1e15
         };
         for (Kind kind : Kind.values()) {
-            table.append(kind.word()).append(':');
+            table.append(kind.wireName()).append(':');
             for (double age : agesMs) {
                 Record r = new Record(kind, 0, JsonParser.parseString("1"));
                 Opened opened = new Opened(new Header(ME, FLEET, 1, 1), Map.of(kind, r), List.of());
