--- a/src/main/java/cacheproxy/cli/StateCommand.java
+++ b/src/main/java/cacheproxy/cli/StateCommand.java
@@ -1,10 +1,10 @@
 package cacheproxy.cli;
 
-import cacheproxy.state.Header;
-import cacheproxy.state.Inspection;
-import cacheproxy.state.Keeper;
-import cacheproxy.state.Opened;
+import cacheproxy.state.OpenedState;
+import cacheproxy.state.RecordStore;
+import cacheproxy.state.StateFileHeader;
 import cacheproxy.state.StateFolder;
+import cacheproxy.state.StateReport;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -53,12 +53,12 @@
     private int check(
             @Parameters(paramLabel = "FOLDER") Path path,
             @Option(names = "--json", description = "As JSON.") boolean json) {
-        Inspection all = inspect(path);
+        StateReport all = inspect(path);
         return json
                 ? say(all, true)
                 : say(
-                        new Inspection(
-                                new Opened(
+                        new StateReport(
+                                new OpenedState(
                                         all.opened().header(),
                                         Map.of(),
                                         all.opened().findings()),
@@ -81,14 +81,14 @@
                 out.flush();
                 return Cli.FAILED;
             }
-            Opened found = folder.open(null, null);
-            Header h = found.header();
+            OpenedState found = folder.open(null, null);
+            StateFileHeader h = found.header();
             if (h == null) {
                 folder.setAside();
                 out.println(
                         "nothing could be used; what was there is laid aside, and a proxy starts from nothing here");
             } else {
-                Keeper keeper = new Keeper(found, h.instance(), h.fleet());
+                RecordStore keeper = new RecordStore(found, h.instance(), h.fleet());
                 folder.write(keeper.next(0));
                 out.println(found.records().size() + " records are whole");
             }
@@ -105,11 +105,11 @@
         return new StateFolder(path);
     }
 
-    private Inspection inspect(Path path) {
-        return new Inspection(folder(path).open(null, null), System.currentTimeMillis());
+    private StateReport inspect(Path path) {
+        return new StateReport(folder(path).open(null, null), System.currentTimeMillis());
     }
 
-    private int say(Inspection found, boolean json) {
+    private int say(StateReport found, boolean json) {
         PrintWriter out = spec.commandLine().getOut();
         out.print(json ? found.json() + "\n" : found.text());
         out.flush();
--- a/src/main/java/cacheproxy/control/RecoveryCall.java
+++ b/src/main/java/cacheproxy/control/RecoveryCall.java
@@ -3,7 +3,7 @@
 import cacheproxy.proxy.Recovering;
 import cacheproxy.recovery.Progress;
 import cacheproxy.recovery.Trust;
-import cacheproxy.state.Keeper;
+import cacheproxy.state.RecordStore;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.util.function.Supplier;
@@ -47,7 +47,7 @@
         o.add("trusted", trusted);
         o.addProperty("not_used", r.trust().refused());
         o.addProperty("stale_decisions", r.trust().staleDecisions());
-        Keeper k = r.keeper();
+        RecordStore k = r.keeper();
         if (k != null) {
             o.addProperty("folder", r.folder());
             o.addProperty("writes", r.writes());
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -18,9 +18,9 @@
 import cacheproxy.route.Routing;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.RoutingSettings;
-import cacheproxy.state.Kind;
-import cacheproxy.state.Opened;
-import cacheproxy.state.Record;
+import cacheproxy.state.OpenedState;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.StoredRecord;
 import cacheproxy.takeover.Handover;
 import com.google.gson.JsonPrimitive;
 import io.netty.bootstrap.Bootstrap;
@@ -121,7 +121,7 @@
         TakeoverState state = old == null ? null : old.state();
         succeeds = state != null;
         remembered = new Remembered(
-                state, kept == null ? Opened.EMPTY : kept.opened(), dispatcher.trust(), dispatcher.now());
+                state, kept == null ? OpenedState.EMPTY : kept.opened(), dispatcher.trust(), dispatcher.now());
         loop.submit(() -> {
                     dispatcher.start(discovery, peers, acceptor, routing);
                     discovery.start(remembered.list(config.known()));
@@ -154,18 +154,21 @@
 
     /** What a successor must know: what this process was told of the servers binds both. */
     private TakeoverState state() {
-        Map<Kind, Record> records = new EnumMap<>(Kind.class);
+        Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
         if (members != null) {
             records.put(
-                    Kind.INCARNATION,
-                    new Record(Kind.INCARNATION, dispatcher.now(), new JsonPrimitive(members.incarnation())));
+                    RecordKind.INCARNATION,
+                    new StoredRecord(
+                            RecordKind.INCARNATION, dispatcher.now(), new JsonPrimitive(members.incarnation())));
         }
         if (zones != null) {
             Map<Integer, Held> held = zones.zones().held();
             records.put(
-                    Kind.ZONES, new Record(Kind.ZONES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
+                    RecordKind.ZONES,
+                    new StoredRecord(RecordKind.ZONES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
             records.put(
-                    Kind.ORDERS, new Record(Kind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
+                    RecordKind.ORDERS,
+                    new StoredRecord(RecordKind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
         return new TakeoverState(discovery.list(), dispatcher.experience(), records);
     }
--- a/src/main/java/cacheproxy/proxy/Recovering.java
+++ b/src/main/java/cacheproxy/proxy/Recovering.java
@@ -3,8 +3,8 @@
 import cacheproxy.recovery.Progress;
 import cacheproxy.recovery.Spread;
 import cacheproxy.recovery.Trust;
-import cacheproxy.state.Keeper;
-import cacheproxy.state.Opened;
+import cacheproxy.state.OpenedState;
+import cacheproxy.state.RecordStore;
 
 /**
  * How far this process has come since its start, and what it keeps; for operators. On the event loop only.
@@ -23,7 +23,7 @@
         Progress progress,
         Spread spread,
         double perSecond,
-        Opened opened,
-        Keeper keeper,
+        OpenedState opened,
+        RecordStore keeper,
         String folder,
         boolean writes) {}
--- a/src/main/java/cacheproxy/proxy/Remembered.java
+++ b/src/main/java/cacheproxy/proxy/Remembered.java
@@ -8,10 +8,10 @@
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.LoadCount;
-import cacheproxy.state.Kind;
-import cacheproxy.state.Opened;
-import cacheproxy.state.Record;
-import cacheproxy.state.Use;
+import cacheproxy.state.OpenedState;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.StoredRecord;
+import cacheproxy.state.Validity;
 import com.google.gson.JsonObject;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -24,25 +24,25 @@
  * {@link Trust}.
  */
 final class Remembered {
-    private static final Map<Kind, Thing> THINGS = Map.of(
-            Kind.LIST,
+    private static final Map<RecordKind, Thing> THINGS = Map.of(
+            RecordKind.LIST,
             Thing.LIST,
-            Kind.LEARNT,
+            RecordKind.LEARNT,
             Thing.LEARNT,
-            Kind.ZONES,
+            RecordKind.ZONES,
             Thing.ZONES,
-            Kind.ORDERS,
+            RecordKind.ORDERS,
             Thing.ZONES,
-            Kind.INCARNATION,
+            RecordKind.INCARNATION,
             Thing.INCARNATION);
 
-    private final Map<Kind, Record> records = new EnumMap<>(Kind.class);
-    private final Map<Kind, Source> sources = new EnumMap<>(Kind.class);
+    private final Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
+    private final Map<RecordKind, Source> sources = new EnumMap<>(RecordKind.class);
     private final Trust trust;
     private final double nowMs;
 
     /** {@code predecessor}: null where nobody is taken over from; {@code nowMs}: of the wall clock. */
-    Remembered(TakeoverState predecessor, Opened stored, Trust trust, double nowMs) {
+    Remembered(TakeoverState predecessor, OpenedState stored, Trust trust, double nowMs) {
         this.trust = trust;
         this.nowMs = nowMs;
         put(stored.records(), Source.STORED);
@@ -50,40 +50,40 @@
             put(predecessor.kept(), Source.PREDECESSOR);
             put(
                     Map.of(
-                            Kind.LIST,
-                            new Record(Kind.LIST, nowMs, predecessor.list()),
-                            Kind.LEARNT,
-                            new Record(Kind.LEARNT, nowMs, LearntForm.json(predecessor.learnt()))),
+                            RecordKind.LIST,
+                            new StoredRecord(RecordKind.LIST, nowMs, predecessor.list()),
+                            RecordKind.LEARNT,
+                            new StoredRecord(RecordKind.LEARNT, nowMs, LearntForm.json(predecessor.learnt()))),
                     Source.PREDECESSOR);
         }
     }
 
-    private void put(Map<Kind, Record> more, Source source) {
+    private void put(Map<RecordKind, StoredRecord> more, Source source) {
         more.forEach((kind, r) -> {
             records.put(kind, r);
             sources.put(kind, source);
         });
     }
 
-    private Use use(Kind kind) {
-        Record r = records.get(kind);
-        return r == null ? Use.NOTHING : r.use(nowMs);
+    private Validity use(RecordKind kind) {
+        StoredRecord r = records.get(kind);
+        return r == null ? Validity.NOTHING : r.use(nowMs);
     }
 
     /** Whether what is known of a kind may be decided by. */
-    boolean holds(Kind kind) {
-        return use(kind) == Use.HOLDS;
+    boolean holds(RecordKind kind) {
+        return use(kind) == Validity.HOLDS;
     }
 
-    private void taken(Kind kind) {
-        Record r = records.get(kind);
-        boolean hint = use(kind) == Use.HINT;
+    private void taken(RecordKind kind) {
+        StoredRecord r = records.get(kind);
+        boolean hint = use(kind) == Validity.HINT;
         trust.taken(
                 nowMs,
                 THINGS.get(kind),
                 sources.get(kind),
                 nowMs - r.toldMs(),
-                hint || kind == Kind.LIST ? kind.hintMs() : kind.holdsMs(),
+                hint || kind == RecordKind.LIST ? kind.hintMs() : kind.holdsMs(),
                 hint);
     }
 
@@ -92,7 +92,7 @@
      * two of one version the configuration's. Null if there is none.
      */
     JsonObject list(JsonObject configured) {
-        Record r = records.get(Kind.LIST);
+        StoredRecord r = records.get(RecordKind.LIST);
         if (configured != null) {
             trust.taken(nowMs, Thing.LIST, Source.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
         }
@@ -101,13 +101,13 @@
         }
         try {
             JsonObject list = r.body().getAsJsonObject();
-            if (use(Kind.LIST) == Use.NOTHING) {
+            if (use(RecordKind.LIST) == Validity.NOTHING) {
                 trust.refused(Thing.LIST);
                 return configured;
             }
             if (configured == null
                     || list.get("seq").getAsLong() > configured.get("seq").getAsLong()) {
-                taken(Kind.LIST);
+                taken(RecordKind.LIST);
                 return list;
             }
         } catch (RuntimeException e) {
@@ -118,20 +118,20 @@
 
     /** What was learnt, or of what is too old to hold the doubts alone; empty for nothing. */
     Map<String, LearnedState> learnt() {
-        Use use = use(Kind.LEARNT);
-        if (use == Use.NOTHING) {
-            if (records.containsKey(Kind.LEARNT)) {
+        Validity use = use(RecordKind.LEARNT);
+        if (use == Validity.NOTHING) {
+            if (records.containsKey(RecordKind.LEARNT)) {
                 trust.refused(Thing.LEARNT);
             }
             return Map.of();
         }
         try {
             Map<String, LearnedState> all = new HashMap<>(
-                    LearntForm.read(records.get(Kind.LEARNT).body().getAsJsonObject()));
-            if (use == Use.HINT) {
+                    LearntForm.read(records.get(RecordKind.LEARNT).body().getAsJsonObject()));
+            if (use == Validity.HINT) {
                 all.replaceAll((pool, e) -> doubts(e));
             }
-            taken(Kind.LEARNT);
+            taken(RecordKind.LEARNT);
             return all;
         } catch (RuntimeException e) {
             trust.refused(Thing.LEARNT);
@@ -162,11 +162,11 @@
 
     /** The incarnation of the last life; 0 if nothing is remembered. */
     long incarnation() {
-        Record r = records.get(Kind.INCARNATION);
+        StoredRecord r = records.get(RecordKind.INCARNATION);
         try {
             long incarnation = r == null ? 0 : r.body().getAsLong();
             if (incarnation > 0) {
-                taken(Kind.INCARNATION);
+                taken(RecordKind.INCARNATION);
             }
             return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
@@ -176,8 +176,8 @@
     }
 
     /** What was held of zones, of one kind; by the zones' numbers now. */
-    Map<Integer, Held> zones(Kind kind, List<String> names) {
-        Record r = records.get(kind);
+    Map<Integer, Held> zones(RecordKind kind, List<String> names) {
+        StoredRecord r = records.get(kind);
         if (r == null) {
             return Map.of();
         }
--- a/src/main/java/cacheproxy/proxy/StateLink.java
+++ b/src/main/java/cacheproxy/proxy/StateLink.java
@@ -4,13 +4,13 @@
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.routing.EndpointUpdateKind;
 import cacheproxy.state.Finding;
-import cacheproxy.state.Finding.Harm;
-import cacheproxy.state.Header;
-import cacheproxy.state.Keeper;
-import cacheproxy.state.Kind;
-import cacheproxy.state.Opened;
-import cacheproxy.state.Record;
+import cacheproxy.state.Finding.Severity;
+import cacheproxy.state.OpenedState;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.RecordStore;
+import cacheproxy.state.StateFileHeader;
 import cacheproxy.state.StateFolder;
+import cacheproxy.state.StoredRecord;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonPrimitive;
 import java.io.IOException;
@@ -24,8 +24,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps what outlasts this process in a folder: carries out what {@link Keeper} orders, on a thread that may wait for
- * the disk. A folder that can't be written, now or later, is told once and costs no request; another process that
+ * Keeps what outlasts this process in a folder: carries out what {@link RecordStore} orders, on a thread that may wait
+ * for the disk. A folder that can't be written, now or later, is told once and costs no request; another process that
  * writes there, as the one that this one takes over from, is waited for. On the event loop but for the writing itself.
  */
 final class StateLink {
@@ -40,8 +40,8 @@
     private final StateFolder folder;
     private final String instance;
     private final String fleet;
-    private final Opened opened;
-    private final Keeper keeper;
+    private final OpenedState opened;
+    private final RecordStore keeper;
     private final ExecutorService writer = Executors.newSingleThreadExecutor(r -> {
         Thread thread = new Thread(r, "state");
         thread.setDaemon(true);
@@ -64,11 +64,11 @@
         this.instance = instance;
         this.fleet = fleet;
         opened = folder.open(instance, fleet);
-        keeper = new Keeper(opened, instance, fleet);
+        keeper = new RecordStore(opened, instance, fleet);
     }
 
     /** What was there. */
-    Opened opened() {
+    OpenedState opened() {
         return opened;
     }
 
@@ -77,7 +77,7 @@
         dispatcher = by;
         discovery = list;
         for (Finding f : opened.findings()) {
-            if (f.harm() != Harm.NONE) {
+            if (f.harm() != Severity.NONE) {
                 dispatcher.log("state: " + folder.path() + ": " + f);
             }
         }
@@ -87,7 +87,7 @@
                     + String.join(
                             ", ",
                             opened.records().values().stream()
-                                    .sorted(Comparator.comparing(Record::kind))
+                                    .sorted(Comparator.comparing(StoredRecord::kind))
                                     .map(r -> String.format(
                                             Locale.ROOT,
                                             "%s %.1f s old (%s)",
@@ -110,9 +110,9 @@
     private void listed(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
             JsonElement list = discovery.list();
-            Record before = keeper.get(Kind.LIST);
+            StoredRecord before = keeper.get(RecordKind.LIST);
             if (before == null || !before.body().equals(list) || dispatcher.now() - before.toldMs() > LIST_REFRESH_MS) {
-                put(Kind.LIST, list);
+                put(RecordKind.LIST, list);
             }
         }
     }
@@ -124,17 +124,17 @@
         }
         long life = incarnation.getAsLong();
         if (life > 0) {
-            put(Kind.INCARNATION, new JsonPrimitive(life));
+            put(RecordKind.INCARNATION, new JsonPrimitive(life));
         }
         if (zones != null) {
             Map<Integer, Held> held = zones.zones().held();
-            putIfNew(Kind.ZONES, ZoneForm.json(held, false, zones.names()));
-            putIfNew(Kind.ORDERS, ZoneForm.json(held, true, zones.names()));
+            putIfNew(RecordKind.ZONES, ZoneForm.json(held, false, zones.names()));
+            putIfNew(RecordKind.ORDERS, ZoneForm.json(held, true, zones.names()));
         }
     }
 
-    private void putIfNew(Kind kind, JsonElement body) {
-        Record before = keeper.get(kind);
+    private void putIfNew(RecordKind kind, JsonElement body) {
+        StoredRecord before = keeper.get(kind);
         if (before == null ? body.getAsJsonObject().size() > 0 : !before.body().equals(body)) {
             put(kind, body);
         }
@@ -144,19 +144,19 @@
         if (closed) {
             return;
         }
-        put(Kind.LEARNT, LearntForm.json(dispatcher.experience()));
+        put(RecordKind.LEARNT, LearntForm.json(dispatcher.experience()));
         if (zones != null && zones.zones().quorum()) {
             JsonElement held = ZoneForm.json(zones.zones().held(), false, zones.names());
             if (held.getAsJsonObject().size() > 0) {
-                put(Kind.ZONES, held); // it holds still
+                put(RecordKind.ZONES, held); // it holds still
             }
         }
         dispatcher.after(REFRESH_MS, this::refresh);
     }
 
-    private void put(Kind kind, JsonElement body) {
+    private void put(RecordKind kind, JsonElement body) {
         if (!closed) {
-            keeper.put(now(), new Record(kind, dispatcher.now(), body));
+            keeper.put(now(), new StoredRecord(kind, dispatcher.now(), body));
             run();
         }
     }
@@ -173,7 +173,7 @@
             return;
         }
         long mine = ++waits;
-        Keeper.Write write = keeper.next(now());
+        RecordStore.Write write = keeper.next(now());
         if (write != null) {
             writer.execute(() -> {
                 IOException failed = null;
@@ -228,14 +228,14 @@
         locking = true;
         writer.execute(() -> {
             boolean got = false;
-            Header since = null;
+            StateFileHeader since = null;
             String wrong = null;
             try {
                 got = folder.lock();
                 if (got) {
-                    Opened now = folder.open(instance, fleet);
+                    OpenedState now = folder.open(instance, fleet);
                     since = now.header();
-                    if (now.findings().stream().anyMatch(f -> f.harm() == Harm.ALL)) {
+                    if (now.findings().stream().anyMatch(f -> f.harm() == Severity.ALL)) {
                         folder.setAside();
                     }
                 }
@@ -243,7 +243,7 @@
                 wrong = "can't be used: " + e;
             }
             boolean mine = got && wrong == null;
-            Header found = since;
+            StateFileHeader found = since;
             String why = wrong;
             dispatcher.loop().execute(() -> {
                 locking = false;
@@ -267,9 +267,9 @@
             return;
         }
         fleetChanged();
-        put(Kind.LEARNT, LearntForm.json(dispatcher.experience()));
+        put(RecordKind.LEARNT, LearntForm.json(dispatcher.experience()));
         closed = true;
-        Keeper.Write last = locked ? keeper.last() : null;
+        RecordStore.Write last = locked ? keeper.last() : null;
         writer.execute(() -> {
             try {
                 if (last != null) {
@@ -293,7 +293,7 @@
     }
 
     /** What is kept and how it is written; for status. */
-    Keeper keeper() {
+    RecordStore keeper() {
         return keeper;
     }
 
--- a/src/main/java/cacheproxy/proxy/TakeoverState.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverState.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.routing.LearnedState;
-import cacheproxy.state.Kind;
-import cacheproxy.state.Record;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.StoredRecord;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -17,7 +17,7 @@
  * @param learnt by the pools' names; may be empty, as a process of an earlier version tells nothing of it
  * @param kept what else outlasts a process, as it would be stored; empty from an earlier version
  */
-record TakeoverState(JsonObject list, Map<String, LearnedState> learnt, Map<Kind, Record> kept) {
+record TakeoverState(JsonObject list, Map<String, LearnedState> learnt, Map<RecordKind, StoredRecord> kept) {
     /** The version of what is passed over; a process that speaks another starts beside this one, without it. */
     static final int VERSION = 1;
 
@@ -40,9 +40,9 @@
         }
         Map<String, LearnedState> learnt =
                 state.has("learnt") ? LearntForm.read(state.getAsJsonObject("learnt")) : Map.of();
-        Map<Kind, Record> kept = new EnumMap<>(Kind.class);
+        Map<RecordKind, StoredRecord> kept = new EnumMap<>(RecordKind.class);
         if (state.has("kept")) {
-            state.getAsJsonArray("kept").forEach(e -> Record.read(e).ifPresent(r -> kept.put(r.kind(), r)));
+            state.getAsJsonArray("kept").forEach(e -> StoredRecord.read(e).ifPresent(r -> kept.put(r.kind(), r)));
         }
         return new TakeoverState(state.getAsJsonObject("list"), learnt, kept);
     }
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -6,7 +6,7 @@
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
-import cacheproxy.state.Kind;
+import cacheproxy.state.RecordKind;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
@@ -32,8 +32,8 @@
         this.settings =
                 new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
         zones = new Zones(this.settings);
-        zones.remember(dispatcher.now(), last.zones(Kind.ZONES, names), last.holds(Kind.ZONES));
-        zones.remember(dispatcher.now(), last.zones(Kind.ORDERS, names), last.holds(Kind.ORDERS));
+        zones.remember(dispatcher.now(), last.zones(RecordKind.ZONES, names), last.holds(RecordKind.ZONES));
+        zones.remember(dispatcher.now(), last.zones(RecordKind.ORDERS, names), last.holds(RecordKind.ORDERS));
         dispatcher.follow(k -> listed());
         listed();
         run();
--- a/src/main/java/cacheproxy/state/Finding.java
+++ b/src/main/java/cacheproxy/state/Finding.java
@@ -8,9 +8,9 @@
  * @param what is the matter
  * @param harm what follows from it
  */
-public record Finding(String file, int line, String what, Harm harm) {
+public record Finding(String file, int line, String what, Severity harm) {
     /** What follows from something that was found. */
-    public enum Harm {
+    public enum Severity {
         /** Nothing: it is ordinary after a crash. */
         NONE("none"),
         /** Some records are lost, the others are sound. */
@@ -20,7 +20,7 @@
 
         private final String wireName;
 
-        Harm(String wireName) {
+        Severity(String wireName) {
             this.wireName = wireName;
         }
 
--- a/src/main/java/cacheproxy/state/Opened.java
+++ b/src/main/java/cacheproxy/state/OpenedState.java
@@ -1,6 +1,6 @@
 package cacheproxy.state;
 
-import cacheproxy.state.Finding.Harm;
+import cacheproxy.state.Finding.Severity;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.util.ArrayList;
@@ -17,17 +17,17 @@
  * @param records what is sound and this instance's
  * @param findings what is the matter, if anything
  */
-public record Opened(Header header, Map<Kind, Record> records, List<Finding> findings) {
+public record OpenedState(StateFileHeader header, Map<RecordKind, StoredRecord> records, List<Finding> findings) {
     /** The file with all of it, as of some time. */
     public static final String SNAPSHOT = "snapshot";
     /** The file with what has changed since. */
     public static final String JOURNAL = "journal";
 
     /** Of an empty folder. */
-    public static final Opened EMPTY = new Opened(null, Map.of(), List.of());
+    public static final OpenedState EMPTY = new OpenedState(null, Map.of(), List.of());
 
     /** One file's. */
-    private record Part(Header header, Map<Kind, Record> records) {}
+    private record Part(StateFileHeader header, Map<RecordKind, StoredRecord> records) {}
 
     /**
      * Reads both files.
@@ -37,25 +37,25 @@
      * @param instance whose folder it should be; null to read anybody's
      * @param fleet which fleet's
      */
-    public static Opened read(byte[] snapshot, byte[] journal, String instance, String fleet) {
+    public static OpenedState read(byte[] snapshot, byte[] journal, String instance, String fleet) {
         List<Finding> findings = new ArrayList<>();
         Part whole = part(SNAPSHOT, snapshot, instance, fleet, findings);
         Part since = part(JOURNAL, journal, instance, fleet, findings);
-        if (findings.stream().anyMatch(f -> f.harm() == Harm.ALL)) {
-            return new Opened(
+        if (findings.stream().anyMatch(f -> f.harm() == Severity.ALL)) {
+            return new OpenedState(
                     null, Map.of(), List.copyOf(findings)); // another's, or a later version's: all of it or nothing
         }
-        Map<Kind, Record> records = new EnumMap<>(Kind.class);
+        Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
         if (whole != null) {
             records.putAll(whole.records());
         }
-        Header header = whole == null ? null : whole.header();
+        StateFileHeader header = whole == null ? null : whole.header();
         if (since != null) {
             long behind =
                     header == null ? 0 : header.generation() - since.header().generation();
             if (behind > 0) {
                 // Between the two steps of a snapshot: all that it says is in the snapshot.
-                findings.add(new Finding(JOURNAL, 0, "is of the snapshot before", Harm.NONE));
+                findings.add(new Finding(JOURNAL, 0, "is of the snapshot before", Severity.NONE));
             } else {
                 if (header == null || behind < 0) {
                     findings.add(new Finding(
@@ -64,42 +64,45 @@
                             header == null
                                     ? "is missing or unreadable, the journal is not"
                                     : "is older than the journal",
-                            Harm.SOME));
+                            Severity.SOME));
                     header = since.header();
                 }
                 records.putAll(since.records());
             }
         }
-        return new Opened(header, Map.copyOf(records), List.copyOf(findings));
+        return new OpenedState(header, Map.copyOf(records), List.copyOf(findings));
     }
 
     private static Part part(String file, byte[] bytes, String instance, String fleet, List<Finding> findings) {
         if (bytes == null) {
             return null;
         }
-        List<StateText.Line> lines = StateText.lines(bytes);
-        Header header;
+        List<StateFileFormat.Line> lines = StateFileFormat.lines(bytes);
+        StateFileHeader header;
         try {
             Optional<JsonElement> first =
                     lines.isEmpty() ? Optional.empty() : lines.get(0).json();
             if (first.isEmpty()) {
-                findings.add(new Finding(file, 1, "can't be read: it was cut short or damaged", Harm.SOME));
+                findings.add(new Finding(file, 1, "can't be read: it was cut short or damaged", Severity.SOME));
                 return null;
             }
             JsonObject o = first.get().getAsJsonObject();
             int version = o.get("state").getAsInt();
-            if (version != Header.VERSION) {
+            if (version != StateFileHeader.VERSION) {
                 findings.add(new Finding(
-                        file, 1, "is of version " + version + ", and this program reads " + Header.VERSION, Harm.ALL));
+                        file,
+                        1,
+                        "is of version " + version + ", and this program reads " + StateFileHeader.VERSION,
+                        Severity.ALL));
                 return null;
             }
-            header = new Header(
+            header = new StateFileHeader(
                     o.get("instance").getAsString(),
                     o.get("fleet").getAsString(),
                     o.get("generation").getAsLong(),
                     o.get("starts").getAsLong());
         } catch (RuntimeException e) {
-            findings.add(new Finding(file, 1, "is no file of this program's state", Harm.ALL));
+            findings.add(new Finding(file, 1, "is no file of this program's state", Severity.ALL));
             return null;
         }
         if (instance != null
@@ -109,24 +112,24 @@
                     1,
                     "belongs to " + header.instance() + " of fleet '" + header.fleet() + "', not to " + instance
                             + " of fleet '" + fleet + "'",
-                    Harm.ALL));
+                    Severity.ALL));
             return null;
         }
-        Map<Kind, Record> records = new EnumMap<>(Kind.class);
-        for (StateText.Line l : lines.subList(1, lines.size())) {
+        Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
+        for (StateFileFormat.Line l : lines.subList(1, lines.size())) {
             boolean torn = l.json().isEmpty() && l.number() == lines.size() && file.equals(JOURNAL);
             if (l.json().isEmpty()) {
                 findings.add(new Finding(
                         file,
                         l.number(),
                         torn ? "ends within a record: the process died in a write" : "is damaged",
-                        torn ? Harm.NONE : Harm.SOME));
+                        torn ? Severity.NONE : Severity.SOME));
                 continue;
             }
             try {
-                StateText.record(l.json().get()).ifPresent(r -> records.put(r.kind(), r));
+                StateFileFormat.record(l.json().get()).ifPresent(r -> records.put(r.kind(), r));
             } catch (RuntimeException e) {
-                findings.add(new Finding(file, l.number(), "is no record", Harm.SOME));
+                findings.add(new Finding(file, l.number(), "is no record", Severity.SOME));
             }
         }
         return new Part(header, records);
--- a/src/main/java/cacheproxy/state/Kind.java
+++ b/src/main/java/cacheproxy/state/RecordKind.java
@@ -8,7 +8,7 @@
  * record from the future has no age that can be told, and only what needs none is used then. A clock that was set back
  * by less than the time away makes a record seem younger; so nothing that a rule rests on hangs on an age.
  */
-public enum Kind {
+public enum RecordKind {
     /** The number of this instance's life, which only goes up. Without it the first peer that contradicts tells it. */
     INCARNATION("incarnation", Authority.SELF, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0),
     /**
@@ -33,7 +33,7 @@
     private final double hintMs;
     private final double gatherMs;
 
-    Kind(String wireName, Authority authority, double holdsMs, double hintMs, double gatherMs) {
+    RecordKind(String wireName, Authority authority, double holdsMs, double hintMs, double gatherMs) {
         this.wireName = wireName;
         this.authority = authority;
         this.holdsMs = holdsMs;
@@ -62,14 +62,14 @@
     }
 
     /** How far something of this kind may be used at this age in milliseconds; negative: it is from the future. */
-    public Use use(double ageMs) {
+    public Validity use(double ageMs) {
         if (holdsMs == Double.POSITIVE_INFINITY) {
-            return Use.HOLDS;
+            return Validity.HOLDS;
         }
         if (hintMs == Double.POSITIVE_INFINITY) {
-            return ageMs >= 0 && ageMs <= holdsMs ? Use.HOLDS : Use.HINT;
+            return ageMs >= 0 && ageMs <= holdsMs ? Validity.HOLDS : Validity.HINT;
         }
-        return !(ageMs >= 0) || ageMs > hintMs ? Use.NOTHING : ageMs <= holdsMs ? Use.HOLDS : Use.HINT;
+        return !(ageMs >= 0) || ageMs > hintMs ? Validity.NOTHING : ageMs <= holdsMs ? Validity.HOLDS : Validity.HINT;
     }
 
     /** How it is called in files. */
@@ -78,7 +78,7 @@
     }
 
     /** What is called so in files; empty for what a later version may know. */
-    public static Optional<Kind> of(String wireName) {
+    public static Optional<RecordKind> of(String wireName) {
         return Arrays.stream(values())
                 .filter(k -> k.wireName().equals(wireName))
                 .findFirst();
--- a/src/main/java/cacheproxy/state/Keeper.java
+++ b/src/main/java/cacheproxy/state/RecordStore.java
@@ -16,7 +16,7 @@
  * <p>Bounded: one record a kind, none longer than {@value #MOST_RECORD} bytes, a journal of {@value #MOST_JOURNAL}
  * bytes, and over any minute no more than {@value #MOST_MINUTE} bytes but that what is urgent is written.
  */
-public final class Keeper {
+public final class RecordStore {
     /** The longest record that is kept, in bytes. */
     public static final int MOST_RECORD = 512 << 10;
     /** A longer journal becomes a snapshot. */
@@ -39,10 +39,10 @@
         record Replace(byte[] snapshot, byte[] journal) implements Write {}
     }
 
-    private final Map<Kind, Record> records = new EnumMap<>(Kind.class);
-    private final Set<Kind> dirty = EnumSet.noneOf(Kind.class);
-    private final Map<Kind, Double> dirtySince = new EnumMap<>(Kind.class);
-    private Header header;
+    private final Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
+    private final Set<RecordKind> dirty = EnumSet.noneOf(RecordKind.class);
+    private final Map<RecordKind, Double> dirtySince = new EnumMap<>(RecordKind.class);
+    private StateFileHeader header;
     private boolean replace = true;
     private long journalBytes;
     private Write out;
@@ -60,9 +60,9 @@
      * @param instance whose it is
      * @param fleet which fleet's
      */
-    public Keeper(Opened opened, String instance, String fleet) {
-        Header found = opened.header();
-        header = (found == null ? new Header(instance, fleet, 0, 0) : found).started();
+    public RecordStore(OpenedState opened, String instance, String fleet) {
+        StateFileHeader found = opened.header();
+        header = (found == null ? new StateFileHeader(instance, fleet, 0, 0) : found).started();
         records.putAll(opened.records());
     }
 
@@ -70,8 +70,8 @@
      * Keeps a record in place of the last of its kind. {@code nowMs} is monotonic; the record's own time is the wall
      * clock's.
      */
-    public void put(double nowMs, Record r) {
-        Record before = records.get(r.kind());
+    public void put(double nowMs, StoredRecord r) {
+        StoredRecord before = records.get(r.kind());
         JsonElement body = r.body();
         if (before != null && before.body().equals(body) && before.kind().holdsMs() == Double.POSITIVE_INFINITY) {
             return; // it ages as little as it has changed
@@ -87,9 +87,9 @@
     }
 
     /** Another process wrote here until now: what is written next is after all of its. */
-    public void after(Header other) {
+    public void after(StateFileHeader other) {
         if (other != null && other.generation() >= header.generation()) {
-            header = new Header(
+            header = new StateFileHeader(
                     header.instance(),
                     header.fleet(),
                     other.generation(),
@@ -109,8 +109,8 @@
             journalBytes = all.journal().length;
             out = all;
         } else {
-            List<Record> changed = dirty.stream().map(records::get).toList();
-            byte[] bytes = StateText.records(changed);
+            List<StoredRecord> changed = dirty.stream().map(records::get).toList();
+            byte[] bytes = StateFileFormat.records(changed);
             out = new Write.Append(bytes);
             journalBytes += bytes.length;
         }
@@ -129,8 +129,8 @@
     }
 
     private Write.Replace replacement() {
-        byte[] head = StateText.header(header);
-        byte[] body = StateText.records(records.values());
+        byte[] head = StateFileFormat.header(header);
+        byte[] body = StateFileFormat.records(records.values());
         byte[] snapshot = new byte[head.length + body.length];
         System.arraycopy(head, 0, snapshot, 0, head.length);
         System.arraycopy(body, 0, snapshot, head.length, body.length);
@@ -143,7 +143,7 @@
             return Double.POSITIVE_INFINITY;
         }
         double due = replace ? Double.NEGATIVE_INFINITY : Double.POSITIVE_INFINITY;
-        for (Map.Entry<Kind, Double> e : dirtySince.entrySet()) {
+        for (Map.Entry<RecordKind, Double> e : dirtySince.entrySet()) {
             double gather = e.getKey().gatherMs();
             double at = e.getValue() + gather;
             if (gather > URGENT_MS && minuteBytes >= MOST_MINUTE) {
@@ -183,7 +183,7 @@
     }
 
     /** What is kept of a kind, or null. */
-    public Record get(Kind kind) {
+    public StoredRecord get(RecordKind kind) {
         return records.get(kind);
     }
 
@@ -208,7 +208,7 @@
     }
 
     /** Of the files that were ordered last. */
-    public Header header() {
+    public StateFileHeader header() {
         return header;
     }
 }
--- a/src/main/java/cacheproxy/state/StateText.java
+++ b/src/main/java/cacheproxy/state/StateFileFormat.java
@@ -17,20 +17,20 @@
  * that was cut short is seen wherever it lies. JSON of one line holds no line feed, so a line that is damaged damages
  * no other.
  */
-final class StateText {
+final class StateFileFormat {
     /** The longest line that is read or written, in bytes. */
     static final int MOST_LINE = 1 << 20;
 
     private static final int SUM = 8;
 
-    private StateText() {}
+    private StateFileFormat() {}
 
     /** A line as it was read: its number from 1, and what it says; empty where the checksum does not fit. */
     record Line(int number, Optional<JsonElement> json) {}
 
-    static byte[] header(Header h) {
+    static byte[] header(StateFileHeader h) {
         JsonObject o = new JsonObject();
-        o.addProperty("state", Header.VERSION);
+        o.addProperty("state", StateFileHeader.VERSION);
         o.addProperty("instance", h.instance());
         o.addProperty("fleet", h.fleet());
         o.addProperty("generation", h.generation());
@@ -38,7 +38,7 @@
         return line(o);
     }
 
-    static byte[] records(Collection<Record> records) {
+    static byte[] records(Collection<StoredRecord> records) {
         List<byte[]> lines = records.stream().map(r -> line(json(r))).toList();
         byte[] all = new byte[lines.stream().mapToInt(l -> l.length).sum()];
         int at = 0;
@@ -50,7 +50,7 @@
     }
 
     /** A record as it stands in files and in what a process tells its successor. */
-    static JsonObject json(Record r) {
+    static JsonObject json(StoredRecord r) {
         JsonObject o = new JsonObject();
         o.addProperty("kind", r.kind().wireName());
         o.addProperty("told_ms", r.toldMs());
@@ -59,14 +59,14 @@
     }
 
     /** Reads it; empty for a kind that this version does not know, an exception for what is none. */
-    static Optional<Record> record(JsonElement json) {
+    static Optional<StoredRecord> record(JsonElement json) {
         JsonObject o = json.getAsJsonObject();
         double told = o.get("told_ms").getAsDouble();
         JsonElement body = o.get("body");
         if (!(told >= 0 && told < 1e15) || body == null) {
             throw new IllegalArgumentException("no record");
         }
-        return Kind.of(o.get("kind").getAsString()).map(k -> new Record(k, told, body));
+        return RecordKind.of(o.get("kind").getAsString()).map(k -> new StoredRecord(k, told, body));
     }
 
     private static byte[] line(JsonObject o) {
--- a/src/main/java/cacheproxy/state/Header.java
+++ b/src/main/java/cacheproxy/state/StateFileHeader.java
@@ -8,12 +8,12 @@
  * @param generation goes up with each snapshot; a journal belongs to the snapshot of its generation
  * @param starts how often a process has opened the folder to write
  */
-public record Header(String instance, String fleet, long generation, long starts) {
+public record StateFileHeader(String instance, String fleet, long generation, long starts) {
     /** The form of the files; a higher one is another version's. */
     public static final int VERSION = 1;
 
     /** Checks the ranges. */
-    public Header {
+    public StateFileHeader {
         if (instance.isEmpty() || generation < 0 || starts < 0) {
             throw new IllegalArgumentException(
                     "a header of '" + instance + "', generation " + generation + ", " + starts + " starts");
@@ -21,12 +21,12 @@
     }
 
     /** Of the next snapshot. */
-    Header next() {
-        return new Header(instance, fleet, generation + 1, starts);
+    StateFileHeader next() {
+        return new StateFileHeader(instance, fleet, generation + 1, starts);
     }
 
     /** Of the next process. */
-    Header started() {
-        return new Header(instance, fleet, generation, starts + 1);
+    StateFileHeader started() {
+        return new StateFileHeader(instance, fleet, generation, starts + 1);
     }
 }
--- a/src/main/java/cacheproxy/state/StateFolder.java
+++ b/src/main/java/cacheproxy/state/StateFolder.java
@@ -1,6 +1,6 @@
 package cacheproxy.state;
 
-import cacheproxy.state.Finding.Harm;
+import cacheproxy.state.Finding.Severity;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -43,27 +43,27 @@
     }
 
     /** What the folder holds, for this instance; empty where there is none. Never fails: what is wrong is a finding. */
-    public Opened open(String instance, String fleet) {
+    public OpenedState open(String instance, String fleet) {
         List<Finding> findings = new ArrayList<>();
-        byte[] snapshot = bytes(Opened.SNAPSHOT, findings);
-        byte[] since = bytes(Opened.JOURNAL, findings);
-        Opened read = Opened.read(snapshot, since, instance, fleet);
+        byte[] snapshot = bytes(OpenedState.SNAPSHOT, findings);
+        byte[] since = bytes(OpenedState.JOURNAL, findings);
+        OpenedState read = OpenedState.read(snapshot, since, instance, fleet);
         findings.addAll(read.findings());
-        return new Opened(read.header(), read.records(), List.copyOf(findings));
+        return new OpenedState(read.header(), read.records(), List.copyOf(findings));
     }
 
     private byte[] bytes(String name, List<Finding> findings) {
         Path file = folder.resolve(name);
         try {
             if (Files.size(file) > MOST_FILE) {
-                findings.add(new Finding(name, 0, "is longer than " + MOST_FILE + " bytes", Harm.SOME));
+                findings.add(new Finding(name, 0, "is longer than " + MOST_FILE + " bytes", Severity.SOME));
                 return null;
             }
             return Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
             return null;
         } catch (IOException | RuntimeException e) {
-            findings.add(new Finding(name, 0, "can't be read: " + e, Harm.SOME));
+            findings.add(new Finding(name, 0, "can't be read: " + e, Severity.SOME));
             return null;
         }
     }
@@ -87,7 +87,7 @@
 
     /** Lays files of no use aside, so that the next snapshot destroys nothing that somebody may want. */
     public void setAside() throws IOException {
-        for (String name : List.of(Opened.SNAPSHOT, Opened.JOURNAL)) {
+        for (String name : List.of(OpenedState.SNAPSHOT, OpenedState.JOURNAL)) {
             Path file = folder.resolve(name);
             if (Files.exists(file)) {
                 Files.move(file, folder.resolve(name + ASIDE), StandardCopyOption.ATOMIC_MOVE);
@@ -96,15 +96,15 @@
     }
 
     /** Carries an order out. An exception says that nobody knows what the files hold. */
-    public void write(Keeper.Write what) throws IOException {
+    public void write(RecordStore.Write what) throws IOException {
         try {
-            if (what instanceof Keeper.Write.Append a) {
+            if (what instanceof RecordStore.Write.Append a) {
                 if (journal == null) {
                     throw new IOException("no journal is open");
                 }
                 put(journal, a.bytes());
                 journal.force(false);
-            } else if (what instanceof Keeper.Write.Replace r) {
+            } else if (what instanceof RecordStore.Write.Replace r) {
                 replace(r);
             }
         } catch (IOException e) {
@@ -113,12 +113,13 @@
         }
     }
 
-    private void replace(Keeper.Write.Replace r) throws IOException {
+    private void replace(RecordStore.Write.Replace r) throws IOException {
         closeJournal();
         Files.createDirectories(folder); // it may have gone meanwhile
-        place(Opened.SNAPSHOT, r.snapshot());
-        place(Opened.JOURNAL, r.journal());
-        journal = FileChannel.open(folder.resolve(Opened.JOURNAL), StandardOpenOption.WRITE, StandardOpenOption.APPEND);
+        place(OpenedState.SNAPSHOT, r.snapshot());
+        place(OpenedState.JOURNAL, r.journal());
+        journal = FileChannel.open(
+                folder.resolve(OpenedState.JOURNAL), StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     }
 
     /** Under its name there is, at any time and after any crash, the old file or the new one, whole. */
--- a/src/main/java/cacheproxy/state/Inspection.java
+++ b/src/main/java/cacheproxy/state/StateReport.java
@@ -1,6 +1,6 @@
 package cacheproxy.state;
 
-import cacheproxy.state.Finding.Harm;
+import cacheproxy.state.Finding.Severity;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -11,17 +11,17 @@
  * What a folder holds, for people and scripts: each record with its age and how far a process that starts now would use
  * it.
  */
-public record Inspection(Opened opened, double nowMs) {
+public record StateReport(OpenedState opened, double nowMs) {
     /** Whether a process would start from it as it was left. */
     public boolean sound() {
-        return opened.findings().stream().allMatch(f -> f.harm() == Harm.NONE);
+        return opened.findings().stream().allMatch(f -> f.harm() == Severity.NONE);
     }
 
     /** All of it. */
     public JsonObject json() {
         JsonObject o = new JsonObject();
         o.addProperty("sound", sound());
-        Header h = opened.header();
+        StateFileHeader h = opened.header();
         if (h != null) {
             o.addProperty("instance", h.instance());
             o.addProperty("fleet", h.fleet());
@@ -29,8 +29,8 @@
             o.addProperty("starts", h.starts());
         }
         JsonArray records = new JsonArray();
-        for (Kind kind : Kind.values()) {
-            Record r = opened.records().get(kind);
+        for (RecordKind kind : RecordKind.values()) {
+            StoredRecord r = opened.records().get(kind);
             if (r != null) {
                 JsonObject one = r.json();
                 one.addProperty("age_s", Math.round((nowMs - r.toldMs()) / 1000));
@@ -56,7 +56,7 @@
     /** The same in some lines. */
     public String text() {
         StringBuilder s = new StringBuilder();
-        Header h = opened.header();
+        StateFileHeader h = opened.header();
         s.append(
                 h == null
                         ? "nothing that could be used\n"
@@ -70,8 +70,8 @@
         if (!opened.records().isEmpty()) {
             s.append(String.format("%-13s%-11s%10s  %-9s%s%n", "kind", "authority", "age", "use", "what"));
         }
-        for (Kind kind : Kind.values()) {
-            Record r = opened.records().get(kind);
+        for (RecordKind kind : RecordKind.values()) {
+            StoredRecord r = opened.records().get(kind);
             if (r != null) {
                 s.append(String.format(
                         Locale.ROOT,
@@ -85,13 +85,15 @@
         }
         opened.findings()
                 .forEach(f -> s.append(
-                                f.harm() == Harm.NONE ? "note: " : f.harm() == Harm.SOME ? "damage: " : "of no use: ")
+                                f.harm() == Severity.NONE
+                                        ? "note: "
+                                        : f.harm() == Severity.SOME ? "damage: " : "of no use: ")
                         .append(f)
                         .append('\n'));
         return s.toString();
     }
 
-    private static String what(Record r) {
+    private static String what(StoredRecord r) {
         Function<JsonElement, String> say = switch (r.kind()) {
             case INCARNATION -> JsonElement::toString;
             case LIST ->
--- a/src/main/java/cacheproxy/state/Record.java
+++ b/src/main/java/cacheproxy/state/StoredRecord.java
@@ -11,20 +11,19 @@
  * @param toldMs when it came to be known, Unix time in milliseconds
  * @param body what it says, in the form of its kind
  */
-@SuppressWarnings("JavaLangClash") // what the package keeps is called so; no file of it means java.lang.Record
-public record Record(Kind kind, double toldMs, JsonElement body) {
+public record StoredRecord(RecordKind kind, double toldMs, JsonElement body) {
     /** As it stands in files, and in what a process tells its successor. */
     public JsonObject json() {
-        return StateText.json(this);
+        return StateFileFormat.json(this);
     }
 
     /** Reads it; empty for a kind that this version does not know, an exception for what is none. */
-    public static Optional<Record> read(JsonElement json) {
-        return StateText.record(json);
+    public static Optional<StoredRecord> read(JsonElement json) {
+        return StateFileFormat.record(json);
     }
 
     /** How far it may be used now, by this clock. */
-    public Use use(double nowMs) {
+    public Validity use(double nowMs) {
         return kind.use(nowMs - toldMs);
     }
 }
--- a/src/main/java/cacheproxy/state/Use.java
+++ b/src/main/java/cacheproxy/state/Validity.java
@@ -1,7 +1,7 @@
 package cacheproxy.state;
 
 /** How far something that was kept may still be used. */
-public enum Use {
+public enum Validity {
     /** It may be decided by, until something newer says otherwise. */
     HOLDS("holds"),
     /**
@@ -14,7 +14,7 @@
 
     private final String wireName;
 
-    Use(String wireName) {
+    Validity(String wireName) {
         this.wireName = wireName;
     }
 
--- a/src/test/java/cacheproxy/proxy/TakeoverStateTest.java
+++ b/src/test/java/cacheproxy/proxy/TakeoverStateTest.java
@@ -7,8 +7,8 @@
 import cacheproxy.routing.HotKey;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.LoadCount;
-import cacheproxy.state.Kind;
-import cacheproxy.state.Record;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.StoredRecord;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonPrimitive;
@@ -44,7 +44,7 @@
                                 8,
                                 List.of(new HotKey(-1, 9)),
                                 List.of(new EndpointHealthRecord(-5, 0, 1, 1.7e12, 0)))),
-                Map.of(Kind.INCARNATION, new Record(Kind.INCARNATION, 1.7e12, new JsonPrimitive(4))));
+                Map.of(RecordKind.INCARNATION, new StoredRecord(RecordKind.INCARNATION, 1.7e12, new JsonPrimitive(4))));
     }
 
     @Property(seed = "1", tries = 300)
--- a/src/test/java/cacheproxy/state/CrashTest.java
+++ b/src/test/java/cacheproxy/state/CrashTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.state.Finding.Harm;
-import cacheproxy.state.Keeper.Write;
+import cacheproxy.state.Finding.Severity;
+import cacheproxy.state.RecordStore.Write;
 import com.google.gson.JsonObject;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
@@ -70,19 +70,19 @@
             return all;
         }
 
-        Opened open() {
-            return Opened.read(snapshot, journal, ME, FLEET);
+        OpenedState open() {
+            return OpenedState.read(snapshot, journal, ME, FLEET);
         }
     }
 
-    private static Record record(Kind kind, int number) {
+    private static StoredRecord record(RecordKind kind, int number) {
         JsonObject body = new JsonObject();
         body.addProperty("number", number);
         body.addProperty("text", "line\nfeeds and \u00fc ".repeat(number % 3));
-        return new Record(kind, 1_000_000 + number, body);
+        return new StoredRecord(kind, 1_000_000 + number, body);
     }
 
-    private static int number(Record r) {
+    private static int number(StoredRecord r) {
         return r == null ? 0 : r.body().getAsJsonObject().get("number").getAsInt();
     }
 
@@ -93,16 +93,16 @@
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Disk disk = new Disk();
-            Map<Kind, Integer> done = new EnumMap<>(Kind.class);
-            Map<Kind, Integer> put = new EnumMap<>(Kind.class);
+            Map<RecordKind, Integer> done = new EnumMap<>(RecordKind.class);
+            Map<RecordKind, Integer> put = new EnumMap<>(RecordKind.class);
             int next = 0;
             for (int life = 0; life < 3; life++) {
-                Keeper keeper = new Keeper(disk.open(), ME, FLEET);
+                RecordStore keeper = new RecordStore(disk.open(), ME, FLEET);
                 double now = life * 1e6;
                 int writes = random.nextInt(1, 5);
                 for (int w = 0; w < writes; w++) {
                     for (int i = random.nextInt(3); i >= 0; i--) {
-                        Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
+                        RecordKind kind = RecordKind.values()[random.nextInt(RecordKind.values().length)];
                         put.put(kind, ++next);
                         keeper.put(now, record(kind, next));
                     }
@@ -111,9 +111,9 @@
                     assertThat(write).isNotNull();
                     for (Disk dead : disk.deaths(write)) {
                         deaths++;
-                        Opened opened = dead.open();
-                        assertThat(opened.findings()).allMatch(f -> f.harm() == Harm.NONE);
-                        for (Kind kind : Kind.values()) {
+                        OpenedState opened = dead.open();
+                        assertThat(opened.findings()).allMatch(f -> f.harm() == Severity.NONE);
+                        for (RecordKind kind : RecordKind.values()) {
                             assertThat(number(opened.records().get(kind)))
                                     .isBetween(done.getOrDefault(kind, 0), put.getOrDefault(kind, 0));
                         }
@@ -123,8 +123,8 @@
                     done.putAll(put);
                 }
                 // The life ends in one more write, somewhere.
-                keeper.put(now, record(Kind.LIST, ++next));
-                put.put(Kind.LIST, next);
+                keeper.put(now, record(RecordKind.LIST, ++next));
+                put.put(RecordKind.LIST, next);
                 List<Disk> ends = disk.deaths(keeper.next(now + 10_000));
                 disk = ends.get(random.nextInt(ends.size()));
                 disk.open().records().forEach((kind, r) -> done.put(kind, number(r)));
@@ -137,9 +137,9 @@
 
     private static Disk filled() {
         Disk disk = new Disk();
-        Keeper keeper = new Keeper(Opened.EMPTY, ME, FLEET);
+        RecordStore keeper = new RecordStore(OpenedState.EMPTY, ME, FLEET);
         for (int i = 0; i < 4; i++) {
-            keeper.put(i, record(Kind.values()[i], 10 + i));
+            keeper.put(i, record(RecordKind.values()[i], 10 + i));
             Write w = keeper.next(i + 10_000);
             disk.whole(w);
             keeper.done(i + 10_000);
@@ -151,7 +151,7 @@
     @Test
     void noByteThatIsChangedOrMissingMakesAWrongRecord() {
         Disk disk = filled();
-        Opened sound = disk.open();
+        OpenedState sound = disk.open();
         assertThat(sound.records()).hasSize(4);
         assertThat(sound.findings()).isEmpty();
         int seen = 0;
@@ -163,9 +163,9 @@
                     if (mask >= 0) {
                         other[at] ^= (byte) mask;
                     }
-                    Opened opened = snapshot
-                            ? Opened.read(other, disk.journal, ME, FLEET)
-                            : Opened.read(disk.snapshot, other, ME, FLEET);
+                    OpenedState opened = snapshot
+                            ? OpenedState.read(other, disk.journal, ME, FLEET)
+                            : OpenedState.read(disk.snapshot, other, ME, FLEET);
                     opened.records()
                             .forEach((kind, r) ->
                                     assertThat(r).isEqualTo(sound.records().get(kind)));
@@ -189,7 +189,7 @@
     @Test
     void noBytesWhateverThrow() {
         Disk disk = filled();
-        Opened sound = disk.open();
+        OpenedState sound = disk.open();
         for (long seed = 1; seed <= 3000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             byte[] file = new byte[random.nextInt(600)];
@@ -204,7 +204,7 @@
                     i += many;
                 }
             }
-            Opened opened = Opened.read(random.nextBoolean() ? file : disk.snapshot, file, ME, FLEET);
+            OpenedState opened = OpenedState.read(random.nextBoolean() ? file : disk.snapshot, file, ME, FLEET);
             opened.records()
                     .forEach(
                             (kind, r) -> assertThat(r).isEqualTo(sound.records().get(kind)));
--- a/src/test/java/cacheproxy/state/KeeperTest.java
+++ b/src/test/java/cacheproxy/state/RecordStoreTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.state.Finding.Harm;
-import cacheproxy.state.Keeper.Write;
+import cacheproxy.state.Finding.Severity;
+import cacheproxy.state.RecordStore.Write;
 import com.google.gson.JsonPrimitive;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What is written when, and how far what was kept is used. */
-class KeeperTest {
-    private static Record record(Kind kind, String text) {
-        return new Record(kind, 5000, new JsonPrimitive(text));
+class RecordStoreTest {
+    private static StoredRecord record(RecordKind kind, String text) {
+        return new StoredRecord(kind, 5000, new JsonPrimitive(text));
     }
 
-    private static Keeper begun() {
-        Keeper k = new Keeper(Opened.EMPTY, "p", "f");
+    private static RecordStore begun() {
+        RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
         assertThat(k.next(0)).isInstanceOf(Write.Replace.class);
         k.done(0);
         return k;
@@ -27,17 +27,17 @@
 
     @Test
     void whatIsUrgentIsWrittenSoonAndWhatIsLearntGathered() {
-        Keeper k = begun();
+        RecordStore k = begun();
         assertThat(k.dueMs()).isInfinite();
-        k.put(1000, record(Kind.LEARNT, "a"));
+        k.put(1000, record(RecordKind.LEARNT, "a"));
         assertThat(k.next(1000)).isNull();
         assertThat(k.dueMs()).isEqualTo(6000);
-        k.put(1500, record(Kind.LIST, "b"));
+        k.put(1500, record(RecordKind.LIST, "b"));
         assertThat(k.dueMs()).isEqualTo(1600);
         Write w = k.next(1600);
         assertThat(new String(((Write.Append) w).bytes(), StandardCharsets.UTF_8))
                 .contains("learnt", "list");
-        k.put(1601, record(Kind.LIST, "c"));
+        k.put(1601, record(RecordKind.LIST, "c"));
         assertThat(k.next(9000)).as("one is under way").isNull();
         k.done(9000);
         assertThat(k.next(9000)).isNotNull();
@@ -45,8 +45,8 @@
 
     @Test
     void afterAFailureAllOfItIsWrittenAndEachFurtherOneDoublesTheWait() {
-        Keeper k = begun();
-        k.put(0, record(Kind.LIST, "b"));
+        RecordStore k = begun();
+        k.put(0, record(RecordKind.LIST, "b"));
         assertThat(k.next(100)).isInstanceOf(Write.Append.class);
         k.failed(100);
         double now = 100;
@@ -62,41 +62,42 @@
 
     @Test
     void aJournalThatHasGrownBecomesASnapshotAndWearIsBounded() {
-        Keeper k = begun();
+        RecordStore k = begun();
         String big = "x".repeat(100_000);
         int replaced = 0;
         long urgent = 0;
         for (int i = 1; i <= 120; i++) {
-            k.put(i * 100, record(Kind.LIST, big + i));
+            k.put(i * 100, record(RecordKind.LIST, big + i));
             Write w = k.next(i * 100 + 100);
             replaced += w instanceof Write.Replace ? 1 : 0;
             urgent++;
             k.done(i * 100 + 100);
         }
         assertThat(replaced).isBetween(15, 25);
-        assertThat(k.written()).isGreaterThan(Keeper.MOST_MINUTE);
-        k.put(12_200, record(Kind.LEARNT, "lazy"));
+        assertThat(k.written()).isGreaterThan(RecordStore.MOST_MINUTE);
+        k.put(12_200, record(RecordKind.LEARNT, "lazy"));
         assertThat(k.dueMs()).as("what is not urgent waits for the next minute").isGreaterThan(40_000);
-        k.put(12_200, record(Kind.ORDERS, "urgent"));
+        k.put(12_200, record(RecordKind.ORDERS, "urgent"));
         assertThat(k.dueMs()).isEqualTo(12_300);
         assertThat(urgent).isEqualTo(120);
     }
 
     @Test
     void whatIsTooLongIsNotKept() {
-        Keeper k = begun();
-        k.put(0, record(Kind.LIST, "x".repeat(Keeper.MOST_RECORD + 1)));
-        assertThat(k.get(Kind.LIST)).isNull();
+        RecordStore k = begun();
+        k.put(0, record(RecordKind.LIST, "x".repeat(RecordStore.MOST_RECORD + 1)));
+        assertThat(k.get(RecordKind.LIST)).isNull();
         assertThat(k.dropped()).isEqualTo(1);
     }
 
     /** An epoch of the files never goes back, whoever wrote last. */
     @Test
     void whatAnotherProcessWroteComesBefore() {
-        Keeper k = new Keeper(Opened.EMPTY, "p", "f");
-        k.after(new Header("p", "f", 17, 4));
+        RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
+        k.after(new StateFileHeader("p", "f", 17, 4));
         Write.Replace w = (Write.Replace) k.next(0);
-        Header h = Opened.read(w.snapshot(), w.journal(), "p", "f").header();
+        StateFileHeader h =
+                OpenedState.read(w.snapshot(), w.journal(), "p", "f").header();
         assertThat(h.generation()).isEqualTo(18);
         assertThat(h.starts()).isEqualTo(5);
     }
@@ -122,21 +123,21 @@
         "ZONES,-300,HINT",
         "LIST,NaN,NOTHING"
     })
-    void whatWasKeptIsUsedAsFarAsItsAgeAllows(Kind kind, double seconds, Use use) {
+    void whatWasKeptIsUsedAsFarAsItsAgeAllows(RecordKind kind, double seconds, Validity use) {
         assertThat(kind.use(seconds * 1000)).isEqualTo(use);
     }
 
-    private static Opened open(String head, String instance) {
-        Write.Replace w = (Write.Replace) new Keeper(Opened.EMPTY, "p", "f").next(0);
+    private static OpenedState open(String head, String instance) {
+        Write.Replace w = (Write.Replace) new RecordStore(OpenedState.EMPTY, "p", "f").next(0);
         byte[] snapshot = head == null ? w.snapshot() : head.getBytes(StandardCharsets.UTF_8);
-        return Opened.read(snapshot, null, instance, "f");
+        return OpenedState.read(snapshot, null, instance, "f");
     }
 
     /** Of another's folder or a later version's nothing is used, and it is told. */
     @Test
     void whatIsAnothersIsOfNoUse() {
         assertThat(open(null, "p").findings()).isEmpty();
-        assertThat(open(null, "q").findings()).extracting(Finding::harm).containsExactly(Harm.ALL);
+        assertThat(open(null, "q").findings()).extracting(Finding::harm).containsExactly(Severity.ALL);
         assertThat(open(null, "q").findings().get(0))
                 .hasToString("snapshot:1: belongs to p of fleet 'f', not to q of fleet 'f'");
         String later = "{\"state\":2}";
@@ -150,17 +151,17 @@
     /** The two steps of a snapshot: a journal that is behind says nothing new, one that is ahead does. */
     @Test
     void aJournalOfAnotherGenerationIsTakenOnlyIfItIsAhead() {
-        Keeper k = new Keeper(Opened.EMPTY, "p", "f");
-        k.put(0, record(Kind.LIST, "old"));
+        RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
+        k.put(0, record(RecordKind.LIST, "old"));
         Write.Replace first = (Write.Replace) k.next(1000);
         k.failed(1000);
-        k.put(1000, record(Kind.LIST, "new"));
+        k.put(1000, record(RecordKind.LIST, "new"));
         Write.Replace second = (Write.Replace) k.next(5000);
-        Opened behind = Opened.read(second.snapshot(), first.journal(), "p", "f");
-        assertThat(behind.records().get(Kind.LIST).body().getAsString()).isEqualTo("new");
-        assertThat(behind.findings()).extracting(Finding::harm).containsExactly(Harm.NONE);
-        Opened ahead = Opened.read(first.snapshot(), second.journal(), "p", "f");
-        assertThat(ahead.records().get(Kind.LIST).body().getAsString()).isEqualTo("old");
-        assertThat(ahead.findings()).extracting(Finding::harm).containsExactly(Harm.SOME);
+        OpenedState behind = OpenedState.read(second.snapshot(), first.journal(), "p", "f");
+        assertThat(behind.records().get(RecordKind.LIST).body().getAsString()).isEqualTo("new");
+        assertThat(behind.findings()).extracting(Finding::harm).containsExactly(Severity.NONE);
+        OpenedState ahead = OpenedState.read(first.snapshot(), second.journal(), "p", "f");
+        assertThat(ahead.records().get(RecordKind.LIST).body().getAsString()).isEqualTo("old");
+        assertThat(ahead.findings()).extracting(Finding::harm).containsExactly(Severity.SOME);
     }
 }
--- a/src/test/java/cacheproxy/state/StateFolderTest.java
+++ b/src/test/java/cacheproxy/state/StateFolderTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cacheproxy.state.Finding.Harm;
+import cacheproxy.state.Finding.Severity;
 import com.google.gson.JsonPrimitive;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -24,17 +24,17 @@
     @TempDir
     private Path path;
 
-    private static Record record(int number) {
-        return new Record(Kind.INCARNATION, number, new JsonPrimitive(number));
+    private static StoredRecord record(int number) {
+        return new StoredRecord(RecordKind.INCARNATION, number, new JsonPrimitive(number));
     }
 
-    private static int number(Opened opened) {
-        Record r = opened.records().get(Kind.INCARNATION);
+    private static int number(OpenedState opened) {
+        StoredRecord r = opened.records().get(RecordKind.INCARNATION);
         return r == null ? 0 : r.body().getAsInt();
     }
 
-    private static Keeper write(StateFolder folder, int... numbers) throws IOException {
-        Keeper keeper = new Keeper(folder.open("p", "f"), "p", "f");
+    private static RecordStore write(StateFolder folder, int... numbers) throws IOException {
+        RecordStore keeper = new RecordStore(folder.open("p", "f"), "p", "f");
         for (int n : numbers) {
             keeper.put(n, record(n));
             folder.write(keeper.next(n + 1e6));
@@ -51,7 +51,7 @@
             assertThat(folder.lock()).isTrue();
             write(folder, 1, 2, 3);
         }
-        Opened opened = new StateFolder(there).open("p", "f");
+        OpenedState opened = new StateFolder(there).open("p", "f");
         assertThat(number(opened)).isEqualTo(3);
         assertThat(opened.header().starts()).isEqualTo(1);
         assertThat(opened.findings()).isEmpty();
@@ -72,13 +72,13 @@
     @Test
     void aWriteThatFailsLeavesWhatWasThere() throws IOException {
         try (StateFolder folder = new StateFolder(path)) {
-            Keeper keeper = write(folder, 1);
+            RecordStore keeper = write(folder, 1);
             Path inTheWay = Files.createDirectory(path.resolve("snapshot.new"));
             keeper.put(2, record(2));
             folder.write(keeper.next(1e7)); // an append needs no new file
             keeper.failed(1e7);
             keeper.put(3, record(3));
-            Keeper.Write third = keeper.next(2e7);
+            RecordStore.Write third = keeper.next(2e7);
             assertThatThrownBy(() -> folder.write(third)).isInstanceOf(IOException.class);
             keeper.failed(2e7);
             assertThat(number(folder.open("p", "f"))).isEqualTo(2);
@@ -93,7 +93,7 @@
     void aFolderThatWentIsMadeAnew() throws IOException {
         Path there = path.resolve("gone");
         try (StateFolder folder = new StateFolder(there)) {
-            Keeper keeper = write(folder, 1);
+            RecordStore keeper = write(folder, 1);
             for (Path file : List.of(there.resolve("snapshot"), there.resolve("journal"), there)) {
                 Files.delete(file);
             }
@@ -118,9 +118,9 @@
     void anothersFilesAreLaidAside() throws IOException {
         try (StateFolder folder = new StateFolder(path)) {
             write(folder, 1);
-            Opened others = folder.open("q", "f");
+            OpenedState others = folder.open("q", "f");
             assertThat(others.records()).isEmpty();
-            assertThat(others.findings()).allMatch(f -> f.harm() == Harm.ALL);
+            assertThat(others.findings()).allMatch(f -> f.harm() == Severity.ALL);
             folder.setAside();
         }
         assertThat(path.resolve("snapshot.aside")).exists();
@@ -132,7 +132,7 @@
         public static void main(String[] words) throws IOException {
             try (StateFolder folder = new StateFolder(Path.of(words[0]))) {
                 folder.lock();
-                Keeper keeper = new Keeper(folder.open("p", "f"), "p", "f");
+                RecordStore keeper = new RecordStore(folder.open("p", "f"), "p", "f");
                 for (int n = Integer.parseInt(words[1]); ; n++) {
                     keeper.put(n, record(n));
                     folder.write(keeper.next(n + 1e6));
@@ -174,9 +174,9 @@
             assertThat(process.waitFor(10, TimeUnit.SECONDS)).isTrue();
             int last = Integer.parseInt(
                     said.get(said.size() - 1).matches("\\d+") ? said.get(said.size() - 1) : said.get(said.size() - 2));
-            Opened opened = new StateFolder(path).open("p", "f");
+            OpenedState opened = new StateFolder(path).open("p", "f");
             assertThat(number(opened)).as("%s", said).isBetween(last, last + 1);
-            assertThat(opened.findings()).allMatch(f -> f.harm() == Harm.NONE);
+            assertThat(opened.findings()).allMatch(f -> f.harm() == Severity.NONE);
             assertThat(opened.header().starts()).isEqualTo(kill);
             done = number(opened);
         }
--- a/src/test/java/cacheproxy/state/StoredFormTest.java
+++ b/src/test/java/cacheproxy/state/StoredFormTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.PinnedFile;
-import cacheproxy.state.Keeper.Write;
+import cacheproxy.state.RecordStore.Write;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonParser;
 import java.io.ByteArrayOutputStream;
@@ -21,9 +21,9 @@
     private static final double TOLD_MS = 1_700_000_000_000.0;
     private static final double NOW_MS = TOLD_MS + 45_000;
 
-    private static Record record(Kind kind, double toldMs, String body) {
+    private static StoredRecord record(RecordKind kind, double toldMs, String body) {
         JsonElement json = JsonParser.parseString(body);
-        return new Record(kind, toldMs, json);
+        return new StoredRecord(kind, toldMs, json);
     }
 
     private static String host(String name, String health) {
@@ -33,34 +33,34 @@
 
     /** The two files after a snapshot of all kinds and a journal of two. */
     private static byte[][] written() {
-        Keeper keeper = new Keeper(Opened.EMPTY, ME, FLEET);
-        keeper.put(0, record(Kind.INCARNATION, TOLD_MS, "17"));
+        RecordStore keeper = new RecordStore(OpenedState.EMPTY, ME, FLEET);
+        keeper.put(0, record(RecordKind.INCARNATION, TOLD_MS, "17"));
         keeper.put(
                 0,
                 record(
-                        Kind.LIST,
+                        RecordKind.LIST,
                         TOLD_MS + 1,
                         "{\"seq\":43,\"whole\":true,\"hosts\":[" + host("s-0000beef", "up") + ","
                                 + host("s-0000bef0", "draining") + "]}"));
-        keeper.put(0, record(Kind.LEARNT, TOLD_MS + 2, PinnedFile.text("proxy/learned-state.json")));
+        keeper.put(0, record(RecordKind.LEARNT, TOLD_MS + 2, PinnedFile.text("proxy/learned-state.json")));
         keeper.put(
                 0,
                 record(
-                        Kind.ZONES,
+                        RecordKind.ZONES,
                         TOLD_MS + 3,
                         "{\"east\":{\"epoch\":4,\"open\":15,\"cause\":\"evidence\",\"leaves\":1,\"floor\":4}}"));
         keeper.put(
                 0,
                 record(
-                        Kind.ORDERS,
+                        RecordKind.ORDERS,
                         TOLD_MS + 4,
                         "{\"west\":{\"epoch\":9,\"open\":0,\"cause\":\"leave\",\"leaves\":2,\"floor\":9}}"));
         Write.Replace first = (Write.Replace) keeper.next(0);
         keeper.done(0);
         ByteArrayOutputStream journal = new ByteArrayOutputStream();
         journal.writeBytes(first.journal());
-        keeper.put(1, record(Kind.LEARNT, TOLD_MS + 40_000.5, "{}"));
-        keeper.put(1, record(Kind.LIST, TOLD_MS + 40_001, "{\"seq\":44,\"whole\":true,\"hosts\":[]}"));
+        keeper.put(1, record(RecordKind.LEARNT, TOLD_MS + 40_000.5, "{}"));
+        keeper.put(1, record(RecordKind.LIST, TOLD_MS + 40_001, "{\"seq\":44,\"whole\":true,\"hosts\":[]}"));
         journal.writeBytes(((Write.Append) keeper.next(10_000)).bytes());
         return new byte[][] {first.snapshot(), journal.toByteArray()};
     }
@@ -97,8 +97,8 @@
                 "empty-files"
             })
     void eachFolderIsReadAsItWas(String folder) {
-        Opened opened = new StateFolder(PinnedFile.path("state/" + folder)).open(ME, FLEET);
-        Inspection inspection = new Inspection(opened, NOW_MS);
+        OpenedState opened = new StateFolder(PinnedFile.path("state/" + folder)).open(ME, FLEET);
+        StateReport inspection = new StateReport(opened, NOW_MS);
         PinnedFile.assertJson("state/" + folder + "/inspection.json", inspection.json());
         PinnedFile.assertText("state/" + folder + "/inspection.txt", inspection.text());
     }
@@ -110,12 +110,12 @@
         double[] agesMs = {
             Double.NaN, -1, 0, 30_000, 30_001, 60_000, 60_001, 600_000, 600_001, 86_400_000, 86_400_001, 1e15
         };
-        for (Kind kind : Kind.values()) {
+        for (RecordKind kind : RecordKind.values()) {
             table.append(kind.wireName()).append(':');
             for (double age : agesMs) {
-                Record r = new Record(kind, 0, JsonParser.parseString("1"));
-                Opened opened = new Opened(new Header(ME, FLEET, 1, 1), Map.of(kind, r), List.of());
-                String use = new Inspection(opened, age)
+                StoredRecord r = new StoredRecord(kind, 0, JsonParser.parseString("1"));
+                OpenedState opened = new OpenedState(new StateFileHeader(ME, FLEET, 1, 1), Map.of(kind, r), List.of());
+                String use = new StateReport(opened, age)
                         .json()
                         .getAsJsonArray("records")
                         .get(0)
