--- a/src/main/java/cacheproxy/state/Finding.java
+++ b/src/main/java/cacheproxy/state/Finding.java
@@ -8,15 +8,26 @@
  * @param what is the matter
  * @param harm what follows from it
  */
-public record Finding(String file, int line, String what, Harm harm) {
+public record Finding(String file, int line, String what, Severity harm) {
     /** What follows from something that was found. */
-    public enum Harm {
+    public enum Severity {
         /** Nothing: it is ordinary after a crash. */
-        NONE,
+        NONE("none"),
         /** Some records are lost, the others are sound. */
-        SOME,
+        SOME("some"),
         /** Nothing of the folder can be used. */
-        ALL
+        ALL("all");
+
+        private final String wireName;
+
+        Severity(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** Its name in reports. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     @Override
