--- a/src/test/java/cacheproxy/JarIT.java
+++ b/src/test/java/cacheproxy/JarIT.java
@@ -65,6 +65,13 @@
         }
     }
 
+    /** Asks {@code mn} at once, as the proxy closes a client that stays silent; its answer is still to be read. */
+    private static Socket connectAndAsk(int port, Process process) throws IOException {
+        Socket client = connect(port, process);
+        client.getOutputStream().write("mn\r\n".getBytes(UTF_8));
+        return client;
+    }
+
     @Test
     void serveBecomesReadyAnswersAReadAndDrainsOnSigterm() throws Exception {
         try (ServerSocket node = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
@@ -121,10 +128,9 @@
                             "\"discovery\": \"127.0.0.1:9\"",
                             "\"discovery\": \"127.0.0.1:" + before.getLocalPort() + "\""));
             Process process = start("serve", config.toString());
-            try (Socket client = connect(port, process);
+            try (Socket client = connectAndAsk(port, process);
                     Socket watch = before.accept()) {
                 BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream(), UTF_8));
-                client.getOutputStream().write("mn\r\n".getBytes(UTF_8));
                 assertThat(in.readLine()).isEqualTo("MN");
                 Files.writeString(
                         config,
@@ -241,10 +247,9 @@
             builder.environment().put("TMPDIR", folder.toString());
             builder.environment().put("BALANCER_CONFIG", config.toString());
             Process process = builder.start();
-            try (Socket client = connect(port, process);
+            try (Socket client = connectAndAsk(port, process);
                     Socket watch = before.accept()) {
                 BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream(), UTF_8));
-                client.getOutputStream().write("mn\r\n".getBytes(UTF_8));
                 assertThat(in.readLine()).isEqualTo("MN");
                 Path next = folder.resolve("config.next");
                 Files.writeString(next, discoveredAt(text, after));
--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -160,11 +160,10 @@
         CountDownLatch go = new CountDownLatch(1);
         FakeServer node = waiting(go);
         try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client one = fleet.client();
-                Fleet.Client two = fleet.client()) {
+                Fleet.Client one = fleet.client()) {
             one.read("1");
             node.next();
-            two.read("1");
+            Fleet.Client two = fleet.client().read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
             go.countDown();
             assertThat(one.line()).isEqualTo("VA 5 O1");
@@ -184,15 +183,14 @@
     void theIdOfARequestWhoseClientHasGoneIsTurnedAway() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         FakeServer node = waiting(go);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client two = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start()) {
             Fleet.Client one = fleet.client().read("1");
             node.next();
             one.close();
             Await.until(
                     "the proxy has seen its end",
                     () -> fleet.on(() -> fleet.proxy.core().owed()) == 0);
-            two.read("1");
+            Fleet.Client two = fleet.client().read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
             go.countDown();
             assertThat(node.commands).isEmpty();
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -256,10 +256,9 @@
                 .discovery(discovery)
                 .set("guarantees.ask-within", "200.0")
                 .set("balancers", "60"); // one connection to a node
-        try (Fleet fleet = setup.start();
-                Fleet.Client waiting = fleet.client()) {
+        try (Fleet fleet = setup.start()) {
             discovery.next();
-            waiting.read("2");
+            Fleet.Client waiting = fleet.client().read("2");
             before.next();
             moved.countDown();
             assertThat(discovery.next()).contains("since=43&");
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -263,9 +263,8 @@
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(silent).origin(origin).start();
-                Fleet.Client read = fleet.client();
+                Fleet.Client read = fleet.client().read("1");
                 Fleet.Client write = fleet.client()) {
-            read.read("1");
             write.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             origin.next();
             Await.until("both are taken", () -> fleet.on(fleet.proxy::status).owed() == 2);
@@ -310,7 +309,6 @@
                 line -> "VA " + value.length() + " O" + FakeServer.id(line) + " h1\r\n" + value + "\r\n");
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client first = fleet.client(1 << 16);
-                Fleet.Client client = fleet.client(1 << 16);
                 Fleet.Client idle = fleet.client()) {
             assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
             // So many that the system's buffers are full and the proxy's own are in use: it reads no further command
@@ -320,6 +318,7 @@
                 first.read("f" + fit++);
             }
             first.close();
+            Fleet.Client client = fleet.client(1 << 16);
             for (int i = 1; i < fit; i++) { // one more would be a command that is still to be read
                 client.read("" + i);
             }
@@ -421,15 +420,16 @@
                         .discovery(discovery)
                         .set("discovery", "push")
                         .start();
-                Fleet.Client before = fleet.client();
-                Fleet.Client after = fleet.client()) {
+                Fleet.Client before = fleet.client()) {
             before.read("1");
             node.next();
             drain(fleet, LONG_MS);
             tell.countDown();
             Await.until("discovery has been asked twice", () -> discovery.commands.size() >= 2);
-            after.say("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=1000\r\n");
-            assertThat(after.line()).matches("SERVER_ERROR .*|VA 5 O2");
+            try (Fleet.Client after = fleet.client()) {
+                after.say("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=1000\r\n");
+                assertThat(after.line()).matches("SERVER_ERROR .*|VA 5 O2");
+            }
             go.countDown();
             assertThat(before.line()).isEqualTo("VA 5 O1");
             awaitPhase(fleet, Phase.DRAINED);
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -17,14 +17,12 @@
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client idle = fleet.client();
-                Fleet.Client busy = fleet.client();
-                Fleet.Client half = fleet.client()) {
-            assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
-            half.say("mn\r\nm");
-            assertThat(half.line()).isEqualTo("MN");
-            busy.read("1");
+                Fleet.Client idle = fleet.client().say("mn\r\n");
+                Fleet.Client busy = fleet.client().read("1");
+                Fleet.Client half = fleet.client().say("mn\r\nm")) {
+            assertThat(idle.line()).isEqualTo("MN");
             node.next();
+            assertThat(half.line()).isEqualTo("MN");
             Thread drain = new Thread(fleet.proxy::drain);
             drain.start();
             assertThat(idle.ended()).isTrue();
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -14,6 +14,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.HashSet;
 import java.util.List;
@@ -181,6 +182,8 @@
                             new InetSocketAddress(
                                     "127.0.0.1", fleet.proxy.address().getPort()),
                             CONNECT_MS);
+                    // One that stays silent would be closed where the last of them is accepted late.
+                    client.getOutputStream().write("mn\r\n".getBytes(StandardCharsets.US_ASCII));
                 }
             } finally {
                 come.countDown();
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -72,8 +72,7 @@
 
     @Test
     void smallWritesPassLargeOnesThatAreSentSlowly() throws Exception {
-        try (Fleet fleet = new Fleet().memory(64).origin(origin()).start();
-                Fleet.Client small = fleet.client()) {
+        try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
             List<Fleet.Client> slow = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 Fleet.Client client = fleet.client();
@@ -81,6 +80,7 @@
                 slow.add(client);
             }
             Await.until("room is taken", () -> used(fleet) > VALUE.length);
+            Fleet.Client small = fleet.client();
             write(small, "1", 1000);
             assertThat(small.line()).isEqualTo("HD O1 cv1000");
             for (Fleet.Client client : slow) {
--- a/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
+++ b/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
@@ -53,10 +53,9 @@
                     .discovery(discovery)
                     .set("caps.connect-timeout", "10000.0")
                     .set("guarantees.ask-within", "200.0");
-            try (Fleet fleet = setup.start();
-                    Fleet.Client client = fleet.client()) {
+            try (Fleet fleet = setup.start()) {
                 assertThat(discovery.next()).contains("since=41&");
-                client.read("1");
+                Fleet.Client client = fleet.client().read("1");
                 awaitWaiting(fleet, 1);
                 told.countDown();
                 assertThat(discovery.next()).contains("since=43&"); // the news is in use
@@ -92,14 +91,13 @@
                         .node(node.dial())
                         .set("caps.may-cancel", "false")
                         .set("caps.connect-timeout", "10000.0")
-                        .start();
-                Fleet.Client next = fleet.client()) {
+                        .start()) {
             Fleet.Client leaving = fleet.client();
             leaving.read("1");
             awaitWaiting(fleet, 1);
             leaving.close();
             awaitWaiting(fleet, 0);
-            next.read("2");
+            Fleet.Client next = fleet.client().read("2");
             awaitWaiting(fleet, 1);
             node.open();
             assertThat(next.line()).isEqualTo("VA 5 O2");
@@ -123,14 +121,13 @@
                         .node(node)
                         .origin(origin.dial())
                         .set("caps.connect-timeout", "10000.0")
-                        .start();
-                Fleet.Client waiter = fleet.client()) {
+                        .start()) {
             Fleet.Client leader = fleet.client();
             leader.read("1");
             node.next();
             Await.until(
                     "its fetch waits", () -> fleet.on(() -> fleet.proxy.status().upstream()) == 2);
-            waiter.read("2");
+            Fleet.Client waiter = fleet.client().read("2");
             node.next();
             fleet.client().say("mn\r\n").line(); // the event loop has been round: the miss has come
             awaitWaiting(fleet, 2);
--- a/src/test/java/cacheproxy/proxy/RoutesTest.java
+++ b/src/test/java/cacheproxy/proxy/RoutesTest.java
@@ -127,8 +127,7 @@
             }
         });
         try (Fleet fleet = fleet(ROUTES).node(one).node(node("two")).start();
-                Fleet.Client before = fleet.client();
-                Fleet.Client after = fleet.client()) {
+                Fleet.Client before = fleet.client()) {
             before.say("mg a1 v O1 Pc=text,d=20000\r\n");
             one.next();
             fleet.routing = routing(POOLS.substring(POOLS.indexOf("pool two")) + "route all { pool = two }");
@@ -136,7 +135,7 @@
             Await.until(
                     "the new routes hold",
                     () -> fleet.on(() -> fleet.proxy.router().version()) == 2);
-            assertThat(get(after, "a1", "2")).isEqualTo("two");
+            assertThat(get(fleet.client(), "a1", "2")).isEqualTo("two");
             assertThat(fleet.on(() -> fleet.proxy.router().pools()))
                     .extracting(Router.PoolStatus::name)
                     .containsExactly("", "one", "two");
@@ -151,11 +150,10 @@
 
     @Test
     void routesOfNoUseChangeNothing() throws Exception {
-        try (Fleet fleet = fleet(ROUTES).node(node("one")).node(node("two")).start();
-                Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = fleet(ROUTES).node(node("one")).node(node("two")).start()) {
             fleet.routing = null; // reading them fails
             fleet.reload();
-            assertThat(get(client, "a1", "1")).isEqualTo("one");
+            assertThat(get(fleet.client(), "a1", "1")).isEqualTo("one");
             assertThat(fleet.on(() -> fleet.proxy.router().version())).isEqualTo(1);
             fleet.routing = routing(ROUTES);
             fleet.reload();
--- a/src/test/java/cacheproxy/proxy/SharedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/SharedClientsTest.java
@@ -23,11 +23,11 @@
     void onlyOnesThatHaveBeenAnsweredAreEndedAndThoseUsedLastFirst() throws Exception {
         try (Fleet fleet = new Fleet().start();
                 Fleet.Client first = fleet.client();
-                Fleet.Client last = fleet.client();
-                Fleet.Client unheard = fleet.client()) {
+                Fleet.Client last = fleet.client()) {
             for (Fleet.Client c : new Fleet.Client[] {first, last}) {
                 assertThat(c.say("mn\r\n").line()).isEqualTo("MN");
             }
+            Fleet.Client unheard = fleet.client(); // only now: the proxy closes a client that stays silent
             Await.until(
                     "all are idle", () -> fleet.on(() -> fleet.proxy.clients().idle()) == 3);
             assertThat(end(fleet, 1)).isEqualTo(1);
--- a/src/test/java/cacheproxy/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/UpstreamTest.java
@@ -253,11 +253,10 @@
                         .origin(origin)
                         .set("caps.max-attempts", "2")
                         .start();
-                Fleet.Client one = fleet.client();
-                Fleet.Client two = fleet.client()) {
+                Fleet.Client one = fleet.client()) {
             one.read("1");
             origin.next();
-            two.read("2");
+            Fleet.Client two = fleet.client().read("2");
             missed.await();
             fleet.client().say("mn\r\n").line(); // the event loop has been round
             fleet.client().say("mn\r\n").line();
@@ -317,12 +316,11 @@
             c.awaitEnd();
         });
         Fleet setup = new Fleet().node(pipelined).set("balancers", "60");
-        try (Fleet fleet = setup.start();
-                Fleet.Client other = fleet.client()) {
+        try (Fleet fleet = setup.start()) {
             Fleet.Client leaving = fleet.client();
             leaving.say("mg 7f3a v Oa Pc=text,d=20000\r\n");
             pipelined.next();
-            other.say("mg 7f3b v Ob Pc=text,d=20000\r\n");
+            Fleet.Client other = fleet.client().say("mg 7f3b v Ob Pc=text,d=20000\r\n");
             pipelined.next();
             leaving.close();
             fleet.client().say("mn\r\n").line();
@@ -431,15 +429,13 @@
                 .set("caps.second-copies", "false")
                 .set("classes.0.promise", "4000.0");
         try (Fleet fleet = setup.start();
-                Fleet.Client one = fleet.client();
-                Fleet.Client two = fleet.client();
-                Fleet.Client clock = fleet.client()) {
+                Fleet.Client one = fleet.client()) {
             one.say("mg " + Keys.ranked(1, 2, 3) + " v O1 Pc=text,d=20000\r\n");
             refusing.await();
             shared[0].next();
-            two.say("mg " + Keys.ranked(1, 2, 3) + " v O2 Pc=text,d=20000\r\n");
+            Fleet.Client two = fleet.client().say("mg " + Keys.ranked(1, 2, 3) + " v O2 Pc=text,d=20000\r\n");
             shared[0].next();
-            clock.say("mg " + Keys.ranked(3, 2, 1) + " v O3 Pc=text,d=20000\r\n");
+            Fleet.Client clock = fleet.client().say("mg " + Keys.ranked(3, 2, 1) + " v O3 Pc=text,d=20000\r\n");
             assertThat(clock.line()).isEqualTo("VA 5 O3");
             assertThat(quick.commands).hasSize(1);
             go.countDown();
