--- a/src/main/java/cacheproxy/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -58,15 +58,15 @@
 
     /** Runs a command line; the process's exit code. */
     public static int run(String... args) {
-        return line().execute(args);
+        return commandLine().execute(args);
     }
 
     /** Runs a command line that prints to these; for tests. */
     static int run(PrintWriter out, PrintWriter err, String... args) {
-        return line().setOut(out).setErr(err).execute(args);
+        return commandLine().setOut(out).setErr(err).execute(args);
     }
 
-    private static CommandLine line() {
+    static CommandLine commandLine() {
         return new CommandLine(new Cli())
                 .registerConverter(Duration.class, Duration::parse)
                 .registerConverter(Target.class, Target::parse)
--- /dev/null
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -0,0 +1,174 @@
+package cacheproxy.proxy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.Await;
+import cacheproxy.routing.EndpointHealthRecord;
+import cacheproxy.routing.HotKey;
+import cacheproxy.routing.LearnedState;
+import cacheproxy.routing.LoadCount;
+import cacheproxy.state.Kind;
+import cacheproxy.state.Record;
+import cacheproxy.takeover.Handover.Phase;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
+import com.google.gson.JsonPrimitive;
+import java.io.BufferedReader;
+import java.net.StandardProtocolFamily;
+import java.net.UnixDomainSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.Channels;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * What processes of other versions and operators' files rely on: the line that a takeover passes on, the lines of the
+ * handover's protocol and the start configuration stay as the recorded texts show them.
+ */
+@Timeout(60)
+class LifecycleFormsTest {
+    private static final Path FORMS = Path.of("src/test/resources/formats");
+
+    @TempDir
+    private Path folder;
+
+    private static TakeoverState snapshot() {
+        JsonArray hosts = new JsonArray();
+        hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
+        LearnedState learned = new LearnedState(
+                1,
+                2,
+                3,
+                0,
+                new LoadCount(4, 5),
+                new LoadCount(6, 7),
+                8,
+                List.of(new HotKey(-1, 9)),
+                List.of(new EndpointHealthRecord(-5, 0, 1, 1.7e12, 0)));
+        Map<Kind, Record> records = new EnumMap<>(Kind.class);
+        records.put(Kind.INCARNATION, new Record(Kind.INCARNATION, 1.7e12, new JsonPrimitive(4)));
+        records.put(Kind.ZONES, new Record(Kind.ZONES, 1.7e12, new JsonObject()));
+        records.put(Kind.ORDERS, new Record(Kind.ORDERS, 1.7e12, new JsonObject()));
+        return new TakeoverState(Fleet.list(43, true, hosts), Map.of("", learned), records);
+    }
+
+    private static String recorded(String name) throws Exception {
+        return Files.readString(FORMS.resolve(name)).strip();
+    }
+
+    @Test
+    void whatATakeoverPassesOnIsAsRecorded() throws Exception {
+        String line = recorded("takeover-state.json");
+        assertThat(snapshot().json()).isEqualTo(line);
+        assertThat(TakeoverState.read(line)).isEqualTo(snapshot());
+    }
+
+    /** The old process understands the recorded lines, in this order, at the socket of this name. */
+    @Test
+    void theOldProcessTakesTheRecordedLines() throws Exception {
+        List<String> lines = recorded("handover-lines.txt").lines().toList();
+        try (Fleet fleet = new Fleet().shared(folder).start();
+                SocketChannel successor = SocketChannel.open(StandardProtocolFamily.UNIX)) {
+            successor.connect(UnixDomainSocketAddress.of(folder.resolve("takeover")));
+            BufferedReader answers = new BufferedReader(Channels.newReader(successor, StandardCharsets.UTF_8));
+            say(successor, lines.get(0));
+            assertThat(answers.readLine()).startsWith("{\"v\":1,\"list\":{");
+            say(successor, lines.get(1));
+            awaitPhase(fleet, Phase.TAKEN);
+            say(successor, lines.get(2));
+            awaitPhase(fleet, Phase.SERVED);
+            assertThat(lines).hasSize(3);
+        }
+    }
+
+    /** The new process sends the recorded lines; it asks for the socket once it has read the state. */
+    @Test
+    void theNewProcessSendsTheRecordedLines() throws Exception {
+        List<String> lines = recorded("handover-lines.txt").lines().toList();
+        CompletableFuture<List<String>> received = new CompletableFuture<>();
+        try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            old.bind(UnixDomainSocketAddress.of(folder.resolve("takeover")));
+            Thread oldProcess = new Thread(() -> {
+                try (SocketChannel successor = old.accept()) {
+                    BufferedReader in = new BufferedReader(Channels.newReader(successor, StandardCharsets.UTF_8));
+                    String first = in.readLine();
+                    say(successor, recorded("takeover-state.json"));
+                    received.complete(List.of(first, in.readLine()));
+                } catch (Exception e) {
+                    received.completeExceptionally(e);
+                }
+            });
+            oldProcess.start();
+            try (Fleet fleet = new Fleet().shared(folder).start()) {
+                assertThat(received.get(20, TimeUnit.SECONDS)).isEqualTo(lines.subList(0, 2));
+            }
+            oldProcess.join();
+        }
+    }
+
+    private static void say(SocketChannel to, String line) throws Exception {
+        ByteBuffer bytes = ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8));
+        while (bytes.hasRemaining()) {
+            to.write(bytes);
+        }
+    }
+
+    private static void awaitPhase(Fleet fleet, Phase phase) {
+        Await.until(
+                "the handover is " + phase,
+                () -> fleet.on(() -> fleet.proxy.status().handover()) == phase);
+    }
+
+    @Test
+    void aStartConfigurationInTheOperatorsFormIsReadAsRecorded() throws Exception {
+        JsonObject json = JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
+                .getAsJsonObject();
+        json.add("peers", JsonParser.parseString("[\"127.0.0.1:7001\", \"127.0.0.1:7002\"]"));
+        json.addProperty("peer_listen", "127.0.0.1:7001");
+        json.addProperty("peers_all", "127.0.0.1:7000");
+        json.addProperty("operator", "127.0.0.1:7100");
+        assertThat(text(Config.parse(json))).isEqualTo(recorded("start-configuration.txt"));
+        for (String optional :
+                new String[] {"peers", "peer_listen", "peers_all", "operator", "name", "limits", "known"}) {
+            json.remove(optional);
+        }
+        assertThat(text(Config.parse(json))).isEqualTo(recorded("start-configuration-least.txt"));
+    }
+
+    private static String text(Config c) {
+        Map<String, Object> values = new TreeMap<>();
+        values.put("name", c.name());
+        values.put("listen", c.listen());
+        values.put("discovery", c.discovery());
+        values.put("seed", Long.toHexString(c.seed()));
+        values.put("limits.cores", c.cores());
+        values.put("limits.memory_mb", c.memoryMb());
+        values.put("limits.sockets", c.sockets());
+        values.put("peer_listen", String.valueOf(c.peerListen()));
+        values.put("peers", c.peers());
+        values.put("peers_all", String.valueOf(c.peersAll()));
+        values.put("known", String.valueOf(c.known()));
+        values.put("settings.zones", c.zones());
+        values.put("settings.kinds", c.kinds());
+        values.put("settings.caps.idle-close", c.idleCloseMs());
+        values.put("settings.caps.streams-per-conn", c.streamsPerConnection());
+        values.put("operator", String.valueOf(c.operator()));
+        StringBuilder text = new StringBuilder();
+        values.forEach(
+                (key, value) -> text.append(key).append(" = ").append(value).append('\n'));
+        return text.toString().strip();
+    }
+}
