--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -47,7 +47,7 @@
         registry.section(HandoverCall.SECTION, () -> {
             Proxy.Status s = proxy.status();
             JsonObject o = new JsonObject();
-            o.addProperty("phase", s.handover().name().toLowerCase(Locale.ROOT));
+            o.addProperty("phase", s.handover().statusName());
             o.addProperty("successors", s.handovers());
             return o;
         });
@@ -200,7 +200,7 @@
 
     private static JsonObject progress(Drain.Progress p) {
         JsonObject o = new JsonObject();
-        o.addProperty("phase", p.phase().name().toLowerCase(Locale.ROOT));
+        o.addProperty("phase", p.phase().statusName());
         o.addProperty("share", p.share());
         o.addProperty("owed", p.owed());
         o.addProperty("connections", p.connections());
--- a/src/main/java/cacheproxy/drain/Drain.java
+++ b/src/main/java/cacheproxy/drain/Drain.java
@@ -8,13 +8,24 @@
     /** Where it stands. */
     public enum Phase {
         /** Full service. */
-        SERVING,
+        SERVING("serving"),
         /** Connections are being ended; requests are still taken and answered. */
-        DRAINING,
+        DRAINING("draining"),
         /** Nothing was left, and the process ends. */
-        DRAINED,
+        DRAINED("drained"),
         /** The deadline came first: what was open has been answered, and the process ends. */
-        EXPIRED
+        EXPIRED("expired");
+
+        private final String statusName;
+
+        Phase(String statusName) {
+            this.statusName = statusName;
+        }
+
+        /** The word for it in operators' status. */
+        public String statusName() {
+            return statusName;
+        }
     }
 
     /**
--- a/src/main/java/cacheproxy/takeover/Handover.java
+++ b/src/main/java/cacheproxy/takeover/Handover.java
@@ -8,17 +8,28 @@
     /** How far it has come. */
     public enum Phase {
         /** No successor. */
-        ALONE,
+        ALONE("alone"),
         /** One has asked, and knows the state. */
-        OFFERED,
+        OFFERED("offered"),
         /** It has the listening socket and does not serve yet. */
-        TAKEN,
+        TAKEN("taken"),
         /** It serves; no client is accepted here any more. */
-        SERVED,
+        SERVED("served"),
         /** This process has been told to end and passes its clients on. */
-        RETIRING,
+        RETIRING("retiring"),
         /** It has been told to end, and there is nobody to pass clients on to. */
-        ENDING
+        ENDING("ending");
+
+        private final String statusName;
+
+        Phase(String statusName) {
+            this.statusName = statusName;
+        }
+
+        /** The word for it in operators' status and in the answer to {@code handover}. */
+        public String statusName() {
+            return statusName;
+        }
     }
 
     private Phase phase = Phase.ALONE;
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
+import cacheproxy.drain.Drain;
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.HotKey;
 import cacheproxy.routing.LearnedState;
@@ -148,6 +149,16 @@
         assertThat(text(Config.parse(json))).isEqualTo(recorded("start-configuration-least.txt"));
     }
 
+    @Test
+    void phasesOfADrainAndOfAHandoverHaveTheirWordsInTheStatus() {
+        assertThat(Drain.Phase.values())
+                .extracting(Drain.Phase::statusName)
+                .containsExactly("serving", "draining", "drained", "expired");
+        assertThat(Phase.values())
+                .extracting(Phase::statusName)
+                .containsExactly("alone", "offered", "taken", "served", "retiring", "ending");
+    }
+
     private static String text(Config c) {
         Map<String, Object> values = new TreeMap<>();
         values.put("name", c.name());
