--- a/src/main/java/cacheproxy/control/AnswerWords.java
+++ b/src/main/java/cacheproxy/control/AnswerWords.java
@@ -1,37 +1,15 @@
 package cacheproxy.control;
 
-import cacheproxy.drain.Drain;
 import cacheproxy.failover.Sight;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.membership.Hearing;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.State;
-import cacheproxy.takeover.Handover;
 
 /** The words by which answers to operators name the states of other packages; scripts depend on them. */
 final class AnswerWords {
     private AnswerWords() {}
 
-    static String of(Handover.Phase phase) {
-        return switch (phase) {
-            case ALONE -> "alone";
-            case OFFERED -> "offered";
-            case TAKEN -> "taken";
-            case SERVED -> "served";
-            case RETIRING -> "retiring";
-            case ENDING -> "ending";
-        };
-    }
-
-    static String of(Drain.Phase phase) {
-        return switch (phase) {
-            case SERVING -> "serving";
-            case DRAINING -> "draining";
-            case DRAINED -> "drained";
-            case EXPIRED -> "expired";
-        };
-    }
-
     static String of(Hearing reachability) {
         return switch (reachability) {
             case ALONE -> "alone";
--- a/src/test/java/cacheproxy/control/AnswerWordsTest.java
+++ b/src/test/java/cacheproxy/control/AnswerWordsTest.java
@@ -16,9 +16,9 @@
 class AnswerWordsTest {
     @Test
     void eachStateIsNamedAsItWas() {
-        assertThat(Arrays.stream(Handover.Phase.values()).map(AnswerWords::of))
+        assertThat(Arrays.stream(Handover.Phase.values()).map(Handover.Phase::statusName))
                 .containsExactly("alone", "offered", "taken", "served", "retiring", "ending");
-        assertThat(Arrays.stream(Drain.Phase.values()).map(AnswerWords::of))
+        assertThat(Arrays.stream(Drain.Phase.values()).map(Drain.Phase::statusName))
                 .containsExactly("serving", "draining", "drained", "expired");
         assertThat(Arrays.stream(Hearing.values()).map(AnswerWords::of))
                 .containsExactly("alone", "minority", "majority", "all");
