--- a/src/main/java/cacheproxy/metrics/EventKind.java
+++ b/src/main/java/cacheproxy/metrics/EventKind.java
@@ -1,40 +1,44 @@
 package cacheproxy.metrics;
 
-import java.util.Locale;
-
 /** The kinds of events that are logged. Their names are stable: operators search for them. */
 public enum EventKind {
     /** A client was ended as it stopped in the middle of a request, or sent none. */
-    CLIENT_TIMED_OUT,
+    CLIENT_TIMED_OUT("client_timed_out"),
     /** A connection of a client could not be accepted. */
-    ACCEPT_FAILED,
+    ACCEPT_FAILED("accept_failed"),
     /** A client sent what can't be read; its connection ends. */
-    CLIENT_UNREADABLE,
+    CLIENT_UNREADABLE("client_unreadable"),
     /** A request was turned away as none that can be carried out. */
-    REQUEST_REJECTED,
+    REQUEST_REJECTED("request_rejected"),
     /** A request had no answer from the decision module at its time, or a drain's end answered it. */
-    REQUEST_CUT,
+    REQUEST_CUT("request_cut"),
     /** An attempt was ordered and must not begin. */
-    ATTEMPT_FORBIDDEN,
+    ATTEMPT_FORBIDDEN("attempt_forbidden"),
     /** A rule was seen to be broken. */
-    BREACH,
+    BREACH("breach"),
     /** A server's answer can't be read; its connection ends. */
-    SERVER_UNREADABLE,
+    SERVER_UNREADABLE("server_unreadable"),
     /** The list of servers has changed: to which version, by whose word, and what of it. */
-    LIST_CHANGED,
+    LIST_CHANGED("list_changed"),
     /** A call for the list has failed: its form and why. */
-    LIST_CALL_FAILED,
+    LIST_CALL_FAILED("list_call_failed"),
     /** Something of an answer of discovery's can't be used and was left out. */
-    LIST_ENTRY_UNUSABLE,
+    LIST_ENTRY_UNUSABLE("list_entry_unusable"),
     /** The event loop was held up for longer than deadlines allow for. */
-    HELD_UP,
+    HELD_UP("held_up"),
     /** A mistake of the program. */
-    FAULT,
+    FAULT("fault"),
     /** Anything else. */
-    NOTE;
+    NOTE("note");
+
+    private final String key;
+
+    EventKind(String key) {
+        this.key = key;
+    }
 
     /** Its name in the log. */
     public String key() {
-        return name().toLowerCase(Locale.ROOT);
+        return key;
     }
 }
--- /dev/null
+++ b/src/test/java/cacheproxy/metrics/WireNamesTest.java
@@ -0,0 +1,72 @@
+package cacheproxy.metrics;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.admission.Breach;
+import cacheproxy.admission.Verdict;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import org.junit.jupiter.api.Test;
+
+/** Names that operators and tools read, whatever the constants are called in the code. */
+class WireNamesTest {
+    private static String pinned(String name) throws IOException {
+        try (InputStream in = WireNamesTest.class.getResourceAsStream(name)) {
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    private static <T> String table(T[] values, Function<T, String> row) {
+        List<String> rows = new ArrayList<>();
+        Arrays.stream(values).map(row).forEach(rows::add);
+        return String.join("\n", rows) + "\n";
+    }
+
+    @Test
+    void kindsOfEventsInTheLog() throws IOException {
+        assertThat(table(EventKind.values(), EventKind::key)).isEqualTo(pinned("event-kinds.txt"));
+    }
+
+    @Test
+    void countersInLinesAndInTheTableOfFigures() throws IOException {
+        assertThat(table(Work.values(), w -> w.key() + "\t" + w.words())).isEqualTo(pinned("counters.txt"));
+    }
+
+    @Test
+    void whatForbidsAnAttempt() throws IOException {
+        assertThat(table(Verdict.values(), Verdict::key)).isEqualTo(pinned("verdicts.txt"));
+    }
+
+    @Test
+    void kindsOfBreaches() throws IOException {
+        assertThat(table(Breach.values(), Breach::key)).isEqualTo(pinned("breaches.txt"));
+    }
+
+    /** As the command {@code figures} reads it, with each counter at a value of its own. */
+    @Test
+    void aLineOfFigures() throws IOException {
+        Map<Work, Long> counts = new EnumMap<>(Work.class);
+        for (Work work : Work.values()) {
+            counts.put(work, 100L + work.ordinal());
+        }
+        WorkLine line = new WorkLine(
+                "proxy \"1\"",
+                4711,
+                1_764_752_400_123L,
+                60_000,
+                -1,
+                2500,
+                counts,
+                List.of(new WorkLine.Node("1a", 5, 6, true), new WorkLine.Node("ff", 0, 1, false)));
+        String pinned = pinned("figures-line.txt");
+        assertThat(line.text() + "\n").isEqualTo(pinned);
+        assertThat(WorkLine.parse(pinned)).contains(line);
+    }
+}
