--- a/src/main/java/cacheproxy/proxy/Acceptor.java
+++ b/src/main/java/cacheproxy/proxy/Acceptor.java
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void retire(ClientConnection client) {
+    public void closeWhenIdle(ClientConnection client) {
         retire.accept(client);
     }
 
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void left(ClientConnection client) {
+    public void clientLeft(ClientConnection client) {
         clients.remove(client);
         regulate();
     }
@@ -220,7 +220,7 @@
                 .sorted(LONGEST_IDLE)
                 .limit(many)
                 .toList()
-                .forEach(this::retire);
+                .forEach(this::closeWhenIdle);
     }
 
     /**
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -1,7 +1,5 @@
 package cacheproxy.proxy;
 
-import cacheproxy.proxy.Exchange.Attempt;
-import cacheproxy.proxy.Exchange.Command;
 import cacheproxy.routing.AttemptOutcome;
 import cacheproxy.routing.LoadBalancer;
 import io.netty.buffer.ByteBuf;
@@ -32,13 +30,13 @@
     }
 
     @Override
-    public ChannelFuture write(Channel channel, Attempt attempt, long remainingMs, SocketAddress dial) {
-        if (attempt.exchange == null) {
-            String probe = dispatcher.probesLoad() ? "stats load\r\n" : "mn\r\n";
+    public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress dial) {
+        if (attempt.request == null) {
+            String probe = dispatcher.healthChecksReportLoad() ? "stats load\r\n" : "mn\r\n";
             return channel.writeAndFlush(MetaCodec.text(channel.alloc(), probe));
         }
-        Command command = attempt.exchange.command;
-        ByteBuf head = MetaCodec.text(channel.alloc(), command.line.with(remainingMs) + "\r\n");
+        RequestCommand command = attempt.request.command;
+        ByteBuf head = MetaCodec.text(channel.alloc(), command.commandLine.with(remainingMs) + "\r\n");
         if (command.value == null) {
             return channel.writeAndFlush(head);
         }
@@ -82,14 +80,14 @@
     }
 
     private void answer(String line) throws MetaCodec.SyntaxException {
-        Attempt attempt = connection.head();
-        if (attempt.exchange == null) {
+        RequestAttempt attempt = connection.head();
+        if (attempt.request == null) {
             probed(line);
         } else if (line.startsWith(MetaCodec.BUSY)) {
             connection.ended(AttemptOutcome.REJECTED, 0, report(line), null);
         } else if (line.startsWith("SERVER_ERROR")) {
             connection.ended(AttemptOutcome.ERROR, 0, report(line), null);
-        } else if (line.startsWith("VA ") && !attempt.exchange.command.write) {
+        } else if (line.startsWith("VA ") && !attempt.request.command.write) {
             String word = MetaCodec.wordAt(line, 3);
             length = MetaCodec.length(word);
             flags(attempt, line, 4 + word.length());
@@ -98,13 +96,13 @@
             if (streamed) {
                 dropped = !connection.begin(length);
             }
-        } else if (line.startsWith("HD ") && attempt.exchange.command.write) {
+        } else if (line.startsWith("HD ") && attempt.request.command.write) {
             flags(attempt, line, 3);
             String receipt = MetaCodec.flag(line, 3, 'c');
             if (receipt == null) {
                 throw new MetaCodec.SyntaxException("no receipt");
             }
-            connection.ended(AttemptOutcome.OK, note, report, new Answer.Receipt(receipt));
+            connection.ended(AttemptOutcome.OK, note, report, new ServerResponse.Receipt(receipt));
         } else if (line.startsWith("EN")) {
             flags(attempt, line, 3);
             connection.ended(AttemptOutcome.MISS, note, report, null);
@@ -118,8 +116,8 @@
     }
 
     /** What the flags tell; the id must be the attempt's, or answers have lost their order. */
-    private void flags(Attempt attempt, String line, int from) throws MetaCodec.SyntaxException {
-        if (!attempt.exchange.command.id.equals(MetaCodec.flag(line, from, 'O'))) {
+    private void flags(RequestAttempt attempt, String line, int from) throws MetaCodec.SyntaxException {
+        if (!attempt.request.command.id.equals(MetaCodec.flag(line, from, 'O'))) {
             throw new MetaCodec.SyntaxException("answer to another request");
         }
         String hit = MetaCodec.flag(line, from, 'h');
@@ -141,7 +139,7 @@
             ByteBuf value = in.readRetainedSlice(length);
             in.skipBytes(2);
             missing = -1;
-            connection.ended(AttemptOutcome.OK, note, report, new Answer.Value(value));
+            connection.ended(AttemptOutcome.OK, note, report, new ServerResponse.Value(value));
             return;
         }
         // The value's end of line is passed on only when it is seen to be one.
@@ -158,7 +156,7 @@
             end(in, in.readerIndex());
             in.skipBytes(2);
             missing = -1;
-            connection.ended(AttemptOutcome.OK, note, report, dropped ? null : Answer.End.INSTANCE);
+            connection.ended(AttemptOutcome.OK, note, report, dropped ? null : ServerResponse.EndOfValue.INSTANCE);
         }
     }
 
@@ -174,7 +172,7 @@
             stats += name + "=" + MetaCodec.wordAt(line, 6 + name.length()) + ",";
         } else {
             boolean ok = line.equals("MN") || line.equals("END");
-            float[] figures = MetaCodec.report(stats, dispatcher.reportNames());
+            float[] figures = MetaCodec.report(stats, dispatcher.loadReportFields());
             stats = "";
             connection.ended(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null);
         }
@@ -188,7 +186,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        dispatcher.ended(cause);
+        dispatcher.connectionFailed(cause);
         ctx.close();
     }
 }
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/ClientConnection.java
@@ -2,7 +2,6 @@
 
 import cacheproxy.flow.ReadTimeout;
 import cacheproxy.metrics.EventKind;
-import cacheproxy.proxy.Exchange.Command;
 import cacheproxy.route.Routing;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
@@ -25,8 +24,8 @@
 
     private static final String BAD_FORMAT = "CLIENT_ERROR bad command line format\r\n";
     /** Stands for a write of which no request can be made; its value is read and dropped. */
-    private static final Command NO_REQUEST =
-            new Command(Routing.META, "", null, true, null, DeadlineText.EMPTY, DeadlineText.EMPTY);
+    private static final RequestCommand NO_REQUEST =
+            new RequestCommand(Routing.META, "", null, true, null, DeadlineText.EMPTY, DeadlineText.EMPTY);
     /** A client waits for so long before it may send a value; then it is turned away. */
     private static final double ROOM_WAIT_MS = 2000;
 
@@ -36,7 +35,7 @@
 
     private ChannelHandlerContext ctx;
     /** The write whose value is being read, with the bytes still to come; the value is null if there's no room. */
-    private Command incoming;
+    private RequestCommand incoming;
 
     private ValueBuffer value;
     private int missing;
@@ -233,7 +232,7 @@
     private void command(String line, double cameMs) throws MetaCodec.SyntaxException {
         MetaCommand parsed = MetaCommand.parse(line);
         switch (parsed.kind()) {
-            case NOOP -> say(dispatcher.drainTold() ? "SERVER_ERROR draining\r\n" : "MN\r\n");
+            case NOOP -> say(dispatcher.drainAnnounced() ? "SERVER_ERROR draining\r\n" : "MN\r\n");
             case UNKNOWN -> say("ERROR\r\n");
             case READ -> {
                 if (parsed.command() == null) {
@@ -258,17 +257,17 @@
     }
 
     /** Room for the whole value, now or in a while; without any the value is read and dropped. */
-    private void claimRoom(Command command) {
-        command.room = dispatcher.values().claim(missing, () -> {
+    private void claimRoom(RequestCommand command) {
+        command.valueReservation = dispatcher.valueBudget().claim(missing, () -> {
             if (incoming == command) {
                 awaitsRoom = false;
                 value = new ValueBuffer(ctx.alloc(), missing);
                 regulate();
             }
         });
-        if (command.room != null && command.room.granted()) {
+        if (command.valueReservation != null && command.valueReservation.granted()) {
             value = new ValueBuffer(ctx.alloc(), missing);
-        } else if (command.room != null) {
+        } else if (command.valueReservation != null) {
             awaitsRoom = true;
             decodingStopped = true;
             readTimeout.blocked(true, dispatcher.now());
@@ -294,13 +293,13 @@
         if (missing > 0) {
             return;
         }
-        Command command = incoming;
+        RequestCommand command = incoming;
         incoming = null;
         readTimeout.commandEnded();
         if (value == null) {
             // No room for the value, or no request that could be made of it. Nothing was sent on.
             if (command.id != null) {
-                dispatcher.counters().recordOutcome(command.terms.kind(), RequestOutcome.REJECTED);
+                dispatcher.counters().recordOutcome(command.terms.className(), RequestOutcome.REJECTED);
             }
             say(command.id == null ? BAD_FORMAT : MetaCodec.BUSY + "\r\n");
             return;
@@ -315,11 +314,11 @@
         take(command, input.takenCameMs(in.readableBytes()));
     }
 
-    private void take(Command command, double cameMs) {
+    private void take(RequestCommand command, double cameMs) {
         Reply reply = new Reply(command.id);
-        reply.exchange = new Exchange(reply, command, cameMs);
+        reply.exchange = new ClientRequest(reply, command, cameMs);
         replies.add(reply);
-        dispatcher.take(reply.exchange);
+        dispatcher.accept(reply.exchange);
     }
 
     private void dropIncoming() {
@@ -340,16 +339,16 @@
     }
 
     /** The answer to one request, or to a line that is none. */
-    private final class Reply implements Sink {
+    private final class Reply implements ResponseWriter {
         private final String id;
         /** Null for what is answered here. */
-        private Exchange exchange;
+        private ClientRequest exchange;
         /** What is ready to go to the client, null once it has been handed on. */
         private ByteBuf ready;
         /** Whether all of the answer has come. */
         private boolean whole;
         /** Where a long answer is read from. */
-        private Flow source;
+        private FlowControl source;
 
         Reply(String id) {
             this.id = id;
@@ -362,10 +361,10 @@
         }
 
         @Override
-        public void answer(Answer answer) {
-            if (answer instanceof Answer.Receipt r) {
+        public void writeResponse(ServerResponse answer) {
+            if (answer instanceof ServerResponse.Receipt r) {
                 whole(MetaCodec.text(ctx.alloc(), MetaCodec.receipt(id, r.receipt())));
-            } else if (answer instanceof Answer.Value v) {
+            } else if (answer instanceof ServerResponse.Value v) {
                 whole(value(v.value()));
             } else {
                 throw new IllegalStateException("the end of what has not begun");
@@ -383,7 +382,7 @@
         }
 
         @Override
-        public void refused(double retryAfterMs) {
+        public void reject(double retryAfterMs) {
             whole(MetaCodec.text(
                     ctx.alloc(),
                     retryAfterMs >= 1
@@ -392,23 +391,23 @@
         }
 
         @Override
-        public void failed() {
+        public void fail() {
             whole(MetaCodec.text(ctx.alloc(), MetaCodec.FAILED));
         }
 
         @Override
-        public void rejected(String why) {
+        public void rejectInvalid(String why) {
             whole(MetaCodec.text(ctx.alloc(), "CLIENT_ERROR " + why + "\r\n"));
         }
 
         @Override
-        public void begin(int length, Flow flow) {
+        public void beginValue(int length, FlowControl flow) {
             source = flow;
-            part(MetaCodec.text(ctx.alloc(), MetaCodec.valueHead(length, id)));
+            writePart(MetaCodec.text(ctx.alloc(), MetaCodec.valueHead(length, id)));
         }
 
         @Override
-        public void part(ByteBuf part) {
+        public void writePart(ByteBuf part) {
             if (finished) {
                 part.release();
             } else if (ready == null) {
@@ -423,15 +422,15 @@
         }
 
         @Override
-        public void end() {
+        public void endValue() {
             source = null; // first, or what is written now holds the connection that the next answer is to come on
             whole = true;
-            part(MetaCodec.text(ctx.alloc(), "\r\n"));
+            writePart(MetaCodec.text(ctx.alloc(), "\r\n"));
         }
 
         /** Only the connection's end tells the client that the value is not whole. */
         @Override
-        public void breakOff() {
+        public void abort() {
             source = null;
             ctx.close();
         }
@@ -443,11 +442,11 @@
                 ready = null;
             }
             if (source != null) {
-                source.hold(false);
+                source.setPaused(false);
                 source = null;
             }
             if (exchange != null) {
-                dispatcher.gone(exchange, closedHere);
+                dispatcher.clientDisconnected(exchange, closedHere);
             }
         }
     }
@@ -481,7 +480,7 @@
         if (replies.isEmpty() && written() && closing) {
             finish();
         } else if (dispatcher.draining() && idle()) {
-            dispatcher.retire(this);
+            dispatcher.closeWhenIdle(this);
         }
     }
 
@@ -524,7 +523,7 @@
     private void regulate() {
         for (Reply r : replies) {
             if (r.source != null) {
-                r.source.hold(r != replies.peek() || !ctx.channel().isWritable());
+                r.source.setPaused(r != replies.peek() || !ctx.channel().isWritable());
             }
         }
         if (decodingStopped && !blocked()) {
@@ -571,12 +570,12 @@
         for (Reply r; (r = replies.poll()) != null; ) {
             r.drop();
         }
-        dispatcher.left(this);
+        dispatcher.clientLeft(this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        dispatcher.ended(cause);
+        dispatcher.connectionFailed(cause);
         closedHere |= !(cause instanceof IOException);
         ctx.close();
     }
--- a/src/main/java/cacheproxy/proxy/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/ClientInput.java
@@ -35,7 +35,7 @@
         reads++;
         // Only a client's end is told of while nothing is read, and it is told once: it stands behind these bytes.
         readWhilePaused |= paused;
-        arrivals.received(bytes.readableBytes(), dispatcher.inputCameMs(context.channel()), idle);
+        arrivals.received(bytes.readableBytes(), dispatcher.inputReceivedMs(context.channel()), idle);
         if (bytes.isWritable()) {
             arrivals.drained(dispatcher.now());
         }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -11,8 +11,6 @@
 import cacheproxy.membership.Living;
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.Metric;
-import cacheproxy.proxy.Exchange.Attempt;
-import cacheproxy.proxy.Exchange.Command;
 import cacheproxy.proxy.Timers.Timer;
 import cacheproxy.proxy.discovery.Host;
 import cacheproxy.proxy.discovery.ListSource;
@@ -84,13 +82,13 @@
     private final Counters counters = new Counters();
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Integer> tenants = new HashMap<>();
-    private final IntObjectHashMap<Exchange> exchanges = new IntObjectHashMap<>();
+    private final IntObjectHashMap<ClientRequest> exchanges = new IntObjectHashMap<>();
     /** The open requests by their clients' ids. */
-    private final Map<String, Exchange> open = new HashMap<>();
+    private final Map<String, ClientRequest> open = new HashMap<>();
 
-    private final RecentIds ended = new RecentIds();
+    private final RecentIds connectionFailed = new RecentIds();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
-    private final ByteBudget values;
+    private final ByteBudget valueBudget;
     private final ReadAhead readAhead = new ReadAhead(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
     private final Servers servers;
     private Config config;
@@ -121,9 +119,9 @@
     /** Connections end after the last answer that they are owed. */
     private boolean draining;
     /** Clients that ask are told so. */
-    private boolean drainTold;
+    private boolean drainAnnounced;
 
-    private long answered;
+    private long completedRequests;
     /** For so long after a request's end a server may still be at it, and a command with its id on its way. */
     private double idHoldMs;
 
@@ -133,10 +131,10 @@
 
     /** What wants to know of clients that have left, or should. */
     interface ClientListener {
-        void left(ClientConnection client);
+        void clientLeft(ClientConnection client);
 
         /** It is between requests, and none is wanted from it any more. */
-        void retire(ClientConnection client);
+        void closeWhenIdle(ClientConnection client);
     }
 
     Dispatcher(EventLoop loop, LoopClock loopClock, Config config, Class<? extends Channel> upstream) {
@@ -146,14 +144,14 @@
         timers = new Timers(loop);
         startedMs = now();
         use(config);
-        values = new ByteBudget(
+        valueBudget = new ByteBudget(
                 Math.min((long) config.memoryMb() << 20 >> 3, PlatformDependent.maxDirectMemory() / VALUES_PART));
         Bootstrap bootstrap = new Bootstrap().group(loop).channel(upstream);
         if (upstream == Transport.BEST.socket()) {
             bootstrap.option(ChannelOption.TCP_NODELAY, true);
         }
         servers = new Servers(this, bootstrap, config.sockets() / 3);
-        loopClock.whenHeldUp(ms -> {
+        loopClock.onStall(ms -> {
             counters.increment(Metric.EVENT_LOOP_STALLS);
             log(EventKind.EVENT_LOOP_STALLED, "the event loop stood still for " + Math.round(ms) + " ms");
         });
@@ -188,24 +186,24 @@
     }
 
     /** Takes other settings for requests to come; those under way keep what held when they came. */
-    void settle(Config next) {
+    void applySettings(Config next) {
         use(next);
-        tell(() -> module.onSettings(now(), next.settings(), this));
+        runSerially(() -> module.onSettings(now(), next.settings(), this));
     }
 
     /** What the module has learnt, for another process that takes over. */
-    Map<String, LearnedState> experience() {
+    Map<String, LearnedState> learnedState() {
         return module.learnedState(now());
     }
 
     /** Goes on where another process left off; after the list that it held. */
     void resume(Map<String, LearnedState> learnt) {
-        tell(() -> module.resume(now(), learnt));
+        runSerially(() -> module.resume(now(), learnt));
     }
 
     /** The longest that any request may be waited for, of those that are open and those to come. */
     double longestDeadlineMs() {
-        return Stream.concat(settings.classes().stream(), open.values().stream().map(x -> x.kind))
+        return Stream.concat(settings.classes().stream(), open.values().stream().map(x -> x.serviceClass))
                 .mapToDouble(ServiceClass::deadlineMs)
                 .max()
                 .orElse(0);
@@ -230,7 +228,7 @@
     }
 
     /** Whether the module sends this server nothing ordinary now. */
-    boolean avoids(int server) {
+    boolean isEjected(int server) {
         return module.isAvoided(now(), server);
     }
 
@@ -244,8 +242,8 @@
     }
 
     /** Takes other routes, where there are any. */
-    void route(Routing routing) {
-        tell(() -> router.replace(now(), routing, this));
+    void replaceRoutes(Routing routing) {
+        runSerially(() -> router.replace(now(), routing, this));
     }
 
     /** What everything runs on. */
@@ -266,8 +264,8 @@
     }
 
     /** When input that is being read from this connection came, on the clock of {@link #now}. */
-    double inputCameMs(Channel channel) {
-        return clock.inputCameMs(channel);
+    double inputReceivedMs(Channel channel) {
+        return clock.inputReceivedMs(channel);
     }
 
     /** A connection of a client could not be accepted. */
@@ -282,7 +280,7 @@
         log(EventKind.CLIENT_TIMEOUT, who + " in its " + at);
     }
 
-    List<String> reportNames() {
+    List<String> loadReportFields() {
         return settings.loadReportFields();
     }
 
@@ -292,15 +290,15 @@
                 : null;
     }
 
-    boolean probesLoad() {
+    boolean healthChecksReportLoad() {
         return settings.loadReportSource() == LoadReportSource.BY_HEALTH_CHECK;
     }
 
     // ---- bounds
 
     /** The room for values that are kept whole. */
-    ByteBudget values() {
-        return values;
+    ByteBudget valueBudget() {
+        return valueBudget;
     }
 
     /** What of clients may be read before it can be looked at. */
@@ -312,13 +310,13 @@
         return draining;
     }
 
-    boolean drainTold() {
-        return drainTold;
+    boolean drainAnnounced() {
+        return drainAnnounced;
     }
 
-    void drain(boolean ending, boolean told) {
+    void setDraining(boolean ending, boolean told) {
         draining = ending;
-        drainTold = told;
+        drainAnnounced = told;
     }
 
     /** When it was made, on the clock of {@link #now}. */
@@ -332,57 +330,57 @@
     }
 
     /** Requests that were taken since the start. */
-    long taken() {
+    long acceptedRequests() {
         return nextId;
     }
 
     /** Requests that have had no final answer. */
-    int owed() {
+    int openRequests() {
         return open.size();
     }
 
     /** Requests that have had theirs, or whose clients have gone. */
-    long answered() {
-        return answered;
+    long completedRequests() {
+        return completedRequests;
     }
 
     /** A drain's deadline has come: each open request gets its final answer now. */
-    void answerAll() {
-        for (Exchange x : List.copyOf(open.values())) {
-            boolean streaming = x.streaming();
-            x.become(RequestState.ANSWERED); // before its attempts end, or the module would answer
+    void completeAll() {
+        for (ClientRequest x : List.copyOf(open.values())) {
+            boolean streaming = x.isStreaming();
+            x.transitionTo(RequestState.ANSWERED); // before its attempts end, or the module would answer
             boolean refused = !streaming && refusable(x);
-            ended(x, refused ? RequestOutcome.REJECTED : RequestOutcome.FAILED);
+            recordOutcome(x, refused ? RequestOutcome.REJECTED : RequestOutcome.FAILED);
             log(EventKind.REQUEST_ABORTED, "by the end of a drain: request " + x.command.id);
-            tell(() -> module.onClientDisconnected(now(), x.id, this));
+            runSerially(() -> module.onClientDisconnected(now(), x.id, this));
             if (streaming) {
-                x.sink.breakOff();
+                x.responseWriter.abort();
             } else if (refused) {
-                x.sink.refused(0);
+                x.responseWriter.reject(0);
             } else {
-                x.sink.failed();
+                x.responseWriter.fail();
             }
             free(x);
         }
     }
 
     /** Gives up all that is out for a request; whether it may be refused then. */
-    private boolean refusable(Exchange x) {
-        List.copyOf(x.attempts).forEach(this::expire);
-        return Permits.refuse(x.kind, x.attemptsBut(null)).allowed();
+    private boolean refusable(ClientRequest x) {
+        List.copyOf(x.attempts).forEach(this::expireAttempt);
+        return Permits.refuse(x.serviceClass, x.attemptsExcept(null)).allowed();
     }
 
-    void left(ClientConnection client) {
-        listener.left(client);
+    void clientLeft(ClientConnection client) {
+        listener.clientLeft(client);
     }
 
-    void retire(ClientConnection client) {
-        listener.retire(client);
+    void closeWhenIdle(ClientConnection client) {
+        listener.closeWhenIdle(client);
     }
 
     // ---- calls of the module
 
-    private void tell(Runnable call) {
+    private void runSerially(Runnable call) {
         if (stopped) {
             return;
         }
@@ -411,12 +409,12 @@
     }
 
     /** A module that fails on a request must not take others with it: this one ends as failed. */
-    private void guard(Exchange x, Runnable call) {
+    private void guard(ClientRequest x, Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
             fault(e);
-            finish(x, RequestOutcome.FAILED, Sink::failed);
+            finish(x, RequestOutcome.FAILED, ResponseWriter::fail);
         }
     }
 
@@ -443,7 +441,7 @@
     public void listed(EndpointUpdateKind kind, List<Host> hosts) {
         servers.listed(kind, hosts, config.streamsPerConnection());
         long faultsBefore = faults;
-        tell(() -> {
+        runSerially(() -> {
             if (router != null) { // with its event and not before it: another may wait in line
                 hosts.forEach(h -> router.describe(h.member().id(), h.server()));
             }
@@ -451,15 +449,15 @@
                     now(), kind, hosts.stream().map(Host::member).toList(), this);
         });
         boolean taken = faults == faultsBefore;
-        tell(servers::withdraw);
+        runSerially(servers::withdraw);
         if (!taken) {
             throw new IllegalStateException("the decision module does not take the list");
         }
-        followers.forEach(f -> tell(() -> f.accept(kind)));
+        followers.forEach(f -> runSerially(() -> f.accept(kind)));
     }
 
     /** This is told of news of the list once it is in use. */
-    void follow(Consumer<EndpointUpdateKind> follower) {
+    void addEndpointListListener(Consumer<EndpointUpdateKind> follower) {
         followers.add(follower);
     }
 
@@ -487,7 +485,7 @@
     }
 
     /** So many of the fleet live. */
-    void among(Living living) {
+    void liveMembersChanged(Living living) {
         if (news != null) {
             news.among(living);
         }
@@ -510,18 +508,18 @@
     }
 
     /** What the fleet has decided of zones. */
-    void order(List<ZoneDirective> orders) {
-        tell(() -> module.onZoneDirectives(now(), orders, this));
+    void applyZoneDirectives(List<ZoneDirective> orders) {
+        runSerially(() -> module.onZoneDirectives(now(), orders, this));
     }
 
-    void heard(int peer, PeerSocket.Kind kind, byte[] message) {
+    void peerMessageReceived(int peer, PeerSocket.Kind kind, byte[] message) {
         switch (kind) {
             case LIST -> {
                 if (news != null) {
                     news.heard(peer, message);
                 }
             }
-            case MODULE -> tell(() -> module.onPeerMessage(now(), peer, message, this));
+            case MODULE -> runSerially(() -> module.onPeerMessage(now(), peer, message, this));
             case MEMBERS -> {
                 if (members != null) {
                     members.heard(peer, message);
@@ -541,43 +539,43 @@
     }
 
     /** Takes a request whose last byte has come; it will be answered once. */
-    void take(Exchange x) {
-        Command c = x.command;
+    void accept(ClientRequest x) {
+        RequestCommand c = x.command;
         double now = now();
-        Exchange.Terms terms = c.terms;
-        Integer kind = classes.get(String.valueOf(terms.kind()));
+        RequestTerms terms = c.terms;
+        Integer kind = classes.get(String.valueOf(terms.className()));
         Integer tenant = tenants.isEmpty() || terms.tenant() == null ? Integer.valueOf(0) : tenants.get(terms.tenant());
-        double wait = terms.waitMs(); // the servers are told it, so there is none to assume
+        double wait = terms.timeoutMs(); // the servers are told it, so there is none to assume
         if (kind == null || tenant == null || !(wait > 0 && wait <= MAX_WAIT_MS)) {
-            turnAway(x, "unknown class, tenant or deadline");
+            rejectInvalid(x, "unknown class, tenant or deadline");
             return;
         }
         // Guards the one whose id it is: a server would take this for the same request, and answer it as such. One that
         // ended while this was on its way would have a second answer.
-        if (open.containsKey(c.id) || ended.holds(now, c.id)) {
-            turnAway(x, "id of another request");
+        if (open.containsKey(c.id) || connectionFailed.holds(now, c.id)) {
+            rejectInvalid(x, "id of another request");
             return;
         }
         open.put(c.id, x);
         x.id = ++nextId;
-        x.kind = settings.classes().get(kind);
+        x.serviceClass = settings.classes().get(kind);
         x.maxAttempts = settings.maxAttempts();
-        x.dueMs = x.cameMs + wait;
+        x.deadlineMs = x.receivedMs + wait;
         exchanges.put(x.id, x);
         Request request = new Request(
                 x.id,
                 kind,
                 tenant,
                 Installation.key(c.key),
-                x.dueMs,
-                terms.work() / 1000,
-                terms.bytes(),
+                x.deadlineMs,
+                terms.workMicros() / 1000,
+                terms.valueBytes(),
                 c.write,
-                terms.repeat());
+                terms.repeated());
         trust.decided(now, Trust.Thing.LIST);
         // Before the module's own timer for the same time: a silent server's attempt ends as a time-out then.
-        x.timer = after(x.dueMs - now, () -> due(x));
-        tell(() -> guard(x, () -> {
+        x.deadlineTimer = after(x.deadlineMs - now, () -> due(x));
+        runSerially(() -> guard(x, () -> {
             if (router != null) {
                 router.onRequest(now, request, c.key, c.front, this);
             } else {
@@ -586,22 +584,22 @@
         }));
     }
 
-    private void turnAway(Exchange x, String why) {
-        x.become(RequestState.ANSWERED);
+    private void rejectInvalid(ClientRequest x, String why) {
+        x.transitionTo(RequestState.ANSWERED);
         log(EventKind.REQUEST_INVALID, why + ": request " + x.command.id);
-        counters.recordOutcome(x.command.terms.kind(), RequestOutcome.FAILED);
-        x.sink.rejected(why);
+        counters.recordOutcome(x.command.terms.className(), RequestOutcome.FAILED);
+        x.responseWriter.rejectInvalid(why);
         free(x);
     }
 
-    private void due(Exchange x) {
-        for (int i = 0; i < x.attempts.size() && !x.streaming(); i++) {
-            expire(x.attempts.get(i));
+    private void due(ClientRequest x) {
+        for (int i = 0; i < x.attempts.size() && !x.isStreaming(); i++) {
+            expireAttempt(x.attempts.get(i));
         }
-        x.timer = after(OVERDUE_MS, () -> {
+        x.deadlineTimer = after(OVERDUE_MS, () -> {
             if (x.state() == RequestState.OPEN) {
                 log(EventKind.REQUEST_ABORTED, "left unanswered by the module: request " + x.command.id);
-                finish(x, RequestOutcome.FAILED, Sink::failed);
+                finish(x, RequestOutcome.FAILED, ResponseWriter::fail);
             }
         });
     }
@@ -610,29 +608,29 @@
      * The proxy stops waiting. What went out may have run or may yet: told as a connection that failed, a write would
      * be refused or sent again, and have its effect twice.
      */
-    void expire(Attempt a) {
+    void expireAttempt(RequestAttempt a) {
         if (!a.ended) {
             if (a.connection != null) {
                 boolean unsent = a.connection.giveUp(a);
-                end(a, unsent ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT, 0, null, null);
+                endAttempt(a, unsent ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT, 0, null, null);
             } else {
-                end(a, AttemptOutcome.NOT_SENT, 0, null, null);
+                endAttempt(a, AttemptOutcome.NOT_SENT, 0, null, null);
             }
         }
     }
 
     /** A client's connection has ended; {@code closedHere}: by this side, and not in order. */
-    void gone(Exchange x, boolean closedHere) {
-        if (!x.over()) {
+    void clientDisconnected(ClientRequest x, boolean closedHere) {
+        if (!x.isCompleted()) {
             if (closedHere) {
                 rules.breached(Breach.CLOSED_OWING, x, "its connection was closed from this side");
             }
             over(x, RequestState.CLIENT_GONE, RequestOutcome.CLIENT_DISCONNECTED);
-            tell(() -> module.onClientDisconnected(now(), x.id, this));
-            for (Attempt a : x.attempts) {
+            runSerially(() -> module.onClientDisconnected(now(), x.id, this));
+            for (RequestAttempt a : x.attempts) {
                 if (a.firstByteMs != 0 && !a.ended) { // the rest of a long value is of no use to anyone
                     a.connection.giveUp(a);
-                    end(a, AttemptOutcome.CANCELLED, 0, null, null);
+                    endAttempt(a, AttemptOutcome.CANCELLED, 0, null, null);
                 }
             }
             free(x);
@@ -642,7 +640,7 @@
     // ---- ends of attempts
 
     /** The one end of an attempt. An answer, where there is one, is the client's if none has come before. */
-    void end(Attempt a, AttemptOutcome outcome, int note, float[] report, Answer answer) {
+    void endAttempt(RequestAttempt a, AttemptOutcome outcome, int note, float[] report, ServerResponse answer) {
         if (a.ended) {
             if (answer != null) {
                 answer.release();
@@ -653,27 +651,27 @@
         a.mayHaveRun = outcome.mayHaveRun();
         stop(a.timer);
         double elapsed = (a.firstByteMs != 0 ? a.firstByteMs : now()) - a.sentMs;
-        Exchange x = a.exchange;
+        ClientRequest x = a.request;
         if (x == null) {
-            tell(() -> module.onHealthCheckResult(now(), a.server, outcome, elapsed, report, this));
+            runSerially(() -> module.onHealthCheckResult(now(), a.server, outcome, elapsed, report, this));
             return;
         }
-        x.out--;
-        if (answer != null && x.over()) {
+        x.attemptsInFlight--;
+        if (answer != null && x.isCompleted()) {
             answer.release();
-        } else if (a.firstByteMs != 0 && !x.over()) {
+        } else if (a.firstByteMs != 0 && !x.isCompleted()) {
             over(x, RequestState.ANSWERED, answer != null ? RequestOutcome.SUCCEEDED : RequestOutcome.FAILED);
             if (answer != null) {
-                x.sink.end();
+                x.responseWriter.endValue();
             } else {
-                x.sink.breakOff();
+                x.responseWriter.abort();
             }
         } else if (answer != null) {
             over(x, RequestState.ANSWERED, RequestOutcome.SUCCEEDED);
-            x.sink.answer(answer);
+            x.responseWriter.writeResponse(answer);
         }
-        boolean over = x.over();
-        tell(() -> guard(
+        boolean over = x.isCompleted();
+        runSerially(() -> guard(
                 x,
                 () -> module.onAttemptEnd(
                         now(), new AttemptEnd(x.id, a.index, a.server, outcome, elapsed, over, note, report), this)));
@@ -681,18 +679,18 @@
     }
 
     /** A long answer begins; false if the request is over or another answer has begun. */
-    boolean begin(Attempt a, int length) {
-        Exchange x = a.exchange;
+    boolean beginStreaming(RequestAttempt a, int length) {
+        ClientRequest x = a.request;
         if (a.ended || x.state() != RequestState.OPEN) {
             return false;
         }
-        x.become(RequestState.STREAMING);
+        x.transitionTo(RequestState.STREAMING);
         a.firstByteMs = now();
-        stop(x.timer);
+        stop(x.deadlineTimer);
         stop(a.timer);
-        x.sink.begin(length, a.connection);
-        tell(() -> module.onFirstByte(now(), x.id, a.index, a.server, this));
-        for (Attempt other : x.attempts) {
+        x.responseWriter.beginValue(length, a.connection);
+        runSerially(() -> module.onFirstByte(now(), x.id, a.index, a.server, this));
+        for (RequestAttempt other : x.attempts) {
             if (other != a) {
                 cancel(x.id, other.index);
             }
@@ -700,42 +698,42 @@
         return true;
     }
 
-    void part(Attempt a, ByteBuf part) {
-        if (a.ended || a.exchange.over()) {
+    void streamPart(RequestAttempt a, ByteBuf part) {
+        if (a.ended || a.request.isCompleted()) {
             part.release();
         } else {
-            a.exchange.sink.part(part);
+            a.request.responseWriter.writePart(part);
         }
     }
 
-    private void over(Exchange x, RequestState state, RequestOutcome ending) {
-        boolean streamed = x.streaming();
-        if (!x.become(state)) {
+    private void over(ClientRequest x, RequestState state, RequestOutcome ending) {
+        boolean streamed = x.isStreaming();
+        if (!x.transitionTo(state)) {
             rules.breached(Breach.ANSWERED_TWICE, x, "it can't become " + state);
         }
-        double lateMs = now() - x.dueMs;
+        double lateMs = now() - x.deadlineMs;
         if (state == RequestState.ANSWERED && !streamed && lateMs > Permits.ANSWER_SLACK_MS) {
             rules.breached(Breach.ANSWERED_LATE, x, Math.round(lateMs) + " ms after its time");
         }
-        ended(x, ending);
+        recordOutcome(x, ending);
     }
 
-    private void ended(Exchange x, RequestOutcome ending) {
-        answered++;
+    private void recordOutcome(ClientRequest x, RequestOutcome ending) {
+        completedRequests++;
         if (ending == RequestOutcome.SUCCEEDED && firstServedMs < 0) {
             firstServedMs = Math.round(now() - startedMs);
         }
-        counters.recordOutcome(x.kind.name(), ending);
-        stop(x.timer);
+        counters.recordOutcome(x.serviceClass.name(), ending);
+        stop(x.deadlineTimer);
     }
 
     /** The final answer where no server gave it. */
-    private void finish(Exchange x, RequestOutcome ending, Consumer<Sink> answer) {
+    private void finish(ClientRequest x, RequestOutcome ending, Consumer<ResponseWriter> answer) {
         if (x.state() != RequestState.OPEN) {
             return;
         }
         over(x, RequestState.ANSWERED, ending);
-        answer.accept(x.sink);
+        answer.accept(x.responseWriter);
         free(x);
     }
 
@@ -743,20 +741,20 @@
      * Nothing is sent for a request that is over, whatever the settings say of cancelling: its client has its answer or
      * has gone, and its value goes here. What still waits for a connection is taken back, as never sent.
      */
-    private void free(Exchange x) {
-        if (!x.over()) {
+    private void free(ClientRequest x) {
+        if (!x.isCompleted()) {
             return;
         }
-        for (Attempt a : x.attempts) {
+        for (RequestAttempt a : x.attempts) {
             if (!a.ended && (a.connection == null || a.connection.takeBack(a))) {
-                end(a, AttemptOutcome.NOT_SENT, 0, null, null);
+                endAttempt(a, AttemptOutcome.NOT_SENT, 0, null, null);
             }
         }
         if (open.remove(x.command.id, x)) {
-            ended.ended(now(), x.command.id, idHoldMs);
+            connectionFailed.ended(now(), x.command.id, idHoldMs);
         }
         x.command.release();
-        if (x.out == 0) {
+        if (x.attemptsInFlight == 0) {
             exchanges.remove(x.id);
         }
     }
@@ -765,24 +763,24 @@
 
     @Override
     public void send(int request, int server, double timeoutMs) {
-        Exchange x = exchanges.get(request);
-        if (x == null || x.over()) {
+        ClientRequest x = exchanges.get(request);
+        if (x == null || x.isCompleted()) {
             log(EventKind.INTERNAL_ERROR, "order for a request that is over");
             return;
         }
         double now = now();
-        double left = x.dueMs - now;
+        double left = x.deadlineMs - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
         Upstream u = servers.get(server);
         Permits.Place place = u == null ? NOWHERE : u.place;
-        Attempt a = new Attempt(x, x.attempts.size(), server, place, now, now + wait);
+        RequestAttempt a = new RequestAttempt(x, x.attempts.size(), server, place, now, now + wait);
         count(x, u);
         x.attempts.add(a);
-        x.out++;
+        x.attemptsInFlight++;
         if (wait > 0 && wait < left) {
-            a.timer = after(wait, () -> expire(a));
+            a.timer = after(wait, () -> expireAttempt(a));
         }
-        if (loopClock.sinceLookedMs() > STALE_MS) {
+        if (loopClock.sinceLastPollMs() > STALE_MS) {
             // Held up: its client's end or news of the server may be there unread, and is read first.
             loop.schedule(() -> send(a), 0, TimeUnit.MILLISECONDS);
         } else {
@@ -790,14 +788,14 @@
         }
     }
 
-    private void send(Attempt a) {
+    private void send(RequestAttempt a) {
         if (a.ended) {
             return;
         }
         if (!mayBegin(a)) {
-            tell(() -> end(a, AttemptOutcome.NOT_SENT, 0, null, null));
+            runSerially(() -> endAttempt(a, AttemptOutcome.NOT_SENT, 0, null, null));
         } else if (!servers.get(a.server).send(a)) {
-            tell(() -> end(a, AttemptOutcome.CONNECT_FAILED, 0, null, null));
+            runSerially(() -> endAttempt(a, AttemptOutcome.CONNECT_FAILED, 0, null, null));
         }
     }
 
@@ -805,8 +803,8 @@
      * Whether an attempt may begin at this moment; to be asked right before its bytes go out, and again where it had to
      * wait in between.
      */
-    boolean mayBegin(Attempt a) {
-        Exchange x = a.exchange;
+    boolean mayBegin(RequestAttempt a) {
+        ClientRequest x = a.request;
         Upstream u = servers.get(a.server);
         if (x == null) {
             return u != null && u.ready;
@@ -816,14 +814,14 @@
                 now,
                 new Permits.Send(
                         x.state(),
-                        x.kind,
-                        Math.min(a.untilMs, x.dueMs) - now,
+                        x.serviceClass,
+                        Math.min(a.expiresMs, x.deadlineMs) - now,
                         u != null && u.ready,
                         a.place,
                         a.index,
                         Math.min(x.maxAttempts, settings.maxAttempts()),
                         settings.hedgingAllowed(),
-                        x.attemptsBut(a)));
+                        x.attemptsExcept(a)));
         if (!verdict.allowed()) {
             rules.forbade(a, verdict);
         }
@@ -831,9 +829,9 @@
     }
 
     /** A server is being told of this much time for the attempt. */
-    void telling(Attempt a, long remainingMs) {
-        Exchange x = a.exchange;
-        double left = x == null ? Double.POSITIVE_INFINITY : x.dueMs - now();
+    void checkRemainingTime(RequestAttempt a, long remainingMs) {
+        ClientRequest x = a.request;
+        double left = x == null ? Double.POSITIVE_INFINITY : x.deadlineMs - now();
         if (Permits.toldTooMuch((double) remainingMs, left)) {
             rules.breached(Breach.TOLD_TOO_MUCH, x, remainingMs + " ms, " + Math.round(left) + " ms are left");
         }
@@ -844,63 +842,63 @@
         return rules;
     }
 
-    private void count(Exchange x, Upstream to) {
+    private void count(ClientRequest x, Upstream to) {
         counters.increment(Metric.ATTEMPTS);
         if (!x.attempts.isEmpty()) {
-            counters.increment(x.out > 0 ? Metric.HEDGES : Metric.RETRIES);
+            counters.increment(x.attemptsInFlight > 0 ? Metric.HEDGES : Metric.RETRIES);
         }
         if (to != null && to.origin && !x.command.write) {
             counters.increment(Metric.ORIGIN_FETCHES);
         }
-        if (to != null && !to.origin && avoids(to.id)) {
+        if (to != null && !to.origin && isEjected(to.id)) {
             counters.increment(Metric.HEALTH_CHECKS);
         }
     }
 
     @Override
     public void reject(int request, double retryAfterMs) {
-        Exchange x = exchanges.get(request);
+        ClientRequest x = exchanges.get(request);
         if (x == null) {
             return;
         }
         if (x.state() == RequestState.OPEN
-                && !Permits.refuse(x.kind, x.attemptsBut(null)).allowed()) {
+                && !Permits.refuse(x.serviceClass, x.attemptsExcept(null)).allowed()) {
             rules.breached(Breach.REFUSED_THOUGH_IT_MAY_HAVE_RUN, x, "it is answered as failed");
             fail(request);
             return;
         }
-        finish(x, RequestOutcome.REJECTED, s -> s.refused(settings.retryAfterSupported() ? retryAfterMs : 0));
+        finish(x, RequestOutcome.REJECTED, s -> s.reject(settings.retryAfterSupported() ? retryAfterMs : 0));
     }
 
     @Override
     public void fail(int request) {
-        Exchange x = exchanges.get(request);
+        ClientRequest x = exchanges.get(request);
         if (x != null) {
-            finish(x, RequestOutcome.FAILED, Sink::failed);
+            finish(x, RequestOutcome.FAILED, ResponseWriter::fail);
         }
     }
 
     @Override
     public void cancel(int request, int attempt) {
-        Exchange x = exchanges.get(request);
-        Attempt a = x == null || attempt >= x.attempts.size() ? null : x.attempts.get(attempt);
+        ClientRequest x = exchanges.get(request);
+        RequestAttempt a = x == null || attempt >= x.attempts.size() ? null : x.attempts.get(attempt);
         if (a == null || a.ended || a.firstByteMs != 0) {
             return;
         }
         // Another attempt may follow. Where second copies are forbidden this one must be over then, or it stays waited
         // for.
-        if (!x.over() && !settings.hedgingAllowed() && a.connection != null && !a.connection.endsAlone()) {
+        if (!x.isCompleted() && !settings.hedgingAllowed() && a.connection != null && !a.connection.endsAlone()) {
             return;
         }
         if (a.connection != null) {
             a.connection.giveUp(a);
         }
-        tell(() -> end(a, AttemptOutcome.CANCELLED, 0, null, null));
+        runSerially(() -> endAttempt(a, AttemptOutcome.CANCELLED, 0, null, null));
     }
 
     @Override
     public void setTimer(double afterMs, int token) {
-        after(afterMs, () -> tell(() -> module.onTimer(now(), token, this)));
+        after(afterMs, () -> runSerially(() -> module.onTimer(now(), token, this)));
     }
 
     @Override
@@ -908,11 +906,11 @@
         Upstream u = servers.get(server);
         counters.increment(Metric.HEALTH_CHECKS);
         double now = now();
-        Attempt a = new Attempt(null, 0, server, NOWHERE, now, now + PROBE_TIMEOUT_MS);
+        RequestAttempt a = new RequestAttempt(null, 0, server, NOWHERE, now, now + PROBE_TIMEOUT_MS);
         if (u == null || !u.ready || !u.send(a)) {
-            tell(() -> end(a, AttemptOutcome.CONNECT_FAILED, 0, null, null));
+            runSerially(() -> endAttempt(a, AttemptOutcome.CONNECT_FAILED, 0, null, null));
         } else {
-            a.timer = after(PROBE_TIMEOUT_MS, () -> expire(a));
+            a.timer = after(PROBE_TIMEOUT_MS, () -> expireAttempt(a));
         }
     }
 
@@ -950,7 +948,7 @@
     }
 
     /** A connection ends by this. That its other side has ended it is ordinary; anything else is told. */
-    void ended(Throwable cause) {
+    void connectionFailed(Throwable cause) {
         if (!(cause instanceof IOException)) {
             log(EventKind.INTERNAL_ERROR, "a connection ends by " + cause);
         }
--- a/src/main/java/cacheproxy/proxy/Drainer.java
+++ b/src/main/java/cacheproxy/proxy/Drainer.java
@@ -40,7 +40,7 @@
     String cancel() {
         String why = drain.cancel();
         if (why == null) {
-            dispatcher.drain(false, false);
+            dispatcher.setDraining(false, false);
         }
         return why;
     }
@@ -50,7 +50,8 @@
     }
 
     private Drain.Counts counts() {
-        return new Drain.Counts(dispatcher.owed(), acceptor.open(), acceptor.idle(), dispatcher.answered());
+        return new Drain.Counts(
+                dispatcher.openRequests(), acceptor.open(), acceptor.idle(), dispatcher.completedRequests());
     }
 
     private void tick() {
@@ -60,14 +61,14 @@
             ticking = false;
             return;
         }
-        dispatcher.drain(drain.ending(now), drain.told());
+        dispatcher.setDraining(drain.ending(now), drain.told());
         if (listening && !orders.listen()) {
             listening = false;
             acceptor.stopListening();
         }
         acceptor.endIdle(orders.endIdle());
         if (orders.answerAll()) {
-            dispatcher.answerAll();
+            dispatcher.completeAll();
             acceptor.endAll();
         }
         if (orders.exit()) {
--- a/src/main/java/cacheproxy/proxy/LoopClock.java
+++ b/src/main/java/cacheproxy/proxy/LoopClock.java
@@ -38,15 +38,15 @@
     private long returnedNanos;
     private long mayWaitNanos;
     private boolean returned;
-    private DoubleConsumer whenHeldUp = ms -> {};
+    private DoubleConsumer onStall = ms -> {};
 
     /** This is told for how many milliseconds the loop did not look for input, where that is too long. */
-    void whenHeldUp(DoubleConsumer listener) {
-        whenHeldUp = listener;
+    void onStall(DoubleConsumer listener) {
+        onStall = listener;
     }
 
     /** For how many milliseconds the loop has not looked for input. */
-    double sinceLookedMs() {
+    double sinceLastPollMs() {
         if (handler == null) {
             return 0;
         }
@@ -75,7 +75,7 @@
     }
 
     /** The earliest time, by {@link System#nanoTime}, at which input that is being read now may have come. */
-    long inputSinceNanos() {
+    long inputReceivedNanos() {
         if (handler == null) {
             return System.nanoTime(); // it wraps no loop
         }
@@ -99,7 +99,7 @@
     public int run(IoHandlerContext context) {
         enteredNanos = System.nanoTime();
         if (enteredNanos - returnedNanos > HELD_UP_NANOS) {
-            whenHeldUp.accept((enteredNanos - returnedNanos) / 1e6);
+            onStall.accept((enteredNanos - returnedNanos) / 1e6);
         }
         mayWaitNanos = context.canBlock() ? Math.max(0, context.delayNanos(enteredNanos)) : 0;
         returned = false;
--- a/src/main/java/cacheproxy/proxy/MetaCommand.java
+++ b/src/main/java/cacheproxy/proxy/MetaCommand.java
@@ -1,7 +1,5 @@
 package cacheproxy.proxy;
 
-import cacheproxy.proxy.Exchange.Command;
-import cacheproxy.proxy.Exchange.Terms;
 import cacheproxy.route.Routing;
 
 /**
@@ -11,7 +9,7 @@
  * @param command the request, but for a write's value; null where the line makes none
  * @param valueLength bytes of a write's value, without its line's end; 0 for the others
  */
-record MetaCommand(Kind kind, Command command, int valueLength) {
+record MetaCommand(Kind kind, RequestCommand command, int valueLength) {
     private static final int MAX_KEY = 250;
     /** Of {@code mg} and {@code ms}, with the space behind. */
     private static final int NAME_LENGTH = 3;
@@ -55,7 +53,7 @@
         return new MetaCommand(write ? Kind.WRITE : Kind.READ, command(line, key, flags, write), length);
     }
 
-    private static Command command(String line, String key, int flags, boolean write) {
+    private static RequestCommand command(String line, String key, int flags, boolean write) {
         String id = MetaCodec.flag(line, flags, 'O');
         String extras = MetaCodec.flag(line, flags, 'P');
         boolean bad = key.isEmpty()
@@ -70,7 +68,7 @@
         int list = line.indexOf(" P", flags - 1) + 2;
         int deadline = MetaCodec.valueAt(extras, "d");
         int deadlineInLine = deadline < 0 ? -1 : list + deadline;
-        return new Command(
+        return new RequestCommand(
                 Routing.META,
                 key,
                 id,
@@ -85,8 +83,8 @@
         return line.chars().allMatch(c -> c >= ' ' && c <= '~');
     }
 
-    private static Terms terms(String extras) {
-        return new Terms(
+    private static RequestTerms terms(String extras) {
+        return new RequestTerms(
                 MetaCodec.named(extras, "c"),
                 MetaCodec.named(extras, "t"),
                 figure(extras, "d", Double.NaN),
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -1,8 +1,6 @@
 package cacheproxy.proxy;
 
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.proxy.Exchange.Attempt;
-import cacheproxy.proxy.Exchange.Command;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.routing.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
@@ -86,20 +84,20 @@
     }
 
     @Override
-    public ChannelFuture write(Channel channel, Attempt attempt, long remainingMs, SocketAddress dial) {
+    public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress dial) {
         FullHttpRequest request;
-        if (attempt.exchange == null) {
-            String path = dispatcher.probesLoad() ? "/metrics/load" : "/alive";
+        if (attempt.request == null) {
+            String path = dispatcher.healthChecksReportLoad() ? "/metrics/load" : "/alive";
             request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
         } else {
-            Command command = attempt.exchange.command;
+            RequestCommand command = attempt.request.command;
             String path = "/" + URLEncoder.encode(command.key, StandardCharsets.ISO_8859_1);
             ByteBuf value = !command.write
                     ? Unpooled.EMPTY_BUFFER
                     : command.value.retainedSlice(0, command.value.readableBytes() - 2);
             request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1, command.write ? HttpMethod.PUT : HttpMethod.GET, path, value);
-            request.headers().set("Req-Id", command.id).set("Req-Extra", command.extras.with(remainingMs));
+            request.headers().set("Req-Id", command.id).set("Req-Extra", command.originParameters.with(remainingMs));
             if (command.write) {
                 request.headers().set(HttpHeaderNames.CONTENT_LENGTH, value.readableBytes());
             }
@@ -136,7 +134,7 @@
     }
 
     private void begin(ChannelHandlerContext ctx, HttpResponse r) {
-        Attempt attempt = connection.head();
+        RequestAttempt attempt = connection.head();
         if (r.status().code() < 200) {
             response = null;
             return;
@@ -156,8 +154,8 @@
             return;
         }
         streamed = r.status().code() == 200
-                && attempt.exchange != null
-                && !attempt.exchange.command.write
+                && attempt.request != null
+                && !attempt.request.command.write
                 && missing > MetaCodec.WHOLE;
         body = null;
         if (!streamed) {
@@ -204,7 +202,7 @@
 
     private boolean claim(int bytes) {
         while (room.size() * (long) MetaCodec.WHOLE < bytes) {
-            ByteBudget.Ticket ticket = dispatcher.values().claim(MetaCodec.WHOLE, () -> {});
+            ByteBudget.Ticket ticket = dispatcher.valueBudget().claim(MetaCodec.WHOLE, () -> {});
             if (ticket == null || !ticket.granted()) {
                 if (ticket != null) {
                     ticket.release();
@@ -225,14 +223,14 @@
         if (!HttpUtil.isKeepAlive(r) || !HttpUtil.isContentLengthSet(r) && !HttpUtil.isTransferEncodingChunked(r)) {
             connection.retire();
         }
-        Attempt attempt = connection.head();
+        RequestAttempt attempt = connection.head();
         float[] report = dispatcher.report(r.headers().get(LOAD));
         int code = r.status().code();
-        if (attempt.exchange == null) {
+        if (attempt.request == null) {
             release(whole);
             connection.ended(code == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, report, null);
         } else if (code == 200) {
-            connection.ended(AttemptOutcome.OK, 0, report, answer(attempt.exchange.command, whole));
+            connection.ended(AttemptOutcome.OK, 0, report, answer(attempt.request.command, whole));
         } else {
             release(whole);
             boolean declined =
@@ -241,16 +239,16 @@
         }
     }
 
-    private Answer answer(Command command, ByteBuf whole) {
+    private ServerResponse answer(RequestCommand command, ByteBuf whole) {
         if (streamed || whole == null) {
-            return Answer.End.INSTANCE;
+            return ServerResponse.EndOfValue.INSTANCE;
         }
         if (command.write) {
             String receipt = whole.toString(StandardCharsets.ISO_8859_1).trim();
             whole.release();
-            return new Answer.Receipt(receipt);
+            return new ServerResponse.Receipt(receipt);
         }
-        return new Answer.Value(whole);
+        return new ServerResponse.Value(whole);
     }
 
     private static void release(ByteBuf buf) {
@@ -286,7 +284,7 @@
     /** A body that only the connection's end ends is whole if that is an orderly one (RFC 9112, 6.3). */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        dispatcher.ended(cause);
+        dispatcher.connectionFailed(cause);
         broken = true;
         drop();
         ctx.close();
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -95,7 +95,7 @@
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
-        peers = new PeerSocket(loop, config, dispatcher::heard, dispatcher.counters());
+        peers = new PeerSocket(loop, config, dispatcher::peerMessageReceived, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
         ProvisionalList list = new ProvisionalList(
@@ -167,12 +167,12 @@
             records.put(
                     Kind.ORDERS, new Record(Kind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
-        return new TakeoverState(discovery.list(), dispatcher.experience(), records);
+        return new TakeoverState(discovery.list(), dispatcher.learnedState(), records);
     }
 
     /** What is passed over of what has been learnt; for tests, on the event loop only. */
     Map<String, LearnedState> knows() {
-        return dispatcher.experience();
+        return dispatcher.learnedState();
     }
 
     private void ended() {
@@ -312,7 +312,7 @@
     }
 
     ByteBudget values() {
-        return dispatcher.values();
+        return dispatcher.valueBudget();
     }
 
     // ---- the view of the fleet
@@ -338,7 +338,7 @@
                         remembered.incarnation(),
                         config.seed(),
                         parts.recovers() ? Phase.STARTING : Phase.SERVING,
-                        dispatcher::among);
+                        dispatcher::liveMembersChanged);
                 dispatcher.members(members, new NodeTalk(dispatcher, peers, members));
                 if (parts.zones()) {
                     zones = new ZoneLink(dispatcher, members, config.settings(), config.zones(), remembered);
@@ -414,10 +414,10 @@
             Routing routing = edge == null ? null : edge.read(next.names());
             config = next;
             loop.execute(() -> {
-                dispatcher.settle(next);
+                dispatcher.applySettings(next);
                 discovery.settle(next.discoverySettings());
                 if (routing != null) {
-                    dispatcher.route(routing);
+                    dispatcher.replaceRoutes(routing);
                 }
                 dispatcher.counters().recordReload(true);
             });
@@ -516,8 +516,8 @@
         c.classes().forEach((name, t) -> classes.put(name, new Endings(t.succeeded(), t.rejected(), t.failed())));
         return new Status(
                 acceptor.open(),
-                dispatcher.owed(),
-                dispatcher.answered(),
+                dispatcher.openRequests(),
+                dispatcher.completedRequests(),
                 dispatcher.servers().connections(),
                 classes,
                 c.forwards(),
@@ -527,8 +527,8 @@
                 c.reloadsRejected(),
                 handover.phase(),
                 handover.taken(),
-                dispatcher.values().used(),
-                dispatcher.values().waiting());
+                dispatcher.valueBudget().used(),
+                dispatcher.valueBudget().waiting());
     }
 
     /** What was seen of the rules so far. On the event loop only. */
--- a/src/main/java/cacheproxy/proxy/ProxyClock.java
+++ b/src/main/java/cacheproxy/proxy/ProxyClock.java
@@ -37,7 +37,7 @@
      * not been seen to tell (another transport, or one that stands in for the system), the event loop's word holds: no
      * later than it can have been, and so perhaps too early.
      */
-    double inputCameMs(Channel channel) {
+    double inputReceivedMs(Channel channel) {
         double now = now();
         double quietMs = quietMs(channel);
         if (quietMs > 0) {
@@ -45,7 +45,7 @@
         }
         return systemTells && quietMs >= 0
                 ? now - quietMs
-                : now - (System.nanoTime() - loopClock.inputSinceNanos()) / 1e6;
+                : now - (System.nanoTime() - loopClock.inputReceivedNanos()) / 1e6;
     }
 
     /** For how long nothing has come on the connection; negative if that is not known. */
--- a/src/main/java/cacheproxy/proxy/RecallLink.java
+++ b/src/main/java/cacheproxy/proxy/RecallLink.java
@@ -54,12 +54,12 @@
 
     /** What this proxy has learnt itself, as far as it goes into a datagram. */
     private void answer(int peer) {
-        LearnedState e = dispatcher.experience().get("");
+        LearnedState e = dispatcher.learnedState().get("");
         if (e == null) {
             return; // it has pools, and none of all servers
         }
         List<Integer> bad = e.endpoints().stream()
-                .filter(s -> s.failures() > 0 && dispatcher.avoids(s.id()))
+                .filter(s -> s.failures() > 0 && dispatcher.isEjected(s.id()))
                 .sorted(Comparator.comparingInt(EndpointHealthRecord::failures).reversed())
                 .limit(Memory.MOST_BAD)
                 .map(EndpointHealthRecord::id)
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -56,7 +56,7 @@
         if (dispatcher.servers().discovered() > 0) {
             progress.listed(dispatcher.now(), firstHand);
         }
-        dispatcher.follow(this::listed);
+        dispatcher.addEndpointListListener(this::listed);
         rateMs = dispatcher.now();
         run();
     }
@@ -85,13 +85,16 @@
         Stage before = progress.stage();
         Stage stage = progress.tick(
                 now,
-                new Sample(dispatcher.taken(), c.count(Metric.REQUESTS_SUCCEEDED), c.count(Metric.REQUESTS_REJECTED)));
+                new Sample(
+                        dispatcher.acceptedRequests(),
+                        c.count(Metric.REQUESTS_SUCCEEDED),
+                        c.count(Metric.REQUESTS_REJECTED)));
         if (stage != before) {
             tell(stage);
         }
         if (now - rateMs >= RATE_MS) {
-            rate = (dispatcher.taken() - rateTaken) * 1000.0 / (now - rateMs);
-            rateTaken = dispatcher.taken();
+            rate = (dispatcher.acceptedRequests() - rateTaken) * 1000.0 / (now - rateMs);
+            rateTaken = dispatcher.acceptedRequests();
             rateMs = now;
         }
         if (members != null && !dispatcher.draining()) {
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/RequestCommand.java
@@ -0,0 +1,57 @@
+package cacheproxy.proxy;
+
+import cacheproxy.flow.ByteBudget;
+import io.netty.buffer.ByteBuf;
+
+/**
+ * A command as a front protocol has decoded it: what is asked for, and its value in the case of a write. Owns the value
+ * and the budget reserved for it. Event loop only.
+ */
+final class RequestCommand {
+    /** The index of the front protocol in {@link cacheproxy.route.Routing#FRONTS}. */
+    final int front;
+
+    final String key;
+    /** The client's id of the request; no two open requests have the same. */
+    final String id;
+
+    final boolean write;
+    final RequestTerms terms;
+    /** The list of named parameters for the origin, in the syntax of the meta protocol. */
+    final DeadlineText originParameters;
+    /** The command line for a cache node, without its line end. */
+    final DeadlineText commandLine;
+    /** The value with its line end, kept for further attempts until the request is completed; null for reads. */
+    ByteBuf value;
+    /** The part of the value budget that the value takes; null for reads. */
+    ByteBudget.Ticket valueReservation;
+
+    RequestCommand(
+            int front,
+            String key,
+            String id,
+            boolean write,
+            RequestTerms terms,
+            DeadlineText originParameters,
+            DeadlineText commandLine) {
+        this.front = front;
+        this.key = key;
+        this.id = id;
+        this.write = write;
+        this.terms = terms;
+        this.originParameters = originParameters;
+        this.commandLine = commandLine;
+    }
+
+    /** Releases the value and its part of the budget. Idempotent. */
+    void release() {
+        if (value != null) {
+            value.release();
+            value = null;
+        }
+        if (valueReservation != null) {
+            valueReservation.release();
+            valueReservation = null;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/ResponseWriter.java
@@ -0,0 +1,43 @@
+package cacheproxy.proxy;
+
+import io.netty.buffer.ByteBuf;
+
+/**
+ * Writes the one response of a request to its client, in the front's protocol. The core calls exactly one of
+ * {@link #writeResponse}, {@link #reject}, {@link #fail}, {@link #rejectInvalid} and {@link #beginValue}. After
+ * {@link #beginValue} follow calls of {@link #writePart} and then one of {@link #endValue} or {@link #abort}. Called on
+ * the event loop.
+ */
+interface ResponseWriter {
+    /** Controls how a streamed response is read from its server, so that a slow client need not buffer it. */
+    interface FlowControl {
+        /** Pauses reading, or resumes it. */
+        void setPaused(boolean paused);
+    }
+
+    /** Writes a complete response and releases it. */
+    void writeResponse(ServerResponse response);
+
+    /**
+     * Rejects the request; a repeat is harmless. {@code retryAfterMs}: when to retry, in milliseconds; 0: no advice.
+     */
+    void reject(double retryAfterMs);
+
+    /** Reports a failure; the request may have been executed. */
+    void fail();
+
+    /** Rejects the request as invalid; nothing was done for it. */
+    void rejectInvalid(String reason);
+
+    /** Begins a value of {@code length} bytes, whose parts follow as they arrive from the server. */
+    void beginValue(int length, FlowControl flowControl);
+
+    /** Writes the next part of the value and releases it. */
+    void writePart(ByteBuf part);
+
+    /** Ends the value: all of it has been passed on. */
+    void endValue();
+
+    /** Aborts the value: the rest of it will not arrive. */
+    void abort();
+}
--- a/src/main/java/cacheproxy/proxy/RuleMonitor.java
+++ b/src/main/java/cacheproxy/proxy/RuleMonitor.java
@@ -4,7 +4,6 @@
 import cacheproxy.admission.Permits;
 import cacheproxy.admission.Verdict;
 import cacheproxy.metrics.EventKind;
-import cacheproxy.proxy.Exchange.Attempt;
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
@@ -21,9 +20,9 @@
     }
 
     /** An attempt was ordered and did not begin. */
-    void forbade(Attempt attempt, Verdict verdict) {
+    void forbade(RequestAttempt attempt, Verdict verdict) {
         forbidden.merge(verdict, 1L, Long::sum);
-        Exchange request = attempt.exchange;
+        ClientRequest request = attempt.request;
         log.log(
                 EventKind.ATTEMPT_FORBIDDEN,
                 String.format(
@@ -38,7 +37,7 @@
     }
 
     /** A rule was seen to be broken. */
-    void breached(Breach breach, Exchange request, String detail) {
+    void breached(Breach breach, ClientRequest request, String detail) {
         breaches.merge(breach, 1L, Long::sum);
         log.log(
                 EventKind.RULE_VIOLATION,
--- a/src/main/java/cacheproxy/proxy/Servers.java
+++ b/src/main/java/cacheproxy/proxy/Servers.java
@@ -233,17 +233,17 @@
     int ejected() {
         double now = dispatcher.now();
         return (int) cacheNodes()
-                .filter(u -> now - u.sentMs() > AVOIDED_MS && dispatcher.avoids(u.id))
+                .filter(u -> now - u.sentMs() > AVOIDED_MS && dispatcher.isEjected(u.id))
                 .count();
     }
 
     /** Those of them that are avoided, or had no place for a connection. */
     List<MetricsLine.Node> troubled() {
         return cacheNodes()
-                .filter(u -> u.turnedAwayTimes() > 0 || dispatcher.avoids(u.id))
+                .filter(u -> u.turnedAwayTimes() > 0 || dispatcher.isEjected(u.id))
                 .limit(MetricsLine.MAX_NODES)
                 .map(u -> new MetricsLine.Node(
-                        Integer.toHexString(u.id), u.openedTimes(), u.turnedAwayTimes(), dispatcher.avoids(u.id)))
+                        Integer.toHexString(u.id), u.openedTimes(), u.turnedAwayTimes(), dispatcher.isEjected(u.id)))
                 .toList();
     }
 
--- a/src/main/java/cacheproxy/proxy/StateLink.java
+++ b/src/main/java/cacheproxy/proxy/StateLink.java
@@ -96,7 +96,7 @@
                                             r.use(now).name().toLowerCase(Locale.ROOT)))
                                     .toList()));
         }
-        dispatcher.follow(this::listed);
+        dispatcher.addEndpointListListener(this::listed);
         refresh();
     }
 
@@ -144,7 +144,7 @@
         if (closed) {
             return;
         }
-        put(Kind.LEARNT, LearntForm.json(dispatcher.experience()));
+        put(Kind.LEARNT, LearntForm.json(dispatcher.learnedState()));
         if (zones != null && zones.zones().quorum()) {
             JsonElement held = ZoneForm.json(zones.zones().held(), false, zones.names());
             if (held.getAsJsonObject().size() > 0) {
@@ -267,7 +267,7 @@
             return;
         }
         fleetChanged();
-        put(Kind.LEARNT, LearntForm.json(dispatcher.experience()));
+        put(Kind.LEARNT, LearntForm.json(dispatcher.learnedState()));
         closed = true;
         Keeper.Write last = locked ? keeper.last() : null;
         writer.execute(() -> {
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -1,7 +1,6 @@
 package cacheproxy.proxy;
 
 import cacheproxy.admission.Permits;
-import cacheproxy.proxy.Exchange.Attempt;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
@@ -76,7 +75,7 @@
      * is opened, too, where the others should rest; where there can be no more, the one that has rested longest is
      * used.
      */
-    boolean send(Attempt attempt) {
+    boolean send(RequestAttempt attempt) {
         UpstreamConnection best = null;
         UpstreamConnection busy = null;
         double now = dispatcher.now();
@@ -147,7 +146,7 @@
      * A further connection did not come up while others stand: the server has as many as it takes, which says nothing
      * against it. What was to go out on that one, and did not, goes behind the rest.
      */
-    boolean sendElsewhere(Attempt attempt) {
+    boolean sendElsewhere(RequestAttempt attempt) {
         UpstreamConnection best = null;
         double now = dispatcher.now();
         double idleBeforeMs = dispatcher.servers().idleBeforeMs(now);
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -2,7 +2,6 @@
 
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.Metric;
-import cacheproxy.proxy.Exchange.Attempt;
 import cacheproxy.proxy.transport.Connecting;
 import cacheproxy.routing.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
@@ -17,11 +16,11 @@
  * when the connection does hangs on whether its last byte was written: only then may it have run.
  */
 @SuppressWarnings("OperatorPrecedence") // && binds before ||; parentheses follow as lines are touched
-final class UpstreamConnection implements Sink.Flow {
+final class UpstreamConnection implements ResponseWriter.FlowControl {
     /** Turns an attempt into the server's protocol and its answers into calls of the methods below. */
     interface Codec {
         /** {@code remainingMs}: how long the server is told that its answer is waited for. */
-        ChannelFuture write(Channel channel, Attempt attempt, long remainingMs, SocketAddress dial);
+        ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress dial);
     }
 
     /** A server pauses for 0.1 s at most within an answer; one that stops for this long will not go on. */
@@ -34,7 +33,7 @@
     private static final double PLACE_MS = 5;
 
     private final Upstream upstream;
-    private final ArrayDeque<Attempt> attempts = new ArrayDeque<>(4);
+    private final ArrayDeque<RequestAttempt> attempts = new ArrayDeque<>(4);
     private Codec codec;
     private Channel channel;
     private SocketAddress dial;
@@ -54,7 +53,7 @@
     private boolean watched;
     private boolean answered;
     /** The first attempt, where it was turned away and it is not yet known why. */
-    private Attempt turnedAway;
+    private RequestAttempt turnedAway;
 
     UpstreamConnection(Upstream upstream) {
         this.upstream = upstream;
@@ -91,12 +90,12 @@
                 close();
             }
         }
-        for (Attempt waiting : List.copyOf(attempts)) {
-            if (waiting.exchange == null || upstream.dispatcher().mayBegin(waiting)) {
+        for (RequestAttempt waiting : List.copyOf(attempts)) {
+            if (waiting.request == null || upstream.dispatcher().mayBegin(waiting)) {
                 write(waiting);
             } else {
                 attempts.remove(waiting);
-                upstream.dispatcher().end(waiting, AttemptOutcome.NOT_SENT, 0, null, null);
+                upstream.dispatcher().endAttempt(waiting, AttemptOutcome.NOT_SENT, 0, null, null);
             }
         }
     }
@@ -147,7 +146,7 @@
         return depth() != other.depth() ? depth() < other.depth() : idleSinceMs > other.idleSinceMs;
     }
 
-    void send(Attempt attempt) {
+    void send(RequestAttempt attempt) {
         attempt.connection = this;
         attempts.add(attempt);
         if (connected) {
@@ -158,17 +157,17 @@
     /** What came up as late as this has no time left: nothing may go out for it any more. */
     private void expireWaiting() {
         double now = upstream.dispatcher().now();
-        List.copyOf(attempts).stream().filter(a -> a.untilMs <= now).forEach(upstream.dispatcher()::expire);
+        List.copyOf(attempts).stream().filter(a -> a.expiresMs <= now).forEach(upstream.dispatcher()::expireAttempt);
     }
 
-    private void write(Attempt attempt) {
+    private void write(RequestAttempt attempt) {
         // Less by what may be wrong with the time at which the request came.
         long remainingMs = attempt.remainingMs(upstream.dispatcher().now() + LoopClock.TOLERATED_MS);
-        upstream.dispatcher().telling(attempt, remainingMs);
+        upstream.dispatcher().checkRemainingTime(attempt, remainingMs);
         codec.write(channel, attempt, remainingMs, dial).addListener(f -> {
             if (f.isSuccess()) {
                 attempt.written = true;
-                if (attempt.exchange != null) {
+                if (attempt.request != null) {
                     upstream.dispatcher().counters().recordForward();
                 }
             }
@@ -176,7 +175,7 @@
     }
 
     /** Takes back an attempt that waits for the connection to come up; false if it may have begun to go out. */
-    boolean takeBack(Attempt attempt) {
+    boolean takeBack(RequestAttempt attempt) {
         return !connected && attempts.remove(attempt);
     }
 
@@ -184,8 +183,8 @@
     void withdraw() {
         if (!connected) {
             retired = true;
-            for (Attempt a; (a = attempts.poll()) != null; ) {
-                upstream.dispatcher().end(a, AttemptOutcome.NOT_SENT, 0, null, null);
+            for (RequestAttempt a; (a = attempts.poll()) != null; ) {
+                upstream.dispatcher().endAttempt(a, AttemptOutcome.NOT_SENT, 0, null, null);
             }
             close();
         }
@@ -200,7 +199,7 @@
     }
 
     /** Nobody waits for it any more; whether nothing of it has gone out or will. */
-    boolean giveUp(Attempt attempt) {
+    boolean giveUp(RequestAttempt attempt) {
         if (!connected) {
             return takeBack(attempt);
         }
@@ -226,7 +225,7 @@
 
     /** Stops reading while the client can't take more. */
     @Override
-    public void hold(boolean on) {
+    public void setPaused(boolean on) {
         if (held != on) {
             held = on;
             progressMs = upstream.dispatcher().now();
@@ -235,8 +234,8 @@
     }
 
     void sweep(double now) {
-        Attempt head = attempts.peek();
-        boolean silent = connected && head != null && head.ended && now - head.untilMs > STALLED_MS;
+        RequestAttempt head = attempts.peek();
+        boolean silent = connected && head != null && head.ended && now - head.expiresMs > STALLED_MS;
         if (silent || begun && !held && now - progressMs > STALLED_MS) {
             close();
         }
@@ -263,13 +262,13 @@
     }
 
     /** The attempt whose answer comes next; null if none is out, so that what comes is not the protocol's. */
-    Attempt head() {
+    RequestAttempt head() {
         return attempts.peek();
     }
 
     /** A short answer or a long one's end has come whole. */
-    void ended(AttemptOutcome outcome, int note, float[] report, Answer answer) {
-        Attempt attempt = attempts.poll();
+    void ended(AttemptOutcome outcome, int note, float[] report, ServerResponse answer) {
+        RequestAttempt attempt = attempts.poll();
         begun = false;
         partial = false;
         if (attempt.ended) {
@@ -284,10 +283,10 @@
             turnedAway = attempt;
             upstream.dispatcher().after(PLACE_MS, () -> turnedAway(AttemptOutcome.REJECTED));
         } else {
-            upstream.dispatcher().end(attempt, outcome, note, report, answer);
+            upstream.dispatcher().endAttempt(attempt, outcome, note, report, answer);
         }
         // After the end, which may find no room at its client: between two answers nobody is there to let go of it.
-        hold(false);
+        setPaused(false);
         if (attempts.isEmpty() && retired) {
             close();
         }
@@ -299,9 +298,9 @@
      */
     private void turnedAway(AttemptOutcome outcome) {
         if (turnedAway != null) {
-            Attempt attempt = turnedAway;
+            RequestAttempt attempt = turnedAway;
             turnedAway = null;
-            upstream.dispatcher().end(attempt, outcome, 0, null, null);
+            upstream.dispatcher().endAttempt(attempt, outcome, 0, null, null);
         }
     }
 
@@ -335,12 +334,12 @@
         begun = true;
         partial = false; // its line may have come in pieces; from here on the client may be what it waits for
         progressMs = upstream.dispatcher().now();
-        return upstream.dispatcher().begin(attempts.peek(), length);
+        return upstream.dispatcher().beginStreaming(attempts.peek(), length);
     }
 
     void part(ByteBuf part) {
         progressMs = upstream.dispatcher().now();
-        upstream.dispatcher().part(attempts.peek(), part);
+        upstream.dispatcher().streamPart(attempts.peek(), part);
     }
 
     void garbage(String what) {
@@ -359,12 +358,12 @@
             // Where the end is ours (what came behind could not be read), it tells nothing of places.
             turnedAway(!retired && upstream.turnedAway() ? AttemptOutcome.CONNECTION_LIMIT : AttemptOutcome.REJECTED);
         }
-        for (Attempt a; (a = attempts.poll()) != null; ) {
+        for (RequestAttempt a; (a = attempts.poll()) != null; ) {
             if (!connected && !a.ended && upstream.sendElsewhere(a)) {
                 continue;
             }
             AttemptOutcome outcome = a.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
-            upstream.dispatcher().end(a, outcome, 0, null, null);
+            upstream.dispatcher().endAttempt(a, outcome, 0, null, null);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -105,10 +105,10 @@
                             null,
                             new Dispatcher.ClientListener() {
                                 @Override
-                                public void left(ClientConnection client) {}
+                                public void clientLeft(ClientConnection client) {}
 
                                 @Override
-                                public void retire(ClientConnection client) {}
+                                public void closeWhenIdle(ClientConnection client) {}
                             },
                             null);
                     dispatcher.listed(EndpointUpdateKind.CACHED, hosts);
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -34,7 +34,7 @@
         zones = new Zones(this.settings);
         zones.remember(dispatcher.now(), last.zones(Kind.ZONES, names), last.holds(Kind.ZONES));
         zones.remember(dispatcher.now(), last.zones(Kind.ORDERS, names), last.holds(Kind.ORDERS));
-        dispatcher.follow(k -> listed());
+        dispatcher.addEndpointListListener(k -> listed());
         listed();
         run();
     }
@@ -74,7 +74,7 @@
     void tick() {
         List<ZoneDirective> orders = zones.tick(dispatcher.now(), members.view());
         if (!orders.isEmpty()) {
-            dispatcher.order(orders);
+            dispatcher.applyZoneDirectives(orders);
         }
         zones.events().forEach(this::tell);
         byte[] nextPlan = zones.planNote();
--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -191,7 +191,7 @@
             one.close();
             Await.until(
                     "the proxy has seen its end",
-                    () -> fleet.on(() -> fleet.proxy.core().owed()) == 0);
+                    () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 0);
             two.read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
             go.countDown();
--- a/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
@@ -56,7 +56,7 @@
             Await.until("it is held up", () -> System.nanoTime() - since > HELD_NANOS);
             go.countDown();
             Await.until(
-                    "its end is seen", () -> fleet.on(() -> fleet.proxy.core().owed()) == 0);
+                    "its end is seen", () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 0);
             try (Fleet.Client next = fleet.client().read("2")) {
                 assertThat(FakeServer.id(node.next())).isEqualTo("2");
                 assertThat(next.line()).isEqualTo("VA 5 O2");
@@ -74,11 +74,11 @@
         }
         try (Fleet fleet = new Fleet().node(answersOnly("none")).start()) {
             Fleet.Client client = fleet.client().say(reads.toString());
-            Await.until("some are out", () -> fleet.on(() -> fleet.proxy.core().owed()) == 32);
+            Await.until("some are out", () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 32);
             long since = System.nanoTime();
             client.close();
             Await.until(
-                    "its end is seen", () -> fleet.on(() -> fleet.proxy.core().owed()) == 0);
+                    "its end is seen", () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 0);
             assertThat(System.nanoTime() - since).isLessThan(SOON_NANOS);
             assertThat(fleet.on(() -> fleet.proxy.clients().open())).isZero();
         }
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -75,49 +75,49 @@
     }
 
     /** Takes a long answer, and has no room left as its end comes. */
-    private static final class Full implements Sink {
+    private static final class Full implements ResponseWriter {
         private final CompletableFuture<String> ended = new CompletableFuture<>();
-        private Flow flow;
+        private FlowControl flow;
 
         @Override
-        public void begin(int length, Flow from) {
+        public void beginValue(int length, FlowControl from) {
             flow = from;
         }
 
         @Override
-        public void part(ByteBuf part) {
+        public void writePart(ByteBuf part) {
             part.release();
         }
 
         @Override
-        public void end() {
-            flow.hold(true);
+        public void endValue() {
+            flow.setPaused(true);
             ended.complete("whole");
         }
 
         @Override
-        public void answer(Answer answer) {
+        public void writeResponse(ServerResponse answer) {
             answer.release();
             ended.complete("short");
         }
 
         @Override
-        public void refused(double retryAfterMs) {
+        public void reject(double retryAfterMs) {
             ended.complete("refused");
         }
 
         @Override
-        public void failed() {
+        public void fail() {
             ended.complete("failed");
         }
 
         @Override
-        public void rejected(String why) {
+        public void rejectInvalid(String why) {
             ended.complete(why);
         }
 
         @Override
-        public void breakOff() {
+        public void abort() {
             ended.complete("broken off");
         }
     }
@@ -140,18 +140,19 @@
         try (Fleet fleet = new Fleet().node(node).set("balancers", "60").start()) { // one connection to a node
             for (int i = 0; i < 3; i++) {
                 Full client = new Full();
-                Exchange.Command read = new Exchange.Command(
+                RequestCommand read = new RequestCommand(
                         Routing.META,
                         "7f3a",
                         "" + i,
                         false,
-                        new Exchange.Terms("text", null, 20_000, Double.NaN, 0, false),
+                        new RequestTerms("text", null, 20_000, Double.NaN, 0, false),
                         new DeadlineText("c=text,d=", ""),
                         new DeadlineText("mg 7f3a v O" + i + " Pc=text,d=", ""));
                 fleet.on(() -> {
                     fleet.proxy
                             .core()
-                            .take(new Exchange(client, read, fleet.proxy.core().now()));
+                            .accept(new ClientRequest(
+                                    client, read, fleet.proxy.core().now()));
                     return null;
                 });
                 next.release();
