--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -95,7 +95,7 @@
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
-        peers = new PeerSocket(loop, config, dispatcher::heard, dispatcher.counters());
+        peers = new PeerSocket(loop, config, dispatcher::peerMessageReceived, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
         ProvisionalList list = new ProvisionalList(
@@ -170,12 +170,12 @@
                     RecordKind.ORDERS,
                     new StoredRecord(RecordKind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
-        return new TakeoverState(discovery.list(), dispatcher.experience(), records);
+        return new TakeoverState(discovery.list(), dispatcher.learnedState(), records);
     }
 
     /** What is passed over of what has been learnt; for tests, on the event loop only. */
     Map<String, LearnedState> knows() {
-        return dispatcher.experience();
+        return dispatcher.learnedState();
     }
 
     private void ended() {
@@ -315,7 +315,7 @@
     }
 
     ByteBudget values() {
-        return dispatcher.values();
+        return dispatcher.valueBudget();
     }
 
     // ---- the view of the fleet
@@ -341,7 +341,7 @@
                         remembered.incarnation(),
                         config.seed(),
                         parts.recovers() ? Phase.STARTING : Phase.SERVING,
-                        dispatcher::among);
+                        dispatcher::liveMembersChanged);
                 dispatcher.members(members, new NodeTalk(dispatcher, peers, members));
                 if (parts.zones()) {
                     zones = new ZoneLink(dispatcher, members, config.settings(), config.zones(), remembered);
@@ -417,17 +417,17 @@
             Routing routing = edge == null ? null : edge.read(next.names());
             config = next;
             loop.execute(() -> {
-                dispatcher.settle(next);
+                dispatcher.applySettings(next);
                 discovery.settle(next.discoverySettings());
                 if (routing != null) {
-                    dispatcher.route(routing);
+                    dispatcher.replaceRoutes(routing);
                 }
-                dispatcher.counters().reloaded(true);
+                dispatcher.counters().recordReload(true);
             });
         } catch (IllegalArgumentException e) {
             loop.execute(() -> {
                 dispatcher.log("the settings stay as they are: " + e.getMessage());
-                dispatcher.counters().reloaded(false);
+                dispatcher.counters().recordReload(false);
             });
         }
     }
@@ -484,11 +484,11 @@
 
     /** Writes a line of figures to the log each time so much has passed, at least a second. */
     public void logFigures(long everyMs) {
-        workLog(System.err).every(loop, Math.max(1000, everyMs));
+        metricsLog(System.err).start(loop, Math.max(1000, everyMs));
     }
 
-    WorkLog workLog(PrintStream out) {
-        return new WorkLog(config.name(), dispatcher, out);
+    MetricsLog metricsLog(PrintStream out) {
+        return new MetricsLog(config.name(), dispatcher, out);
     }
 
     /** How a drain goes. On the event loop only. */
@@ -516,22 +516,22 @@
     public Status status() {
         Counters c = dispatcher.counters();
         Map<String, Endings> classes = new LinkedHashMap<>();
-        c.classes().forEach((name, t) -> classes.put(name, new Endings(t.succeeded(), t.declined(), t.aborted())));
+        c.classes().forEach((name, t) -> classes.put(name, new Endings(t.succeeded(), t.rejected(), t.failed())));
         return new Status(
                 acceptor.open(),
-                dispatcher.owed(),
-                dispatcher.answered(),
+                dispatcher.openRequests(),
+                dispatcher.completedRequests(),
                 dispatcher.servers().connections(),
                 classes,
                 c.forwards(),
                 dispatcher.servers().discovered(),
                 dispatcher.servers().ejected(),
-                c.applied(),
-                c.rejected(),
+                c.reloadsApplied(),
+                c.reloadsRejected(),
                 handover.phase(),
                 handover.taken(),
-                dispatcher.values().used(),
-                dispatcher.values().waiting());
+                dispatcher.valueBudget().used(),
+                dispatcher.valueBudget().waiting());
     }
 
     /** What was seen of the rules so far. On the event loop only. */
--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -189,7 +189,7 @@
             one.close();
             Await.until(
                     "the proxy has seen its end",
-                    () -> fleet.on(() -> fleet.proxy.core().owed()) == 0);
+                    () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 0);
             Fleet.Client two = fleet.client().read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
             go.countDown();
