--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -8,8 +8,8 @@
 import cacheproxy.routing.HotKey;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.LoadCount;
-import cacheproxy.state.Kind;
-import cacheproxy.state.Record;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.StoredRecord;
 import cacheproxy.takeover.Handover.Phase;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -59,10 +59,10 @@
                 8,
                 List.of(new HotKey(-1, 9)),
                 List.of(new EndpointHealthRecord(-5, 0, 1, 1.7e12, 0)));
-        Map<Kind, Record> records = new EnumMap<>(Kind.class);
-        records.put(Kind.INCARNATION, new Record(Kind.INCARNATION, 1.7e12, new JsonPrimitive(4)));
-        records.put(Kind.ZONES, new Record(Kind.ZONES, 1.7e12, new JsonObject()));
-        records.put(Kind.ORDERS, new Record(Kind.ORDERS, 1.7e12, new JsonObject()));
+        Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
+        records.put(RecordKind.INCARNATION, new StoredRecord(RecordKind.INCARNATION, 1.7e12, new JsonPrimitive(4)));
+        records.put(RecordKind.ZONES, new StoredRecord(RecordKind.ZONES, 1.7e12, new JsonObject()));
+        records.put(RecordKind.ORDERS, new StoredRecord(RecordKind.ORDERS, 1.7e12, new JsonObject()));
         return new TakeoverState(Fleet.list(43, true, hosts), Map.of("", learned), records);
     }
 
