--- a/src/main/java/cacheproxy/simulator/Drill.java
+++ b/src/main/java/cacheproxy/simulator/Drill.java
@@ -189,15 +189,12 @@
         List<Endpoint> list = new ArrayList<>(count);
         for (int e = start; e < start + count * ENTRY; e += ENTRY) {
             int phase = frame.get(e + 9) & 255;
-            if (phase > 2) {
-                throw new WireException("unknown phase " + phase);
-            }
             list.add(new Endpoint(
                     frame.getInt(e),
                     frame.getShort(e + 4) & 0xFFFF,
                     frame.get(e + 6) & 255,
                     frame.getShort(e + 7) & 0xFFFF,
-                    EndpointState.values()[phase],
+                    EndpointState.ofWireCode(phase).orElseThrow(() -> new WireException("unknown phase " + phase)),
                     frame.getFloat(e + 10),
                     frame.getDouble(e + 14)));
         }
--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -12,8 +12,40 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Function;
+import java.util.stream.Stream;
 
-/** Reads an instance's settings from their paths and values; unknown paths are skipped. */
+/**
+ * Reads an instance's settings from their paths and values, in the words of the operators' settings pages; unknown
+ * paths are skipped. A {@link WireException} names the path of what is missing or wrong. Words whose term in code
+ * differs:
+ *
+ * <pre>
+ * path                         word                        in code
+ * me, balancers, locality      numbers                     instanceIndex, instanceCount, zone
+ * discovery                    push, ask                   pollsDiscovery false, true
+ * value-by                     request, work               priorityByWork false, true
+ * over-share-worth             0 to 1                      overQuotaPriorityWeight
+ * report.how                   silent, piggyback, pull     LoadReportSource NONE, WITH_RESPONSES, BY_HEALTH_CHECK
+ * caps.may-cancel, may-probe   false, true                 cancellationAllowed, healthChecksAllowed
+ * caps.peers, second-copies    false, true                 peerMessagesAllowed, hedgingAllowed
+ * guarantees.grace-to-answer   milliseconds                finalAnswerGraceMs
+ * guarantees.start-capacity    0 to 1                      initialCapacity
+ * guarantees.tip-multiple      multiple of what it can do  overloadMultiple
+ * guarantees.fall              milliseconds                overloadWindowMs
+ * guarantees.ask-within        milliseconds                pollIntervalMs
+ * extra.mode                   through, aside              cacheAside false, true
+ * extra.origin-fall-multiple   multiple of what it can do  originOverloadMultiple
+ * extra.origin-fall            milliseconds                originOverloadWindowMs
+ * classes.N.idempotency        retryable, dedup, fragile   Idempotency IDEMPOTENT, KEYED, NON_IDEMPOTENT
+ * classes.N.group, window      all, zone, cell; ms         DeduplicationScope ALL, ZONE, CELL; deduplicationWindowMs
+ * classes.N.promise            milliseconds                latencyObjectiveMs
+ * classes.N.gain, late-share   numbers                     priorityWeight, lateValueShare
+ * classes.N.stream             false, true                 streamed
+ * tenants.N.fraction           0 to 1                      share
+ * tenants.N.quota-per-s        requests per second         quotaPerSecond
+ * </pre>
+ */
 public final class SettingsParser {
     private final Map<String, String> values;
 
@@ -47,7 +79,7 @@
                 oneOf("discovery", "push", "ask") == 1,
                 values.containsKey("extra.mode") && oneOf("extra.mode", "through", "aside") == 1,
                 (int) number("extra.origin-kind", -1),
-                LoadReportSource.values()[oneOf("report.how", "silent", "piggyback", "pull")],
+                oneOf("report.how", LoadReportSource.values(), LoadReportSource::wireName),
                 list("report.names"),
                 oneOf("value-by", "request", "work") == 1,
                 number("over-share-worth", 1),
@@ -83,13 +115,13 @@
             if (text(p + "name").isEmpty() || !names.add(text(p + "name"))) {
                 throw new WireException("setting '" + p + "name' is empty or another class's: " + text(p + "name"));
             }
-            Idempotency effect = Idempotency.values()[oneOf(p + "idempotency", "retryable", "dedup", "fragile")];
+            Idempotency effect = oneOf(p + "idempotency", Idempotency.values(), Idempotency::wireName);
             boolean keyed = effect == Idempotency.KEYED;
             result.add(new ServiceClass(
                     text(p + "name"),
                     effect,
                     keyed
-                            ? DeduplicationScope.values()[oneOf(p + "group", "all", "zone", "cell")]
+                            ? oneOf(p + "group", DeduplicationScope.values(), DeduplicationScope::wireName)
                             : DeduplicationScope.ALL,
                     keyed ? number(p + "window") : 0,
                     positive(p + "promise", 0),
@@ -158,6 +190,10 @@
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
+    private <E> E oneOf(String key, E[] constants, Function<E, String> wireName) {
+        return constants[oneOf(key, Stream.of(constants).map(wireName).toArray(String[]::new))];
+    }
+
     private int oneOf(String key, String... words) {
         int i = List.of(words).indexOf(text(key));
         if (i < 0) {
--- /dev/null
+++ b/src/test/java/cacheproxy/simulator/RecordedSessionTest.java
@@ -0,0 +1,31 @@
+package cacheproxy.simulator;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.util.zip.GZIPInputStream;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The frames of a recorded session of three instances, 15 s with faults of endpoints, zones and the origin, of
+ * discovery and clients that leave: the same input gives the same bytes, so neither the wire nor a decision has
+ * changed.
+ */
+class RecordedSessionTest {
+    @Test
+    void theSameFramesComeBackByteForByte() throws IOException {
+        ByteArrayOutputStream replies = new ByteArrayOutputStream();
+        new Drill(new ByteArrayInputStream(recorded("session-in.bin.gz")), replies).run();
+        assertThat(replies.toByteArray()).isEqualTo(recorded("session-out.bin.gz"));
+    }
+
+    private static byte[] recorded(String name) throws IOException {
+        try (InputStream file = RecordedSessionTest.class.getResourceAsStream("/simulator/" + name);
+                InputStream bytes = new GZIPInputStream(file)) {
+            return bytes.readAllBytes();
+        }
+    }
+}
