--- a/src/main/java/cacheproxy/admission/RequestState.java
+++ b/src/main/java/cacheproxy/admission/RequestState.java
@@ -13,13 +13,24 @@
  */
 public enum RequestState {
     /** It is owed its one final answer. */
-    OPEN,
+    OPEN("OPEN"),
     /** A long answer is being passed on; the request is owed its end. */
-    STREAMING,
+    STREAMING("STREAMING"),
     /** It has had its final answer. */
-    ANSWERED,
+    ANSWERED("ANSWERED"),
     /** Its client left before it was answered; nothing is owed. */
-    CLIENT_GONE;
+    CLIENT_GONE("CLIENT_GONE");
+
+    private final String key;
+
+    RequestState(String key) {
+        this.key = key;
+    }
+
+    /** Its name in logs; it stays, whatever the constant is called. */
+    public String key() {
+        return key;
+    }
 
     /** Whether nothing is owed any more. */
     public boolean over() {
--- a/src/main/java/cacheproxy/admission/Verdict.java
+++ b/src/main/java/cacheproxy/admission/Verdict.java
@@ -1,40 +1,44 @@
 package cacheproxy.admission;
 
-import java.util.Locale;
-
 /**
  * Whether an act is allowed now, or the condition that forbids it. The four rules are those of the operators' protocol
  * page and of the wire page's "Lines not to cross".
  */
 public enum Verdict {
     /** Nothing speaks against it. */
-    ALLOWED,
+    ALLOWED("allowed"),
     /** Rule 1: a request has one final answer, and nothing is sent for it after that. */
-    REQUEST_ANSWERED,
+    REQUEST_ANSWERED("request_answered"),
     /** Rule 1: nothing is sent for a request whose client has left. */
-    CLIENT_GONE,
+    CLIENT_GONE("client_gone"),
     /** Rule 1: a server is told of no more time than the client has left; here none is left. */
-    NO_TIME_LEFT,
+    NO_TIME_LEFT("no_time_left"),
     /** Settings: a request is tried no more often than {@code caps.max-attempts}. */
-    ATTEMPTS_SPENT,
+    ATTEMPTS_SPENT("attempts_spent"),
     /** Rule 3: nothing new goes to a server that drains, or that the list no longer holds. */
-    SERVER_NOT_READY,
+    SERVER_NOT_READY("server_not_ready"),
     /** Rule 2: an unsafe request that may have run is neither repeated nor refused. */
-    MAY_HAVE_RUN,
+    MAY_HAVE_RUN("may_have_run"),
     /** Rule 2: a keyed request that may have run is repeated in its group of servers alone. */
-    OTHER_GROUP,
+    OTHER_GROUP("other_group"),
     /** Rule 2: a keyed request that may have run is repeated within its window alone. */
-    WINDOW_OVER,
+    WINDOW_OVER("window_over"),
     /** Rule 2: where the settings forbid second copies, one attempt is out at a time. */
-    SECOND_COPY;
+    SECOND_COPY("second_copy");
+
+    private final String key;
+
+    Verdict(String key) {
+        this.key = key;
+    }
 
     /** Whether it may be done. */
     public boolean allowed() {
         return this == ALLOWED;
     }
 
-    /** Its name in logs and figures. */
+    /** Its name in logs and counters; it stays, whatever the constant is called. */
     public String key() {
-        return name().toLowerCase(Locale.ROOT);
+        return key;
     }
 }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -712,7 +712,7 @@
     private void over(Exchange x, RequestState state, Ending ending) {
         boolean streamed = x.streaming();
         if (!x.become(state)) {
-            rules.breached(Breach.ANSWERED_TWICE, x, "it can't become " + state);
+            rules.breached(Breach.ANSWERED_TWICE, x, "it can't become " + state.key());
         }
         double lateMs = now() - x.dueMs;
         if (state == RequestState.ANSWERED && !streamed && lateMs > Permits.ANSWER_SLACK_MS) {
--- a/src/main/java/cacheproxy/proxy/RuleMonitor.java
+++ b/src/main/java/cacheproxy/proxy/RuleMonitor.java
@@ -31,7 +31,7 @@
                         "%s: request %s state %s attempt %d of %d server %s",
                         verdict.key(),
                         request.command.id,
-                        request.state(),
+                        request.state().key(),
                         attempt.index,
                         request.maxAttempts,
                         Integer.toHexString(attempt.server)));
@@ -42,7 +42,8 @@
         breaches.merge(breach, 1L, Long::sum);
         log.log(
                 EventKind.BREACH,
-                breach.key() + ": request " + request.command.id + " state " + request.state() + ": " + detail);
+                breach.key() + ": request " + request.command.id + " state "
+                        + request.state().key() + ": " + detail);
     }
 
     /** What was forbidden so far, by the condition. */
--- /dev/null
+++ b/src/test/java/cacheproxy/admission/StableNamesTest.java
@@ -0,0 +1,42 @@
+package cacheproxy.admission;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.Arrays;
+import org.junit.jupiter.api.Test;
+
+/** Names that stand in logs and counters; alerts rest on them, so they stay whatever the constants are called. */
+class StableNamesTest {
+    @Test
+    void theConditionsThatForbidAnAct() {
+        assertThat(Arrays.stream(Verdict.values()).map(Verdict::key))
+                .containsExactly(
+                        "allowed",
+                        "request_answered",
+                        "client_gone",
+                        "no_time_left",
+                        "attempts_spent",
+                        "server_not_ready",
+                        "may_have_run",
+                        "other_group",
+                        "window_over",
+                        "second_copy");
+    }
+
+    @Test
+    void theViolationsOfRules() {
+        assertThat(Arrays.stream(Breach.values()).map(Breach::key))
+                .containsExactly(
+                        "answered_twice",
+                        "answered_late",
+                        "closed_owing",
+                        "told_too_much",
+                        "refused_though_it_may_have_run");
+    }
+
+    @Test
+    void theStatesOfARequest() {
+        assertThat(Arrays.stream(RequestState.values()).map(RequestState::key))
+                .containsExactly("OPEN", "STREAMING", "ANSWERED", "CLIENT_GONE");
+    }
+}
