--- a/src/main/java/cacheproxy/admission/RequestState.java
+++ b/src/main/java/cacheproxy/admission/RequestState.java
@@ -19,7 +19,7 @@
     /** It has had its final answer. */
     ANSWERED("ANSWERED"),
     /** Its client left before it was answered; nothing is owed. */
-    CLIENT_GONE("CLIENT_GONE");
+    CLIENT_DISCONNECTED("CLIENT_GONE");
 
     private final String key;
 
@@ -33,16 +33,16 @@
     }
 
     /** Whether nothing is owed any more. */
-    public boolean over() {
-        return this == ANSWERED || this == CLIENT_GONE;
+    public boolean isFinal() {
+        return this == ANSWERED || this == CLIENT_DISCONNECTED;
     }
 
     /** Whether it may become this next. */
-    public boolean mayBecome(RequestState next) {
+    public boolean canBecome(RequestState next) {
         return switch (this) {
             case OPEN -> next != OPEN;
-            case STREAMING -> next.over();
-            case ANSWERED, CLIENT_GONE -> false;
+            case STREAMING -> next.isFinal();
+            case ANSWERED, CLIENT_DISCONNECTED -> false;
         };
     }
 }
--- a/src/main/java/cacheproxy/admission/Permits.java
+++ b/src/main/java/cacheproxy/admission/SafetyRules.java
@@ -9,17 +9,17 @@
  * Says whether an attempt may begin, and whether a refusal may be promised. Knows the states alone that it is given:
  * whoever acts hands them over as they are at that moment, and not as they were when the act was planned.
  */
-public final class Permits {
+public final class SafetyRules {
     /** By how much a server may be told of more time than its client has left, in milliseconds. */
-    public static final double TOLD_SLACK_MS = 150;
+    public static final double SENT_TIMEOUT_SLACK_MS = 150;
     /** How late after its time a final answer still is one, in milliseconds. */
-    public static final double ANSWER_SLACK_MS = 500;
+    public static final double FINAL_ANSWER_SLACK_MS = 500;
 
-    private Permits() {}
+    private SafetyRules() {}
 
     /** Where a server stands, as far as a keyed repeat asks. */
-    public record Place(int zone, int cell) {
-        boolean sameGroup(DeduplicationScope group, Place other) {
+    public record Location(int zone, int cell) {
+        boolean sameGroup(DeduplicationScope group, Location other) {
             return switch (group) {
                 case ALL -> true;
                 case ZONE -> zone == other.zone;
@@ -36,7 +36,7 @@
      * @param out whether it is still waited for
      * @param mayHaveRun whether it has run, may have, or may yet
      */
-    public record Earlier(double sentMs, Place at, boolean out, boolean mayHaveRun) {}
+    public record EarlierAttempt(double sentMs, Location location, boolean inFlight, boolean mayHaveRun) {}
 
     /**
      * An attempt that is about to begin.
@@ -51,36 +51,36 @@
      * @param secondCopies whether one may go out beside another
      * @param others the request's other attempts
      */
-    public record Send(
-            RequestState state,
-            ServiceClass kind,
-            double leftMs,
-            boolean serverReady,
-            Place at,
-            int index,
+    public record AttemptStart(
+            RequestState requestState,
+            ServiceClass serviceClass,
+            double remainingMs,
+            boolean endpointReady,
+            Location location,
+            int attemptIndex,
             int maxAttempts,
-            boolean secondCopies,
-            List<Earlier> others) {}
+            boolean hedgingAllowed,
+            List<EarlierAttempt> otherAttempts) {}
 
     /** Whether the attempt may begin at this time. */
-    public static Verdict send(double nowMs, Send send) {
-        if (send.state == RequestState.CLIENT_GONE) {
-            return Verdict.CLIENT_GONE;
+    public static Verdict mayBegin(double nowMs, AttemptStart send) {
+        if (send.requestState == RequestState.CLIENT_DISCONNECTED) {
+            return Verdict.CLIENT_DISCONNECTED;
         }
-        if (send.state != RequestState.OPEN) {
+        if (send.requestState != RequestState.OPEN) {
             return Verdict.REQUEST_ANSWERED;
         }
-        if (!(send.leftMs > 0)) {
-            return Verdict.NO_TIME_LEFT;
+        if (!(send.remainingMs > 0)) {
+            return Verdict.DEADLINE_EXCEEDED;
         }
-        if (send.index >= send.maxAttempts) {
-            return Verdict.ATTEMPTS_SPENT;
+        if (send.attemptIndex >= send.maxAttempts) {
+            return Verdict.ATTEMPTS_EXHAUSTED;
         }
-        if (!send.serverReady) {
-            return Verdict.SERVER_NOT_READY;
+        if (!send.endpointReady) {
+            return Verdict.ENDPOINT_NOT_READY;
         }
-        for (Earlier earlier : send.others) {
-            Verdict verdict = beside(nowMs, send, earlier);
+        for (EarlierAttempt earlier : send.otherAttempts) {
+            Verdict verdict = besideEarlier(nowMs, send, earlier);
             if (!verdict.allowed()) {
                 return verdict;
             }
@@ -88,37 +88,37 @@
         return Verdict.ALLOWED;
     }
 
-    private static Verdict beside(double nowMs, Send send, Earlier earlier) {
-        if (earlier.out && !send.secondCopies) {
-            return Verdict.SECOND_COPY;
+    private static Verdict besideEarlier(double nowMs, AttemptStart send, EarlierAttempt earlier) {
+        if (earlier.inFlight && !send.hedgingAllowed) {
+            return Verdict.HEDGING_NOT_ALLOWED;
         }
         if (!earlier.mayHaveRun) {
             return Verdict.ALLOWED;
         }
-        return switch (send.kind.idempotency()) {
+        return switch (send.serviceClass.idempotency()) {
             case IDEMPOTENT -> Verdict.ALLOWED;
-            case NON_IDEMPOTENT -> Verdict.MAY_HAVE_RUN;
+            case NON_IDEMPOTENT -> Verdict.MAYBE_EXECUTED;
             case KEYED -> {
-                if (!send.at.sameGroup(send.kind.deduplicationScope(), earlier.at)) {
-                    yield Verdict.OTHER_GROUP;
+                if (!send.location.sameGroup(send.serviceClass.deduplicationScope(), earlier.location)) {
+                    yield Verdict.OUTSIDE_DEDUPLICATION_SCOPE;
                 }
-                yield nowMs < earlier.sentMs + send.kind.deduplicationWindowMs()
+                yield nowMs < earlier.sentMs + send.serviceClass.deduplicationWindowMs()
                         ? Verdict.ALLOWED
-                        : Verdict.WINDOW_OVER;
+                        : Verdict.DEDUPLICATION_WINDOW_EXPIRED;
             }
         };
     }
 
     /** Whether a request of this class may be refused, which promises that a repeat does no harm. */
-    public static Verdict refuse(ServiceClass kind, List<Earlier> attempts) {
+    public static Verdict mayReject(ServiceClass kind, List<EarlierAttempt> attempts) {
         boolean harmless = kind.idempotency() == Idempotency.IDEMPOTENT
                 || (kind.idempotency() == Idempotency.KEYED && kind.deduplicationScope() == DeduplicationScope.ALL)
-                || attempts.stream().noneMatch(Earlier::mayHaveRun);
-        return harmless ? Verdict.ALLOWED : Verdict.MAY_HAVE_RUN;
+                || attempts.stream().noneMatch(EarlierAttempt::mayHaveRun);
+        return harmless ? Verdict.ALLOWED : Verdict.MAYBE_EXECUTED;
     }
 
     /** Whether a server that is told of this much time is told of too much. */
-    public static boolean toldTooMuch(double toldMs, double leftMs) {
-        return toldMs > Math.max(leftMs, 0) + TOLD_SLACK_MS;
+    public static boolean isExcessiveTimeout(double toldMs, double leftMs) {
+        return toldMs > Math.max(leftMs, 0) + SENT_TIMEOUT_SLACK_MS;
     }
 }
--- a/src/main/java/cacheproxy/admission/Verdict.java
+++ b/src/main/java/cacheproxy/admission/Verdict.java
@@ -10,21 +10,21 @@
     /** Rule 1: a request has one final answer, and nothing is sent for it after that. */
     REQUEST_ANSWERED("request_answered"),
     /** Rule 1: nothing is sent for a request whose client has left. */
-    CLIENT_GONE("client_gone"),
+    CLIENT_DISCONNECTED("client_gone"),
     /** Rule 1: a server is told of no more time than the client has left; here none is left. */
-    NO_TIME_LEFT("no_time_left"),
+    DEADLINE_EXCEEDED("no_time_left"),
     /** Settings: a request is tried no more often than {@code caps.max-attempts}. */
-    ATTEMPTS_SPENT("attempts_spent"),
+    ATTEMPTS_EXHAUSTED("attempts_spent"),
     /** Rule 3: nothing new goes to a server that drains, or that the list no longer holds. */
-    SERVER_NOT_READY("server_not_ready"),
+    ENDPOINT_NOT_READY("server_not_ready"),
     /** Rule 2: an unsafe request that may have run is neither repeated nor refused. */
-    MAY_HAVE_RUN("may_have_run"),
+    MAYBE_EXECUTED("may_have_run"),
     /** Rule 2: a keyed request that may have run is repeated in its group of servers alone. */
-    OTHER_GROUP("other_group"),
+    OUTSIDE_DEDUPLICATION_SCOPE("other_group"),
     /** Rule 2: a keyed request that may have run is repeated within its window alone. */
-    WINDOW_OVER("window_over"),
+    DEDUPLICATION_WINDOW_EXPIRED("window_over"),
     /** Rule 2: where the settings forbid second copies, one attempt is out at a time. */
-    SECOND_COPY("second_copy");
+    HEDGING_NOT_ALLOWED("second_copy");
 
     private final String key;
 
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Breach;
-import cacheproxy.admission.Permits;
 import cacheproxy.admission.RequestState;
+import cacheproxy.admission.RuleViolation;
+import cacheproxy.admission.SafetyRules;
 import cacheproxy.admission.Verdict;
 import cacheproxy.flow.ByteBudget;
 import cacheproxy.flow.ReadAhead;
@@ -66,7 +66,7 @@
     private static final double MAX_WAIT_MS = 86_400_000;
 
     /** Of a server that is not in the list. */
-    private static final Permits.Place NOWHERE = new Permits.Place(-1, -1);
+    private static final SafetyRules.Location NOWHERE = new SafetyRules.Location(-1, -1);
 
     private static final double PROBE_TIMEOUT_MS = 250;
     /** Of the memory for buffers, values that are kept whole get one part of so many; the rest is for what passes. */
@@ -370,7 +370,7 @@
     /** Gives up all that is out for a request; whether it may be refused then. */
     private boolean refusable(Exchange x) {
         List.copyOf(x.attempts).forEach(this::expire);
-        return Permits.refuse(x.kind, x.attemptsBut(null)).allowed();
+        return SafetyRules.mayReject(x.kind, x.attemptsBut(null)).allowed();
     }
 
     void left(ClientConnection client) {
@@ -626,9 +626,9 @@
     void gone(Exchange x, boolean closedHere) {
         if (!x.over()) {
             if (closedHere) {
-                rules.breached(Breach.CLOSED_OWING, x, "its connection was closed from this side");
+                rules.breached(RuleViolation.CLOSED_BEFORE_ANSWER, x, "its connection was closed from this side");
             }
-            over(x, RequestState.CLIENT_GONE, Ending.GONE);
+            over(x, RequestState.CLIENT_DISCONNECTED, Ending.GONE);
             tell(() -> module.onClientDisconnected(now(), x.id, this));
             for (Attempt a : x.attempts) {
                 if (a.firstByteMs != 0 && !a.ended) { // the rest of a long value is of no use to anyone
@@ -712,11 +712,11 @@
     private void over(Exchange x, RequestState state, Ending ending) {
         boolean streamed = x.streaming();
         if (!x.become(state)) {
-            rules.breached(Breach.ANSWERED_TWICE, x, "it can't become " + state.key());
+            rules.breached(RuleViolation.ANSWERED_TWICE, x, "it can't become " + state.key());
         }
         double lateMs = now() - x.dueMs;
-        if (state == RequestState.ANSWERED && !streamed && lateMs > Permits.ANSWER_SLACK_MS) {
-            rules.breached(Breach.ANSWERED_LATE, x, Math.round(lateMs) + " ms after its time");
+        if (state == RequestState.ANSWERED && !streamed && lateMs > SafetyRules.FINAL_ANSWER_SLACK_MS) {
+            rules.breached(RuleViolation.ANSWERED_LATE, x, Math.round(lateMs) + " ms after its time");
         }
         ended(x, ending);
     }
@@ -775,7 +775,7 @@
         double left = x.dueMs - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
         Upstream u = servers.get(server);
-        Permits.Place place = u == null ? NOWHERE : u.place;
+        SafetyRules.Location place = u == null ? NOWHERE : u.place;
         Attempt a = new Attempt(x, x.attempts.size(), server, place, now, now + wait);
         count(x, u);
         x.attempts.add(a);
@@ -813,9 +813,9 @@
             return u != null && u.ready;
         }
         double now = now();
-        Verdict verdict = Permits.send(
+        Verdict verdict = SafetyRules.mayBegin(
                 now,
-                new Permits.Send(
+                new SafetyRules.AttemptStart(
                         x.state(),
                         x.kind,
                         Math.min(a.untilMs, x.dueMs) - now,
@@ -835,8 +835,9 @@
     void telling(Attempt a, long remainingMs) {
         Exchange x = a.exchange;
         double left = x == null ? Double.POSITIVE_INFINITY : x.dueMs - now();
-        if (Permits.toldTooMuch((double) remainingMs, left)) {
-            rules.breached(Breach.TOLD_TOO_MUCH, x, remainingMs + " ms, " + Math.round(left) + " ms are left");
+        if (SafetyRules.isExcessiveTimeout((double) remainingMs, left)) {
+            rules.breached(
+                    RuleViolation.EXCESSIVE_TIMEOUT_SENT, x, remainingMs + " ms, " + Math.round(left) + " ms are left");
         }
     }
 
@@ -865,8 +866,8 @@
             return;
         }
         if (x.state() == RequestState.OPEN
-                && !Permits.refuse(x.kind, x.attemptsBut(null)).allowed()) {
-            rules.breached(Breach.REFUSED_THOUGH_IT_MAY_HAVE_RUN, x, "it is answered as failed");
+                && !SafetyRules.mayReject(x.kind, x.attemptsBut(null)).allowed()) {
+            rules.breached(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, x, "it is answered as failed");
             fail(request);
             return;
         }
--- a/src/main/java/cacheproxy/proxy/Exchange.java
+++ b/src/main/java/cacheproxy/proxy/Exchange.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Permits;
 import cacheproxy.admission.RequestState;
+import cacheproxy.admission.SafetyRules;
 import cacheproxy.flow.ByteBudget;
 import cacheproxy.proxy.Timers.Timer;
 import cacheproxy.routing.ServiceClass;
@@ -40,7 +40,7 @@
 
     /** It has had its final answer, or the client has gone: nothing more may be sent for it. */
     boolean over() {
-        return state.over();
+        return state.isFinal();
     }
 
     /** A long answer is being passed on. */
@@ -50,17 +50,17 @@
 
     /** Takes it to this state; false, and nothing changes, where it can't be taken there from its present one. */
     boolean become(RequestState next) {
-        boolean may = state.mayBecome(next);
+        boolean may = state.canBecome(next);
         state = may ? next : state;
         return may;
     }
 
     /** Its attempts but for this one, as they are now; null for all of them. */
-    List<Permits.Earlier> attemptsBut(Attempt but) {
-        List<Permits.Earlier> earlier = new ArrayList<>(attempts.size());
+    List<SafetyRules.EarlierAttempt> attemptsBut(Attempt but) {
+        List<SafetyRules.EarlierAttempt> earlier = new ArrayList<>(attempts.size());
         for (Attempt a : attempts) {
             if (a != but) {
-                earlier.add(new Permits.Earlier(a.sentMs, a.place, !a.ended, !a.ended || a.mayHaveRun));
+                earlier.add(new SafetyRules.EarlierAttempt(a.sentMs, a.place, !a.ended, !a.ended || a.mayHaveRun));
             }
         }
         return earlier;
@@ -130,7 +130,7 @@
         /** When the proxy stops waiting. */
         final double untilMs;
         /** Where its server stands. */
-        final Permits.Place place;
+        final SafetyRules.Location place;
 
         UpstreamConnection connection;
         boolean written;
@@ -143,7 +143,7 @@
 
         Timer timer;
 
-        Attempt(Exchange exchange, int index, int server, Permits.Place place, double sentMs, double untilMs) {
+        Attempt(Exchange exchange, int index, int server, SafetyRules.Location place, double sentMs, double untilMs) {
             this.exchange = exchange;
             this.index = index;
             this.server = server;
--- a/src/main/java/cacheproxy/proxy/RuleMonitor.java
+++ b/src/main/java/cacheproxy/proxy/RuleMonitor.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Breach;
-import cacheproxy.admission.Permits;
+import cacheproxy.admission.RuleViolation;
+import cacheproxy.admission.SafetyRules;
 import cacheproxy.admission.Verdict;
 import cacheproxy.metrics.EventKind;
 import cacheproxy.proxy.Exchange.Attempt;
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts what {@link Permits} forbade and what went against a rule all the same, and logs each with its ids. */
+/** Counts what {@link SafetyRules} forbade and what went against a rule all the same, and logs each with its ids. */
 final class RuleMonitor {
     private final EventLog log;
     private final Map<Verdict, Long> forbidden = new EnumMap<>(Verdict.class);
-    private final Map<Breach, Long> breaches = new EnumMap<>(Breach.class);
+    private final Map<RuleViolation, Long> breaches = new EnumMap<>(RuleViolation.class);
 
     RuleMonitor(EventLog log) {
         this.log = log;
@@ -38,7 +38,7 @@
     }
 
     /** A rule was seen to be broken. */
-    void breached(Breach breach, Exchange request, String detail) {
+    void breached(RuleViolation breach, Exchange request, String detail) {
         breaches.merge(breach, 1L, Long::sum);
         log.log(
                 EventKind.BREACH,
@@ -52,7 +52,7 @@
     }
 
     /** What was seen to go against a rule so far, by its kind. */
-    Map<Breach, Long> breaches() {
+    Map<RuleViolation, Long> breaches() {
         return breaches;
     }
 
--- a/src/main/java/cacheproxy/proxy/Servers.java
+++ b/src/main/java/cacheproxy/proxy/Servers.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Permits;
+import cacheproxy.admission.SafetyRules;
 import cacheproxy.metrics.Work;
 import cacheproxy.metrics.WorkLine;
 import cacheproxy.proxy.discovery.Host;
@@ -74,7 +74,7 @@
             u.dial = h.dial();
             u.bornMs = h.member().startTimeMs();
             u.startedMs = h.member().localStartTimeMs();
-            u.place = new Permits.Place(h.member().zone(), h.member().cell());
+            u.place = new SafetyRules.Location(h.member().zone(), h.member().cell());
             u.ready = h.member().state() == EndpointState.READY;
         }
         if (kind.isSnapshot()) {
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Permits;
+import cacheproxy.admission.SafetyRules;
 import cacheproxy.proxy.Exchange.Attempt;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -30,7 +30,7 @@
     /** The same on the clock of {@link Dispatcher#now}. */
     double startedMs;
 
-    Permits.Place place;
+    SafetyRules.Location place;
     /** Whether the list has it take new requests. */
     boolean ready;
     /** When something was last put on a connection to it. */
--- a/src/test/java/cacheproxy/admission/PermitsTest.java
+++ b/src/test/java/cacheproxy/admission/SafetyRulesTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.admission.Permits.Earlier;
-import cacheproxy.admission.Permits.Place;
-import cacheproxy.admission.Permits.Send;
+import cacheproxy.admission.SafetyRules.AttemptStart;
+import cacheproxy.admission.SafetyRules.EarlierAttempt;
+import cacheproxy.admission.SafetyRules.Location;
 import cacheproxy.routing.DeduplicationScope;
 import cacheproxy.routing.Idempotency;
 import cacheproxy.routing.ServiceClass;
@@ -14,51 +14,52 @@
 import org.junit.jupiter.api.Test;
 
 /** What may be sent and refused, condition by condition. */
-class PermitsTest {
+class SafetyRulesTest {
     private static final double NOW_MS = 10_000;
     private static final double WINDOW_MS = 1500;
-    private static final Place HERE = new Place(1, 10);
-    private static final Place SAME_ZONE = new Place(1, 11);
-    private static final Place ELSEWHERE = new Place(2, 20);
+    private static final Location HERE = new Location(1, 10);
+    private static final Location SAME_ZONE = new Location(1, 11);
+    private static final Location ELSEWHERE = new Location(2, 20);
 
     private static ServiceClass kind(Idempotency effect, DeduplicationScope group) {
         return new ServiceClass("any", effect, group, WINDOW_MS, 100, 500, 1, 0, false);
     }
 
-    private static Send send(ServiceClass kind, Earlier... others) {
-        return new Send(RequestState.OPEN, kind, 100, true, HERE, others.length, 3, true, List.of(others));
+    private static AttemptStart send(ServiceClass kind, EarlierAttempt... others) {
+        return new AttemptStart(RequestState.OPEN, kind, 100, true, HERE, others.length, 3, true, List.of(others));
     }
 
-    private static Earlier ended(double sentMs, Place at, boolean mayHaveRun) {
-        return new Earlier(sentMs, at, false, mayHaveRun);
+    private static EarlierAttempt ended(double sentMs, Location at, boolean mayHaveRun) {
+        return new EarlierAttempt(sentMs, at, false, mayHaveRun);
     }
 
-    private static Verdict verdict(Send send) {
-        return Permits.send(NOW_MS, send);
+    private static Verdict verdict(AttemptStart send) {
+        return SafetyRules.mayBegin(NOW_MS, send);
     }
 
     @Test
     void nothingIsSentForARequestThatIsOverOrStreams() {
         ServiceClass safe = kind(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        assertThat(verdict(new Send(RequestState.CLIENT_GONE, safe, 100, true, HERE, 0, 3, true, List.of())))
-                .isEqualTo(Verdict.CLIENT_GONE);
-        assertThat(verdict(new Send(RequestState.ANSWERED, safe, 100, true, HERE, 0, 3, true, List.of())))
+        assertThat(verdict(new AttemptStart(
+                        RequestState.CLIENT_DISCONNECTED, safe, 100, true, HERE, 0, 3, true, List.of())))
+                .isEqualTo(Verdict.CLIENT_DISCONNECTED);
+        assertThat(verdict(new AttemptStart(RequestState.ANSWERED, safe, 100, true, HERE, 0, 3, true, List.of())))
                 .isEqualTo(Verdict.REQUEST_ANSWERED);
-        assertThat(verdict(new Send(RequestState.STREAMING, safe, 100, true, HERE, 0, 3, true, List.of())))
+        assertThat(verdict(new AttemptStart(RequestState.STREAMING, safe, 100, true, HERE, 0, 3, true, List.of())))
                 .isEqualTo(Verdict.REQUEST_ANSWERED);
     }
 
     @Test
     void nothingIsSentWithoutTimeAttemptsOrAReadyServer() {
         ServiceClass safe = kind(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        assertThat(verdict(new Send(RequestState.OPEN, safe, 0, true, HERE, 0, 3, true, List.of())))
-                .isEqualTo(Verdict.NO_TIME_LEFT);
-        assertThat(verdict(new Send(RequestState.OPEN, safe, Double.NaN, true, HERE, 0, 3, true, List.of())))
-                .isEqualTo(Verdict.NO_TIME_LEFT);
-        assertThat(verdict(new Send(RequestState.OPEN, safe, 1, true, HERE, 3, 3, true, List.of())))
-                .isEqualTo(Verdict.ATTEMPTS_SPENT);
-        assertThat(verdict(new Send(RequestState.OPEN, safe, 1, false, HERE, 0, 3, true, List.of())))
-                .isEqualTo(Verdict.SERVER_NOT_READY);
+        assertThat(verdict(new AttemptStart(RequestState.OPEN, safe, 0, true, HERE, 0, 3, true, List.of())))
+                .isEqualTo(Verdict.DEADLINE_EXCEEDED);
+        assertThat(verdict(new AttemptStart(RequestState.OPEN, safe, Double.NaN, true, HERE, 0, 3, true, List.of())))
+                .isEqualTo(Verdict.DEADLINE_EXCEEDED);
+        assertThat(verdict(new AttemptStart(RequestState.OPEN, safe, 1, true, HERE, 3, 3, true, List.of())))
+                .isEqualTo(Verdict.ATTEMPTS_EXHAUSTED);
+        assertThat(verdict(new AttemptStart(RequestState.OPEN, safe, 1, false, HERE, 0, 3, true, List.of())))
+                .isEqualTo(Verdict.ENDPOINT_NOT_READY);
     }
 
     @Test
@@ -66,7 +67,7 @@
         ServiceClass unsafe = kind(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
         assertThat(verdict(send(unsafe, ended(NOW_MS - 10, HERE, false)))).isEqualTo(Verdict.ALLOWED);
         assertThat(verdict(send(unsafe, ended(NOW_MS - 10, HERE, false), ended(NOW_MS - 5, HERE, true))))
-                .isEqualTo(Verdict.MAY_HAVE_RUN);
+                .isEqualTo(Verdict.MAYBE_EXECUTED);
         assertThat(verdict(send(kind(Idempotency.IDEMPOTENT, DeduplicationScope.ALL), ended(NOW_MS - 10, HERE, true))))
                 .isEqualTo(Verdict.ALLOWED);
     }
@@ -75,12 +76,13 @@
     void aKeyedRequestThatMayHaveRunIsRepeatedInItsGroupAndWindow() {
         ServiceClass zone = kind(Idempotency.KEYED, DeduplicationScope.ZONE);
         assertThat(verdict(send(zone, ended(NOW_MS - 10, SAME_ZONE, true)))).isEqualTo(Verdict.ALLOWED);
-        assertThat(verdict(send(zone, ended(NOW_MS - 10, ELSEWHERE, true)))).isEqualTo(Verdict.OTHER_GROUP);
+        assertThat(verdict(send(zone, ended(NOW_MS - 10, ELSEWHERE, true))))
+                .isEqualTo(Verdict.OUTSIDE_DEDUPLICATION_SCOPE);
         assertThat(verdict(send(zone, ended(NOW_MS - 10, ELSEWHERE, false)))).isEqualTo(Verdict.ALLOWED);
         assertThat(verdict(send(zone, ended(NOW_MS - WINDOW_MS, SAME_ZONE, true))))
-                .isEqualTo(Verdict.WINDOW_OVER);
+                .isEqualTo(Verdict.DEDUPLICATION_WINDOW_EXPIRED);
         assertThat(verdict(send(kind(Idempotency.KEYED, DeduplicationScope.CELL), ended(NOW_MS - 10, SAME_ZONE, true))))
-                .isEqualTo(Verdict.OTHER_GROUP);
+                .isEqualTo(Verdict.OUTSIDE_DEDUPLICATION_SCOPE);
         assertThat(verdict(send(kind(Idempotency.KEYED, DeduplicationScope.ALL), ended(NOW_MS - 10, ELSEWHERE, true))))
                 .isEqualTo(Verdict.ALLOWED);
     }
@@ -88,10 +90,10 @@
     @Test
     void oneAttemptIsOutAtATimeWhereSecondCopiesAreForbidden() {
         ServiceClass safe = kind(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        List<Earlier> out = List.of(new Earlier(NOW_MS - 10, HERE, true, true));
-        assertThat(verdict(new Send(RequestState.OPEN, safe, 100, true, HERE, 1, 3, false, out)))
-                .isEqualTo(Verdict.SECOND_COPY);
-        assertThat(verdict(new Send(RequestState.OPEN, safe, 100, true, HERE, 1, 3, true, out)))
+        List<EarlierAttempt> out = List.of(new EarlierAttempt(NOW_MS - 10, HERE, true, true));
+        assertThat(verdict(new AttemptStart(RequestState.OPEN, safe, 100, true, HERE, 1, 3, false, out)))
+                .isEqualTo(Verdict.HEDGING_NOT_ALLOWED);
+        assertThat(verdict(new AttemptStart(RequestState.OPEN, safe, 100, true, HERE, 1, 3, true, out)))
                 .isEqualTo(Verdict.ALLOWED);
     }
 
@@ -102,22 +104,22 @@
         boolean harmless = !mayHaveRun
                 || effect == Idempotency.IDEMPOTENT
                 || (effect == Idempotency.KEYED && group == DeduplicationScope.ALL);
-        assertThat(Permits.refuse(kind(effect, group), List.of(ended(NOW_MS, HERE, mayHaveRun)))
+        assertThat(SafetyRules.mayReject(kind(effect, group), List.of(ended(NOW_MS, HERE, mayHaveRun)))
                         .allowed())
                 .isEqualTo(harmless);
     }
 
     @Test
     void whatIsToldIsAtMostWhatIsLeftWithItsSlack() {
-        assertThat(Permits.toldTooMuch(250, 100)).isFalse();
-        assertThat(Permits.toldTooMuch(251, 100)).isTrue();
-        assertThat(Permits.toldTooMuch(151, -1000)).isTrue();
+        assertThat(SafetyRules.isExcessiveTimeout(250, 100)).isFalse();
+        assertThat(SafetyRules.isExcessiveTimeout(251, 100)).isTrue();
+        assertThat(SafetyRules.isExcessiveTimeout(151, -1000)).isTrue();
     }
 
     @Property
     void whatIsOverStaysSo(@ForAll RequestState from, @ForAll RequestState to) {
-        assertThat(from.mayBecome(to) && from.over()).isFalse();
-        assertThat(from.mayBecome(from)).isFalse();
-        assertThat(to == RequestState.OPEN && from.mayBecome(to)).isFalse();
+        assertThat(from.canBecome(to) && from.isFinal()).isFalse();
+        assertThat(from.canBecome(from)).isFalse();
+        assertThat(to == RequestState.OPEN && from.canBecome(to)).isFalse();
     }
 }
--- a/src/test/java/cacheproxy/admission/StableNamesTest.java
+++ b/src/test/java/cacheproxy/admission/StableNamesTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void theViolationsOfRules() {
-        assertThat(Arrays.stream(Breach.values()).map(Breach::key))
+        assertThat(Arrays.stream(RuleViolation.values()).map(RuleViolation::key))
                 .containsExactly(
                         "answered_twice",
                         "answered_late",
--- a/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
-import cacheproxy.admission.Breach;
+import cacheproxy.admission.RuleViolation;
 import cacheproxy.admission.Verdict;
 import cacheproxy.flow.ReadAhead;
 import java.util.Map;
@@ -14,7 +14,7 @@
 
 /** What may be sent is asked as it is sent: events that cross an order are forced here, on real sockets. */
 @Timeout(60)
-class PermitsOnSocketsTest {
+class SafetyRulesOnSocketsTest {
     /** Longer than what is known of a client may be old. */
     private static final long HELD_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
     /** A client's end is seen in a moment, and long before this part of its deadline of 20 s. */
@@ -62,7 +62,7 @@
                 assertThat(next.line()).isEqualTo("VA 5 O2");
             }
             assertThat(fleet.on(() -> fleet.proxy.core().rules().forbidden()).keySet())
-                    .isSubsetOf(Verdict.CLIENT_GONE);
+                    .isSubsetOf(Verdict.CLIENT_DISCONNECTED);
             assertThat(fleet.on(() -> fleet.proxy.core().rules().breaches())).isEmpty();
         }
     }
@@ -131,10 +131,10 @@
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(fleet.on(() -> fleet.proxy.core().rules().breaches()))
-                    .containsEntry(Breach.REFUSED_THOUGH_IT_MAY_HAVE_RUN, 1L);
+                    .containsEntry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, 1L);
             assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).breaches())
                     .as("what status and figures show")
-                    .containsExactly(Map.entry(Breach.REFUSED_THOUGH_IT_MAY_HAVE_RUN.key(), 1L));
+                    .containsExactly(Map.entry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED.key(), 1L));
         }
     }
 
@@ -150,7 +150,7 @@
                 return null;
             });
             assertThat(fleet.on(() -> fleet.proxy.core().rules().forbidden()))
-                    .containsEntry(Verdict.SERVER_NOT_READY, 1L);
+                    .containsEntry(Verdict.ENDPOINT_NOT_READY, 1L);
         }
     }
 }
