--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -8,7 +8,7 @@
 import cacheproxy.control.ProxyControl;
 import cacheproxy.proxy.Proxy;
 import cacheproxy.proxy.SighupHandler;
-import cacheproxy.simulator.Drill;
+import cacheproxy.simulator.SimulatorAdapter;
 import java.io.IOException;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
@@ -26,7 +26,7 @@
         switch (args.length == 0 ? "" : args.length == 1 || args[0].equals("serve") ? args[0] : "") {
             case "serve" -> serve(args);
             case "train" -> System.exit(Proxy.train(Main::openDoor));
-            case "drill" -> System.exit(Drill.main());
+            case "drill" -> System.exit(SimulatorAdapter.main());
             default -> System.exit(Cli.run(args));
         }
     }
--- a/src/main/java/cacheproxy/model/ZonePlay.java
+++ b/src/main/java/cacheproxy/model/ZonePlay.java
@@ -244,7 +244,7 @@
             i.zones.listed(z, ready, coldUntil);
         }
         for (ZoneDirective o : i.zones.tick(now(), i.members.view(now()))) {
-            i.open[o.zone()] = o.openFraction();
+            i.open[o.zone()] = o.trafficFraction();
             i.tries[o.zone()] |= o.probeAllowed();
         }
         byte[] plan = i.zones.planNote();
--- a/src/main/java/cacheproxy/route/Router.java
+++ b/src/main/java/cacheproxy/route/Router.java
@@ -572,7 +572,7 @@
 
     @Override
     public void onZoneDirectives(double now, List<ZoneDirective> orders, RoutingActions out) {
-        orders.forEach(o -> zones.put(o.zone(), new ZoneDirective(o.zone(), o.openFraction(), false, false)));
+        orders.forEach(o -> zones.put(o.zone(), new ZoneDirective(o.zone(), o.trafficFraction(), false, false)));
         lanes.forEach(lane -> lane.module.onZoneDirectives(now, orders, lane.orders(now, out)));
         drain(out);
     }
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -407,8 +407,8 @@
     public void onZoneDirectives(double now, List<ZoneDirective> orders, RoutingActions out) {
         for (ZoneDirective o : orders) {
             Way w = ways.computeIfAbsent(o.zone(), z -> new Way());
-            w.open = o.openFraction();
-            w.tries = o.openFraction() < 1 && (w.tries || o.probeAllowed());
+            w.open = o.trafficFraction();
+            w.tries = o.trafficFraction() < 1 && (w.tries || o.probeAllowed());
             if (o.resetHealth()) {
                 w.answered();
                 servers.values().stream()
--- a/src/main/java/cacheproxy/simulator/Drill.java
+++ b/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
@@ -23,7 +23,7 @@
 import java.util.List;
 
 /** Reads batches of events, hands each to its instance and writes the replies; decides nothing. */
-public final class Drill {
+public final class SimulatorAdapter {
     private static final int HEADER = 20;
     private static final int RECORD = 48;
     private static final int ENTRY = 22;
@@ -40,7 +40,7 @@
     private int batch;
     private int tailStart;
 
-    Drill(InputStream in, OutputStream out) {
+    SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new DataInputStream(in);
         this.out = out;
     }
@@ -48,7 +48,8 @@
     /** Speaks on standard input and output until the input ends; the process's exit code. */
     public static int main() {
         try {
-            new Drill(new BufferedInputStream(System.in, 1 << 16), new FileOutputStream(FileDescriptor.out)).run();
+            new SimulatorAdapter(new BufferedInputStream(System.in, 1 << 16), new FileOutputStream(FileDescriptor.out))
+                    .run();
             return 0;
         } catch (WireException | IOException e) {
             System.err.println(e.getMessage());
--- a/src/test/java/cacheproxy/simulator/RecordedSessionTest.java
+++ b/src/test/java/cacheproxy/simulator/RecordedSessionTest.java
@@ -18,7 +18,7 @@
     @Test
     void theSameFramesComeBackByteForByte() throws IOException {
         ByteArrayOutputStream replies = new ByteArrayOutputStream();
-        new Drill(new ByteArrayInputStream(recorded("session-in.bin.gz")), replies).run();
+        new SimulatorAdapter(new ByteArrayInputStream(recorded("session-in.bin.gz")), replies).run();
         assertThat(replies.toByteArray()).isEqualTo(recorded("session-out.bin.gz"));
     }
 
--- a/src/test/java/cacheproxy/simulator/DrillTest.java
+++ b/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
@@ -12,7 +12,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-class DrillTest {
+class SimulatorAdapterTest {
     private static final String SETTINGS = String.join(
             "\n",
             "me=1",
@@ -93,7 +93,7 @@
 
     private static byte[] run(byte[] input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Drill(new ByteArrayInputStream(input), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input), out).run();
         return out.toByteArray();
     }
 
