--- a/src/test/java/cacheproxy/model/Mutant.java
+++ b/src/test/java/cacheproxy/model/Mutant.java
@@ -28,7 +28,7 @@
     FORGETS_ANSWERS(Rules.Rule.NO_REQUEST_LOST) {
         @Override
         Object order(RoutingActions out, String name, Object[] args) throws ReflectiveOperationException {
-            return (name.equals("deny") || name.equals("fail")) && (int) args[0] % 50 == 0
+            return (name.equals("reject") || name.equals("fail")) && (int) args[0] % 50 == 0
                     ? null
                     : super.order(out, name, args);
         }
@@ -56,7 +56,7 @@
 
         @Override
         Object order(RoutingActions out, String name, Object[] args) throws ReflectiveOperationException {
-            if (name.equals("place") && (int) args[1] != FleetDraw.ORIGIN) {
+            if (name.equals("send") && (int) args[1] != FleetDraw.ORIGIN) {
                 args[1] = newest;
             }
             return super.order(out, name, args);
@@ -97,7 +97,7 @@
                                     (s, order, how) -> order(out, order.getName(), how));
                         }
                     }
-                    if (method.getName().equals("onList") && args[1] != EndpointUpdateKind.FAILED) {
+                    if (method.getName().equals("onEndpointUpdate") && args[1] != EndpointUpdateKind.FAILED) {
                         args[2] = ((List<?>) args[2])
                                 .stream().map(m -> member((Endpoint) m)).toList();
                     }
