--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -1,6 +1,5 @@
 package cacheproxy.routing;
 
-import cacheproxy.endpoints.RetryPause;
 import cacheproxy.gossip.PeerMessage;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -30,8 +29,6 @@
     private static final int RANKS = 8;
     private static final int SHUN_CONNECTS = 10;
     private static final int MAX_TURNED_AWAY = 4;
-    /** So many servers of a zone in a row, and no other that answers, are a way that is cut off. */
-    private static final int CUT_SERVERS = 3;
 
     private static final int ALL_PEERS = -1;
     /** Who was answered within so many connect time-outs, 20 s here, still has the connection. */
@@ -42,63 +39,31 @@
     private final Map<Integer, Flight> flights = new HashMap<>();
     private final Map<Integer, Flight> timers = new HashMap<>();
     private final Map<Long, Flight> fetches = new HashMap<>();
-    private final Map<Integer, Way> ways = new HashMap<>();
-    private final Way toOrigin = new Way();
-    private final HotKeys hot = new HotKeys();
-    private final Throttle throttle = new Throttle();
-    private final Throttle crowd = new Throttle();
+    private final ZoneCircuitBreaker zones = new ZoneCircuitBreaker();
+    private final CircuitBreaker originBreaker = new CircuitBreaker();
+    private final HotKeys hotKeys = new HotKeys();
+    private final AdaptiveThrottle originThrottle = new AdaptiveThrottle();
+    private final AdaptiveThrottle endpointThrottle = new AdaptiveThrottle();
     private RoutingSettings cfg;
-    private Shares shares;
+    private FairShares shares;
     private Server[] ranked = new Server[0];
     private Server[] top = new Server[RANKS];
     private double[] topScore = new double[RANKS];
     private int topCount;
     private Server origin;
-    private double fetchMs;
-    /** Reads, fading by half in the time over which the fall of a cold server is counted. */
-    private double reads;
-
-    private double readsAt;
+    private LatencyEstimates latency;
+    private final DecayingCounter reads = new DecayingCounter();
     /** What the fleet is asked to read over what its servers can do, as far as this instance can tell. */
     private double offered;
 
-    private double usualCost;
-    private double pace;
-    private double paceDeviation;
     /** What the list's servers are together, and what they usually are; the latter fades to the former. */
     private double weight;
 
-    private double usualWeight;
-    private double weighedAt;
+    private final DecayingCounter usualWeight = new DecayingCounter();
     private double doubts = DOUBT_SAVED;
     private double trials = 1;
     private int nextToken;
-    private boolean watching;
-    private boolean asking;
-    private RetryPause listRetry;
-    /** When the last call for a watch began. */
-    private double askedAt;
-
-    /** What this instance has seen of the way to one zone's servers, and how far the fleet has it open. */
-    private static final class Way {
-        double open = 1;
-        boolean tries;
-        /** Servers in a row that became suspect, with no answer from any other in between. */
-        int silent;
-
-        double closedUntil;
-
-        void suspected(double now, double ms, int doublings) {
-            if (++silent >= CUT_SERVERS) {
-                closedUntil = now + ms * (1 << Math.min(silent - CUT_SERVERS, doublings));
-            }
-        }
-
-        void answered() {
-            silent = 0;
-            closedUntil = 0;
-        }
-    }
+    private final EndpointListWatch listWatch;
 
     /** One server of the list and what this instance has seen of it. */
     private static final class Server {
@@ -128,7 +93,7 @@
         final boolean safe;
         final double arrivedMs;
         final int keyHash;
-        final Shares charged = shares;
+        final FairShares charged = shares;
         final Server[] at = new Server[cfg.maxAttempts()];
         final double[] sentAt = new double[cfg.maxAttempts()];
         final boolean[] ended = new boolean[cfg.maxAttempts()];
@@ -157,181 +122,25 @@
         int maxAttempts() { // fewer than at its start where the settings have become stricter
             return Math.min(at.length, cfg.maxAttempts());
         }
-
-        /** The work hinted at, in units of the usual; 1 where there is no hint. */
-        double work() {
-            return request.costMs() > 0 && usualCost > 0 ? request.costMs() / usualCost : 1;
-        }
-    }
-
-    private static final class HotKeys {
-        /** Halving span: long enough for a hot key to show at a proxy with a few requests a second. */
-        static final double SPAN_MS = 4000;
-
-        static final int MIN_COUNT = 6;
-        private final Map<Long, int[]> counts = new HashMap<>();
-        /** As many keys as can be hot at a time are passed on, with room. */
-        static final int MAX_TOLD = 256;
-
-        private double total;
-        private double halvedAt;
-
-        int seen(long key, double now) {
-            while (now - halvedAt > SPAN_MS) {
-                halvedAt = counts.isEmpty() ? now : halvedAt + SPAN_MS;
-                total /= 2;
-                counts.values().removeIf(c -> (c[0] /= 2) == 0);
-            }
-            total++;
-            return ++counts.computeIfAbsent(key, k -> new int[1])[0];
-        }
-
-        List<HotKey> hottest() {
-            return counts.entrySet().stream()
-                    .filter(e -> e.getValue()[0] >= MIN_COUNT)
-                    .sorted((a, b) -> b.getValue()[0] - a.getValue()[0])
-                    .limit(MAX_TOLD)
-                    .map(e -> new HotKey(e.getKey(), e.getValue()[0]))
-                    .toList();
-        }
-
-        /** As if this had been seen here: not more than that, since the other may go on for a while. */
-        void resume(double now, double asked, List<HotKey> hottest) {
-            total = asked;
-            halvedAt = now;
-            hottest.forEach(h -> counts.put(h.key(), new int[] {h.count()}));
-        }
-    }
-
-    /**
-     * What the origin was asked and what it answered in time of that, both fading. Guards against the jam in which late
-     * and refused fetches are asked for again and the origin works for nobody.
-     */
-    private static final class Throttle {
-        /** Halves in this time: some ten fetches at a proxy with a few a second. */
-        static final double HALF_MS = 4000;
-
-        static final double HEADROOM = 1.2;
-        private double asked;
-        private double answered;
-        private double at;
-
-        /** What is left of a count after this time. */
-        static double left(double ms) {
-            return Math.pow(0.5, ms / HALF_MS);
-        }
-
-        private void fade(double now) {
-            double f = left(now - at);
-            asked *= f;
-            answered *= f;
-            at = now;
-        }
-
-        /** The part of what is wanted that should not be sent. */
-        double excess(double now) {
-            fade(now);
-            return (asked - HEADROOM * answered - 1) / (asked + 1);
-        }
-
-        double pressure(double now) {
-            fade(now);
-            return Math.max(1, (asked + 1) / (answered + 1));
-        }
-
-        void asked(double now) {
-            fade(now);
-            asked++;
-        }
-
-        void answered(double now) {
-            fade(now);
-            answered++;
-        }
-
-        /** The way there was broken: no word on its load. Taken for a jam, it goes on for seconds after. */
-        void withdrawn(double now) {
-            fade(now);
-            asked = Math.max(0, asked - 1);
-        }
-
-        LoadCount load(double now) {
-            fade(now);
-            return new LoadCount(asked, answered);
-        }
-
-        void resume(double now, LoadCount load) {
-            asked = load.requested();
-            answered = load.completedInTime();
-            at = now;
-        }
-    }
-
-    /**
-     * What each tenant asks of this instance, fading. What must be refused comes off those that ask most over their
-     * quotas (max-min fair), as that is worth little. Clients' repeats swell all alike.
-     */
-    private final class Shares {
-        private final List<Tenant> tenants = cfg.tenants();
-        private final double[] asked = new double[tenants.size()];
-        private double at;
-
-        void asked(double now, int tenant) {
-            double f = Throttle.left(now - at);
-            at = now;
-            for (int t = 0; t < asked.length; t++) {
-                asked[t] *= f;
-            }
-            asked[tenant]++;
-        }
-
-        private double granted(int tenant, double multiple) {
-            return Math.min(asked[tenant], multiple * tenants.get(tenant).quotaPerSecond());
-        }
-
-        /** The part of this tenant's requests to refuse so that in all the part {@code excess} is refused. */
-        double refuse(int tenant, double excess) {
-            double goal = 0;
-            double high = 0;
-            for (int t = 0; t < asked.length; t++) {
-                goal += asked[t] * (1 - excess);
-                high = Math.max(high, asked[t] / Math.max(1e-9, tenants.get(t).quotaPerSecond()));
-            }
-            double low = 0;
-            for (int step = 0; step < 24; step++) {
-                double middle = (low + high) / 2;
-                double sum = 0;
-                for (int t = 0; t < asked.length; t++) {
-                    sum += granted(t, middle);
-                }
-                if (sum < goal) {
-                    low = middle;
-                } else {
-                    high = middle;
-                }
-            }
-            return 1 - granted(tenant, high) / asked[tenant];
-        }
     }
 
     /** Whether to refuse this one where a part of all must be refused. */
     private boolean refused(Flight f, double excess) {
-        Shares s = f.charged;
-        double part = s == null || excess <= 0 ? excess : s.refuse(f.request.tenant(), excess);
+        FairShares s = f.charged;
+        double part = s == null || excess <= 0 ? excess : s.rejectedPart(f.request.tenant(), excess);
         return part > 0 && random.nextDouble() < part;
     }
 
     /** A fresh instance that knows nothing yet. */
     public CarpLoadBalancer(RoutingSettings settings, long seed) {
         random = new SplittableRandom(settings.instanceSeed(seed));
+        listWatch = new EndpointListWatch(random);
         onSettings(0, settings, null);
         double shortestAim = settings.classes().stream()
                 .mapToDouble(ServiceClass::latencyObjectiveMs)
                 .min()
                 .orElseThrow();
-        fetchMs = shortestAim / 4;
-        pace = shortestAim / 8;
-        paceDeviation = pace;
+        latency = new LatencyEstimates(shortestAim);
     }
 
     @Override
@@ -342,12 +151,12 @@
         boolean same = cfg != null
                 && cfg.tenants().equals(next.tenants())
                 && cfg.overQuotaPriorityWeight() == next.overQuotaPriorityWeight();
-        if (cfg == null || cfg.pollIntervalMs() != next.pollIntervalMs()) {
-            listRetry = new RetryPause(next.pollIntervalMs());
-        }
+        listWatch.onSettings(next);
         cfg = next;
         if (!same) { // open requests stay charged where they were
-            shares = next.overQuotaPriorityWeight() < 1 && next.tenants().size() > 1 ? new Shares() : null;
+            shares = next.overQuotaPriorityWeight() < 1 && next.tenants().size() > 1
+                    ? new FairShares(next.tenants())
+                    : null;
         }
         rank(now);
     }
@@ -367,14 +176,14 @@
         return Map.of(
                 "",
                 new LearnedState(
-                        fetchMs,
-                        pace,
-                        paceDeviation,
-                        usualCost,
-                        throttle.load(now),
-                        crowd.load(now),
-                        hot.total,
-                        hot.hottest(),
+                        latency.originFetchMs(),
+                        latency.endpointMs(),
+                        latency.endpointDeviationMs(),
+                        latency.usualCostMs(),
+                        originThrottle.load(now),
+                        endpointThrottle.load(now),
+                        hotKeys.total(),
+                        hotKeys.hottest(),
                         seen));
     }
 
@@ -385,13 +194,10 @@
         if (e == null) {
             return;
         }
-        fetchMs = e.originFetchMs();
-        pace = e.usualLatencyMs();
-        paceDeviation = e.latencyDeviationMs();
-        usualCost = e.usualCostMs();
-        throttle.resume(now, e.originLoad());
-        crowd.resume(now, e.endpointLoad());
-        hot.resume(now, e.keyRequestCount(), e.hotKeys());
+        latency.resume(e);
+        originThrottle.resume(now, e.originLoad());
+        endpointThrottle.resume(now, e.endpointLoad());
+        hotKeys.resume(now, e.keyRequestCount(), e.hotKeys());
         for (EndpointHealthRecord seen : e.endpoints()) {
             Server s = servers.get(seen.id());
             if (s != null && s.member.startTimeMs() == seen.startTimeMs()) {
@@ -406,11 +212,8 @@
     @Override
     public void onZoneDirectives(double now, List<ZoneDirective> orders, RoutingActions out) {
         for (ZoneDirective o : orders) {
-            Way w = ways.computeIfAbsent(o.zone(), z -> new Way());
-            w.open = o.trafficFraction();
-            w.tries = o.trafficFraction() < 1 && (w.tries || o.probeAllowed());
+            zones.apply(o);
             if (o.resetHealth()) {
-                w.answered();
                 servers.values().stream()
                         .filter(s -> s.member.zone() == o.zone())
                         .forEach(s -> {
@@ -427,20 +230,13 @@
     @Override
     public void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> members, RoutingActions out) {
         if (kind == EndpointUpdateKind.FAILED) {
-            watching = false;
-            asking = false;
-            askAgain(now, out);
+            timer(listWatch.onFailure(now), WATCH, null, out);
             return;
         }
         if (kind == EndpointUpdateKind.CACHED && cfg.pollsDiscovery()) {
-            // The list service is small: all instances starting together must not call at once.
-            double within = Math.min(cfg.pollIntervalMs(), RetryPause.TOLD_MS);
-            double span = Math.min(within, cfg.instanceCount() * cfg.connectTimeoutMs()) / 2;
-            timer(random.nextDouble() * span, WATCH, null, out);
-        } else if (asking && kind != EndpointUpdateKind.PROVISIONAL) {
-            asking = false;
-            watching = true;
-            listRetry.answered();
+            timer(listWatch.firstCallDelayMs(cfg), WATCH, null, out);
+        } else if (kind != EndpointUpdateKind.PROVISIONAL) {
+            listWatch.onEntries();
         }
         check(members);
         if (kind.isSnapshot()) {
@@ -502,9 +298,8 @@
             sum += weights[i];
         }
         weight = sum;
-        double fade = Math.pow(0.5, (now - weighedAt) / Math.max(1, USUAL_WARM_UPS * cfg.warmUpMs()));
-        usualWeight = Math.max(sum, usualWeight * fade);
-        weighedAt = now;
+        usualWeight.decay(now, Math.max(1, USUAL_WARM_UPS * cfg.warmUpMs()));
+        usualWeight.raiseTo(sum);
         float[] x = CarpHash.multipliers(weights);
         for (int i = 0; i < ranked.length; i++) {
             ranked[i].multiplier = x[i];
@@ -512,10 +307,6 @@
         }
     }
 
-    private void askAgain(double now, RoutingActions out) {
-        timer(listRetry.failed(now - askedAt, random), WATCH, null, out);
-    }
-
     // ---- requests
 
     @Override
@@ -528,11 +319,9 @@
                 || request.tenant() > 0 && request.tenant() >= cfg.tenants().size()) {
             throw new IllegalArgumentException("tenant " + request.tenant() + " is not in the settings");
         }
-        if (request.costMs() > 0) {
-            usualCost += (request.costMs() - usualCost) / (usualCost > 0 ? 32 : 1);
-        }
+        latency.recordCostHint(request.costMs());
         if (shares != null) {
-            shares.asked(now, request.tenant());
+            shares.recordRequest(now, request.tenant());
         }
         trials = Math.min(1, trials + DOUBT_SHARE);
         Flight f = new Flight(request, now);
@@ -541,8 +330,8 @@
         f.toOrigin = cfg.cacheAside() && request.write();
         if (!f.toOrigin && request.key() != 0) {
             measureOffered(now);
-            f.seen = hot.seen(request.key(), now);
-            f.spread = spread(f.seen);
+            f.seen = hotKeys.record(now, request.key());
+            f.spread = hotKeys.replicas(f.seen, ranked.length);
         }
         advance(now, f, out);
     }
@@ -554,20 +343,10 @@
      */
     private void measureOffered(double now) {
         double halfMs = Math.max(1, cfg.overloadWindowMs());
-        reads *= Math.pow(0.5, (now - readsAt) / halfMs);
-        readsAt = now;
-        double perMs = cfg.instanceCount() * reads * Math.log(2) / halfMs;
-        offered = perMs * pace / Math.max(1, ranked.length);
-        reads++;
-    }
-
-    /**
-     * The draft sends all of a key to one member. A key that locally exceeds a server's fair part is spread over as
-     * many of its top ranks as bring each under that, wherever it is as hot.
-     */
-    private int spread(int seen) {
-        int n = seen < HotKeys.MIN_COUNT ? 1 : (int) Math.ceil(seen / hot.total * ranked.length);
-        return Math.max(1, Math.min(n, ranked.length));
+        reads.decay(now, halfMs);
+        double perMs = cfg.instanceCount() * reads.value() * Math.log(2) / halfMs;
+        offered = perMs * latency.endpointMs() / Math.max(1, ranked.length);
+        reads.increment();
     }
 
     private void advance(double now, Flight f, RoutingActions out) {
@@ -590,12 +369,12 @@
             giveUp(f, out);
             return;
         }
-        if (s != origin && f.attempts == 0 && f.safe && refused(f, crowd.excess(now))) {
+        if (s != origin && f.attempts == 0 && f.safe && refused(f, endpointThrottle.excess(now))) {
             giveUp(f, out);
             return;
         }
         // Three in a row found no way there: the next would wait for nothing, and be told late.
-        if (s == origin && now < toOrigin.closedUntil) {
+        if (s == origin && originBreaker.isOpen(now)) {
             giveUp(f, out);
             return;
         }
@@ -605,10 +384,10 @@
                 f.waiting = leader != f && leader.followers.add(f);
                 return;
             }
-            double excess = throttle.excess(now);
-            boolean tooLate = excess > 0 && now + fetchMs > f.arrivedMs + f.kind.latencyObjectiveMs();
+            double excess = originThrottle.excess(now);
+            boolean tooLate = excess > 0 && now + latency.originFetchMs() > f.arrivedMs + f.kind.latencyObjectiveMs();
             if (!tooLate) { // who is turned away as too late does not count, or the throttle stays shut
-                throttle.asked(now);
+                originThrottle.recordRequest(now);
             }
             if (tooLate || refused(f, excess)) {
                 giveUp(f, out);
@@ -617,7 +396,7 @@
             fetches.put(f.request.key(), f);
             f.followers = new ArrayDeque<>();
         } else if (s == origin) {
-            throttle.asked(now);
+            originThrottle.recordRequest(now);
         }
         place(now, f, s, out);
     }
@@ -640,9 +419,9 @@
      * at, but early enough that runner-up and origin can still answer within the aim.
      */
     private double patience(double now, Flight f) {
-        double usual = (pace + 3 * paceDeviation) * f.work();
+        double usual = (latency.endpointMs() + 3 * latency.endpointDeviationMs()) * latency.relativeWork(f.request);
         double left = Math.min(f.kind.latencyObjectiveMs(), f.request.deadlineMs() - now);
-        return Math.max(left / 4, Math.min(usual, left - 2 * fetchMs));
+        return Math.max(left / 4, Math.min(usual, left - 2 * latency.originFetchMs()));
     }
 
     /**
@@ -661,7 +440,7 @@
             silent(now, s);
         }
         if (doubts < 1
-                || f.request.deadlineMs() - now < fetchMs
+                || f.request.deadlineMs() - now < latency.originFetchMs()
                 || !cfg.hedgingAllowed() && !cfg.cancellationAllowed()) {
             return;
         }
@@ -680,7 +459,7 @@
      */
     private void silent(double now, Server s) {
         if (s.failures == 0) { // one server is one, with however many attempts at it
-            way(s).suspected(now, SHUN_CONNECTS * cfg.connectTimeoutMs(), 3);
+            zones.recordSilence(now, s.member.zone(), SHUN_CONNECTS * cfg.connectTimeoutMs());
         }
         suspect(now, s);
     }
@@ -733,10 +512,6 @@
         }
     }
 
-    private Way way(Server s) {
-        return ways.computeIfAbsent(s.member.zone(), z -> new Way());
-    }
-
     private boolean maySend(double now, Flight f, Server s) {
         if (f.out > 0 && !(cfg.hedgingAllowed() && f.safe)) {
             return false;
@@ -781,7 +556,7 @@
      * clients that ask again at once and keep up the jam they were turned away for.
      */
     private double comeBackMs() {
-        return Math.min(cfg.maxRetryAfterMs(), pace / 2);
+        return Math.min(cfg.maxRetryAfterMs(), latency.endpointMs() / 2);
     }
 
     private void finish(Flight f) {
@@ -828,17 +603,20 @@
      * all instances, these go to their runner-up. No other key moves.
      */
     private boolean left(Flight f, Server s) {
-        double open = way(s).open;
-        return open < 1 && CarpHash.keyFraction(f.keyHash, CarpHash.endpointHash(s.member.zone())) >= open;
+        return zones.isDiverted(s.member.zone(), f.keyHash);
     }
 
     /** Few instances try a zone that is left, on the fleet's order; each of all would else, and at once. */
     private boolean tries(double now, Flight f, Server s) {
-        Way w = way(s);
-        if (!w.tries || !f.safe || f.attempts > 0 || now < s.noPlaceUntil || !warmEnough(now, f, s)) {
+        int zone = s.member.zone();
+        if (!zones.isProbeAllowed(zone)
+                || !f.safe
+                || f.attempts > 0
+                || now < s.noPlaceUntil
+                || !warmEnough(now, f, s)) {
             return false;
         }
-        w.tries = false;
+        zones.probeSent(zone);
         return true;
     }
 
@@ -847,7 +625,7 @@
             return false;
         }
         if (s.failures == 0 || s.probed && !s.trial) {
-            return now >= way(s).closedUntil && warmEnough(now, f, s);
+            return !zones.isOpen(now, s.member.zone()) && warmEnough(now, f, s);
         }
         if (now < s.shunnedUntil || s.trial || !f.safe || f.attempts > 0 || trials < 1) {
             return false;
@@ -880,9 +658,9 @@
         double steady = cfg.initialCapacity() + (1 - cfg.initialCapacity()) * Math.max(0, age) / cfg.warmUpMs();
         // How it warms up is not told: it must also stand what it gets if it stays at its start for long.
         double capacity = Math.min(steady, cfg.overloadMultiple() * cfg.initialCapacity() / offered);
-        double room = Math.min(1, cfg.overloadMultiple() * COLD_ROOM / crowd.pressure(now));
-        double ramp = capacity * (usualWeight > 0 ? weight / usualWeight : 1) * room;
-        boolean fair = f.seen <= 1 || random.nextDouble() * f.seen < hot.total * s.share;
+        double room = Math.min(1, cfg.overloadMultiple() * COLD_ROOM / endpointThrottle.pressure(now));
+        double ramp = capacity * (usualWeight.value() > 0 ? weight / usualWeight.value() : 1) * room;
+        boolean fair = f.seen <= 1 || random.nextDouble() * f.seen < hotKeys.total() * s.share;
         return fair && CarpHash.keyFraction(f.keyHash, s.hash) < ramp;
     }
 
@@ -962,7 +740,7 @@
             if (end.note() == NOTE_FETCH_IN_FLIGHT && f.attempts + 2 <= f.maxAttempts()) {
                 f.toOrigin = false;
                 f.waiting = true;
-                timer(fetchMs, AGAIN, f, out);
+                timer(latency.originFetchMs(), AGAIN, f, out);
                 return;
             }
         } else if (s == origin
@@ -970,7 +748,7 @@
                 && f.request.write()
                 && f.attempts < f.maxAttempts()) {
             f.waiting = true;
-            timer(fetchMs * (0.5 + random.nextDouble()), AGAIN, f, out);
+            timer(latency.originFetchMs() * (0.5 + random.nextDouble()), AGAIN, f, out);
             return;
         }
         if (s == origin && !f.request.write()) {
@@ -1007,21 +785,21 @@
             doubts++;
         }
         if (s == origin && outOfReach(end.outcome())) {
-            throttle.withdrawn(now);
+            originThrottle.withdrawRequest(now);
         }
         if (s == origin && end.outcome() == AttemptOutcome.CONNECT_FAILED) {
-            toOrigin.suspected(now, SHUN_CONNECTS / 2 * cfg.connectTimeoutMs(), 0);
+            originBreaker.recordFailure(now, new ExponentialBackoff(SHUN_CONNECTS / 2 * cfg.connectTimeoutMs(), 0));
         } else if (s == origin
                 && end.outcome() != AttemptOutcome.TIMEOUT
                 && end.outcome() != AttemptOutcome.CANCELLED) {
-            toOrigin.answered();
+            originBreaker.recordSuccess();
         }
         switch (end.outcome()) {
             case OK, MISS, REJECTED -> {
                 s.answeredAt = now;
                 s.noPlaceUntil = 0;
                 if (s != origin) {
-                    way(s).answered();
+                    zones.recordResponse(s.member.zone());
                     out.report(
                             s.id,
                             end.outcome() == AttemptOutcome.MISS
@@ -1033,29 +811,26 @@
                     out.report(s.id, inTime ? EndpointSignal.RESPONDED : EndpointSignal.UNRESPONSIVE);
                 }
                 if (s != origin && end.outcome() == AttemptOutcome.REJECTED && end.attempt() > 0) {
-                    crowd.asked(now);
+                    endpointThrottle.recordRequest(now);
                 }
-                boolean timely =
-                        end.elapsedMs() <= f.kind.latencyObjectiveMs() || crowd.pressure(now) > Throttle.HEADROOM;
+                boolean timely = end.elapsedMs() <= f.kind.latencyObjectiveMs() || endpointThrottle.isOverloaded(now);
                 if (s == origin || timely) {
                     s.failures = s.doubts = s.turnedAway = 0;
                 }
                 s.trial = false;
                 if (s != origin && end.outcome() == AttemptOutcome.OK) {
-                    crowd.asked(now);
-                    if (end.elapsedMs() <= f.kind.latencyObjectiveMs() - fetchMs) {
-                        crowd.answered(now);
+                    endpointThrottle.recordRequest(now);
+                    if (end.elapsedMs() <= f.kind.latencyObjectiveMs() - latency.originFetchMs()) {
+                        endpointThrottle.recordCompletedInTime(now);
                     }
-                    double x = end.elapsedMs() / f.work();
-                    paceDeviation += (Math.abs(x - pace) - paceDeviation) / 16;
-                    pace += (x - pace) / 16;
+                    latency.recordEndpointAnswer(end.elapsedMs(), latency.relativeWork(f.request));
                     doubts = Math.min(DOUBT_SAVED, doubts + DOUBT_SHARE);
                 }
                 if (s == origin && end.outcome() == AttemptOutcome.OK) {
                     if (now <= f.arrivedMs + f.kind.latencyObjectiveMs()) {
-                        throttle.answered(now);
+                        originThrottle.recordCompletedInTime(now);
                     }
-                    fetchMs += (end.elapsedMs() - fetchMs) / 8;
+                    latency.recordOriginAnswer(end.elapsedMs());
                 }
             }
             case CONNECTION_LIMIT -> {
@@ -1064,9 +839,9 @@
             }
             case CONNECT_FAILED, RESET, TIMEOUT -> {
                 if (s != origin) {
-                    boolean shared = crowd.pressure(now) > Throttle.HEADROOM;
+                    boolean shared = endpointThrottle.isOverloaded(now);
                     if (end.outcome() == AttemptOutcome.TIMEOUT && s.failures <= (shared ? 1 : 0)) {
-                        crowd.asked(now);
+                        endpointThrottle.recordRequest(now);
                     }
                     if (end.outcome() != AttemptOutcome.TIMEOUT) { // that was seen when it was overdue
                         out.report(s.id, EndpointSignal.UNRESPONSIVE);
@@ -1136,9 +911,7 @@
                 }
             }
             case WATCH -> {
-                if (!watching && !asking) {
-                    asking = true;
-                    askedAt = now;
+                if (listWatch.subscribe(now)) {
                     out.setWatch(true);
                 }
             }
--- /dev/null
+++ b/src/main/java/cacheproxy/routing/EndpointListWatch.java
@@ -0,0 +1,73 @@
+package cacheproxy.routing;
+
+import cacheproxy.endpoints.RetryPause;
+import java.util.SplittableRandom;
+
+/**
+ * When this instance subscribes to changes of the endpoint list, in deployments in which it has to ask discovery for
+ * them. The delay after failed calls is that of {@link RetryPause}. Times in milliseconds.
+ *
+ * <pre>
+ * IDLE        -> SUBSCRIBING  a delay has ended
+ * SUBSCRIBING -> SUBSCRIBED   discovery has answered with entries
+ * any         -> IDLE         the call or the subscription has failed
+ * </pre>
+ */
+final class EndpointListWatch {
+    private enum State {
+        IDLE,
+        SUBSCRIBING,
+        SUBSCRIBED
+    }
+
+    private final SplittableRandom random;
+    private State state = State.IDLE;
+    private RetryPause backoff;
+    private double pollIntervalMs = Double.NaN;
+    private double subscribedAtMs;
+
+    EndpointListWatch(SplittableRandom random) {
+        this.random = random;
+    }
+
+    void onSettings(RoutingSettings settings) {
+        if (pollIntervalMs != settings.pollIntervalMs()) {
+            pollIntervalMs = settings.pollIntervalMs();
+            backoff = new RetryPause(pollIntervalMs);
+        }
+    }
+
+    /**
+     * The delay until the first call, after a start with a cached list: discovery is small, and all instances of a
+     * fleet that starts must not call at once.
+     */
+    double firstCallDelayMs(RoutingSettings settings) {
+        double limitMs = Math.min(settings.pollIntervalMs(), RetryPause.TOLD_MS);
+        double spanMs = Math.min(limitMs, settings.instanceCount() * settings.connectTimeoutMs()) / 2;
+        return random.nextDouble() * spanMs;
+    }
+
+    /** The list has come, or changes of it, by a call of this instance. */
+    void onEntries() {
+        if (state == State.SUBSCRIBING) {
+            state = State.SUBSCRIBED;
+            backoff.answered();
+        }
+    }
+
+    /** A call or the subscription has failed; the delay until the next. */
+    double onFailure(double nowMs) {
+        state = State.IDLE;
+        return backoff.failed(nowMs - subscribedAtMs, random);
+    }
+
+    /** A delay has ended: whether to subscribe now, which counts as done. */
+    boolean subscribe(double nowMs) {
+        if (state != State.IDLE) {
+            return false;
+        }
+        state = State.SUBSCRIBING;
+        subscribedAtMs = nowMs;
+        return true;
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/routing/FairShares.java
@@ -0,0 +1,78 @@
+package cacheproxy.routing;
+
+import java.util.List;
+
+/**
+ * From which tenants load is shed: what must be rejected comes off those that ask most over their quotas (max-min
+ * fairness), as requests over quota are worth little. Counts what each tenant asks of this instance, decaying. Clients'
+ * repeats swell all tenants alike.
+ */
+final class FairShares {
+    /** Halvings of the searched interval: down to under one part in ten million. */
+    private static final int BISECTION_STEPS = 24;
+
+    private static final double MIN_QUOTA_PER_SECOND = 1e-9;
+
+    private final List<Tenant> tenants;
+    private final double[] requested;
+    private double decayedAtMs;
+
+    FairShares(List<Tenant> tenants) {
+        this.tenants = tenants;
+        requested = new double[tenants.size()];
+    }
+
+    /** A request of a tenant, by its index in the settings. */
+    void recordRequest(double nowMs, int tenant) {
+        double remaining = DecayingCounter.remaining(nowMs - decayedAtMs, AdaptiveThrottle.HALF_LIFE_MS);
+        decayedAtMs = nowMs;
+        for (int t = 0; t < requested.length; t++) {
+            requested[t] *= remaining;
+        }
+        requested[tenant]++;
+    }
+
+    /**
+     * The part of one tenant's requests to reject, so that of all tenants' the part {@code excess} is rejected.
+     *
+     * @param excess over 0, to 1
+     * @return 0 to 1
+     */
+    double rejectedPart(int tenant, double excess) {
+        return 1 - granted(tenant, fairMultiple(excess)) / requested[tenant];
+    }
+
+    /** The multiple of its quota that each tenant may use, so that together they use the rest after the excess. */
+    private double fairMultiple(double excess) {
+        double goal = 0;
+        double high = 0;
+        for (int t = 0; t < requested.length; t++) {
+            goal += requested[t] * (1 - excess);
+            high = Math.max(
+                    high,
+                    requested[t] / Math.max(MIN_QUOTA_PER_SECOND, tenants.get(t).quotaPerSecond()));
+        }
+        double low = 0;
+        for (int step = 0; step < BISECTION_STEPS; step++) {
+            double middle = (low + high) / 2;
+            if (grantedToAll(middle) < goal) {
+                low = middle;
+            } else {
+                high = middle;
+            }
+        }
+        return high;
+    }
+
+    private double grantedToAll(double multiple) {
+        double sum = 0;
+        for (int t = 0; t < requested.length; t++) {
+            sum += granted(t, multiple);
+        }
+        return sum;
+    }
+
+    private double granted(int tenant, double multiple) {
+        return Math.min(requested[tenant], multiple * tenants.get(tenant).quotaPerSecond());
+    }
+}
