--- a/src/main/java/cacheproxy/proxy/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/ClientRequest.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Permits;
 import cacheproxy.admission.RequestState;
+import cacheproxy.admission.SafetyRules;
 import cacheproxy.proxy.Timers.Timer;
 import cacheproxy.routing.ServiceClass;
 import java.util.ArrayList;
@@ -48,7 +48,7 @@
 
     /** Whether it has had its final response or its client has disconnected: nothing more may be sent for it. */
     boolean isCompleted() {
-        return state.over();
+        return state.isFinal();
     }
 
     /** Whether a response is being streamed to its client. */
@@ -58,19 +58,19 @@
 
     /** Changes its state; false, without effect, where its present state does not allow that. */
     boolean transitionTo(RequestState next) {
-        boolean allowed = state.mayBecome(next);
+        boolean allowed = state.canBecome(next);
         state = allowed ? next : state;
         return allowed;
     }
 
     /** Its attempts as they are now, except this one; null for all. */
-    List<Permits.Earlier> attemptsExcept(RequestAttempt excluded) {
-        List<Permits.Earlier> others = new ArrayList<>(attempts.size());
+    List<SafetyRules.EarlierAttempt> attemptsExcept(RequestAttempt excluded) {
+        List<SafetyRules.EarlierAttempt> others = new ArrayList<>(attempts.size());
         for (RequestAttempt attempt : attempts) {
             if (attempt != excluded) {
                 boolean inFlight = !attempt.ended;
-                others.add(
-                        new Permits.Earlier(attempt.sentMs, attempt.place, inFlight, inFlight || attempt.mayHaveRun));
+                others.add(new SafetyRules.EarlierAttempt(
+                        attempt.sentMs, attempt.place, inFlight, inFlight || attempt.mayHaveRun));
             }
         }
         return others;
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Breach;
-import cacheproxy.admission.Permits;
 import cacheproxy.admission.RequestState;
+import cacheproxy.admission.RuleViolation;
+import cacheproxy.admission.SafetyRules;
 import cacheproxy.admission.Verdict;
 import cacheproxy.flow.ByteBudget;
 import cacheproxy.flow.ReadAhead;
@@ -63,7 +63,7 @@
     private static final double MAX_WAIT_MS = 86_400_000;
 
     /** Of a server that is not in the list. */
-    private static final Permits.Place NOWHERE = new Permits.Place(-1, -1);
+    private static final SafetyRules.Location NOWHERE = new SafetyRules.Location(-1, -1);
 
     private static final double PROBE_TIMEOUT_MS = 250;
     /** Of the memory for buffers, values that are kept whole get one part of so many; the rest is for what passes. */
@@ -367,7 +367,7 @@
     /** Gives up all that is out for a request; whether it may be refused then. */
     private boolean refusable(ClientRequest x) {
         List.copyOf(x.attempts).forEach(this::expireAttempt);
-        return Permits.refuse(x.serviceClass, x.attemptsExcept(null)).allowed();
+        return SafetyRules.mayReject(x.serviceClass, x.attemptsExcept(null)).allowed();
     }
 
     void clientLeft(ClientConnection client) {
@@ -623,9 +623,9 @@
     void clientDisconnected(ClientRequest x, boolean closedHere) {
         if (!x.isCompleted()) {
             if (closedHere) {
-                rules.breached(Breach.CLOSED_OWING, x, "its connection was closed from this side");
+                rules.breached(RuleViolation.CLOSED_BEFORE_ANSWER, x, "its connection was closed from this side");
             }
-            over(x, RequestState.CLIENT_GONE, RequestOutcome.CLIENT_DISCONNECTED);
+            over(x, RequestState.CLIENT_DISCONNECTED, RequestOutcome.CLIENT_DISCONNECTED);
             runSerially(() -> module.onClientDisconnected(now(), x.id, this));
             for (RequestAttempt a : x.attempts) {
                 if (a.firstByteMs != 0 && !a.ended) { // the rest of a long value is of no use to anyone
@@ -709,11 +709,11 @@
     private void over(ClientRequest x, RequestState state, RequestOutcome ending) {
         boolean streamed = x.isStreaming();
         if (!x.transitionTo(state)) {
-            rules.breached(Breach.ANSWERED_TWICE, x, "it can't become " + state);
+            rules.breached(RuleViolation.ANSWERED_TWICE, x, "it can't become " + state.key());
         }
         double lateMs = now() - x.deadlineMs;
-        if (state == RequestState.ANSWERED && !streamed && lateMs > Permits.ANSWER_SLACK_MS) {
-            rules.breached(Breach.ANSWERED_LATE, x, Math.round(lateMs) + " ms after its time");
+        if (state == RequestState.ANSWERED && !streamed && lateMs > SafetyRules.FINAL_ANSWER_SLACK_MS) {
+            rules.breached(RuleViolation.ANSWERED_LATE, x, Math.round(lateMs) + " ms after its time");
         }
         recordOutcome(x, ending);
     }
@@ -772,7 +772,7 @@
         double left = x.deadlineMs - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
         Upstream u = servers.get(server);
-        Permits.Place place = u == null ? NOWHERE : u.place;
+        SafetyRules.Location place = u == null ? NOWHERE : u.place;
         RequestAttempt a = new RequestAttempt(x, x.attempts.size(), server, place, now, now + wait);
         count(x, u);
         x.attempts.add(a);
@@ -810,9 +810,9 @@
             return u != null && u.ready;
         }
         double now = now();
-        Verdict verdict = Permits.send(
+        Verdict verdict = SafetyRules.mayBegin(
                 now,
-                new Permits.Send(
+                new SafetyRules.AttemptStart(
                         x.state(),
                         x.serviceClass,
                         Math.min(a.expiresMs, x.deadlineMs) - now,
@@ -832,8 +832,9 @@
     void checkRemainingTime(RequestAttempt a, long remainingMs) {
         ClientRequest x = a.request;
         double left = x == null ? Double.POSITIVE_INFINITY : x.deadlineMs - now();
-        if (Permits.toldTooMuch((double) remainingMs, left)) {
-            rules.breached(Breach.TOLD_TOO_MUCH, x, remainingMs + " ms, " + Math.round(left) + " ms are left");
+        if (SafetyRules.isExcessiveTimeout((double) remainingMs, left)) {
+            rules.breached(
+                    RuleViolation.EXCESSIVE_TIMEOUT_SENT, x, remainingMs + " ms, " + Math.round(left) + " ms are left");
         }
     }
 
@@ -862,8 +863,9 @@
             return;
         }
         if (x.state() == RequestState.OPEN
-                && !Permits.refuse(x.serviceClass, x.attemptsExcept(null)).allowed()) {
-            rules.breached(Breach.REFUSED_THOUGH_IT_MAY_HAVE_RUN, x, "it is answered as failed");
+                && !SafetyRules.mayReject(x.serviceClass, x.attemptsExcept(null))
+                        .allowed()) {
+            rules.breached(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, x, "it is answered as failed");
             fail(request);
             return;
         }
--- a/src/main/java/cacheproxy/proxy/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/RequestAttempt.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Permits;
+import cacheproxy.admission.SafetyRules;
 import cacheproxy.proxy.Timers.Timer;
 
 /** One attempt of a request at a server, or a health check of that server. Event loop only. */
@@ -16,7 +16,7 @@
     /** When the proxy stops waiting for it, on the same clock. */
     final double expiresMs;
     /** The location of its server. */
-    final Permits.Place place;
+    final SafetyRules.Location place;
 
     /** The connection it was assigned to; null before. */
     UpstreamConnection connection;
@@ -32,7 +32,8 @@
     /** Expires the attempt; null where the request's own deadline does. */
     Timer timer;
 
-    RequestAttempt(ClientRequest request, int index, int server, Permits.Place place, double sentMs, double expiresMs) {
+    RequestAttempt(
+            ClientRequest request, int index, int server, SafetyRules.Location place, double sentMs, double expiresMs) {
         this.request = request;
         this.index = index;
         this.server = server;
--- a/src/test/java/cacheproxy/metrics/WireNamesTest.java
+++ b/src/test/java/cacheproxy/metrics/WireNamesTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.admission.Breach;
+import cacheproxy.admission.RuleViolation;
 import cacheproxy.admission.Verdict;
 import java.io.IOException;
 import java.io.InputStream;
@@ -45,8 +45,8 @@
     }
 
     @Test
-    void kindsOfBreaches() throws IOException {
-        assertThat(table(Breach.values(), Breach::key)).isEqualTo(pinned("breaches.txt"));
+    void kindsOfRuleViolations() throws IOException {
+        assertThat(table(RuleViolation.values(), RuleViolation::key)).isEqualTo(pinned("breaches.txt"));
     }
 
     /** As the command {@code figures} reads it, with each counter at a value of its own. */
