--- a/src/main/java/cacheproxy/admission/SafetyRules.java
+++ b/src/main/java/cacheproxy/admission/SafetyRules.java
@@ -32,8 +32,8 @@
      * An attempt of a request besides the one in question.
      *
      * @param sentMs when it was sent
-     * @param at where
-     * @param out whether it is still waited for
+     * @param location where it was sent
+     * @param inFlight whether it is still waited for
      * @param mayHaveRun whether it has run, may have, or may yet
      */
     public record EarlierAttempt(double sentMs, Location location, boolean inFlight, boolean mayHaveRun) {}
@@ -41,15 +41,15 @@
     /**
      * An attempt that is about to begin.
      *
-     * @param state of its request
-     * @param kind the request's class
-     * @param leftMs the time that its client has left; not over 0: none
-     * @param serverReady whether the list has the server take new requests
-     * @param at where the server stands
-     * @param index how many attempts of the request were made before it
+     * @param requestState of its request
+     * @param serviceClass the request's class
+     * @param remainingMs the time that its client has left; not over 0: none
+     * @param endpointReady whether the list has the server take new requests
+     * @param location where the server stands
+     * @param attemptIndex how many attempts of the request were made before it
      * @param maxAttempts how many there may be in all
-     * @param secondCopies whether one may go out beside another
-     * @param others the request's other attempts
+     * @param hedgingAllowed whether one may go out beside another
+     * @param otherAttempts the request's other attempts
      */
     public record AttemptStart(
             RequestState requestState,
