--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -1,7 +1,7 @@
 package cacheproxy.control;
 
 import cacheproxy.control.Figure.Kind;
-import cacheproxy.drain.Drain;
+import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.membership.View;
 import cacheproxy.proxy.Proxy;
 import cacheproxy.proxy.RuleCounts;
@@ -56,10 +56,10 @@
         }
         registry.section("drain", () -> progress(proxy.drainProgress()));
         registry.command("drain", arguments -> {
-            Drain.Begun begun = proxy.drain(ControlRegistry.number(arguments, "deadline_ms"));
+            DrainStateMachine.StartResult begun = proxy.drain(ControlRegistry.number(arguments, "deadline_ms"));
             JsonObject o = progress(proxy.drainProgress());
-            o.addProperty("already", begun.already());
-            o.addProperty("words", begun.words());
+            o.addProperty("already", begun.alreadyDraining());
+            o.addProperty("words", begun.message());
             return o;
         });
         registry.command("drain-cancel", arguments -> {
@@ -198,16 +198,16 @@
         return o;
     }
 
-    private static JsonObject progress(Drain.Progress p) {
+    private static JsonObject progress(DrainStateMachine.Progress p) {
         JsonObject o = new JsonObject();
         o.addProperty("phase", p.phase().statusName());
-        o.addProperty("share", p.share());
-        o.addProperty("owed", p.owed());
+        o.addProperty("share", p.completedFraction());
+        o.addProperty("owed", p.unanswered());
         o.addProperty("connections", p.connections());
-        o.addProperty("left_ms", Math.round(p.leftMs()));
-        o.addProperty("deadline_left_ms", Math.round(p.deadlineLeftMs()));
-        o.addProperty("drains", p.drains());
-        o.addProperty("cancels", p.cancels());
+        o.addProperty("left_ms", Math.round(p.remainingMs()));
+        o.addProperty("deadline_left_ms", Math.round(p.deadlineRemainingMs()));
+        o.addProperty("drains", p.drainCount());
+        o.addProperty("cancels", p.cancelCount());
         return o;
     }
 }
--- a/src/main/java/cacheproxy/drain/DrainPlan.java
+++ b/src/main/java/cacheproxy/drain/DrainPlan.java
@@ -1,46 +1,47 @@
 package cacheproxy.drain;
 
 /**
- * How a drain goes. Times in milliseconds.
+ * The schedule of one drain. Times are milliseconds from its start.
  *
- * @param listenMs new connections are taken for so long; infinite: until nothing is left
- * @param holdIdleMs idle connections are left alone for so long
- * @param paceMs over which time after that they are ended, so that their clients do not all go elsewhere at once
- * @param quietMs for how long no request may have been open before an instance without connections is drained
- * @param deadlineMs when all that is left is answered at once and the process ends
- * @param hidden whether clients that ask are still told that it serves
- * @param last whether it can't be taken back
+ * @param listenMs how long new connections are accepted; infinite: until nothing is open
+ * @param idleGraceMs how long idle connections are left open
+ * @param idleClosePeriodMs over which period after that they are closed, so that their clients do not all reconnect
+ *     elsewhere at once
+ * @param quietPeriodMs how long no request may have been open before an instance without connections counts as drained
+ * @param deadlineMs when every open request gets its final answer and the process exits; above 0, at most an hour
+ * @param unannounced whether clients that ask are still told that the instance serves
+ * @param irrevocable whether it can't be cancelled
  */
 public record DrainPlan(
         double listenMs,
-        double holdIdleMs,
-        double paceMs,
-        double quietMs,
+        double idleGraceMs,
+        double idleClosePeriodMs,
+        double quietPeriodMs,
         double deadlineMs,
-        boolean hidden,
-        boolean last) {
-    private static final double LONGEST_MS = 3_600_000;
+        boolean unannounced,
+        boolean irrevocable) {
+    private static final double MAX_DEADLINE_MS = 3_600_000;
     /**
-     * The platform kills a process 3.7 s after SIGTERM at the earliest, however long its classes wait: by then each
-     * open request must have had its answer. The rest is for these to leave the machine.
+     * The platform sends SIGKILL 3.7 s after SIGTERM at the earliest, whatever the classes' deadlines: by then each
+     * open request must have its answer. The difference is for these answers to leave the machine.
      */
-    static final double ANSWERED_BY_MS = 3500;
+    static final double MAX_ANSWER_MS = 3500;
 
     /** Checks the ranges. */
     public DrainPlan {
-        if (!(deadlineMs > 0 && deadlineMs <= LONGEST_MS)) {
+        if (!(deadlineMs > 0 && deadlineMs <= MAX_DEADLINE_MS)) {
             throw new IllegalArgumentException("a drain's deadline lies above 0 s and an hour away at most");
         }
-        if (!(listenMs >= 0) || !(holdIdleMs >= 0) || !(paceMs >= 0) || !(quietMs >= 0)) {
+        if (!(listenMs >= 0) || !(idleGraceMs >= 0) || !(idleClosePeriodMs >= 0) || !(quietPeriodMs >= 0)) {
             throw new IllegalArgumentException("times of a drain are 0 or longer");
         }
     }
 
     /**
-     * A drain that an operator asks for: goes on listening, as whoever deals connections out notices late, ends idle
-     * connections over the first fifth of the time, five seconds at most, and can be taken back.
+     * The plan of a drain that an operator requests: it goes on listening, as load balancers notice late, closes idle
+     * connections over the first fifth of the time, five seconds at most, and can be cancelled.
      */
-    public static DrainPlan asked(double deadlineMs) {
+    public static DrainPlan requested(double deadlineMs) {
         return new DrainPlan(
                 Double.POSITIVE_INFINITY,
                 0,
@@ -52,25 +53,31 @@
     }
 
     /**
-     * What SIGTERM begins on the platform: no connection comes later than this, and answers that could not be in time
-     * any more, or would come after the process is killed, are not waited for.
+     * The plan after SIGTERM: no connection comes later than {@code listenMs}, and answers that would miss their
+     * deadline or come after SIGKILL are not waited for.
      */
-    public static DrainPlan terminated(double listenMs, double longestDeadlineMs) {
-        double deadlineMs = Math.min(ANSWERED_BY_MS, listenMs + longestDeadlineMs);
+    public static DrainPlan onTermination(double listenMs, double longestDeadlineMs) {
+        double deadlineMs = Math.min(MAX_ANSWER_MS, listenMs + longestDeadlineMs);
         return new DrainPlan(listenMs, listenMs, 0, 0, deadlineMs, true, true);
     }
 
     /**
-     * What SIGTERM begins where a successor serves at the same socket: connections are the successor's from now on,
-     * those here go over to it as each falls idle.
+     * The plan after SIGTERM where a successor serves at the same socket: new connections are the successor's at once,
+     * open ones are passed to it as each falls idle.
      */
-    public static DrainPlan succeeded(double longestDeadlineMs) {
-        return new DrainPlan(0, 0, 0, 0, Math.min(ANSWERED_BY_MS, longestDeadlineMs), true, true);
+    public static DrainPlan onTerminationWithSuccessor(double longestDeadlineMs) {
+        return new DrainPlan(0, 0, 0, 0, Math.min(MAX_ANSWER_MS, longestDeadlineMs), true, true);
     }
 
-    /** This plan with a deadline of this long at most. */
-    DrainPlan within(double ms) {
+    /** This plan, with its deadline brought forward to this many milliseconds at the latest. */
+    DrainPlan withDeadlineAtMost(double ms) {
         return new DrainPlan(
-                listenMs, holdIdleMs, paceMs, quietMs, Math.min(deadlineMs, Math.max(1, ms)), hidden, last);
+                listenMs,
+                idleGraceMs,
+                idleClosePeriodMs,
+                quietPeriodMs,
+                Math.min(deadlineMs, Math.max(1, ms)),
+                unannounced,
+                irrevocable);
     }
 }
--- a/src/main/java/cacheproxy/proxy/Drainer.java
+++ b/src/main/java/cacheproxy/proxy/Drainer.java
@@ -1,11 +1,13 @@
 package cacheproxy.proxy;
 
-import cacheproxy.drain.Drain;
 import cacheproxy.drain.DrainPlan;
+import cacheproxy.drain.DrainStateMachine;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
-/** Carries the orders of {@link Drain} out: tells it what is open, ends connections, answers what is left. */
+/**
+ * Carries the orders of {@link DrainStateMachine} out: tells it what is open, ends connections, answers what is left.
+ */
 final class Drainer {
     private static final long STEP_MS = 20;
     /** For last answers to leave the process. */
@@ -15,7 +17,7 @@
     private final Dispatcher dispatcher;
     private final Acceptor acceptor;
     private final Runnable ended;
-    private final Drain drain = new Drain();
+    private final DrainStateMachine drain = new DrainStateMachine();
     private boolean ticking;
     private boolean listening = true;
 
@@ -27,9 +29,9 @@
         this.ended = ended;
     }
 
-    Drain.Begun begin(DrainPlan plan) {
+    DrainStateMachine.StartResult begin(DrainPlan plan) {
         drain.tick(dispatcher.now(), counts()); // what is open at the beginning is what there is to do
-        Drain.Begun begun = drain.begin(dispatcher.now(), plan);
+        DrainStateMachine.StartResult begun = drain.begin(dispatcher.now(), plan);
         if (!ticking) {
             ticking = true;
             tick();
@@ -45,27 +47,28 @@
         return why;
     }
 
-    Drain.Progress progress() {
+    DrainStateMachine.Progress progress() {
         return drain.progress(dispatcher.now());
     }
 
-    private Drain.Counts counts() {
-        return new Drain.Counts(dispatcher.owed(), acceptor.open(), acceptor.idle(), dispatcher.answered());
+    private DrainStateMachine.OpenWork counts() {
+        return new DrainStateMachine.OpenWork(
+                dispatcher.owed(), acceptor.open(), acceptor.idle(), dispatcher.answered());
     }
 
     private void tick() {
         double now = dispatcher.now();
-        Drain.Orders orders = drain.tick(now, counts());
+        DrainStateMachine.Actions orders = drain.tick(now, counts());
         if (!drain.draining()) {
             ticking = false;
             return;
         }
-        dispatcher.drain(drain.ending(now), drain.told());
+        dispatcher.drain(drain.closesAfterAnswer(now), drain.announced());
         if (listening && !orders.listen()) {
             listening = false;
             acceptor.stopListening();
         }
-        acceptor.endIdle(orders.endIdle());
+        acceptor.endIdle(orders.closeIdle());
         if (orders.answerAll()) {
             dispatcher.answerAll();
             acceptor.endAll();
--- a/src/main/java/cacheproxy/proxy/HandoverLink.java
+++ b/src/main/java/cacheproxy/proxy/HandoverLink.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.takeover.Handover;
+import cacheproxy.takeover.HandoverStateMachine;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -41,7 +41,7 @@
     /** This process's own socket; null where nobody shares a folder. */
     private final Path own;
 
-    private final Handover handover;
+    private final HandoverStateMachine handover;
     private final Acceptor acceptor;
     private final Supplier<TakeoverState> state;
     private final Map<Long, Channel> links = new HashMap<>();
@@ -50,7 +50,12 @@
     private int passed;
 
     /** {@code state}: asked on the event loop. */
-    HandoverLink(EventLoop loop, Path folder, Handover handover, Acceptor acceptor, Supplier<TakeoverState> state) {
+    HandoverLink(
+            EventLoop loop,
+            Path folder,
+            HandoverStateMachine handover,
+            Acceptor acceptor,
+            Supplier<TakeoverState> state) {
         this.loop = loop;
         this.folder = folder;
         own = folder == null
@@ -134,7 +139,7 @@
      * @param done told whether that was done; the connection is then the successor's
      */
     void pass(Channel client, Consumer<Boolean> done) {
-        if (successor == null || !handover.passes()) {
+        if (successor == null || !handover.passesClients()) {
             done.accept(false);
             return;
         }
@@ -159,9 +164,10 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
             boolean granted = switch (line.toString(StandardCharsets.US_ASCII)) {
-                case STATE -> handover.asked(number) && say(ctx, state.get().json() + "\n");
-                case SOCKET -> handover.wanted(number) && send(ctx, Transport.descriptor(acceptor.channel()));
-                case SERVING -> handover.serves(number) && serves(ctx.channel());
+                case STATE ->
+                    handover.snapshotRequested(number) && say(ctx, state.get().json() + "\n");
+                case SOCKET -> handover.socketRequested(number) && send(ctx, Transport.descriptor(acceptor.channel()));
+                case SERVING -> handover.successorServes(number) && serves(ctx.channel());
                 default -> false;
             };
             if (!granted) {
@@ -181,18 +187,18 @@
 
         private boolean serves(Channel channel) {
             successor = channel;
-            acceptor.accept(handover.accepts());
+            acceptor.accept(handover.acceptsConnections());
             return true;
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             links.remove(number);
-            boolean gone = handover.lost(number);
+            boolean gone = handover.linkClosed(number);
             if (successor == ctx.channel()) {
                 successor = null;
             }
-            acceptor.accept(handover.accepts());
+            acceptor.accept(handover.acceptsConnections());
             if (gone) {
                 reclaim();
             }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.drain.Drain;
 import cacheproxy.drain.DrainPlan;
+import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.flow.ByteBudget;
 import cacheproxy.gossip.ListNews;
@@ -21,7 +21,7 @@
 import cacheproxy.state.Kind;
 import cacheproxy.state.Opened;
 import cacheproxy.state.Record;
-import cacheproxy.takeover.Handover;
+import cacheproxy.takeover.HandoverStateMachine;
 import com.google.gson.JsonPrimitive;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
@@ -68,7 +68,7 @@
     private final Acceptor acceptor;
     private final Drainer drainer;
     private final Edge edge;
-    private final Handover handover = new Handover();
+    private final HandoverStateMachine handover = new HandoverStateMachine();
     private final HandoverLink link;
     private final CountDownLatch ended = new CountDownLatch(1);
     private volatile Runnable whenEnded = () -> {};
@@ -110,7 +110,7 @@
                 dispatcher::now);
         link = new HandoverLink(loop, shared, handover, acceptor, this::state);
         acceptor.retireBy(c -> {
-            if (!handover.passes()) {
+            if (!handover.passesClients()) {
                 c.finish();
             } else if (c.served()) {
                 c.pass(link);
@@ -176,11 +176,11 @@
     }
 
     private void ended() {
-        if (handover.passes()) {
+        if (handover.passesClients()) {
             dispatcher.log("passed " + link.passed() + " clients on");
         }
         link.close();
-        if (members != null && !handover.passes()) {
+        if (members != null && !handover.passesClients()) {
             members.leave(); // a successor goes on under this name
         }
         if (kept != null) {
@@ -442,11 +442,13 @@
      */
     void drain() {
         loop.execute(() -> {
-            handover.terminated();
+            handover.terminationRequested();
             draining();
             double longest = dispatcher.longestDeadlineMs() + ANSWER_ROOM_MS;
             drainer.begin(
-                    handover.passes() ? DrainPlan.succeeded(longest) : DrainPlan.terminated(LISTEN_ON_MS, longest));
+                    handover.passesClients()
+                            ? DrainPlan.onTerminationWithSuccessor(longest)
+                            : DrainPlan.onTermination(LISTEN_ON_MS, longest));
         });
         try {
             ended.await();
@@ -459,9 +461,9 @@
     }
 
     /** Begins a drain that can be watched and taken back, or joins one. On the event loop only. */
-    public Drain.Begun drain(double deadlineMs) {
+    public DrainStateMachine.StartResult drain(double deadlineMs) {
         draining();
-        return drainer.begin(DrainPlan.asked(deadlineMs));
+        return drainer.begin(DrainPlan.requested(deadlineMs));
     }
 
     /** Takes a drain back; null if that was done, else why it can't be. On the event loop only. */
@@ -474,7 +476,7 @@
     }
 
     private void draining() {
-        if (members != null && !handover.passes()) {
+        if (members != null && !handover.passesClients()) {
             members.phase(Phase.DRAINING);
         }
     }
@@ -489,7 +491,7 @@
     }
 
     /** How a drain goes. On the event loop only. */
-    public Drain.Progress drainProgress() {
+    public DrainStateMachine.Progress drainProgress() {
         return drainer.progress();
     }
 
@@ -526,7 +528,7 @@
                 c.applied(),
                 c.rejected(),
                 handover.phase(),
-                handover.taken(),
+                handover.completedHandovers(),
                 dispatcher.values().used(),
                 dispatcher.values().waiting());
     }
@@ -587,7 +589,7 @@
             int ejected,
             long applied,
             long rejected,
-            Handover.Phase handover,
+            HandoverStateMachine.Phase handover,
             int handovers,
             long kept,
             int waiting) {}
--- a/src/main/java/cacheproxy/proxy/TakeoverLink.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverLink.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.takeover.Takeover;
+import cacheproxy.takeover.TakeoverStateMachine;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -28,7 +28,7 @@
     private final EventLoop loop;
     private final Promise<TakeoverState> state;
     private final Promise<FileDescriptor> socket;
-    private final Takeover takeover = new Takeover(now());
+    private final TakeoverStateMachine takeover = new TakeoverStateMachine(now());
     private final double askedMs = now();
     private int bytes;
     private Channel channel;
@@ -72,7 +72,7 @@
     }
 
     private void tick() {
-        if (takeover.overdue(now())) {
+        if (takeover.checkTimeout(now())) {
             channel.close();
             lost();
         } else if (!state.isDone() || !socket.isDone()) {
@@ -108,7 +108,7 @@
     }
 
     private void lost() {
-        takeover.lost();
+        takeover.linkClosed();
         state.trySuccess(null);
         socket.trySuccess(null);
     }
@@ -141,7 +141,7 @@
                 System.err.println("takeover: the old process's state can't be read: "
                         + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             }
-            if (takeover.told(now(), read != null)) {
+            if (takeover.snapshotReceived(now(), read != null)) {
                 // Before the socket is asked for: read as bytes, a descriptor would be dropped.
                 ((EpollDomainSocketChannel) ctx.channel()).config().setReadMode(DomainSocketReadMode.FILE_DESCRIPTORS);
                 say(HandoverLink.SOCKET);
@@ -152,7 +152,7 @@
         }
 
         private void taken(FileDescriptor descriptor) {
-            if (takeover.got()) {
+            if (takeover.descriptorReceived()) {
                 socket.trySuccess(descriptor);
             } else if (clients != null) {
                 clients.accept(descriptor);
--- a/src/test/java/cacheproxy/drain/DrainTest.java
+++ b/src/test/java/cacheproxy/drain/DrainStateMachineTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cacheproxy.drain.Drain.Counts;
-import cacheproxy.drain.Drain.Orders;
-import cacheproxy.drain.Drain.Phase;
+import cacheproxy.drain.DrainStateMachine.Actions;
+import cacheproxy.drain.DrainStateMachine.OpenWork;
+import cacheproxy.drain.DrainStateMachine.Phase;
 import java.util.List;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
@@ -17,28 +17,28 @@
 import org.junit.jupiter.api.Test;
 
 /** The state machine in virtual time. */
-class DrainTest {
-    private final Drain drain = new Drain();
+class DrainStateMachineTest {
+    private final DrainStateMachine drain = new DrainStateMachine();
 
-    private static Counts open(int owed, int connections, int idle) {
-        return new Counts(owed, connections, idle, 0);
+    private static OpenWork open(int owed, int connections, int idle) {
+        return new OpenWork(owed, connections, idle, 0);
     }
 
     @Test
     void servingOrdersNothing() {
-        assertThat(drain.tick(0, open(5, 9, 4))).isEqualTo(Orders.NONE);
+        assertThat(drain.tick(0, open(5, 9, 4))).isEqualTo(Actions.NONE);
         assertThat(drain.draining()).isFalse();
         assertThat(drain.progress(0).phase()).isEqualTo(Phase.SERVING);
     }
 
     @Test
     void idleConnectionsAreEndedInEvenSteps() {
-        drain.begin(0, DrainPlan.asked(10_000)); // over 2 s
+        drain.begin(0, DrainPlan.requested(10_000)); // over 2 s
         int idle = 1000;
         int most = 0;
         int half = 0;
         for (int now = 20; now <= 2000; now += 20) {
-            int end = drain.tick(now, open(0, idle, idle)).endIdle();
+            int end = drain.tick(now, open(0, idle, idle)).closeIdle();
             most = Math.max(most, end);
             idle -= end;
             half = now == 1000 ? idle : half;
@@ -50,108 +50,108 @@
 
     @Test
     void connectionsInUseEndAfterTheirAnswerOnceThePaceIsOver() {
-        drain.begin(0, DrainPlan.asked(10_000));
-        assertThat(drain.ending(1999)).isFalse();
-        assertThat(drain.ending(2000)).isTrue();
-        drain.begin(2000, DrainPlan.terminated(500, 1000));
-        assertThat(drain.ending(2499)).isFalse();
-        assertThat(drain.ending(2500)).isTrue();
+        drain.begin(0, DrainPlan.requested(10_000));
+        assertThat(drain.closesAfterAnswer(1999)).isFalse();
+        assertThat(drain.closesAfterAnswer(2000)).isTrue();
+        drain.begin(2000, DrainPlan.onTermination(500, 1000));
+        assertThat(drain.closesAfterAnswer(2499)).isFalse();
+        assertThat(drain.closesAfterAnswer(2500)).isTrue();
     }
 
     @Test
     void progressIsWhatIsGoneOfTheMostThatWasOpen() {
         drain.tick(0, open(10, 90, 80));
-        drain.begin(0, DrainPlan.asked(10_000));
+        drain.begin(0, DrainPlan.requested(10_000));
         drain.tick(20, open(0, 50, 50));
-        assertThat(drain.progress(20).share()).isEqualTo(0.5);
+        assertThat(drain.progress(20).completedFraction()).isEqualTo(0.5);
         drain.tick(40, open(0, 80, 80)); // others came
-        assertThat(drain.progress(40).share()).isEqualTo(0.5);
+        assertThat(drain.progress(40).completedFraction()).isEqualTo(0.5);
         drain.tick(60, open(0, 25, 25));
-        assertThat(drain.progress(60).share()).isEqualTo(0.75);
+        assertThat(drain.progress(60).completedFraction()).isEqualTo(0.75);
         drain.tick(1000, open(0, 25, 25));
-        assertThat(drain.progress(1000).leftMs()).isBetween(1000.0, 1500.0);
+        assertThat(drain.progress(1000).remainingMs()).isBetween(1000.0, 1500.0);
     }
 
     @Test
     void drainedMeansThatNothingWasOpenForAWhile() {
-        drain.begin(0, DrainPlan.asked(30_000));
+        drain.begin(0, DrainPlan.requested(30_000));
         assertThat(drain.tick(100, open(0, 0, 0)).exit()).isFalse();
         assertThat(drain.tick(900, open(1, 1, 0)).exit()).isFalse(); // one came after all
         assertThat(drain.tick(1000, open(0, 0, 0)).exit()).isFalse();
         assertThat(drain.tick(1500, open(0, 1, 0)).exit()).isFalse(); // one that asks for nothing is none
         assertThat(drain.tick(1899, open(0, 0, 0)).exit()).isFalse();
-        assertThat(drain.progress(1899).share()).isLessThan(1);
-        assertThat(drain.tick(1900, open(0, 0, 0))).isEqualTo(new Orders(0, false, false, true));
+        assertThat(drain.progress(1899).completedFraction()).isLessThan(1);
+        assertThat(drain.tick(1900, open(0, 0, 0))).isEqualTo(new Actions(0, false, false, true));
         assertThat(drain.progress(1900).phase()).isEqualTo(Phase.DRAINED);
-        assertThat(drain.progress(1900).share()).isEqualTo(1);
+        assertThat(drain.progress(1900).completedFraction()).isEqualTo(1);
     }
 
     @Test
     void atTheDeadlineAllIsAnsweredAndTheProcessEnds() {
-        drain.begin(0, DrainPlan.asked(5000));
+        drain.begin(0, DrainPlan.requested(5000));
         assertThat(drain.tick(4999, open(2, 3, 0)).answerAll()).isFalse();
-        assertThat(drain.tick(5000, open(2, 3, 0))).isEqualTo(new Orders(0, false, true, true));
+        assertThat(drain.tick(5000, open(2, 3, 0))).isEqualTo(new Actions(0, false, true, true));
         assertThat(drain.progress(5001).phase()).isEqualTo(Phase.EXPIRED);
         assertThat(drain.cancel()).contains("too late");
-        assertThat(drain.begin(5001, DrainPlan.asked(1000)).words()).contains("is over");
+        assertThat(drain.begin(5001, DrainPlan.requested(1000)).message()).contains("is over");
     }
 
     @Test
     void aCancelLeadsBackAndASecondDrainBeginsAnew() {
-        drain.begin(0, DrainPlan.asked(5000));
+        drain.begin(0, DrainPlan.requested(5000));
         drain.tick(4000, open(2, 3, 1));
         assertThat(drain.cancel()).isNull();
         assertThat(drain.cancel()).contains("no drain");
-        assertThat(drain.tick(6000, open(2, 3, 1))).isEqualTo(Orders.NONE);
-        drain.begin(7000, DrainPlan.asked(5000));
-        assertThat(drain.progress(7000).share()).isZero();
+        assertThat(drain.tick(6000, open(2, 3, 1))).isEqualTo(Actions.NONE);
+        drain.begin(7000, DrainPlan.requested(5000));
+        assertThat(drain.progress(7000).completedFraction()).isZero();
         assertThat(drain.tick(11_999, open(2, 3, 0)).exit()).isFalse();
-        assertThat(drain.progress(11_999).drains()).isEqualTo(2);
-        assertThat(drain.progress(11_999).cancels()).isEqualTo(1);
+        assertThat(drain.progress(11_999).drainCount()).isEqualTo(2);
+        assertThat(drain.progress(11_999).cancelCount()).isEqualTo(1);
     }
 
     @Test
     void askedTwiceTheShorterDeadlineHoldsAndIsTold() {
-        assertThat(drain.begin(0, DrainPlan.asked(5000)).already()).isFalse();
-        Drain.Begun longer = drain.begin(1000, DrainPlan.asked(60_000));
-        assertThat(longer.already()).isTrue();
-        assertThat(longer.deadlineLeftMs()).isEqualTo(4000);
-        assertThat(longer.words()).contains("its own deadline is the shorter");
-        assertThat(drain.begin(1000, DrainPlan.asked(500)).words()).contains("shortened");
+        assertThat(drain.begin(0, DrainPlan.requested(5000)).alreadyDraining()).isFalse();
+        DrainStateMachine.StartResult longer = drain.begin(1000, DrainPlan.requested(60_000));
+        assertThat(longer.alreadyDraining()).isTrue();
+        assertThat(longer.deadlineRemainingMs()).isEqualTo(4000);
+        assertThat(longer.message()).contains("its own deadline is the shorter");
+        assertThat(drain.begin(1000, DrainPlan.requested(500)).message()).contains("shortened");
         assertThat(drain.tick(1500, open(1, 1, 0)).answerAll()).isTrue();
     }
 
     @Test
     void aTerminationTakesOverAndCantBeTakenBack() {
-        drain.begin(0, DrainPlan.asked(60_000));
+        drain.begin(0, DrainPlan.requested(60_000));
         drain.tick(100, open(1, 5, 4));
-        drain.begin(100, DrainPlan.terminated(500, 1000));
+        drain.begin(100, DrainPlan.onTermination(500, 1000));
         assertThat(drain.cancel()).contains("can't be taken back");
-        assertThat(drain.tick(599, open(1, 5, 4))).isEqualTo(new Orders(0, true, false, false));
-        assertThat(drain.tick(600, open(1, 5, 4))).isEqualTo(new Orders(4, false, false, false));
-        assertThat(drain.tick(1600, open(1, 1, 0))).isEqualTo(new Orders(0, false, true, true));
+        assertThat(drain.tick(599, open(1, 5, 4))).isEqualTo(new Actions(0, true, false, false));
+        assertThat(drain.tick(600, open(1, 5, 4))).isEqualTo(new Actions(4, false, false, false));
+        assertThat(drain.tick(1600, open(1, 1, 0))).isEqualTo(new Actions(0, false, true, true));
     }
 
     @Test
     void aTerminationLeavesASoonerDeadline() {
-        drain.begin(0, DrainPlan.asked(1000));
-        drain.begin(900, DrainPlan.terminated(500, 1000));
+        drain.begin(0, DrainPlan.requested(1000));
+        drain.begin(900, DrainPlan.onTermination(500, 1000));
         assertThat(drain.tick(1000, open(1, 1, 0)).answerAll()).isTrue();
     }
 
     @Test
     void aPlanOfNoSenseIsRefused() {
-        assertThatThrownBy(() -> DrainPlan.asked(0)).hasMessageContaining("deadline");
-        assertThatThrownBy(() -> DrainPlan.asked(Double.NaN)).hasMessageContaining("deadline");
-        assertThatThrownBy(() -> DrainPlan.asked(1e9)).hasMessageContaining("hour");
+        assertThatThrownBy(() -> DrainPlan.requested(0)).hasMessageContaining("deadline");
+        assertThatThrownBy(() -> DrainPlan.requested(Double.NaN)).hasMessageContaining("deadline");
+        assertThatThrownBy(() -> DrainPlan.requested(1e9)).hasMessageContaining("hour");
     }
 
     /** The platform's kill does not wait for a class that does. */
     @Test
     void afterSigtermAllIsAnsweredBeforeTheKillHoweverLongAClassWaits() {
-        assertThat(DrainPlan.terminated(500, 30_000).deadlineMs()).isEqualTo(DrainPlan.ANSWERED_BY_MS);
-        assertThat(DrainPlan.succeeded(30_000).deadlineMs()).isEqualTo(DrainPlan.ANSWERED_BY_MS);
-        assertThat(DrainPlan.terminated(500, 1000).deadlineMs()).isEqualTo(1500);
+        assertThat(DrainPlan.onTermination(500, 30_000).deadlineMs()).isEqualTo(DrainPlan.MAX_ANSWER_MS);
+        assertThat(DrainPlan.onTerminationWithSuccessor(30_000).deadlineMs()).isEqualTo(DrainPlan.MAX_ANSWER_MS);
+        assertThat(DrainPlan.onTermination(500, 1000).deadlineMs()).isEqualTo(1500);
     }
 
     // ---- any interleaving
@@ -194,7 +194,7 @@
     @Property(tries = 500, seed = "21")
     void everyInterleavingKeepsItsPromises(
             @ForAll("steps") List<Step> steps, @ForAll @IntRange(min = 0, max = 30) int first) {
-        Drain machine = new Drain();
+        DrainStateMachine machine = new DrainStateMachine();
         int idle = first;
         int busy = 0;
         long taken = 0;
@@ -221,7 +221,7 @@
                     if (busy > 0) {
                         busy--;
                         answered++;
-                        idle += machine.ending(now) ? 0 : 1;
+                        idle += machine.closesAfterAnswer(now) ? 0 : 1;
                     }
                 }
                 case CLIENT_LEAVES -> {
@@ -230,17 +230,17 @@
                 case DRAIN ->
                     bound = Math.min(
                             bound,
-                            now + machine.begin(now, DrainPlan.asked(4000)).deadlineLeftMs());
+                            now + machine.begin(now, DrainPlan.requested(4000)).deadlineRemainingMs());
                 case DRAIN_SHORT ->
                     bound = Math.min(
                             bound,
-                            now + machine.begin(now, DrainPlan.asked(300)).deadlineLeftMs());
+                            now + machine.begin(now, DrainPlan.requested(300)).deadlineRemainingMs());
                 case TERMINATE ->
                     bound = Math.min(
                             bound,
                             now
-                                    + machine.begin(now, DrainPlan.terminated(500, 1000))
-                                            .deadlineLeftMs());
+                                    + machine.begin(now, DrainPlan.onTermination(500, 1000))
+                                            .deadlineRemainingMs());
                 case CANCEL -> {
                     if (machine.cancel() == null) {
                         bound = Double.POSITIVE_INFINITY;
@@ -248,24 +248,24 @@
                 }
                 default -> {}
             }
-            Orders orders = machine.tick(now, new Counts(busy, idle + busy, idle, answered));
-            assertThat(orders.endIdle()).isBetween(0, idle);
-            idle -= orders.endIdle();
+            Actions orders = machine.tick(now, new OpenWork(busy, idle + busy, idle, answered));
+            assertThat(orders.closeIdle()).isBetween(0, idle);
+            idle -= orders.closeIdle();
             listen = orders.listen();
             exit = orders.exit();
             if (orders.answerAll()) {
                 answered += busy;
                 busy = 0;
             }
-            Drain.Progress p = machine.progress(now);
-            if (p.drains() != drains) {
-                drains = p.drains();
+            DrainStateMachine.Progress p = machine.progress(now);
+            if (p.drainCount() != drains) {
+                drains = p.drainCount();
                 share = 0;
             }
             assertThat(machine.draining()).isEqualTo(p.phase() != Phase.SERVING);
             if (machine.draining()) {
-                assertThat(p.share()).isBetween(share, 1.0);
-                share = p.share();
+                assertThat(p.completedFraction()).isBetween(share, 1.0);
+                share = p.completedFraction();
                 assertThat(now).isLessThan(bound + 40);
             } else {
                 assertThat(listen).isTrue();
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
-import cacheproxy.drain.Drain;
-import cacheproxy.drain.Drain.Phase;
 import cacheproxy.drain.DrainPlan;
+import cacheproxy.drain.DrainStateMachine;
+import cacheproxy.drain.DrainStateMachine.Phase;
 import com.google.gson.JsonArray;
 import java.net.ConnectException;
 import java.util.concurrent.CompletableFuture;
@@ -22,11 +22,11 @@
 
     private static final int LONG_VALUE = 4_000_000;
 
-    private static Drain.Begun drain(Fleet fleet, double deadlineMs) {
+    private static DrainStateMachine.StartResult drain(Fleet fleet, double deadlineMs) {
         return fleet.on(() -> fleet.proxy.drain(deadlineMs));
     }
 
-    private static Drain.Progress progress(Fleet fleet) {
+    private static DrainStateMachine.Progress progress(Fleet fleet) {
         return fleet.on(fleet.proxy::drainProgress);
     }
 
@@ -74,7 +74,7 @@
             }
             assertThat(client.ended()).isTrue();
             awaitPhase(fleet, Phase.DRAINED);
-            assertThat(progress(fleet).share()).isEqualTo(1);
+            assertThat(progress(fleet).completedFraction()).isEqualTo(1);
         }
     }
 
@@ -92,7 +92,7 @@
             drain(fleet, LONG_MS);
             Await.until(
                     "idle connections would have gone",
-                    () -> progress(fleet).leftMs() >= 0
+                    () -> progress(fleet).remainingMs() >= 0
                             && fleet.on(fleet.proxy::status).clients() == 1);
             client.say("lo\r\n");
             assertThat(client.line()).isEqualTo("HD O1 cr1");
@@ -184,7 +184,7 @@
                 late.read("y");
                 assertThat(late.line()).isEqualTo("VA 5 Oy");
                 assertThat(progress(fleet).phase()).isEqualTo(Phase.SERVING);
-                assertThat(drain(fleet, LONG_MS).already()).isFalse();
+                assertThat(drain(fleet, LONG_MS).alreadyDraining()).isFalse();
             }
             awaitPhase(fleet, Phase.DRAINED);
             assertThat(fleet.on(fleet.proxy::cancelDrain)).contains("too late");
@@ -197,13 +197,13 @@
         CountDownLatch go = new CountDownLatch(1);
         FakeServer node = held(go);
         double deadlineMs = 10_000;
-        double paceMs = DrainPlan.asked(deadlineMs).paceMs();
+        double paceMs = DrainPlan.requested(deadlineMs).idleClosePeriodMs();
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
             node.next();
             drain(fleet, deadlineMs);
-            Await.until("the pace is over", () -> progress(fleet).deadlineLeftMs() < deadlineMs - paceMs - 200);
+            Await.until("the pace is over", () -> progress(fleet).deadlineRemainingMs() < deadlineMs - paceMs - 200);
             go.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -3,14 +3,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
-import cacheproxy.drain.Drain;
+import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.HotKey;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.LoadCount;
 import cacheproxy.state.Kind;
 import cacheproxy.state.Record;
-import cacheproxy.takeover.Handover.Phase;
+import cacheproxy.takeover.HandoverStateMachine.Phase;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -88,9 +88,9 @@
             say(successor, lines.get(0));
             assertThat(answers.readLine()).startsWith("{\"v\":1,\"list\":{");
             say(successor, lines.get(1));
-            awaitPhase(fleet, Phase.TAKEN);
+            awaitPhase(fleet, Phase.SOCKET_PASSED);
             say(successor, lines.get(2));
-            awaitPhase(fleet, Phase.SERVED);
+            awaitPhase(fleet, Phase.SUCCESSOR_SERVES);
             assertThat(lines).hasSize(3);
         }
     }
@@ -151,8 +151,8 @@
 
     @Test
     void phasesOfADrainAndOfAHandoverHaveTheirWordsInTheStatus() {
-        assertThat(Drain.Phase.values())
-                .extracting(Drain.Phase::statusName)
+        assertThat(DrainStateMachine.Phase.values())
+                .extracting(DrainStateMachine.Phase::statusName)
                 .containsExactly("serving", "draining", "drained", "expired");
         assertThat(Phase.values())
                 .extracting(Phase::statusName)
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
-import cacheproxy.takeover.Handover.Phase;
+import cacheproxy.takeover.HandoverStateMachine.Phase;
 import java.io.IOException;
 import java.net.StandardProtocolFamily;
 import java.net.UnixDomainSocketAddress;
@@ -76,7 +76,7 @@
                 Fleet.Client client = fleet.client()) {
             served(client.read("1"), "1");
             Proxy next = successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SERVED);
+            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             served(client.read("2"), "2");
             assertThat(answered(fleet.proxy))
                     .as("the old one still has its connections")
@@ -104,7 +104,7 @@
             client.read("1");
             slow.next();
             Proxy next = successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SERVED);
+            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             Thread ending = end(fleet.proxy);
             client.say("mg 7f3a9c21e0b4d655 v O2 Pc=te"); // half a command keeps the connection where it is
             go.countDown();
@@ -127,7 +127,7 @@
             Await.until(
                     "it has come", () -> fleet.on(() -> fleet.proxy.clients().open()) == 1);
             successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SERVED);
+            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             Thread ending = end(fleet.proxy);
             mute.socket.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(owedBy - System.nanoTime()));
             assertThat(mute.ended()).isTrue();
@@ -171,7 +171,7 @@
             for (int upgrade = 0; upgrade < 10; upgrade++) {
                 Proxy next = successor(fleet);
                 Proxy before = old;
-                Await.until("the successor is believed", () -> phase(before) == Phase.SERVED);
+                Await.until("the successor is believed", () -> phase(before) == Phase.SUCCESSOR_SERVES);
                 end(before).join();
                 before.close();
                 Await.until("clients go on", () -> answered(next) > 20);
@@ -217,13 +217,13 @@
     void aSuccessorThatGoesGivesTheClientsBack() throws Exception {
         try (Fleet fleet = serving(node())) {
             Proxy next = successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SERVED);
+            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             next.close();
-            Await.until("the old one is alone", () -> phase(fleet.proxy) == Phase.ALONE);
+            Await.until("the old one is alone", () -> phase(fleet.proxy) == Phase.NO_SUCCESSOR);
             served(fleet.client().read("1"), "1");
             assertThat(answered(fleet.proxy)).isEqualTo(1);
             successor(fleet);
-            Await.until("the next one finds the old one", () -> phase(fleet.proxy) == Phase.SERVED);
+            Await.until("the next one finds the old one", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
         }
     }
 
@@ -233,10 +233,10 @@
                 SocketChannel hung = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             hung.connect(UnixDomainSocketAddress.of(HandoverLink.path(folder)));
             hung.write(ByteBuffer.wrap("STATE 1\nSOCKET\n".getBytes(StandardCharsets.US_ASCII)));
-            Await.until("it has the socket", () -> phase(fleet.proxy) == Phase.TAKEN);
+            Await.until("it has the socket", () -> phase(fleet.proxy) == Phase.SOCKET_PASSED);
             served(fleet.client().read("1"), "1");
             successor(fleet);
-            Await.until("the newer is believed", () -> phase(fleet.proxy) == Phase.SERVED);
+            Await.until("the newer is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
         }
     }
 
@@ -255,7 +255,7 @@
                         }
                     }
                 }
-                Await.until("the old one is alone", () -> phase(fleet.proxy) == Phase.ALONE);
+                Await.until("the old one is alone", () -> phase(fleet.proxy) == Phase.NO_SUCCESSOR);
             }
             served(fleet.client().read("1"), "1");
         }
