--- a/src/main/java/cacheproxy/flow/ByteBudget.java
+++ b/src/main/java/cacheproxy/flow/ByteBudget.java
@@ -4,122 +4,128 @@
 import java.util.Iterator;
 
 /**
- * The room for values that must be kept whole. Whoever finds none waits in line, and its client's sending waits with
- * it. A part is kept for small values, so that a few large ones that are sent slowly do not hold up the many.
+ * Limits the memory of values that are buffered whole. A value that finds no room waits in a queue, and reading from
+ * its client is paused meanwhile. A quarter is reserved for small values, so that a few large ones that arrive slowly
+ * do not hold up the many.
  *
- * <p>Room is taken for the whole value before its first byte: taken as it comes, two values that are half there could
- * wait for each other for ever.
+ * <p>Memory is reserved for the whole value before its first byte: reserved piece by piece, two half-received values
+ * could wait for each other for ever.
  */
 public final class ByteBudget {
     /** Values up to this size are small, in bytes. */
-    public static final int SMALL = 64 << 10;
-    /** The part of all that only small values may use. */
-    private static final int SMALL_PART = 4;
-    /** How many may wait; the next is turned away. */
+    public static final int SMALL_VALUE_BYTES = 64 << 10;
+    /** One part of so many is for small values alone. */
+    private static final int SMALL_VALUE_SHARE_DIVISOR = 4;
+    /** How many reservations may wait; the next one is rejected. */
     static final int MAX_WAITING = 1024;
 
     private final long capacity;
-    private final ArrayDeque<Ticket> waiting = new ArrayDeque<>();
-    private long used;
+    private final ArrayDeque<Reservation> waiting = new ArrayDeque<>();
+    private long reserved;
 
-    /** Room for this many bytes, over 0. */
+    /**
+     * Creates the budget.
+     *
+     * @param capacity bytes in all, above 0
+     */
     public ByteBudget(long capacity) {
         if (capacity <= 0) {
-            throw new IllegalArgumentException("room for " + capacity + " bytes");
+            throw new IllegalArgumentException("a budget of " + capacity + " bytes");
         }
         this.capacity = capacity;
     }
 
-    /** A claim to room: granted, waiting, or over. */
-    public final class Ticket {
+    /** A reservation of memory: granted, waiting, or released. */
+    public final class Reservation {
         private final int bytes;
-        private final Runnable whenGranted;
+        private final Runnable onGranted;
         private boolean granted;
-        private boolean over;
+        private boolean released;
 
-        private Ticket(int bytes, Runnable whenGranted) {
+        private Reservation(int bytes, Runnable onGranted) {
             this.bytes = bytes;
-            this.whenGranted = whenGranted;
+            this.onGranted = onGranted;
         }
 
-        /** Whether it has its room. */
+        /** Whether the memory is its own now. */
         public boolean granted() {
             return granted;
         }
 
-        /** Gives the room back, or leaves the line; once is enough, and more does no harm. */
+        /** Returns the memory or leaves the queue; further calls do nothing. */
         public void release() {
-            if (over) {
+            if (released) {
                 return;
             }
-            over = true;
+            released = true;
             if (granted) {
-                used -= bytes;
+                reserved -= bytes;
             } else {
                 waiting.remove(this);
             }
-            serve();
+            grantWaiting();
         }
     }
 
     /**
-     * Claims room.
+     * Reserves memory.
      *
-     * @param whenGranted run once if it is not granted at once but later; not for one that is released before
-     * @return null if there can be none: it is more than there is in all, or too many wait
+     * @param bytes how many
+     * @param onGranted run once if the reservation is granted later and not at once; not after its release
+     * @return null if it is rejected: it exceeds the whole budget, or too many wait
      */
-    public Ticket claim(int bytes, Runnable whenGranted) {
+    public Reservation reserve(int bytes, Runnable onGranted) {
         if (bytes < 0 || bytes > limit(bytes)) {
             return null;
         }
-        Ticket ticket = new Ticket(bytes, whenGranted);
-        if (fits(ticket) && (bytes <= SMALL || waiting.isEmpty())) {
-            grant(ticket);
+        Reservation reservation = new Reservation(bytes, onGranted);
+        if (fits(reservation) && (bytes <= SMALL_VALUE_BYTES || waiting.isEmpty())) {
+            grant(reservation);
         } else if (waiting.size() >= MAX_WAITING) {
             return null;
         } else {
-            waiting.add(ticket);
+            waiting.add(reservation);
         }
-        return ticket;
+        return reservation;
     }
 
-    /** Bytes that are taken now. */
-    public long used() {
-        return used;
+    /** Bytes that are reserved now. */
+    public long reserved() {
+        return reserved;
     }
 
-    /** Claims that wait. */
+    /** Reservations that wait. */
     public int waiting() {
         return waiting.size();
     }
 
     private long limit(int bytes) {
-        return bytes <= SMALL ? capacity : capacity - capacity / SMALL_PART;
+        return bytes <= SMALL_VALUE_BYTES ? capacity : capacity - capacity / SMALL_VALUE_SHARE_DIVISOR;
     }
 
-    private boolean fits(Ticket ticket) {
-        return used + ticket.bytes <= limit(ticket.bytes);
+    private boolean fits(Reservation reservation) {
+        return reserved + reservation.bytes <= limit(reservation.bytes);
     }
 
-    private void grant(Ticket ticket) {
-        ticket.granted = true;
-        used += ticket.bytes;
+    private void grant(Reservation reservation) {
+        reservation.granted = true;
+        reserved += reservation.bytes;
     }
 
-    /** In the order in which they came; small ones are not held up by a large one before them. */
-    private void serve() {
-        ArrayDeque<Ticket> now = new ArrayDeque<>();
+    /** In the order in which they came, but small ones are not held up by a large one before them. */
+    private void grantWaiting() {
+        ArrayDeque<Reservation> granted = new ArrayDeque<>();
         boolean largeWaits = false;
-        for (Iterator<Ticket> i = waiting.iterator(); i.hasNext(); ) {
-            Ticket t = i.next();
-            if (fits(t) && (t.bytes <= SMALL || !largeWaits)) {
+        for (Iterator<Reservation> i = waiting.iterator(); i.hasNext(); ) {
+            Reservation next = i.next();
+            if (fits(next) && (next.bytes <= SMALL_VALUE_BYTES || !largeWaits)) {
                 i.remove();
-                grant(t);
-                now.add(t);
+                grant(next);
+                granted.add(next);
             } else {
-                largeWaits |= t.bytes > SMALL;
+                largeWaits |= next.bytes > SMALL_VALUE_BYTES;
             }
         }
-        now.forEach(t -> t.whenGranted.run());
+        granted.forEach(next -> next.onGranted.run());
     }
 }
--- a/src/main/java/cacheproxy/flow/ReadTimeout.java
+++ b/src/main/java/cacheproxy/flow/ReadTimeout.java
@@ -1,33 +1,33 @@
 package cacheproxy.flow;
 
 /**
- * How long a client may take over the rest of a request that it has begun, or over its first one. Decides without a
- * clock: each event brings the time at which it happened, in milliseconds of one monotonic clock.
+ * Decides how long a client may take to send its first command and the rest of a command that it has begun. Pure: each
+ * event brings its time, in milliseconds of one monotonic clock.
  *
- * <p>A span begins when the connection comes, at the first byte of a command, or at the last byte of a command that has
- * a value to follow. Bytes do not renew it: a client that sends one now and then would never be found. Only a value,
- * which may be long, earns time by what has come of it, and must not stop in its middle for longer than a line may take
- * as a whole. Time in which the proxy itself has kept the client from sending does not count. A span ends with the last
- * byte of its command.
+ * <p>A span starts when the connection is accepted, at the first byte of a command, or at the last byte of a command
+ * line that a value follows; it ends with the command's last byte. Bytes do not renew it, or a client that sends one
+ * now and then would never time out. Only a value earns time by what has arrived of it, and must not pause for longer
+ * than a line may take as a whole. Time in which the proxy itself has paused reading does not count.
  */
 public final class ReadTimeout {
     /**
-     * For a line, for a pause within a value, and for the first command of a connection. The operators owe clients that
-     * stop an error or a close within 3 s of connecting; the rest is for a busy machine and the way to the client.
+     * Timeout of a command line, of a pause within a value and of a connection's first command, in milliseconds.
+     * Clients that stop are owed an error or a close within 3 s of connecting; the difference is for a busy machine and
+     * the network.
      */
-    public static final double SPAN_MS = 2400;
-    /** A value's part of the time is earned at this rate: far below what any sound client sends. */
-    static final double MIN_BYTES_PER_MS = 4;
+    public static final double TIMEOUT_MS = 2400;
+    /** A value earns time at this rate, far below what any sound client sends. */
+    static final double MIN_VALUE_BYTES_PER_MS = 4;
 
     /** What the client is in the middle of. */
     private enum Phase {
-        /** It has connected and has sent no whole command yet. */
+        /** It has connected and has sent no complete command yet. */
         FIRST_COMMAND,
         /** Between commands: no time runs. */
         IDLE,
-        /** A command's line has begun. */
+        /** A command line has started. */
         LINE,
-        /** A command's line has come, and its value has not come whole. */
+        /** A command line is complete, and its value is not. */
         VALUE
     }
 
@@ -35,8 +35,8 @@
     private double sinceMs;
     private double lastByteMs;
     private long valueBytes;
-    /** When the proxy began to keep the client from sending; NaN: it does not. */
-    private double blockedSinceMs = Double.NaN;
+    /** When the proxy paused reading; NaN: it has not. */
+    private double pausedSinceMs = Double.NaN;
 
     private ReadTimeout(Phase phase, double sinceMs) {
         this.phase = phase;
@@ -44,81 +44,81 @@
         lastByteMs = sinceMs;
     }
 
-    /** Of a connection that has come at this time. */
-    public static ReadTimeout connected(double atMs) {
+    /** The timeout of a connection that was accepted at this time. */
+    public static ReadTimeout forNewConnection(double atMs) {
         return new ReadTimeout(Phase.FIRST_COMMAND, atMs);
     }
 
-    /** Of a connection that another process has served before. */
-    public static ReadTimeout adopted(double atMs) {
+    /** The timeout of a connection that another process has served before: no first command is waited for. */
+    public static ReadTimeout forAdoptedConnection(double atMs) {
         return new ReadTimeout(Phase.IDLE, atMs);
     }
 
-    /** Part of a command's line is there, the first byte of which came at this time. */
-    public void lineBegun(double atMs) {
+    /** Part of a command line is there, whose first byte arrived at this time. */
+    public void lineStarted(double atMs) {
         if (phase == Phase.IDLE) {
-            begin(Phase.LINE, atMs);
+            start(Phase.LINE, atMs);
         }
     }
 
-    /** A command's line has come whole at this time; its value is to follow. */
-    public void valueBegun(double atMs) {
-        begin(Phase.VALUE, atMs);
+    /** A command line was completed at this time; its value follows. */
+    public void valueStarted(double atMs) {
+        start(Phase.VALUE, atMs);
         valueBytes = 0;
     }
 
-    /** So many bytes more of the value have come. */
+    /** So many further bytes of the value have arrived. */
     public void valueReceived(long bytes, double atMs) {
         valueBytes += bytes;
         lastByteMs = Math.max(lastByteMs, atMs);
     }
 
-    /** The command has come whole. */
-    public void commandEnded() {
+    /** The command is complete. */
+    public void commandCompleted() {
         phase = Phase.IDLE;
     }
 
-    /** The proxy keeps the client from sending, or does not look at what it has sent, from now on or no longer. */
-    public void blocked(boolean on, double atMs) {
-        if (on == blocked()) {
+    /** The proxy pauses reading or processing this client's input from this time on, or resumes it. */
+    public void paused(boolean on, double atMs) {
+        if (on == paused()) {
             return;
         }
         if (on) {
-            blockedSinceMs = atMs;
+            pausedSinceMs = atMs;
         } else {
-            double blockedMs = Math.max(0, atMs - blockedSinceMs);
-            sinceMs += blockedMs;
-            lastByteMs += blockedMs;
-            blockedSinceMs = Double.NaN;
+            double pausedMs = Math.max(0, atMs - pausedSinceMs);
+            sinceMs += pausedMs;
+            lastByteMs += pausedMs;
+            pausedSinceMs = Double.NaN;
         }
     }
 
-    private boolean blocked() {
-        return !Double.isNaN(blockedSinceMs);
+    private boolean paused() {
+        return !Double.isNaN(pausedSinceMs);
     }
 
-    /** When the client will have taken too long if nothing more comes; infinite while no time runs. */
+    /** When the client times out if nothing more arrives; infinite while no span runs. */
     public double expiresAtMs() {
-        if (blocked()) {
+        if (paused()) {
             return Double.POSITIVE_INFINITY;
         }
         return switch (phase) {
             case IDLE -> Double.POSITIVE_INFINITY;
-            case FIRST_COMMAND, LINE -> sinceMs + SPAN_MS;
-            case VALUE -> SPAN_MS + Math.min(lastByteMs, sinceMs + valueBytes / MIN_BYTES_PER_MS);
+            case FIRST_COMMAND, LINE -> sinceMs + TIMEOUT_MS;
+            case VALUE -> TIMEOUT_MS + Math.min(lastByteMs, sinceMs + valueBytes / MIN_VALUE_BYTES_PER_MS);
         };
     }
 
-    private void begin(Phase next, double atMs) {
+    private void start(Phase next, double atMs) {
         phase = next;
         sinceMs = atMs;
         lastByteMs = atMs;
-        if (blocked()) {
-            blockedSinceMs = Math.max(blockedSinceMs, atMs);
+        if (paused()) {
+            pausedSinceMs = Math.max(pausedSinceMs, atMs);
         }
     }
 
-    /** What the client is in the middle of, for a log. */
+    /** What the client is in the middle of, as the log names it. */
     @Override
     public String toString() {
         return switch (phase) {
--- a/src/main/java/cacheproxy/flow/RecentIds.java
+++ b/src/main/java/cacheproxy/flow/RecentIds.java
@@ -5,44 +5,44 @@
 import java.util.Set;
 
 /**
- * The ids of requests that have ended lately. An id is new with every request, so one that comes again names another
- * client's request: served, that request would have two answers, and servers that are still at it would take the two
- * for one. Bounded in time and number; the oldest are forgotten first.
+ * Remembers the ids of requests that have ended recently. Every request has a new id, so a repeated one names another
+ * client's request: served, that request would have two answers, and servers that still work on the first would take
+ * the two for one. Bounded in time and number; the oldest are evicted first.
  */
 public final class RecentIds {
-    /** Two thousand requests a second for eight seconds, in some two megabytes. */
+    /** Two thousand requests a second for eight seconds, in about two megabytes. */
     static final int MAX_IDS = 16_384;
 
-    private final ArrayDeque<Ended> order = new ArrayDeque<>();
+    private final ArrayDeque<Entry> oldestFirst = new ArrayDeque<>();
     private final Set<String> ids = new HashSet<>();
 
-    private record Ended(String id, double untilMs) {}
+    private record Entry(String id, double expiresAtMs) {}
 
-    /** The request of this id, which is not held, has ended; it is held for so long. */
-    public void ended(double now, String id, double holdMs) {
-        forget(now);
-        if (order.size() >= MAX_IDS) {
-            ids.remove(order.poll().id());
+    /** The request of this id has ended; the id is remembered for {@code retentionMs}. */
+    public void add(double now, String id, double retentionMs) {
+        evictExpired(now);
+        if (oldestFirst.size() >= MAX_IDS) {
+            ids.remove(oldestFirst.poll().id());
         }
         if (ids.add(id)) {
-            order.add(new Ended(id, now + holdMs));
+            oldestFirst.add(new Entry(id, now + retentionMs));
         }
     }
 
-    /** Whether a request of this id has ended lately. */
-    public boolean holds(double now, String id) {
-        forget(now);
+    /** Whether a request of this id has ended recently. */
+    public boolean contains(double now, String id) {
+        evictExpired(now);
         return ids.contains(id);
     }
 
-    /** How many are held. */
+    /** How many ids are remembered. */
     public int size() {
-        return order.size();
+        return oldestFirst.size();
     }
 
-    private void forget(double now) {
-        while (!order.isEmpty() && order.peek().untilMs() <= now) {
-            ids.remove(order.poll().id());
+    private void evictExpired(double now) {
+        while (!oldestFirst.isEmpty() && oldestFirst.peek().expiresAtMs() <= now) {
+            ids.remove(oldestFirst.poll().id());
         }
     }
 }
--- a/src/main/java/cacheproxy/flow/package-info.java
+++ b/src/main/java/cacheproxy/flow/package-info.java
@@ -1,2 +1,5 @@
-/** What bounds the bytes that are in the proxy's hands at a time: decisions without sockets, threads or clocks. */
+/**
+ * Flow control: what bounds the bytes that the proxy buffers and how long a client may take. No sockets, threads or
+ * clocks.
+ */
 package cacheproxy.flow;
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/ClientConnection.java
@@ -75,7 +75,7 @@
     public void handlerAdded(ChannelHandlerContext context) {
         ctx = context;
         activeMs = dispatcher.now();
-        readTimeout = adopted ? ReadTimeout.adopted(activeMs) : ReadTimeout.connected(activeMs);
+        readTimeout = adopted ? ReadTimeout.forAdoptedConnection(activeMs) : ReadTimeout.forNewConnection(activeMs);
         setReadTimer();
     }
 
@@ -214,17 +214,17 @@
 
     private void stopDecoding(ByteBuf in) {
         decodingStopped = true;
-        readTimeout.blocked(true, dispatcher.now());
+        readTimeout.paused(true, dispatcher.now());
         input.blocked(ctx, in.readableBytes());
     }
 
     private void line(ByteBuf in) throws MetaCodec.SyntaxException {
         String line = MetaCodec.line(in);
         if (line != null) {
-            readTimeout.commandEnded();
+            readTimeout.commandCompleted();
             command(line, input.takenCameMs(in.readableBytes()));
         } else if (in.isReadable()) {
-            readTimeout.lineBegun(Math.max(input.nextCameMs(in.readableBytes()), resumedMs));
+            readTimeout.lineStarted(Math.max(input.nextCameMs(in.readableBytes()), resumedMs));
             setReadTimer();
         }
     }
@@ -249,7 +249,7 @@
     private void beginValue(MetaCommand write, double cameMs) {
         incoming = write.command() != null ? write.command() : NO_REQUEST;
         missing = write.valueLength() + 2;
-        readTimeout.valueBegun(Math.max(cameMs, resumedMs));
+        readTimeout.valueStarted(Math.max(cameMs, resumedMs));
         setReadTimer();
         if (write.command() != null) {
             claimRoom(write.command());
@@ -258,7 +258,7 @@
 
     /** Room for the whole value, now or in a while; without any the value is read and dropped. */
     private void claimRoom(Command command) {
-        command.room = dispatcher.values().claim(missing, () -> {
+        command.room = dispatcher.values().reserve(missing, () -> {
             if (incoming == command) {
                 awaitsRoom = false;
                 value = new ValueBuffer(ctx.alloc(), missing);
@@ -270,7 +270,7 @@
         } else if (command.room != null) {
             awaitsRoom = true;
             decodingStopped = true;
-            readTimeout.blocked(true, dispatcher.now());
+            readTimeout.paused(true, dispatcher.now());
             dispatcher.after(ROOM_WAIT_MS, () -> {
                 if (incoming == command && awaitsRoom) {
                     awaitsRoom = false;
@@ -295,7 +295,7 @@
         }
         Command command = incoming;
         incoming = null;
-        readTimeout.commandEnded();
+        readTimeout.commandCompleted();
         if (value == null) {
             // No room for the value, or no request that could be made of it. Nothing was sent on.
             if (command.id != null) {
@@ -529,7 +529,7 @@
         if (decodingStopped && !blocked()) {
             decodingStopped = false;
             resumedMs = dispatcher.now();
-            readTimeout.blocked(false, resumedMs);
+            readTimeout.paused(false, resumedMs);
             setReadTimer();
             input.unblocked(ctx);
             // What has been read already waits in the decoder; it is not told of the pause's end otherwise.
--- a/src/main/java/cacheproxy/proxy/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/ClientInput.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.flow.ArrivalTimes;
-import cacheproxy.flow.ReadAhead;
+import cacheproxy.flow.ReadAheadBudget;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 
@@ -17,14 +17,14 @@
 
     private final Dispatcher dispatcher;
     private final ArrivalTimes arrivals = new ArrivalTimes();
-    private final ReadAhead.Part readAhead;
+    private final ReadAheadBudget.Reservation readAhead;
     private boolean paused;
     private boolean readWhilePaused;
     private int reads;
 
     ClientInput(Dispatcher dispatcher) {
         this.dispatcher = dispatcher;
-        readAhead = dispatcher.readAhead().part();
+        readAhead = dispatcher.readAhead().newReservation();
     }
 
     /** Bytes have been read; {@code idle}: nothing of the client was under way before them. */
@@ -37,16 +37,16 @@
         readWhilePaused |= paused;
         arrivals.received(bytes.readableBytes(), dispatcher.inputCameMs(context.channel()), idle);
         if (bytes.isWritable()) {
-            arrivals.drained(dispatcher.now());
+            arrivals.backlogDrained(dispatcher.now());
         }
     }
 
     /** A round of reading is over; so many bytes wait to be looked at. */
     void readComplete(ChannelHandlerContext context, int waitingBytes) {
         if (!paused && reads < MAX_READS) {
-            arrivals.drained(dispatcher.now());
+            arrivals.backlogDrained(dispatcher.now());
         } else if (reads > 0) {
-            arrivals.mayWait(dispatcher.now());
+            arrivals.backlogPossible(dispatcher.now());
         }
         reads = 0;
         if (readWhilePaused) {
@@ -64,18 +64,18 @@
 
     /** When the last byte came that has been taken, so many being left. */
     double takenCameMs(int leftBytes) {
-        return arrivals.cameAtMs(arrivals.received() - leftBytes);
+        return arrivals.arrivedAtMs(arrivals.received() - leftBytes);
     }
 
     /** When the first of the bytes came that are left. */
     double nextCameMs(int leftBytes) {
-        return arrivals.cameAtMs(arrivals.received() - leftBytes + 1);
+        return arrivals.arrivedAtMs(arrivals.received() - leftBytes + 1);
     }
 
     /** Nothing is taken for now, and so many bytes wait: reading goes on as far as there is room. */
     void blocked(ChannelHandlerContext context, int waitingBytes) {
-        if (!readAhead.mayReadOn(waitingBytes) && !paused) {
-            arrivals.mayWait(dispatcher.now());
+        if (!readAhead.tryReserve(waitingBytes) && !paused) {
+            arrivals.backlogPossible(dispatcher.now());
             paused = true;
             context.channel().config().setAutoRead(false);
         }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -5,7 +5,7 @@
 import cacheproxy.admission.RequestState;
 import cacheproxy.admission.Verdict;
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.flow.ReadAhead;
+import cacheproxy.flow.ReadAheadBudget;
 import cacheproxy.flow.ReadTimeout;
 import cacheproxy.flow.RecentIds;
 import cacheproxy.membership.Living;
@@ -92,7 +92,8 @@
     private final RecentIds ended = new RecentIds();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
     private final ByteBudget values;
-    private final ReadAhead readAhead = new ReadAhead(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
+    private final ReadAheadBudget readAhead =
+            new ReadAheadBudget(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
     private final Servers servers;
     private Config config;
     private RoutingSettings settings;
@@ -305,7 +306,7 @@
     }
 
     /** What of clients may be read before it can be looked at. */
-    ReadAhead readAhead() {
+    ReadAheadBudget readAhead() {
         return readAhead;
     }
 
@@ -555,7 +556,7 @@
         }
         // Guards the one whose id it is: a server would take this for the same request, and answer it as such. One that
         // ended while this was on its way would have a second answer.
-        if (open.containsKey(c.id) || ended.holds(now, c.id)) {
+        if (open.containsKey(c.id) || ended.contains(now, c.id)) {
             turnAway(x, "id of another request");
             return;
         }
@@ -754,7 +755,7 @@
             }
         }
         if (open.remove(x.command.id, x)) {
-            ended.ended(now(), x.command.id, idHoldMs);
+            ended.add(now(), x.command.id, idHoldMs);
         }
         x.command.release();
         if (x.out == 0) {
--- a/src/main/java/cacheproxy/proxy/Exchange.java
+++ b/src/main/java/cacheproxy/proxy/Exchange.java
@@ -84,7 +84,7 @@
         /** The value with its line's end; null for reads. Kept for attempts to come, until it is over. */
         ByteBuf value;
         /** The room that its value has; null for reads. */
-        ByteBudget.Ticket room;
+        ByteBudget.Reservation room;
 
         Command(int front, String key, String id, boolean write, Terms terms, DeadlineText extras, DeadlineText line) {
             this.front = front;
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -43,7 +43,7 @@
     /** A short answer's body so far, or one whose length was not told; null where it is dropped or streamed. */
     private ValueBuffer body;
     /** Room for a body whose length was not told, claimed as it grows: whoever finds none does not wait for it. */
-    private final ArrayDeque<ByteBudget.Ticket> room = new ArrayDeque<>();
+    private final ArrayDeque<ByteBudget.Reservation> room = new ArrayDeque<>();
 
     private long missing;
     private boolean streamed;
@@ -204,7 +204,7 @@
 
     private boolean claim(int bytes) {
         while (room.size() * (long) MetaCodec.WHOLE < bytes) {
-            ByteBudget.Ticket ticket = dispatcher.values().claim(MetaCodec.WHOLE, () -> {});
+            ByteBudget.Reservation ticket = dispatcher.values().reserve(MetaCodec.WHOLE, () -> {});
             if (ticket == null || !ticket.granted()) {
                 if (ticket != null) {
                     ticket.release();
@@ -265,7 +265,7 @@
             body.release();
             body = null;
         }
-        for (ByteBudget.Ticket t; (t = room.poll()) != null; ) {
+        for (ByteBudget.Reservation t; (t = room.poll()) != null; ) {
             t.release();
         }
     }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -529,7 +529,7 @@
                 c.rejected(),
                 handover.phase(),
                 handover.completedHandovers(),
-                dispatcher.values().used(),
+                dispatcher.values().reserved(),
                 dispatcher.values().waiting());
     }
 
--- a/src/test/java/cacheproxy/flow/ArrivalTimesTest.java
+++ b/src/test/java/cacheproxy/flow/ArrivalTimesTest.java
@@ -18,56 +18,56 @@
         ArrivalTimes times = new ArrivalTimes();
         times.received(10, 100, true);
         times.received(5, 200, false);
-        assertThat(times.cameAtMs(1)).isEqualTo(100);
-        assertThat(times.cameAtMs(10)).isEqualTo(100);
-        assertThat(times.cameAtMs(11)).isEqualTo(200);
-        assertThat(times.cameAtMs(15)).isEqualTo(200);
-        assertThatThrownBy(() -> times.cameAtMs(16)).hasMessageContaining("16 of 15");
+        assertThat(times.arrivedAtMs(1)).isEqualTo(100);
+        assertThat(times.arrivedAtMs(10)).isEqualTo(100);
+        assertThat(times.arrivedAtMs(11)).isEqualTo(200);
+        assertThat(times.arrivedAtMs(15)).isEqualTo(200);
+        assertThatThrownBy(() -> times.arrivedAtMs(16)).hasMessageContaining("16 of 15");
     }
 
     @Test
     void whatMayHaveWaitedInTheSystemCameWhenItMayHaveBegunToWait() {
         ArrivalTimes times = new ArrivalTimes();
-        times.mayWait(100);
-        times.mayWait(300);
+        times.backlogPossible(100);
+        times.backlogPossible(300);
         times.received(10, 900, false);
-        assertThat(times.cameAtMs(10)).isEqualTo(100);
+        assertThat(times.arrivedAtMs(10)).isEqualTo(100);
     }
 
     /** Its sender had no room for it, and sends it as soon as there is some. */
     @Test
     void whatComesRightBehindBytesThatWaitedHasWaitedToo() {
         ArrivalTimes times = new ArrivalTimes();
-        times.mayWait(100);
+        times.backlogPossible(100);
         times.received(10, 900, false);
-        times.drained(900);
+        times.backlogDrained(900);
         times.received(10, 901, false);
-        times.drained(901);
+        times.backlogDrained(901);
         times.received(10, 901 + ArrivalTimes.REFILL_MS + 1, false);
-        assertThat(times.cameAtMs(20)).isEqualTo(100);
-        assertThat(times.cameAtMs(21)).isEqualTo(901 + ArrivalTimes.REFILL_MS + 1);
+        assertThat(times.arrivedAtMs(20)).isEqualTo(100);
+        assertThat(times.arrivedAtMs(21)).isEqualTo(901 + ArrivalTimes.REFILL_MS + 1);
     }
 
     /** The rest of a long value that had to wait for room is sent once there is some. */
     @Test
     void whatComesBehindAllThatCanWaitHasNotWaited() {
         ArrivalTimes times = new ArrivalTimes();
-        times.mayWait(100);
-        times.received(ArrivalTimes.MAX_WAITING_BYTES + 1, 2000, false);
-        times.drained(2000);
+        times.backlogPossible(100);
+        times.received(ArrivalTimes.MAX_BACKLOG_BYTES + 1, 2000, false);
+        times.backlogDrained(2000);
         times.received(10, 2001, false);
-        assertThat(times.cameAtMs(ArrivalTimes.MAX_WAITING_BYTES + 1)).isEqualTo(100);
-        assertThat(times.cameAtMs(ArrivalTimes.MAX_WAITING_BYTES + 2)).isEqualTo(2001);
+        assertThat(times.arrivedAtMs(ArrivalTimes.MAX_BACKLOG_BYTES + 1)).isEqualTo(100);
+        assertThat(times.arrivedAtMs(ArrivalTimes.MAX_BACKLOG_BYTES + 2)).isEqualTo(2001);
     }
 
     @Test
     void whatAClientSendsThatHasAllItsAnswersHasNotWaited() {
         ArrivalTimes times = new ArrivalTimes();
-        times.mayWait(100);
+        times.backlogPossible(100);
         times.received(10, 900, false);
-        times.drained(900);
+        times.backlogDrained(900);
         times.received(10, 903, true);
-        assertThat(times.cameAtMs(11)).isEqualTo(903);
+        assertThat(times.arrivedAtMs(11)).isEqualTo(903);
     }
 
     /** The number of pieces is bounded, at the price of times that are too early and never too late. */
@@ -80,13 +80,13 @@
         for (int bytes : reads) {
             now += 30;
             times.received(bytes, now, false);
-            times.drained(now);
+            times.backlogDrained(now);
             for (int i = 0; i < bytes; i++) {
                 came.add(now);
             }
         }
         for (int i = 0; i < came.size(); i++) {
-            assertThat(times.cameAtMs(i + 1)).isLessThanOrEqualTo(came.get(i));
+            assertThat(times.arrivedAtMs(i + 1)).isLessThanOrEqualTo(came.get(i));
         }
         assertThat(times.received()).isEqualTo(came.size());
     }
--- a/src/test/java/cacheproxy/flow/ByteBudgetTest.java
+++ b/src/test/java/cacheproxy/flow/ByteBudgetTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.flow.ByteBudget.Ticket;
+import cacheproxy.flow.ByteBudget.Reservation;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
@@ -15,20 +15,21 @@
     private static final int MB = 1 << 20;
     private final List<String> granted = new ArrayList<>();
 
-    private Ticket claim(ByteBudget budget, int bytes, String name) {
-        return budget.claim(bytes, () -> granted.add(name));
+    private Reservation claim(ByteBudget budget, int bytes, String name) {
+        return budget.reserve(bytes, () -> granted.add(name));
     }
 
     @Example
     void largeOnesWaitInLineAndSmallOnesPass() {
         ByteBudget budget = new ByteBudget(8 * MB);
-        Ticket a = claim(budget, 4 * MB, "a");
-        Ticket b = claim(budget, 4 * MB, "b");
-        Ticket c = claim(budget, MB, "c");
+        Reservation a = claim(budget, 4 * MB, "a");
+        Reservation b = claim(budget, 4 * MB, "b");
+        Reservation c = claim(budget, MB, "c");
         assertThat(a.granted()).isTrue();
         assertThat(b.granted()).isFalse();
         assertThat(c.granted()).as("would fit, but came behind a large one").isFalse();
-        assertThat(claim(budget, ByteBudget.SMALL, "small").granted()).isTrue();
+        assertThat(claim(budget, ByteBudget.SMALL_VALUE_BYTES, "small").granted())
+                .isTrue();
         a.release();
         assertThat(granted).containsExactly("b", "c");
     }
@@ -41,7 +42,8 @@
         }
         assertThat(claim(budget, MB, "one more").granted()).isFalse();
         for (int i = 0; i < 32; i++) {
-            assertThat(claim(budget, ByteBudget.SMALL, "small").granted()).isTrue();
+            assertThat(claim(budget, ByteBudget.SMALL_VALUE_BYTES, "small").granted())
+                    .isTrue();
         }
         assertThat(claim(budget, 1, "full").granted()).isFalse();
     }
@@ -49,26 +51,26 @@
     @Example
     void whatCanNeverFitIsToldSo() {
         ByteBudget budget = new ByteBudget(4 * MB);
-        assertThat(budget.claim(4 * MB, () -> {})).isNull();
-        assertThat(budget.claim(-1, () -> {})).isNull();
-        Ticket all = budget.claim(3 * MB, () -> {});
+        assertThat(budget.reserve(4 * MB, () -> {})).isNull();
+        assertThat(budget.reserve(-1, () -> {})).isNull();
+        Reservation all = budget.reserve(3 * MB, () -> {});
         for (int i = 0; i < ByteBudget.MAX_WAITING; i++) {
-            assertThat(budget.claim(3 * MB, () -> {})).isNotNull();
+            assertThat(budget.reserve(3 * MB, () -> {})).isNotNull();
         }
-        assertThat(budget.claim(3 * MB, () -> {})).isNull();
+        assertThat(budget.reserve(3 * MB, () -> {})).isNull();
         assertThat(all.granted()).isTrue();
     }
 
     @Example
     void oneThatLeavesTheLineIsNeverGranted() {
         ByteBudget budget = new ByteBudget(4 * MB);
-        Ticket a = claim(budget, 3 * MB, "a");
-        Ticket b = claim(budget, 3 * MB, "b");
+        Reservation a = claim(budget, 3 * MB, "a");
+        Reservation b = claim(budget, 3 * MB, "b");
         b.release();
         a.release();
         a.release();
         assertThat(granted).isEmpty();
-        assertThat(budget.used()).isZero();
+        assertThat(budget.reserved()).isZero();
     }
 
     /** Claims and releases in any order: never over the bound, everybody gets room in the end, nothing is left over. */
@@ -77,23 +79,24 @@
             @ForAll @Size(max = 60) List<@IntRange(min = 1, max = 3 * MB) Integer> sizes,
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 59) Integer> releases) {
         ByteBudget budget = new ByteBudget(4 * MB);
-        List<Ticket> held = new ArrayList<>();
+        List<Reservation> held = new ArrayList<>();
         int next = 0;
         for (int bytes : sizes) {
-            held.add(budget.claim(bytes % 3 == 0 ? bytes : 1 + bytes % ByteBudget.SMALL, () -> {}));
+            held.add(budget.reserve(bytes % 3 == 0 ? bytes : 1 + bytes % ByteBudget.SMALL_VALUE_BYTES, () -> {}));
             if (next < releases.size() && releases.get(next) < held.size()) {
                 held.remove((int) releases.get(next)).release();
             }
             next++;
-            assertThat(budget.used()).isBetween(0L, 4L * MB);
+            assertThat(budget.reserved()).isBetween(0L, 4L * MB);
         }
         while (!held.isEmpty()) {
-            Ticket done = held.stream().filter(Ticket::granted).findFirst().orElse(null);
+            Reservation done =
+                    held.stream().filter(Reservation::granted).findFirst().orElse(null);
             assertThat(done).as("somebody has room while any wait").isNotNull();
             held.remove(done);
             done.release();
         }
-        assertThat(budget.used()).isZero();
+        assertThat(budget.reserved()).isZero();
         assertThat(budget.waiting()).isZero();
     }
 }
--- a/src/test/java/cacheproxy/flow/RecentIdsTest.java
+++ b/src/test/java/cacheproxy/flow/RecentIdsTest.java
@@ -17,10 +17,10 @@
     @Example
     void anIdIsHeldForItsTimeAndFreeThen() {
         RecentIds ids = new RecentIds();
-        ids.ended(0, "a", HOLD_MS);
-        assertThat(ids.holds(HOLD_MS - 1, "a")).isTrue();
-        assertThat(ids.holds(HOLD_MS - 1, "b")).isFalse();
-        assertThat(ids.holds(HOLD_MS, "a")).isFalse();
+        ids.add(0, "a", HOLD_MS);
+        assertThat(ids.contains(HOLD_MS - 1, "a")).isTrue();
+        assertThat(ids.contains(HOLD_MS - 1, "b")).isFalse();
+        assertThat(ids.contains(HOLD_MS, "a")).isFalse();
         assertThat(ids.size()).isZero();
     }
 
@@ -28,12 +28,12 @@
     void ofTooManyTheOldestIsForgotten() {
         RecentIds ids = new RecentIds();
         for (int i = 0; i <= RecentIds.MAX_IDS; i++) {
-            ids.ended(0, "i" + i, HOLD_MS);
+            ids.add(0, "i" + i, HOLD_MS);
         }
         assertThat(ids.size()).isEqualTo(RecentIds.MAX_IDS);
-        assertThat(ids.holds(0, "i0")).isFalse();
-        assertThat(ids.holds(0, "i1")).isTrue();
-        assertThat(ids.holds(0, "i" + RecentIds.MAX_IDS)).isTrue();
+        assertThat(ids.contains(0, "i0")).isFalse();
+        assertThat(ids.contains(0, "i1")).isTrue();
+        assertThat(ids.contains(0, "i" + RecentIds.MAX_IDS)).isTrue();
     }
 
     /** Against a plain map of ends, with ids that come again once they are free. */
@@ -46,9 +46,9 @@
             now += 7;
             String id = "i" + request;
             boolean held = endedMs.containsKey(id) && now < endedMs.get(id) + HOLD_MS;
-            assertThat(ids.holds(now, id)).isEqualTo(held);
+            assertThat(ids.contains(now, id)).isEqualTo(held);
             if (!held) {
-                ids.ended(now, id, HOLD_MS);
+                ids.add(now, id, HOLD_MS);
                 endedMs.put(id, now);
             }
         }
--- a/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
@@ -5,7 +5,7 @@
 import cacheproxy.Await;
 import cacheproxy.admission.Breach;
 import cacheproxy.admission.Verdict;
-import cacheproxy.flow.ReadAhead;
+import cacheproxy.flow.ReadAheadBudget;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -93,7 +93,7 @@
     /** More than is read ahead: its last bytes wait in the system, and its end behind them. */
     @Test
     void theEndOfAClientIsSeenSoonBehindMoreThanIsReadAhead() throws Exception {
-        assertEndIsSeen(ReadAhead.MAX_BYTES / 46 + 1000);
+        assertEndIsSeen(ReadAheadBudget.MAX_BYTES_PER_CONNECTION / 46 + 1000);
     }
 
     /** A server ends what stands idle for a second; the sweep that would retire it comes round later. */
