--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -5,7 +5,7 @@
 import cacheproxy.admission.SafetyRules;
 import cacheproxy.admission.Verdict;
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.flow.ReadAhead;
+import cacheproxy.flow.ReadAheadBudget;
 import cacheproxy.flow.ReadTimeout;
 import cacheproxy.flow.RecentIds;
 import cacheproxy.membership.Living;
@@ -89,7 +89,8 @@
     private final RecentIds connectionFailed = new RecentIds();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
     private final ByteBudget valueBudget;
-    private final ReadAhead readAhead = new ReadAhead(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
+    private final ReadAheadBudget readAhead =
+            new ReadAheadBudget(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
     private final Servers servers;
     private Config config;
     private RoutingSettings settings;
@@ -302,7 +303,7 @@
     }
 
     /** What of clients may be read before it can be looked at. */
-    ReadAhead readAhead() {
+    ReadAheadBudget readAhead() {
         return readAhead;
     }
 
@@ -552,7 +553,7 @@
         }
         // Guards the one whose id it is: a server would take this for the same request, and answer it as such. One that
         // ended while this was on its way would have a second answer.
-        if (open.containsKey(c.id) || connectionFailed.holds(now, c.id)) {
+        if (open.containsKey(c.id) || connectionFailed.contains(now, c.id)) {
             rejectInvalid(x, "id of another request");
             return;
         }
@@ -751,7 +752,7 @@
             }
         }
         if (open.remove(x.command.id, x)) {
-            connectionFailed.ended(now(), x.command.id, idHoldMs);
+            connectionFailed.add(now(), x.command.id, idHoldMs);
         }
         x.command.release();
         if (x.attemptsInFlight == 0) {
