--- a/src/main/java/cacheproxy/cli/StateCommand.java
+++ b/src/main/java/cacheproxy/cli/StateCommand.java
@@ -59,9 +59,9 @@
                 : say(
                         new StateReport(
                                 new OpenedState(
-                                        all.opened().header(),
+                                        all.state().header(),
                                         Map.of(),
-                                        all.opened().findings()),
+                                        all.state().findings()),
                                 all.nowMs()),
                         false);
     }
@@ -76,12 +76,12 @@
     private int repair(@Parameters(paramLabel = "FOLDER") Path path) throws IOException {
         try (StateFolder folder = folder(path)) {
             PrintWriter out = spec.commandLine().getOut();
-            if (!folder.lock()) {
+            if (!folder.tryLock()) {
                 out.println("a process uses " + path + "; it repairs its folder itself");
                 out.flush();
                 return Cli.FAILED;
             }
-            OpenedState found = folder.open(null, null);
+            OpenedState found = folder.read(null, null);
             StateFileHeader h = found.header();
             if (h == null) {
                 folder.setAside();
@@ -89,7 +89,7 @@
                         "nothing could be used; what was there is laid aside, and a proxy starts from nothing here");
             } else {
                 RecordStore keeper = new RecordStore(found, h.instance(), h.fleet());
-                folder.write(keeper.next(0));
+                folder.write(keeper.nextWrite(0));
                 out.println(found.records().size() + " records are whole");
             }
             found.findings().forEach(f -> out.println("was: " + f));
@@ -106,13 +106,13 @@
     }
 
     private StateReport inspect(Path path) {
-        return new StateReport(folder(path).open(null, null), System.currentTimeMillis());
+        return new StateReport(folder(path).read(null, null), System.currentTimeMillis());
     }
 
     private int say(StateReport found, boolean json) {
         PrintWriter out = spec.commandLine().getOut();
-        out.print(json ? found.json() + "\n" : found.text());
+        out.print(json ? found.toJson() + "\n" : found.toText());
         out.flush();
-        return found.sound() ? Cli.OK : Cli.FAILED;
+        return found.isIntact() ? Cli.OK : Cli.FAILED;
     }
 }
--- a/src/main/java/cacheproxy/control/RecoveryCall.java
+++ b/src/main/java/cacheproxy/control/RecoveryCall.java
@@ -52,9 +52,9 @@
             o.addProperty("folder", r.folder());
             o.addProperty("writes", r.writes());
             o.addProperty("starts", k.header().starts());
-            o.addProperty("written_bytes", k.written());
-            o.addProperty("failed_writes", k.failures());
-            o.addProperty("too_long", k.dropped());
+            o.addProperty("written_bytes", k.bytesWritten());
+            o.addProperty("failed_writes", k.failedWrites());
+            o.addProperty("too_long", k.oversizedRecords());
             JsonArray found = new JsonArray();
             r.opened().findings().forEach(f -> {
                 JsonObject one = new JsonObject();
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -164,11 +164,13 @@
         if (zones != null) {
             Map<Integer, Held> held = zones.zones().held();
             records.put(
-                    RecordKind.ZONES,
-                    new StoredRecord(RecordKind.ZONES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
+                    RecordKind.ZONE_STATES,
+                    new StoredRecord(
+                            RecordKind.ZONE_STATES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
             records.put(
-                    RecordKind.ORDERS,
-                    new StoredRecord(RecordKind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
+                    RecordKind.OPERATOR_ORDERS,
+                    new StoredRecord(
+                            RecordKind.OPERATOR_ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
         return new TakeoverState(discovery.list(), dispatcher.experience(), records);
     }
--- a/src/main/java/cacheproxy/proxy/Remembered.java
+++ b/src/main/java/cacheproxy/proxy/Remembered.java
@@ -25,13 +25,13 @@
  */
 final class Remembered {
     private static final Map<RecordKind, Thing> THINGS = Map.of(
-            RecordKind.LIST,
+            RecordKind.ENDPOINT_LIST,
             Thing.LIST,
-            RecordKind.LEARNT,
+            RecordKind.LEARNED_STATE,
             Thing.LEARNT,
-            RecordKind.ZONES,
+            RecordKind.ZONE_STATES,
             Thing.ZONES,
-            RecordKind.ORDERS,
+            RecordKind.OPERATOR_ORDERS,
             Thing.ZONES,
             RecordKind.INCARNATION,
             Thing.INCARNATION);
@@ -50,10 +50,10 @@
             put(predecessor.kept(), Source.PREDECESSOR);
             put(
                     Map.of(
-                            RecordKind.LIST,
-                            new StoredRecord(RecordKind.LIST, nowMs, predecessor.list()),
-                            RecordKind.LEARNT,
-                            new StoredRecord(RecordKind.LEARNT, nowMs, LearntForm.json(predecessor.learnt()))),
+                            RecordKind.ENDPOINT_LIST,
+                            new StoredRecord(RecordKind.ENDPOINT_LIST, nowMs, predecessor.list()),
+                            RecordKind.LEARNED_STATE,
+                            new StoredRecord(RecordKind.LEARNED_STATE, nowMs, LearntForm.json(predecessor.learnt()))),
                     Source.PREDECESSOR);
         }
     }
@@ -67,12 +67,12 @@
 
     private Validity use(RecordKind kind) {
         StoredRecord r = records.get(kind);
-        return r == null ? Validity.NOTHING : r.use(nowMs);
+        return r == null ? Validity.UNUSABLE : r.validity(nowMs);
     }
 
     /** Whether what is known of a kind may be decided by. */
     boolean holds(RecordKind kind) {
-        return use(kind) == Validity.HOLDS;
+        return use(kind) == Validity.VALID;
     }
 
     private void taken(RecordKind kind) {
@@ -82,8 +82,8 @@
                 nowMs,
                 THINGS.get(kind),
                 sources.get(kind),
-                nowMs - r.toldMs(),
-                hint || kind == RecordKind.LIST ? kind.hintMs() : kind.holdsMs(),
+                nowMs - r.recordedAtMs(),
+                hint || kind == RecordKind.ENDPOINT_LIST ? kind.hintForMs() : kind.validForMs(),
                 hint);
     }
 
@@ -92,7 +92,7 @@
      * two of one version the configuration's. Null if there is none.
      */
     JsonObject list(JsonObject configured) {
-        StoredRecord r = records.get(RecordKind.LIST);
+        StoredRecord r = records.get(RecordKind.ENDPOINT_LIST);
         if (configured != null) {
             trust.taken(nowMs, Thing.LIST, Source.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
         }
@@ -101,13 +101,13 @@
         }
         try {
             JsonObject list = r.body().getAsJsonObject();
-            if (use(RecordKind.LIST) == Validity.NOTHING) {
+            if (use(RecordKind.ENDPOINT_LIST) == Validity.UNUSABLE) {
                 trust.refused(Thing.LIST);
                 return configured;
             }
             if (configured == null
                     || list.get("seq").getAsLong() > configured.get("seq").getAsLong()) {
-                taken(RecordKind.LIST);
+                taken(RecordKind.ENDPOINT_LIST);
                 return list;
             }
         } catch (RuntimeException e) {
@@ -118,20 +118,20 @@
 
     /** What was learnt, or of what is too old to hold the doubts alone; empty for nothing. */
     Map<String, LearnedState> learnt() {
-        Validity use = use(RecordKind.LEARNT);
-        if (use == Validity.NOTHING) {
-            if (records.containsKey(RecordKind.LEARNT)) {
+        Validity use = use(RecordKind.LEARNED_STATE);
+        if (use == Validity.UNUSABLE) {
+            if (records.containsKey(RecordKind.LEARNED_STATE)) {
                 trust.refused(Thing.LEARNT);
             }
             return Map.of();
         }
         try {
             Map<String, LearnedState> all = new HashMap<>(
-                    LearntForm.read(records.get(RecordKind.LEARNT).body().getAsJsonObject()));
+                    LearntForm.read(records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
             if (use == Validity.HINT) {
                 all.replaceAll((pool, e) -> doubts(e));
             }
-            taken(RecordKind.LEARNT);
+            taken(RecordKind.LEARNED_STATE);
             return all;
         } catch (RuntimeException e) {
             trust.refused(Thing.LEARNT);
--- a/src/main/java/cacheproxy/proxy/StateLink.java
+++ b/src/main/java/cacheproxy/proxy/StateLink.java
@@ -63,7 +63,7 @@
         folder = new StateFolder(path);
         this.instance = instance;
         this.fleet = fleet;
-        opened = folder.open(instance, fleet);
+        opened = folder.read(instance, fleet);
         keeper = new RecordStore(opened, instance, fleet);
     }
 
@@ -77,7 +77,7 @@
         dispatcher = by;
         discovery = list;
         for (Finding f : opened.findings()) {
-            if (f.harm() != Severity.NONE) {
+            if (f.severity() != Severity.HARMLESS) {
                 dispatcher.log("state: " + folder.path() + ": " + f);
             }
         }
@@ -92,8 +92,8 @@
                                             Locale.ROOT,
                                             "%s %.1f s old (%s)",
                                             r.kind().wireName(),
-                                            (now - r.toldMs()) / 1000,
-                                            r.use(now).wireName()))
+                                            (now - r.recordedAtMs()) / 1000,
+                                            r.validity(now).wireName()))
                                     .toList()));
         }
         dispatcher.follow(this::listed);
@@ -110,9 +110,11 @@
     private void listed(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
             JsonElement list = discovery.list();
-            StoredRecord before = keeper.get(RecordKind.LIST);
-            if (before == null || !before.body().equals(list) || dispatcher.now() - before.toldMs() > LIST_REFRESH_MS) {
-                put(RecordKind.LIST, list);
+            StoredRecord before = keeper.get(RecordKind.ENDPOINT_LIST);
+            if (before == null
+                    || !before.body().equals(list)
+                    || dispatcher.now() - before.recordedAtMs() > LIST_REFRESH_MS) {
+                put(RecordKind.ENDPOINT_LIST, list);
             }
         }
     }
@@ -128,8 +130,8 @@
         }
         if (zones != null) {
             Map<Integer, Held> held = zones.zones().held();
-            putIfNew(RecordKind.ZONES, ZoneForm.json(held, false, zones.names()));
-            putIfNew(RecordKind.ORDERS, ZoneForm.json(held, true, zones.names()));
+            putIfNew(RecordKind.ZONE_STATES, ZoneForm.json(held, false, zones.names()));
+            putIfNew(RecordKind.OPERATOR_ORDERS, ZoneForm.json(held, true, zones.names()));
         }
     }
 
@@ -144,11 +146,11 @@
         if (closed) {
             return;
         }
-        put(RecordKind.LEARNT, LearntForm.json(dispatcher.experience()));
+        put(RecordKind.LEARNED_STATE, LearntForm.json(dispatcher.experience()));
         if (zones != null && zones.zones().quorum()) {
             JsonElement held = ZoneForm.json(zones.zones().held(), false, zones.names());
             if (held.getAsJsonObject().size() > 0) {
-                put(RecordKind.ZONES, held); // it holds still
+                put(RecordKind.ZONE_STATES, held); // it holds still
             }
         }
         dispatcher.after(REFRESH_MS, this::refresh);
@@ -173,7 +175,7 @@
             return;
         }
         long mine = ++waits;
-        RecordStore.Write write = keeper.next(now());
+        RecordStore.Write write = keeper.nextWrite(now());
         if (write != null) {
             writer.execute(() -> {
                 IOException failed = null;
@@ -189,7 +191,7 @@
             });
             return;
         }
-        double due = keeper.dueMs();
+        double due = keeper.nextWriteAtMs();
         if (due != Double.POSITIVE_INFINITY) {
             dispatcher.after(Math.max(1, due - now()), () -> {
                 if (waits == mine && !closed) {
@@ -201,13 +203,13 @@
 
     private void written(IOException failed) {
         if (failed == null) {
-            keeper.done(now());
+            keeper.writeSucceeded(now());
             if (told) {
                 told = false;
                 dispatcher.log("state: " + folder.path() + " is written again");
             }
         } else {
-            keeper.failed(now());
+            keeper.writeFailed(now());
             tell("can't be written: " + failed);
         }
         run();
@@ -231,11 +233,11 @@
             StateFileHeader since = null;
             String wrong = null;
             try {
-                got = folder.lock();
+                got = folder.tryLock();
                 if (got) {
-                    OpenedState now = folder.open(instance, fleet);
+                    OpenedState now = folder.read(instance, fleet);
                     since = now.header();
-                    if (now.findings().stream().anyMatch(f -> f.harm() == Severity.ALL)) {
+                    if (now.findings().stream().anyMatch(f -> f.severity() == Severity.UNUSABLE)) {
                         folder.setAside();
                     }
                 }
@@ -249,7 +251,7 @@
                 locking = false;
                 if (mine) {
                     locked = true;
-                    keeper.after(found);
+                    keeper.continueAfter(found);
                     run();
                 } else {
                     if (why != null) {
@@ -267,9 +269,9 @@
             return;
         }
         fleetChanged();
-        put(RecordKind.LEARNT, LearntForm.json(dispatcher.experience()));
+        put(RecordKind.LEARNED_STATE, LearntForm.json(dispatcher.experience()));
         closed = true;
-        RecordStore.Write last = locked ? keeper.last() : null;
+        RecordStore.Write last = locked ? keeper.finalWrite() : null;
         writer.execute(() -> {
             try {
                 if (last != null) {
--- a/src/main/java/cacheproxy/proxy/TakeoverState.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverState.java
@@ -27,7 +27,7 @@
         state.add("list", list);
         state.add("learnt", LearntForm.json(learnt));
         JsonArray records = new JsonArray();
-        kept.values().forEach(r -> records.add(r.json()));
+        kept.values().forEach(r -> records.add(r.toJson()));
         state.add("kept", records);
         return state.toString();
     }
@@ -42,7 +42,7 @@
                 state.has("learnt") ? LearntForm.read(state.getAsJsonObject("learnt")) : Map.of();
         Map<RecordKind, StoredRecord> kept = new EnumMap<>(RecordKind.class);
         if (state.has("kept")) {
-            state.getAsJsonArray("kept").forEach(e -> StoredRecord.read(e).ifPresent(r -> kept.put(r.kind(), r)));
+            state.getAsJsonArray("kept").forEach(e -> StoredRecord.fromJson(e).ifPresent(r -> kept.put(r.kind(), r)));
         }
         return new TakeoverState(state.getAsJsonObject("list"), learnt, kept);
     }
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -32,8 +32,11 @@
         this.settings =
                 new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
         zones = new Zones(this.settings);
-        zones.remember(dispatcher.now(), last.zones(RecordKind.ZONES, names), last.holds(RecordKind.ZONES));
-        zones.remember(dispatcher.now(), last.zones(RecordKind.ORDERS, names), last.holds(RecordKind.ORDERS));
+        zones.remember(dispatcher.now(), last.zones(RecordKind.ZONE_STATES, names), last.holds(RecordKind.ZONE_STATES));
+        zones.remember(
+                dispatcher.now(),
+                last.zones(RecordKind.OPERATOR_ORDERS, names),
+                last.holds(RecordKind.OPERATOR_ORDERS));
         dispatcher.follow(k -> listed());
         listed();
         run();
--- a/src/main/java/cacheproxy/state/Authority.java
+++ b/src/main/java/cacheproxy/state/Authority.java
@@ -3,7 +3,7 @@
 /** Whose word a record is; what is told by a later one of the same or a higher authority takes its place. */
 public enum Authority {
     /** What this instance has met itself. */
-    SEEN("seen"),
+    OBSERVED("seen"),
     /** What it decided on with the fleet. */
     FLEET("fleet"),
     /** What an operator ordered. */
--- a/src/main/java/cacheproxy/state/Finding.java
+++ b/src/main/java/cacheproxy/state/Finding.java
@@ -5,18 +5,18 @@
  *
  * @param file its name in the folder
  * @param line counted from 1; 0 for the whole file
- * @param what is the matter
- * @param harm what follows from it
+ * @param problem is the matter
+ * @param severity what follows from it
  */
-public record Finding(String file, int line, String what, Severity harm) {
+public record Finding(String file, int line, String problem, Severity severity) {
     /** What follows from something that was found. */
     public enum Severity {
         /** Nothing: it is ordinary after a crash. */
-        NONE("none"),
+        HARMLESS("none"),
         /** Some records are lost, the others are sound. */
-        SOME("some"),
+        RECORDS_LOST("some"),
         /** Nothing of the folder can be used. */
-        ALL("all");
+        UNUSABLE("all");
 
         private final String wireName;
 
@@ -32,6 +32,6 @@
 
     @Override
     public String toString() {
-        return (line == 0 ? file : file + ":" + line) + ": " + what;
+        return (line == 0 ? file : file + ":" + line) + ": " + problem;
     }
 }
--- a/src/main/java/cacheproxy/state/OpenedState.java
+++ b/src/main/java/cacheproxy/state/OpenedState.java
@@ -41,7 +41,7 @@
         List<Finding> findings = new ArrayList<>();
         Part whole = part(SNAPSHOT, snapshot, instance, fleet, findings);
         Part since = part(JOURNAL, journal, instance, fleet, findings);
-        if (findings.stream().anyMatch(f -> f.harm() == Severity.ALL)) {
+        if (findings.stream().anyMatch(f -> f.severity() == Severity.UNUSABLE)) {
             return new OpenedState(
                     null, Map.of(), List.copyOf(findings)); // another's, or a later version's: all of it or nothing
         }
@@ -55,7 +55,7 @@
                     header == null ? 0 : header.generation() - since.header().generation();
             if (behind > 0) {
                 // Between the two steps of a snapshot: all that it says is in the snapshot.
-                findings.add(new Finding(JOURNAL, 0, "is of the snapshot before", Severity.NONE));
+                findings.add(new Finding(JOURNAL, 0, "is of the snapshot before", Severity.HARMLESS));
             } else {
                 if (header == null || behind < 0) {
                     findings.add(new Finding(
@@ -64,7 +64,7 @@
                             header == null
                                     ? "is missing or unreadable, the journal is not"
                                     : "is older than the journal",
-                            Severity.SOME));
+                            Severity.RECORDS_LOST));
                     header = since.header();
                 }
                 records.putAll(since.records());
@@ -83,7 +83,7 @@
             Optional<JsonElement> first =
                     lines.isEmpty() ? Optional.empty() : lines.get(0).json();
             if (first.isEmpty()) {
-                findings.add(new Finding(file, 1, "can't be read: it was cut short or damaged", Severity.SOME));
+                findings.add(new Finding(file, 1, "can't be read: it was cut short or damaged", Severity.RECORDS_LOST));
                 return null;
             }
             JsonObject o = first.get().getAsJsonObject();
@@ -93,7 +93,7 @@
                         file,
                         1,
                         "is of version " + version + ", and this program reads " + StateFileHeader.VERSION,
-                        Severity.ALL));
+                        Severity.UNUSABLE));
                 return null;
             }
             header = new StateFileHeader(
@@ -102,7 +102,7 @@
                     o.get("generation").getAsLong(),
                     o.get("starts").getAsLong());
         } catch (RuntimeException e) {
-            findings.add(new Finding(file, 1, "is no file of this program's state", Severity.ALL));
+            findings.add(new Finding(file, 1, "is no file of this program's state", Severity.UNUSABLE));
             return null;
         }
         if (instance != null
@@ -112,7 +112,7 @@
                     1,
                     "belongs to " + header.instance() + " of fleet '" + header.fleet() + "', not to " + instance
                             + " of fleet '" + fleet + "'",
-                    Severity.ALL));
+                    Severity.UNUSABLE));
             return null;
         }
         Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
@@ -123,13 +123,13 @@
                         file,
                         l.number(),
                         torn ? "ends within a record: the process died in a write" : "is damaged",
-                        torn ? Severity.NONE : Severity.SOME));
+                        torn ? Severity.HARMLESS : Severity.RECORDS_LOST));
                 continue;
             }
             try {
                 StateFileFormat.record(l.json().get()).ifPresent(r -> records.put(r.kind(), r));
             } catch (RuntimeException e) {
-                findings.add(new Finding(file, l.number(), "is no record", Severity.SOME));
+                findings.add(new Finding(file, l.number(), "is no record", Severity.RECORDS_LOST));
             }
         }
         return new Part(header, records);
--- a/src/main/java/cacheproxy/state/RecordKind.java
+++ b/src/main/java/cacheproxy/state/RecordKind.java
@@ -16,29 +16,29 @@
      * beats nothing that the configuration or discovery says with a higher version; a day later the nodes may be other
      * ones.
      */
-    LIST("list", Authority.DISCOVERY, 60_000, 86_400_000, 100),
+    ENDPOINT_LIST("list", Authority.DISCOVERY, 60_000, 86_400_000, 100),
     /**
      * What the decision module has learnt of servers and the origin. A node that was bad a minute ago is doubted, not
      * avoided; what was good is never taken from here, nor whether a node is warm.
      */
-    LEARNT("learnt", Authority.SEEN, 30_000, 600_000, 5000),
+    LEARNED_STATE("learnt", Authority.OBSERVED, 30_000, 600_000, 5000),
     /** Zones as decided on evidence: whether one is open is of the moment, its epoch never goes back. */
-    ZONES("zones", Authority.FLEET, 60_000, Double.POSITIVE_INFINITY, 100),
+    ZONE_STATES("zones", Authority.FLEET, 60_000, Double.POSITIVE_INFINITY, 100),
     /** Zones as ordered by operators, until they take it back. */
-    ORDERS("orders", Authority.OPERATOR, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 100);
+    OPERATOR_ORDERS("orders", Authority.OPERATOR, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 100);
 
     private final String wireName;
     private final Authority authority;
-    private final double holdsMs;
-    private final double hintMs;
-    private final double gatherMs;
+    private final double validForMs;
+    private final double hintForMs;
+    private final double writeDelayMs;
 
     RecordKind(String wireName, Authority authority, double holdsMs, double hintMs, double gatherMs) {
         this.wireName = wireName;
         this.authority = authority;
-        this.holdsMs = holdsMs;
-        this.hintMs = hintMs;
-        this.gatherMs = gatherMs;
+        this.validForMs = holdsMs;
+        this.hintForMs = hintMs;
+        this.writeDelayMs = gatherMs;
     }
 
     /** Whose word it is. */
@@ -47,29 +47,31 @@
     }
 
     /** Up to this age, in milliseconds, it holds. */
-    public double holdsMs() {
-        return holdsMs;
+    public double validForMs() {
+        return validForMs;
     }
 
     /** Up to this age, in milliseconds, it is a hint. */
-    public double hintMs() {
-        return hintMs;
+    public double hintForMs() {
+        return hintForMs;
     }
 
     /** It need not be written sooner than so many milliseconds after it has changed. */
-    public double gatherMs() {
-        return gatherMs;
+    public double writeDelayMs() {
+        return writeDelayMs;
     }
 
     /** How far something of this kind may be used at this age in milliseconds; negative: it is from the future. */
-    public Validity use(double ageMs) {
-        if (holdsMs == Double.POSITIVE_INFINITY) {
-            return Validity.HOLDS;
+    public Validity validity(double ageMs) {
+        if (validForMs == Double.POSITIVE_INFINITY) {
+            return Validity.VALID;
         }
-        if (hintMs == Double.POSITIVE_INFINITY) {
-            return ageMs >= 0 && ageMs <= holdsMs ? Validity.HOLDS : Validity.HINT;
+        if (hintForMs == Double.POSITIVE_INFINITY) {
+            return ageMs >= 0 && ageMs <= validForMs ? Validity.VALID : Validity.HINT;
         }
-        return !(ageMs >= 0) || ageMs > hintMs ? Validity.NOTHING : ageMs <= holdsMs ? Validity.HOLDS : Validity.HINT;
+        return !(ageMs >= 0) || ageMs > hintForMs
+                ? Validity.UNUSABLE
+                : ageMs <= validForMs ? Validity.VALID : Validity.HINT;
     }
 
     /** How it is called in files. */
@@ -78,7 +80,7 @@
     }
 
     /** What is called so in files; empty for what a later version may know. */
-    public static Optional<RecordKind> of(String wireName) {
+    public static Optional<RecordKind> fromWireName(String wireName) {
         return Arrays.stream(values())
                 .filter(k -> k.wireName().equals(wireName))
                 .findFirst();
--- a/src/main/java/cacheproxy/state/RecordStore.java
+++ b/src/main/java/cacheproxy/state/RecordStore.java
@@ -18,15 +18,15 @@
  */
 public final class RecordStore {
     /** The longest record that is kept, in bytes. */
-    public static final int MOST_RECORD = 512 << 10;
+    public static final int MAX_RECORD_BYTES = 512 << 10;
     /** A longer journal becomes a snapshot. */
-    public static final int MOST_JOURNAL = 512 << 10;
+    public static final int MAX_JOURNAL_BYTES = 512 << 10;
     /** What may be written in a minute; beyond it only what is urgent is. */
-    public static final int MOST_MINUTE = 4 << 20;
+    public static final int MAX_BYTES_PER_MINUTE = 4 << 20;
 
     private static final double MINUTE_MS = 60_000;
-    private static final double FIRST_AGAIN_MS = 1000;
-    private static final double LAST_AGAIN_MS = 60_000;
+    private static final double INITIAL_BACKOFF_MS = 1000;
+    private static final double MAX_BACKOFF_MS = 60_000;
     /** A kind that may be gathered for no longer than this is urgent. */
     private static final double URGENT_MS = 100;
 
@@ -43,16 +43,16 @@
     private final Set<RecordKind> dirty = EnumSet.noneOf(RecordKind.class);
     private final Map<RecordKind, Double> dirtySince = new EnumMap<>(RecordKind.class);
     private StateFileHeader header;
-    private boolean replace = true;
+    private boolean snapshotNeeded = true;
     private long journalBytes;
-    private Write out;
+    private Write pendingWrite;
     private double againMs;
-    private double waitUntilMs = Double.NEGATIVE_INFINITY;
-    private double minuteMs = Double.NEGATIVE_INFINITY;
-    private long minuteBytes;
-    private long written;
-    private long failures;
-    private long dropped;
+    private double backoffUntilMs = Double.NEGATIVE_INFINITY;
+    private double minuteStartMs = Double.NEGATIVE_INFINITY;
+    private long bytesThisMinute;
+    private long bytesWritten;
+    private long failedWrites;
+    private long oversizedRecords;
 
     /**
      * Goes on from what was found. The first order is a snapshot: of a new start, of what was sound.
@@ -62,7 +62,7 @@
      */
     public RecordStore(OpenedState opened, String instance, String fleet) {
         StateFileHeader found = opened.header();
-        header = (found == null ? new StateFileHeader(instance, fleet, 0, 0) : found).started();
+        header = (found == null ? new StateFileHeader(instance, fleet, 0, 0) : found).nextStart();
         records.putAll(opened.records());
     }
 
@@ -73,11 +73,11 @@
     public void put(double nowMs, StoredRecord r) {
         StoredRecord before = records.get(r.kind());
         JsonElement body = r.body();
-        if (before != null && before.body().equals(body) && before.kind().holdsMs() == Double.POSITIVE_INFINITY) {
+        if (before != null && before.body().equals(body) && before.kind().validForMs() == Double.POSITIVE_INFINITY) {
             return; // it ages as little as it has changed
         }
-        if (body.toString().length() > MOST_RECORD) {
-            dropped++;
+        if (body.toString().length() > MAX_RECORD_BYTES) {
+            oversizedRecords++;
             return;
         }
         records.put(r.kind(), r);
@@ -87,48 +87,48 @@
     }
 
     /** Another process wrote here until now: what is written next is after all of its. */
-    public void after(StateFileHeader other) {
+    public void continueAfter(StateFileHeader other) {
         if (other != null && other.generation() >= header.generation()) {
             header = new StateFileHeader(
                     header.instance(),
                     header.fleet(),
                     other.generation(),
                     Math.max(header.starts(), other.starts() + 1));
-            replace = true;
+            snapshotNeeded = true;
         }
     }
 
     /** What is to be written now, or null. Nothing more is ordered until it has been told how that went. */
-    public Write next(double nowMs) {
-        if (out != null || nowMs < dueMs()) {
+    public Write nextWrite(double nowMs) {
+        if (pendingWrite != null || nowMs < nextWriteAtMs()) {
             return null;
         }
-        if (replace || journalBytes > MOST_JOURNAL) {
-            header = header.next();
-            Write.Replace all = replacement();
+        if (snapshotNeeded || journalBytes > MAX_JOURNAL_BYTES) {
+            header = header.nextGeneration();
+            Write.Replace all = snapshotWrite();
             journalBytes = all.journal().length;
-            out = all;
+            pendingWrite = all;
         } else {
             List<StoredRecord> changed = dirty.stream().map(records::get).toList();
             byte[] bytes = StateFileFormat.records(changed);
-            out = new Write.Append(bytes);
+            pendingWrite = new Write.Append(bytes);
             journalBytes += bytes.length;
         }
         dirty.clear();
         dirtySince.clear();
-        return out;
+        return pendingWrite;
     }
 
     /**
      * All of it as a snapshot, whatever is under way: the end of the process waits for nothing else. Carried out after
      * what was ordered before.
      */
-    public Write last() {
-        header = header.next();
-        return replacement();
+    public Write finalWrite() {
+        header = header.nextGeneration();
+        return snapshotWrite();
     }
 
-    private Write.Replace replacement() {
+    private Write.Replace snapshotWrite() {
         byte[] head = StateFileFormat.header(header);
         byte[] body = StateFileFormat.records(records.values());
         byte[] snapshot = new byte[head.length + body.length];
@@ -137,43 +137,43 @@
         return new Write.Replace(snapshot, head);
     }
 
-    /** When {@link #next} may have an order, on the monotonic clock; infinite for not before something is put. */
-    public double dueMs() {
-        if (out != null) {
+    /** When {@link #nextWrite} may have an order, on the monotonic clock; infinite for not before something is put. */
+    public double nextWriteAtMs() {
+        if (pendingWrite != null) {
             return Double.POSITIVE_INFINITY;
         }
-        double due = replace ? Double.NEGATIVE_INFINITY : Double.POSITIVE_INFINITY;
+        double due = snapshotNeeded ? Double.NEGATIVE_INFINITY : Double.POSITIVE_INFINITY;
         for (Map.Entry<RecordKind, Double> e : dirtySince.entrySet()) {
-            double gather = e.getKey().gatherMs();
+            double gather = e.getKey().writeDelayMs();
             double at = e.getValue() + gather;
-            if (gather > URGENT_MS && minuteBytes >= MOST_MINUTE) {
-                at = Math.max(at, minuteMs + MINUTE_MS);
+            if (gather > URGENT_MS && bytesThisMinute >= MAX_BYTES_PER_MINUTE) {
+                at = Math.max(at, minuteStartMs + MINUTE_MS);
             }
             due = Math.min(due, at);
         }
-        return Math.max(due, waitUntilMs);
+        return Math.max(due, backoffUntilMs);
     }
 
     /** The last order was carried out and will outlast the machine's end. */
-    public void done(double nowMs) {
-        if (nowMs - minuteMs >= MINUTE_MS) {
-            minuteMs = nowMs;
-            minuteBytes = 0;
+    public void writeSucceeded(double nowMs) {
+        if (nowMs - minuteStartMs >= MINUTE_MS) {
+            minuteStartMs = nowMs;
+            bytesThisMinute = 0;
         }
-        minuteBytes += bytes(out);
-        written += bytes(out);
-        replace = false;
+        bytesThisMinute += bytes(pendingWrite);
+        bytesWritten += bytes(pendingWrite);
+        snapshotNeeded = false;
         againMs = 0;
-        out = null;
+        pendingWrite = null;
     }
 
     /** It was not, or nobody knows. */
-    public void failed(double nowMs) {
-        failures++;
-        replace = true;
-        againMs = againMs == 0 ? FIRST_AGAIN_MS : Math.min(LAST_AGAIN_MS, 2 * againMs);
-        waitUntilMs = nowMs + againMs;
-        out = null;
+    public void writeFailed(double nowMs) {
+        failedWrites++;
+        snapshotNeeded = true;
+        againMs = againMs == 0 ? INITIAL_BACKOFF_MS : Math.min(MAX_BACKOFF_MS, 2 * againMs);
+        backoffUntilMs = nowMs + againMs;
+        pendingWrite = null;
     }
 
     private static long bytes(Write w) {
@@ -188,23 +188,23 @@
     }
 
     /** Whether something is kept that no file holds yet. */
-    public boolean unwritten() {
-        return out != null || replace || !dirty.isEmpty();
+    public boolean hasUnwrittenRecords() {
+        return pendingWrite != null || snapshotNeeded || !dirty.isEmpty();
     }
 
     /** Bytes that were written since the start. */
-    public long written() {
-        return written;
+    public long bytesWritten() {
+        return bytesWritten;
     }
 
     /** Orders that failed. */
-    public long failures() {
-        return failures;
+    public long failedWrites() {
+        return failedWrites;
     }
 
     /** Records that were too long to keep. */
-    public long dropped() {
-        return dropped;
+    public long oversizedRecords() {
+        return oversizedRecords;
     }
 
     /** Of the files that were ordered last. */
--- a/src/main/java/cacheproxy/state/StateFileFormat.java
+++ b/src/main/java/cacheproxy/state/StateFileFormat.java
@@ -19,9 +19,9 @@
  */
 final class StateFileFormat {
     /** The longest line that is read or written, in bytes. */
-    static final int MOST_LINE = 1 << 20;
+    static final int MAX_LINE_BYTES = 1 << 20;
 
-    private static final int SUM = 8;
+    private static final int CHECKSUM_DIGITS = 8;
 
     private StateFileFormat() {}
 
@@ -53,7 +53,7 @@
     static JsonObject json(StoredRecord r) {
         JsonObject o = new JsonObject();
         o.addProperty("kind", r.kind().wireName());
-        o.addProperty("told_ms", r.toldMs());
+        o.addProperty("told_ms", r.recordedAtMs());
         o.add("body", r.body());
         return o;
     }
@@ -66,21 +66,21 @@
         if (!(told >= 0 && told < 1e15) || body == null) {
             throw new IllegalArgumentException("no record");
         }
-        return RecordKind.of(o.get("kind").getAsString()).map(k -> new StoredRecord(k, told, body));
+        return RecordKind.fromWireName(o.get("kind").getAsString()).map(k -> new StoredRecord(k, told, body));
     }
 
     private static byte[] line(JsonObject o) {
         byte[] json = o.toString().getBytes(StandardCharsets.UTF_8);
-        byte[] line = new byte[SUM + 1 + json.length + 1];
-        byte[] sum = sum(json, 0, json.length).getBytes(StandardCharsets.US_ASCII);
-        System.arraycopy(sum, 0, line, 0, SUM);
-        line[SUM] = ' ';
-        System.arraycopy(json, 0, line, SUM + 1, json.length);
+        byte[] line = new byte[CHECKSUM_DIGITS + 1 + json.length + 1];
+        byte[] sum = checksum(json, 0, json.length).getBytes(StandardCharsets.US_ASCII);
+        System.arraycopy(sum, 0, line, 0, CHECKSUM_DIGITS);
+        line[CHECKSUM_DIGITS] = ' ';
+        System.arraycopy(json, 0, line, CHECKSUM_DIGITS + 1, json.length);
         line[line.length - 1] = '\n';
         return line;
     }
 
-    private static String sum(byte[] bytes, int from, int length) {
+    private static String checksum(byte[] bytes, int from, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, from, length);
         return String.format(Locale.ROOT, "%08x", crc.getValue());
@@ -103,11 +103,12 @@
     }
 
     private static Optional<JsonElement> json(byte[] file, int from, int to) {
-        int start = from + SUM + 1;
+        int start = from + CHECKSUM_DIGITS + 1;
         if (to < start
-                || to - from > MOST_LINE
-                || file[from + SUM] != ' '
-                || !new String(file, from, SUM, StandardCharsets.US_ASCII).equals(sum(file, start, to - start))) {
+                || to - from > MAX_LINE_BYTES
+                || file[from + CHECKSUM_DIGITS] != ' '
+                || !new String(file, from, CHECKSUM_DIGITS, StandardCharsets.US_ASCII)
+                        .equals(checksum(file, start, to - start))) {
             return Optional.empty();
         }
         try {
--- a/src/main/java/cacheproxy/state/StateFileHeader.java
+++ b/src/main/java/cacheproxy/state/StateFileHeader.java
@@ -21,12 +21,12 @@
     }
 
     /** Of the next snapshot. */
-    StateFileHeader next() {
+    StateFileHeader nextGeneration() {
         return new StateFileHeader(instance, fleet, generation + 1, starts);
     }
 
     /** Of the next process. */
-    StateFileHeader started() {
+    StateFileHeader nextStart() {
         return new StateFileHeader(instance, fleet, generation, starts + 1);
     }
 }
--- a/src/main/java/cacheproxy/state/StateFolder.java
+++ b/src/main/java/cacheproxy/state/StateFolder.java
@@ -20,12 +20,12 @@
  * may wait for the disk.
  */
 public final class StateFolder implements AutoCloseable {
-    private static final String LOCK = "lock";
-    private static final String NEW = ".new";
+    private static final String LOCK_FILE = "lock";
+    private static final String NEW_SUFFIX = ".new";
     /** Files that were of no use are kept under their names with this behind, the last of each. */
-    private static final String ASIDE = ".aside";
+    private static final String ASIDE_SUFFIX = ".aside";
 
-    private static final long MOST_FILE = 16 << 20;
+    private static final long MAX_FILE_BYTES = 16 << 20;
 
     private final Path folder;
     private FileChannel lockFile;
@@ -43,39 +43,40 @@
     }
 
     /** What the folder holds, for this instance; empty where there is none. Never fails: what is wrong is a finding. */
-    public OpenedState open(String instance, String fleet) {
+    public OpenedState read(String instance, String fleet) {
         List<Finding> findings = new ArrayList<>();
-        byte[] snapshot = bytes(OpenedState.SNAPSHOT, findings);
-        byte[] since = bytes(OpenedState.JOURNAL, findings);
+        byte[] snapshot = readFile(OpenedState.SNAPSHOT, findings);
+        byte[] since = readFile(OpenedState.JOURNAL, findings);
         OpenedState read = OpenedState.read(snapshot, since, instance, fleet);
         findings.addAll(read.findings());
         return new OpenedState(read.header(), read.records(), List.copyOf(findings));
     }
 
-    private byte[] bytes(String name, List<Finding> findings) {
+    private byte[] readFile(String name, List<Finding> findings) {
         Path file = folder.resolve(name);
         try {
-            if (Files.size(file) > MOST_FILE) {
-                findings.add(new Finding(name, 0, "is longer than " + MOST_FILE + " bytes", Severity.SOME));
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                findings.add(
+                        new Finding(name, 0, "is longer than " + MAX_FILE_BYTES + " bytes", Severity.RECORDS_LOST));
                 return null;
             }
             return Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
             return null;
         } catch (IOException | RuntimeException e) {
-            findings.add(new Finding(name, 0, "can't be read: " + e, Severity.SOME));
+            findings.add(new Finding(name, 0, "can't be read: " + e, Severity.RECORDS_LOST));
             return null;
         }
     }
 
     /** Whether this process alone may write here from now on; until it has closed or ended. */
-    public boolean lock() throws IOException {
+    public boolean tryLock() throws IOException {
         if (lock != null) {
             return true;
         }
         Files.createDirectories(folder);
         if (lockFile == null) {
-            lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            lockFile = FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         }
         try {
             lock = lockFile.tryLock();
@@ -90,7 +91,7 @@
         for (String name : List.of(OpenedState.SNAPSHOT, OpenedState.JOURNAL)) {
             Path file = folder.resolve(name);
             if (Files.exists(file)) {
-                Files.move(file, folder.resolve(name + ASIDE), StandardCopyOption.ATOMIC_MOVE);
+                Files.move(file, folder.resolve(name + ASIDE_SUFFIX), StandardCopyOption.ATOMIC_MOVE);
             }
         }
     }
@@ -102,7 +103,7 @@
                 if (journal == null) {
                     throw new IOException("no journal is open");
                 }
-                put(journal, a.bytes());
+                writeFully(journal, a.bytes());
                 journal.force(false);
             } else if (what instanceof RecordStore.Write.Replace r) {
                 replace(r);
@@ -116,18 +117,18 @@
     private void replace(RecordStore.Write.Replace r) throws IOException {
         closeJournal();
         Files.createDirectories(folder); // it may have gone meanwhile
-        place(OpenedState.SNAPSHOT, r.snapshot());
-        place(OpenedState.JOURNAL, r.journal());
+        replaceFile(OpenedState.SNAPSHOT, r.snapshot());
+        replaceFile(OpenedState.JOURNAL, r.journal());
         journal = FileChannel.open(
                 folder.resolve(OpenedState.JOURNAL), StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     }
 
     /** Under its name there is, at any time and after any crash, the old file or the new one, whole. */
-    private void place(String name, byte[] bytes) throws IOException {
-        Path next = folder.resolve(name + NEW);
+    private void replaceFile(String name, byte[] bytes) throws IOException {
+        Path next = folder.resolve(name + NEW_SUFFIX);
         try (FileChannel file = FileChannel.open(
                 next, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            put(file, bytes);
+            writeFully(file, bytes);
             file.force(true);
         }
         Files.move(next, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
@@ -136,7 +137,7 @@
         }
     }
 
-    private static void put(FileChannel file, byte[] bytes) throws IOException {
+    private static void writeFully(FileChannel file, byte[] bytes) throws IOException {
         ByteBuffer all = ByteBuffer.wrap(bytes);
         while (all.hasRemaining()) {
             file.write(all);
--- a/src/main/java/cacheproxy/state/StateReport.java
+++ b/src/main/java/cacheproxy/state/StateReport.java
@@ -11,17 +11,17 @@
  * What a folder holds, for people and scripts: each record with its age and how far a process that starts now would use
  * it.
  */
-public record StateReport(OpenedState opened, double nowMs) {
+public record StateReport(OpenedState state, double nowMs) {
     /** Whether a process would start from it as it was left. */
-    public boolean sound() {
-        return opened.findings().stream().allMatch(f -> f.harm() == Severity.NONE);
+    public boolean isIntact() {
+        return state.findings().stream().allMatch(f -> f.severity() == Severity.HARMLESS);
     }
 
     /** All of it. */
-    public JsonObject json() {
+    public JsonObject toJson() {
         JsonObject o = new JsonObject();
-        o.addProperty("sound", sound());
-        StateFileHeader h = opened.header();
+        o.addProperty("sound", isIntact());
+        StateFileHeader h = state.header();
         if (h != null) {
             o.addProperty("instance", h.instance());
             o.addProperty("fleet", h.fleet());
@@ -30,23 +30,23 @@
         }
         JsonArray records = new JsonArray();
         for (RecordKind kind : RecordKind.values()) {
-            StoredRecord r = opened.records().get(kind);
+            StoredRecord r = state.records().get(kind);
             if (r != null) {
-                JsonObject one = r.json();
-                one.addProperty("age_s", Math.round((nowMs - r.toldMs()) / 1000));
+                JsonObject one = r.toJson();
+                one.addProperty("age_s", Math.round((nowMs - r.recordedAtMs()) / 1000));
                 one.addProperty("authority", kind.authority().wireName());
-                one.addProperty("use", r.use(nowMs).wireName());
+                one.addProperty("use", r.validity(nowMs).wireName());
                 records.add(one);
             }
         }
         o.add("records", records);
         JsonArray findings = new JsonArray();
-        opened.findings().forEach(f -> {
+        state.findings().forEach(f -> {
             JsonObject one = new JsonObject();
             one.addProperty("file", f.file());
             one.addProperty("line", f.line());
-            one.addProperty("what", f.what());
-            one.addProperty("harm", f.harm().wireName());
+            one.addProperty("what", f.problem());
+            one.addProperty("harm", f.severity().wireName());
             findings.add(one);
         });
         o.add("findings", findings);
@@ -54,9 +54,9 @@
     }
 
     /** The same in some lines. */
-    public String text() {
+    public String toText() {
         StringBuilder s = new StringBuilder();
-        StateFileHeader h = opened.header();
+        StateFileHeader h = state.header();
         s.append(
                 h == null
                         ? "nothing that could be used\n"
@@ -67,27 +67,27 @@
                                 h.fleet(),
                                 h.generation(),
                                 h.starts()));
-        if (!opened.records().isEmpty()) {
+        if (!state.records().isEmpty()) {
             s.append(String.format("%-13s%-11s%10s  %-9s%s%n", "kind", "authority", "age", "use", "what"));
         }
         for (RecordKind kind : RecordKind.values()) {
-            StoredRecord r = opened.records().get(kind);
+            StoredRecord r = state.records().get(kind);
             if (r != null) {
                 s.append(String.format(
                         Locale.ROOT,
                         "%-13s%-11s%9.0fs  %-9s%s%n",
                         kind.wireName(),
                         kind.authority().wireName(),
-                        (nowMs - r.toldMs()) / 1000,
-                        r.use(nowMs).wireName(),
+                        (nowMs - r.recordedAtMs()) / 1000,
+                        r.validity(nowMs).wireName(),
                         what(r)));
             }
         }
-        opened.findings()
+        state.findings()
                 .forEach(f -> s.append(
-                                f.harm() == Severity.NONE
+                                f.severity() == Severity.HARMLESS
                                         ? "note: "
-                                        : f.harm() == Severity.SOME ? "damage: " : "of no use: ")
+                                        : f.severity() == Severity.RECORDS_LOST ? "damage: " : "of no use: ")
                         .append(f)
                         .append('\n'));
         return s.toString();
@@ -96,12 +96,12 @@
     private static String what(StoredRecord r) {
         Function<JsonElement, String> say = switch (r.kind()) {
             case INCARNATION -> JsonElement::toString;
-            case LIST ->
+            case ENDPOINT_LIST ->
                 b -> "version " + b.getAsJsonObject().get("seq") + ", "
                         + b.getAsJsonObject().getAsJsonArray("hosts").size() + " servers, " + draining(b)
                         + " of them draining";
-            case LEARNT -> b -> b.getAsJsonObject().size() + " pools";
-            case ZONES, ORDERS ->
+            case LEARNED_STATE -> b -> b.getAsJsonObject().size() + " pools";
+            case ZONE_STATES, OPERATOR_ORDERS ->
                 b -> String.join(
                         ", ",
                         b.getAsJsonObject().entrySet().stream()
--- a/src/main/java/cacheproxy/state/Validity.java
+++ b/src/main/java/cacheproxy/state/Validity.java
@@ -3,14 +3,14 @@
 /** How far something that was kept may still be used. */
 public enum Validity {
     /** It may be decided by, until something newer says otherwise. */
-    HOLDS("holds"),
+    VALID("holds"),
     /**
      * It may only make decisions more careful, or say whom to ask: a doubt, a name, the least that an epoch may be. It
      * never gives trust back.
      */
     HINT("hint"),
     /** It is too old, or its age can't be told. */
-    NOTHING("nothing");
+    UNUSABLE("nothing");
 
     private final String wireName;
 
--- a/src/test/java/cacheproxy/state/CrashTest.java
+++ b/src/test/java/cacheproxy/state/CrashTest.java
@@ -107,25 +107,25 @@
                         keeper.put(now, record(kind, next));
                     }
                     now += 10_000;
-                    Write write = keeper.next(now);
+                    Write write = keeper.nextWrite(now);
                     assertThat(write).isNotNull();
                     for (Disk dead : disk.deaths(write)) {
                         deaths++;
                         OpenedState opened = dead.open();
-                        assertThat(opened.findings()).allMatch(f -> f.harm() == Severity.NONE);
+                        assertThat(opened.findings()).allMatch(f -> f.severity() == Severity.HARMLESS);
                         for (RecordKind kind : RecordKind.values()) {
                             assertThat(number(opened.records().get(kind)))
                                     .isBetween(done.getOrDefault(kind, 0), put.getOrDefault(kind, 0));
                         }
                     }
                     disk.whole(write);
-                    keeper.done(now);
+                    keeper.writeSucceeded(now);
                     done.putAll(put);
                 }
                 // The life ends in one more write, somewhere.
-                keeper.put(now, record(RecordKind.LIST, ++next));
-                put.put(RecordKind.LIST, next);
-                List<Disk> ends = disk.deaths(keeper.next(now + 10_000));
+                keeper.put(now, record(RecordKind.ENDPOINT_LIST, ++next));
+                put.put(RecordKind.ENDPOINT_LIST, next);
+                List<Disk> ends = disk.deaths(keeper.nextWrite(now + 10_000));
                 disk = ends.get(random.nextInt(ends.size()));
                 disk.open().records().forEach((kind, r) -> done.put(kind, number(r)));
                 put.clear(); // what went down with it is known to nobody
@@ -140,9 +140,9 @@
         RecordStore keeper = new RecordStore(OpenedState.EMPTY, ME, FLEET);
         for (int i = 0; i < 4; i++) {
             keeper.put(i, record(RecordKind.values()[i], 10 + i));
-            Write w = keeper.next(i + 10_000);
+            Write w = keeper.nextWrite(i + 10_000);
             disk.whole(w);
-            keeper.done(i + 10_000);
+            keeper.writeSucceeded(i + 10_000);
         }
         return disk;
     }
--- a/src/test/java/cacheproxy/state/RecordStoreTest.java
+++ b/src/test/java/cacheproxy/state/RecordStoreTest.java
@@ -20,44 +20,44 @@
 
     private static RecordStore begun() {
         RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
-        assertThat(k.next(0)).isInstanceOf(Write.Replace.class);
-        k.done(0);
+        assertThat(k.nextWrite(0)).isInstanceOf(Write.Replace.class);
+        k.writeSucceeded(0);
         return k;
     }
 
     @Test
     void whatIsUrgentIsWrittenSoonAndWhatIsLearntGathered() {
         RecordStore k = begun();
-        assertThat(k.dueMs()).isInfinite();
-        k.put(1000, record(RecordKind.LEARNT, "a"));
-        assertThat(k.next(1000)).isNull();
-        assertThat(k.dueMs()).isEqualTo(6000);
-        k.put(1500, record(RecordKind.LIST, "b"));
-        assertThat(k.dueMs()).isEqualTo(1600);
-        Write w = k.next(1600);
+        assertThat(k.nextWriteAtMs()).isInfinite();
+        k.put(1000, record(RecordKind.LEARNED_STATE, "a"));
+        assertThat(k.nextWrite(1000)).isNull();
+        assertThat(k.nextWriteAtMs()).isEqualTo(6000);
+        k.put(1500, record(RecordKind.ENDPOINT_LIST, "b"));
+        assertThat(k.nextWriteAtMs()).isEqualTo(1600);
+        Write w = k.nextWrite(1600);
         assertThat(new String(((Write.Append) w).bytes(), StandardCharsets.UTF_8))
                 .contains("learnt", "list");
-        k.put(1601, record(RecordKind.LIST, "c"));
-        assertThat(k.next(9000)).as("one is under way").isNull();
-        k.done(9000);
-        assertThat(k.next(9000)).isNotNull();
+        k.put(1601, record(RecordKind.ENDPOINT_LIST, "c"));
+        assertThat(k.nextWrite(9000)).as("one is under way").isNull();
+        k.writeSucceeded(9000);
+        assertThat(k.nextWrite(9000)).isNotNull();
     }
 
     @Test
     void afterAFailureAllOfItIsWrittenAndEachFurtherOneDoublesTheWait() {
         RecordStore k = begun();
-        k.put(0, record(RecordKind.LIST, "b"));
-        assertThat(k.next(100)).isInstanceOf(Write.Append.class);
-        k.failed(100);
+        k.put(0, record(RecordKind.ENDPOINT_LIST, "b"));
+        assertThat(k.nextWrite(100)).isInstanceOf(Write.Append.class);
+        k.writeFailed(100);
         double now = 100;
         for (double wait : new double[] {1000, 2000, 4000}) {
-            assertThat(k.next(now + wait - 1)).isNull();
+            assertThat(k.nextWrite(now + wait - 1)).isNull();
             now += wait;
-            assertThat(k.next(now)).isInstanceOf(Write.Replace.class);
-            k.failed(now);
+            assertThat(k.nextWrite(now)).isInstanceOf(Write.Replace.class);
+            k.writeFailed(now);
         }
-        assertThat(k.dueMs()).isEqualTo(now + 8000);
-        assertThat(k.failures()).isEqualTo(4);
+        assertThat(k.nextWriteAtMs()).isEqualTo(now + 8000);
+        assertThat(k.failedWrites()).isEqualTo(4);
     }
 
     @Test
@@ -67,35 +67,37 @@
         int replaced = 0;
         long urgent = 0;
         for (int i = 1; i <= 120; i++) {
-            k.put(i * 100, record(RecordKind.LIST, big + i));
-            Write w = k.next(i * 100 + 100);
+            k.put(i * 100, record(RecordKind.ENDPOINT_LIST, big + i));
+            Write w = k.nextWrite(i * 100 + 100);
             replaced += w instanceof Write.Replace ? 1 : 0;
             urgent++;
-            k.done(i * 100 + 100);
+            k.writeSucceeded(i * 100 + 100);
         }
         assertThat(replaced).isBetween(15, 25);
-        assertThat(k.written()).isGreaterThan(RecordStore.MOST_MINUTE);
-        k.put(12_200, record(RecordKind.LEARNT, "lazy"));
-        assertThat(k.dueMs()).as("what is not urgent waits for the next minute").isGreaterThan(40_000);
-        k.put(12_200, record(RecordKind.ORDERS, "urgent"));
-        assertThat(k.dueMs()).isEqualTo(12_300);
+        assertThat(k.bytesWritten()).isGreaterThan(RecordStore.MAX_BYTES_PER_MINUTE);
+        k.put(12_200, record(RecordKind.LEARNED_STATE, "lazy"));
+        assertThat(k.nextWriteAtMs())
+                .as("what is not urgent waits for the next minute")
+                .isGreaterThan(40_000);
+        k.put(12_200, record(RecordKind.OPERATOR_ORDERS, "urgent"));
+        assertThat(k.nextWriteAtMs()).isEqualTo(12_300);
         assertThat(urgent).isEqualTo(120);
     }
 
     @Test
     void whatIsTooLongIsNotKept() {
         RecordStore k = begun();
-        k.put(0, record(RecordKind.LIST, "x".repeat(RecordStore.MOST_RECORD + 1)));
-        assertThat(k.get(RecordKind.LIST)).isNull();
-        assertThat(k.dropped()).isEqualTo(1);
+        k.put(0, record(RecordKind.ENDPOINT_LIST, "x".repeat(RecordStore.MAX_RECORD_BYTES + 1)));
+        assertThat(k.get(RecordKind.ENDPOINT_LIST)).isNull();
+        assertThat(k.oversizedRecords()).isEqualTo(1);
     }
 
     /** An epoch of the files never goes back, whoever wrote last. */
     @Test
     void whatAnotherProcessWroteComesBefore() {
         RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
-        k.after(new StateFileHeader("p", "f", 17, 4));
-        Write.Replace w = (Write.Replace) k.next(0);
+        k.continueAfter(new StateFileHeader("p", "f", 17, 4));
+        Write.Replace w = (Write.Replace) k.nextWrite(0);
         StateFileHeader h =
                 OpenedState.read(w.snapshot(), w.journal(), "p", "f").header();
         assertThat(h.generation()).isEqualTo(18);
@@ -105,30 +107,30 @@
     /** Ages in seconds; -300 is a clock that was set back by five minutes. */
     @ParameterizedTest
     @CsvSource({
-        "INCARNATION,-300,HOLDS",
-        "INCARNATION,1e9,HOLDS",
-        "ORDERS,-300,HOLDS",
-        "ORDERS,1e9,HOLDS",
-        "LIST,0,HOLDS",
-        "LIST,61,HINT",
-        "LIST,86401,NOTHING",
-        "LIST,-300,NOTHING",
-        "LEARNT,29,HOLDS",
-        "LEARNT,31,HINT",
-        "LEARNT,601,NOTHING",
-        "LEARNT,-1,NOTHING",
-        "ZONES,59,HOLDS",
-        "ZONES,61,HINT",
-        "ZONES,1e9,HINT",
-        "ZONES,-300,HINT",
-        "LIST,NaN,NOTHING"
+        "INCARNATION,-300,VALID",
+        "INCARNATION,1e9,VALID",
+        "OPERATOR_ORDERS,-300,VALID",
+        "OPERATOR_ORDERS,1e9,VALID",
+        "ENDPOINT_LIST,0,VALID",
+        "ENDPOINT_LIST,61,HINT",
+        "ENDPOINT_LIST,86401,UNUSABLE",
+        "ENDPOINT_LIST,-300,UNUSABLE",
+        "LEARNED_STATE,29,VALID",
+        "LEARNED_STATE,31,HINT",
+        "LEARNED_STATE,601,UNUSABLE",
+        "LEARNED_STATE,-1,UNUSABLE",
+        "ZONE_STATES,59,VALID",
+        "ZONE_STATES,61,HINT",
+        "ZONE_STATES,1e9,HINT",
+        "ZONE_STATES,-300,HINT",
+        "ENDPOINT_LIST,NaN,UNUSABLE"
     })
     void whatWasKeptIsUsedAsFarAsItsAgeAllows(RecordKind kind, double seconds, Validity use) {
-        assertThat(kind.use(seconds * 1000)).isEqualTo(use);
+        assertThat(kind.validity(seconds * 1000)).isEqualTo(use);
     }
 
     private static OpenedState open(String head, String instance) {
-        Write.Replace w = (Write.Replace) new RecordStore(OpenedState.EMPTY, "p", "f").next(0);
+        Write.Replace w = (Write.Replace) new RecordStore(OpenedState.EMPTY, "p", "f").nextWrite(0);
         byte[] snapshot = head == null ? w.snapshot() : head.getBytes(StandardCharsets.UTF_8);
         return OpenedState.read(snapshot, null, instance, "f");
     }
@@ -137,14 +139,14 @@
     @Test
     void whatIsAnothersIsOfNoUse() {
         assertThat(open(null, "p").findings()).isEmpty();
-        assertThat(open(null, "q").findings()).extracting(Finding::harm).containsExactly(Severity.ALL);
+        assertThat(open(null, "q").findings()).extracting(Finding::severity).containsExactly(Severity.UNUSABLE);
         assertThat(open(null, "q").findings().get(0))
                 .hasToString("snapshot:1: belongs to p of fleet 'f', not to q of fleet 'f'");
         String later = "{\"state\":2}";
         CRC32C crc = new CRC32C();
         crc.update(later.getBytes(StandardCharsets.UTF_8));
         assertThat(open(String.format("%08x %s%n", crc.getValue(), later), "p").findings())
-                .extracting(Finding::what)
+                .extracting(Finding::problem)
                 .isEqualTo(List.of("is of version 2, and this program reads 1"));
     }
 
@@ -152,16 +154,18 @@
     @Test
     void aJournalOfAnotherGenerationIsTakenOnlyIfItIsAhead() {
         RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
-        k.put(0, record(RecordKind.LIST, "old"));
-        Write.Replace first = (Write.Replace) k.next(1000);
-        k.failed(1000);
-        k.put(1000, record(RecordKind.LIST, "new"));
-        Write.Replace second = (Write.Replace) k.next(5000);
+        k.put(0, record(RecordKind.ENDPOINT_LIST, "old"));
+        Write.Replace first = (Write.Replace) k.nextWrite(1000);
+        k.writeFailed(1000);
+        k.put(1000, record(RecordKind.ENDPOINT_LIST, "new"));
+        Write.Replace second = (Write.Replace) k.nextWrite(5000);
         OpenedState behind = OpenedState.read(second.snapshot(), first.journal(), "p", "f");
-        assertThat(behind.records().get(RecordKind.LIST).body().getAsString()).isEqualTo("new");
-        assertThat(behind.findings()).extracting(Finding::harm).containsExactly(Severity.NONE);
+        assertThat(behind.records().get(RecordKind.ENDPOINT_LIST).body().getAsString())
+                .isEqualTo("new");
+        assertThat(behind.findings()).extracting(Finding::severity).containsExactly(Severity.HARMLESS);
         OpenedState ahead = OpenedState.read(first.snapshot(), second.journal(), "p", "f");
-        assertThat(ahead.records().get(RecordKind.LIST).body().getAsString()).isEqualTo("old");
-        assertThat(ahead.findings()).extracting(Finding::harm).containsExactly(Severity.SOME);
+        assertThat(ahead.records().get(RecordKind.ENDPOINT_LIST).body().getAsString())
+                .isEqualTo("old");
+        assertThat(ahead.findings()).extracting(Finding::severity).containsExactly(Severity.RECORDS_LOST);
     }
 }
--- a/src/test/java/cacheproxy/state/StateFolderTest.java
+++ b/src/test/java/cacheproxy/state/StateFolderTest.java
@@ -34,11 +34,11 @@
     }
 
     private static RecordStore write(StateFolder folder, int... numbers) throws IOException {
-        RecordStore keeper = new RecordStore(folder.open("p", "f"), "p", "f");
+        RecordStore keeper = new RecordStore(folder.read("p", "f"), "p", "f");
         for (int n : numbers) {
             keeper.put(n, record(n));
-            folder.write(keeper.next(n + 1e6));
-            keeper.done(n);
+            folder.write(keeper.nextWrite(n + 1e6));
+            keeper.writeSucceeded(n);
         }
         return keeper;
     }
@@ -47,11 +47,11 @@
     void whatIsWrittenIsThereForTheNext() throws IOException {
         Path there = path.resolve("not/yet");
         try (StateFolder folder = new StateFolder(there)) {
-            assertThat(folder.open("p", "f").findings()).isEmpty();
-            assertThat(folder.lock()).isTrue();
+            assertThat(folder.read("p", "f").findings()).isEmpty();
+            assertThat(folder.tryLock()).isTrue();
             write(folder, 1, 2, 3);
         }
-        OpenedState opened = new StateFolder(there).open("p", "f");
+        OpenedState opened = new StateFolder(there).read("p", "f");
         assertThat(number(opened)).isEqualTo(3);
         assertThat(opened.header().starts()).isEqualTo(1);
         assertThat(opened.findings()).isEmpty();
@@ -61,10 +61,10 @@
     void onlyOneWritesAtATime() throws IOException {
         try (StateFolder one = new StateFolder(path);
                 StateFolder two = new StateFolder(path)) {
-            assertThat(one.lock()).isTrue();
-            assertThat(two.lock()).isFalse();
+            assertThat(one.tryLock()).isTrue();
+            assertThat(two.tryLock()).isFalse();
             one.close();
-            assertThat(two.lock()).isTrue();
+            assertThat(two.tryLock()).isTrue();
         }
     }
 
@@ -75,17 +75,17 @@
             RecordStore keeper = write(folder, 1);
             Path inTheWay = Files.createDirectory(path.resolve("snapshot.new"));
             keeper.put(2, record(2));
-            folder.write(keeper.next(1e7)); // an append needs no new file
-            keeper.failed(1e7);
+            folder.write(keeper.nextWrite(1e7)); // an append needs no new file
+            keeper.writeFailed(1e7);
             keeper.put(3, record(3));
-            RecordStore.Write third = keeper.next(2e7);
+            RecordStore.Write third = keeper.nextWrite(2e7);
             assertThatThrownBy(() -> folder.write(third)).isInstanceOf(IOException.class);
-            keeper.failed(2e7);
-            assertThat(number(folder.open("p", "f"))).isEqualTo(2);
+            keeper.writeFailed(2e7);
+            assertThat(number(folder.read("p", "f"))).isEqualTo(2);
             Files.delete(inTheWay);
-            folder.write(keeper.next(3e7));
-            keeper.done(3e7);
-            assertThat(number(folder.open("p", "f"))).isEqualTo(3);
+            folder.write(keeper.nextWrite(3e7));
+            keeper.writeSucceeded(3e7);
+            assertThat(number(folder.read("p", "f"))).isEqualTo(3);
         }
     }
 
@@ -98,10 +98,10 @@
                 Files.delete(file);
             }
             keeper.put(2, record(2));
-            folder.write(keeper.next(1e7)); // into a file that has no name any more
-            keeper.failed(1e7);
-            folder.write(keeper.next(2e7));
-            assertThat(number(folder.open("p", "f"))).isEqualTo(2);
+            folder.write(keeper.nextWrite(1e7)); // into a file that has no name any more
+            keeper.writeFailed(1e7);
+            folder.write(keeper.nextWrite(2e7));
+            assertThat(number(folder.read("p", "f"))).isEqualTo(2);
         }
     }
 
@@ -109,8 +109,8 @@
     void aFileInPlaceOfTheFolderIsToldAndNothingElse() throws IOException {
         Path file = Files.writeString(path.resolve("file"), "x");
         try (StateFolder folder = new StateFolder(file)) {
-            assertThat(folder.open("p", "f").records()).isEmpty();
-            assertThatThrownBy(folder::lock).isInstanceOf(IOException.class);
+            assertThat(folder.read("p", "f").records()).isEmpty();
+            assertThatThrownBy(folder::tryLock).isInstanceOf(IOException.class);
         }
     }
 
@@ -118,9 +118,9 @@
     void anothersFilesAreLaidAside() throws IOException {
         try (StateFolder folder = new StateFolder(path)) {
             write(folder, 1);
-            OpenedState others = folder.open("q", "f");
+            OpenedState others = folder.read("q", "f");
             assertThat(others.records()).isEmpty();
-            assertThat(others.findings()).allMatch(f -> f.harm() == Severity.ALL);
+            assertThat(others.findings()).allMatch(f -> f.severity() == Severity.UNUSABLE);
             folder.setAside();
         }
         assertThat(path.resolve("snapshot.aside")).exists();
@@ -131,12 +131,12 @@
     static final class Writer {
         public static void main(String[] words) throws IOException {
             try (StateFolder folder = new StateFolder(Path.of(words[0]))) {
-                folder.lock();
-                RecordStore keeper = new RecordStore(folder.open("p", "f"), "p", "f");
+                folder.tryLock();
+                RecordStore keeper = new RecordStore(folder.read("p", "f"), "p", "f");
                 for (int n = Integer.parseInt(words[1]); ; n++) {
                     keeper.put(n, record(n));
-                    folder.write(keeper.next(n + 1e6));
-                    keeper.done(n);
+                    folder.write(keeper.nextWrite(n + 1e6));
+                    keeper.writeSucceeded(n);
                     System.out.println(n);
                 }
             }
@@ -174,9 +174,9 @@
             assertThat(process.waitFor(10, TimeUnit.SECONDS)).isTrue();
             int last = Integer.parseInt(
                     said.get(said.size() - 1).matches("\\d+") ? said.get(said.size() - 1) : said.get(said.size() - 2));
-            OpenedState opened = new StateFolder(path).open("p", "f");
+            OpenedState opened = new StateFolder(path).read("p", "f");
             assertThat(number(opened)).as("%s", said).isBetween(last, last + 1);
-            assertThat(opened.findings()).allMatch(f -> f.harm() == Severity.NONE);
+            assertThat(opened.findings()).allMatch(f -> f.severity() == Severity.HARMLESS);
             assertThat(opened.header().starts()).isEqualTo(kill);
             done = number(opened);
         }
--- a/src/test/java/cacheproxy/state/StoredFormTest.java
+++ b/src/test/java/cacheproxy/state/StoredFormTest.java
@@ -38,30 +38,30 @@
         keeper.put(
                 0,
                 record(
-                        RecordKind.LIST,
+                        RecordKind.ENDPOINT_LIST,
                         TOLD_MS + 1,
                         "{\"seq\":43,\"whole\":true,\"hosts\":[" + host("s-0000beef", "up") + ","
                                 + host("s-0000bef0", "draining") + "]}"));
-        keeper.put(0, record(RecordKind.LEARNT, TOLD_MS + 2, PinnedFile.text("proxy/learned-state.json")));
+        keeper.put(0, record(RecordKind.LEARNED_STATE, TOLD_MS + 2, PinnedFile.text("proxy/learned-state.json")));
         keeper.put(
                 0,
                 record(
-                        RecordKind.ZONES,
+                        RecordKind.ZONE_STATES,
                         TOLD_MS + 3,
                         "{\"east\":{\"epoch\":4,\"open\":15,\"cause\":\"evidence\",\"leaves\":1,\"floor\":4}}"));
         keeper.put(
                 0,
                 record(
-                        RecordKind.ORDERS,
+                        RecordKind.OPERATOR_ORDERS,
                         TOLD_MS + 4,
                         "{\"west\":{\"epoch\":9,\"open\":0,\"cause\":\"leave\",\"leaves\":2,\"floor\":9}}"));
-        Write.Replace first = (Write.Replace) keeper.next(0);
-        keeper.done(0);
+        Write.Replace first = (Write.Replace) keeper.nextWrite(0);
+        keeper.writeSucceeded(0);
         ByteArrayOutputStream journal = new ByteArrayOutputStream();
         journal.writeBytes(first.journal());
-        keeper.put(1, record(RecordKind.LEARNT, TOLD_MS + 40_000.5, "{}"));
-        keeper.put(1, record(RecordKind.LIST, TOLD_MS + 40_001, "{\"seq\":44,\"whole\":true,\"hosts\":[]}"));
-        journal.writeBytes(((Write.Append) keeper.next(10_000)).bytes());
+        keeper.put(1, record(RecordKind.LEARNED_STATE, TOLD_MS + 40_000.5, "{}"));
+        keeper.put(1, record(RecordKind.ENDPOINT_LIST, TOLD_MS + 40_001, "{\"seq\":44,\"whole\":true,\"hosts\":[]}"));
+        journal.writeBytes(((Write.Append) keeper.nextWrite(10_000)).bytes());
         return new byte[][] {first.snapshot(), journal.toByteArray()};
     }
 
@@ -97,10 +97,10 @@
                 "empty-files"
             })
     void eachFolderIsReadAsItWas(String folder) {
-        OpenedState opened = new StateFolder(PinnedFile.path("state/" + folder)).open(ME, FLEET);
+        OpenedState opened = new StateFolder(PinnedFile.path("state/" + folder)).read(ME, FLEET);
         StateReport inspection = new StateReport(opened, NOW_MS);
-        PinnedFile.assertJson("state/" + folder + "/inspection.json", inspection.json());
-        PinnedFile.assertText("state/" + folder + "/inspection.txt", inspection.text());
+        PinnedFile.assertJson("state/" + folder + "/inspection.json", inspection.toJson());
+        PinnedFile.assertText("state/" + folder + "/inspection.txt", inspection.toText());
     }
 
     /** How far each kind may be used over its age: what a process that starts decides by. */
@@ -116,7 +116,7 @@
                 StoredRecord r = new StoredRecord(kind, 0, JsonParser.parseString("1"));
                 OpenedState opened = new OpenedState(new StateFileHeader(ME, FLEET, 1, 1), Map.of(kind, r), List.of());
                 String use = new StateReport(opened, age)
-                        .json()
+                        .toJson()
                         .getAsJsonArray("records")
                         .get(0)
                         .getAsJsonObject()
