--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -2,9 +2,9 @@
 
 import cacheproxy.cli.Cli;
 import cacheproxy.config.edge.EdgeFile;
+import cacheproxy.control.AdminPort;
 import cacheproxy.control.ControlRegistry;
 import cacheproxy.control.ControlServer;
-import cacheproxy.control.Door;
 import cacheproxy.control.ProxyControl;
 import cacheproxy.proxy.Proxy;
 import cacheproxy.proxy.SighupHandler;
@@ -34,7 +34,7 @@
     /** What a proxy that is asked loads, so that it stands in the archive. */
     private static void openDoor(Proxy proxy) {
         try {
-            Door.practise(proxy.loop(), ProxyControl.registry(proxy));
+            AdminPort.practise(proxy.loop(), ProxyControl.registry(proxy));
         } catch (Exception e) {
             System.err.println("the door was not tried: " + e);
         }
@@ -100,7 +100,7 @@
         }
         try {
             if (proxy.operator() != null) {
-                new Door(proxy.loop(), proxy.operator(), registry); // as long as the process serves
+                new AdminPort(proxy.loop(), proxy.operator(), registry); // as long as the process serves
             }
         } catch (Exception e) {
             System.err.println("can't listen for operators on " + proxy.operator() + ": " + e.getMessage());
--- a/src/main/java/cacheproxy/control/DoorCall.java
+++ b/src/main/java/cacheproxy/control/AdminCommand.java
@@ -1,7 +1,7 @@
 package cacheproxy.control;
 
 /** What operators can ask for at the door: one word on a line. Answered on the event loop, so it must not wait. */
-interface DoorCall {
+interface AdminCommand {
     /** The word. */
     String word();
 
--- a/src/main/java/cacheproxy/control/Door.java
+++ b/src/main/java/cacheproxy/control/AdminPort.java
@@ -28,7 +28,7 @@
  * Where operators ask: a line a connection, answered and then closed, on the proxy's event loop. Bounded in callers and
  * in the time that each may take, as some say nothing, or half a call, and stay.
  */
-public final class Door implements AutoCloseable {
+public final class AdminPort implements AutoCloseable {
     /** Callers at a time; one more takes the place of the one that has been there longest. */
     static final int MAX_CALLERS = 32;
     /** The longest call, in bytes. */
@@ -36,9 +36,9 @@
 
     private static final int STAY_S = 5;
 
-    private static final Map<String, DoorCall> CALLS =
-            List.<DoorCall>of(new HealthCall(), new DumpCall(), new HandoverCall()).stream()
-                    .collect(Collectors.toUnmodifiableMap(DoorCall::word, Function.identity()));
+    private static final Map<String, AdminCommand> CALLS =
+            List.<AdminCommand>of(new HealthCommand(), new DumpCommand(), new HandoverCommand()).stream()
+                    .collect(Collectors.toUnmodifiableMap(AdminCommand::word, Function.identity()));
 
     private final ControlRegistry registry;
     private final Channel server;
@@ -49,7 +49,7 @@
      *
      * @throws Exception if it can't listen there
      */
-    public Door(EventLoop loop, InetSocketAddress address, ControlRegistry registry) throws Exception {
+    public AdminPort(EventLoop loop, InetSocketAddress address, ControlRegistry registry) throws Exception {
         this.registry = registry;
         server = new ServerBootstrap()
                 .group(loop, loop)
@@ -68,7 +68,7 @@
 
     /** Opens a door, asks all that can be asked there, and closes it. */
     public static void practise(EventLoop loop, ControlRegistry registry) throws Exception {
-        try (Door door = new Door(loop, new InetSocketAddress("127.0.0.1", 0), registry)) {
+        try (AdminPort door = new AdminPort(loop, new InetSocketAddress("127.0.0.1", 0), registry)) {
             for (String word : CALLS.keySet()) {
                 try (Socket caller = new Socket()) {
                     caller.connect(door.address());
@@ -109,7 +109,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
             String word = line.toString(StandardCharsets.UTF_8).trim();
-            DoorCall call = CALLS.get(word);
+            AdminCommand call = CALLS.get(word);
             say(
                     ctx,
                     call != null
--- a/src/main/java/cacheproxy/control/ControlRegistry.java
+++ b/src/main/java/cacheproxy/control/ControlRegistry.java
@@ -27,7 +27,7 @@
 
     private final Map<String, Command> commands = new TreeMap<>();
     private final Map<String, Supplier<JsonObject>> sections = new TreeMap<>();
-    private final List<Supplier<List<Figure>>> figures = new ArrayList<>();
+    private final List<Supplier<List<MetricSample>>> figures = new ArrayList<>();
 
     /** With the commands {@code status} and {@code help}. */
     public ControlRegistry() {
@@ -65,7 +65,7 @@
     }
 
     /** Adds figures; where there are any, {@code status} shows them all in a section of their own. */
-    public void figures(Supplier<List<Figure>> some) {
+    public void figures(Supplier<List<MetricSample>> some) {
         if (figures.isEmpty()) {
             section("figures", () -> {
                 JsonObject o = new JsonObject();
@@ -77,7 +77,7 @@
     }
 
     /** All figures as they are now. */
-    List<Figure> figures() {
+    List<MetricSample> figures() {
         return figures.stream().flatMap(some -> some.get().stream()).toList();
     }
 
--- a/src/main/java/cacheproxy/control/DumpCall.java
+++ b/src/main/java/cacheproxy/control/DumpCommand.java
@@ -1,7 +1,7 @@
 package cacheproxy.control;
 
 /** All figures in the line form of statsd, then {@code END}. */
-final class DumpCall implements DoorCall {
+final class DumpCommand implements AdminCommand {
     private static final String PREFIX = "edge_balancer.";
 
     @Override
@@ -12,13 +12,13 @@
     @Override
     public String answer(ControlRegistry registry) {
         StringBuilder text = new StringBuilder(1024);
-        for (Figure f : registry.figures()) {
+        for (MetricSample f : registry.figures()) {
             text.append(PREFIX)
                     .append(f.name())
                     .append(':')
                     .append(f.value())
                     .append('|')
-                    .append(f.kind() == Figure.Kind.COUNT ? 'c' : 'g')
+                    .append(f.kind() == MetricSample.Kind.COUNT ? 'c' : 'g')
                     .append('\n');
         }
         return text.append("END\n").toString();
--- a/src/main/java/cacheproxy/control/HandoverCall.java
+++ b/src/main/java/cacheproxy/control/HandoverCommand.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonObject;
 
 /** Where an upgrade stands, as the process that is asked sees it. */
-final class HandoverCall implements DoorCall {
+final class HandoverCommand implements AdminCommand {
     /** The section of {@code status} that says the same. */
     static final String SECTION = "handover";
 
--- a/src/main/java/cacheproxy/control/HealthCall.java
+++ b/src/main/java/cacheproxy/control/HealthCommand.java
@@ -1,7 +1,7 @@
 package cacheproxy.control;
 
 /** Whether this process takes clients. The door opens when it does, so whoever can ask hears yes. */
-final class HealthCall implements DoorCall {
+final class HealthCommand implements AdminCommand {
     @Override
     public String word() {
         return "HEALTH";
--- a/src/main/java/cacheproxy/control/Figure.java
+++ b/src/main/java/cacheproxy/control/MetricSample.java
@@ -7,7 +7,7 @@
  * @param kind whether it only grows
  * @param value a whole number, 0 or more
  */
-public record Figure(String name, Kind kind, long value) {
+public record MetricSample(String name, Kind kind, long value) {
     /** What a figure tells. */
     public enum Kind {
         /** How often something has happened since the process began. */
--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -1,6 +1,6 @@
 package cacheproxy.control;
 
-import cacheproxy.control.Figure.Kind;
+import cacheproxy.control.MetricSample.Kind;
 import cacheproxy.drain.Drain;
 import cacheproxy.membership.View;
 import cacheproxy.proxy.Proxy;
@@ -43,7 +43,7 @@
             o.addProperty("values_waiting", s.waiting());
             return o;
         });
-        registry.section(HandoverCall.SECTION, () -> {
+        registry.section(HandoverCommand.SECTION, () -> {
             Proxy.Status s = proxy.status();
             JsonObject o = new JsonObject();
             o.addProperty("phase", AnswerWords.of(s.handover()));
@@ -73,8 +73,8 @@
         registry.section("rules", () -> rules(proxy.ruleCounts()));
         registry.section("view", () -> view(proxy.fleetView()));
         registry.command("view", arguments -> members(proxy.fleetView()));
-        ZoneCall.register(registry, proxy::zones);
-        RecoveryCall.register(registry, proxy::recovering);
+        ZoneControl.register(registry, proxy::zones);
+        RecoveryReport.register(registry, proxy::recovering);
         return registry;
     }
 
@@ -100,23 +100,23 @@
         return o;
     }
 
-    private static List<Figure> figures(Proxy.Status s, RuleCounts rules) {
-        List<Figure> figures = new ArrayList<>();
+    private static List<MetricSample> figures(Proxy.Status s, RuleCounts rules) {
+        List<MetricSample> figures = new ArrayList<>();
         s.classes().forEach((name, c) -> {
-            figures.add(new Figure("succeeded." + name, Kind.COUNT, c.succeeded()));
-            figures.add(new Figure("declined." + name, Kind.COUNT, c.declined()));
-            figures.add(new Figure("aborted." + name, Kind.COUNT, c.aborted()));
+            figures.add(new MetricSample("succeeded." + name, Kind.COUNT, c.succeeded()));
+            figures.add(new MetricSample("declined." + name, Kind.COUNT, c.declined()));
+            figures.add(new MetricSample("aborted." + name, Kind.COUNT, c.aborted()));
         });
-        figures.add(new Figure("forwards", Kind.COUNT, s.forwards()));
-        figures.add(new Figure("outstanding", Kind.GAUGE, s.owed()));
-        figures.add(new Figure("discovered", Kind.GAUGE, s.discovered()));
-        figures.add(new Figure("ejected", Kind.GAUGE, s.ejected()));
-        figures.add(new Figure("sighup_applied", Kind.COUNT, s.applied()));
-        figures.add(new Figure("sighup_rejected", Kind.COUNT, s.rejected()));
+        figures.add(new MetricSample("forwards", Kind.COUNT, s.forwards()));
+        figures.add(new MetricSample("outstanding", Kind.GAUGE, s.owed()));
+        figures.add(new MetricSample("discovered", Kind.GAUGE, s.discovered()));
+        figures.add(new MetricSample("ejected", Kind.GAUGE, s.ejected()));
+        figures.add(new MetricSample("sighup_applied", Kind.COUNT, s.applied()));
+        figures.add(new MetricSample("sighup_rejected", Kind.COUNT, s.rejected()));
         new TreeMap<>(rules.forbidden())
-                .forEach((key, count) -> figures.add(new Figure("forbidden." + key, Kind.COUNT, count)));
+                .forEach((key, count) -> figures.add(new MetricSample("forbidden." + key, Kind.COUNT, count)));
         new TreeMap<>(rules.breaches())
-                .forEach((key, count) -> figures.add(new Figure("breaches." + key, Kind.COUNT, count)));
+                .forEach((key, count) -> figures.add(new MetricSample("breaches." + key, Kind.COUNT, count)));
         return figures;
     }
 
--- a/src/main/java/cacheproxy/control/RecoveryCall.java
+++ b/src/main/java/cacheproxy/control/RecoveryReport.java
@@ -1,26 +1,26 @@
 package cacheproxy.control;
 
-import cacheproxy.proxy.Recovering;
-import cacheproxy.recovery.Progress;
-import cacheproxy.recovery.Trust;
+import cacheproxy.proxy.RecoveryStatus;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.recovery.RecoveryProgress;
 import cacheproxy.state.RecordStore;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.util.function.Supplier;
 
 /** How a proxy comes back and what it keeps, as the section {@code recovery} of its status. */
-final class RecoveryCall {
+final class RecoveryReport {
     static final String SECTION = "recovery";
 
-    private RecoveryCall() {}
+    private RecoveryReport() {}
 
-    static void register(ControlRegistry registry, Supplier<Recovering> recovering) {
+    static void register(ControlRegistry registry, Supplier<RecoveryStatus> recovering) {
         registry.section(SECTION, () -> json(recovering.get(), (double) System.currentTimeMillis()));
     }
 
-    private static JsonObject json(Recovering r, double nowMs) {
+    private static JsonObject json(RecoveryStatus r, double nowMs) {
         JsonObject o = new JsonObject();
-        Progress p = r.progress();
+        RecoveryProgress p = r.progress();
         o.addProperty("stage", p == null ? "not looked at" : p.stage().wireName());
         if (p != null) {
             seconds(o, "list_after_s", p.listAfterMs());
@@ -32,8 +32,8 @@
             o.addProperty("clients_ended", r.spread().ended());
         }
         JsonArray trusted = new JsonArray();
-        for (Trust.Thing thing : Trust.Thing.values()) {
-            Trust.Standing s = r.trust().of(thing);
+        for (ProvenanceTracker.Subject thing : ProvenanceTracker.Subject.values()) {
+            ProvenanceTracker.Entry s = r.trust().of(thing);
             JsonObject t = new JsonObject();
             t.addProperty("thing", thing.wireName());
             t.addProperty("from", s.source().wireName());
--- a/src/main/java/cacheproxy/control/ZoneCall.java
+++ b/src/main/java/cacheproxy/control/ZoneControl.java
@@ -8,16 +8,16 @@
 import java.util.function.Supplier;
 
 /** What operators ask and order of zones: the section {@code zones} of the status, and the command {@code zone}. */
-final class ZoneCall {
+final class ZoneControl {
     private final Supplier<FleetZones> zones;
 
-    private ZoneCall(Supplier<FleetZones> zones) {
+    private ZoneControl(Supplier<FleetZones> zones) {
         this.zones = zones;
     }
 
     /** {@code zones}: null where this proxy decides nothing of zones. */
     static void register(ControlRegistry registry, Supplier<FleetZones> zones) {
-        ZoneCall call = new ZoneCall(zones);
+        ZoneControl call = new ZoneControl(zones);
         registry.section("zones", call::status);
         registry.command("zone", call::run);
     }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -18,7 +18,7 @@
 import cacheproxy.proxy.discovery.Host;
 import cacheproxy.proxy.discovery.ListSource;
 import cacheproxy.proxy.discovery.ProvisionalList;
-import cacheproxy.recovery.Trust;
+import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
 import cacheproxy.routing.AttemptEnd;
@@ -109,9 +109,9 @@
     private MemberLink members;
     private NodeTalk nodes;
     private ZoneLink zones;
-    private RecallLink recall;
+    private StateQueryLink recall;
     /** What is worked with that was not seen here, and until when it may be. */
-    private final Trust trust = new Trust();
+    private final ProvenanceTracker trust = new ProvenanceTracker();
     /** Who wants to know of news of the list once it is in use. */
     private final List<Consumer<EndpointUpdateKind>> followers = new ArrayList<>();
 
@@ -465,7 +465,7 @@
     }
 
     /** What is worked with that was not seen here. */
-    Trust trust() {
+    ProvenanceTracker trust() {
         return trust;
     }
 
@@ -476,7 +476,7 @@
 
     @Override
     public void inUse(long version) {
-        trust.confirmed(Trust.Thing.LIST);
+        trust.confirmed(ProvenanceTracker.Subject.LIST);
         if (news != null) {
             news.held(version);
         }
@@ -501,7 +501,7 @@
     }
 
     /** Who asks peers what they remember, and answers them. */
-    void recall(RecallLink by) {
+    void recall(StateQueryLink by) {
         recall = by;
     }
 
@@ -575,7 +575,7 @@
                 terms.bytes(),
                 c.write,
                 terms.repeat());
-        trust.decided(now, Trust.Thing.LIST);
+        trust.decided(now, ProvenanceTracker.Subject.LIST);
         // Before the module's own timer for the same time: a silent server's attempt ends as a time-out then.
         x.timer = after(x.dueMs - now, () -> due(x));
         tell(() -> guard(x, () -> {
--- a/src/main/java/cacheproxy/proxy/LearntForm.java
+++ b/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
@@ -16,11 +16,11 @@
  * What the decision module has learnt, as JSON: what a process tells the one that takes over and what is stored are of
  * this one form.
  */
-final class LearntForm {
+final class LearnedStateCodec {
     private static final int MAX_ENTRIES = 10_000;
     private static final double MAX_FIGURE = 1e15;
 
-    private LearntForm() {}
+    private LearnedStateCodec() {}
 
     /** By the pools' names. */
     static JsonObject json(Map<String, LearnedState> learnt) {
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -11,8 +11,8 @@
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.ProvisionalList;
-import cacheproxy.recovery.Source;
-import cacheproxy.recovery.Trust;
+import cacheproxy.recovery.Provenance;
+import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Known;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
@@ -79,7 +79,7 @@
     /** Null where it does not look at how it comes back. On the event loop only. */
     private RecoveryLink recovery;
     /** Null where nothing is kept. */
-    private final StateLink kept;
+    private final StatePersistence kept;
     /** What is known from before the start. */
     private final Remembered remembered;
 
@@ -89,7 +89,7 @@
             throws InterruptedException, IOException {
         this.config = config;
         this.edge = edge;
-        kept = folder == null ? null : new StateLink(folder.folder(), config.name(), folder.fleet());
+        kept = folder == null ? null : new StatePersistence(folder.folder(), config.name(), folder.fleet());
         Routing routing = edge == null ? null : edge.read(config.names());
         if (warm) {
             WarmUp.run(config);
@@ -355,12 +355,12 @@
                 }
             }
             if (parts.recovers() && members != null) {
-                dispatcher.recall(new RecallLink(
+                dispatcher.recall(new StateQueryLink(
                         dispatcher,
                         peers,
                         members,
                         discovery,
-                        dispatcher.trust().of(Trust.Thing.LEARNT).source() == Source.NONE));
+                        dispatcher.trust().of(ProvenanceTracker.Subject.LEARNT).source() == Provenance.NONE));
             }
             if (parts.recovers()) {
                 recovery = new RecoveryLink(
@@ -370,8 +370,8 @@
     }
 
     /** How this process comes back, and what it keeps. On the event loop only. */
-    public Recovering recovering() {
-        return new Recovering(
+    public RecoveryStatus recovering() {
+        return new RecoveryStatus(
                 dispatcher.trust(),
                 recovery == null ? null : recovery.progress(),
                 recovery == null ? null : recovery.spread(),
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -4,12 +4,12 @@
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
 import cacheproxy.metrics.Work;
-import cacheproxy.recovery.Load;
-import cacheproxy.recovery.Progress;
-import cacheproxy.recovery.Progress.Stage;
-import cacheproxy.recovery.Sample;
-import cacheproxy.recovery.Spread;
-import cacheproxy.recovery.Trust.Thing;
+import cacheproxy.recovery.ConnectionRebalancer;
+import cacheproxy.recovery.ProvenanceTracker.Subject;
+import cacheproxy.recovery.RecoveryProgress;
+import cacheproxy.recovery.RecoveryProgress.Stage;
+import cacheproxy.recovery.RequestCounts;
+import cacheproxy.recovery.RequestRateCode;
 import cacheproxy.routing.EndpointUpdateKind;
 import java.util.ArrayList;
 import java.util.List;
@@ -33,8 +33,8 @@
     private final MemberLink members;
     private final Acceptor acceptor;
     private final Runnable listExpired;
-    private final Progress progress;
-    private final Spread spread = new Spread();
+    private final RecoveryProgress progress;
+    private final ConnectionRebalancer spread = new ConnectionRebalancer();
     private double rateMs;
     private long rateTaken;
     private double rate;
@@ -52,7 +52,7 @@
         this.members = members;
         this.acceptor = acceptor;
         this.listExpired = listExpired;
-        progress = new Progress(dispatcher.startedMs());
+        progress = new RecoveryProgress(dispatcher.startedMs());
         if (dispatcher.servers().discovered() > 0) {
             progress.listed(dispatcher.now(), firstHand);
         }
@@ -76,14 +76,15 @@
 
     private void tick() {
         double now = dispatcher.now();
-        if (dispatcher.trust().expired(now, Thing.LIST)) {
-            dispatcher.trust().dropped(Thing.LIST);
+        if (dispatcher.trust().expired(now, Subject.LIST)) {
+            dispatcher.trust().dropped(Subject.LIST);
             dispatcher.log("recovery: the stored list is too old to go on with, and discovery has not answered");
             listExpired.run();
         }
         Counters c = dispatcher.counters();
         Stage before = progress.stage();
-        Stage stage = progress.tick(now, new Sample(dispatcher.taken(), c.done(Work.SERVED), c.done(Work.REFUSED)));
+        Stage stage =
+                progress.tick(now, new RequestCounts(dispatcher.taken(), c.done(Work.SERVED), c.done(Work.REFUSED)));
         if (stage != before) {
             tell(stage);
         }
@@ -118,8 +119,8 @@
     }
 
     private void share(double now) {
-        if (Load.changed(toldLoad, rate) && now - toldMs >= TELL_MS) {
-            toldLoad = Load.code(rate);
+        if (RequestRateCode.changed(toldLoad, rate) && now - toldMs >= TELL_MS) {
+            toldLoad = RequestRateCode.code(rate);
             toldMs = now;
             members.note(LOAD_NOTE, toldLoad == 0 ? new byte[0] : new byte[] {toldLoad});
         }
@@ -128,7 +129,7 @@
         for (Entry e : view.entries()) {
             if (e.id() != view.me() && e.state().lives() && e.phase() == Phase.SERVING) {
                 byte[] told = e.note(LOAD_NOTE);
-                others.add(told.length == 1 ? Load.perSecond(told[0]) : 0);
+                others.add(told.length == 1 ? RequestRateCode.perSecond(told[0]) : 0);
             }
         }
         int many = spread.tick(now, rate, others, acceptor.open(), acceptor.idle());
@@ -145,12 +146,12 @@
     }
 
     /** How far it is. */
-    Progress progress() {
+    RecoveryProgress progress() {
         return progress;
     }
 
     /** What it carries by what the others do. */
-    Spread spread() {
+    ConnectionRebalancer spread() {
         return spread;
     }
 
--- a/src/main/java/cacheproxy/proxy/Recovering.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryStatus.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.recovery.Progress;
-import cacheproxy.recovery.Spread;
-import cacheproxy.recovery.Trust;
+import cacheproxy.recovery.ConnectionRebalancer;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.recovery.RecoveryProgress;
 import cacheproxy.state.OpenedState;
 import cacheproxy.state.RecordStore;
 
@@ -18,10 +18,10 @@
  * @param folder where; null likewise
  * @param writes whether it alone writes there
  */
-public record Recovering(
-        Trust trust,
-        Progress progress,
-        Spread spread,
+public record RecoveryStatus(
+        ProvenanceTracker trust,
+        RecoveryProgress progress,
+        ConnectionRebalancer spread,
         double perSecond,
         OpenedState opened,
         RecordStore keeper,
--- a/src/main/java/cacheproxy/proxy/Remembered.java
+++ b/src/main/java/cacheproxy/proxy/Remembered.java
@@ -2,9 +2,9 @@
 
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.membership.Entry;
-import cacheproxy.recovery.Source;
-import cacheproxy.recovery.Trust;
-import cacheproxy.recovery.Trust.Thing;
+import cacheproxy.recovery.Provenance;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.recovery.ProvenanceTracker.Subject;
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.LoadCount;
@@ -21,44 +21,45 @@
 /**
  * What this process knows from before its start: from the process that it takes over from, which served until now, and
  * of what that one did not tell from the folder, as far as its age allows. Each thing that is used is entered in
- * {@link Trust}.
+ * {@link ProvenanceTracker}.
  */
 final class Remembered {
-    private static final Map<RecordKind, Thing> THINGS = Map.of(
+    private static final Map<RecordKind, Subject> THINGS = Map.of(
             RecordKind.ENDPOINT_LIST,
-            Thing.LIST,
+            Subject.LIST,
             RecordKind.LEARNED_STATE,
-            Thing.LEARNT,
+            Subject.LEARNT,
             RecordKind.ZONE_STATES,
-            Thing.ZONES,
+            Subject.ZONES,
             RecordKind.OPERATOR_ORDERS,
-            Thing.ZONES,
+            Subject.ZONES,
             RecordKind.INCARNATION,
-            Thing.INCARNATION);
+            Subject.INCARNATION);
 
     private final Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
-    private final Map<RecordKind, Source> sources = new EnumMap<>(RecordKind.class);
-    private final Trust trust;
+    private final Map<RecordKind, Provenance> sources = new EnumMap<>(RecordKind.class);
+    private final ProvenanceTracker trust;
     private final double nowMs;
 
     /** {@code predecessor}: null where nobody is taken over from; {@code nowMs}: of the wall clock. */
-    Remembered(TakeoverState predecessor, OpenedState stored, Trust trust, double nowMs) {
+    Remembered(TakeoverState predecessor, OpenedState stored, ProvenanceTracker trust, double nowMs) {
         this.trust = trust;
         this.nowMs = nowMs;
-        put(stored.records(), Source.STORED);
+        put(stored.records(), Provenance.STORED);
         if (predecessor != null) {
-            put(predecessor.kept(), Source.PREDECESSOR);
+            put(predecessor.kept(), Provenance.PREDECESSOR);
             put(
                     Map.of(
                             RecordKind.ENDPOINT_LIST,
                             new StoredRecord(RecordKind.ENDPOINT_LIST, nowMs, predecessor.list()),
                             RecordKind.LEARNED_STATE,
-                            new StoredRecord(RecordKind.LEARNED_STATE, nowMs, LearntForm.json(predecessor.learnt()))),
-                    Source.PREDECESSOR);
+                            new StoredRecord(
+                                    RecordKind.LEARNED_STATE, nowMs, LearnedStateCodec.json(predecessor.learnt()))),
+                    Provenance.PREDECESSOR);
         }
     }
 
-    private void put(Map<RecordKind, StoredRecord> more, Source source) {
+    private void put(Map<RecordKind, StoredRecord> more, Provenance source) {
         more.forEach((kind, r) -> {
             records.put(kind, r);
             sources.put(kind, source);
@@ -94,7 +95,7 @@
     JsonObject list(JsonObject configured) {
         StoredRecord r = records.get(RecordKind.ENDPOINT_LIST);
         if (configured != null) {
-            trust.taken(nowMs, Thing.LIST, Source.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
+            trust.taken(nowMs, Subject.LIST, Provenance.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
         }
         if (r == null) {
             return configured;
@@ -102,7 +103,7 @@
         try {
             JsonObject list = r.body().getAsJsonObject();
             if (use(RecordKind.ENDPOINT_LIST) == Validity.UNUSABLE) {
-                trust.refused(Thing.LIST);
+                trust.refused(Subject.LIST);
                 return configured;
             }
             if (configured == null
@@ -111,7 +112,7 @@
                 return list;
             }
         } catch (RuntimeException e) {
-            trust.refused(Thing.LIST);
+            trust.refused(Subject.LIST);
         }
         return configured;
     }
@@ -121,20 +122,20 @@
         Validity use = use(RecordKind.LEARNED_STATE);
         if (use == Validity.UNUSABLE) {
             if (records.containsKey(RecordKind.LEARNED_STATE)) {
-                trust.refused(Thing.LEARNT);
+                trust.refused(Subject.LEARNT);
             }
             return Map.of();
         }
         try {
-            Map<String, LearnedState> all = new HashMap<>(
-                    LearntForm.read(records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
+            Map<String, LearnedState> all = new HashMap<>(LearnedStateCodec.read(
+                    records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
             if (use == Validity.HINT) {
                 all.replaceAll((pool, e) -> doubts(e));
             }
             taken(RecordKind.LEARNED_STATE);
             return all;
         } catch (RuntimeException e) {
-            trust.refused(Thing.LEARNT);
+            trust.refused(Subject.LEARNT);
             return Map.of();
         }
     }
@@ -170,7 +171,7 @@
             }
             return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
-            trust.refused(Thing.INCARNATION);
+            trust.refused(Subject.INCARNATION);
             return 0;
         }
     }
@@ -188,7 +189,7 @@
             }
             return held;
         } catch (RuntimeException e) {
-            trust.refused(Thing.ZONES);
+            trust.refused(Subject.ZONES);
             return Map.of();
         }
     }
--- a/src/main/java/cacheproxy/proxy/StateLink.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -28,7 +28,7 @@
  * for the disk. A folder that can't be written, now or later, is told once and costs no request; another process that
  * writes there, as the one that this one takes over from, is waited for. On the event loop but for the writing itself.
  */
-final class StateLink {
+final class StatePersistence {
     private static final double REFRESH_MS = 5000;
     /** A list that was told again is written again only when what is stored has come to be this old. */
     private static final double LIST_REFRESH_MS = 20_000;
@@ -59,7 +59,7 @@
     private long waits;
 
     /** Reads the folder; waits for the disk, so not to be called on the event loop. Never fails. */
-    StateLink(Path path, String instance, String fleet) {
+    StatePersistence(Path path, String instance, String fleet) {
         folder = new StateFolder(path);
         this.instance = instance;
         this.fleet = fleet;
@@ -146,7 +146,7 @@
         if (closed) {
             return;
         }
-        put(RecordKind.LEARNED_STATE, LearntForm.json(dispatcher.experience()));
+        put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.experience()));
         if (zones != null && zones.zones().quorum()) {
             JsonElement held = ZoneForm.json(zones.zones().held(), false, zones.names());
             if (held.getAsJsonObject().size() > 0) {
@@ -269,7 +269,7 @@
             return;
         }
         fleetChanged();
-        put(RecordKind.LEARNED_STATE, LearntForm.json(dispatcher.experience()));
+        put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.experience()));
         closed = true;
         RecordStore.Write last = locked ? keeper.finalWrite() : null;
         writer.execute(() -> {
--- a/src/main/java/cacheproxy/proxy/RecallLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -1,11 +1,11 @@
 package cacheproxy.proxy;
 
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.recovery.Memory;
-import cacheproxy.recovery.Recall;
-import cacheproxy.recovery.Recall.Recalled;
-import cacheproxy.recovery.Source;
-import cacheproxy.recovery.Trust;
+import cacheproxy.recovery.PeerStateQuery;
+import cacheproxy.recovery.PeerStateQuery.Result;
+import cacheproxy.recovery.PeerStateSummary;
+import cacheproxy.recovery.Provenance;
+import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.LoadCount;
@@ -16,7 +16,7 @@
 import java.util.Map;
 
 /** Asks peers where nothing is remembered, and answers those who ask. On the event loop only. */
-final class RecallLink {
+final class StateQueryLink {
     private static final double TICK_MS = 100;
     /** What is asked for is not known better than to that many requests at the origin. */
     private static final double ORIGIN_WEIGHT = 10;
@@ -27,26 +27,27 @@
     private final PeerSocket peers;
     private final MemberLink members;
     private final DiscoveryClient discovery;
-    private final Recall recall;
+    private final PeerStateQuery recall;
 
     /** {@code asks}: whether there is anything to ask for. */
-    RecallLink(Dispatcher dispatcher, PeerSocket peers, MemberLink members, DiscoveryClient discovery, boolean asks) {
+    StateQueryLink(
+            Dispatcher dispatcher, PeerSocket peers, MemberLink members, DiscoveryClient discovery, boolean asks) {
         this.dispatcher = dispatcher;
         this.peers = peers;
         this.members = members;
         this.discovery = discovery;
-        recall = asks ? new Recall(dispatcher.settings().instanceIndex(), dispatcher.now()) : null;
+        recall = asks ? new PeerStateQuery(dispatcher.settings().instanceIndex(), dispatcher.now()) : null;
         if (asks) {
             run();
         }
     }
 
     void heard(int peer, byte[] message) {
-        if (Memory.isQuestion(message)) {
+        if (PeerStateSummary.isQuestion(message)) {
             answer(peer);
             return;
         }
-        Memory memory = recall == null ? null : Memory.decode(message);
+        PeerStateSummary memory = recall == null ? null : PeerStateSummary.decode(message);
         if (memory != null) {
             recall.heard(peer, memory);
         }
@@ -61,14 +62,14 @@
         List<Integer> bad = e.endpoints().stream()
                 .filter(s -> s.failures() > 0 && dispatcher.avoids(s.id()))
                 .sorted(Comparator.comparingInt(EndpointHealthRecord::failures).reversed())
-                .limit(Memory.MOST_BAD)
+                .limit(PeerStateSummary.MOST_BAD)
                 .map(EndpointHealthRecord::id)
                 .toList();
         double asked = e.originLoad().requested();
         peers.send(
                 peer,
                 PeerSocket.Kind.RECALL,
-                new Memory(
+                new PeerStateSummary(
                                 Math.max(0, discovery.version()),
                                 (float) e.originFetchMs(),
                                 (float) e.usualLatencyMs(),
@@ -82,7 +83,7 @@
 
     private void run() {
         recall.tick(dispatcher.now(), members.view())
-                .forEach(p -> peers.send(p, PeerSocket.Kind.RECALL, Memory.question()));
+                .forEach(p -> peers.send(p, PeerSocket.Kind.RECALL, PeerStateSummary.question()));
         switch (recall.state()) {
             case ASKING -> dispatcher.after(TICK_MS, this::run);
             case DONE -> take();
@@ -98,7 +99,7 @@
             zoneOf.put(u.id, u.place.zone());
             inZone.merge(u.place.zone(), 1, Integer::sum);
         });
-        Recalled r = recall.recalled(zoneOf, inZone);
+        Result r = recall.recalled(zoneOf, inZone);
         List<EndpointHealthRecord> doubts = r.bad().stream()
                 .map(id -> new EndpointHealthRecord(id, dispatcher.servers().get(id).bornMs, 1, 0, 0))
                 .toList();
@@ -115,7 +116,7 @@
                         0,
                         List.of(),
                         doubts)));
-        dispatcher.trust().taken(now, Trust.Thing.LEARNT, Source.PEERS, 0, BOUND_MS, true);
+        dispatcher.trust().taken(now, ProvenanceTracker.Subject.LEARNT, Provenance.PEERS, 0, BOUND_MS, true);
         if (r.listVersion() > discovery.version()) {
             discovery.peerIsAhead(); // a claim is no list, but worth a call
         }
--- a/src/main/java/cacheproxy/recovery/Spread.java
+++ b/src/main/java/cacheproxy/recovery/ConnectionRebalancer.java
@@ -12,7 +12,7 @@
  * it, or one caller asks for a tenth of all), ending more does nobody any good, and it leaves them alone for a time
  * that doubles.
  */
-public final class Spread {
+public final class ConnectionRebalancer {
     /** From so many times the mean on it sheds. */
     public static final double MORE = 1.3;
     /** Down to so many times the mean. */
--- a/src/main/java/cacheproxy/recovery/Recall.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateQuery.java
@@ -21,7 +21,7 @@
  * <p>What they say makes decisions more careful and nothing else: a node is doubted when two of them avoid it, or the
  * only one that there is; of a zone's nodes never more than a quarter.
  */
-public final class Recall {
+public final class PeerStateQuery {
     /** So many answers are enough. */
     public static final int ENOUGH = 3;
     /** An answer takes so long at most, there and back and in line. */
@@ -55,7 +55,7 @@
      * @param originShare the least of what they say
      * @param bad nodes to doubt, those that most of them avoid first
      */
-    public record Recalled(
+    public record Result(
             int from, long listVersion, double fetchMs, double paceMs, double originShare, List<Integer> bad) {}
 
     private final int me;
@@ -63,12 +63,12 @@
     /** When those that were asked were asked. */
     private final Map<Integer, Double> askedMs = new LinkedHashMap<>();
 
-    private final Map<Integer, Memory> answers = new LinkedHashMap<>();
+    private final Map<Integer, PeerStateSummary> answers = new LinkedHashMap<>();
     private double servesMs = Double.NaN;
     private State state = State.ASKING;
 
     /** Begins at a time. {@code me}: the instance's number, by which whom it asks is drawn. */
-    public Recall(int me, double startedMs) {
+    public PeerStateQuery(int me, double startedMs) {
         this.me = me;
         this.startedMs = startedMs;
     }
@@ -117,7 +117,7 @@
     }
 
     /** An answer has come; one that was not asked for, or comes twice, says nothing. */
-    public void heard(int peer, Memory memory) {
+    public void heard(int peer, PeerStateSummary memory) {
         if (state == State.ASKING && askedMs.containsKey(peer)) {
             answers.putIfAbsent(peer, memory);
         }
@@ -134,7 +134,7 @@
      * @param zoneOf where a node stands; nodes that are not in it are left out
      * @param inZone how many nodes a zone has
      */
-    public Recalled recalled(Map<Integer, Integer> zoneOf, Map<Integer, Integer> inZone) {
+    public Result recalled(Map<Integer, Integer> zoneOf, Map<Integer, Integer> inZone) {
         if (answers.isEmpty()) {
             throw new IllegalStateException("nobody has answered");
         }
@@ -150,12 +150,24 @@
                 .filter(n -> doubted.merge(zoneOf.get(n), 1, Integer::sum)
                         <= Math.max(1, inZone.getOrDefault(zoneOf.get(n), 0) / PART))
                 .toList();
-        return new Recalled(
+        return new Result(
                 answers.size(),
-                answers.values().stream().mapToLong(Memory::listVersion).max().orElseThrow(),
-                middle(answers.values().stream().map(Memory::fetchMs).sorted().toList()),
-                middle(answers.values().stream().map(Memory::paceMs).sorted().toList()),
-                answers.values().stream().mapToDouble(Memory::originShare).min().orElseThrow(),
+                answers.values().stream()
+                        .mapToLong(PeerStateSummary::listVersion)
+                        .max()
+                        .orElseThrow(),
+                middle(answers.values().stream()
+                        .map(PeerStateSummary::fetchMs)
+                        .sorted()
+                        .toList()),
+                middle(answers.values().stream()
+                        .map(PeerStateSummary::paceMs)
+                        .sorted()
+                        .toList()),
+                answers.values().stream()
+                        .mapToDouble(PeerStateSummary::originShare)
+                        .min()
+                        .orElseThrow(),
                 bad);
     }
 
--- a/src/main/java/cacheproxy/recovery/Memory.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateSummary.java
@@ -14,7 +14,7 @@
  * @param originShare of what it asked of the origin lately, so much came in time, 0 to 1
  * @param bad nodes that it avoids, those that failed most first, {@link #MOST_BAD} at most
  */
-public record Memory(long listVersion, float fetchMs, float paceMs, float originShare, List<Integer> bad) {
+public record PeerStateSummary(long listVersion, float fetchMs, float paceMs, float originShare, List<Integer> bad) {
     /** So many nodes are named at most. */
     public static final int MOST_BAD = 48;
 
@@ -24,7 +24,7 @@
     private static final float MOST_MS = 1e6f;
 
     /** Checks the ranges. */
-    public Memory {
+    public PeerStateSummary {
         bad = List.copyOf(bad);
         if (listVersion < 0
                 || !(fetchMs >= 0 && fetchMs <= MOST_MS)
@@ -60,7 +60,7 @@
     }
 
     /** Reads it; null for what is none, or none that can be so. */
-    public static Memory decode(byte[] message) {
+    public static PeerStateSummary decode(byte[] message) {
         if (message.length < HEAD || message[0] != ANSWER) {
             return null;
         }
@@ -79,7 +79,7 @@
             bad.add(in.getInt());
         }
         try {
-            return new Memory(version, fetch, pace, share, bad);
+            return new PeerStateSummary(version, fetch, pace, share, bad);
         } catch (IllegalArgumentException e) {
             return null;
         }
--- a/src/main/java/cacheproxy/recovery/Source.java
+++ b/src/main/java/cacheproxy/recovery/Provenance.java
@@ -1,7 +1,7 @@
 package cacheproxy.recovery;
 
 /** Where something that an instance works with came from. */
-public enum Source {
+public enum Provenance {
     /** It has none. */
     NONE("none"),
     /** The configuration, as of no time that is known. */
@@ -17,7 +17,7 @@
 
     private final String wireName;
 
-    Source(String wireName) {
+    Provenance(String wireName) {
         this.wireName = wireName;
     }
 
--- a/src/main/java/cacheproxy/recovery/Trust.java
+++ b/src/main/java/cacheproxy/recovery/ProvenanceTracker.java
@@ -8,9 +8,9 @@
  * at first hand takes its place. A decision that rests on something past its bound is a stale one, and is counted;
  * whoever holds the thing is to drop it when {@link #expired} says so, so that there are none.
  */
-public final class Trust {
+public final class ProvenanceTracker {
     /** What may come from elsewhere. */
-    public enum Thing {
+    public enum Subject {
         /** The list of servers. */
         LIST("list"),
         /** What was learnt of servers and the origin. */
@@ -22,7 +22,7 @@
 
         private final String wireName;
 
-        Thing(String wireName) {
+        Subject(String wireName) {
             this.wireName = wireName;
         }
 
@@ -40,19 +40,19 @@
      * @param untilMs it may be used until then, by the clock of whoever asks; infinite for no bound
      * @param hint it only makes decisions more careful
      */
-    public record Standing(Source source, double ageMs, double untilMs, boolean hint) {}
+    public record Entry(Provenance source, double ageMs, double untilMs, boolean hint) {}
 
-    private static final Standing NOTHING = new Standing(Source.NONE, Double.NaN, Double.POSITIVE_INFINITY, false);
+    private static final Entry NOTHING = new Entry(Provenance.NONE, Double.NaN, Double.POSITIVE_INFINITY, false);
 
-    private final Map<Thing, Standing> standing = new EnumMap<>(Thing.class);
+    private final Map<Subject, Entry> standing = new EnumMap<>(Subject.class);
     private long refused;
     private long stale;
 
     /** Something has been taken from elsewhere. */
-    public void taken(double nowMs, Thing thing, Source source, double ageMs, double boundMs, boolean hint) {
+    public void taken(double nowMs, Subject thing, Provenance source, double ageMs, double boundMs, boolean hint) {
         standing.put(
                 thing,
-                new Standing(
+                new Entry(
                         source,
                         ageMs,
                         Double.isNaN(ageMs) ? Double.POSITIVE_INFINITY : nowMs + Math.max(0, boundMs - ageMs),
@@ -60,32 +60,32 @@
     }
 
     /** Something was there and was not taken, as it is too old, or another's. */
-    public void refused(Thing thing) {
+    public void refused(Subject thing) {
         refused++;
     }
 
     /** It has been met at first hand. */
-    public void confirmed(Thing thing) {
-        standing.put(thing, new Standing(Source.FIRST_HAND, 0, Double.POSITIVE_INFINITY, false));
+    public void confirmed(Subject thing) {
+        standing.put(thing, new Entry(Provenance.FIRST_HAND, 0, Double.POSITIVE_INFINITY, false));
     }
 
     /** What was taken has been let go of. */
-    public void dropped(Thing thing) {
+    public void dropped(Subject thing) {
         standing.remove(thing);
     }
 
     /** How a thing stands. */
-    public Standing of(Thing thing) {
+    public Entry of(Subject thing) {
         return standing.getOrDefault(thing, NOTHING);
     }
 
     /** Whether it is past its bound, and is to be let go of. */
-    public boolean expired(double nowMs, Thing thing) {
+    public boolean expired(double nowMs, Subject thing) {
         return nowMs > of(thing).untilMs();
     }
 
     /** Something is decided by this thing now. */
-    public void decided(double nowMs, Thing thing) {
+    public void decided(double nowMs, Subject thing) {
         if (expired(nowMs, thing)) {
             stale++;
         }
--- a/src/main/java/cacheproxy/recovery/Progress.java
+++ b/src/main/java/cacheproxy/recovery/RecoveryProgress.java
@@ -10,7 +10,7 @@
  * little for such news. A clock alone ends it only after {@link #LONGEST_MS}: by then nothing is to be had by waiting,
  * and what others do for one that recovers has to end.
  */
-public final class Progress {
+public final class RecoveryProgress {
     /** Where an instance stands. */
     public enum Stage {
         STARTING("starting"),
@@ -42,7 +42,7 @@
     /** And where nobody has told the list, for longer than this. */
     static final double UNTOLD_MS = 3000;
 
-    private record Mark(double atMs, Sample sample) {}
+    private record Mark(double atMs, RequestCounts sample) {}
 
     private final double startedMs;
     private final Deque<Mark> marks = new ArrayDeque<>();
@@ -53,7 +53,7 @@
     private boolean byBound;
 
     /** Begins at a time, with nothing. */
-    public Progress(double startedMs) {
+    public RecoveryProgress(double startedMs) {
         this.startedMs = startedMs;
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** Time has passed; what has been done since the start. Some times a second. */
-    public Stage tick(double nowMs, Sample now) {
+    public Stage tick(double nowMs, RequestCounts now) {
         if (stage == Stage.SERVING) {
             return stage;
         }
@@ -93,9 +93,9 @@
         return stage;
     }
 
-    private boolean serves(double nowMs, Sample now) {
+    private boolean serves(double nowMs, RequestCounts now) {
         Mark first = marks.peekFirst();
-        Sample did = now.since(first.sample());
+        RequestCounts did = now.since(first.sample());
         if (did.asked() >= ENOUGH) {
             // What is under way has been asked and not served yet; it is not held against the instance twice.
             return did.served() >= SERVED * (did.served() + did.refused()) && did.served() >= ENOUGH / 2;
--- a/src/main/java/cacheproxy/recovery/Sample.java
+++ b/src/main/java/cacheproxy/recovery/RequestCounts.java
@@ -7,9 +7,9 @@
  * @param served of these, served
  * @param refused of these, refused
  */
-public record Sample(long asked, long served, long refused) {
+public record RequestCounts(long asked, long served, long refused) {
     /** The difference to an earlier one. */
-    Sample since(Sample earlier) {
-        return new Sample(asked - earlier.asked, served - earlier.served, refused - earlier.refused);
+    RequestCounts since(RequestCounts earlier) {
+        return new RequestCounts(asked - earlier.asked, served - earlier.served, refused - earlier.refused);
     }
 }
--- a/src/main/java/cacheproxy/recovery/Load.java
+++ b/src/main/java/cacheproxy/recovery/RequestRateCode.java
@@ -4,10 +4,10 @@
  * What an instance is asked, as a byte that others can be told: its requests a second on a scale of steps of a quarter,
  * from 0 to some 10^27. Rough on purpose: it changes seldom, and each change is news to the whole fleet.
  */
-public final class Load {
+public final class RequestRateCode {
     private static final double STEP = 1.25;
 
-    private Load() {}
+    private RequestRateCode() {}
 
     /** The byte for so many requests a second; 0 for less than one in two seconds. */
     public static byte code(double perSecond) {
--- a/src/test/java/cacheproxy/control/DoorTest.java
+++ b/src/test/java/cacheproxy/control/AdminPortTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
-import cacheproxy.control.Figure.Kind;
+import cacheproxy.control.MetricSample.Kind;
 import cacheproxy.proxy.Transport;
 import com.google.gson.JsonObject;
 import io.netty.channel.EventLoop;
@@ -22,17 +22,17 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class DoorTest {
+class AdminPortTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
     private final EventLoop loop = group.next();
     private final ControlRegistry registry = new ControlRegistry();
-    private Door door;
+    private AdminPort door;
 
     @BeforeEach
     void open() throws Exception {
-        registry.figures(() ->
-                List.of(new Figure("succeeded.read", Kind.COUNT, 812), new Figure("outstanding", Kind.GAUGE, 14)));
-        door = new Door(loop, new InetSocketAddress("127.0.0.1", 0), registry);
+        registry.figures(() -> List.of(
+                new MetricSample("succeeded.read", Kind.COUNT, 812), new MetricSample("outstanding", Kind.GAUGE, 14)));
+        door = new AdminPort(loop, new InetSocketAddress("127.0.0.1", 0), registry);
     }
 
     @AfterEach
@@ -81,7 +81,7 @@
                 .contains("DUMP, HANDOVER, HEALTH")
                 .endsWith("\n");
         assertThat(ask("\r\n")).startsWith("ERR");
-        assertThat(ask("x".repeat(Door.MAX_LINE + 10))).startsWith("ERR").contains("256 bytes");
+        assertThat(ask("x".repeat(AdminPort.MAX_LINE + 10))).startsWith("ERR").contains("256 bytes");
     }
 
     @Test
@@ -101,7 +101,7 @@
             }
             Await.until(
                     "most have been ended",
-                    () -> silent.stream().filter(DoorTest::ended).count() >= 300 - Door.MAX_CALLERS);
+                    () -> silent.stream().filter(AdminPortTest::ended).count() >= 300 - AdminPort.MAX_CALLERS);
             assertThat(ask("HEALTH\r\n")).isEqualTo("OK\n");
         } finally {
             for (Socket s : silent) {
--- a/src/test/java/cacheproxy/proxy/LearntFormTest.java
+++ b/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The stored form of what was learnt: each field stands where processes of other versions look for it. */
-class LearntFormTest {
+class LearnedStateCodecTest {
     private static final String FILE = "proxy/learned-state.json";
 
     private static Map<String, LearnedState> everyField() {
@@ -42,12 +42,12 @@
 
     @Test
     void everyFieldStandsWhereItStood() {
-        PinnedFile.assertText(FILE, LearntForm.json(everyField()) + "\n");
+        PinnedFile.assertText(FILE, LearnedStateCodec.json(everyField()) + "\n");
     }
 
     @Test
     void theStoredFormReadsAsItWasMeant() {
         JsonObject stored = JsonParser.parseString(PinnedFile.text(FILE)).getAsJsonObject();
-        assertThat(LearntForm.read(stored)).isEqualTo(everyField());
+        assertThat(LearnedStateCodec.read(stored)).isEqualTo(everyField());
     }
 }
--- a/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
@@ -2,10 +2,10 @@
 
 import cacheproxy.Await;
 import cacheproxy.PinnedFile;
+import cacheproxy.control.AdminPort;
 import cacheproxy.control.ControlClient;
 import cacheproxy.control.ControlRegistry;
 import cacheproxy.control.ControlServer;
-import cacheproxy.control.Door;
 import cacheproxy.control.ProxyControl;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -129,7 +129,7 @@
                 }
                 PinnedFile.assertJson("operators/commands.json", others);
             }
-            try (Door door = new Door(fleet.proxy.loop(), new InetSocketAddress("127.0.0.1", 0), registry)) {
+            try (AdminPort door = new AdminPort(fleet.proxy.loop(), new InetSocketAddress("127.0.0.1", 0), registry)) {
                 StringBuilder all = new StringBuilder();
                 for (String call : new String[] {"HEALTH", "HANDOVER", "DUMP", "STATUS", ""}) {
                     all.append("> ").append(call).append('\n').append(call(door, call));
@@ -139,7 +139,7 @@
         }
     }
 
-    private static String call(Door door, String word) throws Exception {
+    private static String call(AdminPort door, String word) throws Exception {
         try (Socket caller = new Socket()) {
             caller.connect(door.address());
             caller.getOutputStream().write((word + "\r\n").getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/cacheproxy/recovery/SpreadTest.java
+++ b/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** Who carries more than its part lets clients go, at a pace, and only while that does any good. */
-class SpreadTest {
+class ConnectionRebalancerTest {
     private static final double TICK_MS = 250;
     private static final double CLIENTS_RATE = 4;
 
@@ -23,14 +23,14 @@
      */
     private static final class Fleet {
         final int[] open;
-        final List<Spread> spreads = new ArrayList<>();
+        final List<ConnectionRebalancer> spreads = new ArrayList<>();
         final int[] ended;
         double now;
 
         Fleet(int... open) {
             this.open = open;
             ended = new int[open.length];
-            Arrays.stream(open).forEach(n -> spreads.add(new Spread()));
+            Arrays.stream(open).forEach(n -> spreads.add(new ConnectionRebalancer()));
         }
 
         /** {@code stays}: what is ended comes back to where it was. */
@@ -41,7 +41,7 @@
                 List<Double> others = new ArrayList<>();
                 for (int j = 0; j < open.length; j++) {
                     if (j != i) {
-                        others.add(Load.perSecond(Load.code(before[j] * CLIENTS_RATE)));
+                        others.add(RequestRateCode.perSecond(RequestRateCode.code(before[j] * CLIENTS_RATE)));
                     }
                 }
                 int many = spreads.get(i).tick(now, before[i] * CLIENTS_RATE, others, open[i], open[i]);
@@ -107,7 +107,7 @@
 
     @Example
     void withNobodyElseThereNobodyIsSentAway() {
-        Spread spread = new Spread();
+        ConnectionRebalancer spread = new ConnectionRebalancer();
         for (int t = 0; t < 20_000; t += 250) {
             assertThat(spread.tick(t, 1000, Collections.emptyList(), 100, 100)).isZero();
         }
@@ -115,7 +115,7 @@
 
     @Example
     void aLittleMoreThanOthersIsLeftAlone() {
-        Spread spread = new Spread();
+        ConnectionRebalancer spread = new ConnectionRebalancer();
         for (int t = 0; t < 20_000; t += 250) {
             assertThat(spread.tick(t, 120, List.of(100.0, 95.0, 105.0), 30, 30)).isZero();
         }
@@ -123,9 +123,11 @@
 
     @Property(seed = "9")
     void whatIsToldOfALoadIsAQuarterOffAtMost(@ForAll @IntRange(min = 1, max = 1_000_000) int perSecond) {
-        double told = Load.perSecond(Load.code(perSecond));
+        double told = RequestRateCode.perSecond(RequestRateCode.code(perSecond));
         assertThat(told).isBetween(perSecond / 1.13, perSecond * 1.13);
-        assertThat(Load.changed(Load.code(perSecond), perSecond)).isFalse();
-        assertThat(Load.changed(Load.code(perSecond), perSecond * 1.6 + 2)).isTrue();
+        assertThat(RequestRateCode.changed(RequestRateCode.code(perSecond), perSecond))
+                .isFalse();
+        assertThat(RequestRateCode.changed(RequestRateCode.code(perSecond), perSecond * 1.6 + 2))
+                .isTrue();
     }
 }
--- a/src/test/java/cacheproxy/recovery/RecallMessageTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
@@ -12,21 +12,21 @@
 import org.junit.jupiter.api.Test;
 
 /** The messages of the state query and the byte of an instance's load, as instances of other versions read them. */
-class RecallMessageTest {
+class PeerStateMessageTest {
     private static final String FILE = "recovery/messages.txt";
 
-    private static Map<String, Memory> answers() {
-        Map<String, Memory> all = new LinkedHashMap<>();
-        all.put("answer-least", new Memory(0, 0, 0, 0, List.of()));
-        all.put("answer-usual", new Memory(43, 21.5f, 3.25f, 0.96875f, List.of(0xbeef, -5)));
+    private static Map<String, PeerStateSummary> answers() {
+        Map<String, PeerStateSummary> all = new LinkedHashMap<>();
+        all.put("answer-least", new PeerStateSummary(0, 0, 0, 0, List.of()));
+        all.put("answer-usual", new PeerStateSummary(43, 21.5f, 3.25f, 0.96875f, List.of(0xbeef, -5)));
         all.put(
                 "answer-most",
-                new Memory(
+                new PeerStateSummary(
                         Long.MAX_VALUE,
                         1e6f,
                         1e6f,
                         1,
-                        IntStream.range(0, Memory.MOST_BAD).boxed().toList()));
+                        IntStream.range(0, PeerStateSummary.MOST_BAD).boxed().toList()));
         return all;
     }
 
@@ -37,7 +37,7 @@
     @Test
     void eachMessageIsTheSameBytes() {
         StringBuilder all = new StringBuilder();
-        all.append("question ").append(hex(Memory.question())).append('\n');
+        all.append("question ").append(hex(PeerStateSummary.question())).append('\n');
         answers()
                 .forEach((name, memory) -> all.append(name)
                         .append(' ')
@@ -52,22 +52,22 @@
                 .lines()
                 .map(l -> l.split(" "))
                 .collect(Collectors.toMap(w -> w[0], w -> HexFormat.of().parseHex(w[1])));
-        assertThat(Memory.isQuestion(read.get("question"))).isTrue();
+        assertThat(PeerStateSummary.isQuestion(read.get("question"))).isTrue();
         answers()
                 .forEach((name, memory) ->
-                        assertThat(Memory.decode(read.get(name))).isEqualTo(memory));
+                        assertThat(PeerStateSummary.decode(read.get(name))).isEqualTo(memory));
     }
 
     @Test
     void theByteOfALoadIsTheSame() {
         StringBuilder table = new StringBuilder();
         for (double rate : new double[] {Double.NaN, 0, 0.49, 0.5, 1, 2, 7.5, 100, 2500, 1e6, 1e30}) {
-            byte code = Load.code(rate);
+            byte code = RequestRateCode.code(rate);
             table.append(rate)
                     .append(' ')
                     .append(code & 0xff)
                     .append(' ')
-                    .append(Load.perSecond(code))
+                    .append(RequestRateCode.perSecond(code))
                     .append('\n');
         }
         PinnedFile.assertText("recovery/load-codes.txt", table.toString());
--- a/src/test/java/cacheproxy/recovery/RecallTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
@@ -9,8 +9,8 @@
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.Send;
 import cacheproxy.membership.View;
-import cacheproxy.recovery.Recall.Recalled;
-import cacheproxy.recovery.Recall.State;
+import cacheproxy.recovery.PeerStateQuery.Result;
+import cacheproxy.recovery.PeerStateQuery.State;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -27,7 +27,7 @@
 /**
  * Who has forgotten asks some of those who serve, not all the same, and their word makes it careful and nothing else.
  */
-class RecallTest {
+class PeerStateQueryTest {
     private static final int ZONES = 4;
 
     /** What one instance of so many holds, of which the first so many serve. */
@@ -52,15 +52,15 @@
         return new View(me, 0, entries, 0, new Configured(all), false);
     }
 
-    private static Memory memory(long version, Integer... bad) {
-        return new Memory(version, 20, 3, 1, Arrays.asList(bad));
+    private static PeerStateSummary memory(long version, Integer... bad) {
+        return new PeerStateSummary(version, 20, 3, 1, Arrays.asList(bad));
     }
 
     @Example
     void threeOfThreeZonesAreAskedAndEachAnotherThree() {
         Set<Integer> asked = new HashSet<>();
         for (int me = 20; me < 60; me++) {
-            List<Integer> mine = new Recall(me, 0).tick(0, view(me, 60, 20));
+            List<Integer> mine = new PeerStateQuery(me, 0).tick(0, view(me, 60, 20));
             assertThat(mine).hasSize(3).doesNotHaveDuplicates();
             assertThat(mine.stream().map(i -> i % ZONES).distinct()).hasSize(3);
             asked.addAll(mine);
@@ -70,7 +70,7 @@
 
     @Example
     void anAnswerThatDoesNotComeIsAskedOfTheNext() {
-        Recall recall = new Recall(9, 0);
+        PeerStateQuery recall = new PeerStateQuery(9, 0);
         View view = view(9, 10, 6);
         List<Integer> first = recall.tick(0, view);
         assertThat(recall.tick(400, view)).isEmpty();
@@ -89,7 +89,7 @@
 
     @Example
     void whereNobodyServesItIsKnownSoon() {
-        Recall recall = new Recall(0, 0);
+        PeerStateQuery recall = new PeerStateQuery(0, 0);
         for (int t = 0; t < 3000; t += 100) {
             assertThat(recall.tick(t, view(0, 12, 0))).isEmpty();
             assertThat(recall.state()).isEqualTo(State.ASKING);
@@ -100,10 +100,10 @@
 
     @Example
     void whereNobodyAnswersItEnds() {
-        Recall recall = new Recall(9, 0);
+        PeerStateQuery recall = new PeerStateQuery(9, 0);
         View view = view(9, 10, 6);
         Set<Integer> asked = new HashSet<>();
-        for (int t = 0; t <= Recall.LONGEST_MS; t += 100) {
+        for (int t = 0; t <= PeerStateQuery.LONGEST_MS; t += 100) {
             recall.tick(t, view).forEach(p -> assertThat(asked.add(p)).isTrue());
         }
         assertThat(asked).hasSize(6);
@@ -117,7 +117,7 @@
     @Property(seed = "3", tries = 500)
     void noWordOfPeersTakesOutMoreThanAPartOfAZone(
             @ForAll @Size(3) List<@Size(max = 40) List<@IntRange(max = 60) Integer>> said) {
-        Recall recall = new Recall(9, 0);
+        PeerStateQuery recall = new PeerStateQuery(9, 0);
         View view = view(9, 10, 3);
         List<Integer> asked = recall.tick(0, view);
         Map<Integer, Integer> zoneOf = new HashMap<>();
@@ -129,7 +129,7 @@
         for (int i = 0; i < 3; i++) {
             recall.heard(asked.get(i), memory(1, said.get(i).toArray(new Integer[0])));
         }
-        Recalled r = recall.recalled(zoneOf, inZone);
+        Result r = recall.recalled(zoneOf, inZone);
         for (int z = 0; z < ZONES; z++) {
             int zone = z;
             assertThat(r.bad().stream().filter(n -> zoneOf.get(n) == zone)).hasSizeLessThanOrEqualTo(3);
@@ -142,14 +142,14 @@
 
     @Property(seed = "4", tries = 500)
     void whatIsToldIsReadAndNothingElse(@ForAll @Size(max = 48) List<Integer> bad, @ForAll byte[] bytes) {
-        Memory told = new Memory(7, 1.5f, 0, 0.25f, bad);
-        assertThat(Memory.decode(told.encode())).isEqualTo(told);
+        PeerStateSummary told = new PeerStateSummary(7, 1.5f, 0, 0.25f, bad);
+        assertThat(PeerStateSummary.decode(told.encode())).isEqualTo(told);
         assertThat(told.encode()).hasSizeLessThanOrEqualTo(250);
-        Memory read = Memory.decode(bytes);
+        PeerStateSummary read = PeerStateSummary.decode(bytes);
         if (read != null) {
             assertThat(read.encode()).isEqualTo(bytes);
         }
         byte[] cut = Arrays.copyOf(told.encode(), told.encode().length - 1);
-        assertThat(Memory.decode(cut)).isNull();
+        assertThat(PeerStateSummary.decode(cut)).isNull();
     }
 }
--- a/src/test/java/cacheproxy/recovery/ProgressTest.java
+++ b/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
@@ -2,15 +2,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.recovery.Progress.Stage;
+import cacheproxy.recovery.RecoveryProgress.Stage;
 import org.junit.jupiter.api.Test;
 
 /** The way back goes by evidence, and by the clock only at its end. */
-class ProgressTest {
-    private final Progress progress = new Progress(0);
+class RecoveryProgressTest {
+    private final RecoveryProgress progress = new RecoveryProgress(0);
 
-    private static Sample sample(long asked, long served, long refused) {
-        return new Sample(asked, served, refused);
+    private static RequestCounts sample(long asked, long served, long refused) {
+        return new RequestCounts(asked, served, refused);
     }
 
     @Test
@@ -24,10 +24,11 @@
     @Test
     void onlyTheBoundEndsWhatEvidenceDoesNot() {
         progress.listed(100, false);
-        for (int t = 250; t < Progress.LONGEST_MS; t += 250) {
+        for (int t = 250; t < RecoveryProgress.LONGEST_MS; t += 250) {
             assertThat(progress.tick(t, sample(t / 250, t / 500, t / 500))).isEqualTo(Stage.RECOVERING);
         }
-        assertThat(progress.tick(Progress.LONGEST_MS, sample(130, 65, 65))).isEqualTo(Stage.SERVING);
+        assertThat(progress.tick(RecoveryProgress.LONGEST_MS, sample(130, 65, 65)))
+                .isEqualTo(Stage.SERVING);
         assertThat(progress.endedByBound()).isTrue();
     }
 
@@ -37,7 +38,7 @@
         progress.listed(0, false);
         assertThat(progress.tick(2900, sample(0, 0, 0))).isEqualTo(Stage.RECOVERING);
         assertThat(progress.tick(3000, sample(0, 0, 0))).isEqualTo(Stage.SERVING);
-        Progress asked = new Progress(0);
+        RecoveryProgress asked = new RecoveryProgress(0);
         asked.listed(0, false);
         asked.tick(250, sample(0, 0, 0));
         assertThat(asked.tick(500, sample(40, 39, 0))).isEqualTo(Stage.SERVING);
@@ -84,17 +85,18 @@
     /** What may be used until when, and that a decision beyond that is counted. */
     @Test
     void whatIsPastItsBoundIsSeen() {
-        Trust trust = new Trust();
-        trust.taken(1000, Trust.Thing.LIST, Source.STORED, 400, 1000, false);
-        trust.decided(1600, Trust.Thing.LIST);
+        ProvenanceTracker trust = new ProvenanceTracker();
+        trust.taken(1000, ProvenanceTracker.Subject.LIST, Provenance.STORED, 400, 1000, false);
+        trust.decided(1600, ProvenanceTracker.Subject.LIST);
         assertThat(trust.staleDecisions()).isZero();
-        assertThat(trust.expired(1601, Trust.Thing.LIST)).isTrue();
-        trust.decided(1601, Trust.Thing.LIST);
+        assertThat(trust.expired(1601, ProvenanceTracker.Subject.LIST)).isTrue();
+        trust.decided(1601, ProvenanceTracker.Subject.LIST);
         assertThat(trust.staleDecisions()).isEqualTo(1);
-        trust.confirmed(Trust.Thing.LIST);
-        trust.decided(1e12, Trust.Thing.LIST);
-        trust.taken(0, Trust.Thing.LIST, Source.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
-        trust.decided(1e12, Trust.Thing.LIST);
+        trust.confirmed(ProvenanceTracker.Subject.LIST);
+        trust.decided(1e12, ProvenanceTracker.Subject.LIST);
+        trust.taken(
+                0, ProvenanceTracker.Subject.LIST, Provenance.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
+        trust.decided(1e12, ProvenanceTracker.Subject.LIST);
         assertThat(trust.staleDecisions()).isEqualTo(1);
     }
 }
