--- a/src/main/java/cacheproxy/control/RecoveryReport.java
+++ b/src/main/java/cacheproxy/control/RecoveryReport.java
@@ -24,28 +24,28 @@
         o.addProperty("stage", p == null ? "not looked at" : p.stage().wireName());
         if (p != null) {
             seconds(o, "list_after_s", p.listAfterMs());
-            seconds(o, "told_after_s", p.toldAfterMs());
+            seconds(o, "told_after_s", p.confirmedAfterMs());
             seconds(o, "serving_after_s", p.servingAfterMs());
-            o.addProperty("by_clock", p.endedByBound());
+            o.addProperty("by_clock", p.endedByTimeout());
             o.addProperty("per_second", Math.round(r.perSecond()));
-            seconds(o, "times_the_mean", 1000 * r.spread().times());
-            o.addProperty("clients_ended", r.spread().ended());
+            seconds(o, "times_the_mean", 1000 * r.spread().loadRatio());
+            o.addProperty("clients_ended", r.spread().connectionsClosed());
         }
         JsonArray trusted = new JsonArray();
         for (ProvenanceTracker.Subject thing : ProvenanceTracker.Subject.values()) {
-            ProvenanceTracker.Entry s = r.trust().of(thing);
+            ProvenanceTracker.Entry s = r.trust().entry(thing);
             JsonObject t = new JsonObject();
             t.addProperty("thing", thing.wireName());
-            t.addProperty("from", s.source().wireName());
+            t.addProperty("from", s.provenance().wireName());
             seconds(t, "age_s", s.ageMs());
             if (s.hint()) {
                 t.addProperty("hint", true);
             }
-            seconds(t, "left_s", s.untilMs() - nowMs);
+            seconds(t, "left_s", s.usableUntilMs() - nowMs);
             trusted.add(t);
         }
         o.add("trusted", trusted);
-        o.addProperty("not_used", r.trust().refused());
+        o.addProperty("not_used", r.trust().rejected());
         o.addProperty("stale_decisions", r.trust().staleDecisions());
         RecordStore k = r.keeper();
         if (k != null) {
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -476,7 +476,7 @@
 
     @Override
     public void inUse(long version) {
-        trust.confirmed(ProvenanceTracker.Subject.LIST);
+        trust.confirmed(ProvenanceTracker.Subject.ENDPOINT_LIST);
         if (news != null) {
             news.held(version);
         }
@@ -575,7 +575,7 @@
                 terms.bytes(),
                 c.write,
                 terms.repeat());
-        trust.decided(now, ProvenanceTracker.Subject.LIST);
+        trust.usedForDecision(now, ProvenanceTracker.Subject.ENDPOINT_LIST);
         // Before the module's own timer for the same time: a silent server's attempt ends as a time-out then.
         x.timer = after(x.dueMs - now, () -> due(x));
         tell(() -> guard(x, () -> {
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -360,7 +360,11 @@
                         peers,
                         members,
                         discovery,
-                        dispatcher.trust().of(ProvenanceTracker.Subject.LEARNT).source() == Provenance.NONE));
+                        dispatcher
+                                        .trust()
+                                        .entry(ProvenanceTracker.Subject.LEARNED_STATE)
+                                        .provenance()
+                                == Provenance.NONE));
             }
             if (parts.recovers()) {
                 recovery = new RecoveryLink(
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -54,7 +54,7 @@
         this.listExpired = listExpired;
         progress = new RecoveryProgress(dispatcher.startedMs());
         if (dispatcher.servers().discovered() > 0) {
-            progress.listed(dispatcher.now(), firstHand);
+            progress.listAvailable(dispatcher.now(), firstHand);
         }
         dispatcher.follow(this::listed);
         rateMs = dispatcher.now();
@@ -63,9 +63,9 @@
 
     private void listed(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
-            progress.listed(dispatcher.now(), true);
+            progress.listAvailable(dispatcher.now(), true);
         } else if (kind == EndpointUpdateKind.CACHED && dispatcher.servers().discovered() == 0) {
-            progress.unlisted();
+            progress.listLost();
         }
     }
 
@@ -76,15 +76,15 @@
 
     private void tick() {
         double now = dispatcher.now();
-        if (dispatcher.trust().expired(now, Subject.LIST)) {
-            dispatcher.trust().dropped(Subject.LIST);
+        if (dispatcher.trust().expired(now, Subject.ENDPOINT_LIST)) {
+            dispatcher.trust().discarded(Subject.ENDPOINT_LIST);
             dispatcher.log("recovery: the stored list is too old to go on with, and discovery has not answered");
             listExpired.run();
         }
         Counters c = dispatcher.counters();
         Stage before = progress.stage();
         Stage stage =
-                progress.tick(now, new RequestCounts(dispatcher.taken(), c.done(Work.SERVED), c.done(Work.REFUSED)));
+                progress.update(now, new RequestCounts(dispatcher.taken(), c.done(Work.SERVED), c.done(Work.REFUSED)));
         if (stage != before) {
             tell(stage);
         }
@@ -105,7 +105,7 @@
                 "recovery: %s %.1f s after the start%s",
                 stage.wireName(),
                 (dispatcher.now() - dispatcher.startedMs()) / 1000,
-                stage == Stage.SERVING && progress.endedByBound() ? ", by the clock alone" : ""));
+                stage == Stage.SERVING && progress.endedByTimeout() ? ", by the clock alone" : ""));
     }
 
     /** A drain says so itself, and says so when it is taken back. */
@@ -119,8 +119,8 @@
     }
 
     private void share(double now) {
-        if (RequestRateCode.changed(toldLoad, rate) && now - toldMs >= TELL_MS) {
-            toldLoad = RequestRateCode.code(rate);
+        if (RequestRateCode.differs(toldLoad, rate) && now - toldMs >= TELL_MS) {
+            toldLoad = RequestRateCode.encode(rate);
             toldMs = now;
             members.note(LOAD_NOTE, toldLoad == 0 ? new byte[0] : new byte[] {toldLoad});
         }
@@ -129,14 +129,14 @@
         for (Entry e : view.entries()) {
             if (e.id() != view.me() && e.state().lives() && e.phase() == Phase.SERVING) {
                 byte[] told = e.note(LOAD_NOTE);
-                others.add(told.length == 1 ? RequestRateCode.perSecond(told[0]) : 0);
+                others.add(told.length == 1 ? RequestRateCode.decode(told[0]) : 0);
             }
         }
-        int many = spread.tick(now, rate, others, acceptor.open(), acceptor.idle());
+        int many = spread.connectionsToClose(now, rate, others, acceptor.open(), acceptor.idle());
         if (many > 0) {
             acceptor.endBusiest(many);
         }
-        if (paused != spread.paused(now)) {
+        if (paused != spread.isBackingOff(now)) {
             paused = !paused;
             if (paused) {
                 dispatcher.log(
--- a/src/main/java/cacheproxy/proxy/Remembered.java
+++ b/src/main/java/cacheproxy/proxy/Remembered.java
@@ -26,13 +26,13 @@
 final class Remembered {
     private static final Map<RecordKind, Subject> THINGS = Map.of(
             RecordKind.ENDPOINT_LIST,
-            Subject.LIST,
+            Subject.ENDPOINT_LIST,
             RecordKind.LEARNED_STATE,
-            Subject.LEARNT,
+            Subject.LEARNED_STATE,
             RecordKind.ZONE_STATES,
-            Subject.ZONES,
+            Subject.ZONE_STATES,
             RecordKind.OPERATOR_ORDERS,
-            Subject.ZONES,
+            Subject.ZONE_STATES,
             RecordKind.INCARNATION,
             Subject.INCARNATION);
 
@@ -79,7 +79,7 @@
     private void taken(RecordKind kind) {
         StoredRecord r = records.get(kind);
         boolean hint = use(kind) == Validity.HINT;
-        trust.taken(
+        trust.adopted(
                 nowMs,
                 THINGS.get(kind),
                 sources.get(kind),
@@ -95,7 +95,8 @@
     JsonObject list(JsonObject configured) {
         StoredRecord r = records.get(RecordKind.ENDPOINT_LIST);
         if (configured != null) {
-            trust.taken(nowMs, Subject.LIST, Provenance.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
+            trust.adopted(
+                    nowMs, Subject.ENDPOINT_LIST, Provenance.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
         }
         if (r == null) {
             return configured;
@@ -103,7 +104,7 @@
         try {
             JsonObject list = r.body().getAsJsonObject();
             if (use(RecordKind.ENDPOINT_LIST) == Validity.UNUSABLE) {
-                trust.refused(Subject.LIST);
+                trust.rejected(Subject.ENDPOINT_LIST);
                 return configured;
             }
             if (configured == null
@@ -112,7 +113,7 @@
                 return list;
             }
         } catch (RuntimeException e) {
-            trust.refused(Subject.LIST);
+            trust.rejected(Subject.ENDPOINT_LIST);
         }
         return configured;
     }
@@ -122,7 +123,7 @@
         Validity use = use(RecordKind.LEARNED_STATE);
         if (use == Validity.UNUSABLE) {
             if (records.containsKey(RecordKind.LEARNED_STATE)) {
-                trust.refused(Subject.LEARNT);
+                trust.rejected(Subject.LEARNED_STATE);
             }
             return Map.of();
         }
@@ -135,7 +136,7 @@
             taken(RecordKind.LEARNED_STATE);
             return all;
         } catch (RuntimeException e) {
-            trust.refused(Subject.LEARNT);
+            trust.rejected(Subject.LEARNED_STATE);
             return Map.of();
         }
     }
@@ -171,7 +172,7 @@
             }
             return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
-            trust.refused(Subject.INCARNATION);
+            trust.rejected(Subject.INCARNATION);
             return 0;
         }
     }
@@ -189,7 +190,7 @@
             }
             return held;
         } catch (RuntimeException e) {
-            trust.refused(Subject.ZONES);
+            trust.rejected(Subject.ZONE_STATES);
             return Map.of();
         }
     }
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -43,13 +43,13 @@
     }
 
     void heard(int peer, byte[] message) {
-        if (PeerStateSummary.isQuestion(message)) {
+        if (PeerStateSummary.isQuery(message)) {
             answer(peer);
             return;
         }
         PeerStateSummary memory = recall == null ? null : PeerStateSummary.decode(message);
         if (memory != null) {
-            recall.heard(peer, memory);
+            recall.answerReceived(peer, memory);
         }
     }
 
@@ -62,7 +62,7 @@
         List<Integer> bad = e.endpoints().stream()
                 .filter(s -> s.failures() > 0 && dispatcher.avoids(s.id()))
                 .sorted(Comparator.comparingInt(EndpointHealthRecord::failures).reversed())
-                .limit(PeerStateSummary.MOST_BAD)
+                .limit(PeerStateSummary.MAX_AVOIDED_NODES)
                 .map(EndpointHealthRecord::id)
                 .toList();
         double asked = e.originLoad().requested();
@@ -82,12 +82,12 @@
     }
 
     private void run() {
-        recall.tick(dispatcher.now(), members.view())
-                .forEach(p -> peers.send(p, PeerSocket.Kind.RECALL, PeerStateSummary.question()));
+        recall.peersToQuery(dispatcher.now(), members.view())
+                .forEach(p -> peers.send(p, PeerSocket.Kind.RECALL, PeerStateSummary.query()));
         switch (recall.state()) {
-            case ASKING -> dispatcher.after(TICK_MS, this::run);
-            case DONE -> take();
-            case NOBODY -> dispatcher.log("recovery: nobody serves who remembers; the settings' figures hold");
+            case QUERYING -> dispatcher.after(TICK_MS, this::run);
+            case ANSWERED -> take();
+            case NO_SERVING_PEER -> dispatcher.log("recovery: nobody serves who remembers; the settings' figures hold");
             case UNANSWERED -> dispatcher.log("recovery: those that serve did not answer; the settings' figures hold");
         }
     }
@@ -99,33 +99,33 @@
             zoneOf.put(u.id, u.place.zone());
             inZone.merge(u.place.zone(), 1, Integer::sum);
         });
-        Result r = recall.recalled(zoneOf, inZone);
-        List<EndpointHealthRecord> doubts = r.bad().stream()
+        Result r = recall.result(zoneOf, inZone);
+        List<EndpointHealthRecord> doubts = r.suspectedNodes().stream()
                 .map(id -> new EndpointHealthRecord(id, dispatcher.servers().get(id).bornMs, 1, 0, 0))
                 .toList();
         double now = dispatcher.now();
         dispatcher.resume(Map.of(
                 "",
                 new LearnedState(
-                        r.fetchMs(),
-                        r.paceMs(),
-                        r.paceMs() / 2,
+                        r.originFetchMs(),
+                        r.nodeLatencyMs(),
+                        r.nodeLatencyMs() / 2,
                         0,
-                        new LoadCount(ORIGIN_WEIGHT, ORIGIN_WEIGHT * r.originShare()),
+                        new LoadCount(ORIGIN_WEIGHT, ORIGIN_WEIGHT * r.originInTimeRatio()),
                         new LoadCount(0, 0),
                         0,
                         List.of(),
                         doubts)));
-        dispatcher.trust().taken(now, ProvenanceTracker.Subject.LEARNT, Provenance.PEERS, 0, BOUND_MS, true);
+        dispatcher.trust().adopted(now, ProvenanceTracker.Subject.LEARNED_STATE, Provenance.PEERS, 0, BOUND_MS, true);
         if (r.listVersion() > discovery.version()) {
             discovery.peerIsAhead(); // a claim is no list, but worth a call
         }
         dispatcher.log(String.format(
                 Locale.ROOT,
                 "recovery: %d peers told of %d bad nodes, list version %d, fetches of %.0f ms",
-                r.from(),
-                r.bad().size(),
+                r.answers(),
+                r.suspectedNodes().size(),
                 r.listVersion(),
-                r.fetchMs()));
+                r.originFetchMs()));
     }
 }
--- a/src/main/java/cacheproxy/recovery/ConnectionRebalancer.java
+++ b/src/main/java/cacheproxy/recovery/ConnectionRebalancer.java
@@ -14,33 +14,33 @@
  */
 public final class ConnectionRebalancer {
     /** From so many times the mean on it sheds. */
-    public static final double MORE = 1.3;
+    public static final double OVERLOAD_RATIO = 1.3;
     /** Down to so many times the mean. */
-    public static final double ENOUGH = 1.1;
+    public static final double TARGET_RATIO = 1.1;
     /** Requests a second beyond the mean that are worth a connection. */
-    static final double WORTH = 3;
+    static final double MIN_EXCESS_PER_SECOND = 3;
     /** What is seen of rates is so old at most; it has to be more for this long before anything is ended. */
-    static final double SEEN_MS = 1000;
+    static final double MIN_OVERLOAD_MS = 1000;
     /** Of those that should go, so many a second: from sixty times the mean to one and a half in ten seconds. */
-    static final double PACE = 0.6;
+    static final double CLOSE_SHARE_PER_SECOND = 0.6;
     /** What has come of it is looked at after so long. */
-    static final double LOOK_MS = 4000;
+    static final double EVALUATION_MS = 4000;
     /** Of what was to go, so much at least has to have gone. */
-    static final double GAIN = 0.2;
+    static final double MIN_IMPROVEMENT = 0.2;
 
-    static final double FIRST_PAUSE_MS = 30_000;
-    static final double LONGEST_PAUSE_MS = 600_000;
+    static final double INITIAL_BACKOFF_MS = 30_000;
+    static final double MAX_BACKOFF_MS = 600_000;
 
-    private double moreSinceMs = Double.NaN;
-    private double lastMs = Double.NaN;
-    private double due;
-    private double lookMs = Double.NaN;
-    private double lookTimes;
-    private int lookEnded;
-    private double pauseMs = FIRST_PAUSE_MS;
-    private double pausedUntilMs = Double.NEGATIVE_INFINITY;
-    private long ended;
-    private double times = 1;
+    private double overloadedSinceMs = Double.NaN;
+    private double lastUpdateMs = Double.NaN;
+    private double closeCredit;
+    private double evaluationStartMs = Double.NaN;
+    private double evaluationStartRatio;
+    private int closedSinceEvaluation;
+    private double backoffMs = INITIAL_BACKOFF_MS;
+    private double backoffUntilMs = Double.NEGATIVE_INFINITY;
+    private long connectionsClosed;
+    private double loadRatio = 1;
 
     /**
      * How many connections to end now. Some times a second.
@@ -50,64 +50,68 @@
      * @param open connections of its clients
      * @param idle of these, between requests
      */
-    public int tick(double nowMs, double mine, Collection<Double> others, int open, int idle) {
-        double passedMs = Double.isNaN(lastMs) ? 0 : Math.max(0, Math.min(SEEN_MS, nowMs - lastMs));
-        lastMs = nowMs;
+    public int connectionsToClose(double nowMs, double mine, Collection<Double> others, int open, int idle) {
+        double passedMs = Double.isNaN(lastUpdateMs) ? 0 : Math.max(0, Math.min(MIN_OVERLOAD_MS, nowMs - lastUpdateMs));
+        lastUpdateMs = nowMs;
         double mean = (mine + others.stream().mapToDouble(Double::doubleValue).sum()) / (1 + others.size());
-        times = mean > 0 ? mine / mean : 1;
-        boolean shedding = lookEnded > 0;
-        boolean more = !others.isEmpty() && mine - mean >= WORTH && times > (shedding ? ENOUGH : MORE);
+        loadRatio = mean > 0 ? mine / mean : 1;
+        boolean shedding = closedSinceEvaluation > 0;
+        boolean more = !others.isEmpty()
+                && mine - mean >= MIN_EXCESS_PER_SECOND
+                && loadRatio > (shedding ? TARGET_RATIO : OVERLOAD_RATIO);
         if (!more) {
-            moreSinceMs = Double.NaN;
-            due = 0;
-            if (shedding && times <= ENOUGH) {
-                pauseMs = FIRST_PAUSE_MS; // it did good
-                restart(nowMs);
+            overloadedSinceMs = Double.NaN;
+            closeCredit = 0;
+            if (shedding && loadRatio <= TARGET_RATIO) {
+                backoffMs = INITIAL_BACKOFF_MS; // it did good
+                startEvaluation(nowMs);
             }
             return 0;
         }
-        moreSinceMs = Double.isNaN(moreSinceMs) ? nowMs : moreSinceMs;
-        if (nowMs < pausedUntilMs || nowMs - moreSinceMs < SEEN_MS) {
+        overloadedSinceMs = Double.isNaN(overloadedSinceMs) ? nowMs : overloadedSinceMs;
+        if (nowMs < backoffUntilMs || nowMs - overloadedSinceMs < MIN_OVERLOAD_MS) {
             return 0;
         }
-        if (lookEnded == 0) {
-            lookMs = nowMs;
-            lookTimes = times;
-        } else if (nowMs - lookMs >= LOOK_MS) {
-            if (lookTimes - times < GAIN * (lookTimes - 1)) {
-                pausedUntilMs = nowMs + pauseMs;
-                pauseMs = Math.min(LONGEST_PAUSE_MS, 2 * pauseMs);
-                restart(nowMs);
+        if (closedSinceEvaluation == 0) {
+            evaluationStartMs = nowMs;
+            evaluationStartRatio = loadRatio;
+        } else if (nowMs - evaluationStartMs >= EVALUATION_MS) {
+            if (evaluationStartRatio - loadRatio < MIN_IMPROVEMENT * (evaluationStartRatio - 1)) {
+                backoffUntilMs = nowMs + backoffMs;
+                backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
+                startEvaluation(nowMs);
                 return 0;
             }
-            restart(nowMs);
+            startEvaluation(nowMs);
         }
-        due += open * (1 - 1 / times) * PACE * passedMs / 1000;
-        int now = (int) Math.min(idle, due);
-        due = Math.min(due - now, Math.max(1, open * PACE)); // what found nobody idle is not made up for at once
-        lookEnded += now;
-        ended += now;
+        closeCredit += open * (1 - 1 / loadRatio) * CLOSE_SHARE_PER_SECOND * passedMs / 1000;
+        int now = (int) Math.min(idle, closeCredit);
+        closeCredit = Math.min(
+                closeCredit - now,
+                Math.max(1, open * CLOSE_SHARE_PER_SECOND)); // what found nobody idle is not made up for at once
+        closedSinceEvaluation += now;
+        connectionsClosed += now;
         return now;
     }
 
-    private void restart(double nowMs) {
-        lookEnded = 0;
-        lookMs = nowMs;
-        lookTimes = times;
+    private void startEvaluation(double nowMs) {
+        closedSinceEvaluation = 0;
+        evaluationStartMs = nowMs;
+        evaluationStartRatio = loadRatio;
     }
 
     /** What this instance is asked, by the mean of those that serve. */
-    public double times() {
-        return times;
+    public double loadRatio() {
+        return loadRatio;
     }
 
     /** Connections that it has said to end. */
-    public long ended() {
-        return ended;
+    public long connectionsClosed() {
+        return connectionsClosed;
     }
 
     /** Whether it leaves them alone, as ending them did no good. */
-    public boolean paused(double nowMs) {
-        return nowMs < pausedUntilMs;
+    public boolean isBackingOff(double nowMs) {
+        return nowMs < backoffUntilMs;
     }
 }
--- a/src/main/java/cacheproxy/recovery/PeerStateQuery.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateQuery.java
@@ -23,24 +23,24 @@
  */
 public final class PeerStateQuery {
     /** So many answers are enough. */
-    public static final int ENOUGH = 3;
+    public static final int ANSWERS_WANTED = 3;
     /** An answer takes so long at most, there and back and in line. */
-    static final double ANSWER_MS = 500;
+    static final double ANSWER_TIMEOUT_MS = 500;
     /** Where nobody serves for so long, nobody remembers. */
-    static final double NOBODY_MS = 3000;
+    static final double NO_PEER_TIMEOUT_MS = 3000;
     /** All of it ends after so long: what was met here is newer by then. */
-    static final double LONGEST_MS = 6000;
+    static final double QUERY_TIMEOUT_MS = 6000;
     /** Of a zone's nodes one in so many may be doubted on peers' word, one at least. */
-    static final int PART = 4;
+    static final int MAX_SUSPECTED_DIVISOR = 4;
 
     /** How it stands. */
     public enum State {
         /** Answers are waited for, or somebody to ask. */
-        ASKING,
+        QUERYING,
         /** There were answers. */
-        DONE,
+        ANSWERED,
         /** Nobody serves who could remember. */
-        NOBODY,
+        NO_SERVING_PEER,
         /** Somebody serves, and no answer came in time. */
         UNANSWERED
     }
@@ -56,58 +56,65 @@
      * @param bad nodes to doubt, those that most of them avoid first
      */
     public record Result(
-            int from, long listVersion, double fetchMs, double paceMs, double originShare, List<Integer> bad) {}
+            int answers,
+            long listVersion,
+            double originFetchMs,
+            double nodeLatencyMs,
+            double originInTimeRatio,
+            List<Integer> suspectedNodes) {}
 
-    private final int me;
+    private final int instance;
     private final double startedMs;
     /** When those that were asked were asked. */
-    private final Map<Integer, Double> askedMs = new LinkedHashMap<>();
+    private final Map<Integer, Double> queriedAtMs = new LinkedHashMap<>();
 
     private final Map<Integer, PeerStateSummary> answers = new LinkedHashMap<>();
-    private double servesMs = Double.NaN;
-    private State state = State.ASKING;
+    private double servingPeerSeenMs = Double.NaN;
+    private State state = State.QUERYING;
 
-    /** Begins at a time. {@code me}: the instance's number, by which whom it asks is drawn. */
+    /** Begins at a time. {@code instance}: the instance's number, by which whom it asks is drawn. */
     public PeerStateQuery(int me, double startedMs) {
-        this.me = me;
+        this.instance = me;
         this.startedMs = startedMs;
     }
 
     /** Whom to ask now. Some times a second. */
-    public List<Integer> tick(double nowMs, View view) {
-        if (state != State.ASKING) {
+    public List<Integer> peersToQuery(double nowMs, View view) {
+        if (state != State.QUERYING) {
             return List.of();
         }
         List<Entry> serving = view.entries().stream()
-                .filter(e -> e.id() != me && e.state().lives() && e.phase() == Phase.SERVING)
-                .sorted(Comparator.comparingLong(e -> Entry.mix(e.id() ^ me * 0x9e37_79b9_7f4a_7c15L)))
+                .filter(e -> e.id() != instance && e.state().lives() && e.phase() == Phase.SERVING)
+                .sorted(Comparator.comparingLong(e -> Entry.mix(e.id() ^ instance * 0x9e37_79b9_7f4a_7c15L)))
                 .toList();
-        if (!serving.isEmpty() && Double.isNaN(servesMs)) {
-            servesMs = nowMs;
+        if (!serving.isEmpty() && Double.isNaN(servingPeerSeenMs)) {
+            servingPeerSeenMs = nowMs;
         }
-        if (answers.size() >= Math.min(ENOUGH, Math.max(1, serving.size()))) {
-            state = State.DONE;
-        } else if (nowMs - startedMs >= LONGEST_MS) {
-            state = !answers.isEmpty() ? State.DONE : Double.isNaN(servesMs) ? State.NOBODY : State.UNANSWERED;
-        } else if (Double.isNaN(servesMs) && nowMs - startedMs >= NOBODY_MS) {
-            state = State.NOBODY;
+        if (answers.size() >= Math.min(ANSWERS_WANTED, Math.max(1, serving.size()))) {
+            state = State.ANSWERED;
+        } else if (nowMs - startedMs >= QUERY_TIMEOUT_MS) {
+            state = !answers.isEmpty()
+                    ? State.ANSWERED
+                    : Double.isNaN(servingPeerSeenMs) ? State.NO_SERVING_PEER : State.UNANSWERED;
+        } else if (Double.isNaN(servingPeerSeenMs) && nowMs - startedMs >= NO_PEER_TIMEOUT_MS) {
+            state = State.NO_SERVING_PEER;
         }
-        return state == State.ASKING ? ask(nowMs, serving) : List.of();
+        return state == State.QUERYING ? choosePeers(nowMs, serving) : List.of();
     }
 
-    private List<Integer> ask(double nowMs, List<Entry> serving) {
-        long out = askedMs.entrySet().stream()
-                .filter(e -> !answers.containsKey(e.getKey()) && nowMs - e.getValue() < ANSWER_MS)
+    private List<Integer> choosePeers(double nowMs, List<Entry> serving) {
+        long out = queriedAtMs.entrySet().stream()
+                .filter(e -> !answers.containsKey(e.getKey()) && nowMs - e.getValue() < ANSWER_TIMEOUT_MS)
                 .count();
         Set<Integer> zones = new HashSet<>();
-        serving.stream().filter(e -> askedMs.containsKey(e.id())).forEach(e -> zones.add(e.zone()));
+        serving.stream().filter(e -> queriedAtMs.containsKey(e.id())).forEach(e -> zones.add(e.zone()));
         List<Integer> ask = new ArrayList<>();
         for (int round = 0; round < 2; round++) {
             for (Entry e : serving) {
-                if (out + answers.size() < ENOUGH
-                        && !askedMs.containsKey(e.id())
+                if (out + answers.size() < ANSWERS_WANTED
+                        && !queriedAtMs.containsKey(e.id())
                         && (zones.add(e.zone()) || round > 0)) {
-                    askedMs.put(e.id(), nowMs);
+                    queriedAtMs.put(e.id(), nowMs);
                     ask.add(e.id());
                     out++;
                 }
@@ -117,8 +124,8 @@
     }
 
     /** An answer has come; one that was not asked for, or comes twice, says nothing. */
-    public void heard(int peer, PeerStateSummary memory) {
-        if (state == State.ASKING && askedMs.containsKey(peer)) {
+    public void answerReceived(int peer, PeerStateSummary memory) {
+        if (state == State.QUERYING && queriedAtMs.containsKey(peer)) {
             answers.putIfAbsent(peer, memory);
         }
     }
@@ -134,12 +141,12 @@
      * @param zoneOf where a node stands; nodes that are not in it are left out
      * @param inZone how many nodes a zone has
      */
-    public Result recalled(Map<Integer, Integer> zoneOf, Map<Integer, Integer> inZone) {
+    public Result result(Map<Integer, Integer> zoneOf, Map<Integer, Integer> inZone) {
         if (answers.isEmpty()) {
             throw new IllegalStateException("nobody has answered");
         }
         Map<Integer, Integer> votes = new LinkedHashMap<>();
-        answers.values().forEach(m -> new HashSet<>(m.bad()).forEach(n -> votes.merge(n, 1, Integer::sum)));
+        answers.values().forEach(m -> new HashSet<>(m.avoidedNodes()).forEach(n -> votes.merge(n, 1, Integer::sum)));
         Map<Integer, Integer> doubted = new HashMap<>();
         List<Integer> bad = votes.entrySet().stream()
                 .filter(v -> v.getValue() >= Math.min(2, answers.size()) && zoneOf.containsKey(v.getKey()))
@@ -148,7 +155,7 @@
                         .thenComparing(Map.Entry.comparingByKey()))
                 .map(Map.Entry::getKey)
                 .filter(n -> doubted.merge(zoneOf.get(n), 1, Integer::sum)
-                        <= Math.max(1, inZone.getOrDefault(zoneOf.get(n), 0) / PART))
+                        <= Math.max(1, inZone.getOrDefault(zoneOf.get(n), 0) / MAX_SUSPECTED_DIVISOR))
                 .toList();
         return new Result(
                 answers.size(),
@@ -156,22 +163,22 @@
                         .mapToLong(PeerStateSummary::listVersion)
                         .max()
                         .orElseThrow(),
-                middle(answers.values().stream()
-                        .map(PeerStateSummary::fetchMs)
+                median(answers.values().stream()
+                        .map(PeerStateSummary::originFetchMs)
                         .sorted()
                         .toList()),
-                middle(answers.values().stream()
-                        .map(PeerStateSummary::paceMs)
+                median(answers.values().stream()
+                        .map(PeerStateSummary::nodeLatencyMs)
                         .sorted()
                         .toList()),
                 answers.values().stream()
-                        .mapToDouble(PeerStateSummary::originShare)
+                        .mapToDouble(PeerStateSummary::originInTimeRatio)
                         .min()
                         .orElseThrow(),
                 bad);
     }
 
-    private static double middle(List<Float> sorted) {
+    private static double median(List<Float> sorted) {
         return sorted.get(sorted.size() / 2);
     }
 }
--- a/src/main/java/cacheproxy/recovery/PeerStateSummary.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateSummary.java
@@ -9,59 +9,64 @@
  * first. It fits in one datagram.
  *
  * @param listVersion the version of the list that it holds, 0 or more; a claim, as only discovery's word makes a list
- * @param fetchMs what a fetch at the origin takes
- * @param paceMs what an answer of a cache node takes
- * @param originShare of what it asked of the origin lately, so much came in time, 0 to 1
- * @param bad nodes that it avoids, those that failed most first, {@link #MOST_BAD} at most
+ * @param originFetchMs what a fetch at the origin takes
+ * @param nodeLatencyMs what an answer of a cache node takes
+ * @param originInTimeRatio of what it asked of the origin lately, so much came in time, 0 to 1
+ * @param avoidedNodes nodes that it avoids, those that failed most first, {@link #MAX_AVOIDED_NODES} at most
  */
-public record PeerStateSummary(long listVersion, float fetchMs, float paceMs, float originShare, List<Integer> bad) {
+public record PeerStateSummary(
+        long listVersion,
+        float originFetchMs,
+        float nodeLatencyMs,
+        float originInTimeRatio,
+        List<Integer> avoidedNodes) {
     /** So many nodes are named at most. */
-    public static final int MOST_BAD = 48;
+    public static final int MAX_AVOIDED_NODES = 48;
 
-    private static final byte QUESTION = 'Q';
-    private static final byte ANSWER = 'M';
-    private static final int HEAD = 1 + Long.BYTES + 3 * Float.BYTES + 1;
-    private static final float MOST_MS = 1e6f;
+    private static final byte QUERY_TYPE = 'Q';
+    private static final byte ANSWER_TYPE = 'M';
+    private static final int HEADER_BYTES = 1 + Long.BYTES + 3 * Float.BYTES + 1;
+    private static final float MAX_DURATION_MS = 1e6f;
 
     /** Checks the ranges. */
     public PeerStateSummary {
-        bad = List.copyOf(bad);
+        avoidedNodes = List.copyOf(avoidedNodes);
         if (listVersion < 0
-                || !(fetchMs >= 0 && fetchMs <= MOST_MS)
-                || !(paceMs >= 0 && paceMs <= MOST_MS)
-                || !(originShare >= 0 && originShare <= 1)
-                || bad.size() > MOST_BAD) {
-            throw new IllegalArgumentException("a memory of version " + listVersion + ", " + fetchMs + " and " + paceMs
-                    + " ms, " + originShare + ", " + bad.size() + " nodes");
+                || !(originFetchMs >= 0 && originFetchMs <= MAX_DURATION_MS)
+                || !(nodeLatencyMs >= 0 && nodeLatencyMs <= MAX_DURATION_MS)
+                || !(originInTimeRatio >= 0 && originInTimeRatio <= 1)
+                || avoidedNodes.size() > MAX_AVOIDED_NODES) {
+            throw new IllegalArgumentException("a memory of version " + listVersion + ", " + originFetchMs + " and "
+                    + nodeLatencyMs + " ms, " + originInTimeRatio + ", " + avoidedNodes.size() + " nodes");
         }
     }
 
     /** The question. */
-    public static byte[] question() {
-        return new byte[] {QUESTION};
+    public static byte[] query() {
+        return new byte[] {QUERY_TYPE};
     }
 
     /** Whether a message is the question. */
-    public static boolean isQuestion(byte[] message) {
-        return message.length == 1 && message[0] == QUESTION;
+    public static boolean isQuery(byte[] message) {
+        return message.length == 1 && message[0] == QUERY_TYPE;
     }
 
     /** As a message. */
     public byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(HEAD + Integer.BYTES * bad.size())
-                .put(ANSWER)
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + Integer.BYTES * avoidedNodes.size())
+                .put(ANSWER_TYPE)
                 .putLong(listVersion)
-                .putFloat(fetchMs)
-                .putFloat(paceMs)
-                .putFloat(originShare)
-                .put((byte) bad.size());
-        bad.forEach(out::putInt);
+                .putFloat(originFetchMs)
+                .putFloat(nodeLatencyMs)
+                .putFloat(originInTimeRatio)
+                .put((byte) avoidedNodes.size());
+        avoidedNodes.forEach(out::putInt);
         return out.array();
     }
 
     /** Reads it; null for what is none, or none that can be so. */
     public static PeerStateSummary decode(byte[] message) {
-        if (message.length < HEAD || message[0] != ANSWER) {
+        if (message.length < HEADER_BYTES || message[0] != ANSWER_TYPE) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(message);
@@ -71,7 +76,7 @@
         float pace = in.getFloat();
         float share = in.getFloat();
         int many = in.get();
-        if (many < 0 || many > MOST_BAD || in.remaining() != Integer.BYTES * many) {
+        if (many < 0 || many > MAX_AVOIDED_NODES || in.remaining() != Integer.BYTES * many) {
             return null;
         }
         List<Integer> bad = new ArrayList<>();
--- a/src/main/java/cacheproxy/recovery/ProvenanceTracker.java
+++ b/src/main/java/cacheproxy/recovery/ProvenanceTracker.java
@@ -12,11 +12,11 @@
     /** What may come from elsewhere. */
     public enum Subject {
         /** The list of servers. */
-        LIST("list"),
+        ENDPOINT_LIST("list"),
         /** What was learnt of servers and the origin. */
-        LEARNT("learnt"),
+        LEARNED_STATE("learnt"),
         /** How far zones are open. */
-        ZONES("zones"),
+        ZONE_STATES("zones"),
         /** The number of this instance's life. */
         INCARNATION("incarnation");
 
@@ -40,17 +40,17 @@
      * @param untilMs it may be used until then, by the clock of whoever asks; infinite for no bound
      * @param hint it only makes decisions more careful
      */
-    public record Entry(Provenance source, double ageMs, double untilMs, boolean hint) {}
+    public record Entry(Provenance provenance, double ageMs, double usableUntilMs, boolean hint) {}
 
-    private static final Entry NOTHING = new Entry(Provenance.NONE, Double.NaN, Double.POSITIVE_INFINITY, false);
+    private static final Entry NO_ENTRY = new Entry(Provenance.NONE, Double.NaN, Double.POSITIVE_INFINITY, false);
 
-    private final Map<Subject, Entry> standing = new EnumMap<>(Subject.class);
-    private long refused;
-    private long stale;
+    private final Map<Subject, Entry> entries = new EnumMap<>(Subject.class);
+    private long rejected;
+    private long staleDecisions;
 
     /** Something has been taken from elsewhere. */
-    public void taken(double nowMs, Subject thing, Provenance source, double ageMs, double boundMs, boolean hint) {
-        standing.put(
+    public void adopted(double nowMs, Subject thing, Provenance source, double ageMs, double boundMs, boolean hint) {
+        entries.put(
                 thing,
                 new Entry(
                         source,
@@ -60,44 +60,44 @@
     }
 
     /** Something was there and was not taken, as it is too old, or another's. */
-    public void refused(Subject thing) {
-        refused++;
+    public void rejected(Subject thing) {
+        rejected++;
     }
 
     /** It has been met at first hand. */
     public void confirmed(Subject thing) {
-        standing.put(thing, new Entry(Provenance.FIRST_HAND, 0, Double.POSITIVE_INFINITY, false));
+        entries.put(thing, new Entry(Provenance.FIRST_HAND, 0, Double.POSITIVE_INFINITY, false));
     }
 
     /** What was taken has been let go of. */
-    public void dropped(Subject thing) {
-        standing.remove(thing);
+    public void discarded(Subject thing) {
+        entries.remove(thing);
     }
 
     /** How a thing stands. */
-    public Entry of(Subject thing) {
-        return standing.getOrDefault(thing, NOTHING);
+    public Entry entry(Subject thing) {
+        return entries.getOrDefault(thing, NO_ENTRY);
     }
 
     /** Whether it is past its bound, and is to be let go of. */
     public boolean expired(double nowMs, Subject thing) {
-        return nowMs > of(thing).untilMs();
+        return nowMs > entry(thing).usableUntilMs();
     }
 
     /** Something is decided by this thing now. */
-    public void decided(double nowMs, Subject thing) {
+    public void usedForDecision(double nowMs, Subject thing) {
         if (expired(nowMs, thing)) {
-            stale++;
+            staleDecisions++;
         }
     }
 
     /** Records that were found and not used. */
-    public long refused() {
-        return refused;
+    public long rejected() {
+        return rejected;
     }
 
     /** Decisions by something past its bound; stays 0. */
     public long staleDecisions() {
-        return stale;
+        return staleDecisions;
     }
 }
--- a/src/main/java/cacheproxy/recovery/RecoveryProgress.java
+++ b/src/main/java/cacheproxy/recovery/RecoveryProgress.java
@@ -7,8 +7,8 @@
  * The way of one instance from its start to full service, by evidence: it is starting until it has a list, recovering
  * until it serves what it is asked, and serving from then on. That a list of any age serves is all that can be known of
  * it while discovery has nothing newer to tell, as a watch that has no news says nothing; who is asked nothing waits a
- * little for such news. A clock alone ends it only after {@link #LONGEST_MS}: by then nothing is to be had by waiting,
- * and what others do for one that recovers has to end.
+ * little for such news. A clock alone ends it only after {@link #MAX_RECOVERY_MS}: by then nothing is to be had by
+ * waiting, and what others do for one that recovers has to end.
  */
 public final class RecoveryProgress {
     /** Where an instance stands. */
@@ -30,27 +30,27 @@
     }
 
     /** The longest that an instance may call itself recovering. */
-    public static final double LONGEST_MS = 30_000;
+    public static final double MAX_RECOVERY_MS = 30_000;
     /** What was asked and served is looked at over so long. */
-    static final double SPAN_MS = 2000;
+    static final double WINDOW_MS = 2000;
     /** So many requests say something. */
-    static final long ENOUGH = 10;
+    static final long MIN_REQUESTS = 10;
     /** Of what is asked, so much has to be served. */
-    static final double SERVED = 0.95;
+    static final double MIN_SERVED_RATIO = 0.95;
     /** Who is asked nothing has nothing to show for longer than this. */
-    static final double IDLE_MS = 1000;
+    static final double IDLE_WAIT_MS = 1000;
     /** And where nobody has told the list, for longer than this. */
-    static final double UNTOLD_MS = 3000;
+    static final double UNCONFIRMED_LIST_WAIT_MS = 3000;
 
     private record Mark(double atMs, RequestCounts sample) {}
 
     private final double startedMs;
-    private final Deque<Mark> marks = new ArrayDeque<>();
+    private final Deque<Mark> window = new ArrayDeque<>();
     private Stage stage = Stage.STARTING;
     private double listMs = Double.NaN;
-    private double toldMs = Double.NaN;
+    private double confirmedMs = Double.NaN;
     private double servingMs = Double.NaN;
-    private boolean byBound;
+    private boolean endedByTimeout;
 
     /** Begins at a time, with nothing. */
     public RecoveryProgress(double startedMs) {
@@ -58,49 +58,53 @@
     }
 
     /** There is a list to work with; {@code firstHand}: from discovery or the process before. */
-    public void listed(double nowMs, boolean firstHand) {
+    public void listAvailable(double nowMs, boolean firstHand) {
         if (Double.isNaN(listMs)) {
             listMs = nowMs;
         }
-        if (firstHand && Double.isNaN(toldMs)) {
-            toldMs = nowMs;
+        if (firstHand && Double.isNaN(confirmedMs)) {
+            confirmedMs = nowMs;
         }
     }
 
     /** The list had to be let go of. */
-    public void unlisted() {
+    public void listLost() {
         if (stage != Stage.SERVING) {
             listMs = Double.NaN;
         }
     }
 
     /** Time has passed; what has been done since the start. Some times a second. */
-    public Stage tick(double nowMs, RequestCounts now) {
+    public Stage update(double nowMs, RequestCounts now) {
         if (stage == Stage.SERVING) {
             return stage;
         }
-        marks.addLast(new Mark(nowMs, now));
-        while (marks.size() > 2 && nowMs - marks.peekFirst().atMs() > SPAN_MS) {
-            marks.pollFirst();
+        window.addLast(new Mark(nowMs, now));
+        while (window.size() > 2 && nowMs - window.peekFirst().atMs() > WINDOW_MS) {
+            window.pollFirst();
         }
         stage = Double.isNaN(listMs) ? Stage.STARTING : Stage.RECOVERING;
-        byBound = nowMs - startedMs >= LONGEST_MS && stage == Stage.RECOVERING;
-        if (byBound || (stage == Stage.RECOVERING && serves(nowMs, now))) {
+        endedByTimeout = nowMs - startedMs >= MAX_RECOVERY_MS && stage == Stage.RECOVERING;
+        if (endedByTimeout || (stage == Stage.RECOVERING && isServing(nowMs, now))) {
             stage = Stage.SERVING;
             servingMs = nowMs;
-            marks.clear();
+            window.clear();
         }
         return stage;
     }
 
-    private boolean serves(double nowMs, RequestCounts now) {
-        Mark first = marks.peekFirst();
+    private boolean isServing(double nowMs, RequestCounts now) {
+        Mark first = window.peekFirst();
         RequestCounts did = now.since(first.sample());
-        if (did.asked() >= ENOUGH) {
+        if (did.received() >= MIN_REQUESTS) {
             // What is under way has been asked and not served yet; it is not held against the instance twice.
-            return did.served() >= SERVED * (did.served() + did.refused()) && did.served() >= ENOUGH / 2;
+            return did.served() >= MIN_SERVED_RATIO * (did.served() + did.rejected())
+                    && did.served() >= MIN_REQUESTS / 2;
         }
-        return did.refused() == 0 && (Double.isNaN(toldMs) ? nowMs - listMs >= UNTOLD_MS : nowMs - toldMs >= IDLE_MS);
+        return did.rejected() == 0
+                && (Double.isNaN(confirmedMs)
+                        ? nowMs - listMs >= UNCONFIRMED_LIST_WAIT_MS
+                        : nowMs - confirmedMs >= IDLE_WAIT_MS);
     }
 
     /** Where it stands. */
@@ -114,8 +118,8 @@
     }
 
     /** From the start until the list was at first hand. */
-    public double toldAfterMs() {
-        return toldMs - startedMs;
+    public double confirmedAfterMs() {
+        return confirmedMs - startedMs;
     }
 
     /** From the start until it served. */
@@ -124,7 +128,7 @@
     }
 
     /** Whether only the bound ended it. */
-    public boolean endedByBound() {
-        return byBound;
+    public boolean endedByTimeout() {
+        return endedByTimeout;
     }
 }
--- a/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
+++ b/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
@@ -41,10 +41,10 @@
                 List<Double> others = new ArrayList<>();
                 for (int j = 0; j < open.length; j++) {
                     if (j != i) {
-                        others.add(RequestRateCode.perSecond(RequestRateCode.code(before[j] * CLIENTS_RATE)));
+                        others.add(RequestRateCode.decode(RequestRateCode.encode(before[j] * CLIENTS_RATE)));
                     }
                 }
-                int many = spreads.get(i).tick(now, before[i] * CLIENTS_RATE, others, open[i], open[i]);
+                int many = spreads.get(i).connectionsToClose(now, before[i] * CLIENTS_RATE, others, open[i], open[i]);
                 assertThat(many).isBetween(0, open[i]);
                 ended[i] += many;
                 for (int c = 0; c < many && !stays; c++) {
@@ -100,7 +100,7 @@
         while (fleet.now < 600_000) {
             fleet.tick(true);
         }
-        assertThat(fleet.spreads.get(0).paused(fleet.now)).isTrue();
+        assertThat(fleet.spreads.get(0).isBackingOff(fleet.now)).isTrue();
         assertThat(fleet.ended[0]).isLessThan(6 * 4 * 120);
         assertThat(fleet.ended[1]).isZero();
     }
@@ -109,7 +109,8 @@
     void withNobodyElseThereNobodyIsSentAway() {
         ConnectionRebalancer spread = new ConnectionRebalancer();
         for (int t = 0; t < 20_000; t += 250) {
-            assertThat(spread.tick(t, 1000, Collections.emptyList(), 100, 100)).isZero();
+            assertThat(spread.connectionsToClose(t, 1000, Collections.emptyList(), 100, 100))
+                    .isZero();
         }
     }
 
@@ -117,17 +118,18 @@
     void aLittleMoreThanOthersIsLeftAlone() {
         ConnectionRebalancer spread = new ConnectionRebalancer();
         for (int t = 0; t < 20_000; t += 250) {
-            assertThat(spread.tick(t, 120, List.of(100.0, 95.0, 105.0), 30, 30)).isZero();
+            assertThat(spread.connectionsToClose(t, 120, List.of(100.0, 95.0, 105.0), 30, 30))
+                    .isZero();
         }
     }
 
     @Property(seed = "9")
     void whatIsToldOfALoadIsAQuarterOffAtMost(@ForAll @IntRange(min = 1, max = 1_000_000) int perSecond) {
-        double told = RequestRateCode.perSecond(RequestRateCode.code(perSecond));
+        double told = RequestRateCode.decode(RequestRateCode.encode(perSecond));
         assertThat(told).isBetween(perSecond / 1.13, perSecond * 1.13);
-        assertThat(RequestRateCode.changed(RequestRateCode.code(perSecond), perSecond))
+        assertThat(RequestRateCode.differs(RequestRateCode.encode(perSecond), perSecond))
                 .isFalse();
-        assertThat(RequestRateCode.changed(RequestRateCode.code(perSecond), perSecond * 1.6 + 2))
+        assertThat(RequestRateCode.differs(RequestRateCode.encode(perSecond), perSecond * 1.6 + 2))
                 .isTrue();
     }
 }
--- a/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
@@ -26,7 +26,9 @@
                         1e6f,
                         1e6f,
                         1,
-                        IntStream.range(0, PeerStateSummary.MOST_BAD).boxed().toList()));
+                        IntStream.range(0, PeerStateSummary.MAX_AVOIDED_NODES)
+                                .boxed()
+                                .toList()));
         return all;
     }
 
@@ -37,7 +39,7 @@
     @Test
     void eachMessageIsTheSameBytes() {
         StringBuilder all = new StringBuilder();
-        all.append("question ").append(hex(PeerStateSummary.question())).append('\n');
+        all.append("question ").append(hex(PeerStateSummary.query())).append('\n');
         answers()
                 .forEach((name, memory) -> all.append(name)
                         .append(' ')
@@ -52,7 +54,7 @@
                 .lines()
                 .map(l -> l.split(" "))
                 .collect(Collectors.toMap(w -> w[0], w -> HexFormat.of().parseHex(w[1])));
-        assertThat(PeerStateSummary.isQuestion(read.get("question"))).isTrue();
+        assertThat(PeerStateSummary.isQuery(read.get("question"))).isTrue();
         answers()
                 .forEach((name, memory) ->
                         assertThat(PeerStateSummary.decode(read.get(name))).isEqualTo(memory));
@@ -62,12 +64,12 @@
     void theByteOfALoadIsTheSame() {
         StringBuilder table = new StringBuilder();
         for (double rate : new double[] {Double.NaN, 0, 0.49, 0.5, 1, 2, 7.5, 100, 2500, 1e6, 1e30}) {
-            byte code = RequestRateCode.code(rate);
+            byte code = RequestRateCode.encode(rate);
             table.append(rate)
                     .append(' ')
                     .append(code & 0xff)
                     .append(' ')
-                    .append(RequestRateCode.perSecond(code))
+                    .append(RequestRateCode.decode(code))
                     .append('\n');
         }
         PinnedFile.assertText("recovery/load-codes.txt", table.toString());
--- a/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
@@ -60,7 +60,7 @@
     void threeOfThreeZonesAreAskedAndEachAnotherThree() {
         Set<Integer> asked = new HashSet<>();
         for (int me = 20; me < 60; me++) {
-            List<Integer> mine = new PeerStateQuery(me, 0).tick(0, view(me, 60, 20));
+            List<Integer> mine = new PeerStateQuery(me, 0).peersToQuery(0, view(me, 60, 20));
             assertThat(mine).hasSize(3).doesNotHaveDuplicates();
             assertThat(mine.stream().map(i -> i % ZONES).distinct()).hasSize(3);
             asked.addAll(mine);
@@ -72,30 +72,30 @@
     void anAnswerThatDoesNotComeIsAskedOfTheNext() {
         PeerStateQuery recall = new PeerStateQuery(9, 0);
         View view = view(9, 10, 6);
-        List<Integer> first = recall.tick(0, view);
-        assertThat(recall.tick(400, view)).isEmpty();
-        recall.heard(first.get(0), memory(4));
-        List<Integer> second = recall.tick(600, view);
+        List<Integer> first = recall.peersToQuery(0, view);
+        assertThat(recall.peersToQuery(400, view)).isEmpty();
+        recall.answerReceived(first.get(0), memory(4));
+        List<Integer> second = recall.peersToQuery(600, view);
         assertThat(second).hasSize(2).doesNotContainAnyElementsOf(first);
-        recall.heard(second.get(0), memory(5));
-        recall.heard(second.get(0), memory(7));
-        assertThat(recall.tick(700, view)).isEmpty();
-        assertThat(recall.state()).isEqualTo(State.ASKING);
-        recall.heard(first.get(1), memory(6));
-        recall.tick(800, view);
-        assertThat(recall.state()).isEqualTo(State.DONE);
-        assertThat(recall.recalled(Map.of(), Map.of()).listVersion()).isEqualTo(6);
+        recall.answerReceived(second.get(0), memory(5));
+        recall.answerReceived(second.get(0), memory(7));
+        assertThat(recall.peersToQuery(700, view)).isEmpty();
+        assertThat(recall.state()).isEqualTo(State.QUERYING);
+        recall.answerReceived(first.get(1), memory(6));
+        recall.peersToQuery(800, view);
+        assertThat(recall.state()).isEqualTo(State.ANSWERED);
+        assertThat(recall.result(Map.of(), Map.of()).listVersion()).isEqualTo(6);
     }
 
     @Example
     void whereNobodyServesItIsKnownSoon() {
         PeerStateQuery recall = new PeerStateQuery(0, 0);
         for (int t = 0; t < 3000; t += 100) {
-            assertThat(recall.tick(t, view(0, 12, 0))).isEmpty();
-            assertThat(recall.state()).isEqualTo(State.ASKING);
+            assertThat(recall.peersToQuery(t, view(0, 12, 0))).isEmpty();
+            assertThat(recall.state()).isEqualTo(State.QUERYING);
         }
-        recall.tick(3000, view(0, 12, 0));
-        assertThat(recall.state()).isEqualTo(State.NOBODY);
+        recall.peersToQuery(3000, view(0, 12, 0));
+        assertThat(recall.state()).isEqualTo(State.NO_SERVING_PEER);
     }
 
     @Example
@@ -103,8 +103,8 @@
         PeerStateQuery recall = new PeerStateQuery(9, 0);
         View view = view(9, 10, 6);
         Set<Integer> asked = new HashSet<>();
-        for (int t = 0; t <= PeerStateQuery.LONGEST_MS; t += 100) {
-            recall.tick(t, view).forEach(p -> assertThat(asked.add(p)).isTrue());
+        for (int t = 0; t <= PeerStateQuery.QUERY_TIMEOUT_MS; t += 100) {
+            recall.peersToQuery(t, view).forEach(p -> assertThat(asked.add(p)).isTrue());
         }
         assertThat(asked).hasSize(6);
         assertThat(recall.state()).isEqualTo(State.UNANSWERED);
@@ -119,7 +119,7 @@
             @ForAll @Size(3) List<@Size(max = 40) List<@IntRange(max = 60) Integer>> said) {
         PeerStateQuery recall = new PeerStateQuery(9, 0);
         View view = view(9, 10, 3);
-        List<Integer> asked = recall.tick(0, view);
+        List<Integer> asked = recall.peersToQuery(0, view);
         Map<Integer, Integer> zoneOf = new HashMap<>();
         Map<Integer, Integer> inZone = new HashMap<>();
         for (int n = 0; n < 48; n++) {
@@ -127,14 +127,15 @@
             inZone.merge(n % ZONES, 1, Integer::sum);
         }
         for (int i = 0; i < 3; i++) {
-            recall.heard(asked.get(i), memory(1, said.get(i).toArray(new Integer[0])));
+            recall.answerReceived(asked.get(i), memory(1, said.get(i).toArray(new Integer[0])));
         }
-        Result r = recall.recalled(zoneOf, inZone);
+        Result r = recall.result(zoneOf, inZone);
         for (int z = 0; z < ZONES; z++) {
             int zone = z;
-            assertThat(r.bad().stream().filter(n -> zoneOf.get(n) == zone)).hasSizeLessThanOrEqualTo(3);
+            assertThat(r.suspectedNodes().stream().filter(n -> zoneOf.get(n) == zone))
+                    .hasSizeLessThanOrEqualTo(3);
         }
-        assertThat(r.bad())
+        assertThat(r.suspectedNodes())
                 .doesNotHaveDuplicates()
                 .allMatch(n -> zoneOf.containsKey(n)
                         && said.stream().filter(s -> s.contains(n)).count() >= 2);
--- a/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
+++ b/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
@@ -16,87 +16,92 @@
     @Test
     void withoutAListItIsStartingHoweverLongThatTakes() {
         for (int t = 0; t <= 100_000; t += 250) {
-            assertThat(progress.tick(t, sample(t, 0, t))).isEqualTo(Stage.STARTING);
+            assertThat(progress.update(t, sample(t, 0, t))).isEqualTo(Stage.STARTING);
         }
     }
 
     /** Who is asked a little at a time and refuses some of it has only the clock. */
     @Test
     void onlyTheBoundEndsWhatEvidenceDoesNot() {
-        progress.listed(100, false);
-        for (int t = 250; t < RecoveryProgress.LONGEST_MS; t += 250) {
-            assertThat(progress.tick(t, sample(t / 250, t / 500, t / 500))).isEqualTo(Stage.RECOVERING);
+        progress.listAvailable(100, false);
+        for (int t = 250; t < RecoveryProgress.MAX_RECOVERY_MS; t += 250) {
+            assertThat(progress.update(t, sample(t / 250, t / 500, t / 500))).isEqualTo(Stage.RECOVERING);
         }
-        assertThat(progress.tick(RecoveryProgress.LONGEST_MS, sample(130, 65, 65)))
+        assertThat(progress.update(RecoveryProgress.MAX_RECOVERY_MS, sample(130, 65, 65)))
                 .isEqualTo(Stage.SERVING);
-        assertThat(progress.endedByBound()).isTrue();
+        assertThat(progress.endedByTimeout()).isTrue();
     }
 
     /** A watch that has no news says nothing: a list of any age that serves is good. */
     @Test
     void aListThatNobodyHasToldIsGoodIfItServesOrNobodyAsks() {
-        progress.listed(0, false);
-        assertThat(progress.tick(2900, sample(0, 0, 0))).isEqualTo(Stage.RECOVERING);
-        assertThat(progress.tick(3000, sample(0, 0, 0))).isEqualTo(Stage.SERVING);
+        progress.listAvailable(0, false);
+        assertThat(progress.update(2900, sample(0, 0, 0))).isEqualTo(Stage.RECOVERING);
+        assertThat(progress.update(3000, sample(0, 0, 0))).isEqualTo(Stage.SERVING);
         RecoveryProgress asked = new RecoveryProgress(0);
-        asked.listed(0, false);
-        asked.tick(250, sample(0, 0, 0));
-        assertThat(asked.tick(500, sample(40, 39, 0))).isEqualTo(Stage.SERVING);
+        asked.listAvailable(0, false);
+        asked.update(250, sample(0, 0, 0));
+        assertThat(asked.update(500, sample(40, 39, 0))).isEqualTo(Stage.SERVING);
     }
 
     @Test
     void whoServesWhatIsAskedServes() {
-        progress.listed(0, true);
-        assertThat(progress.tick(250, sample(4, 4, 0))).isEqualTo(Stage.RECOVERING);
-        assertThat(progress.tick(500, sample(8, 8, 0))).isEqualTo(Stage.RECOVERING);
-        assertThat(progress.tick(750, sample(20, 18, 0))).isEqualTo(Stage.SERVING);
+        progress.listAvailable(0, true);
+        assertThat(progress.update(250, sample(4, 4, 0))).isEqualTo(Stage.RECOVERING);
+        assertThat(progress.update(500, sample(8, 8, 0))).isEqualTo(Stage.RECOVERING);
+        assertThat(progress.update(750, sample(20, 18, 0))).isEqualTo(Stage.SERVING);
         assertThat(progress.servingAfterMs()).isEqualTo(750);
-        assertThat(progress.endedByBound()).isFalse();
+        assertThat(progress.endedByTimeout()).isFalse();
     }
 
     @Test
     void whoRefusesDoesNot() {
-        progress.listed(0, true);
+        progress.listAvailable(0, true);
         for (int t = 250; t < 20_000; t += 250) {
-            assertThat(progress.tick(t, sample(t, t - t / 10, t / 10))).isEqualTo(Stage.RECOVERING);
+            assertThat(progress.update(t, sample(t, t - t / 10, t / 10))).isEqualTo(Stage.RECOVERING);
         }
         // It is looked at over the last two seconds alone.
         for (int t = 20_000; t <= 22_250; t += 250) {
-            progress.tick(t, sample(t, t - 2000, 2000));
+            progress.update(t, sample(t, t - 2000, 2000));
         }
         assertThat(progress.stage()).isEqualTo(Stage.SERVING);
     }
 
     @Test
     void whoIsAskedNothingServesAfterASecond() {
-        progress.listed(2000, true);
-        assertThat(progress.tick(2900, sample(0, 0, 0))).isEqualTo(Stage.RECOVERING);
-        assertThat(progress.tick(3000, sample(0, 0, 0))).isEqualTo(Stage.SERVING);
+        progress.listAvailable(2000, true);
+        assertThat(progress.update(2900, sample(0, 0, 0))).isEqualTo(Stage.RECOVERING);
+        assertThat(progress.update(3000, sample(0, 0, 0))).isEqualTo(Stage.SERVING);
     }
 
     @Test
     void aListThatHadToBeLetGoOfIsNone() {
-        progress.listed(0, false);
-        progress.tick(250, sample(0, 0, 0));
-        progress.unlisted();
-        assertThat(progress.tick(500, sample(0, 0, 0))).isEqualTo(Stage.STARTING);
+        progress.listAvailable(0, false);
+        progress.update(250, sample(0, 0, 0));
+        progress.listLost();
+        assertThat(progress.update(500, sample(0, 0, 0))).isEqualTo(Stage.STARTING);
     }
 
     /** What may be used until when, and that a decision beyond that is counted. */
     @Test
     void whatIsPastItsBoundIsSeen() {
         ProvenanceTracker trust = new ProvenanceTracker();
-        trust.taken(1000, ProvenanceTracker.Subject.LIST, Provenance.STORED, 400, 1000, false);
-        trust.decided(1600, ProvenanceTracker.Subject.LIST);
+        trust.adopted(1000, ProvenanceTracker.Subject.ENDPOINT_LIST, Provenance.STORED, 400, 1000, false);
+        trust.usedForDecision(1600, ProvenanceTracker.Subject.ENDPOINT_LIST);
         assertThat(trust.staleDecisions()).isZero();
-        assertThat(trust.expired(1601, ProvenanceTracker.Subject.LIST)).isTrue();
-        trust.decided(1601, ProvenanceTracker.Subject.LIST);
+        assertThat(trust.expired(1601, ProvenanceTracker.Subject.ENDPOINT_LIST)).isTrue();
+        trust.usedForDecision(1601, ProvenanceTracker.Subject.ENDPOINT_LIST);
         assertThat(trust.staleDecisions()).isEqualTo(1);
-        trust.confirmed(ProvenanceTracker.Subject.LIST);
-        trust.decided(1e12, ProvenanceTracker.Subject.LIST);
-        trust.taken(
-                0, ProvenanceTracker.Subject.LIST, Provenance.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
-        trust.decided(1e12, ProvenanceTracker.Subject.LIST);
+        trust.confirmed(ProvenanceTracker.Subject.ENDPOINT_LIST);
+        trust.usedForDecision(1e12, ProvenanceTracker.Subject.ENDPOINT_LIST);
+        trust.adopted(
+                0,
+                ProvenanceTracker.Subject.ENDPOINT_LIST,
+                Provenance.CONFIGURED,
+                Double.NaN,
+                Double.POSITIVE_INFINITY,
+                false);
+        trust.usedForDecision(1e12, ProvenanceTracker.Subject.ENDPOINT_LIST);
         assertThat(trust.staleDecisions()).isEqualTo(1);
     }
 }
