--- a/src/main/java/cacheproxy/control/RecoveryCall.java
+++ b/src/main/java/cacheproxy/control/RecoveryReport.java
@@ -1,60 +1,60 @@
 package cacheproxy.control;
 
-import cacheproxy.proxy.Recovering;
-import cacheproxy.recovery.Progress;
-import cacheproxy.recovery.Trust;
+import cacheproxy.proxy.RecoveryStatus;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.recovery.RecoveryProgress;
 import cacheproxy.state.RecordStore;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.util.function.Supplier;
 
 /** How a proxy comes back and what it keeps, as the section {@code recovery} of its status. */
-final class RecoveryCall {
+final class RecoveryReport {
     static final String SECTION = "recovery";
 
-    private RecoveryCall() {}
+    private RecoveryReport() {}
 
-    static void register(ControlRegistry registry, Supplier<Recovering> recovering) {
+    static void register(ControlRegistry registry, Supplier<RecoveryStatus> recovering) {
         registry.section(SECTION, () -> json(recovering.get(), (double) System.currentTimeMillis()));
     }
 
-    private static JsonObject json(Recovering r, double nowMs) {
+    private static JsonObject json(RecoveryStatus r, double nowMs) {
         JsonObject o = new JsonObject();
-        Progress p = r.progress();
+        RecoveryProgress p = r.progress();
         o.addProperty("stage", p == null ? "not looked at" : p.stage().wireName());
         if (p != null) {
             seconds(o, "list_after_s", p.listAfterMs());
-            seconds(o, "told_after_s", p.toldAfterMs());
+            seconds(o, "told_after_s", p.confirmedAfterMs());
             seconds(o, "serving_after_s", p.servingAfterMs());
-            o.addProperty("by_clock", p.endedByBound());
+            o.addProperty("by_clock", p.endedByTimeout());
             o.addProperty("per_second", Math.round(r.perSecond()));
-            seconds(o, "times_the_mean", 1000 * r.spread().times());
-            o.addProperty("clients_ended", r.spread().ended());
+            seconds(o, "times_the_mean", 1000 * r.spread().loadRatio());
+            o.addProperty("clients_ended", r.spread().connectionsClosed());
         }
         JsonArray trusted = new JsonArray();
-        for (Trust.Thing thing : Trust.Thing.values()) {
-            Trust.Standing s = r.trust().of(thing);
+        for (ProvenanceTracker.Subject thing : ProvenanceTracker.Subject.values()) {
+            ProvenanceTracker.Entry s = r.trust().entry(thing);
             JsonObject t = new JsonObject();
             t.addProperty("thing", thing.wireName());
-            t.addProperty("from", s.source().wireName());
+            t.addProperty("from", s.provenance().wireName());
             seconds(t, "age_s", s.ageMs());
             if (s.hint()) {
                 t.addProperty("hint", true);
             }
-            seconds(t, "left_s", s.untilMs() - nowMs);
+            seconds(t, "left_s", s.usableUntilMs() - nowMs);
             trusted.add(t);
         }
         o.add("trusted", trusted);
-        o.addProperty("not_used", r.trust().refused());
+        o.addProperty("not_used", r.trust().rejected());
         o.addProperty("stale_decisions", r.trust().staleDecisions());
         RecordStore k = r.keeper();
         if (k != null) {
             o.addProperty("folder", r.folder());
             o.addProperty("writes", r.writes());
             o.addProperty("starts", k.header().starts());
-            o.addProperty("written_bytes", k.written());
-            o.addProperty("failed_writes", k.failures());
-            o.addProperty("too_long", k.dropped());
+            o.addProperty("written_bytes", k.bytesWritten());
+            o.addProperty("failed_writes", k.failedWrites());
+            o.addProperty("too_long", k.oversizedRecords());
             JsonArray found = new JsonArray();
             r.opened().findings().forEach(f -> {
                 JsonObject one = new JsonObject();
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -15,7 +15,7 @@
 import cacheproxy.proxy.discovery.Host;
 import cacheproxy.proxy.discovery.ListSource;
 import cacheproxy.proxy.discovery.ProvisionalList;
-import cacheproxy.recovery.Trust;
+import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
 import cacheproxy.routing.AttemptEnd;
@@ -107,9 +107,9 @@
     private MemberLink members;
     private NodeTalk nodes;
     private ZoneLink zones;
-    private RecallLink recall;
+    private StateQueryLink recall;
     /** What is worked with that was not seen here, and until when it may be. */
-    private final Trust trust = new Trust();
+    private final ProvenanceTracker trust = new ProvenanceTracker();
     /** Who wants to know of news of the list once it is in use. */
     private final List<Consumer<EndpointUpdateKind>> followers = new ArrayList<>();
 
@@ -463,7 +463,7 @@
     }
 
     /** What is worked with that was not seen here. */
-    Trust trust() {
+    ProvenanceTracker trust() {
         return trust;
     }
 
@@ -474,7 +474,7 @@
 
     @Override
     public void inUse(long version) {
-        trust.confirmed(Trust.Thing.LIST);
+        trust.confirmed(ProvenanceTracker.Subject.ENDPOINT_LIST);
         if (news != null) {
             news.held(version);
         }
@@ -499,7 +499,7 @@
     }
 
     /** Who asks peers what they remember, and answers them. */
-    void recall(RecallLink by) {
+    void recall(StateQueryLink by) {
         recall = by;
     }
 
@@ -572,8 +572,7 @@
                 terms.workMicros() / 1000,
                 terms.valueBytes(),
                 c.write,
-                terms.repeated());
-        trust.decided(now, Trust.Thing.LIST);
+ terms.repeated ( ) ) ; trust.usedForDecision ( now , ProvenanceTracker.Subject.ENDPOINT_LIST ) ;
         // Before the module's own timer for the same time: a silent server's attempt ends as a time-out then.
         x.deadlineTimer = after(x.deadlineMs - now, () -> due(x));
         runSerially(() -> guard(x, () -> {
