--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -1,6 +1,7 @@
 package cacheproxy.control;
 
- import cacheproxy.control.MetricSample.Kind ; import cacheproxy.drain.DrainStateMachine ;
+import cacheproxy.control.MetricSample.Kind;
+import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.membership.View;
 import cacheproxy.proxy.Proxy;
 import cacheproxy.proxy.RuleCounts;
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -4,13 +4,13 @@
 import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.gossip.ListNews;
-import cacheproxy.gossip.ProvisionalMembership;
+import cacheproxy.gossip.ListVersionGossip;
+import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.proxy.discovery.ProvisionalList;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Known;
@@ -98,9 +98,9 @@
         peers = new PeerSocket(loop, config, dispatcher::peerMessageReceived, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
-        ProvisionalList list = new ProvisionalList(
+        EndpointListPublisher list = new EndpointListPublisher(
                 dispatcher,
-                new ProvisionalMembership(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
+                new ProvisionalEndpoints(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
                 dispatcher::now);
         discovery = new DiscoveryClient(
                 loop,
@@ -127,8 +127,9 @@
                     discovery.start(remembered.list(config.known()));
                     if (config.settings().peerMessagesAllowed()) {
                         RoutingSettings settings = config.settings();
-                        ListNews news = new ListNews(settings.instanceCount(), settings.instanceSeed(config.seed()));
-                        news.begin(discovery.version());
+                        ListVersionGossip news =
+                                new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
+                        news.start(discovery.version());
                         dispatcher.news(new PeerNews(
                                 dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
                     }
@@ -172,7 +173,7 @@
                     new StoredRecord(
                             RecordKind.OPERATOR_ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
-        return new TakeoverState(discovery.list(), dispatcher.learnedState(), records);
+        return new TakeoverState(discovery.snapshot(), dispatcher.learnedState(), records);
     }
 
     /** What is passed over of what has been learnt; for tests, on the event loop only. */
@@ -399,7 +400,7 @@
                         members.view(),
                         members.unreadable(),
                         members.deathsRefuted(),
-                        peers.outbox().dropped());
+                        peers.outbox().droppedDatagrams());
     }
 
     /**
@@ -424,7 +425,7 @@
             config = next;
             loop.execute(() -> {
                 dispatcher.applySettings(next);
-                discovery.settle(next.discoverySettings());
+                discovery.updateSettings(next.discoverySettings());
                 if (routing != null) {
                     dispatcher.replaceRoutes(routing);
                 }
@@ -557,7 +558,7 @@
 
     /** How fresh the list is. On the event loop only. */
     public ListStatus list() {
-        return new ListStatus(discovery.version(), dispatcher.now() - discovery.answeredMs());
+        return new ListStatus(discovery.version(), dispatcher.now() - discovery.lastResponseMs());
     }
 
     /**
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -3,7 +3,13 @@
 import cacheproxy.membership.Entry;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
- import cacheproxy.metrics.Metric ; import cacheproxy.recovery.ConnectionRebalancer ; import cacheproxy.recovery.ProvenanceTracker.Subject ; import cacheproxy.recovery.RecoveryProgress ; import cacheproxy.recovery.RecoveryProgress.Stage ; import cacheproxy.recovery.RequestCounts ; import cacheproxy.recovery.RequestRateCode ;
+import cacheproxy.metrics.Metric;
+import cacheproxy.recovery.ConnectionRebalancer;
+import cacheproxy.recovery.ProvenanceTracker.Subject;
+import cacheproxy.recovery.RecoveryProgress;
+import cacheproxy.recovery.RecoveryProgress.Stage;
+import cacheproxy.recovery.RequestCounts;
+import cacheproxy.recovery.RequestRateCode;
 import cacheproxy.routing.EndpointUpdateKind;
 import java.util.ArrayList;
 import java.util.List;
@@ -77,7 +83,12 @@
         }
         Counters c = dispatcher.counters();
         Stage before = progress.stage();
- Stage stage = progress.update ( now , new RequestCounts ( dispatcher.acceptedRequests ( ) , c.count ( Metric.REQUESTS_SUCCEEDED ) , c.count ( Metric.REQUESTS_REJECTED ) ) ) ;
+        Stage stage = progress.update(
+                now,
+                new RequestCounts(
+                        dispatcher.acceptedRequests(),
+                        c.count(Metric.REQUESTS_SUCCEEDED),
+                        c.count(Metric.REQUESTS_REJECTED)));
         if (stage != before) {
             tell(stage);
         }
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -109,7 +109,7 @@
 
     private void listed(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
-            JsonElement list = discovery.list();
+            JsonElement list = discovery.snapshot();
             StoredRecord before = keeper.get(RecordKind.ENDPOINT_LIST);
             if (before == null
                     || !before.body().equals(list)
@@ -146,7 +146,7 @@
         if (closed) {
             return;
         }
- put ( RecordKind.LEARNED_STATE , LearnedStateCodec.json ( dispatcher.learnedState ( ) ) ) ;
+        put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.learnedState()));
         if (zones != null && zones.zones().quorum()) {
             JsonElement held = ZoneForm.json(zones.zones().held(), false, zones.names());
             if (held.getAsJsonObject().size() > 0) {
@@ -269,7 +269,7 @@
             return;
         }
         fleetChanged();
- put ( RecordKind.LEARNED_STATE , LearnedStateCodec.json ( dispatcher.learnedState ( ) ) ) ;
+        put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.learnedState()));
         closed = true;
         RecordStore.Write last = locked ? keeper.finalWrite() : null;
         writer.execute(() -> {
--- a/src/test/java/cacheproxy/control/AnswerWordsTest.java
+++ b/src/test/java/cacheproxy/control/AnswerWordsTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.drain.Drain;
+import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.failover.Sight;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.membership.Hearing;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.State;
-import cacheproxy.takeover.Handover;
+import cacheproxy.takeover.HandoverStateMachine;
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
@@ -16,9 +16,9 @@
 class AnswerWordsTest {
     @Test
     void eachStateIsNamedAsItWas() {
-        assertThat(Arrays.stream(Handover.Phase.values()).map(Handover.Phase::statusName))
+        assertThat(Arrays.stream(HandoverStateMachine.Phase.values()).map(HandoverStateMachine.Phase::statusName))
                 .containsExactly("alone", "offered", "taken", "served", "retiring", "ending");
-        assertThat(Arrays.stream(Drain.Phase.values()).map(Drain.Phase::statusName))
+        assertThat(Arrays.stream(DrainStateMachine.Phase.values()).map(DrainStateMachine.Phase::statusName))
                 .containsExactly("serving", "draining", "drained", "expired");
         assertThat(Arrays.stream(Hearing.values()).map(AnswerWords::of))
                 .containsExactly("alone", "minority", "majority", "all");
