--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -116,7 +116,7 @@
      * Hands over the list as it was last had, in place of whatever is held, and where lists are pushed begins to follow
      * it.
      *
-     * @param snapshot in discovery's form; null if there is none
+     * @param list in discovery's form; null if there is none
      */
     public void start(JsonObject list) {
         List<DiscoveredEndpoint> known = List.of();
