--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -36,6 +36,22 @@
  * ends, also where it fails because the platform has none.
  */
 final class WarmUp {
+    private static final EndpointListSource NO_DISCOVERY = new EndpointListSource() {
+        @Override
+        public void setWatch(boolean on) {}
+
+        @Override
+        public void fetchSnapshot() {}
+    };
+
+    private static final Dispatcher.ClientListener NO_CLIENT_LISTENER = new Dispatcher.ClientListener() {
+        @Override
+        public void clientLeft(ClientConnection client) {}
+
+        @Override
+        public void closeWhenIdle(ClientConnection client) {}
+    };
+
     /** A few times the calls after which the JVM compiles a method; more would hold up a restart. */
     static final int REQUESTS = 400;
 
@@ -95,23 +111,7 @@
         List<DiscoveredEndpoint> hosts =
                 List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
         loop.submit(() -> {
-                    dispatcher.start(
-                            new EndpointListSource() {
-                                @Override
-                                public void setWatch(boolean on) {}
-
-                                @Override
-                                public void fetchSnapshot() {}
-                            },
-                            null,
-                            new Dispatcher.ClientListener() {
-                                @Override
-                                public void clientLeft(ClientConnection client) {}
-
-                                @Override
-                                public void closeWhenIdle(ClientConnection client) {}
-                            },
-                            null);
+                    dispatcher.start(NO_DISCOVERY, null, NO_CLIENT_LISTENER, null);
                     dispatcher.onEndpoints(EndpointUpdateKind.CACHED, hosts);
                 })
                 .sync();
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
@@ -33,7 +33,7 @@
      *
      * @param version of the list
      * @param snapshot whether it names all servers
-     * @param decodeAll its entries that can be used
+     * @param endpoints its entries that can be used
      * @param rawEntries the same as discovery words them, by name
      * @param rejectedHosts names of servers whose entries can't be used
      * @param errors what is wrong with it, a line for each entry that can't be used
--- a/src/main/java/cacheproxy/recovery/ConnectionRebalancer.java
+++ b/src/main/java/cacheproxy/recovery/ConnectionRebalancer.java
@@ -75,14 +75,8 @@
         if (closedSinceEvaluation == 0) {
             evaluationStartMs = nowMs;
             evaluationStartRatio = loadRatio;
-        } else if (nowMs - evaluationStartMs >= EVALUATION_MS) {
-            if (evaluationStartRatio - loadRatio < MIN_IMPROVEMENT * (evaluationStartRatio - 1)) {
-                backoffUntilMs = nowMs + backoffMs;
-                backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
-                startEvaluation(nowMs);
-                return 0;
-            }
-            startEvaluation(nowMs);
+        } else if (nowMs - evaluationStartMs >= EVALUATION_MS && !closingHelped(nowMs)) {
+            return 0;
         }
         closeCredit += open * (1 - 1 / loadRatio) * CLOSE_SHARE_PER_SECOND * passedMs / 1000;
         int now = (int) Math.min(idle, closeCredit);
@@ -94,6 +88,17 @@
         return now;
     }
 
+    /** Ends an evaluation; backs off where closing connections has not brought the load down. */
+    private boolean closingHelped(double nowMs) {
+        boolean helped = evaluationStartRatio - loadRatio >= MIN_IMPROVEMENT * (evaluationStartRatio - 1);
+        if (!helped) {
+            backoffUntilMs = nowMs + backoffMs;
+            backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
+        }
+        startEvaluation(nowMs);
+        return helped;
+    }
+
     private void startEvaluation(double nowMs) {
         closedSinceEvaluation = 0;
         evaluationStartMs = nowMs;
--- a/src/main/java/cacheproxy/recovery/PeerStateQuery.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateQuery.java
@@ -48,12 +48,12 @@
     /**
      * What has come of it.
      *
-     * @param from how many answered
+     * @param answers how many answered
      * @param listVersion the highest that any of them holds
-     * @param fetchMs the middle of what they say
-     * @param paceMs likewise
-     * @param originShare the least of what they say
-     * @param bad nodes to doubt, those that most of them avoid first
+     * @param originFetchMs the middle of what they say
+     * @param nodeLatencyMs likewise
+     * @param originInTimeRatio the least of what they say
+     * @param suspectedNodes nodes to doubt, those that most of them avoid first
      */
     public record Result(
             int answers,
--- a/src/main/java/cacheproxy/recovery/ProvenanceTracker.java
+++ b/src/main/java/cacheproxy/recovery/ProvenanceTracker.java
@@ -35,9 +35,9 @@
     /**
      * How one thing stands.
      *
-     * @param source where it came from
+     * @param provenance where it came from
      * @param ageMs how old it was when it was taken; NaN where that is not known
-     * @param untilMs it may be used until then, by the clock of whoever asks; infinite for no bound
+     * @param usableUntilMs it may be used until then, by the clock of whoever asks; infinite for no bound
      * @param hint it only makes decisions more careful
      */
     public record Entry(Provenance provenance, double ageMs, double usableUntilMs, boolean hint) {}
