--- a/src/main/java/cacheproxy/cli/StateCommand.java
+++ b/src/main/java/cacheproxy/cli/StateCommand.java
@@ -1,10 +1,10 @@
 package cacheproxy.cli;
 
-import cacheproxy.state.Header;
-import cacheproxy.state.Inspection;
-import cacheproxy.state.Keeper;
-import cacheproxy.state.Opened;
+import cacheproxy.state.OpenedState;
+import cacheproxy.state.RecordStore;
+import cacheproxy.state.StateFileHeader;
 import cacheproxy.state.StateFolder;
+import cacheproxy.state.StateReport;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -53,15 +53,15 @@
     private int check(
             @Parameters(paramLabel = "FOLDER") Path path,
             @Option(names = "--json", description = "As JSON.") boolean json) {
-        Inspection all = inspect(path);
+        StateReport all = inspect(path);
         return json
                 ? say(all, true)
                 : say(
-                        new Inspection(
-                                new Opened(
-                                        all.opened().header(),
+                        new StateReport(
+                                new OpenedState(
+                                        all.state().header(),
                                         Map.of(),
-                                        all.opened().findings()),
+                                        all.state().findings()),
                                 all.nowMs()),
                         false);
     }
@@ -76,20 +76,20 @@
     private int repair(@Parameters(paramLabel = "FOLDER") Path path) throws IOException {
         try (StateFolder folder = folder(path)) {
             PrintWriter out = spec.commandLine().getOut();
-            if (!folder.lock()) {
+            if (!folder.tryLock()) {
                 out.println("a process uses " + path + "; it repairs its folder itself");
                 out.flush();
                 return Cli.FAILED;
             }
-            Opened found = folder.open(null, null);
-            Header h = found.header();
+            OpenedState found = folder.read(null, null);
+            StateFileHeader h = found.header();
             if (h == null) {
                 folder.setAside();
                 out.println(
                         "nothing could be used; what was there is laid aside, and a proxy starts from nothing here");
             } else {
-                Keeper keeper = new Keeper(found, h.instance(), h.fleet());
-                folder.write(keeper.next(0));
+                RecordStore keeper = new RecordStore(found, h.instance(), h.fleet());
+                folder.write(keeper.nextWrite(0));
                 out.println(found.records().size() + " records are whole");
             }
             found.findings().forEach(f -> out.println("was: " + f));
@@ -105,14 +105,14 @@
         return new StateFolder(path);
     }
 
-    private Inspection inspect(Path path) {
-        return new Inspection(folder(path).open(null, null), System.currentTimeMillis());
+    private StateReport inspect(Path path) {
+        return new StateReport(folder(path).read(null, null), System.currentTimeMillis());
     }
 
-    private int say(Inspection found, boolean json) {
+    private int say(StateReport found, boolean json) {
         PrintWriter out = spec.commandLine().getOut();
-        out.print(json ? found.json() + "\n" : found.text());
+        out.print(json ? found.toJson() + "\n" : found.toText());
         out.flush();
-        return found.sound() ? Cli.OK : Cli.FAILED;
+        return found.isIntact() ? Cli.OK : Cli.FAILED;
     }
 }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.drain.Drain;
 import cacheproxy.drain.DrainPlan;
+import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.flow.ByteBudget;
 import cacheproxy.gossip.ListVersionGossip;
@@ -15,17 +15,17 @@
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
-import cacheproxy.recovery.Source;
-import cacheproxy.recovery.Trust;
+import cacheproxy.recovery.Provenance;
+import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Known;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.RoutingSettings;
-import cacheproxy.state.Kind;
-import cacheproxy.state.Opened;
-import cacheproxy.state.Record;
-import cacheproxy.takeover.Handover;
+import cacheproxy.state.OpenedState;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.StoredRecord;
+import cacheproxy.takeover.HandoverStateMachine;
 import com.google.gson.JsonPrimitive;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
@@ -72,7 +72,7 @@
     private final Acceptor acceptor;
     private final Drainer drainer;
     private final Edge edge;
-    private final Handover handover = new Handover();
+    private final HandoverStateMachine handover = new HandoverStateMachine();
     private final HandoverLink link;
     private final CountDownLatch ended = new CountDownLatch(1);
     private volatile Runnable whenEnded = () -> {};
@@ -83,7 +83,7 @@
     /** Null where it does not look at how it comes back. On the event loop only. */
     private RecoveryLink recovery;
     /** Null where nothing is kept. */
-    private final StateLink kept;
+    private final StatePersistence kept;
     /** What is known from before the start. */
     private final Remembered remembered;
 
@@ -93,14 +93,18 @@
             throws InterruptedException, IOException {
         this.config = config;
         this.edge = edge;
-        kept = folder == null ? null : new StateLink(folder.folder(), config.name(), folder.fleet());
+        kept = folder == null ? null : new StatePersistence(folder.folder(), config.name(), folder.fleet());
         Routing routing = edge == null ? null : edge.read(config.names());
         if (warm) {
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
         peers = new PeerDatagramSocket(
-                loop, Transport.BEST.datagram(), config.peerAddresses(), dispatcher::heard, dispatcher.counters()::did);
+                loop,
+                Transport.BEST.datagram(),
+                config.peerAddresses(),
+                dispatcher::peerMessageReceived,
+                dispatcher.counters()::increment);
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
         EndpointListPublisher list = new EndpointListPublisher(
@@ -115,7 +119,7 @@
                 dispatcher::now);
         link = new HandoverLink(loop, shared, handover, acceptor, this::state);
         acceptor.retireBy(c -> {
-            if (!handover.passes()) {
+            if (!handover.passesClients()) {
                 c.finish();
             } else if (c.served()) {
                 c.pass(link);
@@ -126,7 +130,7 @@
         TakeoverState state = old == null ? null : old.state();
         succeeds = state != null;
         remembered = new Remembered(
-                state, kept == null ? Opened.EMPTY : kept.opened(), dispatcher.trust(), dispatcher.now());
+                state, kept == null ? OpenedState.EMPTY : kept.opened(), dispatcher.trust(), dispatcher.now());
         loop.submit(() -> {
                     dispatcher.start(discovery, peers, acceptor, routing);
                     discovery.start(remembered.list(config.known()));
@@ -166,33 +170,38 @@
 
     /** What a successor must know: what this process was told of the servers binds both. */
     private TakeoverState state() {
-        Map<Kind, Record> records = new EnumMap<>(Kind.class);
+        Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
         if (members != null) {
             records.put(
-                    Kind.INCARNATION,
-                    new Record(Kind.INCARNATION, dispatcher.now(), new JsonPrimitive(members.incarnation())));
+                    RecordKind.INCARNATION,
+                    new StoredRecord(
+                            RecordKind.INCARNATION, dispatcher.now(), new JsonPrimitive(members.incarnation())));
         }
         if (zones != null) {
             Map<Integer, Held> held = zones.zones().held();
             records.put(
-                    Kind.ZONES, new Record(Kind.ZONES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
+                    RecordKind.ZONE_STATES,
+                    new StoredRecord(
+                            RecordKind.ZONE_STATES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
             records.put(
-                    Kind.ORDERS, new Record(Kind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
+                    RecordKind.OPERATOR_ORDERS,
+                    new StoredRecord(
+                            RecordKind.OPERATOR_ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
-        return new TakeoverState(discovery.snapshot(), dispatcher.experience(), records);
+        return new TakeoverState(discovery.snapshot(), dispatcher.learnedState(), records);
     }
 
     /** What is passed over of what has been learnt; for tests, on the event loop only. */
     Map<String, LearnedState> knows() {
-        return dispatcher.experience();
+        return dispatcher.learnedState();
     }
 
     private void ended() {
-        if (handover.passes()) {
+        if (handover.passesClients()) {
             dispatcher.log("passed " + link.passed() + " clients on");
         }
         link.close();
-        if (members != null && !handover.passes()) {
+        if (members != null && !handover.passesClients()) {
             members.leave(); // a successor goes on under this name
         }
         if (kept != null) {
@@ -324,7 +333,7 @@
     }
 
     ByteBudget values() {
-        return dispatcher.values();
+        return dispatcher.valueBudget();
     }
 
     // ---- the view of the fleet
@@ -350,7 +359,7 @@
                         remembered.incarnation(),
                         config.seed(),
                         parts.recovers() ? Phase.STARTING : Phase.SERVING,
-                        dispatcher::among);
+                        dispatcher::liveMembersChanged);
                 dispatcher.members(
                         members,
                         new OutlierGossipLink(
@@ -358,7 +367,8 @@
                                 peers,
                                 new DispatcherPeerPorts(dispatcher),
                                 members::view,
-                                (peer, message) -> dispatcher.heard(peer, PeerMessageKind.LOAD_BALANCER, message)));
+                                (peer, message) ->
+                                        dispatcher.peerMessageReceived(peer, PeerMessageKind.LOAD_BALANCER, message)));
                 if (parts.zones()) {
                     zones = new ZoneLink(dispatcher, members, config.settings(), config.zones(), remembered);
                     dispatcher.zones(zones);
@@ -369,12 +379,16 @@
                 }
             }
             if (parts.recovers() && members != null) {
-                dispatcher.recall(new RecallLink(
+                dispatcher.recall(new StateQueryLink(
                         dispatcher,
                         peers,
                         members,
                         discovery,
-                        dispatcher.trust().of(Trust.Thing.LEARNT).source() == Source.NONE));
+                        dispatcher
+                                        .trust()
+                                        .entry(ProvenanceTracker.Subject.LEARNED_STATE)
+                                        .provenance()
+                                == Provenance.NONE));
             }
             if (parts.recovers()) {
                 recovery = new RecoveryLink(
@@ -384,8 +398,8 @@
     }
 
     /** How this process comes back, and what it keeps. On the event loop only. */
-    public Recovering recovering() {
-        return new Recovering(
+    public RecoveryStatus recovering() {
+        return new RecoveryStatus(
                 dispatcher.trust(),
                 recovery == null ? null : recovery.progress(),
                 recovery == null ? null : recovery.spread(),
@@ -433,17 +447,17 @@
             Routing routing = edge == null ? null : edge.read(next.names());
             config = next;
             loop.execute(() -> {
-                dispatcher.settle(next);
+                dispatcher.applySettings(next);
                 discovery.updateSettings(next.discoverySettings());
                 if (routing != null) {
-                    dispatcher.route(routing);
+                    dispatcher.replaceRoutes(routing);
                 }
-                dispatcher.counters().reloaded(true);
+                dispatcher.counters().recordReload(true);
             });
         } catch (IllegalArgumentException e) {
             loop.execute(() -> {
                 dispatcher.log("the settings stay as they are: " + e.getMessage());
-                dispatcher.counters().reloaded(false);
+                dispatcher.counters().recordReload(false);
             });
         }
     }
@@ -461,11 +475,13 @@
      */
     void drain() {
         loop.execute(() -> {
-            handover.terminated();
+            handover.terminationRequested();
             draining();
             double longest = dispatcher.longestDeadlineMs() + ANSWER_ROOM_MS;
             drainer.begin(
-                    handover.passes() ? DrainPlan.succeeded(longest) : DrainPlan.terminated(LISTEN_ON_MS, longest));
+                    handover.passesClients()
+                            ? DrainPlan.onTerminationWithSuccessor(longest)
+                            : DrainPlan.onTermination(LISTEN_ON_MS, longest));
         });
         try {
             ended.await();
@@ -478,9 +494,9 @@
     }
 
     /** Begins a drain that can be watched and taken back, or joins one. On the event loop only. */
-    public Drain.Begun drain(double deadlineMs) {
+    public DrainStateMachine.StartResult drain(double deadlineMs) {
         draining();
-        return drainer.begin(DrainPlan.asked(deadlineMs));
+        return drainer.begin(DrainPlan.requested(deadlineMs));
     }
 
     /** Takes a drain back; null if that was done, else why it can't be. On the event loop only. */
@@ -493,22 +509,22 @@
     }
 
     private void draining() {
-        if (members != null && !handover.passes()) {
+        if (members != null && !handover.passesClients()) {
             members.phase(Phase.DRAINING);
         }
     }
 
     /** Writes a line of figures to the log each time so much has passed, at least a second. */
     public void logFigures(long everyMs) {
-        workLog(System.err).every(loop, Math.max(1000, everyMs));
+        metricsLog(System.err).start(loop, Math.max(1000, everyMs));
     }
 
-    WorkLog workLog(PrintStream out) {
-        return new WorkLog(config.name(), dispatcher, out);
+    MetricsLog metricsLog(PrintStream out) {
+        return new MetricsLog(config.name(), dispatcher, out);
     }
 
     /** How a drain goes. On the event loop only. */
-    public Drain.Progress drainProgress() {
+    public DrainStateMachine.Progress drainProgress() {
         return drainer.progress();
     }
 
@@ -532,22 +548,22 @@
     public Status status() {
         Counters c = dispatcher.counters();
         Map<String, Endings> classes = new LinkedHashMap<>();
-        c.classes().forEach((name, t) -> classes.put(name, new Endings(t.succeeded(), t.declined(), t.aborted())));
+        c.classes().forEach((name, t) -> classes.put(name, new Endings(t.succeeded(), t.rejected(), t.failed())));
         return new Status(
                 acceptor.open(),
-                dispatcher.owed(),
-                dispatcher.answered(),
+                dispatcher.openRequests(),
+                dispatcher.completedRequests(),
                 dispatcher.servers().connections(),
                 classes,
                 c.forwards(),
                 dispatcher.servers().discovered(),
                 dispatcher.servers().ejected(),
-                c.applied(),
-                c.rejected(),
+                c.reloadsApplied(),
+                c.reloadsRejected(),
                 handover.phase(),
-                handover.taken(),
-                dispatcher.values().used(),
-                dispatcher.values().waiting());
+                handover.completedHandovers(),
+                dispatcher.valueBudget().reserved(),
+                dispatcher.valueBudget().waiting());
     }
 
     /** What was seen of the rules so far. On the event loop only. */
@@ -606,7 +622,7 @@
             int ejected,
             long applied,
             long rejected,
-            Handover.Phase handover,
+            HandoverStateMachine.Phase handover,
             int handovers,
             long kept,
             int waiting) {}
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -3,13 +3,13 @@
 import cacheproxy.membership.Entry;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
-import cacheproxy.metrics.Work;
-import cacheproxy.recovery.Load;
-import cacheproxy.recovery.Progress;
-import cacheproxy.recovery.Progress.Stage;
-import cacheproxy.recovery.Sample;
-import cacheproxy.recovery.Spread;
-import cacheproxy.recovery.Trust.Thing;
+import cacheproxy.metrics.Metric;
+import cacheproxy.recovery.ConnectionRebalancer;
+import cacheproxy.recovery.ProvenanceTracker.Subject;
+import cacheproxy.recovery.RecoveryProgress;
+import cacheproxy.recovery.RecoveryProgress.Stage;
+import cacheproxy.recovery.RequestCounts;
+import cacheproxy.recovery.RequestRateCode;
 import cacheproxy.routing.EndpointUpdateKind;
 import java.util.ArrayList;
 import java.util.List;
@@ -33,8 +33,8 @@
     private final MemberLink members;
     private final Acceptor acceptor;
     private final Runnable listExpired;
-    private final Progress progress;
-    private final Spread spread = new Spread();
+    private final RecoveryProgress progress;
+    private final ConnectionRebalancer spread = new ConnectionRebalancer();
     private double rateMs;
     private long rateTaken;
     private double rate;
@@ -52,20 +52,20 @@
         this.members = members;
         this.acceptor = acceptor;
         this.listExpired = listExpired;
-        progress = new Progress(dispatcher.startedMs());
+        progress = new RecoveryProgress(dispatcher.startedMs());
         if (dispatcher.servers().discovered() > 0) {
-            progress.listed(dispatcher.now(), firstHand);
+            progress.listAvailable(dispatcher.now(), firstHand);
         }
-        dispatcher.follow(this::listed);
+        dispatcher.addEndpointListListener(this::listed);
         rateMs = dispatcher.now();
         run();
     }
 
     private void listed(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
-            progress.listed(dispatcher.now(), true);
+            progress.listAvailable(dispatcher.now(), true);
         } else if (kind == EndpointUpdateKind.CACHED && dispatcher.servers().discovered() == 0) {
-            progress.unlisted();
+            progress.listLost();
         }
     }
 
@@ -76,20 +76,25 @@
 
     private void tick() {
         double now = dispatcher.now();
-        if (dispatcher.trust().expired(now, Thing.LIST)) {
-            dispatcher.trust().dropped(Thing.LIST);
+        if (dispatcher.trust().expired(now, Subject.ENDPOINT_LIST)) {
+            dispatcher.trust().discarded(Subject.ENDPOINT_LIST);
             dispatcher.log("recovery: the stored list is too old to go on with, and discovery has not answered");
             listExpired.run();
         }
         Counters c = dispatcher.counters();
         Stage before = progress.stage();
-        Stage stage = progress.tick(now, new Sample(dispatcher.taken(), c.done(Work.SERVED), c.done(Work.REFUSED)));
+        Stage stage = progress.update(
+                now,
+                new RequestCounts(
+                        dispatcher.acceptedRequests(),
+                        c.count(Metric.REQUESTS_SUCCEEDED),
+                        c.count(Metric.REQUESTS_REJECTED)));
         if (stage != before) {
             tell(stage);
         }
         if (now - rateMs >= RATE_MS) {
-            rate = (dispatcher.taken() - rateTaken) * 1000.0 / (now - rateMs);
-            rateTaken = dispatcher.taken();
+            rate = (dispatcher.acceptedRequests() - rateTaken) * 1000.0 / (now - rateMs);
+            rateTaken = dispatcher.acceptedRequests();
             rateMs = now;
         }
         if (members != null && !dispatcher.draining()) {
@@ -102,9 +107,9 @@
         dispatcher.log(String.format(
                 Locale.ROOT,
                 "recovery: %s %.1f s after the start%s",
-                stage.name().toLowerCase(Locale.ROOT),
+                stage.wireName(),
                 (dispatcher.now() - dispatcher.startedMs()) / 1000,
-                stage == Stage.SERVING && progress.endedByBound() ? ", by the clock alone" : ""));
+                stage == Stage.SERVING && progress.endedByTimeout() ? ", by the clock alone" : ""));
     }
 
     /** A drain says so itself, and says so when it is taken back. */
@@ -118,8 +123,8 @@
     }
 
     private void share(double now) {
-        if (Load.changed(toldLoad, rate) && now - toldMs >= TELL_MS) {
-            toldLoad = Load.code(rate);
+        if (RequestRateCode.differs(toldLoad, rate) && now - toldMs >= TELL_MS) {
+            toldLoad = RequestRateCode.encode(rate);
             toldMs = now;
             members.note(LOAD_NOTE, toldLoad == 0 ? new byte[0] : new byte[] {toldLoad});
         }
@@ -128,14 +133,14 @@
         for (Entry e : view.entries()) {
             if (e.id() != view.me() && e.state().lives() && e.phase() == Phase.SERVING) {
                 byte[] told = e.note(LOAD_NOTE);
-                others.add(told.length == 1 ? Load.perSecond(told[0]) : 0);
+                others.add(told.length == 1 ? RequestRateCode.decode(told[0]) : 0);
             }
         }
-        int many = spread.tick(now, rate, others, acceptor.open(), acceptor.idle());
+        int many = spread.connectionsToClose(now, rate, others, acceptor.open(), acceptor.idle());
         if (many > 0) {
             acceptor.endBusiest(many);
         }
-        if (paused != spread.paused(now)) {
+        if (paused != spread.isBackingOff(now)) {
             paused = !paused;
             if (paused) {
                 dispatcher.log(
@@ -145,12 +150,12 @@
     }
 
     /** How far it is. */
-    Progress progress() {
+    RecoveryProgress progress() {
         return progress;
     }
 
     /** What it carries by what the others do. */
-    Spread spread() {
+    ConnectionRebalancer spread() {
         return spread;
     }
 
--- a/src/main/java/cacheproxy/proxy/Recovering.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryStatus.java
@@ -1,10 +1,10 @@
 package cacheproxy.proxy;
 
-import cacheproxy.recovery.Progress;
-import cacheproxy.recovery.Spread;
-import cacheproxy.recovery.Trust;
-import cacheproxy.state.Keeper;
-import cacheproxy.state.Opened;
+import cacheproxy.recovery.ConnectionRebalancer;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.recovery.RecoveryProgress;
+import cacheproxy.state.OpenedState;
+import cacheproxy.state.RecordStore;
 
 /**
  * How far this process has come since its start, and what it keeps; for operators. On the event loop only.
@@ -18,12 +18,12 @@
  * @param folder where; null likewise
  * @param writes whether it alone writes there
  */
-public record Recovering(
-        Trust trust,
-        Progress progress,
-        Spread spread,
+public record RecoveryStatus(
+        ProvenanceTracker trust,
+        RecoveryProgress progress,
+        ConnectionRebalancer spread,
         double perSecond,
-        Opened opened,
-        Keeper keeper,
+        OpenedState opened,
+        RecordStore keeper,
         String folder,
         boolean writes) {}
--- a/src/main/java/cacheproxy/proxy/TakeoverState.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverState.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.routing.LearnedState;
-import cacheproxy.state.Kind;
-import cacheproxy.state.Record;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.StoredRecord;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -17,7 +17,7 @@
  * @param learnt by the pools' names; may be empty, as a process of an earlier version tells nothing of it
  * @param kept what else outlasts a process, as it would be stored; empty from an earlier version
  */
-record TakeoverState(JsonObject list, Map<String, LearnedState> learnt, Map<Kind, Record> kept) {
+record TakeoverState(JsonObject list, Map<String, LearnedState> learnt, Map<RecordKind, StoredRecord> kept) {
     /** The version of what is passed over; a process that speaks another starts beside this one, without it. */
     static final int VERSION = 1;
 
@@ -25,9 +25,9 @@
         JsonObject state = new JsonObject();
         state.addProperty("v", VERSION);
         state.add("list", list);
-        state.add("learnt", LearntForm.json(learnt));
+        state.add("learnt", LearnedStateCodec.json(learnt));
         JsonArray records = new JsonArray();
-        kept.values().forEach(r -> records.add(r.json()));
+        kept.values().forEach(r -> records.add(r.toJson()));
         state.add("kept", records);
         return state.toString();
     }
@@ -39,10 +39,10 @@
             throw new IllegalArgumentException("version " + state.get("v"));
         }
         Map<String, LearnedState> learnt =
-                state.has("learnt") ? LearntForm.read(state.getAsJsonObject("learnt")) : Map.of();
-        Map<Kind, Record> kept = new EnumMap<>(Kind.class);
+                state.has("learnt") ? LearnedStateCodec.read(state.getAsJsonObject("learnt")) : Map.of();
+        Map<RecordKind, StoredRecord> kept = new EnumMap<>(RecordKind.class);
         if (state.has("kept")) {
-            state.getAsJsonArray("kept").forEach(e -> Record.read(e).ifPresent(r -> kept.put(r.kind(), r)));
+            state.getAsJsonArray("kept").forEach(e -> StoredRecord.fromJson(e).ifPresent(r -> kept.put(r.kind(), r)));
         }
         return new TakeoverState(state.getAsJsonObject("list"), learnt, kept);
     }
--- a/src/main/java/cacheproxy/proxy/peer/PeerDatagramSocket.java
+++ b/src/main/java/cacheproxy/proxy/peer/PeerDatagramSocket.java
@@ -4,7 +4,7 @@
 import cacheproxy.gossip.Envelope;
 import cacheproxy.gossip.Envelope.Item;
 import cacheproxy.gossip.SendBudget;
-import cacheproxy.metrics.Work;
+import cacheproxy.metrics.Metric;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -44,7 +44,7 @@
     private final Class<? extends Channel> channelType;
     private final PeerAddresses addresses;
     private final Listener listener;
-    private final Consumer<Work> counter;
+    private final Consumer<Metric> counter;
     private final SendBudget budget = new SendBudget(BYTES_PER_SECOND, BURST_BYTES);
     /** By address: where all send, a search for each datagram would grow with the square of the fleet. */
     private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
@@ -70,7 +70,7 @@
             Class<? extends Channel> channelType,
             PeerAddresses addresses,
             Listener listener,
-            Consumer<Work> counter) {
+            Consumer<Metric> counter) {
         this.loop = loop;
         this.channelType = channelType;
         this.addresses = addresses;
@@ -144,7 +144,7 @@
         if (channel == null || to == null) {
             return;
         }
-        counter.accept(Work.MESSAGES_SENT);
+        counter.accept(Metric.PEER_MESSAGES_SENT);
         byte[] datagram = Envelope.encode(List.of(new Item(kind.code(), PeerMessageKind.VERSION, body)));
         channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to));
     }
@@ -165,7 +165,7 @@
             if (peer == null || packet.content().readableBytes() > Envelope.MAX_DATAGRAM_BYTES) {
                 return;
             }
-            counter.accept(Work.MESSAGES_HEARD);
+            counter.accept(Metric.PEER_MESSAGES_RECEIVED);
             for (Item item : Envelope.decode(ByteBufUtil.getBytes(packet.content()))) {
                 PeerMessageKind kind = PeerMessageKind.of(item.kind());
                 if (item.version() == PeerMessageKind.VERSION && kind != null) {
--- a/src/main/java/cacheproxy/state/Finding.java
+++ b/src/main/java/cacheproxy/state/Finding.java
@@ -5,22 +5,33 @@
  *
  * @param file its name in the folder
  * @param line counted from 1; 0 for the whole file
- * @param what is the matter
- * @param harm what follows from it
+ * @param problem is the matter
+ * @param severity what follows from it
  */
-public record Finding(String file, int line, String what, Harm harm) {
+public record Finding(String file, int line, String problem, Severity severity) {
     /** What follows from something that was found. */
-    public enum Harm {
+    public enum Severity {
         /** Nothing: it is ordinary after a crash. */
-        NONE,
+        HARMLESS("none"),
         /** Some records are lost, the others are sound. */
-        SOME,
+        RECORDS_LOST("some"),
         /** Nothing of the folder can be used. */
-        ALL
+        UNUSABLE("all");
+
+        private final String wireName;
+
+        Severity(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** Its name in reports. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     @Override
     public String toString() {
-        return (line == 0 ? file : file + ":" + line) + ": " + what;
+        return (line == 0 ? file : file + ":" + line) + ": " + problem;
     }
 }
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
-import cacheproxy.drain.Drain;
-import cacheproxy.drain.Drain.Phase;
 import cacheproxy.drain.DrainPlan;
+import cacheproxy.drain.DrainStateMachine;
+import cacheproxy.drain.DrainStateMachine.Phase;
 import com.google.gson.JsonArray;
 import java.net.ConnectException;
 import java.util.concurrent.CompletableFuture;
@@ -22,11 +22,11 @@
 
     private static final int LONG_VALUE = 4_000_000;
 
-    private static Drain.Begun drain(Fleet fleet, double deadlineMs) {
+    private static DrainStateMachine.StartResult drain(Fleet fleet, double deadlineMs) {
         return fleet.on(() -> fleet.proxy.drain(deadlineMs));
     }
 
-    private static Drain.Progress progress(Fleet fleet) {
+    private static DrainStateMachine.Progress progress(Fleet fleet) {
         return fleet.on(fleet.proxy::drainProgress);
     }
 
@@ -74,7 +74,7 @@
             }
             assertThat(client.ended()).isTrue();
             awaitPhase(fleet, Phase.DRAINED);
-            assertThat(progress(fleet).share()).isEqualTo(1);
+            assertThat(progress(fleet).completedFraction()).isEqualTo(1);
         }
     }
 
@@ -92,7 +92,7 @@
             drain(fleet, LONG_MS);
             Await.until(
                     "idle connections would have gone",
-                    () -> progress(fleet).leftMs() >= 0
+                    () -> progress(fleet).remainingMs() >= 0
                             && fleet.on(fleet.proxy::status).clients() == 1);
             client.say("lo\r\n");
             assertThat(client.line()).isEqualTo("HD O1 cr1");
@@ -184,7 +184,7 @@
                 late.read("y");
                 assertThat(late.line()).isEqualTo("VA 5 Oy");
                 assertThat(progress(fleet).phase()).isEqualTo(Phase.SERVING);
-                assertThat(drain(fleet, LONG_MS).already()).isFalse();
+                assertThat(drain(fleet, LONG_MS).alreadyDraining()).isFalse();
             }
             awaitPhase(fleet, Phase.DRAINED);
             assertThat(fleet.on(fleet.proxy::cancelDrain)).contains("too late");
@@ -197,13 +197,13 @@
         CountDownLatch go = new CountDownLatch(1);
         FakeServer node = held(go);
         double deadlineMs = 10_000;
-        double paceMs = DrainPlan.asked(deadlineMs).paceMs();
+        double paceMs = DrainPlan.requested(deadlineMs).idleClosePeriodMs();
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
             node.next();
             drain(fleet, deadlineMs);
-            Await.until("the pace is over", () -> progress(fleet).deadlineLeftMs() < deadlineMs - paceMs - 200);
+            Await.until("the pace is over", () -> progress(fleet).deadlineRemainingMs() < deadlineMs - paceMs - 200);
             go.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
@@ -263,9 +263,8 @@
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(silent).origin(origin).start();
-                Fleet.Client read = fleet.client();
+                Fleet.Client read = fleet.client().read("1");
                 Fleet.Client write = fleet.client()) {
-            read.read("1");
             write.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             origin.next();
             Await.until("both are taken", () -> fleet.on(fleet.proxy::status).owed() == 2);
@@ -310,7 +309,6 @@
                 line -> "VA " + value.length() + " O" + FakeServer.id(line) + " h1\r\n" + value + "\r\n");
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client first = fleet.client(1 << 16);
-                Fleet.Client client = fleet.client(1 << 16);
                 Fleet.Client idle = fleet.client()) {
             assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
             // So many that the system's buffers are full and the proxy's own are in use: it reads no further command
@@ -320,6 +318,7 @@
                 first.read("f" + fit++);
             }
             first.close();
+            Fleet.Client client = fleet.client(1 << 16);
             for (int i = 1; i < fit; i++) { // one more would be a command that is still to be read
                 client.read("" + i);
             }
@@ -421,15 +420,16 @@
                         .discovery(discovery)
                         .set("discovery", "push")
                         .start();
-                Fleet.Client before = fleet.client();
-                Fleet.Client after = fleet.client()) {
+                Fleet.Client before = fleet.client()) {
             before.read("1");
             node.next();
             drain(fleet, LONG_MS);
             tell.countDown();
             Await.until("discovery has been asked twice", () -> discovery.commands.size() >= 2);
-            after.say("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=1000\r\n");
-            assertThat(after.line()).matches("SERVER_ERROR .*|VA 5 O2");
+            try (Fleet.Client after = fleet.client()) {
+                after.say("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=1000\r\n");
+                assertThat(after.line()).matches("SERVER_ERROR .*|VA 5 O2");
+            }
             go.countDown();
             assertThat(before.line()).isEqualTo("VA 5 O1");
             awaitPhase(fleet, Phase.DRAINED);
--- a/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.gossip.Envelope;
-import cacheproxy.metrics.Work;
+import cacheproxy.metrics.Metric;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
 import com.google.gson.JsonArray;
@@ -65,7 +65,7 @@
                     Transport.BEST.datagram(),
                     config.peerAddresses(),
                     (from, kind, body) -> heard.add(from + kind.name() + new String(body, UTF_8)),
-                    counters::did);
+                    counters::increment);
             socket.send(1, PeerMessageKind.ENDPOINT_LIST, "to one".getBytes(UTF_8));
             assertThat(receive(peer)).isEqualTo("1to one");
             socket.send(-1, PeerMessageKind.LOAD_BALANCER, "to all".getBytes(UTF_8));
@@ -80,12 +80,14 @@
             send(peer, sealed(1, 5, "of a version to come"), socket);
             send(peer, sealed(2, 0, "hi"), socket);
             assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("1LOAD_BALANCERhi");
-            assertThat(counters.done(Work.MESSAGES_SENT)).isEqualTo(3);
-            assertThat(counters.done(Work.MESSAGES_HEARD)).isEqualTo(4);
+            assertThat(counters.count(Metric.PEER_MESSAGES_SENT)).isEqualTo(3);
+            assertThat(counters.count(Metric.PEER_MESSAGES_RECEIVED)).isEqualTo(4);
             for (int i = 0; i < 200; i++) {
                 socket.send(1, PeerMessageKind.ENDPOINT_LIST, new byte[200]);
             }
-            assertThat(counters.done(Work.MESSAGES_SENT)).as("the budget").isBetween(20L, 40L);
+            assertThat(counters.count(Metric.PEER_MESSAGES_SENT))
+                    .as("the budget")
+                    .isBetween(20L, 40L);
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
--- a/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
-import cacheproxy.admission.Breach;
+import cacheproxy.admission.RuleViolation;
 import cacheproxy.admission.Verdict;
-import cacheproxy.flow.ReadAhead;
+import cacheproxy.flow.ReadAheadBudget;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -14,7 +14,7 @@
 
 /** What may be sent is asked as it is sent: events that cross an order are forced here, on real sockets. */
 @Timeout(60)
-class PermitsOnSocketsTest {
+class SafetyRulesOnSocketsTest {
     /** Longer than what is known of a client may be old. */
     private static final long HELD_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
     /** A client's end is seen in a moment, and long before this part of its deadline of 20 s. */
@@ -56,13 +56,13 @@
             Await.until("it is held up", () -> System.nanoTime() - since > HELD_NANOS);
             go.countDown();
             Await.until(
-                    "its end is seen", () -> fleet.on(() -> fleet.proxy.core().owed()) == 0);
+                    "its end is seen", () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 0);
             try (Fleet.Client next = fleet.client().read("2")) {
                 assertThat(FakeServer.id(node.next())).isEqualTo("2");
                 assertThat(next.line()).isEqualTo("VA 5 O2");
             }
             assertThat(fleet.on(() -> fleet.proxy.core().rules().forbidden()).keySet())
-                    .isSubsetOf(Verdict.CLIENT_GONE);
+                    .isSubsetOf(Verdict.CLIENT_DISCONNECTED);
             assertThat(fleet.on(() -> fleet.proxy.core().rules().breaches())).isEmpty();
         }
     }
@@ -74,11 +74,11 @@
         }
         try (Fleet fleet = new Fleet().node(answersOnly("none")).start()) {
             Fleet.Client client = fleet.client().say(reads.toString());
-            Await.until("some are out", () -> fleet.on(() -> fleet.proxy.core().owed()) == 32);
+            Await.until("some are out", () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 32);
             long since = System.nanoTime();
             client.close();
             Await.until(
-                    "its end is seen", () -> fleet.on(() -> fleet.proxy.core().owed()) == 0);
+                    "its end is seen", () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 0);
             assertThat(System.nanoTime() - since).isLessThan(SOON_NANOS);
             assertThat(fleet.on(() -> fleet.proxy.clients().open())).isZero();
         }
@@ -93,7 +93,7 @@
     /** More than is read ahead: its last bytes wait in the system, and its end behind them. */
     @Test
     void theEndOfAClientIsSeenSoonBehindMoreThanIsReadAhead() throws Exception {
-        assertEndIsSeen(ReadAhead.MAX_BYTES / 46 + 1000);
+        assertEndIsSeen(ReadAheadBudget.MAX_BYTES_PER_CONNECTION / 46 + 1000);
     }
 
     /** A server ends what stands idle for a second; the sweep that would retire it comes round later. */
@@ -131,10 +131,10 @@
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(fleet.on(() -> fleet.proxy.core().rules().breaches()))
-                    .containsEntry(Breach.REFUSED_THOUGH_IT_MAY_HAVE_RUN, 1L);
+                    .containsEntry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, 1L);
             assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).breaches())
                     .as("what status and figures show")
-                    .containsExactly(Map.entry(Breach.REFUSED_THOUGH_IT_MAY_HAVE_RUN.key(), 1L));
+                    .containsExactly(Map.entry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED.key(), 1L));
         }
     }
 
@@ -150,7 +150,7 @@
                 return null;
             });
             assertThat(fleet.on(() -> fleet.proxy.core().rules().forbidden()))
-                    .containsEntry(Verdict.SERVER_NOT_READY, 1L);
+                    .containsEntry(Verdict.ENDPOINT_NOT_READY, 1L);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/cacheproxy/state/RecordStoreTest.java
@@ -0,0 +1,171 @@
+package cacheproxy.state;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.state.Finding.Severity;
+import cacheproxy.state.RecordStore.Write;
+import com.google.gson.JsonPrimitive;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.zip.CRC32C;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** What is written when, and how far what was kept is used. */
+class RecordStoreTest {
+    private static StoredRecord record(RecordKind kind, String text) {
+        return new StoredRecord(kind, 5000, new JsonPrimitive(text));
+    }
+
+    private static RecordStore begun() {
+        RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
+        assertThat(k.nextWrite(0)).isInstanceOf(Write.Replace.class);
+        k.writeSucceeded(0);
+        return k;
+    }
+
+    @Test
+    void whatIsUrgentIsWrittenSoonAndWhatIsLearntGathered() {
+        RecordStore k = begun();
+        assertThat(k.nextWriteAtMs()).isInfinite();
+        k.put(1000, record(RecordKind.LEARNED_STATE, "a"));
+        assertThat(k.nextWrite(1000)).isNull();
+        assertThat(k.nextWriteAtMs()).isEqualTo(6000);
+        k.put(1500, record(RecordKind.ENDPOINT_LIST, "b"));
+        assertThat(k.nextWriteAtMs()).isEqualTo(1600);
+        Write w = k.nextWrite(1600);
+        assertThat(new String(((Write.Append) w).bytes(), StandardCharsets.UTF_8))
+                .contains("learnt", "list");
+        k.put(1601, record(RecordKind.ENDPOINT_LIST, "c"));
+        assertThat(k.nextWrite(9000)).as("one is under way").isNull();
+        k.writeSucceeded(9000);
+        assertThat(k.nextWrite(9000)).isNotNull();
+    }
+
+    @Test
+    void afterAFailureAllOfItIsWrittenAndEachFurtherOneDoublesTheWait() {
+        RecordStore k = begun();
+        k.put(0, record(RecordKind.ENDPOINT_LIST, "b"));
+        assertThat(k.nextWrite(100)).isInstanceOf(Write.Append.class);
+        k.writeFailed(100);
+        double now = 100;
+        for (double wait : new double[] {1000, 2000, 4000}) {
+            assertThat(k.nextWrite(now + wait - 1)).isNull();
+            now += wait;
+            assertThat(k.nextWrite(now)).isInstanceOf(Write.Replace.class);
+            k.writeFailed(now);
+        }
+        assertThat(k.nextWriteAtMs()).isEqualTo(now + 8000);
+        assertThat(k.failedWrites()).isEqualTo(4);
+    }
+
+    @Test
+    void aJournalThatHasGrownBecomesASnapshotAndWearIsBounded() {
+        RecordStore k = begun();
+        String big = "x".repeat(100_000);
+        int replaced = 0;
+        long urgent = 0;
+        for (int i = 1; i <= 120; i++) {
+            k.put(i * 100, record(RecordKind.ENDPOINT_LIST, big + i));
+            Write w = k.nextWrite(i * 100 + 100);
+            replaced += w instanceof Write.Replace ? 1 : 0;
+            urgent++;
+            k.writeSucceeded(i * 100 + 100);
+        }
+        assertThat(replaced).isBetween(15, 25);
+        assertThat(k.bytesWritten()).isGreaterThan(RecordStore.MAX_BYTES_PER_MINUTE);
+        k.put(12_200, record(RecordKind.LEARNED_STATE, "lazy"));
+        assertThat(k.nextWriteAtMs())
+                .as("what is not urgent waits for the next minute")
+                .isGreaterThan(40_000);
+        k.put(12_200, record(RecordKind.OPERATOR_ORDERS, "urgent"));
+        assertThat(k.nextWriteAtMs()).isEqualTo(12_300);
+        assertThat(urgent).isEqualTo(120);
+    }
+
+    @Test
+    void whatIsTooLongIsNotKept() {
+        RecordStore k = begun();
+        k.put(0, record(RecordKind.ENDPOINT_LIST, "x".repeat(RecordStore.MAX_RECORD_BYTES + 1)));
+        assertThat(k.get(RecordKind.ENDPOINT_LIST)).isNull();
+        assertThat(k.oversizedRecords()).isEqualTo(1);
+    }
+
+    /** An epoch of the files never goes back, whoever wrote last. */
+    @Test
+    void whatAnotherProcessWroteComesBefore() {
+        RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
+        k.continueAfter(new StateFileHeader("p", "f", 17, 4));
+        Write.Replace w = (Write.Replace) k.nextWrite(0);
+        StateFileHeader h =
+                OpenedState.read(w.snapshot(), w.journal(), "p", "f").header();
+        assertThat(h.generation()).isEqualTo(18);
+        assertThat(h.starts()).isEqualTo(5);
+    }
+
+    /** Ages in seconds; -300 is a clock that was set back by five minutes. */
+    @ParameterizedTest
+    @CsvSource({
+        "INCARNATION,-300,VALID",
+        "INCARNATION,1e9,VALID",
+        "OPERATOR_ORDERS,-300,VALID",
+        "OPERATOR_ORDERS,1e9,VALID",
+        "ENDPOINT_LIST,0,VALID",
+        "ENDPOINT_LIST,61,HINT",
+        "ENDPOINT_LIST,86401,UNUSABLE",
+        "ENDPOINT_LIST,-300,UNUSABLE",
+        "LEARNED_STATE,29,VALID",
+        "LEARNED_STATE,31,HINT",
+        "LEARNED_STATE,601,UNUSABLE",
+        "LEARNED_STATE,-1,UNUSABLE",
+        "ZONE_STATES,59,VALID",
+        "ZONE_STATES,61,HINT",
+        "ZONE_STATES,1e9,HINT",
+        "ZONE_STATES,-300,HINT",
+        "ENDPOINT_LIST,NaN,UNUSABLE"
+    })
+    void whatWasKeptIsUsedAsFarAsItsAgeAllows(RecordKind kind, double seconds, Validity use) {
+        assertThat(kind.validity(seconds * 1000)).isEqualTo(use);
+    }
+
+    private static OpenedState open(String head, String instance) {
+        Write.Replace w = (Write.Replace) new RecordStore(OpenedState.EMPTY, "p", "f").nextWrite(0);
+        byte[] snapshot = head == null ? w.snapshot() : head.getBytes(StandardCharsets.UTF_8);
+        return OpenedState.read(snapshot, null, instance, "f");
+    }
+
+    /** Of another's folder or a later version's nothing is used, and it is told. */
+    @Test
+    void whatIsAnothersIsOfNoUse() {
+        assertThat(open(null, "p").findings()).isEmpty();
+        assertThat(open(null, "q").findings()).extracting(Finding::severity).containsExactly(Severity.UNUSABLE);
+        assertThat(open(null, "q").findings().get(0))
+                .hasToString("snapshot:1: belongs to p of fleet 'f', not to q of fleet 'f'");
+        String later = "{\"state\":2}";
+        CRC32C crc = new CRC32C();
+        crc.update(later.getBytes(StandardCharsets.UTF_8));
+        assertThat(open(String.format("%08x %s%n", crc.getValue(), later), "p").findings())
+                .extracting(Finding::problem)
+                .isEqualTo(List.of("is of version 2, and this program reads 1"));
+    }
+
+    /** The two steps of a snapshot: a journal that is behind says nothing new, one that is ahead does. */
+    @Test
+    void aJournalOfAnotherGenerationIsTakenOnlyIfItIsAhead() {
+        RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
+        k.put(0, record(RecordKind.ENDPOINT_LIST, "old"));
+        Write.Replace first = (Write.Replace) k.nextWrite(1000);
+        k.writeFailed(1000);
+        k.put(1000, record(RecordKind.ENDPOINT_LIST, "new"));
+        Write.Replace second = (Write.Replace) k.nextWrite(5000);
+        OpenedState behind = OpenedState.read(second.snapshot(), first.journal(), "p", "f");
+        assertThat(behind.records().get(RecordKind.ENDPOINT_LIST).body().getAsString())
+                .isEqualTo("new");
+        assertThat(behind.findings()).extracting(Finding::severity).containsExactly(Severity.HARMLESS);
+        OpenedState ahead = OpenedState.read(first.snapshot(), second.journal(), "p", "f");
+        assertThat(ahead.records().get(RecordKind.ENDPOINT_LIST).body().getAsString())
+                .isEqualTo("old");
+        assertThat(ahead.findings()).extracting(Finding::severity).containsExactly(Severity.RECORDS_LOST);
+    }
+}
