--- a/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
+++ b/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
@@ -6,248 +6,176 @@
 import java.util.SplittableRandom;
 
 /**
- * Which calls for the list of servers are made, in which form, and when each is given up. A change that discovery has
- * counts as told {@link PollBackoff#MAX_STALENESS_MS} after it could be learnt, by whatever form of call, so:
+ * Decides when discovery is polled for the endpoint list, with which kind of poll, and when a poll is cancelled, so
+ * that a change is known within {@link EndpointListFreshness#MAX_STALENESS_MS} whatever has failed before. The rules,
+ * and where each stands:
  *
  * <ul>
- *   <li>A call that is overdue is not given up for the next one, which would lose its answer just before it comes, for
- *       ever where answers take longer than a call is waited for. It stays out, and another begins beside it, on a
- *       connection of its own and in another form. The first answer counts.
- *   <li>A form that has failed is followed by another: a watch by a poll for changes, and where answers break off or do
- *       not come, this by the whole list.
- *   <li>How long a call may stay out at the very most doubles each time that passes without an answer.
- *   <li>After a failure that came at once there is a pause, which grows ({@link PollBackoff}).
+ *   <li>A poll that is overdue stays pending, and another is sent beside it on a new connection: cancelling it would
+ *       lose a response just before it comes, for ever where responses take longer than the timeout. The first response
+ *       counts. Times: {@link PollTimeouts}.
+ *   <li>A kind of poll that has failed is followed by another: {@link PollKindSelector}.
+ *   <li>After a failure that came at once the next poll is delayed: {@link PollBackoff}.
+ *   <li>A response without news that did not wait is followed by a poll no sooner than {@link #MIN_POLL_INTERVAL_MS}
+ *       after its own start.
  * </ul>
  *
- * <p>Where discovery is one service for all instances, a whole list costs it as much as many changes, and all instances
- * at once would jam it. There only some of them ask for it, and pass on what they are told.
+ * <p>Pure: takes events with their times, in milliseconds of one monotonic clock, and returns what to do. Not
+ * thread-safe.
  */
 public final class EndpointListPoller {
-    /** How long a watch may wait for news, in milliseconds, give or take a tenth. */
-    static final double WAIT_MS = 1600;
+    /** So many polls are pending at most, each on a connection of its own. */
+    static final int MAX_PENDING_POLLS = 3;
 
-    private static final double WAIT_SPREAD = 0.1;
+    /** Polls that are answered at once begin no closer to each other than this. */
+    static final double MIN_POLL_INTERVAL_MS = 100;
     /**
-     * How much longer than the wait of a watch a call may take before it is overdue. With the shortest wait that is
-     * over the 3 s after which discovery turns away calls that stand in its line.
+     * No delay after a failure is longer at a shared discovery: a poll that is rejected may follow one left unanswered.
      */
-    static final double PATIENCE_MS = 1600;
-    /** The same for a watch that goes on, which stands in no line. */
-    static final double CONTINUED_PATIENCE_MS = 1000;
-    /** The same where lists are pushed: the agent has no line. */
-    static final double AGENT_PATIENCE_MS = 500;
-    /** Where lists are pushed, a call that has failed is followed by another after this time. */
-    static final double AGENT_PAUSE_MS = 250;
-    /** Where discovery is asked, no pause is longer: a form of call that is refused may follow one that was silent. */
-    static final double MOST_PAUSE_MS = 2000;
-    /** How long a call stays out at first, beyond its wait: longer than a change may stay unknown. */
-    static final double LIMIT_MS = 6500;
+    static final double MAX_RETRY_DELAY_MS = 2000;
+    /** The delay after a failure at an agent, which no other instance polls. */
+    static final double AGENT_RETRY_DELAY_MS = 250;
 
-    /** An answer that has begun is overdue after this time. */
-    static final double BODY_MS = 1000;
-
-    private static final int MOST_DOUBLINGS = 3;
-    /** So many calls are out at most, each on a connection of its own. */
-    static final int MOST_OUT = 3;
-    /** An answer that brings nothing new and did not wait is followed by the next call so long after its own began. */
-    static final double PACE_MS = 100;
-    /** The calls of so many instances are no long line. */
-    private static final int FEW_INSTANCES = 10;
-    /** Of all instances, so many ask for the whole list where another form fails. */
-    private static final double WHOLE_LISTS = 2;
-
-    /** The forms of a call. */
-    public enum PollKind {
-        /** Waits until there is something newer than the version held. */
-        WATCH("WATCH"),
-        /** Asks for what is newer and does not wait. */
-        DELTA("POLL"),
-        /** Asks for the whole list. */
-        SNAPSHOT("WHOLE");
-
-        private final String logName;
-
-        PollKind(String logName) {
-            this.logName = logName;
-        }
-
-        /** Its name in the log. */
-        public String logName() {
-            return logName;
+    private record PendingPoll(int id, PollKind kind, double sentMs, double waitMs, double overdueMs) {
+        PendingPoll overdueAt(double ms) {
+            return new PendingPoll(id, kind, sentMs, waitMs, ms);
         }
     }
 
-    /** Why a call has ended without an answer that can be used. */
-    public enum PollFailure {
-        /** No connection, or turned away: whatever its form, it would have been. */
-        REJECTED,
-        /** It broke off, or its answer can't be used. */
-        BROKEN
-    }
-
-    /** What is to be done. */
-    public sealed interface PollAction {}
+    private final SplittableRandom random;
+    private final PollKindSelector kinds;
+    /** Grows with each poll in a row that was cancelled. */
+    private final ExponentialBackoff cancelAfter =
+            new ExponentialBackoff(PollTimeouts.CANCEL_AFTER_MS, PollTimeouts.MAX_CANCEL_DOUBLINGS);
+    /** The oldest first. */
+    private final List<PendingPoll> pending = new ArrayList<>();
 
-    /**
-     * A call is to be made.
-     *
-     * @param id it is told of under this number
-     * @param waitMs how long discovery may wait for news
-     * @param newConnection whether a connection that stood before may not be used
-     */
-    public record StartPoll(int id, PollKind kind, double waitMs, boolean newConnection) implements PollAction {}
+    private PollerSettings settings;
+    private PollBackoff backoff;
+    private boolean running;
+    /** Whether the next watch follows an answer to a watch or a delta. */
+    private boolean continuesWatch;
 
-    /** A call is to be ended; nothing is told of it any more. */
-    public record CancelPoll(int id) implements PollAction {}
+    private int lastId;
+    /** No poll is sent earlier, unless a peer is ahead. */
+    private double nextPollMs = Double.POSITIVE_INFINITY;
 
     /**
-     * What the settings say.
+     * Sends nothing yet.
      *
-     * @param sharedDiscovery whether discovery is one service for all instances; else lists are pushed by an agent on
-     *     this machine
-     * @param maxPollIntervalMs within which a proxy with no watch has to ask
-     * @param instanceCount how many there are of this tier, at least 1
-     * @param gossipEnabled whether instances pass on to each other what they are told
+     * @param seed other than that of any other instance, so that they do not poll together
      */
-    public record PollerSettings(
-            boolean sharedDiscovery, double maxPollIntervalMs, int instanceCount, boolean gossipEnabled) {}
-
-    private record Out(int id, PollKind form, double begunMs, double waitMs, double overdueMs) {
-        Out overdueAt(double ms) {
-            return new Out(id, form, begunMs, waitMs, ms);
-        }
-    }
-
-    private final SplittableRandom random;
-    private final List<Out> out = new ArrayList<>();
-    private PollerSettings settings;
-    private PollBackoff pause;
-    private boolean isRunning;
-    private boolean continues;
-    private int lastId;
-    private PollKind lastForm = PollKind.SNAPSHOT;
-    /** Calls that brought no answer since a watch or a poll was answered last, and that another form may have. */
-    private int unanswered;
-    /** Whether a call has failed since one was answered last. */
-    private boolean failedBefore;
-    /** How often in a row a call was given up at its limit. */
-    private int givenUp;
-
-    private double nextMs = Double.POSITIVE_INFINITY;
-
-    /** {@code seed}: apart from that of other instances, so that they do not call at once. */
     public EndpointListPoller(PollerSettings settings, long seed) {
         random = new SplittableRandom(seed);
+        kinds = new PollKindSelector(random);
         updateSettings(settings);
     }
 
-    /** Goes on by other settings; calls that are out are none of its. */
+    /** Takes other settings for polls to come; the backoff begins anew. */
     public void updateSettings(PollerSettings next) {
         settings = next;
-        pause = new PollBackoff(next.maxPollIntervalMs());
+        backoff = new PollBackoff(next.maxPollIntervalMs());
     }
 
-    /** The list is to be followed from now on, by new calls. */
+    /** Begins to follow the list; polls that are pending are cancelled. */
     public List<PollAction> start(double nowMs) {
-        List<PollAction> orders = stop();
-        isRunning = true;
-        unanswered = 0;
-        nextMs = nowMs;
-        orders.addAll(onTimer(nowMs));
-        return orders;
+        List<PollAction> actions = stop();
+        running = true;
+        kinds.onStart();
+        nextPollMs = nowMs;
+        actions.addAll(onTimer(nowMs));
+        return actions;
     }
 
-    /** The list is not to be followed any more. */
+    /** Ends to follow the list; polls that are pending are cancelled. */
     public List<PollAction> stop() {
-        List<PollAction> orders = new ArrayList<>();
-        giveUpAll(orders);
-        isRunning = false;
-        continues = false;
-        nextMs = Double.POSITIVE_INFINITY;
-        return orders;
+        List<PollAction> actions = new ArrayList<>();
+        cancelAll(actions);
+        running = false;
+        continuesWatch = false;
+        nextPollMs = Double.POSITIVE_INFINITY;
+        return actions;
     }
 
-    private void giveUpAll(List<PollAction> orders) {
-        out.forEach(o -> orders.add(new CancelPoll(o.id())));
-        out.clear();
+    private void cancelAll(List<PollAction> actions) {
+        pending.forEach(poll -> actions.add(new CancelPoll(poll.id())));
+        pending.clear();
     }
 
     /** Whether the list is followed. */
     public boolean isRunning() {
-        return isRunning;
+        return running;
     }
 
     /**
-     * A call was answered, and the answer is in use.
+     * A poll was answered, and its response is in use. Ignored for a poll that is not pending.
      *
-     * @param news whether it is newer than all that was known before
+     * @param news whether its version is higher than all before
      */
     public List<PollAction> onResponse(double nowMs, int id, boolean news) {
-        Out answered = remove(id);
-        List<PollAction> orders = new ArrayList<>();
+        PendingPoll answered = remove(id);
+        List<PollAction> actions = new ArrayList<>();
         if (answered == null) {
-            return orders;
+            return actions;
         }
-        pause.reset();
-        givenUp = 0;
-        failedBefore = false;
-        if (answered.form() != PollKind.SNAPSHOT) {
-            unanswered = 0;
-            continues = true;
-            giveUpAll(orders); // what is newer comes by this one's next
+        backoff.reset();
+        cancelAfter.reset();
+        kinds.onResponse(answered.kind());
+        if (answered.kind() != PollKind.SNAPSHOT) {
+            continuesWatch = true;
+            cancelAll(actions); // what is newer comes by the next watch
         }
-        nextMs = news ? nowMs : Math.max(nowMs, answered.begunMs() + PACE_MS);
-        orders.addAll(onTimer(nowMs));
-        return orders;
+        nextPollMs = news ? nowMs : Math.max(nowMs, answered.sentMs() + MIN_POLL_INTERVAL_MS);
+        actions.addAll(onTimer(nowMs));
+        return actions;
     }
 
-    /** An answer has begun to come: the call stands in no line any more. */
+    /** The response to a poll has begun to arrive: the poll queues at discovery no more. */
     public List<PollAction> onResponseStarted(double nowMs, int id) {
-        out.replaceAll(o -> o.id() == id ? o.overdueAt(Math.min(o.overdueMs(), nowMs + BODY_MS)) : o);
+        double completeMs = nowMs + PollTimeouts.BODY_MS;
+        pending.replaceAll(poll -> poll.id() == id ? poll.overdueAt(Math.min(poll.overdueMs(), completeMs)) : poll);
         return List.of();
     }
 
-    /** A call has ended without an answer that can be used. */
-    public List<PollAction> onFailure(double nowMs, int id, PollFailure why) {
-        Out failed = remove(id);
+    /** A poll has ended without a response that can be used. Ignored for a poll that is not pending. */
+    public List<PollAction> onFailure(double nowMs, int id, PollFailure failure) {
+        PendingPoll failed = remove(id);
         if (failed == null) {
             return List.of();
         }
-        continues = false;
-        failedBefore = true;
-        if (why == PollFailure.BROKEN) {
-            unanswered++;
-        }
-        pauseAfter(nowMs, failed);
+        continuesWatch = false;
+        kinds.onFailure(failure);
+        delayAfter(nowMs, failed);
         return onTimer(nowMs);
     }
 
-    private void pauseAfter(double nowMs, Out failed) {
-        double pauseMs = settings.sharedDiscovery()
-                ? Math.min(MOST_PAUSE_MS, pause.nextDelayMs(nowMs - failed.begunMs(), random))
-                : AGENT_PAUSE_MS;
-        nextMs = nowMs + pauseMs;
+    private void delayAfter(double nowMs, PendingPoll failed) {
+        double delayMs = settings.sharedDiscovery()
+                ? Math.min(MAX_RETRY_DELAY_MS, backoff.nextDelayMs(nowMs - failed.sentMs(), random))
+                : AGENT_RETRY_DELAY_MS;
+        nextPollMs = nowMs + delayMs;
     }
 
-    /** A peer has been told of a version that this instance has not: another call may be worth it. */
+    /** A peer holds a version that this instance does not: a further poll may bring it. */
     public List<PollAction> onPeerAhead(double nowMs) {
-        // One discovery for all would be jammed by calls that peers' words bring about.
-        if (!isRunning || settings.sharedDiscovery() || out.isEmpty()) {
+        // A shared discovery would be overloaded by the polls of all instances that hear of one version.
+        if (!running || settings.sharedDiscovery() || pending.isEmpty()) {
             return List.of();
         }
-        List<PollAction> orders = new ArrayList<>();
-        if (out.size() < MOST_OUT) {
-            begin(nowMs, PollKind.DELTA, orders);
+        List<PollAction> actions = new ArrayList<>();
+        if (pending.size() < MAX_PENDING_POLLS) {
+            send(nowMs, PollKind.DELTA, actions);
         }
-        return orders;
+        return actions;
     }
 
-    private Out remove(int id) {
-        for (Iterator<Out> i = out.iterator(); i.hasNext(); ) {
-            Out o = i.next();
-            if (o.id() == id) {
+    /** Null if it is not pending. */
+    private PendingPoll remove(int id) {
+        for (Iterator<PendingPoll> i = pending.iterator(); i.hasNext(); ) {
+            PendingPoll poll = i.next();
+            if (poll.id() == id) {
                 i.remove();
-                return o;
+                return poll;
             }
         }
         return null;
@@ -255,107 +183,70 @@
 
     /** When to call {@link #onTimer} next, in milliseconds; infinite for never. */
     public double nextTimerMs() {
-        double due = Double.POSITIVE_INFINITY;
-        for (Out o : out) {
-            due = Math.min(due, limitMs(o));
+        double timerMs = Double.POSITIVE_INFINITY;
+        for (PendingPoll poll : pending) {
+            timerMs = Math.min(timerMs, cancelMs(poll));
         }
-        if (!isRunning) {
-            return due;
+        if (!running) {
+            return timerMs;
         }
-        double next = out.isEmpty() ? nextMs : Math.max(nextMs, newest().overdueMs());
-        return Math.min(due, next);
+        double sendMs = pending.isEmpty() ? nextPollMs : Math.max(nextPollMs, newest().overdueMs());
+        return Math.min(timerMs, sendMs);
     }
 
-    private Out newest() {
-        return out.get(out.size() - 1);
+    private PendingPoll newest() {
+        return pending.get(pending.size() - 1);
     }
 
-    /** The time has come, or a timer thinks so. */
+    /** {@link #nextTimerMs} may have come; does nothing before it. */
     public List<PollAction> onTimer(double nowMs) {
-        List<PollAction> orders = new ArrayList<>();
-        for (Out o : List.copyOf(out)) {
-            if (limitMs(o) <= nowMs) {
-                out.remove(o);
-                orders.add(new CancelPoll(o.id()));
-                givenUp++;
-                pauseAfter(nowMs, o);
-            }
-        }
-        if (!isRunning || nowMs < nextMs) {
-            return orders;
+        List<PollAction> actions = new ArrayList<>();
+        cancelExpired(nowMs, actions);
+        if (!running || nowMs < nextPollMs) {
+            return actions;
         }
-        if (out.isEmpty()) {
-            begin(nowMs, formAfterFailures(), orders);
+        if (pending.isEmpty()) {
+            send(nowMs, kinds.next(settings), actions);
         } else if (newest().overdueMs() <= nowMs) {
-            unanswered++;
-            continues = false;
-            makeRoom(orders);
-            begin(nowMs, formBesideAnOverdueCall(), orders);
+            kinds.onOverdue();
+            continuesWatch = false;
+            makeRoom(actions);
+            send(nowMs, kinds.besideOverdue(settings), actions);
         }
-        return orders;
+        return actions;
     }
 
-    /** The oldest call is nearest to a late answer: it stays out for all of its time. */
-    private void makeRoom(List<PollAction> orders) {
-        if (out.size() >= MOST_OUT) {
-            orders.add(new CancelPoll(out.remove(1).id()));
+    private void cancelExpired(double nowMs, List<PollAction> actions) {
+        for (PendingPoll poll : List.copyOf(pending)) {
+            if (cancelMs(poll) <= nowMs) {
+                pending.remove(poll);
+                actions.add(new CancelPoll(poll.id()));
+                cancelAfter.recordFailure(); // the others may stay longer now
+                delayAfter(nowMs, poll);
+            }
         }
     }
 
-    private PollKind formAfterFailures() {
-        if (lastForm == PollKind.WATCH && failedBefore) {
-            return unanswered > 1 && mayAskForAll() ? PollKind.SNAPSHOT : PollKind.DELTA;
-        }
-        return lastForm == PollKind.DELTA && unanswered > 1 && mayAskForAll() ? PollKind.SNAPSHOT : PollKind.WATCH;
+    /** When a poll is cancelled. */
+    private double cancelMs(PendingPoll poll) {
+        return poll.sentMs() + poll.waitMs() + cancelAfter.delayMs();
     }
 
-    private PollKind formBesideAnOverdueCall() {
-        if (lastForm == PollKind.SNAPSHOT) {
-            return PollKind.WATCH;
+    /** Cancels the second oldest: the oldest is nearest to a late response and keeps all of its time. */
+    private void makeRoom(List<PollAction> actions) {
+        if (pending.size() >= MAX_PENDING_POLLS) {
+            actions.add(new CancelPoll(pending.remove(1).id()));
         }
-        return mayAskForAll() ? PollKind.SNAPSHOT : PollKind.DELTA;
-    }
-
-    private boolean mayAskForAll() {
-        return !settings.sharedDiscovery()
-                || !settings.gossipEnabled()
-                || random.nextDouble() * settings.instanceCount() < WHOLE_LISTS;
-    }
-
-    private void begin(double nowMs, PollKind form, List<PollAction> orders) {
-        double spread = 1 - WAIT_SPREAD + 2 * WAIT_SPREAD * random.nextDouble(); // or those of all end together
-        double waitMs = form == PollKind.WATCH ? WAIT_MS * spread : 0;
-        boolean newConnection = !out.isEmpty();
-        Out begun = new Out(++lastId, form, nowMs, waitMs, nowMs + overdueAfterMs(form, waitMs));
-        out.add(begun);
-        lastForm = form;
-        nextMs = nowMs;
-        orders.add(new StartPoll(begun.id(), form, waitMs, newConnection));
-    }
-
-    /** When a call is given up: later for those that are out as well once another has been. */
-    private double limitMs(Out call) {
-        return call.begunMs() + call.waitMs() + LIMIT_MS * (1 << Math.min(givenUp, MOST_DOUBLINGS));
-    }
-
-    /**
-     * Of a call that begins beside an overdue one. What stands in line longest is another call, so it need not wait out
-     * a line; where many instances make the line long, peers tell sooner than a further call would, and it does.
-     */
-    private double besidePatienceMs() {
-        return settings.instanceCount() <= FEW_INSTANCES ? PATIENCE_MS : 2 * PATIENCE_MS;
     }
 
-    private double overdueAfterMs(PollKind form, double waitMs) {
-        if (!settings.sharedDiscovery()) {
-            return waitMs + AGENT_PATIENCE_MS;
-        }
-        if (!out.isEmpty()) {
-            return waitMs + besidePatienceMs();
-        }
-        if (form != PollKind.WATCH) {
-            return WAIT_MS + PATIENCE_MS;
-        }
-        return waitMs + (continues ? CONTINUED_PATIENCE_MS : PATIENCE_MS);
+    private void send(double nowMs, PollKind kind, List<PollAction> actions) {
+        double waitMs = PollTimeouts.waitMs(kind, random);
+        boolean othersPending = !pending.isEmpty();
+        double overdueMs = nowMs + PollTimeouts.overdueAfterMs(settings, kind, waitMs, othersPending, continuesWatch);
+        PendingPoll poll = new PendingPoll(++lastId, kind, nowMs, waitMs, overdueMs);
+        pending.add(poll);
+        kinds.onPollSent(kind);
+        nextPollMs = nowMs;
+        actions.add(new StartPoll(poll.id(), kind, waitMs, othersPending));
     }
 }
--- a/src/main/java/cacheproxy/endpoints/PollBackoff.java
+++ b/src/main/java/cacheproxy/endpoints/PollBackoff.java
@@ -3,41 +3,45 @@
 import java.util.SplittableRandom;
 
 /**
- * How long to wait after a failed call for the list. Whatever failed, what discovery has counts as told 6 s after it
- * could be asked ({@link #MAX_STALENESS_MS}, the operators' terms), so the waits grow no further than leaves half of
- * that.
+ * The delay between a failed poll and the next. It starts at a 32nd of the time within which the list has to be fresh
+ * and doubles up to half of it, so that a poll that succeeds still comes in time. Each delay is cut by a random part,
+ * up to half: instances that failed at one time would otherwise poll together again and overload discovery.
  */
 public final class PollBackoff {
-    /** So long after discovery has a change and could be asked, the change counts as told, in milliseconds. */
-    public static final double MAX_STALENESS_MS = 6000;
+    private static final int BASE_FRACTION = 32;
+    private static final int MAX_DOUBLINGS = 4;
+    private static final double MIN_JITTER = 0.5;
 
-    private static final int LEAST_PART = 32;
-    private static final int MOST_DOUBLINGS = 4;
+    private final double baseMs;
+    private final ExponentialBackoff backoff;
 
-    private final double leastMs;
-    private int failures;
-
-    /** {@code maxPollIntervalMs}: the settings' time within which a proxy with no watch has to ask. */
-    public PollBackoff(double askWithinMs) {
-        leastMs = Math.min(askWithinMs, MAX_STALENESS_MS) / LEAST_PART;
+    /**
+     * Without a failure yet.
+     *
+     * @param maxPollIntervalMs the settings' time within which an instance without a watch has to poll, in milliseconds
+     */
+    public PollBackoff(double maxPollIntervalMs) {
+        baseMs = Math.min(maxPollIntervalMs, EndpointListFreshness.MAX_STALENESS_MS) / BASE_FRACTION;
+        backoff = new ExponentialBackoff(baseMs, MAX_DOUBLINGS);
     }
 
-    /** A call was answered. */
+    /** A poll was answered: the next failure is the first again. */
     public void reset() {
-        failures = 0;
+        backoff.reset();
     }
 
     /**
-     * A call has failed. What is turned away many times comes back within half of a time that doubles, or all instances
-     * together jam discovery. The time that the failed call took counts: one that fell silent has been waited for.
+     * A poll has failed. What it took counts as part of the delay: one that discovery left unanswered has been waited
+     * for already.
      *
-     * @param tookMs how long the call took
-     * @return milliseconds until the next call
+     * @param tookMs from the start of the poll to its failure, in milliseconds
+     * @param random one number is drawn of it
+     * @return milliseconds until the next poll
      */
     public double nextDelayMs(double tookMs, SplittableRandom random) {
-        double jitter = 0.5 + random.nextDouble() / 2;
-        double least = leastMs * jitter;
-        double interval = least * (1 << Math.min(failures++, MOST_DOUBLINGS));
-        return Math.max(least, interval - tookMs);
+        double jitter = MIN_JITTER + random.nextDouble() / 2;
+        double delayMs = backoff.delayMs(jitter);
+        backoff.recordFailure();
+        return Math.max(baseMs * jitter, delayMs - tookMs);
     }
 }
--- a/src/main/java/cacheproxy/endpoints/package-info.java
+++ b/src/main/java/cacheproxy/endpoints/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How fresh the list of servers is: which calls are made for it, and when. Decisions without I/O: events with their
- * times in, orders out.
+ * How fresh the endpoint list is: when discovery is polled for it, with which kind of poll, and when a poll is
+ * cancelled. Pure decisions: events with their times in, {@link cacheproxy.endpoints.PollAction}s out.
+ * {@link cacheproxy.endpoints.EndpointListPoller} is where to begin.
  */
 package cacheproxy.endpoints;
--- a/src/main/java/cacheproxy/model/NewsPlay.java
+++ b/src/main/java/cacheproxy/model/NewsPlay.java
@@ -1,6 +1,12 @@
 package cacheproxy.model;
 
+import cacheproxy.endpoints.CancelPoll;
 import cacheproxy.endpoints.EndpointListPoller;
+import cacheproxy.endpoints.PollAction;
+import cacheproxy.endpoints.PollFailure;
+import cacheproxy.endpoints.PollKind;
+import cacheproxy.endpoints.PollerSettings;
+import cacheproxy.endpoints.StartPoll;
 import cacheproxy.gossip.AntiEntropy;
 import cacheproxy.gossip.EndpointListDelta;
 import cacheproxy.gossip.ListVersionGossip;
@@ -182,7 +188,7 @@
             policy = new CarpLoadBalancer(settings, random.nextLong());
             news = new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(random.nextLong()));
             calls = new EndpointListPoller(
-                    new EndpointListPoller.PollerSettings(
+                    new PollerSettings(
                             settings.pollsDiscovery(),
                             settings.pollIntervalMs(),
                             settings.instanceCount(),
@@ -219,15 +225,13 @@
             carryOut(on ? calls.start(time.now()) : calls.stop(), false);
         }
 
-        private void carryOut(List<EndpointListPoller.PollAction> orders, boolean afterAnAnswer) {
-            for (EndpointListPoller.PollAction order : orders) {
-                if (order instanceof EndpointListPoller.StartPoll begin) {
+        private void carryOut(List<PollAction> orders, boolean afterAnAnswer) {
+            for (PollAction order : orders) {
+                if (order instanceof StartPoll begin) {
                     out.add(begin.id());
-                    boolean goesOn = afterAnAnswer
-                            && begin.kind() == EndpointListPoller.PollKind.WATCH
-                            && !begin.newConnection();
+                    boolean goesOn = afterAnAnswer && begin.kind() == PollKind.WATCH && !begin.newConnection();
                     discovery.call(this, begin.id(), version, begin.waitMs(), goesOn);
-                } else if (order instanceof EndpointListPoller.CancelPoll giveUp) {
+                } else if (order instanceof CancelPoll giveUp) {
                     out.remove(giveUp.id());
                     discovery.giveUp(this, giveUp.id());
                     alert();
@@ -248,7 +252,7 @@
         @Override
         public void failed(int which) {
             if (out.remove(which)) {
-                carryOut(calls.onFailure(time.now(), which, EndpointListPoller.PollFailure.REJECTED), false);
+                carryOut(calls.onFailure(time.now(), which, PollFailure.REJECTED), false);
                 alert();
             }
         }
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.endpoints.EndpointListPoller;
+import cacheproxy.endpoints.PollerSettings;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListCodec;
@@ -76,7 +76,7 @@
                 discovery,
                 listForm(),
                 settings.instanceSeed(seed),
-                new EndpointListPoller.PollerSettings(
+                new PollerSettings(
                         settings.pollsDiscovery(),
                         settings.pollIntervalMs(),
                         settings.instanceCount(),
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -1,11 +1,12 @@
 package cacheproxy.proxy.discovery;
 
+import cacheproxy.endpoints.CancelPoll;
 import cacheproxy.endpoints.EndpointListPoller;
-import cacheproxy.endpoints.EndpointListPoller.CancelPoll;
-import cacheproxy.endpoints.EndpointListPoller.PollAction;
-import cacheproxy.endpoints.EndpointListPoller.PollFailure;
-import cacheproxy.endpoints.EndpointListPoller.PollKind;
-import cacheproxy.endpoints.EndpointListPoller.StartPoll;
+import cacheproxy.endpoints.PollAction;
+import cacheproxy.endpoints.PollFailure;
+import cacheproxy.endpoints.PollKind;
+import cacheproxy.endpoints.PollerSettings;
+import cacheproxy.endpoints.StartPoll;
 import cacheproxy.routing.EndpointUpdateKind;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -57,8 +58,7 @@
      * @param seed apart from that of other instances, so that they do not call at once
      * @param polling what decides which calls are made
      */
-    public record Settings(
-            InetSocketAddress address, EndpointListCodec codec, long seed, EndpointListPoller.PollerSettings polling) {}
+    public record Settings(InetSocketAddress address, EndpointListCodec codec, long seed, PollerSettings polling) {}
 
     private static final int CONNECT_MS = 1000;
 
--- a/src/main/java/cacheproxy/routing/EndpointListWatch.java
+++ b/src/main/java/cacheproxy/routing/EndpointListWatch.java
@@ -1,5 +1,6 @@
 package cacheproxy.routing;
 
+import cacheproxy.endpoints.EndpointListFreshness;
 import cacheproxy.endpoints.PollBackoff;
 import java.util.SplittableRandom;
 
@@ -42,7 +43,7 @@
      * fleet that starts must not call at once.
      */
     double firstCallDelayMs(RoutingSettings settings) {
-        double limitMs = Math.min(settings.pollIntervalMs(), PollBackoff.MAX_STALENESS_MS);
+        double limitMs = Math.min(settings.pollIntervalMs(), EndpointListFreshness.MAX_STALENESS_MS);
         double spanMs = Math.min(limitMs, settings.instanceCount() * settings.connectTimeoutMs()) / 2;
         return random.nextDouble() * spanMs;
     }
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.WireSamples;
-import cacheproxy.endpoints.EndpointListPoller;
+import cacheproxy.endpoints.PollerSettings;
 import cacheproxy.routing.EndpointUpdateKind;
 import com.google.gson.JsonParser;
 import io.netty.bootstrap.Bootstrap;
@@ -101,7 +101,7 @@
                             (InetSocketAddress) server.getLocalSocketAddress(),
                             FORM,
                             7,
-                            new EndpointListPoller.PollerSettings(false, 10_000, 1, false)),
+                            new PollerSettings(false, 10_000, 1, false)),
                     new Ignored(),
                     () -> System.nanoTime() / 1e6);
             String known = WireSamples.text("discovery/list-whole.json");
