--- a/src/main/java/cacheproxy/proxy/Acceptor.java
+++ b/src/main/java/cacheproxy/proxy/Acceptor.java
@@ -86,7 +86,7 @@
     private ServerBootstrap bootstrap(EventLoopGroup group) {
         return new ServerBootstrap()
                 .group(group)
-                .handler(new AcceptErrors(this::regulate, dispatcher::acceptFailed))
+                .handler(new AcceptErrors(this::regulate, dispatcher.failures()::acceptFailed))
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
@@ -0,0 +1,160 @@
+package cacheproxy.proxy;
+
+import cacheproxy.admission.RequestState;
+import cacheproxy.routing.AttemptEnd;
+import cacheproxy.routing.AttemptOutcome;
+import java.util.List;
+
+/**
+ * Ends attempts, each once: by its result, its timeout, a cancellation or the completion of its request. The first
+ * response of a request goes to its client, any further one is dropped. Event loop only.
+ */
+final class AttemptLifecycle {
+    private static final int NO_NOTE = 0;
+
+    private final ProxyClock clock;
+    private final RequestSettings settings;
+    private final SerialExecutor executor;
+    private final SerialLoadBalancer loadBalancer;
+    private final RequestCompletion completion;
+
+    AttemptLifecycle(
+            ProxyClock clock,
+            RequestSettings settings,
+            SerialExecutor executor,
+            SerialLoadBalancer loadBalancer,
+            RequestCompletion completion) {
+        this.clock = clock;
+        this.settings = settings;
+        this.executor = executor;
+        this.loadBalancer = loadBalancer;
+        this.completion = completion;
+    }
+
+    /**
+     * Ends an attempt, if it has not ended.
+     *
+     * @param note what the server says of the response, as in {@link AttemptEnd}
+     * @param report the server's load report; null if it sent none
+     * @param response its response, which this method releases or passes on; null if it has none
+     */
+    void end(RequestAttempt attempt, AttemptOutcome outcome, int note, float[] report, ServerResponse response) {
+        if (attempt.ended) {
+            release(response);
+            return;
+        }
+        attempt.ended = true;
+        attempt.mayHaveRun = outcome.mayHaveRun();
+        Timers.cancel(attempt.timer);
+        double endMs = attempt.isStreaming() ? attempt.firstByteMs : clock.now();
+        double elapsedMs = endMs - attempt.sentMs;
+        if (attempt.isHealthCheck()) {
+            loadBalancer.healthCheckEnded(attempt.server, outcome, elapsedMs, report);
+            return;
+        }
+        ClientRequest request = attempt.request;
+        request.attemptsInFlight--;
+        passOn(attempt, response);
+        AttemptEnd end = new AttemptEnd(
+                request.id, attempt.index, attempt.server, outcome, elapsedMs, request.isCompleted(), note, report);
+        loadBalancer.attemptEnded(end, () -> completion.fail(request));
+        completion.release(request);
+    }
+
+    /** Ends an attempt that has no response. */
+    void end(RequestAttempt attempt, AttemptOutcome outcome) {
+        end(attempt, outcome, NO_NOTE, null, null);
+    }
+
+    /** Ends an attempt that has no response, once the running call of the load balancer has returned. */
+    void endSerially(RequestAttempt attempt, AttemptOutcome outcome) {
+        executor.runSerially(() -> end(attempt, outcome));
+    }
+
+    private void passOn(RequestAttempt attempt, ServerResponse response) {
+        ClientRequest request = attempt.request;
+        if (request.isCompleted()) {
+            release(response);
+        } else if (attempt.isStreaming()) {
+            endStream(request, response != null);
+        } else if (response != null) {
+            completion.complete(request, RequestState.ANSWERED, RequestOutcome.SUCCEEDED);
+            request.responseWriter.writeResponse(response);
+        }
+    }
+
+    private void endStream(ClientRequest request, boolean whole) {
+        completion.complete(request, RequestState.ANSWERED, whole ? RequestOutcome.SUCCEEDED : RequestOutcome.FAILED);
+        if (whole) {
+            request.responseWriter.endValue();
+        } else {
+            request.responseWriter.abort();
+        }
+    }
+
+    private static void release(ServerResponse response) {
+        if (response != null) {
+            response.release();
+        }
+    }
+
+    /**
+     * Ends an attempt whose time is up. What has gone out may have been executed or may yet: reported as a failed
+     * connection, a write would be rejected or sent again, and have its effect twice.
+     */
+    void expire(RequestAttempt attempt) {
+        if (attempt.ended) {
+            return;
+        }
+        if (attempt.connection == null) {
+            end(attempt, AttemptOutcome.NOT_SENT);
+            return;
+        }
+        boolean unsent = attempt.connection.giveUp(attempt);
+        end(attempt, unsent ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT);
+    }
+
+    /**
+     * Cancels an attempt whose response has not begun. Another attempt may follow, so where hedging is not allowed one
+     * whose cancellation can't end it stays in flight.
+     */
+    void cancel(RequestAttempt attempt) {
+        if (attempt.ended || attempt.isStreaming()) {
+            return;
+        }
+        UpstreamConnection connection = attempt.connection;
+        boolean mustEndAlone =
+                !attempt.request.isCompleted() && !settings.routing().hedgingAllowed();
+        if (mustEndAlone && connection != null && !connection.endsAlone()) {
+            return;
+        }
+        if (connection != null) {
+            connection.giveUp(attempt);
+        }
+        endSerially(attempt, AttemptOutcome.CANCELLED);
+    }
+
+    /** Cancels those attempts of a request whose response is being streamed: nobody is left to read the rest. */
+    void cancelStreams(ClientRequest request) {
+        for (RequestAttempt attempt : request.attempts) {
+            if (attempt.isStreaming() && !attempt.ended) {
+                attempt.connection.giveUp(attempt);
+                end(attempt, AttemptOutcome.CANCELLED);
+            }
+        }
+    }
+
+    /** Expires all attempts of a request. */
+    void expireAll(ClientRequest request) {
+        List.copyOf(request.attempts).forEach(this::expire);
+    }
+
+    /** Ends those attempts of a request of which nothing has gone out. */
+    void endUnsent(ClientRequest request) {
+        for (RequestAttempt attempt : request.attempts) {
+            if (!attempt.ended && (attempt.connection == null || attempt.connection.takeBack(attempt))) {
+                end(attempt, AttemptOutcome.NOT_SENT);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -0,0 +1,161 @@
+package cacheproxy.proxy;
+
+import cacheproxy.admission.Breach;
+import cacheproxy.admission.Permits;
+import cacheproxy.admission.Verdict;
+import cacheproxy.metrics.Metric;
+import cacheproxy.routing.AttemptOutcome;
+import io.netty.channel.EventLoop;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Starts attempts and health checks that the load balancer orders, where the rules permit it at that moment. Event loop
+ * only.
+ */
+final class AttemptStarter {
+    /** If the event loop has not polled its sockets for so long, in milliseconds, an attempt waits until it has. */
+    private static final double MAX_POLL_AGE_MS = 50;
+
+    private static final double HEALTH_CHECK_TIMEOUT_MS = 250;
+    /** Of a server that is not in the endpoint list. */
+    private static final Permits.Place UNKNOWN_PLACE = new Permits.Place(-1, -1);
+
+    private final EventLoop loop;
+    private final LoopClock loopClock;
+    private final ProxyClock clock;
+    private final Timers timers;
+    private final RequestSettings settings;
+    private final Servers servers;
+    private final Counters counters;
+    private final RuleMonitor rules;
+    private final SerialLoadBalancer loadBalancer;
+    private final AttemptLifecycle attempts;
+
+    AttemptStarter(
+            EventLoop loop,
+            LoopClock loopClock,
+            ProxyClock clock,
+            Timers timers,
+            RequestSettings settings,
+            Servers servers,
+            Counters counters,
+            RuleMonitor rules,
+            SerialLoadBalancer loadBalancer,
+            AttemptLifecycle attempts) {
+        this.loop = loop;
+        this.loopClock = loopClock;
+        this.clock = clock;
+        this.timers = timers;
+        this.settings = settings;
+        this.servers = servers;
+        this.counters = counters;
+        this.rules = rules;
+        this.loadBalancer = loadBalancer;
+        this.attempts = attempts;
+    }
+
+    /**
+     * Starts an attempt of a request that is not completed.
+     *
+     * @param timeoutMs how long to wait for it, in milliseconds; 0: until the request's deadline
+     */
+    void start(ClientRequest request, int server, double timeoutMs) {
+        double now = clock.now();
+        double remainingMs = request.deadlineMs - now;
+        double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
+        Upstream upstream = servers.get(server);
+        Permits.Place place = upstream == null ? UNKNOWN_PLACE : upstream.place;
+        RequestAttempt attempt = new RequestAttempt(request, request.attempts.size(), server, place, now, now + waitMs);
+        count(request, upstream);
+        request.attempts.add(attempt);
+        request.attemptsInFlight++;
+        if (waitMs > 0 && waitMs < remainingMs) {
+            attempt.timer = timers.after(waitMs, () -> attempts.expire(attempt));
+        }
+        if (loopClock.sinceLastPollMs() > MAX_POLL_AGE_MS) {
+            // The client's disconnect or news of the server may be there unread, and is read first.
+            loop.schedule(() -> send(attempt), 0, TimeUnit.MILLISECONDS);
+        } else {
+            send(attempt);
+        }
+    }
+
+    private void send(RequestAttempt attempt) {
+        if (attempt.ended) {
+            return;
+        }
+        if (!mayBegin(attempt)) {
+            attempts.endSerially(attempt, AttemptOutcome.NOT_SENT);
+        } else if (!servers.get(attempt.server).send(attempt)) {
+            attempts.endSerially(attempt, AttemptOutcome.CONNECT_FAILED);
+        }
+    }
+
+    /**
+     * Whether the rules permit an attempt to begin now. To be asked right before its bytes go out, and again where it
+     * had to wait in between.
+     */
+    boolean mayBegin(RequestAttempt attempt) {
+        ClientRequest request = attempt.request;
+        Upstream upstream = servers.get(attempt.server);
+        boolean serverReady = upstream != null && upstream.ready;
+        if (attempt.isHealthCheck()) {
+            return serverReady;
+        }
+        double now = clock.now();
+        Verdict verdict = Permits.send(
+                now,
+                new Permits.Send(
+                        request.state(),
+                        request.serviceClass,
+                        Math.min(attempt.expiresMs, request.deadlineMs) - now,
+                        serverReady,
+                        attempt.place,
+                        attempt.index,
+                        Math.min(request.maxAttempts, settings.routing().maxAttempts()),
+                        settings.routing().hedgingAllowed(),
+                        request.attemptsExcept(attempt)));
+        if (!verdict.allowed()) {
+            rules.forbade(attempt, verdict);
+        }
+        return verdict.allowed();
+    }
+
+    /** Checks the time that a server is about to be told of; {@code remainingMs} in milliseconds. */
+    void checkRemainingTime(RequestAttempt attempt, long remainingMs) {
+        ClientRequest request = attempt.request;
+        double leftMs = attempt.isHealthCheck() ? Double.POSITIVE_INFINITY : request.deadlineMs - clock.now();
+        if (Permits.toldTooMuch((double) remainingMs, leftMs)) {
+            rules.breached(Breach.TOLD_TOO_MUCH, request, remainingMs + " ms, " + Math.round(leftMs) + " ms are left");
+        }
+    }
+
+    private void count(ClientRequest request, Upstream upstream) {
+        counters.increment(Metric.ATTEMPTS);
+        if (!request.attempts.isEmpty()) {
+            counters.increment(request.attemptsInFlight > 0 ? Metric.HEDGES : Metric.RETRIES);
+        }
+        if (upstream == null) {
+            return;
+        }
+        if (upstream.origin && !request.command.write) {
+            counters.increment(Metric.ORIGIN_FETCHES);
+        }
+        if (!upstream.origin && loadBalancer.isEjected(upstream.id)) {
+            counters.increment(Metric.HEALTH_CHECKS);
+        }
+    }
+
+    /** Starts a health check of a server; its result goes to the load balancer. */
+    void startHealthCheck(int server) {
+        Upstream upstream = servers.get(server);
+        counters.increment(Metric.HEALTH_CHECKS);
+        double now = clock.now();
+        RequestAttempt check = new RequestAttempt(null, 0, server, UNKNOWN_PLACE, now, now + HEALTH_CHECK_TIMEOUT_MS);
+        if (upstream == null || !upstream.ready || !upstream.send(check)) {
+            attempts.endSerially(check, AttemptOutcome.CONNECT_FAILED);
+        } else {
+            check.timer = timers.after(HEALTH_CHECK_TIMEOUT_MS, () -> attempts.expire(check));
+        }
+    }
+}
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -32,7 +32,7 @@
     @Override
     public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress dial) {
         if (attempt.request == null) {
-            String probe = dispatcher.healthChecksReportLoad() ? "stats load\r\n" : "mn\r\n";
+            String probe = dispatcher.loadReports().inHealthChecks() ? "stats load\r\n" : "mn\r\n";
             return channel.writeAndFlush(MetaCodec.text(channel.alloc(), probe));
         }
         RequestCommand command = attempt.request.command;
@@ -112,7 +112,7 @@
     }
 
     private float[] report(String line) {
-        return dispatcher.report(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
+        return dispatcher.loadReports().parse(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
     }
 
     /** What the flags tell; the id must be the attempt's, or answers have lost their order. */
@@ -126,7 +126,7 @@
                 : !"0".equals(hit)
                         ? 0
                         : MetaCodec.flag(line, from, 'Z') != null ? LoadBalancer.NOTE_FETCH_IN_FLIGHT : 2;
-        report = dispatcher.report(MetaCodec.flag(line, from, 'L'));
+        report = dispatcher.loadReports().parse(MetaCodec.flag(line, from, 'L'));
     }
 
     private void value(ByteBuf in) throws MetaCodec.SyntaxException {
@@ -172,7 +172,7 @@
             stats += name + "=" + MetaCodec.wordAt(line, 6 + name.length()) + ",";
         } else {
             boolean ok = line.equals("MN") || line.equals("END");
-            float[] figures = MetaCodec.report(stats, dispatcher.loadReportFields());
+            float[] figures = MetaCodec.report(stats, dispatcher.loadReports().fields());
             stats = "";
             connection.ended(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null);
         }
@@ -186,7 +186,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        dispatcher.connectionFailed(cause);
+        dispatcher.failures().connectionFailed(cause);
         ctx.close();
     }
 }
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/ClientConnection.java
@@ -170,7 +170,7 @@
 
     /** The client has stopped in the middle of a request, or has said nothing since it came. */
     private void readTimedOut() {
-        dispatcher.clientTimedOut(ctx.channel().remoteAddress(), readTimeout);
+        dispatcher.failures().clientTimedOut(ctx.channel().remoteAddress(), readTimeout);
         if (incoming != null) {
             dropIncoming();
         }
@@ -232,7 +232,7 @@
     private void command(String line, double cameMs) throws MetaCodec.SyntaxException {
         MetaCommand parsed = MetaCommand.parse(line);
         switch (parsed.kind()) {
-            case NOOP -> say(dispatcher.drainAnnounced() ? "SERVER_ERROR draining\r\n" : "MN\r\n");
+            case NOOP -> say(dispatcher.drain().announced() ? "SERVER_ERROR draining\r\n" : "MN\r\n");
             case UNKNOWN -> say("ERROR\r\n");
             case READ -> {
                 if (parsed.command() == null) {
@@ -258,7 +258,7 @@
 
     /** Room for the whole value, now or in a while; without any the value is read and dropped. */
     private void claimRoom(RequestCommand command) {
-        command.valueReservation = dispatcher.valueBudget().claim(missing, () -> {
+        command.valueReservation = dispatcher.bufferLimits().values().claim(missing, () -> {
             if (incoming == command) {
                 awaitsRoom = false;
                 value = new ValueBuffer(ctx.alloc(), missing);
@@ -479,7 +479,7 @@
     private void endIfDue() {
         if (replies.isEmpty() && written() && closing) {
             finish();
-        } else if (dispatcher.draining() && idle()) {
+        } else if (dispatcher.drain().closing() && idle()) {
             dispatcher.closeWhenIdle(this);
         }
     }
@@ -575,7 +575,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        dispatcher.connectionFailed(cause);
+        dispatcher.failures().connectionFailed(cause);
         closedHere |= !(cause instanceof IOException);
         ctx.close();
     }
--- a/src/main/java/cacheproxy/proxy/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/ClientInput.java
@@ -24,7 +24,7 @@
 
     ClientInput(Dispatcher dispatcher) {
         this.dispatcher = dispatcher;
-        readAhead = dispatcher.readAhead().part();
+        readAhead = dispatcher.bufferLimits().readAhead().part();
     }
 
     /** Bytes have been read; {@code idle}: nothing of the client was under way before them. */
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/ConnectionFailures.java
@@ -0,0 +1,42 @@
+package cacheproxy.proxy;
+
+import cacheproxy.flow.ReadTimeout;
+import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.Metric;
+import java.io.IOException;
+
+/** Counts and logs what goes wrong with connections and the event loop. Event loop only. */
+final class ConnectionFailures {
+    private final Counters counters;
+    private final EventLog log;
+
+    ConnectionFailures(Counters counters, EventLog log) {
+        this.counters = counters;
+        this.log = log;
+    }
+
+    /** A client's connection could not be accepted. */
+    void acceptFailed(Throwable cause) {
+        counters.increment(Metric.ACCEPT_FAILURES);
+        log.log(EventKind.ACCEPT_FAILED, String.valueOf(cause.getMessage()));
+    }
+
+    /** A client has stopped within a request, or has not sent one. */
+    void clientTimedOut(Object client, ReadTimeout timeout) {
+        counters.increment(Metric.CLIENT_TIMEOUTS);
+        log.log(EventKind.CLIENT_TIMEOUT, client + " in its " + timeout);
+    }
+
+    /** A connection fails. That its other side has closed it is ordinary; anything else is logged. */
+    void connectionFailed(Throwable cause) {
+        if (!(cause instanceof IOException)) {
+            log.log(EventKind.INTERNAL_ERROR, "a connection ends by " + cause);
+        }
+    }
+
+    /** The event loop was blocked for so many milliseconds, which is longer than deadlines allow for. */
+    void eventLoopStalled(double ms) {
+        counters.increment(Metric.EVENT_LOOP_STALLS);
+        log.log(EventKind.EVENT_LOOP_STALLED, "the event loop stood still for " + Math.round(ms) + " ms");
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/DrainState.java
@@ -0,0 +1,23 @@
+package cacheproxy.proxy;
+
+/** Whether this process drains, as clients' connections are to act on it. Event loop only. */
+final class DrainState {
+    private boolean closing;
+    private boolean announced;
+
+    /** Sets both, as {@link #closing} and {@link #announced} tell them. */
+    void set(boolean nowClosing, boolean nowAnnounced) {
+        closing = nowClosing;
+        announced = nowAnnounced;
+    }
+
+    /** Whether connections close after the last response that they are owed. */
+    boolean closing() {
+        return closing;
+    }
+
+    /** Whether clients that ask are told that the process drains. */
+    boolean announced() {
+        return announced;
+    }
+}
--- a/src/main/java/cacheproxy/proxy/Drainer.java
+++ b/src/main/java/cacheproxy/proxy/Drainer.java
@@ -40,7 +40,7 @@
     String cancel() {
         String why = drain.cancel();
         if (why == null) {
-            dispatcher.setDraining(false, false);
+            dispatcher.drain().set(false, false);
         }
         return why;
     }
@@ -61,7 +61,7 @@
             ticking = false;
             return;
         }
-        dispatcher.setDraining(drain.ending(now), drain.told());
+        dispatcher.drain().set(drain.ending(now), drain.told());
         if (listening && !orders.listen()) {
             listening = false;
             acceptor.stopListening();
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/LoadReports.java
@@ -0,0 +1,30 @@
+package cacheproxy.proxy;
+
+import cacheproxy.routing.LoadReportSource;
+import java.util.List;
+
+/** Reads the load reports of servers, as the settings say where they come from. Event loop only. */
+final class LoadReports {
+    private final RequestSettings settings;
+
+    LoadReports(RequestSettings settings) {
+        this.settings = settings;
+    }
+
+    /** The names of the figures in a load report, in the order of its values. */
+    List<String> fields() {
+        return settings.routing().loadReportFields();
+    }
+
+    /** Parses the load report of a response; null where the settings say that responses have none. */
+    float[] parse(String text) {
+        return settings.routing().loadReportSource() == LoadReportSource.WITH_RESPONSES
+                ? MetaCodec.report(text, fields())
+                : null;
+    }
+
+    /** Whether health checks ask for a load report. */
+    boolean inHealthChecks() {
+        return settings.routing().loadReportSource() == LoadReportSource.BY_HEALTH_CHECK;
+    }
+}
--- a/src/main/java/cacheproxy/proxy/NodeTalk.java
+++ b/src/main/java/cacheproxy/proxy/NodeTalk.java
@@ -67,7 +67,7 @@
         BadNodes.Node node =
                 new BadNodes.Node(server, u.place.zone(), dispatcher.servers().inZone(u.place.zone()));
         if (zone != null && bad.claimed(now, peer, zone, node, zones.size(), new HashSet<>(zones.values()).size())) {
-            dispatcher.peerMessageReceived(peer, PeerSocket.Kind.MODULE, message);
+            dispatcher.peerLinks().messageReceived(peer, PeerSocket.Kind.MODULE, message);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -87,7 +87,7 @@
     public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress dial) {
         FullHttpRequest request;
         if (attempt.request == null) {
-            String path = dispatcher.healthChecksReportLoad() ? "/metrics/load" : "/alive";
+            String path = dispatcher.loadReports().inHealthChecks() ? "/metrics/load" : "/alive";
             request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
         } else {
             RequestCommand command = attempt.request.command;
@@ -202,7 +202,7 @@
 
     private boolean claim(int bytes) {
         while (room.size() * (long) MetaCodec.WHOLE < bytes) {
-            ByteBudget.Ticket ticket = dispatcher.valueBudget().claim(MetaCodec.WHOLE, () -> {});
+            ByteBudget.Ticket ticket = dispatcher.bufferLimits().values().claim(MetaCodec.WHOLE, () -> {});
             if (ticket == null || !ticket.granted()) {
                 if (ticket != null) {
                     ticket.release();
@@ -224,7 +224,7 @@
             connection.retire();
         }
         RequestAttempt attempt = connection.head();
-        float[] report = dispatcher.report(r.headers().get(LOAD));
+        float[] report = dispatcher.loadReports().parse(r.headers().get(LOAD));
         int code = r.status().code();
         if (attempt.request == null) {
             release(whole);
@@ -284,7 +284,7 @@
     /** A body that only the connection's end ends is whole if that is an orderly one (RFC 9112, 6.3). */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        dispatcher.connectionFailed(cause);
+        dispatcher.failures().connectionFailed(cause);
         broken = true;
         drop();
         ctx.close();
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -0,0 +1,100 @@
+package cacheproxy.proxy;
+
+import cacheproxy.membership.Living;
+import cacheproxy.routing.EndpointSignal;
+
+/**
+ * Passes events on to the links to other proxies: messages from peers, by kind, and what happens here that the links
+ * gossip. A link that is not set, because its feature is off or it starts later, gets nothing. Event loop only.
+ */
+final class PeerLinks {
+    private final SerialLoadBalancer loadBalancer;
+    private PeerNews endpointListGossip;
+    private MemberLink membership;
+    private NodeTalk outlierGossip;
+    private ZoneLink zoneFailover;
+    private RecallLink stateQueries;
+
+    PeerLinks(SerialLoadBalancer loadBalancer) {
+        this.loadBalancer = loadBalancer;
+    }
+
+    /** Sets the link that gossips the version of the endpoint list. */
+    void setEndpointListGossip(PeerNews link) {
+        endpointListGossip = link;
+    }
+
+    /** Sets the links for the fleet's membership and for gossip of outliers. */
+    void setMembership(MemberLink link, NodeTalk outliers) {
+        membership = link;
+        outlierGossip = outliers;
+    }
+
+    /** Sets the link that queries peers for their state and answers such queries. */
+    void setStateQueries(RecallLink link) {
+        stateQueries = link;
+    }
+
+    /** Sets the link that fails over zones together with the fleet. */
+    void setZoneFailover(ZoneLink link) {
+        zoneFailover = link;
+    }
+
+    /** A message from a peer has arrived. */
+    void messageReceived(int peer, PeerSocket.Kind kind, byte[] message) {
+        switch (kind) {
+            case LIST -> {
+                if (endpointListGossip != null) {
+                    endpointListGossip.heard(peer, message);
+                }
+            }
+            case MODULE -> loadBalancer.peerMessageReceived(peer, message);
+            case MEMBERS -> {
+                if (membership != null) {
+                    membership.heard(peer, message);
+                }
+            }
+            case NODES -> {
+                if (outlierGossip != null) {
+                    outlierGossip.heard(peer, message);
+                }
+            }
+            case RECALL -> {
+                if (stateQueries != null) {
+                    stateQueries.heard(peer, message);
+                }
+            }
+        }
+    }
+
+    /** The set of live members has changed. */
+    void liveMembersChanged(Living living) {
+        if (endpointListGossip != null) {
+            endpointListGossip.among(living);
+        }
+    }
+
+    /** A poll of the endpoint list has failed. */
+    void endpointListPollFailed() {
+        if (endpointListGossip != null) {
+            endpointListGossip.callFailed();
+        }
+    }
+
+    /** This version of the endpoint list is in use. */
+    void endpointListInUse(long version) {
+        if (endpointListGossip != null) {
+            endpointListGossip.held(version);
+        }
+    }
+
+    /** The load balancer has seen a sign of a server's health. */
+    void endpointSignaled(int server, EndpointSignal signal) {
+        if (outlierGossip != null) {
+            outlierGossip.saw(server, signal);
+        }
+        if (zoneFailover != null) {
+            zoneFailover.saw(server, signal);
+        }
+    }
+}
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -95,11 +95,11 @@
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
-        peers = new PeerSocket(loop, config, dispatcher::peerMessageReceived, dispatcher.counters());
+        peers = new PeerSocket(loop, config, dispatcher.peerLinks()::messageReceived, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
         ProvisionalList list = new ProvisionalList(
-                dispatcher,
+                dispatcher.endpointList(),
                 new ProvisionalMembership(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
                 dispatcher::now);
         discovery = new DiscoveryClient(
@@ -129,8 +129,15 @@
                         RoutingSettings settings = config.settings();
                         ListNews news = new ListNews(settings.instanceCount(), settings.instanceSeed(config.seed()));
                         news.begin(discovery.version());
-                        dispatcher.news(new PeerNews(
-                                dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
+                        dispatcher
+                                .peerLinks()
+                                .setEndpointListGossip(new PeerNews(
+                                        dispatcher,
+                                        peers,
+                                        discovery,
+                                        list,
+                                        news,
+                                        settings.instanceSeed(config.seed() + 1)));
                     }
                     dispatcher.resume(remembered.learnt());
                     if (kept != null) {
@@ -312,7 +319,7 @@
     }
 
     ByteBudget values() {
-        return dispatcher.valueBudget();
+        return dispatcher.bufferLimits().values();
     }
 
     // ---- the view of the fleet
@@ -338,11 +345,11 @@
                         remembered.incarnation(),
                         config.seed(),
                         parts.recovers() ? Phase.STARTING : Phase.SERVING,
-                        dispatcher::liveMembersChanged);
-                dispatcher.members(members, new NodeTalk(dispatcher, peers, members));
+                        dispatcher.peerLinks()::liveMembersChanged);
+                dispatcher.peerLinks().setMembership(members, new NodeTalk(dispatcher, peers, members));
                 if (parts.zones()) {
                     zones = new ZoneLink(dispatcher, members, config.settings(), config.zones(), remembered);
-                    dispatcher.zones(zones);
+                    dispatcher.peerLinks().setZoneFailover(zones);
                 }
                 if (kept != null) {
                     kept.keep(members::incarnation, zones);
@@ -350,12 +357,14 @@
                 }
             }
             if (parts.recovers() && members != null) {
-                dispatcher.recall(new RecallLink(
-                        dispatcher,
-                        peers,
-                        members,
-                        discovery,
-                        dispatcher.trust().of(Trust.Thing.LEARNT).source() == Source.NONE));
+                dispatcher
+                        .peerLinks()
+                        .setStateQueries(new RecallLink(
+                                dispatcher,
+                                peers,
+                                members,
+                                discovery,
+                                dispatcher.trust().of(Trust.Thing.LEARNT).source() == Source.NONE));
             }
             if (parts.recovers()) {
                 recovery = new RecoveryLink(
@@ -527,13 +536,13 @@
                 c.reloadsRejected(),
                 handover.phase(),
                 handover.taken(),
-                dispatcher.valueBudget().used(),
-                dispatcher.valueBudget().waiting());
+                dispatcher.bufferLimits().values().used(),
+                dispatcher.bufferLimits().values().waiting());
     }
 
     /** What was seen of the rules so far. On the event loop only. */
     public RuleCounts ruleCounts() {
-        return dispatcher.ruleCounts();
+        return dispatcher.rules().counts();
     }
 
     /**
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -97,7 +97,7 @@
             rateTaken = dispatcher.acceptedRequests();
             rateMs = now;
         }
-        if (members != null && !dispatcher.draining()) {
+        if (members != null && !dispatcher.drain().closing()) {
             phase(stage);
             share(now);
         }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/SerialExecutor.java
@@ -0,0 +1,70 @@
+package cacheproxy.proxy;
+
+import cacheproxy.metrics.EventKind;
+import java.util.ArrayDeque;
+
+/**
+ * Runs calls of the load balancer one at a time, in the order in which they are submitted. A call that is submitted
+ * while another runs waits for it to return, so the load balancer is never entered twice. A call that throws is logged
+ * and does not keep those behind it from running. Event loop only.
+ */
+final class SerialExecutor {
+    private final EventLog log;
+    private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
+    private boolean running;
+    private boolean stopped;
+    private long failures;
+
+    SerialExecutor(EventLog log) {
+        this.log = log;
+    }
+
+    /** Runs the call now, or after the one that is running and those in the queue. No effect once stopped. */
+    void runSerially(Runnable call) {
+        if (stopped) {
+            return;
+        }
+        if (running) {
+            queue.add(call);
+            return;
+        }
+        running = true;
+        try {
+            for (Runnable next = call; next != null; next = queue.poll()) {
+                runGuarded(next, () -> {});
+            }
+        } finally {
+            running = false;
+        }
+    }
+
+    /** The same; {@code onFailure} runs right after the call if that throws. */
+    void runSerially(Runnable call, Runnable onFailure) {
+        runSerially(() -> runGuarded(call, onFailure));
+    }
+
+    private void runGuarded(Runnable call, Runnable onFailure) {
+        try {
+            call.run();
+        } catch (RuntimeException e) {
+            recordFailure(e);
+            onFailure.run();
+        }
+    }
+
+    private void recordFailure(RuntimeException e) {
+        failures++;
+        StackTraceElement[] trace = e.getStackTrace();
+        log.log(EventKind.INTERNAL_ERROR, e + (trace.length > 0 ? " at " + trace[0] : ""));
+    }
+
+    /** How many calls have thrown. */
+    long failures() {
+        return failures;
+    }
+
+    /** Runs nothing more from here on. */
+    void stop() {
+        stopped = true;
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
@@ -0,0 +1,142 @@
+package cacheproxy.proxy;
+
+import cacheproxy.proxy.discovery.Host;
+import cacheproxy.route.Router;
+import cacheproxy.route.Routing;
+import cacheproxy.routing.AttemptEnd;
+import cacheproxy.routing.AttemptOutcome;
+import cacheproxy.routing.CarpLoadBalancer;
+import cacheproxy.routing.EndpointUpdateKind;
+import cacheproxy.routing.LearnedState;
+import cacheproxy.routing.LoadBalancer;
+import cacheproxy.routing.Request;
+import cacheproxy.routing.RoutingActions;
+import cacheproxy.routing.RoutingSettings;
+import cacheproxy.routing.ZoneDirective;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Delivers events to the load balancer, one at a time by a {@link SerialExecutor}, each with the time at which it is
+ * delivered. Usable after {@link #start}. Event loop only.
+ */
+final class SerialLoadBalancer {
+    private final SerialExecutor executor;
+    private final ProxyClock clock;
+    private LoadBalancer loadBalancer;
+    /** The load balancer where routes are configured, else null. */
+    private Router router;
+
+    private RoutingActions actions;
+
+    SerialLoadBalancer(SerialExecutor executor, ProxyClock clock) {
+        this.executor = executor;
+        this.clock = clock;
+    }
+
+    /**
+     * Creates the load balancer.
+     *
+     * @param routing the routes; null: a single pool under the settings' own policy
+     * @param actions carries out what the load balancer orders
+     */
+    void start(RoutingSettings settings, long seed, Routing routing, RoutingActions actions) {
+        this.actions = actions;
+        router = routing == null ? null : new Router(settings, seed, routing);
+        loadBalancer = router != null ? router : new CarpLoadBalancer(settings, seed);
+    }
+
+    /** The routes, or null where there are none. */
+    Router router() {
+        return router;
+    }
+
+    /** Whether the load balancer sends this server no ordinary request now. */
+    boolean isEjected(int server) {
+        return loadBalancer.isAvoided(clock.now(), server);
+    }
+
+    /** What the load balancer has learned, by pool. */
+    Map<String, LearnedState> learnedState() {
+        return loadBalancer.learnedState(clock.now());
+    }
+
+    /** Continues with what another process, or an earlier one, has learned; after the first endpoint list. */
+    void resume(Map<String, LearnedState> learned) {
+        executor.runSerially(() -> loadBalancer.resume(clock.now(), learned));
+    }
+
+    void settingsChanged(RoutingSettings settings) {
+        executor.runSerially(() -> loadBalancer.onSettings(clock.now(), settings, actions));
+    }
+
+    /** Replaces the routes; only where there are any. */
+    void routesChanged(Routing routing) {
+        executor.runSerially(() -> router.replace(clock.now(), routing, actions));
+    }
+
+    /** Delivers news of the endpoint list; false if the load balancer failed on it. */
+    boolean endpointsChanged(EndpointUpdateKind kind, List<Host> hosts) {
+        long failuresBefore = executor.failures();
+        executor.runSerially(() -> {
+            if (router != null) { // together with the event and not before: another update may wait in the queue
+                hosts.forEach(host -> router.describe(host.member().id(), host.server()));
+            }
+            loadBalancer.onEndpointUpdate(
+                    clock.now(), kind, hosts.stream().map(Host::member).toList(), actions);
+        });
+        return executor.failures() == failuresBefore;
+    }
+
+    /**
+     * Delivers a request.
+     *
+     * @param acceptedMs when it was accepted, on the clock of {@link ProxyClock#now}
+     * @param key its key, as routes match it
+     * @param front the index of its front protocol
+     * @param onFailure runs if the load balancer fails on it
+     */
+    void requestAccepted(double acceptedMs, Request request, String key, int front, Runnable onFailure) {
+        executor.runSerially(
+                () -> {
+                    if (router != null) {
+                        router.onRequest(acceptedMs, request, key, front, actions);
+                    } else {
+                        loadBalancer.onRequest(acceptedMs, request, actions);
+                    }
+                },
+                onFailure);
+    }
+
+    void firstByteReceived(RequestAttempt attempt) {
+        executor.runSerially(() ->
+                loadBalancer.onFirstByte(clock.now(), attempt.request.id, attempt.index, attempt.server, actions));
+    }
+
+    /** Delivers the end of an attempt; {@code onFailure} runs if the load balancer fails on it. */
+    void attemptEnded(AttemptEnd end, Runnable onFailure) {
+        executor.runSerially(() -> loadBalancer.onAttemptEnd(clock.now(), end, actions), onFailure);
+    }
+
+    void clientDisconnected(ClientRequest request) {
+        executor.runSerially(() -> loadBalancer.onClientDisconnected(clock.now(), request.id, actions));
+    }
+
+    /** Delivers the result of a health check; {@code report} may be null. */
+    void healthCheckEnded(int server, AttemptOutcome outcome, double elapsedMs, float[] report) {
+        executor.runSerially(
+                () -> loadBalancer.onHealthCheckResult(clock.now(), server, outcome, elapsedMs, report, actions));
+    }
+
+    void timerExpired(int token) {
+        executor.runSerially(() -> loadBalancer.onTimer(clock.now(), token, actions));
+    }
+
+    void peerMessageReceived(int peer, byte[] message) {
+        executor.runSerially(() -> loadBalancer.onPeerMessage(clock.now(), peer, message, actions));
+    }
+
+    void zoneDirectivesIssued(List<ZoneDirective> directives) {
+        executor.runSerially(() -> loadBalancer.onZoneDirectives(clock.now(), directives, actions));
+    }
+}
--- a/src/main/java/cacheproxy/proxy/Timers.java
+++ b/src/main/java/cacheproxy/proxy/Timers.java
@@ -45,6 +45,13 @@
         }
     }
 
+    /** Cancels a timer, if there is one; null is ignored. */
+    static void cancel(Timer timer) {
+        if (timer != null) {
+            timer.cancel();
+        }
+    }
+
     /** Runs the task after this time, never before and up to a slot later; timers of one slot keep their order. */
     Timer after(double ms, Runnable task) {
         Timer timer = new Timer(task);
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -155,7 +155,7 @@
                 best = c;
             }
         }
-        if (best == null || !dispatcher.mayBegin(attempt)) {
+        if (best == null || !dispatcher.attemptStarter().mayBegin(attempt)) {
             return false;
         }
         noMoreUntilMs = now + NO_MORE_MS;
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -91,11 +91,12 @@
             }
         }
         for (RequestAttempt waiting : List.copyOf(attempts)) {
-            if (waiting.request == null || upstream.dispatcher().mayBegin(waiting)) {
+            if (waiting.request == null
+                    || upstream.dispatcher().attemptStarter().mayBegin(waiting)) {
                 write(waiting);
             } else {
                 attempts.remove(waiting);
-                upstream.dispatcher().endAttempt(waiting, AttemptOutcome.NOT_SENT, 0, null, null);
+                upstream.dispatcher().attempts().end(waiting, AttemptOutcome.NOT_SENT);
             }
         }
     }
@@ -157,13 +158,15 @@
     /** What came up as late as this has no time left: nothing may go out for it any more. */
     private void expireWaiting() {
         double now = upstream.dispatcher().now();
-        List.copyOf(attempts).stream().filter(a -> a.expiresMs <= now).forEach(upstream.dispatcher()::expireAttempt);
+        List.copyOf(attempts).stream()
+                .filter(a -> a.expiresMs <= now)
+                .forEach(upstream.dispatcher().attempts()::expire);
     }
 
     private void write(RequestAttempt attempt) {
         // Less by what may be wrong with the time at which the request came.
         long remainingMs = attempt.remainingMs(upstream.dispatcher().now() + LoopClock.TOLERATED_MS);
-        upstream.dispatcher().checkRemainingTime(attempt, remainingMs);
+        upstream.dispatcher().attemptStarter().checkRemainingTime(attempt, remainingMs);
         codec.write(channel, attempt, remainingMs, dial).addListener(f -> {
             if (f.isSuccess()) {
                 attempt.written = true;
@@ -184,7 +187,7 @@
         if (!connected) {
             retired = true;
             for (RequestAttempt a; (a = attempts.poll()) != null; ) {
-                upstream.dispatcher().endAttempt(a, AttemptOutcome.NOT_SENT, 0, null, null);
+                upstream.dispatcher().attempts().end(a, AttemptOutcome.NOT_SENT);
             }
             close();
         }
@@ -283,7 +286,7 @@
             turnedAway = attempt;
             upstream.dispatcher().after(PLACE_MS, () -> turnedAway(AttemptOutcome.REJECTED));
         } else {
-            upstream.dispatcher().endAttempt(attempt, outcome, note, report, answer);
+            upstream.dispatcher().attempts().end(attempt, outcome, note, report, answer);
         }
         // After the end, which may find no room at its client: between two answers nobody is there to let go of it.
         setPaused(false);
@@ -300,7 +303,7 @@
         if (turnedAway != null) {
             RequestAttempt attempt = turnedAway;
             turnedAway = null;
-            upstream.dispatcher().endAttempt(attempt, outcome, 0, null, null);
+            upstream.dispatcher().attempts().end(attempt, outcome);
         }
     }
 
@@ -334,12 +337,12 @@
         begun = true;
         partial = false; // its line may have come in pieces; from here on the client may be what it waits for
         progressMs = upstream.dispatcher().now();
-        return upstream.dispatcher().beginStreaming(attempts.peek(), length);
+        return upstream.dispatcher().streaming().begin(attempts.peek(), length);
     }
 
     void part(ByteBuf part) {
         progressMs = upstream.dispatcher().now();
-        upstream.dispatcher().streamPart(attempts.peek(), part);
+        upstream.dispatcher().streaming().writePart(attempts.peek(), part);
     }
 
     void garbage(String what) {
@@ -363,7 +366,7 @@
                 continue;
             }
             AttemptOutcome outcome = a.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
-            upstream.dispatcher().endAttempt(a, outcome, 0, null, null);
+            upstream.dispatcher().attempts().end(a, outcome);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -111,7 +111,7 @@
                                 public void closeWhenIdle(ClientConnection client) {}
                             },
                             null);
-                    dispatcher.listed(EndpointUpdateKind.CACHED, hosts);
+                    dispatcher.endpointList().listed(EndpointUpdateKind.CACHED, hosts);
                 })
                 .sync();
         new Bootstrap()
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -282,7 +282,7 @@
                 Dispatcher core = fleet.proxy.core();
                 long before = core.counters().count(Metric.PEER_MESSAGES_SENT)
                         + fleet.proxy.fleetView().dropped();
-                core.servers().nodes().forEach(u -> core.report(u.id, EndpointSignal.UNRESPONSIVE));
+                core.servers().nodes().forEach(u -> core.orders().report(u.id, EndpointSignal.UNRESPONSIVE));
                 assertThat(core.counters().count(Metric.PEER_MESSAGES_SENT)
                                 + fleet.proxy.fleetView().dropped()
                                 - before)
@@ -310,7 +310,7 @@
             Counters counters = fleet.proxy.core().counters();
             Await.until("the message", () -> fleet.on(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
             fleet.on(() -> {
-                fleet.proxy.core().sendToPeer(PEERS - 1, new byte[] {0});
+                fleet.proxy.core().orders().sendToPeer(PEERS - 1, new byte[] {0});
                 return null;
             });
             last.setSoTimeout(20_000);
--- a/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/PermitsOnSocketsTest.java
@@ -48,7 +48,10 @@
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                fleet.proxy.core().send(1, server, 0); // as a timer of the module would, before the end is read
+                fleet.proxy
+                        .core()
+                        .orders()
+                        .send(1, server, 0); // as a timer of the module would, before the end is read
             });
             stands.await();
             long since = System.nanoTime();
@@ -126,7 +129,7 @@
             client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             origin.next();
             fleet.on(() -> {
-                fleet.proxy.core().reject(1, 0);
+                fleet.proxy.core().orders().reject(1, 0);
                 return null;
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
@@ -146,7 +149,7 @@
             client.read("1");
             node.next();
             fleet.on(() -> {
-                fleet.proxy.core().send(1, 12345, 0);
+                fleet.proxy.core().orders().send(1, 12345, 0);
                 return null;
             });
             assertThat(fleet.on(() -> fleet.proxy.core().rules().forbidden()))
