--- a/src/main/java/cacheproxy/admission/RequestState.java
+++ b/src/main/java/cacheproxy/admission/RequestState.java
@@ -13,25 +13,36 @@
  */
 public enum RequestState {
     /** It is owed its one final answer. */
-    OPEN,
+    OPEN("OPEN"),
     /** A long answer is being passed on; the request is owed its end. */
-    STREAMING,
+    STREAMING("STREAMING"),
     /** It has had its final answer. */
-    ANSWERED,
+    ANSWERED("ANSWERED"),
     /** Its client left before it was answered; nothing is owed. */
-    CLIENT_GONE;
+    CLIENT_DISCONNECTED("CLIENT_GONE");
+
+    private final String key;
+
+    RequestState(String key) {
+        this.key = key;
+    }
+
+    /** Its name in logs; it stays, whatever the constant is called. */
+    public String key() {
+        return key;
+    }
 
     /** Whether nothing is owed any more. */
-    public boolean over() {
-        return this == ANSWERED || this == CLIENT_GONE;
+    public boolean isFinal() {
+        return this == ANSWERED || this == CLIENT_DISCONNECTED;
     }
 
     /** Whether it may become this next. */
-    public boolean mayBecome(RequestState next) {
+    public boolean canBecome(RequestState next) {
         return switch (this) {
             case OPEN -> next != OPEN;
-            case STREAMING -> next.over();
-            case ANSWERED, CLIENT_GONE -> false;
+            case STREAMING -> next.isFinal();
+            case ANSWERED, CLIENT_DISCONNECTED -> false;
         };
     }
 }
--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Breach;
-import cacheproxy.admission.Permits;
+import cacheproxy.admission.RuleViolation;
+import cacheproxy.admission.SafetyRules;
 import cacheproxy.admission.Verdict;
 import cacheproxy.metrics.Metric;
 import cacheproxy.routing.AttemptOutcome;
@@ -18,7 +18,7 @@
 
     private static final double HEALTH_CHECK_TIMEOUT_MS = 250;
     /** Of a server that is not in the endpoint list. */
-    private static final Permits.Place UNKNOWN_PLACE = new Permits.Place(-1, -1);
+    private static final SafetyRules.Location UNKNOWN_PLACE = new SafetyRules.Location(-1, -1);
 
     private final EventLoop loop;
     private final LoopClock loopClock;
@@ -64,7 +64,7 @@
         double remainingMs = request.deadlineMs - now;
         double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
         Upstream upstream = servers.get(server);
-        Permits.Place place = upstream == null ? UNKNOWN_PLACE : upstream.place;
+        SafetyRules.Location place = upstream == null ? UNKNOWN_PLACE : upstream.place;
         RequestAttempt attempt = new RequestAttempt(request, request.attempts.size(), server, place, now, now + waitMs);
         count(request, upstream);
         request.attempts.add(attempt);
@@ -103,9 +103,9 @@
             return serverReady;
         }
         double now = clock.now();
-        Verdict verdict = Permits.send(
+        Verdict verdict = SafetyRules.mayBegin(
                 now,
-                new Permits.Send(
+                new SafetyRules.AttemptStart(
                         request.state(),
                         request.serviceClass,
                         Math.min(attempt.expiresMs, request.deadlineMs) - now,
@@ -125,8 +125,11 @@
     void checkRemainingTime(RequestAttempt attempt, long remainingMs) {
         ClientRequest request = attempt.request;
         double leftMs = attempt.isHealthCheck() ? Double.POSITIVE_INFINITY : request.deadlineMs - clock.now();
-        if (Permits.toldTooMuch((double) remainingMs, leftMs)) {
-            rules.breached(Breach.TOLD_TOO_MUCH, request, remainingMs + " ms, " + Math.round(leftMs) + " ms are left");
+        if (SafetyRules.isExcessiveTimeout((double) remainingMs, leftMs)) {
+            rules.breached(
+                    RuleViolation.EXCESSIVE_TIMEOUT_SENT,
+                    request,
+                    remainingMs + " ms, " + Math.round(leftMs) + " ms are left");
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/RequestCompletion.java
+++ b/src/main/java/cacheproxy/proxy/RequestCompletion.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Breach;
-import cacheproxy.admission.Permits;
 import cacheproxy.admission.RequestState;
+import cacheproxy.admission.RuleViolation;
+import cacheproxy.admission.SafetyRules;
 import java.util.function.Consumer;
 
 /**
@@ -37,11 +37,11 @@
     void complete(ClientRequest request, RequestState state, RequestOutcome outcome) {
         boolean wasStreaming = request.isStreaming();
         if (!request.transitionTo(state)) {
-            rules.breached(Breach.ANSWERED_TWICE, request, "it can't become " + state);
+            rules.breached(RuleViolation.ANSWERED_TWICE, request, "it can't become " + state.key());
         }
         double lateMs = clock.now() - request.deadlineMs;
-        if (state == RequestState.ANSWERED && !wasStreaming && lateMs > Permits.ANSWER_SLACK_MS) {
-            rules.breached(Breach.ANSWERED_LATE, request, Math.round(lateMs) + " ms after its time");
+        if (state == RequestState.ANSWERED && !wasStreaming && lateMs > SafetyRules.FINAL_ANSWER_SLACK_MS) {
+            rules.breached(RuleViolation.ANSWERED_LATE, request, Math.round(lateMs) + " ms after its time");
         }
         recordOutcome(request, outcome);
     }
--- a/src/main/java/cacheproxy/proxy/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/RequestLifecycle.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.Breach;
-import cacheproxy.admission.Permits;
 import cacheproxy.admission.RequestState;
+import cacheproxy.admission.RuleViolation;
+import cacheproxy.admission.SafetyRules;
 import cacheproxy.metrics.EventKind;
 import cacheproxy.recovery.Trust;
 import cacheproxy.routing.Request;
@@ -132,9 +132,9 @@
             return;
         }
         if (closedHere) {
-            rules.breached(Breach.CLOSED_OWING, request, "its connection was closed from this side");
+            rules.breached(RuleViolation.CLOSED_BEFORE_ANSWER, request, "its connection was closed from this side");
         }
-        completion.complete(request, RequestState.CLIENT_GONE, RequestOutcome.CLIENT_DISCONNECTED);
+        completion.complete(request, RequestState.CLIENT_DISCONNECTED, RequestOutcome.CLIENT_DISCONNECTED);
         loadBalancer.clientDisconnected(request);
         attempts.cancelStreams(request);
         completion.release(request);
@@ -143,7 +143,7 @@
     /** Rejects an open request, where a repeat does no harm; else fails it, which is counted as a violation. */
     void reject(ClientRequest request, double retryAfterMs) {
         if (request.isOpen() && !isRejectable(request)) {
-            rules.breached(Breach.REFUSED_THOUGH_IT_MAY_HAVE_RUN, request, "it is answered as failed");
+            rules.breached(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, request, "it is answered as failed");
             completion.fail(request);
             return;
         }
@@ -152,7 +152,7 @@
     }
 
     private static boolean isRejectable(ClientRequest request) {
-        return Permits.refuse(request.serviceClass, request.attemptsExcept(null))
+        return SafetyRules.mayReject(request.serviceClass, request.attemptsExcept(null))
                 .allowed();
     }
 
