--- a/src/main/java/cacheproxy/proxy/BufferLimits.java
+++ b/src/main/java/cacheproxy/proxy/BufferLimits.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.flow.ReadAhead;
+import cacheproxy.flow.ReadAheadBudget;
 import io.netty.util.internal.PlatformDependent;
 
 /** Limits the direct memory that values and input read ahead of clients may take. Event loop only. */
@@ -16,7 +16,8 @@
     private static final int MEGABYTE_SHIFT = 20;
 
     private final ByteBudget values;
-    private final ReadAhead readAhead = new ReadAhead(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
+    private final ReadAheadBudget readAhead =
+            new ReadAheadBudget(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
 
     /** {@code memoryMb}: the memory configured for the process, in mebibytes. */
     BufferLimits(int memoryMb) {
@@ -30,7 +31,7 @@
     }
 
     /** The limit of what may be read of clients before it can be decoded. */
-    ReadAhead readAhead() {
+    ReadAheadBudget readAhead() {
         return readAhead;
     }
 }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -2,9 +2,9 @@
 
 import cacheproxy.metrics.EventKind;
 import cacheproxy.proxy.Timers.Timer;
-import cacheproxy.proxy.discovery.ListSource;
-import cacheproxy.proxy.discovery.ProvisionalList;
-import cacheproxy.recovery.Trust;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
+import cacheproxy.proxy.discovery.EndpointListSource;
+import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
 import cacheproxy.routing.EndpointUpdateKind;
@@ -55,7 +55,7 @@
     private final ConnectionFailures failures;
     private final LoadReports loadReports;
     /** Provenance and age of what is in use that was not observed by this process. */
-    private final Trust trust = new Trust();
+    private final ProvenanceTracker provenance = new ProvenanceTracker();
 
     private final Servers servers;
     private final SerialExecutor executor;
@@ -103,10 +103,10 @@
                 loop, loopClock, clock, timers, settings, servers, counters, rules, loadBalancer, attempts);
         streaming = new ResponseStreaming(clock, loadBalancer, attempts);
         lifecycle = new RequestLifecycle(
-                clock, timers, log, settings, requests, metrics, rules, trust, loadBalancer, completion, attempts);
+                clock, timers, log, settings, requests, metrics, rules, provenance, loadBalancer, completion, attempts);
         peerLinks = new PeerLinks(loadBalancer);
         endpointListEvents =
-                new EndpointListEvents(settings, servers, executor, loadBalancer, peerLinks, trust, counters, log);
+                new EndpointListEvents(settings, servers, executor, loadBalancer, peerLinks, provenance, counters, log);
         loopClock.onStall(failures::eventLoopStalled);
     }
 
@@ -129,7 +129,7 @@
      *
      * @param routing the routes; null: a single pool under the settings' own policy
      */
-    void start(ListSource discovery, PeerSocket peers, ClientListener clients, Routing routing) {
+    void start(EndpointListSource discovery, PeerSocket peers, ClientListener clients, Routing routing) {
         clientListener = clients;
         orders = new RoutingOrders(
                 requests,
@@ -299,7 +299,7 @@
     // ---- endpoint list and peers
 
     /** Takes updates of the endpoint list. */
-    ProvisionalList.User endpointList() {
+    EndpointListPublisher.Subscriber endpointList() {
         return endpointListEvents;
     }
 
@@ -319,8 +319,8 @@
     }
 
     /** Provenance and age of what is in use that was not observed by this process. */
-    Trust trust() {
-        return trust;
+    ProvenanceTracker provenance() {
+        return provenance;
     }
 
     // ---- time, log and metrics
--- a/src/main/java/cacheproxy/proxy/EndpointListEvents.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListEvents.java
@@ -2,9 +2,9 @@
 
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.Metric;
-import cacheproxy.proxy.discovery.Host;
-import cacheproxy.proxy.discovery.ProvisionalList;
-import cacheproxy.recovery.Trust;
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
+import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.EndpointUpdateKind;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,13 +14,13 @@
  * Puts updates of the endpoint list to use, in this order: connections, load balancer, listeners. Counts and logs what
  * became of polls. Event loop only.
  */
-final class EndpointListEvents implements ProvisionalList.User {
+final class EndpointListEvents implements EndpointListPublisher.Subscriber {
     private final RequestSettings settings;
     private final Servers servers;
     private final SerialExecutor executor;
     private final SerialLoadBalancer loadBalancer;
     private final PeerLinks peerLinks;
-    private final Trust trust;
+    private final ProvenanceTracker provenance;
     private final Counters counters;
     private final EventLog log;
     private final List<Consumer<EndpointUpdateKind>> listeners = new ArrayList<>();
@@ -31,7 +31,7 @@
             SerialExecutor executor,
             SerialLoadBalancer loadBalancer,
             PeerLinks peerLinks,
-            Trust trust,
+            ProvenanceTracker provenance,
             Counters counters,
             EventLog log) {
         this.settings = settings;
@@ -39,7 +39,7 @@
         this.executor = executor;
         this.loadBalancer = loadBalancer;
         this.peerLinks = peerLinks;
-        this.trust = trust;
+        this.provenance = provenance;
         this.counters = counters;
         this.log = log;
     }
@@ -50,26 +50,26 @@
     }
 
     @Override
-    public void called() {
+    public void onPollStarted() {
         counters.increment(Metric.ENDPOINT_LIST_POLLS);
     }
 
     @Override
-    public void callFailed(String reason) {
+    public void onPollFailed(String reason) {
         counters.increment(Metric.ENDPOINT_LIST_POLL_FAILURES);
         log.log(EventKind.ENDPOINT_LIST_POLL_FAILED, reason);
         peerLinks.endpointListPollFailed();
     }
 
     @Override
-    public void leftOut(String what) {
+    public void onEntryRejected(String what) {
         log.log(EventKind.ENDPOINT_LIST_ENTRY_INVALID, what);
     }
 
     @Override
-    public void listed(EndpointUpdateKind kind, List<Host> hosts) {
-        servers.listed(kind, hosts, settings.config().streamsPerConnection());
-        boolean accepted = loadBalancer.endpointsChanged(kind, hosts);
+    public void onEndpoints(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints) {
+        servers.listed(kind, endpoints, settings.config().streamsPerConnection());
+        boolean accepted = loadBalancer.endpointsChanged(kind, endpoints);
         executor.runSerially(servers::withdraw);
         if (!accepted) {
             throw new EndpointListRejectedException("the decision module does not take the list");
@@ -78,13 +78,13 @@
     }
 
     @Override
-    public void changed(String what) {
+    public void onListChanged(String what) {
         log.log(EventKind.ENDPOINT_LIST_CHANGED, what);
     }
 
     @Override
-    public void inUse(long version) {
-        trust.confirmed(Trust.Thing.LIST);
+    public void onListApplied(long version) {
+        provenance.confirmed(ProvenanceTracker.Subject.ENDPOINT_LIST);
         peerLinks.endpointListInUse(version);
     }
 }
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -13,7 +13,7 @@
     private MemberLink membership;
     private NodeTalk outlierGossip;
     private ZoneLink zoneFailover;
-    private RecallLink stateQueries;
+    private StateQueryLink stateQueries;
 
     PeerLinks(SerialLoadBalancer loadBalancer) {
         this.loadBalancer = loadBalancer;
@@ -31,7 +31,7 @@
     }
 
     /** Sets the link that queries peers for their state and answers such queries. */
-    void setStateQueries(RecallLink link) {
+    void setStateQueries(StateQueryLink link) {
         stateQueries = link;
     }
 
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -1,18 +1,18 @@
 package cacheproxy.proxy;
 
-import cacheproxy.drain.Drain;
 import cacheproxy.drain.DrainPlan;
+import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.gossip.ListNews;
-import cacheproxy.gossip.ProvisionalMembership;
+import cacheproxy.gossip.ListVersionGossip;
+import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.proxy.discovery.ProvisionalList;
-import cacheproxy.recovery.Source;
-import cacheproxy.recovery.Trust;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
+import cacheproxy.recovery.Provenance;
+import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Known;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
@@ -21,7 +21,7 @@
 import cacheproxy.state.OpenedState;
 import cacheproxy.state.RecordKind;
 import cacheproxy.state.StoredRecord;
-import cacheproxy.takeover.Handover;
+import cacheproxy.takeover.HandoverStateMachine;
 import com.google.gson.JsonPrimitive;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
@@ -68,7 +68,7 @@
     private final Acceptor acceptor;
     private final Drainer drainer;
     private final Edge edge;
-    private final Handover handover = new Handover();
+    private final HandoverStateMachine handover = new HandoverStateMachine();
     private final HandoverLink link;
     private final CountDownLatch ended = new CountDownLatch(1);
     private volatile Runnable whenEnded = () -> {};
@@ -79,7 +79,7 @@
     /** Null where it does not look at how it comes back. On the event loop only. */
     private RecoveryLink recovery;
     /** Null where nothing is kept. */
-    private final StateLink kept;
+    private final StatePersistence kept;
     /** What is known from before the start. */
     private final Remembered remembered;
 
@@ -89,7 +89,7 @@
             throws InterruptedException, IOException {
         this.config = config;
         this.edge = edge;
-        kept = folder == null ? null : new StateLink(folder.folder(), config.name(), folder.fleet());
+        kept = folder == null ? null : new StatePersistence(folder.folder(), config.name(), folder.fleet());
         Routing routing = edge == null ? null : edge.read(config.names());
         if (warm) {
             WarmUp.run(config);
@@ -98,9 +98,9 @@
         peers = new PeerSocket(loop, config, dispatcher.peerLinks()::messageReceived, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
-        ProvisionalList list = new ProvisionalList(
+        EndpointListPublisher list = new EndpointListPublisher(
                 dispatcher.endpointList(),
-                new ProvisionalMembership(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
+                new ProvisionalEndpoints(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
                 dispatcher::now);
         discovery = new DiscoveryClient(
                 loop,
@@ -110,7 +110,7 @@
                 dispatcher::now);
         link = new HandoverLink(loop, shared, handover, acceptor, this::state);
         acceptor.retireBy(c -> {
-            if (!handover.passes()) {
+            if (!handover.passesClients()) {
                 c.finish();
             } else if (c.served()) {
                 c.pass(link);
@@ -121,14 +121,15 @@
         TakeoverState state = old == null ? null : old.state();
         succeeds = state != null;
         remembered = new Remembered(
-                state, kept == null ? OpenedState.EMPTY : kept.opened(), dispatcher.trust(), dispatcher.now());
+                state, kept == null ? OpenedState.EMPTY : kept.opened(), dispatcher.provenance(), dispatcher.now());
         loop.submit(() -> {
                     dispatcher.start(discovery, peers, acceptor, routing);
                     discovery.start(remembered.list(config.known()));
                     if (config.settings().peerMessagesAllowed()) {
                         RoutingSettings settings = config.settings();
-                        ListNews news = new ListNews(settings.instanceCount(), settings.instanceSeed(config.seed()));
-                        news.begin(discovery.version());
+                        ListVersionGossip news =
+                                new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
+                        news.start(discovery.version());
                         dispatcher
                                 .peerLinks()
                                 .setEndpointListGossip(new PeerNews(
@@ -171,13 +172,15 @@
         if (zones != null) {
             Map<Integer, Held> held = zones.zones().held();
             records.put(
-                    RecordKind.ZONES,
-                    new StoredRecord(RecordKind.ZONES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
+                    RecordKind.ZONE_STATES,
+                    new StoredRecord(
+                            RecordKind.ZONE_STATES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
             records.put(
-                    RecordKind.ORDERS,
-                    new StoredRecord(RecordKind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
+                    RecordKind.OPERATOR_ORDERS,
+                    new StoredRecord(
+                            RecordKind.OPERATOR_ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
-        return new TakeoverState(discovery.list(), dispatcher.learnedState(), records);
+        return new TakeoverState(discovery.snapshot(), dispatcher.learnedState(), records);
     }
 
     /** What is passed over of what has been learnt; for tests, on the event loop only. */
@@ -186,11 +189,11 @@
     }
 
     private void ended() {
-        if (handover.passes()) {
+        if (handover.passesClients()) {
             dispatcher.log("passed " + link.passed() + " clients on");
         }
         link.close();
-        if (members != null && !handover.passes()) {
+        if (members != null && !handover.passesClients()) {
             members.leave(); // a successor goes on under this name
         }
         if (kept != null) {
@@ -362,12 +365,16 @@
             if (parts.recovers() && members != null) {
                 dispatcher
                         .peerLinks()
-                        .setStateQueries(new RecallLink(
+                        .setStateQueries(new StateQueryLink(
                                 dispatcher,
                                 peers,
                                 members,
                                 discovery,
-                                dispatcher.trust().of(Trust.Thing.LEARNT).source() == Source.NONE));
+                                dispatcher
+                                                .provenance()
+                                                .entry(ProvenanceTracker.Subject.LEARNED_STATE)
+                                                .provenance()
+                                        == Provenance.NONE));
             }
             if (parts.recovers()) {
                 recovery = new RecoveryLink(
@@ -377,9 +384,9 @@
     }
 
     /** How this process comes back, and what it keeps. On the event loop only. */
-    public Recovering recovering() {
-        return new Recovering(
-                dispatcher.trust(),
+    public RecoveryStatus recovering() {
+        return new RecoveryStatus(
+                dispatcher.provenance(),
                 recovery == null ? null : recovery.progress(),
                 recovery == null ? null : recovery.spread(),
                 recovery == null ? 0 : recovery.rate(),
@@ -402,7 +409,7 @@
                         members.view(),
                         members.unreadable(),
                         members.deathsRefuted(),
-                        peers.outbox().dropped());
+                        peers.outbox().droppedDatagrams());
     }
 
     /**
@@ -427,7 +434,7 @@
             config = next;
             loop.execute(() -> {
                 dispatcher.applySettings(next);
-                discovery.settle(next.discoverySettings());
+                discovery.updateSettings(next.discoverySettings());
                 if (routing != null) {
                     dispatcher.replaceRoutes(routing);
                 }
@@ -454,11 +461,13 @@
      */
     void drain() {
         loop.execute(() -> {
-            handover.terminated();
+            handover.terminationRequested();
             draining();
             double longest = dispatcher.longestDeadlineMs() + ANSWER_ROOM_MS;
             drainer.begin(
-                    handover.passes() ? DrainPlan.succeeded(longest) : DrainPlan.terminated(LISTEN_ON_MS, longest));
+                    handover.passesClients()
+                            ? DrainPlan.onTerminationWithSuccessor(longest)
+                            : DrainPlan.onTermination(LISTEN_ON_MS, longest));
         });
         try {
             ended.await();
@@ -471,9 +480,9 @@
     }
 
     /** Begins a drain that can be watched and taken back, or joins one. On the event loop only. */
-    public Drain.Begun drain(double deadlineMs) {
+    public DrainStateMachine.StartResult drain(double deadlineMs) {
         draining();
-        return drainer.begin(DrainPlan.asked(deadlineMs));
+        return drainer.begin(DrainPlan.requested(deadlineMs));
     }
 
     /** Takes a drain back; null if that was done, else why it can't be. On the event loop only. */
@@ -486,7 +495,7 @@
     }
 
     private void draining() {
-        if (members != null && !handover.passes()) {
+        if (members != null && !handover.passesClients()) {
             members.phase(Phase.DRAINING);
         }
     }
@@ -501,7 +510,7 @@
     }
 
     /** How a drain goes. On the event loop only. */
-    public Drain.Progress drainProgress() {
+    public DrainStateMachine.Progress drainProgress() {
         return drainer.progress();
     }
 
@@ -538,8 +547,8 @@
                 c.reloadsApplied(),
                 c.reloadsRejected(),
                 handover.phase(),
-                handover.taken(),
-                dispatcher.bufferLimits().values().used(),
+                handover.completedHandovers(),
+                dispatcher.bufferLimits().values().reserved(),
                 dispatcher.bufferLimits().values().waiting());
     }
 
@@ -558,7 +567,7 @@
 
     /** How fresh the list is. On the event loop only. */
     public ListStatus list() {
-        return new ListStatus(discovery.version(), dispatcher.now() - discovery.answeredMs());
+        return new ListStatus(discovery.version(), dispatcher.now() - discovery.lastResponseMs());
     }
 
     /**
@@ -599,7 +608,7 @@
             int ejected,
             long applied,
             long rejected,
-            Handover.Phase handover,
+            HandoverStateMachine.Phase handover,
             int handovers,
             long kept,
             int waiting) {}
--- a/src/main/java/cacheproxy/proxy/RequestCommand.java
+++ b/src/main/java/cacheproxy/proxy/RequestCommand.java
@@ -24,7 +24,7 @@
     /** The value with its line end, kept for further attempts until the request is completed; null for reads. */
     ByteBuf value;
     /** The part of the value budget that the value takes; null for reads. */
-    ByteBudget.Ticket valueReservation;
+    ByteBudget.Reservation valueReservation;
 
     RequestCommand(
             int front,
--- a/src/main/java/cacheproxy/proxy/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/RequestLifecycle.java
@@ -4,7 +4,7 @@
 import cacheproxy.admission.RuleViolation;
 import cacheproxy.admission.SafetyRules;
 import cacheproxy.metrics.EventKind;
-import cacheproxy.recovery.Trust;
+import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.Request;
 
 /**
@@ -26,7 +26,7 @@
     private final RequestTable requests;
     private final RequestMetrics metrics;
     private final RuleMonitor rules;
-    private final Trust trust;
+    private final ProvenanceTracker provenance;
     private final SerialLoadBalancer loadBalancer;
     private final RequestCompletion completion;
     private final AttemptLifecycle attempts;
@@ -39,7 +39,7 @@
             RequestTable requests,
             RequestMetrics metrics,
             RuleMonitor rules,
-            Trust trust,
+            ProvenanceTracker provenance,
             SerialLoadBalancer loadBalancer,
             RequestCompletion completion,
             AttemptLifecycle attempts) {
@@ -50,7 +50,7 @@
         this.requests = requests;
         this.metrics = metrics;
         this.rules = rules;
-        this.trust = trust;
+        this.provenance = provenance;
         this.loadBalancer = loadBalancer;
         this.completion = completion;
         this.attempts = attempts;
@@ -75,7 +75,7 @@
         request.serviceClass = settings.routing().classes().get(classIndex);
         request.maxAttempts = settings.routing().maxAttempts();
         request.deadlineMs = request.receivedMs + terms.timeoutMs();
-        trust.decided(now, Trust.Thing.LIST);
+        provenance.usedForDecision(now, ProvenanceTracker.Subject.ENDPOINT_LIST);
         // Before the load balancer's own timer for the same time, so that a silent server's attempt ends as a timeout.
         request.deadlineTimer = timers.after(request.deadlineMs - now, () -> deadlineExceeded(request));
         loadBalancer.requestAccepted(
--- a/src/main/java/cacheproxy/proxy/RequestTable.java
+++ b/src/main/java/cacheproxy/proxy/RequestTable.java
@@ -21,7 +21,7 @@
      * of the id for the first, and one that ended while the second was on its way would get two responses.
      */
     boolean isIdInUse(double nowMs, String clientId) {
-        return openByClientId.containsKey(clientId) || recentlyEnded.holds(nowMs, clientId);
+        return openByClientId.containsKey(clientId) || recentlyEnded.contains(nowMs, clientId);
     }
 
     /** Adds a request, whose id is not in use, and gives it its number. */
@@ -48,7 +48,7 @@
      */
     void remove(double nowMs, ClientRequest request, double idHoldMs) {
         if (openByClientId.remove(request.command.id, request)) {
-            recentlyEnded.ended(nowMs, request.command.id, idHoldMs);
+            recentlyEnded.add(nowMs, request.command.id, idHoldMs);
         }
         if (request.attemptsInFlight == 0) {
             byNumber.remove(request.id);
--- a/src/main/java/cacheproxy/proxy/RoutingOrders.java
+++ b/src/main/java/cacheproxy/proxy/RoutingOrders.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.metrics.EventKind;
-import cacheproxy.proxy.discovery.ListSource;
+import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingActions;
 
@@ -20,7 +20,7 @@
     private final Servers servers;
     private final EventLog log;
     private final PeerLinks peerLinks;
-    private final ListSource discovery;
+    private final EndpointListSource discovery;
     private final PeerSocket peers;
 
     RoutingOrders(
@@ -34,7 +34,7 @@
             Servers servers,
             EventLog log,
             PeerLinks peerLinks,
-            ListSource discovery,
+            EndpointListSource discovery,
             PeerSocket peers) {
         this.requests = requests;
         this.lifecycle = lifecycle;
@@ -109,12 +109,12 @@
 
     @Override
     public void setWatch(boolean on) {
-        discovery.watch(on);
+        discovery.setWatch(on);
     }
 
     @Override
     public void fetchEndpointList() {
-        discovery.fetch();
+        discovery.fetchSnapshot();
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
+++ b/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.proxy.discovery.Host;
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
 import cacheproxy.routing.AttemptEnd;
@@ -76,14 +76,18 @@
     }
 
     /** Delivers news of the endpoint list; false if the load balancer failed on it. */
-    boolean endpointsChanged(EndpointUpdateKind kind, List<Host> hosts) {
+    boolean endpointsChanged(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints) {
         long failuresBefore = executor.failures();
         executor.runSerially(() -> {
             if (router != null) { // together with the event and not before: another update may wait in the queue
-                hosts.forEach(host -> router.describe(host.member().id(), host.server()));
+                endpoints.forEach(
+                        endpoint -> router.describe(endpoint.endpoint().id(), endpoint.poolMember()));
             }
             loadBalancer.onEndpointUpdate(
-                    clock.now(), kind, hosts.stream().map(Host::member).toList(), actions);
+                    clock.now(),
+                    kind,
+                    endpoints.stream().map(DiscoveredEndpoint::endpoint).toList(),
+                    actions);
         });
         return executor.failures() == failuresBefore;
     }
