--- a/src/main/java/cacheproxy/proxy/Drainer.java
+++ b/src/main/java/cacheproxy/proxy/Drainer.java
@@ -42,7 +42,7 @@
     String cancel() {
         String why = drain.cancel();
         if (why == null) {
-            dispatcher.setDraining(false, false);
+            dispatcher.drain().set(false, false);
         }
         return why;
     }
@@ -63,7 +63,7 @@
             ticking = false;
             return;
         }
-        dispatcher.setDraining(drain.closesAfterAnswer(now), drain.announced());
+        dispatcher.drain().set(drain.closesAfterAnswer(now), drain.announced());
         if (listening && !orders.listen()) {
             listening = false;
             acceptor.stopListening();
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/EndpointListEvents.java
@@ -0,0 +1,90 @@
+package cacheproxy.proxy;
+
+import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.Metric;
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.routing.EndpointUpdateKind;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/**
+ * Puts updates of the endpoint list to use, in this order: connections, load balancer, listeners. Counts and logs what
+ * became of polls. Event loop only.
+ */
+final class EndpointListEvents implements EndpointListPublisher.Subscriber {
+    private final RequestSettings settings;
+    private final Servers servers;
+    private final SerialExecutor executor;
+    private final SerialLoadBalancer loadBalancer;
+    private final PeerLinks peerLinks;
+    private final ProvenanceTracker provenance;
+    private final Counters counters;
+    private final EventLog log;
+    private final List<Consumer<EndpointUpdateKind>> listeners = new ArrayList<>();
+
+    EndpointListEvents(
+            RequestSettings settings,
+            Servers servers,
+            SerialExecutor executor,
+            SerialLoadBalancer loadBalancer,
+            PeerLinks peerLinks,
+            ProvenanceTracker provenance,
+            Counters counters,
+            EventLog log) {
+        this.settings = settings;
+        this.servers = servers;
+        this.executor = executor;
+        this.loadBalancer = loadBalancer;
+        this.peerLinks = peerLinks;
+        this.provenance = provenance;
+        this.counters = counters;
+        this.log = log;
+    }
+
+    /** Adds a listener that is told the kind of each update once it is in use. */
+    void addListener(Consumer<EndpointUpdateKind> listener) {
+        listeners.add(listener);
+    }
+
+    @Override
+    public void onPollStarted() {
+        counters.increment(Metric.ENDPOINT_LIST_POLLS);
+    }
+
+    @Override
+    public void onPollFailed(String reason) {
+        counters.increment(Metric.ENDPOINT_LIST_POLL_FAILURES);
+        log.log(EventKind.ENDPOINT_LIST_POLL_FAILED, reason);
+        peerLinks.endpointListPollFailed();
+    }
+
+    @Override
+    public void onEntryRejected(String what) {
+        log.log(EventKind.ENDPOINT_LIST_ENTRY_INVALID, what);
+    }
+
+    @Override
+    public void onEndpoints(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints) {
+        servers.listed(kind, endpoints, settings.config().streamsPerConnection());
+        boolean accepted = loadBalancer.endpointsChanged(kind, endpoints);
+        executor.runSerially(servers::withdraw);
+        if (!accepted) {
+            throw new EndpointListRejectedException("the decision module does not take the list");
+        }
+        listeners.forEach(listener -> executor.runSerially(() -> listener.accept(kind)));
+    }
+
+    @Override
+    public void onListChanged(String what) {
+        log.log(EventKind.ENDPOINT_LIST_CHANGED, what);
+    }
+
+    @Override
+    public void onListApplied(long version) {
+        provenance.confirmed(ProvenanceTracker.Subject.ENDPOINT_LIST);
+        peerLinks.endpointListInUse(version);
+    }
+}
