--- a/src/main/java/cacheproxy/cli/StateCommand.java
+++ b/src/main/java/cacheproxy/cli/StateCommand.java
@@ -88,8 +88,8 @@
                 out.println(
                         "nothing could be used; what was there is laid aside, and a proxy starts from nothing here");
             } else {
-                RecordStore keeper = new RecordStore(found, h.instance(), h.fleet());
-                folder.write(keeper.nextWrite(0));
+                RecordStore store = new RecordStore(found, h.instance(), h.fleet());
+                folder.write(store.nextWrite(0));
                 out.println(found.records().size() + " records are whole");
             }
             found.findings().forEach(f -> out.println("was: " + f));
--- a/src/main/java/cacheproxy/control/RecoveryReport.java
+++ b/src/main/java/cacheproxy/control/RecoveryReport.java
@@ -27,13 +27,13 @@
             seconds(o, "told_after_s", p.confirmedAfterMs());
             seconds(o, "serving_after_s", p.servingAfterMs());
             o.addProperty("by_clock", p.endedByTimeout());
-            o.addProperty("per_second", Math.round(r.perSecond()));
-            seconds(o, "times_the_mean", 1000 * r.spread().loadRatio());
-            o.addProperty("clients_ended", r.spread().connectionsClosed());
+            o.addProperty("per_second", Math.round(r.requestsPerSecond()));
+            seconds(o, "times_the_mean", 1000 * r.rebalancer().loadRatio());
+            o.addProperty("clients_ended", r.rebalancer().connectionsClosed());
         }
         JsonArray trusted = new JsonArray();
         for (ProvenanceTracker.Subject thing : ProvenanceTracker.Subject.values()) {
-            ProvenanceTracker.Entry s = r.trust().entry(thing);
+            ProvenanceTracker.Entry s = r.provenance().entry(thing);
             JsonObject t = new JsonObject();
             t.addProperty("thing", thing.wireName());
             t.addProperty("from", s.provenance().wireName());
@@ -45,18 +45,18 @@
             trusted.add(t);
         }
         o.add("trusted", trusted);
-        o.addProperty("not_used", r.trust().rejected());
-        o.addProperty("stale_decisions", r.trust().staleDecisions());
-        RecordStore k = r.keeper();
+        o.addProperty("not_used", r.provenance().rejected());
+        o.addProperty("stale_decisions", r.provenance().staleDecisions());
+        RecordStore k = r.recordStore();
         if (k != null) {
             o.addProperty("folder", r.folder());
-            o.addProperty("writes", r.writes());
+            o.addProperty("writes", r.writable());
             o.addProperty("starts", k.header().starts());
             o.addProperty("written_bytes", k.bytesWritten());
             o.addProperty("failed_writes", k.failedWrites());
             o.addProperty("too_long", k.oversizedRecords());
             JsonArray found = new JsonArray();
-            r.opened().findings().forEach(f -> {
+            r.openedState().findings().forEach(f -> {
                 JsonObject one = new JsonObject();
                 one.addProperty("finding", f.toString());
                 found.add(one);
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -381,7 +381,7 @@
                 recovery == null ? null : recovery.spread(),
                 recovery == null ? 0 : recovery.rate(),
                 kept == null ? null : kept.opened(),
-                kept == null ? null : kept.keeper(),
+                kept == null ? null : kept.recordStore(),
                 kept == null ? null : kept.path().toString(),
                 kept != null && kept.locked());
     }
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -10,6 +10,7 @@
 import cacheproxy.state.RecordStore;
 import cacheproxy.state.StateFileHeader;
 import cacheproxy.state.StateFolder;
+import cacheproxy.state.StateWrite;
 import cacheproxy.state.StoredRecord;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonPrimitive;
@@ -41,7 +42,7 @@
     private final String instance;
     private final String fleet;
     private final OpenedState opened;
-    private final RecordStore keeper;
+    private final RecordStore recordStore;
     private final ExecutorService writer = Executors.newSingleThreadExecutor(r -> {
         Thread thread = new Thread(r, "state");
         thread.setDaemon(true);
@@ -64,7 +65,7 @@
         this.instance = instance;
         this.fleet = fleet;
         opened = folder.read(instance, fleet);
-        keeper = new RecordStore(opened, instance, fleet);
+        recordStore = new RecordStore(opened, instance, fleet);
     }
 
     /** What was there. */
@@ -110,7 +111,7 @@
     private void listed(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
             JsonElement list = discovery.list();
-            StoredRecord before = keeper.get(RecordKind.ENDPOINT_LIST);
+            StoredRecord before = recordStore.get(RecordKind.ENDPOINT_LIST);
             if (before == null
                     || !before.body().equals(list)
                     || dispatcher.now() - before.recordedAtMs() > LIST_REFRESH_MS) {
@@ -136,7 +137,7 @@
     }
 
     private void putIfNew(RecordKind kind, JsonElement body) {
-        StoredRecord before = keeper.get(kind);
+        StoredRecord before = recordStore.get(kind);
         if (before == null ? body.getAsJsonObject().size() > 0 : !before.body().equals(body)) {
             put(kind, body);
         }
@@ -158,7 +159,7 @@
 
     private void put(RecordKind kind, JsonElement body) {
         if (!closed) {
-            keeper.put(now(), new StoredRecord(kind, dispatcher.now(), body));
+            recordStore.put(now(), new StoredRecord(kind, dispatcher.now(), body));
             run();
         }
     }
@@ -175,7 +176,7 @@
             return;
         }
         long mine = ++waits;
-        RecordStore.Write write = keeper.nextWrite(now());
+        StateWrite write = recordStore.nextWrite(now());
         if (write != null) {
             writer.execute(() -> {
                 IOException failed = null;
@@ -191,7 +192,7 @@
             });
             return;
         }
-        double due = keeper.nextWriteAtMs();
+        double due = recordStore.nextWriteAtMs();
         if (due != Double.POSITIVE_INFINITY) {
             dispatcher.after(Math.max(1, due - now()), () -> {
                 if (waits == mine && !closed) {
@@ -203,13 +204,13 @@
 
     private void written(IOException failed) {
         if (failed == null) {
-            keeper.writeSucceeded(now());
+            recordStore.writeSucceeded(now());
             if (told) {
                 told = false;
                 dispatcher.log("state: " + folder.path() + " is written again");
             }
         } else {
-            keeper.writeFailed(now());
+            recordStore.writeFailed(now());
             tell("can't be written: " + failed);
         }
         run();
@@ -251,7 +252,7 @@
                 locking = false;
                 if (mine) {
                     locked = true;
-                    keeper.continueAfter(found);
+                    recordStore.continueAfter(found);
                     run();
                 } else {
                     if (why != null) {
@@ -271,7 +272,7 @@
         fleetChanged();
         put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.experience()));
         closed = true;
-        RecordStore.Write last = locked ? keeper.finalWrite() : null;
+        StateWrite last = locked ? recordStore.finalWrite() : null;
         writer.execute(() -> {
             try {
                 if (last != null) {
@@ -295,8 +296,8 @@
     }
 
     /** What is kept and how it is written; for status. */
-    RecordStore keeper() {
-        return keeper;
+    RecordStore recordStore() {
+        return recordStore;
     }
 
     /** Whether this process alone writes there. */
--- a/src/main/java/cacheproxy/state/Authority.java
+++ b/src/main/java/cacheproxy/state/Authority.java
@@ -1,16 +1,16 @@
 package cacheproxy.state;
 
-/** Whose word a record is; what is told by a later one of the same or a higher authority takes its place. */
+/** Who vouches for a stored record. */
 public enum Authority {
-    /** What this instance has met itself. */
+    /** This instance observed it itself. */
     OBSERVED("seen"),
-    /** What it decided on with the fleet. */
+    /** The instances of the fleet decided it together. */
     FLEET("fleet"),
-    /** What an operator ordered. */
+    /** An operator ordered it. */
     OPERATOR("operator"),
-    /** What discovery told. */
+    /** Discovery sent it. */
     DISCOVERY("discovery"),
-    /** What it is, and nobody else knows better. */
+    /** It is this instance's own number, which nobody else knows better. */
     SELF("self");
 
     private final String wireName;
--- a/src/main/java/cacheproxy/state/Finding.java
+++ b/src/main/java/cacheproxy/state/Finding.java
@@ -1,21 +1,21 @@
 package cacheproxy.state;
 
 /**
- * Something about a folder that its owner should know.
+ * A problem that was found when a state folder was read.
  *
- * @param file its name in the folder
- * @param line counted from 1; 0 for the whole file
- * @param problem is the matter
- * @param severity what follows from it
+ * @param file the file's name in the folder
+ * @param line its line, from 1; 0 for the file as a whole
+ * @param problem what is wrong, to stand behind the file's name
+ * @param severity what is lost by it
  */
 public record Finding(String file, int line, String problem, Severity severity) {
-    /** What follows from something that was found. */
+    /** What is lost by a problem. */
     public enum Severity {
-        /** Nothing: it is ordinary after a crash. */
+        /** Nothing: it is usual after a crash. */
         HARMLESS("none"),
-        /** Some records are lost, the others are sound. */
+        /** Some records; the others are intact. */
         RECORDS_LOST("some"),
-        /** Nothing of the folder can be used. */
+        /** All: nothing of the folder can be used. */
         UNUSABLE("all");
 
         private final String wireName;
--- a/src/main/java/cacheproxy/state/StateFileHeader.java
+++ b/src/main/java/cacheproxy/state/StateFileHeader.java
@@ -1,15 +1,15 @@
 package cacheproxy.state;
 
 /**
- * Whose file it is, and which one.
+ * The first line of each state file: which instance it belongs to and which generation it is.
  *
- * @param instance the name in the instance's configuration
+ * @param instance the instance's name in its configuration, not empty
  * @param fleet the name of the fleet that it belongs to
- * @param generation goes up with each snapshot; a journal belongs to the snapshot of its generation
- * @param starts how often a process has opened the folder to write
+ * @param generation goes up with each snapshot, 0 or more; a journal belongs to the snapshot of its generation
+ * @param starts how often a process has opened the folder to write, 0 or more
  */
 public record StateFileHeader(String instance, String fleet, long generation, long starts) {
-    /** The form of the files; a higher one is another version's. */
+    /** The version of the file format; a process reads no other. */
     public static final int VERSION = 1;
 
     /** Checks the ranges. */
@@ -20,12 +20,12 @@
         }
     }
 
-    /** Of the next snapshot. */
+    /** The header of the next snapshot. */
     StateFileHeader nextGeneration() {
         return new StateFileHeader(instance, fleet, generation + 1, starts);
     }
 
-    /** Of the next process. */
+    /** The header of the next process. */
     StateFileHeader nextStart() {
         return new StateFileHeader(instance, fleet, generation, starts + 1);
     }
--- a/src/main/java/cacheproxy/state/StateFolder.java
+++ b/src/main/java/cacheproxy/state/StateFolder.java
@@ -15,14 +15,14 @@
 import java.util.List;
 
 /**
- * The folder in which one instance's state lies: {@code snapshot}, {@code journal}, and a lock that tells two processes
- * apart. What it has written outlasts the machine's end when the call returns. Used by one thread at a time; each call
- * may wait for the disk.
+ * The state folder of one instance: the files {@code snapshot} and {@code journal}, and a lock file that keeps a second
+ * process from writing. What a call has written survives a crash of the machine once the call has returned. Used by one
+ * thread at a time; each call may block on the disk.
  */
 public final class StateFolder implements AutoCloseable {
     private static final String LOCK_FILE = "lock";
     private static final String NEW_SUFFIX = ".new";
-    /** Files that were of no use are kept under their names with this behind, the last of each. */
+    /** Unusable files are kept under their names with this suffix, the last of each. */
     private static final String ASIDE_SUFFIX = ".aside";
 
     private static final long MAX_FILE_BYTES = 16 << 20;
@@ -32,22 +32,27 @@
     private FileLock lock;
     private FileChannel journal;
 
-    /** Touches nothing yet. */
+    /** Touches no file yet. */
     public StateFolder(Path folder) {
         this.folder = folder;
     }
 
-    /** Where it is. */
+    /** The folder's path. */
     public Path path() {
         return folder;
     }
 
-    /** What the folder holds, for this instance; empty where there is none. Never fails: what is wrong is a finding. */
+    /**
+     * Reads the folder; empty where there is none. Never fails: each problem is a finding.
+     *
+     * @param instance whose folder it should be; null to read any instance's
+     * @param fleet the fleet that it should belong to
+     */
     public OpenedState read(String instance, String fleet) {
         List<Finding> findings = new ArrayList<>();
-        byte[] snapshot = readFile(OpenedState.SNAPSHOT, findings);
-        byte[] since = readFile(OpenedState.JOURNAL, findings);
-        OpenedState read = OpenedState.read(snapshot, since, instance, fleet);
+        byte[] snapshot = readFile(StateReader.SNAPSHOT, findings);
+        byte[] changes = readFile(StateReader.JOURNAL, findings);
+        OpenedState read = StateReader.read(snapshot, changes, instance, fleet);
         findings.addAll(read.findings());
         return new OpenedState(read.header(), read.records(), List.copyOf(findings));
     }
@@ -69,7 +74,11 @@
         }
     }
 
-    /** Whether this process alone may write here from now on; until it has closed or ended. */
+    /**
+     * Takes the lock, without waiting for it; creates the folder where there is none.
+     *
+     * @return whether this process alone may write from now on, until it closes this or ends
+     */
     public boolean tryLock() throws IOException {
         if (lock != null) {
             return true;
@@ -81,14 +90,14 @@
         try {
             lock = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            return false; // by another part of this process
+            return false; // another part of this process has it
         }
         return lock != null;
     }
 
-    /** Lays files of no use aside, so that the next snapshot destroys nothing that somebody may want. */
+    /** Renames unusable files, so that the next snapshot destroys nothing that somebody may want. */
     public void setAside() throws IOException {
-        for (String name : List.of(OpenedState.SNAPSHOT, OpenedState.JOURNAL)) {
+        for (String name : List.of(StateReader.SNAPSHOT, StateReader.JOURNAL)) {
             Path file = folder.resolve(name);
             if (Files.exists(file)) {
                 Files.move(file, folder.resolve(name + ASIDE_SUFFIX), StandardCopyOption.ATOMIC_MOVE);
@@ -96,17 +105,18 @@
         }
     }
 
-    /** Carries an order out. An exception says that nobody knows what the files hold. */
-    public void write(RecordStore.Write what) throws IOException {
+    /**
+     * Carries out a write and forces it to the disk.
+     *
+     * @throws IOException if it failed; the content of the files is unknown then, and the next write has to be a
+     *     snapshot
+     */
+    public void write(StateWrite write) throws IOException {
         try {
-            if (what instanceof RecordStore.Write.Append a) {
-                if (journal == null) {
-                    throw new IOException("no journal is open");
-                }
-                writeFully(journal, a.bytes());
-                journal.force(false);
-            } else if (what instanceof RecordStore.Write.Replace r) {
-                replace(r);
+            if (write instanceof StateWrite.Append append) {
+                append(append.bytes());
+            } else if (write instanceof StateWrite.Replace files) {
+                replace(files);
             }
         } catch (IOException e) {
             closeJournal();
@@ -114,16 +124,24 @@
         }
     }
 
-    private void replace(RecordStore.Write.Replace r) throws IOException {
+    private void append(byte[] bytes) throws IOException {
+        if (journal == null) {
+            throw new IOException("no journal is open");
+        }
+        writeFully(journal, bytes);
+        journal.force(false);
+    }
+
+    private void replace(StateWrite.Replace files) throws IOException {
         closeJournal();
-        Files.createDirectories(folder); // it may have gone meanwhile
-        replaceFile(OpenedState.SNAPSHOT, r.snapshot());
-        replaceFile(OpenedState.JOURNAL, r.journal());
+        Files.createDirectories(folder); // it may have been deleted meanwhile
+        replaceFile(StateReader.SNAPSHOT, files.snapshot());
+        replaceFile(StateReader.JOURNAL, files.journal());
         journal = FileChannel.open(
-                folder.resolve(OpenedState.JOURNAL), StandardOpenOption.WRITE, StandardOpenOption.APPEND);
+                folder.resolve(StateReader.JOURNAL), StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     }
 
-    /** Under its name there is, at any time and after any crash, the old file or the new one, whole. */
+    /** At any time and after any crash the name stands for the old file or the new one, complete. */
     private void replaceFile(String name, byte[] bytes) throws IOException {
         Path next = folder.resolve(name + NEW_SUFFIX);
         try (FileChannel file = FileChannel.open(
@@ -133,14 +151,14 @@
         }
         Files.move(next, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
-            directory.force(true); // or the name may be lost with the machine
+            directory.force(true); // or the new name may be lost in a crash of the machine
         }
     }
 
     private static void writeFully(FileChannel file, byte[] bytes) throws IOException {
-        ByteBuffer all = ByteBuffer.wrap(bytes);
-        while (all.hasRemaining()) {
-            file.write(all);
+        ByteBuffer remaining = ByteBuffer.wrap(bytes);
+        while (remaining.hasRemaining()) {
+            file.write(remaining);
         }
     }
 
@@ -156,7 +174,7 @@
     public void close() throws IOException {
         closeJournal();
         if (lockFile != null) {
-            lockFile.close(); // which lets the lock go
+            lockFile.close(); // releases the lock
             lockFile = null;
             lock = null;
         }
--- a/src/main/java/cacheproxy/state/StateReport.java
+++ b/src/main/java/cacheproxy/state/StateReport.java
@@ -5,127 +5,152 @@
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.util.Locale;
-import java.util.function.Function;
+import java.util.stream.Collectors;
 
 /**
- * What a folder holds, for people and scripts: each record with its age and how far a process that starts now would use
- * it.
+ * A report on a state folder for people and scripts: each record with its age and how far a process that starts now
+ * would use it, and the problems that were found. The fields of the JSON and the layout of the text are read by
+ * scripts.
+ *
+ * @param state what was read
+ * @param nowMs the time by which records are judged, Unix time in milliseconds
  */
 public record StateReport(OpenedState state, double nowMs) {
-    /** Whether a process would start from it as it was left. */
+    private static final double MS_PER_SECOND = 1000;
+
+    /** Whether nothing is lost: a process would start from the folder as it was left. */
     public boolean isIntact() {
         return state.findings().stream().allMatch(f -> f.severity() == Severity.HARMLESS);
     }
 
-    /** All of it. */
+    // ---- JSON
+
+    /** The report as JSON, with the records' bodies. */
     public JsonObject toJson() {
-        JsonObject o = new JsonObject();
-        o.addProperty("sound", isIntact());
-        StateFileHeader h = state.header();
-        if (h != null) {
-            o.addProperty("instance", h.instance());
-            o.addProperty("fleet", h.fleet());
-            o.addProperty("generation", h.generation());
-            o.addProperty("starts", h.starts());
+        JsonObject report = new JsonObject();
+        report.addProperty("sound", isIntact());
+        StateFileHeader header = state.header();
+        if (header != null) {
+            report.addProperty("instance", header.instance());
+            report.addProperty("fleet", header.fleet());
+            report.addProperty("generation", header.generation());
+            report.addProperty("starts", header.starts());
         }
         JsonArray records = new JsonArray();
         for (RecordKind kind : RecordKind.values()) {
-            StoredRecord r = state.records().get(kind);
-            if (r != null) {
-                JsonObject one = r.toJson();
-                one.addProperty("age_s", Math.round((nowMs - r.recordedAtMs()) / 1000));
-                one.addProperty("authority", kind.authority().wireName());
-                one.addProperty("use", r.validity(nowMs).wireName());
-                records.add(one);
+            StoredRecord record = state.records().get(kind);
+            if (record != null) {
+                records.add(toJson(record));
             }
         }
-        o.add("records", records);
+        report.add("records", records);
         JsonArray findings = new JsonArray();
-        state.findings().forEach(f -> {
-            JsonObject one = new JsonObject();
-            one.addProperty("file", f.file());
-            one.addProperty("line", f.line());
-            one.addProperty("what", f.problem());
-            one.addProperty("harm", f.severity().wireName());
-            findings.add(one);
-        });
-        o.add("findings", findings);
-        return o;
+        state.findings().forEach(f -> findings.add(toJson(f)));
+        report.add("findings", findings);
+        return report;
+    }
+
+    private JsonObject toJson(StoredRecord record) {
+        JsonObject json = record.toJson();
+        json.addProperty("age_s", Math.round((nowMs - record.recordedAtMs()) / MS_PER_SECOND));
+        json.addProperty("authority", record.kind().authority().wireName());
+        json.addProperty("use", record.validity(nowMs).wireName());
+        return json;
+    }
+
+    private static JsonObject toJson(Finding finding) {
+        JsonObject json = new JsonObject();
+        json.addProperty("file", finding.file());
+        json.addProperty("line", finding.line());
+        json.addProperty("what", finding.problem());
+        json.addProperty("harm", finding.severity().wireName());
+        return json;
     }
 
-    /** The same in some lines. */
+    // ---- text
+
+    /** The report as a few lines of text. */
     public String toText() {
-        StringBuilder s = new StringBuilder();
-        StateFileHeader h = state.header();
-        s.append(
-                h == null
-                        ? "nothing that could be used\n"
-                        : String.format(
-                                Locale.ROOT,
-                                "%s of fleet '%s': generation %d, %d starts%n",
-                                h.instance(),
-                                h.fleet(),
-                                h.generation(),
-                                h.starts()));
+        StringBuilder text = new StringBuilder();
+        text.append(headline());
         if (!state.records().isEmpty()) {
-            s.append(String.format("%-13s%-11s%10s  %-9s%s%n", "kind", "authority", "age", "use", "what"));
+            text.append(String.format("%-13s%-11s%10s  %-9s%s%n", "kind", "authority", "age", "use", "what"));
         }
         for (RecordKind kind : RecordKind.values()) {
-            StoredRecord r = state.records().get(kind);
-            if (r != null) {
-                s.append(String.format(
-                        Locale.ROOT,
-                        "%-13s%-11s%9.0fs  %-9s%s%n",
-                        kind.wireName(),
-                        kind.authority().wireName(),
-                        (nowMs - r.recordedAtMs()) / 1000,
-                        r.validity(nowMs).wireName(),
-                        what(r)));
+            StoredRecord record = state.records().get(kind);
+            if (record != null) {
+                text.append(line(record));
             }
         }
-        state.findings()
-                .forEach(f -> s.append(
-                                f.severity() == Severity.HARMLESS
-                                        ? "note: "
-                                        : f.severity() == Severity.RECORDS_LOST ? "damage: " : "of no use: ")
-                        .append(f)
-                        .append('\n'));
-        return s.toString();
+        state.findings().forEach(f -> text.append(label(f.severity())).append(f).append('\n'));
+        return text.toString();
+    }
+
+    private String headline() {
+        StateFileHeader header = state.header();
+        return header == null
+                ? "nothing that could be used\n"
+                : String.format(
+                        Locale.ROOT,
+                        "%s of fleet '%s': generation %d, %d starts%n",
+                        header.instance(),
+                        header.fleet(),
+                        header.generation(),
+                        header.starts());
+    }
+
+    private String line(StoredRecord record) {
+        return String.format(
+                Locale.ROOT,
+                "%-13s%-11s%9.0fs  %-9s%s%n",
+                record.kind().wireName(),
+                record.kind().authority().wireName(),
+                (nowMs - record.recordedAtMs()) / MS_PER_SECOND,
+                record.validity(nowMs).wireName(),
+                summary(record));
     }
 
-    private static String what(StoredRecord r) {
-        Function<JsonElement, String> say = switch (r.kind()) {
-            case INCARNATION -> JsonElement::toString;
-            case ENDPOINT_LIST ->
-                b -> "version " + b.getAsJsonObject().get("seq") + ", "
-                        + b.getAsJsonObject().getAsJsonArray("hosts").size() + " servers, " + draining(b)
-                        + " of them draining";
-            case LEARNED_STATE -> b -> b.getAsJsonObject().size() + " pools";
-            case ZONE_STATES, OPERATOR_ORDERS ->
-                b -> String.join(
-                        ", ",
-                        b.getAsJsonObject().entrySet().stream()
-                                .map(e -> e.getKey() + " "
-                                        + e.getValue()
-                                                .getAsJsonObject()
-                                                .get("cause")
-                                                .getAsString() + " "
-                                        + e.getValue().getAsJsonObject().get("open") + "/15 in epoch "
-                                        + e.getValue().getAsJsonObject().get("epoch"))
-                                .toList());
+    private static String label(Severity severity) {
+        return switch (severity) {
+            case HARMLESS -> "note: ";
+            case RECORDS_LOST -> "damage: ";
+            case UNUSABLE -> "of no use: ";
         };
+    }
+
+    private static String summary(StoredRecord record) {
         try {
-            return say.apply(r.body());
+            JsonElement body = record.body();
+            return switch (record.kind()) {
+                case INCARNATION -> body.toString();
+                case ENDPOINT_LIST -> listSummary(body.getAsJsonObject());
+                case LEARNED_STATE -> body.getAsJsonObject().size() + " pools";
+                case ZONE_STATES, OPERATOR_ORDERS -> zonesSummary(body.getAsJsonObject());
+            };
         } catch (RuntimeException e) {
             return "a body of another form";
         }
     }
 
-    private static long draining(JsonElement list) {
-        long n = 0;
-        for (JsonElement host : list.getAsJsonObject().getAsJsonArray("hosts")) {
-            n += host.getAsJsonObject().get("health").getAsString().equals("draining") ? 1 : 0;
+    private static String listSummary(JsonObject list) {
+        JsonArray hosts = list.getAsJsonArray("hosts");
+        long draining = 0;
+        for (JsonElement host : hosts) {
+            if (host.getAsJsonObject().get("health").getAsString().equals("draining")) {
+                draining++;
+            }
         }
-        return n;
+        return "version " + list.get("seq") + ", " + hosts.size() + " servers, " + draining + " of them draining";
+    }
+
+    private static String zonesSummary(JsonObject zones) {
+        return zones.entrySet().stream()
+                .map(zone -> zoneSummary(zone.getKey(), zone.getValue().getAsJsonObject()))
+                .collect(Collectors.joining(", "));
+    }
+
+    private static String zoneSummary(String zone, JsonObject state) {
+        return zone + " " + state.get("cause").getAsString() + " " + state.get("open") + "/15 in epoch "
+                + state.get("epoch");
     }
 }
--- a/src/main/java/cacheproxy/state/StoredRecord.java
+++ b/src/main/java/cacheproxy/state/StoredRecord.java
@@ -5,24 +5,28 @@
 import java.util.Optional;
 
 /**
- * One thing that is kept. There is one record of each kind at most; a later one takes its place.
+ * One stored record. There is at most one of each kind; a later one replaces it.
  *
  * @param kind what it is
- * @param recordedAtMs when it came to be known, Unix time in milliseconds
- * @param body what it says, in the form of its kind
+ * @param recordedAtMs when its content was known to be so, Unix time in milliseconds
+ * @param body its content, in the form of its kind
  */
 public record StoredRecord(RecordKind kind, double recordedAtMs, JsonElement body) {
-    /** As it stands in files, and in what a process tells its successor. */
+    /** Its form in state files and in the state that a process hands to its successor. */
     public JsonObject toJson() {
-        return StateFileFormat.json(this);
+        return StateFileFormat.toJson(this);
     }
 
-    /** Reads it; empty for a kind that this version does not know, an exception for what is none. */
+    /**
+     * Reads that form; empty for a kind that this version does not know.
+     *
+     * @throws MalformedRecordException if it is no record
+     */
     public static Optional<StoredRecord> fromJson(JsonElement json) {
-        return StateFileFormat.record(json);
+        return StateFileFormat.fromJson(json);
     }
 
-    /** How far it may be used now, by this clock. */
+    /** How far it may be used at this time, Unix time in milliseconds. */
     public Validity validity(double nowMs) {
         return kind.validity(nowMs - recordedAtMs);
     }
--- a/src/main/java/cacheproxy/state/Validity.java
+++ b/src/main/java/cacheproxy/state/Validity.java
@@ -1,15 +1,15 @@
 package cacheproxy.state;
 
-/** How far something that was kept may still be used. */
+/** How far a stored record may be used at its present age. */
 public enum Validity {
-    /** It may be decided by, until something newer says otherwise. */
+    /** Decisions may rest on it until something newer contradicts it. */
     VALID("holds"),
     /**
-     * It may only make decisions more careful, or say whom to ask: a doubt, a name, the least that an epoch may be. It
-     * never gives trust back.
+     * It may only make decisions more careful or name whom to ask: a suspected endpoint, an address, a lower bound of
+     * an epoch. It never makes anything trusted again.
      */
     HINT("hint"),
-    /** It is too old, or its age can't be told. */
+    /** It is too old, or its age is unknown. */
     UNUSABLE("nothing");
 
     private final String wireName;
--- a/src/main/java/cacheproxy/state/package-info.java
+++ b/src/main/java/cacheproxy/state/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Durable records of one instance: what is worth more to its next process than a fresh start, with the age and the
- * authority of each. Decides what is kept, when it is written and how far it may be trusted
- * ({@link cacheproxy.state.RecordKind}, {@link cacheproxy.state.RecordStore}); {@link cacheproxy.state.StateFolder}
- * alone touches files.
+ * Durable records of one instance: what is worth more to its next process than a fresh start, each with its age and its
+ * authority. {@link cacheproxy.state.RecordKind} says what is stored and how long it may be used,
+ * {@link cacheproxy.state.RecordStore} when it is written, {@link cacheproxy.state.StateReader} reads it;
+ * {@link cacheproxy.state.StateFolder} alone touches files.
  */
 package cacheproxy.state;
--- a/src/test/java/cacheproxy/state/CrashTest.java
+++ b/src/test/java/cacheproxy/state/CrashTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.state.Finding.Severity;
-import cacheproxy.state.RecordStore.Write;
 import com.google.gson.JsonObject;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
@@ -34,10 +33,10 @@
             return d;
         }
 
-        void whole(Write w) {
-            if (w instanceof Write.Append a) {
+        void whole(StateWrite w) {
+            if (w instanceof StateWrite.Append a) {
                 append(a.bytes(), a.bytes().length);
-            } else if (w instanceof Write.Replace r) {
+            } else if (w instanceof StateWrite.Replace r) {
                 snapshot = r.snapshot();
                 journal = r.journal();
             }
@@ -51,15 +50,15 @@
         }
 
         /** As it is after the process has died in this write, at its every step. */
-        List<Disk> deaths(Write w) {
+        List<Disk> deaths(StateWrite w) {
             List<Disk> all = new ArrayList<>(List.of(copy()));
-            if (w instanceof Write.Append a) {
+            if (w instanceof StateWrite.Append a) {
                 for (int n = 1; n <= a.bytes().length; n++) {
                     Disk d = copy();
                     d.append(a.bytes(), n);
                     all.add(d);
                 }
-            } else if (w instanceof Write.Replace r) {
+            } else if (w instanceof StateWrite.Replace r) {
                 Disk first = copy();
                 first.snapshot = r.snapshot();
                 all.add(first);
@@ -71,7 +70,7 @@
         }
 
         OpenedState open() {
-            return OpenedState.read(snapshot, journal, ME, FLEET);
+            return StateReader.read(snapshot, journal, ME, FLEET);
         }
     }
 
@@ -97,17 +96,17 @@
             Map<RecordKind, Integer> put = new EnumMap<>(RecordKind.class);
             int next = 0;
             for (int life = 0; life < 3; life++) {
-                RecordStore keeper = new RecordStore(disk.open(), ME, FLEET);
+                RecordStore store = new RecordStore(disk.open(), ME, FLEET);
                 double now = life * 1e6;
                 int writes = random.nextInt(1, 5);
                 for (int w = 0; w < writes; w++) {
                     for (int i = random.nextInt(3); i >= 0; i--) {
                         RecordKind kind = RecordKind.values()[random.nextInt(RecordKind.values().length)];
                         put.put(kind, ++next);
-                        keeper.put(now, record(kind, next));
+                        store.put(now, record(kind, next));
                     }
                     now += 10_000;
-                    Write write = keeper.nextWrite(now);
+                    StateWrite write = store.nextWrite(now);
                     assertThat(write).isNotNull();
                     for (Disk dead : disk.deaths(write)) {
                         deaths++;
@@ -119,13 +118,13 @@
                         }
                     }
                     disk.whole(write);
-                    keeper.writeSucceeded(now);
+                    store.writeSucceeded(now);
                     done.putAll(put);
                 }
                 // The life ends in one more write, somewhere.
-                keeper.put(now, record(RecordKind.ENDPOINT_LIST, ++next));
+                store.put(now, record(RecordKind.ENDPOINT_LIST, ++next));
                 put.put(RecordKind.ENDPOINT_LIST, next);
-                List<Disk> ends = disk.deaths(keeper.nextWrite(now + 10_000));
+                List<Disk> ends = disk.deaths(store.nextWrite(now + 10_000));
                 disk = ends.get(random.nextInt(ends.size()));
                 disk.open().records().forEach((kind, r) -> done.put(kind, number(r)));
                 put.clear(); // what went down with it is known to nobody
@@ -137,12 +136,12 @@
 
     private static Disk filled() {
         Disk disk = new Disk();
-        RecordStore keeper = new RecordStore(OpenedState.EMPTY, ME, FLEET);
+        RecordStore store = new RecordStore(OpenedState.EMPTY, ME, FLEET);
         for (int i = 0; i < 4; i++) {
-            keeper.put(i, record(RecordKind.values()[i], 10 + i));
-            Write w = keeper.nextWrite(i + 10_000);
+            store.put(i, record(RecordKind.values()[i], 10 + i));
+            StateWrite w = store.nextWrite(i + 10_000);
             disk.whole(w);
-            keeper.writeSucceeded(i + 10_000);
+            store.writeSucceeded(i + 10_000);
         }
         return disk;
     }
@@ -164,8 +163,8 @@
                         other[at] ^= (byte) mask;
                     }
                     OpenedState opened = snapshot
-                            ? OpenedState.read(other, disk.journal, ME, FLEET)
-                            : OpenedState.read(disk.snapshot, other, ME, FLEET);
+                            ? StateReader.read(other, disk.journal, ME, FLEET)
+                            : StateReader.read(disk.snapshot, other, ME, FLEET);
                     opened.records()
                             .forEach((kind, r) ->
                                     assertThat(r).isEqualTo(sound.records().get(kind)));
@@ -204,7 +203,7 @@
                     i += many;
                 }
             }
-            OpenedState opened = OpenedState.read(random.nextBoolean() ? file : disk.snapshot, file, ME, FLEET);
+            OpenedState opened = StateReader.read(random.nextBoolean() ? file : disk.snapshot, file, ME, FLEET);
             opened.records()
                     .forEach(
                             (kind, r) -> assertThat(r).isEqualTo(sound.records().get(kind)));
--- a/src/test/java/cacheproxy/state/RecordStoreTest.java
+++ b/src/test/java/cacheproxy/state/RecordStoreTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.state.Finding.Severity;
-import cacheproxy.state.RecordStore.Write;
 import com.google.gson.JsonPrimitive;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -19,87 +18,87 @@
     }
 
     private static RecordStore begun() {
-        RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
-        assertThat(k.nextWrite(0)).isInstanceOf(Write.Replace.class);
-        k.writeSucceeded(0);
-        return k;
+        RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
+        assertThat(store.nextWrite(0)).isInstanceOf(StateWrite.Replace.class);
+        store.writeSucceeded(0);
+        return store;
     }
 
     @Test
     void whatIsUrgentIsWrittenSoonAndWhatIsLearntGathered() {
-        RecordStore k = begun();
-        assertThat(k.nextWriteAtMs()).isInfinite();
-        k.put(1000, record(RecordKind.LEARNED_STATE, "a"));
-        assertThat(k.nextWrite(1000)).isNull();
-        assertThat(k.nextWriteAtMs()).isEqualTo(6000);
-        k.put(1500, record(RecordKind.ENDPOINT_LIST, "b"));
-        assertThat(k.nextWriteAtMs()).isEqualTo(1600);
-        Write w = k.nextWrite(1600);
-        assertThat(new String(((Write.Append) w).bytes(), StandardCharsets.UTF_8))
+        RecordStore store = begun();
+        assertThat(store.nextWriteAtMs()).isInfinite();
+        store.put(1000, record(RecordKind.LEARNED_STATE, "a"));
+        assertThat(store.nextWrite(1000)).isNull();
+        assertThat(store.nextWriteAtMs()).isEqualTo(6000);
+        store.put(1500, record(RecordKind.ENDPOINT_LIST, "b"));
+        assertThat(store.nextWriteAtMs()).isEqualTo(1600);
+        StateWrite w = store.nextWrite(1600);
+        assertThat(new String(((StateWrite.Append) w).bytes(), StandardCharsets.UTF_8))
                 .contains("learnt", "list");
-        k.put(1601, record(RecordKind.ENDPOINT_LIST, "c"));
-        assertThat(k.nextWrite(9000)).as("one is under way").isNull();
-        k.writeSucceeded(9000);
-        assertThat(k.nextWrite(9000)).isNotNull();
+        store.put(1601, record(RecordKind.ENDPOINT_LIST, "c"));
+        assertThat(store.nextWrite(9000)).as("one is under way").isNull();
+        store.writeSucceeded(9000);
+        assertThat(store.nextWrite(9000)).isNotNull();
     }
 
     @Test
     void afterAFailureAllOfItIsWrittenAndEachFurtherOneDoublesTheWait() {
-        RecordStore k = begun();
-        k.put(0, record(RecordKind.ENDPOINT_LIST, "b"));
-        assertThat(k.nextWrite(100)).isInstanceOf(Write.Append.class);
-        k.writeFailed(100);
+        RecordStore store = begun();
+        store.put(0, record(RecordKind.ENDPOINT_LIST, "b"));
+        assertThat(store.nextWrite(100)).isInstanceOf(StateWrite.Append.class);
+        store.writeFailed(100);
         double now = 100;
         for (double wait : new double[] {1000, 2000, 4000}) {
-            assertThat(k.nextWrite(now + wait - 1)).isNull();
+            assertThat(store.nextWrite(now + wait - 1)).isNull();
             now += wait;
-            assertThat(k.nextWrite(now)).isInstanceOf(Write.Replace.class);
-            k.writeFailed(now);
+            assertThat(store.nextWrite(now)).isInstanceOf(StateWrite.Replace.class);
+            store.writeFailed(now);
         }
-        assertThat(k.nextWriteAtMs()).isEqualTo(now + 8000);
-        assertThat(k.failedWrites()).isEqualTo(4);
+        assertThat(store.nextWriteAtMs()).isEqualTo(now + 8000);
+        assertThat(store.failedWrites()).isEqualTo(4);
     }
 
     @Test
     void aJournalThatHasGrownBecomesASnapshotAndWearIsBounded() {
-        RecordStore k = begun();
+        RecordStore store = begun();
         String big = "x".repeat(100_000);
         int replaced = 0;
         long urgent = 0;
         for (int i = 1; i <= 120; i++) {
-            k.put(i * 100, record(RecordKind.ENDPOINT_LIST, big + i));
-            Write w = k.nextWrite(i * 100 + 100);
-            replaced += w instanceof Write.Replace ? 1 : 0;
+            store.put(i * 100, record(RecordKind.ENDPOINT_LIST, big + i));
+            StateWrite w = store.nextWrite(i * 100 + 100);
+            replaced += w instanceof StateWrite.Replace ? 1 : 0;
             urgent++;
-            k.writeSucceeded(i * 100 + 100);
+            store.writeSucceeded(i * 100 + 100);
         }
         assertThat(replaced).isBetween(15, 25);
-        assertThat(k.bytesWritten()).isGreaterThan(RecordStore.MAX_BYTES_PER_MINUTE);
-        k.put(12_200, record(RecordKind.LEARNED_STATE, "lazy"));
-        assertThat(k.nextWriteAtMs())
+        assertThat(store.bytesWritten()).isGreaterThan(RecordStore.MAX_BYTES_PER_MINUTE);
+        store.put(12_200, record(RecordKind.LEARNED_STATE, "lazy"));
+        assertThat(store.nextWriteAtMs())
                 .as("what is not urgent waits for the next minute")
                 .isGreaterThan(40_000);
-        k.put(12_200, record(RecordKind.OPERATOR_ORDERS, "urgent"));
-        assertThat(k.nextWriteAtMs()).isEqualTo(12_300);
+        store.put(12_200, record(RecordKind.OPERATOR_ORDERS, "urgent"));
+        assertThat(store.nextWriteAtMs()).isEqualTo(12_300);
         assertThat(urgent).isEqualTo(120);
     }
 
     @Test
     void whatIsTooLongIsNotKept() {
-        RecordStore k = begun();
-        k.put(0, record(RecordKind.ENDPOINT_LIST, "x".repeat(RecordStore.MAX_RECORD_BYTES + 1)));
-        assertThat(k.get(RecordKind.ENDPOINT_LIST)).isNull();
-        assertThat(k.oversizedRecords()).isEqualTo(1);
+        RecordStore store = begun();
+        store.put(0, record(RecordKind.ENDPOINT_LIST, "x".repeat(RecordStore.MAX_RECORD_BYTES + 1)));
+        assertThat(store.get(RecordKind.ENDPOINT_LIST)).isNull();
+        assertThat(store.oversizedRecords()).isEqualTo(1);
     }
 
     /** An epoch of the files never goes back, whoever wrote last. */
     @Test
     void whatAnotherProcessWroteComesBefore() {
-        RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
-        k.continueAfter(new StateFileHeader("p", "f", 17, 4));
-        Write.Replace w = (Write.Replace) k.nextWrite(0);
+        RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
+        store.continueAfter(new StateFileHeader("p", "f", 17, 4));
+        StateWrite.Replace w = (StateWrite.Replace) store.nextWrite(0);
         StateFileHeader h =
-                OpenedState.read(w.snapshot(), w.journal(), "p", "f").header();
+                StateReader.read(w.snapshot(), w.journal(), "p", "f").header();
         assertThat(h.generation()).isEqualTo(18);
         assertThat(h.starts()).isEqualTo(5);
     }
@@ -130,9 +129,9 @@
     }
 
     private static OpenedState open(String head, String instance) {
-        Write.Replace w = (Write.Replace) new RecordStore(OpenedState.EMPTY, "p", "f").nextWrite(0);
+        StateWrite.Replace w = (StateWrite.Replace) new RecordStore(OpenedState.EMPTY, "p", "f").nextWrite(0);
         byte[] snapshot = head == null ? w.snapshot() : head.getBytes(StandardCharsets.UTF_8);
-        return OpenedState.read(snapshot, null, instance, "f");
+        return StateReader.read(snapshot, null, instance, "f");
     }
 
     /** Of another's folder or a later version's nothing is used, and it is told. */
@@ -153,17 +152,17 @@
     /** The two steps of a snapshot: a journal that is behind says nothing new, one that is ahead does. */
     @Test
     void aJournalOfAnotherGenerationIsTakenOnlyIfItIsAhead() {
-        RecordStore k = new RecordStore(OpenedState.EMPTY, "p", "f");
-        k.put(0, record(RecordKind.ENDPOINT_LIST, "old"));
-        Write.Replace first = (Write.Replace) k.nextWrite(1000);
-        k.writeFailed(1000);
-        k.put(1000, record(RecordKind.ENDPOINT_LIST, "new"));
-        Write.Replace second = (Write.Replace) k.nextWrite(5000);
-        OpenedState behind = OpenedState.read(second.snapshot(), first.journal(), "p", "f");
+        RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
+        store.put(0, record(RecordKind.ENDPOINT_LIST, "old"));
+        StateWrite.Replace first = (StateWrite.Replace) store.nextWrite(1000);
+        store.writeFailed(1000);
+        store.put(1000, record(RecordKind.ENDPOINT_LIST, "new"));
+        StateWrite.Replace second = (StateWrite.Replace) store.nextWrite(5000);
+        OpenedState behind = StateReader.read(second.snapshot(), first.journal(), "p", "f");
         assertThat(behind.records().get(RecordKind.ENDPOINT_LIST).body().getAsString())
                 .isEqualTo("new");
         assertThat(behind.findings()).extracting(Finding::severity).containsExactly(Severity.HARMLESS);
-        OpenedState ahead = OpenedState.read(first.snapshot(), second.journal(), "p", "f");
+        OpenedState ahead = StateReader.read(first.snapshot(), second.journal(), "p", "f");
         assertThat(ahead.records().get(RecordKind.ENDPOINT_LIST).body().getAsString())
                 .isEqualTo("old");
         assertThat(ahead.findings()).extracting(Finding::severity).containsExactly(Severity.RECORDS_LOST);
--- a/src/test/java/cacheproxy/state/StateFolderTest.java
+++ b/src/test/java/cacheproxy/state/StateFolderTest.java
@@ -34,13 +34,13 @@
     }
 
     private static RecordStore write(StateFolder folder, int... numbers) throws IOException {
-        RecordStore keeper = new RecordStore(folder.read("p", "f"), "p", "f");
+        RecordStore store = new RecordStore(folder.read("p", "f"), "p", "f");
         for (int n : numbers) {
-            keeper.put(n, record(n));
-            folder.write(keeper.nextWrite(n + 1e6));
-            keeper.writeSucceeded(n);
+            store.put(n, record(n));
+            folder.write(store.nextWrite(n + 1e6));
+            store.writeSucceeded(n);
         }
-        return keeper;
+        return store;
     }
 
     @Test
@@ -72,19 +72,19 @@
     @Test
     void aWriteThatFailsLeavesWhatWasThere() throws IOException {
         try (StateFolder folder = new StateFolder(path)) {
-            RecordStore keeper = write(folder, 1);
+            RecordStore store = write(folder, 1);
             Path inTheWay = Files.createDirectory(path.resolve("snapshot.new"));
-            keeper.put(2, record(2));
-            folder.write(keeper.nextWrite(1e7)); // an append needs no new file
-            keeper.writeFailed(1e7);
-            keeper.put(3, record(3));
-            RecordStore.Write third = keeper.nextWrite(2e7);
+            store.put(2, record(2));
+            folder.write(store.nextWrite(1e7)); // an append needs no new file
+            store.writeFailed(1e7);
+            store.put(3, record(3));
+            StateWrite third = store.nextWrite(2e7);
             assertThatThrownBy(() -> folder.write(third)).isInstanceOf(IOException.class);
-            keeper.writeFailed(2e7);
+            store.writeFailed(2e7);
             assertThat(number(folder.read("p", "f"))).isEqualTo(2);
             Files.delete(inTheWay);
-            folder.write(keeper.nextWrite(3e7));
-            keeper.writeSucceeded(3e7);
+            folder.write(store.nextWrite(3e7));
+            store.writeSucceeded(3e7);
             assertThat(number(folder.read("p", "f"))).isEqualTo(3);
         }
     }
@@ -93,14 +93,14 @@
     void aFolderThatWentIsMadeAnew() throws IOException {
         Path there = path.resolve("gone");
         try (StateFolder folder = new StateFolder(there)) {
-            RecordStore keeper = write(folder, 1);
+            RecordStore store = write(folder, 1);
             for (Path file : List.of(there.resolve("snapshot"), there.resolve("journal"), there)) {
                 Files.delete(file);
             }
-            keeper.put(2, record(2));
-            folder.write(keeper.nextWrite(1e7)); // into a file that has no name any more
-            keeper.writeFailed(1e7);
-            folder.write(keeper.nextWrite(2e7));
+            store.put(2, record(2));
+            folder.write(store.nextWrite(1e7)); // into a file that has no name any more
+            store.writeFailed(1e7);
+            folder.write(store.nextWrite(2e7));
             assertThat(number(folder.read("p", "f"))).isEqualTo(2);
         }
     }
@@ -132,11 +132,11 @@
         public static void main(String[] words) throws IOException {
             try (StateFolder folder = new StateFolder(Path.of(words[0]))) {
                 folder.tryLock();
-                RecordStore keeper = new RecordStore(folder.read("p", "f"), "p", "f");
+                RecordStore store = new RecordStore(folder.read("p", "f"), "p", "f");
                 for (int n = Integer.parseInt(words[1]); ; n++) {
-                    keeper.put(n, record(n));
-                    folder.write(keeper.nextWrite(n + 1e6));
-                    keeper.writeSucceeded(n);
+                    store.put(n, record(n));
+                    folder.write(store.nextWrite(n + 1e6));
+                    store.writeSucceeded(n);
                     System.out.println(n);
                 }
             }
--- a/src/test/java/cacheproxy/state/StoredFormTest.java
+++ b/src/test/java/cacheproxy/state/StoredFormTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.PinnedFile;
-import cacheproxy.state.RecordStore.Write;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonParser;
 import java.io.ByteArrayOutputStream;
@@ -33,35 +32,35 @@
 
     /** The two files after a snapshot of all kinds and a journal of two. */
     private static byte[][] written() {
-        RecordStore keeper = new RecordStore(OpenedState.EMPTY, ME, FLEET);
-        keeper.put(0, record(RecordKind.INCARNATION, TOLD_MS, "17"));
-        keeper.put(
+        RecordStore store = new RecordStore(OpenedState.EMPTY, ME, FLEET);
+        store.put(0, record(RecordKind.INCARNATION, TOLD_MS, "17"));
+        store.put(
                 0,
                 record(
                         RecordKind.ENDPOINT_LIST,
                         TOLD_MS + 1,
                         "{\"seq\":43,\"whole\":true,\"hosts\":[" + host("s-0000beef", "up") + ","
                                 + host("s-0000bef0", "draining") + "]}"));
-        keeper.put(0, record(RecordKind.LEARNED_STATE, TOLD_MS + 2, PinnedFile.text("proxy/learned-state.json")));
-        keeper.put(
+        store.put(0, record(RecordKind.LEARNED_STATE, TOLD_MS + 2, PinnedFile.text("proxy/learned-state.json")));
+        store.put(
                 0,
                 record(
                         RecordKind.ZONE_STATES,
                         TOLD_MS + 3,
                         "{\"east\":{\"epoch\":4,\"open\":15,\"cause\":\"evidence\",\"leaves\":1,\"floor\":4}}"));
-        keeper.put(
+        store.put(
                 0,
                 record(
                         RecordKind.OPERATOR_ORDERS,
                         TOLD_MS + 4,
                         "{\"west\":{\"epoch\":9,\"open\":0,\"cause\":\"leave\",\"leaves\":2,\"floor\":9}}"));
-        Write.Replace first = (Write.Replace) keeper.nextWrite(0);
-        keeper.writeSucceeded(0);
+        StateWrite.Replace first = (StateWrite.Replace) store.nextWrite(0);
+        store.writeSucceeded(0);
         ByteArrayOutputStream journal = new ByteArrayOutputStream();
         journal.writeBytes(first.journal());
-        keeper.put(1, record(RecordKind.LEARNED_STATE, TOLD_MS + 40_000.5, "{}"));
-        keeper.put(1, record(RecordKind.ENDPOINT_LIST, TOLD_MS + 40_001, "{\"seq\":44,\"whole\":true,\"hosts\":[]}"));
-        journal.writeBytes(((Write.Append) keeper.nextWrite(10_000)).bytes());
+        store.put(1, record(RecordKind.LEARNED_STATE, TOLD_MS + 40_000.5, "{}"));
+        store.put(1, record(RecordKind.ENDPOINT_LIST, TOLD_MS + 40_001, "{\"seq\":44,\"whole\":true,\"hosts\":[]}"));
+        journal.writeBytes(((StateWrite.Append) store.nextWrite(10_000)).bytes());
         return new byte[][] {first.snapshot(), journal.toByteArray()};
     }
 
