--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -46,7 +46,7 @@
         registry.section(HandoverCommand.SECTION, () -> {
             Proxy.Status s = proxy.status();
             JsonObject o = new JsonObject();
-            o.addProperty("phase", AnswerWords.of(s.handover()));
+            o.addProperty("phase", s.handover().statusName());
             o.addProperty("successors", s.handovers());
             return o;
         });
@@ -199,7 +199,7 @@
 
     private static JsonObject progress(Drain.Progress p) {
         JsonObject o = new JsonObject();
-        o.addProperty("phase", AnswerWords.of(p.phase()));
+        o.addProperty("phase", p.phase().statusName());
         o.addProperty("share", p.share());
         o.addProperty("owed", p.owed());
         o.addProperty("connections", p.connections());
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -3,7 +3,7 @@
 import cacheproxy.membership.Entry;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
-import cacheproxy.metrics.Work;
+import cacheproxy.metrics.Metric;
 import cacheproxy.recovery.ConnectionRebalancer;
 import cacheproxy.recovery.ProvenanceTracker.Subject;
 import cacheproxy.recovery.RecoveryProgress;
@@ -56,7 +56,7 @@
         if (dispatcher.servers().discovered() > 0) {
             progress.listAvailable(dispatcher.now(), firstHand);
         }
-        dispatcher.follow(this::listed);
+        dispatcher.addEndpointListListener(this::listed);
         rateMs = dispatcher.now();
         run();
     }
@@ -83,14 +83,18 @@
         }
         Counters c = dispatcher.counters();
         Stage before = progress.stage();
-        Stage stage =
-                progress.update(now, new RequestCounts(dispatcher.taken(), c.done(Work.SERVED), c.done(Work.REFUSED)));
+        Stage stage = progress.update(
+                now,
+                new RequestCounts(
+                        dispatcher.acceptedRequests(),
+                        c.count(Metric.REQUESTS_SUCCEEDED),
+                        c.count(Metric.REQUESTS_REJECTED)));
         if (stage != before) {
             tell(stage);
         }
         if (now - rateMs >= RATE_MS) {
-            rate = (dispatcher.taken() - rateTaken) * 1000.0 / (now - rateMs);
-            rateTaken = dispatcher.taken();
+            rate = (dispatcher.acceptedRequests() - rateTaken) * 1000.0 / (now - rateMs);
+            rateTaken = dispatcher.acceptedRequests();
             rateMs = now;
         }
         if (members != null && !dispatcher.draining()) {
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -97,7 +97,7 @@
                                             r.validity(now).wireName()))
                                     .toList()));
         }
-        dispatcher.follow(this::listed);
+        dispatcher.addEndpointListListener(this::listed);
         refresh();
     }
 
@@ -147,7 +147,7 @@
         if (closed) {
             return;
         }
-        put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.experience()));
+        put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.learnedState()));
         if (zones != null && zones.zones().quorum()) {
             JsonElement held = ZoneForm.json(zones.zones().held(), false, zones.names());
             if (held.getAsJsonObject().size() > 0) {
@@ -270,7 +270,7 @@
             return;
         }
         fleetChanged();
-        put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.experience()));
+        put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.learnedState()));
         closed = true;
         StateWrite last = locked ? recordStore.finalWrite() : null;
         writer.execute(() -> {
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -37,7 +37,7 @@
                 dispatcher.now(),
                 last.zones(RecordKind.OPERATOR_ORDERS, names),
                 last.holds(RecordKind.OPERATOR_ORDERS));
-        dispatcher.follow(k -> listed());
+        dispatcher.addEndpointListListener(k -> listed());
         listed();
         run();
     }
@@ -77,7 +77,7 @@
     void tick() {
         List<ZoneDirective> orders = zones.tick(dispatcher.now(), members.view());
         if (!orders.isEmpty()) {
-            dispatcher.order(orders);
+            dispatcher.applyZoneDirectives(orders);
         }
         zones.events().forEach(this::tell);
         byte[] nextPlan = zones.planNote();
