--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -231,9 +231,8 @@
 
     // ---- servers: attempts
 
-    /** The servers of the endpoint list, with the connections to them. */
-    Servers servers() {
-        return servers;
+ /** The servers of the endpoint list, with the connections to them. */
+ Servers servers ( ) { return servers ;
     }
 
     /** Starts attempts. */
