--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -231,8 +231,9 @@
 
     // ---- servers: attempts
 
- /** The servers of the endpoint list, with the connections to them. */
- Servers servers ( ) { return servers ;
+    /** The servers of the endpoint list, with the connections to them. */
+    Servers servers() {
+        return servers;
     }
 
     /** Starts attempts. */
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -110,7 +110,8 @@
 
     private void listed(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
- JsonElement list = discovery.snapshot ( ) ; StoredRecord before = recordStore.get ( RecordKind.ENDPOINT_LIST ) ;
+            JsonElement list = discovery.snapshot();
+            StoredRecord before = recordStore.get(RecordKind.ENDPOINT_LIST);
             if (before == null
                     || !before.body().equals(list)
                     || dispatcher.now() - before.recordedAtMs() > LIST_REFRESH_MS) {
