--- a/src/main/java/cacheproxy/state/RecordKind.java
+++ b/src/main/java/cacheproxy/state/RecordKind.java
@@ -58,7 +58,10 @@
 
     private final String wireName;
     private final Authority authority;
+
+    @SuppressWarnings("ImmutableEnumChecker") // a record of two numbers
     private final ValidityPeriod validityPeriod;
+
     private final double writeDelayMs;
 
     RecordKind(String wireName, Authority authority, ValidityPeriod validityPeriod, double writeDelayMs) {
