--- a/src/main/java/cacheproxy/control/RecoveryReport.java
+++ b/src/main/java/cacheproxy/control/RecoveryReport.java
@@ -45,7 +45,7 @@
             trusted.add(t);
         }
         o.add("trusted", trusted);
-        o.addProperty("not_used", r.provenance().rejected());
+        o.addProperty("not_used", r.provenance().rejectedRecords());
         o.addProperty("stale_decisions", r.provenance().staleDecisions());
         RecordStore k = r.recordStore();
         if (k != null) {
--- a/src/main/java/cacheproxy/recovery/PeerStateQuery.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateQuery.java
@@ -13,47 +13,51 @@
 import java.util.Set;
 
 /**
- * How an instance that remembers nothing learns from those that serve: it asks three of them, from as many zones as
- * there are, by a rank of its own, so that not all who come back ask the same one. An answer that does not come is
- * asked of the next. What never comes is done without; where nobody serves, all have come back, nobody remembers, and
- * that is known after a short time too.
+ * The state query of an instance that starts without state: it asks {@value #ANSWERS_WANTED} serving peers for a
+ * summary, from as many zones as there are. Each instance ranks the peers in its own order, so that not all that
+ * restart ask the same one. When an answer does not come, the next peer is asked. Where no peer serves, all have
+ * restarted and none has state, which is assumed after a short time.
  *
- * <p>What they say makes decisions more careful and nothing else: a node is doubted when two of them avoid it, or the
- * only one that there is; of a zone's nodes never more than a quarter.
+ * <p>Answers only make decisions more careful: a node is suspected when two answers name it, or the only one that there
+ * is; of a zone's nodes never more than one in {@value #MAX_SUSPECTED_DIVISOR}.
+ *
+ * <p>Times are milliseconds of one clock. Not thread-safe.
  */
 public final class PeerStateQuery {
-    /** So many answers are enough. */
+    /** How many answers are enough. */
     public static final int ANSWERS_WANTED = 3;
-    /** An answer takes so long at most, there and back and in line. */
+    /** After so long without an answer the next peer is asked. */
     static final double ANSWER_TIMEOUT_MS = 500;
-    /** Where nobody serves for so long, nobody remembers. */
+    /** Where no peer has been serving for so long since the start, none has state. */
     static final double NO_PEER_TIMEOUT_MS = 3000;
-    /** All of it ends after so long: what was met here is newer by then. */
+    /** The query ends after so long: what this instance has observed itself is newer by then. */
     static final double QUERY_TIMEOUT_MS = 6000;
-    /** Of a zone's nodes one in so many may be doubted on peers' word, one at least. */
+    /** Of a zone's nodes one in so many may be suspected, and one in any case. */
     static final int MAX_SUSPECTED_DIVISOR = 4;
+    /** How many answers have to name a node, where there are as many. */
+    private static final int MIN_VOTES = 2;
 
-    /** How it stands. */
+    /** The progress of the query. */
     public enum State {
-        /** Answers are waited for, or somebody to ask. */
+        /** It waits for answers, or for a peer to ask. */
         QUERYING,
         /** There were answers. */
         ANSWERED,
-        /** Nobody serves who could remember. */
+        /** No peer serves, so none has state. */
         NO_SERVING_PEER,
-        /** Somebody serves, and no answer came in time. */
+        /** Peers serve, and no answer came in time. */
         UNANSWERED
     }
 
     /**
-     * What has come of it.
+     * The answers in one.
      *
-     * @param answers how many answered
-     * @param listVersion the highest that any of them holds
-     * @param originFetchMs the middle of what they say
-     * @param nodeLatencyMs likewise
-     * @param originInTimeRatio the least of what they say
-     * @param suspectedNodes nodes to doubt, those that most of them avoid first
+     * @param answers how many there were
+     * @param listVersion the highest endpoint list version that any of them has
+     * @param originFetchMs the median of theirs, in milliseconds
+     * @param nodeLatencyMs the median of theirs, in milliseconds
+     * @param originInTimeRatio the least of theirs, 0 to 1
+     * @param suspectedNodes nodes to suspect, those that most of them avoid first
      */
     public record Result(
             int answers,
@@ -65,98 +69,97 @@
 
     private final int instance;
     private final double startedMs;
-    /** When those that were asked were asked. */
+    /** When each peer was asked. */
     private final Map<Integer, Double> queriedAtMs = new LinkedHashMap<>();
 
     private final Map<Integer, PeerStateSummary> answers = new LinkedHashMap<>();
     private double servingPeerSeenMs = Double.NaN;
     private State state = State.QUERYING;
 
-    /** Begins at a time. {@code instance}: the instance's number, by which whom it asks is drawn. */
-    public PeerStateQuery(int me, double startedMs) {
-        this.instance = me;
+    /** Begins at a time. {@code instance}: this instance's number, from which the order of peers is derived. */
+    public PeerStateQuery(int instance, double startedMs) {
+        this.instance = instance;
         this.startedMs = startedMs;
     }
 
-    /** Whom to ask now. Some times a second. */
+    /** The peers to ask now; to be called some times a second. */
     public List<Integer> peersToQuery(double nowMs, View view) {
         if (state != State.QUERYING) {
             return List.of();
         }
-        List<Entry> serving = view.entries().stream()
+        List<Entry> serving = servingPeers(view);
+        if (!serving.isEmpty() && Double.isNaN(servingPeerSeenMs)) {
+            servingPeerSeenMs = nowMs;
+        }
+        state = nextState(nowMs, serving.size());
+        return state == State.QUERYING ? choosePeers(nowMs, serving) : List.of();
+    }
+
+    private List<Entry> servingPeers(View view) {
+        return view.entries().stream()
                 .filter(e -> e.id() != instance && e.state().lives() && e.phase() == Phase.SERVING)
                 .sorted(Comparator.comparingLong(e -> Entry.mix(e.id() ^ instance * 0x9e37_79b9_7f4a_7c15L)))
                 .toList();
-        if (!serving.isEmpty() && Double.isNaN(servingPeerSeenMs)) {
-            servingPeerSeenMs = nowMs;
+    }
+
+    private State nextState(double nowMs, int servingPeers) {
+        boolean noPeerSeen = Double.isNaN(servingPeerSeenMs);
+        if (answers.size() >= Math.min(ANSWERS_WANTED, Math.max(1, servingPeers))) {
+            return State.ANSWERED;
         }
-        if (answers.size() >= Math.min(ANSWERS_WANTED, Math.max(1, serving.size()))) {
-            state = State.ANSWERED;
-        } else if (nowMs - startedMs >= QUERY_TIMEOUT_MS) {
-            state = !answers.isEmpty()
-                    ? State.ANSWERED
-                    : Double.isNaN(servingPeerSeenMs) ? State.NO_SERVING_PEER : State.UNANSWERED;
-        } else if (Double.isNaN(servingPeerSeenMs) && nowMs - startedMs >= NO_PEER_TIMEOUT_MS) {
-            state = State.NO_SERVING_PEER;
+        if (nowMs - startedMs >= QUERY_TIMEOUT_MS) {
+            if (!answers.isEmpty()) {
+                return State.ANSWERED;
+            }
+            return noPeerSeen ? State.NO_SERVING_PEER : State.UNANSWERED;
         }
-        return state == State.QUERYING ? choosePeers(nowMs, serving) : List.of();
+        return noPeerSeen && nowMs - startedMs >= NO_PEER_TIMEOUT_MS ? State.NO_SERVING_PEER : State.QUERYING;
     }
 
+    /** Peers of zones that none was asked of first, then any. */
     private List<Integer> choosePeers(double nowMs, List<Entry> serving) {
-        long out = queriedAtMs.entrySet().stream()
+        long awaited = queriedAtMs.entrySet().stream()
                 .filter(e -> !answers.containsKey(e.getKey()) && nowMs - e.getValue() < ANSWER_TIMEOUT_MS)
                 .count();
         Set<Integer> zones = new HashSet<>();
         serving.stream().filter(e -> queriedAtMs.containsKey(e.id())).forEach(e -> zones.add(e.zone()));
-        List<Integer> ask = new ArrayList<>();
-        for (int round = 0; round < 2; round++) {
+        List<Integer> chosen = new ArrayList<>();
+        for (boolean anyZone : new boolean[] {false, true}) {
             for (Entry e : serving) {
-                if (out + answers.size() < ANSWERS_WANTED
+                if (awaited + answers.size() < ANSWERS_WANTED
                         && !queriedAtMs.containsKey(e.id())
-                        && (zones.add(e.zone()) || round > 0)) {
+                        && (zones.add(e.zone()) || anyZone)) {
                     queriedAtMs.put(e.id(), nowMs);
-                    ask.add(e.id());
-                    out++;
+                    chosen.add(e.id());
+                    awaited++;
                 }
             }
         }
-        return ask;
+        return chosen;
     }
 
-    /** An answer has come; one that was not asked for, or comes twice, says nothing. */
-    public void answerReceived(int peer, PeerStateSummary memory) {
+    /** An answer has come; one that was not asked for, or comes twice, is ignored. */
+    public void answerReceived(int peer, PeerStateSummary summary) {
         if (state == State.QUERYING && queriedAtMs.containsKey(peer)) {
-            answers.putIfAbsent(peer, memory);
+            answers.putIfAbsent(peer, summary);
         }
     }
 
-    /** How it stands. */
+    /** The progress as of the last {@link #peersToQuery}. */
     public State state() {
         return state;
     }
 
     /**
-     * What they said, once that is done.
+     * The answers in one, once there are any.
      *
-     * @param zoneOf where a node stands; nodes that are not in it are left out
-     * @param inZone how many nodes a zone has
+     * @param zoneOf the zone of each node; other nodes are left out
+     * @param nodesInZone how many nodes each zone has
      */
-    public Result result(Map<Integer, Integer> zoneOf, Map<Integer, Integer> inZone) {
+    public Result result(Map<Integer, Integer> zoneOf, Map<Integer, Integer> nodesInZone) {
         if (answers.isEmpty()) {
-            throw new IllegalStateException("nobody has answered");
+            throw new IllegalStateException("no peer has answered");
         }
-        Map<Integer, Integer> votes = new LinkedHashMap<>();
-        answers.values().forEach(m -> new HashSet<>(m.avoidedNodes()).forEach(n -> votes.merge(n, 1, Integer::sum)));
-        Map<Integer, Integer> doubted = new HashMap<>();
-        List<Integer> bad = votes.entrySet().stream()
-                .filter(v -> v.getValue() >= Math.min(2, answers.size()) && zoneOf.containsKey(v.getKey()))
-                .sorted(Map.Entry.<Integer, Integer>comparingByValue()
-                        .reversed()
-                        .thenComparing(Map.Entry.comparingByKey()))
-                .map(Map.Entry::getKey)
-                .filter(n -> doubted.merge(zoneOf.get(n), 1, Integer::sum)
-                        <= Math.max(1, inZone.getOrDefault(zoneOf.get(n), 0) / MAX_SUSPECTED_DIVISOR))
-                .toList();
         return new Result(
                 answers.size(),
                 answers.values().stream()
@@ -175,7 +178,28 @@
                         .mapToDouble(PeerStateSummary::originInTimeRatio)
                         .min()
                         .orElseThrow(),
-                bad);
+                suspectedNodes(zoneOf, nodesInZone));
+    }
+
+    private List<Integer> suspectedNodes(Map<Integer, Integer> zoneOf, Map<Integer, Integer> nodesInZone) {
+        Map<Integer, Integer> votes = new LinkedHashMap<>();
+        answers.values()
+                .forEach(summary ->
+                        new HashSet<>(summary.avoidedNodes()).forEach(node -> votes.merge(node, 1, Integer::sum)));
+        Map<Integer, Integer> suspectedInZone = new HashMap<>();
+        return votes.entrySet().stream()
+                .filter(v -> v.getValue() >= Math.min(MIN_VOTES, answers.size()) && zoneOf.containsKey(v.getKey()))
+                .sorted(Map.Entry.<Integer, Integer>comparingByValue()
+                        .reversed()
+                        .thenComparing(Map.Entry.comparingByKey()))
+                .map(Map.Entry::getKey)
+                .filter(node -> suspectedInZone.merge(zoneOf.get(node), 1, Integer::sum)
+                        <= maxSuspected(nodesInZone.getOrDefault(zoneOf.get(node), 0)))
+                .toList();
+    }
+
+    private static int maxSuspected(int nodesInZone) {
+        return Math.max(1, nodesInZone / MAX_SUSPECTED_DIVISOR);
     }
 
     private static double median(List<Float> sorted) {
--- a/src/main/java/cacheproxy/recovery/PeerStateSummary.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateSummary.java
@@ -5,14 +5,21 @@
 import java.util.List;
 
 /**
- * What an instance that serves tells one that has come back with nothing: what takes a few bytes and is worth most
- * first. It fits in one datagram.
+ * The answer to a state query: what a serving instance tells one that has started without state. Holds what is worth
+ * most in few bytes, so that it fits in one datagram.
  *
- * @param listVersion the version of the list that it holds, 0 or more; a claim, as only discovery's word makes a list
- * @param originFetchMs what a fetch at the origin takes
- * @param nodeLatencyMs what an answer of a cache node takes
- * @param originInTimeRatio of what it asked of the origin lately, so much came in time, 0 to 1
- * @param avoidedNodes nodes that it avoids, those that failed most first, {@link #MAX_AVOIDED_NODES} at most
+ * <table>
+ * <caption>Messages of kind RECALL, integers and floats big-endian</caption>
+ * <tr><td>query</td><td>{@code 'Q'}</td></tr>
+ * <tr><td>answer</td><td>{@code 'M'}, list version (8 bytes), origin fetch, node latency, origin in-time ratio (4 bytes
+ * each), number of nodes (1 byte), nodes (4 bytes each)</td></tr>
+ * </table>
+ *
+ * @param listVersion the version of the endpoint list that it has, 0 or more; a claim, as only discovery makes a list
+ * @param originFetchMs how long a fetch from the origin takes, milliseconds
+ * @param nodeLatencyMs how long a response of a cache node takes, milliseconds
+ * @param originInTimeRatio the part of its recent origin fetches that completed in time, 0 to 1
+ * @param avoidedNodes nodes that it avoids, those with most failures first, {@link #MAX_AVOIDED_NODES} at most
  */
 public record PeerStateSummary(
         long listVersion,
@@ -20,7 +27,7 @@
         float nodeLatencyMs,
         float originInTimeRatio,
         List<Integer> avoidedNodes) {
-    /** So many nodes are named at most. */
+    /** How many nodes are named at most. */
     public static final int MAX_AVOIDED_NODES = 48;
 
     private static final byte QUERY_TYPE = 'Q';
@@ -36,22 +43,23 @@
                 || !(nodeLatencyMs >= 0 && nodeLatencyMs <= MAX_DURATION_MS)
                 || !(originInTimeRatio >= 0 && originInTimeRatio <= 1)
                 || avoidedNodes.size() > MAX_AVOIDED_NODES) {
-            throw new IllegalArgumentException("a memory of version " + listVersion + ", " + originFetchMs + " and "
-                    + nodeLatencyMs + " ms, " + originInTimeRatio + ", " + avoidedNodes.size() + " nodes");
+            throw new IllegalArgumentException("peer state out of range: list version " + listVersion + ", durations "
+                    + originFetchMs + " and " + nodeLatencyMs + " ms, ratio " + originInTimeRatio + ", "
+                    + avoidedNodes.size() + " nodes");
         }
     }
 
-    /** The question. */
+    /** The message that asks for a summary. */
     public static byte[] query() {
         return new byte[] {QUERY_TYPE};
     }
 
-    /** Whether a message is the question. */
+    /** Whether a message asks for a summary. */
     public static boolean isQuery(byte[] message) {
         return message.length == 1 && message[0] == QUERY_TYPE;
     }
 
-    /** As a message. */
+    /** The message that holds this summary. */
     public byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + Integer.BYTES * avoidedNodes.size())
                 .put(ANSWER_TYPE)
@@ -64,27 +72,27 @@
         return out.array();
     }
 
-    /** Reads it; null for what is none, or none that can be so. */
+    /** The summary in a message; null for a message that holds none or has values out of range. */
     public static PeerStateSummary decode(byte[] message) {
         if (message.length < HEADER_BYTES || message[0] != ANSWER_TYPE) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(message);
         in.get();
-        long version = in.getLong();
-        float fetch = in.getFloat();
-        float pace = in.getFloat();
-        float share = in.getFloat();
-        int many = in.get();
-        if (many < 0 || many > MAX_AVOIDED_NODES || in.remaining() != Integer.BYTES * many) {
+        long listVersion = in.getLong();
+        float originFetchMs = in.getFloat();
+        float nodeLatencyMs = in.getFloat();
+        float originInTimeRatio = in.getFloat();
+        int nodeCount = in.get();
+        if (nodeCount < 0 || nodeCount > MAX_AVOIDED_NODES || in.remaining() != Integer.BYTES * nodeCount) {
             return null;
         }
-        List<Integer> bad = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
-            bad.add(in.getInt());
+        List<Integer> avoidedNodes = new ArrayList<>();
+        for (int i = 0; i < nodeCount; i++) {
+            avoidedNodes.add(in.getInt());
         }
         try {
-            return new PeerStateSummary(version, fetch, pace, share, bad);
+            return new PeerStateSummary(listVersion, originFetchMs, nodeLatencyMs, originInTimeRatio, avoidedNodes);
         } catch (IllegalArgumentException e) {
             return null;
         }
--- a/src/main/java/cacheproxy/recovery/Provenance.java
+++ b/src/main/java/cacheproxy/recovery/Provenance.java
@@ -4,15 +4,15 @@
 public enum Provenance {
     /** It has none. */
     NONE("none"),
-    /** The configuration, as of no time that is known. */
+    /** The configuration, of unknown age. */
     CONFIGURED("configured"),
-    /** This instance's own folder. */
+    /** This instance's own state folder. */
     STORED("stored"),
-    /** Peers. */
+    /** Peers, in answer to a state query. */
     PEERS("peers"),
-    /** The process before, which served until now. */
+    /** The process that this one took over from, which served until now. */
     PREDECESSOR("predecessor"),
-    /** Discovery, or what was met at the servers themselves. */
+    /** Discovery, or this process's own observation of the servers. */
     FIRST_HAND("first hand");
 
     private final String wireName;
--- a/src/main/java/cacheproxy/recovery/ProvenanceTracker.java
+++ b/src/main/java/cacheproxy/recovery/ProvenanceTracker.java
@@ -4,20 +4,22 @@
 import java.util.Map;
 
 /**
- * What this process works with that it has not seen itself, where it came from, and until when it may. Whatever is met
- * at first hand takes its place. A decision that rests on something past its bound is a stale one, and is counted;
- * whoever holds the thing is to drop it when {@link #expired} says so, so that there are none.
+ * Tracks where the state came from that this process works with and has not observed itself, and until when it may be
+ * used. What is observed at first hand replaces it. A decision that rests on expired state is counted as a stale one;
+ * the owner of the state has to discard it when {@link #expired} says so, so that there are none.
+ *
+ * <p>Times are Unix times in milliseconds. Not thread-safe.
  */
 public final class ProvenanceTracker {
-    /** What may come from elsewhere. */
+    /** Kinds of state that may come from elsewhere. */
     public enum Subject {
-        /** The list of servers. */
+        /** The endpoint list. */
         ENDPOINT_LIST("list"),
-        /** What was learnt of servers and the origin. */
+        /** What the load balancer has learned of endpoints and the origin. */
         LEARNED_STATE("learnt"),
         /** How far zones are open. */
         ZONE_STATES("zones"),
-        /** The number of this instance's life. */
+        /** This instance's incarnation number. */
         INCARNATION("incarnation");
 
         private final String wireName;
@@ -33,70 +35,72 @@
     }
 
     /**
-     * How one thing stands.
+     * Where the state of one subject came from.
      *
-     * @param provenance where it came from
-     * @param ageMs how old it was when it was taken; NaN where that is not known
-     * @param usableUntilMs it may be used until then, by the clock of whoever asks; infinite for no bound
-     * @param hint it only makes decisions more careful
+     * @param provenance its source
+     * @param ageMs how old it was when it was adopted; NaN where that is unknown
+     * @param usableUntilMs until when it may be used; infinite: without a bound
+     * @param hint whether it only makes decisions more careful
      */
     public record Entry(Provenance provenance, double ageMs, double usableUntilMs, boolean hint) {}
 
     private static final Entry NO_ENTRY = new Entry(Provenance.NONE, Double.NaN, Double.POSITIVE_INFINITY, false);
 
     private final Map<Subject, Entry> entries = new EnumMap<>(Subject.class);
-    private long rejected;
+    private long rejectedRecords;
     private long staleDecisions;
 
-    /** Something has been taken from elsewhere. */
-    public void adopted(double nowMs, Subject thing, Provenance source, double ageMs, double boundMs, boolean hint) {
-        entries.put(
-                thing,
-                new Entry(
-                        source,
-                        ageMs,
-                        Double.isNaN(ageMs) ? Double.POSITIVE_INFINITY : nowMs + Math.max(0, boundMs - ageMs),
-                        hint));
+    /**
+     * State was adopted from elsewhere.
+     *
+     * @param ageMs how old it is now; NaN where that is unknown, and then it doesn't expire
+     * @param maxAgeMs the age up to which it may be used
+     * @param hint whether it only makes decisions more careful
+     */
+    public void adopted(
+            double nowMs, Subject subject, Provenance provenance, double ageMs, double maxAgeMs, boolean hint) {
+        double usableUntilMs = Double.isNaN(ageMs) ? Double.POSITIVE_INFINITY : nowMs + Math.max(0, maxAgeMs - ageMs);
+        entries.put(subject, new Entry(provenance, ageMs, usableUntilMs, hint));
     }
 
-    /** Something was there and was not taken, as it is too old, or another's. */
-    public void rejected(Subject thing) {
-        rejected++;
+    /** A record was found and not adopted, as it is too old or malformed. */
+    public void rejected(Subject subject) {
+        rejectedRecords++;
     }
 
-    /** It has been met at first hand. */
-    public void confirmed(Subject thing) {
-        entries.put(thing, new Entry(Provenance.FIRST_HAND, 0, Double.POSITIVE_INFINITY, false));
+    /** The subject has been observed at first hand. */
+    public void confirmed(Subject subject) {
+        entries.put(subject, new Entry(Provenance.FIRST_HAND, 0, Double.POSITIVE_INFINITY, false));
     }
 
-    /** What was taken has been let go of. */
-    public void discarded(Subject thing) {
-        entries.remove(thing);
+    /** What was adopted is no longer used. */
+    public void discarded(Subject subject) {
+        entries.remove(subject);
     }
 
-    /** How a thing stands. */
-    public Entry entry(Subject thing) {
-        return entries.getOrDefault(thing, NO_ENTRY);
+    /** Where the state of a subject came from; of provenance {@link Provenance#NONE} where there is none. */
+    public Entry entry(Subject subject) {
+        return entries.getOrDefault(subject, NO_ENTRY);
     }
 
-    /** Whether it is past its bound, and is to be let go of. */
-    public boolean expired(double nowMs, Subject thing) {
-        return nowMs > entry(thing).usableUntilMs();
+    /** Whether what was adopted may no longer be used, and is to be discarded. */
+    public boolean expired(double nowMs, Subject subject) {
+        return nowMs > entry(subject).usableUntilMs();
     }
 
-    /** Something is decided by this thing now. */
-    public void usedForDecision(double nowMs, Subject thing) {
-        if (expired(nowMs, thing)) {
+    /** A decision rests on the state of this subject now. */
+    public void usedForDecision(double nowMs, Subject subject) {
+        if (expired(nowMs, subject)) {
             staleDecisions++;
         }
     }
 
-    /** Records that were found and not used. */
-    public long rejected() {
-        return rejected;
+    /** Records that were found and not adopted. */
+    public long rejectedRecords() {
+        return rejectedRecords;
     }
 
-    /** Decisions by something past its bound; stays 0. */
+    /** Decisions that rested on expired state; stays 0. */
     public long staleDecisions() {
         return staleDecisions;
     }
--- a/src/main/java/cacheproxy/recovery/RequestCounts.java
+++ b/src/main/java/cacheproxy/recovery/RequestCounts.java
@@ -1,14 +1,14 @@
 package cacheproxy.recovery;
 
 /**
- * What an instance has done since its start, as far as recovery looks at it.
+ * Requests of an instance since its start.
  *
  * @param received requests that were taken
- * @param served of these, served
- * @param rejected of these, refused
+ * @param served of these, answered as asked
+ * @param rejected of these, rejected
  */
 public record RequestCounts(long received, long served, long rejected) {
-    /** The difference to an earlier one. */
+    /** What was counted since an earlier reading. */
     RequestCounts since(RequestCounts earlier) {
         return new RequestCounts(received - earlier.received, served - earlier.served, rejected - earlier.rejected);
     }
--- a/src/main/java/cacheproxy/state/RecordKind.java
+++ b/src/main/java/cacheproxy/state/RecordKind.java
@@ -16,55 +16,48 @@
      * The incarnation number of this instance in the membership protocol, which only goes up. Without it the first peer
      * that contradicts tells the number.
      */
-    INCARNATION("incarnation", Authority.SELF, ValidityPeriod.UNLIMITED, 0),
+    INCARNATION("incarnation", Authority.SELF, Limits.ANY_AGE, Limits.ANY_AGE, 0),
     /**
      * The endpoint list with its version, as discovery sent it; the draining endpoints in it bind the next process as
      * well. A higher version from the configuration or from discovery goes before it. After a day the nodes may be
      * other ones.
      */
-    ENDPOINT_LIST(
-            "list",
-            Authority.DISCOVERY,
-            new ValidityPeriod(RecordKind.MINUTE_MS, RecordKind.DAY_MS),
-            RecordKind.URGENT_MS),
+    ENDPOINT_LIST("list", Authority.DISCOVERY, Limits.MINUTE_MS, Limits.DAY_MS, Limits.URGENT_DELAY_MS),
     /**
      * What the load balancer has learned of endpoints and the origin. An endpoint that failed a minute ago is
      * suspected, not avoided; that an endpoint was healthy or warm is never taken from here.
      */
-    LEARNED_STATE(
-            "learnt",
-            Authority.OBSERVED,
-            new ValidityPeriod(RecordKind.MINUTE_MS / 2, 10 * RecordKind.MINUTE_MS),
-            RecordKind.GATHER_MS),
+    LEARNED_STATE("learnt", Authority.OBSERVED, Limits.MINUTE_MS / 2, 10 * Limits.MINUTE_MS, Limits.GATHER_DELAY_MS),
     /**
      * Zone states decided on evidence. Whether a zone is open is a matter of the moment, but its epoch never goes back,
      * so it stays a hint at any age.
      */
-    ZONE_STATES(
-            "zones",
-            Authority.FLEET,
-            new ValidityPeriod(RecordKind.MINUTE_MS, Double.POSITIVE_INFINITY),
-            RecordKind.URGENT_MS),
+    ZONE_STATES("zones", Authority.FLEET, Limits.MINUTE_MS, Limits.ANY_AGE, Limits.URGENT_DELAY_MS),
     /** Zone states ordered by operators, which hold until operators revoke them. */
-    OPERATOR_ORDERS("orders", Authority.OPERATOR, ValidityPeriod.UNLIMITED, RecordKind.URGENT_MS);
+    OPERATOR_ORDERS("orders", Authority.OPERATOR, Limits.ANY_AGE, Limits.ANY_AGE, Limits.URGENT_DELAY_MS);
 
-    /** A change of a kind that may wait no longer than this is written whatever was written before it. */
-    static final double URGENT_MS = 100;
-
-    private static final double MINUTE_MS = 60_000;
-    private static final double DAY_MS = 86_400_000;
-    /** Learned state changes with each request; losing some seconds of it costs little. */
-    private static final double GATHER_MS = 5000;
+    /** The limits that the kinds are declared by; ages and delays in milliseconds. */
+    private static final class Limits {
+        static final double ANY_AGE = Double.POSITIVE_INFINITY;
+        static final double MINUTE_MS = 60_000;
+        static final double DAY_MS = 86_400_000;
+        /** A change that may wait no longer than this is written however much was written before it. */
+        static final double URGENT_DELAY_MS = 100;
+        /** Learned state changes with each request; losing some seconds of it costs little. */
+        static final double GATHER_DELAY_MS = 5000;
+    }
 
     private final String wireName;
     private final Authority authority;
-    private final ValidityPeriod validityPeriod;
+    private final double validForMs;
+    private final double hintForMs;
     private final double writeDelayMs;
 
-    RecordKind(String wireName, Authority authority, ValidityPeriod validityPeriod, double writeDelayMs) {
+    RecordKind(String wireName, Authority authority, double validForMs, double hintForMs, double writeDelayMs) {
         this.wireName = wireName;
         this.authority = authority;
-        this.validityPeriod = validityPeriod;
+        this.validForMs = validForMs;
+        this.hintForMs = hintForMs;
         this.writeDelayMs = writeDelayMs;
     }
 
@@ -75,17 +68,17 @@
 
     /** Up to this age in milliseconds decisions may rest on it; infinite: at any age. */
     public double validForMs() {
-        return validityPeriod.validForMs();
+        return validForMs;
     }
 
     /** Up to this age in milliseconds it is a hint; infinite: at any age. */
     public double hintForMs() {
-        return validityPeriod.hintForMs();
+        return hintForMs;
     }
 
-    /** Whether a record of this kind may be used at any age, so that its age need not be kept up to date. */
+    /** Whether decisions may rest on it at any age, so that its age need not be kept up to date. */
     boolean ageless() {
-        return validityPeriod.unlimited();
+        return validForMs == Limits.ANY_AGE;
     }
 
     /** A change need not be written sooner than so many milliseconds after it was made. */
@@ -95,12 +88,22 @@
 
     /** Whether a change is written even when the budget of the minute is spent. */
     boolean urgent() {
-        return writeDelayMs <= URGENT_MS;
+        return writeDelayMs <= Limits.URGENT_DELAY_MS;
     }
 
-    /** How far a record of this age in milliseconds may be used; negative: it is from the future. */
+    /**
+     * How far a record of this age in milliseconds may be used. One with a negative age (from the future: a clock was
+     * set back) or none (NaN) is used only as far as it could be at any age.
+     */
     public Validity validity(double ageMs) {
-        return validityPeriod.at(ageMs);
+        boolean ageKnown = ageMs >= 0;
+        if (ageless() || (ageKnown && ageMs <= validForMs)) {
+            return Validity.VALID;
+        }
+        if (hintForMs == Limits.ANY_AGE || (ageKnown && ageMs <= hintForMs)) {
+            return Validity.HINT;
+        }
+        return Validity.UNUSABLE;
     }
 
     /** Its name in state files, in the takeover's state and in reports. */
--- a/src/main/java/cacheproxy/state/RecordStore.java
+++ b/src/main/java/cacheproxy/state/RecordStore.java
@@ -1,5 +1,6 @@
 package cacheproxy.state;
 
+import cacheproxy.flow.ExponentialBackoff;
 import com.google.gson.JsonElement;
 import java.util.EnumMap;
 import java.util.EnumSet;
--- a/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
+++ b/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
@@ -23,14 +23,14 @@
      */
     private static final class Fleet {
         final int[] open;
-        final List<ConnectionRebalancer> spreads = new ArrayList<>();
+        final List<ConnectionRebalancer> rebalancers = new ArrayList<>();
         final int[] ended;
         double now;
 
         Fleet(int... open) {
             this.open = open;
             ended = new int[open.length];
-            Arrays.stream(open).forEach(n -> spreads.add(new ConnectionRebalancer()));
+            Arrays.stream(open).forEach(n -> rebalancers.add(new ConnectionRebalancer()));
         }
 
         /** {@code stays}: what is ended comes back to where it was. */
@@ -44,7 +44,8 @@
                         others.add(RequestRateCode.decode(RequestRateCode.encode(before[j] * CLIENTS_RATE)));
                     }
                 }
-                int many = spreads.get(i).connectionsToClose(now, before[i] * CLIENTS_RATE, others, open[i], open[i]);
+                int many =
+                        rebalancers.get(i).connectionsToClose(now, before[i] * CLIENTS_RATE, others, open[i], open[i]);
                 assertThat(many).isBetween(0, open[i]);
                 ended[i] += many;
                 for (int c = 0; c < many && !stays; c++) {
@@ -78,7 +79,7 @@
         assertThat(fleet.busiest()).isLessThanOrEqualTo(1.5);
     }
 
-    /** Whatever the spread, it comes to rest: no connection is ended for ever. */
+    /** Whatever the rebalancer, it comes to rest: no connection is ended for ever. */
     @Property(seed = "8", tries = 200)
     void itComesToRest(@ForAll @IntRange(min = 2, max = 20) int proxies, @ForAll long seed) {
         int[] open = new Random(seed).ints(proxies, 5, 100).toArray();
@@ -100,25 +101,25 @@
         while (fleet.now < 600_000) {
             fleet.tick(true);
         }
-        assertThat(fleet.spreads.get(0).isBackingOff(fleet.now)).isTrue();
+        assertThat(fleet.rebalancers.get(0).isBackingOff(fleet.now)).isTrue();
         assertThat(fleet.ended[0]).isLessThan(6 * 4 * 120);
         assertThat(fleet.ended[1]).isZero();
     }
 
     @Example
     void withNobodyElseThereNobodyIsSentAway() {
-        ConnectionRebalancer spread = new ConnectionRebalancer();
+        ConnectionRebalancer rebalancer = new ConnectionRebalancer();
         for (int t = 0; t < 20_000; t += 250) {
-            assertThat(spread.connectionsToClose(t, 1000, Collections.emptyList(), 100, 100))
+            assertThat(rebalancer.connectionsToClose(t, 1000, Collections.emptyList(), 100, 100))
                     .isZero();
         }
     }
 
     @Example
     void aLittleMoreThanOthersIsLeftAlone() {
-        ConnectionRebalancer spread = new ConnectionRebalancer();
+        ConnectionRebalancer rebalancer = new ConnectionRebalancer();
         for (int t = 0; t < 20_000; t += 250) {
-            assertThat(spread.connectionsToClose(t, 120, List.of(100.0, 95.0, 105.0), 30, 30))
+            assertThat(rebalancer.connectionsToClose(t, 120, List.of(100.0, 95.0, 105.0), 30, 30))
                     .isZero();
         }
     }
--- a/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
@@ -41,9 +41,9 @@
         StringBuilder all = new StringBuilder();
         all.append("question ").append(hex(PeerStateSummary.query())).append('\n');
         answers()
-                .forEach((name, memory) -> all.append(name)
+                .forEach((name, summary) -> all.append(name)
                         .append(' ')
-                        .append(hex(memory.encode()))
+                        .append(hex(summary.encode()))
                         .append('\n'));
         PinnedFile.assertText(FILE, all.toString());
     }
@@ -56,8 +56,8 @@
                 .collect(Collectors.toMap(w -> w[0], w -> HexFormat.of().parseHex(w[1])));
         assertThat(PeerStateSummary.isQuery(read.get("question"))).isTrue();
         answers()
-                .forEach((name, memory) ->
-                        assertThat(PeerStateSummary.decode(read.get(name))).isEqualTo(memory));
+                .forEach((name, summary) ->
+                        assertThat(PeerStateSummary.decode(read.get(name))).isEqualTo(summary));
     }
 
     @Test
--- a/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
@@ -52,7 +52,7 @@
         return new View(me, 0, entries, 0, new Configured(all), false);
     }
 
-    private static PeerStateSummary memory(long version, Integer... bad) {
+    private static PeerStateSummary summary(long version, Integer... bad) {
         return new PeerStateSummary(version, 20, 3, 1, Arrays.asList(bad));
     }
 
@@ -70,44 +70,44 @@
 
     @Example
     void anAnswerThatDoesNotComeIsAskedOfTheNext() {
-        PeerStateQuery recall = new PeerStateQuery(9, 0);
+        PeerStateQuery query = new PeerStateQuery(9, 0);
         View view = view(9, 10, 6);
-        List<Integer> first = recall.peersToQuery(0, view);
-        assertThat(recall.peersToQuery(400, view)).isEmpty();
-        recall.answerReceived(first.get(0), memory(4));
-        List<Integer> second = recall.peersToQuery(600, view);
+        List<Integer> first = query.peersToQuery(0, view);
+        assertThat(query.peersToQuery(400, view)).isEmpty();
+        query.answerReceived(first.get(0), summary(4));
+        List<Integer> second = query.peersToQuery(600, view);
         assertThat(second).hasSize(2).doesNotContainAnyElementsOf(first);
-        recall.answerReceived(second.get(0), memory(5));
-        recall.answerReceived(second.get(0), memory(7));
-        assertThat(recall.peersToQuery(700, view)).isEmpty();
-        assertThat(recall.state()).isEqualTo(State.QUERYING);
-        recall.answerReceived(first.get(1), memory(6));
-        recall.peersToQuery(800, view);
-        assertThat(recall.state()).isEqualTo(State.ANSWERED);
-        assertThat(recall.result(Map.of(), Map.of()).listVersion()).isEqualTo(6);
+        query.answerReceived(second.get(0), summary(5));
+        query.answerReceived(second.get(0), summary(7));
+        assertThat(query.peersToQuery(700, view)).isEmpty();
+        assertThat(query.state()).isEqualTo(State.QUERYING);
+        query.answerReceived(first.get(1), summary(6));
+        query.peersToQuery(800, view);
+        assertThat(query.state()).isEqualTo(State.ANSWERED);
+        assertThat(query.result(Map.of(), Map.of()).listVersion()).isEqualTo(6);
     }
 
     @Example
     void whereNobodyServesItIsKnownSoon() {
-        PeerStateQuery recall = new PeerStateQuery(0, 0);
+        PeerStateQuery query = new PeerStateQuery(0, 0);
         for (int t = 0; t < 3000; t += 100) {
-            assertThat(recall.peersToQuery(t, view(0, 12, 0))).isEmpty();
-            assertThat(recall.state()).isEqualTo(State.QUERYING);
+            assertThat(query.peersToQuery(t, view(0, 12, 0))).isEmpty();
+            assertThat(query.state()).isEqualTo(State.QUERYING);
         }
-        recall.peersToQuery(3000, view(0, 12, 0));
-        assertThat(recall.state()).isEqualTo(State.NO_SERVING_PEER);
+        query.peersToQuery(3000, view(0, 12, 0));
+        assertThat(query.state()).isEqualTo(State.NO_SERVING_PEER);
     }
 
     @Example
     void whereNobodyAnswersItEnds() {
-        PeerStateQuery recall = new PeerStateQuery(9, 0);
+        PeerStateQuery query = new PeerStateQuery(9, 0);
         View view = view(9, 10, 6);
         Set<Integer> asked = new HashSet<>();
         for (int t = 0; t <= PeerStateQuery.QUERY_TIMEOUT_MS; t += 100) {
-            recall.peersToQuery(t, view).forEach(p -> assertThat(asked.add(p)).isTrue());
+            query.peersToQuery(t, view).forEach(p -> assertThat(asked.add(p)).isTrue());
         }
         assertThat(asked).hasSize(6);
-        assertThat(recall.state()).isEqualTo(State.UNANSWERED);
+        assertThat(query.state()).isEqualTo(State.UNANSWERED);
     }
 
     /**
@@ -117,9 +117,9 @@
     @Property(seed = "3", tries = 500)
     void noWordOfPeersTakesOutMoreThanAPartOfAZone(
             @ForAll @Size(3) List<@Size(max = 40) List<@IntRange(max = 60) Integer>> said) {
-        PeerStateQuery recall = new PeerStateQuery(9, 0);
+        PeerStateQuery query = new PeerStateQuery(9, 0);
         View view = view(9, 10, 3);
-        List<Integer> asked = recall.peersToQuery(0, view);
+        List<Integer> asked = query.peersToQuery(0, view);
         Map<Integer, Integer> zoneOf = new HashMap<>();
         Map<Integer, Integer> inZone = new HashMap<>();
         for (int n = 0; n < 48; n++) {
@@ -127,9 +127,9 @@
             inZone.merge(n % ZONES, 1, Integer::sum);
         }
         for (int i = 0; i < 3; i++) {
-            recall.answerReceived(asked.get(i), memory(1, said.get(i).toArray(new Integer[0])));
+            query.answerReceived(asked.get(i), summary(1, said.get(i).toArray(new Integer[0])));
         }
-        Result r = recall.result(zoneOf, inZone);
+        Result r = query.result(zoneOf, inZone);
         for (int z = 0; z < ZONES; z++) {
             int zone = z;
             assertThat(r.suspectedNodes().stream().filter(n -> zoneOf.get(n) == zone))
--- a/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
+++ b/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
@@ -85,23 +85,24 @@
     /** What may be used until when, and that a decision beyond that is counted. */
     @Test
     void whatIsPastItsBoundIsSeen() {
-        ProvenanceTracker trust = new ProvenanceTracker();
-        trust.adopted(1000, ProvenanceTracker.Subject.ENDPOINT_LIST, Provenance.STORED, 400, 1000, false);
-        trust.usedForDecision(1600, ProvenanceTracker.Subject.ENDPOINT_LIST);
-        assertThat(trust.staleDecisions()).isZero();
-        assertThat(trust.expired(1601, ProvenanceTracker.Subject.ENDPOINT_LIST)).isTrue();
-        trust.usedForDecision(1601, ProvenanceTracker.Subject.ENDPOINT_LIST);
-        assertThat(trust.staleDecisions()).isEqualTo(1);
-        trust.confirmed(ProvenanceTracker.Subject.ENDPOINT_LIST);
-        trust.usedForDecision(1e12, ProvenanceTracker.Subject.ENDPOINT_LIST);
-        trust.adopted(
+        ProvenanceTracker tracker = new ProvenanceTracker();
+        tracker.adopted(1000, ProvenanceTracker.Subject.ENDPOINT_LIST, Provenance.STORED, 400, 1000, false);
+        tracker.usedForDecision(1600, ProvenanceTracker.Subject.ENDPOINT_LIST);
+        assertThat(tracker.staleDecisions()).isZero();
+        assertThat(tracker.expired(1601, ProvenanceTracker.Subject.ENDPOINT_LIST))
+                .isTrue();
+        tracker.usedForDecision(1601, ProvenanceTracker.Subject.ENDPOINT_LIST);
+        assertThat(tracker.staleDecisions()).isEqualTo(1);
+        tracker.confirmed(ProvenanceTracker.Subject.ENDPOINT_LIST);
+        tracker.usedForDecision(1e12, ProvenanceTracker.Subject.ENDPOINT_LIST);
+        tracker.adopted(
                 0,
                 ProvenanceTracker.Subject.ENDPOINT_LIST,
                 Provenance.CONFIGURED,
                 Double.NaN,
                 Double.POSITIVE_INFINITY,
                 false);
-        trust.usedForDecision(1e12, ProvenanceTracker.Subject.ENDPOINT_LIST);
-        assertThat(trust.staleDecisions()).isEqualTo(1);
+        tracker.usedForDecision(1e12, ProvenanceTracker.Subject.ENDPOINT_LIST);
+        assertThat(tracker.staleDecisions()).isEqualTo(1);
     }
 }
