--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -5,16 +5,16 @@
 import cacheproxy.admission.SafetyRules;
 import cacheproxy.admission.Verdict;
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.flow.ReadAhead;
+import cacheproxy.flow.ReadAheadBudget;
 import cacheproxy.flow.ReadTimeout;
 import cacheproxy.flow.RecentIds;
 import cacheproxy.membership.Living;
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.Metric;
 import cacheproxy.proxy.Timers.Timer;
-import cacheproxy.proxy.discovery.Host;
-import cacheproxy.proxy.discovery.ListSource;
-import cacheproxy.proxy.discovery.ProvisionalList;
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
+import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
@@ -54,7 +54,7 @@
  * in: an attempt ends once, a request is answered once. All of it runs on the event loop; the module is never called
  * from within one of its own orders, what happens meanwhile waits in line.
  */
-final class Dispatcher implements RoutingActions, ProvisionalList.User {
+final class Dispatcher implements RoutingActions, EndpointListPublisher.Subscriber {
     /** What was last known of clients and servers may be so old when an attempt begins, in milliseconds. */
     private static final double STALE_MS = 50;
     /** What a request that the module left unanswered at its due time may still wait for it. */
@@ -89,7 +89,8 @@
     private final RecentIds connectionFailed = new RecentIds();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
     private final ByteBudget valueBudget;
-    private final ReadAhead readAhead = new ReadAhead(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
+    private final ReadAheadBudget readAhead =
+            new ReadAheadBudget(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
     private final Servers servers;
     private Config config;
     private RoutingSettings settings;
@@ -97,7 +98,7 @@
     /** The module where routes are set, else null. */
     private Router router;
 
-    private ListSource discovery;
+    private EndpointListSource discovery;
     private PeerSocket peers;
     private PeerNews news;
     /** Mistakes of the program that were met so far. */
@@ -162,7 +163,7 @@
      *
      * @param routing null: one pool, and the settings' own policy
      */
-    void start(ListSource source, PeerSocket socket, ClientListener clients, Routing routing) {
+    void start(EndpointListSource source, PeerSocket socket, ClientListener clients, Routing routing) {
         discovery = source;
         peers = socket;
         listener = clients;
@@ -302,7 +303,7 @@
     }
 
     /** What of clients may be read before it can be looked at. */
-    ReadAhead readAhead() {
+    ReadAheadBudget readAhead() {
         return readAhead;
     }
 
@@ -419,12 +420,12 @@
     }
 
     @Override
-    public void called() {
+    public void onPollStarted() {
         counters.increment(Metric.ENDPOINT_LIST_POLLS);
     }
 
     @Override
-    public void callFailed(String why) {
+    public void onPollFailed(String why) {
         counters.increment(Metric.ENDPOINT_LIST_POLL_FAILURES);
         log(EventKind.ENDPOINT_LIST_POLL_FAILED, why);
         if (news != null) {
@@ -433,20 +434,23 @@
     }
 
     @Override
-    public void leftOut(String what) {
+    public void onEntryRejected(String what) {
         log(EventKind.ENDPOINT_LIST_ENTRY_INVALID, what);
     }
 
     @Override
-    public void listed(EndpointUpdateKind kind, List<Host> hosts) {
+    public void onEndpoints(EndpointUpdateKind kind, List<DiscoveredEndpoint> hosts) {
         servers.listed(kind, hosts, config.streamsPerConnection());
         long faultsBefore = faults;
         runSerially(() -> {
             if (router != null) { // with its event and not before it: another may wait in line
-                hosts.forEach(h -> router.describe(h.member().id(), h.server()));
+                hosts.forEach(h -> router.describe(h.endpoint().id(), h.poolMember()));
             }
             module.onEndpointUpdate(
-                    now(), kind, hosts.stream().map(Host::member).toList(), this);
+                    now(),
+                    kind,
+                    hosts.stream().map(DiscoveredEndpoint::endpoint).toList(),
+                    this);
         });
         boolean taken = faults == faultsBefore;
         runSerially(servers::withdraw);
@@ -467,12 +471,12 @@
     }
 
     @Override
-    public void changed(String what) {
+    public void onListChanged(String what) {
         log(EventKind.ENDPOINT_LIST_CHANGED, what);
     }
 
     @Override
-    public void inUse(long version) {
+    public void onListApplied(long version) {
         trust.confirmed(ProvenanceTracker.Subject.ENDPOINT_LIST);
         if (news != null) {
             news.held(version);
@@ -552,7 +556,7 @@
         }
         // Guards the one whose id it is: a server would take this for the same request, and answer it as such. One that
         // ended while this was on its way would have a second answer.
-        if (open.containsKey(c.id) || connectionFailed.holds(now, c.id)) {
+        if (open.containsKey(c.id) || connectionFailed.contains(now, c.id)) {
             rejectInvalid(x, "id of another request");
             return;
         }
@@ -751,7 +755,7 @@
             }
         }
         if (open.remove(x.command.id, x)) {
-            connectionFailed.ended(now(), x.command.id, idHoldMs);
+            connectionFailed.add(now(), x.command.id, idHoldMs);
         }
         x.command.release();
         if (x.attemptsInFlight == 0) {
@@ -931,12 +935,12 @@
 
     @Override
     public void setWatch(boolean on) {
-        discovery.watch(on);
+        discovery.setWatch(on);
     }
 
     @Override
     public void fetchEndpointList() {
-        discovery.fetch();
+        discovery.fetchSnapshot();
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -1,16 +1,16 @@
 package cacheproxy.proxy;
 
-import cacheproxy.drain.Drain;
 import cacheproxy.drain.DrainPlan;
+import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.gossip.ListNews;
-import cacheproxy.gossip.ProvisionalMembership;
+import cacheproxy.gossip.ListVersionGossip;
+import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.proxy.discovery.ProvisionalList;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Known;
@@ -21,7 +21,7 @@
 import cacheproxy.state.OpenedState;
 import cacheproxy.state.RecordKind;
 import cacheproxy.state.StoredRecord;
-import cacheproxy.takeover.Handover;
+import cacheproxy.takeover.HandoverStateMachine;
 import com.google.gson.JsonPrimitive;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
@@ -68,7 +68,7 @@
     private final Acceptor acceptor;
     private final Drainer drainer;
     private final Edge edge;
-    private final Handover handover = new Handover();
+    private final HandoverStateMachine handover = new HandoverStateMachine();
     private final HandoverLink link;
     private final CountDownLatch ended = new CountDownLatch(1);
     private volatile Runnable whenEnded = () -> {};
@@ -98,9 +98,9 @@
         peers = new PeerSocket(loop, config, dispatcher::peerMessageReceived, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
-        ProvisionalList list = new ProvisionalList(
+        EndpointListPublisher list = new EndpointListPublisher(
                 dispatcher,
-                new ProvisionalMembership(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
+                new ProvisionalEndpoints(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
                 dispatcher::now);
         discovery = new DiscoveryClient(
                 loop,
@@ -110,7 +110,7 @@
                 dispatcher::now);
         link = new HandoverLink(loop, shared, handover, acceptor, this::state);
         acceptor.retireBy(c -> {
-            if (!handover.passes()) {
+            if (!handover.passesClients()) {
                 c.finish();
             } else if (c.served()) {
                 c.pass(link);
@@ -127,8 +127,9 @@
                     discovery.start(remembered.list(config.known()));
                     if (config.settings().peerMessagesAllowed()) {
                         RoutingSettings settings = config.settings();
-                        ListNews news = new ListNews(settings.instanceCount(), settings.instanceSeed(config.seed()));
-                        news.begin(discovery.version());
+                        ListVersionGossip news =
+                                new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
+                        news.start(discovery.version());
                         dispatcher.news(new PeerNews(
                                 dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
                     }
@@ -172,7 +173,7 @@
                     new StoredRecord(
                             RecordKind.OPERATOR_ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
-        return new TakeoverState(discovery.list(), dispatcher.learnedState(), records);
+        return new TakeoverState(discovery.snapshot(), dispatcher.learnedState(), records);
     }
 
     /** What is passed over of what has been learnt; for tests, on the event loop only. */
@@ -181,11 +182,11 @@
     }
 
     private void ended() {
-        if (handover.passes()) {
+        if (handover.passesClients()) {
             dispatcher.log("passed " + link.passed() + " clients on");
         }
         link.close();
-        if (members != null && !handover.passes()) {
+        if (members != null && !handover.passesClients()) {
             members.leave(); // a successor goes on under this name
         }
         if (kept != null) {
@@ -399,7 +400,7 @@
                         members.view(),
                         members.unreadable(),
                         members.deathsRefuted(),
-                        peers.outbox().dropped());
+                        peers.outbox().droppedDatagrams());
     }
 
     /**
@@ -424,7 +425,7 @@
             config = next;
             loop.execute(() -> {
                 dispatcher.applySettings(next);
-                discovery.settle(next.discoverySettings());
+                discovery.updateSettings(next.discoverySettings());
                 if (routing != null) {
                     dispatcher.replaceRoutes(routing);
                 }
@@ -451,11 +452,13 @@
      */
     void drain() {
         loop.execute(() -> {
-            handover.terminated();
+            handover.terminationRequested();
             draining();
             double longest = dispatcher.longestDeadlineMs() + ANSWER_ROOM_MS;
             drainer.begin(
-                    handover.passes() ? DrainPlan.succeeded(longest) : DrainPlan.terminated(LISTEN_ON_MS, longest));
+                    handover.passesClients()
+                            ? DrainPlan.onTerminationWithSuccessor(longest)
+                            : DrainPlan.onTermination(LISTEN_ON_MS, longest));
         });
         try {
             ended.await();
@@ -468,9 +471,9 @@
     }
 
     /** Begins a drain that can be watched and taken back, or joins one. On the event loop only. */
-    public Drain.Begun drain(double deadlineMs) {
+    public DrainStateMachine.StartResult drain(double deadlineMs) {
         draining();
-        return drainer.begin(DrainPlan.asked(deadlineMs));
+        return drainer.begin(DrainPlan.requested(deadlineMs));
     }
 
     /** Takes a drain back; null if that was done, else why it can't be. On the event loop only. */
@@ -483,7 +486,7 @@
     }
 
     private void draining() {
-        if (members != null && !handover.passes()) {
+        if (members != null && !handover.passesClients()) {
             members.phase(Phase.DRAINING);
         }
     }
@@ -498,7 +501,7 @@
     }
 
     /** How a drain goes. On the event loop only. */
-    public Drain.Progress drainProgress() {
+    public DrainStateMachine.Progress drainProgress() {
         return drainer.progress();
     }
 
@@ -535,8 +538,8 @@
                 c.reloadsApplied(),
                 c.reloadsRejected(),
                 handover.phase(),
-                handover.taken(),
-                dispatcher.valueBudget().used(),
+                handover.completedHandovers(),
+                dispatcher.valueBudget().reserved(),
                 dispatcher.valueBudget().waiting());
     }
 
@@ -555,7 +558,7 @@
 
     /** How fresh the list is. On the event loop only. */
     public ListStatus list() {
-        return new ListStatus(discovery.version(), dispatcher.now() - discovery.answeredMs());
+        return new ListStatus(discovery.version(), dispatcher.now() - discovery.lastResponseMs());
     }
 
     /**
@@ -596,7 +599,7 @@
             int ejected,
             long applied,
             long rejected,
-            Handover.Phase handover,
+            HandoverStateMachine.Phase handover,
             int handovers,
             long kept,
             int waiting) {}
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -110,7 +110,7 @@
 
     private void listed(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
-            JsonElement list = discovery.list();
+            JsonElement list = discovery.snapshot();
             StoredRecord before = recordStore.get(RecordKind.ENDPOINT_LIST);
             if (before == null
                     || !before.body().equals(list)
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -118,7 +118,7 @@
                         doubts)));
         dispatcher.trust().adopted(now, ProvenanceTracker.Subject.LEARNED_STATE, Provenance.PEERS, 0, BOUND_MS, true);
         if (r.listVersion() > discovery.version()) {
-            discovery.peerIsAhead(); // a claim is no list, but worth a call
+            discovery.onPeerAhead(); // a claim is no list, but worth a call
         }
         dispatcher.log(String.format(
                 Locale.ROOT,
