--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -90,7 +90,7 @@
     private static JsonObject rules(RuleCounts counts) {
         JsonObject o = new JsonObject();
         o.add("forbidden", counts(counts.forbidden()));
-        o.add("breaches", counts(counts.breaches()));
+        o.add("breaches", counts(counts.violations()));
         return o;
     }
 
@@ -115,7 +115,7 @@
         figures.add(new MetricSample("sighup_rejected", Kind.COUNT, s.rejected()));
         new TreeMap<>(rules.forbidden())
                 .forEach((key, count) -> figures.add(new MetricSample("forbidden." + key, Kind.COUNT, count)));
-        new TreeMap<>(rules.breaches())
+        new TreeMap<>(rules.violations())
                 .forEach((key, count) -> figures.add(new MetricSample("breaches." + key, Kind.COUNT, count)));
         return figures;
     }
--- a/src/main/java/cacheproxy/lab/SoakRun.java
+++ b/src/main/java/cacheproxy/lab/SoakRun.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.config.Problems;
 import cacheproxy.demo.ProxyProcess;
+import cacheproxy.metrics.EventKind;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,7 +16,10 @@
  * Plays one soak: its scenario with bad clients beside, judged by the oracle, by them, and by the proxies themselves.
  */
 public final class SoakRun implements Companion {
-    private static final String BREACH = "breach: ";
+    /** Kinds of events that no proxy may log. */
+    private static final List<EventKind> UNEXPECTED_EVENTS =
+            List.of(EventKind.RULE_VIOLATION, EventKind.INTERNAL_ERROR);
+
     private static final int MOST_LINES = 5;
     /** Bad clients of the last moment have been ended by then. */
     private static final long QUIET_MS = 4000;
@@ -37,8 +41,8 @@
      *
      * @param outcome of its scenario
      * @param owed bad clients that were owed an error or a close
-     * @param violations of what the oracle does not see: bad clients unheard, breaches that proxies report, what they
-     *     hold at the end
+     * @param violations of what the oracle does not see: bad clients unheard, violations and internal errors that
+     *     proxies log, what they hold at the end
      */
     public record Result(Outcome outcome, int owed, List<String> violations) {
         /** Whether nothing was broken; a machine that was too busy to judge held nothing. */
@@ -101,9 +105,13 @@
         }
     }
 
+    private static boolean isUnexpected(String line) {
+        return UNEXPECTED_EVENTS.stream().anyMatch(kind -> line.startsWith(kind.key() + ": "));
+    }
+
     private void readLog(ProxyProcess proxy) throws IOException {
         List<String> lines = Files.readAllLines(proxy.logFile()).stream()
-                .filter(line -> line.startsWith(BREACH) || line.startsWith("fault: "))
+                .filter(SoakRun::isUnexpected)
                 .toList();
         if (!lines.isEmpty()) {
             violations.add(proxy.name() + " reports " + lines.size() + ": "
--- a/src/main/java/cacheproxy/metrics/EventKind.java
+++ b/src/main/java/cacheproxy/metrics/EventKind.java
@@ -1,35 +1,35 @@
 package cacheproxy.metrics;
 
-/** The kinds of events that are logged. Their names are stable: operators search for them. */
+/** The kinds of logged events. Their keys are stable: operators and tools search for them. */
 public enum EventKind {
-    /** A client was ended as it stopped in the middle of a request, or sent none. */
-    CLIENT_TIMEOUT("client_timed_out"),
-    /** A connection of a client could not be accepted. */
+    /** A client was disconnected because it stopped within a request, or sent none. */
+    CLIENT_TIMEOUT("client_timeout"),
+    /** A client's connection could not be accepted. */
     ACCEPT_FAILED("accept_failed"),
-    /** A client sent what can't be read; its connection ends. */
-    CLIENT_PROTOCOL_ERROR("client_unreadable"),
-    /** A request was turned away as none that can be carried out. */
-    REQUEST_INVALID("request_rejected"),
-    /** A request had no answer from the decision module at its time, or a drain's end answered it. */
-    REQUEST_ABORTED("request_cut"),
-    /** An attempt was ordered and must not begin. */
+    /** A client violated its protocol; its connection is closed. */
+    CLIENT_PROTOCOL_ERROR("client_protocol_error"),
+    /** A request was rejected because it is invalid. */
+    REQUEST_INVALID("request_invalid"),
+    /** A request was completed because its deadline or that of a drain had passed. */
+    REQUEST_ABORTED("request_aborted"),
+    /** The load balancer ordered an attempt that the rules do not permit; it was not sent. */
     ATTEMPT_FORBIDDEN("attempt_forbidden"),
-    /** A rule was seen to be broken. */
-    RULE_VIOLATION("breach"),
-    /** A server's answer can't be read; its connection ends. */
-    SERVER_PROTOCOL_ERROR("server_unreadable"),
-    /** The list of servers has changed: to which version, by whose word, and what of it. */
-    ENDPOINT_LIST_CHANGED("list_changed"),
-    /** A call for the list has failed: its form and why. */
-    ENDPOINT_LIST_POLL_FAILED("list_call_failed"),
-    /** Something of an answer of discovery's can't be used and was left out. */
-    ENDPOINT_LIST_ENTRY_INVALID("list_entry_unusable"),
-    /** The event loop was held up for longer than deadlines allow for. */
-    EVENT_LOOP_STALLED("held_up"),
-    /** A mistake of the program. */
-    INTERNAL_ERROR("fault"),
-    /** Anything else. */
-    INFO("note");
+    /** A safety rule was violated. None is expected. */
+    RULE_VIOLATION("rule_violation"),
+    /** A server violated its protocol; its connection is closed. */
+    SERVER_PROTOCOL_ERROR("server_protocol_error"),
+    /** The endpoint list has changed. */
+    ENDPOINT_LIST_CHANGED("endpoint_list_changed"),
+    /** A poll of the endpoint list has failed. */
+    ENDPOINT_LIST_POLL_FAILED("endpoint_list_poll_failed"),
+    /** An entry of the endpoint list is unusable and was skipped. */
+    ENDPOINT_LIST_ENTRY_INVALID("endpoint_list_entry_invalid"),
+    /** The event loop was blocked for longer than deadlines allow for. */
+    EVENT_LOOP_STALLED("event_loop_stalled"),
+    /** A bug of this program. None is expected. */
+    INTERNAL_ERROR("internal_error"),
+    /** Anything else that operators may want to know. */
+    INFO("info");
 
     private final String key;
 
--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -116,7 +116,7 @@
                         settings.routing().hedgingAllowed(),
                         request.attemptsExcept(attempt)));
         if (!verdict.allowed()) {
-            rules.forbade(attempt, verdict);
+            rules.recordForbidden(attempt, verdict);
         }
         return verdict.allowed();
     }
@@ -126,10 +126,10 @@
         ClientRequest request = attempt.request;
         double leftMs = attempt.isHealthCheck() ? Double.POSITIVE_INFINITY : request.deadlineMs - clock.now();
         if (SafetyRules.isExcessiveTimeout((double) remainingMs, leftMs)) {
-            rules.breached(
+            rules.recordViolation(
                     RuleViolation.EXCESSIVE_TIMEOUT_SENT,
                     request,
-                    remainingMs + " ms, " + Math.round(leftMs) + " ms are left");
+                    message -> message.with("sent_ms", remainingMs).with("left_ms", Math.round(leftMs)));
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/ConnectionFailures.java
+++ b/src/main/java/cacheproxy/proxy/ConnectionFailures.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.flow.ReadTimeout;
 import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.metrics.Metric;
 import java.io.IOException;
 
@@ -18,25 +19,31 @@
     /** A client's connection could not be accepted. */
     void acceptFailed(Throwable cause) {
         counters.increment(Metric.ACCEPT_FAILURES);
-        log.log(EventKind.ACCEPT_FAILED, String.valueOf(cause.getMessage()));
+        log.log(
+                EventKind.ACCEPT_FAILED,
+                LogMessage.of("connection not accepted").with("cause", cause.getMessage()));
     }
 
     /** A client has stopped within a request, or has not sent one. */
     void clientTimedOut(Object client, ReadTimeout timeout) {
         counters.increment(Metric.CLIENT_TIMEOUTS);
-        log.log(EventKind.CLIENT_TIMEOUT, client + " in its " + timeout);
+        log.log(
+                EventKind.CLIENT_TIMEOUT,
+                LogMessage.of("client stopped sending").with("client", client).with("awaited", timeout));
     }
 
     /** A connection fails. That its other side has closed it is ordinary; anything else is logged. */
     void connectionFailed(Throwable cause) {
         if (!(cause instanceof IOException)) {
-            log.log(EventKind.INTERNAL_ERROR, "a connection ends by " + cause);
+            log.log(EventKind.INTERNAL_ERROR, LogMessage.of("connection failed").with("cause", cause));
         }
     }
 
     /** The event loop was blocked for so many milliseconds, which is longer than deadlines allow for. */
     void eventLoopStalled(double ms) {
         counters.increment(Metric.EVENT_LOOP_STALLS);
-        log.log(EventKind.EVENT_LOOP_STALLED, "the event loop stood still for " + Math.round(ms) + " ms");
+        log.log(
+                EventKind.EVENT_LOOP_STALLED,
+                LogMessage.of("event loop blocked").with("ms", Math.round(ms)));
     }
 }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.proxy.Timers.Timer;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.discovery.EndpointListSource;
@@ -349,6 +350,11 @@
         log.log(kind, text);
     }
 
+    /** Logs an event, within the rate limit of its kind. */
+    void log(EventKind kind, LogMessage message) {
+        log.log(kind, message);
+    }
+
     /** Logs a line of information. */
     void log(String text) {
         log.log(EventKind.INFO, text);
--- a/src/main/java/cacheproxy/proxy/EndpointListEvents.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListEvents.java
@@ -72,7 +72,7 @@
         boolean accepted = loadBalancer.endpointsChanged(kind, endpoints);
         executor.runSerially(servers::withdraw);
         if (!accepted) {
-            throw new EndpointListRejectedException("the decision module does not take the list");
+            throw new EndpointListRejectedException("the load balancer failed on an update of the endpoint list");
         }
         listeners.forEach(listener -> executor.runSerially(() -> listener.accept(kind)));
     }
--- a/src/main/java/cacheproxy/proxy/EventLog.java
+++ b/src/main/java/cacheproxy/proxy/EventLog.java
@@ -2,15 +2,17 @@
 
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.LogBudget;
+import cacheproxy.metrics.LogMessage;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.function.DoubleSupplier;
 
 /**
- * Lines on standard error, each with the stable name of its kind: {@code kind: what happened}. Bounded by rate for each
- * kind, with the number left out told. On the event loop only.
+ * Writes events to standard error, a line each: {@code kind: text key=value ...}. The rate of each kind is limited; how
+ * many of a kind were suppressed stands as {@code suppressed=N} in its next line. Event loop only.
  */
 final class EventLog {
+    /** A longer line is cut off. */
     private static final int MAX_BYTES = 500;
 
     private final PrintStream out;
@@ -23,17 +25,22 @@
         this.nowMs = nowMs;
     }
 
-    /** Logs an event, if there is room for one of its kind. */
-    void log(EventKind kind, String what) {
-        long leftOut = budget.admit(nowMs.getAsDouble(), kind);
-        if (leftOut < 0) {
+    /** Logs an event, within the rate limit of its kind. */
+    void log(EventKind kind, LogMessage message) {
+        log(kind, message.toString());
+    }
+
+    /** Logs an event, within the rate limit of its kind. */
+    void log(EventKind kind, String text) {
+        long suppressed = budget.admit(nowMs.getAsDouble(), kind);
+        if (suppressed < 0) {
             return;
         }
-        String line = kind == EventKind.INFO ? what : kind.key() + ": " + what;
-        out.println(shortened(line) + (leftOut > 0 ? " (" + leftOut + " more were left out)" : ""));
+        String line = truncated(kind.key() + ": " + text);
+        out.println(suppressed > 0 ? line + " suppressed=" + suppressed : line);
     }
 
-    private static String shortened(String line) {
+    private static String truncated(String line) {
         return line.getBytes(StandardCharsets.UTF_8).length > MAX_BYTES ? line.substring(0, MAX_BYTES) : line;
     }
 }
--- a/src/main/java/cacheproxy/proxy/RequestCompletion.java
+++ b/src/main/java/cacheproxy/proxy/RequestCompletion.java
@@ -37,11 +37,13 @@
     void complete(ClientRequest request, RequestState state, RequestOutcome outcome) {
         boolean wasStreaming = request.isStreaming();
         if (!request.transitionTo(state)) {
-            rules.breached(RuleViolation.ANSWERED_TWICE, request, "it can't become " + state.key());
+            rules.recordViolation(
+                    RuleViolation.ANSWERED_TWICE, request, message -> message.with("new_state", state.key()));
         }
         double lateMs = clock.now() - request.deadlineMs;
         if (state == RequestState.ANSWERED && !wasStreaming && lateMs > SafetyRules.FINAL_ANSWER_SLACK_MS) {
-            rules.breached(RuleViolation.ANSWERED_LATE, request, Math.round(lateMs) + " ms after its time");
+            rules.recordViolation(
+                    RuleViolation.ANSWERED_LATE, request, message -> message.with("late_ms", Math.round(lateMs)));
         }
         recordOutcome(request, outcome);
     }
--- a/src/main/java/cacheproxy/proxy/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/RequestLifecycle.java
@@ -4,6 +4,7 @@
 import cacheproxy.admission.RuleViolation;
 import cacheproxy.admission.SafetyRules;
 import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.Request;
 
@@ -108,7 +109,7 @@
 
     private void rejectInvalid(ClientRequest request, String reason) {
         request.transitionTo(RequestState.ANSWERED);
-        log.log(EventKind.REQUEST_INVALID, reason + ": request " + request.command.id);
+        log(EventKind.REQUEST_INVALID, reason, request);
         metrics.recordInvalid(request);
         request.responseWriter.rejectInvalid(reason);
         completion.release(request);
@@ -120,7 +121,7 @@
         }
         request.deadlineTimer = timers.after(COMPLETION_GRACE_MS, () -> {
             if (request.isOpen()) {
-                log.log(EventKind.REQUEST_ABORTED, "left unanswered by the module: request " + request.command.id);
+                log(EventKind.REQUEST_ABORTED, "the load balancer did not complete it by its deadline", request);
                 completion.fail(request);
             }
         });
@@ -132,7 +133,7 @@
             return;
         }
         if (closedHere) {
-            rules.breached(RuleViolation.CLOSED_BEFORE_ANSWER, request, "its connection was closed from this side");
+            rules.recordViolation(RuleViolation.CLOSED_BEFORE_ANSWER, request);
         }
         completion.complete(request, RequestState.CLIENT_DISCONNECTED, RequestOutcome.CLIENT_DISCONNECTED);
         loadBalancer.clientDisconnected(request);
@@ -143,7 +144,7 @@
     /** Rejects an open request, where a repeat does no harm; else fails it, which is counted as a violation. */
     void reject(ClientRequest request, double retryAfterMs) {
         if (request.isOpen() && !isRejectable(request)) {
-            rules.breached(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, request, "it is answered as failed");
+            rules.recordViolation(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, request);
             completion.fail(request);
             return;
         }
@@ -166,7 +167,7 @@
         request.transitionTo(RequestState.ANSWERED); // before its attempts end, or the load balancer would respond
         boolean rejected = !wasStreaming && rejectableOnceExpired(request);
         completion.recordOutcome(request, rejected ? RequestOutcome.REJECTED : RequestOutcome.FAILED);
-        log.log(EventKind.REQUEST_ABORTED, "by the end of a drain: request " + request.command.id);
+        log(EventKind.REQUEST_ABORTED, "the drain's deadline has passed", request);
         loadBalancer.clientDisconnected(request);
         if (wasStreaming) {
             request.responseWriter.abort();
@@ -182,4 +183,8 @@
         attempts.expireAll(request);
         return isRejectable(request);
     }
+
+    private void log(EventKind kind, String phrase, ClientRequest request) {
+        log.log(kind, LogMessage.of(phrase).with("request", request.command.id));
+    }
 }
--- a/src/main/java/cacheproxy/proxy/RoutingOrders.java
+++ b/src/main/java/cacheproxy/proxy/RoutingOrders.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingActions;
@@ -54,7 +55,9 @@
     public void send(int requestId, int server, double timeoutMs) {
         ClientRequest request = requests.get(requestId);
         if (request == null || request.isCompleted()) {
-            log.log(EventKind.INTERNAL_ERROR, "order for a request that is over");
+            log.log(
+                    EventKind.INTERNAL_ERROR,
+                    LogMessage.of("attempt ordered for a completed request").with("number", requestId));
             return;
         }
         starter.start(request, server, timeoutMs);
--- a/src/main/java/cacheproxy/proxy/RuleCounts.java
+++ b/src/main/java/cacheproxy/proxy/RuleCounts.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 
 /**
- * What a proxy has seen of the four rules since its start.
+ * What a proxy has seen of the safety rules since its start.
  *
- * @param forbidden attempts that were ordered and not begun, by the condition that forbade them
- * @param breaches what went against a rule all the same, by its kind
+ * @param forbidden attempts that were ordered and not sent, by the stable name of the verdict
+ * @param violations violations of the rules, by the stable name of their kind
  */
-public record RuleCounts(Map<String, Long> forbidden, Map<String, Long> breaches) {
+public record RuleCounts(Map<String, Long> forbidden, Map<String, Long> violations) {
     /** Copies the maps. */
     public RuleCounts {
         forbidden = Map.copyOf(forbidden);
-        breaches = Map.copyOf(breaches);
+        violations = Map.copyOf(violations);
     }
 }
--- a/src/main/java/cacheproxy/proxy/RuleMonitor.java
+++ b/src/main/java/cacheproxy/proxy/RuleMonitor.java
@@ -4,63 +4,70 @@
 import cacheproxy.admission.SafetyRules;
 import cacheproxy.admission.Verdict;
 import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogMessage;
 import java.util.EnumMap;
-import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.UnaryOperator;
 
-/** Counts what {@link SafetyRules} forbade and what went against a rule all the same, and logs each with its ids. */
+/**
+ * Counts and logs what {@link SafetyRules} forbade, and violations of the rules that happened all the same. Event loop
+ * only.
+ */
 final class RuleMonitor {
     private final EventLog log;
     private final Map<Verdict, Long> forbidden = new EnumMap<>(Verdict.class);
-    private final Map<RuleViolation, Long> breaches = new EnumMap<>(RuleViolation.class);
+    private final Map<RuleViolation, Long> violations = new EnumMap<>(RuleViolation.class);
 
     RuleMonitor(EventLog log) {
         this.log = log;
     }
 
-    /** An attempt was ordered and did not begin. */
-    void forbade(RequestAttempt attempt, Verdict verdict) {
+    /** An attempt was ordered and, by this verdict, not sent. */
+    void recordForbidden(RequestAttempt attempt, Verdict verdict) {
         forbidden.merge(verdict, 1L, Long::sum);
         ClientRequest request = attempt.request;
         log.log(
                 EventKind.ATTEMPT_FORBIDDEN,
-                String.format(
-                        Locale.ROOT,
-                        "%s: request %s state %s attempt %d of %d server %s",
-                        verdict.key(),
-                        request.command.id,
-                        request.state().key(),
-                        attempt.index,
-                        request.maxAttempts,
-                        Integer.toHexString(attempt.server)));
+                requestMessage(verdict.key(), request)
+                        .with("attempt", attempt.index)
+                        .with("max_attempts", request.maxAttempts)
+                        .with("server", Integer.toHexString(attempt.server)));
     }
 
-    /** A rule was seen to be broken. */
-    void breached(RuleViolation breach, ClientRequest request, String detail) {
-        breaches.merge(breach, 1L, Long::sum);
-        log.log(
-                EventKind.RULE_VIOLATION,
-                breach.key() + ": request " + request.command.id + " state "
-                        + request.state().key() + ": " + detail);
+    /** A rule was violated. */
+    void recordViolation(RuleViolation violation, ClientRequest request) {
+        recordViolation(violation, request, message -> message);
+    }
+
+    /** A rule was violated; {@code addDetails} adds to the logged message how. */
+    void recordViolation(RuleViolation violation, ClientRequest request, UnaryOperator<LogMessage> addDetails) {
+        violations.merge(violation, 1L, Long::sum);
+        log.log(EventKind.RULE_VIOLATION, addDetails.apply(requestMessage(violation.key(), request)));
+    }
+
+    private static LogMessage requestMessage(String phrase, ClientRequest request) {
+        return LogMessage.of(phrase)
+                .with("request", request.command.id)
+                .with("state", request.state().key());
     }
 
-    /** What was forbidden so far, by the condition. */
+    /** How many attempts were not sent, by the verdict. */
     Map<Verdict, Long> forbidden() {
         return forbidden;
     }
 
-    /** What was seen to go against a rule so far, by its kind. */
-    Map<RuleViolation, Long> breaches() {
-        return breaches;
+    /** How many violations there were, by kind. */
+    Map<RuleViolation, Long> violations() {
+        return violations;
     }
 
-    /** Both, by their stable names. */
+    /** Both counts by their stable names. */
     RuleCounts counts() {
         Map<String, Long> forbiddenByKey = new TreeMap<>();
         forbidden.forEach((verdict, count) -> forbiddenByKey.put(verdict.key(), count));
-        Map<String, Long> breachesByKey = new TreeMap<>();
-        breaches.forEach((breach, count) -> breachesByKey.put(breach.key(), count));
-        return new RuleCounts(forbiddenByKey, breachesByKey);
+        Map<String, Long> violationsByKey = new TreeMap<>();
+        violations.forEach((violation, count) -> violationsByKey.put(violation.key(), count));
+        return new RuleCounts(forbiddenByKey, violationsByKey);
     }
 }
--- a/src/main/java/cacheproxy/proxy/SerialExecutor.java
+++ b/src/main/java/cacheproxy/proxy/SerialExecutor.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogMessage;
 import java.util.ArrayDeque;
 
 /**
@@ -55,7 +56,8 @@
     private void recordFailure(RuntimeException e) {
         failures++;
         StackTraceElement[] trace = e.getStackTrace();
-        log.log(EventKind.INTERNAL_ERROR, e + (trace.length > 0 ? " at " + trace[0] : ""));
+        LogMessage message = LogMessage.of("the load balancer failed").with("cause", e);
+        log.log(EventKind.INTERNAL_ERROR, trace.length > 0 ? message.with("at", trace[0]) : message);
     }
 
     /** How many calls have thrown. */
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.metrics.Metric;
 import cacheproxy.proxy.transport.Connecting;
 import cacheproxy.routing.AttemptOutcome;
@@ -346,7 +347,8 @@
     }
 
     void garbage(String what) {
-        upstream.dispatcher().log(EventKind.SERVER_PROTOCOL_ERROR, dial + " answers: " + what);
+        upstream.dispatcher()
+                .log(EventKind.SERVER_PROTOCOL_ERROR, LogMessage.of(what).with("server", dial));
         close();
     }
 
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -66,7 +66,7 @@
             }
             assertThat(fleet.on(() -> fleet.proxy.core().rules().forbidden()).keySet())
                     .isSubsetOf(Verdict.CLIENT_DISCONNECTED);
-            assertThat(fleet.on(() -> fleet.proxy.core().rules().breaches())).isEmpty();
+            assertThat(fleet.on(() -> fleet.proxy.core().rules().violations())).isEmpty();
         }
     }
 
@@ -133,9 +133,9 @@
                 return null;
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(fleet.on(() -> fleet.proxy.core().rules().breaches()))
+            assertThat(fleet.on(() -> fleet.proxy.core().rules().violations()))
                     .containsEntry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, 1L);
-            assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).breaches())
+            assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).violations())
                     .as("what status and figures show")
                     .containsExactly(Map.entry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED.key(), 1L));
         }
--- a/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
+++ b/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
@@ -148,7 +148,7 @@
             assertThat(process.isAlive()).isTrue();
             String injected = Files.readString(folder.resolve("faults"));
             assertThat(injected).contains(calls);
-            assertThat(process.log()).doesNotContain("breach: ", "fault: ");
+            assertThat(process.log()).doesNotContain("rule_violation: ", "internal_error: ");
             // Netty's own thread for what belongs to no event loop: nothing of the proxy may run on it.
             assertThat(threads(process)).noneMatch(name -> name.startsWith("globalEvent"));
         } finally {
