--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -111,7 +111,8 @@
         List<DiscoveredEndpoint> hosts =
                 List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
         loop.submit(() -> {
- dispatcher.start ( NO_DISCOVERY , null , NO_CLIENT_LISTENER , null ) ; dispatcher.endpointList ( ).onEndpoints ( EndpointUpdateKind.CACHED , hosts ) ;
+                    dispatcher.start(NO_DISCOVERY, null, NO_CLIENT_LISTENER, null);
+                    dispatcher.endpointList().onEndpoints(EndpointUpdateKind.CACHED, hosts);
                 })
                 .sync();
         new Bootstrap()
