--- /dev/null
+++ b/src/main/java/cacheproxy/routing/ConnectionCapacity.java
@@ -0,0 +1,62 @@
+package cacheproxy.routing;
+
+import cacheproxy.gossip.PeerMessage;
+import java.util.SplittableRandom;
+import java.util.function.Supplier;
+
+/**
+ * How long an endpoint is left alone that takes no further connection, as others hold all it accepts. It is not at
+ * fault: it counts as a member that can't be contacted (CARP draft, section 3.4), and its successors in the ranking
+ * have its keys until a connection may have come free. Times in milliseconds.
+ */
+final class ConnectionCapacity {
+    private static final int ALL_PEERS = -1;
+    /** The shortest delay, in connect timeouts. */
+    private static final int MIN_CONNECT_TIMEOUTS = 10;
+
+    private static final int MAX_DOUBLINGS = 4;
+    /** Who was answered within so many connect timeouts, 20 s where these are 100 ms, still has its connection. */
+    private static final int HELD_CONNECT_TIMEOUTS = 200;
+
+    private final Supplier<RoutingSettings> settings;
+    private final SplittableRandom random;
+
+    ConnectionCapacity(Supplier<RoutingSettings> settings, SplittableRandom random) {
+        this.settings = settings;
+        this.random = random;
+    }
+
+    /** A new connection was turned down. Peers are notified, who would else find out at the cost of an attempt each. */
+    void onConnectionLimit(double nowMs, EndpointEntry endpoint, RoutingActions out) {
+        boolean notifiedMeanwhile = endpoint.health().isFull(nowMs); // by a peer, while the attempt was in flight
+        backOff(nowMs, endpoint, endpoint.health().recordCapacityRejection());
+        if (settings.get().peerMessagesAllowed() && !notifiedMeanwhile) {
+            out.sendToPeer(ALL_PEERS, PeerMessage.full(endpoint.id()));
+        }
+    }
+
+    /**
+     * A peer was turned down. Who has a connection there keeps to it, so a peer that is wrong costs no more than that:
+     * until the time is over, the successor has what had no connection here anyway.
+     */
+    void onPeerReport(double nowMs, EndpointEntry endpoint) {
+        double heldMs = HELD_CONNECT_TIMEOUTS * settings.get().connectTimeoutMs();
+        if (endpoint.health().isUnansweredFor(nowMs, heldMs)) {
+            backOff(nowMs, endpoint, 0);
+        }
+    }
+
+    /**
+     * Each instance tries again at a time of its own, and the later the more instances there are, as it is all together
+     * that ask.
+     */
+    private void backOff(double nowMs, EndpointEntry endpoint, int earlierRejections) {
+        double connectTimeoutMs = settings.get().connectTimeoutMs();
+        double minMs = MIN_CONNECT_TIMEOUTS * connectTimeoutMs;
+        double baseMs = Math.max(minMs, settings.get().instanceCount() * connectTimeoutMs);
+        double delayMs = Math.min(
+                new ExponentialBackoff(minMs, MAX_DOUBLINGS).delayMs(MAX_DOUBLINGS),
+                new ExponentialBackoff(baseMs, MAX_DOUBLINGS).delayMs(earlierRejections));
+        endpoint.health().markFull(nowMs + delayMs * (0.5 + random.nextDouble()));
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/routing/EndpointSelector.java
@@ -0,0 +1,95 @@
+package cacheproxy.routing;
+
+import java.util.SplittableRandom;
+import java.util.function.Supplier;
+
+/**
+ * Which endpoint gets the next attempt of a request: the first in the key's CARP ranking that can be contacted, or the
+ * origin. The CARP draft (section 3.4) takes the top score; what departs from it says why at its place.
+ */
+final class EndpointSelector {
+    /** Ranks that are looked at besides those that a hot key is spread over. */
+    private static final int SUCCESSORS = 8;
+
+    private final Supplier<RoutingSettings> settings;
+    private final SplittableRandom random;
+    private final EndpointTable endpoints;
+    private final ZoneCircuitBreaker zones;
+    private final OutlierDetection outliers;
+    private final SlowStart slowStart;
+    private final CarpRanking ranking = new CarpRanking();
+
+    EndpointSelector(
+            Supplier<RoutingSettings> settings,
+            SplittableRandom random,
+            EndpointTable endpoints,
+            ZoneCircuitBreaker zones,
+            OutlierDetection outliers,
+            SlowStart slowStart) {
+        this.settings = settings;
+        this.random = random;
+        this.endpoints = endpoints;
+        this.zones = zones;
+        this.outliers = outliers;
+        this.slowStart = slowStart;
+    }
+
+    /** The endpoint or the origin for the next attempt; null if there is none. May order a health check. */
+    EndpointEntry select(double nowMs, PendingRequest request, RoutingActions out) {
+        boolean mayFetch = settings.get().cacheAside() && request.isIdempotent();
+        boolean endpointsSpent = request.attemptCount() >= RetryPolicy.MAX_ENDPOINT_ATTEMPTS && !request.hasMissed();
+        if (request.isForOrigin() || (mayFetch && endpointsSpent)) {
+            return orOrigin(endpoints.origin(), mayFetch);
+        }
+        return orOrigin(selectEndpoint(nowMs, request, out), mayFetch);
+    }
+
+    private EndpointEntry orOrigin(EndpointEntry selected, boolean mayFetch) {
+        return selected == null && mayFetch ? endpoints.origin() : selected;
+    }
+
+    private EndpointEntry selectEndpoint(double nowMs, PendingRequest request, RoutingActions out) {
+        int replicas = request.replicas();
+        ranking.rank(endpoints.ranked(), request.keyHash(), Math.min(endpoints.rankedCount(), replicas + SUCCESSORS));
+        // A hot key starts at any of its replicas, so that they share it.
+        int offset = replicas > 1 ? random.nextInt(replicas) : 0;
+        EndpointEntry fallback = null;
+        for (int i = 0; i < ranking.count(); i++) {
+            EndpointEntry endpoint = ranking.at(i < replicas ? (i + offset) % replicas : i);
+            if (request.wasSentTo(endpoint) && !request.hasMissedAt(endpoint)) {
+                continue;
+            }
+            boolean diverted = zones.isDiverted(endpoint.zone(), request.keyHash());
+            if (fallback == null && !diverted && !slowStart.isWarmingUp(nowMs, endpoint)) {
+                fallback = endpoint;
+            }
+            if (diverted ? mayProbeZone(nowMs, request, endpoint) : mayUse(nowMs, request, endpoint, out)) {
+                return endpoint;
+            }
+        }
+        // Where all are to be avoided, the first that was not tried is no worse than no attempt.
+        return fallback;
+    }
+
+    private boolean mayProbeZone(double nowMs, PendingRequest request, EndpointEntry endpoint) {
+        boolean expendable = request.isIdempotent() && request.attemptCount() == 0;
+        if (!zones.isProbeAllowed(endpoint.zone())
+                || !expendable
+                || endpoint.health().isFull(nowMs)
+                || !slowStart.admits(nowMs, request, endpoint)) {
+            return false;
+        }
+        zones.probeSent(endpoint.zone());
+        return true;
+    }
+
+    private boolean mayUse(double nowMs, PendingRequest request, EndpointEntry endpoint, RoutingActions out) {
+        if (endpoint.health().isFull(nowMs)) {
+            return false;
+        }
+        boolean available = endpoint.health().isInService()
+                ? !zones.isOpen(nowMs, endpoint.zone())
+                : outliers.startProbe(nowMs, request, endpoint, out);
+        return available && slowStart.admits(nowMs, request, endpoint);
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/routing/RequestTimers.java
@@ -0,0 +1,67 @@
+package cacheproxy.routing;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** The timers that were ordered, by their tokens: a running number with the kind in its two lowest bits. */
+final class RequestTimers {
+    private static final int KIND_BITS = 2;
+    private static final int KIND_MASK = (1 << KIND_BITS) - 1;
+
+    /** What a timer is for. */
+    enum Kind {
+        /** The client's deadline. */
+        DEADLINE(0),
+        /** An attempt takes longer than usual: a hedged request may follow. */
+        HEDGE(1),
+        /** The delay of a retry is over. */
+        RETRY(2),
+        /** The delay before the next call for the endpoint list is over; belongs to no request. */
+        LIST_CALL(3);
+
+        private final int code;
+
+        Kind(int code) {
+            this.code = code;
+        }
+
+        private static Kind of(int token) {
+            return switch (token & KIND_MASK) {
+                case 0 -> DEADLINE;
+                case 1 -> HEDGE;
+                case 2 -> RETRY;
+                default -> LIST_CALL;
+            };
+        }
+    }
+
+    /**
+     * A timer that has come due.
+     *
+     * @param request the request it was set for; null if it was set for none, or has come due before
+     */
+    record Due(Kind kind, PendingRequest request) {}
+
+    private final Map<Integer, PendingRequest> requests = new HashMap<>();
+    private int nextNumber;
+
+    /** Orders a timer for a request. */
+    void set(double delayMs, Kind kind, PendingRequest request, RoutingActions out) {
+        int token = nextToken(kind);
+        requests.put(token, request);
+        out.setTimer(delayMs, token);
+    }
+
+    /** Orders a timer that belongs to no request. */
+    void set(double delayMs, Kind kind, RoutingActions out) {
+        out.setTimer(delayMs, nextToken(kind));
+    }
+
+    private int nextToken(Kind kind) {
+        return nextNumber++ << KIND_BITS | kind.code;
+    }
+
+    Due due(int token) {
+        return new Due(Kind.of(token), requests.remove(token));
+    }
+}
--- a/src/test/java/cacheproxy/model/FleetPlayTest.java
+++ b/src/test/java/cacheproxy/model/FleetPlayTest.java
@@ -7,9 +7,13 @@
 import cacheproxy.routing.LoadBalancer;
 import cacheproxy.routing.RoutingSettings;
 import java.lang.reflect.Field;
+import java.lang.reflect.Modifier;
 import java.util.Collection;
+import java.util.Collections;
+import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.function.BiFunction;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -169,20 +173,35 @@
         }
     }
 
-    /** How much stands in each map and collection of the module. */
+    /** How much stands in each map and collection of the module and of the classes it is made of, by path. */
     private static Map<String, Integer> sizes(Object module) throws ReflectiveOperationException {
         Map<String, Integer> sizes = new java.util.TreeMap<>();
-        for (Field f : module.getClass().getDeclaredFields()) {
+        addSizes("", module, sizes, Collections.newSetFromMap(new IdentityHashMap<>()));
+        assertThat(sizes)
+                .as("maps of the module")
+                .containsKeys("endpoints.entries", "pending", "timers.requests", "fetches.fetches", "zones.zones");
+        return sizes;
+    }
+
+    private static void addSizes(String path, Object of, Map<String, Integer> sizes, Set<Object> seen)
+            throws ReflectiveOperationException {
+        if (of == null || !of.getClass().getName().startsWith("cacheproxy.routing.") || !seen.add(of)) {
+            return;
+        }
+        for (Field f : of.getClass().getDeclaredFields()) {
+            if (Modifier.isStatic(f.getModifiers()) || of instanceof Record) {
+                continue;
+            }
             f.setAccessible(true);
-            Object value = f.get(module);
+            Object value = f.get(of);
             if (value instanceof Map<?, ?> m) {
-                sizes.put(f.getName(), m.size());
+                sizes.put(path + f.getName(), m.size());
             } else if (value instanceof Collection<?> c) {
-                sizes.put(f.getName(), c.size());
+                sizes.put(path + f.getName(), c.size());
+            } else {
+                addSizes(path + f.getName() + ".", value, sizes, seen);
             }
         }
-        assertThat(sizes).as("maps of the module").containsKeys("servers", "flights", "timers", "fetches");
-        return sizes;
     }
 
     @Test
