--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -18,9 +18,9 @@
 import cacheproxy.route.Routing;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.RoutingSettings;
-import cacheproxy.state.Kind;
-import cacheproxy.state.Opened;
-import cacheproxy.state.Record;
+import cacheproxy.state.OpenedState;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.StoredRecord;
 import cacheproxy.takeover.Handover;
 import com.google.gson.JsonPrimitive;
 import io.netty.bootstrap.Bootstrap;
@@ -95,7 +95,7 @@
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
-        peers = new PeerSocket(loop, config, dispatcher::heard, dispatcher.counters());
+        peers = new PeerSocket(loop, config, dispatcher::peerMessageReceived, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
         ProvisionalList list = new ProvisionalList(
@@ -121,7 +121,7 @@
         TakeoverState state = old == null ? null : old.state();
         succeeds = state != null;
         remembered = new Remembered(
-                state, kept == null ? Opened.EMPTY : kept.opened(), dispatcher.trust(), dispatcher.now());
+                state, kept == null ? OpenedState.EMPTY : kept.opened(), dispatcher.trust(), dispatcher.now());
         loop.submit(() -> {
                     dispatcher.start(discovery, peers, acceptor, routing);
                     discovery.start(remembered.list(config.known()));
@@ -154,25 +154,28 @@
 
     /** What a successor must know: what this process was told of the servers binds both. */
     private TakeoverState state() {
-        Map<Kind, Record> records = new EnumMap<>(Kind.class);
+        Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
         if (members != null) {
             records.put(
-                    Kind.INCARNATION,
-                    new Record(Kind.INCARNATION, dispatcher.now(), new JsonPrimitive(members.incarnation())));
+                    RecordKind.INCARNATION,
+                    new StoredRecord(
+                            RecordKind.INCARNATION, dispatcher.now(), new JsonPrimitive(members.incarnation())));
         }
         if (zones != null) {
             Map<Integer, Held> held = zones.zones().held();
             records.put(
-                    Kind.ZONES, new Record(Kind.ZONES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
+                    RecordKind.ZONES,
+                    new StoredRecord(RecordKind.ZONES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
             records.put(
-                    Kind.ORDERS, new Record(Kind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
+                    RecordKind.ORDERS,
+                    new StoredRecord(RecordKind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
-        return new TakeoverState(discovery.list(), dispatcher.experience(), records);
+        return new TakeoverState(discovery.list(), dispatcher.learnedState(), records);
     }
 
     /** What is passed over of what has been learnt; for tests, on the event loop only. */
     Map<String, LearnedState> knows() {
-        return dispatcher.experience();
+        return dispatcher.learnedState();
     }
 
     private void ended() {
@@ -312,7 +315,7 @@
     }
 
     ByteBudget values() {
-        return dispatcher.values();
+        return dispatcher.valueBudget();
     }
 
     // ---- the view of the fleet
@@ -338,7 +341,7 @@
                         remembered.incarnation(),
                         config.seed(),
                         parts.recovers() ? Phase.STARTING : Phase.SERVING,
-                        dispatcher::among);
+                        dispatcher::liveMembersChanged);
                 dispatcher.members(members, new NodeTalk(dispatcher, peers, members));
                 if (parts.zones()) {
                     zones = new ZoneLink(dispatcher, members, config.settings(), config.zones(), remembered);
@@ -414,17 +417,17 @@
             Routing routing = edge == null ? null : edge.read(next.names());
             config = next;
             loop.execute(() -> {
-                dispatcher.settle(next);
+                dispatcher.applySettings(next);
                 discovery.settle(next.discoverySettings());
                 if (routing != null) {
-                    dispatcher.route(routing);
+                    dispatcher.replaceRoutes(routing);
                 }
-                dispatcher.counters().reloaded(true);
+                dispatcher.counters().recordReload(true);
             });
         } catch (IllegalArgumentException e) {
             loop.execute(() -> {
                 dispatcher.log("the settings stay as they are: " + e.getMessage());
-                dispatcher.counters().reloaded(false);
+                dispatcher.counters().recordReload(false);
             });
         }
     }
@@ -481,11 +484,11 @@
 
     /** Writes a line of figures to the log each time so much has passed, at least a second. */
     public void logFigures(long everyMs) {
-        workLog(System.err).every(loop, Math.max(1000, everyMs));
+        metricsLog(System.err).start(loop, Math.max(1000, everyMs));
     }
 
-    WorkLog workLog(PrintStream out) {
-        return new WorkLog(config.name(), dispatcher, out);
+    MetricsLog metricsLog(PrintStream out) {
+        return new MetricsLog(config.name(), dispatcher, out);
     }
 
     /** How a drain goes. On the event loop only. */
@@ -513,22 +516,22 @@
     public Status status() {
         Counters c = dispatcher.counters();
         Map<String, Endings> classes = new LinkedHashMap<>();
-        c.classes().forEach((name, t) -> classes.put(name, new Endings(t.succeeded(), t.declined(), t.aborted())));
+        c.classes().forEach((name, t) -> classes.put(name, new Endings(t.succeeded(), t.rejected(), t.failed())));
         return new Status(
                 acceptor.open(),
-                dispatcher.owed(),
-                dispatcher.answered(),
+                dispatcher.openRequests(),
+                dispatcher.completedRequests(),
                 dispatcher.servers().connections(),
                 classes,
                 c.forwards(),
                 dispatcher.servers().discovered(),
                 dispatcher.servers().ejected(),
-                c.applied(),
-                c.rejected(),
+                c.reloadsApplied(),
+                c.reloadsRejected(),
                 handover.phase(),
                 handover.taken(),
-                dispatcher.values().used(),
-                dispatcher.values().waiting());
+                dispatcher.valueBudget().used(),
+                dispatcher.valueBudget().waiting());
     }
 
     /** What was seen of the rules so far. On the event loop only. */
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -6,7 +6,7 @@
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
-import cacheproxy.state.Kind;
+import cacheproxy.state.RecordKind;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
@@ -32,9 +32,9 @@
         this.settings =
                 new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
         zones = new Zones(this.settings);
-        zones.remember(dispatcher.now(), last.zones(Kind.ZONES, names), last.holds(Kind.ZONES));
-        zones.remember(dispatcher.now(), last.zones(Kind.ORDERS, names), last.holds(Kind.ORDERS));
-        dispatcher.follow(k -> listed());
+        zones.remember(dispatcher.now(), last.zones(RecordKind.ZONES, names), last.holds(RecordKind.ZONES));
+        zones.remember(dispatcher.now(), last.zones(RecordKind.ORDERS, names), last.holds(RecordKind.ORDERS));
+        dispatcher.addEndpointListListener(k -> listed());
         listed();
         run();
     }
@@ -74,7 +74,7 @@
     void tick() {
         List<ZoneDirective> orders = zones.tick(dispatcher.now(), members.view());
         if (!orders.isEmpty()) {
-            dispatcher.order(orders);
+            dispatcher.applyZoneDirectives(orders);
         }
         zones.events().forEach(this::tell);
         byte[] nextPlan = zones.planNote();
