--- a/src/main/java/cacheproxy/admission/SafetyRules.java
+++ b/src/main/java/cacheproxy/admission/SafetyRules.java
@@ -1,54 +1,46 @@
 package cacheproxy.admission;
 
 import cacheproxy.routing.DeduplicationScope;
+import cacheproxy.routing.EndpointLocation;
 import cacheproxy.routing.Idempotency;
+import cacheproxy.routing.RepeatSafety;
 import cacheproxy.routing.ServiceClass;
 import java.util.List;
 
 /**
- * Says whether an attempt may begin, and whether a refusal may be promised. Knows the states alone that it is given:
- * whoever acts hands them over as they are at that moment, and not as they were when the act was planned.
+ * Says whether an attempt may begin, and whether a request may be rejected. Knows only the states that it is given:
+ * whoever acts passes them as they are at the moment of the act, not as they were when it was planned. All times in
+ * milliseconds on one clock.
  */
 public final class SafetyRules {
-    /** By how much a server may be told of more time than its client has left, in milliseconds. */
+    /** By how much the timeout that an endpoint is sent may exceed the time that its client has left. */
     public static final double SENT_TIMEOUT_SLACK_MS = 150;
-    /** How late after its time a final answer still is one, in milliseconds. */
+    /** How late after its deadline a final answer still is one. */
     public static final double FINAL_ANSWER_SLACK_MS = 500;
 
     private SafetyRules() {}
 
-    /** Where a server stands, as far as a keyed repeat asks. */
-    public record Location(int zone, int cell) {
-        boolean sameGroup(DeduplicationScope group, Location other) {
-            return switch (group) {
-                case ALL -> true;
-                case ZONE -> zone == other.zone;
-                case CELL -> cell == other.cell;
-            };
-        }
-    }
-
     /**
      * An attempt of a request besides the one in question.
      *
      * @param sentMs when it was sent
      * @param location where it was sent
-     * @param inFlight whether it is still waited for
-     * @param mayHaveRun whether it has run, may have, or may yet
+     * @param inFlight whether it has not ended
+     * @param mayHaveRun whether it has taken effect, may have, or may yet
      */
-    public record EarlierAttempt(double sentMs, Location location, boolean inFlight, boolean mayHaveRun) {}
+    public record EarlierAttempt(double sentMs, EndpointLocation location, boolean inFlight, boolean mayHaveRun) {}
 
     /**
      * An attempt that is about to begin.
      *
      * @param requestState of its request
-     * @param serviceClass the request's class
-     * @param remainingMs the time that its client has left; not over 0: none
-     * @param endpointReady whether the list has the server take new requests
-     * @param location where the server stands
+     * @param serviceClass of its request
+     * @param remainingMs the time that its client has left; none if it is not over 0
+     * @param endpointReady whether the list has the endpoint take new requests
+     * @param location of the endpoint
      * @param attemptIndex how many attempts of the request were made before it
      * @param maxAttempts how many there may be in all
-     * @param hedgingAllowed whether one may go out beside another
+     * @param hedgingAllowed whether it may be in flight beside another
      * @param otherAttempts the request's other attempts
      */
     public record AttemptStart(
@@ -56,31 +48,31 @@
             ServiceClass serviceClass,
             double remainingMs,
             boolean endpointReady,
-            Location location,
+            EndpointLocation location,
             int attemptIndex,
             int maxAttempts,
             boolean hedgingAllowed,
             List<EarlierAttempt> otherAttempts) {}
 
-    /** Whether the attempt may begin at this time. */
-    public static Verdict mayBegin(double nowMs, AttemptStart send) {
-        if (send.requestState == RequestState.CLIENT_DISCONNECTED) {
+    /** Whether the attempt may begin at this time; the first condition that forbids it, or ALLOWED. */
+    public static Verdict mayBegin(double nowMs, AttemptStart attempt) {
+        if (attempt.requestState == RequestState.CLIENT_DISCONNECTED) {
             return Verdict.CLIENT_DISCONNECTED;
         }
-        if (send.requestState != RequestState.OPEN) {
+        if (attempt.requestState != RequestState.OPEN) {
             return Verdict.REQUEST_ANSWERED;
         }
-        if (!(send.remainingMs > 0)) {
+        if (!(attempt.remainingMs > 0)) {
             return Verdict.DEADLINE_EXCEEDED;
         }
-        if (send.attemptIndex >= send.maxAttempts) {
+        if (attempt.attemptIndex >= attempt.maxAttempts) {
             return Verdict.ATTEMPTS_EXHAUSTED;
         }
-        if (!send.endpointReady) {
+        if (!attempt.endpointReady) {
             return Verdict.ENDPOINT_NOT_READY;
         }
-        for (EarlierAttempt earlier : send.otherAttempts) {
-            Verdict verdict = besideEarlier(nowMs, send, earlier);
+        for (EarlierAttempt earlier : attempt.otherAttempts) {
+            Verdict verdict = mayBeginBeside(nowMs, attempt, earlier);
             if (!verdict.allowed()) {
                 return verdict;
             }
@@ -88,37 +80,45 @@
         return Verdict.ALLOWED;
     }
 
-    private static Verdict besideEarlier(double nowMs, AttemptStart send, EarlierAttempt earlier) {
-        if (earlier.inFlight && !send.hedgingAllowed) {
+    private static Verdict mayBeginBeside(double nowMs, AttemptStart attempt, EarlierAttempt earlier) {
+        if (earlier.inFlight && !attempt.hedgingAllowed) {
             return Verdict.HEDGING_NOT_ALLOWED;
         }
         if (!earlier.mayHaveRun) {
             return Verdict.ALLOWED;
         }
-        return switch (send.serviceClass.idempotency()) {
-            case IDEMPOTENT -> Verdict.ALLOWED;
-            case NON_IDEMPOTENT -> Verdict.MAYBE_EXECUTED;
-            case KEYED -> {
-                if (!send.location.sameGroup(send.serviceClass.deduplicationScope(), earlier.location)) {
-                    yield Verdict.OUTSIDE_DEDUPLICATION_SCOPE;
-                }
-                yield nowMs < earlier.sentMs + send.serviceClass.deduplicationWindowMs()
-                        ? Verdict.ALLOWED
-                        : Verdict.DEDUPLICATION_WINDOW_EXPIRED;
-            }
+        // For now, and not a connect timeout later as when it was planned: its connection is up, and it is written now.
+        RepeatSafety safety =
+                RepeatSafety.of(attempt.serviceClass, earlier.sentMs, earlier.location, nowMs, attempt.location);
+        return switch (safety) {
+            case SAFE -> Verdict.ALLOWED;
+            case NOT_IDEMPOTENT -> Verdict.MAYBE_EXECUTED;
+            case OUTSIDE_DEDUPLICATION_SCOPE -> Verdict.OUTSIDE_DEDUPLICATION_SCOPE;
+            case DEDUPLICATION_WINDOW_EXPIRED -> Verdict.DEDUPLICATION_WINDOW_EXPIRED;
         };
     }
 
-    /** Whether a request of this class may be refused, which promises that a repeat does no harm. */
-    public static Verdict mayReject(ServiceClass kind, List<EarlierAttempt> attempts) {
-        boolean harmless = kind.idempotency() == Idempotency.IDEMPOTENT
-                || (kind.idempotency() == Idempotency.KEYED && kind.deduplicationScope() == DeduplicationScope.ALL)
+    /**
+     * Whether a request may be rejected, which promises its client that a repeat does no harm.
+     *
+     * @param attempts all attempts of the request
+     */
+    public static Verdict mayReject(ServiceClass serviceClass, List<EarlierAttempt> attempts) {
+        boolean deduplicatedAnywhere = serviceClass.idempotency() == Idempotency.KEYED
+                && serviceClass.deduplicationScope() == DeduplicationScope.ALL;
+        boolean harmless = serviceClass.idempotency() == Idempotency.IDEMPOTENT
+                || deduplicatedAnywhere
                 || attempts.stream().noneMatch(EarlierAttempt::mayHaveRun);
         return harmless ? Verdict.ALLOWED : Verdict.MAYBE_EXECUTED;
     }
 
-    /** Whether a server that is told of this much time is told of too much. */
-    public static boolean isExcessiveTimeout(double toldMs, double leftMs) {
-        return toldMs > Math.max(leftMs, 0) + SENT_TIMEOUT_SLACK_MS;
+    /**
+     * Whether the timeout that an endpoint is sent exceeds what its client has left by more than the slack.
+     *
+     * @param sentMs the timeout sent with the request
+     * @param remainingMs what the client has left; negative if its deadline is over
+     */
+    public static boolean isExcessiveTimeout(double sentMs, double remainingMs) {
+        return sentMs > Math.max(remainingMs, 0) + SENT_TIMEOUT_SLACK_MS;
     }
 }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -21,6 +21,7 @@
 import cacheproxy.routing.AttemptEnd;
 import cacheproxy.routing.AttemptOutcome;
 import cacheproxy.routing.CarpLoadBalancer;
+import cacheproxy.routing.EndpointLocation;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.EndpointUpdateKind;
 import cacheproxy.routing.LearnedState;
@@ -63,7 +64,7 @@
     private static final double MAX_WAIT_MS = 86_400_000;
 
     /** Of a server that is not in the list. */
-    private static final SafetyRules.Location NOWHERE = new SafetyRules.Location(-1, -1);
+    private static final EndpointLocation NOWHERE = new EndpointLocation(-1, -1);
 
     private static final double PROBE_TIMEOUT_MS = 250;
     /** Of the memory for buffers, values that are kept whole get one part of so many; the rest is for what passes. */
@@ -772,7 +773,7 @@
         double left = x.deadlineMs - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
         Upstream u = servers.get(server);
-        SafetyRules.Location place = u == null ? NOWHERE : u.place;
+        EndpointLocation place = u == null ? NOWHERE : u.place;
         RequestAttempt a = new RequestAttempt(x, x.attempts.size(), server, place, now, now + wait);
         count(x, u);
         x.attempts.add(a);
--- a/src/main/java/cacheproxy/proxy/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/RequestAttempt.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.SafetyRules;
 import cacheproxy.proxy.Timers.Timer;
+import cacheproxy.routing.EndpointLocation;
 
 /** One attempt of a request at a server, or a health check of that server. Event loop only. */
 final class RequestAttempt {
@@ -16,7 +16,7 @@
     /** When the proxy stops waiting for it, on the same clock. */
     final double expiresMs;
     /** The location of its server. */
-    final SafetyRules.Location place;
+    final EndpointLocation place;
 
     /** The connection it was assigned to; null before. */
     UpstreamConnection connection;
@@ -33,7 +33,7 @@
     Timer timer;
 
     RequestAttempt(
-            ClientRequest request, int index, int server, SafetyRules.Location place, double sentMs, double expiresMs) {
+            ClientRequest request, int index, int server, EndpointLocation place, double sentMs, double expiresMs) {
         this.request = request;
         this.index = index;
         this.server = server;
--- a/src/main/java/cacheproxy/proxy/Servers.java
+++ b/src/main/java/cacheproxy/proxy/Servers.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.SafetyRules;
 import cacheproxy.metrics.Metric;
 import cacheproxy.metrics.MetricsLine;
 import cacheproxy.proxy.discovery.Host;
+import cacheproxy.routing.EndpointLocation;
 import cacheproxy.routing.EndpointState;
 import cacheproxy.routing.EndpointUpdateKind;
 import cacheproxy.routing.RoutingSettings;
@@ -74,7 +74,7 @@
             u.dial = h.dial();
             u.bornMs = h.member().startTimeMs();
             u.startedMs = h.member().localStartTimeMs();
-            u.place = new SafetyRules.Location(h.member().zone(), h.member().cell());
+            u.place = new EndpointLocation(h.member().zone(), h.member().cell());
             u.ready = h.member().state() == EndpointState.READY;
         }
         if (kind.isSnapshot()) {
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.SafetyRules;
+import cacheproxy.routing.EndpointLocation;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
@@ -29,7 +29,7 @@
     /** The same on the clock of {@link Dispatcher#now}. */
     double startedMs;
 
-    SafetyRules.Location place;
+    EndpointLocation place;
     /** Whether the list has it take new requests. */
     boolean ready;
     /** When something was last put on a connection to it. */
--- a/src/main/java/cacheproxy/routing/Endpoint.java
+++ b/src/main/java/cacheproxy/routing/Endpoint.java
@@ -22,4 +22,9 @@
     public Endpoint withLocalStartTime(double ms) {
         return new Endpoint(id, zone, kind, cell, state, weight, startTimeMs, ms);
     }
+
+    /** Where it stands. */
+    public EndpointLocation location() {
+        return new EndpointLocation(zone, cell);
+    }
 }
--- a/src/main/java/cacheproxy/routing/RetryPolicy.java
+++ b/src/main/java/cacheproxy/routing/RetryPolicy.java
@@ -87,23 +87,16 @@
         if (!request.mayHaveExecuted() || request.isIdempotent()) {
             return true;
         }
-        // A connection for it may take its time to come up, and servers go by when the repeat reaches them.
+        // A connection for it may take its time to come up, and endpoints go by when the repeat reaches them. Admission
+        // asks again when the attempt is written; planned later than this, it could only be forbidden then.
         double arrivalMs = nowMs + settings.get().connectTimeoutMs();
-        ServiceClass serviceClass = request.serviceClass();
-        return serviceClass.idempotency() == Idempotency.KEYED
-                && arrivalMs < request.firstExecutionMs() + serviceClass.deduplicationWindowMs()
-                && isSameGroup(
-                        serviceClass.deduplicationScope(),
-                        request.firstExecutedAt().endpoint(),
-                        endpoint.endpoint());
-    }
-
-    private static boolean isSameGroup(DeduplicationScope scope, Endpoint a, Endpoint b) {
-        return switch (scope) {
-            case ALL -> true;
-            case ZONE -> a.zone() == b.zone();
-            case CELL -> a.cell() == b.cell();
-        };
+        RepeatSafety safety = RepeatSafety.of(
+                request.serviceClass(),
+                request.firstExecutionMs(),
+                request.firstExecutedAt().endpoint().location(),
+                arrivalMs,
+                endpoint.endpoint().location());
+        return safety == RepeatSafety.SAFE;
     }
 
     /** Whether it may be rejected, which promises its client that a repeat does no harm; it fails otherwise. */
--- a/src/test/java/cacheproxy/admission/SafetyRulesTest.java
+++ b/src/test/java/cacheproxy/admission/SafetyRulesTest.java
@@ -4,8 +4,8 @@
 
 import cacheproxy.admission.SafetyRules.AttemptStart;
 import cacheproxy.admission.SafetyRules.EarlierAttempt;
-import cacheproxy.admission.SafetyRules.Location;
 import cacheproxy.routing.DeduplicationScope;
+import cacheproxy.routing.EndpointLocation;
 import cacheproxy.routing.Idempotency;
 import cacheproxy.routing.ServiceClass;
 import java.util.List;
@@ -17,9 +17,9 @@
 class SafetyRulesTest {
     private static final double NOW_MS = 10_000;
     private static final double WINDOW_MS = 1500;
-    private static final Location HERE = new Location(1, 10);
-    private static final Location SAME_ZONE = new Location(1, 11);
-    private static final Location ELSEWHERE = new Location(2, 20);
+    private static final EndpointLocation HERE = new EndpointLocation(1, 10);
+    private static final EndpointLocation SAME_ZONE = new EndpointLocation(1, 11);
+    private static final EndpointLocation ELSEWHERE = new EndpointLocation(2, 20);
 
     private static ServiceClass kind(Idempotency effect, DeduplicationScope group) {
         return new ServiceClass("any", effect, group, WINDOW_MS, 100, 500, 1, 0, false);
@@ -29,7 +29,7 @@
         return new AttemptStart(RequestState.OPEN, kind, 100, true, HERE, others.length, 3, true, List.of(others));
     }
 
-    private static EarlierAttempt ended(double sentMs, Location at, boolean mayHaveRun) {
+    private static EarlierAttempt ended(double sentMs, EndpointLocation at, boolean mayHaveRun) {
         return new EarlierAttempt(sentMs, at, false, mayHaveRun);
     }
 
@@ -87,6 +87,16 @@
                 .isEqualTo(Verdict.ALLOWED);
     }
 
+    /** Routing plans with the time a connection may take; at the moment of the act the window is used up to its end. */
+    @Test
+    void aRepeatIsJudgedByTheMomentItBegins() {
+        ServiceClass keyed = kind(Idempotency.KEYED, DeduplicationScope.ALL);
+        assertThat(verdict(send(keyed, ended(NOW_MS - WINDOW_MS + 1, ELSEWHERE, true))))
+                .isEqualTo(Verdict.ALLOWED);
+        assertThat(verdict(send(keyed, ended(NOW_MS - WINDOW_MS, ELSEWHERE, true))))
+                .isEqualTo(Verdict.DEDUPLICATION_WINDOW_EXPIRED);
+    }
+
     @Test
     void oneAttemptIsOutAtATimeWhereSecondCopiesAreForbidden() {
         ServiceClass safe = kind(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
