--- a/src/main/java/cacheproxy/proxy/Remembered.java
+++ b/src/main/java/cacheproxy/proxy/Remembered.java
@@ -2,9 +2,9 @@
 
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.membership.Entry;
-import cacheproxy.recovery.Source;
-import cacheproxy.recovery.Trust;
-import cacheproxy.recovery.Trust.Thing;
+import cacheproxy.recovery.Provenance;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.recovery.ProvenanceTracker.Subject;
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.LoadCount;
@@ -21,44 +21,45 @@
 /**
  * What this process knows from before its start: from the process that it takes over from, which served until now, and
  * of what that one did not tell from the folder, as far as its age allows. Each thing that is used is entered in
- * {@link Trust}.
+ * {@link ProvenanceTracker}.
  */
 final class Remembered {
-    private static final Map<RecordKind, Thing> THINGS = Map.of(
-            RecordKind.LIST,
-            Thing.LIST,
-            RecordKind.LEARNT,
-            Thing.LEARNT,
-            RecordKind.ZONES,
-            Thing.ZONES,
-            RecordKind.ORDERS,
-            Thing.ZONES,
+    private static final Map<RecordKind, Subject> THINGS = Map.of(
+            RecordKind.ENDPOINT_LIST,
+            Subject.ENDPOINT_LIST,
+            RecordKind.LEARNED_STATE,
+            Subject.LEARNED_STATE,
+            RecordKind.ZONE_STATES,
+            Subject.ZONE_STATES,
+            RecordKind.OPERATOR_ORDERS,
+            Subject.ZONE_STATES,
             RecordKind.INCARNATION,
-            Thing.INCARNATION);
+            Subject.INCARNATION);
 
     private final Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
-    private final Map<RecordKind, Source> sources = new EnumMap<>(RecordKind.class);
-    private final Trust trust;
+    private final Map<RecordKind, Provenance> sources = new EnumMap<>(RecordKind.class);
+    private final ProvenanceTracker trust;
     private final double nowMs;
 
     /** {@code predecessor}: null where nobody is taken over from; {@code nowMs}: of the wall clock. */
-    Remembered(TakeoverState predecessor, OpenedState stored, Trust trust, double nowMs) {
+    Remembered(TakeoverState predecessor, OpenedState stored, ProvenanceTracker trust, double nowMs) {
         this.trust = trust;
         this.nowMs = nowMs;
-        put(stored.records(), Source.STORED);
+        put(stored.records(), Provenance.STORED);
         if (predecessor != null) {
-            put(predecessor.kept(), Source.PREDECESSOR);
+            put(predecessor.kept(), Provenance.PREDECESSOR);
             put(
                     Map.of(
-                            RecordKind.LIST,
-                            new StoredRecord(RecordKind.LIST, nowMs, predecessor.list()),
-                            RecordKind.LEARNT,
-                            new StoredRecord(RecordKind.LEARNT, nowMs, LearntForm.json(predecessor.learnt()))),
-                    Source.PREDECESSOR);
+                            RecordKind.ENDPOINT_LIST,
+                            new StoredRecord(RecordKind.ENDPOINT_LIST, nowMs, predecessor.list()),
+                            RecordKind.LEARNED_STATE,
+                            new StoredRecord(
+                                    RecordKind.LEARNED_STATE, nowMs, LearnedStateCodec.json(predecessor.learnt()))),
+                    Provenance.PREDECESSOR);
         }
     }
 
-    private void put(Map<RecordKind, StoredRecord> more, Source source) {
+    private void put(Map<RecordKind, StoredRecord> more, Provenance source) {
         more.forEach((kind, r) -> {
             records.put(kind, r);
             sources.put(kind, source);
@@ -67,23 +68,23 @@
 
     private Validity use(RecordKind kind) {
         StoredRecord r = records.get(kind);
-        return r == null ? Validity.NOTHING : r.use(nowMs);
+        return r == null ? Validity.UNUSABLE : r.validity(nowMs);
     }
 
     /** Whether what is known of a kind may be decided by. */
     boolean holds(RecordKind kind) {
-        return use(kind) == Validity.HOLDS;
+        return use(kind) == Validity.VALID;
     }
 
     private void taken(RecordKind kind) {
         StoredRecord r = records.get(kind);
         boolean hint = use(kind) == Validity.HINT;
-        trust.taken(
+        trust.adopted(
                 nowMs,
                 THINGS.get(kind),
                 sources.get(kind),
-                nowMs - r.toldMs(),
-                hint || kind == RecordKind.LIST ? kind.hintMs() : kind.holdsMs(),
+                nowMs - r.recordedAtMs(),
+                hint || kind == RecordKind.ENDPOINT_LIST ? kind.hintForMs() : kind.validForMs(),
                 hint);
     }
 
@@ -92,49 +93,50 @@
      * two of one version the configuration's. Null if there is none.
      */
     JsonObject list(JsonObject configured) {
-        StoredRecord r = records.get(RecordKind.LIST);
+        StoredRecord r = records.get(RecordKind.ENDPOINT_LIST);
         if (configured != null) {
-            trust.taken(nowMs, Thing.LIST, Source.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
+            trust.adopted(
+                    nowMs, Subject.ENDPOINT_LIST, Provenance.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
         }
         if (r == null) {
             return configured;
         }
         try {
             JsonObject list = r.body().getAsJsonObject();
-            if (use(RecordKind.LIST) == Validity.NOTHING) {
-                trust.refused(Thing.LIST);
+            if (use(RecordKind.ENDPOINT_LIST) == Validity.UNUSABLE) {
+                trust.rejected(Subject.ENDPOINT_LIST);
                 return configured;
             }
             if (configured == null
                     || list.get("seq").getAsLong() > configured.get("seq").getAsLong()) {
-                taken(RecordKind.LIST);
+                taken(RecordKind.ENDPOINT_LIST);
                 return list;
             }
         } catch (RuntimeException e) {
-            trust.refused(Thing.LIST);
+            trust.rejected(Subject.ENDPOINT_LIST);
         }
         return configured;
     }
 
     /** What was learnt, or of what is too old to hold the doubts alone; empty for nothing. */
     Map<String, LearnedState> learnt() {
-        Validity use = use(RecordKind.LEARNT);
-        if (use == Validity.NOTHING) {
-            if (records.containsKey(RecordKind.LEARNT)) {
-                trust.refused(Thing.LEARNT);
+        Validity use = use(RecordKind.LEARNED_STATE);
+        if (use == Validity.UNUSABLE) {
+            if (records.containsKey(RecordKind.LEARNED_STATE)) {
+                trust.rejected(Subject.LEARNED_STATE);
             }
             return Map.of();
         }
         try {
-            Map<String, LearnedState> all = new HashMap<>(
-                    LearntForm.read(records.get(RecordKind.LEARNT).body().getAsJsonObject()));
+            Map<String, LearnedState> all = new HashMap<>(LearnedStateCodec.read(
+                    records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
             if (use == Validity.HINT) {
                 all.replaceAll((pool, e) -> doubts(e));
             }
-            taken(RecordKind.LEARNT);
+            taken(RecordKind.LEARNED_STATE);
             return all;
         } catch (RuntimeException e) {
-            trust.refused(Thing.LEARNT);
+            trust.rejected(Subject.LEARNED_STATE);
             return Map.of();
         }
     }
@@ -170,7 +172,7 @@
             }
             return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
-            trust.refused(Thing.INCARNATION);
+            trust.rejected(Subject.INCARNATION);
             return 0;
         }
     }
@@ -188,7 +190,7 @@
             }
             return held;
         } catch (RuntimeException e) {
-            trust.refused(Thing.ZONES);
+            trust.rejected(Subject.ZONE_STATES);
             return Map.of();
         }
     }
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -170,11 +170,11 @@
 
     @Override
     public void onPeerMessage(double now, int peer, byte[] message, RoutingActions out) {
-        EndpointEntry silent = endpoints.get(PeerMessage.badServer(message));
+        EndpointEntry silent = endpoints.get(PeerMessage.readEndpointUnresponsive(message));
         if (silent != null && !endpoints.isOrigin(silent)) {
             outliers.onPeerReport(now, silent);
         }
-        EndpointEntry full = endpoints.get(PeerMessage.fullServer(message));
+        EndpointEntry full = endpoints.get(PeerMessage.readEndpointFull(message));
         if (full != null && !endpoints.isOrigin(full)) {
             capacity.onPeerReport(now, full);
         }
--- a/src/main/java/cacheproxy/routing/ConnectionCapacity.java
+++ b/src/main/java/cacheproxy/routing/ConnectionCapacity.java
@@ -31,7 +31,7 @@
         boolean notifiedMeanwhile = endpoint.health().isFull(nowMs); // by a peer, while the attempt was in flight
         backOff(nowMs, endpoint, endpoint.health().recordCapacityRejection());
         if (settings.get().peerMessagesAllowed() && !notifiedMeanwhile) {
-            out.sendToPeer(ALL_PEERS, PeerMessage.full(endpoint.id()));
+            out.sendToPeer(ALL_PEERS, PeerMessage.endpointFull(endpoint.id()));
         }
     }
 
