--- a/src/main/java/cacheproxy/routing/EndpointHealthRecord.java
+++ b/src/main/java/cacheproxy/routing/EndpointHealthRecord.java
@@ -1,5 +1,13 @@
 package cacheproxy.routing;
 
-/** What has been seen of a server; the times are those of events. {@code failures}: since it last answered. */
+/**
+ * What has been learnt of an endpoint's health.
+ *
+ * @param id the endpoint
+ * @param startTimeMs of the incarnation that this was seen of, as in {@link Endpoint#startTimeMs}
+ * @param failures in a row, since it last answered in time
+ * @param ejectedUntilMs until when it is ejected, in milliseconds of the clock of events
+ * @param slowResponses in a row, since it last answered in time
+ */
 public record EndpointHealthRecord(
         int id, double startTimeMs, int failures, double ejectedUntilMs, int slowResponses) {}
--- a/src/main/java/cacheproxy/routing/EndpointSignal.java
+++ b/src/main/java/cacheproxy/routing/EndpointSignal.java
@@ -1,8 +1,11 @@
 package cacheproxy.routing;
 
-/** What the module has met at a server: an answer in time, one that says that it lacks the key, or none in time. */
+/** What an attempt has shown of an endpoint. */
 public enum EndpointSignal {
+    /** It answered. */
     RESPONDED,
+    /** It answered that it lacks the object. */
     CACHE_MISS,
+    /** It gave no answer in time. */
     UNRESPONSIVE
 }
--- a/src/main/java/cacheproxy/routing/HotKey.java
+++ b/src/main/java/cacheproxy/routing/HotKey.java
@@ -1,4 +1,8 @@
 package cacheproxy.routing;
 
-/** A key that is asked for often, with its count, which fades. */
+/**
+ * A key that is asked for often.
+ *
+ * @param count of its requests, decaying
+ */
 public record HotKey(long key, int count) {}
--- a/src/main/java/cacheproxy/routing/LearnedState.java
+++ b/src/main/java/cacheproxy/routing/LearnedState.java
@@ -2,7 +2,19 @@
 
 import java.util.List;
 
-/** What a module has learnt in service, for another that goes on in its place. Times in milliseconds. */
+/**
+ * What an instance has learnt in service, for another that goes on in its place.
+ *
+ * @param originFetchMs how long a fetch from the origin usually takes, in milliseconds
+ * @param usualLatencyMs how long a cache endpoint usually takes for usual work, in milliseconds
+ * @param latencyDeviationMs the mean deviation from that, in milliseconds
+ * @param usualCostMs the usual cost hint of requests, in milliseconds; 0 if there were none
+ * @param originLoad what the origin was asked
+ * @param endpointLoad what all cache endpoints together were asked
+ * @param keyRequestCount requests for all keys, decaying
+ * @param hotKeys the keys asked for most, hottest first
+ * @param endpoints those of which anything is held
+ */
 public record LearnedState(
         double originFetchMs,
         double usualLatencyMs,
--- a/src/main/java/cacheproxy/routing/LoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/LoadBalancer.java
@@ -3,51 +3,101 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the decision module is told and what it can order: its settings, events and actions. */
+/**
+ * Decides which endpoint serves a request, and whether to retry, hedge, coalesce or reject it. Takes events, gives
+ * orders to {@link RoutingActions}, and does nothing else: no socket, file, thread or clock.
+ *
+ * <p>Events come one at a time, each with the time at which it happened, in milliseconds of a clock that never goes
+ * back; orders are given before the method returns. Not thread-safe. The same settings, seed and events give the same
+ * orders. Ids of requests, endpoints and peers are chosen by the caller; an attempt is named by its request and its
+ * index, which counts the request's {@link RoutingActions#send} orders from 0.
+ */
 public interface LoadBalancer {
 
+    /** {@link AttemptEnd#note} of a miss: another proxy is fetching the object, so it will be there soon. */
     int NOTE_FETCH_IN_FLIGHT = 3;
 
     /**
-     * Other settings hold from now on, for requests to come. Those under way keep their class and its terms; of
-     * attempts they get no more than either allows. What has been learnt of servers stays.
+     * Other settings hold from now on, for requests to come. Pending ones keep their class and its terms; of attempts
+     * they get no more than either allows. What has been learnt of endpoints stays.
+     *
+     * @throws IllegalArgumentException if the settings have no class or allow no attempt; the earlier ones hold then
      */
     void onSettings(double now, RoutingSettings settings, RoutingActions out);
 
-    /** Whether this server of the list gets no ordinary request now, because it drains or has failed. */
+    /**
+     * Whether an endpoint of the list gets no ordinary request now, because it drains or is ejected.
+     *
+     * @param server the endpoint's id; one that the list doesn't have is not avoided
+     */
     boolean isAvoided(double now, int server);
 
-    /** What has been learnt so far, by the pool's name; that of all servers has none. */
+    /** What has been learnt so far, by the pool's name; that of all endpoints is the empty string. */
     Map<String, LearnedState> learnedState(double now);
 
-    /** Goes on where another left off. Of servers that are not in the list, or have started since, nothing is taken. */
+    /**
+     * Goes on where another instance left off. Of endpoints that are not in the list, or have started since, nothing is
+     * taken.
+     *
+     * @param learnt as from {@link #learnedState}; pools that this instance doesn't have are passed over
+     */
     void resume(double now, Map<String, LearnedState> learnt);
 
-    /** News of the list of servers. */
+    /**
+     * Entries of the endpoint list, or a failed call for it.
+     *
+     * @param kind what the entries are
+     * @param members the entries; none if the call failed
+     * @throws IllegalArgumentException if an endpoint is named twice, or has a weight, zone or kind that can't be
+     */
     void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> members, RoutingActions out);
 
-    /** A client's request; the instance now owes exactly one final answer. */
+    /**
+     * A client's request has arrived. The instance now owes exactly one final answer: {@link RoutingActions#reject},
+     * {@link RoutingActions#fail}, or an attempt that ends with {@link AttemptEnd#requestCompleted}.
+     *
+     * @throws IllegalArgumentException if its class or tenant is not in the settings
+     */
     void onRequest(double now, Request request, RoutingActions out);
 
-    /** A streamed answer has begun. */
+    /** The first byte of an answer that is streamed has come; the request gets no other answer. */
     void onFirstByte(double now, int request, int attempt, int server, RoutingActions out);
 
-    /** An attempt has ended. */
+    /** An attempt has ended. Each ends once; others are ignored. */
     void onAttemptEnd(double now, AttemptEnd end, RoutingActions out);
 
-    /** The client has left; no answer is owed. */
+    /** The client has disconnected; no answer is owed. */
     void onClientDisconnected(double now, int request, RoutingActions out);
 
-    /** A timer has come due. */
+    /**
+     * A timer has come due.
+     *
+     * @param token as given to {@link RoutingActions#setTimer}
+     */
     void onTimer(double now, int token, RoutingActions out);
 
-    /** The result of a probe. */
+    /**
+     * The result of a health check.
+     *
+     * @param outcome OK if the endpoint answered
+     * @param elapsedMs how long it took
+     * @param report the endpoint's load report, its values in the order of the settings' fields; null if there is none
+     */
     void onHealthCheckResult(
             double now, int server, AttemptOutcome outcome, double elapsedMs, float[] report, RoutingActions out);
 
-    /** A message of another instance. */
+    /**
+     * A message of another instance.
+     *
+     * @param peer its index in the fleet
+     * @param message bytes as given to {@link RoutingActions#sendToPeer}; what can't be read is ignored
+     */
     void onPeerMessage(double now, int peer, byte[] message, RoutingActions out);
 
-    /** The fleet has zones open so far from now on; of others nothing changes. */
+    /**
+     * The fleet sends zones so much of their traffic from now on; nothing changes for others.
+     *
+     * @param orders one for each zone that changes
+     */
     void onZoneDirectives(double now, List<ZoneDirective> orders, RoutingActions out);
 }
--- a/src/main/java/cacheproxy/routing/LoadCount.java
+++ b/src/main/java/cacheproxy/routing/LoadCount.java
@@ -1,4 +1,9 @@
 package cacheproxy.routing;
 
-/** What was asked for and what came in time of that; both fade. */
+/**
+ * Load on a backend, both counts decaying.
+ *
+ * @param requested requests sent to it
+ * @param completedInTime those of them that were answered within their latency objective
+ */
 public record LoadCount(double requested, double completedInTime) {}
--- a/src/main/java/cacheproxy/routing/RoutingActions.java
+++ b/src/main/java/cacheproxy/routing/RoutingActions.java
@@ -1,40 +1,63 @@
 package cacheproxy.routing;
 
-/** Where the module's orders go. They are carried out in order, at the time of the event. */
+/**
+ * Takes the orders of a {@link LoadBalancer}, to carry them out in their order at the time of the event. Times in
+ * milliseconds.
+ */
 public interface RoutingActions {
-    /** Sends a request to a server; ended with {@link AttemptOutcome#TIMEOUT} if there is no answer within the time. */
+    /**
+     * Sends a request to an endpoint: its next attempt.
+     *
+     * @param timeoutMs after which the attempt ends with {@link AttemptOutcome#TIMEOUT}; 0 for the request's deadline
+     */
     void send(int request, int server, double timeoutMs);
 
-    /** Final answer: turned away, a retry is harmless. Advice 0: none. */
+    /**
+     * The final answer: rejected, which promises that a repeat does no harm.
+     *
+     * @param retryAfterMs after which the client should repeat it; 0 for no advice
+     */
     void reject(int request, double retryAfterMs);
 
-    /** Final answer: failed, nothing promised. */
+    /** The final answer: failed, which promises nothing. */
     void fail(int request);
 
-    /** Stops waiting for an attempt. */
+    /** Stops waiting for an attempt, which ends with {@link AttemptOutcome#CANCELLED}. */
     void cancel(int request, int attempt);
 
-    /** Asks for {@link LoadBalancer#onTimer} after this time. */
+    /**
+     * Asks for {@link LoadBalancer#onTimer}.
+     *
+     * @param afterMs 0 or more, from the time of the event
+     * @param token comes back with the timer, unchanged
+     */
     void setTimer(double afterMs, int token);
 
-    /** Tests a server. */
+    /** Checks the health of an endpoint, which ends in {@link LoadBalancer#onHealthCheckResult}. */
     void checkHealth(int server);
 
-    /** Ends those connections to a server on which nothing is under way. */
+    /** Closes those connections to an endpoint on which nothing is in flight. */
     void closeIdle(int server);
 
-    /** Sends bytes to another instance; -1: to all. */
+    /**
+     * Sends bytes to another instance.
+     *
+     * @param peer its index in the fleet, or -1 for all
+     */
     void sendToPeer(int peer, byte[] message);
 
-    /** Subscribes to changes of the list, or ends that. */
+    /** Subscribes to changes of the endpoint list, or ends the subscription. */
     void setWatch(boolean on);
 
-    /** Asks for the whole list once. */
+    /** Asks for a snapshot of the endpoint list once. */
     void fetchEndpointList();
 
     /** A line for the operators. */
     void log(String line);
 
-    /** Told of what the module has met, for those who judge zones and nodes by it. Of the origin: in time or not. */
+    /**
+     * What an attempt has shown of an endpoint, for those who judge zones and nodes by it. Of the origin: RESPONDED if
+     * it answered within the latency objective, UNRESPONSIVE otherwise.
+     */
     default void report(int server, EndpointSignal what) {}
 }
--- a/src/main/java/cacheproxy/routing/ZoneDirective.java
+++ b/src/main/java/cacheproxy/routing/ZoneDirective.java
@@ -1,8 +1,11 @@
 package cacheproxy.routing;
 
 /**
- * How far the fleet has a zone open: a server of it can be contacted for keys whose lot, the same at all instances,
- * lies under {@code trafficFraction}, 0 to 1. {@code probeAllowed}: one request may try it all the same.
- * {@code resetHealth}: what has been seen of its servers is of the past.
+ * How much of its traffic the fleet sends to a zone from now on.
+ *
+ * @param zone the zone's index in the settings
+ * @param trafficFraction the part of keys, the same ones at all instances, that may go to the zone's endpoints, 0 to 1
+ * @param probeAllowed whether this instance may send one request to the zone all the same
+ * @param resetHealth whether what has been seen of the zone's endpoints is of the past
  */
 public record ZoneDirective(int zone, double trafficFraction, boolean probeAllowed, boolean resetHealth) {}
