--- a/src/main/java/cacheproxy/simulator/MalformedInputException.java
+++ b/src/main/java/cacheproxy/simulator/MalformedInputException.java
@@ -1,10 +1,10 @@
 package cacheproxy.simulator;
 
-/** Input that is not the wire's; the message names what and where. */
-public final class WireException extends RuntimeException {
+/** Input of the simulator, or settings, that can't be read; the message names what is wrong, and where. */
+public final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    MalformedInputException(String message) {
         super(message);
     }
 }
--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -17,8 +17,8 @@
 
 /**
  * Reads an instance's settings from their paths and values, in the words of the operators' settings pages; unknown
- * paths are skipped. A {@link WireException} names the path of what is missing or wrong. Words whose term in code
- * differs:
+ * paths are skipped. A {@link MalformedInputException} names the path of what is missing or wrong. Words whose term in
+ * code differs:
  *
  * <pre>
  * path                         word                        in code
@@ -66,7 +66,7 @@
         return new SettingsParser(values);
     }
 
-    /** The settings as the module takes them; a WireException names what is missing or wrong. */
+    /** The settings as the module takes them; a MalformedInputException names what is missing or wrong. */
     public RoutingSettings settings() {
         List<String> zones = list("zones");
         List<String> kinds = list("kinds");
@@ -106,14 +106,15 @@
 
     private List<ServiceClass> classes() {
         if (integer("classes.count") < 1) {
-            throw new WireException("settings name no class");
+            throw new MalformedInputException("settings name no class");
         }
         List<ServiceClass> result = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (int i = 0; i < integer("classes.count"); i++) {
             String p = "classes." + i + ".";
             if (text(p + "name").isEmpty() || !names.add(text(p + "name"))) {
-                throw new WireException("setting '" + p + "name' is empty or another class's: " + text(p + "name"));
+                throw new MalformedInputException(
+                        "setting '" + p + "name' is empty or another class's: " + text(p + "name"));
             }
             Idempotency effect = oneOf(p + "idempotency", Idempotency.values(), Idempotency::wireName);
             boolean keyed = effect == Idempotency.KEYED;
@@ -145,7 +146,7 @@
     private String text(String key) {
         String value = values.get(key);
         if (value == null) {
-            throw new WireException("setting '" + key + "' is missing");
+            throw new MalformedInputException("setting '" + key + "' is missing");
         }
         return value;
     }
@@ -159,7 +160,7 @@
         } catch (NumberFormatException e) {
             // told below, with the key
         }
-        throw new WireException("setting '" + key + "' is not a number: " + values.get(key));
+        throw new MalformedInputException("setting '" + key + "' is not a number: " + values.get(key));
     }
 
     /** A number, or this one where the key is absent. */
@@ -171,7 +172,7 @@
     private double positive(String key, double least) {
         double value = number(key);
         if (!(value > 0 && value >= least)) {
-            throw new WireException("setting '" + key + "' is not over 0: " + values.get(key));
+            throw new MalformedInputException("setting '" + key + "' is not over 0: " + values.get(key));
         }
         return value;
     }
@@ -197,7 +198,8 @@
     private int oneOf(String key, String... words) {
         int i = List.of(words).indexOf(text(key));
         if (i < 0) {
-            throw new WireException("setting '" + key + "' is none of " + String.join(", ", words) + ": " + text(key));
+            throw new MalformedInputException(
+                    "setting '" + key + "' is none of " + String.join(", ", words) + ": " + text(key));
         }
         return i;
     }
--- a/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
@@ -157,7 +157,7 @@
         Batch unknown = new Batch().start(SETTINGS);
         unknown.record(31, 3);
         assertThatThrownBy(() -> run(unknown.bytes()))
-                .isInstanceOf(WireException.class)
+                .isInstanceOf(MalformedInputException.class)
                 .hasMessage("batch 7, record 2: unknown event code 31");
         Batch nobody = new Batch();
         nobody.record(70, 4);
