--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -5,6 +5,7 @@
 import cacheproxy.admission.Verdict;
 import cacheproxy.metrics.Metric;
 import cacheproxy.routing.AttemptOutcome;
+import cacheproxy.routing.EndpointLocation;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
@@ -18,7 +19,7 @@
 
     private static final double HEALTH_CHECK_TIMEOUT_MS = 250;
     /** Of a server that is not in the endpoint list. */
-    private static final SafetyRules.Location UNKNOWN_PLACE = new SafetyRules.Location(-1, -1);
+    private static final EndpointLocation UNKNOWN_PLACE = new EndpointLocation(-1, -1);
 
     private final EventLoop loop;
     private final LoopClock loopClock;
@@ -64,7 +65,7 @@
         double remainingMs = request.deadlineMs - now;
         double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
         Upstream upstream = servers.get(server);
-        SafetyRules.Location place = upstream == null ? UNKNOWN_PLACE : upstream.place;
+        EndpointLocation place = upstream == null ? UNKNOWN_PLACE : upstream.place;
         RequestAttempt attempt = new RequestAttempt(request, request.attempts.size(), server, place, now, now + waitMs);
         count(request, upstream);
         request.attempts.add(attempt);
--- a/src/main/java/cacheproxy/proxy/Servers.java
+++ b/src/main/java/cacheproxy/proxy/Servers.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.SafetyRules;
 import cacheproxy.metrics.Metric;
 import cacheproxy.metrics.MetricsLine;
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
+import cacheproxy.routing.EndpointLocation;
 import cacheproxy.routing.EndpointState;
 import cacheproxy.routing.EndpointUpdateKind;
 import cacheproxy.routing.RoutingSettings;
@@ -74,7 +74,7 @@
             u.dial = h.address();
             u.bornMs = h.endpoint().startTimeMs();
             u.startedMs = h.endpoint().localStartTimeMs();
-            u.place = new SafetyRules.Location(h.endpoint().zone(), h.endpoint().cell());
+            u.place = new EndpointLocation(h.endpoint().zone(), h.endpoint().cell());
             u.ready = h.endpoint().state() == EndpointState.READY;
         }
         if (kind.isSnapshot()) {
--- a/src/test/java/cacheproxy/proxy/EventLogTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLogTest.java
@@ -4,10 +4,10 @@
 
 import cacheproxy.admission.RequestState;
 import cacheproxy.admission.RuleViolation;
-import cacheproxy.admission.SafetyRules;
 import cacheproxy.admission.Verdict;
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.LogMessage;
+import cacheproxy.routing.EndpointLocation;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -62,7 +62,7 @@
         RuleMonitor rules = new RuleMonitor(log);
         ClientRequest request = request();
         rules.recordForbidden(
-                new RequestAttempt(request, 1, 0x1a, new SafetyRules.Location(0, 0), 0, 100), Verdict.ALLOWED);
+                new RequestAttempt(request, 1, 0x1a, new EndpointLocation(0, 0), 0, 100), Verdict.ALLOWED);
         request.transitionTo(RequestState.ANSWERED);
         rules.recordViolation(RuleViolation.ANSWERED_LATE, request, message -> message.with("late_ms", 700));
         assertThat(lines())
