--- a/src/main/java/cacheproxy/proxy/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/ClientInput.java
@@ -24,7 +24,7 @@
 
     ClientInput(Dispatcher dispatcher) {
         this.dispatcher = dispatcher;
-        readAhead = dispatcher.readAhead().newReservation();
+        readAhead = dispatcher.bufferLimits().readAhead().newReservation();
     }
 
     /** Bytes have been read; {@code idle}: nothing of the client was under way before them. */
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -76,8 +76,8 @@
 
     private void tick() {
         double now = dispatcher.now();
-        if (dispatcher.trust().expired(now, Subject.ENDPOINT_LIST)) {
-            dispatcher.trust().discarded(Subject.ENDPOINT_LIST);
+        if (dispatcher.provenance().expired(now, Subject.ENDPOINT_LIST)) {
+            dispatcher.provenance().discarded(Subject.ENDPOINT_LIST);
             dispatcher.log("recovery: the stored list is too old to go on with, and discovery has not answered");
             listExpired.run();
         }
@@ -97,7 +97,7 @@
             rateTaken = dispatcher.acceptedRequests();
             rateMs = now;
         }
-        if (members != null && !dispatcher.draining()) {
+        if (members != null && !dispatcher.drain().closing()) {
             phase(stage);
             share(now);
         }
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -122,7 +122,9 @@
                         0,
                         List.of(),
                         doubts)));
-        dispatcher.trust().adopted(now, ProvenanceTracker.Subject.LEARNED_STATE, Provenance.PEERS, 0, BOUND_MS, true);
+        dispatcher
+                .provenance()
+                .adopted(now, ProvenanceTracker.Subject.LEARNED_STATE, Provenance.PEERS, 0, BOUND_MS, true);
         if (r.listVersion() > discovery.version()) {
             discovery.onPeerAhead(); // a claim is no list, but worth a call
         }
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.SafetyRules;
+import cacheproxy.routing.EndpointLocation;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
@@ -29,7 +29,7 @@
     /** The same on the clock of {@link Dispatcher#now}. */
     double startedMs;
 
-    SafetyRules.Location place;
+    EndpointLocation place;
     /** Whether the list has it take new requests. */
     boolean ready;
     /** When something was last put on a connection to it. */
@@ -155,7 +155,7 @@
                 best = c;
             }
         }
-        if (best == null || !dispatcher.mayBegin(attempt)) {
+        if (best == null || !dispatcher.attemptStarter().mayBegin(attempt)) {
             return false;
         }
         noMoreUntilMs = now + NO_MORE_MS;
