--- a/src/main/java/cacheproxy/proxy/discovery/Addresses.java
+++ b/src/main/java/cacheproxy/proxy/discovery/Addresses.java
@@ -6,11 +6,18 @@
 import java.net.SocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as the configuration and discovery word them: literal, as there is no DNS. */
+/**
+ * Addresses in the text form of the configuration and of discovery: {@code IP:PORT}, the IP a literal, as there is no
+ * DNS.
+ */
 public final class Addresses {
     private Addresses() {}
 
-    /** A literal address with its port. */
+    /**
+     * Reads an address.
+     *
+     * @throws InvalidAddressException if it has no literal IP, or no port from 0 to 65,535
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
@@ -19,12 +26,12 @@
                 return new InetSocketAddress(InetAddress.getByAddress(ip), Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (UnknownHostException | IllegalArgumentException e) {
-            // told below
+            // Reported below, in the same words as a text without a colon.
         }
-        throw new IllegalArgumentException("'" + text + "' is not an address with a port");
+        throw new InvalidAddressException(text);
     }
 
-    /** An address in the form that it is told in. */
+    /** Writes an address in the same form; one that is no IP address, in a form of its own. */
     public static String text(SocketAddress address) {
         return address instanceof InetSocketAddress i
                 ? i.getAddress().getHostAddress() + ":" + i.getPort()
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveredEndpoint.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveredEndpoint.java
@@ -5,10 +5,10 @@
 import java.net.SocketAddress;
 
 /**
- * An entry of the list.
+ * An entry of the endpoint list, as its users need it.
  *
- * @param endpoint for the decision module
- * @param address where it listens
+ * @param endpoint as the load balancer knows it
+ * @param address where it accepts connections
  * @param poolMember what pools select it by
  */
 public record DiscoveredEndpoint(Endpoint endpoint, SocketAddress address, Pool.Server poolMember) {}
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -124,7 +124,7 @@
         version = 0;
         if (list != null) {
             try {
-                EndpointListCodec.DecodedList read = settings.codec().decode(list);
+                DecodedList read = settings.codec().decode(list);
                 read.errors().forEach(listener::onEntryRejected);
                 known = read.endpoints();
                 version = read.version();
@@ -251,7 +251,7 @@
 
     /** Takes an answer into use; whether it is newer than all before. What can't be used throws. */
     private boolean apply(JsonElement json) {
-        EndpointListCodec.DecodedList read = settings.codec().decode(json);
+        DecodedList read = settings.codec().decode(json);
         if (!read.snapshot() && (read.version() < version || needsAll)) {
             // It numbers anew, as one that has moved or lost its memory may, or what is held can't be built on.
             needsAll = true;
@@ -279,7 +279,7 @@
     }
 
     /** What it names, and of a whole list also what is held of servers whose entries can't be used. */
-    private List<DiscoveredEndpoint> hosts(EndpointListCodec.DecodedList read) {
+    private List<DiscoveredEndpoint> hosts(DecodedList read) {
         if (!read.snapshot() || read.errors().isEmpty()) {
             return read.endpoints();
         }
@@ -294,12 +294,12 @@
         return hosts;
     }
 
-    private void keep(EndpointListCodec.DecodedList read) {
+    private void keep(DecodedList read) {
         if (read.snapshot()) {
             entries.keySet().removeIf(name -> !read.rejectedHosts().contains(name));
         }
         read.rawEntries().forEach((name, entry) -> {
-            if (entry.get("health").getAsString().equals("removed")) {
+            if (EndpointListCodec.isRemoved(entry)) {
                 entries.remove(name);
             } else {
                 entries.put(name, entry);
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
@@ -7,110 +7,115 @@
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
+import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Function;
 import java.util.zip.CRC32;
 
 /**
- * The form in which discovery tells of servers.
+ * Reads and writes endpoint lists in discovery's JSON. Its words, and the terms here:
  *
- * @param zones the sites that an entry may name, by whose places here the decision module knows them
- * @param kinds the kinds of machine that it may name, likewise
+ * <pre>
+ * list      seq       version            a whole number, 0 to 2 to the power of 53
+ *           whole     snapshot           true or false
+ *           hosts     entries
+ * entry     host      host, endpoint id  the id is derived from the host's name
+ *           dial      address            IP:PORT
+ *           site      zone               one that the settings name
+ *           class     kind               one that the settings name
+ *           block     cell               a whole number; 0 if absent
+ *           health    state              up: READY, draining: DRAINING, removed: REMOVED
+ *           share     weight             0 or more; 1 if absent
+ *           born_ms   start time         Unix time in milliseconds; 0, also if absent: long ago
+ *           labels    labels             texts, 64 at most; none if absent
+ * </pre>
+ *
+ * <p>Other fields are ignored. Immutable.
  */
-public record EndpointListCodec(List<String> zones, List<String> kinds) {
+public final class EndpointListCodec {
     private static final int MAX_LABELS = 64;
-    /** Versions are whole numbers up to the highest that any reader of JSON keeps exact. */
+    /** The highest whole number that every reader of JSON keeps exact. */
     private static final double MAX_VERSION = 1L << 53;
 
+    private static final int MAX_ID_DIGITS = 8;
+    private static final String REMOVED = "removed";
+
+    private final List<String> zones;
+    private final List<String> kinds;
+    private final Map<String, Integer> zoneNumbers;
+    private final Map<String, Integer> kindNumbers;
+
     /**
-     * An answer of discovery's.
-     *
-     * @param version of the list
-     * @param snapshot whether it names all servers
-     * @param endpoints its entries that can be used
-     * @param rawEntries the same as discovery words them, by name
-     * @param rejectedHosts names of servers whose entries can't be used
-     * @param errors what is wrong with it, a line for each entry that can't be used
+     * For lists whose entries name these zones and kinds of machine, as {@link #settingsName} writes them; the load
+     * balancer knows them by their places here.
      */
-    public record DecodedList(
-            long version,
-            boolean snapshot,
-            List<DiscoveredEndpoint> endpoints,
-            Map<String, JsonObject> rawEntries,
-            Set<String> rejectedHosts,
-            List<String> errors) {}
+    public EndpointListCodec(List<String> zones, List<String> kinds) {
+        this.zones = List.copyOf(zones);
+        this.kinds = List.copyOf(kinds);
+        zoneNumbers = numbers(this.zones);
+        kindNumbers = numbers(this.kinds);
+    }
+
+    private static Map<String, Integer> numbers(List<String> names) {
+        Map<String, Integer> numbers = new HashMap<>();
+        for (int i = 0; i < names.size(); i++) {
+            numbers.putIfAbsent(names.get(i), i);
+        }
+        return numbers;
+    }
 
-    /** A name as the settings word it, where a list stands on one line. */
-    public static String settingsName(String text) {
-        return text.replace(' ', '_').replace(',', '_');
+    /** A name of discovery's in the form of the settings, where several stand on one line. */
+    public static String settingsName(String name) {
+        return name.replace(' ', '_').replace(',', '_');
     }
 
     /**
-     * Reads an answer. An entry that can't be used is left out and told; one that can't be assigned to a server makes a
-     * whole list one of changes, as it may be any server's. Of a host that is listed twice the entry counts that lets
-     * it be used less.
+     * Reads an answer. An entry that can't be used is left out and reported in {@link DecodedList#errors}. One that
+     * names no host may be that of any, so the list does not count as complete then. Of a host that is listed twice the
+     * entry counts that lets it be used less.
      *
-     * @throws JsonParseException if it is no list, or no entry of it can be used
+     * @throws JsonParseException if it is no list, or has entries of which none can be used
+     * @throws IllegalArgumentException if a field of the list itself is of another type
      */
-    public DecodedList decode(JsonElement json) {
-        if (!json.isJsonObject()
-                || !json.getAsJsonObject().has("hosts")
-                || !json.getAsJsonObject().get("hosts").isJsonArray()) {
-            throw new JsonParseException("no list");
-        }
-        JsonObject list = json.getAsJsonObject();
-        DecodedList read = entries(version(list), list.get("whole").getAsBoolean(), list.getAsJsonArray("hosts"));
-        if (read.endpoints().isEmpty() && !read.errors().isEmpty()) {
-            throw new JsonParseException(read.errors().get(0));
-        }
-        return read;
-    }
-
-    private DecodedList entries(long version, boolean all, JsonArray list) {
-        Map<String, Integer> zoneNumbers = numbers(zones);
-        Map<String, Integer> kindNumbers = numbers(kinds);
-        Map<String, DiscoveredEndpoint> hosts = new LinkedHashMap<>();
-        Map<String, JsonObject> entries = new LinkedHashMap<>();
-        Set<String> unusable = new HashSet<>();
-        List<String> wrong = new ArrayList<>();
-        boolean anonymous = false;
-        for (JsonElement element : list) {
-            String name = name(element);
-            try {
-                DiscoveredEndpoint host = host(element.getAsJsonObject(), zoneNumbers, kindNumbers);
-                DiscoveredEndpoint other = hosts.get(name);
-                if (other != null) {
-                    wrong.add("host " + name + " is listed twice");
-                }
-                if (other == null || other.endpoint().state() == EndpointState.READY) {
-                    hosts.put(name, host);
-                    entries.put(name, element.getAsJsonObject());
-                }
-            } catch (RuntimeException e) {
-                wrong.add(name == null ? "an entry without a host: " + e.getMessage() : e.getMessage());
-                anonymous |= name == null;
-                if (name != null) {
-                    unusable.add(name);
-                }
-            }
+    DecodedList decode(JsonElement json) {
+        JsonObject list = list(json);
+        long version = version(list);
+        boolean complete = field("endpoint list", list, "whole", "true or false", JsonElement::getAsBoolean);
+        DecodedList decoded = decodeEntries(version, complete, list.getAsJsonArray("hosts"));
+        if (decoded.endpoints().isEmpty() && !decoded.errors().isEmpty()) {
+            throw new InvalidEndpointListException(decoded.errors().get(0));
         }
-        unusable.removeAll(hosts.keySet());
-        boolean whole = all && !anonymous;
-        return new DecodedList(version, whole, List.copyOf(hosts.values()), entries, unusable, wrong);
+        return decoded;
     }
 
-    private static String name(JsonElement entry) {
-        if (!entry.isJsonObject() || !entry.getAsJsonObject().has("host")) {
-            return null;
+    /**
+     * Reads all entries of a list.
+     *
+     * @throws IllegalArgumentException for the first entry that can't be used; its message says why
+     */
+    public List<DiscoveredEndpoint> decodeAll(JsonObject json) {
+        DecodedList decoded = decodeEntries(0, true, list(json).getAsJsonArray("hosts"));
+        if (!decoded.errors().isEmpty()) {
+            throw new InvalidFieldException("endpoint list", decoded.errors().get(0));
+        }
+        return decoded.endpoints();
+    }
+
+    private static JsonObject list(JsonElement json) {
+        if (!json.isJsonObject()
+                || !json.getAsJsonObject().has("hosts")
+                || !json.getAsJsonObject().get("hosts").isJsonArray()) {
+            throw new InvalidEndpointListException("no endpoint list: expected an object with an array 'hosts'");
         }
-        JsonElement name = entry.getAsJsonObject().get("host");
-        return name.isJsonPrimitive() ? name.getAsString() : null;
+        return json.getAsJsonObject();
     }
 
     /**
@@ -120,78 +125,180 @@
      */
     static long version(JsonObject list) {
         JsonElement seq = list.get("seq");
-        double version = seq != null && seq.isJsonPrimitive() ? seq.getAsDouble() : Double.NaN;
+        double version = seq != null && seq.isJsonPrimitive()
+                ? field("endpoint list", list, "seq", "a number", JsonElement::getAsDouble)
+                : Double.NaN;
         if (!(version >= 0) || version > MAX_VERSION || version != Math.rint(version)) {
-            throw new JsonParseException("no version of a list: " + seq);
+            throw new InvalidEndpointListException(
+                    "endpoint list: field 'seq': expected a whole number from 0 to 2^53, got " + seq);
         }
         return (long) version;
     }
 
-    /** The hosts of a list; an exception says what is wrong with one. */
-    public List<DiscoveredEndpoint> decodeAll(JsonObject json) {
-        DecodedList read = entries(0, true, json.getAsJsonArray("hosts"));
-        if (!read.errors().isEmpty()) {
-            throw new IllegalArgumentException(read.errors().get(0));
+    private DecodedList decodeEntries(long version, boolean complete, JsonArray entries) {
+        Map<String, DiscoveredEndpoint> endpoints = new LinkedHashMap<>();
+        Map<String, JsonObject> rawEntries = new LinkedHashMap<>();
+        Set<String> rejectedHosts = new HashSet<>();
+        List<String> errors = new ArrayList<>();
+        boolean anonymousEntry = false;
+        for (JsonElement entry : entries) {
+            String host = hostName(entry);
+            try {
+                DiscoveredEndpoint endpoint = decodeEntry(entry);
+                DiscoveredEndpoint other = endpoints.get(host);
+                if (other != null) {
+                    errors.add("host " + host + " is listed twice");
+                }
+                if (other == null || other.endpoint().state() == EndpointState.READY) {
+                    endpoints.put(host, endpoint);
+                    rawEntries.put(host, entry.getAsJsonObject());
+                }
+            } catch (InvalidFieldException e) {
+                errors.add(e.getMessage());
+                anonymousEntry |= host == null;
+                if (host != null) {
+                    rejectedHosts.add(host);
+                }
+            }
         }
-        return read.endpoints();
+        rejectedHosts.removeAll(endpoints.keySet());
+        return new DecodedList(
+                version,
+                complete && !anonymousEntry,
+                List.copyOf(endpoints.values()),
+                rawEntries,
+                rejectedHosts,
+                errors);
     }
 
-    /** The places of words in a list, by the words: a search for each host would take the product of both. */
-    private static Map<String, Integer> numbers(List<String> words) {
-        Map<String, Integer> numbers = new HashMap<>();
-        for (int i = 0; i < words.size(); i++) {
-            numbers.putIfAbsent(words.get(i), i);
+    /** Null if the entry does not say. */
+    private static String hostName(JsonElement entry) {
+        if (!entry.isJsonObject() || !entry.getAsJsonObject().has("host")) {
+            return null;
         }
-        return numbers;
+        JsonElement host = entry.getAsJsonObject().get("host");
+        return host.isJsonPrimitive() ? host.getAsString() : null;
+    }
+
+    private DiscoveredEndpoint decodeEntry(JsonElement json) {
+        if (!json.isJsonObject()) {
+            throw new InvalidFieldException("an entry without a host", "expected an object, got " + json);
+        }
+        JsonObject entry = json.getAsJsonObject();
+        String host = field("an entry without a host", entry, "host", "a text", JsonElement::getAsString);
+        String place = "host " + host;
+        EndpointState state = state(place, text(place, entry, "health"));
+        String site = text(place, entry, "site");
+        String machine = text(place, entry, "class");
+        int zone = zoneNumbers.getOrDefault(settingsName(site), -1);
+        int kind = kindNumbers.getOrDefault(settingsName(machine), -1);
+        float weight = entry.has("share") ? field(place, entry, "share", "a number", JsonElement::getAsFloat) : 1;
+        if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
+            throw new InvalidFieldException(
+                    place,
+                    "unknown site or class, or bad share: site '" + site + "', class '" + machine + "', share "
+                            + weight);
+        }
+        double startTimeMs =
+                entry.has("born_ms") ? field(place, entry, "born_ms", "a number", JsonElement::getAsDouble) : 0;
+        int cell = entry.has("block") ? field(place, entry, "block", "a whole number", JsonElement::getAsInt) : 0;
+        return new DiscoveredEndpoint(
+                new Endpoint(endpointId(host), zone, kind, cell, state, weight, startTimeMs),
+                address(place, text(place, entry, "dial")),
+                new Pool.Server(host, zones.get(zone), kinds.get(kind), labels(place, entry)));
     }
 
-    private DiscoveredEndpoint host(JsonObject h, Map<String, Integer> zoneNumbers, Map<String, Integer> kindNumbers) {
-        String name = h.get("host").getAsString();
-        EndpointState state = switch (h.get("health").getAsString()) {
+    private static EndpointState state(String place, String health) {
+        return switch (health) {
             case "up" -> EndpointState.READY;
             case "draining" -> EndpointState.DRAINING;
-            case "removed" -> EndpointState.REMOVED;
-            default -> throw new IllegalArgumentException("host " + name + ": unknown health");
+            case REMOVED -> EndpointState.REMOVED;
+            default ->
+                throw new InvalidFieldException(
+                        place, "unknown health '" + health + "', expected up, draining or removed");
         };
-        int zone = zoneNumbers.getOrDefault(settingsName(h.get("site").getAsString()), -1);
-        int kind = kindNumbers.getOrDefault(settingsName(h.get("class").getAsString()), -1);
-        float weight = h.has("share") ? h.get("share").getAsFloat() : 1;
-        if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
-            throw new IllegalArgumentException("host " + name + ": unknown site or class, or bad share");
+    }
+
+    private static InetSocketAddress address(String place, String dial) {
+        try {
+            return Addresses.parse(dial);
+        } catch (InvalidAddressException e) {
+            throw new InvalidFieldException(place, "field 'dial': " + e.getMessage(), e);
         }
-        double born = h.has("born_ms") ? h.get("born_ms").getAsDouble() : 0;
-        int cell = h.has("block") ? h.get("block").getAsInt() : 0;
-        return new DiscoveredEndpoint(
-                new Endpoint(endpointId(name), zone, kind, cell, state, weight, born),
-                Addresses.parse(h.get("dial").getAsString()),
-                new Pool.Server(name, zones.get(zone), kinds.get(kind), labels(name, h)));
     }
 
-    /** Words that installations may put on their servers for pools to select by; most have none. */
-    private static Set<String> labels(String name, JsonObject h) {
-        if (!h.has("labels")) {
+    /** Installations may label their servers, for pools to select them by. */
+    private static Set<String> labels(String place, JsonObject entry) {
+        if (!entry.has("labels")) {
             return Set.of();
         }
+        if (!entry.get("labels").isJsonArray()) {
+            throw new InvalidFieldException(place, "field 'labels': expected an array, got " + entry.get("labels"));
+        }
         Set<String> labels = new HashSet<>();
-        h.getAsJsonArray("labels").forEach(l -> labels.add(l.getAsString()));
+        for (JsonElement label : entry.getAsJsonArray("labels")) {
+            labels.add(value(place, "labels", label, "texts", JsonElement::getAsString));
+        }
         if (labels.size() > MAX_LABELS) {
-            throw new IllegalArgumentException("host " + name + ": more than " + MAX_LABELS + " labels");
+            throw new InvalidFieldException(place, "more than " + MAX_LABELS + " labels");
         }
         return labels;
     }
 
-    /** The number that stands for a host in hashes, the same at all instances. */
-    static int endpointId(String name) {
-        String digits = name.substring(name.lastIndexOf('-') + 1);
+    private static String text(String place, JsonObject entry, String field) {
+        return field(place, entry, field, "a text", JsonElement::getAsString);
+    }
+
+    private static <T> T field(
+            String place, JsonObject object, String field, String expected, Function<JsonElement, T> read) {
+        JsonElement value = object.get(field);
+        if (value == null) {
+            throw new InvalidFieldException(place, "field '" + field + "': expected " + expected + ", got nothing");
+        }
+        return value(place, field, value, expected, read);
+    }
+
+    private static <T> T value(
+            String place, String field, JsonElement value, String expected, Function<JsonElement, T> read) {
+        try {
+            return read.apply(value);
+        } catch (UnsupportedOperationException | IllegalStateException | NumberFormatException e) {
+            // What Gson throws for a value of another type.
+            throw new InvalidFieldException(place, "field '" + field + "': expected " + expected + ", got " + value, e);
+        }
+    }
+
+    /** Whether an entry that was decoded without an error says that its endpoint is gone. */
+    static boolean isRemoved(JsonObject rawEntry) {
+        return rawEntry.get("health").getAsString().equals(REMOVED);
+    }
+
+    /** Writes a complete list of entries as discovery sent them. */
+    static JsonObject encodeSnapshot(long version, Collection<JsonObject> rawEntries) {
+        JsonArray entries = new JsonArray();
+        rawEntries.forEach(entries::add);
+        JsonObject list = new JsonObject();
+        list.addProperty("seq", version);
+        list.addProperty("whole", true);
+        list.add("hosts", entries);
+        return list;
+    }
+
+    /**
+     * The number that stands for a host in hashes and between proxies, the same at all instances: the hexadecimal
+     * digits behind the last hyphen of its name, or its CRC-32 if there are none, or more than eight.
+     */
+    static int endpointId(String host) {
+        String digits = host.substring(host.lastIndexOf('-') + 1);
         try {
-            if (digits.length() <= 8) {
+            if (digits.length() <= MAX_ID_DIGITS) {
                 return Integer.parseUnsignedInt(digits, 16);
             }
         } catch (NumberFormatException e) {
-            // not of that form
+            // A name of another form: its checksum stands for it.
         }
-        CRC32 sum = new CRC32();
-        sum.update(name.getBytes(StandardCharsets.UTF_8));
-        return (int) sum.getValue();
+        CRC32 checksum = new CRC32();
+        checksum.update(host.getBytes(StandardCharsets.UTF_8));
+        return (int) checksum.getValue();
     }
 }
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListSource.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListSource.java
@@ -1,10 +1,10 @@
 package cacheproxy.proxy.discovery;
 
-/** Where the decision module's calls for the list of servers go. */
+/** Where the endpoint list comes from, as the load balancer commands it. On the event loop only. */
 public interface EndpointListSource {
-    /** Subscribes to changes, or ends that. */
+    /** Begins to follow the list, by new polls, or ends to. */
     void setWatch(boolean on);
 
-    /** Asks for the whole list once. */
+    /** Requests the complete list, in place of whatever is held, and follows it from there. */
     void fetchSnapshot();
 }
--- a/src/test/java/cacheproxy/proxy/discovery/EndpointListSamplesTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/EndpointListSamplesTest.java
@@ -15,8 +15,7 @@
             new EndpointListCodec(List.of("east", "west_coast"), List.of("fast", "slow", "origin"));
 
     private static String read(String name) {
-        EndpointListCodec.DecodedList read =
-                FORM.decode(JsonParser.parseString(WireSamples.text("discovery/" + name + ".json")));
+        DecodedList read = FORM.decode(JsonParser.parseString(WireSamples.text("discovery/" + name + ".json")));
         StringBuilder text = new StringBuilder();
         text.append("version ").append(read.version()).append(", whole ").append(read.snapshot());
         for (DiscoveredEndpoint host : read.endpoints()) {
