--- a/src/main/java/cacheproxy/gossip/AntiEntropy.java
+++ b/src/main/java/cacheproxy/gossip/AntiEntropy.java
@@ -3,31 +3,44 @@
 import java.util.SplittableRandom;
 
 /**
- * When to ask some peer for what has changed in the list: while discovery does not answer, as what a peer told
- * meanwhile may have been lost on its way. A proxy with a sound watch asks nobody, so the messages do not grow with
- * time.
+ * Decides when some peer is queried for changes of the endpoint list. Announcements of peers may have been lost while
+ * discovery was of no help, so a peer is queried
+ *
+ * <ul>
+ *   <li>while discovery has not answered for {@link #STALE_AFTER_MS}, again and again ({@link #onTimer});
+ *   <li>when a poll has failed, or a peer holds a version that discovery has not brought in time ({@link #onFault}),
+ * </ul>
+ *
+ * <p>but never within {@link #MIN_QUERY_INTERVAL_MS} of the query before. An instance whose watch works queries nobody,
+ * so the messages of a healthy fleet do not grow with time. Times in milliseconds of one clock.
  */
 public final class AntiEntropy {
-    /** A sound watch is answered sooner than this: its wait is 1.8 s at most. */
+    /** Longer than a watch that works is left unanswered: its wait is 1.8 s at most. */
     static final double STALE_AFTER_MS = 2000;
-    /** The least time between two questions, which some other peer is asked each time. */
+    /** Between two queries, each of which may go to another peer. */
     static final double MIN_QUERY_INTERVAL_MS = 500;
 
     private double lastResponseMs;
     private double lastQueryMs = Double.NEGATIVE_INFINITY;
 
-    /** Discovery counts as answered at this time, in milliseconds. */
+    /** {@code nowMs}: discovery counts as having answered then. */
     public AntiEntropy(double nowMs) {
         lastResponseMs = nowMs;
     }
 
-    /** The number of some instance but this one, each as likely; negative if this is the only one. */
-    public static int randomPeer(SplittableRandom random, int me, int instances) {
-        if (instances < 2) {
+    /**
+     * Draws a peer, each as likely.
+     *
+     * @param random one number is drawn of it unless there is no peer
+     * @param self the number of this instance, 0 to {@code instanceCount - 1}
+     * @return the number of some other instance; negative if this is the only one
+     */
+    public static int randomPeer(SplittableRandom random, int self, int instanceCount) {
+        if (instanceCount < 2) {
             return -1;
         }
-        int other = random.nextInt(instances - 1);
-        return other < me ? other : other + 1;
+        int other = random.nextInt(instanceCount - 1);
+        return other < self ? other : other + 1;
     }
 
     /** Discovery has answered, with or without news. */
@@ -35,7 +48,11 @@
         lastResponseMs = nowMs;
     }
 
-    /** Something is amiss: a call has failed, or a peer has claimed what is not known here. Whether to ask one now. */
+    /**
+     * A poll has failed, or a peer holds a version that is not known here.
+     *
+     * @return whether to query a peer now; counts as done then
+     */
     public boolean onFault(double nowMs) {
         if (nowMs - lastQueryMs < MIN_QUERY_INTERVAL_MS) {
             return false;
@@ -49,7 +66,11 @@
         return Math.max(lastResponseMs + STALE_AFTER_MS, lastQueryMs + MIN_QUERY_INTERVAL_MS);
     }
 
-    /** That time may have come. Whether to ask a peer now. */
+    /**
+     * {@link #nextTimerMs} may have come.
+     *
+     * @return whether to query a peer now; counts as done then
+     */
     public boolean onTimer(double nowMs) {
         return nowMs >= nextTimerMs() && onFault(nowMs);
     }
--- a/src/main/java/cacheproxy/gossip/ChangeLog.java
+++ b/src/main/java/cacheproxy/gossip/ChangeLog.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 
 /**
- * The last change of each server that discovery has told, in the order of the versions, for peers that were not told
- * yet. Bounded: what it has had no room for is told by {@link #completeAfter}.
+ * The last change of each endpoint that discovery has sent, in the order of versions, for peers that have missed them.
+ * Bounded: where it had no room, {@link #completeAfter} says from which version on nothing is missing.
  */
 final class ChangeLog {
-    /** Servers whose last change is kept: four times the largest fleet that is planned for. */
+    /** Endpoints whose last change is held: four times the largest fleet that is planned for. */
     static final int CAPACITY = 4096;
 
     private final Map<Integer, EndpointChange> byEndpoint = new LinkedHashMap<>();
     private long completeAfter;
 
-    /** Begins anew: whatever comes after this version will be in it. */
+    /** Drops all changes; those after this version will be added. */
     void clear(long version) {
         byEndpoint.clear();
         completeAfter = version;
     }
 
-    /** Adds a change of no older version than those that it holds. */
+    /** Adds a change whose version is not lower than that of any before. */
     void add(EndpointChange change) {
         byEndpoint.remove(change.endpointId()); // so that it goes to the end
         byEndpoint.put(change.endpointId(), change);
@@ -34,12 +34,12 @@
         }
     }
 
-    /** The last change of a server; null if none is known. */
-    EndpointChange last(int server) {
-        return byEndpoint.get(server);
+    /** The last change of an endpoint; null if none is known. */
+    EndpointChange last(int endpointId) {
+        return byEndpoint.get(endpointId);
     }
 
-    /** What is missing from it are changes of this version and older ones. */
+    /** Changes of this version and older ones may be missing; none of a later one is. */
     long completeAfter() {
         return completeAfter;
     }
--- a/src/main/java/cacheproxy/gossip/EndpointListDelta.java
+++ b/src/main/java/cacheproxy/gossip/EndpointListDelta.java
@@ -6,44 +6,53 @@
 import java.util.List;
 
 /**
- * What a proxy was told by discovery, for peers: all servers that changed after one version of the list up to another,
- * as they are in the latter. Its form, big-endian: a byte for the kind, both versions, how long it holds, and for each
- * server its number, a byte for its state and the time of its start.
+ * A message between proxies: the endpoints that have changed after one version of discovery's list up to another, as
+ * they stand in the latter. On the wire, big-endian ({@code docs/design/members-wire.md}):
+ *
+ * <pre>
+ * 1   'C'
+ * 8   afterVersion
+ * 8   version
+ * 2   ttlMs, unsigned
+ * for each change:
+ * 4   endpointId
+ * 1   state: 0 REMOVED, 1 DRAINING, 2 READY
+ * 8   startTimeMs, IEEE 754
+ * </pre>
  *
  * @param afterVersion changes of this version and older ones are not in it
- * @param version the version in which the servers stand so
- * @param ttlMs how long it may be used without discovery's word, in milliseconds, 0 to 65,535; a peer that passes on
- *     what it was told itself by a peer passes on what is left of that time, so that a mistake ends by itself
- * @param changes the servers that changed; their own versions are not sent, so those read are {@code version}
+ * @param version in which the endpoints stand so
+ * @param ttlMs how long it may be used without confirmation by discovery, in milliseconds, 0 to 65,535. A peer that
+ *     relays what it had from a peer sends what is left of that time, so that a mistake expires
+ * @param changes {@link #MAX_CHANGES} at most; their own versions are not sent, so those read are {@code version}
  */
 public record EndpointListDelta(long afterVersion, long version, int ttlMs, List<EndpointChange> changes) {
-    private static final byte MARK = 'C';
+    private static final byte TYPE = 'C';
     private static final int MAX_TTL_MS = 0xffff;
-    private static final int HEAD_BYTES = 1 + 2 * Long.BYTES + Short.BYTES;
+    private static final int HEADER_BYTES = 1 + 2 * Long.BYTES + Short.BYTES;
     private static final int CHANGE_BYTES = Integer.BYTES + 1 + Double.BYTES;
-    /** The most servers that one message holds. */
-    public static final int MAX_CHANGES = (Envelope.MAX_BODY_BYTES - HEAD_BYTES) / CHANGE_BYTES;
+    /** The most changes that one message holds. */
+    public static final int MAX_CHANGES = (Envelope.MAX_BODY_BYTES - HEADER_BYTES) / CHANGE_BYTES;
 
-    /** Copies the servers. */
+    /** Copies the changes; an IllegalArgumentException if they are too many, or the time is out of range. */
     public EndpointListDelta {
         changes = List.copyOf(changes);
         if (changes.size() > MAX_CHANGES || ttlMs < 0 || ttlMs > MAX_TTL_MS) {
-            throw new IllegalArgumentException(
-                    changes.size() + " servers for " + ttlMs + " ms; a message holds " + MAX_CHANGES);
+            throw new IllegalArgumentException(changes.size() + " changes with a TTL of " + ttlMs
+                    + " ms; expected at most " + MAX_CHANGES + ", 0 to " + MAX_TTL_MS);
         }
     }
 
     /** The bytes of the message. */
     public byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(HEAD_BYTES + CHANGE_BYTES * changes.size());
-        out.put(MARK).putLong(afterVersion).putLong(version).putShort((short) ttlMs);
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + CHANGE_BYTES * changes.size());
+        out.put(TYPE).putLong(afterVersion).putLong(version).putShort((short) ttlMs);
         for (EndpointChange c : changes) {
             out.putInt(c.endpointId()).put(code(c.state())).putDouble(c.startTimeMs());
         }
         return out.array();
     }
 
-    /** The code of a state in a message: 0 removed, 1 draining, 2 ready. */
     private static byte code(EndpointState state) {
         return switch (state) {
             case REMOVED -> 0;
@@ -52,7 +61,7 @@
         };
     }
 
-    /** The state of that code; null if there is none. */
+    /** Null if no state has this code. */
     private static EndpointState state(byte code) {
         return switch (code) {
             case 0 -> EndpointState.REMOVED;
@@ -62,26 +71,31 @@
         };
     }
 
-    /** Reads a message; null if it is none of this kind, or none that can be read. */
+    /** Reads a message; null if it is of another type, or can't be read. */
     public static EndpointListDelta decode(byte[] message) {
-        int body = message.length - HEAD_BYTES;
-        if (body < 0 || body % CHANGE_BYTES != 0 || message[0] != MARK || body / CHANGE_BYTES > MAX_CHANGES) {
+        int changeBytes = message.length - HEADER_BYTES;
+        if (changeBytes < 0
+                || changeBytes % CHANGE_BYTES != 0
+                || message[0] != TYPE
+                || changeBytes / CHANGE_BYTES > MAX_CHANGES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(message, 1, message.length - 1);
-        long after = in.getLong();
+        long afterVersion = in.getLong();
         long version = in.getLong();
-        int holdMs = Short.toUnsignedInt(in.getShort());
-        List<EndpointChange> servers = new ArrayList<>();
+        int ttlMs = Short.toUnsignedInt(in.getShort());
+        List<EndpointChange> changes = new ArrayList<>();
         while (in.hasRemaining()) {
-            int server = in.getInt();
+            int endpointId = in.getInt();
             EndpointState state = state(in.get());
-            double bornMs = in.getDouble();
-            if (state == null || !(bornMs >= 0) || Double.isInfinite(bornMs)) {
+            double startTimeMs = in.getDouble();
+            if (state == null || !(startTimeMs >= 0) || Double.isInfinite(startTimeMs)) {
                 return null;
             }
-            servers.add(new EndpointChange(version, server, state, bornMs));
+            changes.add(new EndpointChange(version, endpointId, state, startTimeMs));
         }
-        return after < 0 || after > version ? null : new EndpointListDelta(after, version, holdMs, servers);
+        return afterVersion < 0 || afterVersion > version
+                ? null
+                : new EndpointListDelta(afterVersion, version, ttlMs, changes);
     }
 }
--- a/src/main/java/cacheproxy/gossip/Envelope.java
+++ b/src/main/java/cacheproxy/gossip/Envelope.java
@@ -7,9 +7,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * A datagram between proxies: items of several kinds, each with its kind, the version of its form and its length, and a
- * checksum behind them all. Who does not know a kind, or that version of it, skips the item. The form stands in
- * {@code docs/design/members-wire.md}.
+ * The codec of datagrams between proxies ({@code docs/design/members-wire.md}):
+ *
+ * <pre>
+ * 1        0xE1
+ * for each item:
+ * 1        kind * 8 + version
+ * 1        length of the body
+ * length   body
+ * then:
+ * 2        checksum: CRC-32C of all before it, its upper half folded onto the lower by exclusive or
+ * </pre>
+ *
+ * <p>A receiver skips items of a kind or version that it does not know.
  */
 public final class Envelope {
     /** What the protocol allows a datagram, in bytes. */
@@ -17,26 +27,27 @@
 
     private static final byte MAGIC = (byte) 0xe1;
     private static final int CHECKSUM_BYTES = 2;
+    private static final int VERSIONS = 8;
+    private static final int KINDS = 32;
     /** What an item takes beside its body. */
     public static final int ITEM_HEADER_BYTES = 2;
-    /** The most that the one item of a datagram may hold. */
+    /** The longest body, in a datagram of one item. */
     public static final int MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - 1 - CHECKSUM_BYTES - ITEM_HEADER_BYTES;
 
-    private static final int VERSIONS = 8;
-
     /**
      * One item.
      *
      * @param kind 1 to 31
-     * @param version of its form, 0 to 7
+     * @param version of the body's form, 0 to 7
      * @param body {@link #MAX_BODY_BYTES} bytes at most
      */
     public record Item(int kind, int version, byte[] body) {
-        /** Checks the ranges. */
+        /** Checks the ranges; an IllegalArgumentException says which does not hold. */
         public Item {
-            if (kind < 1 || kind > 31 || version < 0 || version >= VERSIONS || body.length > MAX_BODY_BYTES) {
-                throw new IllegalArgumentException(
-                        "an item of kind " + kind + ", version " + version + " and " + body.length + " bytes");
+            if (kind < 1 || kind >= KINDS || version < 0 || version >= VERSIONS || body.length > MAX_BODY_BYTES) {
+                throw new IllegalArgumentException("an item of kind " + kind + ", version " + version + " and "
+                        + body.length + " bytes; expected kind 1 to " + (KINDS - 1) + ", version 0 to "
+                        + (VERSIONS - 1) + ", at most " + MAX_BODY_BYTES + " bytes");
             }
         }
 
@@ -48,25 +59,28 @@
 
     private Envelope() {}
 
-    /** The bytes of a datagram that holds one item with such a body. */
-    public static int datagramBytes(int body) {
-        return 1 + ITEM_HEADER_BYTES + body + CHECKSUM_BYTES;
+    /** The size of a datagram that holds one item with a body of this length, in bytes. */
+    public static int datagramBytes(int bodyLength) {
+        return 1 + ITEM_HEADER_BYTES + bodyLength + CHECKSUM_BYTES;
     }
 
-    /** The datagram of these items; an IllegalArgumentException if they do not fit. */
+    /** The datagram of these items; an IllegalArgumentException if they do not fit into one. */
     public static byte[] encode(List<Item> items) {
         int size = 1 + CHECKSUM_BYTES + items.stream().mapToInt(Item::size).sum();
         if (size > MAX_DATAGRAM_BYTES) {
-            throw new IllegalArgumentException(size + " bytes; a datagram holds " + MAX_DATAGRAM_BYTES);
+            throw new IllegalArgumentException(
+                    "a datagram of " + size + " bytes; expected at most " + MAX_DATAGRAM_BYTES);
         }
         ByteBuffer out = ByteBuffer.allocate(size).put(MAGIC);
-        items.forEach(i -> out.put((byte) (i.kind() * VERSIONS | i.version()))
-                .put((byte) i.body().length)
-                .put(i.body()));
+        for (Item item : items) {
+            out.put((byte) (item.kind() * VERSIONS | item.version()));
+            out.put((byte) item.body().length);
+            out.put(item.body());
+        }
         return out.putShort(checksum(out.array(), size - CHECKSUM_BYTES)).array();
     }
 
-    /** The items of a datagram; none if it is not one of these, cut short or changed on its way. */
+    /** The items of a datagram; none if it is of another form, cut short or changed on its way. */
     public static List<Item> decode(byte[] datagram) {
         int end = datagram.length - CHECKSUM_BYTES;
         if (end < 1
@@ -77,16 +91,15 @@
         }
         List<Item> items = new ArrayList<>();
         for (int at = 1; at < end; ) {
-            int head = datagram[at] & 0xff;
+            int header = datagram[at] & 0xff;
             int length = at + 1 < end ? datagram[at + 1] & 0xff : MAX_DATAGRAM_BYTES;
-            if (at + ITEM_HEADER_BYTES + length > end || head < VERSIONS || length > MAX_BODY_BYTES) {
+            int bodyAt = at + ITEM_HEADER_BYTES;
+            if (bodyAt + length > end || header < VERSIONS || length > MAX_BODY_BYTES) {
                 return List.of();
             }
-            items.add(new Item(
-                    head / VERSIONS,
-                    head % VERSIONS,
-                    Arrays.copyOfRange(datagram, at + ITEM_HEADER_BYTES, at + ITEM_HEADER_BYTES + length)));
-            at += ITEM_HEADER_BYTES + length;
+            byte[] body = Arrays.copyOfRange(datagram, bodyAt, bodyAt + length);
+            items.add(new Item(header / VERSIONS, header % VERSIONS, body));
+            at = bodyAt + length;
         }
         return items;
     }
--- a/src/main/java/cacheproxy/gossip/ListVersionGossip.java
+++ b/src/main/java/cacheproxy/gossip/ListVersionGossip.java
@@ -5,83 +5,99 @@
 import java.util.SplittableRandom;
 
 /**
- * Finds out from peers that discovery has news which this proxy has not been told. A watch that has fallen silent looks
- * like one with nothing to say; each proxy alone learns of it only when the watch's wait is over. Of many proxies some
- * are told in time, so each tells the others the version of the list that it has come to hold: whoever is not told the
- * same soon afterwards asks anew. Discovery tells all in one moment, so each waits for a random part of a time that
- * grows with their number, and has nothing to tell once another has: some two of them tell a version, however many
- * there are.
+ * Decides when an instance announces its version of the endpoint list to its peers, and when it polls discovery because
+ * peers hold a newer one. A watch that has fallen silent looks like one without news; alone, an instance notices only
+ * when the watch's wait is over. Of many instances some get the news in time and announce it.
  *
- * <p>A claim is no news by itself: what the list holds comes from discovery alone. A wrong one costs a call at most,
- * and the next call on account of peers waits twice as long, until discovery has confirmed one. Whether a call is made
- * is for whoever carries the order out: it must not give up one that stands in the line of a discovery that all
- * instances ask.
+ * <ul>
+ *   <li>A new version is announced after a random part of a span that grows with the number of instances, unless a peer
+ *       has announced it by then: discovery answers all at one moment, and one or two announcements are enough.
+ *   <li>A version that a peer has announced, and that discovery does not bring here within {@link #MIN_POLL_DELAY_MS}
+ *       and such a random part, makes this instance poll. An announcement may be wrong: each such poll doubles the
+ *       delay of the next, until discovery has confirmed a version that was announced.
+ * </ul>
+ *
+ * <p>An announcement changes nothing of the list itself. Whoever carries out {@link Action#POLL_DISCOVERY} must not
+ * cancel a poll that queues at a shared discovery. Times in milliseconds of one clock; not thread-safe.
  */
 public final class ListVersionGossip {
-    /** So long may a watch take to tell what another has told already: a few times what it takes one by one. */
+    /** A watch that works brings a version this long after another has had it, at most; some responses' time. */
     static final double MIN_POLL_DELAY_MS = 500;
+    /** The longest delay before a poll on account of peers. */
+    static final double MAX_POLL_DELAY_MS = 60_000;
     /**
-     * Whoever asks, or tells, does so within this time for each instance: discovery takes calls in turn, and a message
-     * takes less than this, so that most learn that a version has been told before their own turn comes.
+     * The span within which an instance polls or announces, for each instance: discovery takes polls in turn, and a
+     * message takes less, so that most hear of an announcement before their own turn.
      */
     static final double TURN_PER_INSTANCE_MS = 50;
-    /** The longest that these turns take, so that what few were told is passed on soon in a large fleet. */
+    /** The longest such span, so that news that few have gets around soon in a large fleet. */
     static final double MAX_TURN_MS = 1500;
-    /** The longest time between calls on account of peers. */
-    static final double MAX_POLL_DELAY_MS = 60_000;
+    /** So many announcements of peers are held; who holds one of these versions has nothing to announce. */
+    private static final int ANNOUNCEMENTS = 16;
+
+    /** What the caller has to do. */
+    public enum Action {
+        /** Nothing. */
+        NONE,
+        /** Announce the version that is held to all peers, and call {@link #onTimer} at {@link #nextTimerMs}. */
+        ANNOUNCE,
+        /** Call {@link #onTimer} at {@link #nextTimerMs}. */
+        WAIT,
+        /** Poll discovery, and call {@link #onTimer} at {@link #nextTimerMs}. */
+        POLL_DISCOVERY
+    }
 
     private final SplittableRandom random;
     private int instanceCount;
-    /** The versions that peers have told last; who holds one of them has nothing to tell. */
-    private final long[] announcedVersions = new long[16];
+    /** The versions that peers have announced last; a ring. */
+    private final long[] announcedVersions = new long[ANNOUNCEMENTS];
 
     private int announcementCount;
-    private long onVersionApplied;
+    /** By discovery. */
+    private long heldVersion;
+    /** The highest that peers have announced and discovery has not brought; otherwise not above the held one. */
     private long claimedVersion;
+    /** Infinite: nothing to announce. */
     private double announceAtMs = Double.POSITIVE_INFINITY;
+    /** Infinite: no reason to poll. */
     private double pollAtMs = Double.POSITIVE_INFINITY;
-    private double pollDelayMs = MIN_POLL_DELAY_MS;
 
-    /** What follows from an event. */
-    public enum Action {
-        /** Nothing. */
-        NONE,
-        /** Tell all peers the version that is held. */
-        ANNOUNCE,
-        /** Call {@link #onTimer} again at {@link #nextTimerMs}. */
-        WAIT,
-        /** Ask discovery anew. */
-        POLL_DISCOVERY
-    }
+    private double pollDelayMs = MIN_POLL_DELAY_MS;
 
     /**
-     * For one of so many instances, at least 1.
+     * Holds version 0.
      *
-     * @param seed apart from that of other instances, so that they do not ask at once
+     * @param instanceCount instances of the tier, at least 1
+     * @param seed other than that of any other instance, so that they do not act together
      */
-    public ListVersionGossip(int instances, long seed) {
-        if (instances < 1) {
-            throw new IllegalArgumentException(instances + " instances");
+    public ListVersionGossip(int instanceCount, long seed) {
+        if (instanceCount < 1) {
+            throw new IllegalArgumentException(instanceCount + " instances, expected at least 1");
         }
-        this.instanceCount = instances;
+        this.instanceCount = instanceCount;
         random = new SplittableRandom(seed);
     }
 
-    /** So many live now: turns are taken among them, and nobody waits for those who are away. */
+    /** So many instances live: spans are for them, and nobody waits for those that are gone. */
     public void setLiveMembers(Living living) {
         instanceCount = living.count();
     }
 
-    /** Discovery has told this proxy that version. */
+    /** The instance starts with a list of this version; that is news to nobody. */
+    public void start(long version) {
+        heldVersion = Math.max(heldVersion, version);
+    }
+
+    /** A list of this version, by discovery, is in use. */
     public Action onVersionApplied(double nowMs, long version) {
-        if (version <= onVersionApplied) {
+        if (version <= heldVersion) {
             return Action.NONE;
         }
-        if (claimedVersion > onVersionApplied) {
-            pollDelayMs = MIN_POLL_DELAY_MS; // there was news
+        if (claimedVersion > heldVersion) {
+            pollDelayMs = MIN_POLL_DELAY_MS; // the announcement was right
         }
-        onVersionApplied = version;
-        if (claimedVersion <= onVersionApplied) {
+        heldVersion = version;
+        if (claimedVersion <= heldVersion) {
             pollAtMs = Double.POSITIVE_INFINITY;
         }
         if (announceAtMs != Double.POSITIVE_INFINITY || isAnnounced() || instanceCount == 1) {
@@ -91,23 +107,18 @@
         return Action.WAIT;
     }
 
-    private double randomTurnMs() {
-        return random.nextDouble() * Math.min(MAX_TURN_MS, TURN_PER_INSTANCE_MS * instanceCount);
-    }
-
     private boolean isAnnounced() {
-        return Arrays.stream(announcedVersions).anyMatch(v -> v == onVersionApplied);
+        return Arrays.stream(announcedVersions).anyMatch(v -> v == heldVersion);
     }
 
-    /** The list that this proxy starts with; that it is held is no news to anybody. */
-    public void start(long version) {
-        onVersionApplied = Math.max(onVersionApplied, version);
+    private double randomTurnMs() {
+        return random.nextDouble() * Math.min(MAX_TURN_MS, TURN_PER_INSTANCE_MS * instanceCount);
     }
 
-    /** A peer claims to hold that version. */
+    /** A peer announces this version. */
     public Action onPeerVersion(double nowMs, long version) {
-        announcedVersions[announcementCount++ % announcedVersions.length] = version;
-        if (version <= onVersionApplied || version <= claimedVersion) {
+        announcedVersions[announcementCount++ % ANNOUNCEMENTS] = version;
+        if (version <= heldVersion || version <= claimedVersion) {
             return Action.NONE;
         }
         claimedVersion = version;
@@ -118,15 +129,12 @@
         return Action.WAIT;
     }
 
-    /** When to look again, in milliseconds; infinite for never. */
+    /** When to call {@link #onTimer}, in milliseconds; infinite for never. */
     public double nextTimerMs() {
         return Math.min(announceAtMs, pollAtMs);
     }
 
-    /**
-     * The time has come, or a timer thinks so. What follows is one order; there may be more to come at
-     * {@link #nextTimerMs}.
-     */
+    /** {@link #nextTimerMs} may have come. What is returned is the first action; another may be due at once. */
     public Action onTimer(double nowMs) {
         if (nowMs >= announceAtMs) {
             announceAtMs = Double.POSITIVE_INFINITY;
@@ -134,9 +142,9 @@
                 return Action.ANNOUNCE;
             }
         }
-        if (nowMs >= pollAtMs) { // what was claimed has not been told by now
+        if (nowMs >= pollAtMs) {
             pollAtMs = Double.POSITIVE_INFINITY;
-            claimedVersion = onVersionApplied; // discovery's answer settles it
+            claimedVersion = heldVersion; // the poll shows whether the announcement was right
             pollDelayMs = Math.min(MAX_POLL_DELAY_MS, pollDelayMs * 2);
             return Action.POLL_DISCOVERY;
         }
--- a/src/main/java/cacheproxy/gossip/LocalStartTimes.java
+++ b/src/main/java/cacheproxy/gossip/LocalStartTimes.java
@@ -7,57 +7,61 @@
 import java.util.Map;
 
 /**
- * When servers started, on this process's clock. Lists tell it by the wall clock of another machine, which may differ
- * from this one's by an hour: taken at its word, a server that has just started would count as warm, or as cold for an
- * hour. But that a start is news is an event that can be timed here: it can't lie in the future, nor long before the
- * last list that did not have it.
+ * Translates the start times of endpoints to this process's clock. Lists carry them by the wall clock of another
+ * machine, which may differ by an hour: taken as they are, an endpoint that has just started would count as warm, or
+ * one that is warm would be slow-started for an hour. That a start time is new is an event that can be timed here: the
+ * start can't lie in the future, nor long before the last list that did not have it. Times in milliseconds.
  */
 public final class LocalStartTimes {
-    /** A start comes with a list at most so long after it; what is older when it is news was told by another clock. */
+    /** A start is on a list after this time at most; one that is older when it appears is by another clock. */
     static final double MAX_NOTICE_DELAY_MS = 10_000;
-    /** Servers whose starts are remembered, those included that have left; the oldest are forgotten first. */
+    /** Endpoints whose start is held, removed ones included; the oldest start is dropped first. */
     static final int MAX_ENDPOINTS = 8192;
 
     private final Map<Integer, Start> starts = new LinkedHashMap<>();
-    /** When a list came last before the present one; NaN: none has that was no older one handed over at the start. */
+    /** When the list before the present one came; NaN while there is none but a cached one. */
     private double lastUpdateMs = Double.NaN;
 
     private record Start(double listStartTimeMs, double localStartTimeMs) {}
 
-    /** A list that is older than this process; the next one may tell of starts of any age. */
-    public List<Endpoint> reset(double nowMs, List<Endpoint> members) {
+    /** The list is one from before this process; the next one may hold starts of any age. */
+    public List<Endpoint> reset(double nowMs, List<Endpoint> endpoints) {
         lastUpdateMs = Double.NaN;
-        return withLocalStartTimes(nowMs, members);
+        return withLocalStartTimes(nowMs, endpoints);
     }
 
-    /** A list has come, or changes of one. */
-    public List<Endpoint> onUpdate(double nowMs, List<Endpoint> members) {
-        List<Endpoint> timed = withLocalStartTimes(nowMs, members);
+    /** A list has come of discovery, or changes of one. */
+    public List<Endpoint> onUpdate(double nowMs, List<Endpoint> endpoints) {
+        List<Endpoint> localized = withLocalStartTimes(nowMs, endpoints);
         lastUpdateMs = nowMs;
-        return timed;
+        return localized;
     }
 
-    /** The same members, each with when it started on this process's clock; news of others than discovery. */
-    public List<Endpoint> withLocalStartTimes(double nowMs, List<Endpoint> members) {
-        List<Endpoint> timed = new ArrayList<>(members.size());
-        for (Endpoint member : members) {
-            timed.add(member.startTimeMs() == 0 ? member : member.withLocalStartTime(localStartTimeMs(nowMs, member)));
+    /** The same endpoints, each with its start by this process's clock; for changes that do not come of discovery. */
+    public List<Endpoint> withLocalStartTimes(double nowMs, List<Endpoint> endpoints) {
+        List<Endpoint> localized = new ArrayList<>(endpoints.size());
+        for (Endpoint endpoint : endpoints) {
+            localized.add(
+                    endpoint.startTimeMs() == 0
+                            ? endpoint
+                            : endpoint.withLocalStartTime(localStartTimeMs(nowMs, endpoint)));
         }
-        return timed;
+        return localized;
     }
 
-    private double localStartTimeMs(double nowMs, Endpoint member) {
-        Start known = starts.get(member.id());
-        if (known != null && known.listStartTimeMs == member.startTimeMs()) {
-            return known.localStartTimeMs;
+    private double localStartTimeMs(double nowMs, Endpoint endpoint) {
+        Start known = starts.get(endpoint.id());
+        if (known != null && known.listStartTimeMs() == endpoint.startTimeMs()) {
+            return known.localStartTimeMs();
         }
-        boolean otherClock = member.startTimeMs() > nowMs || member.startTimeMs() < lastUpdateMs - MAX_NOTICE_DELAY_MS;
-        double startedMs = otherClock ? nowMs : member.startTimeMs();
-        starts.remove(member.id());
-        starts.put(member.id(), new Start(member.startTimeMs(), startedMs));
+        boolean byAnotherClock =
+                endpoint.startTimeMs() > nowMs || endpoint.startTimeMs() < lastUpdateMs - MAX_NOTICE_DELAY_MS;
+        double localMs = byAnotherClock ? nowMs : endpoint.startTimeMs();
+        starts.remove(endpoint.id()); // so that it goes to the end
+        starts.put(endpoint.id(), new Start(endpoint.startTimeMs(), localMs));
         if (starts.size() > MAX_ENDPOINTS) {
             starts.remove(starts.keySet().iterator().next());
         }
-        return startedMs;
+        return localMs;
     }
 }
--- a/src/main/java/cacheproxy/gossip/MembershipBudget.java
+++ b/src/main/java/cacheproxy/gossip/MembershipBudget.java
@@ -3,7 +3,11 @@
 import cacheproxy.membership.Membership;
 import cacheproxy.membership.Send.Urgency;
 
-/** The budget of an instance as its membership sees it: each of its messages is a datagram of its own. */
+/**
+ * The {@link SendBudget} as membership uses it: each of its messages is a datagram of its own.
+ *
+ * @param budget that of this instance, shared with other senders
+ */
 public record MembershipBudget(SendBudget budget) implements Membership.Allowance {
     @Override
     public boolean take(double nowMs, int bytes, Urgency urgency) {
--- a/src/main/java/cacheproxy/gossip/OutlierGossip.java
+++ b/src/main/java/cacheproxy/gossip/OutlierGossip.java
@@ -10,88 +10,104 @@
 import java.util.Set;
 
 /**
- * Which nodes are doubted by the word of peers. Guards against a fleet in which each proxy has to find a bad node by
- * itself, at the cost of a request: it takes several that found it silent, in several zones, and no set of claims takes
- * out more than a part of a zone. What is doubted is still tried, so a wrong word costs one node some requests for a
- * while.
+ * Decides which cache nodes count as outliers on the reports of peers, so that not each proxy of a fleet has to lose a
+ * request to a node that does not respond.
+ *
+ * <p>Reports may be wrong. An outlier takes reports of {@link #MIN_REPORTERS} peers from two zones, and of a zone no
+ * more than one node in {@link #ZONE_FRACTION} is an outlier at once. The load balancer still sends some requests to an
+ * outlier, so a wrong decision costs one node part of its traffic for {@link #REPORT_TTL_MS}. Times in milliseconds of
+ * one clock.
  */
 public final class OutlierGossip {
-    /** A claim holds for so long, and so does what follows from it. */
+    /** A report, and the decision that rests on it, hold for so long. */
     public static final double REPORT_TTL_MS = 5000;
-    /** So many peers must say so, or all there are. */
+    /** So many peers have to report a node, or all live ones if they are fewer. */
     static final int MIN_REPORTERS = 3;
-    /** Of a zone's nodes, one in so many may be doubted by peers' word at once, one at least. */
+    /** They have to stand in so many zones, or in all that have live peers. */
+    private static final int MIN_REPORTER_ZONES = 2;
+    /** Of a zone's nodes, one in so many may be an outlier at once, one at least. */
     static final int ZONE_FRACTION = 4;
     /** More than are needed, as some stand in one zone and some messages get lost. */
     static final int SUFFICIENT_REPORTERS = 2 * MIN_REPORTERS;
-
+    /** Of one node; the oldest is dropped first. */
     private static final int MAX_REPORTS = 8;
+    /** A report counts as recent for so long, so that the next arrives before it expires. */
+    private static final double RECENT_MS = REPORT_TTL_MS / 2;
 
     /**
-     * A node as the list has it.
+     * A cache node of the endpoint list.
      *
-     * @param id its number
+     * @param id its endpoint id
      * @param zone where it stands
-     * @param nodesInZone nodes of that zone
+     * @param nodesInZone cache nodes of that zone on the list, itself among them
      */
     public record ReportedNode(int id, int zone, int nodesInZone) {}
 
-    private record Report(int peer, int zone, double atMs) {}
+    private record Report(int peer, int peerZone, double atMs) {}
 
     private record Outlier(int id, int zone, double untilMs) {}
 
+    /** By endpoint id; bounded, as only nodes of the list are reported. */
     private final Map<Integer, ArrayDeque<Report>> reportsByNode = new HashMap<>();
+
     private final List<Outlier> outliers = new ArrayList<>();
 
     /**
-     * A peer says that a node is silent. Nodes are those of the list, which bounds what is held of them.
+     * A peer reports that a node did not respond.
      *
-     * @param zone where the peer stands
-     * @param others peers that live, 1 or more
-     * @param homes zones in which they stand, 1 or more
-     * @return whether the node is to be doubted from now on
+     * @param peer its number
+     * @param peerZone where it stands
+     * @param livePeers other instances that live, 1 or more
+     * @param zonesOfPeers zones in which they stand, 1 or more
+     * @return whether the node has become an outlier by this report
      */
-    public boolean onReport(double nowMs, int peer, int zone, ReportedNode node, int others, int homes) {
+    public boolean onReport(double nowMs, int peer, int peerZone, ReportedNode node, int livePeers, int zonesOfPeers) {
         expire(nowMs);
-        ArrayDeque<Report> all = reportsByNode.computeIfAbsent(node.id(), n -> new ArrayDeque<>());
-        all.removeIf(c -> c.peer() == peer);
-        all.add(new Report(peer, zone, nowMs));
-        if (all.size() > MAX_REPORTS) {
-            all.poll();
-        }
-        Set<Integer> from = new HashSet<>();
-        all.forEach(c -> from.add(c.zone()));
-        if (all.size() < Math.min(MIN_REPORTERS, others) || from.size() < Math.min(2, homes)) {
-            return false;
+        ArrayDeque<Report> reports = reportsByNode.computeIfAbsent(node.id(), n -> new ArrayDeque<>());
+        reports.removeIf(r -> r.peer() == peer);
+        reports.add(new Report(peer, peerZone, nowMs));
+        if (reports.size() > MAX_REPORTS) {
+            reports.poll();
         }
-        long already = outliers.stream().filter(d -> d.zone() == node.zone()).count();
-        if (outliers.stream().anyMatch(d -> d.id() == node.id())
-                || already >= Math.max(1, node.nodesInZone() / ZONE_FRACTION)) {
+        if (reports.size() < Math.min(MIN_REPORTERS, livePeers)
+                || reporterZones(reports) < Math.min(MIN_REPORTER_ZONES, zonesOfPeers)
+                || !mayBecomeOutlier(node)) {
             return false;
         }
         outliers.add(new Outlier(node.id(), node.zone(), nowMs + REPORT_TTL_MS));
         return true;
     }
 
+    private static int reporterZones(Iterable<Report> reports) {
+        Set<Integer> zones = new HashSet<>();
+        reports.forEach(r -> zones.add(r.peerZone()));
+        return zones.size();
+    }
+
+    private boolean mayBecomeOutlier(ReportedNode node) {
+        boolean already = outliers.stream().anyMatch(o -> o.id() == node.id());
+        long inZone = outliers.stream().filter(o -> o.zone() == node.zone()).count();
+        return !already && inZone < Math.max(1, node.nodesInZone() / ZONE_FRACTION);
+    }
+
     /**
-     * Whether so many peers have said so lately that one more adds nothing. All tell all; where many nodes are bad, a
-     * fleet in which each said what it found would send its square of messages for each of them.
+     * Whether so many peers have reported a node recently that one more report adds nothing. All peers receive all
+     * reports: if each reported what it found, a fault of many nodes would cost the square of the fleet in messages for
+     * each of them.
      */
-    public boolean isWidelyReported(double nowMs, int node) {
-        List<Report> fresh = reportsByNode.getOrDefault(node, new ArrayDeque<>()).stream()
-                .filter(c -> nowMs - c.atMs() < REPORT_TTL_MS / 2)
+    public boolean isWidelyReported(double nowMs, int nodeId) {
+        List<Report> recent = reportsByNode.getOrDefault(nodeId, new ArrayDeque<>()).stream()
+                .filter(r -> nowMs - r.atMs() < RECENT_MS)
                 .toList();
-        return fresh.size() >= MAX_REPORTS
-                || (fresh.size() >= SUFFICIENT_REPORTERS
-                        && fresh.stream().mapToInt(Report::zone).distinct().count() > 1);
+        return recent.size() >= MAX_REPORTS || (recent.size() >= SUFFICIENT_REPORTERS && reporterZones(recent) > 1);
     }
 
     private void expire(double nowMs) {
-        outliers.removeIf(d -> d.untilMs() <= nowMs);
+        outliers.removeIf(o -> o.untilMs() <= nowMs);
         for (Iterator<ArrayDeque<Report>> i = reportsByNode.values().iterator(); i.hasNext(); ) {
-            ArrayDeque<Report> all = i.next();
-            all.removeIf(c -> nowMs - c.atMs() > REPORT_TTL_MS);
-            if (all.isEmpty()) {
+            ArrayDeque<Report> reports = i.next();
+            reports.removeIf(r -> nowMs - r.atMs() > REPORT_TTL_MS);
+            if (reports.isEmpty()) {
                 i.remove();
             }
         }
--- a/src/main/java/cacheproxy/gossip/PeerMessage.java
+++ b/src/main/java/cacheproxy/gossip/PeerMessage.java
@@ -2,71 +2,90 @@
 
 import java.nio.ByteBuffer;
 
-/** The messages between proxies: a byte for the kind, then its fields, big-endian. */
+/**
+ * The short messages between proxies: a byte for the type, then one number, big-endian
+ * ({@code docs/design/members-wire.md}). {@link EndpointListDelta} is the long one.
+ *
+ * <pre>
+ * 'L'   8   version of the endpoint list    the sender holds it, by discovery
+ * 'Q'   8   version of the endpoint list    the sender queries for changes after it
+ * 'F'   4   endpoint id                     the sender found no capacity for a connection there
+ * 'B'   4   endpoint id                     the sender got no response from there
+ * </pre>
+ */
 public final class PeerMessage {
-    private static final byte LIST = 'L';
-    private static final int LIST_BYTES = 1 + Long.BYTES;
-    private static final byte FULL = 'F';
-    private static final int SERVER_BYTES = 1 + Integer.BYTES;
-
-    private static final byte BAD = 'B';
-    private static final byte QUERY = 'Q';
+    private static final byte LIST_VERSION = 'L';
+    private static final byte LIST_QUERY = 'Q';
+    private static final byte ENDPOINT_FULL = 'F';
+    private static final byte ENDPOINT_UNRESPONSIVE = 'B';
+    private static final int VERSION_MESSAGE_BYTES = 1 + Long.BYTES;
+    private static final int ENDPOINT_MESSAGE_BYTES = 1 + Integer.BYTES;
 
     private PeerMessage() {}
 
-    /** The sender has been told this version of the list by discovery. */
+    /** The sender holds this version of the endpoint list, by discovery. */
     public static byte[] listVersionAnnouncement(long version) {
-        return ByteBuffer.allocate(LIST_BYTES).put(LIST).putLong(version).array();
+        return ofVersion(LIST_VERSION, version);
     }
 
-    /** The sender wants to be told what has changed after this version of the list. */
+    /** The sender queries for what has changed after this version of the endpoint list. */
     public static byte[] listQuery(long version) {
-        return ByteBuffer.allocate(LIST_BYTES).put(QUERY).putLong(version).array();
+        return ofVersion(LIST_QUERY, version);
+    }
+
+    private static byte[] ofVersion(byte type, long version) {
+        return ByteBuffer.allocate(VERSION_MESSAGE_BYTES)
+                .put(type)
+                .putLong(version)
+                .array();
     }
 
-    /** The version that a question for changes of the list names; negative if it is none, or none that can be read. */
+    /** The version that an announcement names; negative if the message is of another type, or can't be read. */
+    public static long readListVersion(byte[] message) {
+        return readVersion(LIST_VERSION, message);
+    }
+
+    /** The version that a query names; negative if the message is of another type, or can't be read. */
     public static long readListQuery(byte[] message) {
-        return version(QUERY, message);
+        return readVersion(LIST_QUERY, message);
     }
 
-    /** The sender found no place for a connection at this server. */
-    public static byte[] endpointFull(int server) {
-        return ofServer(FULL, server);
+    private static long readVersion(byte type, byte[] message) {
+        return message.length == VERSION_MESSAGE_BYTES && message[0] == type
+                ? ByteBuffer.wrap(message).getLong(1)
+                : -1;
     }
 
-    /** The sender got no answer from this server. */
-    public static byte[] endpointUnresponsive(int server) {
-        return ofServer(BAD, server);
+    /** The sender found no capacity for a connection at this endpoint. */
+    public static byte[] endpointFull(int endpointId) {
+        return ofEndpoint(ENDPOINT_FULL, endpointId);
     }
 
-    private static byte[] ofServer(byte kind, int server) {
-        return ByteBuffer.allocate(SERVER_BYTES).put(kind).putInt(server).array();
+    /** The sender got no response from this endpoint. */
+    public static byte[] endpointUnresponsive(int endpointId) {
+        return ofEndpoint(ENDPOINT_UNRESPONSIVE, endpointId);
     }
 
-    /** The server of a message about places; null if it is none, or none that can be read. */
+    private static byte[] ofEndpoint(byte type, int endpointId) {
+        return ByteBuffer.allocate(ENDPOINT_MESSAGE_BYTES)
+                .put(type)
+                .putInt(endpointId)
+                .array();
+    }
+
+    /** The endpoint that is full; null if the message is of another type, or can't be read. */
     public static Integer readEndpointFull(byte[] message) {
-        return server(FULL, message);
+        return readEndpoint(ENDPOINT_FULL, message);
     }
 
-    /** The server of a message about silence; null if it is none, or none that can be read. */
+    /** The endpoint that did not respond; null if the message is of another type, or can't be read. */
     public static Integer readEndpointUnresponsive(byte[] message) {
-        return server(BAD, message);
+        return readEndpoint(ENDPOINT_UNRESPONSIVE, message);
     }
 
-    private static Integer server(byte kind, byte[] message) {
-        return message.length == SERVER_BYTES && message[0] == kind
+    private static Integer readEndpoint(byte type, byte[] message) {
+        return message.length == ENDPOINT_MESSAGE_BYTES && message[0] == type
                 ? ByteBuffer.wrap(message).getInt(1)
                 : null;
     }
-
-    /** The version of a message about the list; negative if it is none, or none that can be read. */
-    public static long readListVersion(byte[] message) {
-        return version(LIST, message);
-    }
-
-    private static long version(byte kind, byte[] message) {
-        return message.length == LIST_BYTES && message[0] == kind
-                ? ByteBuffer.wrap(message).getLong(1)
-                : -1;
-    }
 }
--- a/src/main/java/cacheproxy/gossip/ProvisionalEndpoints.java
+++ b/src/main/java/cacheproxy/gossip/ProvisionalEndpoints.java
@@ -1,10 +1,9 @@
 package cacheproxy.gossip;
 
+import cacheproxy.gossip.Restriction.Source;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Deque;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,100 +11,68 @@
 import java.util.Set;
 
 /**
- * The list of servers as this proxy should use it: what discovery has told it, restricted by newer changes that peers
- * were told. Discovery takes few calls a second, and a fleet that has to call it anew needs many seconds until the last
- * instance is answered; one answer, passed on, serves all.
+ * The endpoint list as this instance should use it: discovery's, restricted by newer changes that peers have passed on.
+ * Discovery takes few polls a second, and a fleet that has to poll it anew needs many seconds until the last instance
+ * is answered; one answer, passed on, serves all.
  *
- * <p>A server may be used only as discovery's own word to this proxy allows. Everything else restricts and never
- * permits: a peer can have a ready server left alone, or taken for one that has started later; it can add none, as
- * peers may reach a server at another address, nor have one used again that discovery or a peer has told to drain; nor,
- * with others, have more than half of the servers left alone. An older list of discovery's, out of turn, does not lift
- * what a newer one has told.
+ * <p>An endpoint gets requests only as discovery's own list allows; all else restricts. A peer can have a ready
+ * endpoint drained, or slow-started as one that has started later. It can add none, as peers may reach it at another
+ * address, nor undo what discovery or a peer has restricted, nor, with others, drain more than half of the endpoints.
+ * An older list of discovery's, out of turn, does not lift what a newer one has restricted.
  *
- * <p>A restriction ends by discovery's word of its version or a later one. As versions of two numberings can't be
- * compared, and a peer may be wrong, it also ends once it is old and discovery answers: never while discovery is
- * silent, as a change that could have been learnt counts as told then.
+ * <p>A {@link Restriction} ends with a list of discovery's of its version or a later one. As versions of two numberings
+ * can't be compared, and a peer may be wrong, it also ends once it is old and discovery answers; never while discovery
+ * is silent, as the change counts as known then. Times in milliseconds of one clock; not thread-safe.
  */
 public final class ProvisionalEndpoints {
-    /** What peers tell ends with discovery's first answer after this time: some turns of its line, however full. */
+    /** What peers pass on ends with discovery's first answer after this time: some turns of its queue, however full. */
     static final int PEER_UPDATE_TTL_MS = 15_000;
-    /** What an older list lifts, it lifts if it has stood for so long: longer than a list may be late. */
+    /** What an older list lifts is lifted once that list has stood for so long: longer than a list may be late. */
     static final int OLDER_LIST_DELAY_MS = 10_000;
-    /** A start further ahead than this, in milliseconds, is no clock that differs, but a mistake. */
+    /** A start time further ahead than this is a mistake, and not a clock that differs. */
     static final double MAX_START_AHEAD_MS = 10_000;
-    /**
-     * Of the versions that were told here, a message goes back so many: some of its receivers missed the one before.
-     */
+    /** Peers are sent the changes of so many versions of discovery's: some have missed the message before. */
     private static final int RECENT_VERSIONS = 4;
 
-    /** What peers told is kept for others who missed it: so many messages. */
-    private static final int MAX_RELAYED_UPDATES = 8;
-
-    /** By whose word a server is used more carefully than discovery's last list has it. */
-    private enum Source {
-        /** A peer, which discovery has told a later version. */
-        PEER,
-        /** Discovery, by a list that was newer than its last one. */
-        NEWER_LIST
-    }
-
-    /**
-     * How a server is to be used in place of what discovery's last list has.
-     *
-     * @param draining whether it is left alone
-     * @param startTimeMs when it last started
-     * @param version discovery's word of it, or a later one, ends this
-     * @param untilMs from then on any answer of discovery's ends it
-     */
-    private record Restriction(Source source, boolean draining, double startTimeMs, long version, double untilMs) {
-        Endpoint appliedTo(Endpoint member) {
-            return new Endpoint(
-                    member.id(),
-                    member.zone(),
-                    member.kind(),
-                    member.cell(),
-                    draining ? EndpointState.DRAINING : member.state(),
-                    member.weight(),
-                    Math.max(startTimeMs, member.startTimeMs()));
-        }
-
-        boolean endedBy(double nowMs, long version, Endpoint member) {
-            boolean startedSince = source == Source.NEWER_LIST && member.startTimeMs() > startTimeMs;
-            return this.version <= version || untilMs <= nowMs || member.state() != EndpointState.READY || startedSince;
-        }
-    }
-
-    private record Relayed(EndpointListDelta update, double untilMs) {}
-
     private final int originKind;
-    private final Map<Integer, Endpoint> onDiscoveryUpdate = new LinkedHashMap<>();
+    /** Discovery's list, by endpoint id. */
+    private final Map<Integer, Endpoint> discovered = new LinkedHashMap<>();
+
     private final Map<Integer, Restriction> restrictions = new LinkedHashMap<>();
     private final ChangeLog log = new ChangeLog();
-    private final Deque<Relayed> relayed = new ArrayDeque<>();
-    private final long[] lastVersions = new long[RECENT_VERSIONS];
-    private int versions;
+    private final RelayedDeltas relayed = new RelayedDeltas();
+    /** The versions that were held before the present one; a ring. */
+    private final long[] previousVersions = new long[RECENT_VERSIONS];
+
+    private int versionCount;
+    /** Of discovery's list. */
     private long version;
+
     private long knownVersion;
 
-    /** Knows of no server yet. {@code originKind}: the kind whose servers peers can't change; negative for none. */
+    /**
+     * Without an endpoint yet.
+     *
+     * @param originKind the kind of endpoint that peers can't restrict; negative for none
+     */
     public ProvisionalEndpoints(int originKind) {
         this.originKind = originKind;
     }
 
-    /** The list that this proxy starts with. */
-    public void reset(long listVersion, List<Endpoint> members) {
-        onDiscoveryUpdate.clear();
+    /** Takes a list from before the start in place of all that is held. */
+    public void reset(long listVersion, List<Endpoint> endpoints) {
+        discovered.clear();
         restrictions.clear();
-        members.forEach(m -> onDiscoveryUpdate.put(m.id(), m));
-        restart(listVersion);
+        endpoints.forEach(e -> discovered.put(e.id(), e));
+        restartVersions(listVersion);
     }
 
-    private void restart(long listVersion) {
+    private void restartVersions(long listVersion) {
         version = listVersion;
         knownVersion = listVersion;
         log.clear(listVersion);
         relayed.clear();
-        versions = 0;
+        versionCount = 0;
     }
 
     /** The version up to which all changes are known here, by discovery or by peers. */
@@ -113,189 +80,199 @@
         return knownVersion;
     }
 
+    // ---- from discovery
+
     /**
-     * Discovery has told the list, or changes of it.
+     * Discovery has sent its list, or changes of it.
      *
-     * @return what to use in its place: the same kind of list, restricted as it should be, and with what becomes of
-     *     servers whose restrictions have ended
+     * @param snapshot whether the list is complete
+     * @return what to use in its place: as complete, restricted, and with the endpoints whose restrictions have ended
      */
-    public List<Endpoint> onDiscoveryUpdate(double nowMs, long listVersion, boolean whole, List<Endpoint> members) {
-        if (listVersion < version) { // out of turn, or it numbers anew
-            keepRestrictions(nowMs, members);
-            restart(listVersion);
+    public List<Endpoint> onDiscoveryUpdate(
+            double nowMs, long listVersion, boolean snapshot, List<Endpoint> endpoints) {
+        if (listVersion < version) { // out of turn, or discovery numbers anew
+            restrictByNewerList(nowMs, endpoints);
+            restartVersions(listVersion);
         }
-        record(listVersion, whole, members);
+        store(listVersion, snapshot, endpoints);
         if (listVersion > version) {
-            lastVersions[versions++ % RECENT_VERSIONS] = version;
+            previousVersions[versionCount++ % RECENT_VERSIONS] = version;
         }
         version = listVersion;
         knownVersion = Math.max(knownVersion, listVersion);
-        relayed.removeIf(r -> r.update().version() <= listVersion);
-        Map<Integer, Endpoint> used = new LinkedHashMap<>();
-        members.forEach(m -> used.put(m.id(), m));
-        for (int id : endedRestrictions(nowMs)) {
-            restrictions.remove(id);
-            if (onDiscoveryUpdate.containsKey(id)) {
-                used.putIfAbsent(id, onDiscoveryUpdate.get(id));
-            }
-        }
-        restrictions.forEach((id, restriction) -> used.computeIfPresent(id, (i, m) -> restriction.appliedTo(m)));
-        return List.copyOf(used.values());
+        relayed.removeUpTo(listVersion);
+        return restricted(nowMs, endpoints);
     }
 
-    /** Of servers that were told to drain or to be gone, and that an older list has ready. */
-    private void keepRestrictions(double nowMs, List<Endpoint> olderList) {
+    /** Keeps drained what the list that is held has drained or removed, and an older list has ready. */
+    private void restrictByNewerList(double nowMs, List<Endpoint> olderList) {
         for (Endpoint older : olderList) {
             if (older.state() != EndpointState.READY) {
                 continue;
             }
-            EndpointChange last = log.last(older.id());
-            Endpoint before = onDiscoveryUpdate.get(older.id());
-            boolean drained = before != null ? before.state() != EndpointState.READY : last != null;
-            double bornMs = before != null ? before.startTimeMs() : last != null ? last.startTimeMs() : 0;
-            if (drained && older.startTimeMs() <= bornMs) { // else it has started since then
-                restrictions.put(
-                        older.id(),
-                        new Restriction(Source.NEWER_LIST, true, bornMs, version, nowMs + OLDER_LIST_DELAY_MS));
+            EndpointChange lastChange = log.last(older.id());
+            Endpoint newer = discovered.get(older.id());
+            boolean drained = newer != null ? newer.state() != EndpointState.READY : lastChange != null;
+            double startTimeMs =
+                    newer != null ? newer.startTimeMs() : lastChange != null ? lastChange.startTimeMs() : 0;
+            if (drained && older.startTimeMs() <= startTimeMs) { // else it has started since then
+                double untilMs = nowMs + OLDER_LIST_DELAY_MS;
+                restrictions.put(older.id(), new Restriction(Source.NEWER_LIST, true, startTimeMs, version, untilMs));
+            }
+        }
+    }
+
+    private void store(long listVersion, boolean snapshot, List<Endpoint> endpoints) {
+        Set<Integer> named = new HashSet<>();
+        for (Endpoint e : endpoints) {
+            named.add(e.id());
+            Endpoint before =
+                    e.state() == EndpointState.REMOVED ? discovered.remove(e.id()) : discovered.put(e.id(), e);
+            if (before == null || before.state() != e.state() || before.startTimeMs() != e.startTimeMs()) {
+                log.add(new EndpointChange(listVersion, e.id(), e.state(), e.startTimeMs()));
             }
         }
+        if (snapshot) {
+            removeAllBut(named, listVersion);
+        }
+    }
+
+    private void removeAllBut(Set<Integer> named, long listVersion) {
+        for (Endpoint e : List.copyOf(discovered.values())) {
+            if (!named.contains(e.id())) {
+                discovered.remove(e.id());
+                log.add(new EndpointChange(listVersion, e.id(), EndpointState.REMOVED, e.startTimeMs()));
+            }
+        }
+    }
+
+    private List<Endpoint> restricted(double nowMs, List<Endpoint> endpoints) {
+        Map<Integer, Endpoint> used = new LinkedHashMap<>();
+        endpoints.forEach(e -> used.put(e.id(), e));
+        for (int id : endedRestrictions(nowMs)) {
+            restrictions.remove(id);
+            if (discovered.containsKey(id)) {
+                used.putIfAbsent(id, discovered.get(id));
+            }
+        }
+        restrictions.forEach((id, restriction) -> used.computeIfPresent(id, (i, e) -> restriction.appliedTo(e)));
+        return List.copyOf(used.values());
     }
 
     private List<Integer> endedRestrictions(double nowMs) {
         List<Integer> ended = new ArrayList<>();
         restrictions.forEach((id, restriction) -> {
-            Endpoint member = onDiscoveryUpdate.get(id);
-            if (member == null || restriction.endedBy(nowMs, version, member)) {
+            Endpoint endpoint = discovered.get(id);
+            if (endpoint == null || restriction.isEndedBy(nowMs, version, endpoint)) {
                 ended.add(id);
             }
         });
         return ended;
     }
 
-    private void record(long listVersion, boolean whole, List<Endpoint> members) {
-        Set<Integer> named = new HashSet<>();
-        for (Endpoint m : members) {
-            named.add(m.id());
-            Endpoint before = m.state() == EndpointState.REMOVED
-                    ? onDiscoveryUpdate.remove(m.id())
-                    : onDiscoveryUpdate.put(m.id(), m);
-            if (before == null || before.state() != m.state() || before.startTimeMs() != m.startTimeMs()) {
-                log.add(new EndpointChange(listVersion, m.id(), m.state(), m.startTimeMs()));
-            }
-        }
-        if (whole) {
-            for (Endpoint m : List.copyOf(onDiscoveryUpdate.values())) {
-                if (!named.contains(m.id())) {
-                    onDiscoveryUpdate.remove(m.id());
-                    log.add(new EndpointChange(listVersion, m.id(), EndpointState.REMOVED, m.startTimeMs()));
-                }
-            }
-        }
-    }
+    // ---- from peers
 
-    /** A peer tells what discovery told it. What comes back are changes to use at once. */
-    public List<Endpoint> onPeerUpdate(double nowMs, EndpointListDelta update) {
-        double untilMs = nowMs + Math.min(PEER_UPDATE_TTL_MS, update.ttlMs());
-        if (update.version() <= version || untilMs <= nowMs) {
+    /**
+     * A peer passes on what it had of discovery, or of another peer.
+     *
+     * @return the endpoints that are to be used differently from now on
+     */
+    public List<Endpoint> onPeerUpdate(double nowMs, EndpointListDelta delta) {
+        double untilMs = nowMs + Math.min(PEER_UPDATE_TTL_MS, delta.ttlMs());
+        if (delta.version() <= version || untilMs <= nowMs) {
             return List.of();
         }
-        keep(update, untilMs);
-        if (update.afterVersion() <= knownVersion) {
-            knownVersion = Math.max(knownVersion, update.version());
+        relayed.add(delta, untilMs);
+        if (delta.afterVersion() <= knownVersion) {
+            knownVersion = Math.max(knownVersion, delta.version());
         }
         List<Endpoint> changed = new ArrayList<>();
-        for (EndpointChange change : update.changes()) {
-            Endpoint member = onDiscoveryUpdate.get(change.endpointId());
+        for (EndpointChange change : delta.changes()) {
+            Endpoint endpoint = discovered.get(change.endpointId());
             Restriction before = restrictions.get(change.endpointId());
-            Restriction next = member == null ? null : restriction(nowMs, untilMs, member, before, change);
+            Restriction next = endpoint == null ? null : restriction(nowMs, untilMs, endpoint, before, change);
             if (next != null) {
                 restrictions.put(change.endpointId(), next);
-                if (before == null || !next.appliedTo(member).equals(before.appliedTo(member))) {
-                    changed.add(next.appliedTo(member));
+                if (before == null || !next.appliedTo(endpoint).equals(before.appliedTo(endpoint))) {
+                    changed.add(next.appliedTo(endpoint));
                 }
             }
         }
         return changed;
     }
 
-    /** One message of a version, as different ones of it differ little. */
-    private void keep(EndpointListDelta update, double untilMs) {
-        boolean held = relayed.stream()
-                .anyMatch(r -> r.update().version() == update.version()
-                        && r.update().afterVersion() <= update.afterVersion()
-                        && r.untilMs() >= untilMs);
-        if (!held) {
-            relayed.addLast(new Relayed(update, untilMs));
-            if (relayed.size() > MAX_RELAYED_UPDATES) {
-                relayed.removeFirst();
-            }
-        }
-    }
-
-    /** How a server is to be used by a peer's word; null if that says nothing that counts here. */
+    /** The restriction that a peer's change brings; null if it brings none, or none beyond the one before. */
     private Restriction restriction(
-            double nowMs, double untilMs, Endpoint member, Restriction before, EndpointChange change) {
-        if (member.kind() == originKind
-                || member.state() != EndpointState.READY
+            double nowMs, double untilMs, Endpoint endpoint, Restriction before, EndpointChange change) {
+        if (endpoint.kind() == originKind
+                || endpoint.state() != EndpointState.READY
                 || change.startTimeMs() > nowMs + MAX_START_AHEAD_MS
                 || (before != null && before.version() >= change.version())) {
             return null;
         }
-        boolean drained = before != null && before.draining();
-        double bornMs = before == null ? member.startTimeMs() : Math.max(before.startTimeMs(), member.startTimeMs());
+        boolean drainedBefore = before != null && before.draining();
+        double startTimeMs =
+                before == null ? endpoint.startTimeMs() : Math.max(before.startTimeMs(), endpoint.startTimeMs());
         boolean drains = change.state() != EndpointState.READY;
-        if (drains && !drained && !mayLeaveOneMore()) {
+        if (drains && !drainedBefore && !mayDrainOneMore()) {
             return null;
         }
-        return drains || change.startTimeMs() > bornMs
-                ? new Restriction(
-                        Source.PEER,
-                        drains || drained,
-                        Math.max(bornMs, change.startTimeMs()),
-                        change.version(),
-                        untilMs)
-                : null;
+        if (!(drains || change.startTimeMs() > startTimeMs)) { // also for one that is not a number
+            return null;
+        }
+        return new Restriction(
+                Source.PEER,
+                drains || drainedBefore,
+                Math.max(startTimeMs, change.startTimeMs()),
+                change.version(),
+                untilMs);
     }
 
-    private boolean mayLeaveOneMore() {
-        long ready = onDiscoveryUpdate.values().stream()
-                .filter(m -> m.state() == EndpointState.READY && m.kind() != originKind)
+    /** At most half of the endpoints that discovery has ready. */
+    private boolean mayDrainOneMore() {
+        long ready = discovered.values().stream()
+                .filter(e -> e.state() == EndpointState.READY && e.kind() != originKind)
                 .count();
-        long left = restrictions.values().stream().filter(Restriction::draining).count();
-        return 2 * (left + 1) <= ready;
+        long drained =
+                restrictions.values().stream().filter(Restriction::draining).count();
+        return 2 * (drained + 1) <= ready;
     }
 
-    /** What peers are told of the version that discovery told last, and of some before it: one message. */
+    // ---- to peers
+
+    /** What peers are sent of discovery's last versions, as one message: as many of the newest changes as it holds. */
     public EndpointListDelta recentChanges() {
-        long back = versions == 0 ? version : lastVersions[versions < RECENT_VERSIONS ? 0 : versions % RECENT_VERSIONS];
+        long back = oldestRecentVersion();
         List<EndpointChange> changes = log.after(back);
         int dropped = Math.max(0, changes.size() - EndpointListDelta.MAX_CHANGES);
-        long after =
+        long afterVersion =
                 dropped == 0 ? completeAfter(back) : changes.get(dropped - 1).version();
-        return new EndpointListDelta(after, version, PEER_UPDATE_TTL_MS, changes.subList(dropped, changes.size()));
+        List<EndpointChange> newest = changes.subList(dropped, changes.size());
+        return new EndpointListDelta(afterVersion, version, PEER_UPDATE_TTL_MS, newest);
+    }
+
+    private long oldestRecentVersion() {
+        if (versionCount == 0) {
+            return version;
+        }
+        return previousVersions[versionCount < RECENT_VERSIONS ? 0 : versionCount % RECENT_VERSIONS];
     }
 
-    /** What a peer that knows this version has missed, as messages to send; none if it is none. */
-    public List<EndpointListDelta> changesSince(double nowMs, long held) {
-        List<EndpointListDelta> updates = new ArrayList<>();
-        List<EndpointChange> changes = log.after(held);
+    /** What a peer that holds this version has missed, as messages, by discovery and then by peers. */
+    public List<EndpointListDelta> changesSince(double nowMs, long heldVersion) {
+        List<EndpointListDelta> deltas = new ArrayList<>();
+        List<EndpointChange> changes = log.after(heldVersion);
         for (int from = 0; from < changes.size(); from += EndpointListDelta.MAX_CHANGES) {
             int to = Math.min(changes.size(), from + EndpointListDelta.MAX_CHANGES);
-            // Only the last one claims that nothing is missing before it.
-            long after = to == changes.size() ? completeAfter(held) : version;
-            updates.add(new EndpointListDelta(after, version, PEER_UPDATE_TTL_MS, changes.subList(from, to)));
-        }
-        for (Relayed r : relayed) {
-            EndpointListDelta update = r.update();
-            int left = (int) (r.untilMs() - nowMs);
-            if (update.version() > held && left > 0) {
-                updates.add(new EndpointListDelta(update.afterVersion(), update.version(), left, update.changes()));
-            }
+            // Only the last message says that nothing is missing before it.
+            long afterVersion = to == changes.size() ? completeAfter(heldVersion) : version;
+            deltas.add(new EndpointListDelta(afterVersion, version, PEER_UPDATE_TTL_MS, changes.subList(from, to)));
         }
-        return updates;
+        deltas.addAll(relayed.after(heldVersion, nowMs));
+        return deltas;
     }
 
-    private long completeAfter(long held) {
-        return Math.min(version, Math.max(held, log.completeAfter()));
+    private long completeAfter(long heldVersion) {
+        return Math.min(version, Math.max(heldVersion, log.completeAfter()));
     }
 }
--- a/src/main/java/cacheproxy/gossip/SendBudget.java
+++ b/src/main/java/cacheproxy/gossip/SendBudget.java
@@ -1,53 +1,62 @@
 package cacheproxy.gossip;
 
 /**
- * What an instance may send to its peers: one budget for all parts of the program, in bytes a second, whatever the size
- * of the fleet. A bucket that fills evenly; the less urgent a datagram is, the more it leaves in it. What finds no room
- * is not sent: messages between peers may be lost anyway, and what they say is said again.
+ * Limits what an instance sends to its peers, whatever the size of the fleet: a token bucket in bytes, shared by all
+ * senders of the program. The lower the priority of a datagram, the more it has to leave in the bucket for others. What
+ * finds no room is not sent: messages between peers may be lost anyway, and are repeated. Times in milliseconds of one
+ * clock; not thread-safe.
  */
 public final class SendBudget {
-    /** How urgent a datagram is; each leaves this part of the bucket to those before it. */
+    /** The priority of a datagram. */
     public enum Priority {
-        /** Somebody waits for it, or it says that something is wrong. */
+        /** Somebody waits for it, or it refutes something wrong. */
         HIGH(0),
         /** Something has changed. */
         NORMAL(0.25),
         /** The rest. */
         LOW(0.5);
 
+        /** The part of the bucket that it leaves to higher priorities. */
         private final double reservedFraction;
 
-        Priority(double leaves) {
-            this.reservedFraction = leaves;
+        Priority(double reservedFraction) {
+            this.reservedFraction = reservedFraction;
         }
     }
 
+    private static final double MIN_BYTES_PER_SECOND = 100;
+    private static final double MAX_BYTES_PER_SECOND = 1_000_000;
+
     private final double bytesPerMs;
     private final double capacityBytes;
     private double availableBytes;
+    /** NaN before the first use. */
     private double lastRefillMs = Double.NaN;
+
     private long droppedDatagrams;
 
     /**
      * A full bucket.
      *
-     * @param bytesPerSecond 100 to 1,000,000
-     * @param burst what it holds, in bytes; a datagram at least
+     * @param bytesPerSecond at which it fills, 100 to 1,000,000
+     * @param burstBytes what it holds; a datagram at least
      */
-    public SendBudget(double bytesPerSecond, double burst) {
-        if (!(bytesPerSecond >= 100 && bytesPerSecond <= 1_000_000 && burst >= Envelope.MAX_DATAGRAM_BYTES)) {
-            throw new IllegalArgumentException(
-                    "a budget of " + bytesPerSecond + " bytes a second, " + burst + " at once");
+    public SendBudget(double bytesPerSecond, double burstBytes) {
+        if (!(bytesPerSecond >= MIN_BYTES_PER_SECOND
+                && bytesPerSecond <= MAX_BYTES_PER_SECOND
+                && burstBytes >= Envelope.MAX_DATAGRAM_BYTES)) {
+            throw new IllegalArgumentException("a budget of " + bytesPerSecond + " bytes a second, " + burstBytes
+                    + " at once; expected 100 to 1,000,000, and a datagram at least");
         }
         bytesPerMs = bytesPerSecond / 1000;
-        capacityBytes = burst;
-        availableBytes = burst;
+        capacityBytes = burstBytes;
+        availableBytes = burstBytes;
     }
 
-    /** Whether a datagram of so many bytes may go out now; it is charged then. */
-    public boolean tryAcquire(double nowMs, int bytes, Priority level) {
+    /** Whether a datagram of so many bytes may be sent now; they are taken from the bucket then. */
+    public boolean tryAcquire(double nowMs, int bytes, Priority priority) {
         refill(nowMs);
-        if (availableBytes - bytes < capacityBytes * level.reservedFraction) {
+        if (availableBytes - bytes < capacityBytes * priority.reservedFraction) {
             droppedDatagrams++;
             return false;
         }
@@ -55,7 +64,7 @@
         return true;
     }
 
-    /** What is there beyond what the most urgent are left, in bytes; negative if that is not there either. */
+    /** The bytes that {@link Priority#LOW} may take now; negative if higher priorities have used some of their part. */
     public int availableForLowPriority(double nowMs) {
         refill(nowMs);
         return (int) (availableBytes - capacityBytes * Priority.LOW.reservedFraction);
@@ -63,7 +72,8 @@
 
     private void refill(double nowMs) {
         if (!Double.isNaN(lastRefillMs)) {
-            availableBytes = Math.min(capacityBytes, availableBytes + Math.max(0, nowMs - lastRefillMs) * bytesPerMs);
+            double refillBytes = Math.max(0, nowMs - lastRefillMs) * bytesPerMs;
+            availableBytes = Math.min(capacityBytes, availableBytes + refillBytes);
         }
         lastRefillMs = Double.isNaN(lastRefillMs) ? nowMs : Math.max(lastRefillMs, nowMs);
     }
