--- a/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
+++ b/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
@@ -110,9 +110,9 @@
     /**
      * A poll was answered, and its response is in use. Ignored for a poll that is not pending.
      *
-     * @param news whether its version is higher than all before
+     * @param newVersion whether its version is higher than all before
      */
-    public List<PollAction> onResponse(double nowMs, int id, boolean news) {
+    public List<PollAction> onResponse(double nowMs, int id, boolean newVersion) {
         PendingPoll answered = remove(id);
         List<PollAction> actions = new ArrayList<>();
         if (answered == null) {
@@ -125,7 +125,7 @@
             continuesWatch = true;
             cancelAll(actions); // what is newer comes by the next watch
         }
-        nextPollMs = news ? nowMs : Math.max(nowMs, answered.sentMs() + MIN_POLL_INTERVAL_MS);
+        nextPollMs = newVersion ? nowMs : Math.max(nowMs, answered.sentMs() + MIN_POLL_INTERVAL_MS);
         actions.addAll(onTimer(nowMs));
         return actions;
     }
@@ -210,7 +210,7 @@
         } else if (newest().overdueMs() <= nowMs) {
             kinds.onOverdue();
             continuesWatch = false;
-            makeRoom(actions);
+            cancelSecondOldestIfFull(actions);
             send(nowMs, kinds.besideOverdue(settings), actions);
         }
         return actions;
@@ -233,7 +233,7 @@
     }
 
     /** Cancels the second oldest: the oldest is nearest to a late response and keeps all of its time. */
-    private void makeRoom(List<PollAction> actions) {
+    private void cancelSecondOldestIfFull(List<PollAction> actions) {
         if (pending.size() >= MAX_PENDING_POLLS) {
             actions.add(new CancelPoll(pending.remove(1).id()));
         }
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -248,16 +248,16 @@
     }
 
     private void answered(PendingPoll poll, String body) {
-        boolean news;
+        boolean newVersion;
         try {
-            news = apply(JsonParser.parseString(body));
+            newVersion = apply(JsonParser.parseString(body));
         } catch (RuntimeException e) { // the listener's, too: whoever can't use the list says so by any exception
             closeIdleConnections(); // what follows on them may be the rest of what can't be read
             failed(poll, PollFailure.BROKEN, e.getMessage());
             return;
         }
         lastResponseMs = nowMs.getAsDouble();
-        carryOut(poller.onResponse(lastResponseMs, poll.id(), news));
+        carryOut(poller.onResponse(lastResponseMs, poll.id(), newVersion));
     }
 
     private void failed(PendingPoll poll, PollFailure failure, String reason) {
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListCache.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListCache.java
@@ -103,9 +103,9 @@
     boolean confirm(long newVersion) {
         needsSnapshot = false;
         version = newVersion;
-        boolean news = version > highestVersion;
+        boolean isNewVersion = version > highestVersion;
         highestVersion = Math.max(highestVersion, version);
-        return news;
+        return isNewVersion;
     }
 
     /** The complete list in use, in discovery's JSON. */
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
@@ -186,85 +186,86 @@
         }
         JsonObject entry = json.getAsJsonObject();
         String host = field("an entry without a host", entry, "host", "a text", JsonElement::getAsString);
-        String place = "host " + host;
-        EndpointState state = state(place, text(place, entry, "health"));
-        String site = text(place, entry, "site");
-        String machine = text(place, entry, "class");
+        String subject = "host " + host;
+        EndpointState state = state(subject, text(subject, entry, "health"));
+        String site = text(subject, entry, "site");
+        String machine = text(subject, entry, "class");
         int zone = zoneNumbers.getOrDefault(settingsName(site), -1);
         int kind = kindNumbers.getOrDefault(settingsName(machine), -1);
-        float weight = entry.has("share") ? field(place, entry, "share", "a number", JsonElement::getAsFloat) : 1;
+        float weight = entry.has("share") ? field(subject, entry, "share", "a number", JsonElement::getAsFloat) : 1;
         if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
             throw new InvalidFieldException(
-                    place,
+                    subject,
                     "unknown site or class, or bad share: site '" + site + "', class '" + machine + "', share "
                             + weight);
         }
         double startTimeMs =
-                entry.has("born_ms") ? field(place, entry, "born_ms", "a number", JsonElement::getAsDouble) : 0;
-        int cell = entry.has("block") ? field(place, entry, "block", "a whole number", JsonElement::getAsInt) : 0;
+                entry.has("born_ms") ? field(subject, entry, "born_ms", "a number", JsonElement::getAsDouble) : 0;
+        int cell = entry.has("block") ? field(subject, entry, "block", "a whole number", JsonElement::getAsInt) : 0;
         return new DiscoveredEndpoint(
                 new Endpoint(endpointId(host), zone, kind, cell, state, weight, startTimeMs),
-                address(place, text(place, entry, "dial")),
-                new Pool.Server(host, zones.get(zone), kinds.get(kind), labels(place, entry)));
+                address(subject, text(subject, entry, "dial")),
+                new Pool.Server(host, zones.get(zone), kinds.get(kind), labels(subject, entry)));
     }
 
-    private static EndpointState state(String place, String health) {
+    private static EndpointState state(String subject, String health) {
         return switch (health) {
             case "up" -> EndpointState.READY;
             case "draining" -> EndpointState.DRAINING;
             case REMOVED -> EndpointState.REMOVED;
             default ->
                 throw new InvalidFieldException(
-                        place, "unknown health '" + health + "', expected up, draining or removed");
+                        subject, "unknown health '" + health + "', expected up, draining or removed");
         };
     }
 
-    private static InetSocketAddress address(String place, String dial) {
+    private static InetSocketAddress address(String subject, String dial) {
         try {
             return Addresses.parse(dial);
         } catch (InvalidAddressException e) {
-            throw new InvalidFieldException(place, "field 'dial': " + e.getMessage(), e);
+            throw new InvalidFieldException(subject, "field 'dial': " + e.getMessage(), e);
         }
     }
 
     /** Installations may label their servers, for pools to select them by. */
-    private static Set<String> labels(String place, JsonObject entry) {
+    private static Set<String> labels(String subject, JsonObject entry) {
         if (!entry.has("labels")) {
             return Set.of();
         }
         if (!entry.get("labels").isJsonArray()) {
-            throw new InvalidFieldException(place, "field 'labels': expected an array, got " + entry.get("labels"));
+            throw new InvalidFieldException(subject, "field 'labels': expected an array, got " + entry.get("labels"));
         }
         Set<String> labels = new HashSet<>();
         for (JsonElement label : entry.getAsJsonArray("labels")) {
-            labels.add(value(place, "labels", label, "texts", JsonElement::getAsString));
+            labels.add(value(subject, "labels", label, "texts", JsonElement::getAsString));
         }
         if (labels.size() > MAX_LABELS) {
-            throw new InvalidFieldException(place, "more than " + MAX_LABELS + " labels");
+            throw new InvalidFieldException(subject, "more than " + MAX_LABELS + " labels");
         }
         return labels;
     }
 
-    private static String text(String place, JsonObject entry, String field) {
-        return field(place, entry, field, "a text", JsonElement::getAsString);
+    private static String text(String subject, JsonObject entry, String field) {
+        return field(subject, entry, field, "a text", JsonElement::getAsString);
     }
 
     private static <T> T field(
-            String place, JsonObject object, String field, String expected, Function<JsonElement, T> read) {
+            String subject, JsonObject object, String field, String expected, Function<JsonElement, T> read) {
         JsonElement value = object.get(field);
         if (value == null) {
-            throw new InvalidFieldException(place, "field '" + field + "': expected " + expected + ", got nothing");
+            throw new InvalidFieldException(subject, "field '" + field + "': expected " + expected + ", got nothing");
         }
-        return value(place, field, value, expected, read);
+        return value(subject, field, value, expected, read);
     }
 
     private static <T> T value(
-            String place, String field, JsonElement value, String expected, Function<JsonElement, T> read) {
+            String subject, String field, JsonElement value, String expected, Function<JsonElement, T> read) {
         try {
             return read.apply(value);
         } catch (UnsupportedOperationException | IllegalStateException | NumberFormatException e) {
             // What Gson throws for a value of another type.
-            throw new InvalidFieldException(place, "field '" + field + "': expected " + expected + ", got " + value, e);
+            throw new InvalidFieldException(
+                    subject, "field '" + field + "': expected " + expected + ", got " + value, e);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/discovery/InvalidFieldException.java
+++ b/src/main/java/cacheproxy/proxy/discovery/InvalidFieldException.java
@@ -7,14 +7,14 @@
     /**
      * Says where, and what was expected.
      *
-     * @param place whose field: {@code host NAME}, or the list's
+     * @param subject what has the field: {@code host NAME}, or the list
      * @param problem which field, what was expected and what was found
      */
-    InvalidFieldException(String place, String problem) {
-        super(place + ": " + problem);
+    InvalidFieldException(String subject, String problem) {
+        super(subject + ": " + problem);
     }
 
-    InvalidFieldException(String place, String problem, Throwable cause) {
-        super(place + ": " + problem, cause);
+    InvalidFieldException(String subject, String problem, Throwable cause) {
+        super(subject + ": " + problem, cause);
     }
 }
--- a/src/test/java/cacheproxy/gossip/AntiEntropyTest.java
+++ b/src/test/java/cacheproxy/gossip/AntiEntropyTest.java
@@ -12,7 +12,7 @@
     private final AntiEntropy antiEntropy = new AntiEntropy(0);
 
     @Test
-    void whoIsAnsweredAsksNobody() {
+    void anInstanceThatDiscoveryAnswersQueriesNobody() {
         for (double now = 0; now < 60_000; now += 1800) {
             antiEntropy.onDiscoveryResponse(now);
             assertThat(antiEntropy.onTimer(now + 1799)).isFalse();
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void whoIsNotAnsweredAsksAgainAndAgain() {
+    void anInstanceThatDiscoveryDoesNotAnswerQueriesRepeatedly() {
         int asked = 0;
         for (double now = 0; now <= 4000; now += 10) {
             asked += antiEntropy.onTimer(now) ? 1 : 0;
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void failuresOneAfterAnotherLeadToOneQuestion() {
+    void failuresInARowLeadToOneQuery() {
         assertThat(antiEntropy.onFault(100)).isTrue();
         assertThat(antiEntropy.onFault(200)).isFalse();
         assertThat(antiEntropy.onFault(600)).isTrue();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aPartnerIsAnyOtherInstance() {
+    void aRandomPeerIsAnyOtherInstance() {
         SplittableRandom random = new SplittableRandom(1);
         Set<Integer> asked = new TreeSet<>();
         for (int i = 0; i < 200; i++) {
--- a/src/test/java/cacheproxy/gossip/EnvelopeTest.java
+++ b/src/test/java/cacheproxy/gossip/EnvelopeTest.java
@@ -13,26 +13,26 @@
 import org.junit.jupiter.api.Test;
 
 class EnvelopeTest {
-    private static final byte[] TWO = Envelope.encode(
+    private static final byte[] TWO_ITEMS = Envelope.encode(
             List.of(new Item(1, 0, new byte[] {0, 0, 0, 0, 0, 0, 0, 41}), new Item(31, 7, new byte[0])));
 
     /** The form on the wire; the test vector of the wire page. */
     @Test
-    void theFormIsWhatThePageSays() {
-        assertThat(HexFormat.of().formatHex(TWO))
+    void theFormatIsThatOfTheWirePage() {
+        assertThat(HexFormat.of().formatHex(TWO_ITEMS))
                 .startsWith("e108080000000000000029ff00")
                 .hasSize(30);
-        assertThat(Envelope.decode(TWO)).hasSize(2).first().satisfies(i -> {
+        assertThat(Envelope.decode(TWO_ITEMS)).hasSize(2).first().satisfies(i -> {
             assertThat(i.kind()).isEqualTo(1);
             assertThat(i.body()).hasSize(8).endsWith(41);
         });
     }
 
     @Test
-    void whatIsCutOrChangedIsNothing() {
-        for (int i = 0; i < TWO.length; i++) {
-            assertThat(Envelope.decode(Arrays.copyOf(TWO, i))).isEmpty();
-            byte[] changed = TWO.clone();
+    void aTruncatedOrCorruptedDatagramHasNoItems() {
+        for (int i = 0; i < TWO_ITEMS.length; i++) {
+            assertThat(Envelope.decode(Arrays.copyOf(TWO_ITEMS, i))).isEmpty();
+            byte[] changed = TWO_ITEMS.clone();
             changed[i] ^= 4;
             assertThat(Envelope.decode(changed)).isEmpty();
         }
@@ -43,12 +43,12 @@
     }
 
     @Property(seed = "45", tries = 20_000)
-    void noiseIsDropped(@ForAll byte[] noise) {
+    void randomBytesAreDropped(@ForAll byte[] noise) {
         Envelope.decode(noise);
     }
 
     @Test
-    void theLessUrgentLeaveRoomForTheMoreUrgent() {
+    void lowerPrioritiesReserveCapacityForHigherOnes() {
         SendBudget box = new SendBudget(1000, 1000);
         assertThat(box.availableForLowPriority(0)).isEqualTo(500);
         assertThat(box.tryAcquire(0, 400, Priority.LOW)).isTrue();
--- a/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
+++ b/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
@@ -98,7 +98,7 @@
 
     /** Guards against a fleet that goes on with a list of which every second proxy could have told. */
     @Property(seed = "1", tries = 60)
-    void whoHearsNothingAsksAsSoonAsOthersHaveHeard(
+    void anInstanceWithoutNewsPollsSoonAfterOthersAnnounceIt(
             @ForAll @IntRange(min = 2, max = 72) int instances,
             @ForAll @DoubleRange(min = 0, max = 0.5) double loss,
             @ForAll long seed) {
@@ -119,7 +119,7 @@
      * so all of them told all others, 72 times 71 messages for a version.
      */
     @Property(seed = "1", tries = 60)
-    void fewTellAVersionHoweverManyThereAreAndNobodyAsksWhereAllAreTold(
+    void fewAnnounceAVersionAndNobodyPollsWhenAllHoldIt(
             @ForAll @IntRange(min = 2, max = 72) int instances, @ForAll long seed) {
         Tier tier = new Tier(instances, 0, seed);
         int versions = 12;
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void oneAloneHasNobodyToTell() {
+    void aSingleInstanceAnnouncesNothing() {
         ListVersionGossip alone = new ListVersionGossip(1, 1);
         assertThat(alone.onVersionApplied(0, 5)).isEqualTo(Action.NONE);
         assertThat(alone.nextTimerMs()).isInfinite();
@@ -142,7 +142,7 @@
 
     /** Guards against a peer that makes all the others call, or keeps them from telling. */
     @Test
-    void oneThatClaimsWhatIsNotSoCostsFewCallsAndKeepsNobodyFromTheNews() {
+    void falseAnnouncementsCostFewPollsAndHideNoNews() {
         Tier tier = new Tier(8, 0, 1);
         for (int s = 0; s < 600; s++) {
             for (int i = 0; i < 8; i++) {
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void whatIsNoMessageAboutTheListIsNone() {
+    void otherMessagesAreNoListAnnouncement() {
         assertThat(PeerMessage.readListVersion(new byte[0])).isNegative();
         assertThat(PeerMessage.readListVersion(new byte[9])).isNegative();
         assertThat(PeerMessage.readListVersion(new byte[] {'L', 0, 0, 0, 0, 0, 0, 0}))
--- a/src/test/java/cacheproxy/gossip/LocalStartTimesTest.java
+++ b/src/test/java/cacheproxy/gossip/LocalStartTimesTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aStartIsTakenAtItsWordWhereItMayBeTrue() {
+    void aPlausibleStartTimeIsUsedAsItIs() {
         LocalStartTimes times = new LocalStartTimes();
         times.reset(NOW_MS, List.of(member(1, 0)));
         times.onUpdate(NOW_MS + 100, List.of());
@@ -33,7 +33,7 @@
 
     /** This machine's clock is an hour ahead. */
     @Test
-    void aStartThatIsNewsIsNotAnHourOld() {
+    void aNewStartTimeIsNotAnHourOld() {
         LocalStartTimes times = new LocalStartTimes();
         times.reset(NOW_MS, List.of());
         times.onUpdate(NOW_MS + 100, List.of(member(1, 0)));
@@ -43,7 +43,7 @@
 
     /** This machine's clock is an hour behind. */
     @Test
-    void aStartIsNotInTheFuture() {
+    void aStartTimeIsNotInTheFuture() {
         LocalStartTimes times = new LocalStartTimes();
         assertThat(started(times.reset(NOW_MS, List.of(member(1, NOW_MS + HOUR_MS)))))
                 .isEqualTo(NOW_MS);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void whatWasFoundOfAStartHoldsUntilTheNext() {
+    void aTranslatedStartTimeHoldsUntilTheNextStart() {
         LocalStartTimes times = new LocalStartTimes();
         times.reset(NOW_MS, List.of());
         times.onUpdate(NOW_MS, List.of());
@@ -65,7 +65,7 @@
 
     /** What a process starts with may be older than the first list by any time. */
     @Test
-    void theFirstListMayTellOfStartsOfAnyAge() {
+    void theFirstListMayHoldStartTimesOfAnyAge() {
         LocalStartTimes times = new LocalStartTimes();
         times.reset(NOW_MS, List.of());
         assertThat(started(times.onUpdate(NOW_MS + 100, List.of(member(2, NOW_MS - HOUR_MS)))))
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void anOutageOfDiscoveryMakesOldStartsNews() {
+    void afterAnOutageOfDiscoveryOldStartTimesAreNew() {
         LocalStartTimes times = new LocalStartTimes();
         times.reset(NOW_MS, List.of());
         times.onUpdate(NOW_MS, List.of());
--- a/src/test/java/cacheproxy/gossip/OutlierGossipTest.java
+++ b/src/test/java/cacheproxy/gossip/OutlierGossipTest.java
@@ -6,70 +6,74 @@
 import org.junit.jupiter.api.Test;
 
 class OutlierGossipTest {
-    private final OutlierGossip bad = new OutlierGossip();
+    private final OutlierGossip gossip = new OutlierGossip();
 
     private static ReportedNode node(int id) {
         return new ReportedNode(id, 0, 8);
     }
 
     @Test
-    void threePeersInTwoZonesTakeANodeOut() {
-        assertThat(bad.onReport(0, 1, 1, node(7), 11, 4)).isFalse();
-        assertThat(bad.onReport(10, 1, 1, node(7), 11, 4))
+    void reportsOfThreePeersInTwoZonesMakeAnOutlier() {
+        assertThat(gossip.onReport(0, 1, 1, node(7), 11, 4)).isFalse();
+        assertThat(gossip.onReport(10, 1, 1, node(7), 11, 4))
                 .as("the same once more")
                 .isFalse();
-        assertThat(bad.onReport(20, 5, 1, node(7), 11, 4)).isFalse();
-        assertThat(bad.onReport(30, 9, 1, node(7), 11, 4)).as("all of one zone").isFalse();
-        assertThat(bad.onReport(40, 2, 2, node(7), 11, 4)).isTrue();
-        assertThat(bad.onReport(50, 3, 3, node(7), 11, 4)).as("once is enough").isFalse();
+        assertThat(gossip.onReport(20, 5, 1, node(7), 11, 4)).isFalse();
+        assertThat(gossip.onReport(30, 9, 1, node(7), 11, 4))
+                .as("all of one zone")
+                .isFalse();
+        assertThat(gossip.onReport(40, 2, 2, node(7), 11, 4)).isTrue();
+        assertThat(gossip.onReport(50, 3, 3, node(7), 11, 4))
+                .as("once is enough")
+                .isFalse();
     }
 
     @Test
-    void whatIsOldSaysNothing() {
-        bad.onReport(0, 1, 1, node(7), 11, 4);
-        bad.onReport(0, 2, 2, node(7), 11, 4);
-        assertThat(bad.onReport(OutlierGossip.REPORT_TTL_MS + 1, 3, 3, node(7), 11, 4))
+    void expiredReportsDoNotCount() {
+        gossip.onReport(0, 1, 1, node(7), 11, 4);
+        gossip.onReport(0, 2, 2, node(7), 11, 4);
+        assertThat(gossip.onReport(OutlierGossip.REPORT_TTL_MS + 1, 3, 3, node(7), 11, 4))
                 .isFalse();
     }
 
     /** Of a hundred that find a node bad some tell it, and the others have nothing to add while that is fresh. */
     @Test
-    void whatEnoughHaveSaidNobodyElseNeedsTo() {
+    void aWidelyReportedNodeNeedsNoFurtherReport() {
         for (int peer = 0; peer < OutlierGossip.SUFFICIENT_REPORTERS; peer++) {
-            assertThat(bad.isWidelyReported(10 * peer, 7)).isFalse();
-            bad.onReport(10 * peer, peer, 1 + peer % 2, node(7), 99, 4);
+            assertThat(gossip.isWidelyReported(10 * peer, 7)).isFalse();
+            gossip.onReport(10 * peer, peer, 1 + peer % 2, node(7), 99, 4);
         }
-        assertThat(bad.isWidelyReported(100, 7)).isTrue();
-        assertThat(bad.isWidelyReported(100, 8)).isFalse();
-        assertThat(bad.isWidelyReported(OutlierGossip.REPORT_TTL_MS / 2 + 100, 7))
+        assertThat(gossip.isWidelyReported(100, 7)).isTrue();
+        assertThat(gossip.isWidelyReported(100, 8)).isFalse();
+        assertThat(gossip.isWidelyReported(OutlierGossip.REPORT_TTL_MS / 2 + 100, 7))
                 .as("it has to be said anew while it lasts")
                 .isFalse();
         for (int peer = 0; peer < OutlierGossip.SUFFICIENT_REPORTERS; peer++) {
-            bad.onReport(0, peer, 1, node(9), 99, 4);
+            gossip.onReport(0, peer, 1, node(9), 99, 4);
         }
-        assertThat(bad.isWidelyReported(1, 9)).as("by one zone alone").isFalse();
+        assertThat(gossip.isWidelyReported(1, 9)).as("by one zone alone").isFalse();
     }
 
     /** Two liars are not three, and three take out a quarter of a zone at most. */
     @Test
-    void noSetOfClaimsTakesOutMoreThanAPart() {
+    void noReportsMakeMoreThanAFractionOfAZoneOutliers() {
         int out = 0;
         for (int id = 0; id < 8; id++) {
             for (int liar = 1; liar <= 3; liar++) {
-                out += bad.onReport(id, liar, liar, node(id), 11, 4) ? 1 : 0;
+                out += gossip.onReport(id, liar, liar, node(id), 11, 4) ? 1 : 0;
             }
         }
         assertThat(out).isEqualTo(8 / OutlierGossip.ZONE_FRACTION);
-        assertThat(bad.onReport(9, 1, 1, new ReportedNode(99, 1, 8), 11, 4)).isFalse();
-        assertThat(bad.onReport(9, 2, 2, new ReportedNode(99, 1, 8), 11, 4)).isFalse();
+        assertThat(gossip.onReport(9, 1, 1, new ReportedNode(99, 1, 8), 11, 4)).isFalse();
+        assertThat(gossip.onReport(9, 2, 2, new ReportedNode(99, 1, 8), 11, 4)).isFalse();
     }
 
     @Test
-    void eachOf1100BadNodesIsDoubted() {
+    void eachOf1100ReportedNodesIsAnOutlier() {
         int doubted = 0;
         for (int id = 0; id < 1100; id++) {
             for (int peer = 0; peer < OutlierGossip.MIN_REPORTERS; peer++) {
-                doubted += bad.onReport(
+                doubted += gossip.onReport(
                                 0, peer, peer, new ReportedNode(id, 0, 1100 * OutlierGossip.ZONE_FRACTION), 1024, 4)
                         ? 1
                         : 0;
--- a/src/test/java/cacheproxy/gossip/ProvisionalEndpointsTest.java
+++ b/src/test/java/cacheproxy/gossip/ProvisionalEndpointsTest.java
@@ -19,7 +19,7 @@
     private static final int ORIGIN_KIND = 1;
     private static final double NOW = 1e12;
 
-    private final ProvisionalEndpoints membership = new ProvisionalEndpoints(ORIGIN_KIND);
+    private final ProvisionalEndpoints provisional = new ProvisionalEndpoints(ORIGIN_KIND);
 
     private static Endpoint member(int id, EndpointState state, double bornMs) {
         return new Endpoint(id, 0, 0, 0, state, 1, bornMs);
@@ -39,13 +39,13 @@
                 .mapToObj(i -> member(i, EndpointState.READY, 0))
                 .toList());
         members.add(new Endpoint(100, 0, ORIGIN_KIND, 0, EndpointState.READY, 1, 0));
-        membership.reset(41, members);
+        provisional.reset(41, members);
     }
 
     @Test
-    void aServerThatAPeerKnowsToDrainOrToBeGoneIsLeftAlone() {
+    void anEndpointThatAPeerHasDrainingOrRemovedIsDrained() {
         begin(5);
-        assertThat(membership.onPeerUpdate(
+        assertThat(provisional.onPeerUpdate(
                         NOW,
                         update(
                                 41,
@@ -53,20 +53,20 @@
                                 change(43, 1, EndpointState.DRAINING, 0),
                                 change(43, 2, EndpointState.REMOVED, 0))))
                 .containsExactly(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.DRAINING, 0));
-        assertThat(membership.knownVersion()).isEqualTo(43);
+        assertThat(provisional.knownVersion()).isEqualTo(43);
     }
 
     @Test
-    void aServerThatAPeerKnowsToHaveStartedAgainIsCold() {
+    void anEndpointThatAPeerHasRestartedTakesTheNewStartTime() {
         begin(2);
-        assertThat(membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.READY, NOW - 10))))
+        assertThat(provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.READY, NOW - 10))))
                 .containsExactly(member(1, EndpointState.READY, NOW - 10));
     }
 
     @Test
-    void peersAddNoServerAndChangeNoOriginNorStartAnythingInTheFuture() {
+    void peersAddNoEndpointAndChangeNoOriginAndNoStartIsInTheFuture() {
         begin(5);
-        assertThat(membership.onPeerUpdate(
+        assertThat(provisional.onPeerUpdate(
                         NOW,
                         update(
                                 41,
@@ -78,12 +78,12 @@
     }
 
     @Test
-    void peersHaveNoMoreThanHalfOfTheServersLeftAlone() {
+    void peersDrainNoMoreThanHalfOfTheEndpoints() {
         begin(5);
         EndpointChange[] all = IntStream.rangeClosed(1, 5)
                 .mapToObj(i -> change(43, i, EndpointState.REMOVED, 0))
                 .toArray(EndpointChange[]::new);
-        assertThat(membership.onPeerUpdate(NOW, update(41, 43, all))).hasSize(2);
+        assertThat(provisional.onPeerUpdate(NOW, update(41, 43, all))).hasSize(2);
         ProvisionalEndpoints one = new ProvisionalEndpoints(ORIGIN_KIND);
         one.reset(41, List.of(member(1, EndpointState.READY, 0)));
         assertThat(one.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
@@ -91,68 +91,68 @@
     }
 
     @Test
-    void whatDiscoveryHasToldOfThatVersionGoesBeforePeers() {
+    void discoverysVersionPrecedesPeersChangesOfIt() {
         begin(5);
-        membership.onDiscoveryUpdate(NOW, 43, false, List.of());
-        assertThat(membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
+        provisional.onDiscoveryUpdate(NOW, 43, false, List.of());
+        assertThat(provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
                 .isEmpty();
     }
 
     @Test
-    void discoverysOlderListLeavesWhatPeersToldOfALaterOne() {
+    void discoverysOlderVersionLeavesPeersChangesOfALaterOne() {
         begin(3);
-        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(membership.onDiscoveryUpdate(
+        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(provisional.onDiscoveryUpdate(
                         NOW, 42, true, List.of(member(1, EndpointState.READY, 0), member(2, EndpointState.READY, 0))))
                 .containsExactly(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.READY, 0));
     }
 
     @Test
-    void discoverysListOfThatVersionSettlesIt() {
+    void discoverysListOfTheSameVersionEndsARestriction() {
         begin(3);
-        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(membership.onDiscoveryUpdate(NOW, 43, false, List.of(member(2, EndpointState.DRAINING, 0))))
+        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(provisional.onDiscoveryUpdate(NOW, 43, false, List.of(member(2, EndpointState.DRAINING, 0))))
                 .as("a wrong word is undone by changes that do not name the server")
                 .containsExactlyInAnyOrder(member(2, EndpointState.DRAINING, 0), member(1, EndpointState.READY, 0));
-        assertThat(membership.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 44, false, List.of()))
+        assertThat(provisional.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 44, false, List.of()))
                 .as("nothing is left to end")
                 .isEmpty();
     }
 
     /** While discovery is silent, a drain that peers told counts as told: nothing but discovery's word may end it. */
     @Test
-    void whatDiscoveryDoesNotConfirmEndsWithItsFirstAnswerAfterTheTime() {
+    void anUnconfirmedRestrictionEndsWithTheFirstAnswerAfterItsTtl() {
         begin(3);
-        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
-        assertThat(membership.onDiscoveryUpdate(
+        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
+        assertThat(provisional.onDiscoveryUpdate(
                         NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 1, 42, false, List.of()))
                 .isEmpty();
-        assertThat(membership.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 42, false, List.of()))
+        assertThat(provisional.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 42, false, List.of()))
                 .containsExactly(member(1, EndpointState.READY, 0));
     }
 
     @Test
-    void noPeerLiftsWhatDiscoveryHasTold() {
+    void noPeerLiftsADrainByDiscovery() {
         begin(5);
-        membership.onDiscoveryUpdate(
+        provisional.onDiscoveryUpdate(
                 NOW,
                 42,
                 false,
                 List.of(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.READY, NOW - 10)));
-        assertThat(membership.onPeerUpdate(
+        assertThat(provisional.onPeerUpdate(
                         NOW,
                         update(42, 43, change(43, 1, EndpointState.READY, NOW), change(43, 2, EndpointState.READY, 0))))
                 .isEmpty();
     }
 
     @Test
-    void noPeerLiftsWhatAnotherHasTold() {
+    void noPeerLiftsADrainByAnotherPeer() {
         begin(5);
-        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(membership.onPeerUpdate(NOW, update(43, 44, change(44, 1, EndpointState.READY, NOW))))
+        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(provisional.onPeerUpdate(NOW, update(43, 44, change(44, 1, EndpointState.READY, NOW))))
                 .as("left alone all the same, but cold as soon as it is used")
                 .containsExactly(member(1, EndpointState.DRAINING, NOW));
-        assertThat(membership.onDiscoveryUpdate(NOW, 44, false, List.of(member(1, EndpointState.READY, NOW))))
+        assertThat(provisional.onDiscoveryUpdate(NOW, 44, false, List.of(member(1, EndpointState.READY, NOW))))
                 .containsExactly(member(1, EndpointState.READY, NOW));
     }
 
@@ -160,74 +160,74 @@
      * A list that comes out of turn, or of a replica that is behind, permits nothing that a newer one has forbidden.
      */
     @Test
-    void anOlderListLiftsNothingBeforeItHasStoodForSomeTime() {
+    void anOlderListLiftsNoDrainBeforeItsDelay() {
         begin(3);
-        membership.onDiscoveryUpdate(
+        provisional.onDiscoveryUpdate(
                 NOW, 44, false, List.of(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.REMOVED, 0)));
         List<Endpoint> older = List.of(
                 member(1, EndpointState.READY, 0),
                 member(2, EndpointState.READY, 0),
                 member(3, EndpointState.READY, 0));
-        assertThat(membership.onDiscoveryUpdate(NOW, 42, true, older))
+        assertThat(provisional.onDiscoveryUpdate(NOW, 42, true, older))
                 .containsExactly(
                         member(1, EndpointState.DRAINING, 0),
                         member(2, EndpointState.DRAINING, 0),
                         member(3, EndpointState.READY, 0));
-        assertThat(membership.onDiscoveryUpdate(
+        assertThat(provisional.onDiscoveryUpdate(
                         NOW + ProvisionalEndpoints.OLDER_LIST_DELAY_MS - 1, 43, false, List.of()))
                 .isEmpty();
-        assertThat(membership.onDiscoveryUpdate(NOW + ProvisionalEndpoints.OLDER_LIST_DELAY_MS, 43, false, List.of()))
+        assertThat(provisional.onDiscoveryUpdate(NOW + ProvisionalEndpoints.OLDER_LIST_DELAY_MS, 43, false, List.of()))
                 .containsExactly(member(1, EndpointState.READY, 0), member(2, EndpointState.READY, 0));
     }
 
     @Test
-    void anOlderListIsTakenAtItsWordOnServersThatHaveStartedSince() {
+    void anOlderListLiftsTheDrainOfEndpointsStartedSince() {
         begin(3);
-        membership.onDiscoveryUpdate(
+        provisional.onDiscoveryUpdate(
                 NOW, 44, false, List.of(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.DRAINING, 0)));
         List<Endpoint> older = List.of(member(1, EndpointState.READY, NOW - 10), member(2, EndpointState.READY, 0));
-        assertThat(membership.onDiscoveryUpdate(NOW, 2, true, older))
+        assertThat(provisional.onDiscoveryUpdate(NOW, 2, true, older))
                 .containsExactly(member(1, EndpointState.READY, NOW - 10), member(2, EndpointState.DRAINING, 0));
-        assertThat(membership.onDiscoveryUpdate(NOW, 3, false, List.of(member(2, EndpointState.READY, NOW))))
+        assertThat(provisional.onDiscoveryUpdate(NOW, 3, false, List.of(member(2, EndpointState.READY, NOW))))
                 .containsExactly(member(2, EndpointState.READY, NOW));
     }
 
     @Test
-    void anOlderListLeavesWhatPeersToldOfALaterOneForItsTime() {
+    void anOlderListLeavesPeersChangesUntilTheirTtl() {
         begin(3);
-        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(membership.onDiscoveryUpdate(NOW, 2, false, List.of())).isEmpty();
-        assertThat(membership.knownVersion()).isEqualTo(2);
-        assertThat(membership.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 2, false, List.of()))
+        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(provisional.onDiscoveryUpdate(NOW, 2, false, List.of())).isEmpty();
+        assertThat(provisional.knownVersion()).isEqualTo(2);
+        assertThat(provisional.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 2, false, List.of()))
                 .containsExactly(member(1, EndpointState.READY, 0));
     }
 
     @Test
-    void whoMissedSeveralVersionsIsToldAllOfThem() {
+    void aPeerThatMissedSeveralVersionsIsSentAllOfThem() {
         begin(3);
-        membership.onDiscoveryUpdate(NOW, 42, false, List.of(member(1, EndpointState.DRAINING, 0)));
-        membership.onDiscoveryUpdate(
+        provisional.onDiscoveryUpdate(NOW, 42, false, List.of(member(1, EndpointState.DRAINING, 0)));
+        provisional.onDiscoveryUpdate(
                 NOW, 43, false, List.of(member(1, EndpointState.REMOVED, 0), member(2, EndpointState.DRAINING, 0)));
-        assertThat(membership.changesSince(NOW, 41))
+        assertThat(provisional.changesSince(NOW, 41))
                 .containsExactly(update(
                         41, 43, change(43, 1, EndpointState.REMOVED, 0), change(43, 2, EndpointState.DRAINING, 0)));
-        assertThat(membership.changesSince(NOW, 43)).isEmpty();
-        assertThat(membership.recentChanges().afterVersion()).isEqualTo(41);
+        assertThat(provisional.changesSince(NOW, 43)).isEmpty();
+        assertThat(provisional.recentChanges().afterVersion()).isEqualTo(41);
     }
 
     /** Of a message that was lost any peer that heard it can tell, but nobody can make it last longer than it does. */
     @Test
-    void whatAPeerToldIsPassedOnForTheTimeThatIsLeft() {
+    void aPeersDeltaIsRelayedWithItsRemainingTtl() {
         begin(5);
-        membership.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
-        List<EndpointListDelta> passedOn = membership.changesSince(NOW + 5000, 41);
+        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
+        List<EndpointListDelta> passedOn = provisional.changesSince(NOW + 5000, 41);
         assertThat(passedOn)
                 .containsExactly(new EndpointListDelta(
                         41,
                         43,
                         ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 5000,
                         List.of(change(43, 1, EndpointState.REMOVED, 0))));
-        assertThat(membership.changesSince(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 41))
+        assertThat(provisional.changesSince(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 41))
                 .isEmpty();
         ProvisionalEndpoints other = new ProvisionalEndpoints(ORIGIN_KIND);
         other.reset(41, List.of(member(1, EndpointState.READY, 0), member(2, EndpointState.READY, 0)));
@@ -245,38 +245,38 @@
 
     /** Whole lists name no change by itself. */
     @Test
-    void whatAWholeListNamesNoMoreIsToldAsGone() {
+    void anEndpointMissingFromASnapshotIsSentAsRemoved() {
         begin(2);
-        membership.onDiscoveryUpdate(NOW, 42, true, List.of(member(1, EndpointState.READY, 0)));
-        assertThat(membership.changesSince(NOW, 41))
+        provisional.onDiscoveryUpdate(NOW, 42, true, List.of(member(1, EndpointState.READY, 0)));
+        assertThat(provisional.changesSince(NOW, 41))
                 .containsExactly(update(
                         41, 42, change(42, 2, EndpointState.REMOVED, 0), change(42, 100, EndpointState.REMOVED, 0)));
     }
 
     @Test
-    void moreThanAMessageHoldsGoesIntoSeveralAndTheNewestIntoOne() {
+    void manyChangesNeedSeveralMessagesAndTheNewestFitIntoOne() {
         int servers = 3 * EndpointListDelta.MAX_CHANGES;
         begin(servers);
         for (int i = 1; i <= servers; i++) {
-            membership.onDiscoveryUpdate(NOW, 41 + i, false, List.of(member(i, EndpointState.DRAINING, 0)));
+            provisional.onDiscoveryUpdate(NOW, 41 + i, false, List.of(member(i, EndpointState.DRAINING, 0)));
         }
-        assertThat(membership.changesSince(NOW, 41)).hasSize(3);
-        assertThat(membership.changesSince(NOW, 41).stream()
+        assertThat(provisional.changesSince(NOW, 41)).hasSize(3);
+        assertThat(provisional.changesSince(NOW, 41).stream()
                         .flatMap(u -> u.changes().stream())
                         .map(EndpointChange::endpointId)
                         .distinct()
                         .count())
                 .isEqualTo(servers);
-        membership.onDiscoveryUpdate(NOW, 1000, true, List.of(member(1, EndpointState.READY, 0)));
-        assertThat(membership.recentChanges().changes()).hasSize(EndpointListDelta.MAX_CHANGES);
-        assertThat(membership.recentChanges().afterVersion())
+        provisional.onDiscoveryUpdate(NOW, 1000, true, List.of(member(1, EndpointState.READY, 0)));
+        assertThat(provisional.recentChanges().changes()).hasSize(EndpointListDelta.MAX_CHANGES);
+        assertThat(provisional.recentChanges().afterVersion())
                 .as("what was dropped is not claimed")
                 .isEqualTo(1000);
     }
 
     /** Whatever peers tell and lose, all that discovery has told of a version in the end is what it says. */
     @Property(seed = "1", tries = 300)
-    void inTheEndDiscoverysWordHolds(@ForAll long seed) {
+    void discoverysListPrevailsInTheEnd(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         begin(8);
         Map<Integer, Endpoint> used = new HashMap<>();
@@ -287,7 +287,7 @@
             Endpoint next =
                     member(1 + random.nextInt(8), EndpointState.values()[random.nextInt(3)], random.nextInt(3) * 1000);
             if (random.nextBoolean()) {
-                membership
+                provisional
                         .onPeerUpdate(
                                 NOW,
                                 update(
@@ -297,7 +297,9 @@
                         .forEach(m -> used.put(m.id(), m));
             } else {
                 truth.put(next.id(), next);
-                membership.onDiscoveryUpdate(NOW, version, false, List.of(next)).forEach(m -> used.put(m.id(), m));
+                provisional
+                        .onDiscoveryUpdate(NOW, version, false, List.of(next))
+                        .forEach(m -> used.put(m.id(), m));
             }
             used.forEach((id, member) -> {
                 Endpoint own = truth.get(id);
@@ -309,18 +311,18 @@
                         .isGreaterThanOrEqualTo(own.startTimeMs());
             });
         }
-        membership.onDiscoveryUpdate(NOW, 100, false, List.of()).forEach(m -> used.put(m.id(), m));
+        provisional.onDiscoveryUpdate(NOW, 100, false, List.of()).forEach(m -> used.put(m.id(), m));
         assertThat(used).isEqualTo(truth);
     }
 
     @Property(seed = "1", tries = 2000)
-    void whatCannotBeReadIsNoUpdate(@ForAll byte[] bytes) {
+    void randomBytesAreNoDelta(@ForAll byte[] bytes) {
         EndpointListDelta update = EndpointListDelta.decode(bytes);
         assertThat(update == null || update.encode().length == bytes.length).isTrue();
     }
 
     @Test
-    void anUpdateIsReadAsItWasWritten() {
+    void aDeltaIsDecodedAsItWasEncoded() {
         EndpointListDelta update =
                 update(41, 43, change(43, -5, EndpointState.REMOVED, 0), change(43, 7, EndpointState.READY, NOW));
         assertThat(EndpointListDelta.decode(update.encode())).isEqualTo(update);
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aWatchBringsChangesAndGoesOnFromThem() throws Exception {
+    void aWatchBringsChangesAndContinuesFromTheirVersion() throws Exception {
         FakeServer node = hits();
         FakeServer discovery = new FakeServer(c -> {
             c.request();
@@ -82,13 +82,13 @@
         return fleet;
     }
 
-    private static void claimVersion(DatagramSocket peer, long version, Fleet fleet) throws Exception {
+    private static void announceVersion(DatagramSocket peer, long version, Fleet fleet) throws Exception {
         send(peer, PeerMessage.listVersionAnnouncement(version), fleet);
     }
 
     /** Guards against a list that stays old for as long as a watch may wait, where another proxy has the news. */
     @Test
-    void aWatchThatFellSilentIsBegunAnewOnAPeersWord() throws Exception {
+    void aSilentWatchIsFollowedByAPollOnAPeersAnnouncement() throws Exception {
         FakeServer node = hits();
         CountDownLatch silent = new CountDownLatch(1);
         FakeServer discovery = new FakeServer(c -> {
@@ -106,7 +106,7 @@
                 Fleet fleet = withPeer(discovery, peer, "push")) {
             fleet.start();
             silent.await();
-            claimVersion(peer, 43, fleet);
+            announceVersion(peer, 43, fleet);
             Await.until("the list is news", () -> served(fleet));
             assertThat(discovery.accepted).hasSize(2);
         }
@@ -118,7 +118,7 @@
      * first: it would lose its place, and a fleet that does so jams discovery.
      */
     @Test
-    void aCallThatStandsInDiscoverysLineIsKeptOnAPeersWord() throws Exception {
+    void aPollQueuedAtASharedDiscoveryStaysPendingOnAPeersAnnouncement() throws Exception {
         FakeServer node = hits();
         CountDownLatch asked = new CountDownLatch(1);
         FakeServer discovery = new FakeServer(c -> {
@@ -138,7 +138,7 @@
                 Fleet fleet = withPeer(discovery, peer, "ask")) {
             fleet.start();
             asked.await();
-            claimVersion(peer, 43, fleet);
+            announceVersion(peer, 43, fleet);
             Await.until("the list is news", () -> served(fleet));
             assertThat(discovery.accepted).hasSize(1);
         }
@@ -162,7 +162,7 @@
 
     /** Guards against instances of a large fleet that hear of a drain only when discovery's line has room for them. */
     @Test
-    void whatAPeerWasToldIsInUseWhileDiscoveryTurnsCallsAway() throws Exception {
+    void aPeersChangesAreInUseWhileDiscoveryRejectsPolls() throws Exception {
         FakeServer drained = hits();
         FakeServer other = hits();
         AtomicBoolean well = new AtomicBoolean();
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void whoAsksIsToldWhatDiscoveryHasTold() throws Exception {
+    void aPeersQueryIsAnsweredWithDiscoverysChanges() throws Exception {
         FakeServer node = hits();
         FakeServer discovery = new FakeServer(c -> {
             c.request();
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void aServerAtANewAddressGetsNothingMoreAtItsOldOne() throws Exception {
+    void anEndpointAtANewAddressGetsNothingAtItsOldOne() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         CountDownLatch moved = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
@@ -274,7 +274,7 @@
     }
 
     @Test
-    void failuresAndNonsenseLeaveTheListAndAreAskedAgain() throws Exception {
+    void failedPollsAndInvalidAnswersLeaveTheListAndAreRetried() throws Exception {
         FakeServer node = hits();
         JsonObject unknown = Fleet.list(44, true, new JsonArray());
         unknown.getAsJsonArray("hosts").add(Fleet.host("s-1", "no-such-class", "127.0.0.1:1", "up"));
@@ -311,7 +311,7 @@
     }
 
     @Test
-    void whereListsArePushedTheProxyFollowsByItself() throws Exception {
+    void withAnAgentTheListIsWatchedFromTheStart() throws Exception {
         FakeServer node = hits();
         CountDownLatch down = new CountDownLatch(1);
         FakeServer agent = new FakeServer(c -> {
--- a/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
+++ b/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
@@ -26,7 +26,7 @@
 @Timeout(120)
 class EndpointListPollingTest {
     /** Under the 6 s with a margin for a busy machine and for the line at a discovery that many ask. */
-    private static final double KNOWN_MS = 4500;
+    private static final double MAX_DELAY_MS = 4500;
     /** Failures in a row before discovery is well: as many as lengthen the waits between calls. */
     private static final int FAILURES = 4;
     /** So many refusals in a row, and the waits grow no longer. */
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void newsIsKnownInTimeWhateverCallFailed() throws Exception {
+    void aChangeIsKnownInTimeWhateverPollFailed() throws Exception {
         List<String> names = new ArrayList<>();
         List<Future<Double>> times = new ArrayList<>();
         ExecutorService each = Executors.newCachedThreadPool();
@@ -228,7 +228,7 @@
             for (int i = 0; i < names.size(); i++) {
                 double ms = times.get(i).get();
                 System.out.printf("known after %5.0f ms: %s%n", ms, names.get(i));
-                assertThat(ms).as(names.get(i)).isLessThan(KNOWN_MS);
+                assertThat(ms).as(names.get(i)).isLessThan(MAX_DELAY_MS);
             }
         } finally {
             each.shutdownNow();
@@ -240,7 +240,7 @@
      * here one without a length, which its end makes whole. Taken for one, it ended a sound call.
      */
     @Test
-    void theEndOfACallThatWasGivenUpIsNoAnswerToTheNext() throws Exception {
+    void theEndOfACancelledPollIsNoAnswerToTheNext() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         FakeServer before = new FakeServer(c -> {
             c.request();
@@ -279,7 +279,7 @@
 
     /** One that has moved, or lost its memory, may number its lists from less. */
     @Test
-    void aDiscoveryThatNumbersAnewIsAskedForAllThatItHas() throws Exception {
+    void aDiscoveryWithNewVersionNumbersIsAskedForASnapshot() throws Exception {
         FakeServer discovery = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=41&")) {
--- a/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
+++ b/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
@@ -24,7 +24,7 @@
  * in both forms of discovery: it counts as told after 6 s wherever any way of asking would have brought it.
  */
 @Timeout(120)
-class ListTroubleTest {
+class FaultyDiscoveryTest {
     private static final String NEWS = list("{\"seq\":43,", entry("s-0000beef", "up"));
     /** Of what is wrong for some calls only: so many. */
     private static final int BAD_CALLS = 2;
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void newsIsKnownInTimeWhateverIsWrongWithAnswers() throws Exception {
+    void aChangeIsKnownInTimeWhateverIsWrongWithAnswers() throws Exception {
         Map<String, Future<Double>> times = new LinkedHashMap<>();
         List<String> late = new ArrayList<>();
         ExecutorService each = Executors.newCachedThreadPool();
--- a/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
+++ b/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
@@ -14,7 +14,7 @@
 
 /** Discovery that answers with a list older than one it has told before: a replica that is behind, or lost memory. */
 @Timeout(60)
-class OlderListTest {
+class OlderEndpointListTest {
     private static final int KEYS = 64;
     private static final String DRAINED = "s-00000001";
     private static final String STAYS = "s-00000002";
@@ -24,7 +24,7 @@
     private final FakeServer stays = node();
     private int requests;
 
-    OlderListTest() throws IOException {}
+    OlderEndpointListTest() throws IOException {}
 
     private static FakeServer node() throws IOException {
         return FakeServer.node(command -> "VA 5 O" + FakeServer.id(command) + " h1\r\nhello\r\n");
@@ -99,7 +99,7 @@
 
     /** Two replicas, one behind the other, that each answer at once what the other's answer has the proxy ask for. */
     @Test
-    void replicasThatDisagreeAreNotCalledWithoutAPause() throws Exception {
+    void disagreeingReplicasAreNotPolledWithoutADelay() throws Exception {
         int calls = 8;
         List<Long> calledNanos = new ArrayList<>();
         FakeServer discovery = new FakeServer(c -> {
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
@@ -28,7 +28,7 @@
 class DiscoveryRequestsTest {
     private static final EndpointListCodec FORM =
             new EndpointListCodec(List.of("east", "west_coast"), List.of("fast", "slow", "origin"));
-    private static final String NO_NEWS = "{\"seq\":41,\"whole\":false,\"hosts\":[]}";
+    private static final String NO_CHANGES = "{\"seq\":41,\"whole\":false,\"hosts\":[]}";
 
     /** Takes the list and says nothing. */
     private static final class Ignored implements DiscoveryClient.Listener {
@@ -69,7 +69,7 @@
         StringBuilder sent = new StringBuilder();
         try (Socket socket = server.accept()) {
             sent.append("# a watch\n").append(request(socket));
-            answer(socket, NO_NEWS);
+            answer(socket, NO_CHANGES);
             sent.append("# a watch after an answer\n").append(request(socket));
             answer(socket, "no JSON");
         }
--- a/src/test/java/cacheproxy/proxy/discovery/EndpointListCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/EndpointListCodecTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void anEntryIsReadAsTheSettingsWordIt() {
+    void anEntryIsDecodedWithTheSettingsNames() {
         DiscoveredEndpoint host = FORM.decodeAll(list(ENTRY)).get(0);
         assertThat(host.endpoint().id()).isEqualTo(0x5be2a07c);
         assertThat(host.endpoint().zone()).isEqualTo(1);
@@ -46,7 +46,7 @@
                 "'127.0.0.1:9',`'localhost:9'`,not an address",
                 "'127.0.0.1:9',`'127.0.0.1:99999'`,not an address"
             })
-    void oneOfNoUseIsToldWithItsReason(String there, String instead, String told) {
+    void anInvalidEntryIsReportedWithItsReason(String there, String instead, String told) {
         String entry = ENTRY.replace(there, instead);
         assertThat(entry).isNotEqualTo(ENTRY);
         assertThatThrownBy(() -> FORM.decodeAll(list(entry)))
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void idsComeFromTheHostsNames() {
+    void idsAreDerivedFromTheHostsNames() {
         assertThat(EndpointListCodec.endpointId("s-5be2a07c")).isEqualTo(0x5be2a07c);
         assertThat(EndpointListCodec.endpointId("s-f2ffffff")).isEqualTo(0xf2ffffff);
         assertThat(EndpointListCodec.endpointId("cache.example"))
