--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -7,7 +7,7 @@
 import cacheproxy.control.Door;
 import cacheproxy.control.ProxyControl;
 import cacheproxy.proxy.Proxy;
-import cacheproxy.proxy.SighupHandler;
+import cacheproxy.proxy.lifecycle.SighupHandler;
 import cacheproxy.simulator.Drill;
 import java.io.IOException;
 import java.nio.file.InvalidPathException;
--- a/src/main/java/cacheproxy/control/RecoveryCall.java
+++ b/src/main/java/cacheproxy/control/RecoveryCall.java
@@ -1,6 +1,6 @@
 package cacheproxy.control;
 
-import cacheproxy.proxy.Recovering;
+import cacheproxy.proxy.RecoveryStatus;
 import cacheproxy.recovery.Progress;
 import cacheproxy.recovery.Trust;
 import cacheproxy.state.Keeper;
@@ -15,11 +15,11 @@
 
     private RecoveryCall() {}
 
-    static void register(ControlRegistry registry, Supplier<Recovering> recovering) {
+    static void register(ControlRegistry registry, Supplier<RecoveryStatus> recovering) {
         registry.section(SECTION, () -> json(recovering.get(), (double) System.currentTimeMillis()));
     }
 
-    private static JsonObject json(Recovering r, double nowMs) {
+    private static JsonObject json(RecoveryStatus r, double nowMs) {
         JsonObject o = new JsonObject();
         Progress p = r.progress();
         o.addProperty("stage", p == null ? "not looked at" : p.stage().name().toLowerCase(Locale.ROOT));
@@ -28,7 +28,7 @@
             seconds(o, "told_after_s", p.toldAfterMs());
             seconds(o, "serving_after_s", p.servingAfterMs());
             o.addProperty("by_clock", p.endedByBound());
-            o.addProperty("per_second", Math.round(r.perSecond()));
+            o.addProperty("per_second", Math.round(r.requestsPerSecond()));
             seconds(o, "times_the_mean", 1000 * r.spread().times());
             o.addProperty("clients_ended", r.spread().ended());
         }
@@ -51,7 +51,7 @@
         Keeper k = r.keeper();
         if (k != null) {
             o.addProperty("folder", r.folder());
-            o.addProperty("writes", r.writes());
+            o.addProperty("writes", r.ownsFolder());
             o.addProperty("starts", k.header().starts());
             o.addProperty("written_bytes", k.written());
             o.addProperty("failed_writes", k.failures());
--- a/src/main/java/cacheproxy/proxy/Acceptor.java
+++ b/src/main/java/cacheproxy/proxy/ClientAcceptor.java
@@ -22,7 +22,7 @@
 import java.util.stream.Stream;
 
 /** The listening socket and the clients' connections that came through it, with their bound. */
-final class Acceptor implements Dispatcher.ClientListener {
+final class ClientAcceptor implements Dispatcher.ClientListener {
     /** As many clients as may come at once while the event loop is busy; each further one would come a second late. */
     private static final int BACKLOG = 1024;
     /** Rounds of the event loop in which all of a full backlog is accepted, some at a time. */
@@ -47,7 +47,7 @@
 
     private Consumer<ClientConnection> retire = ClientConnection::finish;
 
-    Acceptor(Dispatcher dispatcher, int maxClients) {
+    ClientAcceptor(Dispatcher dispatcher, int maxClients) {
         this.dispatcher = dispatcher;
         this.maxClients = maxClients;
     }
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/ClientConnection.java
@@ -488,7 +488,7 @@
      * Passes the connection to the process that takes over, and ends it here without a word to the client. In a task of
      * its own: what is being read or written now is done then.
      */
-    void pass(HandoverLink to) {
+    void pass(HandoverServer to) {
         if (passing || finished) {
             return;
         }
@@ -496,7 +496,7 @@
         ctx.channel().config().setAutoRead(false); // what comes now is the other process's to read
         ctx.executor().execute(() -> {
             if (idle() && !finished) {
-                to.pass(ctx.channel(), this::passed);
+                to.passClient(ctx.channel(), this::passed);
             } else {
                 stay();
             }
--- a/src/main/java/cacheproxy/proxy/Drainer.java
+++ b/src/main/java/cacheproxy/proxy/DrainCoordinator.java
@@ -6,31 +6,36 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Carries the orders of {@link DrainStateMachine} out: tells it what is open, ends connections, answers what is left.
+ * Carries out what {@link DrainStateMachine} decides: reports what is open, closes idle connections, answers what is
+ * left at the deadline. On the event loop only.
  */
-final class Drainer {
-    private static final long STEP_MS = 20;
-    /** For last answers to leave the process. */
+final class DrainCoordinator {
+    private static final long TICK_MS = 20;
+    /** Time for the last answers to leave the process, in milliseconds. */
     private static final long FLUSH_MS = 100;
 
     private final EventLoop loop;
     private final Dispatcher dispatcher;
-    private final Acceptor acceptor;
-    private final Runnable ended;
+    private final ClientAcceptor acceptor;
+    private final Runnable onDrained;
     private final DrainStateMachine drain = new DrainStateMachine();
     private boolean ticking;
     private boolean listening = true;
 
-    /** {@code ended}: told once, when nothing is left and the process may end. */
-    Drainer(EventLoop loop, Dispatcher dispatcher, Acceptor acceptor, Runnable ended) {
+    /**
+     * Creates a coordinator that serves.
+     *
+     * @param onDrained run once, when nothing is left and the process may exit
+     */
+    DrainCoordinator(EventLoop loop, Dispatcher dispatcher, ClientAcceptor acceptor, Runnable onDrained) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.acceptor = acceptor;
-        this.ended = ended;
+        this.onDrained = onDrained;
     }
 
     DrainStateMachine.StartResult begin(DrainPlan plan) {
-        drain.tick(dispatcher.now(), counts()); // what is open at the beginning is what there is to do
+        drain.tick(dispatcher.now(), openWork()); // what is open at the beginning is what there is to do
         DrainStateMachine.StartResult begun = drain.begin(dispatcher.now(), plan);
         if (!ticking) {
             ticking = true;
@@ -51,14 +56,14 @@
         return drain.progress(dispatcher.now());
     }
 
-    private DrainStateMachine.OpenWork counts() {
+    private DrainStateMachine.OpenWork openWork() {
         return new DrainStateMachine.OpenWork(
                 dispatcher.owed(), acceptor.open(), acceptor.idle(), dispatcher.answered());
     }
 
     private void tick() {
         double now = dispatcher.now();
-        DrainStateMachine.Actions orders = drain.tick(now, counts());
+        DrainStateMachine.Actions orders = drain.tick(now, openWork());
         if (!drain.draining()) {
             ticking = false;
             return;
@@ -74,9 +79,9 @@
             acceptor.endAll();
         }
         if (orders.exit()) {
-            loop.schedule(ended, orders.answerAll() ? FLUSH_MS : 0, TimeUnit.MILLISECONDS);
+            loop.schedule(onDrained, orders.answerAll() ? FLUSH_MS : 0, TimeUnit.MILLISECONDS);
         } else {
-            loop.schedule(this::tick, STEP_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/HandoverServer.java
@@ -0,0 +1,229 @@
+package cacheproxy.proxy;
+
+import cacheproxy.takeover.HandoverStateMachine;
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.EventLoop;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.unix.FileDescriptor;
+import io.netty.handler.codec.LineBasedFrameDecoder;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+
+/**
+ * Serves the local socket at which a successor takes over, in the instance's private folder. Requests are lines; the
+ * answers are the snapshot as one line, then descriptors: the listening socket and, once this process has been told to
+ * terminate, its idle clients. I/O partner of {@link HandoverStateMachine}; its counterpart is {@link TakeoverClient}.
+ * On the event loop but for {@link #open}. The lines:
+ *
+ * <pre>
+ * STATE 1  {@link #SNAPSHOT_REQUEST}, with the snapshot's version
+ * SOCKET   {@link #SOCKET_REQUEST}
+ * SERVING  {@link #SERVING_REPORT}
+ * </pre>
+ */
+final class HandoverServer {
+    static final String SNAPSHOT_REQUEST = "STATE " + TakeoverSnapshot.VERSION;
+    static final String SOCKET_REQUEST = "SOCKET";
+    static final String SERVING_REPORT = "SERVING";
+    private static final int MAX_LINE = 64;
+    private static final int MAX_CONNECTIONS = 4;
+    private static final String SOCKET_NAME = "takeover";
+    /** Numbers the servers of one process, of which only tests have several. */
+    private static final AtomicInteger SERVER_COUNT = new AtomicInteger();
+
+    private final EventLoop loop;
+    private final Path folder;
+    /** This process's own socket; null without a folder. */
+    private final Path ownSocket;
+
+    private final HandoverStateMachine handover;
+    private final ClientAcceptor acceptor;
+    private final Supplier<TakeoverSnapshot> snapshot;
+    private final Map<Long, Channel> connections = new HashMap<>();
+    private Channel successor;
+    private long lastNumber;
+    private int passedClients;
+
+    /**
+     * Creates the server; {@link #open} starts it.
+     *
+     * @param folder which the processes of one instance share; null: none takes over
+     * @param snapshot supplies it, on the event loop
+     */
+    HandoverServer(
+            EventLoop loop,
+            Path folder,
+            HandoverStateMachine handover,
+            ClientAcceptor acceptor,
+            Supplier<TakeoverSnapshot> snapshot) {
+        this.loop = loop;
+        this.folder = folder;
+        ownSocket = folder == null
+                ? null
+                : folder.resolve(
+                        SOCKET_NAME + "." + ProcessHandle.current().pid() + "." + SERVER_COUNT.incrementAndGet());
+        this.handover = handover;
+        this.acceptor = acceptor;
+        this.snapshot = snapshot;
+    }
+
+    /** The folder that the processes of one instance share; null if there is none, or sockets can't be passed. */
+    static Path folder() {
+        String folder = System.getenv("TMPDIR");
+        return folder == null || folder.isEmpty() || !Transport.BEST.passesDescriptors() ? null : Path.of(folder);
+    }
+
+    /** The path at which a successor finds the socket of the process that serves. */
+    static Path socketPath(Path folder) {
+        return folder.resolve(SOCKET_NAME);
+    }
+
+    /** Listens in place of the process that did before. Waits; not to be called on the event loop. */
+    void open() throws IOException, InterruptedException {
+        Files.deleteIfExists(ownSocket);
+        new ServerBootstrap()
+                .group(loop)
+                .channel(Transport.BEST.localServer())
+                .childHandler(new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        accepted(channel);
+                    }
+                })
+                .bind(Transport.BEST.local(ownSocket))
+                .sync();
+        publish();
+    }
+
+    /**
+     * Makes the well-known name lead to this process's socket. Each process has a socket file of its own: a successor
+     * that goes has taken the name, and this process would be out of reach for the next one.
+     */
+    private void publish() throws IOException {
+        Path next = folder.resolve(ownSocket.getFileName() + ".name");
+        Files.deleteIfExists(next);
+        Files.createSymbolicLink(next, ownSocket.getFileName());
+        Files.move(next, socketPath(folder), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    }
+
+    private void republish() {
+        try {
+            publish();
+        } catch (IOException e) {
+            System.err.println("takeover: no way back to the name: " + e.getMessage());
+        }
+    }
+
+    /** Deletes this process's socket, but not the name, which may be a successor's. */
+    void close() {
+        try {
+            if (ownSocket != null) {
+                Files.deleteIfExists(ownSocket);
+            }
+        } catch (IOException e) {
+            // the folder is deleted with the instance
+        }
+    }
+
+    private void accepted(Channel channel) {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            channel.close();
+            return;
+        }
+        long number = ++lastNumber;
+        connections.put(number, channel);
+        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE), new RequestHandler(number));
+    }
+
+    /**
+     * Passes a client's connection to the successor. Input that nobody has read waits in the kernel for the successor.
+     *
+     * @param done told whether it was passed; the connection is then the successor's
+     */
+    void passClient(Channel client, Consumer<Boolean> done) {
+        if (successor == null || !handover.passesClients()) {
+            done.accept(false);
+            return;
+        }
+        successor.writeAndFlush(Transport.descriptor(client)).addListener(f -> {
+            passedClients += f.isSuccess() ? 1 : 0;
+            done.accept(f.isSuccess());
+        });
+    }
+
+    /** How many clients the successor was passed. */
+    int passedClients() {
+        return passedClients;
+    }
+
+    private final class RequestHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private final long number;
+
+        RequestHandler(long number) {
+            this.number = number;
+        }
+
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
+            boolean granted = switch (line.toString(StandardCharsets.US_ASCII)) {
+                case SNAPSHOT_REQUEST ->
+                    handover.snapshotRequested(number)
+                            && sendSnapshot(ctx, snapshot.get().toJson() + "\n");
+                case SOCKET_REQUEST ->
+                    handover.socketRequested(number) && sendDescriptor(ctx, Transport.descriptor(acceptor.channel()));
+                case SERVING_REPORT -> handover.successorServes(number) && successorServes(ctx.channel());
+                default -> false;
+            };
+            if (!granted) {
+                ctx.close();
+            }
+        }
+
+        private boolean sendSnapshot(ChannelHandlerContext ctx, String text) {
+            ctx.writeAndFlush(ByteBufUtil.writeUtf8(ctx.alloc(), text));
+            return true;
+        }
+
+        private boolean sendDescriptor(ChannelHandlerContext ctx, FileDescriptor descriptor) {
+            ctx.writeAndFlush(descriptor);
+            return true;
+        }
+
+        private boolean successorServes(Channel channel) {
+            successor = channel;
+            acceptor.accept(handover.acceptsConnections());
+            return true;
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            connections.remove(number);
+            boolean gone = handover.linkClosed(number);
+            if (successor == ctx.channel()) {
+                successor = null;
+            }
+            acceptor.accept(handover.acceptsConnections());
+            if (gone) {
+                republish();
+            }
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
+    }
+}
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -11,6 +11,8 @@
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.ProvisionalList;
+import cacheproxy.proxy.lifecycle.ConfigFileWatcher;
+import cacheproxy.proxy.lifecycle.SighupHandler;
 import cacheproxy.recovery.Source;
 import cacheproxy.recovery.Trust;
 import cacheproxy.route.Known;
@@ -65,11 +67,11 @@
     private final Dispatcher dispatcher;
     private final DiscoveryClient discovery;
     private final PeerSocket peers;
-    private final Acceptor acceptor;
-    private final Drainer drainer;
+    private final ClientAcceptor acceptor;
+    private final DrainCoordinator drainer;
     private final Edge edge;
     private final HandoverStateMachine handover = new HandoverStateMachine();
-    private final HandoverLink link;
+    private final HandoverServer link;
     private final CountDownLatch ended = new CountDownLatch(1);
     private volatile Runnable whenEnded = () -> {};
     /** Null where this proxy takes no part in the fleet's view. On the event loop only. */
@@ -81,7 +83,7 @@
     /** Null where nothing is kept. */
     private final StateLink kept;
     /** What is known from before the start. */
-    private final Remembered remembered;
+    private final RestoredState remembered;
 
     private final boolean succeeds;
 
@@ -96,7 +98,8 @@
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
         peers = new PeerSocket(loop, config, dispatcher::heard, dispatcher.counters());
-        acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
+        acceptor =
+                new ClientAcceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
         ProvisionalList list = new ProvisionalList(
                 dispatcher,
@@ -108,7 +111,7 @@
                 config.discoverySettings(),
                 list,
                 dispatcher::now);
-        link = new HandoverLink(loop, shared, handover, acceptor, this::state);
+        link = new HandoverServer(loop, shared, handover, acceptor, this::state);
         acceptor.retireBy(c -> {
             if (!handover.passesClients()) {
                 c.finish();
@@ -116,15 +119,15 @@
                 c.pass(link);
             } // else its first command is waited for here: another process does not know since when
         });
-        drainer = new Drainer(loop, dispatcher, acceptor, this::ended);
-        TakeoverLink old = TakeoverLink.ask(loop, shared); // as late as can be: what it tells is of now
-        TakeoverState state = old == null ? null : old.state();
+        drainer = new DrainCoordinator(loop, dispatcher, acceptor, this::ended);
+        TakeoverClient old = TakeoverClient.connect(loop, shared); // as late as can be: what it tells is of now
+        TakeoverSnapshot state = old == null ? null : old.snapshot();
         succeeds = state != null;
-        remembered = new Remembered(
+        remembered = new RestoredState(
                 state, kept == null ? Opened.EMPTY : kept.opened(), dispatcher.trust(), dispatcher.now());
         loop.submit(() -> {
                     dispatcher.start(discovery, peers, acceptor, routing);
-                    discovery.start(remembered.list(config.known()));
+                    discovery.start(remembered.endpointList(config.known()));
                     if (config.settings().peerMessagesAllowed()) {
                         RoutingSettings settings = config.settings();
                         ListNews news = new ListNews(settings.instanceCount(), settings.instanceSeed(config.seed()));
@@ -132,7 +135,7 @@
                         dispatcher.news(new PeerNews(
                                 dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
                     }
-                    dispatcher.resume(remembered.learnt());
+                    dispatcher.resume(remembered.learnedState());
                     if (kept != null) {
                         kept.start(dispatcher, discovery);
                     }
@@ -142,8 +145,8 @@
         FileDescriptor socket = old == null ? null : old.socket();
         if (socket != null) {
             acceptor.listen(group, socket);
-            old.serving(client -> acceptor.adopt(loop, client));
-            loop.execute(() -> dispatcher.log(old.told()));
+            old.reportServing(client -> acceptor.adopt(loop, client));
+            loop.execute(() -> dispatcher.log(old.summary()));
         } else {
             acceptor.listen(group, config.listen());
         }
@@ -153,7 +156,7 @@
     }
 
     /** What a successor must know: what this process was told of the servers binds both. */
-    private TakeoverState state() {
+    private TakeoverSnapshot state() {
         Map<Kind, Record> records = new EnumMap<>(Kind.class);
         if (members != null) {
             records.put(
@@ -167,7 +170,7 @@
             records.put(
                     Kind.ORDERS, new Record(Kind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
         }
-        return new TakeoverState(discovery.list(), dispatcher.experience(), records);
+        return new TakeoverSnapshot(discovery.list(), dispatcher.experience(), records);
     }
 
     /** What is passed over of what has been learnt; for tests, on the event loop only. */
@@ -177,7 +180,7 @@
 
     private void ended() {
         if (handover.passesClients()) {
-            dispatcher.log("passed " + link.passed() + " clients on");
+            dispatcher.log("passed " + link.passedClients() + " clients on");
         }
         link.close();
         if (members != null && !handover.passesClients()) {
@@ -214,14 +217,14 @@
     public static Proxy main(Edge edge, Kept folder, SighupHandler sighup) {
         Config config = configuration();
         try {
-            Proxy proxy = new Proxy(config, edge, true, HandoverLink.folder(), folder);
+            Proxy proxy = new Proxy(config, edge, true, HandoverServer.folder(), folder);
             Runtime.getRuntime().addShutdownHook(new Thread(proxy::drain));
             String file = System.getenv("BALANCER_CONFIG");
-            sighup.on(() -> proxy.reload(file));
-            if (!sighup.arrives()) {
+            sighup.onSignal(() -> proxy.reload(file));
+            if (!sighup.delivered()) {
                 System.err.println("SIGHUP is ignored where this was started (nohup?): " + file
                         + " is looked at twice a second in its place");
-                new FileWatch(Path.of(file), () -> proxy.reload(file)).start();
+                new ConfigFileWatcher(Path.of(file), () -> proxy.reload(file)).start();
             }
             // Not on the event loop, which the process's end waits for.
             proxy.whenEnded = () -> new Thread(() -> System.exit(0), "drained").start();
@@ -307,7 +310,7 @@
     }
 
     /** For tests, on the event loop only. */
-    Acceptor clients() {
+    ClientAcceptor clients() {
         return acceptor;
     }
 
@@ -365,8 +368,8 @@
     }
 
     /** How this process comes back, and what it keeps. On the event loop only. */
-    public Recovering recovering() {
-        return new Recovering(
+    public RecoveryStatus recovering() {
+        return new RecoveryStatus(
                 dispatcher.trust(),
                 recovery == null ? null : recovery.progress(),
                 recovery == null ? null : recovery.spread(),
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -31,7 +31,7 @@
 
     private final Dispatcher dispatcher;
     private final MemberLink members;
-    private final Acceptor acceptor;
+    private final ClientAcceptor acceptor;
     private final Runnable listExpired;
     private final Progress progress;
     private final Spread spread = new Spread();
@@ -47,7 +47,11 @@
      * the process before, which served until now; {@code listExpired}: lets go of a list that is past its bound.
      */
     RecoveryLink(
-            Dispatcher dispatcher, MemberLink members, Acceptor acceptor, boolean firstHand, Runnable listExpired) {
+            Dispatcher dispatcher,
+            MemberLink members,
+            ClientAcceptor acceptor,
+            boolean firstHand,
+            Runnable listExpired) {
         this.dispatcher = dispatcher;
         this.members = members;
         this.acceptor = acceptor;
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/RecoveryStatus.java
@@ -0,0 +1,29 @@
+package cacheproxy.proxy;
+
+import cacheproxy.recovery.Progress;
+import cacheproxy.recovery.Spread;
+import cacheproxy.recovery.Trust;
+import cacheproxy.state.Keeper;
+import cacheproxy.state.Opened;
+
+/**
+ * How far this process has come since its start, and what it stores; for operators. On the event loop only.
+ *
+ * @param trust which data it uses that it has not seen itself
+ * @param progress how far it is; null without {@code --recovery}
+ * @param spread how its load compares with that of the other instances; null likewise
+ * @param requestsPerSecond that it receives
+ * @param opened what it found in its folder; null without one
+ * @param keeper what it stores there; null likewise
+ * @param folder the folder's path; null likewise
+ * @param ownsFolder whether it holds the lock and so is the only one that writes there
+ */
+public record RecoveryStatus(
+        Trust trust,
+        Progress progress,
+        Spread spread,
+        double requestsPerSecond,
+        Opened opened,
+        Keeper keeper,
+        String folder,
+        boolean ownsFolder) {}
--- a/src/main/java/cacheproxy/proxy/Remembered.java
+++ b/src/main/java/cacheproxy/proxy/RestoredState.java
@@ -19,12 +19,12 @@
 import java.util.Map;
 
 /**
- * What this process knows from before its start: from the process that it takes over from, which served until now, and
- * of what that one did not tell from the folder, as far as its age allows. Each thing that is used is entered in
+ * What this process knows from before its start: from the process that it takes over from, and for what that one did
+ * not pass, from the state folder, as far as its age allows. Each piece of data that is used is recorded in
  * {@link Trust}.
  */
-final class Remembered {
-    private static final Map<Kind, Thing> THINGS = Map.of(
+final class RestoredState {
+    private static final Map<Kind, Thing> THING_BY_KIND = Map.of(
             Kind.LIST,
             Thing.LIST,
             Kind.LEARNT,
@@ -41,24 +41,29 @@
     private final Trust trust;
     private final double nowMs;
 
-    /** {@code predecessor}: null where nobody is taken over from; {@code nowMs}: of the wall clock. */
-    Remembered(TakeoverState predecessor, Opened stored, Trust trust, double nowMs) {
+    /**
+     * Merges what the two sources know; the predecessor's goes before the folder's.
+     *
+     * @param predecessor null where no process is taken over from
+     * @param nowMs wall clock time, in milliseconds
+     */
+    RestoredState(TakeoverSnapshot predecessor, Opened stored, Trust trust, double nowMs) {
         this.trust = trust;
         this.nowMs = nowMs;
-        put(stored.records(), Source.STORED);
+        add(stored.records(), Source.STORED);
         if (predecessor != null) {
-            put(predecessor.kept(), Source.PREDECESSOR);
-            put(
+            add(predecessor.records(), Source.PREDECESSOR);
+            add(
                     Map.of(
                             Kind.LIST,
-                            new Record(Kind.LIST, nowMs, predecessor.list()),
+                            new Record(Kind.LIST, nowMs, predecessor.endpointList()),
                             Kind.LEARNT,
-                            new Record(Kind.LEARNT, nowMs, LearntForm.json(predecessor.learnt()))),
+                            new Record(Kind.LEARNT, nowMs, LearntForm.json(predecessor.learnedState()))),
                     Source.PREDECESSOR);
         }
     }
 
-    private void put(Map<Kind, Record> more, Source source) {
+    private void add(Map<Kind, Record> more, Source source) {
         more.forEach((kind, r) -> {
             records.put(kind, r);
             sources.put(kind, source);
@@ -70,17 +75,17 @@
         return r == null ? Use.NOTHING : r.use(nowMs);
     }
 
-    /** Whether what is known of a kind may be decided by. */
-    boolean holds(Kind kind) {
+    /** Whether data of this kind is recent enough to decide by. */
+    boolean isValid(Kind kind) {
         return use(kind) == Use.HOLDS;
     }
 
-    private void taken(Kind kind) {
+    private void recordUse(Kind kind) {
         Record r = records.get(kind);
         boolean hint = use(kind) == Use.HINT;
         trust.taken(
                 nowMs,
-                THINGS.get(kind),
+                THING_BY_KIND.get(kind),
                 sources.get(kind),
                 nowMs - r.toldMs(),
                 hint || kind == Kind.LIST ? kind.hintMs() : kind.holdsMs(),
@@ -88,10 +93,10 @@
     }
 
     /**
-     * The list to begin with: of what is known and what the configuration says the one of the higher version, and of
-     * two of one version the configuration's. Null if there is none.
+     * The endpoint list to start with: of the restored one and the configured one that of the higher version, and the
+     * configured one if the versions are equal. Null if there is neither.
      */
-    JsonObject list(JsonObject configured) {
+    JsonObject endpointList(JsonObject configured) {
         Record r = records.get(Kind.LIST);
         if (configured != null) {
             trust.taken(nowMs, Thing.LIST, Source.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
@@ -107,7 +112,7 @@
             }
             if (configured == null
                     || list.get("seq").getAsLong() > configured.get("seq").getAsLong()) {
-                taken(Kind.LIST);
+                recordUse(Kind.LIST);
                 return list;
             }
         } catch (RuntimeException e) {
@@ -116,8 +121,8 @@
         return configured;
     }
 
-    /** What was learnt, or of what is too old to hold the doubts alone; empty for nothing. */
-    Map<String, LearnedState> learnt() {
+    /** What was learned, by pool name; if it is too old for that, the suspected endpoints alone; empty for nothing. */
+    Map<String, LearnedState> learnedState() {
         Use use = use(Kind.LEARNT);
         if (use == Use.NOTHING) {
             if (records.containsKey(Kind.LEARNT)) {
@@ -129,9 +134,9 @@
             Map<String, LearnedState> all = new HashMap<>(
                     LearntForm.read(records.get(Kind.LEARNT).body().getAsJsonObject()));
             if (use == Use.HINT) {
-                all.replaceAll((pool, e) -> doubts(e));
+                all.replaceAll((pool, e) -> suspectsOnly(e));
             }
-            taken(Kind.LEARNT);
+            recordUse(Kind.LEARNT);
             return all;
         } catch (RuntimeException e) {
             trust.refused(Thing.LEARNT);
@@ -140,10 +145,10 @@
     }
 
     /**
-     * Servers that failed last are tried by one request before the others; of the origin's jam and hot keys nothing is
-     * left.
+     * Endpoints whose last request failed are tried by one request before others; of the origin's throttle and of hot
+     * keys nothing is kept.
      */
-    private static LearnedState doubts(LearnedState e) {
+    private static LearnedState suspectsOnly(LearnedState e) {
         List<EndpointHealthRecord> seen = e.endpoints().stream()
                 .filter(s -> s.failures() > 0)
                 .map(s -> new EndpointHealthRecord(s.id(), s.startTimeMs(), 1, 0, 0))
@@ -160,13 +165,13 @@
                 seen);
     }
 
-    /** The incarnation of the last life; 0 if nothing is remembered. */
+    /** The last incarnation of this instance; 0 if unknown. */
     long incarnation() {
         Record r = records.get(Kind.INCARNATION);
         try {
             long incarnation = r == null ? 0 : r.body().getAsLong();
             if (incarnation > 0) {
-                taken(Kind.INCARNATION);
+                recordUse(Kind.INCARNATION);
             }
             return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
@@ -175,8 +180,8 @@
         }
     }
 
-    /** What was held of zones, of one kind; by the zones' numbers now. */
-    Map<Integer, Held> zones(Kind kind, List<String> names) {
+    /** The restored zone decisions of one kind, by the zones' present numbers. */
+    Map<Integer, Held> zoneDecisions(Kind kind, List<String> names) {
         Record r = records.get(kind);
         if (r == null) {
             return Map.of();
@@ -184,7 +189,7 @@
         try {
             Map<Integer, Held> held = ZoneForm.read(r.body(), names);
             if (!held.isEmpty()) {
-                taken(kind);
+                recordUse(kind);
             }
             return held;
         } catch (RuntimeException e) {
--- a/src/main/java/cacheproxy/proxy/TakeoverLink.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverClient.java
@@ -20,23 +20,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Asks the process that serves, where there is one, for its state, its listening socket and then its clients. */
-final class TakeoverLink {
-    private static final int MAX_STATE = 4 << 20;
-    private static final int STEP_MS = 50;
+/**
+ * Requests the snapshot, the listening socket and then the clients of the process that serves, where there is one. I/O
+ * partner of {@link TakeoverStateMachine}; its counterpart is {@link HandoverServer}. On the event loop but for
+ * {@link #snapshot} and {@link #socket}, which wait.
+ */
+final class TakeoverClient {
+    private static final int MAX_SNAPSHOT_BYTES = 4 << 20;
+    private static final int TICK_MS = 50;
 
     private final EventLoop loop;
-    private final Promise<TakeoverState> state;
+    private final Promise<TakeoverSnapshot> snapshot;
     private final Promise<FileDescriptor> socket;
     private final TakeoverStateMachine takeover = new TakeoverStateMachine(now());
-    private final double askedMs = now();
-    private int bytes;
+    private final double requestedMs = now();
+    private int snapshotLength;
     private Channel channel;
-    private Consumer<FileDescriptor> clients;
+    private Consumer<FileDescriptor> onClientPassed;
 
-    private TakeoverLink(EventLoop loop) {
+    private TakeoverClient(EventLoop loop) {
         this.loop = loop;
-        state = loop.newPromise();
+        snapshot = loop.newPromise();
         socket = loop.newPromise();
     }
 
@@ -44,27 +48,27 @@
         return System.nanoTime() / 1e6;
     }
 
-    /** Asks in this folder; null where nobody can answer. The state comes, or does not, by {@link #state}. */
-    static TakeoverLink ask(EventLoop loop, Path folder) {
-        if (folder == null || !Files.exists(HandoverLink.path(folder))) {
+    /** Connects to the process that serves by this folder; null if there is no folder or no such process. */
+    static TakeoverClient connect(EventLoop loop, Path folder) {
+        if (folder == null || !Files.exists(HandoverServer.socketPath(folder))) {
             return null;
         }
-        TakeoverLink link = new TakeoverLink(loop);
-        loop.execute(() -> link.connect(HandoverLink.path(folder)));
-        return link;
+        TakeoverClient client = new TakeoverClient(loop);
+        loop.execute(() -> client.connect(HandoverServer.socketPath(folder)));
+        return client;
     }
 
     private void connect(Path path) {
         channel = new Bootstrap()
                 .group(loop)
                 .channel(Transport.BEST.localSocket())
-                .handler(new Initializer(new LineBasedFrameDecoder(MAX_STATE), new Answers()))
+                .handler(new Initializer(new LineBasedFrameDecoder(MAX_SNAPSHOT_BYTES), new AnswerHandler()))
                 .connect(Transport.BEST.local(path))
                 .addListener(f -> {
                     if (f.isSuccess()) {
-                        say(HandoverLink.STATE);
+                        send(HandoverServer.SNAPSHOT_REQUEST);
                     } else {
-                        lost();
+                        connectionLost();
                     }
                 })
                 .channel();
@@ -74,42 +78,46 @@
     private void tick() {
         if (takeover.checkTimeout(now())) {
             channel.close();
-            lost();
-        } else if (!state.isDone() || !socket.isDone()) {
-            loop.schedule(this::tick, STEP_MS, TimeUnit.MILLISECONDS);
+            connectionLost();
+        } else if (!snapshot.isDone() || !socket.isDone()) {
+            loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The old process's state; null if it gives none. Waits, so not to be called on the event loop. */
-    TakeoverState state() throws InterruptedException {
-        return state.sync().getNow();
+    /** The old process's snapshot; null if it sends none. Waits; not to be called on the event loop. */
+    TakeoverSnapshot snapshot() throws InterruptedException {
+        return snapshot.sync().getNow();
     }
 
-    /** The old process's listening socket; null if it gives none. Waits, so not to be called on the event loop. */
+    /** The old process's listening socket; null if it passes none. Waits; not to be called on the event loop. */
     FileDescriptor socket() throws InterruptedException {
         return socket.sync().getNow();
     }
 
-    /** This process serves: from here on these are handed the clients that the old one passes on. */
-    void serving(Consumer<FileDescriptor> adopt) {
+    /**
+     * Reports that this process serves; from then on each client that the old process passes is handed to
+     * {@code adopt}.
+     */
+    void reportServing(Consumer<FileDescriptor> adopt) {
         loop.execute(() -> {
-            clients = adopt;
-            say(HandoverLink.SERVING);
+            onClientPassed = adopt;
+            send(HandoverServer.SERVING_REPORT);
         });
     }
 
-    /** What has come over, and how long it took, in words for the log. */
-    String told() {
-        return "took over in %.1f ms, with %d bytes of what the old process knew".formatted(now() - askedMs, bytes);
+    /** What was taken over, for the log. */
+    String summary() {
+        return "took over in %.1f ms, with %d bytes of what the old process knew"
+                .formatted(now() - requestedMs, snapshotLength);
     }
 
-    private void say(String line) {
+    private void send(String line) {
         channel.writeAndFlush(ByteBufUtil.writeAscii(channel.alloc(), line + "\n"));
     }
 
-    private void lost() {
+    private void connectionLost() {
         takeover.linkClosed();
-        state.trySuccess(null);
+        snapshot.trySuccess(null);
         socket.trySuccess(null);
     }
 
@@ -117,45 +125,45 @@
         try {
             descriptor.close();
         } catch (IOException e) {
-            // it has gone already
+            // it is closed already
         }
     }
 
-    private final class Answers extends ChannelInboundHandlerAdapter {
+    private final class AnswerHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof FileDescriptor descriptor) {
-                taken(descriptor);
+                descriptorReceived(descriptor);
             } else if (message instanceof ByteBuf line) {
-                told(ctx, line.toString(StandardCharsets.UTF_8));
+                snapshotReceived(ctx, line.toString(StandardCharsets.UTF_8));
                 line.release();
             }
         }
 
-        private void told(ChannelHandlerContext ctx, String line) {
-            TakeoverState read = null;
-            bytes = line.length();
+        private void snapshotReceived(ChannelHandlerContext ctx, String line) {
+            TakeoverSnapshot read = null;
+            snapshotLength = line.length();
             try {
-                read = TakeoverState.read(line);
+                read = TakeoverSnapshot.parse(line);
             } catch (RuntimeException e) {
                 System.err.println("takeover: the old process's state can't be read: "
                         + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             }
             if (takeover.snapshotReceived(now(), read != null)) {
-                // Before the socket is asked for: read as bytes, a descriptor would be dropped.
+                // Before the socket is requested: read as bytes, a descriptor would be dropped.
                 ((EpollDomainSocketChannel) ctx.channel()).config().setReadMode(DomainSocketReadMode.FILE_DESCRIPTORS);
-                say(HandoverLink.SOCKET);
-                state.trySuccess(read);
+                send(HandoverServer.SOCKET_REQUEST);
+                snapshot.trySuccess(read);
             } else {
                 ctx.close();
             }
         }
 
-        private void taken(FileDescriptor descriptor) {
+        private void descriptorReceived(FileDescriptor descriptor) {
             if (takeover.descriptorReceived()) {
                 socket.trySuccess(descriptor);
-            } else if (clients != null) {
-                clients.accept(descriptor);
+            } else if (onClientPassed != null) {
+                onClientPassed.accept(descriptor);
             } else {
                 close(descriptor);
             }
@@ -163,7 +171,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            lost();
+            connectionLost();
         }
 
         @Override
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/TakeoverSnapshot.java
@@ -0,0 +1,61 @@
+package cacheproxy.proxy;
+
+import cacheproxy.routing.LearnedState;
+import cacheproxy.state.Kind;
+import cacheproxy.state.Record;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
+import java.util.EnumMap;
+import java.util.Map;
+
+/**
+ * What the serving process passes to its successor, as one line of JSON: the endpoint list in use, which binds both,
+ * and what the routing module has learned, which the successor would otherwise relearn from failures. Keys of the line:
+ *
+ * <pre>
+ * v       {@link #VERSION}
+ * list    {@link #endpointList}
+ * learnt  {@link #learnedState}
+ * kept    {@link #records}
+ * </pre>
+ *
+ * @param endpointList in discovery's form
+ * @param learnedState by pool name; empty from a process of an earlier version
+ * @param records what else outlasts a process, in the form in which it is stored; empty from an earlier version
+ */
+record TakeoverSnapshot(JsonObject endpointList, Map<String, LearnedState> learnedState, Map<Kind, Record> records) {
+    /** Version of the line; a process that uses another starts beside this one, without the snapshot. */
+    static final int VERSION = 1;
+
+    /** The snapshot as one line, without its end. */
+    String toJson() {
+        JsonObject snapshot = new JsonObject();
+        snapshot.addProperty("v", VERSION);
+        snapshot.add("list", endpointList);
+        snapshot.add("learnt", LearntForm.json(learnedState));
+        JsonArray recordArray = new JsonArray();
+        records.values().forEach(r -> recordArray.add(r.json()));
+        snapshot.add("kept", recordArray);
+        return snapshot.toString();
+    }
+
+    /**
+     * Parses such a line.
+     *
+     * @throws RuntimeException if it is malformed or of another version
+     */
+    static TakeoverSnapshot parse(String line) {
+        JsonObject snapshot = JsonParser.parseString(line).getAsJsonObject();
+        if (snapshot.get("v").getAsInt() != VERSION) {
+            throw new IllegalArgumentException("version " + snapshot.get("v"));
+        }
+        Map<String, LearnedState> learnedState =
+                snapshot.has("learnt") ? LearntForm.read(snapshot.getAsJsonObject("learnt")) : Map.of();
+        Map<Kind, Record> records = new EnumMap<>(Kind.class);
+        if (snapshot.has("kept")) {
+            snapshot.getAsJsonArray("kept").forEach(e -> Record.read(e).ifPresent(r -> records.put(r.kind(), r)));
+        }
+        return new TakeoverSnapshot(snapshot.getAsJsonObject("list"), learnedState, records);
+    }
+}
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -25,15 +25,20 @@
     private byte[] sight = {};
 
     /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
-    ZoneLink(Dispatcher dispatcher, MemberLink members, RoutingSettings settings, List<String> names, Remembered last) {
+    ZoneLink(
+            Dispatcher dispatcher,
+            MemberLink members,
+            RoutingSettings settings,
+            List<String> names,
+            RestoredState last) {
         this.dispatcher = dispatcher;
         this.members = members;
         this.names = List.copyOf(names);
         this.settings =
                 new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
         zones = new Zones(this.settings);
-        zones.remember(dispatcher.now(), last.zones(Kind.ZONES, names), last.holds(Kind.ZONES));
-        zones.remember(dispatcher.now(), last.zones(Kind.ORDERS, names), last.holds(Kind.ORDERS));
+        zones.remember(dispatcher.now(), last.zoneDecisions(Kind.ZONES, names), last.isValid(Kind.ZONES));
+        zones.remember(dispatcher.now(), last.zoneDecisions(Kind.ORDERS, names), last.isValid(Kind.ORDERS));
         dispatcher.follow(k -> listed());
         listed();
         run();
--- a/src/main/java/cacheproxy/proxy/SighupHandler.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/SighupHandler.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import java.lang.invoke.MethodHandle;
 import java.lang.invoke.MethodHandleProxies;
@@ -6,12 +6,12 @@
 import java.lang.invoke.MethodType;
 
 /**
- * SIGHUP, which ends a JVM that has no handler for it. To be installed first of all: a signal that comes while the
- * process starts is kept until there is something to be done by it. The JDK has no public interface to signals, so that
- * of the module jdk.unsupported is reached by its name: compiling against it warns.
+ * Handles SIGHUP, which terminates a JVM that has no handler for it. To be installed first of all: a signal that
+ * arrives during the start is kept until there is a task for it. The JDK has no public API for signals, so the one of
+ * the module jdk.unsupported is called by reflection: compiling against it warns.
  */
 public final class SighupHandler {
-    private boolean arrives;
+    private boolean delivered;
     private boolean pending;
     private Runnable task;
 
@@ -23,7 +23,7 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> type = Class.forName("sun.misc.SignalHandler");
-            Runnable signalled = handler::signalled;
+            Runnable signalled = handler::handle;
             MethodHandle run = MethodHandles.lookup()
                     .findVirtual(Runnable.class, "run", MethodType.methodType(void.class))
                     .bindTo(signalled);
@@ -32,20 +32,20 @@
                             null,
                             signal.getConstructor(String.class).newInstance("HUP"),
                             MethodHandleProxies.asInterfaceInstance(type, MethodHandles.dropArguments(run, 0, signal)));
-            handler.arrives = before != type.getField("SIG_IGN").get(null);
+            handler.delivered = before != type.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             System.err.println("no handler for SIGHUP: " + e);
         }
         return handler;
     }
 
-    /** Whether the signal arrives: one that was ignored at the start, as under nohup, stays so in a JVM. */
-    boolean arrives() {
-        return arrives;
+    /** Whether the signal is delivered: one that was ignored at the start, as under nohup, stays ignored in a JVM. */
+    public boolean delivered() {
+        return delivered;
     }
 
-    /** Runs the task on a thread of its own at each signal from now on, and at once if one has come before. */
-    void on(Runnable next) {
+    /** Runs the task on a thread of its own at each further signal, and at once if one has arrived before. */
+    public void onSignal(Runnable next) {
         boolean due;
         synchronized (this) {
             task = next;
@@ -57,8 +57,8 @@
         }
     }
 
-    /** On a thread of the signal's own. */
-    private void signalled() {
+    /** Runs on the thread that the JVM starts for each signal. */
+    private void handle() {
         Runnable now;
         synchronized (this) {
             now = task;
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -46,7 +46,7 @@
     @TempDir
     private Path folder;
 
-    private static TakeoverState snapshot() {
+    private static TakeoverSnapshot snapshot() {
         JsonArray hosts = new JsonArray();
         hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
         LearnedState learned = new LearnedState(
@@ -63,7 +63,7 @@
         records.put(Kind.INCARNATION, new Record(Kind.INCARNATION, 1.7e12, new JsonPrimitive(4)));
         records.put(Kind.ZONES, new Record(Kind.ZONES, 1.7e12, new JsonObject()));
         records.put(Kind.ORDERS, new Record(Kind.ORDERS, 1.7e12, new JsonObject()));
-        return new TakeoverState(Fleet.list(43, true, hosts), Map.of("", learned), records);
+        return new TakeoverSnapshot(Fleet.list(43, true, hosts), Map.of("", learned), records);
     }
 
     private static String recorded(String name) throws Exception {
@@ -73,8 +73,8 @@
     @Test
     void whatATakeoverPassesOnIsAsRecorded() throws Exception {
         String line = recorded("takeover-state.json");
-        assertThat(snapshot().json()).isEqualTo(line);
-        assertThat(TakeoverState.read(line)).isEqualTo(snapshot());
+        assertThat(snapshot().toJson()).isEqualTo(line);
+        assertThat(TakeoverSnapshot.parse(line)).isEqualTo(snapshot());
     }
 
     /** The old process understands the recorded lines, in this order, at the socket of this name. */
--- a/src/test/java/cacheproxy/proxy/TakeoverStateTest.java
+++ b/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
@@ -22,15 +22,15 @@
 import net.jqwik.api.constraints.Size;
 
 /** What is passed over comes to be read as it was meant, or not at all. */
-class TakeoverStateTest {
+class TakeoverSnapshotTest {
     private static JsonObject list() {
         JsonArray hosts = new JsonArray();
         hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
         return Fleet.list(43, true, hosts);
     }
 
-    private static TakeoverState state() {
-        return new TakeoverState(
+    private static TakeoverSnapshot state() {
+        return new TakeoverSnapshot(
                 list(),
                 Map.of(
                         "",
@@ -65,28 +65,28 @@
                 ids.stream()
                         .map(i -> new EndpointHealthRecord(i, f.get(1), count, f.get(0), count))
                         .toList());
-        TakeoverState told = new TakeoverState(list(), Map.of("", e, "pool", e), state().kept());
-        assertThat(TakeoverState.read(told.json())).isEqualTo(told);
+        TakeoverSnapshot told = new TakeoverSnapshot(list(), Map.of("", e, "pool", e), state().records());
+        assertThat(TakeoverSnapshot.parse(told.toJson())).isEqualTo(told);
     }
 
     @Example
     void whatIsCutOffAnywhereIsNotRead() {
-        String line = state().json();
+        String line = state().toJson();
         for (int cut = 0; cut < line.length(); cut++) {
             String part = line.substring(0, cut);
-            assertThatThrownBy(() -> TakeoverState.read(part)).as(part).isInstanceOf(RuntimeException.class);
+            assertThatThrownBy(() -> TakeoverSnapshot.parse(part)).as(part).isInstanceOf(RuntimeException.class);
         }
     }
 
     @Example
     void figuresThatCannotBeAreNotRead() {
-        String line = state().json();
+        String line = state().toJson();
         for (String figure : new String[] {"-1.0", "NaN", "1e300", "\"x\"", "null", "[]"}) {
             String wrong = line.replace("\"figures\":[1.0", "\"figures\":[" + figure);
             assertThat(wrong).isNotEqualTo(line);
-            assertThatThrownBy(() -> TakeoverState.read(wrong)).as(figure).isInstanceOf(RuntimeException.class);
+            assertThatThrownBy(() -> TakeoverSnapshot.parse(wrong)).as(figure).isInstanceOf(RuntimeException.class);
         }
-        assertThatThrownBy(() -> TakeoverState.read(line.replace("\"v\":1", "\"v\":2")))
+        assertThatThrownBy(() -> TakeoverSnapshot.parse(line.replace("\"v\":1", "\"v\":2")))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
@@ -96,6 +96,7 @@
         JsonObject state = new JsonObject();
         state.addProperty("v", 1);
         state.add("list", list());
-        assertThat(TakeoverState.read(state.toString())).isEqualTo(new TakeoverState(list(), Map.of(), Map.of()));
+        assertThat(TakeoverSnapshot.parse(state.toString()))
+                .isEqualTo(new TakeoverSnapshot(list(), Map.of(), Map.of()));
     }
 }
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -231,7 +231,7 @@
     void oneThatAsksAndNeverServesHoldsNobodyUp() throws Exception {
         try (Fleet fleet = serving(node());
                 SocketChannel hung = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-            hung.connect(UnixDomainSocketAddress.of(HandoverLink.path(folder)));
+            hung.connect(UnixDomainSocketAddress.of(HandoverServer.socketPath(folder)));
             hung.write(ByteBuffer.wrap("STATE 1\nSOCKET\n".getBytes(StandardCharsets.US_ASCII)));
             Await.until("it has the socket", () -> phase(fleet.proxy) == Phase.SOCKET_PASSED);
             served(fleet.client().read("1"), "1");
@@ -246,7 +246,7 @@
             for (String words :
                     new String[] {"SERVING\n", "SOCKET\n", "STATE 9\n", "x".repeat(200), "STATE 1\nSERVING\n"}) {
                 try (SocketChannel link = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-                    link.connect(UnixDomainSocketAddress.of(HandoverLink.path(folder)));
+                    link.connect(UnixDomainSocketAddress.of(HandoverServer.socketPath(folder)));
                     link.write(ByteBuffer.wrap(words.getBytes(StandardCharsets.US_ASCII)));
                     if (words.length() < 100) {
                         ByteBuffer rest = ByteBuffer.allocate(1 << 16);
@@ -264,7 +264,7 @@
     /** A socket file whose process was killed, one that answers nothing, one that answers nonsense. */
     @Test
     void whereTheOldProcessIsOfNoUseTheNewOneServesAnyway() throws Exception {
-        Path path = HandoverLink.path(folder);
+        Path path = HandoverServer.socketPath(folder);
         for (String answer : new String[] {null, "", "{\"v\":9}\n", "{\"v\":1,\"li\n", "nonsense\n"}) {
             Files.deleteIfExists(path);
             try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
--- a/src/test/java/cacheproxy/proxy/FileWatchTest.java
+++ b/src/test/java/cacheproxy/proxy/lifecycle/ConfigFileWatcherTest.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What counts as a change of a file. */
-class FileWatchTest {
+class ConfigFileWatcherTest {
     @TempDir
     private Path folder;
 
@@ -18,19 +18,19 @@
     void eachChangeIsToldOnceAndAFileThatIsAwayIsNone() throws Exception {
         Path file = Files.writeString(folder.resolve("config"), "one");
         AtomicInteger changes = new AtomicInteger();
-        FileWatch watch = new FileWatch(file, changes::incrementAndGet);
-        watch.lookOnce();
+        ConfigFileWatcher watch = new ConfigFileWatcher(file, changes::incrementAndGet);
+        watch.check();
         assertThat(changes).hasValue(0);
         Files.writeString(file, "another");
-        watch.lookOnce();
-        watch.lookOnce();
+        watch.check();
+        watch.check();
         assertThat(changes).hasValue(1);
         Files.delete(file);
-        watch.lookOnce();
+        watch.check();
         assertThat(changes).hasValue(1);
         Path next = Files.writeString(folder.resolve("next"), "third..");
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
-        watch.lookOnce();
+        watch.check();
         assertThat(changes).hasValue(2);
     }
 }
