--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -6,7 +6,9 @@
 import cacheproxy.control.ControlServer;
 import cacheproxy.control.Door;
 import cacheproxy.control.ProxyControl;
+import cacheproxy.proxy.FleetFeatures;
 import cacheproxy.proxy.Proxy;
+import cacheproxy.proxy.StateLocation;
 import cacheproxy.proxy.lifecycle.SighupHandler;
 import cacheproxy.simulator.SimulatorAdapter;
 import java.io.IOException;
@@ -25,7 +27,7 @@
     public static void main(String[] args) {
         switch (args.length == 0 ? "" : args.length == 1 || args[0].equals("serve") ? args[0] : "") {
             case "serve" -> serve(args);
-            case "train" -> System.exit(Proxy.train(Main::openDoor));
+            case "train" -> System.exit(Proxy.loadClasses(Main::openDoor));
             case "drill" -> System.exit(SimulatorAdapter.main());
             default -> System.exit(Cli.run(args));
         }
@@ -75,17 +77,17 @@
                 System.exit(2);
             }
         }
-        Proxy proxy = Proxy.main(
+        Proxy proxy = Proxy.serve(
                 edge == null ? null : new EdgeFile(Path.of(edge)),
-                state == null ? null : new Proxy.Kept(Path.of(state), fleet),
+                state == null ? null : new StateLocation(Path.of(state), fleet),
                 sighup);
         if (view || zones || recovers) {
-            proxy.join(new Proxy.Together(view, zones, recovers));
+            proxy.joinFleet(new FleetFeatures(view, zones, recovers));
         }
         if (figuresMs > 0) {
-            proxy.logFigures(figuresMs);
+            proxy.logMetrics(figuresMs);
         }
-        if (control == null && proxy.operator() == null) {
+        if (control == null && proxy.adminAddress() == null) {
             return; // nobody asks, so nothing of it is loaded
         }
         ControlRegistry registry = ProxyControl.registry(proxy);
@@ -99,11 +101,11 @@
             System.exit(1);
         }
         try {
-            if (proxy.operator() != null) {
-                new Door(proxy.loop(), proxy.operator(), registry); // as long as the process serves
+            if (proxy.adminAddress() != null) {
+                new Door(proxy.loop(), proxy.adminAddress(), registry); // as long as the process serves
             }
         } catch (Exception e) {
-            System.err.println("can't listen for operators on " + proxy.operator() + ": " + e.getMessage());
+            System.err.println("can't listen for operators on " + proxy.adminAddress() + ": " + e.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/cacheproxy/config/edge/EdgeFile.java
+++ b/src/main/java/cacheproxy/config/edge/EdgeFile.java
@@ -4,13 +4,13 @@
 import cacheproxy.config.Configuration;
 import cacheproxy.config.Problems;
 import cacheproxy.config.Schema;
-import cacheproxy.proxy.Proxy;
+import cacheproxy.proxy.RouteSource;
 import cacheproxy.route.Known;
 import cacheproxy.route.Routing;
 import java.nio.file.Path;
 
 /** An installation's file: routes for a proxy, read at its start and again at each SIGHUP. */
-public final class EdgeFile implements Proxy.Edge {
+public final class EdgeFile implements RouteSource {
     private final Path file;
 
     /** Reads nothing yet. */
--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -3,7 +3,10 @@
 import cacheproxy.control.Figure.Kind;
 import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.membership.View;
+import cacheproxy.proxy.EndpointListStatus;
+import cacheproxy.proxy.FleetViewStatus;
 import cacheproxy.proxy.Proxy;
+import cacheproxy.proxy.ProxyStatus;
 import cacheproxy.proxy.RuleCounts;
 import cacheproxy.route.Router;
 import com.google.gson.JsonArray;
@@ -30,24 +33,24 @@
         ControlRegistry registry = new ControlRegistry();
         long startNanos = System.nanoTime();
         registry.section("proxy", () -> {
-            Proxy.Status s = proxy.status();
+            ProxyStatus s = proxy.status();
             JsonObject o = new JsonObject();
             o.addProperty("name", proxy.name());
             o.addProperty("pid", ProcessHandle.current().pid());
             o.addProperty("up_s", (System.nanoTime() - startNanos) / 1_000_000_000L);
-            o.addProperty("clients", s.clients());
-            o.addProperty("owed", s.owed());
-            o.addProperty("answered", s.answered());
-            o.addProperty("upstream", s.upstream());
-            o.addProperty("value_bytes", s.kept());
-            o.addProperty("values_waiting", s.waiting());
+            o.addProperty("clients", s.clientConnections());
+            o.addProperty("owed", s.openRequests());
+            o.addProperty("answered", s.completedRequests());
+            o.addProperty("upstream", s.upstreamConnections());
+            o.addProperty("value_bytes", s.valueBytes());
+            o.addProperty("values_waiting", s.waitingValues());
             return o;
         });
         registry.section(HandoverCall.SECTION, () -> {
-            Proxy.Status s = proxy.status();
+            ProxyStatus s = proxy.status();
             JsonObject o = new JsonObject();
-            o.addProperty("phase", s.handover().statusName());
-            o.addProperty("successors", s.handovers());
+            o.addProperty("phase", s.handoverPhase().statusName());
+            o.addProperty("successors", s.completedHandovers());
             return o;
         });
         if (proxy.router() != null) {
@@ -69,16 +72,16 @@
             return progress(proxy.drainProgress());
         });
         registry.figures(() -> figures(proxy.status(), proxy.ruleCounts()));
-        registry.section("list", () -> list(proxy.list()));
+        registry.section("list", () -> list(proxy.endpointListStatus()));
         registry.section("rules", () -> rules(proxy.ruleCounts()));
         registry.section("view", () -> view(proxy.fleetView()));
         registry.command("view", arguments -> members(proxy.fleetView()));
-        ZoneCall.register(registry, proxy::zones);
-        RecoveryCall.register(registry, proxy::recovering);
+        ZoneCall.register(registry, proxy::zoneDecisions);
+        RecoveryCall.register(registry, proxy::recoveryStatus);
         return registry;
     }
 
-    private static JsonObject list(Proxy.ListStatus list) {
+    private static JsonObject list(EndpointListStatus list) {
         JsonObject o = new JsonObject();
         o.addProperty("version", list.version());
         if (!Double.isNaN(list.ageMs())) {
@@ -100,19 +103,19 @@
         return o;
     }
 
-    private static List<Figure> figures(Proxy.Status s, RuleCounts rules) {
+    private static List<Figure> figures(ProxyStatus s, RuleCounts rules) {
         List<Figure> figures = new ArrayList<>();
-        s.classes().forEach((name, c) -> {
+        s.outcomesByClass().forEach((name, c) -> {
             figures.add(new Figure("succeeded." + name, Kind.COUNT, c.succeeded()));
-            figures.add(new Figure("declined." + name, Kind.COUNT, c.declined()));
-            figures.add(new Figure("aborted." + name, Kind.COUNT, c.aborted()));
+            figures.add(new Figure("declined." + name, Kind.COUNT, c.rejected()));
+            figures.add(new Figure("aborted." + name, Kind.COUNT, c.failed()));
         });
-        figures.add(new Figure("forwards", Kind.COUNT, s.forwards()));
-        figures.add(new Figure("outstanding", Kind.GAUGE, s.owed()));
-        figures.add(new Figure("discovered", Kind.GAUGE, s.discovered()));
-        figures.add(new Figure("ejected", Kind.GAUGE, s.ejected()));
-        figures.add(new Figure("sighup_applied", Kind.COUNT, s.applied()));
-        figures.add(new Figure("sighup_rejected", Kind.COUNT, s.rejected()));
+        figures.add(new Figure("forwards", Kind.COUNT, s.forwardedAttempts()));
+        figures.add(new Figure("outstanding", Kind.GAUGE, s.openRequests()));
+        figures.add(new Figure("discovered", Kind.GAUGE, s.discoveredNodes()));
+        figures.add(new Figure("ejected", Kind.GAUGE, s.ejectedNodes()));
+        figures.add(new Figure("sighup_applied", Kind.COUNT, s.reloadsApplied()));
+        figures.add(new Figure("sighup_rejected", Kind.COUNT, s.reloadsRejected()));
         new TreeMap<>(rules.forbidden())
                 .forEach((key, count) -> figures.add(new Figure("forbidden." + key, Kind.COUNT, count)));
         new TreeMap<>(rules.breaches())
@@ -153,7 +156,7 @@
         return o;
     }
 
-    private static JsonObject view(Proxy.FleetView f) {
+    private static JsonObject view(FleetViewStatus f) {
         JsonObject o = new JsonObject();
         o.addProperty("kept", f != null);
         if (f == null) {
@@ -168,14 +171,14 @@
         }
         o.addProperty("digest", String.format("%08x", v.digest()));
         o.addProperty("disputed", v.disputed());
-        o.addProperty("refuted_deaths", f.refuted());
-        o.addProperty("unreadable", f.unreadable());
-        o.addProperty("over_budget", f.dropped());
+        o.addProperty("refuted_deaths", f.refutedDeaths());
+        o.addProperty("unreadable", f.unreadableMessages());
+        o.addProperty("over_budget", f.droppedDatagrams());
         return o;
     }
 
     /** A row for each that is known, the first {@link #MAX_MEMBERS}. */
-    private static JsonObject members(Proxy.FleetView f) {
+    private static JsonObject members(FleetViewStatus f) {
         if (f == null) {
             throw new IllegalArgumentException(
                     "this proxy keeps no view of the fleet; it was started without --view on");
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/ClassOutcomes.java
@@ -0,0 +1,10 @@
+package cacheproxy.proxy;
+
+/**
+ * How the requests of one service class have ended since the start.
+ *
+ * @param succeeded answered with a server's response
+ * @param rejected refused; repeating them was harmless
+ * @param failed ended without a response though they may have run
+ */
+public record ClassOutcomes(long succeeded, long rejected, long failed) {}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/ConfigReloader.java
@@ -0,0 +1,62 @@
+package cacheproxy.proxy;
+
+import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.route.Routing;
+import io.netty.channel.EventLoop;
+
+/**
+ * Holds the configuration in force and replaces it while the instance serves. A reload reads the configuration file and
+ * the routes; all of it takes effect or, if anything is wrong with it, nothing.
+ */
+final class ConfigReloader {
+    private final RouteSource routes;
+    private final EventLoop loop;
+    private final Dispatcher dispatcher;
+    private final DiscoveryClient discovery;
+    /** Written by the thread of a signal and read by others. */
+    private volatile Config config;
+
+    /** Starts with this configuration; {@code routes}: null for none. */
+    ConfigReloader(
+            Config config, RouteSource routes, EventLoop loop, Dispatcher dispatcher, DiscoveryClient discovery) {
+        this.config = config;
+        this.routes = routes;
+        this.loop = loop;
+        this.dispatcher = dispatcher;
+        this.discovery = discovery;
+    }
+
+    /** The configuration in force. */
+    Config config() {
+        return config;
+    }
+
+    /**
+     * Reloads from this file. Reads it on the calling thread and applies it on the event loop. Reloads run one at a
+     * time, as each signal has a thread of its own and what was read last must be what holds.
+     */
+    synchronized void reload(String file) {
+        try {
+            Config next = config.again(file);
+            Routing routing = routes == null ? null : routes.read(next.names());
+            config = next;
+            loop.execute(() -> apply(next, routing));
+        } catch (IllegalArgumentException e) {
+            loop.execute(() -> reject(e));
+        }
+    }
+
+    private void apply(Config next, Routing routing) {
+        dispatcher.applySettings(next);
+        discovery.settle(next.discoverySettings());
+        if (routing != null) {
+            dispatcher.replaceRoutes(routing);
+        }
+        dispatcher.counters().recordReload(true);
+    }
+
+    private void reject(IllegalArgumentException cause) {
+        dispatcher.log("the settings stay as they are: " + cause.getMessage());
+        dispatcher.counters().recordReload(false);
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/EndpointListStatus.java
@@ -0,0 +1,9 @@
+package cacheproxy.proxy;
+
+/**
+ * How fresh the endpoint list is.
+ *
+ * @param version discovery's version of the list in use
+ * @param ageMs milliseconds since discovery last answered, with or without changes; NaN: not yet
+ */
+public record EndpointListStatus(long version, double ageMs) {}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -0,0 +1,173 @@
+package cacheproxy.proxy;
+
+import cacheproxy.failover.Zones.Held;
+import cacheproxy.membership.Phase;
+import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.recovery.Source;
+import cacheproxy.recovery.Trust;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.StoredRecord;
+import com.google.gson.JsonPrimitive;
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.function.Supplier;
+
+/**
+ * The instance's part in its fleet: the membership view, zone decisions and recovery, as far as {@link FleetFeatures}
+ * asks for them and the settings allow peer messages. On the event loop only.
+ */
+final class FleetParticipation {
+    private final Dispatcher dispatcher;
+    private final PeerSocket peers;
+    private final DiscoveryClient discovery;
+    private final ClientAcceptor acceptor;
+    /** Null where nothing is stored. */
+    private final StateLink stateLink;
+
+    private final RestoredState restored;
+    private final boolean tookOver;
+    private final Supplier<Config> config;
+
+    /** Null where this instance takes no part in the membership view. */
+    private MemberLink members;
+    /** Null where it takes no part in zone decisions. */
+    private ZoneLink zones;
+    /** Null where it does not coordinate its recovery. */
+    private RecoveryLink recovery;
+
+    /**
+     * Creates the participation of an instance that has not joined.
+     *
+     * @param stateLink null where nothing is stored
+     * @param tookOver whether another process served for this instance until now
+     * @param config supplies the configuration in force
+     */
+    FleetParticipation(
+            Dispatcher dispatcher,
+            PeerSocket peers,
+            DiscoveryClient discovery,
+            ClientAcceptor acceptor,
+            StateLink stateLink,
+            RestoredState restored,
+            boolean tookOver,
+            Supplier<Config> config) {
+        this.dispatcher = dispatcher;
+        this.peers = peers;
+        this.discovery = discovery;
+        this.acceptor = acceptor;
+        this.stateLink = stateLink;
+        this.restored = restored;
+        this.tookOver = tookOver;
+        this.config = config;
+    }
+
+    /** Starts to take part in what the features name. */
+    void join(FleetFeatures features) {
+        if (config.get().settings().peerMessagesAllowed() && features.any()) {
+            joinMembership(features);
+        }
+        if (features.recovery() && members != null) {
+            boolean nothingLearned = dispatcher.trust().of(Trust.Thing.LEARNT).source() == Source.NONE;
+            dispatcher.recall(new RecallLink(dispatcher, peers, members, discovery, nothingLearned));
+        }
+        if (features.recovery()) {
+            recovery = new RecoveryLink(dispatcher, members, acceptor, tookOver, this::restartDiscovery);
+        }
+    }
+
+    private void joinMembership(FleetFeatures features) {
+        Config current = config.get();
+        members = new MemberLink(
+                dispatcher,
+                peers,
+                current.settings(),
+                restored.incarnation(),
+                current.seed(),
+                features.recovery() ? Phase.STARTING : Phase.SERVING,
+                dispatcher::liveMembersChanged);
+        dispatcher.members(members, new NodeTalk(dispatcher, peers, members));
+        if (features.zones()) {
+            zones = new ZoneLink(dispatcher, members, current.settings(), current.zones(), restored);
+            dispatcher.zones(zones);
+        }
+        if (stateLink != null) {
+            stateLink.keep(members::incarnation, zones);
+            members.onChange(stateLink::fleetChanged);
+        }
+    }
+
+    private void restartDiscovery() {
+        discovery.start(config.get().known());
+    }
+
+    /** Tells the fleet that this instance drains. */
+    void announceDraining() {
+        if (members != null) {
+            members.phase(Phase.DRAINING);
+        }
+    }
+
+    /** Tells the fleet that this instance serves again; one that coordinates its recovery announces its own stages. */
+    void announceServing() {
+        if (members != null && recovery == null) {
+            members.phase(Phase.SERVING);
+        }
+    }
+
+    /** Tells the fleet that this instance is gone. */
+    void leave() {
+        if (members != null) {
+            members.leave();
+        }
+    }
+
+    /** What a successor needs of it, in the form in which it is stored. */
+    Map<RecordKind, StoredRecord> records() {
+        Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
+        double now = dispatcher.now();
+        if (members != null) {
+            records.put(
+                    RecordKind.INCARNATION,
+                    new StoredRecord(RecordKind.INCARNATION, now, new JsonPrimitive(members.incarnation())));
+        }
+        if (zones != null) {
+            Map<Integer, Held> held = zones.zones().held();
+            records.put(
+                    RecordKind.ZONES,
+                    new StoredRecord(RecordKind.ZONES, now, ZoneForm.json(held, false, zones.names())));
+            records.put(
+                    RecordKind.ORDERS,
+                    new StoredRecord(RecordKind.ORDERS, now, ZoneForm.json(held, true, zones.names())));
+        }
+        return records;
+    }
+
+    /** How far the recovery has come, and what is stored. */
+    RecoveryStatus recoveryStatus() {
+        return new RecoveryStatus(
+                dispatcher.trust(),
+                recovery == null ? null : recovery.progress(),
+                recovery == null ? null : recovery.spread(),
+                recovery == null ? 0 : recovery.rate(),
+                stateLink == null ? null : stateLink.opened(),
+                stateLink == null ? null : stateLink.keeper(),
+                stateLink == null ? null : stateLink.path().toString(),
+                stateLink != null && stateLink.locked());
+    }
+
+    /** The fleet's zone decisions; null where this instance takes no part in them. */
+    FleetZones zoneDecisions() {
+        return zones == null ? null : new FleetZones(zones);
+    }
+
+    /** The membership view; null where this instance takes no part in it. */
+    FleetViewStatus viewStatus() {
+        return members == null
+                ? null
+                : new FleetViewStatus(
+                        members.view(),
+                        members.unreadable(),
+                        members.deathsRefuted(),
+                        peers.outbox().dropped());
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/FleetViewStatus.java
@@ -0,0 +1,13 @@
+package cacheproxy.proxy;
+
+import cacheproxy.membership.View;
+
+/**
+ * The membership view with its counters.
+ *
+ * @param view the members of the fleet as this instance sees them
+ * @param unreadableMessages messages that could not be parsed
+ * @param refutedDeaths how often this instance refuted that it was dead
+ * @param droppedDatagrams datagrams that exceeded the send budget
+ */
+public record FleetViewStatus(View view, long unreadableMessages, long refutedDeaths, long droppedDatagrams) {}
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -1,30 +1,20 @@
 package cacheproxy.proxy;
 
-import cacheproxy.drain.DrainPlan;
 import cacheproxy.drain.DrainStateMachine;
-import cacheproxy.failover.Zones.Held;
 import cacheproxy.flow.ByteBudget;
 import cacheproxy.gossip.ListNews;
 import cacheproxy.gossip.ProvisionalMembership;
-import cacheproxy.membership.Phase;
-import cacheproxy.membership.View;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.ProvisionalList;
 import cacheproxy.proxy.lifecycle.ConfigFileWatcher;
 import cacheproxy.proxy.lifecycle.SighupHandler;
-import cacheproxy.recovery.Source;
-import cacheproxy.recovery.Trust;
-import cacheproxy.route.Known;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.state.OpenedState;
-import cacheproxy.state.RecordKind;
-import cacheproxy.state.StoredRecord;
 import cacheproxy.takeover.HandoverStateMachine;
-import com.google.gson.JsonPrimitive;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
@@ -36,234 +26,191 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Comparator;
-import java.util.EnumMap;
-import java.util.LinkedHashMap;
 import java.util.Map;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** One real proxy: its sockets, their bounds and its end. */
+/**
+ * One proxy instance: builds its subsystems, starts them in order and offers operators what they ask for and command.
+ * Everything runs on one event loop; what may be called elsewhere says so.
+ */
 public final class Proxy {
-    /** Connections still come so long after SIGTERM, with some room for a slow machine. */
-    private static final double LISTEN_ON_MS = 500;
-    /** What an answer may take beyond the longest deadline. */
-    private static final double ANSWER_ROOM_MS = 150;
+    private static final int NO_ENDPOINT_KIND = -1;
+    /** File descriptors for the JVM, the listening socket, discovery and peers. */
+    private static final int RESERVED_DESCRIPTORS = 64;
 
-    private static final int NO_KIND = -1;
-    /** Descriptors that the JVM, the listening socket, discovery and peers need. */
-    private static final int OWN_DESCRIPTORS = 64;
-    /** Some rounds of the view, ticks of zones and recovery, and writes. */
-    private static final long TRAIN_MS = 700;
+    private static final int MIN_CLIENTS = 16;
+    private static final long SWEEP_INTERVAL_S = 1;
+    /** Covers some rounds of the view, ticks of zones and recovery, and writes, in milliseconds. */
+    private static final long TRAINING_MS = 700;
+
+    private static final int EXIT_START_FAILED = 1;
+    private static final int EXIT_WRONG_CONFIGURATION = 2;
 
     private final LoopClock loopClock = new LoopClock();
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, loopClock.wrap(Transport.BEST.io()));
     private final EventLoop loop = group.next();
-    /** Written by the thread of a signal, and read by others too. */
-    private volatile Config config;
 
     private final Dispatcher dispatcher;
     private final DiscoveryClient discovery;
     private final PeerSocket peers;
     private final ClientAcceptor acceptor;
-    private final DrainCoordinator drainer;
-    private final Edge edge;
     private final HandoverStateMachine handover = new HandoverStateMachine();
-    private final HandoverServer link;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private volatile Runnable whenEnded = () -> {};
-    /** Null where this proxy takes no part in the fleet's view. On the event loop only. */
-    private MemberLink members;
-    /** Null where it decides nothing of zones. On the event loop only. */
-    private ZoneLink zones;
-    /** Null where it does not look at how it comes back. On the event loop only. */
-    private RecoveryLink recovery;
-    /** Null where nothing is kept. */
-    private final StateLink kept;
-    /** What is known from before the start. */
-    private final RestoredState remembered;
-
-    private final boolean succeeds;
-
-    private Proxy(Config config, Edge edge, boolean warm, Path shared, Kept folder)
+    private final HandoverServer handoverServer;
+    private final ConfigReloader reloader;
+    private final FleetParticipation fleet;
+    private final GracefulShutdown shutdown;
+    private final RestoredState restored;
+    /** Null where nothing is stored. */
+    private final StateLink stateLink;
+
+    // ---- start
+
+    private Proxy(Config config, RouteSource routes, boolean warmUp, Path takeoverFolder, StateLocation storage)
             throws InterruptedException, IOException {
-        this.config = config;
-        this.edge = edge;
-        kept = folder == null ? null : new StateLink(folder.folder(), config.name(), folder.fleet());
-        Routing routing = edge == null ? null : edge.read(config.names());
-        if (warm) {
+        stateLink = storage == null ? null : new StateLink(storage.folder(), config.name(), storage.fleetName());
+        Routing routing = routes == null ? null : routes.read(config.names());
+        if (warmUp) {
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
         peers = new PeerSocket(loop, config, dispatcher::peerMessageReceived, dispatcher.counters());
-        acceptor =
-                new ClientAcceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
-        RoutingSettings atStart = config.settings();
-        ProvisionalList list = new ProvisionalList(
-                dispatcher,
-                new ProvisionalMembership(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
-                dispatcher::now);
-        discovery = new DiscoveryClient(
-                loop,
-                new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.TCP_NODELAY, true),
-                config.discoverySettings(),
-                list,
-                dispatcher::now);
-        link = new HandoverServer(loop, shared, handover, acceptor, this::state);
-        acceptor.retireBy(c -> {
-            if (!handover.passesClients()) {
-                c.finish();
-            } else if (c.served()) {
-                c.pass(link);
-            } // else its first command is waited for here: another process does not know since when
-        });
-        drainer = new DrainCoordinator(loop, dispatcher, acceptor, this::ended);
-        TakeoverClient old = TakeoverClient.connect(loop, shared); // as late as can be: what it tells is of now
-        TakeoverSnapshot state = old == null ? null : old.snapshot();
-        succeeds = state != null;
-        remembered = new RestoredState(
-                state, kept == null ? OpenedState.EMPTY : kept.opened(), dispatcher.trust(), dispatcher.now());
-        loop.submit(() -> {
-                    dispatcher.start(discovery, peers, acceptor, routing);
-                    discovery.start(remembered.endpointList(config.known()));
-                    if (config.settings().peerMessagesAllowed()) {
-                        RoutingSettings settings = config.settings();
-                        ListNews news = new ListNews(settings.instanceCount(), settings.instanceSeed(config.seed()));
-                        news.begin(discovery.version());
-                        dispatcher.news(new PeerNews(
-                                dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
-                    }
-                    dispatcher.resume(remembered.learnedState());
-                    if (kept != null) {
-                        kept.start(dispatcher, discovery);
-                    }
-                    loop.scheduleWithFixedDelay(acceptor::sweep, 1, 1, TimeUnit.SECONDS);
-                })
-                .syncUninterruptibly();
-        FileDescriptor socket = old == null ? null : old.socket();
-        if (socket != null) {
-            acceptor.listen(group, socket);
-            old.reportServing(client -> acceptor.adopt(loop, client));
-            loop.execute(() -> dispatcher.log(old.summary()));
-        } else {
-            acceptor.listen(group, config.listen());
-        }
-        if (shared != null) {
-            link.open();
+        acceptor = new ClientAcceptor(dispatcher, maxClients(config));
+        ProvisionalList list = provisionalList(config);
+        discovery = discoveryClient(config, list);
+        reloader = new ConfigReloader(config, routes, loop, dispatcher, discovery);
+        handoverServer = new HandoverServer(loop, takeoverFolder, handover, acceptor, this::takeoverSnapshot);
+        acceptor.retireBy(this::retire);
+        // As late as possible, so that the snapshot shows the old process's present state.
+        TakeoverClient predecessor = TakeoverClient.connect(loop, takeoverFolder);
+        TakeoverSnapshot snapshot = predecessor == null ? null : predecessor.snapshot();
+        restored = restoredState(snapshot);
+        fleet = new FleetParticipation(
+                dispatcher, peers, discovery, acceptor, stateLink, restored, snapshot != null, reloader::config);
+        shutdown = new GracefulShutdown(loop, dispatcher, acceptor, handover, handoverServer, fleet, stateLink);
+        loop.submit(() -> startSubsystems(list, routing)).syncUninterruptibly();
+        listen(predecessor);
+        if (takeoverFolder != null) {
+            handoverServer.open();
         }
     }
 
-    /** What a successor must know: what this process was told of the servers binds both. */
-    private TakeoverSnapshot state() {
-        Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
-        if (members != null) {
-            records.put(
-                    RecordKind.INCARNATION,
-                    new StoredRecord(
-                            RecordKind.INCARNATION, dispatcher.now(), new JsonPrimitive(members.incarnation())));
-        }
-        if (zones != null) {
-            Map<Integer, Held> held = zones.zones().held();
-            records.put(
-                    RecordKind.ZONES,
-                    new StoredRecord(RecordKind.ZONES, dispatcher.now(), ZoneForm.json(held, false, zones.names())));
-            records.put(
-                    RecordKind.ORDERS,
-                    new StoredRecord(RecordKind.ORDERS, dispatcher.now(), ZoneForm.json(held, true, zones.names())));
-        }
-        return new TakeoverSnapshot(discovery.list(), dispatcher.learnedState(), records);
+    /** A third of the descriptors is for connections to servers. */
+    private static int maxClients(Config config) {
+        return Math.max(MIN_CLIENTS, config.sockets() - config.sockets() / 3 - RESERVED_DESCRIPTORS);
     }
 
-    /** What is passed over of what has been learnt; for tests, on the event loop only. */
-    Map<String, LearnedState> knows() {
-        return dispatcher.learnedState();
+    private ProvisionalList provisionalList(Config config) {
+        RoutingSettings settings = config.settings();
+        int originKind = settings.cacheAside() ? settings.originKind() : NO_ENDPOINT_KIND;
+        return new ProvisionalList(dispatcher, new ProvisionalMembership(originKind), dispatcher::now);
     }
 
-    private void ended() {
-        if (handover.passesClients()) {
-            dispatcher.log("passed " + link.passedClients() + " clients on");
-        }
-        link.close();
-        if (members != null && !handover.passesClients()) {
-            members.leave(); // a successor goes on under this name
+    private DiscoveryClient discoveryClient(Config config, ProvisionalList list) {
+        Bootstrap connections =
+                new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.TCP_NODELAY, true);
+        return new DiscoveryClient(loop, connections, config.discoverySettings(), list, dispatcher::now);
+    }
+
+    private RestoredState restoredState(TakeoverSnapshot snapshot) {
+        OpenedState stored = stateLink == null ? OpenedState.EMPTY : stateLink.opened();
+        return new RestoredState(snapshot, stored, dispatcher.trust(), dispatcher.now());
+    }
+
+    private void startSubsystems(ProvisionalList list, Routing routing) {
+        Config config = config();
+        dispatcher.start(discovery, peers, acceptor, routing);
+        discovery.start(restored.endpointList(config.known()));
+        if (config.settings().peerMessagesAllowed()) {
+            startListGossip(config, list);
         }
-        if (kept != null) {
-            kept.close();
+        dispatcher.resume(restored.learnedState());
+        if (stateLink != null) {
+            stateLink.start(dispatcher, discovery);
         }
-        ended.countDown();
-        whenEnded.run();
+        loop.scheduleWithFixedDelay(acceptor::sweep, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S, TimeUnit.SECONDS);
     }
 
-    /** Where routes come from; read again at each SIGHUP. */
-    public interface Edge {
-        /** All of it, checked; an IllegalArgumentException tells people what is wrong. */
-        Routing read(Known known);
+    private void startListGossip(Config config, ProvisionalList list) {
+        RoutingSettings settings = config.settings();
+        ListNews news = new ListNews(settings.instanceCount(), settings.instanceSeed(config.seed()));
+        news.begin(discovery.version());
+        dispatcher.news(
+                new PeerNews(dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
     }
 
-    /**
-     * Where an instance keeps what outlasts its process.
-     *
-     * @param folder of its own; no other instance's
-     * @param fleet the name of its fleet: another's folder is of no use to it
-     */
-    public record Kept(Path folder, String fleet) {}
+    /** At the predecessor's socket if it passes that, else at one of its own; null: there is no predecessor. */
+    private void listen(TakeoverClient predecessor) throws InterruptedException {
+        FileDescriptor socket = predecessor == null ? null : predecessor.socket();
+        if (socket == null) {
+            acceptor.listen(group, config().listen());
+            return;
+        }
+        acceptor.listen(group, socket);
+        predecessor.reportServing(client -> acceptor.adopt(loop, client));
+        loop.execute(() -> dispatcher.log(predecessor.summary()));
+    }
 
     /**
-     * Runs a proxy by the configuration that the environment names, until SIGTERM or the end of a drain.
+     * Runs a proxy by the configuration that the environment names, until SIGTERM or the end of a drain. Exits the
+     * process if it can't start.
      *
-     * @param edge its routes; null: none
-     * @param folder where it keeps what outlasts it; null: nowhere
-     * @param sighup has it take new settings
+     * @param routes supplies its routes; null: none
+     * @param storage where it stores what outlasts it; null: nowhere
+     * @param sighup has it reload its configuration
      */
-    public static Proxy main(Edge edge, Kept folder, SighupHandler sighup) {
-        Config config = configuration();
+    public static Proxy serve(RouteSource routes, StateLocation storage, SighupHandler sighup) {
+        Config config = startConfiguration();
         try {
-            Proxy proxy = new Proxy(config, edge, true, HandoverServer.folder(), folder);
+            Proxy proxy = new Proxy(config, routes, true, HandoverServer.folder(), storage);
             Runtime.getRuntime().addShutdownHook(new Thread(proxy::drain));
-            String file = System.getenv("BALANCER_CONFIG");
-            sighup.onSignal(() -> proxy.reload(file));
-            if (!sighup.delivered()) {
-                System.err.println("SIGHUP is ignored where this was started (nohup?): " + file
-                        + " is looked at twice a second in its place");
-                new ConfigFileWatcher(Path.of(file), () -> proxy.reload(file)).start();
-            }
+            proxy.reloadOn(sighup, System.getenv("BALANCER_CONFIG"));
             // Not on the event loop, which the process's end waits for.
-            proxy.whenEnded = () -> new Thread(() -> System.exit(0), "drained").start();
+            proxy.shutdown.onCompleted(() -> new Thread(() -> System.exit(0), "drained").start());
             return proxy;
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
-            System.exit(2);
+            System.exit(EXIT_WRONG_CONFIGURATION);
             throw e;
         } catch (Exception e) {
             System.err.println("can't listen on " + config.listen() + ": " + e.getMessage());
-            System.exit(1);
+            System.exit(EXIT_START_FAILED);
             throw new IllegalStateException(e);
         }
     }
 
-    private static Config configuration() {
+    private static Config startConfiguration() {
         try {
             return Config.read(System.getenv("BALANCER_CONFIG"));
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
-            System.exit(2);
+            System.exit(EXIT_WRONG_CONFIGURATION);
             throw e;
         }
     }
 
+    private void reloadOn(SighupHandler sighup, String file) {
+        sighup.onSignal(() -> reload(file));
+        if (!sighup.delivered()) {
+            System.err.println("SIGHUP is ignored where this was started (nohup?): " + file
+                    + " is looked at twice a second in its place");
+            new ConfigFileWatcher(Path.of(file), () -> reload(file)).start();
+        }
+    }
+
     /**
-     * Starts a proxy with all that it may run with, has it used and ends it; the process's exit code. What a proxy
-     * loads that comes back with many others is in the archive then, as they share the machine.
+     * Starts a proxy with every feature, has it used and stops it, so that the build can archive the classes that a
+     * restarted proxy loads. Returns the process's exit code.
      */
-    public static int train(Consumer<Proxy> use) {
+    public static int loadClasses(Consumer<Proxy> use) {
         try {
             Path folder = Files.createTempDirectory("train");
-            Proxy proxy = new Proxy(configuration(), null, true, null, new Kept(folder, "train"));
-            proxy.join(new Together(true, true, true));
+            Proxy proxy = new Proxy(startConfiguration(), null, true, null, new StateLocation(folder, "train"));
+            proxy.joinFleet(new FleetFeatures(true, true, true));
             use.accept(proxy);
-            TimeUnit.MILLISECONDS.sleep(TRAIN_MS);
+            TimeUnit.MILLISECONDS.sleep(TRAINING_MS);
             proxy.close();
             try (Stream<Path> files = Files.walk(folder)) {
                 for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
@@ -282,326 +229,170 @@
     }
 
     /** Starts without a warm-up, with routes. */
-    static Proxy start(Config config, Edge edge) throws InterruptedException, IOException {
-        return new Proxy(config, edge, false, null, null);
+    static Proxy start(Config config, RouteSource routes) throws InterruptedException, IOException {
+        return new Proxy(config, routes, false, null, null);
     }
 
-    /** Starts without a warm-up, as the successor of whoever serves by this folder. */
-    static Proxy start(Config config, Path shared) throws InterruptedException, IOException {
-        return new Proxy(config, null, false, shared, null);
+    /** Starts without a warm-up, as the successor of the process that serves by this folder. */
+    static Proxy start(Config config, Path takeoverFolder) throws InterruptedException, IOException {
+        return new Proxy(config, null, false, takeoverFolder, null);
     }
 
-    /**
-     * Starts without a warm-up, with what its folder holds, as the successor of whoever serves by {@code shared}, if
-     * anybody.
-     */
-    static Proxy start(Config config, Path shared, Kept folder) throws InterruptedException, IOException {
-        return new Proxy(config, null, false, shared, folder);
+    /** As above, with what is stored at {@code storage}; {@code takeoverFolder}: null for no takeover. */
+    static Proxy start(Config config, Path takeoverFolder, StateLocation storage)
+            throws InterruptedException, IOException {
+        return new Proxy(config, null, false, takeoverFolder, storage);
     }
 
-    InetSocketAddress address() {
-        return acceptor.address();
+    /** Starts to take part in its fleet. On any thread. */
+    public void joinFleet(FleetFeatures features) {
+        loop.execute(() -> fleet.join(features));
     }
 
-    InetSocketAddress peerAddress() {
-        return peers.address();
+    /** Writes a line of metrics to the log at this interval, of at least a second. On any thread. */
+    public void logMetrics(long intervalMs) {
+        metricsLog(System.err).start(loop, Math.max(1000, intervalMs));
     }
 
-    /** For tests, on the event loop only. */
-    Dispatcher core() {
-        return dispatcher;
+    // ---- reload
+
+    /** Reloads the configuration from this file. On any thread but the event loop. */
+    void reload(String file) {
+        reloader.reload(file);
     }
 
-    /** For tests, on the event loop only. */
-    ClientAcceptor clients() {
-        return acceptor;
+    // ---- takeover
+
+    private TakeoverSnapshot takeoverSnapshot() {
+        return new TakeoverSnapshot(discovery.list(), dispatcher.learnedState(), fleet.records());
     }
 
-    ByteBudget values() {
-        return dispatcher.valueBudget();
+    /** Ends an idle client's connection during a drain, or passes it to the successor. */
+    private void retire(ClientConnection client) {
+        if (!handover.passesClients()) {
+            client.finish();
+        } else if (client.served()) {
+            client.pass(handoverServer);
+        } // else its first command is awaited here: the successor does not know since when
     }
 
-    // ---- the view of the fleet
+    // ---- drain and shutdown
 
-    /**
-     * What a proxy does with the others of its fleet, where the settings allow peers to talk.
-     *
-     * @param view takes part in the view that the fleet keeps of itself; implied by the others
-     * @param zones takes part in what the fleet decides of zones
-     * @param recovers comes back with the others in mind
-     */
-    public record Together(boolean view, boolean zones, boolean recovers) {}
-
-    /** Begins to do so. */
-    public void join(Together parts) {
-        loop.execute(() -> {
-            boolean peersTalk = config.settings().peerMessagesAllowed();
-            if (peersTalk && (parts.view() || parts.zones() || parts.recovers())) {
-                members = new MemberLink(
-                        dispatcher,
-                        peers,
-                        config.settings(),
-                        remembered.incarnation(),
-                        config.seed(),
-                        parts.recovers() ? Phase.STARTING : Phase.SERVING,
-                        dispatcher::liveMembersChanged);
-                dispatcher.members(members, new NodeTalk(dispatcher, peers, members));
-                if (parts.zones()) {
-                    zones = new ZoneLink(dispatcher, members, config.settings(), config.zones(), remembered);
-                    dispatcher.zones(zones);
-                }
-                if (kept != null) {
-                    kept.keep(members::incarnation, zones);
-                    members.onChange(kept::fleetChanged);
-                }
-            }
-            if (parts.recovers() && members != null) {
-                dispatcher.recall(new RecallLink(
-                        dispatcher,
-                        peers,
-                        members,
-                        discovery,
-                        dispatcher.trust().of(Trust.Thing.LEARNT).source() == Source.NONE));
-            }
-            if (parts.recovers()) {
-                recovery = new RecoveryLink(
-                        dispatcher, members, acceptor, succeeds, () -> discovery.start(config.known()));
-            }
-        });
+    /** What SIGTERM starts; returns when the process may exit. Not on the event loop. */
+    void drain() {
+        shutdown.terminate();
     }
 
-    /** How this process comes back, and what it keeps. On the event loop only. */
-    public RecoveryStatus recovering() {
-        return new RecoveryStatus(
-                dispatcher.trust(),
-                recovery == null ? null : recovery.progress(),
-                recovery == null ? null : recovery.spread(),
-                recovery == null ? 0 : recovery.rate(),
-                kept == null ? null : kept.opened(),
-                kept == null ? null : kept.keeper(),
-                kept == null ? null : kept.path().toString(),
-                kept != null && kept.locked());
+    /** Starts a drain that can be watched and cancelled, or joins the one in progress. On the event loop only. */
+    public DrainStateMachine.StartResult drain(double deadlineMs) {
+        return shutdown.drain(deadlineMs);
     }
 
-    /** What the fleet has decided of zones; null if this proxy takes no part in that. On the event loop only. */
-    public FleetZones zones() {
-        return zones == null ? null : new FleetZones(zones);
+    /** Cancels a drain; null if that was done, else the reason why it can't be. On the event loop only. */
+    public String cancelDrain() {
+        return shutdown.cancelDrain();
     }
 
-    /** What is seen of the fleet; null if this proxy takes no part in that. On the event loop only. */
-    public FleetView fleetView() {
-        return members == null
-                ? null
-                : new FleetView(
-                        members.view(),
-                        members.unreadable(),
-                        members.deathsRefuted(),
-                        peers.outbox().dropped());
+    /** How far a drain has come. On the event loop only. */
+    public DrainStateMachine.Progress drainProgress() {
+        return shutdown.drainProgress();
     }
 
-    /**
-     * The view with what was counted.
-     *
-     * @param unreadable messages that could not be read
-     * @param refuted how often this proxy refuted that it was dead
-     * @param dropped datagrams that found no room in the budget
-     */
-    public record FleetView(View view, long unreadable, long refuted, long dropped) {}
+    /** Stops at once; for tests and training. */
+    void close() {
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+    }
 
-    // ---- a new configuration
+    // ---- what operators ask
 
-    /**
-     * Reads the file anew, and the routes. All of it is taken or, if anything is wrong with it, nothing. One at a time:
-     * each signal has a thread of its own, and what was read last must be what holds.
-     */
-    synchronized void reload(String path) {
-        try {
-            Config next = config.again(path);
-            Routing routing = edge == null ? null : edge.read(next.names());
-            config = next;
-            loop.execute(() -> {
-                dispatcher.applySettings(next);
-                discovery.settle(next.discoverySettings());
-                if (routing != null) {
-                    dispatcher.replaceRoutes(routing);
-                }
-                dispatcher.counters().recordReload(true);
-            });
-        } catch (IllegalArgumentException e) {
-            loop.execute(() -> {
-                dispatcher.log("the settings stay as they are: " + e.getMessage());
-                dispatcher.counters().recordReload(false);
-            });
-        }
+    /** The instance's name in its configuration. On any thread. */
+    public String name() {
+        return config().name();
     }
 
-    /** The routes with what they have done, or null where there are none. On the event loop only. */
-    public Router router() {
-        return dispatcher.router();
+    /** The one event loop that everything runs on. */
+    public EventLoop loop() {
+        return loop;
     }
 
-    // ---- the end
+    /** The admin port's address; null if none is configured. On any thread. */
+    public InetSocketAddress adminAddress() {
+        InetSocketAddress configured = config().operator();
+        String environment = System.getenv("BALANCER_OPERATOR");
+        return configured != null || environment == null || environment.isEmpty()
+                ? configured
+                : Addresses.parse(environment);
+    }
 
-    /**
-     * What SIGTERM begins: goes on taking connections while they may still come, answers everything, ends each
-     * connection between requests, and returns when none is left or no answer could be in time any more.
-     */
-    void drain() {
-        loop.execute(() -> {
-            handover.terminationRequested();
-            draining();
-            double longest = dispatcher.longestDeadlineMs() + ANSWER_ROOM_MS;
-            drainer.begin(
-                    handover.passesClients()
-                            ? DrainPlan.onTerminationWithSuccessor(longest)
-                            : DrainPlan.onTermination(LISTEN_ON_MS, longest));
-        });
-        try {
-            ended.await();
-            if (kept != null) {
-                kept.awaitClosed();
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+    /** What is open now, and the totals since the start. On the event loop only. */
+    public ProxyStatus status() {
+        return ProxyStatus.of(dispatcher, acceptor, handover);
     }
 
-    /** Begins a drain that can be watched and taken back, or joins one. On the event loop only. */
-    public DrainStateMachine.StartResult drain(double deadlineMs) {
-        draining();
-        return drainer.begin(DrainPlan.requested(deadlineMs));
+    /** The violations of the safety rules that were seen so far. On the event loop only. */
+    public RuleCounts ruleCounts() {
+        return dispatcher.ruleCounts();
     }
 
-    /** Takes a drain back; null if that was done, else why it can't be. On the event loop only. */
-    public String cancelDrain() {
-        String why = drainer.cancel();
-        if (why == null && members != null && recovery == null) {
-            members.phase(Phase.SERVING); // else its own stage is told anyway
-        }
-        return why;
+    /** How fresh the endpoint list is. On the event loop only. */
+    public EndpointListStatus endpointListStatus() {
+        return new EndpointListStatus(discovery.version(), dispatcher.now() - discovery.answeredMs());
     }
 
-    private void draining() {
-        if (members != null && !handover.passesClients()) {
-            members.phase(Phase.DRAINING);
-        }
+    /** The routes with their counters; null where there are none. On the event loop only. */
+    public Router router() {
+        return dispatcher.router();
     }
 
-    /** Writes a line of figures to the log each time so much has passed, at least a second. */
-    public void logFigures(long everyMs) {
-        metricsLog(System.err).start(loop, Math.max(1000, everyMs));
+    /** How far the recovery has come, and what is stored. On the event loop only. */
+    public RecoveryStatus recoveryStatus() {
+        return fleet.recoveryStatus();
     }
 
-    MetricsLog metricsLog(PrintStream out) {
-        return new MetricsLog(config.name(), dispatcher, out);
+    /** The fleet's zone decisions; null where this instance takes no part in them. On the event loop only. */
+    public FleetZones zoneDecisions() {
+        return fleet.zoneDecisions();
     }
 
-    /** How a drain goes. On the event loop only. */
-    public DrainStateMachine.Progress drainProgress() {
-        return drainer.progress();
+    /** The membership view; null where this instance takes no part in it. On the event loop only. */
+    public FleetViewStatus fleetView() {
+        return fleet.viewStatus();
     }
 
-    /** The proxy's name in its configuration. */
-    public String name() {
-        return config.name();
+    // ---- for tests
+
+    InetSocketAddress address() {
+        return acceptor.address();
     }
 
-    /** The one event loop that everything runs on. */
-    public EventLoop loop() {
-        return loop;
+    InetSocketAddress peerAddress() {
+        return peers.address();
     }
 
-    /** Where operators ask, or null where nobody is to. */
-    public InetSocketAddress operator() {
-        String told = System.getenv("BALANCER_OPERATOR");
-        return config.operator() != null || told == null || told.isEmpty() ? config.operator() : Addresses.parse(told);
-    }
-
-    /** What is open now, and what has come of what was. On the event loop only. */
-    public Status status() {
-        Counters c = dispatcher.counters();
-        Map<String, Endings> classes = new LinkedHashMap<>();
-        c.classes().forEach((name, t) -> classes.put(name, new Endings(t.succeeded(), t.rejected(), t.failed())));
-        return new Status(
-                acceptor.open(),
-                dispatcher.openRequests(),
-                dispatcher.completedRequests(),
-                dispatcher.servers().connections(),
-                classes,
-                c.forwards(),
-                dispatcher.servers().discovered(),
-                dispatcher.servers().ejected(),
-                c.reloadsApplied(),
-                c.reloadsRejected(),
-                handover.phase(),
-                handover.completedHandovers(),
-                dispatcher.valueBudget().reserved(),
-                dispatcher.valueBudget().waiting());
-    }
-
-    /** What was seen of the rules so far. On the event loop only. */
-    public RuleCounts ruleCounts() {
-        return dispatcher.ruleCounts();
+    /** On the event loop only. */
+    Dispatcher dispatcher() {
+        return dispatcher;
     }
 
-    /**
-     * The list of servers as this proxy holds it.
-     *
-     * @param version of discovery's list
-     * @param ageMs since discovery last answered, with or without news; NaN: not yet
-     */
-    public record ListStatus(long version, double ageMs) {}
+    /** On the event loop only. */
+    ClientAcceptor clientAcceptor() {
+        return acceptor;
+    }
 
-    /** How fresh the list is. On the event loop only. */
-    public ListStatus list() {
-        return new ListStatus(discovery.version(), dispatcher.now() - discovery.answeredMs());
+    ByteBudget valueBudget() {
+        return dispatcher.valueBudget();
     }
 
-    /**
-     * How requests of one class have ended since the start.
-     *
-     * @param succeeded answered with what a server made for them
-     * @param declined refused
-     * @param aborted failed
-     */
-    public record Endings(long succeeded, long declined, long aborted) {}
+    /** What a successor is passed of what was learned. On the event loop only. */
+    Map<String, LearnedState> learnedState() {
+        return dispatcher.learnedState();
+    }
 
-    /**
-     * What is open, and what has come of what was.
-     *
-     * @param clients their connections
-     * @param owed requests without a final answer
-     * @param answered requests answered since the start
-     * @param upstream connections to nodes and origin
-     * @param classes how requests have ended, by their classes' names
-     * @param forwards attempts written whole to cache nodes or the origin
-     * @param discovered cache nodes in the list
-     * @param ejected those of them that get no ordinary request now and got nothing for a second
-     * @param applied files taken at SIGHUP
-     * @param rejected files turned down at SIGHUP
-     * @param handover how far a successor has come
-     * @param handovers how often one has come to serve
-     * @param kept bytes of values that are kept whole
-     * @param waiting clients whose values wait for room
-     */
-    public record Status(
-            int clients,
-            int owed,
-            long answered,
-            int upstream,
-            Map<String, Endings> classes,
-            long forwards,
-            int discovered,
-            int ejected,
-            long applied,
-            long rejected,
-            HandoverStateMachine.Phase handover,
-            int handovers,
-            long kept,
-            int waiting) {}
-
-    /** Ends at once; for tests. */
-    void close() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+    MetricsLog metricsLog(PrintStream out) {
+        return new MetricsLog(name(), dispatcher, out);
+    }
+
+    private Config config() {
+        return reloader.config();
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/ProxyStatus.java
@@ -0,0 +1,64 @@
+package cacheproxy.proxy;
+
+import cacheproxy.takeover.HandoverStateMachine;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * What an instance has open, and its totals since the start.
+ *
+ * @param clientConnections open connections of clients
+ * @param openRequests requests without a final answer
+ * @param completedRequests requests answered since the start
+ * @param upstreamConnections open connections to cache nodes and the origin
+ * @param outcomesByClass how requests have ended, by the name of their service class
+ * @param forwardedAttempts attempts fully written to cache nodes or the origin
+ * @param discoveredNodes cache nodes in the endpoint list
+ * @param ejectedNodes those of them that get no ordinary request now and got none for a second
+ * @param reloadsApplied configuration reloads that took effect
+ * @param reloadsRejected configuration reloads that were rejected
+ * @param handoverPhase how far a handover to a successor has come
+ * @param completedHandovers successors that came to serve
+ * @param valueBytes bytes reserved for values that are buffered whole
+ * @param waitingValues values that wait for such a reservation
+ */
+public record ProxyStatus(
+        int clientConnections,
+        int openRequests,
+        long completedRequests,
+        int upstreamConnections,
+        Map<String, ClassOutcomes> outcomesByClass,
+        long forwardedAttempts,
+        int discoveredNodes,
+        int ejectedNodes,
+        long reloadsApplied,
+        long reloadsRejected,
+        HandoverStateMachine.Phase handoverPhase,
+        int completedHandovers,
+        long valueBytes,
+        int waitingValues) {
+
+    /** The status at this moment. On the event loop only. */
+    static ProxyStatus of(Dispatcher dispatcher, ClientAcceptor acceptor, HandoverStateMachine handover) {
+        Counters counters = dispatcher.counters();
+        Map<String, ClassOutcomes> outcomes = new LinkedHashMap<>();
+        counters.classes()
+                .forEach((name, total) ->
+                        outcomes.put(name, new ClassOutcomes(total.succeeded(), total.rejected(), total.failed())));
+        return new ProxyStatus(
+                acceptor.open(),
+                dispatcher.openRequests(),
+                dispatcher.completedRequests(),
+                dispatcher.servers().connections(),
+                outcomes,
+                counters.forwards(),
+                dispatcher.servers().discovered(),
+                dispatcher.servers().ejected(),
+                counters.reloadsApplied(),
+                counters.reloadsRejected(),
+                handover.phase(),
+                handover.completedHandovers(),
+                dispatcher.valueBudget().reserved(),
+                dispatcher.valueBudget().waiting());
+    }
+}
--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -189,7 +189,7 @@
             one.close();
             Await.until(
                     "the proxy has seen its end",
-                    () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 0);
+                    () -> fleet.on(() -> fleet.proxy.dispatcher().openRequests()) == 0);
             Fleet.Client two = fleet.client().read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
             go.countDown();
@@ -295,12 +295,12 @@
             patient.say("mg 7f3a v O1 Pc=text,d=20000\r\nmg 7f3a v O2 Pc=te"); // and the next is on its way
             half.say("mg 7f3a v");
             node.next();
-            double late = fleet.on(() -> fleet.proxy.core().now()) + 15_000;
+            double late = fleet.on(() -> fleet.proxy.dispatcher().now()) + 15_000;
             Await.until(
                     "both have been read",
-                    () -> fleet.on(() -> fleet.proxy.clients().idle()) == 0);
+                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idle()) == 0);
             fleet.on(() -> {
-                fleet.proxy.clients().sweep(late);
+                fleet.proxy.clientAcceptor().sweep(late);
                 return null;
             });
             assertThat(half.line()).startsWith("CLIENT_ERROR");
--- a/src/test/java/cacheproxy/proxy/ClosingTest.java
+++ b/src/test/java/cacheproxy/proxy/ClosingTest.java
@@ -25,20 +25,20 @@
             for (int i = 0; i < 40; i++) { // more than one round takes
                 waiting.add(fleet.client().read("w" + i));
             }
-            fleet.proxy.loop().execute(fleet.proxy.clients()::stopListening);
+            fleet.proxy.loop().execute(fleet.proxy.clientAcceptor()::stopListening);
             go.countDown();
             for (int i = 0; i < waiting.size(); i++) {
                 assertThat(waiting.get(i).line()).isEqualTo("VA 5 Ow" + i);
             }
             Await.until(
                     "the listener ends then",
-                    () -> !fleet.on(() -> fleet.proxy.clients().channel().isOpen()));
+                    () -> !fleet.on(() -> fleet.proxy.clientAcceptor().channel().isOpen()));
         }
     }
 
     private static void endIdle(Fleet fleet, double now) {
         fleet.on(() -> {
-            fleet.proxy.clients().endIdle(3, now);
+            fleet.proxy.clientAcceptor().endIdle(3, now);
             return null;
         });
     }
@@ -48,11 +48,12 @@
         try (Fleet fleet = fleet().start();
                 Fleet.Client used = fleet.client()) {
             assertThat(used.say("mn\r\n").line()).isEqualTo("MN");
-            double now = fleet.on(() -> fleet.proxy.core().now());
+            double now = fleet.on(() -> fleet.proxy.dispatcher().now());
             Fleet.Client fresh = fleet.client();
             Fleet.Client mute = fleet.client();
             Await.until(
-                    "all have come", () -> fleet.on(() -> fleet.proxy.clients().idle()) == 3);
+                    "all have come",
+                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idle()) == 3);
             endIdle(fleet, now);
             assertThat(used.ended()).isTrue();
             assertThat(fresh.read("1").line()).isEqualTo("VA 5 O1");
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -192,14 +192,14 @@
                         fleet);
                 Await.until(
                         "the peer's word is in use",
-                        () -> !fleet.on(() -> fleet.proxy.core().servers().get(1).ready));
+                        () -> !fleet.on(() -> fleet.proxy.dispatcher().servers().get(1).ready));
                 client.say(read.formatted(2)).line();
                 client.line();
                 assertThat(other.next()).contains("O2 ");
                 well.set(true);
                 Await.until(
                         "discovery's list of that version knows nothing of it",
-                        () -> fleet.on(() -> fleet.proxy.core().servers().get(1).ready));
+                        () -> fleet.on(() -> fleet.proxy.dispatcher().servers().get(1).ready));
                 client.say(read.formatted(3)).line();
                 client.line();
                 assertThat(drained.next()).contains("O3 ");
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -66,7 +66,7 @@
             node.next();
             drain(fleet, LONG_MS);
             client.read("2").read("3"); // behind the drain, on a connection that is owed an answer
-            Await.until("they are taken", () -> fleet.on(fleet.proxy::status).owed() == 3);
+            Await.until("they are taken", () -> fleet.on(fleet.proxy::status).openRequests() == 3);
             go.countDown();
             for (String id : new String[] {"1", "2", "3"}) {
                 assertThat(client.line()).isEqualTo("VA 5 O" + id);
@@ -93,7 +93,7 @@
             Await.until(
                     "idle connections would have gone",
                     () -> progress(fleet).remainingMs() >= 0
-                            && fleet.on(fleet.proxy::status).clients() == 1);
+                            && fleet.on(fleet.proxy::status).clientConnections() == 1);
             client.say("lo\r\n");
             assertThat(client.line()).isEqualTo("HD O1 cr1");
             assertThat(client.ended()).isTrue();
@@ -131,7 +131,7 @@
                         .start();
                 Fleet.Client busy = fleet.client()) {
             busy.say("m"); // half a command keeps the drain under way
-            Await.until("it is read", () -> fleet.on(fleet.proxy::status).clients() == 1);
+            Await.until("it is read", () -> fleet.on(fleet.proxy::status).clientConnections() == 1);
             drain(fleet, LONG_MS);
             try (Fleet.Client late = fleet.client()) {
                 late.say("mn\r\n").read("1");
@@ -158,9 +158,9 @@
             drain(fleet, LONG_MS); // its pace is 5 s
             Await.until(
                     "half of them are ended",
-                    () -> fleet.on(fleet.proxy::status).clients() <= 20);
+                    () -> fleet.on(fleet.proxy::status).clientConnections() <= 20);
             assertThat(fleet.on(fleet.proxy::cancelDrain)).isNull();
-            int left = fleet.on(fleet.proxy::status).clients();
+            int left = fleet.on(fleet.proxy::status).clientConnections();
             assertThat(left).isPositive();
             int serving = 0;
             for (Fleet.Client c : clients) {
@@ -176,7 +176,7 @@
             assertThat(stay).isBetween(1, left);
             Await.until(
                     "what had been ended is gone",
-                    () -> fleet.on(fleet.proxy::status).clients() == stay);
+                    () -> fleet.on(fleet.proxy::status).clientConnections() == stay);
             try (Fleet.Client late = fleet.client()) {
                 late.read("x");
                 assertThat(late.line()).isEqualTo("VA 5 Ox");
@@ -225,7 +225,7 @@
             try (Fleet fleet = new Fleet().node(held(go)).start();
                     Fleet.Client client = fleet.client()) {
                 client.read("1");
-                Await.until("it is taken", () -> fleet.on(fleet.proxy::status).owed() == 1);
+                Await.until("it is taken", () -> fleet.on(fleet.proxy::status).openRequests() == 1);
                 CompletableFuture<String> cancelled = new CompletableFuture<>();
                 int after = deadlineMs + offset;
                 fleet.on(() -> {
@@ -267,7 +267,7 @@
                 Fleet.Client write = fleet.client()) {
             write.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             origin.next();
-            Await.until("both are taken", () -> fleet.on(fleet.proxy::status).owed() == 2);
+            Await.until("both are taken", () -> fleet.on(fleet.proxy::status).openRequests() == 2);
             double before = System.nanoTime() / 1e6;
             drain(fleet, 500);
             assertThat(read.line()).isEqualTo("SERVER_ERROR busy");
@@ -289,7 +289,7 @@
             }
             Await.until(
                     "all are under way, held back by the client",
-                    () -> fleet.on(fleet.proxy::status).owed() == 10);
+                    () -> fleet.on(fleet.proxy::status).openRequests() == 10);
             Thread end = drainAndTerminate(fleet);
             for (int i = 0; i < 10; i++) {
                 assertThat(client.line()).isEqualTo("VA " + LONG_VALUE + " O" + i);
@@ -341,7 +341,7 @@
      */
     private static boolean answeredSoon(Fleet fleet, int many) throws InterruptedException {
         for (int i = 0; i < 100; i++) {
-            if (fleet.on(fleet.proxy::status).answered() >= many) {
+            if (fleet.on(fleet.proxy::status).completedRequests() >= many) {
                 return true;
             }
             Thread.sleep(5);
--- a/src/test/java/cacheproxy/proxy/FiguresTest.java
+++ b/src/test/java/cacheproxy/proxy/FiguresTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
-import cacheproxy.proxy.Proxy.Endings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -14,7 +13,7 @@
 /** What the proxy counts, against what scripted peers have counted on their side, to the last one. */
 @Timeout(60)
 class FiguresTest {
-    private static Proxy.Status status(Fleet fleet) {
+    private static ProxyStatus status(Fleet fleet) {
         return fleet.on(fleet.proxy::status);
     }
 
@@ -72,15 +71,15 @@
                     failed[kind]++;
                 }
             }
-            Proxy.Status s = status(fleet);
-            assertThat(s.classes().get("text")).isEqualTo(new Endings(served[0], refused[0], failed[0]));
-            assertThat(s.classes().get("fix")).isEqualTo(new Endings(served[1], refused[1], failed[1]));
-            assertThat(s.classes().get("publish")).isEqualTo(new Endings(0, 0, 0));
-            assertThat(s.forwards()).isEqualTo(commands.get() + fetched.get());
+            ProxyStatus s = status(fleet);
+            assertThat(s.outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(served[0], refused[0], failed[0]));
+            assertThat(s.outcomesByClass().get("fix")).isEqualTo(new ClassOutcomes(served[1], refused[1], failed[1]));
+            assertThat(s.outcomesByClass().get("publish")).isEqualTo(new ClassOutcomes(0, 0, 0));
+            assertThat(s.forwardedAttempts()).isEqualTo(commands.get() + fetched.get());
             assertThat(served[0]).isPositive();
             assertThat(failed[1]).isPositive();
-            assertThat(s.owed()).isZero();
-            assertThat(s.discovered()).isEqualTo(1);
+            assertThat(s.openRequests()).isZero();
+            assertThat(s.discoveredNodes()).isEqualTo(1);
         }
     }
 
@@ -92,9 +91,9 @@
             for (int i = 0; i < 4; i++) {
                 assertThat(client.line()).matches("(CLIENT_)?ERROR.*");
             }
-            assertThat(status(fleet).classes())
+            assertThat(status(fleet).outcomesByClass())
                     .containsOnlyKeys("text", "fix", "publish")
-                    .containsEntry("text", new Endings(0, 0, 1));
+                    .containsEntry("text", new ClassOutcomes(0, 0, 1));
         }
     }
 
@@ -112,13 +111,13 @@
                 client.read("1").line();
                 assertThat(client.bytes(200_000)).hasSizeLessThan(200_000);
             }
-            assertThat(status(fleet).classes().get("text")).isEqualTo(new Endings(0, 0, 1));
+            assertThat(status(fleet).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
             try (Fleet.Client client = fleet.client()) {
                 client.read("gone").line();
-                assertThat(status(fleet).owed()).isEqualTo(1);
+                assertThat(status(fleet).openRequests()).isEqualTo(1);
             }
-            Await.until("it is not owed any more", () -> status(fleet).owed() == 0);
-            assertThat(status(fleet).classes().get("text")).isEqualTo(new Endings(0, 0, 1));
+            Await.until("it is not owed any more", () -> status(fleet).openRequests() == 0);
+            assertThat(status(fleet).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
         }
     }
 
@@ -141,9 +140,9 @@
             fleet.on(() -> fleet.proxy.drain(100));
             assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(status(fleet).classes())
-                    .containsEntry("text", new Endings(0, 1, 0))
-                    .containsEntry("fix", new Endings(0, 0, 1));
+            assertThat(status(fleet).outcomesByClass())
+                    .containsEntry("text", new ClassOutcomes(0, 1, 0))
+                    .containsEntry("fix", new ClassOutcomes(0, 0, 1));
         }
     }
 
@@ -157,15 +156,15 @@
                         .node(FakeServer.node(line -> "VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n"))
                         .start();
                 Fleet.Client client = fleet.client()) {
-            assertThat(status(fleet).ejected()).isZero();
+            assertThat(status(fleet).ejectedNodes()).isZero();
             for (int i = 0; i < 8; i++) {
                 client.say("mg 7f3a9c21e0b4d65" + i + " v O" + i + " Pc=text,d=20000\r\n");
                 answers.add(client.line());
                 client.line();
             }
             assertThat(answers).allMatch(a -> a.startsWith("VA"));
-            Await.until("the one is avoided", () -> status(fleet).ejected() == 1);
-            assertThat(status(fleet).discovered()).isEqualTo(2);
+            Await.until("the one is avoided", () -> status(fleet).ejectedNodes() == 1);
+            assertThat(status(fleet).discoveredNodes()).isEqualTo(2);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -89,12 +89,13 @@
             LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fleet::host);
             fleet.start();
             assertThat(served(fleet, READS)).isEqualTo(READS);
-            List<Upstream> nodes = fleet.on(() -> fleet.proxy.core().servers().nodes());
+            List<Upstream> nodes =
+                    fleet.on(() -> fleet.proxy.dispatcher().servers().nodes());
             assertThat(nodes).hasSize(SERVERS).allMatch(u -> u.openedTimes() > 0);
             Await.until(
                     "no more connections than there are descriptors for",
-                    () -> fleet.on(() -> fleet.proxy.status().upstream()) <= SOCKETS / 3);
-            assertThat(fleet.on(() -> fleet.proxy.status().ejected()))
+                    () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) <= SOCKETS / 3);
+            assertThat(fleet.on(() -> fleet.proxy.status().ejectedNodes()))
                     .as("no server is held to be at fault")
                     .isZero();
         }
@@ -155,7 +156,7 @@
 
     private static Set<Integer> known(Fleet fleet) {
         Set<Integer> ids = new HashSet<>();
-        fleet.on(() -> fleet.proxy.core().servers().nodes()).forEach(u -> ids.add(u.id));
+        fleet.on(() -> fleet.proxy.dispatcher().servers().nodes()).forEach(u -> ids.add(u.id));
         return ids;
     }
 
@@ -188,7 +189,7 @@
             } finally {
                 come.countDown();
             }
-            Await.until("all of them", () -> fleet.on(() -> fleet.proxy.status().clients()) == CLIENTS);
+            Await.until("all of them", () -> fleet.on(() -> fleet.proxy.status().clientConnections()) == CLIENTS);
         }
     }
 
@@ -217,8 +218,8 @@
                     client.line();
                 }
             }
-            Map<String, Proxy.Endings> classes =
-                    fleet.on(() -> fleet.proxy.status().classes());
+            Map<String, ClassOutcomes> classes =
+                    fleet.on(() -> fleet.proxy.status().outcomesByClass());
             assertThat(classes).hasSize(CLASSES);
             assertThat(classes.values()).allMatch(e -> e.succeeded() == 1);
         }
@@ -239,12 +240,12 @@
                 fleet.host(host);
             }
             fleet.start();
-            fleet.proxy.join(new Proxy.Together(true, true, false));
+            fleet.proxy.joinFleet(new FleetFeatures(true, true, false));
             assertThat(served(fleet, SERVERS)).isEqualTo(SERVERS);
-            assertThat(fleet.on(() -> fleet.proxy.core().servers().inZone(ZONES - 1)))
+            assertThat(fleet.on(() -> fleet.proxy.dispatcher().servers().inZone(ZONES - 1)))
                     .isEqualTo(1);
             assertThat(fleet.on(() -> fleet.proxy.fleetView())).isNotNull();
-            assertThat(fleet.on(() -> fleet.proxy.zones())).isNotNull();
+            assertThat(fleet.on(() -> fleet.proxy.zoneDecisions())).isNotNull();
         }
     }
 
@@ -261,13 +262,13 @@
             Proxy next = Proxy.start(Config.parse(fleet.config), folder);
             fleet.parts.add(next::close);
             int discovered = next.loop()
-                    .submit(() -> next.status().discovered())
+                    .submit(() -> next.status().discoveredNodes())
                     .syncUninterruptibly()
                     .getNow();
             assertThat(discovered).isEqualTo(SERVERS);
             Await.until(
                     "the successor is believed",
-                    () -> fleet.on(() -> fleet.proxy.status().handovers()) == 1);
+                    () -> fleet.on(() -> fleet.proxy.status().completedHandovers()) == 1);
         }
     }
 
@@ -280,14 +281,14 @@
             fleet.config.addProperty("peer_listen", "127.0.0.1:0");
             LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fleet::host);
             fleet.start();
-            fleet.proxy.join(new Proxy.Together(true, false, false));
+            fleet.proxy.joinFleet(new FleetFeatures(true, false, false));
             fleet.on(() -> {
-                Dispatcher core = fleet.proxy.core();
+                Dispatcher core = fleet.proxy.dispatcher();
                 long before = core.counters().count(Metric.PEER_MESSAGES_SENT)
-                        + fleet.proxy.fleetView().dropped();
+                        + fleet.proxy.fleetView().droppedDatagrams();
                 core.servers().nodes().forEach(u -> core.report(u.id, EndpointSignal.UNRESPONSIVE));
                 assertThat(core.counters().count(Metric.PEER_MESSAGES_SENT)
-                                + fleet.proxy.fleetView().dropped()
+                                + fleet.proxy.fleetView().droppedDatagrams()
                                 - before)
                         .isEqualTo(SERVERS);
                 return null;
@@ -310,10 +311,10 @@
             byte[] bytes = Envelope.seal(List.of(
                     new Envelope.Item(PeerSocket.Kind.MODULE.number(), PeerSocket.Kind.VERSION, new byte[] {0})));
             last.send(new DatagramPacket(bytes, bytes.length, fleet.proxy.peerAddress()));
-            Counters counters = fleet.proxy.core().counters();
+            Counters counters = fleet.proxy.dispatcher().counters();
             Await.until("the message", () -> fleet.on(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
             fleet.on(() -> {
-                fleet.proxy.core().sendToPeer(PEERS - 1, new byte[] {0});
+                fleet.proxy.dispatcher().sendToPeer(PEERS - 1, new byte[] {0});
                 return null;
             });
             last.setSoTimeout(20_000);
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -22,7 +22,7 @@
     }
 
     private static long used(Fleet fleet) {
-        return fleet.on(() -> fleet.proxy.values().reserved());
+        return fleet.on(() -> fleet.proxy.valueBudget().reserved());
     }
 
     private static FakeServer origin() throws IOException {
--- a/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
+++ b/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
@@ -37,8 +37,8 @@
     private static void awaitWaiting(Fleet fleet, int requests) {
         Await.until(
                 "requests wait for a connection",
-                () -> fleet.on(() -> fleet.proxy.status().owed() == requests
-                        && fleet.proxy.status().upstream() > 0));
+                () -> fleet.on(() -> fleet.proxy.status().openRequests() == requests
+                        && fleet.proxy.status().upstreamConnections() > 0));
     }
 
     private static void leaves(Consumer<JsonObject> change) throws Exception {
@@ -126,7 +126,7 @@
             leader.read("1");
             node.next();
             Await.until(
-                    "its fetch waits", () -> fleet.on(() -> fleet.proxy.status().upstream()) == 2);
+                    "its fetch waits", () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) == 2);
             Fleet.Client waiter = fleet.client().read("2");
             node.next();
             fleet.client().say("mn\r\n").line(); // the event loop has been round: the miss has come
@@ -168,7 +168,7 @@
             client.say("mg " + first + " v O1 Pc=text,d=20000\r\n");
             Await.until(
                     "the second copy waits",
-                    () -> fleet.on(() -> fleet.proxy.status().upstream()) == 2);
+                    () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) == 2);
             copied.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -130,7 +130,7 @@
     private static void awaitPhase(Fleet fleet, Phase phase) {
         Await.until(
                 "the handover is " + phase,
-                () -> fleet.on(() -> fleet.proxy.status().handover()) == phase);
+                () -> fleet.on(() -> fleet.proxy.status().handoverPhase()) == phase);
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/ListCallsTest.java
+++ b/src/test/java/cacheproxy/proxy/ListCallsTest.java
@@ -300,7 +300,7 @@
             assertThat(discovery.next()).contains("since=41&");
             assertThat(discovery.next()).contains("since=0&");
             assertThat(discovery.next()).contains("since=3&");
-            assertThat(fleet.on(() -> fleet.proxy.status().discovered())).isEqualTo(1);
+            assertThat(fleet.on(() -> fleet.proxy.status().discoveredNodes())).isEqualTo(1);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/ListTroubleTest.java
+++ b/src/test/java/cacheproxy/proxy/ListTroubleTest.java
@@ -164,7 +164,7 @@
             fleet.start();
             Await.until(
                     "the change is in use",
-                    () -> fleet.on(() -> fleet.proxy.core().servers().get(0xbeef)) != null);
+                    () -> fleet.on(() -> fleet.proxy.dispatcher().servers().get(0xbeef)) != null);
             return (System.nanoTime() - from) / 1e6;
         }
     }
--- a/src/test/java/cacheproxy/proxy/OlderListTest.java
+++ b/src/test/java/cacheproxy/proxy/OlderListTest.java
@@ -91,7 +91,7 @@
         try (Fleet fleet = fleet(discovery).start()) {
             Await.until(
                     "the older list, which has a server more",
-                    () -> fleet.on(() -> fleet.proxy.status().discovered()) == 3);
+                    () -> fleet.on(() -> fleet.proxy.status().discoveredNodes()) == 3);
             readAll(fleet);
             assertThat(drained.commands).as("reads of the drained server").isEmpty();
         }
@@ -118,7 +118,7 @@
             });
             double ms = (calledNanos.get(calls) - calledNanos.get(0)) / 1e6;
             assertThat(ms).as("the time of %d calls", calls).isGreaterThan(calls * 80.0);
-            assertThat(fleet.on(() -> fleet.proxy.status().discovered())).isBetween(2, 3);
+            assertThat(fleet.on(() -> fleet.proxy.status().discoveredNodes())).isBetween(2, 3);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
@@ -89,8 +89,8 @@
             for (String file : new String[] {"snapshot", "journal"}) {
                 Files.write(kept.resolve(file), PinnedFile.bytes("state/journal-torn/" + file));
             }
-            fleet.proxy = Proxy.start(Config.parse(fleet.config), null, new Proxy.Kept(kept, "edge"));
-            fleet.proxy.join(new Proxy.Together(true, true, true));
+            fleet.proxy = Proxy.start(Config.parse(fleet.config), null, new StateLocation(kept, "edge"));
+            fleet.proxy.joinFleet(new FleetFeatures(true, true, true));
             ControlRegistry registry = fleet.on(() -> ProxyControl.registry(fleet.proxy));
             Path path = folder.resolve("c");
             try (ControlServer server = new ControlServer(fleet.proxy.loop(), path, registry);
--- a/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
@@ -95,8 +95,8 @@
             write(client, "fix", "1");
             Await.until(
                     "it waits for the connection",
-                    () -> fleet.on(() -> fleet.proxy.status().owed() == 1
-                            && fleet.proxy.status().upstream() == 1));
+                    () -> fleet.on(() -> fleet.proxy.status().openRequests() == 1
+                            && fleet.proxy.status().upstreamConnections() == 1));
             origin.open();
             assertThat(client.line()).isEqualTo("HD O1 creceipt");
             String extras = origin.commands.stream()
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -38,7 +38,8 @@
                 new Fleet().node(node).set("caps.may-cancel", "false").start()) {
             Fleet.Client gone = fleet.client().read("1");
             assertThat(FakeServer.id(node.next())).isEqualTo("1");
-            int server = fleet.on(() -> fleet.proxy.core().servers().nodes().get(0).id);
+            int server =
+                    fleet.on(() -> fleet.proxy.dispatcher().servers().nodes().get(0).id);
             CountDownLatch stands = new CountDownLatch(1);
             CountDownLatch go = new CountDownLatch(1);
             fleet.proxy.loop().execute(() -> {
@@ -48,7 +49,7 @@
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                fleet.proxy.core().send(1, server, 0); // as a timer of the module would, before the end is read
+                fleet.proxy.dispatcher().send(1, server, 0); // as a timer of the module would, before the end is read
             });
             stands.await();
             long since = System.nanoTime();
@@ -56,14 +57,17 @@
             Await.until("it is held up", () -> System.nanoTime() - since > HELD_NANOS);
             go.countDown();
             Await.until(
-                    "its end is seen", () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 0);
+                    "its end is seen",
+                    () -> fleet.on(() -> fleet.proxy.dispatcher().openRequests()) == 0);
             try (Fleet.Client next = fleet.client().read("2")) {
                 assertThat(FakeServer.id(node.next())).isEqualTo("2");
                 assertThat(next.line()).isEqualTo("VA 5 O2");
             }
-            assertThat(fleet.on(() -> fleet.proxy.core().rules().forbidden()).keySet())
+            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().forbidden())
+                            .keySet())
                     .isSubsetOf(Verdict.CLIENT_DISCONNECTED);
-            assertThat(fleet.on(() -> fleet.proxy.core().rules().breaches())).isEmpty();
+            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().breaches()))
+                    .isEmpty();
         }
     }
 
@@ -74,13 +78,16 @@
         }
         try (Fleet fleet = new Fleet().node(answersOnly("none")).start()) {
             Fleet.Client client = fleet.client().say(reads.toString());
-            Await.until("some are out", () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 32);
+            Await.until(
+                    "some are out",
+                    () -> fleet.on(() -> fleet.proxy.dispatcher().openRequests()) == 32);
             long since = System.nanoTime();
             client.close();
             Await.until(
-                    "its end is seen", () -> fleet.on(() -> fleet.proxy.core().openRequests()) == 0);
+                    "its end is seen",
+                    () -> fleet.on(() -> fleet.proxy.dispatcher().openRequests()) == 0);
             assertThat(System.nanoTime() - since).isLessThan(SOON_NANOS);
-            assertThat(fleet.on(() -> fleet.proxy.clients().open())).isZero();
+            assertThat(fleet.on(() -> fleet.proxy.clientAcceptor().open())).isZero();
         }
     }
 
@@ -126,11 +133,11 @@
             client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             origin.next();
             fleet.on(() -> {
-                fleet.proxy.core().reject(1, 0);
+                fleet.proxy.dispatcher().reject(1, 0);
                 return null;
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(fleet.on(() -> fleet.proxy.core().rules().breaches()))
+            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().breaches()))
                     .containsEntry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, 1L);
             assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).breaches())
                     .as("what status and figures show")
@@ -146,10 +153,10 @@
             client.read("1");
             node.next();
             fleet.on(() -> {
-                fleet.proxy.core().send(1, 12345, 0);
+                fleet.proxy.dispatcher().send(1, 12345, 0);
                 return null;
             });
-            assertThat(fleet.on(() -> fleet.proxy.core().rules().forbidden()))
+            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().forbidden()))
                     .containsEntry(Verdict.ENDPOINT_NOT_READY, 1L);
         }
     }
--- a/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
@@ -50,7 +50,7 @@
         return c;
     }
 
-    private static Proxy.Status status(Fleet fleet) {
+    private static ProxyStatus status(Fleet fleet) {
         return fleet.on(fleet.proxy::status);
     }
 
@@ -74,10 +74,10 @@
             fleet.reload();
             assertThat(ask(client, "3", "seg-new")).startsWith("VA");
             assertThat(ask(client, "4", "seg-text")).startsWith("CLIENT_ERROR");
-            assertThat(status(fleet).applied()).isEqualTo(1);
-            assertThat(status(fleet).classes())
-                    .containsEntry("seg-text", new Proxy.Endings(1, 0, 1))
-                    .containsEntry("seg-new", new Proxy.Endings(1, 0, 0));
+            assertThat(status(fleet).reloadsApplied()).isEqualTo(1);
+            assertThat(status(fleet).outcomesByClass())
+                    .containsEntry("seg-text", new ClassOutcomes(1, 0, 1))
+                    .containsEntry("seg-new", new ClassOutcomes(1, 0, 0));
         }
     }
 
@@ -98,7 +98,7 @@
             fleet.reload();
             go.countDown();
             assertThat(client.line()).isEqualTo("VA 2 O1");
-            assertThat(status(fleet).classes()).containsEntry("seg-text", new Proxy.Endings(1, 0, 0));
+            assertThat(status(fleet).outcomesByClass()).containsEntry("seg-text", new ClassOutcomes(1, 0, 0));
         }
     }
 
@@ -135,15 +135,15 @@
                 clients.add(client);
             }
             slow.next();
-            Await.until("each has been sent once", () -> status(fleet).forwards() == clients.size());
+            Await.until("each has been sent once", () -> status(fleet).forwardedAttempts() == clients.size());
             fleet.config.getAsJsonObject("settings").getAsJsonObject("caps").addProperty("max-attempts", 1);
             fleet.reload();
-            long before = status(fleet).forwards();
+            long before = status(fleet).forwardedAttempts();
             go.countDown();
             for (Fleet.Client client : clients) {
                 assertThat(client.line()).matches("VA .*|SERVER_ERROR busy.*");
             }
-            assertThat(status(fleet).forwards()).isEqualTo(before);
+            assertThat(status(fleet).forwardedAttempts()).isEqualTo(before);
         }
     }
 
@@ -177,15 +177,15 @@
                 change.accept(copy);
                 fleet.reload(copy.toString());
                 broken++;
-                assertThat(status(fleet).rejected()).as("%s", copy).isEqualTo(broken);
+                assertThat(status(fleet).reloadsRejected()).as("%s", copy).isEqualTo(broken);
             }
-            assertThat(status(fleet).applied()).isZero();
+            assertThat(status(fleet).reloadsApplied()).isZero();
             // Connected only now: the proxy closes a client that stays silent through the reloads above.
             try (Fleet.Client client = fleet.client()) {
                 assertThat(ask(client, "1", "seg-text")).startsWith("VA");
             }
             fleet.reload(good);
-            assertThat(status(fleet).applied()).isEqualTo(1);
+            assertThat(status(fleet).reloadsApplied()).isEqualTo(1);
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -150,9 +150,9 @@
                         new DeadlineText("mg 7f3a v O" + i + " Pc=text,d=", ""));
                 fleet.on(() -> {
                     fleet.proxy
-                            .core()
+                            .dispatcher()
                             .accept(new ClientRequest(
-                                    client, read, fleet.proxy.core().now()));
+                                    client, read, fleet.proxy.dispatcher().now()));
                     return null;
                 });
                 next.release();
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -47,14 +47,14 @@
 
     private static Phase phase(Proxy proxy) {
         return proxy.loop()
-                .submit(() -> proxy.status().handover())
+                .submit(() -> proxy.status().handoverPhase())
                 .syncUninterruptibly()
                 .getNow();
     }
 
     private static long answered(Proxy proxy) {
         return proxy.loop()
-                .submit(() -> proxy.status().answered())
+                .submit(() -> proxy.status().completedRequests())
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -125,7 +125,8 @@
                 Fleet.Client mute = fleet.client()) {
             long owedBy = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
             Await.until(
-                    "it has come", () -> fleet.on(() -> fleet.proxy.clients().open()) == 1);
+                    "it has come",
+                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().open()) == 1);
             successor(fleet);
             Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             Thread ending = end(fleet.proxy);
@@ -201,11 +202,12 @@
                 String key = Long.toHexString(System.nanoTime());
                 client.say("mg " + key + " v O" + key + " Pc=text,d=20000\r\n");
                 served(client, key);
-                return fleet.on(() -> fleet.proxy.status().ejected()) == 1; // what is only doubted is known of, too
+                return fleet.on(() -> fleet.proxy.status().ejectedNodes())
+                        == 1; // what is only doubted is known of, too
             });
             Proxy next = successor(fleet);
             assertThat(next.loop()
-                            .submit(() -> next.status().ejected())
+                            .submit(() -> next.status().ejectedNodes())
                             .syncUninterruptibly()
                             .getNow())
                     .as("before it has sent anything")
--- a/src/test/java/cacheproxy/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/UpstreamTest.java
@@ -100,7 +100,7 @@
                 Fleet.Client client = fleet.client()) {
             servesReads(client, 60);
             assertThat(crowded.commands).hasSize(1);
-            assertThat(fleet.on(() -> fleet.proxy.status().ejected())).isZero();
+            assertThat(fleet.on(() -> fleet.proxy.status().ejectedNodes())).isZero();
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/WallClockTest.java
+++ b/src/test/java/cacheproxy/proxy/WallClockTest.java
@@ -41,9 +41,11 @@
                 .start()) {
             Await.until(
                     "its start is known",
-                    () -> fleet.on(() -> fleet.proxy.core().servers().nodes().get(0).bornMs == told + aheadMs));
-            List<Double> warm = fleet.on(() -> fleet.proxy.core().servers().warmAt(0, WARM_UP_MS));
-            return warm.get(0) - fleet.on(() -> fleet.proxy.core().now());
+                    () -> fleet.on(
+                            () -> fleet.proxy.dispatcher().servers().nodes().get(0).bornMs == told + aheadMs));
+            List<Double> warm =
+                    fleet.on(() -> fleet.proxy.dispatcher().servers().warmAt(0, WARM_UP_MS));
+            return warm.get(0) - fleet.on(() -> fleet.proxy.dispatcher().now());
         }
     }
 
