--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -1,6 +1,6 @@
 package cacheproxy.control;
 
-import cacheproxy.control.Figure.Kind;
+import cacheproxy.control.MetricSample.Kind;
 import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.membership.View;
 import cacheproxy.proxy.EndpointListStatus;
@@ -46,7 +46,7 @@
             o.addProperty("values_waiting", s.waitingValues());
             return o;
         });
-        registry.section(HandoverCall.SECTION, () -> {
+        registry.section(HandoverCommand.SECTION, () -> {
             ProxyStatus s = proxy.status();
             JsonObject o = new JsonObject();
             o.addProperty("phase", s.handoverPhase().statusName());
@@ -76,8 +76,8 @@
         registry.section("rules", () -> rules(proxy.ruleCounts()));
         registry.section("view", () -> view(proxy.fleetView()));
         registry.command("view", arguments -> members(proxy.fleetView()));
-        ZoneCall.register(registry, proxy::zoneDecisions);
-        RecoveryCall.register(registry, proxy::recoveryStatus);
+        ZoneControl.register(registry, proxy::zoneDecisions);
+        RecoveryReport.register(registry, proxy::recoveryStatus);
         return registry;
     }
 
@@ -103,23 +103,23 @@
         return o;
     }
 
-    private static List<Figure> figures(ProxyStatus s, RuleCounts rules) {
-        List<Figure> figures = new ArrayList<>();
+    private static List<MetricSample> figures(ProxyStatus s, RuleCounts rules) {
+        List<MetricSample> figures = new ArrayList<>();
         s.outcomesByClass().forEach((name, c) -> {
-            figures.add(new Figure("succeeded." + name, Kind.COUNT, c.succeeded()));
-            figures.add(new Figure("declined." + name, Kind.COUNT, c.rejected()));
-            figures.add(new Figure("aborted." + name, Kind.COUNT, c.failed()));
+            figures.add(new MetricSample("succeeded." + name, Kind.COUNT, c.succeeded()));
+            figures.add(new MetricSample("declined." + name, Kind.COUNT, c.rejected()));
+            figures.add(new MetricSample("aborted." + name, Kind.COUNT, c.failed()));
         });
-        figures.add(new Figure("forwards", Kind.COUNT, s.forwardedAttempts()));
-        figures.add(new Figure("outstanding", Kind.GAUGE, s.openRequests()));
-        figures.add(new Figure("discovered", Kind.GAUGE, s.discoveredNodes()));
-        figures.add(new Figure("ejected", Kind.GAUGE, s.ejectedNodes()));
-        figures.add(new Figure("sighup_applied", Kind.COUNT, s.reloadsApplied()));
-        figures.add(new Figure("sighup_rejected", Kind.COUNT, s.reloadsRejected()));
+        figures.add(new MetricSample("forwards", Kind.COUNT, s.forwardedAttempts()));
+        figures.add(new MetricSample("outstanding", Kind.GAUGE, s.openRequests()));
+        figures.add(new MetricSample("discovered", Kind.GAUGE, s.discoveredNodes()));
+        figures.add(new MetricSample("ejected", Kind.GAUGE, s.ejectedNodes()));
+        figures.add(new MetricSample("sighup_applied", Kind.COUNT, s.reloadsApplied()));
+        figures.add(new MetricSample("sighup_rejected", Kind.COUNT, s.reloadsRejected()));
         new TreeMap<>(rules.forbidden())
-                .forEach((key, count) -> figures.add(new Figure("forbidden." + key, Kind.COUNT, count)));
+                .forEach((key, count) -> figures.add(new MetricSample("forbidden." + key, Kind.COUNT, count)));
         new TreeMap<>(rules.breaches())
-                .forEach((key, count) -> figures.add(new Figure("breaches." + key, Kind.COUNT, count)));
+                .forEach((key, count) -> figures.add(new MetricSample("breaches." + key, Kind.COUNT, count)));
         return figures;
     }
 
--- a/src/main/java/cacheproxy/proxy/ConfigReloader.java
+++ b/src/main/java/cacheproxy/proxy/ConfigReloader.java
@@ -48,7 +48,7 @@
 
     private void apply(Config next, Routing routing) {
         dispatcher.applySettings(next);
-        discovery.settle(next.discoverySettings());
+        discovery.updateSettings(next.discoverySettings());
         if (routing != null) {
             dispatcher.replaceRoutes(routing);
         }
--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -3,8 +3,8 @@
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.membership.Phase;
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.recovery.Source;
-import cacheproxy.recovery.Trust;
+import cacheproxy.recovery.Provenance;
+import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.state.RecordKind;
 import cacheproxy.state.StoredRecord;
 import com.google.gson.JsonPrimitive;
@@ -22,7 +22,7 @@
     private final DiscoveryClient discovery;
     private final ClientAcceptor acceptor;
     /** Null where nothing is stored. */
-    private final StateLink stateLink;
+    private final StatePersistence stateLink;
 
     private final RestoredState restored;
     private final boolean tookOver;
@@ -47,7 +47,7 @@
             PeerSocket peers,
             DiscoveryClient discovery,
             ClientAcceptor acceptor,
-            StateLink stateLink,
+            StatePersistence stateLink,
             RestoredState restored,
             boolean tookOver,
             Supplier<Config> config) {
@@ -67,8 +67,12 @@
             joinMembership(features);
         }
         if (features.recovery() && members != null) {
-            boolean nothingLearned = dispatcher.trust().of(Trust.Thing.LEARNT).source() == Source.NONE;
-            dispatcher.recall(new RecallLink(dispatcher, peers, members, discovery, nothingLearned));
+            boolean nothingLearned = dispatcher
+                            .trust()
+                            .entry(ProvenanceTracker.Subject.LEARNED_STATE)
+                            .provenance()
+                    == Provenance.NONE;
+            dispatcher.recall(new StateQueryLink(dispatcher, peers, members, discovery, nothingLearned));
         }
         if (features.recovery()) {
             recovery = new RecoveryLink(dispatcher, members, acceptor, tookOver, this::restartDiscovery);
@@ -133,11 +137,11 @@
         if (zones != null) {
             Map<Integer, Held> held = zones.zones().held();
             records.put(
-                    RecordKind.ZONES,
-                    new StoredRecord(RecordKind.ZONES, now, ZoneForm.json(held, false, zones.names())));
+                    RecordKind.ZONE_STATES,
+                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneForm.json(held, false, zones.names())));
             records.put(
-                    RecordKind.ORDERS,
-                    new StoredRecord(RecordKind.ORDERS, now, ZoneForm.json(held, true, zones.names())));
+                    RecordKind.OPERATOR_ORDERS,
+                    new StoredRecord(RecordKind.OPERATOR_ORDERS, now, ZoneForm.json(held, true, zones.names())));
         }
         return records;
     }
@@ -168,6 +172,6 @@
                         members.view(),
                         members.unreadable(),
                         members.deathsRefuted(),
-                        peers.outbox().dropped());
+                        peers.outbox().droppedDatagrams());
     }
 }
--- a/src/main/java/cacheproxy/proxy/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/GracefulShutdown.java
@@ -23,7 +23,7 @@
     private final HandoverServer handoverServer;
     private final FleetParticipation fleet;
     /** Null where nothing is stored. */
-    private final StateLink stateLink;
+    private final StatePersistence stateLink;
 
     private final DrainCoordinator drain;
     private final CountDownLatch completed = new CountDownLatch(1);
@@ -37,7 +37,7 @@
             HandoverStateMachine handover,
             HandoverServer handoverServer,
             FleetParticipation fleet,
-            StateLink stateLink) {
+            StatePersistence stateLink) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.handover = handover;
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -2,11 +2,11 @@
 
 import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.flow.ByteBudget;
-import cacheproxy.gossip.ListNews;
-import cacheproxy.gossip.ProvisionalMembership;
+import cacheproxy.gossip.ListVersionGossip;
+import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.proxy.discovery.ProvisionalList;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.lifecycle.ConfigFileWatcher;
 import cacheproxy.proxy.lifecycle.SighupHandler;
 import cacheproxy.route.Router;
@@ -64,13 +64,13 @@
     private final GracefulShutdown shutdown;
     private final RestoredState restored;
     /** Null where nothing is stored. */
-    private final StateLink stateLink;
+    private final StatePersistence stateLink;
 
     // ---- start
 
     private Proxy(Config config, RouteSource routes, boolean warmUp, Path takeoverFolder, StateLocation storage)
             throws InterruptedException, IOException {
-        stateLink = storage == null ? null : new StateLink(storage.folder(), config.name(), storage.fleetName());
+        stateLink = storage == null ? null : new StatePersistence(storage.folder(), config.name(), storage.fleetName());
         Routing routing = routes == null ? null : routes.read(config.names());
         if (warmUp) {
             WarmUp.run(config);
@@ -78,7 +78,7 @@
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
         peers = new PeerSocket(loop, config, dispatcher::peerMessageReceived, dispatcher.counters());
         acceptor = new ClientAcceptor(dispatcher, maxClients(config));
-        ProvisionalList list = provisionalList(config);
+        EndpointListPublisher list = provisionalList(config);
         discovery = discoveryClient(config, list);
         reloader = new ConfigReloader(config, routes, loop, dispatcher, discovery);
         handoverServer = new HandoverServer(loop, takeoverFolder, handover, acceptor, this::takeoverSnapshot);
@@ -102,13 +102,13 @@
         return Math.max(MIN_CLIENTS, config.sockets() - config.sockets() / 3 - RESERVED_DESCRIPTORS);
     }
 
-    private ProvisionalList provisionalList(Config config) {
+    private EndpointListPublisher provisionalList(Config config) {
         RoutingSettings settings = config.settings();
         int originKind = settings.cacheAside() ? settings.originKind() : NO_ENDPOINT_KIND;
-        return new ProvisionalList(dispatcher, new ProvisionalMembership(originKind), dispatcher::now);
+        return new EndpointListPublisher(dispatcher, new ProvisionalEndpoints(originKind), dispatcher::now);
     }
 
-    private DiscoveryClient discoveryClient(Config config, ProvisionalList list) {
+    private DiscoveryClient discoveryClient(Config config, EndpointListPublisher list) {
         Bootstrap connections =
                 new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.TCP_NODELAY, true);
         return new DiscoveryClient(loop, connections, config.discoverySettings(), list, dispatcher::now);
@@ -119,7 +119,7 @@
         return new RestoredState(snapshot, stored, dispatcher.trust(), dispatcher.now());
     }
 
-    private void startSubsystems(ProvisionalList list, Routing routing) {
+    private void startSubsystems(EndpointListPublisher list, Routing routing) {
         Config config = config();
         dispatcher.start(discovery, peers, acceptor, routing);
         discovery.start(restored.endpointList(config.known()));
@@ -133,10 +133,10 @@
         loop.scheduleWithFixedDelay(acceptor::sweep, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S, TimeUnit.SECONDS);
     }
 
-    private void startListGossip(Config config, ProvisionalList list) {
+    private void startListGossip(Config config, EndpointListPublisher list) {
         RoutingSettings settings = config.settings();
-        ListNews news = new ListNews(settings.instanceCount(), settings.instanceSeed(config.seed()));
-        news.begin(discovery.version());
+        ListVersionGossip news = new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
+        news.start(discovery.version());
         dispatcher.news(
                 new PeerNews(dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
     }
@@ -264,7 +264,7 @@
     // ---- takeover
 
     private TakeoverSnapshot takeoverSnapshot() {
-        return new TakeoverSnapshot(discovery.list(), dispatcher.learnedState(), fleet.records());
+        return new TakeoverSnapshot(discovery.snapshot(), dispatcher.learnedState(), fleet.records());
     }
 
     /** Ends an idle client's connection during a drain, or passes it to the successor. */
@@ -336,7 +336,7 @@
 
     /** How fresh the endpoint list is. On the event loop only. */
     public EndpointListStatus endpointListStatus() {
-        return new EndpointListStatus(discovery.version(), dispatcher.now() - discovery.answeredMs());
+        return new EndpointListStatus(discovery.version(), dispatcher.now() - discovery.lastResponseMs());
     }
 
     /** The routes with their counters; null where there are none. On the event loop only. */
--- a/src/main/java/cacheproxy/proxy/RecoveryStatus.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryStatus.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.recovery.Progress;
-import cacheproxy.recovery.Spread;
-import cacheproxy.recovery.Trust;
+import cacheproxy.recovery.ConnectionRebalancer;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.recovery.RecoveryProgress;
 import cacheproxy.state.OpenedState;
 import cacheproxy.state.RecordStore;
 
@@ -19,9 +19,9 @@
  * @param ownsFolder whether it holds the lock and so is the only one that writes there
  */
 public record RecoveryStatus(
-        Trust trust,
-        Progress progress,
-        Spread spread,
+        ProvenanceTracker trust,
+        RecoveryProgress progress,
+        ConnectionRebalancer spread,
         double requestsPerSecond,
         OpenedState opened,
         RecordStore keeper,
--- a/src/main/java/cacheproxy/proxy/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/RestoredState.java
@@ -2,9 +2,9 @@
 
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.membership.Entry;
-import cacheproxy.recovery.Source;
-import cacheproxy.recovery.Trust;
-import cacheproxy.recovery.Trust.Thing;
+import cacheproxy.recovery.Provenance;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.recovery.ProvenanceTracker.Subject;
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.LoadCount;
@@ -21,24 +21,24 @@
 /**
  * What this process knows from before its start: from the process that it takes over from, and for what that one did
  * not pass, from the state folder, as far as its age allows. Each piece of data that is used is recorded in
- * {@link Trust}.
+ * {@link ProvenanceTracker}.
  */
 final class RestoredState {
-    private static final Map<RecordKind, Thing> THING_BY_KIND = Map.of(
-            RecordKind.LIST,
-            Thing.LIST,
-            RecordKind.LEARNT,
-            Thing.LEARNT,
-            RecordKind.ZONES,
-            Thing.ZONES,
-            RecordKind.ORDERS,
-            Thing.ZONES,
+    private static final Map<RecordKind, Subject> SUBJECT_BY_KIND = Map.of(
+            RecordKind.ENDPOINT_LIST,
+            Subject.ENDPOINT_LIST,
+            RecordKind.LEARNED_STATE,
+            Subject.LEARNED_STATE,
+            RecordKind.ZONE_STATES,
+            Subject.ZONE_STATES,
+            RecordKind.OPERATOR_ORDERS,
+            Subject.ZONE_STATES,
             RecordKind.INCARNATION,
-            Thing.INCARNATION);
+            Subject.INCARNATION);
 
     private final Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
-    private final Map<RecordKind, Source> sources = new EnumMap<>(RecordKind.class);
-    private final Trust trust;
+    private final Map<RecordKind, Provenance> sources = new EnumMap<>(RecordKind.class);
+    private final ProvenanceTracker trust;
     private final double nowMs;
 
     /**
@@ -47,48 +47,51 @@
      * @param predecessor null where no process is taken over from
      * @param nowMs wall clock time, in milliseconds
      */
-    RestoredState(TakeoverSnapshot predecessor, OpenedState stored, Trust trust, double nowMs) {
+    RestoredState(TakeoverSnapshot predecessor, OpenedState stored, ProvenanceTracker trust, double nowMs) {
         this.trust = trust;
         this.nowMs = nowMs;
-        add(stored.records(), Source.STORED);
+        add(stored.records(), Provenance.STORED);
         if (predecessor != null) {
-            add(predecessor.records(), Source.PREDECESSOR);
+            add(predecessor.records(), Provenance.PREDECESSOR);
             add(
                     Map.of(
-                            RecordKind.LIST,
-                            new StoredRecord(RecordKind.LIST, nowMs, predecessor.endpointList()),
-                            RecordKind.LEARNT,
-                            new StoredRecord(RecordKind.LEARNT, nowMs, LearntForm.json(predecessor.learnedState()))),
-                    Source.PREDECESSOR);
+                            RecordKind.ENDPOINT_LIST,
+                            new StoredRecord(RecordKind.ENDPOINT_LIST, nowMs, predecessor.endpointList()),
+                            RecordKind.LEARNED_STATE,
+                            new StoredRecord(
+                                    RecordKind.LEARNED_STATE,
+                                    nowMs,
+                                    LearnedStateCodec.json(predecessor.learnedState()))),
+                    Provenance.PREDECESSOR);
         }
     }
 
-    private void add(Map<RecordKind, StoredRecord> more, Source source) {
+    private void add(Map<RecordKind, StoredRecord> more, Provenance source) {
         more.forEach((kind, r) -> {
             records.put(kind, r);
             sources.put(kind, source);
         });
     }
 
-    private Validity use(RecordKind kind) {
+    private Validity validity(RecordKind kind) {
         StoredRecord r = records.get(kind);
-        return r == null ? Validity.NOTHING : r.use(nowMs);
+        return r == null ? Validity.UNUSABLE : r.validity(nowMs);
     }
 
     /** Whether data of this kind is recent enough to decide by. */
     boolean isValid(RecordKind kind) {
-        return use(kind) == Validity.HOLDS;
+        return validity(kind) == Validity.VALID;
     }
 
     private void recordUse(RecordKind kind) {
         StoredRecord r = records.get(kind);
-        boolean hint = use(kind) == Validity.HINT;
-        trust.taken(
+        boolean hint = validity(kind) == Validity.HINT;
+        trust.adopted(
                 nowMs,
-                THING_BY_KIND.get(kind),
+                SUBJECT_BY_KIND.get(kind),
                 sources.get(kind),
-                nowMs - r.toldMs(),
-                hint || kind == RecordKind.LIST ? kind.hintMs() : kind.holdsMs(),
+                nowMs - r.recordedAtMs(),
+                hint || kind == RecordKind.ENDPOINT_LIST ? kind.hintForMs() : kind.validForMs(),
                 hint);
     }
 
@@ -97,49 +100,50 @@
      * configured one if the versions are equal. Null if there is neither.
      */
     JsonObject endpointList(JsonObject configured) {
-        StoredRecord r = records.get(RecordKind.LIST);
+        StoredRecord r = records.get(RecordKind.ENDPOINT_LIST);
         if (configured != null) {
-            trust.taken(nowMs, Thing.LIST, Source.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
+            trust.adopted(
+                    nowMs, Subject.ENDPOINT_LIST, Provenance.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
         }
         if (r == null) {
             return configured;
         }
         try {
             JsonObject list = r.body().getAsJsonObject();
-            if (use(RecordKind.LIST) == Validity.NOTHING) {
-                trust.refused(Thing.LIST);
+            if (validity(RecordKind.ENDPOINT_LIST) == Validity.UNUSABLE) {
+                trust.rejected(Subject.ENDPOINT_LIST);
                 return configured;
             }
             if (configured == null
                     || list.get("seq").getAsLong() > configured.get("seq").getAsLong()) {
-                recordUse(RecordKind.LIST);
+                recordUse(RecordKind.ENDPOINT_LIST);
                 return list;
             }
         } catch (RuntimeException e) {
-            trust.refused(Thing.LIST);
+            trust.rejected(Subject.ENDPOINT_LIST);
         }
         return configured;
     }
 
     /** What was learned, by pool name; if it is too old for that, the suspected endpoints alone; empty for nothing. */
     Map<String, LearnedState> learnedState() {
-        Validity use = use(RecordKind.LEARNT);
-        if (use == Validity.NOTHING) {
-            if (records.containsKey(RecordKind.LEARNT)) {
-                trust.refused(Thing.LEARNT);
+        Validity use = validity(RecordKind.LEARNED_STATE);
+        if (use == Validity.UNUSABLE) {
+            if (records.containsKey(RecordKind.LEARNED_STATE)) {
+                trust.rejected(Subject.LEARNED_STATE);
             }
             return Map.of();
         }
         try {
-            Map<String, LearnedState> all = new HashMap<>(
-                    LearntForm.read(records.get(RecordKind.LEARNT).body().getAsJsonObject()));
+            Map<String, LearnedState> all = new HashMap<>(LearnedStateCodec.read(
+                    records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
             if (use == Validity.HINT) {
                 all.replaceAll((pool, e) -> suspectsOnly(e));
             }
-            recordUse(RecordKind.LEARNT);
+            recordUse(RecordKind.LEARNED_STATE);
             return all;
         } catch (RuntimeException e) {
-            trust.refused(Thing.LEARNT);
+            trust.rejected(Subject.LEARNED_STATE);
             return Map.of();
         }
     }
@@ -175,7 +179,7 @@
             }
             return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
-            trust.refused(Thing.INCARNATION);
+            trust.rejected(Subject.INCARNATION);
             return 0;
         }
     }
@@ -193,7 +197,7 @@
             }
             return held;
         } catch (RuntimeException e) {
-            trust.refused(Thing.ZONES);
+            trust.rejected(Subject.ZONE_STATES);
             return Map.of();
         }
     }
--- a/src/main/java/cacheproxy/proxy/TakeoverSnapshot.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverSnapshot.java
@@ -34,9 +34,9 @@
         JsonObject snapshot = new JsonObject();
         snapshot.addProperty("v", VERSION);
         snapshot.add("list", endpointList);
-        snapshot.add("learnt", LearntForm.json(learnedState));
+        snapshot.add("learnt", LearnedStateCodec.json(learnedState));
         JsonArray recordArray = new JsonArray();
-        records.values().forEach(r -> recordArray.add(r.json()));
+        records.values().forEach(r -> recordArray.add(r.toJson()));
         snapshot.add("kept", recordArray);
         return snapshot.toString();
     }
@@ -52,10 +52,11 @@
             throw new IllegalArgumentException("version " + snapshot.get("v"));
         }
         Map<String, LearnedState> learnedState =
-                snapshot.has("learnt") ? LearntForm.read(snapshot.getAsJsonObject("learnt")) : Map.of();
+                snapshot.has("learnt") ? LearnedStateCodec.read(snapshot.getAsJsonObject("learnt")) : Map.of();
         Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
         if (snapshot.has("kept")) {
-            snapshot.getAsJsonArray("kept").forEach(e -> StoredRecord.read(e).ifPresent(r -> records.put(r.kind(), r)));
+            snapshot.getAsJsonArray("kept")
+                    .forEach(e -> StoredRecord.fromJson(e).ifPresent(r -> records.put(r.kind(), r)));
         }
         return new TakeoverSnapshot(snapshot.getAsJsonObject("list"), learnedState, records);
     }
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.proxy.discovery.Host;
-import cacheproxy.proxy.discovery.ListSource;
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
+import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.route.Pool;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
@@ -36,6 +36,22 @@
  * ends, also where it fails because the platform has none.
  */
 final class WarmUp {
+    private static final EndpointListSource NO_DISCOVERY = new EndpointListSource() {
+        @Override
+        public void setWatch(boolean on) {}
+
+        @Override
+        public void fetchSnapshot() {}
+    };
+
+    private static final Dispatcher.ClientListener NO_CLIENT_LISTENER = new Dispatcher.ClientListener() {
+        @Override
+        public void clientLeft(ClientConnection client) {}
+
+        @Override
+        public void closeWhenIdle(ClientConnection client) {}
+    };
+
     /** A few times the calls after which the JVM compiles a method; more would hold up a restart. */
     static final int REQUESTS = 400;
 
@@ -92,26 +108,11 @@
         SocketAddress origin = listen("o", Origin::new);
         SocketAddress proxy = listen("p", () -> new ClientConnection(dispatcher, false));
         int originKind = config.settings().originKind();
-        List<Host> hosts = List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
+        List<DiscoveredEndpoint> hosts =
+                List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
         loop.submit(() -> {
-                    dispatcher.start(
-                            new ListSource() {
-                                @Override
-                                public void watch(boolean on) {}
-
-                                @Override
-                                public void fetch() {}
-                            },
-                            null,
-                            new Dispatcher.ClientListener() {
-                                @Override
-                                public void clientLeft(ClientConnection client) {}
-
-                                @Override
-                                public void closeWhenIdle(ClientConnection client) {}
-                            },
-                            null);
-                    dispatcher.listed(EndpointUpdateKind.CACHED, hosts);
+                    dispatcher.start(NO_DISCOVERY, null, NO_CLIENT_LISTENER, null);
+                    dispatcher.onEndpoints(EndpointUpdateKind.CACHED, hosts);
                 })
                 .sync();
         new Bootstrap()
@@ -143,8 +144,8 @@
         return address;
     }
 
-    private static Host host(int id, int kind, SocketAddress dial) {
-        return new Host(
+    private static DiscoveredEndpoint host(int id, int kind, SocketAddress dial) {
+        return new DiscoveredEndpoint(
                 new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), dial, new Pool.Server("", "", "", Set.of()));
     }
 
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -37,8 +37,14 @@
         this.settings =
                 new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
         zones = new Zones(this.settings);
-        zones.remember(dispatcher.now(), last.zoneDecisions(RecordKind.ZONES, names), last.isValid(RecordKind.ZONES));
-        zones.remember(dispatcher.now(), last.zoneDecisions(RecordKind.ORDERS, names), last.isValid(RecordKind.ORDERS));
+        zones.remember(
+                dispatcher.now(),
+                last.zoneDecisions(RecordKind.ZONE_STATES, names),
+                last.isValid(RecordKind.ZONE_STATES));
+        zones.remember(
+                dispatcher.now(),
+                last.zoneDecisions(RecordKind.OPERATOR_ORDERS, names),
+                last.isValid(RecordKind.OPERATOR_ORDERS));
         dispatcher.addEndpointListListener(k -> listed());
         listed();
         run();
--- a/src/main/java/cacheproxy/recovery/Trust.java
+++ b/src/main/java/cacheproxy/recovery/ProvenanceTracker.java
@@ -8,21 +8,21 @@
  * at first hand takes its place. A decision that rests on something past its bound is a stale one, and is counted;
  * whoever holds the thing is to drop it when {@link #expired} says so, so that there are none.
  */
-public final class Trust {
+public final class ProvenanceTracker {
     /** What may come from elsewhere. */
-    public enum Thing {
+    public enum Subject {
         /** The list of servers. */
-        LIST("list"),
+        ENDPOINT_LIST("list"),
         /** What was learnt of servers and the origin. */
-        LEARNT("learnt"),
+        LEARNED_STATE("learnt"),
         /** How far zones are open. */
-        ZONES("zones"),
+        ZONE_STATES("zones"),
         /** The number of this instance's life. */
         INCARNATION("incarnation");
 
         private final String wireName;
 
-        Thing(String wireName) {
+        Subject(String wireName) {
             this.wireName = wireName;
         }
 
@@ -35,24 +35,24 @@
     /**
      * How one thing stands.
      *
-     * @param source where it came from
+     * @param provenance where it came from
      * @param ageMs how old it was when it was taken; NaN where that is not known
-     * @param untilMs it may be used until then, by the clock of whoever asks; infinite for no bound
+     * @param usableUntilMs it may be used until then, by the clock of whoever asks; infinite for no bound
      * @param hint it only makes decisions more careful
      */
-    public record Standing(Source source, double ageMs, double untilMs, boolean hint) {}
+    public record Entry(Provenance provenance, double ageMs, double usableUntilMs, boolean hint) {}
 
-    private static final Standing NOTHING = new Standing(Source.NONE, Double.NaN, Double.POSITIVE_INFINITY, false);
+    private static final Entry NO_ENTRY = new Entry(Provenance.NONE, Double.NaN, Double.POSITIVE_INFINITY, false);
 
-    private final Map<Thing, Standing> standing = new EnumMap<>(Thing.class);
-    private long refused;
-    private long stale;
+    private final Map<Subject, Entry> entries = new EnumMap<>(Subject.class);
+    private long rejected;
+    private long staleDecisions;
 
     /** Something has been taken from elsewhere. */
-    public void taken(double nowMs, Thing thing, Source source, double ageMs, double boundMs, boolean hint) {
-        standing.put(
+    public void adopted(double nowMs, Subject thing, Provenance source, double ageMs, double boundMs, boolean hint) {
+        entries.put(
                 thing,
-                new Standing(
+                new Entry(
                         source,
                         ageMs,
                         Double.isNaN(ageMs) ? Double.POSITIVE_INFINITY : nowMs + Math.max(0, boundMs - ageMs),
@@ -60,44 +60,44 @@
     }
 
     /** Something was there and was not taken, as it is too old, or another's. */
-    public void refused(Thing thing) {
-        refused++;
+    public void rejected(Subject thing) {
+        rejected++;
     }
 
     /** It has been met at first hand. */
-    public void confirmed(Thing thing) {
-        standing.put(thing, new Standing(Source.FIRST_HAND, 0, Double.POSITIVE_INFINITY, false));
+    public void confirmed(Subject thing) {
+        entries.put(thing, new Entry(Provenance.FIRST_HAND, 0, Double.POSITIVE_INFINITY, false));
     }
 
     /** What was taken has been let go of. */
-    public void dropped(Thing thing) {
-        standing.remove(thing);
+    public void discarded(Subject thing) {
+        entries.remove(thing);
     }
 
     /** How a thing stands. */
-    public Standing of(Thing thing) {
-        return standing.getOrDefault(thing, NOTHING);
+    public Entry entry(Subject thing) {
+        return entries.getOrDefault(thing, NO_ENTRY);
     }
 
     /** Whether it is past its bound, and is to be let go of. */
-    public boolean expired(double nowMs, Thing thing) {
-        return nowMs > of(thing).untilMs();
+    public boolean expired(double nowMs, Subject thing) {
+        return nowMs > entry(thing).usableUntilMs();
     }
 
     /** Something is decided by this thing now. */
-    public void decided(double nowMs, Thing thing) {
+    public void usedForDecision(double nowMs, Subject thing) {
         if (expired(nowMs, thing)) {
-            stale++;
+            staleDecisions++;
         }
     }
 
     /** Records that were found and not used. */
-    public long refused() {
-        return refused;
+    public long rejected() {
+        return rejected;
     }
 
     /** Decisions by something past its bound; stays 0. */
     public long staleDecisions() {
-        return stale;
+        return staleDecisions;
     }
 }
--- a/src/main/java/cacheproxy/routing/EndpointListWatch.java
+++ b/src/main/java/cacheproxy/routing/EndpointListWatch.java
@@ -1,11 +1,11 @@
 package cacheproxy.routing;
 
-import cacheproxy.endpoints.RetryPause;
+import cacheproxy.endpoints.PollBackoff;
 import java.util.SplittableRandom;
 
 /**
  * When this instance subscribes to changes of the endpoint list, in deployments in which it has to ask discovery for
- * them. The delay after failed calls is that of {@link RetryPause}. Times in milliseconds.
+ * them. The delay after failed calls is that of {@link PollBackoff}. Times in milliseconds.
  *
  * <pre>
  * IDLE        -> SUBSCRIBING  a delay has ended
@@ -22,7 +22,7 @@
 
     private final SplittableRandom random;
     private State state = State.IDLE;
-    private RetryPause backoff;
+    private PollBackoff backoff;
     private double pollIntervalMs = Double.NaN;
     private double subscribedAtMs;
 
@@ -33,7 +33,7 @@
     void onSettings(RoutingSettings settings) {
         if (pollIntervalMs != settings.pollIntervalMs()) {
             pollIntervalMs = settings.pollIntervalMs();
-            backoff = new RetryPause(pollIntervalMs);
+            backoff = new PollBackoff(pollIntervalMs);
         }
     }
 
@@ -42,7 +42,7 @@
      * fleet that starts must not call at once.
      */
     double firstCallDelayMs(RoutingSettings settings) {
-        double limitMs = Math.min(settings.pollIntervalMs(), RetryPause.TOLD_MS);
+        double limitMs = Math.min(settings.pollIntervalMs(), PollBackoff.MAX_STALENESS_MS);
         double spanMs = Math.min(limitMs, settings.instanceCount() * settings.connectTimeoutMs()) / 2;
         return random.nextDouble() * spanMs;
     }
@@ -51,14 +51,14 @@
     void onEntries() {
         if (state == State.SUBSCRIBING) {
             state = State.SUBSCRIBED;
-            backoff.answered();
+            backoff.reset();
         }
     }
 
     /** A call or the subscription has failed; the delay until the next. */
     double onFailure(double nowMs) {
         state = State.IDLE;
-        return backoff.failed(nowMs - subscribedAtMs, random);
+        return backoff.nextDelayMs(nowMs - subscribedAtMs, random);
     }
 
     /** A delay has ended: whether to subscribe now, which counts as done. */
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -61,8 +61,8 @@
                 List.of(new EndpointHealthRecord(-5, 0, 1, 1.7e12, 0)));
         Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
         records.put(RecordKind.INCARNATION, new StoredRecord(RecordKind.INCARNATION, 1.7e12, new JsonPrimitive(4)));
-        records.put(RecordKind.ZONES, new StoredRecord(RecordKind.ZONES, 1.7e12, new JsonObject()));
-        records.put(RecordKind.ORDERS, new StoredRecord(RecordKind.ORDERS, 1.7e12, new JsonObject()));
+        records.put(RecordKind.ZONE_STATES, new StoredRecord(RecordKind.ZONE_STATES, 1.7e12, new JsonObject()));
+        records.put(RecordKind.OPERATOR_ORDERS, new StoredRecord(RecordKind.OPERATOR_ORDERS, 1.7e12, new JsonObject()));
         return new TakeoverSnapshot(Fleet.list(43, true, hosts), Map.of("", learned), records);
     }
 
--- a/src/test/java/cacheproxy/recovery/RecallTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
@@ -9,8 +9,8 @@
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.Send;
 import cacheproxy.membership.View;
-import cacheproxy.recovery.Recall.Recalled;
-import cacheproxy.recovery.Recall.State;
+import cacheproxy.recovery.PeerStateQuery.Result;
+import cacheproxy.recovery.PeerStateQuery.State;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -27,7 +27,7 @@
 /**
  * Who has forgotten asks some of those who serve, not all the same, and their word makes it careful and nothing else.
  */
-class RecallTest {
+class PeerStateQueryTest {
     private static final int ZONES = 4;
 
     /** What one instance of so many holds, of which the first so many serve. */
@@ -52,15 +52,15 @@
         return new View(me, 0, entries, 0, new Configured(all), false);
     }
 
-    private static Memory memory(long version, Integer... bad) {
-        return new Memory(version, 20, 3, 1, Arrays.asList(bad));
+    private static PeerStateSummary memory(long version, Integer... bad) {
+        return new PeerStateSummary(version, 20, 3, 1, Arrays.asList(bad));
     }
 
     @Example
     void threeOfThreeZonesAreAskedAndEachAnotherThree() {
         Set<Integer> asked = new HashSet<>();
         for (int me = 20; me < 60; me++) {
-            List<Integer> mine = new Recall(me, 0).tick(0, view(me, 60, 20));
+            List<Integer> mine = new PeerStateQuery(me, 0).peersToQuery(0, view(me, 60, 20));
             assertThat(mine).hasSize(3).doesNotHaveDuplicates();
             assertThat(mine.stream().map(i -> i % ZONES).distinct()).hasSize(3);
             asked.addAll(mine);
@@ -70,41 +70,41 @@
 
     @Example
     void anAnswerThatDoesNotComeIsAskedOfTheNext() {
-        Recall recall = new Recall(9, 0);
+        PeerStateQuery recall = new PeerStateQuery(9, 0);
         View view = view(9, 10, 6);
-        List<Integer> first = recall.tick(0, view);
-        assertThat(recall.tick(400, view)).isEmpty();
-        recall.heard(first.get(0), memory(4));
-        List<Integer> second = recall.tick(600, view);
+        List<Integer> first = recall.peersToQuery(0, view);
+        assertThat(recall.peersToQuery(400, view)).isEmpty();
+        recall.answerReceived(first.get(0), memory(4));
+        List<Integer> second = recall.peersToQuery(600, view);
         assertThat(second).hasSize(2).doesNotContainAnyElementsOf(first);
-        recall.heard(second.get(0), memory(5));
-        recall.heard(second.get(0), memory(7));
-        assertThat(recall.tick(700, view)).isEmpty();
-        assertThat(recall.state()).isEqualTo(State.ASKING);
-        recall.heard(first.get(1), memory(6));
-        recall.tick(800, view);
-        assertThat(recall.state()).isEqualTo(State.DONE);
-        assertThat(recall.recalled(Map.of(), Map.of()).listVersion()).isEqualTo(6);
+        recall.answerReceived(second.get(0), memory(5));
+        recall.answerReceived(second.get(0), memory(7));
+        assertThat(recall.peersToQuery(700, view)).isEmpty();
+        assertThat(recall.state()).isEqualTo(State.QUERYING);
+        recall.answerReceived(first.get(1), memory(6));
+        recall.peersToQuery(800, view);
+        assertThat(recall.state()).isEqualTo(State.ANSWERED);
+        assertThat(recall.result(Map.of(), Map.of()).listVersion()).isEqualTo(6);
     }
 
     @Example
     void whereNobodyServesItIsKnownSoon() {
-        Recall recall = new Recall(0, 0);
+        PeerStateQuery recall = new PeerStateQuery(0, 0);
         for (int t = 0; t < 3000; t += 100) {
-            assertThat(recall.tick(t, view(0, 12, 0))).isEmpty();
-            assertThat(recall.state()).isEqualTo(State.ASKING);
+            assertThat(recall.peersToQuery(t, view(0, 12, 0))).isEmpty();
+            assertThat(recall.state()).isEqualTo(State.QUERYING);
         }
-        recall.tick(3000, view(0, 12, 0));
-        assertThat(recall.state()).isEqualTo(State.NOBODY);
+        recall.peersToQuery(3000, view(0, 12, 0));
+        assertThat(recall.state()).isEqualTo(State.NO_SERVING_PEER);
     }
 
     @Example
     void whereNobodyAnswersItEnds() {
-        Recall recall = new Recall(9, 0);
+        PeerStateQuery recall = new PeerStateQuery(9, 0);
         View view = view(9, 10, 6);
         Set<Integer> asked = new HashSet<>();
-        for (int t = 0; t <= Recall.LONGEST_MS; t += 100) {
-            recall.tick(t, view).forEach(p -> assertThat(asked.add(p)).isTrue());
+        for (int t = 0; t <= PeerStateQuery.QUERY_TIMEOUT_MS; t += 100) {
+            recall.peersToQuery(t, view).forEach(p -> assertThat(asked.add(p)).isTrue());
         }
         assertThat(asked).hasSize(6);
         assertThat(recall.state()).isEqualTo(State.UNANSWERED);
@@ -117,9 +117,9 @@
     @Property(seed = "3", tries = 500)
     void noWordOfPeersTakesOutMoreThanAPartOfAZone(
             @ForAll @Size(3) List<@Size(max = 40) List<@IntRange(max = 60) Integer>> said) {
-        Recall recall = new Recall(9, 0);
+        PeerStateQuery recall = new PeerStateQuery(9, 0);
         View view = view(9, 10, 3);
-        List<Integer> asked = recall.tick(0, view);
+        List<Integer> asked = recall.peersToQuery(0, view);
         Map<Integer, Integer> zoneOf = new HashMap<>();
         Map<Integer, Integer> inZone = new HashMap<>();
         for (int n = 0; n < 48; n++) {
@@ -127,14 +127,15 @@
             inZone.merge(n % ZONES, 1, Integer::sum);
         }
         for (int i = 0; i < 3; i++) {
-            recall.heard(asked.get(i), memory(1, said.get(i).toArray(new Integer[0])));
+            recall.answerReceived(asked.get(i), memory(1, said.get(i).toArray(new Integer[0])));
         }
-        Recalled r = recall.recalled(zoneOf, inZone);
+        Result r = recall.result(zoneOf, inZone);
         for (int z = 0; z < ZONES; z++) {
             int zone = z;
-            assertThat(r.bad().stream().filter(n -> zoneOf.get(n) == zone)).hasSizeLessThanOrEqualTo(3);
+            assertThat(r.suspectedNodes().stream().filter(n -> zoneOf.get(n) == zone))
+                    .hasSizeLessThanOrEqualTo(3);
         }
-        assertThat(r.bad())
+        assertThat(r.suspectedNodes())
                 .doesNotHaveDuplicates()
                 .allMatch(n -> zoneOf.containsKey(n)
                         && said.stream().filter(s -> s.contains(n)).count() >= 2);
@@ -142,14 +143,14 @@
 
     @Property(seed = "4", tries = 500)
     void whatIsToldIsReadAndNothingElse(@ForAll @Size(max = 48) List<Integer> bad, @ForAll byte[] bytes) {
-        Memory told = new Memory(7, 1.5f, 0, 0.25f, bad);
-        assertThat(Memory.decode(told.encode())).isEqualTo(told);
+        PeerStateSummary told = new PeerStateSummary(7, 1.5f, 0, 0.25f, bad);
+        assertThat(PeerStateSummary.decode(told.encode())).isEqualTo(told);
         assertThat(told.encode()).hasSizeLessThanOrEqualTo(250);
-        Memory read = Memory.decode(bytes);
+        PeerStateSummary read = PeerStateSummary.decode(bytes);
         if (read != null) {
             assertThat(read.encode()).isEqualTo(bytes);
         }
         byte[] cut = Arrays.copyOf(told.encode(), told.encode().length - 1);
-        assertThat(Memory.decode(cut)).isNull();
+        assertThat(PeerStateSummary.decode(cut)).isNull();
     }
 }
