--- a/src/main/java/cacheproxy/proxy/FleetFeatures.java
+++ b/src/main/java/cacheproxy/proxy/FleetFeatures.java
@@ -9,7 +9,7 @@
  */
 public record FleetFeatures(boolean view, boolean zones, boolean recovery) {
     /** Whether any of them needs the membership view. */
-    boolean any() {
+    public boolean any() {
         return view || zones || recovery;
     }
 }
