--- a/src/main/java/cacheproxy/proxy/ConfigReloader.java
+++ b/src/main/java/cacheproxy/proxy/ConfigReloader.java
@@ -56,7 +56,7 @@
     }
 
     private void reject(IllegalArgumentException cause) {
-        dispatcher.log("the settings stay as they are: " + cause.getMessage());
+        dispatcher.log("reload rejected, the settings stay as they are: " + cause.getMessage());
         dispatcher.counters().recordReload(false);
     }
 }
--- a/src/main/java/cacheproxy/proxy/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/GracefulShutdown.java
@@ -106,7 +106,7 @@
 
     private void complete() {
         if (handover.passesClients()) {
-            dispatcher.log("passed " + handoverServer.passedClients() + " clients on");
+            dispatcher.log("handover completed: clients_passed=" + handoverServer.passedClients());
         }
         handoverServer.close();
         if (!handover.passesClients()) {
--- a/src/main/java/cacheproxy/proxy/HandoverServer.java
+++ b/src/main/java/cacheproxy/proxy/HandoverServer.java
@@ -123,7 +123,7 @@
         try {
             publish();
         } catch (IOException e) {
-            System.err.println("takeover: no way back to the name: " + e.getMessage());
+            System.err.println("handover: the socket's name is not restored: " + e.getMessage());
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/TakeoverClient.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverClient.java
@@ -107,8 +107,7 @@
 
     /** What was taken over, for the log. */
     String summary() {
-        return "took over in %.1f ms, with %d bytes of what the old process knew"
-                .formatted(now() - requestedMs, snapshotLength);
+        return "takeover completed: duration_ms=%.1f snapshot_bytes=%d".formatted(now() - requestedMs, snapshotLength);
     }
 
     private void send(String line) {
@@ -146,7 +145,7 @@
             try {
                 read = TakeoverSnapshot.parse(line);
             } catch (RuntimeException e) {
-                System.err.println("takeover: the old process's state can't be read: "
+                System.err.println("takeover: unreadable snapshot: "
                         + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             }
             if (takeover.snapshotReceived(now(), read != null)) {
--- a/src/test/java/cacheproxy/JarIT.java
+++ b/src/test/java/cacheproxy/JarIT.java
@@ -441,7 +441,7 @@
                 all.add(next);
                 BufferedReader log = next.errorReader();
                 String told = log.readLine();
-                while (told != null && !told.contains("took over in")) {
+                while (told != null && !told.contains("takeover completed: duration_ms=")) {
                     told = log.readLine(); // it may have called discovery before, which is not there
                 }
                 assertThat(told).as("what the new one says").isNotNull();
