--- a/src/main/java/cacheproxy/proxy/DrainCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/DrainCoordinator.java
@@ -47,7 +47,7 @@
     String cancel() {
         String why = drain.cancel();
         if (why == null) {
-            dispatcher.setDraining(false, false);
+            dispatcher.drain().set(false, false);
         }
         return why;
     }
@@ -68,7 +68,7 @@
             ticking = false;
             return;
         }
-        dispatcher.setDraining(drain.closesAfterAnswer(now), drain.announced());
+        dispatcher.drain().set(drain.closesAfterAnswer(now), drain.announced());
         if (listening && !orders.listen()) {
             listening = false;
             acceptor.stopListening();
--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -67,12 +67,11 @@
             joinMembership(features);
         }
         if (features.recovery() && members != null) {
-            boolean nothingLearned = dispatcher
-                            .trust()
-                            .entry(ProvenanceTracker.Subject.LEARNED_STATE)
-                            .provenance()
-                    == Provenance.NONE;
-            dispatcher.recall(new StateQueryLink(dispatcher, peers, members, discovery, nothingLearned));
+            ProvenanceTracker.Entry learned = dispatcher.provenance().entry(ProvenanceTracker.Subject.LEARNED_STATE);
+            boolean nothingLearned = learned.provenance() == Provenance.NONE;
+            dispatcher
+                    .peerLinks()
+                    .setStateQueries(new StateQueryLink(dispatcher, peers, members, discovery, nothingLearned));
         }
         if (features.recovery()) {
             recovery = new RecoveryLink(dispatcher, members, acceptor, tookOver, this::restartDiscovery);
@@ -88,11 +87,11 @@
                 restored.incarnation(),
                 current.seed(),
                 features.recovery() ? Phase.STARTING : Phase.SERVING,
-                dispatcher::liveMembersChanged);
-        dispatcher.members(members, new NodeTalk(dispatcher, peers, members));
+                dispatcher.peerLinks()::liveMembersChanged);
+        dispatcher.peerLinks().setMembership(members, new NodeTalk(dispatcher, peers, members));
         if (features.zones()) {
             zones = new ZoneLink(dispatcher, members, current.settings(), current.zones(), restored);
-            dispatcher.zones(zones);
+            dispatcher.peerLinks().setZoneFailover(zones);
         }
         if (stateLink != null) {
             stateLink.keep(members::incarnation, zones);
@@ -149,12 +148,12 @@
     /** How far the recovery has come, and what is stored. */
     RecoveryStatus recoveryStatus() {
         return new RecoveryStatus(
-                dispatcher.trust(),
+                dispatcher.provenance(),
                 recovery == null ? null : recovery.progress(),
                 recovery == null ? null : recovery.spread(),
                 recovery == null ? 0 : recovery.rate(),
                 stateLink == null ? null : stateLink.opened(),
-                stateLink == null ? null : stateLink.keeper(),
+                stateLink == null ? null : stateLink.recordStore(),
                 stateLink == null ? null : stateLink.path().toString(),
                 stateLink != null && stateLink.locked());
     }
--- a/src/main/java/cacheproxy/proxy/NodeTalk.java
+++ b/src/main/java/cacheproxy/proxy/NodeTalk.java
@@ -68,7 +68,7 @@
         OutlierGossip.ReportedNode node = new OutlierGossip.ReportedNode(
                 server, u.place.zone(), dispatcher.servers().inZone(u.place.zone()));
         if (zone != null && bad.onReport(now, peer, zone, node, zones.size(), new HashSet<>(zones.values()).size())) {
-            dispatcher.peerMessageReceived(peer, PeerSocket.Kind.MODULE, message);
+            dispatcher.peerLinks().messageReceived(peer, PeerSocket.Kind.MODULE, message);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -76,7 +76,7 @@
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
-        peers = new PeerSocket(loop, config, dispatcher::peerMessageReceived, dispatcher.counters());
+        peers = new PeerSocket(loop, config, dispatcher.peerLinks()::messageReceived, dispatcher.counters());
         acceptor = new ClientAcceptor(dispatcher, maxClients(config));
         EndpointListPublisher list = provisionalList(config);
         discovery = discoveryClient(config, list);
@@ -105,7 +105,8 @@
     private EndpointListPublisher provisionalList(Config config) {
         RoutingSettings settings = config.settings();
         int originKind = settings.cacheAside() ? settings.originKind() : NO_ENDPOINT_KIND;
-        return new EndpointListPublisher(dispatcher, new ProvisionalEndpoints(originKind), dispatcher::now);
+        return new EndpointListPublisher(
+                dispatcher.endpointList(), new ProvisionalEndpoints(originKind), dispatcher::now);
     }
 
     private DiscoveryClient discoveryClient(Config config, EndpointListPublisher list) {
@@ -116,7 +117,7 @@
 
     private RestoredState restoredState(TakeoverSnapshot snapshot) {
         OpenedState stored = stateLink == null ? OpenedState.EMPTY : stateLink.opened();
-        return new RestoredState(snapshot, stored, dispatcher.trust(), dispatcher.now());
+        return new RestoredState(snapshot, stored, dispatcher.provenance(), dispatcher.now());
     }
 
     private void startSubsystems(EndpointListPublisher list, Routing routing) {
@@ -137,8 +138,10 @@
         RoutingSettings settings = config.settings();
         ListVersionGossip news = new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
         news.start(discovery.version());
-        dispatcher.news(
-                new PeerNews(dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
+        dispatcher
+                .peerLinks()
+                .setEndpointListGossip(new PeerNews(
+                        dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
     }
 
     /** At the predecessor's socket if it passes that, else at one of its own; null: there is no predecessor. */
@@ -331,7 +334,7 @@
 
     /** The violations of the safety rules that were seen so far. On the event loop only. */
     public RuleCounts ruleCounts() {
-        return dispatcher.ruleCounts();
+        return dispatcher.rules().counts();
     }
 
     /** How fresh the endpoint list is. On the event loop only. */
@@ -380,7 +383,7 @@
     }
 
     ByteBudget valueBudget() {
-        return dispatcher.valueBudget();
+        return dispatcher.bufferLimits().values();
     }
 
     /** What a successor is passed of what was learned. On the event loop only. */
--- a/src/main/java/cacheproxy/proxy/ProxyStatus.java
+++ b/src/main/java/cacheproxy/proxy/ProxyStatus.java
@@ -58,7 +58,7 @@
                 counters.reloadsRejected(),
                 handover.phase(),
                 handover.completedHandovers(),
-                dispatcher.valueBudget().reserved(),
-                dispatcher.valueBudget().waiting());
+                dispatcher.bufferLimits().values().reserved(),
+                dispatcher.bufferLimits().values().waiting());
     }
 }
--- a/src/main/java/cacheproxy/proxy/RecoveryStatus.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryStatus.java
@@ -9,21 +9,21 @@
 /**
  * How far this process has come since its start, and what it stores; for operators. On the event loop only.
  *
- * @param trust which data it uses that it has not seen itself
+ * @param provenance which data it uses that it has not seen itself
  * @param progress how far it is; null without {@code --recovery}
- * @param spread how its load compares with that of the other instances; null likewise
+ * @param rebalancer how its load compares with that of the other instances; null likewise
  * @param requestsPerSecond that it receives
- * @param opened what it found in its folder; null without one
- * @param keeper what it stores there; null likewise
+ * @param openedState what it found in its folder; null without one
+ * @param recordStore what it stores there; null likewise
  * @param folder the folder's path; null likewise
- * @param ownsFolder whether it holds the lock and so is the only one that writes there
+ * @param writable whether it holds the lock and so is the only one that writes there
  */
 public record RecoveryStatus(
-        ProvenanceTracker trust,
+        ProvenanceTracker provenance,
         RecoveryProgress progress,
-        ConnectionRebalancer spread,
+        ConnectionRebalancer rebalancer,
         double requestsPerSecond,
-        OpenedState opened,
-        RecordStore keeper,
+        OpenedState openedState,
+        RecordStore recordStore,
         String folder,
-        boolean ownsFolder) {}
+        boolean writable) {}
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -49,7 +49,10 @@
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                fleet.proxy.dispatcher().send(1, server, 0); // as a timer of the module would, before the end is read
+                fleet.proxy
+                        .dispatcher()
+                        .orders()
+                        .send(1, server, 0); // as a timer of the module would, before the end is read
             });
             stands.await();
             long since = System.nanoTime();
@@ -133,7 +136,7 @@
             client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             origin.next();
             fleet.on(() -> {
-                fleet.proxy.dispatcher().reject(1, 0);
+                fleet.proxy.dispatcher().orders().reject(1, 0);
                 return null;
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
@@ -153,7 +156,7 @@
             client.read("1");
             node.next();
             fleet.on(() -> {
-                fleet.proxy.dispatcher().send(1, 12345, 0);
+                fleet.proxy.dispatcher().orders().send(1, 12345, 0);
                 return null;
             });
             assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().forbidden()))
