--- a/src/main/java/cacheproxy/proxy/Remembered.java
+++ b/src/main/java/cacheproxy/proxy/RestoredState.java
@@ -19,12 +19,12 @@
 import java.util.Map;
 
 /**
- * What this process knows from before its start: from the process that it takes over from, which served until now, and
- * of what that one did not tell from the folder, as far as its age allows. Each thing that is used is entered in
+ * What this process knows from before its start: from the process that it takes over from, and for what that one did
+ * not pass, from the state folder, as far as its age allows. Each piece of data that is used is recorded in
  * {@link ProvenanceTracker}.
  */
-final class Remembered {
-    private static final Map<RecordKind, Subject> THINGS = Map.of(
+final class RestoredState {
+    private static final Map<RecordKind, Subject> SUBJECT_BY_KIND = Map.of(
             RecordKind.ENDPOINT_LIST,
             Subject.ENDPOINT_LIST,
             RecordKind.LEARNED_STATE,
@@ -41,47 +41,54 @@
     private final ProvenanceTracker trust;
     private final double nowMs;
 
-    /** {@code predecessor}: null where nobody is taken over from; {@code nowMs}: of the wall clock. */
-    Remembered(TakeoverState predecessor, OpenedState stored, ProvenanceTracker trust, double nowMs) {
+    /**
+     * Merges what the two sources know; the predecessor's goes before the folder's.
+     *
+     * @param predecessor null where no process is taken over from
+     * @param nowMs wall clock time, in milliseconds
+     */
+    RestoredState(TakeoverSnapshot predecessor, OpenedState stored, ProvenanceTracker trust, double nowMs) {
         this.trust = trust;
         this.nowMs = nowMs;
-        put(stored.records(), Provenance.STORED);
+        add(stored.records(), Provenance.STORED);
         if (predecessor != null) {
-            put(predecessor.kept(), Provenance.PREDECESSOR);
-            put(
+            add(predecessor.records(), Provenance.PREDECESSOR);
+            add(
                     Map.of(
                             RecordKind.ENDPOINT_LIST,
-                            new StoredRecord(RecordKind.ENDPOINT_LIST, nowMs, predecessor.list()),
+                            new StoredRecord(RecordKind.ENDPOINT_LIST, nowMs, predecessor.endpointList()),
                             RecordKind.LEARNED_STATE,
                             new StoredRecord(
-                                    RecordKind.LEARNED_STATE, nowMs, LearnedStateCodec.json(predecessor.learnt()))),
+                                    RecordKind.LEARNED_STATE,
+                                    nowMs,
+                                    LearnedStateCodec.json(predecessor.learnedState()))),
                     Provenance.PREDECESSOR);
         }
     }
 
-    private void put(Map<RecordKind, StoredRecord> more, Provenance source) {
+    private void add(Map<RecordKind, StoredRecord> more, Provenance source) {
         more.forEach((kind, r) -> {
             records.put(kind, r);
             sources.put(kind, source);
         });
     }
 
-    private Validity use(RecordKind kind) {
+    private Validity validity(RecordKind kind) {
         StoredRecord r = records.get(kind);
         return r == null ? Validity.UNUSABLE : r.validity(nowMs);
     }
 
-    /** Whether what is known of a kind may be decided by. */
-    boolean holds(RecordKind kind) {
-        return use(kind) == Validity.VALID;
+    /** Whether data of this kind is recent enough to decide by. */
+    boolean isValid(RecordKind kind) {
+        return validity(kind) == Validity.VALID;
     }
 
-    private void taken(RecordKind kind) {
+    private void recordUse(RecordKind kind) {
         StoredRecord r = records.get(kind);
-        boolean hint = use(kind) == Validity.HINT;
+        boolean hint = validity(kind) == Validity.HINT;
         trust.adopted(
                 nowMs,
-                THINGS.get(kind),
+                SUBJECT_BY_KIND.get(kind),
                 sources.get(kind),
                 nowMs - r.recordedAtMs(),
                 hint || kind == RecordKind.ENDPOINT_LIST ? kind.hintForMs() : kind.validForMs(),
@@ -89,10 +96,10 @@
     }
 
     /**
-     * The list to begin with: of what is known and what the configuration says the one of the higher version, and of
-     * two of one version the configuration's. Null if there is none.
+     * The endpoint list to start with: of the restored one and the configured one that of the higher version, and the
+     * configured one if the versions are equal. Null if there is neither.
      */
-    JsonObject list(JsonObject configured) {
+    JsonObject endpointList(JsonObject configured) {
         StoredRecord r = records.get(RecordKind.ENDPOINT_LIST);
         if (configured != null) {
             trust.adopted(
@@ -103,13 +110,13 @@
         }
         try {
             JsonObject list = r.body().getAsJsonObject();
-            if (use(RecordKind.ENDPOINT_LIST) == Validity.UNUSABLE) {
+            if (validity(RecordKind.ENDPOINT_LIST) == Validity.UNUSABLE) {
                 trust.rejected(Subject.ENDPOINT_LIST);
                 return configured;
             }
             if (configured == null
                     || list.get("seq").getAsLong() > configured.get("seq").getAsLong()) {
-                taken(RecordKind.ENDPOINT_LIST);
+                recordUse(RecordKind.ENDPOINT_LIST);
                 return list;
             }
         } catch (RuntimeException e) {
@@ -118,9 +125,9 @@
         return configured;
     }
 
-    /** What was learnt, or of what is too old to hold the doubts alone; empty for nothing. */
-    Map<String, LearnedState> learnt() {
-        Validity use = use(RecordKind.LEARNED_STATE);
+    /** What was learned, by pool name; if it is too old for that, the suspected endpoints alone; empty for nothing. */
+    Map<String, LearnedState> learnedState() {
+        Validity use = validity(RecordKind.LEARNED_STATE);
         if (use == Validity.UNUSABLE) {
             if (records.containsKey(RecordKind.LEARNED_STATE)) {
                 trust.rejected(Subject.LEARNED_STATE);
@@ -131,9 +138,9 @@
             Map<String, LearnedState> all = new HashMap<>(LearnedStateCodec.read(
                     records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
             if (use == Validity.HINT) {
-                all.replaceAll((pool, e) -> doubts(e));
+                all.replaceAll((pool, e) -> suspectsOnly(e));
             }
-            taken(RecordKind.LEARNED_STATE);
+            recordUse(RecordKind.LEARNED_STATE);
             return all;
         } catch (RuntimeException e) {
             trust.rejected(Subject.LEARNED_STATE);
@@ -142,10 +149,10 @@
     }
 
     /**
-     * Servers that failed last are tried by one request before the others; of the origin's jam and hot keys nothing is
-     * left.
+     * Endpoints whose last request failed are tried by one request before others; of the origin's throttle and of hot
+     * keys nothing is kept.
      */
-    private static LearnedState doubts(LearnedState e) {
+    private static LearnedState suspectsOnly(LearnedState e) {
         List<EndpointHealthRecord> seen = e.endpoints().stream()
                 .filter(s -> s.failures() > 0)
                 .map(s -> new EndpointHealthRecord(s.id(), s.startTimeMs(), 1, 0, 0))
@@ -162,13 +169,13 @@
                 seen);
     }
 
-    /** The incarnation of the last life; 0 if nothing is remembered. */
+    /** The last incarnation of this instance; 0 if unknown. */
     long incarnation() {
         StoredRecord r = records.get(RecordKind.INCARNATION);
         try {
             long incarnation = r == null ? 0 : r.body().getAsLong();
             if (incarnation > 0) {
-                taken(RecordKind.INCARNATION);
+                recordUse(RecordKind.INCARNATION);
             }
             return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
@@ -177,8 +184,8 @@
         }
     }
 
-    /** What was held of zones, of one kind; by the zones' numbers now. */
-    Map<Integer, Held> zones(RecordKind kind, List<String> names) {
+    /** The restored zone decisions of one kind, by the zones' present numbers. */
+    Map<Integer, Held> zoneDecisions(RecordKind kind, List<String> names) {
         StoredRecord r = records.get(kind);
         if (r == null) {
             return Map.of();
@@ -186,7 +193,7 @@
         try {
             Map<Integer, Held> held = ZoneForm.read(r.body(), names);
             if (!held.isEmpty()) {
-                taken(kind);
+                recordUse(kind);
             }
             return held;
         } catch (RuntimeException e) {
