--- a/src/main/java/cacheproxy/admission/RequestState.java
+++ b/src/main/java/cacheproxy/admission/RequestState.java
@@ -1,24 +1,24 @@
 package cacheproxy.admission;
 
 /**
- * What has become of a request that has been taken.
+ * The state of a request that was accepted.
  *
  * <pre>
- * OPEN      -> STREAMING    a long answer begins
- * OPEN      -> ANSWERED     the final answer is given
- * OPEN      -> CLIENT_GONE  its client has left
- * STREAMING -> ANSWERED     the long answer has ended, or has been broken off
- * STREAMING -> CLIENT_GONE  its client has left
+ * OPEN      -> STREAMING            a streamed answer begins
+ * OPEN      -> ANSWERED             the final answer is given
+ * OPEN      -> CLIENT_DISCONNECTED  its client has disconnected
+ * STREAMING -> ANSWERED             the streamed answer has ended, or was aborted
+ * STREAMING -> CLIENT_DISCONNECTED  its client has disconnected
  * </pre>
  */
 public enum RequestState {
-    /** It is owed its one final answer. */
+    /** Its one final answer is owed. */
     OPEN("OPEN"),
-    /** A long answer is being passed on; the request is owed its end. */
+    /** A streamed answer is being passed on; its end is owed. */
     STREAMING("STREAMING"),
     /** It has had its final answer. */
     ANSWERED("ANSWERED"),
-    /** Its client left before it was answered; nothing is owed. */
+    /** Its client disconnected before it was answered; nothing is owed. */
     CLIENT_DISCONNECTED("CLIENT_GONE");
 
     private final String key;
@@ -37,7 +37,7 @@
         return this == ANSWERED || this == CLIENT_DISCONNECTED;
     }
 
-    /** Whether it may become this next. */
+    /** Whether this state may follow it. */
     public boolean canBecome(RequestState next) {
         return switch (this) {
             case OPEN -> next != OPEN;
--- a/src/main/java/cacheproxy/admission/Verdict.java
+++ b/src/main/java/cacheproxy/admission/Verdict.java
@@ -1,29 +1,35 @@
 package cacheproxy.admission;
 
 /**
- * Whether an act is allowed now, or the condition that forbids it. The four rules are those of the operators' protocol
- * page and of the wire page's "Lines not to cross".
+ * Whether an act is allowed now, or the condition that forbids it. The rules are those of the protocol page and of the
+ * simulator page. The keys, which logs and counters show, are older than the names of the constants.
  */
 public enum Verdict {
-    /** Nothing speaks against it. */
+    /** Nothing forbids it. */
     ALLOWED("allowed"),
     /** Rule 1: a request has one final answer, and nothing is sent for it after that. */
     REQUEST_ANSWERED("request_answered"),
-    /** Rule 1: nothing is sent for a request whose client has left. */
+    /** Rule 1: nothing is sent for a request whose client has disconnected. */
     CLIENT_DISCONNECTED("client_gone"),
-    /** Rule 1: a server is told of no more time than the client has left; here none is left. */
+    /** Rule 1: an endpoint is sent no longer timeout than its client has left; here none is left. */
     DEADLINE_EXCEEDED("no_time_left"),
-    /** Settings: a request is tried no more often than {@code caps.max-attempts}. */
+    /** Settings: a request has no more attempts than {@code caps.max-attempts}. */
     ATTEMPTS_EXHAUSTED("attempts_spent"),
-    /** Rule 3: nothing new goes to a server that drains, or that the list no longer holds. */
+    /** Rule 3: nothing new is sent to an endpoint that drains, or that the list no longer has. */
     ENDPOINT_NOT_READY("server_not_ready"),
-    /** Rule 2: an unsafe request that may have run is neither repeated nor refused. */
+    /** Rule 2: a request that isn't idempotent and may have taken effect is neither repeated nor rejected. */
     MAYBE_EXECUTED("may_have_run"),
-    /** Rule 2: a keyed request that may have run is repeated in its group of servers alone. */
+    /**
+     * Rule 2: a request with an idempotency key that may have taken effect is repeated only at endpoints that drop the
+     * repeat.
+     */
     OUTSIDE_DEDUPLICATION_SCOPE("other_group"),
-    /** Rule 2: a keyed request that may have run is repeated within its window alone. */
+    /**
+     * Rule 2: a request with an idempotency key that may have taken effect is repeated only within its deduplication
+     * window.
+     */
     DEDUPLICATION_WINDOW_EXPIRED("window_over"),
-    /** Rule 2: where the settings forbid second copies, one attempt is out at a time. */
+    /** Rule 2: where the settings forbid hedging, one attempt is in flight at a time. */
     HEDGING_NOT_ALLOWED("second_copy");
 
     private final String key;
@@ -32,7 +38,7 @@
         this.key = key;
     }
 
-    /** Whether it may be done. */
+    /** Whether the act may be done. */
     public boolean allowed() {
         return this == ALLOWED;
     }
--- a/src/main/java/cacheproxy/routing/CarpHash.java
+++ b/src/main/java/cacheproxy/routing/CarpHash.java
@@ -1,20 +1,35 @@
 package cacheproxy.routing;
 
-/** The pure functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4) as our design fixes them. */
+import java.util.Arrays;
+
+/**
+ * The hash functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4). All instances compute the same from
+ * the same keys, ids and weights. Hashes are unsigned, in the bits of an int.
+ */
 public final class CarpHash {
-    private static final int SPREAD = 0x62531965;
-    private static final double UNSIGNED = 4294967296.0;
+    /** The draft's constant, sections 3.1 and 3.2. */
+    private static final int MULTIPLIER = 0x62531965;
+
+    private static final int ROTATION = 21;
+    private static final double UNSIGNED_RANGE = 4294967296.0;
+    /** The finalizer of MurmurHash3, over a multiplicative hash by the golden ratio. */
+    private static final int MURMUR_FINALIZER_1 = 0x85EBCA6B;
+
+    private static final int MURMUR_FINALIZER_2 = 0xC2B2AE35;
+    private static final int GOLDEN_RATIO = 0x9E3779B1;
+    private static final int KEY_DIGITS = 16;
+    private static final int ID_DIGITS = 8;
 
     private CarpHash() {}
 
-    /** Draft 3.1 over the key's text form: 16 lower-case hexadecimal digits. */
+    /** The hash of a key (section 3.1), over its text form: 16 lower-case hexadecimal digits. */
     public static int keyHash(long key) {
-        return textHash(key, 16);
+        return textHash(key, KEY_DIGITS);
     }
 
-    /** Draft 3.1 for members over the id's text form: 8 lower-case hexadecimal digits. */
+    /** The hash of a member's id (section 3.1), over its text form: 8 lower-case hexadecimal digits. */
     public static int endpointHash(int id) {
-        return spread(textHash(Integer.toUnsignedLong(id), 8));
+        return spread(textHash(Integer.toUnsignedLong(id), ID_DIGITS));
     }
 
     private static int textHash(long value, int digits) {
@@ -26,62 +41,78 @@
     }
 
     private static int spread(int h) {
-        return Integer.rotateLeft(h + h * SPREAD, 21);
+        return Integer.rotateLeft(h + h * MULTIPLIER, ROTATION);
     }
 
     /**
-     * Draft 3.2: both hashes combined, to be read as unsigned. Departure, always on: the draft's two steps run once
-     * more. After one pass the top ten bits hang on ten bits of the XOR alone, so keys fall into 1,024 lots and in a
-     * fleet of 120 equal members one gets 2.2 times its share; a second pass spreads them as evenly as chance.
+     * The combination of both hashes (section 3.2). Departs from the draft: its two steps run once more. After one pass
+     * the top ten bits depend on ten bits of the XOR alone, so keys fall into 1,024 groups, and in a fleet of 120 equal
+     * members one gets 2.2 times its share; a second pass spreads them as evenly as chance.
      */
     public static int combine(int keyHash, int memberHash) {
         return spread(spread(keyHash ^ memberHash));
     }
 
-    /** Draft 3.3 and 3.4: the score of a member for a key. */
+    /**
+     * The score of a member for a key (sections 3.3 and 3.4); the highest gets the request.
+     *
+     * @param multiplier the member's load factor multiplier, from {@link #multipliers}
+     */
     public static double score(int keyHash, int memberHash, float multiplier) {
         return (combine(keyHash, memberHash) & 0xFFFFFFFFL) * (double) multiplier;
     }
 
     /**
-     * Draft 3.3: the load factor multipliers, in the order of the weights. The running product is kept as a logarithm,
-     * so hundreds of members do not underflow; rounding below zero is clamped. All weights zero: equal.
+     * The load factor multipliers of members (section 3.3). The running product is kept as a logarithm, so that
+     * hundreds of members don't underflow; rounding below zero is clamped.
+     *
+     * @param weights 0 or more, finite; all equal if their sum is 0
+     * @return the multipliers, in the order of the weights
      */
     public static float[] multipliers(float[] weights) {
-        int n = weights.length;
+        int count = weights.length;
         double sum = 0;
-        for (float w : weights) {
-            sum += w;
-        }
-        Integer[] order = new Integer[n];
-        for (int i = 0; i < n; i++) {
-            order[i] = i;
+        for (float weight : weights) {
+            sum += weight;
         }
-        java.util.Arrays.sort(order, (a, b) -> Float.compare(weights[a], weights[b]));
-        float[] x = new float[n];
+        Integer[] ascending = ascending(weights);
+        float[] multipliers = new float[count];
         double previousShare = 0;
         double logProduct = 0;
-        double logX = Double.NEGATIVE_INFINITY;
-        for (int i = 0; i < n; i++) {
-            int left = n - i;
-            double share = sum > 0 ? weights[order[i]] / sum : 1.0 / n;
-            double step = left * Math.max(0, share - previousShare);
-            double power = (step > 0 ? Math.exp(Math.log(step) - logProduct) : 0) + Math.exp(left * logX);
-            logX = Math.log(power) / left;
-            x[order[i]] = (float) Math.exp(logX);
+        double logMultiplier = Double.NEGATIVE_INFINITY;
+        for (int i = 0; i < count; i++) {
+            int remaining = count - i;
+            double share = sum > 0 ? weights[ascending[i]] / sum : 1.0 / count;
+            double step = remaining * Math.max(0, share - previousShare);
+            double power = (step > 0 ? Math.exp(Math.log(step) - logProduct) : 0) + Math.exp(remaining * logMultiplier);
+            logMultiplier = Math.log(power) / remaining;
+            multipliers[ascending[i]] = (float) Math.exp(logMultiplier);
             if (power > 0) {
-                logProduct += logX;
+                logProduct += logMultiplier;
             }
             previousShare = share;
         }
-        return x;
+        return multipliers;
     }
 
-    /** A number in [0, 1) from key and member, independent of their score: decides who of a key's ranks waits. */
+    /** The indices of the weights, lightest first. */
+    private static Integer[] ascending(float[] weights) {
+        Integer[] order = new Integer[weights.length];
+        for (int i = 0; i < order.length; i++) {
+            order[i] = i;
+        }
+        Arrays.sort(order, (a, b) -> Float.compare(weights[a], weights[b]));
+        return order;
+    }
+
+    /**
+     * A number from key and member, 0 or more and under 1, independent of their score and the same at all instances:
+     * which part of the keys takes part in what holds for a fraction of them.
+     */
     public static double keyFraction(int keyHash, int memberHash) {
-        int h = keyHash * 0x9E3779B1 + memberHash;
-        h = (h ^ (h >>> 16)) * 0x85EBCA6B;
-        h = (h ^ (h >>> 13)) * 0xC2B2AE35;
-        return ((h ^ (h >>> 16)) & 0xFFFFFFFFL) / UNSIGNED;
+        int h = keyHash * GOLDEN_RATIO + memberHash;
+        h = (h ^ (h >>> 16)) * MURMUR_FINALIZER_1;
+        h = (h ^ (h >>> 13)) * MURMUR_FINALIZER_2;
+        return ((h ^ (h >>> 16)) & 0xFFFFFFFFL) / UNSIGNED_RANGE;
     }
 }
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -102,7 +102,7 @@
         return settings;
     }
 
-    // ---- settings, and what has been learnt
+    // ---- settings, and learned state
 
     @Override
     public void onSettings(double now, RoutingSettings next, RoutingActions out) {
@@ -132,8 +132,8 @@
     }
 
     @Override
-    public void resume(double now, Map<String, LearnedState> learnt) {
-        LearnedState ofAll = learnt.get(ONLY_POOL);
+    public void resume(double now, Map<String, LearnedState> states) {
+        LearnedState ofAll = states.get(ONLY_POOL);
         if (ofAll != null) {
             learned.resume(now, ofAll);
         }
@@ -226,7 +226,7 @@
         if (!request.resume()) {
             return;
         }
-        EndpointEntry target = retries.isWorthTrying(now, request) ? selector.select(now, request, out) : null;
+        EndpointEntry target = retries.isAttemptUseful(now, request) ? selector.select(now, request, out) : null;
         if (target == null || !retries.isSafe(now, request, target)) {
             completion.giveUp(request, out);
             return;
@@ -244,7 +244,7 @@
     private void send(double now, PendingRequest request, EndpointEntry target, RoutingActions out) {
         request.addAttempt(now, target);
         boolean atOrigin = endpoints.isOrigin(target);
-        boolean untilObjective = !atOrigin && request.isWorthlessLate();
+        boolean untilObjective = !atOrigin && request.isValuelessWhenLate();
         out.send(request.id(), target.id(), untilObjective ? Math.max(1, request.objectiveEndMs() - now) : 0);
         if (!atOrigin && hedging.applies(request)) {
             timers.set(hedging.delayMs(now, request), Kind.HEDGE, request, out);
@@ -253,9 +253,9 @@
 
     @Override
     public void onClientDisconnected(double now, int request, RoutingActions out) {
-        PendingRequest left = pending.get(request);
-        if (left != null && !left.isDone()) {
-            completion.abandon(left, out);
+        PendingRequest abandoned = pending.get(request);
+        if (abandoned != null && !abandoned.isDone()) {
+            completion.abandon(abandoned, out);
         }
     }
 
--- a/src/main/java/cacheproxy/routing/CarpRanking.java
+++ b/src/main/java/cacheproxy/routing/CarpRanking.java
@@ -1,8 +1,8 @@
 package cacheproxy.routing;
 
 /**
- * The endpoints with the highest scores for a key, best first (CARP draft, section 3.4; the draft takes the first, the
- * others are its successors when that can't be contacted). Its arrays are used again for each key.
+ * The endpoints with the highest scores for a key, best first (CARP draft, section 3.4: the draft takes the first;
+ * section 3.5: the next is its successor when it can't be contacted). Its arrays are used again for each key.
  */
 final class CarpRanking {
     private static final int INITIAL_CAPACITY = 8;
--- a/src/main/java/cacheproxy/routing/ConnectionCapacity.java
+++ b/src/main/java/cacheproxy/routing/ConnectionCapacity.java
@@ -6,7 +6,7 @@
 
 /**
  * How long an endpoint is left alone that takes no further connection, as others hold all it accepts. It is not at
- * fault: it counts as a member that can't be contacted (CARP draft, section 3.4), and its successors in the ranking
+ * fault: it counts as a member that can't be contacted (CARP draft, section 3.5), and its successors in the ranking
  * have its keys until a connection may have come free. Times in milliseconds.
  */
 final class ConnectionCapacity {
@@ -15,8 +15,11 @@
     private static final int MIN_CONNECT_TIMEOUTS = 10;
 
     private static final int MAX_DOUBLINGS = 4;
-    /** Who was answered within so many connect timeouts, 20 s where these are 100 ms, still has its connection. */
-    private static final int HELD_CONNECT_TIMEOUTS = 200;
+    /**
+     * An instance that was answered within so many connect timeouts, 20 s where these are 100 ms, still has its
+     * connection.
+     */
+    private static final int CONNECTION_LIFE_CONNECT_TIMEOUTS = 200;
 
     private final Supplier<RoutingSettings> settings;
     private final SplittableRandom random;
@@ -40,8 +43,9 @@
      * until the time is over, the successor has what had no connection here anyway.
      */
     void onPeerReport(double nowMs, EndpointEntry endpoint) {
-        double heldMs = HELD_CONNECT_TIMEOUTS * settings.get().connectTimeoutMs();
-        if (endpoint.health().isUnansweredFor(nowMs, heldMs)) {
+        double connectionLifeMs =
+                CONNECTION_LIFE_CONNECT_TIMEOUTS * settings.get().connectTimeoutMs();
+        if (endpoint.health().isUnansweredFor(nowMs, connectionLifeMs)) {
             backOff(nowMs, endpoint, 0);
         }
     }
--- a/src/main/java/cacheproxy/routing/EndpointHealthRecord.java
+++ b/src/main/java/cacheproxy/routing/EndpointHealthRecord.java
@@ -1,7 +1,7 @@
 package cacheproxy.routing;
 
 /**
- * What has been learnt of an endpoint's health.
+ * What has been learned of an endpoint's health.
  *
  * @param id the endpoint
  * @param startTimeMs of the incarnation that this was seen of, as in {@link Endpoint#startTimeMs}
--- a/src/main/java/cacheproxy/routing/EndpointSelector.java
+++ b/src/main/java/cacheproxy/routing/EndpointSelector.java
@@ -5,7 +5,8 @@
 
 /**
  * Which endpoint gets the next attempt of a request: the first in the key's CARP ranking that can be contacted, or the
- * origin. The CARP draft (section 3.4) takes the top score; what departs from it says why at its place.
+ * origin. The CARP draft takes the top score (section 3.4), or the next where that member can't be contacted (3.5);
+ * what departs from it says why at its place.
  */
 final class EndpointSelector {
     /** Ranks that are looked at besides those that a hot key is spread over. */
--- a/src/main/java/cacheproxy/routing/HedgingPolicy.java
+++ b/src/main/java/cacheproxy/routing/HedgingPolicy.java
@@ -38,9 +38,9 @@
     double delayMs(double nowMs, PendingRequest request) {
         double usualMs = (latency.endpointMs() + DEVIATIONS * latency.endpointDeviationMs())
                 * latency.relativeWork(request.request());
-        double leftMs = Math.min(
+        double remainingMs = Math.min(
                 request.serviceClass().latencyObjectiveMs(), request.request().deadlineMs() - nowMs);
-        return Math.max(leftMs / MIN_DELAY_DIVISOR, Math.min(usualMs, leftMs - 2 * latency.originFetchMs()));
+        return Math.max(remainingMs / MIN_DELAY_DIVISOR, Math.min(usualMs, remainingMs - 2 * latency.originFetchMs()));
     }
 
     /** Whether a hedge may follow now, which takes it off the budget. */
--- a/src/main/java/cacheproxy/routing/LearnedState.java
+++ b/src/main/java/cacheproxy/routing/LearnedState.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What an instance has learnt in service, for another that goes on in its place.
+ * What an instance has learned in service, for another that goes on in its place.
  *
  * @param originFetchMs how long a fetch from the origin usually takes, in milliseconds
  * @param usualLatencyMs how long a cache endpoint usually takes for usual work, in milliseconds
--- a/src/main/java/cacheproxy/routing/LearnedStateTransfer.java
+++ b/src/main/java/cacheproxy/routing/LearnedStateTransfer.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Hands what one instance has learnt over to its successor. Guards against a successor that sends to endpoints known to
- * be silent, and floods a cold origin.
+ * Hands what one instance has learned over to its successor. Guards against a successor that sends to endpoints known
+ * to be silent, and floods a cold origin.
  */
 final class LearnedStateTransfer {
     private final EndpointTable endpoints;
--- a/src/main/java/cacheproxy/routing/LoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/LoadBalancer.java
@@ -19,7 +19,7 @@
 
     /**
      * Other settings hold from now on, for requests to come. Pending ones keep their class and its terms; of attempts
-     * they get no more than either allows. What has been learnt of endpoints stays.
+     * they get no more than either allows. What has been learned of endpoints stays.
      *
      * @throws IllegalArgumentException if the settings have no class or allow no attempt; the earlier ones hold then
      */
@@ -32,16 +32,16 @@
      */
     boolean isAvoided(double now, int server);
 
-    /** What has been learnt so far, by the pool's name; that of all endpoints is the empty string. */
+    /** What has been learned so far, by the pool's name; that of all endpoints is the empty string. */
     Map<String, LearnedState> learnedState(double now);
 
     /**
      * Goes on where another instance left off. Of endpoints that are not in the list, or have started since, nothing is
      * taken.
      *
-     * @param learnt as from {@link #learnedState}; pools that this instance doesn't have are passed over
+     * @param states as from {@link #learnedState}; pools that this instance doesn't have are passed over
      */
-    void resume(double now, Map<String, LearnedState> learnt);
+    void resume(double now, Map<String, LearnedState> states);
 
     /**
      * Entries of the endpoint list, or a failed call for it.
@@ -97,7 +97,7 @@
     /**
      * The fleet sends zones so much of their traffic from now on; nothing changes for others.
      *
-     * @param orders one for each zone that changes
+     * @param directives one for each zone that changes
      */
-    void onZoneDirectives(double now, List<ZoneDirective> orders, RoutingActions out);
+    void onZoneDirectives(double now, List<ZoneDirective> directives, RoutingActions out);
 }
--- a/src/main/java/cacheproxy/routing/PendingRequest.java
+++ b/src/main/java/cacheproxy/routing/PendingRequest.java
@@ -107,7 +107,7 @@
     }
 
     /** Whether a late answer is worth nothing to its client, and a repeat does no harm. */
-    boolean isWorthlessLate() {
+    boolean isValuelessWhenLate() {
         return isIdempotent() && serviceClass.lateValueShare() == 0;
     }
 
--- a/src/main/java/cacheproxy/routing/RetryPolicy.java
+++ b/src/main/java/cacheproxy/routing/RetryPolicy.java
@@ -71,9 +71,9 @@
     }
 
     /** Whether anyone gains from another attempt, and one is left. What nobody gains from is answered at once. */
-    boolean isWorthTrying(double nowMs, PendingRequest request) {
-        boolean worthless = request.isWorthlessLate() && nowMs > request.objectiveEndMs();
-        return !worthless
+    boolean isAttemptUseful(double nowMs, PendingRequest request) {
+        boolean valueless = request.isValuelessWhenLate() && nowMs > request.objectiveEndMs();
+        return !valueless
                 && hasAttemptsLeft(request, 1)
                 && nowMs < request.request().deadlineMs();
     }
--- a/src/main/java/cacheproxy/routing/ZoneCircuitBreaker.java
+++ b/src/main/java/cacheproxy/routing/ZoneCircuitBreaker.java
@@ -11,7 +11,7 @@
  * waits. Where several endpoints of a zone in a row fall silent and none answers, the whole zone is ejected as one
  * endpoint would be.
  *
- * <p>Directives: the draft's member that can't be contacted (CARP draft, section 3.4). Where the fleet has moved a part
+ * <p>Directives: the draft's member that can't be contacted (CARP draft, section 3.5). Where the fleet has moved a part
  * of a zone's keys away, the same keys at all instances, these go to the next endpoint of their ranking; no other key
  * moves.
  */
