--- a/src/test/java/cacheproxy/routing/CarpLoadBalancerTest.java
+++ b/src/test/java/cacheproxy/routing/CarpLoadBalancerTest.java
@@ -18,7 +18,7 @@
 
     @Test
     void aKeyGoesToTheTopScoreAndAMissToTheOrigin() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(12);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
         rig.read(1, 77);
         int top = topRank(77, 12);
         assertThat(rig.last().server()).isEqualTo(top);
@@ -43,11 +43,11 @@
 
     @Test
     void listOrderDoesNotMatter() {
-        LoadBalancerHarness up = LoadBalancerHarness.aside().fleet(30);
-        LoadBalancerHarness down = LoadBalancerHarness.aside();
+        LoadBalancerHarness up = LoadBalancerHarness.cacheAside().fleet(30);
+        LoadBalancerHarness down = LoadBalancerHarness.cacheAside();
         List<Endpoint> list = new ArrayList<>();
         for (int id = 30; id >= 1; id--) {
-            list.add(LoadBalancerHarness.member(id, EndpointState.READY, 0));
+            list.add(LoadBalancerHarness.endpoint(id, EndpointState.READY, 0));
         }
         down.loadBalancer.onEndpointUpdate(down.now, EndpointUpdateKind.SNAPSHOT, list, down);
         for (int k = 1; k < 200; k++) {
@@ -61,8 +61,8 @@
     @EnumSource(
             value = AttemptOutcome.class,
             names = {"CONNECT_FAILED", "RESET"})
-    void theRunnerUpTakesFailedAndResetConnections(AttemptOutcome outcome) {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(12);
+    void theSuccessorTakesFailedAndResetConnections(AttemptOutcome outcome) {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
         rig.read(1, 77);
         int top = rig.last().server();
         rig.end(rig.last(), outcome);
@@ -83,24 +83,24 @@
     }
 
     @Test
-    void writesGoToTheOriginAside() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
-        rig.write(1, LoadBalancerHarness.UNSAFE);
+    void withCacheAsideWritesGoToTheOrigin() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
+        rig.write(1, LoadBalancerHarness.NON_IDEMPOTENT);
         assertThat(rig.last().server()).isEqualTo(LoadBalancerHarness.ORIGIN);
     }
 
     @Test
-    void throughModeSendsWritesByRank() {
+    void withoutCacheAsideWritesGoByRank() {
         LoadBalancerHarness rig = new LoadBalancerHarness(
                         LoadBalancerHarness.settings(false, false, false, DeduplicationScope.ALL))
                 .fleet(5);
-        rig.write(1, LoadBalancerHarness.UNSAFE);
+        rig.write(1, LoadBalancerHarness.NON_IDEMPOTENT);
         assertThat(rig.last().server()).isEqualTo(topRank(7, 5));
     }
 
     @Test
     void keylessRequestsAreRankedByTheirId() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(12);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
         Set<Integer> used = new HashSet<>();
         for (int id = 1; id <= 100; id++) {
             rig.read(id, 0);
@@ -112,9 +112,9 @@
     // ---- rule 1: one final answer in time
 
     @ParameterizedTest
-    @ValueSource(ints = {LoadBalancerHarness.SAFE, LoadBalancerHarness.KEYED, LoadBalancerHarness.UNSAFE})
-    void aSilentServerStillLeavesOneAnswerAtTheDeadline(int serviceClass) {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
+    @ValueSource(ints = {LoadBalancerHarness.IDEMPOTENT, LoadBalancerHarness.KEYED, LoadBalancerHarness.NON_IDEMPOTENT})
+    void aSilentEndpointStillLeavesOneAnswerAtTheDeadline(int serviceClass) {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
         rig.loadBalancer.onRequest(
                 rig.now,
                 new Request(
@@ -125,24 +125,24 @@
                         rig.now + 1000,
                         Double.NaN,
                         0,
-                        serviceClass != LoadBalancerHarness.SAFE,
+                        serviceClass != LoadBalancerHarness.IDEMPOTENT,
                         false),
                 rig);
         rig.pass(999);
         assertThat(rig.answers()).isZero();
         rig.pass(1);
         assertThat(rig.answers()).isEqualTo(1);
-        int sent = rig.placed.size();
+        int sent = rig.sent.size();
         rig.pass(5000);
         assertThat(rig.answers()).isEqualTo(1);
-        assertThat(rig.placed).hasSize(sent);
+        assertThat(rig.sent).hasSize(sent);
     }
 
     @Test
-    void lateAndRepeatedNewsOfAFinishedRequestChangesNothing() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
+    void lateAndRepeatedEventsOfAFinishedRequestChangeNothing() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
         rig.read(1, 7);
-        LoadBalancerHarness.Placed first = rig.last();
+        LoadBalancerHarness.SentAttempt first = rig.last();
         rig.loadBalancer.onClientDisconnected(rig.now, 1, rig);
         int orders = rig.orders.size();
         rig.loadBalancer.onClientDisconnected(rig.now, 1, rig);
@@ -155,16 +155,16 @@
 
     @Test
     void anEmptyListIsAnsweredAtOnce() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside();
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside();
         rig.loadBalancer.onEndpointUpdate(rig.now, EndpointUpdateKind.CACHED, List.of(), rig);
         rig.read(1, 7);
-        rig.write(2, LoadBalancerHarness.UNSAFE);
-        assertThat(rig.denied).containsExactly(1, 2);
+        rig.write(2, LoadBalancerHarness.NON_IDEMPOTENT);
+        assertThat(rig.rejected).containsExactly(1, 2);
     }
 
     @Test
     void zeroWeightsShareEqually() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside();
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside();
         rig.loadBalancer.onEndpointUpdate(
                 rig.now,
                 EndpointUpdateKind.SNAPSHOT,
@@ -186,31 +186,31 @@
     @EnumSource(
             value = AttemptOutcome.class,
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
-    void anUnsafeRequestThatMayHaveRunIsFailedNotRepeated(AttemptOutcome outcome) {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
-        rig.write(1, LoadBalancerHarness.UNSAFE);
+    void aNonIdempotentRequestThatMayHaveRunFailsAndIsNotRetried(AttemptOutcome outcome) {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
+        rig.write(1, LoadBalancerHarness.NON_IDEMPOTENT);
         rig.end(rig.last(), outcome);
         rig.pass(2000);
-        assertThat(rig.placed).hasSize(1);
+        assertThat(rig.sent).hasSize(1);
         assertThat(rig.failed).containsExactly(1);
-        assertThat(rig.denied).isEmpty();
+        assertThat(rig.rejected).isEmpty();
     }
 
     @ParameterizedTest
     @EnumSource(
             value = AttemptOutcome.class,
             names = {"REJECTED", "CONNECT_FAILED"})
-    void anUnsafeRequestKnownNotToHaveRunMayGoAgain(AttemptOutcome outcome) {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
-        rig.write(1, LoadBalancerHarness.UNSAFE);
+    void aNonIdempotentRequestKnownNotToHaveRunIsRetried(AttemptOutcome outcome) {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
+        rig.write(1, LoadBalancerHarness.NON_IDEMPOTENT);
         rig.end(rig.last(), outcome);
         rig.pass(500);
-        assertThat(rig.placed).hasSize(2);
+        assertThat(rig.sent).hasSize(2);
     }
 
     /** By when the repeat reaches a server, for which its connection may have to come up first. */
     @Test
-    void aKeyedRequestIsRepeatedOnlyInsideItsWindow() {
+    void aKeyedRequestIsRetriedOnlyInsideItsDeduplicationWindow() {
         RoutingSettings settings = LoadBalancerHarness.settings(false, false, false, DeduplicationScope.ALL);
         double last =
                 settings.classes().get(LoadBalancerHarness.KEYED).deduplicationWindowMs() - settings.connectTimeoutMs();
@@ -219,12 +219,12 @@
         inside.write(1, LoadBalancerHarness.KEYED);
         inside.now += last - 1;
         inside.end(inside.last(), AttemptOutcome.RESET);
-        assertThat(inside.placed).hasSize(2);
+        assertThat(inside.sent).hasSize(2);
         LoadBalancerHarness late = new LoadBalancerHarness(settings).fleet(12);
         late.write(1, LoadBalancerHarness.KEYED);
         late.now += last;
         late.end(late.last(), AttemptOutcome.RESET);
-        assertThat(late.placed).hasSize(1);
+        assertThat(late.sent).hasSize(1);
         assertThat(late.answers()).isEqualTo(1);
     }
 
@@ -232,7 +232,7 @@
     @EnumSource(
             value = DeduplicationScope.class,
             names = {"ZONE", "CELL"})
-    void aKeyedRequestStaysInItsGroupAndIsNeverRefused(DeduplicationScope group) {
+    void aKeyedRequestStaysInItsDeduplicationScopeAndIsNeverRejected(DeduplicationScope group) {
         for (int key = 1; key < 60; key++) {
             LoadBalancerHarness rig =
                     new LoadBalancerHarness(LoadBalancerHarness.settings(false, false, false, group)).fleet(12);
@@ -242,53 +242,53 @@
                     rig);
             int first = rig.last().server();
             rig.end(rig.last(), AttemptOutcome.RESET);
-            if (rig.placed.size() > 1) {
+            if (rig.sent.size() > 1) {
                 int then = rig.last().server();
                 assertThat(group == DeduplicationScope.ZONE ? then % 2 : then / 4)
                         .isEqualTo(group == DeduplicationScope.ZONE ? first % 2 : first / 4);
             } else {
                 assertThat(rig.failed).containsExactly(1);
             }
-            assertThat(rig.denied).isEmpty();
+            assertThat(rig.rejected).isEmpty();
         }
     }
 
     @Test
     void attemptsStayWithinTheLimitAndOneAtATime() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(12);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
         rig.read(1, 7);
         for (int i = 0; i < 6 && rig.answers() == 0; i++) {
             rig.end(rig.last(), AttemptOutcome.CONNECT_FAILED);
         }
-        assertThat(rig.placed).hasSizeLessThanOrEqualTo(3);
+        assertThat(rig.sent).hasSizeLessThanOrEqualTo(3);
         assertThat(rig.answers()).isEqualTo(1);
     }
 
     // ---- rule 3: drains
 
     @Test
-    void aDrainingOrGoneServerGetsNothingNewNotEvenAWaitingRepeat() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(3);
+    void aDrainingOrRemovedEndpointGetsNothingNewNotEvenAWaitingRetry() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(3);
         rig.change(
-                LoadBalancerHarness.member(1, EndpointState.DRAINING, 0),
-                LoadBalancerHarness.member(2, EndpointState.REMOVED, 0));
+                LoadBalancerHarness.endpoint(1, EndpointState.DRAINING, 0),
+                LoadBalancerHarness.endpoint(2, EndpointState.REMOVED, 0));
         for (int id = 1; id <= 50; id++) {
             rig.read(id, id);
             assertThat(rig.last().server()).isEqualTo(3);
         }
         rig.read(99, 5);
-        rig.change(LoadBalancerHarness.member(LoadBalancerHarness.ORIGIN, EndpointState.DRAINING, 0));
-        int sent = rig.placed.size();
+        rig.change(LoadBalancerHarness.endpoint(LoadBalancerHarness.ORIGIN, EndpointState.DRAINING, 0));
+        int sent = rig.sent.size();
         rig.end(rig.last(), AttemptOutcome.MISS);
-        assertThat(rig.placed).hasSize(sent);
-        assertThat(rig.denied).containsExactly(99);
+        assertThat(rig.sent).hasSize(sent);
+        assertThat(rig.rejected).containsExactly(99);
     }
 
     // ---- rule 4: cold servers
 
     /** At its start it takes 0.3, at half its warm-up 0.65, and all once warm. */
     @Test
-    void aColdServerTakesNoMoreThanItsRamp() {
+    void aColdEndpointTakesNoMoreThanItsRamp() {
         assertThat(taken(0, AttemptOutcome.OK)).isBetween(0.23, 0.37);
         assertThat(taken(4000, AttemptOutcome.OK)).isBetween(0.57, 0.73);
         assertThat(taken(8000, AttemptOutcome.OK)).isEqualTo(1.0);
@@ -296,9 +296,9 @@
 
     /** Part of its own keys that server 5 gets this long after its start. */
     private static double taken(double age, AttemptOutcome outcome) {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(12);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
         rig.now = 100000;
-        rig.change(LoadBalancerHarness.member(5, EndpointState.READY, rig.now - age));
+        rig.change(LoadBalancerHarness.endpoint(5, EndpointState.READY, rig.now - age));
         int own = 0;
         int got = 0;
         for (int key = 1; key <= 4000; key++) {
@@ -316,20 +316,20 @@
      * Guards warm servers of a fleet that has mostly been replaced: by half its ramp each new one left them too much.
      */
     @Test
-    void coldServersOfAWholeFleetTakeWhatTheyCanAndThoseOfOneWithServersMissingLess() {
+    void coldEndpointsTakeTheirCapacityAndLessWhereOthersAreMissing() {
         assertThat(partAtColdServers(20)).isBetween(0.24, 0.34);
         assertThat(partAtColdServers(10)).isBetween(0.015, 0.05);
     }
 
     /** Twelve of twenty servers go, their successors join up to this number in all: the part that those get, new. */
     private static double partAtColdServers(int inAll) {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(20);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(20);
         rig.now += 100_000;
         for (int id = 9; id <= 20; id++) {
-            rig.change(LoadBalancerHarness.member(id, EndpointState.REMOVED, 0));
+            rig.change(LoadBalancerHarness.endpoint(id, EndpointState.REMOVED, 0));
         }
         for (int id = 21; id <= 12 + inAll; id++) {
-            rig.change(LoadBalancerHarness.member(id, EndpointState.READY, rig.now));
+            rig.change(LoadBalancerHarness.endpoint(id, EndpointState.READY, rig.now));
         }
         int cold = 0;
         for (int id = 1; id <= 2000; id++) {
@@ -342,14 +342,14 @@
 
     /** A repeat must not land on a cold server: a lost hall came back and fell over under repeats. */
     @Test
-    void repeatsKeepOffAColdServer() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(3);
+    void retriesKeepOffAColdEndpoint() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(3);
         rig.change(
-                LoadBalancerHarness.member(2, EndpointState.READY, rig.now),
-                LoadBalancerHarness.member(3, EndpointState.READY, rig.now));
+                LoadBalancerHarness.endpoint(2, EndpointState.READY, rig.now),
+                LoadBalancerHarness.endpoint(3, EndpointState.READY, rig.now));
         for (int id = 1; id <= 200; id++) {
             rig.read(id, id);
-            LoadBalancerHarness.Placed p = rig.last();
+            LoadBalancerHarness.SentAttempt p = rig.last();
             if (p.server() == 1) {
                 rig.end(p, AttemptOutcome.REJECTED);
                 assertThat(rig.last().server()).isNotIn(2, 3);
@@ -360,18 +360,18 @@
 
     /** In a jam clients ask for the same again at other instances: taken as new, that filled a cold server's window. */
     @Test
-    void whatAClientAsksAgainKeepsOffAColdServer() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(3);
+    void clientRetriesKeepOffAColdEndpoint() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(3);
         rig.change(
-                LoadBalancerHarness.member(2, EndpointState.READY, rig.now),
-                LoadBalancerHarness.member(3, EndpointState.READY, rig.now));
+                LoadBalancerHarness.endpoint(2, EndpointState.READY, rig.now),
+                LoadBalancerHarness.endpoint(3, EndpointState.READY, rig.now));
         int cold = 0;
         for (int id = 1; id <= 400; id++) {
             if (id % 2 == 0) {
                 rig.read(id, id);
                 cold += rig.last().server() == 1 ? 0 : 1;
             } else {
-                rig.readAgain(id, id);
+                rig.clientRetry(id, id);
                 assertThat(rig.last().server())
                         .as("request %d, which a client asks again", id)
                         .isEqualTo(1);
@@ -383,7 +383,7 @@
 
     /** Half way through its warm-up a server takes 0.65, but less where more is asked for than the fleet can do. */
     @Test
-    void aColdServerTakesLessOfAFleetThatIsAskedForMoreThanItCanDo() {
+    void aColdEndpointTakesLessOfAnOverloadedFleet() {
         assertThat(takenAt(0.3)).isBetween(0.57, 0.73);
         assertThat(takenAt(1.0)).isBetween(0.5, 0.73);
         assertThat(takenAt(2.5))
@@ -396,7 +396,7 @@
         int servers = 12;
         int instances = 4;
         double workMs = 40;
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(servers);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(servers);
         rig.now = 100_000;
         double everyMs = workMs * instances / servers / load;
         int own = 0;
@@ -408,7 +408,7 @@
             }
             boolean counts = rig.now > 105_000;
             rig.now += everyMs;
-            rig.change(LoadBalancerHarness.member(5, EndpointState.READY, rig.now - 4000));
+            rig.change(LoadBalancerHarness.endpoint(5, EndpointState.READY, rig.now - 4000));
             rig.read(++id, key);
             own += counts ? 1 : 0;
             got += counts && rig.last().server() == 5 ? 1 : 0;
@@ -419,10 +419,10 @@
 
     /** Fewer places than proxies: who has none keeps to the runner-up, and tries again by and by. */
     @Test
-    void aServerWithNoPlaceLeftIsNoFailureAndIsTriedAgainLater() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(6);
+    void anEndpointAtItsConnectionLimitIsNoFailureAndIsUsedAgainLater() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(6);
         rig.read(1, 77);
-        LoadBalancerHarness.Placed first = rig.last();
+        LoadBalancerHarness.SentAttempt first = rig.last();
         rig.end(first, AttemptOutcome.CONNECTION_LIMIT);
         int runnerUp = rig.last().server();
         assertThat(runnerUp).isNotEqualTo(first.server());
@@ -441,15 +441,15 @@
 
     /** What one finds out costs an attempt; the others are told, and leave the server alone without asking. */
     @Test
-    void peersAreToldOfAServerWithNoPlaceAndLeaveItToItsRunnerUp() {
-        LoadBalancerHarness one = LoadBalancerHarness.peers(0, 100).fleet(6);
+    void peersAreNotifiedOfAnEndpointAtItsConnectionLimitAndUseItsSuccessor() {
+        LoadBalancerHarness one = LoadBalancerHarness.withPeers(0, 100).fleet(6);
         one.read(1, 77);
         int top = one.last().server();
         one.end(one.last(), AttemptOutcome.CONNECTION_LIMIT);
-        assertThat(one.told).hasSize(1);
+        assertThat(one.peerMessages).hasSize(1);
 
-        LoadBalancerHarness other = LoadBalancerHarness.peers(1, 100).fleet(6);
-        other.loadBalancer.onPeerMessage(other.now, 0, one.told.get(0), other);
+        LoadBalancerHarness other = LoadBalancerHarness.withPeers(1, 100).fleet(6);
+        other.loadBalancer.onPeerMessage(other.now, 0, one.peerMessages.get(0), other);
         other.read(1, 77);
         assertThat(other.last().server()).isNotEqualTo(top);
         other.end(other.last(), AttemptOutcome.OK);
@@ -461,15 +461,15 @@
         other.read(3, 77);
         assertThat(other.last().server()).isEqualTo(top);
         other.end(other.last(), AttemptOutcome.CONNECTION_LIMIT);
-        assertThat(other.told).hasSize(1);
+        assertThat(other.peerMessages).hasSize(1);
     }
 
     /** A peer that is wrong, or lies, takes no place from who has one; nor does a message that can't be read. */
     @Test
-    void whoHasAPlaceKeepsItWhateverPeersSay() {
-        LoadBalancerHarness rig = LoadBalancerHarness.peers(1, 100).fleet(6);
+    void anInstanceWithAConnectionKeepsItWhateverPeersReport() {
+        LoadBalancerHarness rig = LoadBalancerHarness.withPeers(1, 100).fleet(6);
         rig.read(1, 77);
-        LoadBalancerHarness.Placed first = rig.last();
+        LoadBalancerHarness.SentAttempt first = rig.last();
         rig.end(first, AttemptOutcome.OK);
         rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointFull(first.server()), rig);
         rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointFull(12345), rig);
@@ -484,13 +484,13 @@
 
     /** Two that find it out at once tell it once: who was told meanwhile says nothing. */
     @Test
-    void whoWasToldMeanwhileTellsNobody() {
-        LoadBalancerHarness rig = LoadBalancerHarness.peers(1, 100).fleet(6);
+    void anInstanceNotifiedMeanwhileNotifiesNobody() {
+        LoadBalancerHarness rig = LoadBalancerHarness.withPeers(1, 100).fleet(6);
         rig.read(1, 77);
-        LoadBalancerHarness.Placed first = rig.last();
+        LoadBalancerHarness.SentAttempt first = rig.last();
         rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointFull(first.server()), rig);
         rig.end(first, AttemptOutcome.CONNECTION_LIMIT);
-        assertThat(rig.told).isEmpty();
+        assertThat(rig.peerMessages).isEmpty();
     }
 
     // ---- departures
@@ -498,7 +498,7 @@
     /** A key that draws much of the traffic is spread over several ranks; cool again it has one server. */
     @Test
     void aHotKeyIsSpreadAndComesBack() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(20);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(20);
         Set<Integer> hot = new HashSet<>();
         for (int id = 1; id <= 400; id++) {
             rig.now += 5;
@@ -523,26 +523,26 @@
     /** Of many misses for one key one goes to the origin; the others find the object where it was missed. */
     @Test
     void oneFetchPerKey() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
         for (int id = 1; id <= 4; id++) {
             rig.read(id, 7);
         }
-        for (LoadBalancerHarness.Placed p : List.copyOf(rig.placed)) {
+        for (LoadBalancerHarness.SentAttempt p : List.copyOf(rig.sent)) {
             rig.end(p, AttemptOutcome.MISS);
         }
-        assertThat(rig.placed.stream().filter(p -> p.server() == LoadBalancerHarness.ORIGIN))
+        assertThat(rig.sent.stream().filter(p -> p.server() == LoadBalancerHarness.ORIGIN))
                 .hasSize(1);
         rig.end(rig.last(), AttemptOutcome.OK);
-        assertThat(rig.placed).hasSize(8);
+        assertThat(rig.sent).hasSize(8);
         assertThat(rig.last().server()).isEqualTo(topRank(7, 5));
     }
 
     /** A server that takes work and answers none: the runner-up is asked while origin and answer still fit the aim. */
     @Test
-    void aHungServerIsPassedOverInTime() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
+    void aHungEndpointIsPassedOverInTime() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
         rig.read(1, 7);
-        LoadBalancerHarness.Placed hung = rig.last();
+        LoadBalancerHarness.SentAttempt hung = rig.last();
         rig.pass(200);
         assertThat(rig.cancelled).containsExactly("1/0");
         rig.end(hung, AttemptOutcome.CANCELLED);
@@ -551,7 +551,7 @@
 
     /** Doubts have a budget: when all servers slow down together, few requests are sent twice. */
     @Test
-    void aSharedSlowdownIsNotRepeatedIntoAJam() {
+    void aSharedSlowdownIsNotHedgedIntoAnOverload() {
         LoadBalancerHarness rig = new LoadBalancerHarness(
                         LoadBalancerHarness.settings(true, false, true, DeduplicationScope.ALL))
                 .fleet(12);
@@ -560,7 +560,7 @@
             rig.read(id, id);
         }
         rig.pass(400);
-        assertThat(rig.placed).hasSizeLessThan(200 + 10);
+        assertThat(rig.sent).hasSizeLessThan(200 + 10);
     }
 
     /**
@@ -568,7 +568,7 @@
      * read; one that answers again opens it.
      */
     @Test
-    void aZoneWhoseServersAllFallSilentIsLeftAlone() {
+    void aZoneWhoseEndpointsAllFallSilentIsEjected() {
         LoadBalancerHarness rig = new LoadBalancerHarness(
                         LoadBalancerHarness.settings(true, false, true, DeduplicationScope.ALL))
                 .fleet(40);
@@ -577,7 +577,7 @@
         for (int id = 1; id <= 60; id++) {
             rig.now += 5;
             rig.read(id, id);
-            LoadBalancerHarness.Placed p = rig.last();
+            LoadBalancerHarness.SentAttempt p = rig.last();
             if (p.server() % 2 == 1) { // zone 1 can't be reached
                 atCut++;
                 asked.add(p.server());
@@ -601,11 +601,11 @@
     /** Attempts that one server ends together, or answers that can't be read, are no evidence against its zone. */
     @ParameterizedTest
     @EnumSource(names = {"CONNECT_FAILED", "RESET"})
-    void manyFailuresOfOneServerDoNotCloseItsZone(AttemptOutcome outcome) {
+    void manyFailuresOfOneEndpointDoNotEjectItsZone(AttemptOutcome outcome) {
         LoadBalancerHarness rig = new LoadBalancerHarness(
                         LoadBalancerHarness.settings(true, false, true, DeduplicationScope.ALL))
                 .fleet(40);
-        List<LoadBalancerHarness.Placed> at = new ArrayList<>();
+        List<LoadBalancerHarness.SentAttempt> at = new ArrayList<>();
         for (int id = 1; id <= 6; id++) {
             rig.read(id, 7); // all at one server
             at.add(rig.last());
@@ -622,7 +622,7 @@
 
     /** Four bad servers of a zone in which others answer are four bad servers. */
     @Test
-    void aZoneInWhichOthersAnswerStaysOpen() {
+    void aZoneInWhichOthersAnswerIsNotEjected() {
         LoadBalancerHarness rig = new LoadBalancerHarness(
                         LoadBalancerHarness.settings(true, false, true, DeduplicationScope.ALL))
                 .fleet(40);
@@ -630,7 +630,7 @@
         for (int id = 1; id <= 200; id++) {
             rig.now += 5;
             rig.read(id, id);
-            LoadBalancerHarness.Placed p = rig.last();
+            LoadBalancerHarness.SentAttempt p = rig.last();
             if (p.server() % 12 == 1) {
                 rig.end(p, AttemptOutcome.CONNECT_FAILED);
             } else {
@@ -643,8 +643,8 @@
 
     /** An origin that answers nothing in time is asked less and less, and again once it answers. */
     @Test
-    void aJammedOriginIsLeftToRecover() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
+    void anOverloadedOriginIsLeftToRecover() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
         int late = 0;
         for (int id = 1; id <= 100; id++) {
             rig.now += 20;
@@ -656,13 +656,13 @@
             }
         }
         assertThat(late).isLessThan(15);
-        assertThat(rig.denied).hasSize(100);
+        assertThat(rig.rejected).hasSize(100);
     }
 
     /** A throttled origin gets no fetch that could not answer in time, and is asked again after a while of calm. */
     @Test
     void aThrottleDoesNotStayShut() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
         int fetched = 0;
         for (int id = 1; id <= 200; id++) {
             rig.now += 20;
@@ -687,8 +687,8 @@
      */
     @ParameterizedTest
     @EnumSource(names = {"CONNECT_FAILED", "RESET", "NOT_SENT"})
-    void anOriginOutOfReachIsNotTakenForAJammedOne(AttemptOutcome broken) {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
+    void anUnreachableOriginIsNotTakenForAnOverloadedOne(AttemptOutcome broken) {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
         int id = 0;
         while (++id <= 100) {
             rig.now += 20;
@@ -713,8 +713,8 @@
      * tried.
      */
     @Test
-    void whatNeedsAnOriginThatCannotBeReachedIsToldAtOnce() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(5);
+    void whatNeedsAnUnreachableOriginIsAnsweredAtOnce() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(5);
         int tried = 0;
         for (int id = 1; id <= 100; id++) {
             rig.now += 20;
@@ -724,16 +724,16 @@
                 tried++;
                 rig.end(rig.last(), AttemptOutcome.CONNECT_FAILED);
             }
-            assertThat(rig.denied).as("answered within the same moment").hasSize(id);
+            assertThat(rig.rejected).as("answered within the same moment").hasSize(id);
         }
         assertThat(tried).as("three, and one each half a second").isBetween(5, 8);
-        rig.write(1000, LoadBalancerHarness.UNSAFE);
-        assertThat(rig.denied).as("a write has not run, so it is refused").contains(1000);
+        rig.write(1000, LoadBalancerHarness.NON_IDEMPOTENT);
+        assertThat(rig.rejected).as("a write has not run, so it is refused").contains(1000);
     }
 
     /** The instances of a fleet must not call the small list service together, nor at once after a failure. */
     @Test
-    void theListIsAskedForOnceWithDelay() {
+    void theListIsCalledForOnceWithDelay() {
         LoadBalancerHarness rig = new LoadBalancerHarness(
                         LoadBalancerHarness.settings(true, true, false, DeduplicationScope.ALL))
                 .fleet(5);
@@ -766,7 +766,7 @@
 
     /** In a crowd the tenant far over its quota is refused, the one inside its quota hardly. */
     @Test
-    void refusalsComeOffTheTenantOverItsQuota() {
+    void rejectionsComeOffTheTenantOverItsQuota() {
         int[] refused = refusedInACrowd(new LoadBalancerHarness(LoadBalancerHarness.tenants(100, 100)).fleet(12));
         assertThat(refused[0]).isGreaterThan(150);
         assertThat(refused[1]).isLessThan(10);
@@ -774,9 +774,10 @@
 
     /** Where what is over a share is worth as much as the rest, all are refused alike, also from a reload on. */
     @Test
-    void otherSettingsMayEndTheTenantsShares() {
+    void otherSettingsMayEndTheFairShares() {
         LoadBalancerHarness rig = new LoadBalancerHarness(LoadBalancerHarness.tenants(100, 100)).fleet(12);
-        rig.loadBalancer.onSettings(rig.now, LoadBalancerHarness.worth(LoadBalancerHarness.tenants(100, 100), 1), rig);
+        rig.loadBalancer.onSettings(
+                rig.now, LoadBalancerHarness.withOverQuotaWeight(LoadBalancerHarness.tenants(100, 100), 1), rig);
         int[] refused = refusedInACrowd(rig);
         assertThat(refused[0]).isGreaterThan(150);
         assertThat(refused[1]).as("a tenth of the requests").isGreaterThan(15);
@@ -787,12 +788,21 @@
         for (int id = 1; id <= 1000; id++) {
             rig.now += 10;
             int tenant = id % 10 == 0 ? 1 : 0;
-            int before = rig.denied.size();
+            int before = rig.rejected.size();
             rig.loadBalancer.onRequest(
                     rig.now,
-                    new Request(id, LoadBalancerHarness.SAFE, tenant, id, rig.now + 1000, Double.NaN, 0, false, false),
+                    new Request(
+                            id,
+                            LoadBalancerHarness.IDEMPOTENT,
+                            tenant,
+                            id,
+                            rig.now + 1000,
+                            Double.NaN,
+                            0,
+                            false,
+                            false),
                     rig);
-            if (rig.denied.size() > before) {
+            if (rig.rejected.size() > before) {
                 refused[tenant]++;
             } else {
                 rig.endAfter(rig.last(), AttemptOutcome.OK, id % 2 == 0 ? 290 : 20);
@@ -803,39 +813,39 @@
 
     /** Late answers shed reads; timely ones again let all through. */
     @Test
-    void crowdingShedsReadsAndEnds() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(12);
+    void overloadOfEndpointsShedsReadsAndEnds() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
         for (int id = 1; id <= 300; id++) {
             rig.now += 10;
-            int sent = rig.placed.size();
+            int sent = rig.sent.size();
             rig.read(id, id);
-            if (rig.placed.size() > sent) {
+            if (rig.sent.size() > sent) {
                 rig.endAfter(rig.last(), AttemptOutcome.OK, 290);
             }
         }
-        assertThat(rig.denied).hasSizeGreaterThan(150);
+        assertThat(rig.rejected).hasSizeGreaterThan(150);
         rig.now += 60000;
-        rig.denied.clear();
+        rig.rejected.clear();
         for (int id = 1001; id <= 1300; id++) {
             rig.now += 10;
             rig.read(id, id);
             rig.endAfter(rig.last(), AttemptOutcome.OK, 20);
         }
-        assertThat(rig.denied).isEmpty();
+        assertThat(rig.rejected).isEmpty();
     }
 
     /** A few hung servers are no crowd: their time-outs refuse nobody else. */
     @Test
-    void hungServersDoNotShedTheOthers() {
+    void hungEndpointsDoNotShedTheOthers() {
         LoadBalancerHarness rig = new LoadBalancerHarness(
                         LoadBalancerHarness.settings(true, false, true, DeduplicationScope.ALL))
                 .fleet(12);
-        List<LoadBalancerHarness.Placed> hung = new ArrayList<>();
+        List<LoadBalancerHarness.SentAttempt> hung = new ArrayList<>();
         for (int id = 1; id <= 600; id++) {
             rig.pass(10);
-            int sent = rig.placed.size();
+            int sent = rig.sent.size();
             rig.read(id, id);
-            if (rig.placed.size() > sent) {
+            if (rig.sent.size() > sent) {
                 if (rig.last().server() <= 2) {
                     hung.add(rig.last());
                 } else {
@@ -844,14 +854,14 @@
             }
         }
         assertThat(hung).hasSizeBetween(2, 60);
-        assertThat(rig.denied.stream().filter(id -> hung.stream().noneMatch(p -> p.request() == id)))
+        assertThat(rig.rejected.stream().filter(id -> hung.stream().noneMatch(p -> p.request() == id)))
                 .isEmpty();
     }
 
     /** A suspect comes back by a trial: the probe's answer, not a client's request, finds out. */
     @Test
-    void aShunnedServerIsProbedBeforeItGetsRequests() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(3);
+    void anEjectedEndpointIsCheckedBeforeItGetsRequests() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(3);
         long key = 1;
         while (topRank(key, 3) != 2) {
             key++;
@@ -862,7 +872,7 @@
         rig.now += 1100;
         rig.read(2, key);
         assertThat(rig.last().server()).isNotEqualTo(2);
-        assertThat(rig.probed).containsExactly(2);
+        assertThat(rig.healthChecked).containsExactly(2);
         rig.loadBalancer.onHealthCheckResult(rig.now, 2, AttemptOutcome.OK, 3, null, rig);
         rig.read(3, key);
         assertThat(rig.last().server()).isEqualTo(2);
@@ -871,11 +881,11 @@
     // ---- bad input
 
     @Test
-    void nonsenseIsRefusedByName() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(3);
+    void invalidArgumentsAreNamed() {
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(3);
         assertThatThrownBy(() -> rig.change(
-                        LoadBalancerHarness.member(1, EndpointState.READY, 0),
-                        LoadBalancerHarness.member(1, EndpointState.READY, 0)))
+                        LoadBalancerHarness.endpoint(1, EndpointState.READY, 0),
+                        LoadBalancerHarness.endpoint(1, EndpointState.READY, 0)))
                 .hasMessageContaining("member 1 is listed twice");
         assertThatThrownBy(() -> rig.change(new Endpoint(8, 0, 0, 0, EndpointState.READY, Float.NaN, 0)))
                 .hasMessageContaining("member 8 has weight NaN");
@@ -893,32 +903,32 @@
 
     /** A successor keeps off a server that its predecessor has given up, and asks it again when that one would have. */
     @Test
-    void aSuccessorKnowsWhichServersHaveFailed() {
-        LoadBalancerHarness old = LoadBalancerHarness.aside().fleet(12);
+    void aSuccessorKnowsWhichEndpointsHaveFailed() {
+        LoadBalancerHarness old = LoadBalancerHarness.cacheAside().fleet(12);
         old.read(1, 77);
         int top = old.last().server();
         old.end(old.last(), AttemptOutcome.CONNECT_FAILED);
         int runnerUp = old.last().server();
-        LoadBalancerHarness next = LoadBalancerHarness.aside().fleet(12);
+        LoadBalancerHarness next = LoadBalancerHarness.cacheAside().fleet(12);
         next.loadBalancer.resume(next.now, old.loadBalancer.learnedState(old.now));
         next.read(1, 77);
         assertThat(next.last().server()).isEqualTo(runnerUp);
         assertThat(next.loadBalancer.isAvoided(next.now, top)).isTrue();
         next.pass(20_000);
         next.read(2, 77);
-        assertThat(next.probed)
+        assertThat(next.healthChecked)
                 .as("its time has come as it would have at the other")
                 .contains(top);
     }
 
     @Test
-    void whatIsKnownOfAServerThatHasStartedSinceIsForgotten() {
-        LoadBalancerHarness old = LoadBalancerHarness.aside().fleet(12);
+    void whatIsKnownOfAnEndpointThatHasStartedSinceIsForgotten() {
+        LoadBalancerHarness old = LoadBalancerHarness.cacheAside().fleet(12);
         old.read(1, 77);
         int top = old.last().server();
         old.end(old.last(), AttemptOutcome.CONNECT_FAILED);
-        LoadBalancerHarness next = LoadBalancerHarness.aside().fleet(12);
-        next.change(LoadBalancerHarness.member(top, EndpointState.READY, -20_000));
+        LoadBalancerHarness next = LoadBalancerHarness.cacheAside().fleet(12);
+        next.change(LoadBalancerHarness.endpoint(top, EndpointState.READY, -20_000));
         next.loadBalancer.resume(next.now, old.loadBalancer.learnedState(old.now));
         next.read(1, 77);
         assertThat(next.last().server()).isEqualTo(top);
@@ -927,11 +937,11 @@
     /** Hot keys go to several servers at once, and the throttle on the origin does not open anew. */
     @Test
     void aSuccessorKnowsHotKeysAndTheOriginsLoad() {
-        LoadBalancerHarness old = LoadBalancerHarness.aside().fleet(12);
+        LoadBalancerHarness old = LoadBalancerHarness.cacheAside().fleet(12);
         for (int i = 1; i <= 200; i++) {
             old.read(i, i % 2 == 0 ? 77 : 1000 + i);
         }
-        LoadBalancerHarness next = LoadBalancerHarness.aside().fleet(12);
+        LoadBalancerHarness next = LoadBalancerHarness.cacheAside().fleet(12);
         next.loadBalancer.resume(next.now, old.loadBalancer.learnedState(old.now));
         Set<Integer> servers = new HashSet<>();
         for (int i = 1; i <= 5; i++) { // fewer than make a key hot to one that knows nothing of it
--- a/src/test/java/cacheproxy/routing/HerdTest.java
+++ b/src/test/java/cacheproxy/routing/HerdTest.java
@@ -13,9 +13,9 @@
 
     private final List<LoadBalancerHarness> rigs = new ArrayList<>();
     private final List<Endpoint> list = List.of(
-            LoadBalancerHarness.member(LoadBalancerHarness.ORIGIN, EndpointState.READY, 0),
-            LoadBalancerHarness.member(1, EndpointState.READY, 0),
-            LoadBalancerHarness.member(2, EndpointState.READY, 0));
+            LoadBalancerHarness.endpoint(LoadBalancerHarness.ORIGIN, EndpointState.READY, 0),
+            LoadBalancerHarness.endpoint(1, EndpointState.READY, 0),
+            LoadBalancerHarness.endpoint(2, EndpointState.READY, 0));
     /** Calls of all instances, step by step. */
     private final List<Integer> calls = new ArrayList<>();
 
@@ -24,7 +24,7 @@
     HerdTest() {
         RoutingSettings settings = LoadBalancerHarness.settings(true, true, false, DeduplicationScope.ALL);
         for (int me = 0; me < INSTANCES; me++) {
-            LoadBalancerHarness rig = new LoadBalancerHarness(LoadBalancerHarness.at(settings, me, INSTANCES));
+            LoadBalancerHarness rig = new LoadBalancerHarness(LoadBalancerHarness.atInstance(settings, me, INSTANCES));
             rig.loadBalancer.onEndpointUpdate(rig.now, EndpointUpdateKind.CACHED, list, rig);
             rigs.add(rig);
         }
--- a/src/test/java/cacheproxy/routing/LoadBalancerHarness.java
+++ b/src/test/java/cacheproxy/routing/LoadBalancerHarness.java
@@ -8,23 +8,23 @@
 /** One instance with its orders written down; time is a field the tests move. */
 final class LoadBalancerHarness implements RoutingActions {
     static final int ORIGIN = 9000;
-    static final int SAFE = 0;
+    static final int IDEMPOTENT = 0;
     static final int KEYED = 1;
-    static final int UNSAFE = 2;
+    static final int NON_IDEMPOTENT = 2;
 
     /** A place order. */
-    record Placed(int request, int attempt, int server, double timeoutMs) {}
+    record SentAttempt(int request, int attempt, int server, double timeoutMs) {}
 
     /** A timer order. */
     record Timer(double at, int token) {}
 
-    final List<Placed> placed = new ArrayList<>();
-    final List<Integer> denied = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
+    final List<Integer> rejected = new ArrayList<>();
     final List<Integer> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
-    final List<Integer> probed = new ArrayList<>();
+    final List<Integer> healthChecked = new ArrayList<>();
     final List<Timer> timers = new ArrayList<>();
-    final List<byte[]> told = new ArrayList<>();
+    final List<byte[]> peerMessages = new ArrayList<>();
     final List<String> orders = new ArrayList<>();
     final Map<Integer, Integer> attempts = new HashMap<>();
     final CarpLoadBalancer loadBalancer;
@@ -50,17 +50,17 @@
     }
 
     /** The same, where what a tenant sends over its quota is worth this part. */
-    static RoutingSettings worth(RoutingSettings s, double overShareWorth) {
+    static RoutingSettings withOverQuotaWeight(RoutingSettings s, double overShareWorth) {
         return with(s, s.instanceIndex(), s.instanceCount(), overShareWorth);
     }
 
     /** The same at one of so many instances. */
-    static RoutingSettings at(RoutingSettings s, int me, int instances) {
+    static RoutingSettings atInstance(RoutingSettings s, int me, int instances) {
         return with(s, me, instances, s.overQuotaPriorityWeight());
     }
 
     /** One of so many instances that may send each other messages. */
-    static LoadBalancerHarness peers(int me, int instances) {
+    static LoadBalancerHarness withPeers(int me, int instances) {
         return new LoadBalancerHarness(
                 with(settings(true, false, false, DeduplicationScope.ALL), me, instances, 0.1, true));
     }
@@ -147,20 +147,20 @@
     }
 
     /** Aside mode, list pushed, no second copies: the ordinary case. */
-    static LoadBalancerHarness aside() {
+    static LoadBalancerHarness cacheAside() {
         return new LoadBalancerHarness(settings(true, false, false, DeduplicationScope.ALL));
     }
 
-    static Endpoint member(int id, EndpointState state, double born) {
+    static Endpoint endpoint(int id, EndpointState state, double born) {
         return new Endpoint(id, id % 2, id == ORIGIN ? 1 : 0, id / 4, state, 1, born);
     }
 
     /** Servers 1 to n, and the origin, all ready for long. */
     LoadBalancerHarness fleet(int n) {
         List<Endpoint> list = new ArrayList<>();
-        list.add(member(ORIGIN, EndpointState.READY, 0));
+        list.add(endpoint(ORIGIN, EndpointState.READY, 0));
         for (int id = 1; id <= n; id++) {
-            list.add(member(id, EndpointState.READY, 0));
+            list.add(endpoint(id, EndpointState.READY, 0));
         }
         loadBalancer.onEndpointUpdate(now, EndpointUpdateKind.CACHED, list, this);
         return this;
@@ -171,33 +171,35 @@
     }
 
     void read(int id, long key) {
-        loadBalancer.onRequest(now, new Request(id, SAFE, 0, key, now + 1000, Double.NaN, 0, false, false), this);
+        loadBalancer.onRequest(now, new Request(id, IDEMPOTENT, 0, key, now + 1000, Double.NaN, 0, false, false), this);
     }
 
     /** A client asks again, and says so. */
-    void readAgain(int id, long key) {
-        loadBalancer.onRequest(now, new Request(id, SAFE, 0, key, now + 1000, Double.NaN, 0, false, true), this);
+    void clientRetry(int id, long key) {
+        loadBalancer.onRequest(now, new Request(id, IDEMPOTENT, 0, key, now + 1000, Double.NaN, 0, false, true), this);
     }
 
     void write(int id, int serviceClass) {
         loadBalancer.onRequest(now, new Request(id, serviceClass, 0, 7, now + 1000, Double.NaN, 0, true, false), this);
     }
 
-    Placed last() {
-        return placed.get(placed.size() - 1);
+    SentAttempt last() {
+        return sent.get(sent.size() - 1);
     }
 
-    void end(Placed p, AttemptOutcome outcome) {
+    void end(SentAttempt p, AttemptOutcome outcome) {
         end(p, outcome, outcome == AttemptOutcome.OK, 0);
     }
 
-    void end(Placed p, AttemptOutcome outcome, boolean over, int note) {
+    void end(SentAttempt p, AttemptOutcome outcome, boolean requestCompleted, int note) {
         loadBalancer.onAttemptEnd(
-                now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, 10, over, note, null), this);
+                now,
+                new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, 10, requestCompleted, note, null),
+                this);
     }
 
     /** Ends an attempt with its final answer after so long. */
-    void endAfter(Placed p, AttemptOutcome outcome, double elapsedMs) {
+    void endAfter(SentAttempt p, AttemptOutcome outcome, double elapsedMs) {
         loadBalancer.onAttemptEnd(
                 now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, elapsedMs, true, 0, null), this);
     }
@@ -223,19 +225,19 @@
     }
 
     int answers() {
-        return denied.size() + failed.size();
+        return rejected.size() + failed.size();
     }
 
     @Override
     public void send(int request, int server, double timeoutMs) {
         int a = attempts.merge(request, 1, Integer::sum) - 1;
-        placed.add(new Placed(request, a, server, timeoutMs));
+        sent.add(new SentAttempt(request, a, server, timeoutMs));
         orders.add("place " + request + " " + server + " " + timeoutMs);
     }
 
     @Override
     public void reject(int request, double retryAfterMs) {
-        denied.add(request);
+        rejected.add(request);
         orders.add("deny " + request);
     }
 
@@ -259,7 +261,7 @@
 
     @Override
     public void checkHealth(int server) {
-        probed.add(server);
+        healthChecked.add(server);
         orders.add("probe " + server);
     }
 
@@ -270,7 +272,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        told.add(message);
+        peerMessages.add(message);
         orders.add("tell " + peer);
     }
 
--- a/src/test/java/cacheproxy/routing/RandomRulesTest.java
+++ b/src/test/java/cacheproxy/routing/RandomRulesTest.java
@@ -85,10 +85,10 @@
             policy = new CarpLoadBalancer(cfg, seed);
             List<Endpoint> first = new ArrayList<>();
             for (int id = 1; id <= 10; id++) {
-                first.add(LoadBalancerHarness.member(id, EndpointState.READY, 0));
+                first.add(LoadBalancerHarness.endpoint(id, EndpointState.READY, 0));
             }
             if (cfg.cacheAside()) {
-                first.add(LoadBalancerHarness.member(LoadBalancerHarness.ORIGIN, EndpointState.READY, 0));
+                first.add(LoadBalancerHarness.endpoint(LoadBalancerHarness.ORIGIN, EndpointState.READY, 0));
             }
             send(EndpointUpdateKind.CACHED, first);
         }
@@ -166,7 +166,7 @@
                     now + 300 + random.nextInt(700),
                     random.nextBoolean() ? Double.NaN : 10 + random.nextInt(90),
                     0,
-                    c != LoadBalancerHarness.SAFE,
+                    c != LoadBalancerHarness.IDEMPOTENT,
                     false);
             h.kind = cfg.classes().get(c);
             held.put(h.request.id(), h);
@@ -188,7 +188,7 @@
             } else {
                 send(
                         EndpointUpdateKind.DELTA,
-                        List.of(LoadBalancerHarness.member(
+                        List.of(LoadBalancerHarness.endpoint(
                                 cfg.cacheAside() && roll == 2 ? LoadBalancerHarness.ORIGIN : id,
                                 EndpointState.values()[random.nextInt(3)],
                                 random.nextBoolean() ? 0 : now)));
--- a/src/test/java/cacheproxy/routing/ZoneDirectivesTest.java
+++ b/src/test/java/cacheproxy/routing/ZoneDirectivesTest.java
@@ -30,7 +30,7 @@
 
     @Test
     void aShareOfAZonesKeysGoesToTheRunnerUpAndNoOtherKeyMoves() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(12);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
         Map<Integer, Integer> whole = placement(rig);
         order(rig, 1, 0.4, false, false);
         Map<Integer, Integer> part = placement(rig);
@@ -63,8 +63,8 @@
 
     @Test
     void allInstancesLeaveTheSameKeys() {
-        LoadBalancerHarness one = LoadBalancerHarness.peers(0, 100).fleet(12);
-        LoadBalancerHarness other = LoadBalancerHarness.peers(1, 100).fleet(12);
+        LoadBalancerHarness one = LoadBalancerHarness.withPeers(0, 100).fleet(12);
+        LoadBalancerHarness other = LoadBalancerHarness.withPeers(1, 100).fleet(12);
         order(one, 0, 0.5, false, false);
         order(other, 0, 0.5, false, false);
         assertThat(placement(one)).isEqualTo(placement(other));
@@ -72,7 +72,7 @@
 
     @Test
     void aZoneThatIsLeftIsTriedByOneRequestForEachOrder() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(12);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
         order(rig, 1, 0, true, false);
         assertThat(placement(rig).values().stream().filter(s -> s % 2 == 1).count())
                 .isEqualTo(1);
@@ -85,12 +85,12 @@
     /** Its servers were silent when it was left; that is past when the fleet returns. */
     @Test
     void whatWasSeenOfItsServersIsPastWhenTheFleetReturns() {
-        LoadBalancerHarness rig = LoadBalancerHarness.aside().fleet(12);
+        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
         Map<Integer, Integer> whole = placement(rig);
         for (int key = 1; key <= KEYS; key++) {
             if (whole.get(key) % 2 == 1) {
                 rig.read(++id, key * 7919L);
-                LoadBalancerHarness.Placed p = rig.last();
+                LoadBalancerHarness.SentAttempt p = rig.last();
                 if (p.server() % 2 == 1) {
                     rig.end(p, AttemptOutcome.CONNECT_FAILED, false, 0);
                 }
@@ -104,9 +104,9 @@
 
     @Test
     void whatPeersFoundSilentIsLeftAloneUnlessItHasAnsweredHere() {
-        LoadBalancerHarness rig = LoadBalancerHarness.peers(1, 12).fleet(6);
+        LoadBalancerHarness rig = LoadBalancerHarness.withPeers(1, 12).fleet(6);
         rig.read(++id, 77);
-        LoadBalancerHarness.Placed first = rig.last();
+        LoadBalancerHarness.SentAttempt first = rig.last();
         rig.end(first, AttemptOutcome.OK);
         rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointUnresponsive(first.server()), rig);
         rig.read(++id, 77);
