--- a/src/main/java/cacheproxy/proxy/ClientAcceptor.java
+++ b/src/main/java/cacheproxy/proxy/ClientAcceptor.java
@@ -34,7 +34,7 @@
 
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 << 10, 64 << 10);
     private static final Comparator<ClientConnection> LONGEST_IDLE =
-            Comparator.comparingDouble(ClientConnection::activeMs);
+            Comparator.comparingDouble(ClientConnection::lastActiveMs);
 
     private final Dispatcher dispatcher;
     private final int maxClients;
@@ -216,7 +216,7 @@
     /** The same at that time. */
     void endIdle(int many, double now) {
         idleClients()
-                .filter(c -> c.used() || now - c.activeMs() >= UNHEARD_MS)
+                .filter(c -> c.used() || now - c.lastActiveMs() >= UNHEARD_MS)
                 .sorted(LONGEST_IDLE)
                 .limit(many)
                 .toList()
--- a/src/main/java/cacheproxy/proxy/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/ClientInput.java
@@ -6,13 +6,13 @@
 import io.netty.channel.ChannelHandlerContext;
 
 /**
- * How a client's connection is read: when its bytes came, how far it is read ahead while nothing more is taken from it,
- * and the search for its end while reading is paused.
+ * The input of one client connection: when its bytes arrived, how far it is read ahead of what is decoded, and the
+ * search for the client's end while reading is paused. On the event loop only.
  */
 final class ClientInput {
-    /** What is read in search of a client's end behind it. */
+    /** How much is read in search of a client's end behind it, in bytes. */
     private static final int SEARCH_BYTES = 1 << 20;
-    /** Reads of one round of the event loop, after which more may be waiting (Netty's default). */
+    /** Reads in one round of the event loop, after which more input may be waiting (Netty's default). */
     private static final int MAX_READS = 16;
 
     private final Dispatcher dispatcher;
@@ -27,8 +27,8 @@
         readAhead = dispatcher.bufferLimits().readAhead().newReservation();
     }
 
-    /** Bytes have been read; {@code idle}: nothing of the client was under way before them. */
-    void read(ChannelHandlerContext context, ByteBuf bytes, boolean idle) {
+    /** Bytes have been read; {@code idle}: nothing of the client was in flight before them. */
+    void received(ChannelHandlerContext context, ByteBuf bytes, boolean idle) {
         if (!bytes.isReadable()) {
             return;
         }
@@ -41,7 +41,7 @@
         }
     }
 
-    /** A round of reading is over; so many bytes wait to be looked at. */
+    /** A round of reading is over; so many bytes wait to be decoded. */
     void readComplete(ChannelHandlerContext context, int waitingBytes) {
         if (!paused && reads < MAX_READS) {
             arrivals.backlogDrained(dispatcher.now());
@@ -57,23 +57,23 @@
         }
     }
 
-    /** Whether anything has come. */
-    boolean any() {
+    /** Whether anything has arrived. */
+    boolean anyReceived() {
         return arrivals.received() > 0;
     }
 
-    /** When the last byte came that has been taken, so many being left. */
-    double takenCameMs(int leftBytes) {
+    /** When the last byte arrived that has been decoded, so many being left. */
+    double lastTakenArrivedMs(int leftBytes) {
         return arrivals.arrivedAtMs(arrivals.received() - leftBytes);
     }
 
-    /** When the first of the bytes came that are left. */
-    double nextCameMs(int leftBytes) {
+    /** When the first of the bytes arrived that are left. */
+    double nextArrivedMs(int leftBytes) {
         return arrivals.arrivedAtMs(arrivals.received() - leftBytes + 1);
     }
 
-    /** Nothing is taken for now, and so many bytes wait: reading goes on as far as there is room. */
-    void blocked(ChannelHandlerContext context, int waitingBytes) {
+    /** Nothing is decoded for now, and so many bytes wait: pauses reading where there is no budget to read ahead. */
+    void pauseIfFull(ChannelHandlerContext context, int waitingBytes) {
         if (!readAhead.tryReserve(waitingBytes) && !paused) {
             arrivals.backlogPossible(dispatcher.now());
             paused = true;
@@ -81,8 +81,8 @@
         }
     }
 
-    /** More is taken again. */
-    void unblocked(ChannelHandlerContext context) {
+    /** Decoding goes on. */
+    void resume(ChannelHandlerContext context) {
         readAhead.release();
         if (paused) {
             paused = false;
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/ClientResponseQueue.java
@@ -0,0 +1,223 @@
+package cacheproxy.proxy;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.CompositeByteBuf;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandlerContext;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+
+/**
+ * Writes the responses of one client connection in the order of their requests. Responses that are ready early wait
+ * here; of streamed values only the one at the head is read from its server. On the event loop only.
+ */
+final class ClientResponseQueue {
+    /** Parts that a composite buffer holds before it merges them. */
+    private static final int MAX_COMPONENTS = 64;
+
+    private final ClientConnection connection;
+    private final Dispatcher dispatcher;
+    private final ArrayDeque<PendingResponse> pending = new ArrayDeque<>();
+    private ChannelFuture lastWrite;
+
+    ClientResponseQueue(ClientConnection connection, Dispatcher dispatcher) {
+        this.connection = connection;
+        this.dispatcher = dispatcher;
+    }
+
+    /** How many responses are outstanding. */
+    int size() {
+        return pending.size();
+    }
+
+    boolean isEmpty() {
+        return pending.isEmpty();
+    }
+
+    /** Whether any response has been written on this connection. */
+    boolean hasWritten() {
+        return lastWrite != null;
+    }
+
+    /** Whether all that was written is in the kernel: shutting the connection down drops what is not. */
+    boolean allWritten() {
+        return lastWrite == null || lastWrite.isDone();
+    }
+
+    /** Hands a request to the core; its response takes its place in the queue. */
+    void accept(RequestCommand command, double receivedMs) {
+        PendingResponse response = new PendingResponse(command.id);
+        response.request = new ClientRequest(response, command, receivedMs);
+        pending.add(response);
+        dispatcher.accept(response.request);
+    }
+
+    /** Responds to a line without the core. */
+    void respond(String text) {
+        PendingResponse response = new PendingResponse(null);
+        pending.add(response);
+        response.complete(MetaCodec.text(context().alloc(), text));
+    }
+
+    /** Writes what is ready, as far as the order allows. */
+    void flush() {
+        boolean wrote = false;
+        PendingResponse head;
+        while (!connection.finished() && (head = pending.peek()) != null) {
+            if (head.ready != null) {
+                lastWrite = context().write(head.ready);
+                head.ready = null;
+                wrote = true;
+            }
+            if (!head.complete) {
+                break;
+            }
+            pending.poll();
+        }
+        if (wrote) {
+            connection.markActive();
+            context().flush();
+            if (!allWritten()) {
+                lastWrite.addListener(f -> connection.closeIfDue());
+            }
+        }
+        connection.updateBackpressure();
+        connection.closeIfDue();
+    }
+
+    /** Pauses the servers of streamed values that can't be written now, and resumes the others. */
+    void updateFlowControl() {
+        for (PendingResponse response : pending) {
+            if (response.source != null) {
+                response.source.setPaused(
+                        response != pending.peek() || !context().channel().isWritable());
+            }
+        }
+    }
+
+    /** The connection has ended: drops what is outstanding. {@code closedByProxy}: not by the client. */
+    void drop(boolean closedByProxy) {
+        for (PendingResponse response; (response = pending.poll()) != null; ) {
+            response.drop(closedByProxy);
+        }
+    }
+
+    private ChannelHandlerContext context() {
+        return connection.context();
+    }
+
+    /** The response to one request, or to a line that is none. */
+    private final class PendingResponse implements ResponseWriter {
+        private final String id;
+        /** Null for a response without the core. */
+        private ClientRequest request;
+        /** What can be written, null once it has been handed on. */
+        private ByteBuf ready;
+        /** Whether all of the response has arrived. */
+        private boolean complete;
+        /** The server of a streamed value, else null. */
+        private FlowControl source;
+
+        PendingResponse(String id) {
+            this.id = id;
+        }
+
+        private void complete(ByteBuf text) {
+            ready = text;
+            complete = true;
+            flush();
+        }
+
+        private void complete(String text) {
+            complete(MetaCodec.text(context().alloc(), text));
+        }
+
+        @Override
+        public void writeResponse(ServerResponse response) {
+            if (response instanceof ServerResponse.Receipt r) {
+                complete(MetaCodec.receipt(id, r.receipt()));
+            } else if (response instanceof ServerResponse.Value v) {
+                complete(encode(v.value()));
+            } else {
+                throw new IllegalStateException("the end of a value that has not begun");
+            }
+        }
+
+        /** In one buffer: costs a copy and saves the system call two further buffers. */
+        private ByteBuf encode(ByteBuf value) {
+            String head = MetaCodec.valueHead(value.readableBytes(), id);
+            ByteBuf out = context().alloc().buffer(head.length() + value.readableBytes() + MetaCodec.LINE_END_BYTES);
+            out.writeCharSequence(head, StandardCharsets.ISO_8859_1);
+            out.writeBytes(value).writeByte('\r').writeByte('\n');
+            value.release();
+            return out;
+        }
+
+        @Override
+        public void reject(double retryAfterMs) {
+            complete(
+                    retryAfterMs >= 1
+                            ? MetaCodec.BUSY + " " + Math.round(retryAfterMs) + "\r\n"
+                            : MetaCodec.BUSY + "\r\n");
+        }
+
+        @Override
+        public void fail() {
+            complete(MetaCodec.FAILED);
+        }
+
+        @Override
+        public void rejectInvalid(String reason) {
+            complete("CLIENT_ERROR " + reason + "\r\n");
+        }
+
+        @Override
+        public void beginValue(int length, FlowControl flowControl) {
+            source = flowControl;
+            writePart(MetaCodec.text(context().alloc(), MetaCodec.valueHead(length, id)));
+        }
+
+        @Override
+        public void writePart(ByteBuf part) {
+            if (connection.finished()) {
+                part.release();
+            } else if (ready == null) {
+                ready = part;
+            } else {
+                CompositeByteBuf parts = ready instanceof CompositeByteBuf composite
+                        ? composite
+                        : context().alloc().compositeBuffer(MAX_COMPONENTS).addComponent(true, ready);
+                ready = parts.addComponent(true, part);
+            }
+            flush();
+        }
+
+        @Override
+        public void endValue() {
+            source = null; // first, or the write pauses the connection that the next response is to arrive on
+            complete = true;
+            writePart(MetaCodec.text(context().alloc(), "\r\n"));
+        }
+
+        /** Only the connection's end tells the client that the value is incomplete. */
+        @Override
+        public void abort() {
+            source = null;
+            context().close();
+        }
+
+        private void drop(boolean closedByProxy) {
+            if (ready != null) {
+                ready.release();
+                ready = null;
+            }
+            if (source != null) {
+                source.setPaused(false);
+                source = null;
+            }
+            if (request != null) {
+                dispatcher.clientDisconnected(request, closedByProxy);
+            }
+        }
+    }
+}
--- a/src/main/java/cacheproxy/proxy/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/MetaCodec.java
@@ -14,6 +14,9 @@
     static final int WHOLE = 64 << 10;
 
     static final int MAX_LINE = 4096;
+    /** Of the line end behind a value. */
+    static final int LINE_END_BYTES = 2;
+
     static final String FAILED = "SERVER_ERROR failed\r\n";
     static final String BUSY = "SERVER_ERROR busy";
 
@@ -133,6 +136,12 @@
         return "HD O" + id + " c" + receipt + "\r\n";
     }
 
+    /** Whether the value is followed by its line end. */
+    static boolean endsWithLineEnd(ByteBuf value) {
+        int end = value.writerIndex();
+        return value.getByte(end - 2) == '\r' && value.getByte(end - 1) == '\n';
+    }
+
     static ByteBuf text(ByteBufAllocator alloc, String text) {
         ByteBuf buf = alloc.buffer(text.length() + 2);
         ByteBufUtil.writeAscii(buf, text);
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -275,7 +275,7 @@
         if (!handover.passesClients()) {
             client.finish();
         } else if (client.served()) {
-            client.pass(handoverServer);
+            client.passTo(handoverServer);
         } // else its first command is awaited here: the successor does not know since when
     }
 
