--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -69,8 +69,7 @@
             assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().forbidden())
                             .keySet())
                     .isSubsetOf(Verdict.CLIENT_DISCONNECTED);
-            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().breaches()))
-                    .isEmpty();
+ assertThat ( fleet.on ( ( ) -> fleet.proxy.dispatcher ( ).rules ( ).violations ( ) ) ).isEmpty ( ) ;
         }
     }
 
@@ -140,9 +139,9 @@
                 return null;
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().breaches()))
+ assertThat ( fleet.on ( ( ) -> fleet.proxy.dispatcher ( ).rules ( ).violations ( ) ) )
                     .containsEntry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, 1L);
-            assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).breaches())
+            assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).violations())
                     .as("what status and figures show")
                     .containsExactly(Map.entry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED.key(), 1L));
         }
