--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -69,7 +69,8 @@
             assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().forbidden())
                             .keySet())
                     .isSubsetOf(Verdict.CLIENT_DISCONNECTED);
- assertThat ( fleet.on ( ( ) -> fleet.proxy.dispatcher ( ).rules ( ).violations ( ) ) ).isEmpty ( ) ;
+            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().violations()))
+                    .isEmpty();
         }
     }
 
@@ -139,7 +140,7 @@
                 return null;
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
- assertThat ( fleet.on ( ( ) -> fleet.proxy.dispatcher ( ).rules ( ).violations ( ) ) )
+            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().violations()))
                     .containsEntry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, 1L);
             assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).violations())
                     .as("what status and figures show")
