--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -34,7 +34,7 @@
     /** What a proxy that is asked loads, so that it stands in the archive. */
     private static void openDoor(Proxy proxy) {
         try {
-            AdminPort.practise(proxy.loop(), ProxyControl.registry(proxy));
+            AdminPort.exercise(proxy.loop(), ProxyControl.registry(proxy));
         } catch (Exception e) {
             System.err.println("the door was not tried: " + e);
         }
--- a/src/main/java/cacheproxy/control/AdminCommand.java
+++ b/src/main/java/cacheproxy/control/AdminCommand.java
@@ -1,10 +1,10 @@
 package cacheproxy.control;
 
-/** What operators can ask for at the door: one word on a line. Answered on the event loop, so it must not wait. */
+/** A command of the admin port: one word on a line. Answered on the event loop, so it must not block. */
 interface AdminCommand {
     /** The word. */
-    String word();
+    String wireName();
 
-    /** The answer, each line with its end. */
+    /** The answer, each line with its line feed. */
     String answer(ControlRegistry registry);
 }
--- a/src/main/java/cacheproxy/control/AdminPort.java
+++ b/src/main/java/cacheproxy/control/AdminPort.java
@@ -25,27 +25,28 @@
 import java.util.stream.Collectors;
 
 /**
- * Where operators ask: a line a connection, answered and then closed, on the proxy's event loop. Bounded in callers and
- * in the time that each may take, as some say nothing, or half a call, and stay.
+ * The admin port: one command a connection, which is answered and then closed, on the proxy's event loop. Bounded in
+ * connections and in the time that each may take, as some send nothing, or half a command, and stay open.
  */
 public final class AdminPort implements AutoCloseable {
-    /** Callers at a time; one more takes the place of the one that has been there longest. */
-    static final int MAX_CALLERS = 32;
-    /** The longest call, in bytes. */
-    static final int MAX_LINE = 256;
+    /** Connections at a time; one more closes the oldest. */
+    static final int MAX_CONNECTIONS = 32;
+    /** The longest command, in bytes. */
+    static final int MAX_LINE_BYTES = 256;
 
-    private static final int STAY_S = 5;
+    /** How long a connection may last, in seconds. */
+    private static final int MAX_CONNECTION_S = 5;
 
-    private static final Map<String, AdminCommand> CALLS =
+    private static final Map<String, AdminCommand> COMMANDS =
             List.<AdminCommand>of(new HealthCommand(), new DumpCommand(), new HandoverCommand()).stream()
-                    .collect(Collectors.toUnmodifiableMap(AdminCommand::word, Function.identity()));
+                    .collect(Collectors.toUnmodifiableMap(AdminCommand::wireName, Function.identity()));
 
     private final ControlRegistry registry;
     private final Channel server;
-    private final Set<Channel> callers = new LinkedHashSet<>();
+    private final Set<Channel> connections = new LinkedHashSet<>();
 
     /**
-     * Listens at this address; not to be called on the event loop.
+     * Listens at this address. Blocks, so it is not to be called on the event loop.
      *
      * @throws Exception if it can't listen there
      */
@@ -66,12 +67,12 @@
                 .channel();
     }
 
-    /** Opens a door, asks all that can be asked there, and closes it. */
-    public static void practise(EventLoop loop, ControlRegistry registry) throws Exception {
-        try (AdminPort door = new AdminPort(loop, new InetSocketAddress("127.0.0.1", 0), registry)) {
-            for (String word : CALLS.keySet()) {
+    /** Opens an admin port, gives each command once and closes it; for the archive of loaded classes. */
+    public static void exercise(EventLoop loop, ControlRegistry registry) throws Exception {
+        try (AdminPort port = new AdminPort(loop, new InetSocketAddress("127.0.0.1", 0), registry)) {
+            for (String word : COMMANDS.keySet()) {
                 try (Socket caller = new Socket()) {
-                    caller.connect(door.address());
+                    caller.connect(port.address());
                     caller.getOutputStream().write((word + "\r\n").getBytes(StandardCharsets.US_ASCII));
                     caller.getInputStream().readAllBytes();
                 }
@@ -79,23 +80,23 @@
         }
     }
 
-    /** Where it listens. */
+    /** The address that it listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) server.localAddress();
     }
 
-    private void accepted(Channel caller) {
-        if (callers.size() >= MAX_CALLERS) {
-            callers.iterator().next().close();
+    private void accepted(Channel connection) {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            connections.iterator().next().close();
         }
-        callers.add(caller);
-        // For the whole call and not since its last byte: one that sends a byte a second stays no longer.
-        Future<?> limit = caller.eventLoop().schedule(() -> caller.close(), STAY_S, TimeUnit.SECONDS);
-        caller.closeFuture().addListener(f -> {
+        connections.add(connection);
+        // From its beginning, not since its last byte: one that sends a byte a second lasts no longer.
+        Future<?> limit = connection.eventLoop().schedule(() -> connection.close(), MAX_CONNECTION_S, TimeUnit.SECONDS);
+        connection.closeFuture().addListener(f -> {
             limit.cancel(false);
-            callers.remove(caller);
+            connections.remove(connection);
         });
-        caller.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE, true, true), new Caller());
+        connection.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true), new CommandHandler());
     }
 
     @Override
@@ -103,22 +104,23 @@
         server.close();
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class CommandHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private boolean answered;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            String word = line.toString(StandardCharsets.UTF_8).trim();
-            AdminCommand call = CALLS.get(word);
-            say(
-                    ctx,
-                    call != null
-                            ? call.answer(registry)
-                            : "ERR unknown call; there are: "
-                                    + CALLS.keySet().stream().sorted().collect(Collectors.joining(", ")) + "\n");
+            AdminCommand command =
+                    COMMANDS.get(line.toString(StandardCharsets.UTF_8).trim());
+            answer(ctx, command != null ? command.answer(registry) : unknownCommand());
         }
 
-        private void say(ChannelHandlerContext ctx, String text) {
+        private static String unknownCommand() {
+            String known = COMMANDS.keySet().stream().sorted().collect(Collectors.joining(", "));
+            return "ERR unknown call; there are: " + known + "\n";
+        }
+
+        /** Only the first line of a connection is answered. */
+        private void answer(ChannelHandlerContext ctx, String text) {
             if (!answered) {
                 answered = true;
                 ctx.writeAndFlush(ByteBufUtil.writeUtf8(ctx.alloc(), text)).addListener(ChannelFutureListener.CLOSE);
@@ -128,7 +130,7 @@
         /** A line that is too long, or a connection that broke. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            say(ctx, "ERR a line of at most " + MAX_LINE + " bytes is read here\n");
+            answer(ctx, "ERR a line of at most " + MAX_LINE_BYTES + " bytes is read here\n");
         }
     }
 }
--- a/src/main/java/cacheproxy/control/ControlClient.java
+++ b/src/main/java/cacheproxy/control/ControlClient.java
@@ -2,7 +2,6 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
-import com.google.gson.JsonParser;
 import java.io.BufferedReader;
 import java.io.Closeable;
 import java.io.IOException;
@@ -14,21 +13,25 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 
-/** The other end of a control socket: asks and waits for the answer. */
+/** A client of a control socket: sends a request and blocks until the answer. For one thread. */
 public final class ControlClient implements Closeable {
-    /** The proxy's words where it won't or can't do what it was asked. */
+    /** The proxy can't carry out the command; the message is its reason. */
     public static final class RefusedException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        RefusedException(String words) {
-            super(words);
+        RefusedException(String reason) {
+            super(reason);
         }
     }
 
     private final SocketChannel channel;
     private final BufferedReader in;
 
-    /** Connects; an IOException says that nobody listens there. */
+    /**
+     * Connects.
+     *
+     * @throws IOException if no proxy listens at this path
+     */
     public ControlClient(Path path) throws IOException {
         channel = SocketChannel.open(StandardProtocolFamily.UNIX);
         try {
@@ -43,17 +46,14 @@
 
     /** A request without arguments. */
     public static JsonObject request(String command) {
-        JsonObject request = new JsonObject();
-        request.addProperty("v", ControlRegistry.VERSION);
-        request.addProperty("command", command);
-        return request;
+        return ControlProtocol.request(command);
     }
 
     /**
      * The result of a request.
      *
-     * @throws RefusedException with the proxy's words if it refuses
-     * @throws IOException if the connection has ended
+     * @throws RefusedException if the proxy can't carry it out
+     * @throws IOException if the connection has ended, or the answer is of another protocol
      */
     public JsonObject ask(JsonObject request) throws IOException {
         ByteBuffer out = ByteBuffer.wrap((request + "\n").getBytes(StandardCharsets.UTF_8));
@@ -65,11 +65,7 @@
             throw new IOException("the proxy has ended the connection");
         }
         try {
-            JsonObject answer = JsonParser.parseString(line).getAsJsonObject();
-            if (!answer.get("ok").getAsBoolean()) {
-                throw new RefusedException(answer.get("error").getAsString());
-            }
-            return answer.getAsJsonObject("result");
+            return ControlProtocol.result(line);
         } catch (JsonParseException | IllegalStateException | NullPointerException e) {
             throw new IOException("an answer of another protocol: " + line, e);
         }
--- a/src/main/java/cacheproxy/control/ControlRegistry.java
+++ b/src/main/java/cacheproxy/control/ControlRegistry.java
@@ -1,9 +1,6 @@
 package cacheproxy.control;
 
-import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import com.google.gson.JsonParseException;
-import com.google.gson.JsonParser;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -11,50 +8,47 @@
 import java.util.function.Supplier;
 
 /**
- * What can be asked of a running proxy. Each subsystem registers its part of {@code status}, its figures and its
- * commands; all of them run on the event loop and must not wait. The control socket and the door are two faces of it.
- * Used on the event loop only.
+ * The commands, status sections and metrics of a running proxy. Each subsystem registers its own; the control socket
+ * and the admin port serve them. All run on the event loop, where alone this may be used, and must not block.
  */
 public final class ControlRegistry {
-    /** The protocol's version. */
-    public static final int VERSION = 1;
+    /** Of an unknown command's name, so much is repeated in the answer, in characters. */
+    private static final int MAX_NAME_SHOWN = 40;
 
-    /** Carries a command out. An IllegalArgumentException says what is wrong with its arguments. */
-    public interface Command {
-        /** The result, for the answer. */
-        JsonObject run(JsonObject arguments);
-    }
-
-    private final Map<String, Command> commands = new TreeMap<>();
+    private final Map<String, ControlCommand> commands = new TreeMap<>();
     private final Map<String, Supplier<JsonObject>> sections = new TreeMap<>();
-    private final List<Supplier<List<MetricSample>>> figures = new ArrayList<>();
+    private final List<Supplier<List<MetricSample>>> metricSources = new ArrayList<>();
 
     /** With the commands {@code status} and {@code help}. */
     public ControlRegistry() {
-        command("status", arguments -> {
-            JsonObject all = new JsonObject();
-            sections.forEach((name, section) -> all.add(name, section.get()));
-            return all;
-        });
-        command("help", arguments -> {
-            JsonObject all = new JsonObject();
-            all.addProperty("commands", String.join(" ", commands.keySet()));
-            all.addProperty("sections", String.join(" ", sections.keySet()));
-            return all;
-        });
+        command("status", arguments -> status());
+        command("help", arguments -> help());
+    }
+
+    private JsonObject status() {
+        JsonObject status = new JsonObject();
+        sections.forEach((name, section) -> status.add(name, section.get()));
+        return status;
+    }
+
+    private JsonObject help() {
+        JsonObject help = new JsonObject();
+        help.addProperty("commands", String.join(" ", commands.keySet()));
+        help.addProperty("sections", String.join(" ", sections.keySet()));
+        return help;
     }
 
     /** Adds a command; its name is new. */
-    public void command(String name, Command command) {
+    public void command(String name, ControlCommand command) {
         if (commands.putIfAbsent(name, command) != null) {
-            throw new IllegalStateException("a second command " + name);
+            throw new IllegalStateException("command '" + name + "' is registered already");
         }
     }
 
     /** Adds a section to {@code status}; its name is new. */
     public void section(String name, Supplier<JsonObject> section) {
         if (sections.putIfAbsent(name, section) != null) {
-            throw new IllegalStateException("a second section " + name);
+            throw new IllegalStateException("status section '" + name + "' is registered already");
         }
     }
 
@@ -64,73 +58,45 @@
         return section == null ? null : section.get();
     }
 
-    /** Adds figures; where there are any, {@code status} shows them all in a section of their own. */
-    public void figures(Supplier<List<MetricSample>> some) {
-        if (figures.isEmpty()) {
-            section("figures", () -> {
-                JsonObject o = new JsonObject();
-                figures().forEach(f -> o.addProperty(f.name(), f.value()));
-                return o;
-            });
+    /**
+     * Adds a source of metrics; where there is any, {@code status} shows all metrics in the section {@code figures}.
+     */
+    public void metrics(Supplier<List<MetricSample>> source) {
+        if (metricSources.isEmpty()) {
+            section("figures", this::metricsSection);
         }
-        figures.add(some);
+        metricSources.add(source);
+    }
+
+    private JsonObject metricsSection() {
+        JsonObject section = new JsonObject();
+        metrics().forEach(m -> section.addProperty(m.name(), m.value()));
+        return section;
     }
 
-    /** All figures as they are now. */
-    List<MetricSample> figures() {
-        return figures.stream().flatMap(some -> some.get().stream()).toList();
+    /** All metrics as they are now. */
+    List<MetricSample> metrics() {
+        return metricSources.stream().flatMap(source -> source.get().stream()).toList();
     }
 
-    /** Answers one line. */
+    /** The answer to a request, one line each. */
     String answer(String line) {
-        JsonObject answer = new JsonObject();
-        answer.addProperty("v", VERSION);
         try {
-            JsonObject result = run(line);
-            answer.addProperty("ok", true);
-            answer.add("result", result);
+            return ControlProtocol.success(run(line)).toString();
         } catch (IllegalArgumentException e) {
-            answer.addProperty("ok", false);
-            answer.addProperty("error", e.getMessage());
+            return ControlProtocol.failure(e.getMessage()).toString();
         }
-        return answer.toString();
     }
 
     private JsonObject run(String line) {
-        JsonObject request;
-        try {
-            request = JsonParser.parseString(line).getAsJsonObject();
-        } catch (JsonParseException | IllegalStateException e) {
-            throw new IllegalArgumentException("not a JSON object on one line");
-        }
-        JsonElement version = request.get("v");
-        if (!isNumber(version) || version.getAsDouble() != VERSION) {
-            throw new IllegalArgumentException("this speaks version " + VERSION + "; say \"v\":" + VERSION);
-        }
-        JsonElement name = request.get("command");
-        String word = name != null && name.isJsonPrimitive() ? name.getAsString() : "";
-        Command command = commands.get(word);
+        JsonObject request = ControlProtocol.parseRequest(line);
+        String name = ControlProtocol.command(request);
+        ControlCommand command = commands.get(name);
         if (command == null) {
-            throw new IllegalArgumentException("no command '" + (word.length() > 40 ? word.substring(0, 40) : word)
-                    + "'; there are: " + String.join(", ", commands.keySet()));
-        }
-        return command.run(request);
-    }
-
-    private static boolean isNumber(JsonElement e) {
-        return e != null && e.isJsonPrimitive() && e.getAsJsonPrimitive().isNumber();
-    }
-
-    /** A figure among a command's arguments; an IllegalArgumentException where it is none or missing. */
-    public static double number(JsonObject arguments, String name) {
-        JsonElement value = arguments.get(name);
-        try {
-            if (isNumber(value)) {
-                return value.getAsDouble();
-            }
-        } catch (NumberFormatException e) {
-            // told below
+            String shown = name.substring(0, Math.min(name.length(), MAX_NAME_SHOWN));
+            throw new CommandException(
+                    "no command '" + shown + "'; there are: " + String.join(", ", commands.keySet()));
         }
-        throw new IllegalArgumentException("'" + name + "' is to be a number");
+        return command.run(new CommandArguments(request));
     }
 }
--- a/src/main/java/cacheproxy/control/ControlServer.java
+++ b/src/main/java/cacheproxy/control/ControlServer.java
@@ -1,10 +1,12 @@
 package cacheproxy.control;
 
 import cacheproxy.proxy.Transport;
+import com.google.gson.JsonObject;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
@@ -22,16 +24,19 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** The control endpoint: lines in, lines out, on the proxy's event loop and bounded in all that it holds. */
+/**
+ * The server of the control socket: requests and answers of {@link ControlProtocol}, on the proxy's event loop. Bounded
+ * in connections, in the length of requests and in answers that aren't read.
+ */
 public final class ControlServer implements AutoCloseable {
     /** The longest request, in bytes. */
-    static final int MAX_LINE = 64 << 10;
-    /** Connections at a time; one more takes the place of the one that has been silent longest. */
+    static final int MAX_LINE_BYTES = 64 << 10;
+    /** Connections at a time; one more closes the one that has been idle longest. */
     static final int MAX_CONNECTIONS = 16;
-    /** A connection that has asked nothing for so long is closed. */
-    private static final int SILENT_S = 60;
-    /** Answers that a client does not read are kept up to this many bytes. */
-    private static final int MAX_UNREAD = 256 << 10;
+    /** A connection that has sent nothing for so long is closed, in seconds. */
+    private static final int IDLE_TIMEOUT_S = 60;
+    /** Answers that a client does not read are buffered up to this many bytes. */
+    private static final int MAX_UNREAD_BYTES = 256 << 10;
 
     private final ControlRegistry registry;
     private final SocketFile file;
@@ -39,9 +44,9 @@
     private final Set<Channel> connections = new LinkedHashSet<>();
 
     /**
-     * Listens at this path; not to be called on the event loop.
+     * Listens at this path. Blocks, so it is not to be called on the event loop.
      *
-     * @throws IOException if somebody listens there, or it can't be made
+     * @throws IOException if another process listens there, or the socket can't be created
      */
     public ControlServer(EventLoop loop, Path path, ControlRegistry registry) throws IOException {
         this.registry = registry;
@@ -49,7 +54,8 @@
         server = new ServerBootstrap()
                 .group(loop, loop)
                 .channel(Transport.BEST.localServer())
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(32 << 10, MAX_UNREAD))
+                .childOption(
+                        ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(32 << 10, MAX_UNREAD_BYTES))
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -70,9 +76,9 @@
         channel.closeFuture().addListener(f -> connections.remove(channel));
         channel.pipeline()
                 .addLast(
-                        new ReadTimeoutHandler(SILENT_S, TimeUnit.SECONDS),
-                        new LineBasedFrameDecoder(MAX_LINE, true, true),
-                        new Lines());
+                        new ReadTimeoutHandler(IDLE_TIMEOUT_S, TimeUnit.SECONDS),
+                        new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true),
+                        new RequestHandler());
     }
 
     @Override
@@ -81,30 +87,27 @@
         file.remove();
     }
 
-    private final class Lines extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            connections.remove(ctx.channel()); // it has spoken: the last to make room
+            connections.remove(ctx.channel()); // to the end: the last to be closed for another
             connections.add(ctx.channel());
             if (!ctx.channel().isWritable()) {
-                ctx.close(); // it asks and does not read
+                ctx.close(); // it sends requests and does not read the answers
                 return;
             }
-            say(ctx, registry.answer(line.toString(StandardCharsets.UTF_8)));
+            send(ctx, registry.answer(line.toString(StandardCharsets.UTF_8)));
         }
 
-        private void say(ChannelHandlerContext ctx, String text) {
-            ctx.writeAndFlush(ByteBufUtil.writeUtf8(ctx.alloc(), text + "\n"));
+        private static ChannelFuture send(ChannelHandlerContext ctx, String answer) {
+            return ctx.writeAndFlush(ByteBufUtil.writeUtf8(ctx.alloc(), answer + "\n"));
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                ctx.writeAndFlush(ByteBufUtil.writeUtf8(
-                                ctx.alloc(),
-                                "{\"v\":" + ControlRegistry.VERSION + ",\"ok\":false,\"error\":\"a line of more than "
-                                        + MAX_LINE + " bytes\"}\n"))
-                        .addListener(ChannelFutureListener.CLOSE);
+                JsonObject answer = ControlProtocol.failure("a line of more than " + MAX_LINE_BYTES + " bytes");
+                send(ctx, answer.toString()).addListener(ChannelFutureListener.CLOSE);
             } else {
                 ctx.close();
             }
--- /dev/null
+++ b/src/main/java/cacheproxy/control/FleetViewControl.java
@@ -0,0 +1,66 @@
+package cacheproxy.control;
+
+import cacheproxy.membership.Entry;
+import cacheproxy.membership.View;
+import cacheproxy.proxy.Proxy;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
+import java.util.function.Supplier;
+
+/** The section {@code view} of the status, and the command {@code view} that shows each member of the fleet. */
+final class FleetViewControl {
+    /** Members shown: some 120 bytes each, together under what the control socket buffers for a slow reader. */
+    private static final int MAX_MEMBERS = 2048;
+
+    private FleetViewControl() {}
+
+    /** {@code view}: supplies null where this proxy takes no part in the fleet's view. */
+    static void register(ControlRegistry registry, Supplier<Proxy.FleetView> view) {
+        registry.section("view", () -> summary(view.get()));
+        registry.command("view", arguments -> members(view.get()));
+    }
+
+    private static JsonObject summary(Proxy.FleetView fleet) {
+        JsonObject json = new JsonObject();
+        json.addProperty("kept", fleet != null);
+        if (fleet == null) {
+            return json;
+        }
+        View view = fleet.view();
+        json.addProperty("hearing", AnswerWords.of(view.hearing()));
+        json.addProperty("living", view.living().count());
+        json.addProperty("known", view.entries().size());
+        if (view.configured() != null) {
+            json.addProperty("configured", view.configured().count());
+        }
+        json.addProperty("digest", String.format("%08x", view.digest()));
+        json.addProperty("disputed", view.disputed());
+        json.addProperty("refuted_deaths", fleet.refuted());
+        json.addProperty("unreadable", fleet.unreadable());
+        json.addProperty("over_budget", fleet.dropped());
+        return json;
+    }
+
+    private static JsonObject members(Proxy.FleetView fleet) {
+        if (fleet == null) {
+            throw new CommandException("this proxy keeps no view of the fleet; it was started without --view on");
+        }
+        JsonObject json = summary(fleet);
+        JsonArray rows = new JsonArray();
+        fleet.view().entries().stream().limit(MAX_MEMBERS).forEach(member -> rows.add(row(member)));
+        json.add("members", rows);
+        return json;
+    }
+
+    private static JsonObject row(Entry member) {
+        JsonObject row = new JsonObject();
+        row.addProperty("instance", member.id());
+        row.addProperty("zone", member.zone());
+        row.addProperty("state", AnswerWords.of(member.state()));
+        row.addProperty("phase", AnswerWords.of(member.phase()));
+        row.addProperty("incarnation", member.incarnation());
+        row.addProperty("life", String.format("%04x", member.life()));
+        row.addProperty("version", member.version());
+        return row;
+    }
+}
--- a/src/main/java/cacheproxy/control/HandoverCommand.java
+++ b/src/main/java/cacheproxy/control/HandoverCommand.java
@@ -2,13 +2,13 @@
 
 import com.google.gson.JsonObject;
 
-/** Where an upgrade stands, as the process that is asked sees it. */
+/** {@code HANDOVER}: the phase of an upgrade, as the process that is asked sees it. */
 final class HandoverCommand implements AdminCommand {
-    /** The section of {@code status} that says the same. */
+    /** The section of {@code status} that it is taken from. */
     static final String SECTION = "handover";
 
     @Override
-    public String word() {
+    public String wireName() {
         return "HANDOVER";
     }
 
--- a/src/main/java/cacheproxy/control/HealthCommand.java
+++ b/src/main/java/cacheproxy/control/HealthCommand.java
@@ -1,9 +1,12 @@
 package cacheproxy.control;
 
-/** Whether this process takes clients. The door opens when it does, so whoever can ask hears yes. */
+/**
+ * {@code HEALTH}: whether this process accepts clients. The admin port opens only once it does, so whoever can ask is
+ * answered yes.
+ */
 final class HealthCommand implements AdminCommand {
     @Override
-    public String word() {
+    public String wireName() {
         return "HEALTH";
     }
 
--- a/src/main/java/cacheproxy/control/MetricSample.java
+++ b/src/main/java/cacheproxy/control/MetricSample.java
@@ -1,17 +1,17 @@
 package cacheproxy.control;
 
 /**
- * One figure that a proxy reports.
+ * The present value of one metric.
  *
- * @param name its parts joined by points
- * @param kind whether it only grows
+ * @param name its parts joined by dots
+ * @param kind what it counts
  * @param value a whole number, 0 or more
  */
 public record MetricSample(String name, Kind kind, long value) {
-    /** What a figure tells. */
+    /** What a metric counts. */
     public enum Kind {
-        /** How often something has happened since the process began. */
-        COUNT,
+        /** How often something has happened since the process started. */
+        COUNTER,
         /** How much there is now. */
         GAUGE
     }
--- a/src/main/java/cacheproxy/control/SocketFile.java
+++ b/src/main/java/cacheproxy/control/SocketFile.java
@@ -13,13 +13,13 @@
 import java.nio.file.attribute.PosixFilePermissions;
 
 /**
- * The file of a control socket: nobody but its owner may ever connect, and one that somebody listens on is not taken
- * away. It is made in a folder of its own that none but the owner may enter, and moved to its place when its mode is
- * set: bound there, it could be reached before.
+ * The file of a control socket. Nobody but its owner may connect at any time, and one that a process listens on is not
+ * replaced. The socket is bound in a temporary folder that only the owner may enter, and moved to its path once its
+ * mode is set: bound at its path, others could connect before that.
  */
 final class SocketFile {
-    /** What the system lets a local socket's path have (sun_path, less its end), in bytes. */
-    private static final int MAX_PATH = 107;
+    /** The longest path of a local socket (sun_path without its terminator), in bytes. */
+    private static final int MAX_PATH_BYTES = 107;
 
     private final Path path;
     private final Path folder;
@@ -30,7 +30,11 @@
         this.folder = folder;
     }
 
-    /** Makes room for a socket at this path; an IOException says why it can't be had. */
+    /**
+     * Prepares a socket at this path.
+     *
+     * @throws IOException if the path is taken, too long or in no folder
+     */
     static SocketFile prepare(Path wanted) throws IOException {
         Path path = wanted.toAbsolutePath();
         if (Files.exists(path, LinkOption.NOFOLLOW_LINKS)) {
@@ -38,7 +42,7 @@
                     .isOther()) {
                 throw new IOException(path + " is there and no socket; name another path");
             }
-            if (listens(path)) {
+            if (somebodyListens(path)) {
                 throw new IOException("somebody listens at " + path + "; is this proxy running already?");
             }
         }
@@ -52,17 +56,17 @@
         SocketFile file = new SocketFile(path, folder);
         if (tooLong(file.temporary()) || tooLong(path)) {
             Files.delete(folder);
-            throw new IOException("the path " + path + " is too long for a socket; " + MAX_PATH
+            throw new IOException("the path " + path + " is too long for a socket; " + MAX_PATH_BYTES
                     + " bytes at most, some 25 of them for a temporary folder beside it");
         }
         return file;
     }
 
     private static boolean tooLong(Path path) {
-        return path.toString().getBytes(StandardCharsets.UTF_8).length > MAX_PATH;
+        return path.toString().getBytes(StandardCharsets.UTF_8).length > MAX_PATH_BYTES;
     }
 
-    private static boolean listens(Path path) {
+    private static boolean somebodyListens(Path path) {
         try (SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             return channel.connect(UnixDomainSocketAddress.of(path));
         } catch (IOException e) {
@@ -70,12 +74,12 @@
         }
     }
 
-    /** Where the socket is to be bound. */
+    /** The path to bind the socket to. */
     Path temporary() {
         return folder.resolve("s");
     }
 
-    /** The socket listens: it takes its place. */
+    /** The socket is bound: moves it to its path. */
     void publish() throws IOException {
         Files.setPosixFilePermissions(temporary(), PosixFilePermissions.fromString("rw-------"));
         key = fileKey(temporary());
@@ -88,14 +92,14 @@
                 .fileKey();
     }
 
-    /** Takes the file away if it is still this one. */
+    /** Deletes the file if it is still this socket's. */
     void remove() {
         try {
             if (key != null && key.equals(fileKey(path))) {
                 Files.delete(path);
             }
         } catch (IOException e) {
-            // it has gone already
+            // it has been deleted already
         }
     }
 }
--- a/src/test/java/cacheproxy/control/AdminPortTest.java
+++ b/src/test/java/cacheproxy/control/AdminPortTest.java
@@ -26,29 +26,30 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
     private final EventLoop loop = group.next();
     private final ControlRegistry registry = new ControlRegistry();
-    private AdminPort door;
+    private AdminPort port;
 
     @BeforeEach
     void open() throws Exception {
-        registry.figures(() -> List.of(
-                new MetricSample("succeeded.read", Kind.COUNT, 812), new MetricSample("outstanding", Kind.GAUGE, 14)));
-        door = new AdminPort(loop, new InetSocketAddress("127.0.0.1", 0), registry);
+        registry.metrics(() -> List.of(
+                new MetricSample("succeeded.read", Kind.COUNTER, 812),
+                new MetricSample("outstanding", Kind.GAUGE, 14)));
+        port = new AdminPort(loop, new InetSocketAddress("127.0.0.1", 0), registry);
     }
 
     @AfterEach
     void close() {
-        door.close();
+        port.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
     private Socket caller(String text) throws IOException {
-        Socket socket = new Socket("127.0.0.1", door.address().getPort());
+        Socket socket = new Socket("127.0.0.1", port.address().getPort());
         socket.setSoTimeout(20_000);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return socket;
     }
 
-    /** All that is answered until the door ends the call. */
+    /** All that is answered until the admin port closes the connection. */
     private String ask(String text) throws IOException {
         try (Socket socket = caller(text)) {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -81,7 +82,9 @@
                 .contains("DUMP, HANDOVER, HEALTH")
                 .endsWith("\n");
         assertThat(ask("\r\n")).startsWith("ERR");
-        assertThat(ask("x".repeat(AdminPort.MAX_LINE + 10))).startsWith("ERR").contains("256 bytes");
+        assertThat(ask("x".repeat(AdminPort.MAX_LINE_BYTES + 10)))
+                .startsWith("ERR")
+                .contains("256 bytes");
     }
 
     @Test
@@ -101,7 +104,7 @@
             }
             Await.until(
                     "most have been ended",
-                    () -> silent.stream().filter(AdminPortTest::ended).count() >= 300 - AdminPort.MAX_CALLERS);
+                    () -> silent.stream().filter(AdminPortTest::ended).count() >= 300 - AdminPort.MAX_CONNECTIONS);
             assertThat(ask("HEALTH\r\n")).isEqualTo("OK\n");
         } finally {
             for (Socket s : silent) {
--- a/src/test/java/cacheproxy/control/ControlServerTest.java
+++ b/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -44,7 +44,7 @@
     @BeforeEach
     void open() throws IOException {
         path = folder.resolve("control");
-        registry.command("echo", arguments -> arguments);
+        registry.command("echo", arguments -> arguments.toJson());
         registry.command("flood", arguments -> {
             JsonObject o = new JsonObject();
             floods.incrementAndGet();
@@ -99,7 +99,7 @@
             assertThat(client.ask(ControlClient.request("help")).get("commands").getAsString())
                     .isEqualTo("echo flood help status");
         }
-        assertThatThrownBy(() -> registry.command("echo", a -> a)).isInstanceOf(IllegalStateException.class);
+        assertThatThrownBy(() -> registry.command("echo", a -> a.toJson())).isInstanceOf(IllegalStateException.class);
     }
 
     @Test
@@ -121,13 +121,13 @@
                 assertThat(line(channel)).contains(word);
             }
         }
-        assertThatThrownBy(() -> ControlRegistry.number(new JsonObject(), "deadline_ms"))
+        assertThatThrownBy(() -> new CommandArguments(new JsonObject()).number("deadline_ms"))
                 .hasMessageContaining("'deadline_ms' is to be a number");
     }
 
     @Test
     void aHugeLineEndsItsConnectionAndNothingElse() throws Exception {
-        try (SocketChannel channel = raw("x".repeat(ControlServer.MAX_LINE + 10))) {
+        try (SocketChannel channel = raw("x".repeat(ControlServer.MAX_LINE_BYTES + 10))) {
             assertThat(line(channel)).contains("a line of more than");
             assertThat(line(channel)).isNull();
         }
--- a/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
@@ -129,19 +129,19 @@
                 }
                 PinnedFile.assertJson("operators/commands.json", others);
             }
-            try (AdminPort door = new AdminPort(fleet.proxy.loop(), new InetSocketAddress("127.0.0.1", 0), registry)) {
+            try (AdminPort port = new AdminPort(fleet.proxy.loop(), new InetSocketAddress("127.0.0.1", 0), registry)) {
                 StringBuilder all = new StringBuilder();
                 for (String call : new String[] {"HEALTH", "HANDOVER", "DUMP", "STATUS", ""}) {
-                    all.append("> ").append(call).append('\n').append(call(door, call));
+                    all.append("> ").append(call).append('\n').append(call(port, call));
                 }
                 PinnedFile.assertText("operators/admin-port.txt", all.toString());
             }
         }
     }
 
-    private static String call(AdminPort door, String word) throws Exception {
+    private static String call(AdminPort port, String word) throws Exception {
         try (Socket caller = new Socket()) {
-            caller.connect(door.address());
+            caller.connect(port.address());
             caller.getOutputStream().write((word + "\r\n").getBytes(StandardCharsets.US_ASCII));
             String answer = new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             return answer.replaceAll(":[0-9]+\\|", ":0|");
