--- a/src/main/java/cacheproxy/state/RecordKind.java
+++ b/src/main/java/cacheproxy/state/RecordKind.java
@@ -49,8 +49,11 @@
 
     private final String wireName;
     private final Authority authority;
- @SuppressWarnings ( "ImmutableEnumChecker" ) // a record of two numbers
- private final double validForMs ; private final double hintForMs ;
+
+    @SuppressWarnings("ImmutableEnumChecker") // a record of two numbers
+    private final double validForMs;
+
+    private final double hintForMs;
     private final double writeDelayMs;
 
     RecordKind(String wireName, Authority authority, double validForMs, double hintForMs, double writeDelayMs) {
