--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -65,7 +65,7 @@
     private static JsonObject ruleCounts(RuleCounts counts) {
         JsonObject section = new JsonObject();
         section.add("forbidden", sorted(counts.forbidden()));
-        section.add("breaches", sorted(counts.breaches()));
+        section.add("breaches", sorted(counts.violations()));
         return section;
     }
 
--- a/src/main/java/cacheproxy/control/ProxyMetrics.java
+++ b/src/main/java/cacheproxy/control/ProxyMetrics.java
@@ -25,7 +25,7 @@
         samples.add(counter("sighup_applied", status.applied()));
         samples.add(counter("sighup_rejected", status.rejected()));
         new TreeMap<>(rules.forbidden()).forEach((rule, count) -> samples.add(counter("forbidden." + rule, count)));
-        new TreeMap<>(rules.breaches()).forEach((rule, count) -> samples.add(counter("breaches." + rule, count)));
+        new TreeMap<>(rules.violations()).forEach((rule, count) -> samples.add(counter("breaches." + rule, count)));
         return samples;
     }
 
