--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -38,7 +38,7 @@
     /** Loads the classes of a proxy that operators ask, so that the build can archive them. */
     private static void exerciseAdminPort(Proxy proxy) {
         try {
-            AdminPort.practise(proxy.loop(), ProxyControl.registry(proxy));
+            AdminPort.exercise(proxy.loop(), ProxyControl.registry(proxy));
         } catch (Exception e) {
             System.err.println("the admin port was not exercised: " + e);
         }
