--- a/src/main/java/cacheproxy/proxy/DeadlineText.java
+++ b/src/main/java/cacheproxy/proxy/DeadlineText.java
@@ -1,23 +1,23 @@
 package cacheproxy.proxy;
 
 /**
- * A text of a request that names how long its client waits, kept apart at that figure. Each attempt is told the time
- * that is left when its bytes go out, which is less than what the client asked for at first.
+ * A text of a request that contains its timeout, split around that number. Each attempt is sent the time that remains
+ * when its bytes go out, which is less than what the client stated.
  *
- * @param before what comes before the figure
- * @param after what comes behind it
+ * @param before the text before the number
+ * @param after the text behind the number
  */
 record DeadlineText(String before, String after) {
-    /** Names no deadline and nothing else. */
+    /** Contains the timeout and nothing else. */
     static final DeadlineText EMPTY = new DeadlineText("", "");
 
     /**
-     * Takes a text apart at the figure that begins at {@code at} and ends before the next comma or space.
+     * Splits a text around the number that begins at {@code index} and ends before the next comma or space.
      *
-     * @param at where the figure begins; negative if the text names none, which then would stand at its end
+     * @param index where the number begins; negative if the text has none: it then gets one at its end
      */
-    static DeadlineText of(String text, int at) {
-        int begin = at < 0 ? text.length() : at;
+    static DeadlineText of(String text, int index) {
+        int begin = index < 0 ? text.length() : index;
         int end = begin;
         while (end < text.length() && text.charAt(end) != ',' && text.charAt(end) != ' ') {
             end++;
@@ -25,7 +25,7 @@
         return new DeadlineText(text.substring(0, begin), text.substring(end));
     }
 
-    /** The text with so many milliseconds as its deadline. */
+    /** The text with this timeout, in milliseconds. */
     String with(long remainingMs) {
         return before + remainingMs + after;
     }
--- a/src/main/java/cacheproxy/proxy/LoopClock.java
+++ b/src/main/java/cacheproxy/proxy/LoopClock.java
@@ -10,60 +10,64 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * Tells how long ago input that the event loop reads now may have come, by when the loop last looked for any. What is
- * read after a wait in which nothing came has just come; what is there without a wait, as the loop was held up, may
- * have come as soon as it had looked before. Wraps the handler of one loop, and is used on it alone.
+ * Estimates when input that the event loop reads now arrived, from when the loop last polled its sockets. Input read
+ * after a poll that had to wait has just arrived; input that is there without a wait, because the loop was busy, may
+ * have arrived right after the poll before. Also reports when the loop was blocked for too long. Decorates the
+ * {@link IoHandler} of one event loop and is used on that loop only.
  */
 final class LoopClock implements IoHandler {
-    /** By how much input may have come earlier than it is taken to have. */
-    static final int TOLERATED_MS = 20;
-
-    /** A wait that ends sooner found input that had come before it. */
-    private static final long WAITED_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
-    /** A round of the loop that takes no longer has not held it up; what servers are told leaves as much out. */
-    private static final long TOLERATED_NANOS = TimeUnit.MILLISECONDS.toNanos(TOLERATED_MS);
-    /** A wait that ends later than it should by more than this has been held up itself. */
+    /** By how many milliseconds input may have arrived earlier than estimated. */
+    static final int TOLERANCE_MS = 20;
+
+    private static final double NANOS_PER_MILLI = 1e6;
+    /** A poll that returns sooner found input that had arrived before it. */
+    private static final long MIN_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    /** A round of the loop that takes no longer has not delayed input; servers are told as much less time. */
+    private static final long TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(TOLERANCE_MS);
+    /** A poll that returns later than it should by more than this was itself delayed. */
     private static final long OVERSLEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    /** Deadlines allow for a process that is blocked for so long between reading its clock and writing. */
+    private static final long STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-    /** Deadlines allow for a process that is held up for so long between reading its clock and writing. */
-    private static final long HELD_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
-
-    /** Null until the loop has been made. */
+    /** Null until the event loop has been created. */
     private IoHandler handler;
 
-    private long enteredNanos;
-    /** When the last wait but one ended, and the last. */
-    private long returnedBeforeNanos;
+    private long pollBeganNanos;
+    private long pollEndedNanos;
+    /** When the poll before that ended. */
+    private long previousPollEndedNanos;
+
+    /** How long the poll was allowed to wait. */
+    private long maxWaitNanos;
+    /** Whether the end of the poll has been noted. */
+    private boolean pollEnded;
 
-    private long returnedNanos;
-    private long mayWaitNanos;
-    private boolean returned;
-    private DoubleConsumer onStall = ms -> {};
+    private DoubleConsumer stallListener = ms -> {};
 
-    /** This is told for how many milliseconds the loop did not look for input, where that is too long. */
+    /** Sets the listener that is told for how many milliseconds the loop did not poll, where that is too long. */
     void onStall(DoubleConsumer listener) {
-        onStall = listener;
+        stallListener = listener;
     }
 
-    /** For how many milliseconds the loop has not looked for input. */
+    /** How many milliseconds ago the loop last polled its sockets. */
     double sinceLastPollMs() {
         if (handler == null) {
             return 0;
         }
-        waitEnded();
-        return (System.nanoTime() - returnedNanos) / 1e6;
+        notePollEnd();
+        return (System.nanoTime() - pollEndedNanos) / NANOS_PER_MILLI;
     }
 
-    /** Handlers of this kind, the last of them with this clock. */
+    /** Decorates the handlers of a factory; the clock is that of the handler made last. */
     IoHandlerFactory wrap(IoHandlerFactory factory) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
                 handler = factory.newHandler(executor);
-                enteredNanos = System.nanoTime();
-                returnedNanos = enteredNanos;
-                returnedBeforeNanos = enteredNanos;
-                returned = true;
+                pollBeganNanos = System.nanoTime();
+                pollEndedNanos = pollBeganNanos;
+                previousPollEndedNanos = pollBeganNanos;
+                pollEnded = true;
                 return LoopClock.this;
             }
 
@@ -74,39 +78,40 @@
         };
     }
 
-    /** The earliest time, by {@link System#nanoTime}, at which input that is being read now may have come. */
+    /** The earliest time, by {@link System#nanoTime}, at which input that is being read now may have arrived. */
     long inputReceivedNanos() {
         if (handler == null) {
-            return System.nanoTime(); // it wraps no loop
+            return System.nanoTime(); // decorates no loop
         }
-        waitEnded();
-        long waited = returnedNanos - enteredNanos;
-        if (waited < WAITED_NANOS) {
-            return enteredNanos - returnedBeforeNanos > TOLERATED_NANOS ? returnedBeforeNanos : returnedNanos;
+        notePollEnd();
+        long waitedNanos = pollEndedNanos - pollBeganNanos;
+        if (waitedNanos < MIN_WAIT_NANOS) {
+            boolean wasBusy = pollBeganNanos - previousPollEndedNanos > TOLERANCE_NANOS;
+            return wasBusy ? previousPollEndedNanos : pollEndedNanos;
         }
-        return waited > mayWaitNanos + OVERSLEPT_NANOS ? enteredNanos : returnedNanos;
+        return waitedNanos > maxWaitNanos + OVERSLEPT_NANOS ? pollBeganNanos : pollEndedNanos;
     }
 
-    private void waitEnded() {
-        if (!returned) {
-            returned = true;
-            returnedBeforeNanos = returnedNanos;
-            returnedNanos = System.nanoTime();
+    private void notePollEnd() {
+        if (!pollEnded) {
+            pollEnded = true;
+            previousPollEndedNanos = pollEndedNanos;
+            pollEndedNanos = System.nanoTime();
         }
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        enteredNanos = System.nanoTime();
-        if (enteredNanos - returnedNanos > HELD_UP_NANOS) {
-            onStall.accept((enteredNanos - returnedNanos) / 1e6);
+        pollBeganNanos = System.nanoTime();
+        if (pollBeganNanos - pollEndedNanos > STALL_NANOS) {
+            stallListener.accept((pollBeganNanos - pollEndedNanos) / NANOS_PER_MILLI);
         }
-        mayWaitNanos = context.canBlock() ? Math.max(0, context.delayNanos(enteredNanos)) : 0;
-        returned = false;
+        maxWaitNanos = context.canBlock() ? Math.max(0, context.delayNanos(pollBeganNanos)) : 0;
+        pollEnded = false;
         try {
             return handler.run(context);
         } finally {
-            waitEnded();
+            notePollEnd();
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/ProxyClock.java
+++ b/src/main/java/cacheproxy/proxy/ProxyClock.java
@@ -7,57 +7,60 @@
 import io.netty.channel.epoll.EpollTcpInfo;
 
 /**
- * The one clock of a proxy: Unix time in milliseconds at its start, monotonic from there, so that list times need no
- * conversion and no step of the wall clock is seen. Also tells when input came that is read now. On the event loop
- * only, but for {@link #now}.
+ * The one clock of a proxy: milliseconds since the Unix epoch when it was created, monotonic from there. So times of
+ * the endpoint list need no conversion, and steps of the wall clock are not seen. Also dates the input of connections.
+ * Event loop only, except for {@link #now}.
  */
 final class ProxyClock {
-    /** Bytes of a client that were last added to so long ago have not waited: the system's figure is no time then. */
-    private static final double MAX_UNREAD_MS = 600_000;
+    private static final double NANOS_PER_MILLI = 1e6;
+    /** If a connection's last input is older than this, the system's figure is no time. */
+    private static final double MAX_INPUT_AGE_MS = 600_000;
+
+    private static final double UNKNOWN = -1;
 
     private final double epochMs = System.currentTimeMillis();
     private final long startNanos = System.nanoTime();
     private final LoopClock loopClock;
     private final EpollTcpInfo tcpInfo = Epoll.isAvailable() ? new EpollTcpInfo() : null;
 
-    /** Whether the system has told of a time other than now. */
-    private boolean systemTells;
+    /** Whether the operating system has been seen to report a time other than now. */
+    private boolean systemReports;
 
     ProxyClock(LoopClock loopClock) {
         this.loopClock = loopClock;
     }
 
-    /** The time now. */
+    /** The time now, in milliseconds. Any thread. */
     double now() {
-        return epochMs + (System.nanoTime() - startNanos) / 1e6;
+        return epochMs + (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     }
 
     /**
-     * When input that is being read from this connection came. The system knows it to some milliseconds. Where it has
-     * not been seen to tell (another transport, or one that stands in for the system), the event loop's word holds: no
-     * later than it can have been, and so perhaps too early.
+     * When input that is being read from this connection arrived, on the clock of {@link #now}. The operating system
+     * knows it to some milliseconds. Where it has not been seen to report it (another transport, or one that stands in
+     * for the system), the estimate of {@link LoopClock} holds, which is perhaps too early and never too late.
      */
     double inputReceivedMs(Channel channel) {
         double now = now();
-        double quietMs = quietMs(channel);
-        if (quietMs > 0) {
-            systemTells = true;
+        double inputAgeMs = inputAgeMs(channel);
+        if (inputAgeMs > 0) {
+            systemReports = true;
         }
-        return systemTells && quietMs >= 0
-                ? now - quietMs
-                : now - (System.nanoTime() - loopClock.inputReceivedNanos()) / 1e6;
+        return systemReports && inputAgeMs >= 0
+                ? now - inputAgeMs
+                : now - (System.nanoTime() - loopClock.inputReceivedNanos()) / NANOS_PER_MILLI;
     }
 
-    /** For how long nothing has come on the connection; negative if that is not known. */
-    private double quietMs(Channel channel) {
+    /** How long ago the connection's last input arrived; {@link #UNKNOWN} if the system does not report it. */
+    private double inputAgeMs(Channel channel) {
         if (channel instanceof EpollSocketChannel socket) {
             try {
-                double quietMs = socket.tcpInfo(tcpInfo).lastDataRecv();
-                return quietMs <= MAX_UNREAD_MS ? quietMs : -1;
+                double ageMs = socket.tcpInfo(tcpInfo).lastDataRecv();
+                return ageMs <= MAX_INPUT_AGE_MS ? ageMs : UNKNOWN;
             } catch (ChannelException e) {
-                return -1; // the connection has ended, or the system does not tell
+                return UNKNOWN; // the connection has ended, or the system does not report it
             }
         }
-        return -1;
+        return UNKNOWN;
     }
 }
--- a/src/main/java/cacheproxy/proxy/Timers.java
+++ b/src/main/java/cacheproxy/proxy/Timers.java
@@ -7,14 +7,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The requests' timers, in slots of two milliseconds. Each request sets three or more, few of which still matter when
- * they come due; the event loop's own queue orders them all and was the dearest code of a busy proxy.
+ * A timer wheel for requests. Each request sets three or more timers, few of which still matter when they are due; a
+ * wheel sets and cancels them in constant time, where the event loop's own queue would sort them all. Event loop only.
  */
 final class Timers {
     private static final long SLOT_NANOS = 2_000_000;
-    /** A power of two; with the slot's length it covers the longest deadline. Later timers are set anew then. */
+    private static final double NANOS_PER_MILLI = 1e6;
+    /** A power of two. With the length of a slot it covers the longest usual deadline, some four seconds. */
     private static final int SLOTS = 2048;
 
+    private static final int SLOT_MASK = SLOTS - 1;
+    /** No slot: those in use are counted from 1. */
+    private static final long NONE = 0;
+
+    /** A task to run once, which may be cancelled before. */
     static final class Timer {
         private Runnable task;
 
@@ -22,26 +28,36 @@
             this.task = task;
         }
 
+        /** Keeps the task from running; no effect once it has run. */
         void cancel() {
             task = null;
         }
+
+        private void run() {
+            Runnable due = task;
+            if (due != null) {
+                task = null;
+                due.run();
+            }
+        }
     }
 
     private final EventLoop loop;
-    private final long start = System.nanoTime();
-    private final List<List<Timer>> slots = new ArrayList<>(SLOTS);
-    private final BitSet used = new BitSet(SLOTS);
+    private final long startNanos = System.nanoTime();
+    private final List<List<Timer>> wheel = new ArrayList<>(SLOTS);
+    private final BitSet occupied = new BitSet(SLOTS);
     /** The last slot, counted from the start, whose timers have run. */
-    private long done;
-    /** The slot that the event loop will wake for; 0 for none. */
-    private long armed;
+    private long lastRunSlot;
+    /** The slot that the event loop will wake up for, or {@link #NONE}. */
+    private long scheduledSlot = NONE;
 
+    /** An empty list, swapped for that of a slot while its timers run. */
     private List<Timer> spare = new ArrayList<>();
 
     Timers(EventLoop loop) {
         this.loop = loop;
         for (int i = 0; i < SLOTS; i++) {
-            slots.add(new ArrayList<>(0));
+            wheel.add(new ArrayList<>(0));
         }
     }
 
@@ -52,66 +68,69 @@
         }
     }
 
-    /** Runs the task after this time, never before and up to a slot later; timers of one slot keep their order. */
+    /**
+     * Runs the task after {@code ms} milliseconds, never earlier and up to a slot later. Timers of one slot run in the
+     * order in which they were set.
+     */
     Timer after(double ms, Runnable task) {
         Timer timer = new Timer(task);
-        long now = System.nanoTime() - start;
-        long slot = Math.max(done + 1, (now + (long) (Math.max(0, ms) * 1e6)) / SLOT_NANOS + 1);
-        if (slot - done >= SLOTS) {
-            loop.schedule(() -> run(timer), (long) (ms * 1e6), TimeUnit.NANOSECONDS);
+        long now = System.nanoTime() - startNanos;
+        long dueNanos = now + (long) (Math.max(0, ms) * NANOS_PER_MILLI);
+        long slot = Math.max(lastRunSlot + 1, dueNanos / SLOT_NANOS + 1);
+        if (slot - lastRunSlot >= SLOTS) {
+            loop.schedule(timer::run, (long) (ms * NANOS_PER_MILLI), TimeUnit.NANOSECONDS);
             return timer;
         }
-        int at = (int) (slot & SLOTS - 1);
-        slots.get(at).add(timer);
-        used.set(at);
-        if (armed == 0 || slot < armed) {
-            arm(slot, now);
+        int index = indexOf(slot);
+        wheel.get(index).add(timer);
+        occupied.set(index);
+        if (scheduledSlot == NONE || slot < scheduledSlot) {
+            schedule(slot, now);
         }
         return timer;
     }
 
-    private void arm(long slot, long now) {
-        armed = slot;
-        loop.schedule(() -> tick(slot), Math.max(0, slot * SLOT_NANOS - now), TimeUnit.NANOSECONDS);
+    private static int indexOf(long slot) {
+        return (int) (slot & SLOT_MASK);
     }
 
-    private void tick(long slot) {
-        if (slot != armed) {
-            return; // an earlier one has been armed since, and has armed this one's again
+    private void schedule(long slot, long nowNanos) {
+        scheduledSlot = slot;
+        loop.schedule(() -> wakeUp(slot), Math.max(0, slot * SLOT_NANOS - nowNanos), TimeUnit.NANOSECONDS);
+    }
+
+    private void wakeUp(long slot) {
+        if (slot != scheduledSlot) {
+            return; // an earlier slot was scheduled meanwhile, and this one again after it
         }
-        armed = 0;
-        long last = (System.nanoTime() - start) / SLOT_NANOS;
-        for (long next; (next = next()) != 0 && next <= last; ) {
-            done = next;
-            int at = (int) (next & SLOTS - 1);
-            List<Timer> due = slots.set(at, spare);
-            used.clear(at);
-            due.forEach(this::run);
-            due.clear();
-            spare = due;
+        scheduledSlot = NONE;
+        long lastDueSlot = (System.nanoTime() - startNanos) / SLOT_NANOS;
+        for (long next = nextSlot(); next != NONE && next <= lastDueSlot; next = nextSlot()) {
+            lastRunSlot = next;
+            runSlot(indexOf(next));
         }
-        done = Math.max(done, last);
-        long next = next();
-        if (next != 0 && (armed == 0 || next < armed)) {
-            arm(next, System.nanoTime() - start);
+        lastRunSlot = Math.max(lastRunSlot, lastDueSlot);
+        long next = nextSlot();
+        if (next != NONE && (scheduledSlot == NONE || next < scheduledSlot)) {
+            schedule(next, System.nanoTime() - startNanos);
         }
     }
 
-    /** The first slot after the last that has run and that has timers; 0 if none has. */
-    private long next() {
-        int from = (int) (done + 1 & SLOTS - 1);
-        int at = used.nextSetBit(from);
-        if (at < 0) {
-            at = used.nextSetBit(0);
-        }
-        return at < 0 ? 0 : done + 1 + (at - from & SLOTS - 1);
+    private void runSlot(int index) {
+        List<Timer> due = wheel.set(index, spare);
+        occupied.clear(index);
+        due.forEach(Timer::run);
+        due.clear();
+        spare = due;
     }
 
-    private void run(Timer timer) {
-        Runnable task = timer.task;
-        if (task != null) {
-            timer.task = null;
-            task.run();
+    /** The first slot with timers after the last that has run; {@link #NONE} if none has any. */
+    private long nextSlot() {
+        int from = indexOf(lastRunSlot + 1);
+        int index = occupied.nextSetBit(from);
+        if (index < 0) {
+            index = occupied.nextSetBit(0);
         }
+        return index < 0 ? NONE : lastRunSlot + 1 + (index - from & SLOT_MASK);
     }
 }
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -166,7 +166,7 @@
 
     private void write(RequestAttempt attempt) {
         // Less by what may be wrong with the time at which the request came.
-        long remainingMs = attempt.remainingMs(upstream.dispatcher().now() + LoopClock.TOLERATED_MS);
+        long remainingMs = attempt.remainingMs(upstream.dispatcher().now() + LoopClock.TOLERANCE_MS);
         upstream.dispatcher().attemptStarter().checkRemainingTime(attempt, remainingMs);
         codec.write(channel, attempt, remainingMs, dial).addListener(f -> {
             if (f.isSuccess()) {
