--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -5,6 +5,7 @@
 import cacheproxy.proxy.Timers.Timer;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.discovery.EndpointListSource;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
@@ -130,7 +131,7 @@
      *
      * @param routing the routes; null: a single pool under the settings' own policy
      */
-    void start(EndpointListSource discovery, PeerSocket peers, ClientListener clients, Routing routing) {
+    void start(EndpointListSource discovery, PeerDatagramSocket peers, ClientListener clients, Routing routing) {
         clientListener = clients;
         orders = new RoutingOrders(
                 requests,
--- a/src/main/java/cacheproxy/proxy/RoutingOrders.java
+++ b/src/main/java/cacheproxy/proxy/RoutingOrders.java
@@ -3,6 +3,8 @@
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.LogMessage;
 import cacheproxy.proxy.discovery.EndpointListSource;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingActions;
 
@@ -22,7 +24,7 @@
     private final EventLog log;
     private final PeerLinks peerLinks;
     private final EndpointListSource discovery;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
 
     RoutingOrders(
             RequestTable requests,
@@ -36,7 +38,7 @@
             EventLog log,
             PeerLinks peerLinks,
             EndpointListSource discovery,
-            PeerSocket peers) {
+            PeerDatagramSocket peers) {
         this.requests = requests;
         this.lifecycle = lifecycle;
         this.starter = starter;
@@ -107,7 +109,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        peers.send(peer, PeerSocket.Kind.MODULE, message);
+        peers.send(peer, PeerMessageKind.LOAD_BALANCER, message);
     }
 
     @Override
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -5,6 +5,7 @@
 import cacheproxy.Await;
 import cacheproxy.gossip.Envelope;
 import cacheproxy.metrics.Metric;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.EndpointSignal;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -309,7 +310,7 @@
             fleet.node(node).start();
             assertThat(served(fleet, 1)).isEqualTo(1);
             byte[] bytes = Envelope.encode(List.of(
-                    new Envelope.Item(PeerSocket.Kind.MODULE.number(), PeerSocket.Kind.VERSION, new byte[] {0})));
+                    new Envelope.Item(PeerMessageKind.LOAD_BALANCER.code(), PeerMessageKind.VERSION, new byte[] {0})));
             last.send(new DatagramPacket(bytes, bytes.length, fleet.proxy.peerAddress()));
             Counters counters = fleet.proxy.dispatcher().counters();
             Await.until("the message", () -> fleet.on(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
