--- a/src/test/java/cacheproxy/routing/HerdTest.java
+++ b/src/test/java/cacheproxy/routing/HerdTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Forty-eight instances that a release starts in one moment, with one seed, before a small discovery. */
+/** A thundering herd: 48 instances that a release starts in one moment, with one seed, before a small discovery. */
 class HerdTest {
     private static final int INSTANCES = 48;
     private static final double STEP_MS = 10;
 
-    private final List<LoadBalancerHarness> rigs = new ArrayList<>();
+    private final List<LoadBalancerHarness> harnesses = new ArrayList<>();
     private final List<Endpoint> list = List.of(
             LoadBalancerHarness.endpoint(LoadBalancerHarness.ORIGIN, EndpointState.READY, 0),
             LoadBalancerHarness.endpoint(1, EndpointState.READY, 0),
@@ -24,32 +24,33 @@
     HerdTest() {
         RoutingSettings settings = LoadBalancerHarness.settings(true, true, false, DeduplicationScope.ALL);
         for (int me = 0; me < INSTANCES; me++) {
-            LoadBalancerHarness rig = new LoadBalancerHarness(LoadBalancerHarness.atInstance(settings, me, INSTANCES));
-            rig.loadBalancer.onEndpointUpdate(rig.now, EndpointUpdateKind.CACHED, list, rig);
-            rigs.add(rig);
+            LoadBalancerHarness harness =
+                    new LoadBalancerHarness(LoadBalancerHarness.atInstance(settings, me, INSTANCES));
+            harness.loadBalancer.onEndpointUpdate(harness.now, EndpointUpdateKind.CACHED, list, harness);
+            harnesses.add(harness);
         }
     }
 
-    /** Lets time pass; discovery answers so many calls a second and turns the others away. */
+    /** Lets time pass; discovery answers so many calls a second and rejects the others. */
     private void pass(double ms, double perSecond) {
-        double room = 0;
+        double tokens = 0;
         for (double at = 0; at < ms; at += STEP_MS) {
-            room = Math.min(perSecond, room + perSecond * STEP_MS / 1000);
+            tokens = Math.min(perSecond, tokens + perSecond * STEP_MS / 1000);
             int now = 0;
             for (int i = 0; i < INSTANCES; i++) {
-                LoadBalancerHarness rig = rigs.get(i);
-                int before = rig.watches;
-                rig.pass(STEP_MS);
-                if (rig.watches > before) {
+                LoadBalancerHarness harness = harnesses.get(i);
+                int before = harness.watches;
+                harness.pass(STEP_MS);
+                if (harness.watches > before) {
                     now++;
-                    boolean served = room >= 1;
-                    room -= served ? 1 : 0;
+                    boolean served = tokens >= 1;
+                    tokens -= served ? 1 : 0;
                     answered[i] += served ? 1 : 0;
-                    rig.loadBalancer.onEndpointUpdate(
-                            rig.now,
+                    harness.loadBalancer.onEndpointUpdate(
+                            harness.now,
                             served ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.FAILED,
                             served ? list : List.of(),
-                            rig);
+                            harness);
                 }
             }
             calls.add(now);
@@ -74,11 +75,11 @@
     }
 
     /**
-     * Those turned away come back later and later (in step it would be all 48 at once), apart from one another, and
-     * serve by the list they know.
+     * Rejected ones come back later and later (in step it would be all 48 at once), apart from one another, and serve
+     * by the list they have.
      */
     @Test
-    void whoIsTurnedAwayWaitsLongerAndNotInStep() {
+    void rejectedCallsBackOffAndNotInStep() {
         pass(3000, 0);
         int early = calls.stream().mapToInt(c -> c).sum();
         pass(27_000, 0);
@@ -87,9 +88,9 @@
         int late = calls.stream().mapToInt(c -> c).sum();
         assertThat(late / 30.0).as("calls a second of all").isBetween(1.0, early / 3.0);
         assertThat(most(20)).as("in 200 ms, of " + late + " in half a minute").isLessThanOrEqualTo(INSTANCES / 4);
-        for (LoadBalancerHarness rig : rigs) {
-            rig.read(1, 77);
-            assertThat(rig.last().server()).isIn(1, 2);
+        for (LoadBalancerHarness harness : harnesses) {
+            harness.read(1, 77);
+            assertThat(harness.last().server()).isIn(1, 2);
         }
         pass(30_000, 2);
         assertThat(answered)
--- a/src/test/java/cacheproxy/routing/LoadBalancerHarness.java
+++ b/src/test/java/cacheproxy/routing/LoadBalancerHarness.java
@@ -12,7 +12,7 @@
     static final int KEYED = 1;
     static final int NON_IDEMPOTENT = 2;
 
-    /** A place order. */
+    /** A send order. */
     record SentAttempt(int request, int attempt, int server, double timeoutMs) {}
 
     /** A timer order. */
@@ -35,11 +35,11 @@
         loadBalancer = new CarpLoadBalancer(settings, 42);
     }
 
-    static RoutingSettings settings(boolean aside, boolean ask, boolean copies, DeduplicationScope group) {
-        return settings(aside, ask, copies, group, List.of(new Tenant("a", 1, 100)));
+    static RoutingSettings settings(boolean cacheAside, boolean polls, boolean hedging, DeduplicationScope group) {
+        return settings(cacheAside, polls, hedging, group, List.of(new Tenant("a", 1, 100)));
     }
 
-    /** Two tenants with these quotas; what they send over them is worth a tenth. */
+    /** Two tenants with these quotas; requests over them have a tenth of the value. */
     static RoutingSettings tenants(double first, double second) {
         return settings(
                 true,
@@ -49,30 +49,30 @@
                 List.of(new Tenant("a", 0.5, first), new Tenant("b", 0.5, second)));
     }
 
-    /** The same, where what a tenant sends over its quota is worth this part. */
-    static RoutingSettings withOverQuotaWeight(RoutingSettings s, double overShareWorth) {
-        return with(s, s.instanceIndex(), s.instanceCount(), overShareWorth);
+    /** The same, where requests over a quota have this part of the value. */
+    static RoutingSettings withOverQuotaWeight(RoutingSettings s, double overQuotaWeight) {
+        return with(s, s.instanceIndex(), s.instanceCount(), overQuotaWeight);
     }
 
     /** The same at one of so many instances. */
-    static RoutingSettings atInstance(RoutingSettings s, int me, int instances) {
-        return with(s, me, instances, s.overQuotaPriorityWeight());
+    static RoutingSettings atInstance(RoutingSettings s, int index, int instances) {
+        return with(s, index, instances, s.overQuotaPriorityWeight());
     }
 
     /** One of so many instances that may send each other messages. */
-    static LoadBalancerHarness withPeers(int me, int instances) {
+    static LoadBalancerHarness withPeers(int index, int instances) {
         return new LoadBalancerHarness(
-                with(settings(true, false, false, DeduplicationScope.ALL), me, instances, 0.1, true));
+                with(settings(true, false, false, DeduplicationScope.ALL), index, instances, 0.1, true));
     }
 
-    private static RoutingSettings with(RoutingSettings s, int me, int instances, double overShareWorth) {
-        return with(s, me, instances, overShareWorth, s.peerMessagesAllowed());
+    private static RoutingSettings with(RoutingSettings s, int index, int instances, double overQuotaWeight) {
+        return with(s, index, instances, overQuotaWeight, s.peerMessagesAllowed());
     }
 
     private static RoutingSettings with(
-            RoutingSettings s, int me, int instances, double overShareWorth, boolean peers) {
+            RoutingSettings s, int index, int instances, double overQuotaWeight, boolean peers) {
         return new RoutingSettings(
-                me,
+                index,
                 instances,
                 s.zone(),
                 s.zoneCount(),
@@ -83,7 +83,7 @@
                 s.loadReportSource(),
                 s.loadReportFields(),
                 s.priorityByWork(),
-                overShareWorth,
+                overQuotaWeight,
                 s.cancellationAllowed(),
                 s.healthChecksAllowed(),
                 peers,
@@ -106,7 +106,7 @@
     }
 
     private static RoutingSettings settings(
-            boolean aside, boolean ask, boolean copies, DeduplicationScope group, List<Tenant> tenants) {
+            boolean cacheAside, boolean polls, boolean hedging, DeduplicationScope group, List<Tenant> tenants) {
         List<ServiceClass> classes = List.of(
                 new ServiceClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false),
                 new ServiceClass("save", Idempotency.KEYED, group, 400, 300, 1000, 1, 0.2, false),
@@ -118,9 +118,9 @@
                 0,
                 2,
                 2,
-                ask,
-                aside,
-                aside ? 1 : -1,
+                polls,
+                cacheAside,
+                cacheAside ? 1 : -1,
                 LoadReportSource.NONE,
                 List.of(),
                 false,
@@ -128,7 +128,7 @@
                 true,
                 true,
                 false,
-                copies,
+                hedging,
                 true,
                 3,
                 500,
@@ -139,23 +139,23 @@
                 8000,
                 3,
                 2000,
-                ask ? 10000 : 0,
+                polls ? 10000 : 0,
                 0,
                 0,
                 classes,
                 tenants);
     }
 
-    /** Aside mode, list pushed, no second copies: the ordinary case. */
+    /** Cache-aside, list pushed, no hedging: the ordinary case. */
     static LoadBalancerHarness cacheAside() {
         return new LoadBalancerHarness(settings(true, false, false, DeduplicationScope.ALL));
     }
 
-    static Endpoint endpoint(int id, EndpointState state, double born) {
-        return new Endpoint(id, id % 2, id == ORIGIN ? 1 : 0, id / 4, state, 1, born);
+    static Endpoint endpoint(int id, EndpointState state, double startTimeMs) {
+        return new Endpoint(id, id % 2, id == ORIGIN ? 1 : 0, id / 4, state, 1, startTimeMs);
     }
 
-    /** Servers 1 to n, and the origin, all ready for long. */
+    /** Endpoints 1 to n, and the origin, all ready for long. */
     LoadBalancerHarness fleet(int n) {
         List<Endpoint> list = new ArrayList<>();
         list.add(endpoint(ORIGIN, EndpointState.READY, 0));
@@ -166,6 +166,20 @@
         return this;
     }
 
+    /** The endpoint, of 1 to n of equal weight, with the highest score for a key. */
+    static int topRank(long key, int n) {
+        int best = 0;
+        double bestScore = -1;
+        for (int id = 1; id <= n; id++) {
+            double score = CarpHash.score(CarpHash.keyHash(key), CarpHash.endpointHash(id), 1);
+            if (score > bestScore) {
+                best = id;
+                bestScore = score;
+            }
+        }
+        return best;
+    }
+
     void change(Endpoint... members) {
         loadBalancer.onEndpointUpdate(now, EndpointUpdateKind.DELTA, List.of(members), this);
     }
@@ -174,7 +188,7 @@
         loadBalancer.onRequest(now, new Request(id, IDEMPOTENT, 0, key, now + 1000, Double.NaN, 0, false, false), this);
     }
 
-    /** A client asks again, and says so. */
+    /** A client repeats a read, and says so. */
     void clientRetry(int id, long key) {
         loadBalancer.onRequest(now, new Request(id, IDEMPOTENT, 0, key, now + 1000, Double.NaN, 0, false, true), this);
     }
@@ -232,13 +246,13 @@
     public void send(int request, int server, double timeoutMs) {
         int a = attempts.merge(request, 1, Integer::sum) - 1;
         sent.add(new SentAttempt(request, a, server, timeoutMs));
-        orders.add("place " + request + " " + server + " " + timeoutMs);
+        orders.add("send " + request + " " + server + " " + timeoutMs);
     }
 
     @Override
     public void reject(int request, double retryAfterMs) {
         rejected.add(request);
-        orders.add("deny " + request);
+        orders.add("reject " + request);
     }
 
     @Override
@@ -262,7 +276,7 @@
     @Override
     public void checkHealth(int server) {
         healthChecked.add(server);
-        orders.add("probe " + server);
+        orders.add("check " + server);
     }
 
     @Override
@@ -273,7 +287,7 @@
     @Override
     public void sendToPeer(int peer, byte[] message) {
         peerMessages.add(message);
-        orders.add("tell " + peer);
+        orders.add("message " + peer);
     }
 
     @Override
--- a/src/test/java/cacheproxy/routing/RandomRulesTest.java
+++ b/src/test/java/cacheproxy/routing/RandomRulesTest.java
@@ -26,7 +26,7 @@
         World world = new World(settings(n), n);
         world.play(6000);
         assertThat(world.answered).isGreaterThan(200);
-        assertThat(world.placed).isGreaterThan(500);
+        assertThat(world.sent).isGreaterThan(500);
     }
 
     @Test
@@ -40,21 +40,21 @@
         }
     }
 
-    /** What the world knows of a request: the rules are judged by this, not by the module's own books. */
-    private static final class Held {
+    /** What is known of a request from outside: the rules are judged by this, not by the module's own state. */
+    private static final class Tracked {
         Request request;
         ServiceClass kind;
-        boolean over;
+        boolean finished;
         final List<Integer> servers = new ArrayList<>();
         final List<Double> sentAt = new ArrayList<>();
         final List<AttemptOutcome> outcomes = new ArrayList<>();
 
-        long out() {
+        long inFlight() {
             return outcomes.stream().filter(o -> o == null).count();
         }
 
         /** First attempt that may have run, or -1. */
-        int maybeRan() {
+        int firstPossibleExecution() {
             for (int a = 0; a < outcomes.size(); a++) {
                 if (outcomes.get(a) == null || outcomes.get(a).mayHaveRun()) {
                     return a;
@@ -67,9 +67,9 @@
     private static final class World implements RoutingActions {
         final RoutingSettings cfg;
         final Random random;
-        final CarpLoadBalancer policy;
-        final Map<Integer, Held> held = new HashMap<>();
-        final List<Held> live = new ArrayList<>();
+        final CarpLoadBalancer loadBalancer;
+        final Map<Integer, Tracked> tracked = new HashMap<>();
+        final List<Tracked> live = new ArrayList<>();
         final Map<Integer, Endpoint> list = new HashMap<>();
         final Set<Integer> everListed = new HashSet<>();
         final List<double[]> timers = new ArrayList<>();
@@ -77,12 +77,12 @@
         double now = 5000;
         int nextId = 1;
         int answered;
-        int placed;
+        int sent;
 
         World(RoutingSettings cfg, long seed) {
             this.cfg = cfg;
             random = new Random(seed);
-            policy = new CarpLoadBalancer(cfg, seed);
+            loadBalancer = new CarpLoadBalancer(cfg, seed);
             List<Endpoint> first = new ArrayList<>();
             for (int id = 1; id <= 10; id++) {
                 first.add(LoadBalancerHarness.endpoint(id, EndpointState.READY, 0));
@@ -101,7 +101,7 @@
                 list.put(m.id(), m);
                 everListed.add(m.id());
             });
-            policy.onEndpointUpdate(now, kind, members, this);
+            loadBalancer.onEndpointUpdate(now, kind, members, this);
         }
 
         void play(int steps) {
@@ -112,16 +112,16 @@
                     case 0, 1, 2 -> arrive();
                     case 3 -> {
                         if (random.nextInt(8) == 0) {
-                            listNews();
+                            updateList();
                         }
                     }
                     case 4 -> {
                         if (random.nextInt(10) == 0) {
-                            gone();
+                            disconnect();
                         }
                     }
                     case 5 ->
-                        policy.onHealthCheckResult(
+                        loadBalancer.onHealthCheckResult(
                                 now,
                                 1 + random.nextInt(12),
                                 random.nextBoolean() ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT,
@@ -135,7 +135,7 @@
                 now += 5;
                 fireTimers();
             }
-            live.forEach(h -> assertThat(h.over)
+            live.forEach(h -> assertThat(h.finished)
                     .as("request %d was answered", h.request.id())
                     .isTrue());
         }
@@ -144,19 +144,19 @@
             for (double[] t : List.copyOf(timers)) {
                 if (t[0] <= now) {
                     timers.remove(t);
-                    policy.onTimer(now, (int) t[1], this);
+                    loadBalancer.onTimer(now, (int) t[1], this);
                 }
             }
-            live.removeIf(h -> h.over && h.out() == 0);
-            for (Held h : live) {
-                assertThat(h.over || now <= h.request.deadlineMs() + cfg.finalAnswerGraceMs())
+            live.removeIf(h -> h.finished && h.inFlight() == 0);
+            for (Tracked h : live) {
+                assertThat(h.finished || now <= h.request.deadlineMs() + cfg.finalAnswerGraceMs())
                         .as("request %d answered by its due time", h.request.id())
                         .isTrue();
             }
         }
 
         private void arrive() {
-            Held h = new Held();
+            Tracked h = new Tracked();
             int c = random.nextInt(3);
             h.request = new Request(
                     nextId++,
@@ -169,16 +169,16 @@
                     c != LoadBalancerHarness.IDEMPOTENT,
                     false);
             h.kind = cfg.classes().get(c);
-            held.put(h.request.id(), h);
+            tracked.put(h.request.id(), h);
             live.add(h);
-            policy.onRequest(now, h.request, this);
+            loadBalancer.onRequest(now, h.request, this);
         }
 
-        private void listNews() {
+        private void updateList() {
             int id = 1 + random.nextInt(12);
             int roll = random.nextInt(6);
             if (roll == 0 && cfg.pollsDiscovery()) {
-                policy.onEndpointUpdate(now, EndpointUpdateKind.FAILED, List.of(), this);
+                loadBalancer.onEndpointUpdate(now, EndpointUpdateKind.FAILED, List.of(), this);
             } else if (roll == 1) {
                 send(
                         EndpointUpdateKind.SNAPSHOT,
@@ -195,16 +195,16 @@
             }
         }
 
-        private void gone() {
+        private void disconnect() {
             if (!live.isEmpty()) {
-                Held h = live.get(random.nextInt(live.size()));
-                h.over = true;
-                policy.onClientDisconnected(now, h.request.id(), this);
+                Tracked h = live.get(random.nextInt(live.size()));
+                h.finished = true;
+                loadBalancer.onClientDisconnected(now, h.request.id(), this);
             }
         }
 
         private void endSome() {
-            for (Held h : List.copyOf(live)) {
+            for (Tracked h : List.copyOf(live)) {
                 for (int a = 0; a < h.outcomes.size(); a++) {
                     if (h.outcomes.get(a) == null && random.nextInt(12) == 0) {
                         end(h, a, AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)]);
@@ -213,12 +213,12 @@
             }
         }
 
-        private void end(Held h, int a, AttemptOutcome outcome) {
+        private void end(Tracked h, int a, AttemptOutcome outcome) {
             h.outcomes.set(a, outcome);
             if (outcome == AttemptOutcome.OK) {
-                h.over = true;
+                h.finished = true;
             }
-            policy.onAttemptEnd(
+            loadBalancer.onAttemptEnd(
                     now,
                     new AttemptEnd(
                             h.request.id(),
@@ -226,7 +226,7 @@
                             h.servers.get(a),
                             outcome,
                             now - h.sentAt.get(a),
-                            h.over,
+                            h.finished,
                             random.nextInt(4),
                             null),
                     this);
@@ -234,18 +234,18 @@
 
         @Override
         public void send(int request, int server, double timeoutMs) {
-            Held h = held.get(request);
+            Tracked h = tracked.get(request);
             String what = "request " + request + " to " + server;
-            assertThat(h.over).as(what + " after its end").isFalse();
+            assertThat(h.finished).as(what + " after its end").isFalse();
             assertThat(everListed).as(what + " was listed").contains(server);
             assertThat(list.get(server)).as(what + " is on the list").isNotNull();
             assertThat(list.get(server).state()).as(what).isEqualTo(EndpointState.READY);
             assertThat(h.servers.size()).as(what + ": attempts").isLessThan(cfg.maxAttempts());
             assertThat(timeoutMs).as(what).isNotNegative();
-            assertThat(h.out() == 0 || cfg.hedgingAllowed())
+            assertThat(h.inFlight() == 0 || cfg.hedgingAllowed())
                     .as(what + " together with another")
                     .isTrue();
-            int maybe = h.maybeRan();
+            int maybe = h.firstPossibleExecution();
             if (maybe >= 0) {
                 assertThat(h.kind.idempotency()).as(what + " again").isNotEqualTo(Idempotency.NON_IDEMPOTENT);
                 if (h.kind.idempotency() == Idempotency.KEYED) {
@@ -257,34 +257,34 @@
                         case CELL -> first / 4 == server / 4;
                     };
                     assertThat(same)
-                            .as(what + " stays in the group of " + first)
+                            .as(what + " stays in the scope of " + first)
                             .isTrue();
                 }
             }
             h.servers.add(server);
             h.sentAt.add(now);
             h.outcomes.add(null);
-            placed++;
-            orders.add("place " + what + " " + timeoutMs);
+            sent++;
+            orders.add("send " + what + " " + timeoutMs);
         }
 
         private void answer(int request) {
-            assertThat(held).containsKey(request);
-            assertThat(held.get(request).over)
+            assertThat(tracked).containsKey(request);
+            assertThat(tracked.get(request).finished)
                     .as("request %d answered twice", request)
                     .isFalse();
-            held.get(request).over = true;
+            tracked.get(request).finished = true;
             answered++;
         }
 
         @Override
         public void reject(int request, double retryAfterMs) {
-            Held h = held.get(request);
-            if (h.maybeRan() >= 0) {
-                assertThat(h.kind.idempotency()).as("refusal of %d", request).isEqualTo(Idempotency.IDEMPOTENT);
+            Tracked h = tracked.get(request);
+            if (h.firstPossibleExecution() >= 0) {
+                assertThat(h.kind.idempotency()).as("rejection of %d", request).isEqualTo(Idempotency.IDEMPOTENT);
             }
             answer(request);
-            orders.add("deny " + request);
+            orders.add("reject " + request);
         }
 
         @Override
@@ -295,7 +295,7 @@
 
         @Override
         public void cancel(int request, int attempt) {
-            assertThat(attempt).isLessThan(held.get(request).servers.size());
+            assertThat(attempt).isLessThan(tracked.get(request).servers.size());
             orders.add("cancel " + request + " " + attempt);
         }
 
@@ -309,7 +309,7 @@
         public void checkHealth(int server) {
             assertThat(cfg.healthChecksAllowed()).isTrue();
             assertThat(everListed).contains(server);
-            orders.add("probe " + server);
+            orders.add("check " + server);
         }
 
         @Override
--- a/src/test/java/cacheproxy/routing/ZoneDirectivesTest.java
+++ b/src/test/java/cacheproxy/routing/ZoneDirectivesTest.java
@@ -8,50 +8,52 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the decision module makes of the fleet's orders for zones. Servers stand in zone 0 or 1 by their numbers. */
+/** Zone directives of the fleet. Endpoints stand in zone 0 or 1 by their numbers. */
 class ZoneDirectivesTest {
     private static final int KEYS = 400;
     private int id;
 
-    private static void order(LoadBalancerHarness rig, int zone, double open, boolean tries, boolean afresh) {
-        rig.loadBalancer.onZoneDirectives(rig.now, List.of(new ZoneDirective(zone, open, tries, afresh)), rig);
+    private static void direct(
+            LoadBalancerHarness harness, int zone, double trafficFraction, boolean probeAllowed, boolean resetHealth) {
+        harness.loadBalancer.onZoneDirectives(
+                harness.now, List.of(new ZoneDirective(zone, trafficFraction, probeAllowed, resetHealth)), harness);
     }
 
-    private Map<Integer, Integer> placement(LoadBalancerHarness rig) {
+    private Map<Integer, Integer> placement(LoadBalancerHarness harness) {
         Map<Integer, Integer> at = new HashMap<>();
         for (int key = 1; key <= KEYS; key++) {
-            rig.now += 10;
-            rig.read(++id, key * 7919L);
-            at.put(key, rig.last().server());
-            rig.end(rig.last(), AttemptOutcome.OK);
+            harness.now += 10;
+            harness.read(++id, key * 7919L);
+            at.put(key, harness.last().server());
+            harness.end(harness.last(), AttemptOutcome.OK);
         }
         return at;
     }
 
     @Test
-    void aShareOfAZonesKeysGoesToTheRunnerUpAndNoOtherKeyMoves() {
-        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
-        Map<Integer, Integer> whole = placement(rig);
-        order(rig, 1, 0.4, false, false);
-        Map<Integer, Integer> part = placement(rig);
-        order(rig, 1, 0.2, false, false);
-        Map<Integer, Integer> less = placement(rig);
-        order(rig, 1, 0, false, false);
-        Map<Integer, Integer> none = placement(rig);
-        order(rig, 1, 1, false, true);
-        assertThat(placement(rig)).isEqualTo(whole);
+    void aPartOfAZonesKeysGoesToTheSuccessorAndNoOtherKeyMoves() {
+        LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(12);
+        Map<Integer, Integer> full = placement(harness);
+        direct(harness, 1, 0.4, false, false);
+        Map<Integer, Integer> part = placement(harness);
+        direct(harness, 1, 0.2, false, false);
+        Map<Integer, Integer> less = placement(harness);
+        direct(harness, 1, 0, false, false);
+        Map<Integer, Integer> none = placement(harness);
+        direct(harness, 1, 1, false, true);
+        assertThat(placement(harness)).isEqualTo(full);
         int its = 0;
         int stayed = 0;
         for (int key = 1; key <= KEYS; key++) {
-            if (whole.get(key) % 2 == 0) {
-                assertThat(part.get(key)).isEqualTo(whole.get(key));
-                assertThat(none.get(key)).isEqualTo(whole.get(key));
+            if (full.get(key) % 2 == 0) {
+                assertThat(part.get(key)).isEqualTo(full.get(key));
+                assertThat(none.get(key)).isEqualTo(full.get(key));
                 continue;
             }
             its++;
-            stayed += part.get(key).equals(whole.get(key)) ? 1 : 0;
+            stayed += part.get(key).equals(full.get(key)) ? 1 : 0;
             assertThat(none.get(key) % 2).isZero();
-            if (!part.get(key).equals(whole.get(key))) {
+            if (!part.get(key).equals(full.get(key))) {
                 assertThat(part.get(key))
                         .as("moves once")
                         .isEqualTo(none.get(key))
@@ -62,62 +64,63 @@
     }
 
     @Test
-    void allInstancesLeaveTheSameKeys() {
+    void allInstancesDivertTheSameKeys() {
         LoadBalancerHarness one = LoadBalancerHarness.withPeers(0, 100).fleet(12);
         LoadBalancerHarness other = LoadBalancerHarness.withPeers(1, 100).fleet(12);
-        order(one, 0, 0.5, false, false);
-        order(other, 0, 0.5, false, false);
+        direct(one, 0, 0.5, false, false);
+        direct(other, 0, 0.5, false, false);
         assertThat(placement(one)).isEqualTo(placement(other));
     }
 
     @Test
-    void aZoneThatIsLeftIsTriedByOneRequestForEachOrder() {
-        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
-        order(rig, 1, 0, true, false);
-        assertThat(placement(rig).values().stream().filter(s -> s % 2 == 1).count())
+    void aZoneWithNoTrafficIsProbedByOneRequestForEachDirective() {
+        LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(12);
+        direct(harness, 1, 0, true, false);
+        assertThat(placement(harness).values().stream().filter(s -> s % 2 == 1).count())
                 .isEqualTo(1);
-        order(rig, 1, 0, true, false);
-        order(rig, 1, 1, false, false);
-        order(rig, 1, 0, false, false);
-        assertThat(placement(rig).values()).as("what was not used is void").noneMatch(s -> s % 2 == 1);
+        direct(harness, 1, 0, true, false);
+        direct(harness, 1, 1, false, false);
+        direct(harness, 1, 0, false, false);
+        assertThat(placement(harness).values()).as("what was not used is void").noneMatch(s -> s % 2 == 1);
     }
 
-    /** Its servers were silent when it was left; that is past when the fleet returns. */
+    /** Its endpoints were silent when its traffic was diverted; that is past when the traffic returns. */
     @Test
-    void whatWasSeenOfItsServersIsPastWhenTheFleetReturns() {
-        LoadBalancerHarness rig = LoadBalancerHarness.cacheAside().fleet(12);
-        Map<Integer, Integer> whole = placement(rig);
+    void resetHealthForgetsWhatWasSeenOfTheZonesEndpoints() {
+        LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(12);
+        Map<Integer, Integer> full = placement(harness);
         for (int key = 1; key <= KEYS; key++) {
-            if (whole.get(key) % 2 == 1) {
-                rig.read(++id, key * 7919L);
-                LoadBalancerHarness.SentAttempt p = rig.last();
+            if (full.get(key) % 2 == 1) {
+                harness.read(++id, key * 7919L);
+                LoadBalancerHarness.SentAttempt p = harness.last();
                 if (p.server() % 2 == 1) {
-                    rig.end(p, AttemptOutcome.CONNECT_FAILED, false, 0);
+                    harness.end(p, AttemptOutcome.CONNECT_FAILED, false, 0);
                 }
-                rig.end(rig.last(), AttemptOutcome.OK);
+                harness.end(harness.last(), AttemptOutcome.OK);
             }
         }
-        order(rig, 1, 0, false, false);
-        order(rig, 1, 1, false, true);
-        assertThat(placement(rig)).isEqualTo(whole);
+        direct(harness, 1, 0, false, false);
+        direct(harness, 1, 1, false, true);
+        assertThat(placement(harness)).isEqualTo(full);
     }
 
     @Test
-    void whatPeersFoundSilentIsLeftAloneUnlessItHasAnsweredHere() {
-        LoadBalancerHarness rig = LoadBalancerHarness.withPeers(1, 12).fleet(6);
-        rig.read(++id, 77);
-        LoadBalancerHarness.SentAttempt first = rig.last();
-        rig.end(first, AttemptOutcome.OK);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointUnresponsive(first.server()), rig);
-        rig.read(++id, 77);
-        assertThat(rig.last().server()).as("it has just answered").isEqualTo(first.server());
-        rig.end(rig.last(), AttemptOutcome.OK);
-        rig.pass(2000);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointUnresponsive(first.server()), rig);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointUnresponsive(LoadBalancerHarness.ORIGIN), rig);
-        rig.loadBalancer.onPeerMessage(rig.now, 0, PeerMessage.endpointUnresponsive(4711), rig);
-        rig.read(++id, 77);
-        assertThat(rig.last().server()).isNotEqualTo(first.server());
-        rig.end(rig.last(), AttemptOutcome.OK);
+    void anOutlierThatPeersReportIsEjectedUnlessItHasAnsweredHere() {
+        LoadBalancerHarness harness = LoadBalancerHarness.withPeers(1, 12).fleet(6);
+        harness.read(++id, 77);
+        LoadBalancerHarness.SentAttempt first = harness.last();
+        harness.end(first, AttemptOutcome.OK);
+        harness.loadBalancer.onPeerMessage(harness.now, 0, PeerMessage.endpointUnresponsive(first.server()), harness);
+        harness.read(++id, 77);
+        assertThat(harness.last().server()).as("it has just answered").isEqualTo(first.server());
+        harness.end(harness.last(), AttemptOutcome.OK);
+        harness.pass(2000);
+        harness.loadBalancer.onPeerMessage(harness.now, 0, PeerMessage.endpointUnresponsive(first.server()), harness);
+        harness.loadBalancer.onPeerMessage(
+                harness.now, 0, PeerMessage.endpointUnresponsive(LoadBalancerHarness.ORIGIN), harness);
+        harness.loadBalancer.onPeerMessage(harness.now, 0, PeerMessage.endpointUnresponsive(4711), harness);
+        harness.read(++id, 77);
+        assertThat(harness.last().server()).isNotEqualTo(first.server());
+        harness.end(harness.last(), AttemptOutcome.OK);
     }
 }
--- a/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
@@ -107,23 +107,23 @@
     }
 
     @Test
-    void aRequestIsPlacedOnTheListedServer() throws IOException {
+    void aRequestIsSentToTheListedEndpoint() throws IOException {
         Batch batch = new Batch().start(SETTINGS);
         batch.record(30, 3).putInt(3, 0x5D3A91C4).putDouble(9, 900).putLong(33, 99);
         ByteBuffer reply = ByteBuffer.wrap(run(batch.bytes())).order(ByteOrder.LITTLE_ENDIAN);
         assertThat(reply.getInt(0)).isEqualTo(reply.capacity());
         assertThat(reply.getInt(8)).isEqualTo(7);
-        boolean placed = false;
+        boolean sent = false;
         for (int r = 0; r < reply.getInt(4); r++) {
             int at = 12 + 24 * r;
             if (reply.get(at) == 10) {
-                placed = true;
+                sent = true;
                 assertThat(reply.getShort(at + 1)).isEqualTo((short) 3);
                 assertThat(reply.getInt(at + 3)).isEqualTo(0x5D3A91C4);
                 assertThat(reply.getInt(at + 7)).isEqualTo(0xF211902C);
             }
         }
-        assertThat(placed).isTrue();
+        assertThat(sent).isTrue();
     }
 
     @Test
