--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -95,11 +95,11 @@
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
-        peers = new PeerSocket(loop, config, dispatcher::peerMessageReceived, dispatcher.counters());
+        peers = new PeerSocket(loop, config, dispatcher.peerLinks()::messageReceived, dispatcher.counters());
         acceptor = new Acceptor(dispatcher, Math.max(16, config.sockets() - config.sockets() / 3 - OWN_DESCRIPTORS));
         RoutingSettings atStart = config.settings();
         EndpointListPublisher list = new EndpointListPublisher(
-                dispatcher,
+                dispatcher.endpointList(),
                 new ProvisionalEndpoints(atStart.cacheAside() ? atStart.originKind() : NO_KIND),
                 dispatcher::now);
         discovery = new DiscoveryClient(
@@ -121,7 +121,7 @@
         TakeoverState state = old == null ? null : old.state();
         succeeds = state != null;
         remembered = new Remembered(
-                state, kept == null ? OpenedState.EMPTY : kept.opened(), dispatcher.trust(), dispatcher.now());
+                state, kept == null ? OpenedState.EMPTY : kept.opened(), dispatcher.provenance(), dispatcher.now());
         loop.submit(() -> {
                     dispatcher.start(discovery, peers, acceptor, routing);
                     discovery.start(remembered.list(config.known()));
@@ -130,8 +130,15 @@
                         ListVersionGossip news =
                                 new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
                         news.start(discovery.version());
-                        dispatcher.news(new PeerNews(
-                                dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
+                        dispatcher
+                                .peerLinks()
+                                .setEndpointListGossip(new PeerNews(
+                                        dispatcher,
+                                        peers,
+                                        discovery,
+                                        list,
+                                        news,
+                                        settings.instanceSeed(config.seed() + 1)));
                     }
                     dispatcher.resume(remembered.learnt());
                     if (kept != null) {
@@ -318,7 +325,7 @@
     }
 
     ByteBudget values() {
-        return dispatcher.valueBudget();
+        return dispatcher.bufferLimits().values();
     }
 
     // ---- the view of the fleet
@@ -344,11 +351,11 @@
                         remembered.incarnation(),
                         config.seed(),
                         parts.recovers() ? Phase.STARTING : Phase.SERVING,
-                        dispatcher::liveMembersChanged);
-                dispatcher.members(members, new NodeTalk(dispatcher, peers, members));
+                        dispatcher.peerLinks()::liveMembersChanged);
+                dispatcher.peerLinks().setMembership(members, new NodeTalk(dispatcher, peers, members));
                 if (parts.zones()) {
                     zones = new ZoneLink(dispatcher, members, config.settings(), config.zones(), remembered);
-                    dispatcher.zones(zones);
+                    dispatcher.peerLinks().setZoneFailover(zones);
                 }
                 if (kept != null) {
                     kept.keep(members::incarnation, zones);
@@ -356,16 +363,18 @@
                 }
             }
             if (parts.recovers() && members != null) {
-                dispatcher.recall(new StateQueryLink(
-                        dispatcher,
-                        peers,
-                        members,
-                        discovery,
-                        dispatcher
-                                        .trust()
-                                        .entry(ProvenanceTracker.Subject.LEARNED_STATE)
-                                        .provenance()
-                                == Provenance.NONE));
+                dispatcher
+                        .peerLinks()
+                        .setStateQueries(new StateQueryLink(
+                                dispatcher,
+                                peers,
+                                members,
+                                discovery,
+                                dispatcher
+                                                .provenance()
+                                                .entry(ProvenanceTracker.Subject.LEARNED_STATE)
+                                                .provenance()
+                                        == Provenance.NONE));
             }
             if (parts.recovers()) {
                 recovery = new RecoveryLink(
@@ -377,12 +386,12 @@
     /** How this process comes back, and what it keeps. On the event loop only. */
     public RecoveryStatus recovering() {
         return new RecoveryStatus(
-                dispatcher.trust(),
+                dispatcher.provenance(),
                 recovery == null ? null : recovery.progress(),
                 recovery == null ? null : recovery.spread(),
                 recovery == null ? 0 : recovery.rate(),
                 kept == null ? null : kept.opened(),
-                kept == null ? null : kept.keeper(),
+                kept == null ? null : kept.recordStore(),
                 kept == null ? null : kept.path().toString(),
                 kept != null && kept.locked());
     }
@@ -539,13 +548,13 @@
                 c.reloadsRejected(),
                 handover.phase(),
                 handover.completedHandovers(),
-                dispatcher.valueBudget().reserved(),
-                dispatcher.valueBudget().waiting());
+                dispatcher.bufferLimits().values().reserved(),
+                dispatcher.bufferLimits().values().waiting());
     }
 
     /** What was seen of the rules so far. On the event loop only. */
     public RuleCounts ruleCounts() {
-        return dispatcher.ruleCounts();
+        return dispatcher.rules().counts();
     }
 
     /**
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -48,7 +48,10 @@
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                fleet.proxy.core().send(1, server, 0); // as a timer of the module would, before the end is read
+                fleet.proxy
+                        .core()
+                        .orders()
+                        .send(1, server, 0); // as a timer of the module would, before the end is read
             });
             stands.await();
             long since = System.nanoTime();
@@ -63,7 +66,7 @@
             }
             assertThat(fleet.on(() -> fleet.proxy.core().rules().forbidden()).keySet())
                     .isSubsetOf(Verdict.CLIENT_DISCONNECTED);
-            assertThat(fleet.on(() -> fleet.proxy.core().rules().breaches())).isEmpty();
+            assertThat(fleet.on(() -> fleet.proxy.core().rules().violations())).isEmpty();
         }
     }
 
@@ -126,13 +129,13 @@
             client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             origin.next();
             fleet.on(() -> {
-                fleet.proxy.core().reject(1, 0);
+                fleet.proxy.core().orders().reject(1, 0);
                 return null;
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(fleet.on(() -> fleet.proxy.core().rules().breaches()))
+            assertThat(fleet.on(() -> fleet.proxy.core().rules().violations()))
                     .containsEntry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, 1L);
-            assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).breaches())
+            assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).violations())
                     .as("what status and figures show")
                     .containsExactly(Map.entry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED.key(), 1L));
         }
@@ -146,7 +149,7 @@
             client.read("1");
             node.next();
             fleet.on(() -> {
-                fleet.proxy.core().send(1, 12345, 0);
+                fleet.proxy.core().orders().send(1, 12345, 0);
                 return null;
             });
             assertThat(fleet.on(() -> fleet.proxy.core().rules().forbidden()))
