--- a/src/main/java/cacheproxy/route/Router.java
+++ b/src/main/java/cacheproxy/route/Router.java
@@ -505,17 +505,17 @@
 
     @Override
     public void onAttemptEnd(double now, AttemptEnd end, RoutingActions out) {
-        Journey j = journeys.get(end.request());
-        if (j == null || end.attempt() >= j.lanes.size()) {
+        Journey j = journeys.get(end.requestId());
+        if (j == null || end.attemptIndex() >= j.lanes.size()) {
             return;
         }
-        Lane lane = j.lanes.get(end.attempt());
+        Lane lane = j.lanes.get(end.attemptIndex());
         j.out--;
         j.mayHaveRun |= end.outcome().mayHaveRun();
         AttemptEnd own = new AttemptEnd(
-                end.request(),
-                j.numbers.get(end.attempt()),
-                end.server(),
+                end.requestId(),
+                j.numbers.get(end.attemptIndex()),
+                end.endpointId(),
                 end.outcome(),
                 end.elapsedMs(),
                 end.requestCompleted(),
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -105,46 +105,46 @@
     // ---- settings, and learned state
 
     @Override
-    public void onSettings(double now, RoutingSettings next, RoutingActions out) {
+    public void onSettings(double nowMs, RoutingSettings next, RoutingActions out) {
         check(next);
         listWatch.onSettings(next);
         shedding.onSettings(settings, next);
         settings = next;
-        rank(now);
+        rank(nowMs);
     }
 
-    private void rank(double now) {
+    private void rank(double nowMs) {
         endpoints.rank(settings);
-        slowStart.onRanked(now, endpoints.totalWeight());
+        slowStart.onRanked(nowMs, endpoints.totalWeight());
     }
 
     @Override
-    public boolean isAvoided(double now, int server) {
-        EndpointEntry entry = endpoints.get(server);
+    public boolean isAvoided(double nowMs, int endpointId) {
+        EndpointEntry entry = endpoints.get(endpointId);
         return entry != null
                 && (entry.endpoint().state() != EndpointState.READY
                         || !entry.health().isInService());
     }
 
     @Override
-    public Map<String, LearnedState> learnedState(double now) {
-        return Map.of(ONLY_POOL, learned.save(now));
+    public Map<String, LearnedState> learnedState(double nowMs) {
+        return Map.of(ONLY_POOL, learned.save(nowMs));
     }
 
     @Override
-    public void resume(double now, Map<String, LearnedState> states) {
+    public void resume(double nowMs, Map<String, LearnedState> states) {
         LearnedState ofAll = states.get(ONLY_POOL);
         if (ofAll != null) {
-            learned.resume(now, ofAll);
+            learned.resume(nowMs, ofAll);
         }
     }
 
     // ---- endpoints and zones
 
     @Override
-    public void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> members, RoutingActions out) {
+    public void onEndpointUpdate(double nowMs, EndpointUpdateKind kind, List<Endpoint> update, RoutingActions out) {
         if (kind == EndpointUpdateKind.FAILED) {
-            timers.set(listWatch.onFailure(now), Kind.LIST_CALL, out);
+            timers.set(listWatch.onFailure(nowMs), Kind.LIST_CALL, out);
             return;
         }
         if (kind == EndpointUpdateKind.CACHED && settings.pollsDiscovery()) {
@@ -152,12 +152,12 @@
         } else if (kind != EndpointUpdateKind.PROVISIONAL) {
             listWatch.onEntries();
         }
-        endpoints.update(kind, members, settings);
-        slowStart.onRanked(now, endpoints.totalWeight());
+        endpoints.update(kind, update, settings);
+        slowStart.onRanked(nowMs, endpoints.totalWeight());
     }
 
     @Override
-    public void onZoneDirectives(double now, List<ZoneDirective> directives, RoutingActions out) {
+    public void onZoneDirectives(double nowMs, List<ZoneDirective> directives, RoutingActions out) {
         for (ZoneDirective directive : directives) {
             zones.apply(directive);
             if (directive.resetHealth()) {
@@ -169,45 +169,50 @@
     }
 
     @Override
-    public void onPeerMessage(double now, int peer, byte[] message, RoutingActions out) {
+    public void onPeerMessage(double nowMs, int peerIndex, byte[] message, RoutingActions out) {
         EndpointEntry silent = endpoints.get(PeerMessage.readEndpointUnresponsive(message));
         if (silent != null && !endpoints.isOrigin(silent)) {
-            outliers.onPeerReport(now, silent);
+            outliers.onPeerReport(nowMs, silent);
         }
         EndpointEntry full = endpoints.get(PeerMessage.readEndpointFull(message));
         if (full != null && !endpoints.isOrigin(full)) {
-            capacity.onPeerReport(now, full);
+            capacity.onPeerReport(nowMs, full);
         }
     }
 
     @Override
     public void onHealthCheckResult(
-            double now, int server, AttemptOutcome outcome, double elapsedMs, float[] report, RoutingActions out) {
-        EndpointEntry entry = endpoints.get(server);
+            double nowMs,
+            int endpointId,
+            AttemptOutcome outcome,
+            double elapsedMs,
+            float[] report,
+            RoutingActions out) {
+        EndpointEntry entry = endpoints.get(endpointId);
         if (entry != null) {
-            outliers.onHealthCheckResult(now, entry, outcome);
+            outliers.onHealthCheckResult(nowMs, entry, outcome);
         }
     }
 
     // ---- requests
 
     @Override
-    public void onRequest(double now, Request request, RoutingActions out) {
+    public void onRequest(double nowMs, Request request, RoutingActions out) {
         check(request);
         latency.recordCostHint(request.costMs());
-        shedding.recordRequest(now, request.tenant());
+        shedding.recordRequest(nowMs, request.tenant());
         outliers.onRequest();
-        PendingRequest arrived = new PendingRequest(request, settings, shedding.shares(), now);
+        PendingRequest arrived = new PendingRequest(request, settings, shedding.shares(), nowMs);
         pending.put(request.id(), arrived);
-        timers.set(Math.max(0, request.deadlineMs() - now), Kind.DEADLINE, arrived, out);
+        timers.set(Math.max(0, request.deadlineMs() - nowMs), Kind.DEADLINE, arrived, out);
         if (settings.cacheAside() && request.write()) {
             arrived.sendToOrigin();
         } else if (request.key() != 0) {
-            slowStart.recordRead(now, endpoints.rankedCount());
-            int count = hotKeys.record(now, request.key());
+            slowStart.recordRead(nowMs, endpoints.rankedCount());
+            int count = hotKeys.record(nowMs, request.key());
             arrived.setHotness(hotKeys.replicas(count, endpoints.rankedCount()), count);
         }
-        advance(now, arrived, out);
+        advance(nowMs, arrived, out);
     }
 
     private void check(Request request) {
@@ -222,38 +227,38 @@
     }
 
     /** Makes the next attempt of a request, has it wait, or gives it up. */
-    private void advance(double now, PendingRequest request, RoutingActions out) {
+    private void advance(double nowMs, PendingRequest request, RoutingActions out) {
         if (!request.resume()) {
             return;
         }
-        EndpointEntry target = retries.isAttemptUseful(now, request) ? selector.select(now, request, out) : null;
-        if (target == null || !retries.isSafe(now, request, target)) {
+        EndpointEntry target = retries.isAttemptUseful(nowMs, request) ? selector.select(nowMs, request, out) : null;
+        if (target == null || !retries.isSafe(nowMs, request, target)) {
             completion.giveUp(request, out);
             return;
         }
         RequestAdmission.Decision decision = endpoints.isOrigin(target)
-                ? admission.admitToOrigin(now, request)
-                : admission.admitToEndpoint(now, request);
+                ? admission.admitToOrigin(nowMs, request)
+                : admission.admitToEndpoint(nowMs, request);
         switch (decision) {
-            case SEND -> send(now, request, target, out);
+            case SEND -> send(nowMs, request, target, out);
             case GIVE_UP -> completion.giveUp(request, out);
             case WAIT -> {}
         }
     }
 
-    private void send(double now, PendingRequest request, EndpointEntry target, RoutingActions out) {
-        request.addAttempt(now, target);
+    private void send(double nowMs, PendingRequest request, EndpointEntry target, RoutingActions out) {
+        request.addAttempt(nowMs, target);
         boolean atOrigin = endpoints.isOrigin(target);
         boolean untilObjective = !atOrigin && request.isValuelessWhenLate();
-        out.send(request.id(), target.id(), untilObjective ? Math.max(1, request.objectiveEndMs() - now) : 0);
+        out.send(request.id(), target.id(), untilObjective ? Math.max(1, request.objectiveEndMs() - nowMs) : 0);
         if (!atOrigin && hedging.applies(request)) {
-            timers.set(hedging.delayMs(now, request), Kind.HEDGE, request, out);
+            timers.set(hedging.delayMs(nowMs, request), Kind.HEDGE, request, out);
         }
     }
 
     @Override
-    public void onClientDisconnected(double now, int request, RoutingActions out) {
-        PendingRequest abandoned = pending.get(request);
+    public void onClientDisconnected(double nowMs, int requestId, RoutingActions out) {
+        PendingRequest abandoned = pending.get(requestId);
         if (abandoned != null && !abandoned.isDone()) {
             completion.abandon(abandoned, out);
         }
@@ -262,42 +267,42 @@
     // ---- attempts
 
     @Override
-    public void onFirstByte(double now, int request, int attempt, int server, RoutingActions out) {
-        PendingRequest streaming = pending.get(request);
+    public void onFirstByte(double nowMs, int requestId, int attempt, int endpointId, RoutingActions out) {
+        PendingRequest streaming = pending.get(requestId);
         if (streaming != null) {
             streaming.startStreaming();
         }
     }
 
     @Override
-    public void onAttemptEnd(double now, AttemptEnd end, RoutingActions out) {
-        PendingRequest request = pending.get(end.request());
-        if (request == null || !request.isInFlight(end.attempt())) {
+    public void onAttemptEnd(double nowMs, AttemptEnd end, RoutingActions out) {
+        PendingRequest request = pending.get(end.requestId());
+        if (request == null || !request.isInFlight(end.attemptIndex())) {
             return;
         }
-        EndpointEntry endpoint = request.endpointOf(end.attempt());
+        EndpointEntry endpoint = request.endpointOf(end.attemptIndex());
         boolean atOrigin = endpoints.isOrigin(endpoint);
-        request.endAttempt(end.attempt());
-        outcomes.record(now, request, endpoint, atOrigin, end, out);
+        request.endAttempt(end.attemptIndex());
+        outcomes.record(nowMs, request, endpoint, atOrigin, end, out);
         if (end.outcome().mayHaveRun()) {
-            request.recordPossibleExecution(end.attempt());
+            request.recordPossibleExecution(end.attemptIndex());
         }
         boolean wasDone = request.isDone();
         if (end.requestCompleted() || wasDone) {
             completion.finish(request);
         }
         if (atOrigin && fetches.leads(request)) {
-            endFetch(now, request, end.outcome() == AttemptOutcome.OK, out);
+            endFetch(nowMs, request, end.outcome() == AttemptOutcome.OK, out);
         }
         if (!wasDone && end.requestCompleted()) {
             completion.cancelAttempts(request, out);
         } else if (!request.isDone()) {
-            retryOrGiveUp(now, request, endpoint, end, out);
+            retryOrGiveUp(nowMs, request, endpoint, end, out);
         }
     }
 
     /** Who waited for a fetch finds its object where it was missed; where the fetch failed, one of them tries. */
-    private void endFetch(double now, PendingRequest leader, boolean stored, RoutingActions out) {
+    private void endFetch(double nowMs, PendingRequest leader, boolean stored, RoutingActions out) {
         for (PendingRequest waiter : fetches.end(leader)) {
             if (!waiter.isWaiting()) {
                 continue;
@@ -307,12 +312,12 @@
             } else {
                 waiter.sendToOrigin();
             }
-            advance(now, waiter, out);
+            advance(nowMs, waiter, out);
         }
     }
 
     private void retryOrGiveUp(
-            double now, PendingRequest request, EndpointEntry endpoint, AttemptEnd end, RoutingActions out) {
+            double nowMs, PendingRequest request, EndpointEntry endpoint, AttemptEnd end, RoutingActions out) {
         if (end.outcome() == AttemptOutcome.MISS) {
             request.recordMiss(endpoint);
             if (retries.isFetchInFlight(request, end)) {
@@ -328,38 +333,38 @@
         } else if (next instanceof RetryPolicy.GiveUp) {
             completion.giveUp(request, out);
         } else if (next instanceof RetryPolicy.RetryNow) {
-            advance(now, request, out);
+            advance(nowMs, request, out);
         }
     }
 
     // ---- timers
 
     @Override
-    public void onTimer(double now, int token, RoutingActions out) {
+    public void onTimer(double nowMs, int token, RoutingActions out) {
         RequestTimers.Due due = timers.due(token);
         PendingRequest request = due.request();
         if (due.kind() == Kind.LIST_CALL) {
-            if (listWatch.subscribe(now)) {
+            if (listWatch.subscribe(nowMs)) {
                 out.setWatch(true);
             }
         } else if (request != null) {
-            onRequestTimer(now, due.kind(), request, out);
+            onRequestTimer(nowMs, due.kind(), request, out);
         }
     }
 
-    private void onRequestTimer(double now, Kind kind, PendingRequest request, RoutingActions out) {
+    private void onRequestTimer(double nowMs, Kind kind, PendingRequest request, RoutingActions out) {
         if (kind == Kind.DEADLINE && request.isUnanswered()) {
             completion.answer(request, out);
             completion.abandon(request, out);
         } else if (kind == Kind.HEDGE && request.isUnanswered()) {
-            onOverdue(now, request, out);
+            onOverdue(nowMs, request, out);
         } else if (kind == Kind.RETRY && request.isWaiting()) {
-            advance(now, request, out);
+            advance(nowMs, request, out);
         }
     }
 
     /** The last attempt of a request takes longer than usual. */
-    private void onOverdue(double now, PendingRequest request, RoutingActions out) {
+    private void onOverdue(double nowMs, PendingRequest request, RoutingActions out) {
         int attempt = request.attemptCount() - 1;
         EndpointEntry endpoint = request.endpointOf(attempt);
         if (!request.isInFlight(attempt) || endpoints.isOrigin(endpoint)) {
@@ -367,13 +372,13 @@
         }
         out.report(endpoint.id(), EndpointSignal.UNRESPONSIVE);
         boolean hedgingAllowed = settings.hedgingAllowed();
-        outliers.recordOverdue(now, endpoint, hedgingAllowed);
-        if (!hedging.spend(now, request)) {
+        outliers.recordOverdue(nowMs, endpoint, hedgingAllowed);
+        if (!hedging.spend(nowMs, request)) {
             return;
         }
         request.markHedged();
         if (hedgingAllowed) {
-            advance(now, request, out);
+            advance(nowMs, request, out);
         } else {
             out.cancel(request.id(), attempt);
         }
--- a/src/main/java/cacheproxy/routing/LoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/LoadBalancer.java
@@ -23,17 +23,17 @@
      *
      * @throws IllegalArgumentException if the settings have no class or allow no attempt; the earlier ones hold then
      */
-    void onSettings(double now, RoutingSettings settings, RoutingActions out);
+    void onSettings(double nowMs, RoutingSettings settings, RoutingActions out);
 
     /**
      * Whether an endpoint of the list gets no ordinary request now, because it drains or is ejected.
      *
-     * @param server the endpoint's id; one that the list doesn't have is not avoided
+     * @param endpointId the endpoint's id; one that the list doesn't have is not avoided
      */
-    boolean isAvoided(double now, int server);
+    boolean isAvoided(double nowMs, int endpointId);
 
     /** What has been learned so far, by the pool's name; that of all endpoints is the empty string. */
-    Map<String, LearnedState> learnedState(double now);
+    Map<String, LearnedState> learnedState(double nowMs);
 
     /**
      * Goes on where another instance left off. Of endpoints that are not in the list, or have started since, nothing is
@@ -41,16 +41,16 @@
      *
      * @param states as from {@link #learnedState}; pools that this instance doesn't have are passed over
      */
-    void resume(double now, Map<String, LearnedState> states);
+    void resume(double nowMs, Map<String, LearnedState> states);
 
     /**
      * Entries of the endpoint list, or a failed call for it.
      *
      * @param kind what the entries are
-     * @param members the entries; none if the call failed
+     * @param endpoints the entries; none if the call failed
      * @throws IllegalArgumentException if an endpoint is named twice, or has a weight, zone or kind that can't be
      */
-    void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> members, RoutingActions out);
+    void onEndpointUpdate(double nowMs, EndpointUpdateKind kind, List<Endpoint> endpoints, RoutingActions out);
 
     /**
      * A client's request has arrived. The instance now owes exactly one final answer: {@link RoutingActions#reject},
@@ -58,23 +58,23 @@
      *
      * @throws IllegalArgumentException if its class or tenant is not in the settings
      */
-    void onRequest(double now, Request request, RoutingActions out);
+    void onRequest(double nowMs, Request request, RoutingActions out);
 
     /** The first byte of an answer that is streamed has come; the request gets no other answer. */
-    void onFirstByte(double now, int request, int attempt, int server, RoutingActions out);
+    void onFirstByte(double nowMs, int requestId, int attempt, int endpointId, RoutingActions out);
 
     /** An attempt has ended. Each ends once; others are ignored. */
-    void onAttemptEnd(double now, AttemptEnd end, RoutingActions out);
+    void onAttemptEnd(double nowMs, AttemptEnd end, RoutingActions out);
 
     /** The client has disconnected; no answer is owed. */
-    void onClientDisconnected(double now, int request, RoutingActions out);
+    void onClientDisconnected(double nowMs, int requestId, RoutingActions out);
 
     /**
      * A timer has come due.
      *
      * @param token as given to {@link RoutingActions#setTimer}
      */
-    void onTimer(double now, int token, RoutingActions out);
+    void onTimer(double nowMs, int token, RoutingActions out);
 
     /**
      * The result of a health check.
@@ -84,20 +84,20 @@
      * @param report the endpoint's load report, its values in the order of the settings' fields; null if there is none
      */
     void onHealthCheckResult(
-            double now, int server, AttemptOutcome outcome, double elapsedMs, float[] report, RoutingActions out);
+            double nowMs, int endpointId, AttemptOutcome outcome, double elapsedMs, float[] report, RoutingActions out);
 
     /**
      * A message of another instance.
      *
-     * @param peer its index in the fleet
+     * @param peerIndex its index in the fleet
      * @param message bytes as given to {@link RoutingActions#sendToPeer}; what can't be read is ignored
      */
-    void onPeerMessage(double now, int peer, byte[] message, RoutingActions out);
+    void onPeerMessage(double nowMs, int peerIndex, byte[] message, RoutingActions out);
 
     /**
      * The fleet sends zones so much of their traffic from now on; nothing changes for others.
      *
      * @param directives one for each zone that changes
      */
-    void onZoneDirectives(double now, List<ZoneDirective> directives, RoutingActions out);
+    void onZoneDirectives(double nowMs, List<ZoneDirective> directives, RoutingActions out);
 }
--- a/src/main/java/cacheproxy/routing/OutcomeRecorder.java
+++ b/src/main/java/cacheproxy/routing/OutcomeRecorder.java
@@ -47,7 +47,7 @@
             boolean atOrigin,
             AttemptEnd end,
             RoutingActions out) {
-        if (request.isHedged() && end.attempt() > 0 && end.outcome() == AttemptOutcome.OK) {
+        if (request.isHedged() && end.attemptIndex() > 0 && end.outcome() == AttemptOutcome.OK) {
             hedging.recordSuccess();
         }
         if (atOrigin) {
@@ -82,7 +82,7 @@
             zones.recordResponse(endpoint.zone());
             boolean missed = end.outcome() == AttemptOutcome.MISS;
             out.report(endpoint.id(), missed ? EndpointSignal.CACHE_MISS : EndpointSignal.RESPONDED);
-            if (end.outcome() == AttemptOutcome.REJECTED && end.attempt() > 0) {
+            if (end.outcome() == AttemptOutcome.REJECTED && end.attemptIndex() > 0) {
                 endpointThrottle.recordRequest(nowMs);
             }
         }
--- a/src/main/java/cacheproxy/routing/RoutingActions.java
+++ b/src/main/java/cacheproxy/routing/RoutingActions.java
@@ -10,20 +10,20 @@
      *
      * @param timeoutMs after which the attempt ends with {@link AttemptOutcome#TIMEOUT}; 0 for the request's deadline
      */
-    void send(int request, int server, double timeoutMs);
+    void send(int requestId, int endpointId, double timeoutMs);
 
     /**
      * The final answer: rejected, which promises that a repeat does no harm.
      *
      * @param retryAfterMs after which the client should repeat it; 0 for no advice
      */
-    void reject(int request, double retryAfterMs);
+    void reject(int requestId, double retryAfterMs);
 
     /** The final answer: failed, which promises nothing. */
-    void fail(int request);
+    void fail(int requestId);
 
     /** Stops waiting for an attempt, which ends with {@link AttemptOutcome#CANCELLED}. */
-    void cancel(int request, int attempt);
+    void cancel(int requestId, int attempt);
 
     /**
      * Asks for {@link LoadBalancer#onTimer}.
@@ -34,17 +34,17 @@
     void setTimer(double afterMs, int token);
 
     /** Checks the health of an endpoint, which ends in {@link LoadBalancer#onHealthCheckResult}. */
-    void checkHealth(int server);
+    void checkHealth(int endpointId);
 
     /** Closes those connections to an endpoint on which nothing is in flight. */
-    void closeIdle(int server);
+    void closeIdle(int endpointId);
 
     /**
      * Sends bytes to another instance.
      *
-     * @param peer its index in the fleet, or -1 for all
+     * @param peerIndex its index in the fleet, or -1 for all
      */
-    void sendToPeer(int peer, byte[] message);
+    void sendToPeer(int peerIndex, byte[] message);
 
     /** Subscribes to changes of the endpoint list, or ends the subscription. */
     void setWatch(boolean on);
@@ -59,5 +59,5 @@
      * What an attempt has shown of an endpoint, for those who judge zones and nodes by it. Of the origin: RESPONDED if
      * it answered within the latency objective, UNRESPONSIVE otherwise.
      */
-    default void report(int server, EndpointSignal what) {}
+    default void report(int endpointId, EndpointSignal what) {}
 }
--- a/src/main/java/cacheproxy/simulator/EventDecoder.java
+++ b/src/main/java/cacheproxy/simulator/EventDecoder.java
@@ -121,29 +121,29 @@
 
     /** Hands the event of a record to its instance. */
     void dispatch(int record, LoadBalancer target, RoutingActions out) {
-        double now = batch.timeMs();
+        double nowMs = batch.timeMs();
         int id = batch.intAt(record + ID);
         int code = code(record);
         switch (code) {
             case ENDPOINT_UPDATE -> {
                 EndpointUpdateKind kind = updateKind(batch.unsignedByte(record + UPDATE_KIND));
-                target.onEndpointUpdate(now, kind, endpoints(record + UPDATE_ENTRIES), out);
+                target.onEndpointUpdate(nowMs, kind, endpoints(record + UPDATE_ENTRIES), out);
             }
-            case REQUEST -> target.onRequest(now, request(record), out);
+            case REQUEST -> target.onRequest(nowMs, request(record), out);
             case FIRST_BYTE ->
-                target.onFirstByte(now, id, batch.unsignedByte(record + ATTEMPT), batch.intAt(record + SERVER), out);
-            case ATTEMPT_END -> target.onAttemptEnd(now, attemptEnd(record), out);
-            case CLIENT_DISCONNECTED -> target.onClientDisconnected(now, id, out);
-            case TIMER -> target.onTimer(now, id, out);
+                target.onFirstByte(nowMs, id, batch.unsignedByte(record + ATTEMPT), batch.intAt(record + SERVER), out);
+            case ATTEMPT_END -> target.onAttemptEnd(nowMs, attemptEnd(record), out);
+            case CLIENT_DISCONNECTED -> target.onClientDisconnected(nowMs, id, out);
+            case TIMER -> target.onTimer(nowMs, id, out);
             case HEALTH_CHECK_RESULT ->
                 target.onHealthCheckResult(
-                        now,
+                        nowMs,
                         id,
                         outcome(record + CHECK_OUTCOME),
                         batch.doubleAt(record + CHECK_ELAPSED),
                         loadReport(record + CHECK_REPORT),
                         out);
-            case PEER_MESSAGE -> target.onPeerMessage(now, id, batch.tailBytes(record + MESSAGE), out);
+            case PEER_MESSAGE -> target.onPeerMessage(nowMs, id, batch.tailBytes(record + MESSAGE), out);
             default -> throw new MalformedInputException("unknown event code " + code);
         }
     }
