--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -49,12 +49,16 @@
 public final class SettingsParser {
     private final Map<String, String> values;
 
-    /** Over values by path, as the real proxy's configuration has them once flattened. */
+    /**
+     * A parser of settings.
+     *
+     * @param values by path, as the real proxy's configuration has them once flattened
+     */
     public SettingsParser(Map<String, String> values) {
         this.values = values;
     }
 
-    /** Over path=value lines, as the simulator sends them. */
+    /** A parser of path=value lines, as the simulator sends them. */
     static SettingsParser ofLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -66,7 +70,11 @@
         return new SettingsParser(values);
     }
 
-    /** The settings as the module takes them; a MalformedInputException names what is missing or wrong. */
+    /**
+     * All settings.
+     *
+     * @throws MalformedInputException if one is missing or wrong, with its path
+     */
     public RoutingSettings settings() {
         List<String> zones = list("zones");
         List<String> kinds = list("kinds");
@@ -108,39 +116,43 @@
         if (integer("classes.count") < 1) {
             throw new MalformedInputException("settings name no class");
         }
-        List<ServiceClass> result = new ArrayList<>();
+        List<ServiceClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (int i = 0; i < integer("classes.count"); i++) {
-            String p = "classes." + i + ".";
-            if (text(p + "name").isEmpty() || !names.add(text(p + "name"))) {
-                throw new MalformedInputException(
-                        "setting '" + p + "name' is empty or another class's: " + text(p + "name"));
+            String path = "classes." + i + ".";
+            String name = text(path + "name");
+            if (name.isEmpty() || !names.add(name)) {
+                throw new MalformedInputException("setting '" + path + "name' is empty or another class's: " + name);
             }
-            Idempotency effect = oneOf(p + "idempotency", Idempotency.values(), Idempotency::wireName);
-            boolean keyed = effect == Idempotency.KEYED;
-            result.add(new ServiceClass(
-                    text(p + "name"),
-                    effect,
-                    keyed
-                            ? oneOf(p + "group", DeduplicationScope.values(), DeduplicationScope::wireName)
-                            : DeduplicationScope.ALL,
-                    keyed ? number(p + "window") : 0,
-                    positive(p + "promise", 0),
-                    positive(p + "deadline", 0),
-                    number(p + "gain", 1),
-                    number(p + "late-share", 0),
-                    flag(p + "stream")));
+            classes.add(serviceClass(path, name));
         }
-        return result;
+        return classes;
+    }
+
+    private ServiceClass serviceClass(String path, String name) {
+        Idempotency idempotency = oneOf(path + "idempotency", Idempotency.values(), Idempotency::wireName);
+        boolean keyed = idempotency == Idempotency.KEYED; // others have no group and window, whatever the settings say
+        return new ServiceClass(
+                name,
+                idempotency,
+                keyed
+                        ? oneOf(path + "group", DeduplicationScope.values(), DeduplicationScope::wireName)
+                        : DeduplicationScope.ALL,
+                keyed ? number(path + "window") : 0,
+                positive(path + "promise", 0),
+                positive(path + "deadline", 0),
+                number(path + "gain", 1),
+                number(path + "late-share", 0),
+                flag(path + "stream"));
     }
 
     private List<Tenant> tenants() {
-        List<Tenant> result = new ArrayList<>();
+        List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < (int) number("tenants.count", 0); i++) {
-            String p = "tenants." + i + ".";
-            result.add(new Tenant(text(p + "name"), number(p + "fraction", 0), number(p + "quota-per-s", 0)));
+            String path = "tenants." + i + ".";
+            tenants.add(new Tenant(text(path + "name"), number(path + "fraction", 0), number(path + "quota-per-s", 0)));
         }
-        return result;
+        return tenants;
     }
 
     private String text(String key) {
@@ -158,17 +170,22 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // told below, with the key
+            // reported below, with the key
         }
         throw new MalformedInputException("setting '" + key + "' is not a number: " + values.get(key));
     }
 
-    /** A number, or this one where the key is absent. */
+    /**
+     * A number.
+     *
+     * @param absent what stands for it where the key is absent
+     * @throws MalformedInputException if it is no finite number
+     */
     public double number(String key, double absent) {
         return values.containsKey(key) ? number(key) : absent;
     }
 
-    /** Over 0, and no less than this. */
+    /** A number over 0, and no less than this. */
     private double positive(String key, double least) {
         double value = number(key);
         if (!(value > 0 && value >= least)) {
@@ -196,11 +213,11 @@
     }
 
     private int oneOf(String key, String... words) {
-        int i = List.of(words).indexOf(text(key));
-        if (i < 0) {
+        int index = List.of(words).indexOf(text(key));
+        if (index < 0) {
             throw new MalformedInputException(
                     "setting '" + key + "' is none of " + String.join(", ", words) + ": " + text(key));
         }
-        return i;
+        return index;
     }
 }
