--- a/src/main/java/cacheproxy/proxy/EndpointListEvents.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListEvents.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.metrics.Metric;
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
@@ -55,15 +56,15 @@
     }
 
     @Override
-    public void onPollFailed(String reason) {
+    public void onPollFailed(LogMessage message) {
         counters.increment(Metric.ENDPOINT_LIST_POLL_FAILURES);
-        log.log(EventKind.ENDPOINT_LIST_POLL_FAILED, reason);
+        log.log(EventKind.ENDPOINT_LIST_POLL_FAILED, message);
         peerLinks.endpointListPollFailed();
     }
 
     @Override
-    public void onEntryRejected(String what) {
-        log.log(EventKind.ENDPOINT_LIST_ENTRY_INVALID, what);
+    public void onEntryRejected(LogMessage message) {
+        log.log(EventKind.ENDPOINT_LIST_ENTRY_INVALID, message);
     }
 
     @Override
@@ -78,8 +79,8 @@
     }
 
     @Override
-    public void onListChanged(String what) {
-        log.log(EventKind.ENDPOINT_LIST_CHANGED, what);
+    public void onListChanged(LogMessage message) {
+        log.log(EventKind.ENDPOINT_LIST_CHANGED, message);
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -6,6 +6,7 @@
 import cacheproxy.endpoints.PollFailure;
 import cacheproxy.endpoints.PollerSettings;
 import cacheproxy.endpoints.StartPoll;
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.routing.EndpointUpdateKind;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -39,11 +40,11 @@
         /** A poll is about to be sent. */
         void onPollStarted();
 
-        /** A poll has failed or was cancelled; a line for people. */
-        void onPollFailed(String description);
+        /** A poll has failed or was cancelled; what to log. */
+        void onPollFailed(LogMessage message);
 
-        /** An entry of the list was left out; a line for people. */
-        void onEntryRejected(String description);
+        /** An entry of the list was left out; what to log. */
+        void onEntryRejected(LogMessage message);
     }
 
     /**
@@ -122,11 +123,11 @@
         if (list != null) {
             try {
                 DecodedList decoded = settings.codec().decode(list);
-                decoded.errors().forEach(listener::onEntryRejected);
+                reportErrors("configuration", decoded.errors());
                 known = decoded.endpoints();
                 cache.restore(decoded);
             } catch (JsonParseException e) {
-                listener.onEntryRejected("the list in the configuration: " + e.getMessage());
+                reportErrors("configuration", List.of(e.getMessage()));
             }
         }
         listener.onEndpoints(EndpointUpdateKind.CACHED, cache.version(), known);
@@ -191,7 +192,7 @@
     private void cancel(int id) {
         PendingPoll pending = pendingPolls.remove(id);
         pending.connection().close();
-        listener.onPollFailed(describe(pending, "cancelled"));
+        listener.onPollFailed(describe("poll cancelled", pending));
     }
 
     private void send(StartPoll poll) {
@@ -261,14 +262,22 @@
     }
 
     private void failed(PendingPoll poll, PollFailure failure, String reason) {
-        listener.onPollFailed(describe(poll, reason));
+        listener.onPollFailed(describe("poll failed", poll).with("cause", reason));
         carryOut(poller.onFailure(nowMs.getAsDouble(), poll.id(), failure));
     }
 
-    private String describe(PendingPoll pending, String cause) {
-        return "poll=" + pending.poll().kind().logName() + " id=" + pending.id() + " peer="
-                + Addresses.text(pending.connection().address())
-                + " cause=\"" + cause + '"';
+    private static LogMessage describe(String event, PendingPoll pending) {
+        return LogMessage.of(event)
+                .with("poll", pending.poll().kind().logName())
+                .with("id", pending.id())
+                .with("peer", Addresses.text(pending.connection().address()));
+    }
+
+    private void reportErrors(String source, List<String> errors) {
+        for (String error : errors) {
+            listener.onEntryRejected(
+                    LogMessage.of("entry left out").with("source", source).with("cause", error));
+        }
     }
 
     /**
@@ -295,7 +304,7 @@
         }
         cache.store(list);
         if (!list.errors().isEmpty()) {
-            list.errors().forEach(listener::onEntryRejected);
+            reportErrors("discovery", list.errors());
             throw new InvalidEndpointListException(list.errors().size() + " entries that can't be used");
         }
         return cache.confirm(list.version());
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointChangeText.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointChangeText.java
@@ -1,11 +1,12 @@
 package cacheproxy.proxy.discovery;
 
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The line of the log for a change of the endpoint list, as key=value pairs. */
+/** What the log says of the endpoints that a change of the list concerns. */
 final class EndpointChangeText {
     /** Of the endpoints in a state, so many are named. */
     private static final int MAX_IDS = 12;
@@ -13,13 +14,11 @@
     private EndpointChangeText() {}
 
     /**
-     * The line: what was passed, then for each state that occurs how many endpoints are in it, and the ids of the first
-     * of them, in hexadecimal.
+     * Adds, for each state that occurs, how many endpoints are in it, and the ids of the first of them in hexadecimal.
      *
-     * @param origin which version, and whose word it is, as key=value pairs
+     * @return the same message
      */
-    static String of(String origin, List<Endpoint> changed) {
-        StringBuilder line = new StringBuilder(origin);
+    static LogMessage append(LogMessage message, List<Endpoint> changed) {
         for (EndpointState state : List.of(EndpointState.REMOVED, EndpointState.DRAINING, EndpointState.READY)) {
             List<Endpoint> inState =
                     changed.stream().filter(e -> e.state() == state).toList();
@@ -28,11 +27,10 @@
                         .limit(MAX_IDS)
                         .map(e -> Integer.toHexString(e.id()))
                         .collect(Collectors.joining(","));
-                line.append(' ').append(name(state)).append('=').append(inState.size());
-                line.append(' ').append(name(state)).append("_ids=").append(ids);
+                message.with(name(state), inState.size()).with(name(state) + "_ids", ids);
             }
         }
-        return line.toString();
+        return message;
     }
 
     private static String name(EndpointState state) {
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
@@ -3,6 +3,7 @@
 import cacheproxy.gossip.EndpointListDelta;
 import cacheproxy.gossip.LocalStartTimes;
 import cacheproxy.gossip.ProvisionalEndpoints;
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
 import cacheproxy.routing.EndpointUpdateKind;
@@ -26,8 +27,8 @@
          */
         void onEndpoints(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints);
 
-        /** The list has changed; a line for people: the version, whose word it is, and which endpoints. */
-        void onListChanged(String description);
+        /** The list has changed; what to log: the version, where it comes from, and which endpoints. */
+        void onListChanged(LogMessage message);
 
         /** All that discovery has sent up to this version is in use. */
         void onListApplied(long version);
@@ -35,11 +36,11 @@
         /** A poll is about to be sent. */
         void onPollStarted();
 
-        /** A poll has failed or was cancelled; a line for people. */
-        void onPollFailed(String description);
+        /** A poll has failed or was cancelled; what to log. */
+        void onPollFailed(LogMessage message);
 
-        /** An entry of the list was left out; a line for people. */
-        void onEntryRejected(String description);
+        /** An entry of the list was left out; what to log. */
+        void onEntryRejected(LogMessage message);
     }
 
     private final Subscriber subscriber;
@@ -86,7 +87,7 @@
         List<Endpoint> used = provisionalEndpoints.onDiscoveryUpdate(now, version, kind.isSnapshot(), endpoints);
         subscriber.onEndpoints(kind, withAddresses(startTimes.onUpdate(now, used)));
         subscriber.onListApplied(version);
-        reportChange("version=" + version + " source=discovery snapshot=" + kind.isSnapshot(), used);
+        reportChange(changeOf(version, "discovery").with("snapshot", kind.isSnapshot()), used);
     }
 
     /** A peer passes on what discovery told it; {@code peer}: its number. */
@@ -95,13 +96,17 @@
         if (!changed.isEmpty()) {
             subscriber.onEndpoints(
                     EndpointUpdateKind.PROVISIONAL, withAddresses(startTimes.withLocalStartTimes(now, changed)));
-            reportChange("version=" + delta.version() + " source=peer peer=" + peer, changed);
+            reportChange(changeOf(delta.version(), "peer").with("peer", peer), changed);
         }
     }
 
-    private void reportChange(String origin, List<Endpoint> changed) {
+    private static LogMessage changeOf(long version, String source) {
+        return LogMessage.of("endpoint list changed").with("version", version).with("source", source);
+    }
+
+    private void reportChange(LogMessage message, List<Endpoint> changed) {
         if (!changed.isEmpty()) {
-            subscriber.onListChanged(EndpointChangeText.of(origin, changed));
+            subscriber.onListChanged(EndpointChangeText.append(message, changed));
         }
     }
 
@@ -120,12 +125,12 @@
     }
 
     @Override
-    public void onPollFailed(String description) {
-        subscriber.onPollFailed(description);
+    public void onPollFailed(LogMessage message) {
+        subscriber.onPollFailed(message);
     }
 
     @Override
-    public void onEntryRejected(String description) {
-        subscriber.onEntryRejected(description);
+    public void onEntryRejected(LogMessage message) {
+        subscriber.onEntryRejected(message);
     }
 }
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
@@ -4,6 +4,7 @@
 
 import cacheproxy.WireSamples;
 import cacheproxy.endpoints.PollerSettings;
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.routing.EndpointUpdateKind;
 import com.google.gson.JsonParser;
 import io.netty.bootstrap.Bootstrap;
@@ -39,10 +40,10 @@
         public void onPollStarted() {}
 
         @Override
-        public void onPollFailed(String why) {}
+        public void onPollFailed(LogMessage message) {}
 
         @Override
-        public void onEntryRejected(String what) {}
+        public void onEntryRejected(LogMessage message) {}
     }
 
     private static String head(InputStream in) throws IOException {
