--- a/src/main/java/cacheproxy/failover/Judge.java
+++ b/src/main/java/cacheproxy/failover/Judge.java
@@ -31,13 +31,24 @@
     /** What is said of a zone. */
     enum Verdict {
         /** Too few say anything, or they don't agree. */
-        UNSURE,
+        UNSURE("unsure"),
         /** Those who see it find it answers. */
-        SOUND,
+        SOUND("sound"),
         /** Those in most zones see a good part of it fail, while other zones are good. */
-        POOR,
+        POOR("poor"),
         /** Those in most zones get nothing from it. */
-        LOST
+        LOST("lost");
+
+        private final String displayName;
+
+        Verdict(String displayName) {
+            this.displayName = displayName;
+        }
+
+        /** Its name in operators' answers and the log. */
+        String displayName() {
+            return displayName;
+        }
     }
 
     private final List<Report> reports;
--- a/src/main/java/cacheproxy/failover/ZoneState.java
+++ b/src/main/java/cacheproxy/failover/ZoneState.java
@@ -22,18 +22,35 @@
     /** On whose account a state holds; the later of them is the stronger among decisions of one epoch. */
     public enum Cause {
         /** What the fleet sees. */
-        EVIDENCE(0),
+        EVIDENCE(0, "evidence"),
         /** An operator has it opened step by step; what is seen holds again when it is open. */
-        RETURN(1),
+        RETURN(1, "return"),
         /** An operator has it kept as it is. */
-        HOLD(2),
+        HOLD(2, "hold"),
         /** An operator has it left and kept so. */
-        LEAVE(3);
+        LEAVE(3, "leave");
 
         private final int code;
+        private final String storedName;
 
-        Cause(int code) {
+        Cause(int code, String storedName) {
             this.code = code;
+            this.storedName = storedName;
+        }
+
+        /** Its name in stored records, operators' answers and the log. */
+        public String storedName() {
+            return storedName;
+        }
+
+        /** The cause of that name; null if there is none. */
+        public static Cause ofStoredName(String name) {
+            for (Cause cause : values()) {
+                if (cause.storedName.equals(name)) {
+                    return cause;
+                }
+            }
+            return null;
         }
 
         /** Its code on the wire, in two bits. */
--- a/src/main/java/cacheproxy/failover/Zones.java
+++ b/src/main/java/cacheproxy/failover/Zones.java
@@ -11,7 +11,6 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
@@ -419,8 +418,7 @@
                     zone,
                     wish,
                     switch (s.cause()) {
-                        case EVIDENCE ->
-                            "found " + v.name().toLowerCase(Locale.ROOT) + " by " + reports.size() + " instances";
+                        case EVIDENCE -> "found " + v.displayName() + " by " + reports.size() + " instances";
                         default -> "going on with an operator's order";
                     });
         }
@@ -671,7 +669,7 @@
                     (double) effective(z) / ZoneState.WHOLE,
                     plan.of(z),
                     observer.sight(nowMs, z),
-                    p.verdict.name().toLowerCase(Locale.ROOT),
+                    p.verdict.displayName(),
                     nowMs - p.changedMs,
                     p.why));
         }
--- a/src/main/java/cacheproxy/proxy/ZoneForm.java
+++ b/src/main/java/cacheproxy/proxy/ZoneForm.java
@@ -25,7 +25,7 @@
                 JsonObject o = new JsonObject();
                 o.addProperty("epoch", h.state().epoch());
                 o.addProperty("open", h.state().open());
-                o.addProperty("cause", h.state().cause().name().toLowerCase(Locale.ROOT));
+                o.addProperty("cause", h.state().cause().storedName());
                 o.addProperty("leaves", h.state().leaves());
                 o.addProperty("floor", h.floor());
                 all.add(names.get(zone), o);
@@ -34,6 +34,15 @@
         return all;
     }
 
+    private static Cause cause(String zone, String name) {
+        Cause cause = Cause.ofStoredName(name.toLowerCase(Locale.ROOT));
+        if (cause == null) {
+            throw new InvalidZoneStateException(
+                    "zone " + zone + ": cause '" + name + "', expected evidence, return, hold or leave");
+        }
+        return cause;
+    }
+
     /** Reads it; zones that there are no more are left out, and an exception says that it is of no use. */
     static Map<Integer, Held> read(JsonElement json, List<String> names) {
         Map<Integer, Held> held = new TreeMap<>();
@@ -44,7 +53,7 @@
                 ZoneState state = new ZoneState(
                         o.get("epoch").getAsInt(),
                         o.get("open").getAsInt(),
-                        Cause.valueOf(o.get("cause").getAsString().toUpperCase(Locale.ROOT)),
+                        cause(e.getKey(), o.get("cause").getAsString()),
                         o.get("leaves").getAsInt());
                 int floor = Math.max(
                         0, Math.min(ZoneState.MOST_EPOCH, o.get("floor").getAsInt()));
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -114,7 +114,7 @@
                     name(e.zone()),
                     e.now().open(),
                     ZoneState.WHOLE,
-                    e.now().cause().name().toLowerCase(Locale.ROOT),
+                    e.now().cause().storedName(),
                     e.now().epoch(),
                     e.before().open(),
                     ZoneState.WHOLE,
--- a/src/test/java/cacheproxy/proxy/ZoneFormTest.java
+++ b/src/test/java/cacheproxy/proxy/ZoneFormTest.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.ZoneState.Cause;
@@ -44,4 +45,11 @@
         assertThat(ZoneForm.read(JsonParser.parseString(ORDERED), List.of("south")))
                 .containsOnly(Map.entry(0, ALL.get(3)));
     }
+
+    @Test
+    void anUnknownCauseIsRefused() {
+        String unknown = EVIDENCE.replace("evidence", "rumour");
+        assertThatThrownBy(() -> ZoneForm.read(JsonParser.parseString(unknown), NAMES))
+                .isInstanceOf(IllegalArgumentException.class);
+    }
 }
