--- a/src/main/java/cacheproxy/control/AnswerWords.java
+++ b/src/main/java/cacheproxy/control/AnswerWords.java
@@ -1,6 +1,6 @@
 package cacheproxy.control;
 
-import cacheproxy.failover.Sight;
+import cacheproxy.failover.ZoneHealth;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.membership.Hearing;
 import cacheproxy.membership.Phase;
@@ -46,12 +46,12 @@
         };
     }
 
-    static String of(Sight health) {
+    static String of(ZoneHealth health) {
         return switch (health) {
-            case NONE -> "none";
-            case GOOD -> "good";
-            case POOR -> "poor";
-            case LOST -> "lost";
+            case UNKNOWN -> "none";
+            case HEALTHY -> "good";
+            case DEGRADED -> "poor";
+            case UNREACHABLE -> "lost";
         };
     }
 }
--- a/src/main/java/cacheproxy/control/ZoneControl.java
+++ b/src/main/java/cacheproxy/control/ZoneControl.java
@@ -1,7 +1,8 @@
 package cacheproxy.control;
 
-import cacheproxy.failover.Zones;
-import cacheproxy.proxy.FleetZones;
+import cacheproxy.failover.ZoneLeaveCost;
+import cacheproxy.failover.ZoneStatus;
+import cacheproxy.proxy.ZoneOperations;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.util.function.Supplier;
@@ -12,21 +13,21 @@
     private static final String ORDER = "order";
     private static final String DURATION = "over_ms";
 
-    private final Supplier<FleetZones> zones;
+    private final Supplier<ZoneOperations> zones;
 
-    private ZoneControl(Supplier<FleetZones> zones) {
+    private ZoneControl(Supplier<ZoneOperations> zones) {
         this.zones = zones;
     }
 
     /** {@code zones}: supplies null where this proxy decides nothing of zones. */
-    static void register(ControlRegistry registry, Supplier<FleetZones> zones) {
+    static void register(ControlRegistry registry, Supplier<ZoneOperations> zones) {
         ZoneControl control = new ZoneControl(zones);
         registry.section("zones", control::status);
         registry.command("zone", control::run);
     }
 
     private JsonObject status() {
-        FleetZones fleetZones = zones.get();
+        ZoneOperations fleetZones = zones.get();
         JsonObject section = new JsonObject();
         section.addProperty("kept", fleetZones != null);
         if (fleetZones == null) {
@@ -40,24 +41,24 @@
         return section;
     }
 
-    private static JsonObject row(String zone, Zones.Status status) {
+    private static JsonObject row(String zone, ZoneStatus status) {
         JsonObject row = new JsonObject();
         row.addProperty("zone", zone);
-        row.addProperty("open", Math.round(1000 * status.open()) / 1000.0);
+        row.addProperty("open", Math.round(1000 * status.trafficFraction()) / 1000.0);
         row.addProperty("epoch", status.state().epoch());
         row.addProperty("cause", AnswerWords.of(status.state().cause()));
-        row.addProperty("leaves", status.state().leaves());
-        row.addProperty("sight", AnswerWords.of(status.sight()));
-        row.addProperty("verdict", status.verdict());
-        if (status.sinceMs() < Double.POSITIVE_INFINITY) {
-            row.addProperty("since_s", Math.round(status.sinceMs() / 100) / 10.0);
+        row.addProperty("leaves", status.state().leaveCount());
+        row.addProperty("sight", AnswerWords.of(status.ownHealth()));
+        row.addProperty("verdict", status.fleetVerdict());
+        if (status.unchangedMs() < Double.POSITIVE_INFINITY) {
+            row.addProperty("since_s", Math.round(status.unchangedMs() / 100) / 10.0);
         }
-        row.addProperty("why", status.why());
+        row.addProperty("why", status.reason());
         return row;
     }
 
     private JsonObject run(CommandArguments arguments) {
-        FleetZones fleetZones = zones.get();
+        ZoneOperations fleetZones = zones.get();
         if (fleetZones == null) {
             throw new CommandException("this proxy decides nothing of zones; it was started without --zones on");
         }
@@ -75,11 +76,11 @@
         return status();
     }
 
-    private static JsonObject cost(Zones.Cost cost) {
+    private static JsonObject cost(ZoneLeaveCost cost) {
         JsonObject result = new JsonObject();
         result.addProperty("moved_per_second", Math.round(10 * cost.movedPerSecond()) / 10.0);
-        if (cost.othersTimes() < Double.POSITIVE_INFINITY) {
-            result.addProperty("others_times", Math.round(100 * cost.othersTimes()) / 100.0);
+        if (cost.otherZonesLoadFactor() < Double.POSITIVE_INFINITY) {
+            result.addProperty("others_times", Math.round(100 * cost.otherZonesLoadFactor()) / 100.0);
         }
         result.addProperty("allowed", cost.allowed());
         return result;
--- a/src/main/java/cacheproxy/failover/Zones.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -1,6 +1,6 @@
 package cacheproxy.failover;
 
-import cacheproxy.failover.Judge.Verdict;
+import cacheproxy.failover.ZoneFaultDetector.Verdict;
 import cacheproxy.failover.ZoneState.Cause;
 import cacheproxy.membership.Entry;
 import cacheproxy.membership.View;
@@ -25,13 +25,13 @@
  * others take it over. Where too little of the fleet is heard, what was decided on evidence does not hold, and each
  * keeps to its own.
  */
-public final class Zones {
+public final class ZoneFailover {
     /** The longest time between two ticks, in milliseconds. */
     public static final double TICK_MS = 100;
     /** The note of the view that holds the plan. */
     public static final int PLAN_NOTE = 0;
     /** The note of the view that holds what is seen. */
-    public static final int SIGHT_NOTE = 1;
+    public static final int HEALTH_NOTE = 1;
     /** Who is next in rank decides so much later: what the one before says should have come by then. */
     private static final double TURN_MS = 80;
 
@@ -60,49 +60,10 @@
     /** Who finds that nobody goes on with an operator's order does. */
     private static final double TAKE_OVER_MS = 6000;
     /** The longest that an operator may have a zone left over. */
-    public static final double LONGEST_OVER_MS = 75_000;
+    public static final double MAX_LEAVE_DURATION_MS = 75_000;
 
     private static final int MOST_EVENTS = 64;
 
-    /**
-     * Something that has happened to a zone.
-     *
-     * @param before the state until then
-     * @param now the state from now on
-     * @param why for people
-     */
-    public record Event(int zone, ZoneState before, ZoneState now, String why) {}
-
-    /**
-     * How a zone stands.
-     *
-     * @param open for so much of its keys, 0 to 1, as this instance's decision module is told
-     * @param state as decided
-     * @param sight this instance's own
-     * @param verdict of those who are heard
-     * @param sinceMs how long it has been so
-     * @param why it came to be so
-     */
-    public record Status(
-            int zone, double open, ZoneState state, Sight sight, String verdict, double sinceMs, String why) {}
-
-    /**
-     * What leaving a zone would cost, by what this instance sees now.
-     *
-     * @param movedPerSecond requests of this instance a second that would go elsewhere; each moved key misses once
-     * @param othersTimes by how much the load of the other zones' nodes would grow, 1 for not at all
-     * @param allowed whether the floor still holds then
-     */
-    public record Cost(double movedPerSecond, double othersTimes, boolean allowed) {}
-
-    /**
-     * What an instance held of a zone, for its next life.
-     *
-     * @param state as decided
-     * @param floor an epoch that there has been, at least the state's; the next decision goes beyond it
-     */
-    public record Held(ZoneState state, int floor) {}
-
     /** One zone. */
     private static final class Part {
         int floor;
@@ -115,12 +76,12 @@
 
         double changedMs = Double.NEGATIVE_INFINITY;
         String why = "never left";
-        Verdict verdict = Verdict.UNSURE;
+        Verdict verdict = Verdict.UNCERTAIN;
         double poorMs = Double.NEGATIVE_INFINITY;
         double lastPoorMs = Double.NEGATIVE_INFINITY;
         double soundMs = Double.NEGATIVE_INFINITY;
         double lastSoundMs = Double.NEGATIVE_INFINITY;
-        int ordered = ZoneState.WHOLE;
+        int ordered = ZoneState.ALL_PARTS;
         double triedMs = Double.NEGATIVE_INFINITY;
         /** What would be decided now, and since when; null for nothing. */
         ZoneState wish;
@@ -132,30 +93,30 @@
         double badMs = Double.NaN;
     }
 
-    private record Read(Entry entry, Report report) {}
+    private record Read(Entry entry, ZoneHealthReport report) {}
 
-    private final ZoneSettings settings;
-    private final Observer observer;
+    private final ZoneFailoverSettings settings;
+    private final ZoneHealthMonitor observer;
     private final Map<Integer, Read> read = new HashMap<>();
     private final List<Part> parts = new ArrayList<>();
-    private final List<Event> events = new ArrayList<>();
-    private Plan plan;
+    private final List<ZoneTransition> takeTransitions = new ArrayList<>();
+    private FailoverPlan plan;
     /** What this instance's entry says of it: at least what it has decided itself. */
-    private Plan carried;
+    private FailoverPlan carried;
 
-    private boolean quorum;
+    private boolean hasQuorum;
     private boolean everQuorum;
-    private byte[] sightNote = {};
+    private byte[] healthNote = {};
     private double publishedMs = Double.NEGATIVE_INFINITY;
-    private long decided;
+    private long decisionCount;
 
     /** Knows of no decision. */
-    public Zones(ZoneSettings settings) {
+    public ZoneFailover(ZoneFailoverSettings settings) {
         this.settings = settings;
-        observer = new Observer(settings.decided());
-        plan = Plan.untouched(settings.decided());
+        observer = new ZoneHealthMonitor(settings.decidedZoneCount());
+        plan = FailoverPlan.initial(settings.decidedZoneCount());
         carried = plan;
-        for (int z = 0; z < settings.decided(); z++) {
+        for (int z = 0; z < settings.decidedZoneCount(); z++) {
             parts.add(new Part());
         }
     }
@@ -163,24 +124,24 @@
     // ---- what it is told
 
     /** A cache node of a zone has answered an attempt; {@code hit}: it had what it was asked for. */
-    public void answered(double nowMs, int zone, boolean hit) {
+    public void onResponse(double nowMs, int zone, boolean hit) {
         if (zone < parts.size()) {
-            observer.answered(nowMs, zone, hit);
+            observer.onResponse(nowMs, zone, hit);
             parts.get(zone).triedMs =
                     Double.NEGATIVE_INFINITY; // one that answers is asked again at once: two answers are wanted
         }
     }
 
     /** A cache node of a zone is overdue, did not answer or ended the connection instead. */
-    public void silent(double nowMs, int zone, int server) {
+    public void onNoResponse(double nowMs, int zone, int server) {
         if (zone < parts.size()) {
-            observer.silent(nowMs, zone, server);
+            observer.onNoResponse(nowMs, zone, server);
         }
     }
 
     /** The origin has ended a fetch, in time or not. */
-    public void origin(double nowMs, boolean inTime) {
-        observer.origin(nowMs, inTime);
+    public void onOriginFetch(double nowMs, boolean inTime) {
+        observer.onOriginFetch(nowMs, inTime);
     }
 
     /**
@@ -189,11 +150,11 @@
      * @param ready its cache nodes that may be sent requests
      * @param coldUntilMs when half of them or more will have been warm; anything in the past if they are
      */
-    public void listed(int zone, int ready, double coldUntilMs) {
+    public void onEndpoints(int zone, int ready, double coldUntilMs) {
         if (zone < parts.size()) {
             parts.get(zone).ready = ready;
             parts.get(zone).coldUntilMs = coldUntilMs;
-            observer.servers(zone, ready);
+            observer.setReadyNodes(zone, ready);
         }
     }
 
@@ -205,14 +166,14 @@
      * @param last what was held, by zone; others are left alone
      * @param holds whether it still may, by its age
      */
-    public void remember(double nowMs, Map<Integer, Held> last, boolean holds) {
-        for (Map.Entry<Integer, Held> e : last.entrySet()) {
+    public void restore(double nowMs, Map<Integer, StoredZoneState> last, boolean holds) {
+        for (Map.Entry<Integer, StoredZoneState> e : last.entrySet()) {
             int z = e.getKey();
             if (z >= 0 && z < parts.size()) {
-                parts.get(z).floor = Math.max(parts.get(z).floor, e.getValue().floor());
+                parts.get(z).floor = Math.max(parts.get(z).floor, e.getValue().minEpoch());
                 ZoneState s = e.getValue().state();
-                if (holds && s.compareTo(plan.of(z)) > 0) {
-                    changed(nowMs, z, plan.of(z), s, "held in this instance's last life");
+                if (holds && s.compareTo(plan.stateOf(z)) > 0) {
+                    changed(nowMs, z, plan.stateOf(z), s, "held in this instance's last life");
                     plan = plan.with(z, s);
                     carried = carried.with(z, s);
                 }
@@ -221,12 +182,12 @@
     }
 
     /** What is held of each zone of which anything was ever decided, for the next life. */
-    public Map<Integer, Held> held() {
-        Map<Integer, Held> all = new TreeMap<>();
+    public Map<Integer, StoredZoneState> statesToStore() {
+        Map<Integer, StoredZoneState> all = new TreeMap<>();
         for (int z = 0; z < parts.size(); z++) {
-            int floor = Math.max(parts.get(z).floor, plan.of(z).epoch());
+            int floor = Math.max(parts.get(z).floor, plan.stateOf(z).epoch());
             if (floor > 0) {
-                all.put(z, new Held(plan.of(z), floor));
+                all.put(z, new StoredZoneState(plan.stateOf(z), floor));
             }
         }
         return all;
@@ -238,49 +199,57 @@
      * Has a zone left, at once or over a time, until it is returned to or released. An IllegalArgumentException says
      * why not.
      */
-    public void leave(double nowMs, int zone, double overMs) {
+    public void leaveZone(double nowMs, int zone, double overMs) {
         check(zone);
-        if (!(overMs >= 0 && overMs <= LONGEST_OVER_MS)) {
-            throw new IllegalArgumentException("a zone is left over 0 to " + Math.round(LONGEST_OVER_MS / 1000) + " s");
+        if (!(overMs >= 0 && overMs <= MAX_LEAVE_DURATION_MS)) {
+            throw new IllegalArgumentException(
+                    "a zone is left over 0 to " + Math.round(MAX_LEAVE_DURATION_MS / 1000) + " s");
         }
-        if (!plan.bears(zone, 0)) {
+        if (!plan.allowsOpenParts(zone, 0)) {
             throw new IllegalArgumentException(
                     "without this zone less than a third of all would be open; return to another first");
         }
-        ZoneState s = plan.of(zone);
-        int open = overMs == 0 ? 0 : s.open();
-        parts.get(zone).overStepMs = overMs / Math.max(1, s.open());
-        decide(nowMs, zone, s.next(open, Cause.LEAVE, s.leaves()), "an operator's order here");
+        ZoneState s = plan.stateOf(zone);
+        int open = overMs == 0 ? 0 : s.openParts();
+        parts.get(zone).overStepMs = overMs / Math.max(1, s.openParts());
+        decide(nowMs, zone, s.next(open, Cause.LEAVE, s.leaveCount()), "an operator's order here");
     }
 
     /** Has a zone opened step by step, whatever is seen of it, and forgets that it was left. */
-    public void comeBack(double nowMs, int zone) {
+    public void returnToZone(double nowMs, int zone) {
         check(zone);
-        decide(nowMs, zone, plan.of(zone).next(plan.of(zone).open(), Cause.RETURN, 0), "an operator's order here");
+        decide(
+                nowMs,
+                zone,
+                plan.stateOf(zone).next(plan.stateOf(zone).openParts(), Cause.RETURN, 0),
+                "an operator's order here");
     }
 
     /** Has a zone stay as it is, whatever is seen of it, until it is released. */
-    public void hold(double nowMs, int zone) {
+    public void holdZone(double nowMs, int zone) {
         check(zone);
         decide(
                 nowMs,
                 zone,
-                plan.of(zone)
-                        .next(plan.of(zone).open(), Cause.HOLD, plan.of(zone).leaves()),
+                plan.stateOf(zone)
+                        .next(
+                                plan.stateOf(zone).openParts(),
+                                Cause.HOLD,
+                                plan.stateOf(zone).leaveCount()),
                 "an operator's order here");
     }
 
     /** Takes operators' orders back: what is seen of the zone decides again. */
-    public void release(double nowMs, int zone) {
+    public void releaseZone(double nowMs, int zone) {
         check(zone);
         decide(
                 nowMs,
                 zone,
-                plan.of(zone)
+                plan.stateOf(zone)
                         .next(
-                                plan.of(zone).open(),
+                                plan.stateOf(zone).openParts(),
                                 Cause.EVIDENCE,
-                                plan.of(zone).leaves()),
+                                plan.stateOf(zone).leaveCount()),
                 "an operator's order here");
     }
 
@@ -291,17 +260,17 @@
     }
 
     /** What leaving a zone would cost. */
-    public Cost cost(double nowMs, int zone) {
+    public ZoneLeaveCost leaveCost(double nowMs, int zone) {
         check(zone);
         double all = 0;
         for (int z = 0; z < parts.size(); z++) {
-            all += parts.get(z).ready * (double) plan.open(z);
+            all += parts.get(z).ready * (double) plan.openParts(z);
         }
-        double its = parts.get(zone).ready * (double) plan.open(zone);
-        return new Cost(
-                observer.perSecond(nowMs, zone),
+        double its = parts.get(zone).ready * (double) plan.openParts(zone);
+        return new ZoneLeaveCost(
+                observer.attemptsPerSecond(nowMs, zone),
                 all > its ? all / (all - its) : Double.POSITIVE_INFINITY,
-                plan.bears(zone, 0));
+                plan.allowsOpenParts(zone, 0));
     }
 
     // ---- time
@@ -310,35 +279,35 @@
      * Takes the fleet's view, decides what is due, and says what holds for the decision module where that has changed.
      */
     public List<ZoneDirective> tick(double nowMs, View view) {
-        List<Report> reports = new ArrayList<>();
+        List<ZoneHealthReport> reports = new ArrayList<>();
         Set<Integer> homes = new HashSet<>();
         if (read.size() > 2 * view.entries().size()) {
             read.clear(); // most of them are forgotten
         }
         for (Entry e : view.entries()) {
             homes.add(e.zone());
-            if (e.id() == settings.me()) {
+            if (e.id() == settings.instanceId()) {
                 continue;
             }
-            Report r = read(e);
+            ZoneHealthReport r = read(e);
             adopt(nowMs, r);
             if (e.state().lives()) {
                 reports.add(r);
             }
         }
-        List<Sight> sights = sights(nowMs);
+        List<ZoneHealth> sights = sights(nowMs);
         Set<Integer> cold = new HashSet<>();
         for (int z = 0; z < parts.size(); z++) {
-            if (observer.cold(nowMs, z)) {
+            if (observer.isCold(nowMs, z)) {
                 cold.add(z);
             }
         }
-        boolean tight = observer.originTight(nowMs);
-        reports.add(new Report(settings.me(), settings.home(), sights, cold, tight, plan));
-        homes.add(settings.home());
-        Judge judge = new Judge(reports, homes);
-        boolean before = quorum;
-        quorum = judge.quorum() && knows(view);
+        boolean tight = observer.isOriginSaturated(nowMs);
+        reports.add(new ZoneHealthReport(settings.instanceId(), settings.homeZone(), sights, cold, tight, plan));
+        homes.add(settings.homeZone());
+        ZoneFaultDetector judge = new ZoneFaultDetector(reports, homes);
+        boolean before = hasQuorum;
+        hasQuorum = judge.hasQuorum() && knows(view);
         for (int z = 0; z < parts.size(); z++) {
             judge(nowMs, z, judge, reports);
         }
@@ -346,15 +315,16 @@
             carried = plan;
         }
         publish(nowMs, reports, sights, cold, tight);
-        return orders(nowMs, reports, quorum && !before && everQuorum);
+        return orders(nowMs, reports, hasQuorum && !before && everQuorum);
     }
 
     /** What an entry says; read anew only where it has changed. */
     @SuppressWarnings("ReferenceEquality") // immutable: the same entry says the same
-    private Report read(Entry e) {
+    private ZoneHealthReport read(Entry e) {
         Read before = read.get(e.id());
         if (before == null || before.entry() != e) {
-            before = new Read(e, Report.decode(e.id(), e.zone(), e.note(SIGHT_NOTE), e.note(PLAN_NOTE), parts.size()));
+            before = new Read(
+                    e, ZoneHealthReport.decode(e.id(), e.zone(), e.note(HEALTH_NOTE), e.note(PLAN_NOTE), parts.size()));
             read.put(e.id(), before);
         }
         return before.report();
@@ -366,42 +336,42 @@
                 || 2 * view.entries().size() > view.configured().count();
     }
 
-    private List<Sight> sights(double nowMs) {
-        List<Sight> all = new ArrayList<>();
+    private List<ZoneHealth> sights(double nowMs) {
+        List<ZoneHealth> all = new ArrayList<>();
         for (int z = 0; z < parts.size(); z++) {
-            all.add(observer.sight(nowMs, z));
+            all.add(observer.health(nowMs, z));
         }
         return all;
     }
 
     @SuppressWarnings("ReferenceEquality") // a join gives back the same plan where nothing is new
-    private void adopt(double nowMs, Report r) {
-        Plan joined = plan.join(r.plan());
+    private void adopt(double nowMs, ZoneHealthReport r) {
+        FailoverPlan joined = plan.join(r.plan());
         if (joined == plan) {
             return;
         }
         for (int z = 0; z < parts.size(); z++) {
-            if (!joined.of(z).equals(plan.of(z))) {
-                changed(nowMs, z, plan.of(z), joined.of(z), "heard from instance " + r.instance());
+            if (!joined.stateOf(z).equals(plan.stateOf(z))) {
+                changed(nowMs, z, plan.stateOf(z), joined.stateOf(z), "heard from instance " + r.instance());
             }
         }
         plan = joined;
     }
 
-    private void judge(double nowMs, int zone, Judge judge, List<Report> reports) {
+    private void judge(double nowMs, int zone, ZoneFaultDetector judge, List<ZoneHealthReport> reports) {
         Part p = parts.get(zone);
-        Verdict v = judge.of(zone);
+        Verdict v = judge.verdict(zone);
         p.verdict = v;
-        if (v == Verdict.POOR) {
+        if (v == Verdict.DEGRADED) {
             p.poorMs = nowMs - p.lastPoorMs > GAP_MS ? nowMs : p.poorMs;
             p.lastPoorMs = nowMs;
             p.lastSoundMs = Double.NEGATIVE_INFINITY;
         }
-        if (v == Verdict.SOUND) {
+        if (v == Verdict.HEALTHY) {
             p.soundMs = nowMs - p.lastSoundMs > GAP_MS ? nowMs : p.soundMs;
             p.lastSoundMs = nowMs;
         }
-        ZoneState s = plan.of(zone);
+        ZoneState s = plan.stateOf(zone);
         ZoneState wish = wish(nowMs, zone, judge);
         if (wish == null) {
             p.wish = null;
@@ -425,52 +395,60 @@
     }
 
     /** What should be decided of a zone now; null for nothing. */
-    private ZoneState wish(double nowMs, int zone, Judge judge) {
+    private ZoneState wish(double nowMs, int zone, ZoneFaultDetector judge) {
         Part p = parts.get(zone);
-        ZoneState s = plan.of(zone);
+        ZoneState s = plan.stateOf(zone);
         double since = nowMs - p.changedMs;
         return switch (s.cause()) {
             case HOLD -> null;
             case LEAVE ->
-                s.open() > 0 && since >= (p.overStepMs > 0 ? p.overStepMs : TAKE_OVER_MS)
-                        ? s.next(s.open() - 1, Cause.LEAVE, s.leaves())
+                s.openParts() > 0 && since >= (p.overStepMs > 0 ? p.overStepMs : TAKE_OVER_MS)
+                        ? s.next(s.openParts() - 1, Cause.LEAVE, s.leaveCount())
                         : null;
-            case RETURN -> s.open() == ZoneState.WHOLE ? s.next(s.open(), Cause.EVIDENCE, 0) : up(nowMs, zone, judge);
-            case EVIDENCE -> quorum ? byEvidence(nowMs, zone, judge) : null;
+            case RETURN ->
+                s.openParts() == ZoneState.ALL_PARTS
+                        ? s.next(s.openParts(), Cause.EVIDENCE, 0)
+                        : up(nowMs, zone, judge);
+            case EVIDENCE -> hasQuorum ? byEvidence(nowMs, zone, judge) : null;
         };
     }
 
-    private ZoneState byEvidence(double nowMs, int zone, Judge judge) {
+    private ZoneState byEvidence(double nowMs, int zone, ZoneFaultDetector judge) {
         Part p = parts.get(zone);
-        ZoneState s = plan.of(zone);
+        ZoneState s = plan.stateOf(zone);
         double since = nowMs - p.changedMs;
-        boolean whole = s.open() == ZoneState.WHOLE;
+        boolean whole = s.openParts() == ZoneState.ALL_PARTS;
         return switch (p.verdict) {
-            case LOST -> plan.lowered(zone, 0, s.leaves() + 1);
-            case POOR ->
-                nowMs - p.poorMs < Pace.POOR_MS || since < Pace.POOR_MS || !othersWhole(zone)
+            case UNREACHABLE -> plan.lowered(zone, 0, s.leaveCount() + 1);
+            case DEGRADED ->
+                nowMs - p.poorMs < RecoveryRamp.DEGRADED_BEFORE_DRAIN_MS
+                                || since < RecoveryRamp.DEGRADED_BEFORE_DRAIN_MS
+                                || !othersWhole(zone)
                         ? null
                         : plan.lowered(
                                 zone,
-                                Math.max(0, s.open() - Pace.LEAVE_PARTS),
-                                whole || p.rising ? s.leaves() + 1 : s.leaves());
-            case SOUND ->
+                                Math.max(0, s.openParts() - RecoveryRamp.DRAIN_STEP_PARTS),
+                                whole || p.rising ? s.leaveCount() + 1 : s.leaveCount());
+            case HEALTHY ->
                 whole
                         ? forget(since, s)
-                        : !p.rising && nowMs - p.soundMs < Pace.patience(s.leaves(), p.wasPoor)
+                        : !p.rising && nowMs - p.soundMs < RecoveryRamp.requiredHealthyMs(s.leaveCount(), p.wasPoor)
                                 ? null
                                 : up(nowMs, zone, judge);
             // The fewer of its keys are left the less is seen of it: what began as poor goes on unless it is found
             // sound.
-            case UNSURE ->
+            case UNCERTAIN ->
                 whole
                         ? forget(since, s)
-                        : s.open() > 0
+                        : s.openParts() > 0
                                         && p.wasPoor
                                         && othersWhole(zone)
-                                        && since >= 2 * Pace.POOR_MS
+                                        && since >= 2 * RecoveryRamp.DEGRADED_BEFORE_DRAIN_MS
                                         && nowMs - p.lastSoundMs > GAP_MS
-                                ? plan.lowered(zone, Math.max(0, s.open() - Pace.LEAVE_PARTS), s.leaves())
+                                ? plan.lowered(
+                                        zone,
+                                        Math.max(0, s.openParts() - RecoveryRamp.DRAIN_STEP_PARTS),
+                                        s.leaveCount())
                                 : null;
         };
     }
@@ -481,7 +459,7 @@
      */
     private boolean othersWhole(int zone) {
         for (int z = 0; z < parts.size(); z++) {
-            if (z != zone && plan.of(z).open() < ZoneState.WHOLE) {
+            if (z != zone && plan.stateOf(z).openParts() < ZoneState.ALL_PARTS) {
                 return false;
             }
         }
@@ -489,28 +467,34 @@
     }
 
     private static ZoneState forget(double since, ZoneState s) {
-        return s.leaves() > 0 && since >= Pace.FORGET_MS ? s.next(s.open(), Cause.EVIDENCE, s.leaves() - 1) : null;
+        return s.leaveCount() > 0 && since >= RecoveryRamp.LEAVE_COUNT_DECAY_MS
+                ? s.next(s.openParts(), Cause.EVIDENCE, s.leaveCount() - 1)
+                : null;
     }
 
-    private ZoneState up(double nowMs, int zone, Judge judge) {
+    private ZoneState up(double nowMs, int zone, ZoneFaultDetector judge) {
         Part p = parts.get(zone);
-        ZoneState s = plan.of(zone);
-        boolean cold = nowMs < p.coldUntilMs || judge.cold(zone);
-        double step = Pace.stepMs(cold, settings.warmUpMs());
+        ZoneState s = plan.stateOf(zone);
+        boolean cold = nowMs < p.coldUntilMs || judge.isCold(zone);
+        double step = RecoveryRamp.stepMs(cold, settings.warmUpMs());
         double since = nowMs - Math.max(p.changedMs, p.soundMs);
         // A tight origin makes the return slower and does not end it: what is left out has others' nodes miss as well.
-        return nowMs - p.changedMs < step || (judge.originTight() && since < Pace.TIGHT_STEPS * step)
+        return nowMs - p.changedMs < step
+                        || (judge.isOriginSaturated() && since < RecoveryRamp.MAX_SATURATED_STEPS * step)
                 ? null
-                : s.next(Math.min(ZoneState.WHOLE, s.open() + Pace.parts(cold)), s.cause(), s.leaves());
+                : s.next(
+                        Math.min(ZoneState.ALL_PARTS, s.openParts() + RecoveryRamp.stepParts(cold)),
+                        s.cause(),
+                        s.leaveCount());
     }
 
     private void decide(double nowMs, int zone, ZoneState decision, String why) {
-        ZoneState before = plan.of(zone);
+        ZoneState before = plan.stateOf(zone);
         if (decision.equals(before)) {
             return;
         }
-        ZoneState next = decision.beyond(parts.get(zone).floor);
-        decided++;
+        ZoneState next = decision.withEpochAbove(parts.get(zone).floor);
+        decisionCount++;
         plan = plan.with(zone, next);
         carried = plan;
         changed(nowMs, zone, before, next, why);
@@ -518,16 +502,16 @@
 
     private void changed(double nowMs, int zone, ZoneState before, ZoneState now, String why) {
         Part p = parts.get(zone);
-        p.rising = now.open() > before.open();
-        p.wasPoor = now.open() > 0 ? !p.rising : p.wasPoor && before.open() < ZoneState.WHOLE;
+        p.rising = now.openParts() > before.openParts();
+        p.wasPoor = now.openParts() > 0 ? !p.rising : p.wasPoor && before.openParts() < ZoneState.ALL_PARTS;
         p.changedMs = nowMs;
         p.why = why;
         p.wish = null;
         if (now.cause() != Cause.LEAVE) {
             p.overStepMs = 0;
         }
-        if (events.size() < MOST_EVENTS) {
-            events.add(new Event(zone, before, now, why));
+        if (takeTransitions.size() < MOST_EVENTS) {
+            takeTransitions.add(new ZoneTransition(zone, before, now, why));
         }
     }
 
@@ -539,42 +523,42 @@
     }
 
     /** How many come before this instance. */
-    private int rank(int zone, List<Report> reports) {
-        long mine = turn(zone, settings.me());
+    private int rank(int zone, List<ZoneHealthReport> reports) {
+        long mine = turn(zone, settings.instanceId());
         int before = 0;
-        for (Report r : reports) {
+        for (ZoneHealthReport r : reports) {
             before += turn(zone, r.instance()) < mine ? 1 : 0;
         }
         return before;
     }
 
     /** Whether this instance is of those who try a zone: from as many zones as can be, from that one last. */
-    private boolean tries(int zone, List<Report> reports) {
-        List<Report> ranked = new ArrayList<>(reports);
+    private boolean tries(int zone, List<ZoneHealthReport> reports) {
+        List<ZoneHealthReport> ranked = new ArrayList<>(reports);
         ranked.sort(Comparator.comparingLong(r -> turn(zone, r.instance())));
         Set<Integer> some = new HashSet<>();
         Set<Integer> from = new HashSet<>(Set.of(zone));
         for (int round = 0; round < 2; round++) {
-            for (Report r : ranked) {
-                if (some.size() < TRIERS && !some.contains(r.instance()) && (from.add(r.home()) || round > 0)) {
+            for (ZoneHealthReport r : ranked) {
+                if (some.size() < TRIERS && !some.contains(r.instance()) && (from.add(r.homeZone()) || round > 0)) {
                     some.add(r.instance());
                 }
             }
         }
-        return some.contains(settings.me());
+        return some.contains(settings.instanceId());
     }
 
     // ---- what goes out
 
-    private List<ZoneDirective> orders(double nowMs, List<Report> reports, boolean regained) {
-        everQuorum |= quorum;
+    private List<ZoneDirective> orders(double nowMs, List<ZoneHealthReport> reports, boolean regained) {
+        everQuorum |= hasQuorum;
         List<ZoneDirective> orders = new ArrayList<>();
         for (int z = 0; z < parts.size(); z++) {
             Part p = parts.get(z);
             int open = effective(z);
-            boolean tries = open < ZoneState.WHOLE
-                    && quorum
-                    && plan.of(z).cause() == Cause.EVIDENCE
+            boolean tries = open < ZoneState.ALL_PARTS
+                    && hasQuorum
+                    && plan.stateOf(z).cause() == Cause.EVIDENCE
                     && nowMs - p.triedMs >= TRY_MS
                     && tries(z, reports);
             boolean afresh = open > 0 && (p.ordered == 0 || regained);
@@ -583,7 +567,7 @@
             }
             if (open != p.ordered || tries || afresh) {
                 p.ordered = open;
-                orders.add(new ZoneDirective(z, (double) open / ZoneState.WHOLE, tries, afresh));
+                orders.add(new ZoneDirective(z, (double) open / ZoneState.ALL_PARTS, tries, afresh));
             }
         }
         return orders;
@@ -591,38 +575,39 @@
 
     /** What was decided on evidence holds only while enough is heard to take it back. */
     private int effective(int zone) {
-        return quorum || plan.of(zone).cause() != Cause.EVIDENCE ? plan.open(zone) : ZoneState.WHOLE;
+        return hasQuorum || plan.stateOf(zone).cause() != Cause.EVIDENCE ? plan.openParts(zone) : ZoneState.ALL_PARTS;
     }
 
     /**
      * What is published of what is seen: nothing while all is well everywhere. Where something is wrong, each says what
      * speaks against a zone, some say also what speaks for it, and of a zone that is left those who try it.
      */
-    private void publish(double nowMs, List<Report> reports, List<Sight> sights, Set<Integer> cold, boolean tight) {
-        boolean alarm = reports.stream().anyMatch(r -> r.sights().stream().anyMatch(Sight::bad));
-        List<Sight> said = new ArrayList<>();
+    private void publish(
+            double nowMs, List<ZoneHealthReport> reports, List<ZoneHealth> sights, Set<Integer> cold, boolean tight) {
+        boolean alarm = reports.stream().anyMatch(r -> r.health().stream().anyMatch(ZoneHealth::isFaulty));
+        List<ZoneHealth> said = new ArrayList<>();
         Set<Integer> saidCold = new HashSet<>();
         boolean lost = false;
         boolean left = false;
         boolean speaks = rank(0, reports) < SPEAKERS;
         for (int z = 0; z < sights.size(); z++) {
             Part p = parts.get(z);
-            Sight s = sights.get(z);
-            p.badMs = !s.bad() ? Double.NaN : Double.isNaN(p.badMs) ? nowMs : p.badMs;
-            boolean whole = plan.of(z).open() == ZoneState.WHOLE;
-            boolean says = s.bad()
-                    ? speaks || (nowMs - p.badMs >= OTHERS_SPEAK_MS && plan.open(z) > 0)
-                    : s == Sight.GOOD && ((alarm && speaks) || (!whole && tries(z, reports)));
-            said.add(says ? s : Sight.NONE);
-            lost |= says && s == Sight.LOST;
+            ZoneHealth s = sights.get(z);
+            p.badMs = !s.isFaulty() ? Double.NaN : Double.isNaN(p.badMs) ? nowMs : p.badMs;
+            boolean whole = plan.stateOf(z).openParts() == ZoneState.ALL_PARTS;
+            boolean says = s.isFaulty()
+                    ? speaks || (nowMs - p.badMs >= OTHERS_SPEAK_MS && plan.openParts(z) > 0)
+                    : s == ZoneHealth.HEALTHY && ((alarm && speaks) || (!whole && tries(z, reports)));
+            said.add(says ? s : ZoneHealth.UNKNOWN);
+            lost |= says && s == ZoneHealth.UNREACHABLE;
             left |= !whole;
             if (says && cold.contains(z) && !whole) {
                 saidCold.add(z);
             }
         }
-        byte[] note = Report.encode(said, saidCold, left && tight);
-        if (!Arrays.equals(note, sightNote) && (lost || nowMs - publishedMs >= PUBLISH_MS)) {
-            sightNote = note;
+        byte[] note = ZoneHealthReport.encode(said, saidCold, left && tight);
+        if (!Arrays.equals(note, healthNote) && (lost || nowMs - publishedMs >= PUBLISH_MS)) {
+            healthNote = note;
             publishedMs = nowMs;
         }
     }
@@ -632,43 +617,43 @@
         return carried.encode();
     }
 
-    /** What is seen, for the note {@link #SIGHT_NOTE}. */
-    public byte[] sightNote() {
-        return sightNote.clone();
+    /** What is seen, for the note {@link #HEALTH_NOTE}. */
+    public byte[] healthNote() {
+        return healthNote.clone();
     }
 
     /** What has happened since this was asked last, the first {@value #MOST_EVENTS}. */
-    public List<Event> events() {
-        List<Event> all = List.copyOf(events);
-        events.clear();
+    public List<ZoneTransition> takeTransitions() {
+        List<ZoneTransition> all = List.copyOf(takeTransitions);
+        takeTransitions.clear();
         return all;
     }
 
     /** What is decided. */
-    public Plan plan() {
+    public FailoverPlan plan() {
         return plan;
     }
 
     /** Whether enough of the fleet is heard to decide for it. */
-    public boolean quorum() {
-        return quorum;
+    public boolean hasQuorum() {
+        return hasQuorum;
     }
 
     /** Decisions that this instance was the first to make. */
-    public long decided() {
-        return decided;
+    public long decisionCount() {
+        return decisionCount;
     }
 
     /** How each zone stands. */
-    public List<Status> status(double nowMs) {
-        List<Status> all = new ArrayList<>();
+    public List<ZoneStatus> status(double nowMs) {
+        List<ZoneStatus> all = new ArrayList<>();
         for (int z = 0; z < parts.size(); z++) {
             Part p = parts.get(z);
-            all.add(new Status(
+            all.add(new ZoneStatus(
                     z,
-                    (double) effective(z) / ZoneState.WHOLE,
-                    plan.of(z),
-                    observer.sight(nowMs, z),
+                    (double) effective(z) / ZoneState.ALL_PARTS,
+                    plan.stateOf(z),
+                    observer.health(nowMs, z),
                     p.verdict.displayName(),
                     nowMs - p.changedMs,
                     p.why));
--- a/src/main/java/cacheproxy/failover/Sight.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealth.java
@@ -1,19 +1,19 @@
 package cacheproxy.failover;
 
 /** What one instance sees of the cache nodes of a zone now. */
-public enum Sight {
+public enum ZoneHealth {
     /** Too little was sent there lately to say anything. */
-    NONE(0),
+    UNKNOWN(0),
     /** What is sent there is answered. */
-    GOOD(1),
+    HEALTHY(1),
     /** A good part of what is sent there is not answered, or long overdue, at several of its nodes. */
-    POOR(2),
+    DEGRADED(2),
     /** Several of its nodes in a row said nothing, and none has answered since. */
-    LOST(3);
+    UNREACHABLE(3);
 
     private final int code;
 
-    Sight(int code) {
+    ZoneHealth(int code) {
         this.code = code;
     }
 
@@ -23,17 +23,17 @@
     }
 
     /** The one whose code stands in the lowest two bits. */
-    static Sight of(int bits) {
+    static ZoneHealth of(int bits) {
         return switch (bits & 3) {
-            case 0 -> NONE;
-            case 1 -> GOOD;
-            case 2 -> POOR;
-            default -> LOST;
+            case 0 -> UNKNOWN;
+            case 1 -> HEALTHY;
+            case 2 -> DEGRADED;
+            default -> UNREACHABLE;
         };
     }
 
     /** Whether it speaks against the zone. */
-    boolean bad() {
-        return this == POOR || this == LOST;
+    boolean isFaulty() {
+        return this == DEGRADED || this == UNREACHABLE;
     }
 }
--- a/src/main/java/cacheproxy/failover/Observer.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthMonitor.java
@@ -9,7 +9,7 @@
  * What this instance's own attempts say of each zone, over the last {@link #WINDOW_MS}. One server that is silent is
  * one, however many attempts were at it; a zone is only spoken against by several.
  */
-final class Observer {
+final class ZoneHealthMonitor {
     /** How far back it looks. */
     static final double WINDOW_MS = 2500;
 
@@ -90,22 +90,22 @@
     }
 
     private final List<Part> zones = new ArrayList<>();
-    private final Part origin = new Part();
+    private final Part onOriginFetch = new Part();
 
     /** Has seen nothing of so many zones. */
-    Observer(int zones) {
+    ZoneHealthMonitor(int zones) {
         for (int z = 0; z < zones; z++) {
             this.zones.add(new Part());
         }
     }
 
     /** So many servers of a zone are ready. */
-    void servers(int zone, int ready) {
+    void setReadyNodes(int zone, int ready) {
         zones.get(zone).servers = Math.max(1, ready);
     }
 
     /** A server of a zone has answered; {@code hit}: it had what it was asked for. */
-    void answered(double nowMs, int zone, boolean hit) {
+    void onResponse(double nowMs, int zone, boolean hit) {
         Part p = zones.get(zone);
         if (lost(p, nowMs)) {
             // It was lost and is not any more: what it does from here on counts, or its silence would speak for a whole
@@ -121,11 +121,11 @@
     }
 
     /** A server of a zone has not answered in time, or ended the connection instead. */
-    void silent(double nowMs, int zone, int server) {
+    void onNoResponse(double nowMs, int zone, int server) {
         Part p = zones.get(zone);
         Slot s = p.slot(nowMs);
         s.overdue++;
-        if (s.silent.size() < Plan.MOST_ZONES * LOST_SERVERS) {
+        if (s.silent.size() < FailoverPlan.MAX_ZONES * LOST_SERVERS) {
             s.silent.add(server);
         }
         if (nowMs - p.silentMs > WINDOW_MS) {
@@ -139,8 +139,8 @@
     }
 
     /** The origin has answered a fetch, in time or not. */
-    void origin(double nowMs, boolean inTime) {
-        Slot s = origin.slot(nowMs);
+    void onOriginFetch(double nowMs, boolean inTime) {
+        Slot s = onOriginFetch.slot(nowMs);
         if (inTime) {
             s.answered++;
         } else {
@@ -149,8 +149,8 @@
     }
 
     /** Whether the origin has no room for more. */
-    boolean originTight(double nowMs) {
-        int[] sum = origin.sum(nowMs, new HashSet<>());
+    boolean isOriginSaturated(double nowMs) {
+        int[] sum = onOriginFetch.sum(nowMs, new HashSet<>());
         return sum[1] >= TIGHT_LEAST && sum[1] > TIGHT_PART * (sum[0] + sum[1]);
     }
 
@@ -163,29 +163,29 @@
     }
 
     /** What is seen of a zone now. */
-    Sight sight(double nowMs, int zone) {
+    ZoneHealth health(double nowMs, int zone) {
         Part p = zones.get(zone);
         if (lost(p, nowMs)) {
-            return Sight.LOST;
+            return ZoneHealth.UNREACHABLE;
         }
         int several = several(p);
         Set<Integer> silent = new HashSet<>();
         int[] sum = p.sum(nowMs, silent);
         int all = sum[0] + sum[1];
         if (all >= POOR_LEAST && sum[1] >= POOR_PART * all && silent.size() >= several) {
-            return Sight.POOR;
+            return ZoneHealth.DEGRADED;
         }
-        return sum[0] >= GOOD_LEAST && sum[1] < POOR_PART * all ? Sight.GOOD : Sight.NONE;
+        return sum[0] >= GOOD_LEAST && sum[1] < POOR_PART * all ? ZoneHealth.HEALTHY : ZoneHealth.UNKNOWN;
     }
 
     /** Whether its nodes answer and lack most of what they are asked for: they have lost what they held. */
-    boolean cold(double nowMs, int zone) {
+    boolean isCold(double nowMs, int zone) {
         int[] sum = zones.get(zone).sum(nowMs, new HashSet<>());
         return sum[0] >= GOOD_LEAST && 2 * sum[2] >= sum[0];
     }
 
     /** Attempts that ended lately at a zone, a second. */
-    double perSecond(double nowMs, int zone) {
+    double attemptsPerSecond(double nowMs, int zone) {
         int[] sum = zones.get(zone).sum(nowMs, new HashSet<>());
         return (sum[0] + sum[1]) * 1000 / WINDOW_MS;
     }
--- a/src/main/java/cacheproxy/failover/ZoneState.java
+++ b/src/main/java/cacheproxy/failover/ZoneState.java
@@ -3,21 +3,21 @@
 /**
  * What is decided of one zone.
  *
- * @param epoch 0 for what nobody has ever decided, up to {@link #MOST_EPOCH}; whoever decides anew goes one beyond, so
+ * @param epoch 0 for what nobody has ever decided, up to {@link #MAX_EPOCH}; whoever decides anew goes one beyond, so
  *     it never goes back
- * @param open for so many of {@link #WHOLE} parts of its keys, 0 to {@link #WHOLE}
+ * @param openParts for so many of {@link #ALL_PARTS} parts of its keys, 0 to {@link #ALL_PARTS}
  * @param cause on whose account
- * @param leaves how often it was left lately, 0 to {@link #MOST_LEAVES}; costs patience before a return
+ * @param leaveCount how often it was left lately, 0 to {@link #MAX_LEAVE_COUNT}; costs patience before a return
  */
-public record ZoneState(int epoch, int open, Cause cause, int leaves) implements Comparable<ZoneState> {
+public record ZoneState(int epoch, int openParts, Cause cause, int leaveCount) implements Comparable<ZoneState> {
     /** All keys. Fine enough that the misses of one part of a zone in four are some 2% of all requests. */
-    public static final int WHOLE = 15;
+    public static final int ALL_PARTS = 15;
     /** The highest epoch; a step every half second would take it 97 days without a pause to get there. */
-    public static final int MOST_EPOCH = 0xff_ffff;
+    public static final int MAX_EPOCH = 0xff_ffff;
     /** As many leaves are remembered. */
-    public static final int MOST_LEAVES = 3;
+    public static final int MAX_LEAVE_COUNT = 3;
     /** What nobody has ever decided. */
-    static final ZoneState UNTOUCHED = new ZoneState(0, WHOLE, Cause.EVIDENCE, 0);
+    static final ZoneState INITIAL = new ZoneState(0, ALL_PARTS, Cause.EVIDENCE, 0);
 
     /** On whose account a state holds; the later of them is the stronger among decisions of one epoch. */
     public enum Cause {
@@ -71,25 +71,30 @@
 
     /** Checks the ranges. */
     public ZoneState {
-        if (epoch < 0 || epoch > MOST_EPOCH || open < 0 || open > WHOLE || leaves < 0 || leaves > MOST_LEAVES) {
+        if (epoch < 0
+                || epoch > MAX_EPOCH
+                || openParts < 0
+                || openParts > ALL_PARTS
+                || leaveCount < 0
+                || leaveCount > MAX_LEAVE_COUNT) {
             throw new IllegalArgumentException(
-                    "epoch " + epoch + ", " + open + " parts open, left " + leaves + " times");
+                    "epoch " + epoch + ", " + openParts + " parts open, left " + leaveCount + " times");
         }
     }
 
     /** The open part, 0 to 1. */
-    public double share() {
-        return (double) open / WHOLE;
+    public double openFraction() {
+        return (double) openParts / ALL_PARTS;
     }
 
     /** The next decision. At the highest epoch nothing more is decided, rather than beginning anew. */
     public ZoneState next(int parts, Cause by, int lately) {
-        return epoch == MOST_EPOCH ? this : new ZoneState(epoch + 1, parts, by, Math.min(MOST_LEAVES, lately));
+        return epoch == MAX_EPOCH ? this : new ZoneState(epoch + 1, parts, by, Math.min(MAX_LEAVE_COUNT, lately));
     }
 
     /** The same beyond an epoch that is known to have been there. */
-    ZoneState beyond(int floor) {
-        return epoch > floor ? this : new ZoneState(Math.min(MOST_EPOCH, floor + 1), open, cause, leaves);
+    ZoneState withEpochAbove(int floor) {
+        return epoch > floor ? this : new ZoneState(Math.min(MAX_EPOCH, floor + 1), openParts, cause, leaveCount);
     }
 
     /**
@@ -100,12 +105,12 @@
     public int compareTo(ZoneState other) {
         int by = Integer.compare(epoch, other.epoch);
         by = by != 0 ? by : cause.compareTo(other.cause);
-        by = by != 0 ? by : Integer.compare(open, other.open);
-        return by != 0 ? by : Integer.compare(leaves, other.leaves);
+        by = by != 0 ? by : Integer.compare(openParts, other.openParts);
+        return by != 0 ? by : Integer.compare(leaveCount, other.leaveCount);
     }
 
     int bits() {
-        return epoch << 8 | open << 4 | leaves << 2 | cause.code();
+        return epoch << 8 | openParts << 4 | leaveCount << 2 | cause.code();
     }
 
     static ZoneState of(int bits) {
--- a/src/main/java/cacheproxy/model/FleetPart.java
+++ b/src/main/java/cacheproxy/model/FleetPart.java
@@ -1,7 +1,7 @@
 package cacheproxy.model;
 
-import cacheproxy.failover.ZoneSettings;
-import cacheproxy.failover.Zones;
+import cacheproxy.failover.ZoneFailover;
+import cacheproxy.failover.ZoneFailoverSettings;
 import cacheproxy.gossip.MembershipBudget;
 import cacheproxy.gossip.SendBudget;
 import cacheproxy.membership.MemberSettings;
@@ -22,7 +22,7 @@
     private final VirtualTime time;
     private final RoutingSettings settings;
     private final Membership members;
-    private final Zones zones;
+    private final ZoneFailover zones;
     private final BiConsumer<Integer, byte[]> post;
     private final Consumer<List<ZoneDirective>> order;
     private byte[] plan = {};
@@ -48,8 +48,8 @@
                 seed,
                 new MembershipBudget(new SendBudget(ViewPlay.BYTES_PER_SECOND, ViewPlay.BURST)));
         members.phase(Phase.SERVING);
-        zones = new Zones(
-                new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs()));
+        zones = new ZoneFailover(new ZoneFailoverSettings(
+                settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs()));
     }
 
     /** Does what is due of the view; when to call again. */
@@ -73,13 +73,13 @@
                     .mapToDouble(m -> m.startTimeMs() == 0 ? 0 : m.startTimeMs() + settings.warmUpMs())
                     .sorted()
                     .toArray();
-            zones.listed(z, warmAt.length, warmAt.length == 0 ? 0 : warmAt[warmAt.length / 2]);
+            zones.onEndpoints(z, warmAt.length, warmAt.length == 0 ? 0 : warmAt[warmAt.length / 2]);
         }
     }
 
     /**
-     * Decides what is due of zones; to be called each {@link Zones#TICK_MS}. Whether the view has something new to
-     * tell.
+     * Decides what is due of zones; to be called each {@link ZoneFailover#TICK_MS}. Whether the view has something new
+     * to tell.
      */
     boolean decide() {
         List<ZoneDirective> orders = zones.tick(time.now(), members.view(time.now()));
@@ -87,13 +87,13 @@
             order.accept(orders);
         }
         byte[] nextPlan = zones.planNote();
-        byte[] nextSight = zones.sightNote();
+        byte[] nextSight = zones.healthNote();
         boolean changed = !Arrays.equals(nextPlan, plan) || !Arrays.equals(nextSight, sight);
         if (changed) {
             plan = nextPlan;
             sight = nextSight;
-            members.note(Zones.PLAN_NOTE, plan);
-            members.note(Zones.SIGHT_NOTE, sight);
+            members.note(ZoneFailover.PLAN_NOTE, plan);
+            members.note(ZoneFailover.HEALTH_NOTE, sight);
         }
         return changed;
     }
@@ -101,11 +101,11 @@
     /** The decision module has met this at a node of a zone, or at the origin. */
     void saw(int zone, int server, boolean origin, EndpointSignal what) {
         if (origin) {
-            zones.origin(time.now(), what == EndpointSignal.RESPONDED);
+            zones.onOriginFetch(time.now(), what == EndpointSignal.RESPONDED);
         } else if (what == EndpointSignal.UNRESPONSIVE) {
-            zones.silent(time.now(), zone, server);
+            zones.onNoResponse(time.now(), zone, server);
         } else {
-            zones.answered(time.now(), zone, what == EndpointSignal.RESPONDED);
+            zones.onResponse(time.now(), zone, what == EndpointSignal.RESPONDED);
         }
     }
 }
--- a/src/main/java/cacheproxy/model/InstanceModel.java
+++ b/src/main/java/cacheproxy/model/InstanceModel.java
@@ -1,6 +1,6 @@
 package cacheproxy.model;
 
-import cacheproxy.failover.Zones;
+import cacheproxy.failover.ZoneFailover;
 import cacheproxy.gossip.AntiEntropy;
 import cacheproxy.gossip.EndpointListDelta;
 import cacheproxy.gossip.ListVersionGossip;
@@ -169,7 +169,7 @@
         if (part.decide()) {
             view();
         }
-        later(Zones.TICK_MS, this::decide);
+        later(ZoneFailover.TICK_MS, this::decide);
     }
 
     private void heard(int from, byte[] body) {
--- a/src/main/java/cacheproxy/model/ZonePlay.java
+++ b/src/main/java/cacheproxy/model/ZonePlay.java
@@ -1,7 +1,7 @@
 package cacheproxy.model;
 
-import cacheproxy.failover.ZoneSettings;
-import cacheproxy.failover.Zones;
+import cacheproxy.failover.ZoneFailover;
+import cacheproxy.failover.ZoneFailoverSettings;
 import cacheproxy.membership.Membership;
 import cacheproxy.routing.ZoneDirective;
 import java.util.ArrayList;
@@ -15,9 +15,9 @@
 import java.util.function.IntPredicate;
 
 /**
- * Instances that leave zones and return to them in virtual time: the real {@code Membership} and {@code Zones}, with
- * traffic that is drawn. An attempt at a node that is out of reach is found silent; nothing else of a request is played
- * here.
+ * Instances that leave zones and return to them in virtual time: the real {@code Membership} and {@code ZoneFailover},
+ * with traffic that is drawn. An attempt at a node that is out of reach is found silent; nothing else of a request is
+ * played here.
  */
 public final class ZonePlay {
     /** Zones of instances and nodes, to which both are dealt in turn. */
@@ -38,7 +38,7 @@
 
     private static final class Instance {
         final int id;
-        Zones zones;
+        ZoneFailover zones;
         Membership members;
         double[] open;
         boolean[] tries;
@@ -186,13 +186,13 @@
         }
         if (i.zones == null || i.members != members) {
             i.members = members;
-            i.zones = new Zones(new ZoneSettings(i.id, i.id % ZONES, ZONES, WARM_UP_MS));
+            i.zones = new ZoneFailover(new ZoneFailoverSettings(i.id, i.id % ZONES, ZONES, WARM_UP_MS));
             i.open = new double[ZONES];
             Arrays.fill(i.open, 1);
             i.tries = new boolean[ZONES];
             i.plan = new byte[0];
             i.sight = new byte[0];
-            i.tickMs = now() + random.nextDouble() * Zones.TICK_MS;
+            i.tickMs = now() + random.nextDouble() * ZoneFailover.TICK_MS;
         }
         i.owes += rate * STEP_MS / 1000 * 2 * random.nextDouble();
         while (i.owes >= 1) {
@@ -200,7 +200,7 @@
             request(i);
         }
         if (now() >= i.tickMs) {
-            i.tickMs = now() + Zones.TICK_MS;
+            i.tickMs = now() + ZoneFailover.TICK_MS;
             tick(i);
         }
     }
@@ -226,10 +226,10 @@
                 && !cutWays.contains(i.id % ZONES * ZONES + zone)
                 && (here || random.nextDouble() >= lost[zone]);
         if (!reached || i.lies.contains(zone) || random.nextDouble() < stallShare) {
-            i.zones.silent(now() + PATIENCE_MS, zone, node);
+            i.zones.onNoResponse(now() + PATIENCE_MS, zone, node);
         } else {
             boolean hit = now() >= nodeColdUntilMs[node] && random.nextDouble() < USUAL_HITS;
-            i.zones.answered(now(), zone, hit);
+            i.zones.onResponse(now(), zone, hit);
         }
     }
 
@@ -241,19 +241,19 @@
                 ready++;
                 coldUntil = Math.max(coldUntil, nodeColdUntilMs[n]);
             }
-            i.zones.listed(z, ready, coldUntil);
+            i.zones.onEndpoints(z, ready, coldUntil);
         }
         for (ZoneDirective o : i.zones.tick(now(), i.members.view(now()))) {
             i.open[o.zone()] = o.trafficFraction();
             i.tries[o.zone()] |= o.probeAllowed();
         }
         byte[] plan = i.zones.planNote();
-        byte[] sight = i.zones.sightNote();
+        byte[] sight = i.zones.healthNote();
         if (!Arrays.equals(plan, i.plan) || !Arrays.equals(sight, i.sight)) {
             i.plan = plan;
             i.sight = sight;
-            i.members.note(Zones.PLAN_NOTE, plan);
-            i.members.note(Zones.SIGHT_NOTE, sight);
+            i.members.note(ZoneFailover.PLAN_NOTE, plan);
+            i.members.note(ZoneFailover.HEALTH_NOTE, sight);
             view.poke(i.id);
         }
     }
@@ -261,7 +261,7 @@
     // ---- what is seen
 
     /** An instance's part in it; null while it is dead. */
-    public Zones of(int instance) {
+    public ZoneFailover of(int instance) {
         return instances.get(instance).zones;
     }
 
--- a/src/main/java/cacheproxy/model/check/ZoneProtocol.java
+++ b/src/main/java/cacheproxy/model/check/ZoneProtocol.java
@@ -1,6 +1,6 @@
 package cacheproxy.model.check;
 
-import cacheproxy.failover.Plan;
+import cacheproxy.failover.FailoverPlan;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.ZoneState.Cause;
 import java.util.ArrayList;
@@ -10,10 +10,10 @@
 import java.util.function.BinaryOperator;
 
 /**
- * Three observers that decide of two zones, over the real {@link Plan}. Any of them may find any zone lost or sound at
- * any time, or take an operator's order; a message is lost, doubled, or overtakes others; an observer dies and starts
- * again with nothing. Holds that nobody ever has all zones closed, or less open than the floor; that no epoch goes back
- * at anybody who lives; and that, once all exchange without loss, they hold one plan.
+ * Three observers that decide of two zones, over the real {@link FailoverPlan}. Any of them may find any zone lost or
+ * sound at any time, or take an operator's order; a message is lost, doubled, or overtakes others; an observer dies and
+ * starts again with nothing. Holds that nobody ever has all zones closed, or less open than the floor; that no epoch
+ * goes back at anybody who lives; and that, once all exchange without loss, they hold one plan.
  */
 public final class ZoneProtocol implements Protocol<ZoneProtocol.Fleet> {
     /** How many observe. */
@@ -23,7 +23,7 @@
 
     private static final int ROUNDS = OBSERVERS;
     /** Parts that come back at a step. */
-    private static final int STEP = ZoneState.WHOLE / 3;
+    private static final int STEP = ZoneState.ALL_PARTS / 3;
 
     /**
      * How far it goes.
@@ -34,28 +34,28 @@
      */
     public record Bounds(int messages, int decisions, int deaths) {}
 
-    private record Mail(int to, Plan plan) {}
+    private record Mail(int to, FailoverPlan plan) {}
 
     /** One state of all. */
-    public record Fleet(List<Plan> plans, List<Mail> mail, int decisions, int deaths) {}
+    public record Fleet(List<FailoverPlan> plans, List<Mail> mail, int decisions, int deaths) {}
 
     private final Bounds bounds;
-    private final BinaryOperator<Plan> join;
+    private final BinaryOperator<FailoverPlan> join;
 
     /** {@code join}: how two plans become one. */
-    public ZoneProtocol(Bounds bounds, BinaryOperator<Plan> join) {
+    public ZoneProtocol(Bounds bounds, BinaryOperator<FailoverPlan> join) {
         this.bounds = bounds;
         this.join = join;
     }
 
     /** As the program has it. */
     public static ZoneProtocol real(Bounds bounds) {
-        return new ZoneProtocol(bounds, Plan::join);
+        return new ZoneProtocol(bounds, FailoverPlan::join);
     }
 
     @Override
     public Fleet initial() {
-        return new Fleet(Collections.nCopies(OBSERVERS, Plan.untouched(ZONES)), List.of(), 0, 0);
+        return new Fleet(Collections.nCopies(OBSERVERS, FailoverPlan.initial(ZONES)), List.of(), 0, 0);
     }
 
     // ---- moves
@@ -80,7 +80,11 @@
             if (f.deaths() < bounds.deaths()) {
                 moves.add(new Move<>(
                         i + " starts again with nothing",
-                        new Fleet(with(f.plans(), i, Plan.untouched(ZONES)), f.mail(), f.decisions(), f.deaths() + 1),
+                        new Fleet(
+                                with(f.plans(), i, FailoverPlan.initial(ZONES)),
+                                f.mail(),
+                                f.decisions(),
+                                f.deaths() + 1),
                         null));
             }
         }
@@ -90,31 +94,31 @@
         return moves;
     }
 
-    private static List<Plan> with(List<Plan> plans, int at, Plan plan) {
-        List<Plan> all = new ArrayList<>(plans);
+    private static List<FailoverPlan> with(List<FailoverPlan> plans, int at, FailoverPlan plan) {
+        List<FailoverPlan> all = new ArrayList<>(plans);
         all.set(at, plan);
         return all;
     }
 
     private static void decide(Fleet f, int i, int z, List<Move<Fleet>> moves) {
-        Plan p = f.plans().get(i);
-        ZoneState s = p.of(z);
+        FailoverPlan p = f.plans().get(i);
+        ZoneState s = p.stateOf(z);
         if (s.cause() == Cause.EVIDENCE) {
-            decided(f, i, z, p.lowered(z, 0, s.leaves() + 1), "finds " + z + " lost", moves);
-            if (s.open() < ZoneState.WHOLE) {
+            decided(f, i, z, p.lowered(z, 0, s.leaveCount() + 1), "finds " + z + " lost", moves);
+            if (s.openParts() < ZoneState.ALL_PARTS) {
                 decided(
                         f,
                         i,
                         z,
-                        s.next(Math.min(ZoneState.WHOLE, s.open() + STEP), Cause.EVIDENCE, s.leaves()),
+                        s.next(Math.min(ZoneState.ALL_PARTS, s.openParts() + STEP), Cause.EVIDENCE, s.leaveCount()),
                         "finds " + z + " sound",
                         moves);
             }
         }
-        if (p.bears(z, 0)) {
-            decided(f, i, z, s.next(0, Cause.LEAVE, s.leaves()), "is told to leave " + z, moves);
+        if (p.allowsOpenParts(z, 0)) {
+            decided(f, i, z, s.next(0, Cause.LEAVE, s.leaveCount()), "is told to leave " + z, moves);
         }
-        decided(f, i, z, s.next(s.open(), Cause.HOLD, s.leaves()), "is told to hold " + z, moves);
+        decided(f, i, z, s.next(s.openParts(), Cause.HOLD, s.leaveCount()), "is told to hold " + z, moves);
     }
 
     private static void decided(Fleet f, int i, int z, ZoneState next, String words, List<Move<Fleet>> moves) {
@@ -134,11 +138,11 @@
         Mail mail = f.mail().get(m);
         List<Mail> rest = new ArrayList<>(f.mail());
         rest.remove(m);
-        Plan before = f.plans().get(mail.to());
-        Plan after = join.apply(before, mail.plan());
+        FailoverPlan before = f.plans().get(mail.to());
+        FailoverPlan after = join.apply(before, mail.plan());
         String broken =
                 back(before, after) ? "an epoch goes back at " + mail.to() + " from " + before + " to " + after : null;
-        List<Plan> plans = with(f.plans(), mail.to(), after);
+        List<FailoverPlan> plans = with(f.plans(), mail.to(), after);
         moves.add(new Move<>(
                 "a message to " + mail.to() + " is lost", new Fleet(f.plans(), rest, f.decisions(), f.deaths()), null));
         moves.add(new Move<>(
@@ -149,9 +153,9 @@
                 broken));
     }
 
-    private static boolean back(Plan before, Plan after) {
+    private static boolean back(FailoverPlan before, FailoverPlan after) {
         for (int z = 0; z < ZONES; z++) {
-            if (after.of(z).epoch() < before.of(z).epoch()) {
+            if (after.stateOf(z).epoch() < before.stateOf(z).epoch()) {
                 return true;
             }
         }
@@ -168,7 +172,7 @@
                 return closed;
             }
         }
-        List<Plan> all = new ArrayList<>(f.plans());
+        List<FailoverPlan> all = new ArrayList<>(f.plans());
         for (int round = 0; round < ROUNDS; round++) {
             for (int i = 0; i < OBSERVERS; i++) {
                 for (int to = 0; to < OBSERVERS; to++) {
@@ -184,12 +188,12 @@
         return closed(all.get(0), 0);
     }
 
-    private static String closed(Plan p, int who) {
+    private static String closed(FailoverPlan p, int who) {
         int sum = 0;
         for (int z = 0; z < ZONES; z++) {
-            sum += p.open(z);
+            sum += p.openParts(z);
         }
-        return 3 * sum >= ZONES * ZoneState.WHOLE ? null : who + " has less than a third open by " + p;
+        return 3 * sum >= ZONES * ZoneState.ALL_PARTS ? null : who + " has less than a third open by " + p;
     }
 
     /** Observers are alike but for their names. */
@@ -211,14 +215,14 @@
         return least;
     }
 
-    private static String text(Plan p) {
+    private static String text(FailoverPlan p) {
         StringBuilder s = new StringBuilder();
         p.zones()
                 .forEach(z -> s.append(z.epoch())
                         .append('/')
-                        .append(z.open())
+                        .append(z.openParts())
                         .append(z.cause().ordinal())
-                        .append(z.leaves())
+                        .append(z.leaveCount())
                         .append(' '));
         return s.toString();
     }
--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.failover.Zones.Held;
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.gossip.ListVersionGossip;
 import cacheproxy.membership.Phase;
 import cacheproxy.proxy.discovery.DiscoveryClient;
@@ -38,7 +38,7 @@
     /** Null where this instance takes no part in the membership view. */
     private MemberLink members;
     /** Null where it takes no part in zone decisions. */
-    private ZoneLink zones;
+    private ZoneFailoverLink zones;
     /** Null where it does not coordinate its recovery. */
     private RecoveryLink recovery;
 
@@ -126,7 +126,7 @@
                                         .peerLinks()
                                         .messageReceived(peer, PeerMessageKind.LOAD_BALANCER, message)));
         if (features.zones()) {
-            zones = new ZoneLink(dispatcher, members, current.settings(), current.zones(), restored);
+            zones = new ZoneFailoverLink(dispatcher, members, current.settings(), current.zones(), restored);
             dispatcher.peerLinks().setZoneFailover(zones);
         }
         if (stateLink != null) {
@@ -170,13 +170,14 @@
                     new StoredRecord(RecordKind.INCARNATION, now, new JsonPrimitive(members.incarnation())));
         }
         if (zones != null) {
-            Map<Integer, Held> held = zones.zones().held();
+            Map<Integer, StoredZoneState> held = zones.zones().statesToStore();
             records.put(
                     RecordKind.ZONE_STATES,
-                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneForm.json(held, false, zones.names())));
+                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneStateCodec.encode(held, false, zones.names())));
             records.put(
                     RecordKind.OPERATOR_ORDERS,
-                    new StoredRecord(RecordKind.OPERATOR_ORDERS, now, ZoneForm.json(held, true, zones.names())));
+                    new StoredRecord(
+                            RecordKind.OPERATOR_ORDERS, now, ZoneStateCodec.encode(held, true, zones.names())));
         }
         return records;
     }
@@ -195,8 +196,8 @@
     }
 
     /** The fleet's zone decisions; null where this instance takes no part in them. */
-    FleetZones zoneDecisions() {
-        return zones == null ? null : new FleetZones(zones);
+    ZoneOperations zoneDecisions() {
+        return zones == null ? null : new ZoneOperations(zones);
     }
 
     /** The membership view; null where this instance takes no part in it. */
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -15,7 +15,7 @@
     private EndpointGossipLink endpointListGossip;
     private MemberLink membership;
     private OutlierGossipLink outlierGossip;
-    private ZoneLink zoneFailover;
+    private ZoneFailoverLink zoneFailover;
     private StateQueryLink stateQueries;
 
     PeerLinks(SerialLoadBalancer loadBalancer) {
@@ -39,7 +39,7 @@
     }
 
     /** Sets the link that fails over zones together with the fleet. */
-    void setZoneFailover(ZoneLink link) {
+    void setZoneFailover(ZoneFailoverLink link) {
         zoneFailover = link;
     }
 
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -348,7 +348,7 @@
     }
 
     /** The fleet's zone decisions; null where this instance takes no part in them. On the event loop only. */
-    public FleetZones zoneDecisions() {
+    public ZoneOperations zoneDecisions() {
         return fleet.zoneDecisions();
     }
 
--- a/src/main/java/cacheproxy/proxy/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/RestoredState.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.failover.Zones.Held;
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.membership.Entry;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
@@ -185,13 +185,13 @@
     }
 
     /** The restored zone decisions of one kind, by the zones' present numbers. */
-    Map<Integer, Held> zoneDecisions(RecordKind kind, List<String> names) {
+    Map<Integer, StoredZoneState> zoneDecisions(RecordKind kind, List<String> names) {
         StoredRecord r = records.get(kind);
         if (r == null) {
             return Map.of();
         }
         try {
-            Map<Integer, Held> held = ZoneForm.read(r.body(), names);
+            Map<Integer, StoredZoneState> held = ZoneStateCodec.decode(r.body(), names);
             if (!held.isEmpty()) {
                 recordUse(kind);
             }
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.failover.Zones.Held;
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.routing.EndpointUpdateKind;
 import cacheproxy.state.Finding;
@@ -51,7 +51,7 @@
     private Dispatcher dispatcher;
     private DiscoveryClient discovery;
     private LongSupplier incarnation = () -> 0;
-    private ZoneLink zones;
+    private ZoneFailoverLink zones;
     private boolean locked;
     private boolean locking;
     private boolean told;
@@ -102,7 +102,7 @@
     }
 
     /** What else is kept: the number of this instance's life, and what is decided of zones; null for none. */
-    void keep(LongSupplier life, ZoneLink decided) {
+    void keep(LongSupplier life, ZoneFailoverLink decided) {
         incarnation = life;
         zones = decided;
         fleetChanged();
@@ -130,9 +130,9 @@
             put(RecordKind.INCARNATION, new JsonPrimitive(life));
         }
         if (zones != null) {
-            Map<Integer, Held> held = zones.zones().held();
-            putIfNew(RecordKind.ZONE_STATES, ZoneForm.json(held, false, zones.names()));
-            putIfNew(RecordKind.OPERATOR_ORDERS, ZoneForm.json(held, true, zones.names()));
+            Map<Integer, StoredZoneState> held = zones.zones().statesToStore();
+            putIfNew(RecordKind.ZONE_STATES, ZoneStateCodec.encode(held, false, zones.names()));
+            putIfNew(RecordKind.OPERATOR_ORDERS, ZoneStateCodec.encode(held, true, zones.names()));
         }
     }
 
@@ -148,8 +148,8 @@
             return;
         }
         put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.learnedState()));
-        if (zones != null && zones.zones().quorum()) {
-            JsonElement held = ZoneForm.json(zones.zones().held(), false, zones.names());
+        if (zones != null && zones.zones().hasQuorum()) {
+            JsonElement held = ZoneStateCodec.encode(zones.zones().statesToStore(), false, zones.names());
             if (held.getAsJsonObject().size() > 0) {
                 put(RecordKind.ZONE_STATES, held); // it holds still
             }
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
@@ -1,8 +1,9 @@
 package cacheproxy.proxy;
 
-import cacheproxy.failover.ZoneSettings;
+import cacheproxy.failover.ZoneFailover;
+import cacheproxy.failover.ZoneFailoverSettings;
 import cacheproxy.failover.ZoneState;
-import cacheproxy.failover.Zones;
+import cacheproxy.failover.ZoneTransition;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
@@ -12,20 +13,20 @@
 import java.util.Locale;
 
 /**
- * Carries out what {@link Zones} decides: tells it what the decision module saw and what the list holds, passes its
- * orders on, and has the fleet's view carry its notes. On the event loop only.
+ * Carries out what {@link ZoneFailover} decides: tells it what the decision module saw and what the list holds, passes
+ * its orders on, and has the fleet's view carry its notes. On the event loop only.
  */
-final class ZoneLink {
+final class ZoneFailoverLink {
     private final Dispatcher dispatcher;
     private final MemberLink members;
-    private final ZoneSettings settings;
-    private final Zones zones;
+    private final ZoneFailoverSettings settings;
+    private final ZoneFailover zones;
     private final List<String> names;
     private byte[] plan = {};
     private byte[] sight = {};
 
     /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
-    ZoneLink(
+    ZoneFailoverLink(
             Dispatcher dispatcher,
             MemberLink members,
             RoutingSettings settings,
@@ -34,14 +35,14 @@
         this.dispatcher = dispatcher;
         this.members = members;
         this.names = List.copyOf(names);
-        this.settings =
-                new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
-        zones = new Zones(this.settings);
-        zones.remember(
+        this.settings = new ZoneFailoverSettings(
+                settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
+        zones = new ZoneFailover(this.settings);
+        zones.restore(
                 dispatcher.now(),
                 last.zoneDecisions(RecordKind.ZONE_STATES, names),
                 last.isValid(RecordKind.ZONE_STATES));
-        zones.remember(
+        zones.restore(
                 dispatcher.now(),
                 last.zoneDecisions(RecordKind.OPERATOR_ORDERS, names),
                 last.isValid(RecordKind.OPERATOR_ORDERS));
@@ -58,27 +59,29 @@
         }
         double now = dispatcher.now();
         if (u.origin) {
-            zones.origin(now, what == EndpointSignal.RESPONDED);
+            zones.onOriginFetch(now, what == EndpointSignal.RESPONDED);
             return;
         }
         switch (what) {
-            case RESPONDED, CACHE_MISS -> zones.answered(now, u.place.zone(), what == EndpointSignal.RESPONDED);
-            case UNRESPONSIVE -> zones.silent(now, u.place.zone(), server);
+            case RESPONDED, CACHE_MISS -> zones.onResponse(now, u.place.zone(), what == EndpointSignal.RESPONDED);
+            case UNRESPONSIVE -> zones.onNoResponse(now, u.place.zone(), server);
         }
     }
 
     private void listed() {
         double now = dispatcher.now();
-        for (int z = 0; z < Math.min(settings.zones(), ZoneSettings.MOST_ZONES); z++) { // others take no part
+        for (int z = 0;
+                z < Math.min(settings.zoneCount(), ZoneFailoverSettings.MAX_ZONES);
+                z++) { // others take no part
             List<Double> warm = dispatcher.servers().warmAt(z, settings.warmUpMs());
             // When half of them are warm; each moved key of the others misses.
-            zones.listed(z, warm.size(), warm.isEmpty() ? now : warm.get(warm.size() / 2));
+            zones.onEndpoints(z, warm.size(), warm.isEmpty() ? now : warm.get(warm.size() / 2));
         }
     }
 
     private void run() {
         tick();
-        dispatcher.after(Zones.TICK_MS, this::run);
+        dispatcher.after(ZoneFailover.TICK_MS, this::run);
     }
 
     /** The view has changed, or an operator has spoken: what follows from it need not wait. */
@@ -87,42 +90,42 @@
         if (!orders.isEmpty()) {
             dispatcher.applyZoneDirectives(orders);
         }
-        zones.events().forEach(this::tell);
+        zones.takeTransitions().forEach(this::tell);
         byte[] nextPlan = zones.planNote();
-        byte[] nextSight = zones.sightNote();
+        byte[] nextSight = zones.healthNote();
         if (!Arrays.equals(nextPlan, plan) || !Arrays.equals(nextSight, sight)) {
             plan = nextPlan;
             sight = nextSight;
-            members.note(Zones.PLAN_NOTE, plan);
-            members.note(Zones.SIGHT_NOTE, sight);
+            members.note(ZoneFailover.PLAN_NOTE, plan);
+            members.note(ZoneFailover.HEALTH_NOTE, sight);
         }
     }
 
     /**
      * A line where a zone begins to be left, is closed, begins to be returned to, is whole, or an operator has spoken.
      */
-    private void tell(Zones.Event e) {
-        boolean step = e.before().cause() == e.now().cause()
-                && e.now().open() > 0
-                && e.now().open() < ZoneState.WHOLE
-                && e.before().open() > 0
-                && e.before().open() < ZoneState.WHOLE;
+    private void tell(ZoneTransition e) {
+        boolean step = e.before().cause() == e.after().cause()
+                && e.after().openParts() > 0
+                && e.after().openParts() < ZoneState.ALL_PARTS
+                && e.before().openParts() > 0
+                && e.before().openParts() < ZoneState.ALL_PARTS;
         if (!step) {
             dispatcher.log(String.format(
                     Locale.ROOT,
                     "zone %s: %d/%d open, %s, epoch %d (%d/%d before); %s",
                     name(e.zone()),
-                    e.now().open(),
-                    ZoneState.WHOLE,
-                    e.now().cause().storedName(),
-                    e.now().epoch(),
-                    e.before().open(),
-                    ZoneState.WHOLE,
-                    e.why()));
+                    e.after().openParts(),
+                    ZoneState.ALL_PARTS,
+                    e.after().cause().storedName(),
+                    e.after().epoch(),
+                    e.before().openParts(),
+                    ZoneState.ALL_PARTS,
+                    e.reason()));
         }
     }
 
-    Zones zones() {
+    ZoneFailover zones() {
         return zones;
     }
 
--- a/src/main/java/cacheproxy/proxy/FleetZones.java
+++ b/src/main/java/cacheproxy/proxy/ZoneOperations.java
@@ -1,18 +1,19 @@
 package cacheproxy.proxy;
 
-import cacheproxy.failover.Zones;
+import cacheproxy.failover.ZoneLeaveCost;
+import cacheproxy.failover.ZoneStatus;
 import java.util.List;
 
 /** The zones as operators see and order them by one proxy. On the event loop only. */
-public final class FleetZones {
-    private final ZoneLink link;
+public final class ZoneOperations {
+    private final ZoneFailoverLink link;
 
-    FleetZones(ZoneLink link) {
+    ZoneOperations(ZoneFailoverLink link) {
         this.link = link;
     }
 
     /** How each zone stands. */
-    public List<Zones.Status> status() {
+    public List<ZoneStatus> status() {
         return link.zones().status(link.now());
     }
 
@@ -23,40 +24,40 @@
 
     /** Whether this proxy hears enough of the fleet to decide for it. */
     public boolean quorum() {
-        return link.zones().quorum();
+        return link.zones().hasQuorum();
     }
 
     /** Decisions that this proxy was the first to make. */
     public long decided() {
-        return link.zones().decided();
+        return link.zones().decisionCount();
     }
 
     /** What leaving a zone would cost. */
-    public Zones.Cost cost(String zone) {
-        return link.zones().cost(link.now(), link.number(zone));
+    public ZoneLeaveCost cost(String zone) {
+        return link.zones().leaveCost(link.now(), link.number(zone));
     }
 
     /** Has it left, at once or over a time; an IllegalArgumentException says why not. */
     public void leave(String zone, double overMs) {
-        link.zones().leave(link.now(), link.number(zone), overMs);
+        link.zones().leaveZone(link.now(), link.number(zone), overMs);
         link.tick();
     }
 
     /** Has it opened step by step. */
     public void comeBack(String zone) {
-        link.zones().comeBack(link.now(), link.number(zone));
+        link.zones().returnToZone(link.now(), link.number(zone));
         link.tick();
     }
 
     /** Has it stay as it is. */
     public void hold(String zone) {
-        link.zones().hold(link.now(), link.number(zone));
+        link.zones().holdZone(link.now(), link.number(zone));
         link.tick();
     }
 
     /** Takes operators' orders back. */
     public void release(String zone) {
-        link.zones().release(link.now(), link.number(zone));
+        link.zones().releaseZone(link.now(), link.number(zone));
         link.tick();
     }
 }
--- a/src/main/java/cacheproxy/proxy/ZoneForm.java
+++ b/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.ZoneState.Cause;
-import cacheproxy.failover.Zones.Held;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.util.List;
@@ -14,20 +14,20 @@
  * What is held of zones, as JSON: by the zones' names, as their numbers hang on the settings, and apart by whose word
  * it is, as an order lasts longer than what was seen.
  */
-final class ZoneForm {
-    private ZoneForm() {}
+final class ZoneStateCodec {
+    private ZoneStateCodec() {}
 
     /** Of those zones that stand as ordered, or as found on evidence. */
-    static JsonObject json(Map<Integer, Held> held, boolean ordered, List<String> names) {
+    static JsonObject encode(Map<Integer, StoredZoneState> held, boolean ordered, List<String> names) {
         JsonObject all = new JsonObject();
         held.forEach((zone, h) -> {
             if (zone < names.size() && ordered != (h.state().cause() == Cause.EVIDENCE)) {
                 JsonObject o = new JsonObject();
                 o.addProperty("epoch", h.state().epoch());
-                o.addProperty("open", h.state().open());
+                o.addProperty("open", h.state().openParts());
                 o.addProperty("cause", h.state().cause().storedName());
-                o.addProperty("leaves", h.state().leaves());
-                o.addProperty("floor", h.floor());
+                o.addProperty("leaves", h.state().leaveCount());
+                o.addProperty("floor", h.minEpoch());
                 all.add(names.get(zone), o);
             }
         });
@@ -44,8 +44,8 @@
     }
 
     /** Reads it; zones that there are no more are left out, and an exception says that it is of no use. */
-    static Map<Integer, Held> read(JsonElement json, List<String> names) {
-        Map<Integer, Held> held = new TreeMap<>();
+    static Map<Integer, StoredZoneState> decode(JsonElement json, List<String> names) {
+        Map<Integer, StoredZoneState> held = new TreeMap<>();
         json.getAsJsonObject().entrySet().forEach(e -> {
             JsonObject o = e.getValue().getAsJsonObject();
             int zone = names.indexOf(e.getKey());
@@ -55,9 +55,9 @@
                         o.get("open").getAsInt(),
                         cause(e.getKey(), o.get("cause").getAsString()),
                         o.get("leaves").getAsInt());
-                int floor = Math.max(
-                        0, Math.min(ZoneState.MOST_EPOCH, o.get("floor").getAsInt()));
-                held.put(zone, new Held(state, Math.max(floor, state.epoch())));
+                int floor =
+                        Math.max(0, Math.min(ZoneState.MAX_EPOCH, o.get("floor").getAsInt()));
+                held.put(zone, new StoredZoneState(state, Math.max(floor, state.epoch())));
             }
         });
         return held;
--- a/src/test/java/cacheproxy/control/AnswerWordsTest.java
+++ b/src/test/java/cacheproxy/control/AnswerWordsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.drain.DrainStateMachine;
-import cacheproxy.failover.Sight;
+import cacheproxy.failover.ZoneHealth;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.membership.Hearing;
 import cacheproxy.membership.Phase;
@@ -28,6 +28,7 @@
                 .containsExactly("starting", "recovering", "serving", "draining");
         assertThat(Arrays.stream(ZoneState.Cause.values()).map(AnswerWords::of))
                 .containsExactly("evidence", "return", "hold", "leave");
-        assertThat(Arrays.stream(Sight.values()).map(AnswerWords::of)).containsExactly("none", "good", "poor", "lost");
+        assertThat(Arrays.stream(ZoneHealth.values()).map(AnswerWords::of))
+                .containsExactly("none", "good", "poor", "lost");
     }
 }
--- /dev/null
+++ b/src/test/java/cacheproxy/failover/RestoredZoneStatesTest.java
@@ -0,0 +1,86 @@
+package cacheproxy.failover;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.failover.ZoneState.Cause;
+import cacheproxy.membership.Configured;
+import cacheproxy.membership.Entry;
+import cacheproxy.membership.View;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/**
+ * What a process makes of what its last life held: an epoch never goes back, and what is too old closes and opens
+ * nothing.
+ */
+class RestoredZoneStatesTest {
+    private static final ZoneState CLOSED = new ZoneState(5, 0, Cause.EVIDENCE, 1);
+    private final ZoneFailover zones = new ZoneFailover(new ZoneFailoverSettings(0, 0, 4, 9000));
+
+    private static View alone() {
+        return new View(0, 0, List.of(Entry.begin(0, 1, 7, 0, new byte[0])), 0, new Configured(1), false);
+    }
+
+    private void tick(double nowMs) {
+        zones.tick(nowMs, alone());
+    }
+
+    @Test
+    void whatHoldsIsGoneOnWith() {
+        zones.restore(0, Map.of(2, new StoredZoneState(CLOSED, 5)), true);
+        tick(100);
+        assertThat(zones.plan().stateOf(2)).isEqualTo(CLOSED);
+        assertThat(zones.statesToStore()).containsExactly(Map.entry(2, new StoredZoneState(CLOSED, 5)));
+    }
+
+    /**
+     * It is not told to others either: in one epoch the wider open share would hold, and open what they have closed.
+     */
+    @Test
+    void ofWhatIsTooOldOnlyTheEpochCounts() {
+        zones.restore(0, Map.of(2, new StoredZoneState(CLOSED, 9)), false);
+        tick(100);
+        assertThat(zones.plan().stateOf(2)).isEqualTo(ZoneState.INITIAL);
+        assertThat(zones.planNote()).isEmpty();
+        assertThat(zones.statesToStore()).containsExactly(Map.entry(2, new StoredZoneState(ZoneState.INITIAL, 9)));
+        zones.leaveZone(200, 2, 0);
+        assertThat(zones.plan().stateOf(2)).isEqualTo(new ZoneState(10, 0, Cause.LEAVE, 0));
+        assertThat(zones.statesToStore().get(2).minEpoch()).isEqualTo(10);
+    }
+
+    @Test
+    void whatIsKnownByNowGoesBeforeIt() {
+        zones.leaveZone(0, 1, 0);
+        zones.releaseZone(10, 1);
+        ZoneState now = zones.plan().stateOf(1);
+        zones.restore(
+                20,
+                Map.of(
+                        1,
+                        new StoredZoneState(new ZoneState(1, 0, Cause.LEAVE, 0), 1),
+                        9,
+                        new StoredZoneState(CLOSED, 5)),
+                true);
+        assertThat(zones.plan().stateOf(1)).isEqualTo(now);
+    }
+
+    /**
+     * A zone that was lost and answers again is good by its answers since, not after a whole window without silence.
+     */
+    @Test
+    void whatWasLostAndAnswersIsSoonGood() {
+        ZoneHealthMonitor o = new ZoneHealthMonitor(1);
+        o.setReadyNodes(0, 6);
+        for (int server = 0; server < 6; server++) {
+            o.onNoResponse(1000 + 100 * server, 0, server);
+        }
+        assertThat(o.health(1600, 0)).isEqualTo(ZoneHealth.UNREACHABLE);
+        o.onResponse(1700, 0, false);
+        o.onResponse(1800, 0, false);
+        assertThat(o.health(1800, 0)).isEqualTo(ZoneHealth.HEALTHY);
+        assertThat(o.isCold(1800, 0)).isTrue();
+        o.onNoResponse(1900, 0, 3);
+        assertThat(o.health(1900, 0)).as("a third of what was sent since").isEqualTo(ZoneHealth.UNKNOWN);
+    }
+}
--- a/src/test/java/cacheproxy/failover/ZonesTest.java
+++ b/src/test/java/cacheproxy/failover/ZoneFailoverTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A fleet of twelve in four zones, in virtual time. */
-class ZonesTest {
+class ZoneFailoverTest {
     private static ZonePlay fleet(long seed) {
         return new ZonePlay(12, 24, 30, seed);
     }
@@ -47,7 +47,7 @@
         assertThat(p.sent(0) - sent).as("trials of all in 10 s").isLessThan(45);
         p.nodesReturn(0, true);
         assertThat(until(p, () -> whole(p), 30_000)).isBetween(9000.0, 16_000.0);
-        assertThat(p.of(3).plan().of(0).leaves()).isEqualTo(1);
+        assertThat(p.of(3).plan().stateOf(0).leaveCount()).isEqualTo(1);
     }
 
     @Test
@@ -71,18 +71,18 @@
         for (int z = 0; z < ZonePlay.ZONES; z++) {
             assertThat(p.all(h -> h == 0, z, 1)).as("open to those in it").isTrue();
         }
-        assertThat(p.of(0).plan().touched()).isFalse();
-        assertThat(p.of(0).quorum()).isFalse();
+        assertThat(p.of(0).plan().hasDecisions()).isFalse();
+        assertThat(p.of(0).hasQuorum()).isFalse();
         p.heal();
         assertThat(until(
                         p,
                         () -> whole(p)
-                                && p.of(0).quorum()
+                                && p.of(0).hasQuorum()
                                 && p.of(4).plan().equals(p.of(1).plan()),
                         20_000))
                 .isLessThan(8000);
         for (int z = 1; z < ZonePlay.ZONES; z++) {
-            assertThat(p.of(0).plan().of(z).epoch()).as("never decided").isZero();
+            assertThat(p.of(0).plan().stateOf(z).epoch()).as("never decided").isZero();
         }
     }
 
@@ -91,7 +91,7 @@
         ZonePlay p = fleet(7);
         p.cutWay(1, 2, true);
         p.pass(10_000);
-        assertThat(p.of(0).plan().touched()).isFalse();
+        assertThat(p.of(0).plan().hasDecisions()).isFalse();
     }
 
     @Test
@@ -100,7 +100,7 @@
         p.node(0, true);
         p.node(4, true);
         p.pass(20_000);
-        assertThat(p.of(0).plan().touched()).isFalse();
+        assertThat(p.of(0).plan().hasDecisions()).isFalse();
     }
 
     @Test
@@ -112,12 +112,12 @@
             p.stall(0);
             p.pass(2000);
         }
-        assertThat(p.of(0).plan().touched()).isFalse();
+        assertThat(p.of(0).plan().hasDecisions()).isFalse();
         p.stall(1);
         p.pass(160);
         p.stall(0);
         p.pass(3000);
-        assertThat(p.of(0).plan().touched()).isFalse();
+        assertThat(p.of(0).plan().hasDecisions()).isFalse();
     }
 
     @Test
@@ -128,7 +128,7 @@
         p.lies(2, Set.of(0));
         p.lies(1, Set.of(0));
         p.pass(10_000);
-        assertThat(p.of(5).plan().touched()).isFalse();
+        assertThat(p.of(5).plan().hasDecisions()).isFalse();
         assertThat(p.any(0, 0)).isFalse();
     }
 
@@ -151,7 +151,7 @@
         p.pass(15_000);
         assertThat(p.all(h -> true, 0, 0)).isTrue();
         assertThat(p.all(h -> true, 1, 1)).isTrue();
-        assertThat(p.of(0).plan().of(1).epoch()).isZero();
+        assertThat(p.of(0).plan().stateOf(1).epoch()).isZero();
     }
 
     @Test
@@ -200,7 +200,7 @@
         ZonePlay p = fleet(14);
         p.nodesDie(3);
         p.pass(5000);
-        int epoch = p.of(11).plan().of(3).epoch();
+        int epoch = p.of(11).plan().stateOf(3).epoch();
         for (int i = 0; i < 7; i++) {
             p.kill(i);
         }
@@ -210,13 +210,13 @@
         }
         p.pass(6000);
         assertThat(p.all(h -> true, 3, 0)).isTrue();
-        assertThat(p.of(0).plan().of(3).epoch()).isGreaterThanOrEqualTo(epoch);
+        assertThat(p.of(0).plan().stateOf(3).epoch()).isGreaterThanOrEqualTo(epoch);
     }
 
     @Test
     void anOperatorsOrderHoldsAtAllAndOutlivesWhoTookIt() {
         ZonePlay p = fleet(15);
-        p.of(2).leave(p.now(), 1, 0);
+        p.of(2).leaveZone(p.now(), 1, 0);
         p.pass(1500);
         assertThat(p.all(h -> true, 1, 0)).isTrue();
         p.kill(2);
@@ -225,15 +225,15 @@
         p.start(2);
         p.pass(5000);
         assertThat(p.open(2, 1)).isZero();
-        p.of(5).comeBack(p.now(), 1);
-        assertThat(until(p, () -> whole(p) && p.of(0).plan().of(1).cause() == Cause.EVIDENCE, 30_000))
+        p.of(5).returnToZone(p.now(), 1);
+        assertThat(until(p, () -> whole(p) && p.of(0).plan().stateOf(1).cause() == Cause.EVIDENCE, 30_000))
                 .isLessThan(8000);
     }
 
     @Test
     void aZoneIsLeftOverTheTimeThatWasSaidThoughWhoTookTheOrderDies() {
         ZonePlay p = fleet(16);
-        p.of(2).leave(p.now(), 1, 15_000);
+        p.of(2).leaveZone(p.now(), 1, 15_000);
         p.pass(5000);
         assertThat(p.open(7, 1)).isBetween(0.5, 0.8);
         p.kill(2);
@@ -249,27 +249,27 @@
         ZonePlay p = fleet(17);
         p.cutOff(z -> z < 2);
         p.pass(4000);
-        p.of(0).leave(p.now(), 2, 0);
-        p.of(2).hold(p.now(), 2);
+        p.of(0).leaveZone(p.now(), 2, 0);
+        p.of(2).holdZone(p.now(), 2);
         p.pass(2000);
         p.heal();
         p.pass(6000);
         for (int i = 0; i < 12; i++) {
             assertThat(p.of(i).plan()).isEqualTo(p.of(0).plan());
         }
-        assertThat(p.of(0).plan().of(2).cause()).isEqualTo(Cause.LEAVE);
+        assertThat(p.of(0).plan().stateOf(2).cause()).isEqualTo(Cause.LEAVE);
         assertThat(p.all(h -> true, 2, 0)).isTrue();
     }
 
     @Test
     void anOrderThatWouldLeaveTooLittleIsTurnedDown() {
-        Zones z = new Zones(new ZoneSettings(0, 0, 2, 9000));
-        z.leave(0, 0, 0);
-        assertThatThrownBy(() -> z.leave(1, 1, 0))
+        ZoneFailover z = new ZoneFailover(new ZoneFailoverSettings(0, 0, 2, 9000));
+        z.leaveZone(0, 0, 0);
+        assertThatThrownBy(() -> z.leaveZone(1, 1, 0))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining("third");
-        assertThatThrownBy(() -> z.leave(1, 2, 0)).hasMessageContaining("takes no part");
-        assertThatThrownBy(() -> z.leave(1, 0, 100_000)).hasMessageContaining("75 s");
-        assertThat(z.cost(1, 1).allowed()).isFalse();
+        assertThatThrownBy(() -> z.leaveZone(1, 2, 0)).hasMessageContaining("takes no part");
+        assertThatThrownBy(() -> z.leaveZone(1, 0, 100_000)).hasMessageContaining("75 s");
+        assertThat(z.leaveCost(1, 1).allowed()).isFalse();
     }
 }
--- a/src/test/java/cacheproxy/model/check/ZoneProtocolTest.java
+++ b/src/test/java/cacheproxy/model/check/ZoneProtocolTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.failover.Plan;
+import cacheproxy.failover.FailoverPlan;
 import cacheproxy.failover.ZoneState;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,7 +15,7 @@
     private static final ZoneProtocol.Bounds BOUNDS = new ZoneProtocol.Bounds(1, 2, 1);
 
     /** Ways to merge two plans with one line wrong. */
-    private enum Mutant implements BinaryOperator<Plan> {
+    private enum Mutant implements BinaryOperator<FailoverPlan> {
         /** What was said last holds. */
         LAST {
             @Override
@@ -34,26 +34,26 @@
         WIDER {
             @Override
             ZoneState of(ZoneState held, ZoneState said) {
-                return said.open() > held.open() ? said : held;
+                return said.openParts() > held.openParts() ? said : held;
             }
         },
         /** Causes of one epoch count for nothing, and the narrower holds there; else what is said. */
         NARROWER_OR_LAST {
             @Override
             ZoneState of(ZoneState held, ZoneState said) {
-                return held.epoch() == said.epoch() && held.open() < said.open() ? held : said;
+                return held.epoch() == said.epoch() && held.openParts() < said.openParts() ? held : said;
             }
         };
 
         abstract ZoneState of(ZoneState held, ZoneState said);
 
         @Override
-        public Plan apply(Plan held, Plan said) {
+        public FailoverPlan apply(FailoverPlan held, FailoverPlan said) {
             List<ZoneState> all = new ArrayList<>();
             for (int z = 0; z < ZoneProtocol.ZONES; z++) {
-                all.add(of(held.of(z), said.of(z)));
+                all.add(of(held.stateOf(z), said.stateOf(z)));
             }
-            return new Plan(all);
+            return new FailoverPlan(all);
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/ZoneFormTest.java
+++ b/src/test/java/cacheproxy/proxy/ZoneStateCodecTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.ZoneState.Cause;
-import cacheproxy.failover.Zones.Held;
 import com.google.gson.JsonParser;
 import java.util.List;
 import java.util.Map;
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The stored form of what was decided of zones, as released programs write it. */
-class ZoneFormTest {
+class ZoneStateCodecTest {
     private static final List<String> NAMES = List.of("east", "west", "north", "south");
-    private static final Map<Integer, Held> ALL = new TreeMap<>(Map.of(
-            0, new Held(new ZoneState(4, 15, Cause.EVIDENCE, 1), 7),
-            1, new Held(new ZoneState(9, 0, Cause.LEAVE, 0), 9),
-            2, new Held(new ZoneState(2, 5, Cause.RETURN, 3), 2),
-            3, new Held(new ZoneState(1, 11, Cause.HOLD, 2), 3),
-            4, new Held(new ZoneState(1, 11, Cause.HOLD, 2), 3)));
+    private static final Map<Integer, StoredZoneState> ALL = new TreeMap<>(Map.of(
+            0, new StoredZoneState(new ZoneState(4, 15, Cause.EVIDENCE, 1), 7),
+            1, new StoredZoneState(new ZoneState(9, 0, Cause.LEAVE, 0), 9),
+            2, new StoredZoneState(new ZoneState(2, 5, Cause.RETURN, 3), 2),
+            3, new StoredZoneState(new ZoneState(1, 11, Cause.HOLD, 2), 3),
+            4, new StoredZoneState(new ZoneState(1, 11, Cause.HOLD, 2), 3)));
 
     private static final String EVIDENCE =
             "{\"east\":{\"epoch\":4,\"open\":15,\"cause\":\"evidence\",\"leaves\":1,\"floor\":7}}";
@@ -31,25 +31,26 @@
 
     @Test
     void statesAreWrittenAsRecorded() {
-        assertThat(ZoneForm.json(ALL, false, NAMES)).hasToString(EVIDENCE);
-        assertThat(ZoneForm.json(ALL, true, NAMES)).hasToString(ORDERED);
+        assertThat(ZoneStateCodec.encode(ALL, false, NAMES)).hasToString(EVIDENCE);
+        assertThat(ZoneStateCodec.encode(ALL, true, NAMES)).hasToString(ORDERED);
     }
 
     @Test
     void recordedStatesAreRead() {
-        Map<Integer, Held> read = new TreeMap<>(ZoneForm.read(JsonParser.parseString(EVIDENCE), NAMES));
-        read.putAll(ZoneForm.read(JsonParser.parseString(ORDERED), NAMES));
-        Map<Integer, Held> expected = new TreeMap<>(ALL);
+        Map<Integer, StoredZoneState> read =
+                new TreeMap<>(ZoneStateCodec.decode(JsonParser.parseString(EVIDENCE), NAMES));
+        read.putAll(ZoneStateCodec.decode(JsonParser.parseString(ORDERED), NAMES));
+        Map<Integer, StoredZoneState> expected = new TreeMap<>(ALL);
         expected.remove(4);
         assertThat(read).isEqualTo(expected);
-        assertThat(ZoneForm.read(JsonParser.parseString(ORDERED), List.of("south")))
+        assertThat(ZoneStateCodec.decode(JsonParser.parseString(ORDERED), List.of("south")))
                 .containsOnly(Map.entry(0, ALL.get(3)));
     }
 
     @Test
     void anUnknownCauseIsRefused() {
         String unknown = EVIDENCE.replace("evidence", "rumour");
-        assertThatThrownBy(() -> ZoneForm.read(JsonParser.parseString(unknown), NAMES))
+        assertThatThrownBy(() -> ZoneStateCodec.decode(JsonParser.parseString(unknown), NAMES))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 }
