--- /dev/null
+++ b/src/main/java/cacheproxy/failover/ZoneDecision.java
@@ -0,0 +1,144 @@
+package cacheproxy.failover;
+
+import cacheproxy.failover.ZoneState.Cause;
+
+/**
+ * What should be decided of one zone at one moment; the same at all instances that hold the same plan and reports.
+ *
+ * <pre>
+ * cause      verdict        decision
+ * HOLD       any            none
+ * LEAVE      any            one part less, after the time of a step
+ * RETURN     any            a step of the recovery ramp; once open, EVIDENCE
+ * EVIDENCE   UNREACHABLE    closed at once
+ *            DEGRADED       a drain step, if it lasts and no other zone is left
+ *            HEALTHY        a step of the recovery ramp, if it lasts; once open, one leave fewer after a while
+ *            UNCERTAIN      a drain step, if it was being drained as degraded; once open as HEALTHY
+ * </pre>
+ *
+ * <p>On EVIDENCE only with a quorum. Times in milliseconds.
+ */
+final class ZoneDecision {
+    /** An instance that finds that nobody goes on with an operator's order to leave does so after this time. */
+    private static final double TAKE_OVER_MS = 6000;
+
+    private final double nowMs;
+    private final int zone;
+    private final FailoverPlan plan;
+    private final ZoneState state;
+    private final ZoneTracker tracker;
+    private final ZoneFaultDetector detector;
+    private final double warmUpMs;
+
+    /** {@code warmUpMs}: how long a node that has just started is cold, in milliseconds. */
+    ZoneDecision(
+            double nowMs,
+            int zone,
+            FailoverPlan plan,
+            ZoneTracker tracker,
+            ZoneFaultDetector detector,
+            double warmUpMs) {
+        this.nowMs = nowMs;
+        this.zone = zone;
+        this.plan = plan;
+        this.tracker = tracker;
+        this.detector = detector;
+        this.warmUpMs = warmUpMs;
+        state = plan.stateOf(zone);
+    }
+
+    /** The next state; null for none. {@code quorum}: whether enough of the fleet is heard. */
+    ZoneState next(boolean quorum) {
+        return switch (state.cause()) {
+            case HOLD -> null;
+            case LEAVE -> leaveStep();
+            case RETURN ->
+                state.openParts() == ZoneState.ALL_PARTS
+                        ? state.next(state.openParts(), Cause.EVIDENCE, 0)
+                        : recoveryStep();
+            case EVIDENCE -> quorum ? byEvidence() : null;
+        };
+    }
+
+    private double sinceChangeMs() {
+        return nowMs - tracker.changedMs;
+    }
+
+    private ZoneState leaveStep() {
+        double stepMs = tracker.leaveStepMs > 0 ? tracker.leaveStepMs : TAKE_OVER_MS;
+        return state.openParts() > 0 && sinceChangeMs() >= stepMs
+                ? state.next(state.openParts() - 1, Cause.LEAVE, state.leaveCount())
+                : null;
+    }
+
+    private ZoneState byEvidence() {
+        boolean open = state.openParts() == ZoneState.ALL_PARTS;
+        return switch (tracker.verdict) {
+            case UNREACHABLE -> plan.lowered(zone, 0, state.leaveCount() + 1);
+            case DEGRADED -> whenDegraded(open);
+            case HEALTHY -> open ? withFewerLeaves() : whenHealthyAgain();
+            case UNCERTAIN -> open ? withFewerLeaves() : whenUncertain();
+        };
+    }
+
+    private ZoneState whenDegraded(boolean open) {
+        boolean lasts = nowMs - tracker.degradedSinceMs >= RecoveryRamp.DEGRADED_BEFORE_DRAIN_MS
+                && sinceChangeMs() >= RecoveryRamp.DEGRADED_BEFORE_DRAIN_MS;
+        if (!lasts || !otherZonesAreOpen()) {
+            return null;
+        }
+        return drainStep(open || tracker.opening ? state.leaveCount() + 1 : state.leaveCount());
+    }
+
+    private ZoneState whenHealthyAgain() {
+        double requiredMs = RecoveryRamp.requiredHealthyMs(state.leaveCount(), tracker.leftDegraded);
+        return !tracker.opening && nowMs - tracker.healthySinceMs < requiredMs ? null : recoveryStep();
+    }
+
+    /** The fewer of its keys are left, the less is seen of it: a drain goes on unless the zone is found healthy. */
+    private ZoneState whenUncertain() {
+        return state.openParts() > 0
+                        && tracker.leftDegraded
+                        && otherZonesAreOpen()
+                        && sinceChangeMs() >= 2 * RecoveryRamp.DEGRADED_BEFORE_DRAIN_MS
+                        && nowMs - tracker.lastHealthyMs > ZoneTracker.VERDICT_GAP_MS
+                ? drainStep(state.leaveCount())
+                : null;
+    }
+
+    private ZoneState drainStep(int leaveCount) {
+        return plan.lowered(zone, Math.max(0, state.openParts() - RecoveryRamp.DRAIN_STEP_PARTS), leaveCount);
+    }
+
+    /**
+     * Whether no other zone is left. While one is, the rest have its keys beside their own and may be slow for that: to
+     * leave a second zone as well would be to leave one after another.
+     */
+    private boolean otherZonesAreOpen() {
+        for (int z = 0; z < plan.zones().size(); z++) {
+            if (z != zone && plan.stateOf(z).openParts() < ZoneState.ALL_PARTS) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private ZoneState withFewerLeaves() {
+        return state.leaveCount() > 0 && sinceChangeMs() >= RecoveryRamp.LEAVE_COUNT_DECAY_MS
+                ? state.next(state.openParts(), Cause.EVIDENCE, state.leaveCount() - 1)
+                : null;
+    }
+
+    private ZoneState recoveryStep() {
+        boolean cold = nowMs < tracker.coldUntilMs || detector.isCold(zone);
+        double stepMs = RecoveryRamp.stepMs(cold, warmUpMs);
+        double waitedMs = nowMs - Math.max(tracker.changedMs, tracker.healthySinceMs);
+        // A saturated origin delays the ramp and does not stop it: while a zone is left, others' nodes miss as well.
+        boolean waitsForOrigin = detector.isOriginSaturated() && waitedMs < RecoveryRamp.MAX_SATURATED_STEPS * stepMs;
+        if (sinceChangeMs() < stepMs || waitsForOrigin) {
+            return null;
+        }
+        int parts = Math.min(ZoneState.ALL_PARTS, state.openParts() + RecoveryRamp.stepParts(cold));
+        return state.next(parts, state.cause(), state.leaveCount());
+    }
+}
--- a/src/main/java/cacheproxy/failover/ZoneFailover.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -6,256 +6,174 @@
 import cacheproxy.membership.View;
 import cacheproxy.routing.ZoneDirective;
 import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 
 /**
- * One instance's part in leaving zones and returning to them. Takes what its attempts met, the list and the fleet's
- * view; gives orders for the decision module and notes for the view. Whoever owns the sockets calls {@link #tick}
- * often, at least each {@link #TICK_MS}.
+ * One instance's part in leaving faulty zones and returning to them. Takes what its attempts met, the endpoint list and
+ * the fleet's view; gives directives for the load balancer and notes for the view. Its owner calls {@link #tick} at
+ * least each {@link #TICK_MS}. Times in milliseconds of one clock; not thread-safe.
  *
- * <p>Everybody judges by the same reports and would decide the same; who does is a matter of turns, by a rank that
- * differs from zone to zone and from epoch to epoch, so that none can be missed. Whoever is first raises the epoch, the
- * others take it over. Where too little of the fleet is heard, what was decided on evidence does not hold, and each
- * keeps to its own.
+ * <p>All instances judge by the same reports and would decide the same ({@link ZoneDecision}). They take turns
+ * ({@link InstanceRanking}): the first raises the epoch, the others adopt its decision. Without a quorum what was
+ * decided on evidence does not hold, and each instance keeps to its own evidence.
  */
 public final class ZoneFailover {
-    /** The longest time between two ticks, in milliseconds. */
+    /** The longest time between two ticks. */
     public static final double TICK_MS = 100;
-    /** The note of the view that holds the plan. */
+    /** The number of the view's note that holds the plan. */
     public static final int PLAN_NOTE = 0;
-    /** The note of the view that holds what is seen. */
+    /** The number of the view's note that holds the zones' health. */
     public static final int HEALTH_NOTE = 1;
-    /** Who is next in rank decides so much later: what the one before says should have come by then. */
+    /** The longest time over which an operator may have a zone left. */
+    public static final double MAX_LEAVE_DURATION_MS = 75_000;
+    /** The next in rank decides so much later: the decision of the one before should have come by then. */
     private static final double TURN_MS = 80;
 
-    private static final int LAST_TURN = 8;
+    private static final int TURNS = 8;
     /**
-     * All others decide only so late: each that decides has news for all, and if the first word takes longer than the
-     * turns, as it does when there is much news, a hundred that speak at once make it take longer still.
+     * All others decide only so late. Each decision is news for all: where the first takes longer than the turns to get
+     * around, as it does when there is much news, a hundred more would make it take longer still.
      */
     private static final double OTHERS_TURN_MS = 2500;
-    /** Instances that try a zone that is not whole, and how often each does. */
-    private static final int TRIERS = 3;
-
-    private static final double TRY_MS = 800;
-    /** A zone that is not found sound, or poor, for so long has to be found so anew. */
-    private static final double GAP_MS = 2000;
-    /** So many publish what they see at once; the others only if nothing has come of that. */
-    private static final int SPEAKERS = 12;
-
-    private static final double OTHERS_SPEAK_MS = 1200;
-    /** What is seen is published so often at most, but that a zone is lost. */
-    private static final double PUBLISH_MS = 400;
-    /**
-     * So many carry what others have decided in their own entries: that each does would be news of all at every step.
-     */
-    private static final int CARRIERS = 5;
-    /** Who finds that nobody goes on with an operator's order does. */
-    private static final double TAKE_OVER_MS = 6000;
-    /** The longest that an operator may have a zone left over. */
-    public static final double MAX_LEAVE_DURATION_MS = 75_000;
+    /** Between two probes of a zone by one instance. */
+    private static final double PROBE_INTERVAL_MS = 800;
+    /** So many publish others' decisions in their own entries: if all did, each step would be news of all. */
+    private static final int PLAN_CARRIERS = 5;
 
-    private static final int MOST_EVENTS = 64;
-
-    /** One zone. */
-    private static final class Part {
-        int floor;
-        int ready = 1;
-        double coldUntilMs = Double.NEGATIVE_INFINITY;
-        /** The last step opened it further. */
-        boolean rising;
-        /** It was left though it answered: what speaks for it has to do so for longer. */
-        boolean wasPoor;
-
-        double changedMs = Double.NEGATIVE_INFINITY;
-        String why = "never left";
-        Verdict verdict = Verdict.UNCERTAIN;
-        double poorMs = Double.NEGATIVE_INFINITY;
-        double lastPoorMs = Double.NEGATIVE_INFINITY;
-        double soundMs = Double.NEGATIVE_INFINITY;
-        double lastSoundMs = Double.NEGATIVE_INFINITY;
-        int ordered = ZoneState.ALL_PARTS;
-        double triedMs = Double.NEGATIVE_INFINITY;
-        /** What would be decided now, and since when; null for nothing. */
-        ZoneState wish;
-
-        double wishedMs;
-        /** Between two steps of an order to leave that was given to this instance; 0 if none was. */
-        double overStepMs;
-
-        double badMs = Double.NaN;
-    }
+    private static final String OPERATOR_ORDER = "an operator's order here";
 
-    private record Read(Entry entry, ZoneHealthReport report) {}
+    private record DecodedEntry(Entry entry, ZoneHealthReport report) {}
 
     private final ZoneFailoverSettings settings;
-    private final ZoneHealthMonitor observer;
-    private final Map<Integer, Read> read = new HashMap<>();
-    private final List<Part> parts = new ArrayList<>();
-    private final List<ZoneTransition> takeTransitions = new ArrayList<>();
-    private FailoverPlan plan;
-    /** What this instance's entry says of it: at least what it has decided itself. */
-    private FailoverPlan carried;
-
-    private boolean hasQuorum;
-    private boolean everQuorum;
-    private byte[] healthNote = {};
-    private double publishedMs = Double.NEGATIVE_INFINITY;
-    private long decisionCount;
-
-    /** Knows of no decision. */
+    private final ZoneHealthMonitor monitor;
+    private final ZoneHealthPublisher publisher = new ZoneHealthPublisher();
+    /** The reports in others' entries, by instance. */
+    private final Map<Integer, DecodedEntry> decodedEntries = new HashMap<>();
+
+    private final List<ZoneTracker> trackers = new ArrayList<>();
+    private final FailoverPlanState planState;
+    private boolean quorum;
+    private boolean everHadQuorum;
+
+    /** Without a decision yet. */
     public ZoneFailover(ZoneFailoverSettings settings) {
         this.settings = settings;
-        observer = new ZoneHealthMonitor(settings.decidedZoneCount());
-        plan = FailoverPlan.initial(settings.decidedZoneCount());
-        carried = plan;
+        monitor = new ZoneHealthMonitor(settings.decidedZoneCount());
         for (int z = 0; z < settings.decidedZoneCount(); z++) {
-            parts.add(new Part());
+            trackers.add(new ZoneTracker());
         }
+        planState = new FailoverPlanState(trackers);
     }
 
-    // ---- what it is told
+    // ---- evidence
 
-    /** A cache node of a zone has answered an attempt; {@code hit}: it had what it was asked for. */
+    /** A cache node of a zone has answered an attempt; {@code hit}: it had what was requested. */
     public void onResponse(double nowMs, int zone, boolean hit) {
-        if (zone < parts.size()) {
-            observer.onResponse(nowMs, zone, hit);
-            parts.get(zone).triedMs =
-                    Double.NEGATIVE_INFINITY; // one that answers is asked again at once: two answers are wanted
+        if (zone < trackers.size()) {
+            monitor.onResponse(nowMs, zone, hit);
+            trackers.get(zone).probedMs = Double.NEGATIVE_INFINITY; // the next probe follows at once: two are needed
         }
     }
 
-    /** A cache node of a zone is overdue, did not answer or ended the connection instead. */
-    public void onNoResponse(double nowMs, int zone, int server) {
-        if (zone < parts.size()) {
-            observer.onNoResponse(nowMs, zone, server);
+    /** A cache node of a zone is overdue, did not answer or closed the connection instead. */
+    public void onNoResponse(double nowMs, int zone, int endpointId) {
+        if (zone < trackers.size()) {
+            monitor.onNoResponse(nowMs, zone, endpointId);
         }
     }
 
-    /** The origin has ended a fetch, in time or not. */
+    /** A fetch at the origin has ended, in time or not. */
     public void onOriginFetch(double nowMs, boolean inTime) {
-        observer.onOriginFetch(nowMs, inTime);
+        monitor.onOriginFetch(nowMs, inTime);
     }
 
     /**
-     * What the list says of a zone.
+     * What the endpoint list says of a zone.
      *
-     * @param ready its cache nodes that may be sent requests
-     * @param coldUntilMs when half of them or more will have been warm; anything in the past if they are
+     * @param readyNodes its cache nodes that may be sent requests
+     * @param coldUntilMs when half of them or more will have warmed up; any time in the past if they have
      */
-    public void onEndpoints(int zone, int ready, double coldUntilMs) {
-        if (zone < parts.size()) {
-            parts.get(zone).ready = ready;
-            parts.get(zone).coldUntilMs = coldUntilMs;
-            observer.setReadyNodes(zone, ready);
+    public void onEndpoints(int zone, int readyNodes, double coldUntilMs) {
+        if (zone < trackers.size()) {
+            trackers.get(zone).readyNodes = readyNodes;
+            trackers.get(zone).coldUntilMs = coldUntilMs;
+            monitor.setReadyNodes(zone, readyNodes);
         }
     }
 
+    // ---- stored states
+
     /**
-     * Goes on where this instance's last life ended. What held then is heard like any other's word, so whoever knows
-     * better goes before it; where it is too old to hold, only its epoch counts, as the least that a decision goes
+     * Goes on where this instance ended when it last ran. Its states count like any other instance's, so a later
+     * decision goes before them; of those that are too old only the epochs count, as the least that a decision goes
      * beyond.
      *
-     * @param last what was held, by zone; others are left alone
-     * @param holds whether it still may, by its age
+     * @param stored by zone; other zones are left alone
+     * @param stillHold whether the states may still hold, by their age
      */
-    public void restore(double nowMs, Map<Integer, StoredZoneState> last, boolean holds) {
-        for (Map.Entry<Integer, StoredZoneState> e : last.entrySet()) {
-            int z = e.getKey();
-            if (z >= 0 && z < parts.size()) {
-                parts.get(z).floor = Math.max(parts.get(z).floor, e.getValue().minEpoch());
-                ZoneState s = e.getValue().state();
-                if (holds && s.compareTo(plan.stateOf(z)) > 0) {
-                    changed(nowMs, z, plan.stateOf(z), s, "held in this instance's last life");
-                    plan = plan.with(z, s);
-                    carried = carried.with(z, s);
-                }
-            }
-        }
+    public void restore(double nowMs, Map<Integer, StoredZoneState> stored, boolean stillHold) {
+        planState.restore(nowMs, stored, stillHold);
     }
 
-    /** What is held of each zone of which anything was ever decided, for the next life. */
+    /** What to store of each zone of which anything was ever decided. */
     public Map<Integer, StoredZoneState> statesToStore() {
-        Map<Integer, StoredZoneState> all = new TreeMap<>();
-        for (int z = 0; z < parts.size(); z++) {
-            int floor = Math.max(parts.get(z).floor, plan.stateOf(z).epoch());
-            if (floor > 0) {
-                all.put(z, new StoredZoneState(plan.stateOf(z), floor));
-            }
-        }
-        return all;
+        return planState.statesToStore();
     }
 
     // ---- operators
 
     /**
-     * Has a zone left, at once or over a time, until it is returned to or released. An IllegalArgumentException says
-     * why not.
+     * Leaves a zone on an operator's order, until it is returned to or released.
+     *
+     * @param durationMs over which it is left, 0 to {@link #MAX_LEAVE_DURATION_MS}; 0 for at once
+     * @throws IllegalArgumentException if the time is out of range, or too little would stay open
      */
-    public void leaveZone(double nowMs, int zone, double overMs) {
+    public void leaveZone(double nowMs, int zone, double durationMs) {
         check(zone);
-        if (!(overMs >= 0 && overMs <= MAX_LEAVE_DURATION_MS)) {
+        if (!(durationMs >= 0 && durationMs <= MAX_LEAVE_DURATION_MS)) {
             throw new IllegalArgumentException(
                     "a zone is left over 0 to " + Math.round(MAX_LEAVE_DURATION_MS / 1000) + " s");
         }
-        if (!plan.allowsOpenParts(zone, 0)) {
+        if (!plan().allowsOpenParts(zone, 0)) {
             throw new IllegalArgumentException(
                     "without this zone less than a third of all would be open; return to another first");
         }
-        ZoneState s = plan.stateOf(zone);
-        int open = overMs == 0 ? 0 : s.openParts();
-        parts.get(zone).overStepMs = overMs / Math.max(1, s.openParts());
-        decide(nowMs, zone, s.next(open, Cause.LEAVE, s.leaveCount()), "an operator's order here");
+        ZoneState state = plan().stateOf(zone);
+        int openParts = durationMs == 0 ? 0 : state.openParts();
+        trackers.get(zone).leaveStepMs = durationMs / Math.max(1, state.openParts());
+        planState.decide(nowMs, zone, state.next(openParts, Cause.LEAVE, state.leaveCount()), OPERATOR_ORDER);
     }
 
-    /** Has a zone opened step by step, whatever is seen of it, and forgets that it was left. */
+    /** Opens a zone step by step on an operator's order, whatever its health, and forgets that it was left. */
     public void returnToZone(double nowMs, int zone) {
-        check(zone);
-        decide(
-                nowMs,
-                zone,
-                plan.stateOf(zone).next(plan.stateOf(zone).openParts(), Cause.RETURN, 0),
-                "an operator's order here");
+        order(nowMs, zone, Cause.RETURN, 0);
     }
 
-    /** Has a zone stay as it is, whatever is seen of it, until it is released. */
+    /** Keeps a zone as it is on an operator's order, whatever its health, until it is released. */
     public void holdZone(double nowMs, int zone) {
         check(zone);
-        decide(
-                nowMs,
-                zone,
-                plan.stateOf(zone)
-                        .next(
-                                plan.stateOf(zone).openParts(),
-                                Cause.HOLD,
-                                plan.stateOf(zone).leaveCount()),
-                "an operator's order here");
+        order(nowMs, zone, Cause.HOLD, plan().stateOf(zone).leaveCount());
     }
 
-    /** Takes operators' orders back: what is seen of the zone decides again. */
+    /** Takes operators' orders back: the zone's health decides again. */
     public void releaseZone(double nowMs, int zone) {
         check(zone);
-        decide(
-                nowMs,
-                zone,
-                plan.stateOf(zone)
-                        .next(
-                                plan.stateOf(zone).openParts(),
-                                Cause.EVIDENCE,
-                                plan.stateOf(zone).leaveCount()),
-                "an operator's order here");
+        order(nowMs, zone, Cause.EVIDENCE, plan().stateOf(zone).leaveCount());
+    }
+
+    private void order(double nowMs, int zone, Cause cause, int leaveCount) {
+        check(zone);
+        ZoneState state = plan().stateOf(zone);
+        planState.decide(nowMs, zone, state.next(state.openParts(), cause, leaveCount), OPERATOR_ORDER);
     }
 
     private void check(int zone) {
-        if (zone < 0 || zone >= parts.size()) {
-            throw new IllegalArgumentException("zone " + zone + " takes no part; the first " + parts.size() + " do");
+        if (zone < 0 || zone >= trackers.size()) {
+            throw new IllegalArgumentException("zone " + zone + " takes no part; the first " + trackers.size() + " do");
         }
     }
 
@@ -263,401 +181,193 @@
     public ZoneLeaveCost leaveCost(double nowMs, int zone) {
         check(zone);
         double all = 0;
-        for (int z = 0; z < parts.size(); z++) {
-            all += parts.get(z).ready * (double) plan.openParts(z);
+        for (int z = 0; z < trackers.size(); z++) {
+            all += capacity(z);
         }
-        double its = parts.get(zone).ready * (double) plan.openParts(zone);
+        double its = capacity(zone);
         return new ZoneLeaveCost(
-                observer.attemptsPerSecond(nowMs, zone),
+                monitor.attemptsPerSecond(nowMs, zone),
                 all > its ? all / (all - its) : Double.POSITIVE_INFINITY,
-                plan.allowsOpenParts(zone, 0));
+                plan().allowsOpenParts(zone, 0));
+    }
+
+    private double capacity(int zone) {
+        return trackers.get(zone).readyNodes * (double) plan().openParts(zone);
     }
 
     // ---- time
 
-    /**
-     * Takes the fleet's view, decides what is due, and says what holds for the decision module where that has changed.
-     */
+    /** Takes the fleet's view, decides what is due, and returns what has changed for the load balancer. */
     public List<ZoneDirective> tick(double nowMs, View view) {
         List<ZoneHealthReport> reports = new ArrayList<>();
-        Set<Integer> homes = new HashSet<>();
-        if (read.size() > 2 * view.entries().size()) {
-            read.clear(); // most of them are forgotten
-        }
-        for (Entry e : view.entries()) {
-            homes.add(e.zone());
-            if (e.id() == settings.instanceId()) {
+        Set<Integer> homeZones = new HashSet<>();
+        takeReports(nowMs, view, reports, homeZones);
+        ZoneHealthReport own = ownReport(nowMs);
+        reports.add(own);
+        homeZones.add(settings.homeZone());
+        ZoneFaultDetector detector = new ZoneFaultDetector(reports, homeZones);
+        boolean hadQuorum = quorum;
+        quorum = detector.hasQuorum() && hasMetMost(view);
+        for (int z = 0; z < trackers.size(); z++) {
+            decideIfDue(nowMs, z, detector, reports);
+        }
+        if (InstanceRanking.rank(0, settings.instanceId(), reports) < PLAN_CARRIERS) {
+            planState.publishAll();
+        }
+        publisher.update(nowMs, own, reports, plan(), trackers);
+        boolean quorumRegained = quorum && !hadQuorum && everHadQuorum;
+        everHadQuorum |= quorum;
+        return directives(nowMs, reports, quorumRegained);
+    }
+
+    /** Adopts the plans of all others, and adds the reports of those that live. */
+    private void takeReports(double nowMs, View view, List<ZoneHealthReport> reports, Set<Integer> homeZones) {
+        if (decodedEntries.size() > 2 * view.entries().size()) {
+            decodedEntries.clear(); // most of them are of instances that are gone
+        }
+        for (Entry entry : view.entries()) {
+            homeZones.add(entry.zone());
+            if (entry.id() == settings.instanceId()) {
                 continue;
             }
-            ZoneHealthReport r = read(e);
-            adopt(nowMs, r);
-            if (e.state().lives()) {
-                reports.add(r);
+            ZoneHealthReport report = decoded(entry);
+            planState.adopt(nowMs, report);
+            if (entry.state().lives()) {
+                reports.add(report);
             }
         }
-        List<ZoneHealth> sights = sights(nowMs);
-        Set<Integer> cold = new HashSet<>();
-        for (int z = 0; z < parts.size(); z++) {
-            if (observer.isCold(nowMs, z)) {
-                cold.add(z);
-            }
-        }
-        boolean tight = observer.isOriginSaturated(nowMs);
-        reports.add(new ZoneHealthReport(settings.instanceId(), settings.homeZone(), sights, cold, tight, plan));
-        homes.add(settings.homeZone());
-        ZoneFaultDetector judge = new ZoneFaultDetector(reports, homes);
-        boolean before = hasQuorum;
-        hasQuorum = judge.hasQuorum() && knows(view);
-        for (int z = 0; z < parts.size(); z++) {
-            judge(nowMs, z, judge, reports);
-        }
-        if (rank(0, reports) < CARRIERS) {
-            carried = plan;
-        }
-        publish(nowMs, reports, sights, cold, tight);
-        return orders(nowMs, reports, hasQuorum && !before && everQuorum);
     }
 
-    /** What an entry says; read anew only where it has changed. */
+    /** Decodes an entry anew only where it has changed. */
     @SuppressWarnings("ReferenceEquality") // immutable: the same entry says the same
-    private ZoneHealthReport read(Entry e) {
-        Read before = read.get(e.id());
-        if (before == null || before.entry() != e) {
-            before = new Read(
-                    e, ZoneHealthReport.decode(e.id(), e.zone(), e.note(HEALTH_NOTE), e.note(PLAN_NOTE), parts.size()));
-            read.put(e.id(), before);
+    private ZoneHealthReport decoded(Entry entry) {
+        DecodedEntry known = decodedEntries.get(entry.id());
+        if (known == null || known.entry() != entry) {
+            byte[] health = entry.note(HEALTH_NOTE);
+            byte[] planNote = entry.note(PLAN_NOTE);
+            known = new DecodedEntry(
+                    entry, ZoneHealthReport.decode(entry.id(), entry.zone(), health, planNote, trackers.size()));
+            decodedEntries.put(entry.id(), known);
+        }
+        return known.report();
+    }
+
+    private ZoneHealthReport ownReport(double nowMs) {
+        List<ZoneHealth> health = new ArrayList<>();
+        Set<Integer> coldZones = new HashSet<>();
+        for (int z = 0; z < trackers.size(); z++) {
+            health.add(monitor.health(nowMs, z));
+            if (monitor.isCold(nowMs, z)) {
+                coldZones.add(z);
+            }
         }
-        return before.report();
+        boolean originSaturated = monitor.isOriginSaturated(nowMs);
+        return new ZoneHealthReport(
+                settings.instanceId(), settings.homeZone(), health, coldZones, originSaturated, plan());
     }
 
-    /** Who has just started has met too few to know where the fleet stands. */
-    private static boolean knows(View view) {
+    /** An instance that has just started has met too few to know how the fleet stands. */
+    private static boolean hasMetMost(View view) {
         return view.configured() == null
                 || 2 * view.entries().size() > view.configured().count();
     }
 
-    private List<ZoneHealth> sights(double nowMs) {
-        List<ZoneHealth> all = new ArrayList<>();
-        for (int z = 0; z < parts.size(); z++) {
-            all.add(observer.health(nowMs, z));
-        }
-        return all;
-    }
-
-    @SuppressWarnings("ReferenceEquality") // a join gives back the same plan where nothing is new
-    private void adopt(double nowMs, ZoneHealthReport r) {
-        FailoverPlan joined = plan.join(r.plan());
-        if (joined == plan) {
+    private void decideIfDue(double nowMs, int zone, ZoneFaultDetector detector, List<ZoneHealthReport> reports) {
+        ZoneTracker tracker = trackers.get(zone);
+        Verdict verdict = detector.verdict(zone);
+        tracker.onVerdict(nowMs, verdict);
+        ZoneDecision decision = new ZoneDecision(nowMs, zone, plan(), tracker, detector, settings.warmUpMs());
+        ZoneState proposal = decision.next(quorum);
+        tracker.onProposal(nowMs, proposal);
+        if (proposal == null) {
             return;
         }
-        for (int z = 0; z < parts.size(); z++) {
-            if (!joined.stateOf(z).equals(plan.stateOf(z))) {
-                changed(nowMs, z, plan.stateOf(z), joined.stateOf(z), "heard from instance " + r.instance());
-            }
-        }
-        plan = joined;
-    }
-
-    private void judge(double nowMs, int zone, ZoneFaultDetector judge, List<ZoneHealthReport> reports) {
-        Part p = parts.get(zone);
-        Verdict v = judge.verdict(zone);
-        p.verdict = v;
-        if (v == Verdict.DEGRADED) {
-            p.poorMs = nowMs - p.lastPoorMs > GAP_MS ? nowMs : p.poorMs;
-            p.lastPoorMs = nowMs;
-            p.lastSoundMs = Double.NEGATIVE_INFINITY;
-        }
-        if (v == Verdict.HEALTHY) {
-            p.soundMs = nowMs - p.lastSoundMs > GAP_MS ? nowMs : p.soundMs;
-            p.lastSoundMs = nowMs;
-        }
-        ZoneState s = plan.stateOf(zone);
-        ZoneState wish = wish(nowMs, zone, judge);
-        if (wish == null) {
-            p.wish = null;
-            return;
-        }
-        if (!wish.equals(p.wish)) {
-            p.wish = wish;
-            p.wishedMs = nowMs;
-        }
-        int rank = rank(zone, reports);
-        if (nowMs - p.wishedMs >= (rank < LAST_TURN ? rank * TURN_MS : OTHERS_TURN_MS)) {
-            decide(
-                    nowMs,
-                    zone,
-                    wish,
-                    switch (s.cause()) {
-                        case EVIDENCE -> "found " + v.displayName() + " by " + reports.size() + " instances";
-                        default -> "going on with an operator's order";
-                    });
-        }
-    }
-
-    /** What should be decided of a zone now; null for nothing. */
-    private ZoneState wish(double nowMs, int zone, ZoneFaultDetector judge) {
-        Part p = parts.get(zone);
-        ZoneState s = plan.stateOf(zone);
-        double since = nowMs - p.changedMs;
-        return switch (s.cause()) {
-            case HOLD -> null;
-            case LEAVE ->
-                s.openParts() > 0 && since >= (p.overStepMs > 0 ? p.overStepMs : TAKE_OVER_MS)
-                        ? s.next(s.openParts() - 1, Cause.LEAVE, s.leaveCount())
-                        : null;
-            case RETURN ->
-                s.openParts() == ZoneState.ALL_PARTS
-                        ? s.next(s.openParts(), Cause.EVIDENCE, 0)
-                        : up(nowMs, zone, judge);
-            case EVIDENCE -> hasQuorum ? byEvidence(nowMs, zone, judge) : null;
-        };
-    }
-
-    private ZoneState byEvidence(double nowMs, int zone, ZoneFaultDetector judge) {
-        Part p = parts.get(zone);
-        ZoneState s = plan.stateOf(zone);
-        double since = nowMs - p.changedMs;
-        boolean whole = s.openParts() == ZoneState.ALL_PARTS;
-        return switch (p.verdict) {
-            case UNREACHABLE -> plan.lowered(zone, 0, s.leaveCount() + 1);
-            case DEGRADED ->
-                nowMs - p.poorMs < RecoveryRamp.DEGRADED_BEFORE_DRAIN_MS
-                                || since < RecoveryRamp.DEGRADED_BEFORE_DRAIN_MS
-                                || !othersWhole(zone)
-                        ? null
-                        : plan.lowered(
-                                zone,
-                                Math.max(0, s.openParts() - RecoveryRamp.DRAIN_STEP_PARTS),
-                                whole || p.rising ? s.leaveCount() + 1 : s.leaveCount());
-            case HEALTHY ->
-                whole
-                        ? forget(since, s)
-                        : !p.rising && nowMs - p.soundMs < RecoveryRamp.requiredHealthyMs(s.leaveCount(), p.wasPoor)
-                                ? null
-                                : up(nowMs, zone, judge);
-            // The fewer of its keys are left the less is seen of it: what began as poor goes on unless it is found
-            // sound.
-            case UNCERTAIN ->
-                whole
-                        ? forget(since, s)
-                        : s.openParts() > 0
-                                        && p.wasPoor
-                                        && othersWhole(zone)
-                                        && since >= 2 * RecoveryRamp.DEGRADED_BEFORE_DRAIN_MS
-                                        && nowMs - p.lastSoundMs > GAP_MS
-                                ? plan.lowered(
-                                        zone,
-                                        Math.max(0, s.openParts() - RecoveryRamp.DRAIN_STEP_PARTS),
-                                        s.leaveCount())
-                                : null;
-        };
-    }
-
-    /**
-     * Whether no other zone is left. While one is, the rest have its keys beside their own, and what is slow there is
-     * slow for that: to leave it as well would be to leave one after another.
-     */
-    private boolean othersWhole(int zone) {
-        for (int z = 0; z < parts.size(); z++) {
-            if (z != zone && plan.stateOf(z).openParts() < ZoneState.ALL_PARTS) {
-                return false;
+        int rank = InstanceRanking.rank(zone, settings.instanceId(), reports);
+        if (nowMs - tracker.proposedMs >= (rank < TURNS ? rank * TURN_MS : OTHERS_TURN_MS)) {
+            String reason = plan().stateOf(zone).cause() == Cause.EVIDENCE
+                    ? "found " + verdict.displayName() + " by " + reports.size() + " instances"
+                    : "going on with an operator's order";
+            planState.decide(nowMs, zone, proposal, reason);
+        }
+    }
+
+    private List<ZoneDirective> directives(double nowMs, List<ZoneHealthReport> reports, boolean quorumRegained) {
+        List<ZoneDirective> directives = new ArrayList<>();
+        for (int z = 0; z < trackers.size(); z++) {
+            ZoneTracker tracker = trackers.get(z);
+            int openParts = effectiveParts(z);
+            boolean probes = openParts < ZoneState.ALL_PARTS
+                    && quorum
+                    && plan().stateOf(z).cause() == Cause.EVIDENCE
+                    && nowMs - tracker.probedMs >= PROBE_INTERVAL_MS
+                    && InstanceRanking.isProber(z, settings.instanceId(), reports);
+            boolean resetHealth = openParts > 0 && (tracker.directedParts == 0 || quorumRegained);
+            if (probes) {
+                tracker.probedMs = nowMs;
             }
-        }
-        return true;
-    }
-
-    private static ZoneState forget(double since, ZoneState s) {
-        return s.leaveCount() > 0 && since >= RecoveryRamp.LEAVE_COUNT_DECAY_MS
-                ? s.next(s.openParts(), Cause.EVIDENCE, s.leaveCount() - 1)
-                : null;
-    }
-
-    private ZoneState up(double nowMs, int zone, ZoneFaultDetector judge) {
-        Part p = parts.get(zone);
-        ZoneState s = plan.stateOf(zone);
-        boolean cold = nowMs < p.coldUntilMs || judge.isCold(zone);
-        double step = RecoveryRamp.stepMs(cold, settings.warmUpMs());
-        double since = nowMs - Math.max(p.changedMs, p.soundMs);
-        // A tight origin makes the return slower and does not end it: what is left out has others' nodes miss as well.
-        return nowMs - p.changedMs < step
-                        || (judge.isOriginSaturated() && since < RecoveryRamp.MAX_SATURATED_STEPS * step)
-                ? null
-                : s.next(
-                        Math.min(ZoneState.ALL_PARTS, s.openParts() + RecoveryRamp.stepParts(cold)),
-                        s.cause(),
-                        s.leaveCount());
-    }
-
-    private void decide(double nowMs, int zone, ZoneState decision, String why) {
-        ZoneState before = plan.stateOf(zone);
-        if (decision.equals(before)) {
-            return;
-        }
-        ZoneState next = decision.withEpochAbove(parts.get(zone).floor);
-        decisionCount++;
-        plan = plan.with(zone, next);
-        carried = plan;
-        changed(nowMs, zone, before, next, why);
-    }
-
-    private void changed(double nowMs, int zone, ZoneState before, ZoneState now, String why) {
-        Part p = parts.get(zone);
-        p.rising = now.openParts() > before.openParts();
-        p.wasPoor = now.openParts() > 0 ? !p.rising : p.wasPoor && before.openParts() < ZoneState.ALL_PARTS;
-        p.changedMs = nowMs;
-        p.why = why;
-        p.wish = null;
-        if (now.cause() != Cause.LEAVE) {
-            p.overStepMs = 0;
-        }
-        if (takeTransitions.size() < MOST_EVENTS) {
-            takeTransitions.add(new ZoneTransition(zone, before, now, why));
-        }
-    }
-
-    /**
-     * By which those who live take turns in deciding of a zone, in speaking of it and in trying it; the same at all.
-     */
-    private static long turn(int zone, int instance) {
-        return Entry.mix(instance ^ zone * 0x9e37_79b9_7f4a_7c15L);
-    }
-
-    /** How many come before this instance. */
-    private int rank(int zone, List<ZoneHealthReport> reports) {
-        long mine = turn(zone, settings.instanceId());
-        int before = 0;
-        for (ZoneHealthReport r : reports) {
-            before += turn(zone, r.instance()) < mine ? 1 : 0;
-        }
-        return before;
-    }
-
-    /** Whether this instance is of those who try a zone: from as many zones as can be, from that one last. */
-    private boolean tries(int zone, List<ZoneHealthReport> reports) {
-        List<ZoneHealthReport> ranked = new ArrayList<>(reports);
-        ranked.sort(Comparator.comparingLong(r -> turn(zone, r.instance())));
-        Set<Integer> some = new HashSet<>();
-        Set<Integer> from = new HashSet<>(Set.of(zone));
-        for (int round = 0; round < 2; round++) {
-            for (ZoneHealthReport r : ranked) {
-                if (some.size() < TRIERS && !some.contains(r.instance()) && (from.add(r.homeZone()) || round > 0)) {
-                    some.add(r.instance());
-                }
+            if (openParts != tracker.directedParts || probes || resetHealth) {
+                tracker.directedParts = openParts;
+                directives.add(new ZoneDirective(z, trafficFraction(openParts), probes, resetHealth));
             }
         }
-        return some.contains(settings.instanceId());
+        return directives;
     }
 
-    // ---- what goes out
-
-    private List<ZoneDirective> orders(double nowMs, List<ZoneHealthReport> reports, boolean regained) {
-        everQuorum |= hasQuorum;
-        List<ZoneDirective> orders = new ArrayList<>();
-        for (int z = 0; z < parts.size(); z++) {
-            Part p = parts.get(z);
-            int open = effective(z);
-            boolean tries = open < ZoneState.ALL_PARTS
-                    && hasQuorum
-                    && plan.stateOf(z).cause() == Cause.EVIDENCE
-                    && nowMs - p.triedMs >= TRY_MS
-                    && tries(z, reports);
-            boolean afresh = open > 0 && (p.ordered == 0 || regained);
-            if (tries) {
-                p.triedMs = nowMs;
-            }
-            if (open != p.ordered || tries || afresh) {
-                p.ordered = open;
-                orders.add(new ZoneDirective(z, (double) open / ZoneState.ALL_PARTS, tries, afresh));
-            }
-        }
-        return orders;
+    private static double trafficFraction(int openParts) {
+        return (double) openParts / ZoneState.ALL_PARTS;
     }
 
-    /** What was decided on evidence holds only while enough is heard to take it back. */
-    private int effective(int zone) {
-        return hasQuorum || plan.stateOf(zone).cause() != Cause.EVIDENCE ? plan.openParts(zone) : ZoneState.ALL_PARTS;
+    /** What was decided on evidence holds only with a quorum, which could take it back. */
+    private int effectiveParts(int zone) {
+        return quorum || plan().stateOf(zone).cause() != Cause.EVIDENCE ? plan().openParts(zone) : ZoneState.ALL_PARTS;
     }
 
-    /**
-     * What is published of what is seen: nothing while all is well everywhere. Where something is wrong, each says what
-     * speaks against a zone, some say also what speaks for it, and of a zone that is left those who try it.
-     */
-    private void publish(
-            double nowMs, List<ZoneHealthReport> reports, List<ZoneHealth> sights, Set<Integer> cold, boolean tight) {
-        boolean alarm = reports.stream().anyMatch(r -> r.health().stream().anyMatch(ZoneHealth::isFaulty));
-        List<ZoneHealth> said = new ArrayList<>();
-        Set<Integer> saidCold = new HashSet<>();
-        boolean lost = false;
-        boolean left = false;
-        boolean speaks = rank(0, reports) < SPEAKERS;
-        for (int z = 0; z < sights.size(); z++) {
-            Part p = parts.get(z);
-            ZoneHealth s = sights.get(z);
-            p.badMs = !s.isFaulty() ? Double.NaN : Double.isNaN(p.badMs) ? nowMs : p.badMs;
-            boolean whole = plan.stateOf(z).openParts() == ZoneState.ALL_PARTS;
-            boolean says = s.isFaulty()
-                    ? speaks || (nowMs - p.badMs >= OTHERS_SPEAK_MS && plan.openParts(z) > 0)
-                    : s == ZoneHealth.HEALTHY && ((alarm && speaks) || (!whole && tries(z, reports)));
-            said.add(says ? s : ZoneHealth.UNKNOWN);
-            lost |= says && s == ZoneHealth.UNREACHABLE;
-            left |= !whole;
-            if (says && cold.contains(z) && !whole) {
-                saidCold.add(z);
-            }
-        }
-        byte[] note = ZoneHealthReport.encode(said, saidCold, left && tight);
-        if (!Arrays.equals(note, healthNote) && (lost || nowMs - publishedMs >= PUBLISH_MS)) {
-            healthNote = note;
-            publishedMs = nowMs;
-        }
-    }
+    // ---- what is decided
 
-    /** What is decided as far as this instance is to say so, for the note {@link #PLAN_NOTE}. */
+    /** The plan as far as this instance is to publish it, for the note {@link #PLAN_NOTE}. */
     public byte[] planNote() {
-        return carried.encode();
+        return planState.publishedPlan().encode();
     }
 
-    /** What is seen, for the note {@link #HEALTH_NOTE}. */
+    /** The zones' health as far as this instance is to publish it, for the note {@link #HEALTH_NOTE}. */
     public byte[] healthNote() {
-        return healthNote.clone();
+        return publisher.note();
     }
 
-    /** What has happened since this was asked last, the first {@value #MOST_EVENTS}. */
+    /** The transitions since the last call, the first 64 of them. */
     public List<ZoneTransition> takeTransitions() {
-        List<ZoneTransition> all = List.copyOf(takeTransitions);
-        takeTransitions.clear();
-        return all;
+        return planState.takeTransitions();
     }
 
-    /** What is decided. */
+    /** What is decided of all zones. */
     public FailoverPlan plan() {
-        return plan;
+        return planState.plan();
     }
 
     /** Whether enough of the fleet is heard to decide for it. */
     public boolean hasQuorum() {
-        return hasQuorum;
+        return quorum;
     }
 
     /** Decisions that this instance was the first to make. */
     public long decisionCount() {
-        return decisionCount;
+        return planState.decisionCount();
     }
 
     /** How each zone stands. */
     public List<ZoneStatus> status(double nowMs) {
-        List<ZoneStatus> all = new ArrayList<>();
-        for (int z = 0; z < parts.size(); z++) {
-            Part p = parts.get(z);
-            all.add(new ZoneStatus(
+        List<ZoneStatus> status = new ArrayList<>();
+        for (int z = 0; z < trackers.size(); z++) {
+            ZoneTracker tracker = trackers.get(z);
+            status.add(new ZoneStatus(
                     z,
-                    (double) effective(z) / ZoneState.ALL_PARTS,
-                    plan.stateOf(z),
-                    observer.health(nowMs, z),
-                    p.verdict.displayName(),
-                    nowMs - p.changedMs,
-                    p.why));
-        }
-        return all;
+                    trafficFraction(effectiveParts(z)),
+                    plan().stateOf(z),
+                    monitor.health(nowMs, z),
+                    tracker.verdict.displayName(),
+                    nowMs - tracker.changedMs,
+                    tracker.changeReason));
+        }
+        return status;
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/failover/ZoneHealthPublisher.java
@@ -0,0 +1,70 @@
+package cacheproxy.failover;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * Decides what an instance publishes of the zones' health: nothing while all are healthy. Where one is at fault, each
+ * says what speaks against a zone, some say also what speaks for it, and of a zone that is left its probers do. Times
+ * in milliseconds.
+ */
+final class ZoneHealthPublisher {
+    /** So many publish what they see at once; the others only if nothing has come of that after some time. */
+    private static final int FIRST_REPORTERS = 12;
+
+    private static final double OTHERS_DELAY_MS = 1200;
+    /** Between two notes, unless a zone is unreachable. */
+    private static final double MIN_INTERVAL_MS = 400;
+
+    private byte[] note = {};
+    private double publishedMs = Double.NEGATIVE_INFINITY;
+
+    /** The note as it is to be published now. */
+    byte[] note() {
+        return note.clone();
+    }
+
+    /**
+     * Takes what is seen now.
+     *
+     * @param own this instance's report, with all that it sees
+     * @param reports of all live instances, its own included
+     */
+    void update(
+            double nowMs,
+            ZoneHealthReport own,
+            List<ZoneHealthReport> reports,
+            FailoverPlan plan,
+            List<ZoneTracker> trackers) {
+        boolean alarm = reports.stream().anyMatch(r -> r.health().stream().anyMatch(ZoneHealth::isFaulty));
+        boolean isFirst = InstanceRanking.rank(0, own.instance(), reports) < FIRST_REPORTERS;
+        List<ZoneHealth> published = new ArrayList<>();
+        Set<Integer> coldZones = new HashSet<>();
+        boolean unreachable = false;
+        boolean anyLeft = false;
+        for (int z = 0; z < own.health().size(); z++) {
+            ZoneHealth health = own.health().get(z);
+            ZoneTracker tracker = trackers.get(z);
+            tracker.onOwnHealth(nowMs, health);
+            boolean left = plan.stateOf(z).openParts() < ZoneState.ALL_PARTS;
+            boolean isPublished = health.isFaulty()
+                    ? isFirst || (nowMs - tracker.faultySinceMs >= OTHERS_DELAY_MS && plan.openParts(z) > 0)
+                    : health == ZoneHealth.HEALTHY
+                            && ((alarm && isFirst) || (left && InstanceRanking.isProber(z, own.instance(), reports)));
+            published.add(isPublished ? health : ZoneHealth.UNKNOWN);
+            unreachable |= isPublished && health == ZoneHealth.UNREACHABLE;
+            anyLeft |= left;
+            if (isPublished && left && own.coldZones().contains(z)) {
+                coldZones.add(z);
+            }
+        }
+        byte[] next = ZoneHealthReport.encode(published, coldZones, anyLeft && own.originSaturated());
+        if (!Arrays.equals(next, note) && (unreachable || nowMs - publishedMs >= MIN_INTERVAL_MS)) {
+            note = next;
+            publishedMs = nowMs;
+        }
+    }
+}
