--- a/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
@@ -110,7 +110,7 @@
             end(attempt, AttemptOutcome.NOT_SENT);
             return;
         }
-        boolean unsent = attempt.connection.giveUp(attempt);
+        boolean unsent = attempt.connection.abandon(attempt);
         end(attempt, unsent ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT);
     }
 
@@ -125,11 +125,11 @@
         UpstreamConnection connection = attempt.connection;
         boolean mustEndAlone =
                 !attempt.request.isCompleted() && !settings.routing().hedgingAllowed();
-        if (mustEndAlone && connection != null && !connection.endsAlone()) {
+        if (mustEndAlone && connection != null && !connection.isAlone()) {
             return;
         }
         if (connection != null) {
-            connection.giveUp(attempt);
+            connection.abandon(attempt);
         }
         endSerially(attempt, AttemptOutcome.CANCELLED);
     }
@@ -138,7 +138,7 @@
     void cancelStreams(ClientRequest request) {
         for (RequestAttempt attempt : request.attempts) {
             if (attempt.isStreaming() && !attempt.ended) {
-                attempt.connection.giveUp(attempt);
+                attempt.connection.abandon(attempt);
                 end(attempt, AttemptOutcome.CANCELLED);
             }
         }
@@ -152,7 +152,7 @@
     /** Ends those attempts of a request of which nothing has gone out. */
     void endUnsent(ClientRequest request) {
         for (RequestAttempt attempt : request.attempts) {
-            if (!attempt.ended && (attempt.connection == null || attempt.connection.takeBack(attempt))) {
+            if (!attempt.ended && (attempt.connection == null || attempt.connection.removeUnsent(attempt))) {
                 end(attempt, AttemptOutcome.NOT_SENT);
             }
         }
--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -25,7 +25,7 @@
     private final ProxyClock clock;
     private final Timers timers;
     private final RequestSettings settings;
-    private final Servers servers;
+    private final UpstreamServers servers;
     private final Counters counters;
     private final RuleMonitor rules;
     private final SerialLoadBalancer loadBalancer;
@@ -37,7 +37,7 @@
             ProxyClock clock,
             Timers timers,
             RequestSettings settings,
-            Servers servers,
+            UpstreamServers servers,
             Counters counters,
             RuleMonitor rules,
             SerialLoadBalancer loadBalancer,
@@ -63,8 +63,8 @@
         double now = clock.now();
         double remainingMs = request.deadlineMs - now;
         double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
-        Upstream upstream = servers.get(server);
-        SafetyRules.Location place = upstream == null ? UNKNOWN_PLACE : upstream.place;
+        UpstreamServer upstream = servers.get(server);
+        SafetyRules.Location place = upstream == null ? UNKNOWN_PLACE : upstream.location;
         RequestAttempt attempt = new RequestAttempt(request, request.attempts.size(), server, place, now, now + waitMs);
         count(request, upstream);
         request.attempts.add(attempt);
@@ -97,7 +97,7 @@
      */
     boolean mayBegin(RequestAttempt attempt) {
         ClientRequest request = attempt.request;
-        Upstream upstream = servers.get(attempt.server);
+        UpstreamServer upstream = servers.get(attempt.server);
         boolean serverReady = upstream != null && upstream.ready;
         if (attempt.isHealthCheck()) {
             return serverReady;
@@ -110,7 +110,7 @@
                         request.serviceClass,
                         Math.min(attempt.expiresMs, request.deadlineMs) - now,
                         serverReady,
-                        attempt.place,
+                        attempt.location,
                         attempt.index,
                         Math.min(request.maxAttempts, settings.routing().maxAttempts()),
                         settings.routing().hedgingAllowed(),
@@ -133,7 +133,7 @@
         }
     }
 
-    private void count(ClientRequest request, Upstream upstream) {
+    private void count(ClientRequest request, UpstreamServer upstream) {
         counters.increment(Metric.ATTEMPTS);
         if (!request.attempts.isEmpty()) {
             counters.increment(request.attemptsInFlight > 0 ? Metric.HEDGES : Metric.RETRIES);
@@ -151,7 +151,7 @@
 
     /** Starts a health check of a server; its result goes to the load balancer. */
     void startHealthCheck(int server) {
-        Upstream upstream = servers.get(server);
+        UpstreamServer upstream = servers.get(server);
         counters.increment(Metric.HEALTH_CHECKS);
         double now = clock.now();
         RequestAttempt check = new RequestAttempt(null, 0, server, UNKNOWN_PLACE, now, now + HEALTH_CHECK_TIMEOUT_MS);
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -26,7 +26,7 @@
     CacheCodec(UpstreamConnection connection) {
         this.connection = connection;
         this.dispatcher = connection.dispatcher();
-        connection.use(this);
+        connection.setCodec(this);
     }
 
     @Override
@@ -46,20 +46,20 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object input) throws Exception {
-        connection.reading(true);
+        connection.setReading(true);
         super.channelRead(ctx, input);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
-        connection.reading(false);
+        connection.setReading(false);
         super.channelReadComplete(ctx);
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
         try {
-            if (connection.head() == null) { // whole or not: the next answer would begin with it
+            if (connection.currentAttempt() == null) { // whole or not: the next answer would begin with it
                 throw new MetaCodec.SyntaxException("answer to nothing");
             }
             if (missing >= 0) {
@@ -69,24 +69,24 @@
                 if (line != null) {
                     answer(line);
                 } else if (in.isReadable()) {
-                    connection.partial();
+                    connection.responseProgressed();
                 }
             }
         } catch (MetaCodec.SyntaxException e) {
             in.skipBytes(in.readableBytes());
             missing = -1;
-            connection.garbage(e.getMessage());
+            connection.protocolError(e.getMessage());
         }
     }
 
     private void answer(String line) throws MetaCodec.SyntaxException {
-        RequestAttempt attempt = connection.head();
+        RequestAttempt attempt = connection.currentAttempt();
         if (attempt.request == null) {
             probed(line);
         } else if (line.startsWith(MetaCodec.BUSY)) {
-            connection.ended(AttemptOutcome.REJECTED, 0, report(line), null);
+            connection.responseCompleted(AttemptOutcome.REJECTED, 0, report(line), null);
         } else if (line.startsWith("SERVER_ERROR")) {
-            connection.ended(AttemptOutcome.ERROR, 0, report(line), null);
+            connection.responseCompleted(AttemptOutcome.ERROR, 0, report(line), null);
         } else if (line.startsWith("VA ") && !attempt.request.command.write) {
             String word = MetaCodec.wordAt(line, 3);
             length = MetaCodec.length(word);
@@ -94,7 +94,7 @@
             missing = length + 2;
             streamed = length > MetaCodec.WHOLE;
             if (streamed) {
-                dropped = !connection.begin(length);
+                dropped = !connection.beginValue(length);
             }
         } else if (line.startsWith("HD ") && attempt.request.command.write) {
             flags(attempt, line, 3);
@@ -102,10 +102,10 @@
             if (receipt == null) {
                 throw new MetaCodec.SyntaxException("no receipt");
             }
-            connection.ended(AttemptOutcome.OK, note, report, new ServerResponse.Receipt(receipt));
+            connection.responseCompleted(AttemptOutcome.OK, note, report, new ServerResponse.Receipt(receipt));
         } else if (line.startsWith("EN")) {
             flags(attempt, line, 3);
-            connection.ended(AttemptOutcome.MISS, note, report, null);
+            connection.responseCompleted(AttemptOutcome.MISS, note, report, null);
         } else {
             throw new MetaCodec.SyntaxException("unknown line");
         }
@@ -132,14 +132,14 @@
     private void value(ByteBuf in) throws MetaCodec.SyntaxException {
         if (!streamed) {
             if (in.readableBytes() < missing) {
-                connection.partial();
+                connection.responseProgressed();
                 return;
             }
             end(in, in.readerIndex() + length);
             ByteBuf value = in.readRetainedSlice(length);
             in.skipBytes(2);
             missing = -1;
-            connection.ended(AttemptOutcome.OK, note, report, new ServerResponse.Value(value));
+            connection.responseCompleted(AttemptOutcome.OK, note, report, new ServerResponse.Value(value));
             return;
         }
         // The value's end of line is passed on only when it is seen to be one.
@@ -149,14 +149,15 @@
             if (dropped) {
                 in.skipBytes(n);
             } else {
-                connection.part(in.readRetainedSlice(n));
+                connection.writePart(in.readRetainedSlice(n));
             }
         }
         if (missing == 2 && in.readableBytes() >= 2) {
             end(in, in.readerIndex());
             in.skipBytes(2);
             missing = -1;
-            connection.ended(AttemptOutcome.OK, note, report, dropped ? null : ServerResponse.EndOfValue.INSTANCE);
+            connection.responseCompleted(
+                    AttemptOutcome.OK, note, report, dropped ? null : ServerResponse.EndOfValue.INSTANCE);
         }
     }
 
@@ -174,14 +175,14 @@
             boolean ok = line.equals("MN") || line.equals("END");
             float[] figures = MetaCodec.report(stats, dispatcher.loadReports().fields());
             stats = "";
-            connection.ended(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null);
+            connection.responseCompleted(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) throws Exception {
         super.channelInactive(ctx);
-        connection.closed();
+        connection.channelClosed();
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/ClientRequest.java
@@ -70,7 +70,7 @@
             if (attempt != excluded) {
                 boolean inFlight = !attempt.ended;
                 others.add(new SafetyRules.EarlierAttempt(
-                        attempt.sentMs, attempt.place, inFlight, inFlight || attempt.mayHaveRun));
+                        attempt.sentMs, attempt.location, inFlight, inFlight || attempt.mayHaveRun));
             }
         }
         return others;
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -58,7 +58,7 @@
     /** Provenance and age of what is in use that was not observed by this process. */
     private final ProvenanceTracker provenance = new ProvenanceTracker();
 
-    private final Servers servers;
+    private final UpstreamServers servers;
     private final SerialExecutor executor;
     private final SerialLoadBalancer loadBalancer;
     private final RequestCompletion completion;
@@ -95,7 +95,7 @@
         failures = new ConnectionFailures(counters, log);
         loadReports = new LoadReports(settings);
         bufferLimits = new BufferLimits(config.memoryMb());
-        servers = new Servers(this, bootstrap(loop, upstream), config.sockets() / UPSTREAM_SOCKETS_PART);
+        servers = new UpstreamServers(this, bootstrap(loop, upstream), config.sockets() / UPSTREAM_SOCKETS_PART);
         executor = new SerialExecutor(log);
         loadBalancer = new SerialLoadBalancer(executor, clock);
         completion = new RequestCompletion(clock, settings, requests, metrics, rules, this::endUnsentAttempts);
@@ -233,7 +233,7 @@
     // ---- servers: attempts
 
     /** The servers of the endpoint list, with the connections to them. */
-    Servers servers() {
+    UpstreamServers servers() {
         return servers;
     }
 
--- a/src/main/java/cacheproxy/proxy/EndpointListEvents.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListEvents.java
@@ -16,7 +16,7 @@
  */
 final class EndpointListEvents implements EndpointListPublisher.Subscriber {
     private final RequestSettings settings;
-    private final Servers servers;
+    private final UpstreamServers servers;
     private final SerialExecutor executor;
     private final SerialLoadBalancer loadBalancer;
     private final PeerLinks peerLinks;
@@ -27,7 +27,7 @@
 
     EndpointListEvents(
             RequestSettings settings,
-            Servers servers,
+            UpstreamServers servers,
             SerialExecutor executor,
             SerialLoadBalancer loadBalancer,
             PeerLinks peerLinks,
@@ -68,9 +68,9 @@
 
     @Override
     public void onEndpoints(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints) {
-        servers.listed(kind, endpoints, settings.config().streamsPerConnection());
+        servers.update(kind, endpoints, settings.config().streamsPerConnection());
         boolean accepted = loadBalancer.endpointsChanged(kind, endpoints);
-        executor.runSerially(servers::withdraw);
+        executor.runSerially(servers::endUnsent);
         if (!accepted) {
             throw new EndpointListRejectedException("the load balancer failed on an update of the endpoint list");
         }
--- a/src/main/java/cacheproxy/proxy/MetricsLog.java
+++ b/src/main/java/cacheproxy/proxy/MetricsLog.java
@@ -38,7 +38,7 @@
         for (Metric metric : Metric.values()) {
             counts.put(metric, counters.count(metric));
         }
-        List<MetricsLine.Node> nodes = dispatcher.servers().troubled();
+        List<MetricsLine.Node> nodes = dispatcher.servers().unhealthyNodes();
         long cpuMs = ProcessHandle.current()
                 .info()
                 .totalCpuDuration()
--- a/src/main/java/cacheproxy/proxy/NodeTalk.java
+++ b/src/main/java/cacheproxy/proxy/NodeTalk.java
@@ -35,7 +35,7 @@
 
     /** The decision module has met this at a server. */
     void saw(int server, EndpointSignal what) {
-        Upstream u = dispatcher.servers().get(server);
+        UpstreamServer u = dispatcher.servers().get(server);
         if (what != EndpointSignal.UNRESPONSIVE || u == null || u.origin) {
             return;
         }
@@ -51,7 +51,7 @@
     /** A peer says that a node is silent. */
     void heard(int peer, byte[] message) {
         Integer server = PeerMessage.readEndpointUnresponsive(message);
-        Upstream u = server == null ? null : dispatcher.servers().get(server);
+        UpstreamServer u = server == null ? null : dispatcher.servers().get(server);
         if (u == null || u.origin) {
             return;
         }
@@ -66,7 +66,7 @@
         }
         Integer zone = zones.get(peer);
         OutlierGossip.ReportedNode node = new OutlierGossip.ReportedNode(
-                server, u.place.zone(), dispatcher.servers().inZone(u.place.zone()));
+                server, u.location.zone(), dispatcher.servers().cacheNodesInZone(u.location.zone()));
         if (zone != null && bad.onReport(now, peer, zone, node, zones.size(), new HashSet<>(zones.values()).size())) {
             dispatcher.peerLinks().messageReceived(peer, PeerSocket.Kind.MODULE, message);
         }
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -50,7 +50,7 @@
     private OriginCodec(UpstreamConnection connection) {
         this.connection = connection;
         this.dispatcher = connection.dispatcher();
-        connection.use(this);
+        connection.setCodec(this);
     }
 
     static ChannelHandler[] handlers(UpstreamConnection connection) {
@@ -71,14 +71,14 @@
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            if (connection.head() != null) {
+            if (connection.currentAttempt() != null) {
                 super.decode(ctx, in, out);
                 return;
             }
             boolean lineEnds = in.forEachByte(b -> b == '\r' || b == '\n') < 0; // which are no answer's beginning
             in.skipBytes(in.readableBytes());
             if (!lineEnds) {
-                connection.garbage("answer to nothing");
+                connection.protocolError("answer to nothing");
             }
         }
     }
@@ -108,14 +108,16 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        connection.reading(false);
+        connection.setReading(false);
         ctx.fireChannelReadComplete();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        connection.reading(true);
-        if (broken || connection.cutOff()) { // the decoder makes a body without length whole when the connection ends
+        connection.setReading(true);
+        if (broken
+                || connection
+                        .closedLocally()) { // the decoder makes a body without length whole when the connection ends
             return;
         }
         if (message.decoderResult().isFailure()) {
@@ -134,7 +136,7 @@
     }
 
     private void begin(ChannelHandlerContext ctx, HttpResponse r) {
-        RequestAttempt attempt = connection.head();
+        RequestAttempt attempt = connection.currentAttempt();
         if (r.status().code() < 200) {
             response = null;
             return;
@@ -160,8 +162,8 @@
         body = null;
         if (!streamed) {
             body = new ValueBuffer(ctx.alloc(), missing < 0 ? MetaCodec.MAX_VALUE : (int) missing);
-            connection.partial();
-        } else if (connection.begin((int) missing)) {
+            connection.responseProgressed();
+        } else if (connection.beginValue((int) missing)) {
             return;
         } else {
             streamed = false; // nobody waits: what comes is read and dropped
@@ -185,7 +187,7 @@
         ByteBuf part = content.content();
         if (streamed) {
             if (part.isReadable()) {
-                connection.part(part.retain());
+                connection.writePart(part.retain());
             }
         } else if (body != null) {
             int length = body.length() + part.readableBytes();
@@ -195,7 +197,7 @@
                 fail("no room for it");
             } else {
                 body.add(part, part.readableBytes());
-                connection.partial();
+                connection.responseProgressed();
             }
         }
     }
@@ -223,19 +225,19 @@
         if (!HttpUtil.isKeepAlive(r) || !HttpUtil.isContentLengthSet(r) && !HttpUtil.isTransferEncodingChunked(r)) {
             connection.retire();
         }
-        RequestAttempt attempt = connection.head();
+        RequestAttempt attempt = connection.currentAttempt();
         float[] report = dispatcher.loadReports().parse(r.headers().get(LOAD));
         int code = r.status().code();
         if (attempt.request == null) {
             release(whole);
-            connection.ended(code == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, report, null);
+            connection.responseCompleted(code == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, report, null);
         } else if (code == 200) {
-            connection.ended(AttemptOutcome.OK, 0, report, answer(attempt.request.command, whole));
+            connection.responseCompleted(AttemptOutcome.OK, 0, report, answer(attempt.request.command, whole));
         } else {
             release(whole);
             boolean declined =
                     (code == 503 || code == 504) && "1".equals(r.headers().get("Srv-Declined"));
-            connection.ended(declined ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR, 0, report, null);
+            connection.responseCompleted(declined ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR, 0, report, null);
         }
     }
 
@@ -271,14 +273,14 @@
     private void fail(String what) {
         broken = true;
         drop();
-        connection.garbage(what);
+        connection.protocolError(what);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         broken = true;
         drop();
-        connection.closed();
+        connection.channelClosed();
     }
 
     /** A body that only the connection's end ends is whole if that is an orderly one (RFC 9112, 6.3). */
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -53,7 +53,7 @@
         this.acceptor = acceptor;
         this.listExpired = listExpired;
         progress = new RecoveryProgress(dispatcher.startedMs());
-        if (dispatcher.servers().discovered() > 0) {
+        if (dispatcher.servers().cacheNodeCount() > 0) {
             progress.listAvailable(dispatcher.now(), firstHand);
         }
         dispatcher.addEndpointListListener(this::listed);
@@ -64,7 +64,7 @@
     private void listed(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
             progress.listAvailable(dispatcher.now(), true);
-        } else if (kind == EndpointUpdateKind.CACHED && dispatcher.servers().discovered() == 0) {
+        } else if (kind == EndpointUpdateKind.CACHED && dispatcher.servers().cacheNodeCount() == 0) {
             progress.listLost();
         }
     }
--- a/src/main/java/cacheproxy/proxy/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/RequestAttempt.java
@@ -16,7 +16,7 @@
     /** When the proxy stops waiting for it, on the same clock. */
     final double expiresMs;
     /** The location of its server. */
-    final SafetyRules.Location place;
+    final SafetyRules.Location location;
 
     /** The connection it was assigned to; null before. */
     UpstreamConnection connection;
@@ -37,7 +37,7 @@
         this.request = request;
         this.index = index;
         this.server = server;
-        this.place = place;
+        this.location = place;
         this.sentMs = sentMs;
         this.expiresMs = expiresMs;
     }
--- a/src/main/java/cacheproxy/proxy/RoutingOrders.java
+++ b/src/main/java/cacheproxy/proxy/RoutingOrders.java
@@ -18,7 +18,7 @@
     private final RequestCompletion completion;
     private final SerialLoadBalancer loadBalancer;
     private final Timers timers;
-    private final Servers servers;
+    private final UpstreamServers servers;
     private final EventLog log;
     private final PeerLinks peerLinks;
     private final EndpointListSource discovery;
@@ -32,7 +32,7 @@
             RequestCompletion completion,
             SerialLoadBalancer loadBalancer,
             Timers timers,
-            Servers servers,
+            UpstreamServers servers,
             EventLog log,
             PeerLinks peerLinks,
             EndpointListSource discovery,
@@ -99,7 +99,7 @@
 
     @Override
     public void closeIdle(int server) {
-        Upstream upstream = servers.get(server);
+        UpstreamServer upstream = servers.get(server);
         if (upstream != null) {
             upstream.closeIdle(Double.MAX_VALUE);
         }
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -95,13 +95,13 @@
     private void take() {
         Map<Integer, Integer> zoneOf = new HashMap<>();
         Map<Integer, Integer> inZone = new HashMap<>();
-        dispatcher.servers().nodes().forEach(u -> {
-            zoneOf.put(u.id, u.place.zone());
-            inZone.merge(u.place.zone(), 1, Integer::sum);
+        dispatcher.servers().cacheNodes().forEach(u -> {
+            zoneOf.put(u.id, u.location.zone());
+            inZone.merge(u.location.zone(), 1, Integer::sum);
         });
         Result r = recall.result(zoneOf, inZone);
         List<EndpointHealthRecord> doubts = r.suspectedNodes().stream()
-                .map(id -> new EndpointHealthRecord(id, dispatcher.servers().get(id).bornMs, 1, 0, 0))
+                .map(id -> new EndpointHealthRecord(id, dispatcher.servers().get(id).startTimeMs, 1, 0, 0))
                 .toList();
         double now = dispatcher.now();
         dispatcher.resume(Map.of(
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -33,7 +33,7 @@
     /** A server that has no place for a connection ends it right behind its answer. */
     private static final double PLACE_MS = 5;
 
-    private final Upstream upstream;
+    private final UpstreamServer upstream;
     private final ArrayDeque<RequestAttempt> attempts = new ArrayDeque<>(4);
     private Codec codec;
     private Channel channel;
@@ -56,7 +56,7 @@
     /** The first attempt, where it was turned away and it is not yet known why. */
     private RequestAttempt turnedAway;
 
-    UpstreamConnection(Upstream upstream) {
+    UpstreamConnection(UpstreamServer upstream) {
         this.upstream = upstream;
         idleSinceMs = upstream.dispatcher().now();
     }
@@ -65,11 +65,11 @@
         return upstream.dispatcher();
     }
 
-    void use(Codec by) {
+    void setCodec(Codec by) {
         codec = by;
     }
 
-    void opening(ChannelFuture future, SocketAddress to) {
+    void connecting(ChannelFuture future, SocketAddress to) {
         channel = Connecting.channel(future);
         dial = to;
         Connecting.whenDone(upstream.dispatcher().loop(), future, () -> {
@@ -77,7 +77,7 @@
                 opened();
             } else {
                 upstream.dispatcher().counters().increment(Metric.CONNECTIONS_FAILED);
-                closed();
+                channelClosed();
             }
         });
     }
@@ -103,11 +103,11 @@
     }
 
     /** A long answer is being passed on. */
-    boolean streaming() {
+    boolean isStreaming() {
         return begun;
     }
 
-    boolean connected() {
+    boolean isConnected() {
         return connected;
     }
 
@@ -120,7 +120,7 @@
     }
 
     /** Whether nothing is out on it, and nothing is being read from it. */
-    boolean idle() {
+    boolean isIdle() {
         return connected && !closed && !retired && !reading && turnedAway == null && attempts.isEmpty();
     }
 
@@ -129,7 +129,7 @@
      * answer would be taken for the answer to an attempt that was put on the connection in between. Nor one that has
      * stood idle since {@code idleBeforeMs}: its server may end it just now.
      */
-    boolean usable(int maxDepth, double idleBeforeMs) {
+    boolean isUsable(int maxDepth, double idleBeforeMs) {
         boolean old = connected && attempts.isEmpty() && idleSinceMs <= idleBeforeMs;
         return !closed
                 && !old
@@ -140,11 +140,11 @@
     }
 
     /** Whether its last answer, if it has had any, is so long ago; for one that stands idle. */
-    boolean rested(double now, double restMs) {
+    boolean hasRested(double now, double restMs) {
         return !answered || now - idleSinceMs >= restMs;
     }
 
-    boolean better(UpstreamConnection other) {
+    boolean isPreferredTo(UpstreamConnection other) {
         return depth() != other.depth() ? depth() < other.depth() : idleSinceMs > other.idleSinceMs;
     }
 
@@ -179,12 +179,12 @@
     }
 
     /** Takes back an attempt that waits for the connection to come up; false if it may have begun to go out. */
-    boolean takeBack(RequestAttempt attempt) {
+    boolean removeUnsent(RequestAttempt attempt) {
         return !connected && attempts.remove(attempt);
     }
 
     /** Takes back all that waits for it to come up, and so ends it. */
-    void withdraw() {
+    void endUnsent() {
         if (!connected) {
             retired = true;
             for (RequestAttempt a; (a = attempts.poll()) != null; ) {
@@ -198,18 +198,18 @@
      * Whether giving the attempt up ends it: what has gone out is out until its connection ends, and that would take
      * what else is waited for there with it.
      */
-    boolean endsAlone() {
+    boolean isAlone() {
         return !connected || attempts.size() - givenUp == 1;
     }
 
     /** Nobody waits for it any more; whether nothing of it has gone out or will. */
-    boolean giveUp(RequestAttempt attempt) {
+    boolean abandon(RequestAttempt attempt) {
         if (!connected) {
-            return takeBack(attempt);
+            return removeUnsent(attempt);
         }
         if (attempts.contains(attempt)
                 && ++givenUp == attempts.size()
-                && (retired || upstream.dispatcher().servers().mayClose())) {
+                && (retired || upstream.dispatcher().servers().mayCloseAbandoned())) {
             close();
         }
         return false;
@@ -223,7 +223,7 @@
         }
     }
 
-    boolean retired() {
+    boolean isRetired() {
         return retired;
     }
 
@@ -237,7 +237,7 @@
         }
     }
 
-    void sweep(double now) {
+    void closeIfStalled(double now) {
         RequestAttempt head = attempts.peek();
         boolean silent = connected && head != null && head.ended && now - head.expiresMs > STALLED_MS;
         if (silent || begun && !held && now - progressMs > STALLED_MS) {
@@ -246,7 +246,7 @@
     }
 
     /** Whether it was ended from this side: what it brings out as it ends is no whole answer. */
-    boolean cutOff() {
+    boolean closedLocally() {
         return cutOff;
     }
 
@@ -261,17 +261,17 @@
     // ---- what the codec has read
 
     /** Told when input has come and again when all of it has been read. */
-    void reading(boolean on) {
+    void setReading(boolean on) {
         reading = on;
     }
 
     /** The attempt whose answer comes next; null if none is out, so that what comes is not the protocol's. */
-    RequestAttempt head() {
+    RequestAttempt currentAttempt() {
         return attempts.peek();
     }
 
     /** A short answer or a long one's end has come whole. */
-    void ended(AttemptOutcome outcome, int note, float[] report, ServerResponse answer) {
+    void responseCompleted(AttemptOutcome outcome, int note, float[] report, ServerResponse answer) {
         RequestAttempt attempt = attempts.poll();
         begun = false;
         partial = false;
@@ -312,7 +312,7 @@
      * Part of a short answer has come. Guards against one that is cut off on a connection that stays open: its attempt
      * would be waited for until the request's time is up. It may have run, so it ends as a reset.
      */
-    void partial() {
+    void responseProgressed() {
         partial = true;
         progressMs = upstream.dispatcher().now();
         if (!watched) {
@@ -334,37 +334,37 @@
     }
 
     /** A long answer begins; false if nobody waits for it, so that it is to be dropped. */
-    boolean begin(int length) {
+    boolean beginValue(int length) {
         begun = true;
         partial = false; // its line may have come in pieces; from here on the client may be what it waits for
         progressMs = upstream.dispatcher().now();
         return upstream.dispatcher().streaming().begin(attempts.peek(), length);
     }
 
-    void part(ByteBuf part) {
+    void writePart(ByteBuf part) {
         progressMs = upstream.dispatcher().now();
         upstream.dispatcher().streaming().writePart(attempts.peek(), part);
     }
 
-    void garbage(String what) {
+    void protocolError(String what) {
         upstream.dispatcher()
                 .log(EventKind.SERVER_PROTOCOL_ERROR, LogMessage.of(what).with("server", dial));
         close();
     }
 
-    void closed() {
+    void channelClosed() {
         if (closed) {
             return;
         }
         closed = true;
         // Guards against ended connections that count on: the server's limit and the proxy's fill up for good.
-        upstream.closed(this);
+        upstream.connectionClosed(this);
         if (turnedAway != null) {
             // Where the end is ours (what came behind could not be read), it tells nothing of places.
             turnedAway(!retired && upstream.turnedAway() ? AttemptOutcome.CONNECTION_LIMIT : AttemptOutcome.REJECTED);
         }
         for (RequestAttempt a; (a = attempts.poll()) != null; ) {
-            if (!connected && !a.ended && upstream.sendElsewhere(a)) {
+            if (!connected && !a.ended && upstream.resend(a)) {
                 continue;
             }
             AttemptOutcome outcome = a.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamServer.java
@@ -13,7 +13,7 @@
  * A server of the list with our connections to it. An attempt takes the connection that was used last of those that
  * stand idle, so that the rest can age and be retired; else it opens one, up to a limit, or queues behind the fewest.
  */
-final class Upstream {
+final class UpstreamServer {
     private static final double NO_MORE_MS = 5000;
     /**
      * A connection to the origin rests for so long after an answer. HTTP names no request, so a second copy of the
@@ -24,19 +24,19 @@
 
     final int id;
     final boolean origin;
-    SocketAddress dial;
-    double bornMs;
+    SocketAddress address;
+    double startTimeMs;
     /** The same on the clock of {@link Dispatcher#now}. */
-    double startedMs;
+    double localStartTimeMs;
 
-    SafetyRules.Location place;
+    SafetyRules.Location location;
     /** Whether the list has it take new requests. */
     boolean ready;
     /** When something was last put on a connection to it. */
-    private double sentMs = Double.NEGATIVE_INFINITY;
+    private double lastSentMs = Double.NEGATIVE_INFINITY;
 
     private double noMoreUntilMs;
-    private double turnedAwayMs = Double.NEGATIVE_INFINITY;
+    private double lastRejectedMs = Double.NEGATIVE_INFINITY;
     private long turnedAway;
     private long opened;
     private final Dispatcher dispatcher;
@@ -48,7 +48,7 @@
     private final int maxDepth;
     private final List<UpstreamConnection> connections = new ArrayList<>(2);
 
-    Upstream(
+    UpstreamServer(
             int id,
             boolean origin,
             Dispatcher dispatcher,
@@ -84,74 +84,77 @@
         int all = 0;
         for (int i = connections.size() - 1; i >= 0; i--) {
             UpstreamConnection c = connections.get(i);
-            standing += c.retired() || c.streaming() ? 0 : 1;
-            all += c.retired() ? 0 : 1;
-            if (!c.usable(maxDepth, idleBeforeMs)) {
+            standing += c.isRetired() || c.isStreaming() ? 0 : 1;
+            all += c.isRetired() ? 0 : 1;
+            if (!c.isUsable(maxDepth, idleBeforeMs)) {
                 continue;
             }
-            if (c.streaming()) {
-                busy = busy == null || c.better(busy) ? c : busy;
+            if (c.isStreaming()) {
+                busy = busy == null || c.isPreferredTo(busy) ? c : busy;
             } else {
                 best = best == null || better(c, best, now) ? c : best;
             }
         }
-        int wanted = best != null && !origin && dispatcher.servers().scarce() ? 1 : maxConnections;
+        int wanted = best != null && !origin && dispatcher.servers().connectionsScarce() ? 1 : maxConnections;
         boolean more = best == null || ((best.depth() > 0 || rests(best, now)) && now >= noMoreUntilMs);
         if (more
                 && standing < wanted
                 && all < mostConnections
-                && dispatcher.servers().room(best == null && busy == null)) {
+                && dispatcher.servers().mayOpen(best == null && busy == null)) {
             best = open();
         }
         best = best == null ? busy : best;
         if (best == null) {
             return false;
         }
-        sentMs = now;
+        lastSentMs = now;
         best.send(attempt);
         return true;
     }
 
     private boolean rests(UpstreamConnection connection, double now) {
-        return origin && !connection.rested(now, REST_MS);
+        return origin && !connection.hasRested(now, REST_MS);
     }
 
     private boolean better(UpstreamConnection one, UpstreamConnection other, double now) {
         if (rests(one, now) && rests(other, now)) {
             return one.idleSinceMs() < other.idleSinceMs();
         }
-        return rests(one, now) == rests(other, now) ? one.better(other) : rests(other, now);
+        return rests(one, now) == rests(other, now) ? one.isPreferredTo(other) : rests(other, now);
     }
 
     /** When it last had no place for a new connection. */
-    double turnedAwayMs() {
-        return turnedAwayMs;
+    double lastRejectedMs() {
+        return lastRejectedMs;
     }
 
     /** How often that was so. */
-    long turnedAwayTimes() {
+    long rejectedConnections() {
         return turnedAway;
     }
 
     /** Connections to it that were begun. */
-    long openedTimes() {
+    long openedConnections() {
         return opened;
     }
 
-    double sentMs() {
-        return sentMs;
+    double lastSentMs() {
+        return lastSentMs;
     }
 
     /**
      * A further connection did not come up while others stand: the server has as many as it takes, which says nothing
      * against it. What was to go out on that one, and did not, goes behind the rest.
      */
-    boolean sendElsewhere(RequestAttempt attempt) {
+    boolean resend(RequestAttempt attempt) {
         UpstreamConnection best = null;
         double now = dispatcher.now();
         double idleBeforeMs = dispatcher.servers().idleBeforeMs(now);
         for (UpstreamConnection c : connections) {
-            if (ready && c.connected() && c.usable(maxDepth, idleBeforeMs) && (best == null || better(c, best, now))) {
+            if (ready
+                    && c.isConnected()
+                    && c.isUsable(maxDepth, idleBeforeMs)
+                    && (best == null || better(c, best, now))) {
                 best = c;
             }
         }
@@ -165,9 +168,9 @@
 
     /** A new connection was turned away; whether none other stands. */
     boolean turnedAway() {
-        turnedAwayMs = dispatcher.now();
+        lastRejectedMs = dispatcher.now();
         turnedAway++;
-        dispatcher.servers().turnedAway();
+        dispatcher.servers().connectionRejected();
         noMoreUntilMs = dispatcher.now() + NO_MORE_MS;
         return connections.isEmpty();
     }
@@ -175,7 +178,7 @@
     private UpstreamConnection open() {
         UpstreamConnection connection = new UpstreamConnection(this);
         connections.add(connection);
-        dispatcher.servers().opened();
+        dispatcher.servers().connectionOpened();
         opened++;
         ChannelHandler[] handlers =
                 origin ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
@@ -183,14 +186,14 @@
                 .clone()
                 .handler(new Initializer(handlers))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) dispatcher.connectTimeoutMs())
-                .connect(dial);
-        connection.opening(future, dial);
+                .connect(address);
+        connection.connecting(future, address);
         return connection;
     }
 
-    void closed(UpstreamConnection connection) {
+    void connectionClosed(UpstreamConnection connection) {
         if (connections.remove(connection)) {
-            dispatcher.servers().closed();
+            dispatcher.servers().connectionClosed();
         }
     }
 
@@ -206,7 +209,7 @@
     UpstreamConnection longestIdle() {
         UpstreamConnection longest = null;
         for (UpstreamConnection c : connections) {
-            if (c.idle() && (longest == null || c.idleSinceMs() < longest.idleSinceMs())) {
+            if (c.isIdle() && (longest == null || c.idleSinceMs() < longest.idleSinceMs())) {
                 longest = c;
             }
         }
@@ -226,10 +229,10 @@
      * leads. Guards against requests that reach a server long after the list had it leave, as its connection comes up
      * late.
      */
-    void withdraw() {
+    void endUnsent() {
         for (UpstreamConnection c : List.copyOf(connections)) {
-            if (!ready || c.retired()) {
-                c.withdraw();
+            if (!ready || c.isRetired()) {
+                c.endUnsent();
             }
         }
     }
@@ -239,9 +242,9 @@
     }
 
     /** Ends attempts whose answer has stopped in its middle. */
-    void sweep(double now) {
+    void closeStalled(double now) {
         for (UpstreamConnection c : List.copyOf(connections)) {
-            c.sweep(now);
+            c.closeIfStalled(now);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/Servers.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamServers.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 
 /** The servers of the list with our connections to them, and what bounds these over all servers. */
-final class Servers {
+final class UpstreamServers {
     private static final double AVOIDED_MS = 1000;
     /** To one cache node, ordinarily and with those that pass long answers on. */
     private static final int CONNECTIONS = 4;
@@ -35,9 +35,9 @@
     private final Dispatcher dispatcher;
     private final Bootstrap bootstrap;
     private final int maxConnections;
-    private final IntObjectHashMap<Upstream> servers = new IntObjectHashMap<>();
+    private final IntObjectHashMap<UpstreamServer> servers = new IntObjectHashMap<>();
     /** What the list has no more, until what waits there is taken back. */
-    private final List<Upstream> forgotten = new ArrayList<>();
+    private final List<UpstreamServer> forgotten = new ArrayList<>();
 
     private double closes = CLOSES_SAVED;
     private double closesAtMs;
@@ -45,36 +45,37 @@
     private double scarceUntilMs = Double.NEGATIVE_INFINITY;
 
     /** {@code maxConnections}: to all servers together. */
-    Servers(Dispatcher dispatcher, Bootstrap bootstrap, int maxConnections) {
+    UpstreamServers(Dispatcher dispatcher, Bootstrap bootstrap, int maxConnections) {
         this.dispatcher = dispatcher;
         this.bootstrap = bootstrap;
         this.maxConnections = maxConnections;
     }
 
     /** One of the list; null if it is not in it. */
-    Upstream get(int id) {
+    UpstreamServer get(int id) {
         return servers.get(id);
     }
 
     /** Takes news of the list: who is new, gone, or at another address. */
-    void listed(EndpointUpdateKind kind, List<DiscoveredEndpoint> hosts, int streams) {
+    void update(EndpointUpdateKind kind, List<DiscoveredEndpoint> hosts, int streams) {
         for (DiscoveredEndpoint h : hosts) {
             int id = h.endpoint().id();
             if (h.endpoint().state() == EndpointState.REMOVED) {
                 forget(id);
                 continue;
             }
-            Upstream u = servers.get(id);
+            UpstreamServer u = servers.get(id);
             if (u == null) {
                 u = added(h, streams);
             }
-            if (!h.address().equals(u.dial) || u.bornMs != h.endpoint().startTimeMs()) {
+            if (!h.address().equals(u.address) || u.startTimeMs != h.endpoint().startTimeMs()) {
                 u.retire();
             }
-            u.dial = h.address();
-            u.bornMs = h.endpoint().startTimeMs();
-            u.startedMs = h.endpoint().localStartTimeMs();
-            u.place = new SafetyRules.Location(h.endpoint().zone(), h.endpoint().cell());
+            u.address = h.address();
+            u.startTimeMs = h.endpoint().startTimeMs();
+            u.localStartTimeMs = h.endpoint().localStartTimeMs();
+            u.location =
+                    new SafetyRules.Location(h.endpoint().zone(), h.endpoint().cell());
             u.ready = h.endpoint().state() == EndpointState.READY;
         }
         if (kind.isSnapshot()) {
@@ -88,13 +89,13 @@
         }
     }
 
-    private Upstream added(DiscoveredEndpoint h, int streams) {
+    private UpstreamServer added(DiscoveredEndpoint h, int streams) {
         RoutingSettings settings = dispatcher.settings();
         boolean origin = settings.cacheAside() && h.endpoint().kind() == settings.originKind();
         int id = h.endpoint().id();
-        Upstream u = origin
-                ? new Upstream(id, true, dispatcher, bootstrap, originConnections(), originConnections(), 1)
-                : new Upstream(
+        UpstreamServer u = origin
+                ? new UpstreamServer(id, true, dispatcher, bootstrap, originConnections(), originConnections(), 1)
+                : new UpstreamServer(
                         id,
                         false,
                         dispatcher,
@@ -107,7 +108,7 @@
     }
 
     private void forget(int id) {
-        Upstream u = servers.remove(id);
+        UpstreamServer u = servers.remove(id);
         if (u != null) {
             u.ready = false;
             u.retire();
@@ -116,8 +117,8 @@
     }
 
     /** Takes back what has not begun to go out to servers that want nothing new; once the module knows of that. */
-    void withdraw() {
-        Stream.concat(servers.values().stream(), forgotten.stream()).toList().forEach(Upstream::withdraw);
+    void endUnsent() {
+        Stream.concat(servers.values().stream(), forgotten.stream()).toList().forEach(UpstreamServer::endUnsent);
         forgotten.clear();
     }
 
@@ -140,22 +141,22 @@
     // ---- bounds
 
     /** A server had no place for a further connection; one by itself may be at its limit for reasons of its own. */
-    void turnedAway() {
+    void connectionRejected() {
         dispatcher.counters().increment(Metric.CONNECTIONS_REJECTED);
         double since = dispatcher.now() - SCARCE_MS;
-        long full = cacheNodes().filter(u -> u.turnedAwayMs() > since).count();
-        if (full >= Math.max(2, discovered() * SCARCE_PART)) {
+        long full = cacheNodeStream().filter(u -> u.lastRejectedMs() > since).count();
+        if (full >= Math.max(2, cacheNodeCount() * SCARCE_PART)) {
             scarceUntilMs = dispatcher.now() + SCARCE_MS;
         }
     }
 
     /** Whether servers have too few places for all proxies, so that each should be content with one. */
-    boolean scarce() {
+    boolean connectionsScarce() {
         return dispatcher.now() < scarceUntilMs;
     }
 
     /** Whether one more connection may be closed only because nobody waits for what is on it. */
-    boolean mayClose() {
+    boolean mayCloseAbandoned() {
         double now = dispatcher.now();
         closes = Math.min(CLOSES_SAVED, closes + (now - closesAtMs) / 1000 * CLOSES_PER_SECOND);
         closesAtMs = now;
@@ -170,14 +171,14 @@
      * Whether one more connection may be opened. Where a server has none, the connection that has stood idle longest is
      * ended for it: guards against servers that can't be reached as others, as many as may be connected to, have been.
      */
-    boolean room(boolean first) {
+    boolean mayOpen(boolean first) {
         return connections < maxConnections || (first && endLongestIdle());
     }
 
     /** Its descriptor is free from here on; it counts until the event loop has come round. */
     private boolean endLongestIdle() {
         UpstreamConnection longest = null;
-        for (Upstream u : servers.values()) {
+        for (UpstreamServer u : servers.values()) {
             UpstreamConnection c = u.longestIdle();
             if (c != null && (longest == null || c.idleSinceMs() < longest.idleSinceMs())) {
                 longest = c;
@@ -195,12 +196,12 @@
         return connections;
     }
 
-    void opened() {
+    void connectionOpened() {
         connections++;
         dispatcher.counters().increment(Metric.CONNECTIONS_OPENED);
     }
 
-    void closed() {
+    void connectionClosed() {
         connections--;
     }
 
@@ -211,62 +212,65 @@
 
     void sweep() {
         double now = dispatcher.now();
-        for (Upstream u : servers.values()) {
+        for (UpstreamServer u : servers.values()) {
             u.closeIdle(idleBeforeMs(now));
-            u.sweep(now);
+            u.closeStalled(now);
         }
     }
 
     /** Ends all connections. */
     void close() {
-        servers.values().forEach(Upstream::close);
+        servers.values().forEach(UpstreamServer::close);
     }
 
     // ---- figures
 
     /** The cache nodes of the list. */
-    int discovered() {
-        return (int) cacheNodes().count();
+    int cacheNodeCount() {
+        return (int) cacheNodeStream().count();
     }
 
     /** Those of them that get no ordinary request now, and have got nothing for a while: not even to be tried again. */
-    int ejected() {
+    int ejectedNodeCount() {
         double now = dispatcher.now();
-        return (int) cacheNodes()
-                .filter(u -> now - u.sentMs() > AVOIDED_MS && dispatcher.isEjected(u.id))
+        return (int) cacheNodeStream()
+                .filter(u -> now - u.lastSentMs() > AVOIDED_MS && dispatcher.isEjected(u.id))
                 .count();
     }
 
     /** Those of them that are avoided, or had no place for a connection. */
-    List<MetricsLine.Node> troubled() {
-        return cacheNodes()
-                .filter(u -> u.turnedAwayTimes() > 0 || dispatcher.isEjected(u.id))
+    List<MetricsLine.Node> unhealthyNodes() {
+        return cacheNodeStream()
+                .filter(u -> u.rejectedConnections() > 0 || dispatcher.isEjected(u.id))
                 .limit(MetricsLine.MAX_NODES)
                 .map(u -> new MetricsLine.Node(
-                        Integer.toHexString(u.id), u.openedTimes(), u.turnedAwayTimes(), dispatcher.isEjected(u.id)))
+                        Integer.toHexString(u.id),
+                        u.openedConnections(),
+                        u.rejectedConnections(),
+                        dispatcher.isEjected(u.id)))
                 .toList();
     }
 
     /** The cache nodes of the list with our connections to them. */
-    List<Upstream> nodes() {
-        return cacheNodes().toList();
+    List<UpstreamServer> cacheNodes() {
+        return cacheNodeStream().toList();
     }
 
     /** The cache nodes of a zone. */
-    int inZone(int zone) {
-        return (int) cacheNodes().filter(u -> u.place.zone() == zone).count();
+    int cacheNodesInZone(int zone) {
+        return (int) cacheNodeStream().filter(u -> u.location.zone() == zone).count();
     }
 
     /** When each of a zone's cache nodes that may be sent requests is warm, in order, in milliseconds. */
-    List<Double> warmAt(int zone, double warmUpMs) {
-        return cacheNodes()
-                .filter(u -> u.place.zone() == zone && u.ready)
-                .map(u -> u.startedMs == 0 ? 0 : u.startedMs + warmUpMs)
+    List<Double> warmedUpAtMs(int zone, double warmUpMs) {
+        return cacheNodeStream()
+                .filter(u -> u.location.zone() == zone && u.ready)
+                .map(u -> u.localStartTimeMs == 0 ? 0 : u.localStartTimeMs + warmUpMs)
                 .sorted()
                 .toList();
     }
 
-    private Stream<Upstream> cacheNodes() {
+    private Stream<UpstreamServer> cacheNodeStream() {
         return servers.values().stream().filter(u -> !u.origin);
     }
 }
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -44,7 +44,7 @@
 
     /** The decision module has met this at a server. */
     void saw(int server, EndpointSignal what) {
-        Upstream u = dispatcher.servers().get(server);
+        UpstreamServer u = dispatcher.servers().get(server);
         if (u == null) {
             return;
         }
@@ -54,15 +54,15 @@
             return;
         }
         switch (what) {
-            case RESPONDED, CACHE_MISS -> zones.answered(now, u.place.zone(), what == EndpointSignal.RESPONDED);
-            case UNRESPONSIVE -> zones.silent(now, u.place.zone(), server);
+            case RESPONDED, CACHE_MISS -> zones.answered(now, u.location.zone(), what == EndpointSignal.RESPONDED);
+            case UNRESPONSIVE -> zones.silent(now, u.location.zone(), server);
         }
     }
 
     private void listed() {
         double now = dispatcher.now();
         for (int z = 0; z < Math.min(settings.zones(), ZoneSettings.MOST_ZONES); z++) { // others take no part
-            List<Double> warm = dispatcher.servers().warmAt(z, settings.warmUpMs());
+            List<Double> warm = dispatcher.servers().warmedUpAtMs(z, settings.warmUpMs());
             // When half of them are warm; each moved key of the others misses.
             zones.listed(z, warm.size(), warm.isEmpty() ? now : warm.get(warm.size() / 2));
         }
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -89,8 +89,9 @@
             LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fleet::host);
             fleet.start();
             assertThat(served(fleet, READS)).isEqualTo(READS);
-            List<Upstream> nodes = fleet.on(() -> fleet.proxy.core().servers().nodes());
-            assertThat(nodes).hasSize(SERVERS).allMatch(u -> u.openedTimes() > 0);
+            List<UpstreamServer> nodes =
+                    fleet.on(() -> fleet.proxy.core().servers().cacheNodes());
+            assertThat(nodes).hasSize(SERVERS).allMatch(u -> u.openedConnections() > 0);
             Await.until(
                     "no more connections than there are descriptors for",
                     () -> fleet.on(() -> fleet.proxy.status().upstream()) <= SOCKETS / 3);
@@ -155,7 +156,7 @@
 
     private static Set<Integer> known(Fleet fleet) {
         Set<Integer> ids = new HashSet<>();
-        fleet.on(() -> fleet.proxy.core().servers().nodes()).forEach(u -> ids.add(u.id));
+        fleet.on(() -> fleet.proxy.core().servers().cacheNodes()).forEach(u -> ids.add(u.id));
         return ids;
     }
 
@@ -241,7 +242,7 @@
             fleet.start();
             fleet.proxy.join(new Proxy.Together(true, true, false));
             assertThat(served(fleet, SERVERS)).isEqualTo(SERVERS);
-            assertThat(fleet.on(() -> fleet.proxy.core().servers().inZone(ZONES - 1)))
+            assertThat(fleet.on(() -> fleet.proxy.core().servers().cacheNodesInZone(ZONES - 1)))
                     .isEqualTo(1);
             assertThat(fleet.on(() -> fleet.proxy.fleetView())).isNotNull();
             assertThat(fleet.on(() -> fleet.proxy.zones())).isNotNull();
@@ -285,7 +286,7 @@
                 Dispatcher core = fleet.proxy.core();
                 long before = core.counters().count(Metric.PEER_MESSAGES_SENT)
                         + fleet.proxy.fleetView().dropped();
-                core.servers().nodes().forEach(u -> core.orders().report(u.id, EndpointSignal.UNRESPONSIVE));
+                core.servers().cacheNodes().forEach(u -> core.orders().report(u.id, EndpointSignal.UNRESPONSIVE));
                 assertThat(core.counters().count(Metric.PEER_MESSAGES_SENT)
                                 + fleet.proxy.fleetView().dropped()
                                 - before)
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -38,7 +38,8 @@
                 new Fleet().node(node).set("caps.may-cancel", "false").start()) {
             Fleet.Client gone = fleet.client().read("1");
             assertThat(FakeServer.id(node.next())).isEqualTo("1");
-            int server = fleet.on(() -> fleet.proxy.core().servers().nodes().get(0).id);
+            int server =
+                    fleet.on(() -> fleet.proxy.core().servers().cacheNodes().get(0).id);
             CountDownLatch stands = new CountDownLatch(1);
             CountDownLatch go = new CountDownLatch(1);
             fleet.proxy.loop().execute(() -> {
--- a/src/test/java/cacheproxy/proxy/WallClockTest.java
+++ b/src/test/java/cacheproxy/proxy/WallClockTest.java
@@ -41,8 +41,9 @@
                 .start()) {
             Await.until(
                     "its start is known",
-                    () -> fleet.on(() -> fleet.proxy.core().servers().nodes().get(0).bornMs == told + aheadMs));
-            List<Double> warm = fleet.on(() -> fleet.proxy.core().servers().warmAt(0, WARM_UP_MS));
+                    () -> fleet.on(
+                            () -> fleet.proxy.core().servers().cacheNodes().get(0).startTimeMs == told + aheadMs));
+            List<Double> warm = fleet.on(() -> fleet.proxy.core().servers().warmedUpAtMs(0, WARM_UP_MS));
             return warm.get(0) - fleet.on(() -> fleet.proxy.core().now());
         }
     }
