--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -86,7 +86,7 @@
         }
         if (!mayBegin(attempt)) {
             attempts.endSerially(attempt, AttemptOutcome.NOT_SENT);
-        } else if (!servers.get(attempt.server).send(attempt)) {
+        } else if (!servers.get(attempt.server).pool.send(attempt)) {
             attempts.endSerially(attempt, AttemptOutcome.CONNECT_FAILED);
         }
     }
@@ -155,7 +155,7 @@
         counters.increment(Metric.HEALTH_CHECKS);
         double now = clock.now();
         RequestAttempt check = new RequestAttempt(null, 0, server, UNKNOWN_PLACE, now, now + HEALTH_CHECK_TIMEOUT_MS);
-        if (upstream == null || !upstream.ready || !upstream.send(check)) {
+        if (upstream == null || !upstream.ready || !upstream.pool.send(check)) {
             attempts.endSerially(check, AttemptOutcome.CONNECT_FAILED);
         } else {
             check.timer = timers.after(HEALTH_CHECK_TIMEOUT_MS, () -> attempts.expire(check));
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -9,18 +9,56 @@
 import java.net.SocketAddress;
 import java.util.List;
 
+/**
+ * The meta text protocol towards a cache node. Event loop only.
+ *
+ * <pre>
+ * response line           outcome
+ * VA length flags         OK, with a value
+ * HD flags                OK, with a receipt (flag c)
+ * EN flags                MISS
+ * SERVER_ERROR busy       REJECTED
+ * SERVER_ERROR ...        ERROR
+ * MN, STAT ..., END       of a health check
+ *
+ * flag                    meaning
+ * O                       the id of the request
+ * h                       1: a hit, 0: a miss
+ * Z                       of a miss: the object is being fetched
+ * L                       load report
+ * </pre>
+ */
 final class CacheCodec extends PausableDecoder implements UpstreamConnection.Codec {
+    private static final String VALUE = "VA ";
+    private static final String STORED = "HD ";
+    private static final String MISS = "EN";
+    private static final String ERROR = "SERVER_ERROR";
+    private static final String STAT = "STAT ";
+    private static final String STAT_END = "END";
+    private static final String NO_OP_RESPONSE = "MN";
+    private static final String NO_OP = "mn\r\n";
+    private static final String LOAD_QUERY = "stats load\r\n";
+    private static final int LINE_END_BYTES = 2;
+    /** No value is being received. */
+    private static final int NO_VALUE = -1;
+
+    private static final int NOTE_NONE = 0;
+    private static final int NOTE_HIT = 1;
+    private static final int NOTE_MISS = 2;
+
     private final UpstreamConnection connection;
     private final Dispatcher dispatcher;
-    /** Bytes of the value and its line's end that are to come; negative: none, a line is next. */
-    private int missing = -1;
+    /** Bytes of the value and its line end still to arrive, or {@link #NO_VALUE}: a line is next. */
+    private int missing = NO_VALUE;
 
     private int length;
     private boolean streamed;
+    /** Whether nobody waits for the streamed value. */
     private boolean dropped;
+
     private int note;
     private float[] report;
-    /** The figures of a probe's answer so far. */
+    /** The figures of a health check's response so far, as a list such as {@code a=1,b=2,}. */
     private String stats = "";
 
     CacheCodec(UpstreamConnection connection) {
@@ -30,164 +68,181 @@
     }
 
     @Override
-    public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress dial) {
-        if (attempt.request == null) {
-            String probe = dispatcher.loadReports().inHealthChecks() ? "stats load\r\n" : "mn\r\n";
-            return channel.writeAndFlush(MetaCodec.text(channel.alloc(), probe));
+    public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress address) {
+        if (attempt.isHealthCheck()) {
+            String check = dispatcher.loadReports().inHealthChecks() ? LOAD_QUERY : NO_OP;
+            return channel.writeAndFlush(MetaCodec.text(channel.alloc(), check));
         }
         RequestCommand command = attempt.request.command;
-        ByteBuf head = MetaCodec.text(channel.alloc(), command.commandLine.with(remainingMs) + "\r\n");
+        ByteBuf line = MetaCodec.text(channel.alloc(), command.commandLine.with(remainingMs) + "\r\n");
         if (command.value == null) {
-            return channel.writeAndFlush(head);
+            return channel.writeAndFlush(line);
         }
-        channel.write(head);
+        channel.write(line);
         return channel.writeAndFlush(command.value.retainedDuplicate());
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object input) throws Exception {
+    public void channelRead(ChannelHandlerContext context, Object input) throws Exception {
         connection.setReading(true);
-        super.channelRead(ctx, input);
+        super.channelRead(context, input);
     }
 
     @Override
-    public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
+    public void channelReadComplete(ChannelHandlerContext context) throws Exception {
         connection.setReading(false);
-        super.channelReadComplete(ctx);
+        super.channelReadComplete(context);
     }
 
     @Override
-    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
+    protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
         try {
-            if (connection.currentAttempt() == null) { // whole or not: the next answer would begin with it
+            if (connection.currentAttempt() == null) { // complete or not: it would be taken for the next response
                 throw new MetaCodec.SyntaxException("answer to nothing");
             }
-            if (missing >= 0) {
-                value(in);
+            if (missing == NO_VALUE) {
+                decodeLine(in);
+            } else if (streamed) {
+                streamValue(in);
             } else {
-                String line = MetaCodec.line(in);
-                if (line != null) {
-                    answer(line);
-                } else if (in.isReadable()) {
-                    connection.responseProgressed();
-                }
+                decodeValue(in);
             }
         } catch (MetaCodec.SyntaxException e) {
             in.skipBytes(in.readableBytes());
-            missing = -1;
+            missing = NO_VALUE;
             connection.protocolError(e.getMessage());
         }
     }
 
-    private void answer(String line) throws MetaCodec.SyntaxException {
-        RequestAttempt attempt = connection.currentAttempt();
-        if (attempt.request == null) {
-            probed(line);
-        } else if (line.startsWith(MetaCodec.BUSY)) {
-            connection.responseCompleted(AttemptOutcome.REJECTED, 0, report(line), null);
-        } else if (line.startsWith("SERVER_ERROR")) {
-            connection.responseCompleted(AttemptOutcome.ERROR, 0, report(line), null);
-        } else if (line.startsWith("VA ") && !attempt.request.command.write) {
-            String word = MetaCodec.wordAt(line, 3);
-            length = MetaCodec.length(word);
-            flags(attempt, line, 4 + word.length());
-            missing = length + 2;
-            streamed = length > MetaCodec.WHOLE;
-            if (streamed) {
-                dropped = !connection.beginValue(length);
+    private void decodeLine(ByteBuf in) throws MetaCodec.SyntaxException {
+        String line = MetaCodec.line(in);
+        if (line == null) {
+            if (in.isReadable()) {
+                connection.responseProgressed();
             }
-        } else if (line.startsWith("HD ") && attempt.request.command.write) {
-            flags(attempt, line, 3);
-            String receipt = MetaCodec.flag(line, 3, 'c');
+        } else if (connection.currentAttempt().isHealthCheck()) {
+            healthCheckLine(line);
+        } else {
+            responseLine(line, connection.currentAttempt().request.command);
+        }
+    }
+
+    private void responseLine(String line, RequestCommand command) throws MetaCodec.SyntaxException {
+        if (line.startsWith(MetaCodec.BUSY)) {
+            connection.responseCompleted(AttemptOutcome.REJECTED, NOTE_NONE, errorReport(line), null);
+        } else if (line.startsWith(ERROR)) {
+            connection.responseCompleted(AttemptOutcome.ERROR, NOTE_NONE, errorReport(line), null);
+        } else if (line.startsWith(VALUE) && !command.write) {
+            beginValue(line, command);
+        } else if (line.startsWith(STORED) && command.write) {
+            decodeFlags(line, STORED.length(), command);
+            String receipt = MetaCodec.flag(line, STORED.length(), 'c');
             if (receipt == null) {
                 throw new MetaCodec.SyntaxException("no receipt");
             }
             connection.responseCompleted(AttemptOutcome.OK, note, report, new ServerResponse.Receipt(receipt));
-        } else if (line.startsWith("EN")) {
-            flags(attempt, line, 3);
+        } else if (line.startsWith(MISS)) {
+            decodeFlags(line, MISS.length() + 1, command);
             connection.responseCompleted(AttemptOutcome.MISS, note, report, null);
         } else {
             throw new MetaCodec.SyntaxException("unknown line");
         }
     }
 
-    private float[] report(String line) {
+    private void beginValue(String line, RequestCommand command) throws MetaCodec.SyntaxException {
+        String word = MetaCodec.wordAt(line, VALUE.length());
+        length = MetaCodec.length(word);
+        decodeFlags(line, VALUE.length() + word.length() + 1, command);
+        missing = length + LINE_END_BYTES;
+        streamed = length > MetaCodec.WHOLE;
+        if (streamed) {
+            dropped = !connection.beginValue(length);
+        }
+    }
+
+    private float[] errorReport(String line) {
         return dispatcher.loadReports().parse(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
     }
 
-    /** What the flags tell; the id must be the attempt's, or answers have lost their order. */
-    private void flags(RequestAttempt attempt, String line, int from) throws MetaCodec.SyntaxException {
-        if (!attempt.request.command.id.equals(MetaCodec.flag(line, from, 'O'))) {
+    /** Decodes the flags from this index on. The id must be the request's, or responses have lost their order. */
+    private void decodeFlags(String line, int from, RequestCommand command) throws MetaCodec.SyntaxException {
+        if (!command.id.equals(MetaCodec.flag(line, from, 'O'))) {
             throw new MetaCodec.SyntaxException("answer to another request");
         }
-        String hit = MetaCodec.flag(line, from, 'h');
-        note = "1".equals(hit)
-                ? 1
-                : !"0".equals(hit)
-                        ? 0
-                        : MetaCodec.flag(line, from, 'Z') != null ? LoadBalancer.NOTE_FETCH_IN_FLIGHT : 2;
+        note = decodeNote(line, from);
         report = dispatcher.loadReports().parse(MetaCodec.flag(line, from, 'L'));
     }
 
-    private void value(ByteBuf in) throws MetaCodec.SyntaxException {
-        if (!streamed) {
-            if (in.readableBytes() < missing) {
-                connection.responseProgressed();
-                return;
-            }
-            end(in, in.readerIndex() + length);
-            ByteBuf value = in.readRetainedSlice(length);
-            in.skipBytes(2);
-            missing = -1;
-            connection.responseCompleted(AttemptOutcome.OK, note, report, new ServerResponse.Value(value));
+    private static int decodeNote(String line, int from) {
+        String hit = MetaCodec.flag(line, from, 'h');
+        if ("1".equals(hit)) {
+            return NOTE_HIT;
+        }
+        if (!"0".equals(hit)) {
+            return NOTE_NONE;
+        }
+        return MetaCodec.flag(line, from, 'Z') != null ? LoadBalancer.NOTE_FETCH_IN_FLIGHT : NOTE_MISS;
+    }
+
+    private void decodeValue(ByteBuf in) throws MetaCodec.SyntaxException {
+        if (in.readableBytes() < missing) {
+            connection.responseProgressed();
             return;
         }
-        // The value's end of line is passed on only when it is seen to be one.
-        int n = Math.min(missing - 2, in.readableBytes());
-        if (n > 0) {
-            missing -= n;
+        requireLineEnd(in, in.readerIndex() + length);
+        ByteBuf value = in.readRetainedSlice(length);
+        in.skipBytes(LINE_END_BYTES);
+        missing = NO_VALUE;
+        connection.responseCompleted(AttemptOutcome.OK, note, report, new ServerResponse.Value(value));
+    }
+
+    /** Passes on what has arrived of the value, and its end only when its line end is seen to be one. */
+    private void streamValue(ByteBuf in) throws MetaCodec.SyntaxException {
+        int available = Math.min(missing - LINE_END_BYTES, in.readableBytes());
+        if (available > 0) {
+            missing -= available;
             if (dropped) {
-                in.skipBytes(n);
+                in.skipBytes(available);
             } else {
-                connection.writePart(in.readRetainedSlice(n));
+                connection.writePart(in.readRetainedSlice(available));
             }
         }
-        if (missing == 2 && in.readableBytes() >= 2) {
-            end(in, in.readerIndex());
-            in.skipBytes(2);
-            missing = -1;
+        if (missing == LINE_END_BYTES && in.readableBytes() >= LINE_END_BYTES) {
+            requireLineEnd(in, in.readerIndex());
+            in.skipBytes(LINE_END_BYTES);
+            missing = NO_VALUE;
             connection.responseCompleted(
                     AttemptOutcome.OK, note, report, dropped ? null : ServerResponse.EndOfValue.INSTANCE);
         }
     }
 
-    private static void end(ByteBuf in, int at) throws MetaCodec.SyntaxException {
-        if (in.getByte(at) != '\r' || in.getByte(at + 1) != '\n') {
+    private static void requireLineEnd(ByteBuf in, int index) throws MetaCodec.SyntaxException {
+        if (in.getByte(index) != '\r' || in.getByte(index + 1) != '\n') {
             throw new MetaCodec.SyntaxException("value without end");
         }
     }
 
-    private void probed(String line) {
-        if (line.startsWith("STAT ")) {
-            String name = MetaCodec.wordAt(line, 5);
-            stats += name + "=" + MetaCodec.wordAt(line, 6 + name.length()) + ",";
-        } else {
-            boolean ok = line.equals("MN") || line.equals("END");
-            float[] figures = MetaCodec.report(stats, dispatcher.loadReports().fields());
-            stats = "";
-            connection.responseCompleted(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null);
+    private void healthCheckLine(String line) {
+        if (line.startsWith(STAT)) {
+            String name = MetaCodec.wordAt(line, STAT.length());
+            stats += name + "=" + MetaCodec.wordAt(line, STAT.length() + name.length() + 1) + ",";
+            return;
         }
+        boolean healthy = line.equals(NO_OP_RESPONSE) || line.equals(STAT_END);
+        float[] figures = MetaCodec.report(stats, dispatcher.loadReports().fields());
+        stats = "";
+        connection.responseCompleted(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, NOTE_NONE, figures, null);
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext ctx) throws Exception {
-        super.channelInactive(ctx);
+    public void channelInactive(ChannelHandlerContext context) throws Exception {
+        super.channelInactive(context);
         connection.channelClosed();
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         dispatcher.failures().connectionFailed(cause);
-        ctx.close();
+        context.close();
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/ConnectionLimits.java
@@ -0,0 +1,142 @@
+package cacheproxy.proxy;
+
+import cacheproxy.metrics.Metric;
+import cacheproxy.routing.RoutingSettings;
+import java.util.function.Supplier;
+
+/** Limits the connections to all servers together, and how they are shared with other proxies. Event loop only. */
+final class ConnectionLimits {
+    /** The usual limit of connections to one cache node, and the limit including those that stream responses. */
+    private static final int PER_CACHE_NODE = 4;
+
+    private static final int PER_CACHE_NODE_WITH_STREAMING = 12;
+    /** What one cache node accepts from all proxies, some forty, less a reserve. */
+    private static final int CACHE_NODE_CAPACITY = 28;
+
+    private static final int MIN_TO_ORIGIN = 4;
+    private static final int MAX_TO_ORIGIN = 48;
+    /** What the origin accepts from all proxies, less a reserve. */
+    private static final int ORIGIN_CAPACITY = 240;
+
+    /** HTTP/1.1 without pipelining. */
+    private static final int ORIGIN_DEPTH = 1;
+    /** An idle connection is closed after this part of the time after which its server closes it. */
+    private static final double IDLE_PART = 0.7;
+    /** For so long after a rejection connections count as scarce. */
+    private static final double SCARCITY_MS = 60_000;
+    /** Token bucket of connections closed because nobody waits for what is on them. */
+    private static final double ABANDONED_CLOSES_PER_SECOND = 10;
+
+    private static final double ABANDONED_CLOSES_BURST = 10;
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    private final Dispatcher dispatcher;
+    private final int maxConnections;
+    private final Supplier<UpstreamConnection> longestIdle;
+    private int connections;
+    private double scarceUntilMs = Double.NEGATIVE_INFINITY;
+    private double abandonedCloseTokens = ABANDONED_CLOSES_BURST;
+    private double tokensRefilledMs;
+
+    /**
+     * Without connections.
+     *
+     * @param maxConnections the limit over all servers
+     * @param longestIdle the connection that has been idle longest; null if none is idle
+     */
+    ConnectionLimits(Dispatcher dispatcher, int maxConnections, Supplier<UpstreamConnection> longestIdle) {
+        this.dispatcher = dispatcher;
+        this.maxConnections = maxConnections;
+        this.longestIdle = longestIdle;
+    }
+
+    /** The limits of one cache node; {@code depth}: of attempts on one connection. */
+    ServerConnectionPool.Limits cacheNode(int depth) {
+        return new ServerConnectionPool.Limits(
+                perCacheNode(PER_CACHE_NODE), perCacheNode(PER_CACHE_NODE_WITH_STREAMING), depth);
+    }
+
+    /**
+     * Where hedging is not allowed, an attempt can be abandoned for another server only if it has a connection of its
+     * own, so there may be as many as a server accepts.
+     */
+    private int perCacheNode(int max) {
+        RoutingSettings settings = dispatcher.settings();
+        return settings.hedgingAllowed()
+                ? Math.max(1, Math.min(max, CACHE_NODE_CAPACITY / Math.max(1, settings.instanceCount())))
+                : PER_CACHE_NODE_WITH_STREAMING;
+    }
+
+    /** The limits of the origin. */
+    ServerConnectionPool.Limits origin() {
+        int instances = Math.max(1, dispatcher.settings().instanceCount());
+        int max = Math.max(MIN_TO_ORIGIN, Math.min(MAX_TO_ORIGIN, ORIGIN_CAPACITY / instances));
+        return new ServerConnectionPool.Limits(max, max, ORIGIN_DEPTH);
+    }
+
+    /** Connections that are open or being opened. */
+    int connections() {
+        return connections;
+    }
+
+    void connectionOpened() {
+        connections++;
+        dispatcher.counters().increment(Metric.CONNECTIONS_OPENED);
+    }
+
+    void connectionClosed() {
+        connections--;
+    }
+
+    /**
+     * Whether one more connection may be opened. For the {@code first} one to a server, the connection that has been
+     * idle longest is closed if need be, so that no server is out of reach because of the others. Its descriptor is
+     * free then; it counts until the event loop has come round.
+     */
+    boolean mayOpen(boolean first) {
+        return connections < maxConnections || (first && closeLongestIdle());
+    }
+
+    private boolean closeLongestIdle() {
+        UpstreamConnection longest = longestIdle.get();
+        if (longest == null) {
+            return false;
+        }
+        longest.close();
+        return true;
+    }
+
+    /** Servers at their connection limit are too many: connections count as scarce from now on, for a while. */
+    void noteScarcity() {
+        scarceUntilMs = dispatcher.now() + SCARCITY_MS;
+    }
+
+    /** A server that rejected a connection since this time counts towards scarcity. */
+    double scarcitySinceMs() {
+        return dispatcher.now() - SCARCITY_MS;
+    }
+
+    /** Whether servers accept too few connections for all proxies, so that each should have one of them only. */
+    boolean connectionsScarce() {
+        return dispatcher.now() < scarceUntilMs;
+    }
+
+    /** Whether one more connection may be closed only because nobody waits for what is on it; counts as closed. */
+    boolean mayCloseAbandoned() {
+        double now = dispatcher.now();
+        abandonedCloseTokens = Math.min(
+                ABANDONED_CLOSES_BURST,
+                abandonedCloseTokens + (now - tokensRefilledMs) / MILLIS_PER_SECOND * ABANDONED_CLOSES_PER_SECOND);
+        tokensRefilledMs = now;
+        if (abandonedCloseTokens < 1 && dispatcher.settings().hedgingAllowed()) {
+            return false;
+        }
+        abandonedCloseTokens--;
+        return true;
+    }
+
+    /** A connection that has been idle since this time is not used any more, because its server may close it. */
+    double idleBeforeMs(double now) {
+        return now - dispatcher.idleCloseMs() * IDLE_PART;
+    }
+}
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -20,6 +20,7 @@
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseDecoder;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
@@ -30,22 +31,43 @@
 import java.util.List;
 import java.util.Map;
 
-/** HTTP/1.1 towards the origin. */
-@SuppressWarnings("OperatorPrecedence") // && binds before ||; parentheses follow as lines are touched
+/**
+ * HTTP/1.1 towards the origin. Event loop only.
+ *
+ * <pre>
+ * response                                   outcome
+ * 200                                        OK, with a value or a receipt
+ * 503 or 504 with Srv-Declined: 1            REJECTED
+ * any other status                           ERROR
+ * header Srv-Load                            load report
+ *
+ * request header                             holds
+ * Req-Id                                     the client's id of the request
+ * Req-Extra                                  its parameters, with the remaining time
+ * </pre>
+ */
 final class OriginCodec extends SimpleChannelInboundHandler<HttpObject> implements UpstreamConnection.Codec {
-    private static final String LOAD = "Srv-Load";
+    private static final String ID_HEADER = "Req-Id";
+    private static final String PARAMETERS_HEADER = "Req-Extra";
+    private static final String LOAD_HEADER = "Srv-Load";
+    private static final String REJECTED_HEADER = "Srv-Declined";
+    private static final String HEALTH_CHECK_PATH = "/alive";
+    private static final String LOAD_QUERY_PATH = "/metrics/load";
+    private static final int LINE_END_BYTES = 2;
+    private static final int NO_NOTE = 0;
+    private static final long UNKNOWN_LENGTH = -1;
 
     private final UpstreamConnection connection;
     private final Dispatcher dispatcher;
     private HttpResponse response;
-    /** A short answer's body so far, or one whose length was not told; null where it is dropped or streamed. */
+    /** What has arrived of the body; null where it is streamed or dropped. */
     private ValueBuffer body;
-    /** Room for a body whose length was not told, claimed as it grows: whoever finds none does not wait for it. */
-    private final ArrayDeque<ByteBudget.Reservation> room = new ArrayDeque<>();
+    /** Budget for a body of unknown length, reserved as it grows; a response that gets none is given up. */
+    private final ArrayDeque<ByteBudget.Reservation> reservations = new ArrayDeque<>();
 
-    private long missing;
     private boolean streamed;
-    private boolean broken;
+    /** Whether what arrives is ignored, because the connection is being closed. */
+    private boolean failed;
 
     private OriginCodec(UpstreamConnection connection) {
         this.connection = connection;
@@ -53,137 +75,160 @@
         connection.setCodec(this);
     }
 
+    /** The handlers of one connection's pipeline. */
     static ChannelHandler[] handlers(UpstreamConnection connection) {
-        return new ChannelHandler[] {new HttpRequestEncoder(), new Responses(connection), new OriginCodec(connection)};
+        return new ChannelHandler[] {
+            new HttpRequestEncoder(), new ResponseDecoder(connection), new OriginCodec(connection)
+        };
     }
 
-    /** Guards against bytes that come while nothing is asked: kept back, they would begin the next answer. */
-    private static final class Responses extends HttpResponseDecoder {
-        private static final int MAX_HEADERS = 8192;
-        private static final int MAX_PART = 64 << 10;
+    /** Rejects input that arrives while no attempt is in flight: kept back, it would begin the next response. */
+    private static final class ResponseDecoder extends HttpResponseDecoder {
+        private static final int MAX_HEADERS_BYTES = 8192;
+        private static final int MAX_CHUNK_BYTES = 64 << 10;
 
         private final UpstreamConnection connection;
 
-        Responses(UpstreamConnection connection) {
-            super(MetaCodec.MAX_LINE, MAX_HEADERS, MAX_PART);
+        ResponseDecoder(UpstreamConnection connection) {
+            super(MetaCodec.MAX_LINE, MAX_HEADERS_BYTES, MAX_CHUNK_BYTES);
             this.connection = connection;
         }
 
         @Override
-        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
+        protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
             if (connection.currentAttempt() != null) {
-                super.decode(ctx, in, out);
+                super.decode(context, in, out);
                 return;
             }
-            boolean lineEnds = in.forEachByte(b -> b == '\r' || b == '\n') < 0; // which are no answer's beginning
+            // Line ends alone begin no response.
+            boolean lineEndsOnly = in.forEachByte(b -> b == '\r' || b == '\n') < 0;
             in.skipBytes(in.readableBytes());
-            if (!lineEnds) {
+            if (!lineEndsOnly) {
                 connection.protocolError("answer to nothing");
             }
         }
     }
 
+    // ---- requests
+
     @Override
-    public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress dial) {
-        FullHttpRequest request;
-        if (attempt.request == null) {
-            String path = dispatcher.loadReports().inHealthChecks() ? "/metrics/load" : "/alive";
-            request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
-        } else {
-            RequestCommand command = attempt.request.command;
-            String path = "/" + URLEncoder.encode(command.key, StandardCharsets.ISO_8859_1);
-            ByteBuf value = !command.write
-                    ? Unpooled.EMPTY_BUFFER
-                    : command.value.retainedSlice(0, command.value.readableBytes() - 2);
-            request = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1, command.write ? HttpMethod.PUT : HttpMethod.GET, path, value);
-            request.headers().set("Req-Id", command.id).set("Req-Extra", command.originParameters.with(remainingMs));
-            if (command.write) {
-                request.headers().set(HttpHeaderNames.CONTENT_LENGTH, value.readableBytes());
-            }
-        }
-        request.headers().set(HttpHeaderNames.HOST, Addresses.text(dial));
+    public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress address) {
+        FullHttpRequest request =
+                attempt.isHealthCheck() ? healthCheck() : encode(attempt.request.command, remainingMs);
+        request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
         return channel.writeAndFlush(request);
     }
 
+    private FullHttpRequest healthCheck() {
+        String path = dispatcher.loadReports().inHealthChecks() ? LOAD_QUERY_PATH : HEALTH_CHECK_PATH;
+        return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
+    }
+
+    private static FullHttpRequest encode(RequestCommand command, long remainingMs) {
+        String path = "/" + URLEncoder.encode(command.key, StandardCharsets.ISO_8859_1);
+        ByteBuf value = !command.write
+                ? Unpooled.EMPTY_BUFFER
+                : command.value.retainedSlice(0, command.value.readableBytes() - LINE_END_BYTES);
+        FullHttpRequest request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, command.write ? HttpMethod.PUT : HttpMethod.GET, path, value);
+        request.headers().set(ID_HEADER, command.id).set(PARAMETERS_HEADER, command.originParameters.with(remainingMs));
+        if (command.write) {
+            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, value.readableBytes());
+        }
+        return request;
+    }
+
+    // ---- responses
+
     @Override
-    public void channelReadComplete(ChannelHandlerContext ctx) {
+    public void channelReadComplete(ChannelHandlerContext context) {
         connection.setReading(false);
-        ctx.fireChannelReadComplete();
+        context.fireChannelReadComplete();
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
+    protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         connection.setReading(true);
-        if (broken
-                || connection
-                        .closedLocally()) { // the decoder makes a body without length whole when the connection ends
+        // Once this side has closed the connection, the decoder completes a body without length.
+        if (failed || connection.closedLocally()) {
             return;
         }
         if (message.decoderResult().isFailure()) {
             fail("not HTTP");
             return;
         }
-        if (message instanceof HttpResponse r) {
-            begin(ctx, r);
+        if (message instanceof HttpResponse head) {
+            begin(context, head);
         }
         if (response != null && message instanceof HttpContent content) {
-            content(content);
-            if (!broken && content instanceof LastHttpContent) {
-                end(ctx);
+            addContent(content);
+            if (!failed && content instanceof LastHttpContent) {
+                complete();
             }
         }
     }
 
-    private void begin(ChannelHandlerContext ctx, HttpResponse r) {
-        RequestAttempt attempt = connection.currentAttempt();
-        if (r.status().code() < 200) {
-            response = null;
-            return;
-        }
-        response = r;
-        missing = HttpUtil.getContentLength(r, -1L);
-        if (unreadable(r.headers())) {
-            fail("header line without colon");
-            return;
-        }
-        if (missing > MetaCodec.MAX_VALUE) {
-            fail("too long");
+    private void begin(ChannelHandlerContext context, HttpResponse head) {
+        if (head.status().code() < HttpResponseStatus.OK.code()) {
+            response = null; // an interim response
             return;
         }
-        if (missing < 0 && !HttpUtil.isTransferEncodingChunked(r) && HttpUtil.isKeepAlive(r)) {
-            fail("no length and no end"); // none can tell whether it is whole
+        response = head;
+        long contentLength = HttpUtil.getContentLength(head, UNKNOWN_LENGTH);
+        String error = findError(head, contentLength);
+        if (error != null) {
+            fail(error);
             return;
         }
-        streamed = r.status().code() == 200
-                && attempt.request != null
-                && !attempt.request.command.write
-                && missing > MetaCodec.WHOLE;
         body = null;
-        if (!streamed) {
-            body = new ValueBuffer(ctx.alloc(), missing < 0 ? MetaCodec.MAX_VALUE : (int) missing);
+        boolean streamable = isStreamable(head, contentLength);
+        streamed = streamable && connection.beginValue((int) contentLength); // else nobody waits for it
+        if (!streamable) {
+            int maxLength = contentLength < 0 ? MetaCodec.MAX_VALUE : (int) contentLength;
+            body = new ValueBuffer(context.alloc(), maxLength);
             connection.responseProgressed();
-        } else if (connection.beginValue((int) missing)) {
-            return;
-        } else {
-            streamed = false; // nobody waits: what comes is read and dropped
         }
     }
 
+    /** Why a response can't be used; null if it can. */
+    private static String findError(HttpResponse head, long contentLength) {
+        if (hasMalformedHeader(head.headers())) {
+            return "header line without colon";
+        }
+        if (contentLength > MetaCodec.MAX_VALUE) {
+            return "too long";
+        }
+        boolean endUnknown =
+                contentLength < 0 && !HttpUtil.isTransferEncodingChunked(head) && HttpUtil.isKeepAlive(head);
+        return endUnknown ? "no length and no end" : null;
+    }
+
+    private boolean isStreamable(HttpResponse head, long contentLength) {
+        RequestAttempt attempt = connection.currentAttempt();
+        return isOk(head)
+                && !attempt.isHealthCheck()
+                && !attempt.request.command.write
+                && contentLength > MetaCodec.WHOLE;
+    }
+
+    private static boolean isOk(HttpResponse head) {
+        return head.status().code() == HttpResponseStatus.OK.code();
+    }
+
     /**
-     * Guards against an answer with a line that is no header: the decoder takes it for a name without value. Only the
-     * load report may be of no use in an answer that is good.
+     * Whether a line is no header: the decoder takes it for a name without a value. Only the load report may be useless
+     * in a response that is not.
      */
-    private static boolean unreadable(HttpHeaders headers) {
-        for (Map.Entry<String, String> h : headers) {
-            if (h.getValue().isEmpty() && !h.getKey().equalsIgnoreCase(LOAD)) {
+    private static boolean hasMalformedHeader(HttpHeaders headers) {
+        for (Map.Entry<String, String> header : headers) {
+            if (header.getValue().isEmpty() && !header.getKey().equalsIgnoreCase(LOAD_HEADER)) {
                 return true;
             }
         }
         return false;
     }
 
-    private void content(HttpContent content) {
+    private void addContent(HttpContent content) {
         ByteBuf part = content.content();
         if (streamed) {
             if (part.isReadable()) {
@@ -193,7 +238,7 @@
             int length = body.length() + part.readableBytes();
             if (length > MetaCodec.MAX_VALUE) {
                 fail("too long");
-            } else if (!claim(length - MetaCodec.WHOLE)) {
+            } else if (!reserve(length - MetaCodec.WHOLE)) {
                 fail("no room for it");
             } else {
                 body.add(part, part.readableBytes());
@@ -202,46 +247,54 @@
         }
     }
 
-    private boolean claim(int bytes) {
-        while (room.size() * (long) MetaCodec.WHOLE < bytes) {
-            ByteBudget.Reservation ticket = dispatcher.bufferLimits().values().reserve(MetaCodec.WHOLE, () -> {});
-            if (ticket == null || !ticket.granted()) {
-                if (ticket != null) {
-                    ticket.release();
+    /** Reserves budget for this many bytes in all; false if there is not enough now. */
+    private boolean reserve(int bytes) {
+        while (reservations.size() * (long) MetaCodec.WHOLE < bytes) {
+            ByteBudget.Reservation reservation =
+                    dispatcher.bufferLimits().values().reserve(MetaCodec.WHOLE, () -> {});
+            if (reservation == null || !reservation.granted()) {
+                if (reservation != null) {
+                    reservation.release();
                 }
                 return false;
             }
-            room.add(ticket);
+            reservations.add(reservation);
         }
         return true;
     }
 
-    @SuppressWarnings("UnusedVariable") // ctx: as the other steps of decoding take it
-    private void end(ChannelHandlerContext ctx) {
-        HttpResponse r = response;
+    private void complete() {
+        HttpResponse head = response;
         ByteBuf whole = body == null ? null : body.whole();
         response = null;
-        drop();
-        if (!HttpUtil.isKeepAlive(r) || !HttpUtil.isContentLengthSet(r) && !HttpUtil.isTransferEncodingChunked(r)) {
+        releaseBody();
+        if (!HttpUtil.isKeepAlive(head)
+                || (!HttpUtil.isContentLengthSet(head) && !HttpUtil.isTransferEncodingChunked(head))) {
             connection.retire();
         }
         RequestAttempt attempt = connection.currentAttempt();
-        float[] report = dispatcher.loadReports().parse(r.headers().get(LOAD));
-        int code = r.status().code();
-        if (attempt.request == null) {
+        float[] report = dispatcher.loadReports().parse(head.headers().get(LOAD_HEADER));
+        if (attempt.isHealthCheck()) {
             release(whole);
-            connection.responseCompleted(code == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, report, null);
-        } else if (code == 200) {
-            connection.responseCompleted(AttemptOutcome.OK, 0, report, answer(attempt.request.command, whole));
+            connection.responseCompleted(isOk(head) ? AttemptOutcome.OK : AttemptOutcome.ERROR, NO_NOTE, report, null);
+        } else if (isOk(head)) {
+            connection.responseCompleted(
+                    AttemptOutcome.OK, NO_NOTE, report, toResponse(attempt.request.command, whole));
         } else {
             release(whole);
-            boolean declined =
-                    (code == 503 || code == 504) && "1".equals(r.headers().get("Srv-Declined"));
-            connection.responseCompleted(declined ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR, 0, report, null);
+            connection.responseCompleted(
+                    isRejection(head) ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR, NO_NOTE, report, null);
         }
     }
 
-    private ServerResponse answer(RequestCommand command, ByteBuf whole) {
+    private static boolean isRejection(HttpResponse head) {
+        int code = head.status().code();
+        return (code == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
+                        || code == HttpResponseStatus.GATEWAY_TIMEOUT.code())
+                && "1".equals(head.headers().get(REJECTED_HEADER));
+    }
+
+    private ServerResponse toResponse(RequestCommand command, ByteBuf whole) {
         if (streamed || whole == null) {
             return ServerResponse.EndOfValue.INSTANCE;
         }
@@ -253,42 +306,42 @@
         return new ServerResponse.Value(whole);
     }
 
-    private static void release(ByteBuf buf) {
-        if (buf != null) {
-            buf.release();
+    private static void release(ByteBuf buffer) {
+        if (buffer != null) {
+            buffer.release();
         }
     }
 
-    /** Lets go of the body; what has been handed on is in the client's hands. */
-    private void drop() {
+    /** Releases the body; what was streamed belongs to the client's side. */
+    private void releaseBody() {
         if (body != null) {
             body.release();
             body = null;
         }
-        for (ByteBudget.Reservation t; (t = room.poll()) != null; ) {
-            t.release();
+        for (ByteBudget.Reservation next = reservations.poll(); next != null; next = reservations.poll()) {
+            next.release();
         }
     }
 
-    private void fail(String what) {
-        broken = true;
-        drop();
-        connection.protocolError(what);
+    private void fail(String reason) {
+        failed = true;
+        releaseBody();
+        connection.protocolError(reason);
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-        broken = true;
-        drop();
+    public void channelInactive(ChannelHandlerContext context) {
+        failed = true;
+        releaseBody();
         connection.channelClosed();
     }
 
-    /** A body that only the connection's end ends is whole if that is an orderly one (RFC 9112, 6.3). */
+    /** A body that the connection's end completes is complete if that end is an orderly one (RFC 9112, 6.3). */
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         dispatcher.failures().connectionFailed(cause);
-        broken = true;
-        drop();
-        ctx.close();
+        failed = true;
+        releaseBody();
+        context.close();
     }
 }
--- a/src/main/java/cacheproxy/proxy/RoutingOrders.java
+++ b/src/main/java/cacheproxy/proxy/RoutingOrders.java
@@ -101,7 +101,7 @@
     public void closeIdle(int server) {
         UpstreamServer upstream = servers.get(server);
         if (upstream != null) {
-            upstream.closeIdle(Double.MAX_VALUE);
+            upstream.pool.closeIdle(Double.MAX_VALUE);
         }
     }
 
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/ServerConnectionPool.java
@@ -0,0 +1,278 @@
+package cacheproxy.proxy;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandler;
+import io.netty.channel.ChannelOption;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * The connections to one server. An attempt takes the idle connection that was used last, so that the rest can age and
+ * be closed; else a new one, up to a limit; else the one with the fewest attempts. Event loop only.
+ */
+final class ServerConnectionPool {
+    private static final int TYPICAL_CONNECTIONS = 2;
+    /** After the server has not taken a further connection, none is opened beside others for so long. */
+    private static final double REJECTION_BACKOFF_MS = 5000;
+    /**
+     * A connection to the origin rests for so long after a response. HTTP names no request, so a duplicate of a
+     * response, which arrives some milliseconds behind it, would be taken for that to an attempt sent in between; on a
+     * connection at rest it is seen to belong to none. Cache nodes' responses name their requests.
+     */
+    private static final double REST_MS = 25;
+
+    /**
+     * How many connections a pool may have, and how many attempts they may take.
+     *
+     * @param connections the limit of connections
+     * @param withStreaming the limit including those that pass streamed responses on
+     * @param depth the limit of attempts on one connection
+     */
+    record Limits(int connections, int withStreaming, int depth) {}
+
+    private final UpstreamServer server;
+    private final Dispatcher dispatcher;
+    private final Bootstrap bootstrap;
+    private final ConnectionLimits globalLimits;
+    private final Limits limits;
+    private final List<UpstreamConnection> connections = new ArrayList<>(TYPICAL_CONNECTIONS);
+    private double noNewUntilMs;
+    private double lastSentMs = Double.NEGATIVE_INFINITY;
+    private double lastRejectedMs = Double.NEGATIVE_INFINITY;
+    private long rejectedConnections;
+    private long openedConnections;
+
+    ServerConnectionPool(
+            UpstreamServer server,
+            Dispatcher dispatcher,
+            Bootstrap bootstrap,
+            ConnectionLimits globalLimits,
+            Limits limits) {
+        this.server = server;
+        this.dispatcher = dispatcher;
+        this.bootstrap = bootstrap;
+        this.globalLimits = globalLimits;
+        this.limits = limits;
+    }
+
+    boolean isOrigin() {
+        return server.origin;
+    }
+
+    /** What an attempt may be sent on, as found by one pass over the connections. */
+    private static final class Candidates {
+        /** The best usable connection that does not stream; null if there is none. */
+        private UpstreamConnection best;
+        /** The best usable connection that streams; null if there is none. */
+        private UpstreamConnection bestStreaming;
+
+        private int notStreaming;
+        private int all;
+    }
+
+    /**
+     * Sends an attempt; false if no connection can take it. What is sent behind a streamed response waits as long as
+     * its client takes to read it, so a streaming connection is the last resort, and does not count against the limit.
+     */
+    boolean send(RequestAttempt attempt) {
+        double now = dispatcher.now();
+        Candidates candidates = findCandidates(now);
+        UpstreamConnection chosen = shouldOpen(candidates, now) ? open() : candidates.best;
+        if (chosen == null) {
+            chosen = candidates.bestStreaming;
+        }
+        if (chosen == null) {
+            return false;
+        }
+        lastSentMs = now;
+        chosen.send(attempt);
+        return true;
+    }
+
+    private Candidates findCandidates(double now) {
+        double idleBeforeMs = globalLimits.idleBeforeMs(now);
+        Candidates found = new Candidates();
+        for (int i = connections.size() - 1; i >= 0; i--) {
+            UpstreamConnection connection = connections.get(i);
+            found.notStreaming += connection.isRetired() || connection.isStreaming() ? 0 : 1;
+            found.all += connection.isRetired() ? 0 : 1;
+            if (!connection.isUsable(limits.depth(), idleBeforeMs)) {
+                continue;
+            }
+            if (!connection.isStreaming()) {
+                found.best = found.best == null || isBetter(connection, found.best, now) ? connection : found.best;
+            } else if (found.bestStreaming == null || connection.isPreferredTo(found.bestStreaming)) {
+                found.bestStreaming = connection;
+            }
+        }
+        return found;
+    }
+
+    /**
+     * Whether to open a connection: there is none to use, or the best has attempts on it or should rest. Where no more
+     * may be opened, the one that has rested longest is used.
+     */
+    private boolean shouldOpen(Candidates candidates, double now) {
+        UpstreamConnection best = candidates.best;
+        boolean wanted = best == null || ((best.depth() > 0 || isResting(best, now)) && now >= noNewUntilMs);
+        if (!wanted) {
+            return false;
+        }
+        int maxConnections = best != null && !isOrigin() && globalLimits.connectionsScarce() ? 1 : limits.connections();
+        return candidates.notStreaming < maxConnections
+                && candidates.all < limits.withStreaming()
+                && globalLimits.mayOpen(best == null && candidates.bestStreaming == null);
+    }
+
+    private boolean isResting(UpstreamConnection connection, double now) {
+        return isOrigin() && !connection.hasRested(now, REST_MS);
+    }
+
+    private boolean isBetter(UpstreamConnection one, UpstreamConnection other, double now) {
+        boolean oneRests = isResting(one, now);
+        boolean otherRests = isResting(other, now);
+        if (oneRests && otherRests) {
+            return one.idleSinceMs() < other.idleSinceMs();
+        }
+        return oneRests == otherRests ? one.isPreferredTo(other) : otherRests;
+    }
+
+    private UpstreamConnection open() {
+        UpstreamConnection connection = new UpstreamConnection(this, dispatcher);
+        connections.add(connection);
+        globalLimits.connectionOpened();
+        openedConnections++;
+        ChannelHandler[] handlers =
+                isOrigin() ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
+        ChannelFuture future = bootstrap
+                .clone()
+                .handler(new Initializer(handlers))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) dispatcher.connectTimeoutMs())
+                .connect(server.address);
+        connection.connecting(future, server.address);
+        return connection;
+    }
+
+    /**
+     * Sends an attempt on another connection because its own was not opened; false if there is none. While others are
+     * open, the server has as many as it accepts, which says nothing against it.
+     */
+    boolean resend(RequestAttempt attempt) {
+        double now = dispatcher.now();
+        UpstreamConnection best = bestConnected(now);
+        if (best == null || !dispatcher.attemptStarter().mayBegin(attempt)) {
+            return false;
+        }
+        noNewUntilMs = now + REJECTION_BACKOFF_MS;
+        best.send(attempt);
+        return true;
+    }
+
+    private UpstreamConnection bestConnected(double now) {
+        double idleBeforeMs = globalLimits.idleBeforeMs(now);
+        UpstreamConnection best = null;
+        for (UpstreamConnection connection : connections) {
+            if (server.ready
+                    && connection.isConnected()
+                    && connection.isUsable(limits.depth(), idleBeforeMs)
+                    && (best == null || isBetter(connection, best, now))) {
+                best = connection;
+            }
+        }
+        return best;
+    }
+
+    /** The server has rejected a new connection as it is at its limit; whether there is no other connection to it. */
+    boolean connectionRejected() {
+        lastRejectedMs = dispatcher.now();
+        rejectedConnections++;
+        dispatcher.servers().connectionRejected();
+        noNewUntilMs = dispatcher.now() + REJECTION_BACKOFF_MS;
+        return connections.isEmpty();
+    }
+
+    /** Whether one more connection may be closed only because nobody waits for what is on it. */
+    boolean mayCloseAbandoned() {
+        return globalLimits.mayCloseAbandoned();
+    }
+
+    /** A connection has ended, or was never opened. */
+    void connectionClosed(UpstreamConnection connection) {
+        if (connections.remove(connection)) {
+            globalLimits.connectionClosed();
+        }
+    }
+
+    /** Closes connections that have been idle since this time. */
+    void closeIdle(double sinceMs) {
+        for (UpstreamConnection connection : List.copyOf(connections)) {
+            if (connection.depth() == 0 && connection.idleSinceMs() <= sinceMs) {
+                connection.close();
+            }
+        }
+    }
+
+    /** The connection that has been idle longest; null if none is idle. */
+    UpstreamConnection longestIdle() {
+        UpstreamConnection longest = null;
+        for (UpstreamConnection connection : connections) {
+            if (connection.isIdle() && (longest == null || connection.idleSinceMs() < longest.idleSinceMs())) {
+                longest = connection;
+            }
+        }
+        return longest;
+    }
+
+    /**
+     * Closes the present connections: idle ones now, the others after their last response. For a server that is no
+     * longer at its address, or no longer in the list.
+     */
+    void retire() {
+        List.copyOf(connections).forEach(UpstreamConnection::retire);
+    }
+
+    /**
+     * Ends attempts that wait for a connection to a server that takes nothing new, or is no longer where the connection
+     * leads. Else they would reach the server whenever that connection opens.
+     */
+    void endUnsent() {
+        for (UpstreamConnection connection : List.copyOf(connections)) {
+            if (!server.ready || connection.isRetired()) {
+                connection.endUnsent();
+            }
+        }
+    }
+
+    /** Closes all connections. */
+    void close() {
+        List.copyOf(connections).forEach(UpstreamConnection::close);
+    }
+
+    /** Closes connections whose response has stopped in its middle. */
+    void closeStalled(double now) {
+        for (UpstreamConnection connection : List.copyOf(connections)) {
+            connection.closeIfStalled(now);
+        }
+    }
+
+    /** When an attempt was last sent, on the clock of {@link Dispatcher#now}. */
+    double lastSentMs() {
+        return lastSentMs;
+    }
+
+    /** When the server last rejected a connection, on the same clock. */
+    double lastRejectedMs() {
+        return lastRejectedMs;
+    }
+
+    /** How many connections the server has rejected. */
+    long rejectedConnections() {
+        return rejectedConnections;
+    }
+
+    /** How many connections were begun. */
+    long openedConnections() {
+        return openedConnections;
+    }
+}
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -13,104 +13,119 @@
 import java.util.List;
 
 /**
- * One connection to a server with the attempts on it, in the order in which their answers come. How an attempt ends
- * when the connection does hangs on whether its last byte was written: only then may it have run.
+ * One connection to a server, with the attempts on it in the order in which their responses arrive. If the connection
+ * ends, an attempt whose last byte was written may have been executed, any other has not. Event loop only.
  */
-@SuppressWarnings("OperatorPrecedence") // && binds before ||; parentheses follow as lines are touched
 final class UpstreamConnection implements ResponseWriter.FlowControl {
-    /** Turns an attempt into the server's protocol and its answers into calls of the methods below. */
+    /** Encodes attempts in the server's protocol, and decodes its responses into calls of this connection. */
     interface Codec {
-        /** {@code remainingMs}: how long the server is told that its answer is waited for. */
-        ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress dial);
+        /** Writes an attempt; {@code remainingMs}: how long, as the server is told, its response is waited for. */
+        ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress address);
     }
 
-    /** A server pauses for 0.1 s at most within an answer; one that stops for this long will not go on. */
-    private static final double STALLED_MS = 3000;
+    private static final int TYPICAL_DEPTH = 4;
+    /** A server at its connection limit closes the connection within this time of its response. */
+    private static final double REJECTION_CLOSE_MS = 5;
 
-    /** Three times the longest pause: a short answer that has stopped for this long has been cut off. */
-    private static final double CUT_MS = 300;
-
-    /** A server that has no place for a connection ends it right behind its answer. */
-    private static final double PLACE_MS = 5;
-
-    private final UpstreamServer upstream;
-    private final ArrayDeque<RequestAttempt> attempts = new ArrayDeque<>(4);
+    private final ServerConnectionPool pool;
+    private final Dispatcher dispatcher;
+    private final ResponseWatchdog watchdog;
+    private final ArrayDeque<RequestAttempt> attempts = new ArrayDeque<>(TYPICAL_DEPTH);
     private Codec codec;
     private Channel channel;
-    private SocketAddress dial;
+    private SocketAddress address;
     private boolean connected;
     private boolean closed;
+    /** Takes no further attempts. */
     private boolean retired;
-    /** It was ended from this side, whatever was still to come. */
-    private boolean cutOff;
+    /** Whether this side has closed it, whatever was still to arrive. */
+    private boolean closedLocally;
 
+    /** Whether input is being decoded. */
     private boolean reading;
-    private boolean held;
-    private int givenUp;
+    /** How many attempts on it nobody waits for any more. */
+    private int abandoned;
+
     private double idleSinceMs;
-    private double progressMs;
-    private boolean begun;
-    private boolean partial;
-    private boolean watched;
-    private boolean answered;
-    /** The first attempt, where it was turned away and it is not yet known why. */
-    private RequestAttempt turnedAway;
+    /** Whether a response has arrived on it. */
+    private boolean hasResponded;
+    /** The first attempt, if it was rejected and it is not yet known whether the server is at its connection limit. */
+    private RequestAttempt rejectedFirst;
 
-    UpstreamConnection(UpstreamServer upstream) {
-        this.upstream = upstream;
-        idleSinceMs = upstream.dispatcher().now();
+    UpstreamConnection(ServerConnectionPool pool, Dispatcher dispatcher) {
+        this.pool = pool;
+        this.dispatcher = dispatcher;
+        watchdog = new ResponseWatchdog(dispatcher, this::close);
+        idleSinceMs = dispatcher.now();
     }
 
     Dispatcher dispatcher() {
-        return upstream.dispatcher();
+        return dispatcher;
     }
 
-    void setCodec(Codec by) {
-        codec = by;
+    void setCodec(Codec connectionCodec) {
+        codec = connectionCodec;
     }
 
-    void connecting(ChannelFuture future, SocketAddress to) {
+    // ---- opening
+
+    /** The connection to this address is being opened. */
+    void connecting(ChannelFuture future, SocketAddress toAddress) {
         channel = Connecting.channel(future);
-        dial = to;
-        Connecting.whenDone(upstream.dispatcher().loop(), future, () -> {
+        address = toAddress;
+        Connecting.whenDone(dispatcher.loop(), future, () -> {
             if (future.isSuccess()) {
-                opened();
+                channelOpened();
             } else {
-                upstream.dispatcher().counters().increment(Metric.CONNECTIONS_FAILED);
+                dispatcher.counters().increment(Metric.CONNECTIONS_FAILED);
                 channelClosed();
             }
         });
     }
 
-    private void opened() {
+    private void channelOpened() {
         expireWaiting();
         connected = true;
         if (attempts.isEmpty()) {
-            idleSinceMs = upstream.dispatcher().now();
+            idleSinceMs = dispatcher.now();
             if (retired) {
                 close();
             }
         }
         for (RequestAttempt waiting : List.copyOf(attempts)) {
-            if (waiting.request == null
-                    || upstream.dispatcher().attemptStarter().mayBegin(waiting)) {
+            if (waiting.isHealthCheck() || dispatcher.attemptStarter().mayBegin(waiting)) {
                 write(waiting);
             } else {
                 attempts.remove(waiting);
-                upstream.dispatcher().attempts().end(waiting, AttemptOutcome.NOT_SENT);
+                dispatcher.attempts().end(waiting, AttemptOutcome.NOT_SENT);
             }
         }
     }
 
-    /** A long answer is being passed on. */
+    /** Expires attempts whose time ran out while the connection was opening: nothing may go out for them. */
+    private void expireWaiting() {
+        double now = dispatcher.now();
+        List.copyOf(attempts).stream()
+                .filter(attempt -> attempt.expiresMs <= now)
+                .forEach(dispatcher.attempts()::expire);
+    }
+
+    // ---- state, as the pool chooses by it
+
+    /** Whether a streamed response is being received. */
     boolean isStreaming() {
-        return begun;
+        return watchdog.isStreaming();
     }
 
     boolean isConnected() {
         return connected;
     }
 
+    boolean isRetired() {
+        return retired;
+    }
+
+    /** How many attempts are on it. */
     int depth() {
         return attempts.size();
     }
@@ -119,35 +134,35 @@
         return idleSinceMs;
     }
 
-    /** Whether nothing is out on it, and nothing is being read from it. */
+    /** Whether nothing is in flight on it and nothing is being read from it. */
     boolean isIdle() {
-        return connected && !closed && !retired && !reading && turnedAway == null && attempts.isEmpty();
+        return connected && !closed && !retired && !reading && rejectedFirst == null && attempts.isEmpty();
     }
 
     /**
-     * Whether one more attempt may go onto it. Not while what has come is still being read: bytes right behind an
-     * answer would be taken for the answer to an attempt that was put on the connection in between. Nor one that has
-     * stood idle since {@code idleBeforeMs}: its server may end it just now.
+     * Whether it takes one more attempt. Not while input is being decoded: bytes right behind a response would be taken
+     * for the response to an attempt that was added in between. Nor if it has been idle since {@code idleBeforeMs}: its
+     * server may be closing it.
      */
     boolean isUsable(int maxDepth, double idleBeforeMs) {
-        boolean old = connected && attempts.isEmpty() && idleSinceMs <= idleBeforeMs;
-        return !closed
-                && !old
-                && !retired
-                && !reading
-                && attempts.size() < maxDepth
-                && (!connected || channel.isActive() && channel.isWritable());
+        boolean tooOld = connected && attempts.isEmpty() && idleSinceMs <= idleBeforeMs;
+        boolean writable = !connected || (channel.isActive() && channel.isWritable());
+        return !closed && !tooOld && !retired && !reading && attempts.size() < maxDepth && writable;
     }
 
-    /** Whether its last answer, if it has had any, is so long ago; for one that stands idle. */
+    /** For an idle connection: whether its last response, if any, arrived at least {@code restMs} ago. */
     boolean hasRested(double now, double restMs) {
-        return !answered || now - idleSinceMs >= restMs;
+        return !hasResponded || now - idleSinceMs >= restMs;
     }
 
+    /** Whether it has fewer attempts than another, or as many and was used more recently. */
     boolean isPreferredTo(UpstreamConnection other) {
         return depth() != other.depth() ? depth() < other.depth() : idleSinceMs > other.idleSinceMs;
     }
 
+    // ---- attempts
+
+    /** Sends an attempt, as soon as the connection is open. */
     void send(RequestAttempt attempt) {
         attempt.connection = this;
         attempts.add(attempt);
@@ -156,140 +171,131 @@
         }
     }
 
-    /** What came up as late as this has no time left: nothing may go out for it any more. */
-    private void expireWaiting() {
-        double now = upstream.dispatcher().now();
-        List.copyOf(attempts).stream()
-                .filter(a -> a.expiresMs <= now)
-                .forEach(upstream.dispatcher().attempts()::expire);
-    }
-
     private void write(RequestAttempt attempt) {
-        // Less by what may be wrong with the time at which the request came.
-        long remainingMs = attempt.remainingMs(upstream.dispatcher().now() + LoopClock.TOLERANCE_MS);
-        upstream.dispatcher().attemptStarter().checkRemainingTime(attempt, remainingMs);
-        codec.write(channel, attempt, remainingMs, dial).addListener(f -> {
-            if (f.isSuccess()) {
+        // Less by the tolerance, since the request may have arrived earlier than estimated.
+        long remainingMs = attempt.remainingMs(dispatcher.now() + LoopClock.TOLERANCE_MS);
+        dispatcher.attemptStarter().checkRemainingTime(attempt, remainingMs);
+        codec.write(channel, attempt, remainingMs, address).addListener(future -> {
+            if (future.isSuccess()) {
                 attempt.written = true;
-                if (attempt.request != null) {
-                    upstream.dispatcher().counters().recordForward();
+                if (!attempt.isHealthCheck()) {
+                    dispatcher.counters().recordForward();
                 }
             }
         });
     }
 
-    /** Takes back an attempt that waits for the connection to come up; false if it may have begun to go out. */
+    /** Removes an attempt that waits for the connection to open; false if it may have begun to go out. */
     boolean removeUnsent(RequestAttempt attempt) {
         return !connected && attempts.remove(attempt);
     }
 
-    /** Takes back all that waits for it to come up, and so ends it. */
+    /** Ends all attempts that wait for the connection to open, and with them the connection. */
     void endUnsent() {
-        if (!connected) {
-            retired = true;
-            for (RequestAttempt a; (a = attempts.poll()) != null; ) {
-                upstream.dispatcher().attempts().end(a, AttemptOutcome.NOT_SENT);
-            }
-            close();
+        if (connected) {
+            return;
         }
+        retired = true;
+        for (RequestAttempt attempt = attempts.poll(); attempt != null; attempt = attempts.poll()) {
+            dispatcher.attempts().end(attempt, AttemptOutcome.NOT_SENT);
+        }
+        close();
     }
 
     /**
-     * Whether giving the attempt up ends it: what has gone out is out until its connection ends, and that would take
-     * what else is waited for there with it.
+     * Whether abandoning an attempt ends it. What has gone out can be ended only with the connection, and that would
+     * end the others that are waited for as well.
      */
     boolean isAlone() {
-        return !connected || attempts.size() - givenUp == 1;
+        return !connected || attempts.size() - abandoned == 1;
     }
 
-    /** Nobody waits for it any more; whether nothing of it has gone out or will. */
+    /** Nobody waits for an attempt any more. True if nothing of it has gone out or will. */
     boolean abandon(RequestAttempt attempt) {
         if (!connected) {
             return removeUnsent(attempt);
         }
-        if (attempts.contains(attempt)
-                && ++givenUp == attempts.size()
-                && (retired || upstream.dispatcher().servers().mayCloseAbandoned())) {
+        if (!attempts.contains(attempt)) {
+            return false;
+        }
+        abandoned++;
+        if (abandoned == attempts.size() && (retired || pool.mayCloseAbandoned())) {
             close();
         }
         return false;
     }
 
-    /** Nothing more goes onto it; it closes once nobody waits for what is on it. */
+    // ---- closing
+
+    /** Takes no further attempts, and closes once nobody waits for those on it. */
     void retire() {
         retired = true;
-        if (givenUp == attempts.size()) {
+        if (abandoned == attempts.size()) {
             close();
         }
     }
 
-    boolean isRetired() {
-        return retired;
-    }
-
-    /** Stops reading while the client can't take more. */
-    @Override
-    public void setPaused(boolean on) {
-        if (held != on) {
-            held = on;
-            progressMs = upstream.dispatcher().now();
-            channel.config().setAutoRead(!on);
-        }
-    }
-
+    /** Closes the connection if a response on it has stopped in its middle, or an expired one still blocks it. */
     void closeIfStalled(double now) {
-        RequestAttempt head = attempts.peek();
-        boolean silent = connected && head != null && head.ended && now - head.expiresMs > STALLED_MS;
-        if (silent || begun && !held && now - progressMs > STALLED_MS) {
+        RequestAttempt current = attempts.peek();
+        boolean blocked = connected
+                && current != null
+                && current.ended
+                && now - current.expiresMs > ResponseWatchdog.STREAM_STALL_MS;
+        if (blocked || watchdog.isStreamStalled(now)) {
             close();
         }
     }
 
-    /** Whether it was ended from this side: what it brings out as it ends is no whole answer. */
+    /** Whether this side has closed it: what the decoder still brings out is no complete response. */
     boolean closedLocally() {
-        return cutOff;
+        return closedLocally;
     }
 
     void close() {
         retired = true;
-        cutOff = true;
+        closedLocally = true;
         if (channel != null) {
             channel.close();
         }
     }
 
-    // ---- what the codec has read
+    // ---- called by the codec
 
-    /** Told when input has come and again when all of it has been read. */
-    void setReading(boolean on) {
-        reading = on;
+    /** Input has arrived and is being decoded, or all of it has been. */
+    void setReading(boolean nowReading) {
+        reading = nowReading;
     }
 
-    /** The attempt whose answer comes next; null if none is out, so that what comes is not the protocol's. */
+    /** The attempt whose response arrives next; null if none is in flight, so that input violates the protocol. */
     RequestAttempt currentAttempt() {
         return attempts.peek();
     }
 
-    /** A short answer or a long one's end has come whole. */
-    void responseCompleted(AttemptOutcome outcome, int note, float[] report, ServerResponse answer) {
+    /** Part of a response that is not streamed has arrived. */
+    void responseProgressed() {
+        watchdog.shortResponseProgressed();
+    }
+
+    /** The response to the current attempt has arrived completely; arguments as of {@link AttemptLifecycle#end}. */
+    void responseCompleted(AttemptOutcome outcome, int note, float[] report, ServerResponse response) {
         RequestAttempt attempt = attempts.poll();
-        begun = false;
-        partial = false;
+        watchdog.responseCompleted();
         if (attempt.ended) {
-            givenUp--;
+            abandoned--;
         }
         if (attempts.isEmpty()) {
-            idleSinceMs = upstream.dispatcher().now();
+            idleSinceMs = dispatcher.now();
         }
-        boolean first = !answered;
-        answered = true;
-        if (first && outcome == AttemptOutcome.REJECTED && !upstream.origin) {
-            turnedAway = attempt;
-            upstream.dispatcher().after(PLACE_MS, () -> turnedAway(AttemptOutcome.REJECTED));
+        boolean isFirst = !hasResponded;
+        hasResponded = true;
+        if (isFirst && outcome == AttemptOutcome.REJECTED && !pool.isOrigin()) {
+            rejectedFirst = attempt;
+            dispatcher.after(REJECTION_CLOSE_MS, () -> endRejectedFirst(AttemptOutcome.REJECTED));
         } else {
-            upstream.dispatcher().attempts().end(attempt, outcome, note, report, answer);
+            dispatcher.attempts().end(attempt, outcome, note, report, response);
         }
-        // After the end, which may find no room at its client: between two answers nobody is there to let go of it.
+        // After the end, which may have paused it for a slow client: between two responses nobody would resume it.
         setPaused(false);
         if (attempts.isEmpty() && retired) {
             close();
@@ -297,78 +303,61 @@
     }
 
     /**
-     * The end of a first attempt that was turned away. Guards against proxies that ask again and again for a place at a
-     * server which has given all of them to others: only one that ends the connection as well has none left.
+     * Ends a first attempt that was rejected. Only a server that also closes the connection is at its connection limit;
+     * that is an outcome of its own, so that proxies do not try again and again.
      */
-    private void turnedAway(AttemptOutcome outcome) {
-        if (turnedAway != null) {
-            RequestAttempt attempt = turnedAway;
-            turnedAway = null;
-            upstream.dispatcher().attempts().end(attempt, outcome);
+    private void endRejectedFirst(AttemptOutcome outcome) {
+        if (rejectedFirst != null) {
+            RequestAttempt attempt = rejectedFirst;
+            rejectedFirst = null;
+            dispatcher.attempts().end(attempt, outcome);
         }
     }
 
-    /**
-     * Part of a short answer has come. Guards against one that is cut off on a connection that stays open: its attempt
-     * would be waited for until the request's time is up. It may have run, so it ends as a reset.
-     */
-    void responseProgressed() {
-        partial = true;
-        progressMs = upstream.dispatcher().now();
-        if (!watched) {
-            watched = true;
-            watch(CUT_MS);
-        }
-    }
-
-    private void watch(double ms) {
-        upstream.dispatcher().after(ms, () -> {
-            double left = CUT_MS - (upstream.dispatcher().now() - progressMs);
-            watched = partial && !closed && left > 0;
-            if (watched) {
-                watch(left);
-            } else if (partial && !closed) {
-                close();
-            }
-        });
-    }
-
-    /** A long answer begins; false if nobody waits for it, so that it is to be dropped. */
+    /** A streamed response of {@code length} bytes begins; false if it is to be dropped. */
     boolean beginValue(int length) {
-        begun = true;
-        partial = false; // its line may have come in pieces; from here on the client may be what it waits for
-        progressMs = upstream.dispatcher().now();
-        return upstream.dispatcher().streaming().begin(attempts.peek(), length);
+        watchdog.streamBegan();
+        return dispatcher.streaming().begin(attempts.peek(), length);
     }
 
+    /** Passes on part of a streamed response, which is released there. */
     void writePart(ByteBuf part) {
-        progressMs = upstream.dispatcher().now();
-        upstream.dispatcher().streaming().writePart(attempts.peek(), part);
+        watchdog.streamProgressed();
+        dispatcher.streaming().writePart(attempts.peek(), part);
+    }
+
+    /** Pauses reading while the client can't take more, or resumes it. */
+    @Override
+    public void setPaused(boolean paused) {
+        if (watchdog.setPaused(paused)) {
+            channel.config().setAutoRead(!paused);
+        }
     }
 
-    void protocolError(String what) {
-        upstream.dispatcher()
-                .log(EventKind.SERVER_PROTOCOL_ERROR, LogMessage.of(what).with("server", dial));
+    /** The server has violated its protocol. */
+    void protocolError(String reason) {
+        dispatcher.log(EventKind.SERVER_PROTOCOL_ERROR, LogMessage.of(reason).with("server", address));
         close();
     }
 
+    /** The connection has ended, or was never opened. */
     void channelClosed() {
         if (closed) {
             return;
         }
         closed = true;
-        // Guards against ended connections that count on: the server's limit and the proxy's fill up for good.
-        upstream.connectionClosed(this);
-        if (turnedAway != null) {
-            // Where the end is ours (what came behind could not be read), it tells nothing of places.
-            turnedAway(!retired && upstream.turnedAway() ? AttemptOutcome.CONNECTION_LIMIT : AttemptOutcome.REJECTED);
+        watchdog.stop();
+        pool.connectionClosed(this);
+        if (rejectedFirst != null) {
+            // Where this side has closed it, because of what came behind the response, that says nothing of limits.
+            boolean atLimit = !retired && pool.connectionRejected();
+            endRejectedFirst(atLimit ? AttemptOutcome.CONNECTION_LIMIT : AttemptOutcome.REJECTED);
         }
-        for (RequestAttempt a; (a = attempts.poll()) != null; ) {
-            if (!connected && !a.ended && upstream.resend(a)) {
+        for (RequestAttempt attempt = attempts.poll(); attempt != null; attempt = attempts.poll()) {
+            if (!connected && !attempt.ended && pool.resend(attempt)) {
                 continue;
             }
-            AttemptOutcome outcome = a.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
-            upstream.dispatcher().attempts().end(a, outcome);
+            dispatcher.attempts().end(attempt, attempt.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/UpstreamServers.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamServers.java
@@ -1,6 +1,5 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.SafetyRules;
 import cacheproxy.metrics.Metric;
 import cacheproxy.metrics.MetricsLine;
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
@@ -15,262 +14,182 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** The servers of the list with our connections to them, and what bounds these over all servers. */
+/** The servers of the endpoint list, with the connections to them. Event loop only. */
 final class UpstreamServers {
-    private static final double AVOIDED_MS = 1000;
-    /** To one cache node, ordinarily and with those that pass long answers on. */
-    private static final int CONNECTIONS = 4;
+    /** A node that has been sent nothing for so long, not even to try it again, counts as ejected. */
+    private static final double EJECTED_SILENCE_MS = 1000;
+    /** Connections are scarce if so many cache nodes reject them, and at least this part of them. */
+    private static final int MIN_REJECTING_NODES = 2;
 
-    private static final int CONNECTIONS_IN_ALL = 12;
-    /** Our connections are ended at this part of the time after which a server ends them. */
-    private static final double RETIRE_AT = 0.7;
-    /** So long after one had no place, servers are taken to have few: some rounds of trying them again. */
-    private static final double SCARCE_MS = 60_000;
-    /** Of the servers, two at least, so many must have had no place. */
-    private static final double SCARCE_PART = 0.1;
-
-    private static final double CLOSES_PER_SECOND = 10;
-    private static final double CLOSES_SAVED = 10;
+    private static final double MIN_REJECTING_PART = 0.1;
 
     private final Dispatcher dispatcher;
     private final Bootstrap bootstrap;
-    private final int maxConnections;
+    private final ConnectionLimits limits;
     private final IntObjectHashMap<UpstreamServer> servers = new IntObjectHashMap<>();
-    /** What the list has no more, until what waits there is taken back. */
-    private final List<UpstreamServer> forgotten = new ArrayList<>();
-
-    private double closes = CLOSES_SAVED;
-    private double closesAtMs;
-    private int connections;
-    private double scarceUntilMs = Double.NEGATIVE_INFINITY;
+    /** Servers that the list has no longer, until attempts that wait for them are ended. */
+    private final List<UpstreamServer> removed = new ArrayList<>();
 
-    /** {@code maxConnections}: to all servers together. */
+    /** {@code maxConnections}: the limit over all servers. */
     UpstreamServers(Dispatcher dispatcher, Bootstrap bootstrap, int maxConnections) {
         this.dispatcher = dispatcher;
         this.bootstrap = bootstrap;
-        this.maxConnections = maxConnections;
+        limits = new ConnectionLimits(dispatcher, maxConnections, this::longestIdleConnection);
     }
 
-    /** One of the list; null if it is not in it. */
+    /** The server of this id; null if it is not in the list. */
     UpstreamServer get(int id) {
         return servers.get(id);
     }
 
-    /** Takes news of the list: who is new, gone, or at another address. */
-    void update(EndpointUpdateKind kind, List<DiscoveredEndpoint> hosts, int streams) {
-        for (DiscoveredEndpoint h : hosts) {
-            int id = h.endpoint().id();
-            if (h.endpoint().state() == EndpointState.REMOVED) {
-                forget(id);
-                continue;
-            }
-            UpstreamServer u = servers.get(id);
-            if (u == null) {
-                u = added(h, streams);
-            }
-            if (!h.address().equals(u.address) || u.startTimeMs != h.endpoint().startTimeMs()) {
-                u.retire();
+    // ---- updates of the list
+
+    /** Applies an update of the list; {@code streams}: the limit of attempts on a connection to a cache node. */
+    void update(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints, int streams) {
+        for (DiscoveredEndpoint discovered : endpoints) {
+            int id = discovered.endpoint().id();
+            if (discovered.endpoint().state() == EndpointState.REMOVED) {
+                remove(id);
+            } else {
+                UpstreamServer known = servers.get(id);
+                UpstreamServer server = known != null ? known : add(discovered, streams);
+                server.update(discovered);
             }
-            u.address = h.address();
-            u.startTimeMs = h.endpoint().startTimeMs();
-            u.localStartTimeMs = h.endpoint().localStartTimeMs();
-            u.location =
-                    new SafetyRules.Location(h.endpoint().zone(), h.endpoint().cell());
-            u.ready = h.endpoint().state() == EndpointState.READY;
         }
         if (kind.isSnapshot()) {
-            Set<Integer> named = new HashSet<>();
-            hosts.forEach(h -> named.add(h.endpoint().id()));
-            for (Integer id : List.copyOf(servers.keySet())) {
-                if (!named.contains(id)) {
-                    forget(id);
-                }
-            }
+            removeAllBut(endpoints);
         }
     }
 
-    private UpstreamServer added(DiscoveredEndpoint h, int streams) {
+    private UpstreamServer add(DiscoveredEndpoint discovered, int streams) {
         RoutingSettings settings = dispatcher.settings();
-        boolean origin = settings.cacheAside() && h.endpoint().kind() == settings.originKind();
-        int id = h.endpoint().id();
-        UpstreamServer u = origin
-                ? new UpstreamServer(id, true, dispatcher, bootstrap, originConnections(), originConnections(), 1)
-                : new UpstreamServer(
-                        id,
-                        false,
-                        dispatcher,
-                        bootstrap,
-                        cacheConnections(CONNECTIONS),
-                        cacheConnections(CONNECTIONS_IN_ALL),
-                        streams);
-        servers.put(id, u);
-        return u;
+        int id = discovered.endpoint().id();
+        boolean origin = settings.cacheAside() && discovered.endpoint().kind() == settings.originKind();
+        UpstreamServer server = new UpstreamServer(
+                id, origin, dispatcher, bootstrap, limits, origin ? limits.origin() : limits.cacheNode(streams));
+        servers.put(id, server);
+        return server;
+    }
+
+    private void removeAllBut(List<DiscoveredEndpoint> endpoints) {
+        Set<Integer> listed = new HashSet<>();
+        endpoints.forEach(discovered -> listed.add(discovered.endpoint().id()));
+        for (Integer id : List.copyOf(servers.keySet())) {
+            if (!listed.contains(id)) {
+                remove(id);
+            }
+        }
     }
 
-    private void forget(int id) {
-        UpstreamServer u = servers.remove(id);
-        if (u != null) {
-            u.ready = false;
-            u.retire();
-            forgotten.add(u);
+    private void remove(int id) {
+        UpstreamServer server = servers.remove(id);
+        if (server != null) {
+            server.removed();
+            removed.add(server);
         }
     }
 
-    /** Takes back what has not begun to go out to servers that want nothing new; once the module knows of that. */
+    /** Ends attempts that wait for servers which take nothing new; once the load balancer knows of the update. */
     void endUnsent() {
-        Stream.concat(servers.values().stream(), forgotten.stream()).toList().forEach(UpstreamServer::endUnsent);
-        forgotten.clear();
+        Stream.concat(servers.values().stream(), removed.stream()).toList().forEach(server -> server.pool.endUnsent());
+        removed.clear();
     }
 
-    /**
-     * Servers accept some forty connections each, for all proxies together. Where second copies are forbidden only what
-     * has a connection of its own can be given up for another server, so there it is as many as a server has places
-     * for.
-     */
-    private int cacheConnections(int most) {
-        RoutingSettings settings = dispatcher.settings();
-        return settings.hedgingAllowed()
-                ? Math.max(1, Math.min(most, 28 / Math.max(1, settings.instanceCount())))
-                : CONNECTIONS_IN_ALL;
-    }
-
-    private int originConnections() {
-        return Math.max(4, Math.min(48, 240 / Math.max(1, dispatcher.settings().instanceCount())));
-    }
+    // ---- connections
 
-    // ---- bounds
-
-    /** A server had no place for a further connection; one by itself may be at its limit for reasons of its own. */
+    /** A server was at its limit for a further connection; a single one may be so for reasons of its own. */
     void connectionRejected() {
         dispatcher.counters().increment(Metric.CONNECTIONS_REJECTED);
-        double since = dispatcher.now() - SCARCE_MS;
-        long full = cacheNodeStream().filter(u -> u.lastRejectedMs() > since).count();
-        if (full >= Math.max(2, cacheNodeCount() * SCARCE_PART)) {
-            scarceUntilMs = dispatcher.now() + SCARCE_MS;
-        }
-    }
-
-    /** Whether servers have too few places for all proxies, so that each should be content with one. */
-    boolean connectionsScarce() {
-        return dispatcher.now() < scarceUntilMs;
-    }
-
-    /** Whether one more connection may be closed only because nobody waits for what is on it. */
-    boolean mayCloseAbandoned() {
-        double now = dispatcher.now();
-        closes = Math.min(CLOSES_SAVED, closes + (now - closesAtMs) / 1000 * CLOSES_PER_SECOND);
-        closesAtMs = now;
-        if (closes < 1 && dispatcher.settings().hedgingAllowed()) {
-            return false;
+        double since = limits.scarcitySinceMs();
+        long rejecting = cacheNodeStream()
+                .filter(server -> server.pool.lastRejectedMs() > since)
+                .count();
+        if (rejecting >= Math.max(MIN_REJECTING_NODES, cacheNodeCount() * MIN_REJECTING_PART)) {
+            limits.noteScarcity();
         }
-        closes--;
-        return true;
     }
 
-    /**
-     * Whether one more connection may be opened. Where a server has none, the connection that has stood idle longest is
-     * ended for it: guards against servers that can't be reached as others, as many as may be connected to, have been.
-     */
-    boolean mayOpen(boolean first) {
-        return connections < maxConnections || (first && endLongestIdle());
-    }
-
-    /** Its descriptor is free from here on; it counts until the event loop has come round. */
-    private boolean endLongestIdle() {
+    private UpstreamConnection longestIdleConnection() {
         UpstreamConnection longest = null;
-        for (UpstreamServer u : servers.values()) {
-            UpstreamConnection c = u.longestIdle();
-            if (c != null && (longest == null || c.idleSinceMs() < longest.idleSinceMs())) {
-                longest = c;
+        for (UpstreamServer server : servers.values()) {
+            UpstreamConnection connection = server.pool.longestIdle();
+            if (connection != null && (longest == null || connection.idleSinceMs() < longest.idleSinceMs())) {
+                longest = connection;
             }
         }
-        if (longest == null) {
-            return false;
-        }
-        longest.close();
-        return true;
+        return longest;
     }
 
     /** Connections that are open or being opened. */
     int connections() {
-        return connections;
-    }
-
-    void connectionOpened() {
-        connections++;
-        dispatcher.counters().increment(Metric.CONNECTIONS_OPENED);
-    }
-
-    void connectionClosed() {
-        connections--;
-    }
-
-    /** A connection that has stood idle since then is not used any more, as its server may end it. */
-    double idleBeforeMs(double now) {
-        return now - dispatcher.idleCloseMs() * RETIRE_AT;
+        return limits.connections();
     }
 
+    /** Closes connections that have been idle too long, or whose response has stopped in its middle. */
     void sweep() {
         double now = dispatcher.now();
-        for (UpstreamServer u : servers.values()) {
-            u.closeIdle(idleBeforeMs(now));
-            u.closeStalled(now);
+        for (UpstreamServer server : servers.values()) {
+            server.pool.closeIdle(limits.idleBeforeMs(now));
+            server.pool.closeStalled(now);
         }
     }
 
-    /** Ends all connections. */
+    /** Closes all connections. */
     void close() {
-        servers.values().forEach(UpstreamServer::close);
+        servers.values().forEach(server -> server.pool.close());
     }
 
-    // ---- figures
+    // ---- cache nodes: state and metrics
 
-    /** The cache nodes of the list. */
+    /** How many cache nodes the list has. */
     int cacheNodeCount() {
         return (int) cacheNodeStream().count();
     }
 
-    /** Those of them that get no ordinary request now, and have got nothing for a while: not even to be tried again. */
+    /** How many of them are sent no ordinary request now and have been sent nothing for a while. */
     int ejectedNodeCount() {
         double now = dispatcher.now();
         return (int) cacheNodeStream()
-                .filter(u -> now - u.lastSentMs() > AVOIDED_MS && dispatcher.isEjected(u.id))
+                .filter(server ->
+                        now - server.pool.lastSentMs() > EJECTED_SILENCE_MS && dispatcher.isEjected(server.id))
                 .count();
     }
 
-    /** Those of them that are avoided, or had no place for a connection. */
+    /** Metrics of those that are ejected or have rejected connections, {@link MetricsLine#MAX_NODES} at most. */
     List<MetricsLine.Node> unhealthyNodes() {
         return cacheNodeStream()
-                .filter(u -> u.rejectedConnections() > 0 || dispatcher.isEjected(u.id))
+                .filter(server -> server.pool.rejectedConnections() > 0 || dispatcher.isEjected(server.id))
                 .limit(MetricsLine.MAX_NODES)
-                .map(u -> new MetricsLine.Node(
-                        Integer.toHexString(u.id),
-                        u.openedConnections(),
-                        u.rejectedConnections(),
-                        dispatcher.isEjected(u.id)))
+                .map(server -> new MetricsLine.Node(
+                        Integer.toHexString(server.id),
+                        server.pool.openedConnections(),
+                        server.pool.rejectedConnections(),
+                        dispatcher.isEjected(server.id)))
                 .toList();
     }
 
-    /** The cache nodes of the list with our connections to them. */
+    /** The cache nodes of the list; a copy. */
     List<UpstreamServer> cacheNodes() {
         return cacheNodeStream().toList();
     }
 
-    /** The cache nodes of a zone. */
+    /** How many cache nodes a zone has. */
     int cacheNodesInZone(int zone) {
-        return (int) cacheNodeStream().filter(u -> u.location.zone() == zone).count();
+        return (int) cacheNodeStream()
+                .filter(server -> server.location.zone() == zone)
+                .count();
     }
 
-    /** When each of a zone's cache nodes that may be sent requests is warm, in order, in milliseconds. */
+    /** When each of a zone's ready cache nodes is warmed up, on the clock of {@link Dispatcher#now}, in order. */
     List<Double> warmedUpAtMs(int zone, double warmUpMs) {
         return cacheNodeStream()
-                .filter(u -> u.location.zone() == zone && u.ready)
-                .map(u -> u.localStartTimeMs == 0 ? 0 : u.localStartTimeMs + warmUpMs)
+                .filter(server -> server.location.zone() == zone && server.ready)
+                .map(server -> server.warmedUpAtMs(warmUpMs))
                 .sorted()
                 .toList();
     }
 
     private Stream<UpstreamServer> cacheNodeStream() {
-        return servers.values().stream().filter(u -> !u.origin);
+        return servers.values().stream().filter(server -> !server.origin);
     }
 }
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -91,7 +91,7 @@
             assertThat(served(fleet, READS)).isEqualTo(READS);
             List<UpstreamServer> nodes =
                     fleet.on(() -> fleet.proxy.core().servers().cacheNodes());
-            assertThat(nodes).hasSize(SERVERS).allMatch(u -> u.openedConnections() > 0);
+            assertThat(nodes).hasSize(SERVERS).allMatch(u -> u.pool.openedConnections() > 0);
             Await.until(
                     "no more connections than there are descriptors for",
                     () -> fleet.on(() -> fleet.proxy.status().upstream()) <= SOCKETS / 3);
