--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -5,6 +5,7 @@
 import cacheproxy.admission.Verdict;
 import cacheproxy.metrics.Metric;
 import cacheproxy.routing.AttemptOutcome;
+import cacheproxy.routing.EndpointLocation;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
@@ -18,7 +19,7 @@
 
     private static final double HEALTH_CHECK_TIMEOUT_MS = 250;
     /** Of a server that is not in the endpoint list. */
-    private static final SafetyRules.Location UNKNOWN_PLACE = new SafetyRules.Location(-1, -1);
+    private static final EndpointLocation UNKNOWN_LOCATION = new EndpointLocation(-1, -1);
 
     private final EventLoop loop;
     private final LoopClock loopClock;
@@ -64,8 +65,9 @@
         double remainingMs = request.deadlineMs - now;
         double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
         UpstreamServer upstream = servers.get(server);
-        SafetyRules.Location place = upstream == null ? UNKNOWN_PLACE : upstream.location;
-        RequestAttempt attempt = new RequestAttempt(request, request.attempts.size(), server, place, now, now + waitMs);
+        EndpointLocation location = upstream == null ? UNKNOWN_LOCATION : upstream.location;
+        RequestAttempt attempt =
+                new RequestAttempt(request, request.attempts.size(), server, location, now, now + waitMs);
         count(request, upstream);
         request.attempts.add(attempt);
         request.attemptsInFlight++;
@@ -154,7 +156,8 @@
         UpstreamServer upstream = servers.get(server);
         counters.increment(Metric.HEALTH_CHECKS);
         double now = clock.now();
-        RequestAttempt check = new RequestAttempt(null, 0, server, UNKNOWN_PLACE, now, now + HEALTH_CHECK_TIMEOUT_MS);
+        RequestAttempt check =
+                new RequestAttempt(null, 0, server, UNKNOWN_LOCATION, now, now + HEALTH_CHECK_TIMEOUT_MS);
         if (upstream == null || !upstream.ready || !upstream.pool.send(check)) {
             attempts.endSerially(check, AttemptOutcome.CONNECT_FAILED);
         } else {
--- a/src/main/java/cacheproxy/proxy/UpstreamServer.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamServer.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.admission.SafetyRules;
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointLocation;
 import cacheproxy.routing.EndpointState;
 import io.netty.bootstrap.Bootstrap;
 import java.net.SocketAddress;
@@ -18,7 +18,7 @@
     /** The same on the clock of {@link Dispatcher#now}; 0 if not known. */
     double localStartTimeMs;
 
-    SafetyRules.Location location;
+    EndpointLocation location;
     /** Whether it takes new requests. */
     boolean ready;
 
@@ -43,7 +43,7 @@
         address = discovered.address();
         startTimeMs = endpoint.startTimeMs();
         localStartTimeMs = endpoint.localStartTimeMs();
-        location = new SafetyRules.Location(endpoint.zone(), endpoint.cell());
+        location = new EndpointLocation(endpoint.zone(), endpoint.cell());
         ready = endpoint.state() == EndpointState.READY;
     }
 
