--- a/src/test/java/cacheproxy/metrics/FleetMetricsTest.java
+++ b/src/test/java/cacheproxy/metrics/FleetMetricsTest.java
@@ -35,9 +35,9 @@
         assertThat(MetricsLine.parse("2026-12-01 p1: " + line.text())).contains(line);
     }
 
-    /** A process that is killed leaves half a line; every part of one is passed over, and told of. */
+    /** A process that is killed leaves half a line; every part of one is skipped and counted. */
     @Test
-    void halfALineIsNone() {
+    void aTruncatedLineIsCountedAndSkipped() {
         String text = line("p0", 1, 5000, 7, ejected("1")).text();
         FleetMetrics metrics = new FleetMetrics();
         for (int end = MetricsLine.PREFIX.length() + 1; end < text.length(); end++) {
@@ -52,7 +52,7 @@
     }
 
     @Property(seed = "1", tries = 100)
-    void theLastLineOfEachProcessCountsInWhateverOrderTheyCome(
+    void theLatestLineOfEachProcessCountsInAnyOrder(
             @ForAll @IntRange(min = 1, max = 72) int proxies,
             @ForAll @IntRange(min = 1, max = 8) int times,
             @ForAll long seed) {
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void nodesWithoutAPlaceComeWithTheMostFirst() {
+    void nodesThatRejectConnectionsAreSortedMostFirst() {
         FleetMetrics metrics = new FleetMetrics();
         metrics.add(line("p0", 1, 1000, 0, new Node("a", 3, 2, false), new Node("b", 3, 1, false)));
         metrics.add(line("p1", 1, 1000, 0, new Node("b", 3, 4, true), new Node("c", 1, 0, true)));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aLineIsBounded() {
+    void theNumberOfNodesInALineIsLimited() {
         List<Node> many = Collections.nCopies(10 * MetricsLine.MAX_NODES, ejected("ffffffff"));
         assertThat(new MetricsLine("p", 1, 1, 1, 1, 1, Map.of(), many).nodes()).hasSize(MetricsLine.MAX_NODES);
         List<Node> all = Collections.nCopies(1100, ejected("ffffffff"));
--- a/src/test/java/cacheproxy/metrics/LogBudgetTest.java
+++ b/src/test/java/cacheproxy/metrics/LogBudgetTest.java
@@ -9,7 +9,7 @@
     private static final double START_MS = 1e12;
 
     @Test
-    void eachKindHasABurstOfItsOwnAndWhatIsLeftOutIsTold() {
+    void eachKindHasItsOwnBurstAndSuppressedEventsAreReported() {
         LogBudget budget = new LogBudget();
         for (int i = 0; i < LogBudget.BURST; i++) {
             assertThat(budget.admit(START_MS, EventKind.SERVER_PROTOCOL_ERROR)).isZero();
@@ -23,7 +23,7 @@
 
     /** An incident a week later has its lines, however many there were before. */
     @Test
-    void noSumOverTheProcesssLifeSilencesALaterEvent() {
+    void eventsOverAProcesssLifetimeDoNotSuppressALaterOne() {
         LogBudget budget = new LogBudget();
         double now = START_MS;
         for (int i = 0; i < 10_000; i++) {
--- a/src/test/java/cacheproxy/proxy/LateCopiesTest.java
+++ b/src/test/java/cacheproxy/proxy/DuplicateResponsesTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Answers that bring more than belongs to them: second copies some time behind them, and noise. */
+/** Responses followed by more than belongs to them: late duplicates, and invalid input. */
 @Timeout(60)
-class LateCopiesTest {
+class DuplicateResponsesTest {
     private static String write(int id) {
         return "ms 7f3a 5 O" + id + " Pc=fix,d=20000\r\nhello\r\n";
     }
@@ -20,7 +20,7 @@
 
     /** The next write is read in the event loop's round right behind the answer, and the copy comes then. */
     @Test
-    void aLateCopyOfTheOriginsAnswerIsNotTakenForTheNextOne() throws Exception {
+    void aLateDuplicateOfTheOriginsResponseIsNotTakenForTheNextResponse() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
@@ -62,7 +62,7 @@
 
     /** Noise that is no line yet would begin the next answer. */
     @Test
-    void noiseBehindTheOriginsAnswerEndsTheConnection() throws Exception {
+    void invalidInputBehindTheOriginsResponseClosesTheConnection() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 c.say(receipt(FakeServer.id(request)) + "noise");
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void noiseBehindANodesAnswerEndsTheConnection() throws Exception {
+    void invalidInputBehindANodesResponseClosesTheConnection() throws Exception {
         FakeServer node = FakeServer.node(l -> "VA 5 O" + FakeServer.id(l) + " h1\r\nhello\r\nnoise");
         try (Fleet fleet = new Fleet().node(node).set("caps.max-attempts", "1").start();
                 Fleet.Client client = fleet.client()) {
@@ -90,7 +90,7 @@
 
     /** A line's end more than an answer needs is none's beginning. */
     @Test
-    void aLineEndBehindTheOriginsAnswerIsPassedOver() throws Exception {
+    void aLineEndBehindTheOriginsResponseIsSkipped() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 c.say(receipt(FakeServer.id(request)) + "\r\n");
@@ -109,7 +109,7 @@
      * Of sixty proxies each has four connections to the origin; where all of them rest, requests go out nevertheless.
      */
     @Test
-    void whereAllConnectionsRestTheOneThatHasRestedLongestIsUsed() throws Exception {
+    void ifAllConnectionsRestTheOneThatHasRestedLongestIsUsed() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 c.say(receipt(FakeServer.id(request)));
--- a/src/test/java/cacheproxy/proxy/FiguresTest.java
+++ b/src/test/java/cacheproxy/proxy/FiguresTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What the proxy counts, against what scripted peers have counted on their side, to the last one. */
+/** The proxy's counters against those of scripted clients and servers, to the last request. */
 @Timeout(60)
 class FiguresTest {
     private static Proxy.Status status(Fleet fleet) {
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void everyRequestIsCountedOnceByWhatItsClientRead() throws Exception {
+    void everyRequestIsCountedOnceByTheOutcomeThatItsClientRead() throws Exception {
         AtomicLong commands = new AtomicLong();
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aRejectedCommandOfAKnownClassHasFailedAndOneOfNoClassCountsForNothing() throws Exception {
+    void anInvalidRequestOfAKnownClassFailsAndOneOfNoClassIsNotCounted() throws Exception {
         try (Fleet fleet = new Fleet().start();
                 Fleet.Client client = fleet.client()) {
             client.say("mg k v O1 Pc=text,d=x\r\nmg k v O2 Pc=none,d=100\r\nmg k v O3\r\nnonsense\r\n");
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aLongAnswerThatBreaksOffHasFailedAndAClientThatLeftCountsForNothing() throws Exception {
+    void anAbortedStreamFailsAndADisconnectedClientIsNotCounted() throws Exception {
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
             c.say("VA 200000 O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(100_000));
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void whatADrainsDeadlineEndsIsCounted() throws Exception {
+    void requestsThatADrainsDeadlineEndsAreCounted() throws Exception {
         FakeServer silent = new FakeServer(c -> {
             while (c.command() != null) {
                 // never answered
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void aNodeThatCannotBeReachedIsAvoidedAndToldAsSuch() throws Exception {
+    void anUnreachableNodeIsReportedAsEjected() throws Exception {
         FakeServer gone = FakeServer.node(line -> "");
         gone.close();
         List<String> answers = new ArrayList<>();
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Values to 4 MiB, many at a time, in pieces cut anywhere, taken and given slowly. */
+/** Values up to 4 MiB, many at a time, in parts of any size, sent and read slowly. */
 @Timeout(90)
 class LargeValuesTest {
     private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE];
@@ -40,7 +40,7 @@
 
     /** Together they are ten times what there is room for: clients wait to send, and nothing is turned away. */
     @Test
-    void writesFarOverTheRoomWaitAndAreAllCarriedOut() throws Exception {
+    void writesBeyondTheBudgetWaitAndAllSucceed() throws Exception {
         try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
             List<Thread> threads = new ArrayList<>();
             List<String> answers = new ArrayList<>();
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void smallWritesPassLargeOnesThatAreSentSlowly() throws Exception {
+    void smallWritesOvertakeLargeOnesThatAreSentSlowly() throws Exception {
         try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
             List<Fleet.Client> slow = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
@@ -92,7 +92,7 @@
 
     /** One that comes to nothing gives its room back, at whatever byte it ends. */
     @Test
-    void aWriteThatBreaksOffGivesItsRoomBack() throws Exception {
+    void anAbortedWriteReleasesItsReservation() throws Exception {
         try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
             for (int length : new int[] {0, 1, 65_535, 65_536, 65_537, 1_000_000}) {
                 for (int cut : new int[] {0, 1, length / 2, length}) {
@@ -115,7 +115,7 @@
     /** The node's answer in pieces cut at each byte of its first line and of its end. */
     @Test
     @SuppressWarnings("ThreadPriorityCheck") // a chance for the reader between both writes; nothing rests on it
-    void aLongAnswerMayBeCutAnywhere() throws Exception {
+    void aLongResponseMayArriveInPartsOfAnySize() throws Exception {
         int length = 70_000;
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
@@ -150,7 +150,7 @@
 
     /** A short answer's watch must not end a long one whose line came in pieces and whose client is slow. */
     @Test
-    void aClientThatPausesInALongAnswerGetsItWhole() throws Exception {
+    void aClientThatPausesWithinALongResponseGetsItCompletely() throws Exception {
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
             c.socket.setTcpNoDelay(true);
@@ -177,7 +177,7 @@
 
     /** What would wait behind a long answer that its client takes slowly goes by another connection. */
     @Test
-    void aSlowReaderHoldsUpNobodyElse() throws Exception {
+    void aSlowReaderDelaysNobodyElse() throws Exception {
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
                 String id = FakeServer.id(line);
@@ -211,7 +211,7 @@
 
     /** RFC 9112, 6.3: without a length the body ends with the connection, and an orderly end makes it whole. */
     @Test
-    void aBodyThatEndsWithItsConnectionIsWholeIfThatEndIsOrderly() throws Exception {
+    void aBodyThatEndsWithItsConnectionIsCompleteIfThatCloseIsOrderly() throws Exception {
         FakeServer misses = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
         FakeServer origin = new FakeServer(c -> {
             String request = c.request();
--- a/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
+++ b/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What crosses a connection that has not come up yet: news of its server, its client's end, the final answer. */
+/** Events while a connection is being opened: updates of its server, the client's disconnect, completion. */
 @Timeout(60)
 class LateConnectionsTest {
     private static FakeServer origin() throws Exception {
@@ -69,23 +69,23 @@
 
     /** Guards against a request that reaches a node as late as a connection may come up after the node was to leave. */
     @Test
-    void aRequestThatWaitsLeavesANodeThatBeginsToDrain() throws Exception {
+    void aWaitingRequestIsNotSentToANodeThatBeginsToDrain() throws Exception {
         leaves(h -> h.addProperty("health", "draining"));
     }
 
     @Test
-    void aRequestThatWaitsLeavesANodeThatIsGone() throws Exception {
+    void aWaitingRequestIsNotSentToANodeThatWasRemoved() throws Exception {
         leaves(h -> h.addProperty("health", "removed"));
     }
 
     @Test
-    void aRequestThatWaitsLeavesANodeThatHasMoved() throws Exception {
+    void aWaitingRequestIsNotSentToTheOldAddressOfANode() throws Exception {
         leaves(h -> h.addProperty("dial", "127.0.0.1:9"));
     }
 
     /** Whatever the settings say of cancelling: what nobody has heard of yet needs no cancelling. */
     @Test
-    void nothingIsSentForAClientThatHasLeftMeanwhile() throws Exception {
+    void nothingIsSentForAClientThatDisconnectedMeanwhile() throws Exception {
         try (LateServer node = LateServer.node();
                 Fleet fleet = new Fleet()
                         .node(node.dial())
@@ -107,7 +107,7 @@
 
     /** Two clients read one key, and the first one's fetch is to serve both. */
     @Test
-    void whereTheOneThatFetchesLeavesItsWaiterLeads() throws Exception {
+    void ifTheFetchingRequestDisconnectsItsWaiterFetches() throws Exception {
         FakeServer node = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
         LateServer origin = new LateServer(p -> {
             for (String line; (line = p.command()) != null; ) {
@@ -142,7 +142,7 @@
 
     /** The second copy's connection comes up after the first has been answered, and must not go out then. */
     @Test
-    void nothingIsSentForARequestThatHasItsAnswer() throws Exception {
+    void nothingIsSentForACompletedRequest() throws Exception {
         CountDownLatch copied = new CountDownLatch(1);
         FakeServer slow = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
--- a/src/test/java/cacheproxy/proxy/MetricsLogTest.java
+++ b/src/test/java/cacheproxy/proxy/MetricsLogTest.java
@@ -10,14 +10,14 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** What a proxy tells of its work in lines. */
+/** The lines of metrics that a proxy writes. */
 class MetricsLogTest {
     private static MetricsLine line(Fleet fleet) {
         return fleet.on(() -> fleet.proxy.metricsLog(System.err).line());
     }
 
     @Test
-    void aMissIsTwoAttemptsOneOfThemAFetch() throws Exception {
+    void aMissIsTwoAttemptsOneOfThemAnOriginFetch() throws Exception {
         FakeServer node = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
         FakeServer origin = new FakeServer(c -> {
             while (c.request() != null) {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aNodeThatIsGoneIsToldOfAsAvoided() throws Exception {
+    void anUnreachableNodeIsReportedAsEjected() throws Exception {
         FakeServer gone = FakeServer.node(line -> "");
         String dial = gone.dial();
         gone.close();
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void discoverysCallsAndThoseThatFailAreCounted() throws Exception {
+    void pollsOfDiscoveryAndTheirFailuresAreCounted() throws Exception {
         FakeServer discovery = new FakeServer(c -> {
             while (c.request() != null) {
                 c.sayHttp(503, "", "");
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void linesComeByThemselves() throws Exception {
+    void linesAreWrittenAtIntervals() throws Exception {
         try (Fleet fleet = new Fleet().start()) {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             fleet.proxy
--- a/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
@@ -8,27 +8,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The time that servers are told: what is left to the client when the attempt's bytes go out, and never more. */
+/** The timeout that servers are sent: the time that remains for the client when the attempt goes out, never more. */
 @Timeout(60)
 class RemainingTimeTest {
-    private static final int ASKED_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
     private static final Pattern DEADLINE = Pattern.compile("\\bd=(\\d+)");
 
-    /** The deadline in a command or in a request to the origin. */
-    private static int told(String command) {
+    /** The timeout in a command or in a request to the origin, in milliseconds. */
+    private static int sentTimeoutMs(String command) {
         Matcher deadline = DEADLINE.matcher(command);
         assertThat(deadline.find()).as(command).isTrue();
         return Integer.parseInt(deadline.group(1));
     }
 
     private static void write(Fleet.Client client, String kind, String id) throws Exception {
-        client.say("ms 7f3a9c21e0b4d655 5 O" + id + " Pk=5c0f6e1a2b3d4c59,c=" + kind + ",d=" + ASKED_MS
+        client.say("ms 7f3a9c21e0b4d655 5 O" + id + " Pk=5c0f6e1a2b3d4c59,c=" + kind + ",d=" + TIMEOUT_MS
                 + ",t=acme\r\nhello\r\n");
     }
 
-    /** A promise of 400 ms makes a silent node overdue after 100 ms at the earliest. */
+    /** A latency objective of 400 ms makes a silent node overdue after 100 ms at the earliest. */
     @Test
-    void theOriginIsToldWhatIsLeftBehindASilentNode() throws Exception {
+    void theOriginIsSentTheTimeThatRemainsAfterASilentNode() throws Exception {
         FakeServer silent = new FakeServer(c -> {
             c.command();
             c.awaitEnd();
@@ -44,18 +44,18 @@
                         .set("classes.0.promise", "400.0")
                         .start();
                 Fleet.Client client = fleet.client()) {
-            client.say("mg 7f3a9c21e0b4d655 v O1 Pc=text,t=acme,d=" + ASKED_MS + ",size=5\r\n");
+            client.say("mg 7f3a9c21e0b4d655 v O1 Pc=text,t=acme,d=" + TIMEOUT_MS + ",size=5\r\n");
             assertThat(client.line()).isEqualTo("VA 5 O1");
-            assertThat(told(silent.next())).isBetween(ASKED_MS - 5000, ASKED_MS);
+            assertThat(sentTimeoutMs(silent.next())).isBetween(TIMEOUT_MS - 5000, TIMEOUT_MS);
             String fetch = origin.next();
             assertThat(fetch).contains("Req-Extra: c=text,t=acme,d=").contains(",size=5\n");
-            assertThat(told(fetch)).isBetween(1, ASKED_MS - 100);
+            assertThat(sentTimeoutMs(fetch)).isBetween(1, TIMEOUT_MS - 100);
         }
     }
 
-    /** Turned away, a write comes again after 50 ms at the earliest: half of a quarter of the shortest promise. */
+    /** A rejected write is retried after 50 ms at the earliest: half of a quarter of the shortest latency objective. */
     @Test
-    void aFurtherAttemptOfAWriteTellsLessThanTheFirst() throws Exception {
+    void aRetriedWriteIsSentLessTimeThanTheFirstAttempt() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
             c.sayHttp(503, "Srv-Declined: 1\r\n", "");
@@ -69,16 +69,16 @@
                 Fleet.Client client = fleet.client()) {
             write(client, "fix", "1");
             assertThat(client.line()).isEqualTo("HD O1 creceipt");
-            int first = told(origin.next());
-            int second = told(origin.next());
-            assertThat(first).isBetween(1, ASKED_MS);
+            int first = sentTimeoutMs(origin.next());
+            int second = sentTimeoutMs(origin.next());
+            assertThat(first).isBetween(1, TIMEOUT_MS);
             assertThat(second).isBetween(1, first - 50);
         }
     }
 
-    /** The system asks again for a connection that was not accepted after a second at the earliest. */
+    /** The system retries a connection that was not accepted after a second at the earliest. */
     @Test
-    void whatWaitsForAConnectionTellsWhatIsLeftOnceItIsUp() throws Exception {
+    void anAttemptThatWaitedForItsConnectionIsSentTheTimeThatRemains() throws Exception {
         LateServer origin = new LateServer(p -> {
             for (String line; (line = p.command()) != null; ) {
                 if (line.isEmpty()) {
@@ -103,12 +103,12 @@
                     .filter(l -> l.startsWith("Req-Extra"))
                     .findFirst()
                     .orElseThrow();
-            assertThat(told(extras)).isBetween(1, ASKED_MS - 100);
+            assertThat(sentTimeoutMs(extras)).isBetween(1, TIMEOUT_MS - 100);
         }
     }
 
     @Test
-    void theTimeLeftIsRoundedDownAndAtLeastOne() {
+    void theRemainingTimeIsRoundedDownAndAtLeastOne() {
         RequestAttempt attempt = new RequestAttempt(null, 0, 1, null, 0, 100);
         assertThat(attempt.remainingMs(0.5)).isEqualTo(99);
         assertThat(attempt.remainingMs(99.9)).isEqualTo(1);
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Values over 64 KiB: passed on as they come, held back while the client does not read. */
+/** Values over 64 KiB: streamed as they arrive, and paused while the client does not read. */
 class StreamTest {
     private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE];
 
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aLongValueOfANodePassesWholeAndTheNextAnswerAfterIt() throws Exception {
+    void aLongValueOfANodeIsStreamedCompletelyAndTheNextResponseAfterIt() throws Exception {
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
                 head(c, line);
@@ -127,7 +127,7 @@
      * again. What stood behind that answer never came, and ten seconds later its client's connection was ended.
      */
     @Test
-    void whatStandsBehindALongAnswerComesThoughItsClientHadNoRoomForItsEnd() throws Exception {
+    void aResponseBehindAStreamedOneArrivesThoughItsClientWasSlow() throws Exception {
         Semaphore next = new Semaphore(0);
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void aLongValueOfTheOriginPassesWhole() throws Exception {
+    void aLongValueOfTheOriginIsStreamedCompletely() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
             c.say("HTTP/1.1 200 OK\r\nContent-Length: " + VALUE.length + "\r\n\r\n");
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void aClientThatDoesNotReadHoldsTheNodeBack() throws Exception {
+    void aClientThatDoesNotReadPausesReadingFromTheNode() throws Exception {
         AtomicLong sent = new AtomicLong();
         CountDownLatch over = new CountDownLatch(1);
         FakeServer node = new FakeServer(c -> {
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void aValueCutInTheMiddleEndsTheClientsConnectionAndNothingElse() throws Exception {
+    void aTruncatedValueClosesTheClientsConnectionAndNoOther() throws Exception {
         FakeServer node = new FakeServer(c -> {
             head(c, c.command());
             c.out.write(VALUE, 0, 100_000);
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleFreesTheNodesConnection() throws Exception {
+    void aClientThatDisconnectsWhileStreamingReleasesTheNodesConnection() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         FakeServer node = new FakeServer(c -> {
             head(c, c.command());
--- a/src/test/java/cacheproxy/proxy/TimersTest.java
+++ b/src/test/java/cacheproxy/proxy/TimersTest.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Timers run once, in order and never early; those called off do not run. */
+/** Timers run once, in order and never early; cancelled ones do not run. */
 class TimersTest {
     @Test
-    void allRunOnceNeverEarlyButThoseCalledOff() throws Exception {
+    void timersRunOnceAndNeverEarlyUnlessCancelled() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         EventLoop loop = group.next();
         int count = 2000;
@@ -34,7 +34,7 @@
                             }
                             last.countDown();
                         });
-                        timers.after(ms, () -> wrong.add("called off")).cancel();
+                        timers.after(ms, () -> wrong.add("cancelled")).cancel();
                     }
                     timers.after(10, () -> {
                         timers.after(0, () -> same.add(2)); // set from within a timer: runs later
--- a/src/test/java/cacheproxy/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/UpstreamTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What cache nodes and the origin do to the proxy, on loopback sockets. */
+/** Behaviour of cache nodes and the origin that the proxy has to cope with, on loopback sockets. */
 @Timeout(120)
 class UpstreamTest {
     private static String hit(String command) {
@@ -26,7 +26,7 @@
         });
     }
 
-    /** So many reads of as many keys, one after the other, each served with what a node made for it. */
+    /** Reads of as many keys, one after the other, all served by a node. */
     private static void servesReads(Fleet.Client client, int reads) throws Exception {
         for (int i = 0; i < reads; i++) {
             client.say("mg " + Integer.toHexString(0x1000 + 7919 * i) + " v O" + i + " Pc=text,d=20000\r\n");
@@ -35,7 +35,7 @@
         }
     }
 
-    private static String refused() throws Exception {
+    private static String refusingAddress() throws Exception {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return "127.0.0.1:" + socket.getLocalPort();
         }
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void aNodeThatRefusesConnectionsOrTurnsAwayIsPassedOver() throws Exception {
+    void aNodeThatRefusesConnectionsOrRejectsRequestsIsSkipped() throws Exception {
         AtomicInteger busy = new AtomicInteger();
         FakeServer full = FakeServer.node(line -> {
             busy.incrementAndGet();
             return "SERVER_ERROR busy\r\n";
         });
         try (Fleet fleet = new Fleet()
-                        .node(refused())
+                        .node(refusingAddress())
                         .node(full)
                         .node(FakeServer.node(UpstreamTest::hit))
                         .origin(origin(200, "", "fetch"))
@@ -86,9 +86,9 @@
         }
     }
 
-    /** Guards against requests that ask in vain, one after the other, for a place that others hold. */
+    /** Else requests would try in vain, one after the other, to get a connection that other proxies have. */
     @Test
-    void aNodeThatHasNoPlaceLeftIsLeftToItsRunnerUpForAWhile() throws Exception {
+    void aNodeAtItsConnectionLimitIsReplacedByTheNextRankedForAWhile() throws Exception {
         FakeServer crowded = new FakeServer(c -> {
             c.command();
             c.say("SERVER_ERROR busy\r\n");
@@ -105,10 +105,10 @@
     }
 
     /**
-     * Guards against a spoilt answer that is taken for a lack of places: what ends the connection then is the proxy.
+     * An invalid response must not be taken for a connection limit: it is the proxy that closes the connection then.
      */
     @Test
-    void aRefusalWithNoiseBehindItTellsNothingOfPlaces() throws Exception {
+    void aRejectionFollowedByInvalidInputSaysNothingOfConnectionLimits() throws Exception {
         FakeServer noisy = new FakeServer(c -> {
             c.command();
             c.say("SERVER_ERROR busy\r\nnoise\r\n");
@@ -124,9 +124,9 @@
         }
     }
 
-    /** A refusal on a connection that stays is of that moment alone. */
+    /** A rejection on a connection that stays open holds for that moment only. */
     @Test
-    void aNodeWhoseQueueIsFullIsAskedAgain() throws Exception {
+    void aNodeWhoseQueueIsFullIsTriedAgain() throws Exception {
         FakeServer full = FakeServer.node(line -> "SERVER_ERROR busy\r\n");
         try (Fleet fleet = new Fleet()
                         .node(full)
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void anUnsafeWriteIsRefusedOnlyWhenItNeverRan() throws Exception {
+    void aNonIdempotentWriteIsRejectedOnlyIfItWasNotExecuted() throws Exception {
         String write = "ms 7f3a 5 O1 Pc=fix,d=2000\r\nhello\r\n";
         try (Fleet fleet = new Fleet().origin(origin(500, "", "")).start();
                 Fleet.Client c = fleet.client()) {
@@ -155,14 +155,14 @@
                 Fleet.Client c = fleet.client()) {
             assertThat(c.say(write).line()).startsWith("SERVER_ERROR busy");
         }
-        try (Fleet fleet = new Fleet().origin(refused()).start();
+        try (Fleet fleet = new Fleet().origin(refusingAddress()).start();
                 Fleet.Client c = fleet.client()) {
             assertThat(c.say(write).line()).startsWith("SERVER_ERROR busy");
         }
     }
 
     @Test
-    void anUnsafeWriteWhoseLastByteWentOutIsNeverSentAgain() throws Exception {
+    void aNonIdempotentWriteWhoseLastByteWasWrittenIsNotRetried() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
             c.reset();
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void anUnsafeWriteThatWentOutAndIsNotAnsweredInTimeIsFailedNotRefused() throws Exception {
+    void aNonIdempotentWriteThatTimesOutFailsAndIsNotRejected() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
             c.awaitEnd();
@@ -191,7 +191,7 @@
     }
 
     @Test
-    void garbageEndsTheAttemptAndTheConnection() throws Exception {
+    void anInvalidResponseEndsTheAttemptAndTheConnection() throws Exception {
         for (String garbage : new String[] {
             "VA x O1\r\n", "VA 5 O7 h1\r\nhello\r\n", "VA 5 O1\r\nhelloXX", "\u0000\r\n", "HD O1 cx\r\n"
         }) {
@@ -230,7 +230,7 @@
 
     /** Two reads of one key share a fetch; the second goes to the origin as soon as the first has its answer. */
     @Test
-    void aSecondCopyBehindAnAnswerIsNotTakenForTheNextOne() throws Exception {
+    void aDuplicateOfAResponseIsNotTakenForTheNextResponse() throws Exception {
         CountDownLatch missed = new CountDownLatch(2);
         CountDownLatch go = new CountDownLatch(1);
         FakeServer node = new FakeServer(c -> {
@@ -269,7 +269,7 @@
     }
 
     @Test
-    void anIdleConnectionThatTheNodeClosedIsNotWrittenTo() throws Exception {
+    void anIdleConnectionThatTheServerClosedIsNotUsed() throws Exception {
         CountDownLatch closed = new CountDownLatch(1);
         FakeServer origin = new FakeServer(c -> {
             c.request();
@@ -289,7 +289,7 @@
     }
 
     @Test
-    void connectionsThatHaveEndedMakeRoomForNewOnes() throws Exception {
+    void closedConnectionsDoNotCountAgainstTheLimit() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
             c.sayHttp(200, "Connection: close\r\n", "r1");
@@ -306,7 +306,7 @@
     }
 
     @Test
-    void givingUpOneAttemptSparesTheOthersOnItsConnection() throws Exception {
+    void abandoningAnAttemptDoesNotEndTheOthersOnItsConnection() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
         FakeServer pipelined = new FakeServer(c -> {
             String first = c.command();
@@ -330,7 +330,7 @@
     }
 
     @Test
-    void aServerThatTakesNoFurtherConnectionIsUsedByThoseItHas() throws Exception {
+    void aServerThatAcceptsNoFurtherConnectionIsUsedByThoseThatAreOpen() throws Exception {
         CountDownLatch refusing = new CountDownLatch(1);
         FakeServer[] node = new FakeServer[1];
         node[0] = new FakeServer(c -> {
@@ -353,7 +353,7 @@
     }
 
     @Test
-    void anAnswerThatStopsInItsMiddleIsNotWaitedFor() throws Exception {
+    void aResponseThatStopsInItsMiddleIsNotWaitedFor() throws Exception {
         CountDownLatch ended = new CountDownLatch(2);
         FakeServer node = new FakeServer(c -> {
             c.say("VA 5 O" + FakeServer.id(c.command()) + " h1\r\nhel");
@@ -380,9 +380,9 @@
         }
     }
 
-    /** A deadline longer than the test waits: an answer that is held back until then does not come. */
+    /** The deadline is longer than the test waits, so that a response which is delayed until then does not arrive. */
     @Test
-    void aReadThatNobodyGainsFromAnyMoreIsGivenUpAtOnce() throws Exception {
+    void aReadThatCanNoLongerBeInTimeIsRejectedAtOnce() throws Exception {
         FakeServer silent = new FakeServer(FakeServer.Connection::awaitEnd);
         Fleet setup = new Fleet().node(silent).set("classes.0.late-share", "0").set("classes.0.promise", "300.0");
         try (Fleet fleet = setup.start();
@@ -393,7 +393,7 @@
     }
 
     @Test
-    void aRefusalTellsWhenToComeBack() throws Exception {
+    void aRejectionSaysWhenToRetry() throws Exception {
         try (Fleet fleet = new Fleet().start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
@@ -402,11 +402,11 @@
     }
 
     /**
-     * Where second copies are forbidden, an attempt that shares its connection can't be given up for another: it is out
-     * until the connection ends, and others wait there. The node has one place, so that they share it.
+     * Without hedging, an attempt that shares its connection can't be abandoned for another: it is in flight until the
+     * connection ends, and others wait there. The node accepts one connection, so that they share it.
      */
     @Test
-    void whereSecondCopiesAreForbiddenNoneFollowsAnAttemptThatIsStillOut() throws Exception {
+    void withoutHedgingNoAttemptFollowsOneThatIsInFlight() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         CountDownLatch refusing = new CountDownLatch(1);
         FakeServer[] shared = new FakeServer[1];
@@ -421,7 +421,7 @@
         });
         FakeServer quick = FakeServer.node(UpstreamTest::hit);
         FakeServer mute = new FakeServer(FakeServer.Connection::awaitEnd);
-        // The third stands in for a clock: its request is given up after the others would have been.
+        // The third stands in for a clock: its request is abandoned after the others would have been.
         Fleet setup = new Fleet()
                 .node(shared[0])
                 .node(quick)
@@ -445,10 +445,10 @@
         }
     }
 
-    /** As above, each on a connection of its own: what is given up there is over, and goes elsewhere. */
+    /** As above, each on a connection of its own: an attempt that is abandoned there ends, and another may follow. */
     @Test
-    void whereSecondCopiesAreForbiddenRequestsHaveConnectionsOfTheirOwn() throws Exception {
-        int many = 5; // as many as a fresh proxy gives up for another server
+    void withoutHedgingEachRequestHasItsOwnConnection() throws Exception {
+        int many = 5; // as many attempts as a fresh proxy abandons for another server
         CountDownLatch ended = new CountDownLatch(many);
         FakeServer mute = new FakeServer(c -> {
             c.command();
@@ -474,10 +474,11 @@
     }
 
     /**
-     * An answer without a length ends with its connection: with the origin's end of it, not with ours or with a reset.
+     * A response without a length ends with its connection: if the origin closes it, not if the proxy does or at a
+     * reset.
      */
     @Test
-    void anAnswerWithoutLengthIsWholeOnlyByItsServersOrderlyEnd() throws Exception {
+    void aResponseWithoutLengthIsCompleteOnlyIfItsServerClosesOrderly() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
         FakeServer whole = new FakeServer(c -> {
             c.request();
