--- a/src/main/java/cacheproxy/proxy/Acceptor.java
+++ b/src/main/java/cacheproxy/proxy/ClientAcceptor.java
@@ -22,7 +22,7 @@
 import java.util.stream.Stream;
 
 /** The listening socket and the clients' connections that came through it, with their bound. */
-final class Acceptor implements Dispatcher.ClientListener {
+final class ClientAcceptor implements Dispatcher.ClientListener {
     /** As many clients as may come at once while the event loop is busy; each further one would come a second late. */
     private static final int BACKLOG = 1024;
     /** Rounds of the event loop in which all of a full backlog is accepted, some at a time. */
@@ -34,7 +34,7 @@
 
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 << 10, 64 << 10);
     private static final Comparator<ClientConnection> LONGEST_IDLE =
-            Comparator.comparingDouble(ClientConnection::activeMs);
+            Comparator.comparingDouble(ClientConnection::lastActiveMs);
 
     private final Dispatcher dispatcher;
     private final int maxClients;
@@ -47,7 +47,7 @@
 
     private Consumer<ClientConnection> retire = ClientConnection::finish;
 
-    Acceptor(Dispatcher dispatcher, int maxClients) {
+    ClientAcceptor(Dispatcher dispatcher, int maxClients) {
         this.dispatcher = dispatcher;
         this.maxClients = maxClients;
     }
@@ -216,7 +216,7 @@
     /** The same at that time. */
     void endIdle(int many, double now) {
         idleClients()
-                .filter(c -> c.used() || now - c.activeMs() >= UNHEARD_MS)
+                .filter(c -> c.used() || now - c.lastActiveMs() >= UNHEARD_MS)
                 .sorted(LONGEST_IDLE)
                 .limit(many)
                 .toList()
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -1,9 +1,10 @@
 package cacheproxy.proxy;
 
-import cacheproxy.endpoints.EndpointListPoller;
+import cacheproxy.endpoints.PollerSettings;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListCodec;
+import cacheproxy.proxy.peer.PeerAddresses;
 import cacheproxy.route.Known;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.simulator.SettingsParser;
@@ -63,13 +64,19 @@
         return new EndpointListCodec(zones, kinds);
     }
 
+    /** Where the proxies of the tier exchange datagrams; without an address of its own where the settings forbid it. */
+    PeerAddresses peerAddresses() {
+        return new PeerAddresses(
+                settings.peerMessagesAllowed() ? peerListen : null, peers, peersAll, settings.instanceIndex());
+    }
+
     /** Where the list comes from, and how. */
     DiscoveryClient.Settings discoverySettings() {
         return new DiscoveryClient.Settings(
                 discovery,
                 listForm(),
                 settings.instanceSeed(seed),
-                new EndpointListPoller.PollerSettings(
+                new PollerSettings(
                         settings.pollsDiscovery(),
                         settings.pollIntervalMs(),
                         settings.instanceCount(),
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -0,0 +1,212 @@
+package cacheproxy.proxy;
+
+import cacheproxy.failover.Zones.Held;
+import cacheproxy.gossip.ListVersionGossip;
+import cacheproxy.membership.Phase;
+import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
+import cacheproxy.proxy.peer.EndpointGossipLink;
+import cacheproxy.proxy.peer.OutlierGossipLink;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.peer.PeerMessageKind;
+import cacheproxy.recovery.Provenance;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.routing.RoutingSettings;
+import cacheproxy.state.RecordKind;
+import cacheproxy.state.StoredRecord;
+import com.google.gson.JsonPrimitive;
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.function.Supplier;
+
+/**
+ * The instance's part in its fleet: the membership view, zone decisions and recovery, as far as {@link FleetFeatures}
+ * asks for them and the settings allow peer messages. On the event loop only.
+ */
+final class FleetParticipation {
+    private final Dispatcher dispatcher;
+    private final PeerDatagramSocket peers;
+    private final DiscoveryClient discovery;
+    private final ClientAcceptor acceptor;
+    /** Null where nothing is stored. */
+    private final StatePersistence stateLink;
+
+    private final RestoredState restored;
+    private final boolean tookOver;
+    private final Supplier<Config> config;
+
+    /** Null where this instance takes no part in the membership view. */
+    private MemberLink members;
+    /** Null where it takes no part in zone decisions. */
+    private ZoneLink zones;
+    /** Null where it does not coordinate its recovery. */
+    private RecoveryLink recovery;
+
+    /**
+     * Creates the participation of an instance that has not joined.
+     *
+     * @param stateLink null where nothing is stored
+     * @param tookOver whether another process served for this instance until now
+     * @param config supplies the configuration in force
+     */
+    FleetParticipation(
+            Dispatcher dispatcher,
+            PeerDatagramSocket peers,
+            DiscoveryClient discovery,
+            ClientAcceptor acceptor,
+            StatePersistence stateLink,
+            RestoredState restored,
+            boolean tookOver,
+            Supplier<Config> config) {
+        this.dispatcher = dispatcher;
+        this.peers = peers;
+        this.discovery = discovery;
+        this.acceptor = acceptor;
+        this.stateLink = stateLink;
+        this.restored = restored;
+        this.tookOver = tookOver;
+        this.config = config;
+    }
+
+    /** Passes on to peers, and learns from them, which version of the endpoint list is current. */
+    void startListGossip(EndpointListPublisher list) {
+        Config config = this.config.get();
+        RoutingSettings settings = config.settings();
+        ListVersionGossip gossip =
+                new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
+        gossip.start(discovery.version());
+        EndpointGossipLink link = new EndpointGossipLink(
+                new DispatcherPeerPorts(dispatcher),
+                peers,
+                discovery,
+                list,
+                gossip,
+                () -> dispatcher.settings().pollsDiscovery(),
+                settings.instanceSeed(config.seed() + 1));
+        dispatcher.peerLinks().setEndpointListGossip(link);
+    }
+
+    /** Starts to take part in what the features name. */
+    void join(FleetFeatures features) {
+        if (config.get().settings().peerMessagesAllowed() && features.any()) {
+            joinMembership(features);
+        }
+        if (features.recovery() && members != null) {
+            ProvenanceTracker.Entry learned = dispatcher.provenance().entry(ProvenanceTracker.Subject.LEARNED_STATE);
+            boolean nothingLearned = learned.provenance() == Provenance.NONE;
+            dispatcher
+                    .peerLinks()
+                    .setStateQueries(new StateQueryLink(dispatcher, peers, members, discovery, nothingLearned));
+        }
+        if (features.recovery()) {
+            recovery = new RecoveryLink(dispatcher, members, acceptor, tookOver, this::restartDiscovery);
+        }
+    }
+
+    private void joinMembership(FleetFeatures features) {
+        Config current = config.get();
+        members = new MemberLink(
+                dispatcher,
+                peers,
+                current.settings(),
+                restored.incarnation(),
+                current.seed(),
+                features.recovery() ? Phase.STARTING : Phase.SERVING,
+                dispatcher.peerLinks()::liveMembersChanged);
+        dispatcher
+                .peerLinks()
+                .setMembership(
+                        members,
+                        new OutlierGossipLink(
+                                dispatcher::now,
+                                peers,
+                                new DispatcherPeerPorts(dispatcher),
+                                members::view,
+                                (peer, message) -> dispatcher
+                                        .peerLinks()
+                                        .messageReceived(peer, PeerMessageKind.LOAD_BALANCER, message)));
+        if (features.zones()) {
+            zones = new ZoneLink(dispatcher, members, current.settings(), current.zones(), restored);
+            dispatcher.peerLinks().setZoneFailover(zones);
+        }
+        if (stateLink != null) {
+            stateLink.keep(members::incarnation, zones);
+            members.onChange(stateLink::fleetChanged);
+        }
+    }
+
+    private void restartDiscovery() {
+        discovery.start(config.get().known());
+    }
+
+    /** Tells the fleet that this instance drains. */
+    void announceDraining() {
+        if (members != null) {
+            members.phase(Phase.DRAINING);
+        }
+    }
+
+    /** Tells the fleet that this instance serves again; one that coordinates its recovery announces its own stages. */
+    void announceServing() {
+        if (members != null && recovery == null) {
+            members.phase(Phase.SERVING);
+        }
+    }
+
+    /** Tells the fleet that this instance is gone. */
+    void leave() {
+        if (members != null) {
+            members.leave();
+        }
+    }
+
+    /** What a successor needs of it, in the form in which it is stored. */
+    Map<RecordKind, StoredRecord> records() {
+        Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
+        double now = dispatcher.now();
+        if (members != null) {
+            records.put(
+                    RecordKind.INCARNATION,
+                    new StoredRecord(RecordKind.INCARNATION, now, new JsonPrimitive(members.incarnation())));
+        }
+        if (zones != null) {
+            Map<Integer, Held> held = zones.zones().held();
+            records.put(
+                    RecordKind.ZONE_STATES,
+                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneForm.json(held, false, zones.names())));
+            records.put(
+                    RecordKind.OPERATOR_ORDERS,
+                    new StoredRecord(RecordKind.OPERATOR_ORDERS, now, ZoneForm.json(held, true, zones.names())));
+        }
+        return records;
+    }
+
+    /** How far the recovery has come, and what is stored. */
+    RecoveryStatus recoveryStatus() {
+        return new RecoveryStatus(
+                dispatcher.provenance(),
+                recovery == null ? null : recovery.progress(),
+                recovery == null ? null : recovery.spread(),
+                recovery == null ? 0 : recovery.rate(),
+                stateLink == null ? null : stateLink.opened(),
+                stateLink == null ? null : stateLink.recordStore(),
+                stateLink == null ? null : stateLink.path().toString(),
+                stateLink != null && stateLink.locked());
+    }
+
+    /** The fleet's zone decisions; null where this instance takes no part in them. */
+    FleetZones zoneDecisions() {
+        return zones == null ? null : new FleetZones(zones);
+    }
+
+    /** The membership view; null where this instance takes no part in it. */
+    FleetViewStatus viewStatus() {
+        return members == null
+                ? null
+                : new FleetViewStatus(
+                        members.view(),
+                        members.unreadable(),
+                        members.deathsRefuted(),
+                        peers.budget().droppedDatagrams());
+    }
+}
--- a/src/main/java/cacheproxy/proxy/RecoveryStatus.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryStatus.java
@@ -7,16 +7,16 @@
 import cacheproxy.state.RecordStore;
 
 /**
- * How far this process has come since its start, and what it keeps; for operators. On the event loop only.
+ * How far this process has come since its start, and what it stores; for operators. On the event loop only.
  *
- * @param provenance what it works with that it has not seen itself
- * @param progress how far it is; null where it runs without {@code --recovery}
- * @param rebalancer what it carries by what the others do; null likewise
- * @param requestsPerSecond requests that it is asked
- * @param openedState what it found in its folder; null where it has none
- * @param recordStore what it keeps there; null likewise
- * @param folder where; null likewise
- * @param writable whether it alone writes there
+ * @param provenance which data it uses that it has not seen itself
+ * @param progress how far it is; null without {@code --recovery}
+ * @param rebalancer how its load compares with that of the other instances; null likewise
+ * @param requestsPerSecond that it receives
+ * @param openedState what it found in its folder; null without one
+ * @param recordStore what it stores there; null likewise
+ * @param folder the folder's path; null likewise
+ * @param writable whether it holds the lock and so is the only one that writes there
  */
 public record RecoveryStatus(
         ProvenanceTracker provenance,
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -25,18 +25,26 @@
     private byte[] sight = {};
 
     /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
-    ZoneLink(Dispatcher dispatcher, MemberLink members, RoutingSettings settings, List<String> names, Remembered last) {
+    ZoneLink(
+            Dispatcher dispatcher,
+            MemberLink members,
+            RoutingSettings settings,
+            List<String> names,
+            RestoredState last) {
         this.dispatcher = dispatcher;
         this.members = members;
         this.names = List.copyOf(names);
         this.settings =
                 new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
         zones = new Zones(this.settings);
-        zones.remember(dispatcher.now(), last.zones(RecordKind.ZONE_STATES, names), last.holds(RecordKind.ZONE_STATES));
         zones.remember(
                 dispatcher.now(),
-                last.zones(RecordKind.OPERATOR_ORDERS, names),
-                last.holds(RecordKind.OPERATOR_ORDERS));
+                last.zoneDecisions(RecordKind.ZONE_STATES, names),
+                last.isValid(RecordKind.ZONE_STATES));
+        zones.remember(
+                dispatcher.now(),
+                last.zoneDecisions(RecordKind.OPERATOR_ORDERS, names),
+                last.isValid(RecordKind.OPERATOR_ORDERS));
         dispatcher.addEndpointListListener(k -> listed());
         listed();
         run();
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/peer/OutlierGossipLink.java
@@ -0,0 +1,107 @@
+package cacheproxy.proxy.peer;
+
+import cacheproxy.gossip.OutlierGossip;
+import cacheproxy.gossip.OutlierGossip.ReportedNode;
+import cacheproxy.gossip.PeerMessage;
+import cacheproxy.membership.View;
+import cacheproxy.routing.EndpointSignal;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.OptionalInt;
+import java.util.function.DoubleSupplier;
+import java.util.function.Supplier;
+
+/**
+ * Reports unresponsive cache nodes to the other proxies, and passes reports of theirs on to the load balancer once
+ * {@link OutlierGossip} finds enough of them. On the event loop only.
+ */
+public final class OutlierGossipLink {
+    /** The zones of live peers are read anew after this time: where much is wrong, many reports come at once. */
+    private static final double ZONES_CACHED_MS = 500;
+    /** A node is reported again after this time, so that the first report has not expired yet. */
+    private static final double REPORT_INTERVAL_MS = OutlierGossip.REPORT_TTL_MS / 2;
+
+    /** Takes a report that enough peers agree on. */
+    public interface OutlierListener {
+        /** The last of these reports: the peer's number, and its message as it came. */
+        void onOutlier(int peer, byte[] message);
+    }
+
+    private final DoubleSupplier nowMs;
+    private final PeerDatagramSocket peers;
+    private final CacheNodes nodes;
+    private final Supplier<View> members;
+    private final OutlierListener listener;
+    private final OutlierGossip outliers = new OutlierGossip();
+    /** When each node was reported last by this proxy. */
+    private final Map<Integer, Double> reportedMs = new HashMap<>();
+    /** The zones of live peers, by their numbers; as of {@link #zonesReadMs}. */
+    private final Map<Integer, Integer> zoneOfPeer = new HashMap<>();
+
+    private double zonesReadMs = Double.NEGATIVE_INFINITY;
+
+    /**
+     * Reports nothing yet.
+     *
+     * @param nowMs a monotonic clock, in milliseconds
+     * @param members the fleet as membership sees it now
+     */
+    public OutlierGossipLink(
+            DoubleSupplier nowMs,
+            PeerDatagramSocket peers,
+            CacheNodes nodes,
+            Supplier<View> members,
+            OutlierListener listener) {
+        this.nowMs = nowMs;
+        this.peers = peers;
+        this.nodes = nodes;
+        this.members = members;
+        this.listener = listener;
+    }
+
+    /** The load balancer has observed this at an endpoint; reports a cache node that did not respond. */
+    public void onEndpointSignal(int endpointId, EndpointSignal signal) {
+        if (signal != EndpointSignal.UNRESPONSIVE || nodes.zoneOf(endpointId).isEmpty()) {
+            return;
+        }
+        double now = nowMs.getAsDouble();
+        reportedMs.values().removeIf(at -> now - at >= REPORT_INTERVAL_MS);
+        if (!outliers.isWidelyReported(now, endpointId) && reportedMs.putIfAbsent(endpointId, now) == null) {
+            byte[] report = PeerMessage.endpointUnresponsive(endpointId);
+            peers.send(PeerDatagramSocket.ALL_PEERS, PeerMessageKind.OUTLIERS, report);
+        }
+    }
+
+    /** A peer reports a node that did not respond; anything else is ignored. */
+    public void onMessage(int peer, byte[] message) {
+        Integer endpointId = PeerMessage.readEndpointUnresponsive(message);
+        OptionalInt zone = endpointId == null ? OptionalInt.empty() : nodes.zoneOf(endpointId);
+        if (zone.isEmpty()) {
+            return;
+        }
+        double now = nowMs.getAsDouble();
+        readZonesIfOld(now);
+        Integer peerZone = zoneOfPeer.get(peer);
+        if (peerZone == null) {
+            return;
+        }
+        ReportedNode node = new ReportedNode(endpointId, zone.getAsInt(), nodes.countInZone(zone.getAsInt()));
+        int zonesOfPeers = new HashSet<>(zoneOfPeer.values()).size();
+        if (outliers.onReport(now, peer, peerZone, node, zoneOfPeer.size(), zonesOfPeers)) {
+            listener.onOutlier(peer, message);
+        }
+    }
+
+    private void readZonesIfOld(double now) {
+        if (now - zonesReadMs < ZONES_CACHED_MS) {
+            return;
+        }
+        View view = members.get();
+        zonesReadMs = now;
+        zoneOfPeer.clear();
+        view.entries().stream()
+                .filter(e -> e.id() != view.me() && e.state().lives())
+                .forEach(e -> zoneOfPeer.put(e.id(), e.zone()));
+    }
+}
