--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/AttemptOperations.java
@@ -0,0 +1,45 @@
+package cacheproxy.proxy;
+
+import cacheproxy.routing.AttemptOutcome;
+import io.netty.buffer.ByteBuf;
+
+/** Passes what happens to an attempt on to the part of the core whose job it is. Event loop only. */
+final class AttemptOperations {
+    private final AttemptStarter starter;
+    private final AttemptLifecycle lifecycle;
+    private final ResponseStreaming streaming;
+
+    AttemptOperations(AttemptStarter starter, AttemptLifecycle lifecycle, ResponseStreaming streaming) {
+        this.starter = starter;
+        this.lifecycle = lifecycle;
+        this.streaming = streaming;
+    }
+
+    boolean mayBegin(RequestAttempt attempt) {
+        return starter.mayBegin(attempt);
+    }
+
+    void checkRemainingTime(RequestAttempt attempt, long remainingMs) {
+        starter.checkRemainingTime(attempt, remainingMs);
+    }
+
+    void end(RequestAttempt attempt, AttemptOutcome outcome, int note, float[] report, ServerResponse response) {
+        lifecycle.end(attempt, outcome, note, report, response);
+    }
+
+    void end(RequestAttempt attempt, AttemptOutcome outcome) {
+        lifecycle.end(attempt, outcome);
+    }
+
+    void expire(RequestAttempt attempt) {
+        lifecycle.expire(attempt);
+    }
+
+    boolean beginValue(RequestAttempt attempt, int length) {
+        return streaming.begin(attempt, length);
+    }
+
+    void writePart(RequestAttempt attempt, ByteBuf part) {
+        streaming.writePart(attempt, part);
+    }
+}
--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -31,6 +31,7 @@
     private final RuleMonitor rules;
     private final SerialLoadBalancer loadBalancer;
     private final AttemptLifecycle attempts;
+    private final AttemptOperations operations;
 
     AttemptStarter(
             EventLoop loop,
@@ -42,7 +43,8 @@
             Counters counters,
             RuleMonitor rules,
             SerialLoadBalancer loadBalancer,
-            AttemptLifecycle attempts) {
+            AttemptLifecycle attempts,
+            ResponseStreaming streaming) {
         this.loop = loop;
         this.loopClock = loopClock;
         this.clock = clock;
@@ -53,6 +55,7 @@
         this.rules = rules;
         this.loadBalancer = loadBalancer;
         this.attempts = attempts;
+        operations = new AttemptOperations(this, attempts, streaming);
     }
 
     /**
@@ -67,7 +70,7 @@
         UpstreamServer upstream = servers.get(server);
         EndpointLocation location = upstream == null ? UNKNOWN_LOCATION : upstream.location;
         RequestAttempt attempt =
-                new RequestAttempt(request, request.attempts.size(), server, location, now, now + waitMs);
+                new RequestAttempt(operations, request, request.attempts.size(), server, location, now, now + waitMs);
         count(request, upstream);
         request.attempts.add(attempt);
         request.attemptsInFlight++;
@@ -110,7 +113,7 @@
                 new SafetyRules.AttemptStart(
                         request.state(),
                         request.serviceClass,
-                        Math.min(attempt.expiresMs, request.deadlineMs) - now,
+                        Math.min(attempt.expiresMs(), request.deadlineMs) - now,
                         serverReady,
                         attempt.location,
                         attempt.index,
@@ -157,7 +160,7 @@
         counters.increment(Metric.HEALTH_CHECKS);
         double now = clock.now();
         RequestAttempt check =
-                new RequestAttempt(null, 0, server, UNKNOWN_LOCATION, now, now + HEALTH_CHECK_TIMEOUT_MS);
+                new RequestAttempt(operations, null, 0, server, UNKNOWN_LOCATION, now, now + HEALTH_CHECK_TIMEOUT_MS);
         if (upstream == null || !upstream.ready || !upstream.pool.send(check)) {
             attempts.endSerially(check, AttemptOutcome.CONNECT_FAILED);
         } else {
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -47,7 +47,8 @@
     private static final int NOTE_MISS = 2;
 
     private final UpstreamConnection connection;
-    private final Dispatcher dispatcher;
+    private final UpstreamContext context;
+    private final LoadReports loadReports;
     /** Bytes of the value and its line end still to arrive, or {@link #NO_VALUE}: a line is next. */
     private int missing = NO_VALUE;
 
@@ -63,17 +64,18 @@
 
     CacheCodec(UpstreamConnection connection) {
         this.connection = connection;
-        this.dispatcher = connection.dispatcher();
+        this.context = connection.context();
+        loadReports = new LoadReports(context);
         connection.setCodec(this);
     }
 
     @Override
-    public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress address) {
+    public ChannelFuture write(Channel channel, UpstreamAttempt attempt, long remainingMs, SocketAddress address) {
         if (attempt.isHealthCheck()) {
-            String check = dispatcher.loadReports().inHealthChecks() ? LOAD_QUERY : NO_OP;
+            String check = loadReports.inHealthChecks() ? LOAD_QUERY : NO_OP;
             return channel.writeAndFlush(MetaCodec.text(channel.alloc(), check));
         }
-        RequestCommand command = attempt.request.command;
+        RequestCommand command = attempt.command();
         ByteBuf line = MetaCodec.text(channel.alloc(), command.commandLine.with(remainingMs) + "\r\n");
         if (command.value == null) {
             return channel.writeAndFlush(line);
@@ -83,19 +85,19 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object input) throws Exception {
+    public void channelRead(ChannelHandlerContext channelContext, Object input) throws Exception {
         connection.setReading(true);
-        super.channelRead(context, input);
+        super.channelRead(channelContext, input);
     }
 
     @Override
-    public void channelReadComplete(ChannelHandlerContext context) throws Exception {
+    public void channelReadComplete(ChannelHandlerContext channelContext) throws Exception {
         connection.setReading(false);
-        super.channelReadComplete(context);
+        super.channelReadComplete(channelContext);
     }
 
     @Override
-    protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
+    protected void decode(ChannelHandlerContext channelContext, ByteBuf in, List<Object> out) {
         try {
             if (connection.currentAttempt() == null) { // complete or not: it would be taken for the next response
                 throw new MetaCodec.SyntaxException("answer to nothing");
@@ -123,7 +125,7 @@
         } else if (connection.currentAttempt().isHealthCheck()) {
             healthCheckLine(line);
         } else {
-            responseLine(line, connection.currentAttempt().request.command);
+            responseLine(line, connection.currentAttempt().command());
         }
     }
 
@@ -161,7 +163,7 @@
     }
 
     private float[] errorReport(String line) {
-        return dispatcher.loadReports().parse(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
+        return loadReports.parse(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
     }
 
     /** Decodes the flags from this index on. The id must be the request's, or responses have lost their order. */
@@ -170,7 +172,7 @@
             throw new MetaCodec.SyntaxException("answer to another request");
         }
         note = decodeNote(line, from);
-        report = dispatcher.loadReports().parse(MetaCodec.flag(line, from, 'L'));
+        report = loadReports.parse(MetaCodec.flag(line, from, 'L'));
     }
 
     private static int decodeNote(String line, int from) {
@@ -229,20 +231,20 @@
             return;
         }
         boolean healthy = line.equals(NO_OP_RESPONSE) || line.equals(STAT_END);
-        float[] figures = MetaCodec.report(stats, dispatcher.loadReports().fields());
+        float[] figures = MetaCodec.report(stats, loadReports.fields());
         stats = "";
         connection.responseCompleted(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, NOTE_NONE, figures, null);
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext context) throws Exception {
-        super.channelInactive(context);
+    public void channelInactive(ChannelHandlerContext channelContext) throws Exception {
+        super.channelInactive(channelContext);
         connection.channelClosed();
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        dispatcher.failures().connectionFailed(cause);
-        context.close();
+    public void exceptionCaught(ChannelHandlerContext channelContext, Throwable cause) {
+        context.connectionFailed(cause);
+        channelContext.close();
     }
 }
--- a/src/main/java/cacheproxy/proxy/ConnectionLimits.java
+++ b/src/main/java/cacheproxy/proxy/ConnectionLimits.java
@@ -30,7 +30,7 @@
     private static final double ABANDONED_CLOSES_BURST = 10;
     private static final double MILLIS_PER_SECOND = 1000;
 
-    private final Dispatcher dispatcher;
+    private final UpstreamContext context;
     private final int maxConnections;
     private final Supplier<UpstreamConnection> longestIdle;
     private int connections;
@@ -44,8 +44,8 @@
      * @param maxConnections the limit over all servers
      * @param longestIdle the connection that has been idle longest; null if none is idle
      */
-    ConnectionLimits(Dispatcher dispatcher, int maxConnections, Supplier<UpstreamConnection> longestIdle) {
-        this.dispatcher = dispatcher;
+    ConnectionLimits(UpstreamContext context, int maxConnections, Supplier<UpstreamConnection> longestIdle) {
+        this.context = context;
         this.maxConnections = maxConnections;
         this.longestIdle = longestIdle;
     }
@@ -61,7 +61,7 @@
      * own, so there may be as many as a server accepts.
      */
     private int perCacheNode(int max) {
-        RoutingSettings settings = dispatcher.settings();
+        RoutingSettings settings = context.settings();
         return settings.hedgingAllowed()
                 ? Math.max(1, Math.min(max, CACHE_NODE_CAPACITY / Math.max(1, settings.instanceCount())))
                 : PER_CACHE_NODE_WITH_STREAMING;
@@ -69,7 +69,7 @@
 
     /** The limits of the origin. */
     ServerConnectionPool.Limits origin() {
-        int instances = Math.max(1, dispatcher.settings().instanceCount());
+        int instances = Math.max(1, context.settings().instanceCount());
         int max = Math.max(MIN_TO_ORIGIN, Math.min(MAX_TO_ORIGIN, ORIGIN_CAPACITY / instances));
         return new ServerConnectionPool.Limits(max, max, ORIGIN_DEPTH);
     }
@@ -81,7 +81,7 @@
 
     void connectionOpened() {
         connections++;
-        dispatcher.counters().increment(Metric.CONNECTIONS_OPENED);
+        context.increment(Metric.CONNECTIONS_OPENED);
     }
 
     void connectionClosed() {
@@ -108,27 +108,27 @@
 
     /** Servers at their connection limit are too many: connections count as scarce from now on, for a while. */
     void noteScarcity() {
-        scarceUntilMs = dispatcher.now() + SCARCITY_MS;
+        scarceUntilMs = context.now() + SCARCITY_MS;
     }
 
     /** A server that rejected a connection since this time counts towards scarcity. */
     double scarcitySinceMs() {
-        return dispatcher.now() - SCARCITY_MS;
+        return context.now() - SCARCITY_MS;
     }
 
     /** Whether servers accept too few connections for all proxies, so that each should have one of them only. */
     boolean connectionsScarce() {
-        return dispatcher.now() < scarceUntilMs;
+        return context.now() < scarceUntilMs;
     }
 
     /** Whether one more connection may be closed only because nobody waits for what is on it; counts as closed. */
     boolean mayCloseAbandoned() {
-        double now = dispatcher.now();
+        double now = context.now();
         abandonedCloseTokens = Math.min(
                 ABANDONED_CLOSES_BURST,
                 abandonedCloseTokens + (now - tokensRefilledMs) / MILLIS_PER_SECOND * ABANDONED_CLOSES_PER_SECOND);
         tokensRefilledMs = now;
-        if (abandonedCloseTokens < 1 && dispatcher.settings().hedgingAllowed()) {
+        if (abandonedCloseTokens < 1 && context.settings().hedgingAllowed()) {
             return false;
         }
         abandonedCloseTokens--;
@@ -137,6 +137,6 @@
 
     /** A connection that has been idle since this time is not used any more, because its server may close it. */
     double idleBeforeMs(double now) {
-        return now - dispatcher.idleCloseMs() * IDLE_PART;
+        return now - context.idleCloseMs() * IDLE_PART;
     }
 }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -55,7 +55,6 @@
     private final BufferLimits bufferLimits;
     private final DrainState drain = new DrainState();
     private final ConnectionFailures failures;
-    private final LoadReports loadReports;
     /** Provenance and age of what is in use that was not observed by this process. */
     private final ProvenanceTracker provenance = new ProvenanceTracker();
 
@@ -65,7 +64,6 @@
     private final RequestCompletion completion;
     private final AttemptLifecycle attempts;
     private final AttemptStarter attemptStarter;
-    private final ResponseStreaming streaming;
     private final RequestLifecycle lifecycle;
     private final PeerLinks peerLinks;
     private final EndpointListEvents endpointListEvents;
@@ -94,16 +92,18 @@
         settings = new RequestSettings(config);
         counters.retainClasses(settings.classNames());
         failures = new ConnectionFailures(counters, log);
-        loadReports = new LoadReports(settings);
         bufferLimits = new BufferLimits(config.memoryMb());
-        servers = new UpstreamServers(this, bootstrap(loop, upstream), config.sockets() / UPSTREAM_SOCKETS_PART);
+        servers = new UpstreamServers(
+                new DispatcherUpstreamContext(this),
+                bootstrap(loop, upstream),
+                config.sockets() / UPSTREAM_SOCKETS_PART);
         executor = new SerialExecutor(log);
         loadBalancer = new SerialLoadBalancer(executor, clock);
         completion = new RequestCompletion(clock, settings, requests, metrics, rules, this::endUnsentAttempts);
         attempts = new AttemptLifecycle(clock, settings, executor, loadBalancer, completion);
+        ResponseStreaming streaming = new ResponseStreaming(clock, loadBalancer, attempts);
         attemptStarter = new AttemptStarter(
-                loop, loopClock, clock, timers, settings, servers, counters, rules, loadBalancer, attempts);
-        streaming = new ResponseStreaming(clock, loadBalancer, attempts);
+                loop, loopClock, clock, timers, settings, servers, counters, rules, loadBalancer, attempts, streaming);
         lifecycle = new RequestLifecycle(
                 clock, timers, log, settings, requests, metrics, rules, provenance, loadBalancer, completion, attempts);
         peerLinks = new PeerLinks(loadBalancer);
@@ -238,35 +238,11 @@
         return servers;
     }
 
-    /** Starts attempts. */
-    AttemptStarter attemptStarter() {
-        return attemptStarter;
-    }
-
-    /** Ends attempts. */
-    AttemptLifecycle attempts() {
-        return attempts;
-    }
-
-    /** Passes long values on to clients. */
-    ResponseStreaming streaming() {
-        return streaming;
-    }
-
-    double connectTimeoutMs() {
-        return settings.routing().connectTimeoutMs();
-    }
-
     /** After how long servers close an idle connection, in milliseconds. */
     double idleCloseMs() {
         return settings.config().idleCloseMs();
     }
 
-    /** Reads the load reports of servers. */
-    LoadReports loadReports() {
-        return loadReports;
-    }
-
     // ---- load balancer
 
     /** Carries out the load balancer's orders; null before {@link #start}. */
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/DispatcherUpstreamContext.java
@@ -0,0 +1,72 @@
+package cacheproxy.proxy;
+
+import cacheproxy.flow.ByteBudget;
+import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogMessage;
+import cacheproxy.metrics.Metric;
+import cacheproxy.routing.RoutingSettings;
+import io.netty.channel.EventLoop;
+
+/** Gives the connections to servers what they use of the {@link Dispatcher}. Event loop only. */
+final class DispatcherUpstreamContext implements UpstreamContext {
+    private final Dispatcher dispatcher;
+
+    DispatcherUpstreamContext(Dispatcher dispatcher) {
+        this.dispatcher = dispatcher;
+    }
+
+    @Override
+    public EventLoop loop() {
+        return dispatcher.loop();
+    }
+
+    @Override
+    public double now() {
+        return dispatcher.now();
+    }
+
+    @Override
+    public void after(double ms, Runnable task) {
+        dispatcher.after(ms, task);
+    }
+
+    @Override
+    public RoutingSettings settings() {
+        return dispatcher.settings();
+    }
+
+    @Override
+    public double idleCloseMs() {
+        return dispatcher.idleCloseMs();
+    }
+
+    @Override
+    public ByteBudget valueBudget() {
+        return dispatcher.bufferLimits().values();
+    }
+
+    @Override
+    public boolean isEjected(int server) {
+        return dispatcher.isEjected(server);
+    }
+
+    @Override
+    public void increment(Metric metric) {
+        dispatcher.counters().increment(metric);
+    }
+
+    @Override
+    public void recordForward() {
+        dispatcher.counters().recordForward();
+    }
+
+    @Override
+    public void log(EventKind kind, LogMessage message) {
+        dispatcher.log(kind, message);
+    }
+
+    @Override
+    public void connectionFailed(Throwable cause) {
+        dispatcher.failures().connectionFailed(cause);
+    }
+}
--- a/src/main/java/cacheproxy/proxy/LoadReports.java
+++ b/src/main/java/cacheproxy/proxy/LoadReports.java
@@ -5,26 +5,26 @@
 
 /** Reads the load reports of servers, as the settings say where they come from. Event loop only. */
 final class LoadReports {
-    private final RequestSettings settings;
+    private final UpstreamContext context;
 
-    LoadReports(RequestSettings settings) {
-        this.settings = settings;
+    LoadReports(UpstreamContext context) {
+        this.context = context;
     }
 
     /** The names of the figures in a load report, in the order of its values. */
     List<String> fields() {
-        return settings.routing().loadReportFields();
+        return context.settings().loadReportFields();
     }
 
     /** Parses the load report of a response; null where the settings say that responses have none. */
     float[] parse(String text) {
-        return settings.routing().loadReportSource() == LoadReportSource.WITH_RESPONSES
+        return context.settings().loadReportSource() == LoadReportSource.WITH_RESPONSES
                 ? MetaCodec.report(text, fields())
                 : null;
     }
 
     /** Whether health checks ask for a load report. */
     boolean inHealthChecks() {
-        return settings.routing().loadReportSource() == LoadReportSource.BY_HEALTH_CHECK;
+        return context.settings().loadReportSource() == LoadReportSource.BY_HEALTH_CHECK;
     }
 }
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -58,7 +58,8 @@
     private static final long UNKNOWN_LENGTH = -1;
 
     private final UpstreamConnection connection;
-    private final Dispatcher dispatcher;
+    private final UpstreamContext context;
+    private final LoadReports loadReports;
     private HttpResponse response;
     /** What has arrived of the body; null where it is streamed or dropped. */
     private ValueBuffer body;
@@ -71,7 +72,8 @@
 
     private OriginCodec(UpstreamConnection connection) {
         this.connection = connection;
-        this.dispatcher = connection.dispatcher();
+        this.context = connection.context();
+        loadReports = new LoadReports(context);
         connection.setCodec(this);
     }
 
@@ -95,9 +97,9 @@
         }
 
         @Override
-        protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
+        protected void decode(ChannelHandlerContext channelContext, ByteBuf in, List<Object> out) throws Exception {
             if (connection.currentAttempt() != null) {
-                super.decode(context, in, out);
+                super.decode(channelContext, in, out);
                 return;
             }
             // Line ends alone begin no response.
@@ -112,15 +114,14 @@
     // ---- requests
 
     @Override
-    public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress address) {
-        FullHttpRequest request =
-                attempt.isHealthCheck() ? healthCheck() : encode(attempt.request.command, remainingMs);
+    public ChannelFuture write(Channel channel, UpstreamAttempt attempt, long remainingMs, SocketAddress address) {
+        FullHttpRequest request = attempt.isHealthCheck() ? healthCheck() : encode(attempt.command(), remainingMs);
         request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
         return channel.writeAndFlush(request);
     }
 
     private FullHttpRequest healthCheck() {
-        String path = dispatcher.loadReports().inHealthChecks() ? LOAD_QUERY_PATH : HEALTH_CHECK_PATH;
+        String path = loadReports.inHealthChecks() ? LOAD_QUERY_PATH : HEALTH_CHECK_PATH;
         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
     }
 
@@ -141,13 +142,13 @@
     // ---- responses
 
     @Override
-    public void channelReadComplete(ChannelHandlerContext context) {
+    public void channelReadComplete(ChannelHandlerContext channelContext) {
         connection.setReading(false);
-        context.fireChannelReadComplete();
+        channelContext.fireChannelReadComplete();
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
+    protected void channelRead0(ChannelHandlerContext channelContext, HttpObject message) {
         connection.setReading(true);
         // Once this side has closed the connection, the decoder completes a body without length.
         if (failed || connection.closedLocally()) {
@@ -158,7 +159,7 @@
             return;
         }
         if (message instanceof HttpResponse head) {
-            begin(context, head);
+            begin(channelContext, head);
         }
         if (response != null && message instanceof HttpContent content) {
             addContent(content);
@@ -168,7 +169,7 @@
         }
     }
 
-    private void begin(ChannelHandlerContext context, HttpResponse head) {
+    private void begin(ChannelHandlerContext channelContext, HttpResponse head) {
         if (head.status().code() < HttpResponseStatus.OK.code()) {
             response = null; // an interim response
             return;
@@ -185,7 +186,7 @@
         streamed = streamable && connection.beginValue((int) contentLength); // else nobody waits for it
         if (!streamable) {
             int maxLength = contentLength < 0 ? MetaCodec.MAX_VALUE : (int) contentLength;
-            body = new ValueBuffer(context.alloc(), maxLength);
+            body = new ValueBuffer(channelContext.alloc(), maxLength);
             connection.responseProgressed();
         }
     }
@@ -204,11 +205,8 @@
     }
 
     private boolean isStreamable(HttpResponse head, long contentLength) {
-        RequestAttempt attempt = connection.currentAttempt();
-        return isOk(head)
-                && !attempt.isHealthCheck()
-                && !attempt.request.command.write
-                && contentLength > MetaCodec.WHOLE;
+        UpstreamAttempt attempt = connection.currentAttempt();
+        return isOk(head) && !attempt.isHealthCheck() && !attempt.command().write && contentLength > MetaCodec.WHOLE;
     }
 
     private static boolean isOk(HttpResponse head) {
@@ -250,8 +248,7 @@
     /** Reserves budget for this many bytes in all; false if there is not enough now. */
     private boolean reserve(int bytes) {
         while (reservations.size() * (long) MetaCodec.WHOLE < bytes) {
-            ByteBudget.Reservation reservation =
-                    dispatcher.bufferLimits().values().reserve(MetaCodec.WHOLE, () -> {});
+            ByteBudget.Reservation reservation = context.valueBudget().reserve(MetaCodec.WHOLE, () -> {});
             if (reservation == null || !reservation.granted()) {
                 if (reservation != null) {
                     reservation.release();
@@ -272,14 +269,13 @@
                 || (!HttpUtil.isContentLengthSet(head) && !HttpUtil.isTransferEncodingChunked(head))) {
             connection.retire();
         }
-        RequestAttempt attempt = connection.currentAttempt();
-        float[] report = dispatcher.loadReports().parse(head.headers().get(LOAD_HEADER));
+        UpstreamAttempt attempt = connection.currentAttempt();
+        float[] report = loadReports.parse(head.headers().get(LOAD_HEADER));
         if (attempt.isHealthCheck()) {
             release(whole);
             connection.responseCompleted(isOk(head) ? AttemptOutcome.OK : AttemptOutcome.ERROR, NO_NOTE, report, null);
         } else if (isOk(head)) {
-            connection.responseCompleted(
-                    AttemptOutcome.OK, NO_NOTE, report, toResponse(attempt.request.command, whole));
+            connection.responseCompleted(AttemptOutcome.OK, NO_NOTE, report, toResponse(attempt.command(), whole));
         } else {
             release(whole);
             connection.responseCompleted(
@@ -330,7 +326,7 @@
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext context) {
+    public void channelInactive(ChannelHandlerContext channelContext) {
         failed = true;
         releaseBody();
         connection.channelClosed();
@@ -338,10 +334,10 @@
 
     /** A body that the connection's end completes is complete if that end is an orderly one (RFC 9112, 6.3). */
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        dispatcher.failures().connectionFailed(cause);
+    public void exceptionCaught(ChannelHandlerContext channelContext, Throwable cause) {
+        context.connectionFailed(cause);
         failed = true;
         releaseBody();
-        context.close();
+        channelContext.close();
     }
 }
--- a/src/main/java/cacheproxy/proxy/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/RequestAttempt.java
@@ -1,10 +1,12 @@
 package cacheproxy.proxy;
 
 import cacheproxy.proxy.Timers.Timer;
+import cacheproxy.routing.AttemptOutcome;
 import cacheproxy.routing.EndpointLocation;
+import io.netty.buffer.ByteBuf;
 
 /** One attempt of a request at a server, or a health check of that server. Event loop only. */
-final class RequestAttempt {
+final class RequestAttempt implements UpstreamAttempt {
     /** Null for a health check. */
     final ClientRequest request;
     /** How many attempts of the request were made before it. */
@@ -13,15 +15,11 @@
     final int server;
     /** When it was ordered, on the clock of {@link Dispatcher#now}. */
     final double sentMs;
-    /** When the proxy stops waiting for it, on the same clock. */
-    final double expiresMs;
     /** The location of its server. */
     final EndpointLocation location;
 
     /** The connection it was assigned to; null before. */
     UpstreamConnection connection;
-    /** Whether its last byte was written. */
-    boolean written;
     /** Whether it has had its one outcome. */
     boolean ended;
     /** Once ended: whether the server may have executed it, or may yet. */
@@ -32,8 +30,19 @@
     /** Expires the attempt; null where the request's own deadline does. */
     Timer timer;
 
+    private final AttemptOperations operations;
+    private final double expiresMs;
+    private boolean written;
+
     RequestAttempt(
-            ClientRequest request, int index, int server, EndpointLocation location, double sentMs, double expiresMs) {
+            AttemptOperations operations,
+            ClientRequest request,
+            int index,
+            int server,
+            EndpointLocation location,
+            double sentMs,
+            double expiresMs) {
+        this.operations = operations;
         this.request = request;
         this.index = index;
         this.server = server;
@@ -42,20 +51,73 @@
         this.expiresMs = expiresMs;
     }
 
-    boolean isHealthCheck() {
-        return request == null;
-    }
-
     /** Whether its response is being streamed to the client. */
     boolean isStreaming() {
         return firstByteMs != 0;
     }
 
-    /**
-     * How long the proxy still waits for it, in whole milliseconds. Rounded down, since a server must not be told of
-     * time that its client does not have; at least 1, since servers take 0 for no deadline.
-     */
-    long remainingMs(double nowMs) {
-        return Math.max(1, (long) Math.floor(expiresMs - nowMs));
+    @Override
+    public RequestCommand command() {
+        return request == null ? null : request.command;
+    }
+
+    @Override
+    public double expiresMs() {
+        return expiresMs;
+    }
+
+    @Override
+    public boolean hasEnded() {
+        return ended;
+    }
+
+    @Override
+    public boolean mayBegin() {
+        return operations.mayBegin(this);
+    }
+
+    @Override
+    public void sending(long timeoutMs) {
+        operations.checkRemainingTime(this, timeoutMs);
+    }
+
+    @Override
+    public void assignedTo(UpstreamConnection carrier) {
+        connection = carrier;
+    }
+
+    @Override
+    public void written() {
+        written = true;
+    }
+
+    @Override
+    public boolean isWritten() {
+        return written;
+    }
+
+    @Override
+    public void end(AttemptOutcome outcome, int note, float[] report, ServerResponse response) {
+        operations.end(this, outcome, note, report, response);
+    }
+
+    @Override
+    public void end(AttemptOutcome outcome) {
+        operations.end(this, outcome);
+    }
+
+    @Override
+    public void expire() {
+        operations.expire(this);
+    }
+
+    @Override
+    public boolean beginValue(int length) {
+        return operations.beginValue(this, length);
+    }
+
+    @Override
+    public void writePart(ByteBuf part) {
+        operations.writePart(this, part);
     }
 }
--- a/src/main/java/cacheproxy/proxy/ResponseWatchdog.java
+++ b/src/main/java/cacheproxy/proxy/ResponseWatchdog.java
@@ -10,7 +10,7 @@
     /** A short response without progress for so long, three times the longest pause, has been cut off. */
     private static final double SHORT_STALL_MS = 300;
 
-    private final Dispatcher dispatcher;
+    private final UpstreamContext context;
     private final Runnable closeConnection;
     private boolean streaming;
     private boolean shortResponseBegun;
@@ -20,8 +20,8 @@
     private double lastProgressMs;
 
     /** {@code closeConnection}: called for a short response that has been cut off. */
-    ResponseWatchdog(Dispatcher dispatcher, Runnable closeConnection) {
-        this.dispatcher = dispatcher;
+    ResponseWatchdog(UpstreamContext context, Runnable closeConnection) {
+        this.context = context;
         this.closeConnection = closeConnection;
     }
 
@@ -39,8 +39,8 @@
     }
 
     private void scheduleCheck(double afterMs) {
-        dispatcher.after(afterMs, () -> {
-            double leftMs = SHORT_STALL_MS - (dispatcher.now() - lastProgressMs);
+        context.after(afterMs, () -> {
+            double leftMs = SHORT_STALL_MS - (context.now() - lastProgressMs);
             checkScheduled = shortResponseBegun && !stopped && leftMs > 0;
             if (checkScheduled) {
                 scheduleCheck(leftMs);
@@ -94,6 +94,6 @@
     }
 
     private void noteProgress() {
-        lastProgressMs = dispatcher.now();
+        lastProgressMs = context.now();
     }
 }
--- a/src/main/java/cacheproxy/proxy/ServerConnectionPool.java
+++ b/src/main/java/cacheproxy/proxy/ServerConnectionPool.java
@@ -32,10 +32,11 @@
     record Limits(int connections, int withStreaming, int depth) {}
 
     private final UpstreamServer server;
-    private final Dispatcher dispatcher;
+    private final UpstreamContext context;
     private final Bootstrap bootstrap;
     private final ConnectionLimits globalLimits;
     private final Limits limits;
+    private final Runnable onConnectionRejected;
     private final List<UpstreamConnection> connections = new ArrayList<>(TYPICAL_CONNECTIONS);
     private double noNewUntilMs;
     private double lastSentMs = Double.NEGATIVE_INFINITY;
@@ -43,17 +44,20 @@
     private long rejectedConnections;
     private long openedConnections;
 
+    /** {@code onConnectionRejected}: runs when the server has rejected a connection because it is at its limit. */
     ServerConnectionPool(
             UpstreamServer server,
-            Dispatcher dispatcher,
+            UpstreamContext context,
             Bootstrap bootstrap,
             ConnectionLimits globalLimits,
-            Limits limits) {
+            Limits limits,
+            Runnable onConnectionRejected) {
         this.server = server;
-        this.dispatcher = dispatcher;
+        this.context = context;
         this.bootstrap = bootstrap;
         this.globalLimits = globalLimits;
         this.limits = limits;
+        this.onConnectionRejected = onConnectionRejected;
     }
 
     boolean isOrigin() {
@@ -75,8 +79,8 @@
      * Sends an attempt; false if no connection can take it. What is sent behind a streamed response waits as long as
      * its client takes to read it, so a streaming connection is the last resort, and does not count against the limit.
      */
-    boolean send(RequestAttempt attempt) {
-        double now = dispatcher.now();
+    boolean send(UpstreamAttempt attempt) {
+        double now = context.now();
         Candidates candidates = findCandidates(now);
         UpstreamConnection chosen = shouldOpen(candidates, now) ? open() : candidates.best;
         if (chosen == null) {
@@ -139,7 +143,7 @@
     }
 
     private UpstreamConnection open() {
-        UpstreamConnection connection = new UpstreamConnection(this, dispatcher);
+        UpstreamConnection connection = new UpstreamConnection(this, context);
         connections.add(connection);
         globalLimits.connectionOpened();
         openedConnections++;
@@ -148,7 +152,8 @@
         ChannelFuture future = bootstrap
                 .clone()
                 .handler(new Initializer(handlers))
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) dispatcher.connectTimeoutMs())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
+                        context.settings().connectTimeoutMs())
                 .connect(server.address);
         connection.connecting(future, server.address);
         return connection;
@@ -158,10 +163,10 @@
      * Sends an attempt on another connection because its own was not opened; false if there is none. While others are
      * open, the server has as many as it accepts, which says nothing against it.
      */
-    boolean resend(RequestAttempt attempt) {
-        double now = dispatcher.now();
+    boolean resend(UpstreamAttempt attempt) {
+        double now = context.now();
         UpstreamConnection best = bestConnected(now);
-        if (best == null || !dispatcher.attemptStarter().mayBegin(attempt)) {
+        if (best == null || !attempt.mayBegin()) {
             return false;
         }
         noNewUntilMs = now + REJECTION_BACKOFF_MS;
@@ -185,10 +190,10 @@
 
     /** The server has rejected a new connection as it is at its limit; whether there is no other connection to it. */
     boolean connectionRejected() {
-        lastRejectedMs = dispatcher.now();
+        lastRejectedMs = context.now();
         rejectedConnections++;
-        dispatcher.servers().connectionRejected();
-        noNewUntilMs = dispatcher.now() + REJECTION_BACKOFF_MS;
+        onConnectionRejected.run();
+        noNewUntilMs = context.now() + REJECTION_BACKOFF_MS;
         return connections.isEmpty();
     }
 
@@ -256,7 +261,7 @@
         }
     }
 
-    /** When an attempt was last sent, on the clock of {@link Dispatcher#now}. */
+    /** When an attempt was last sent, on the clock of {@link UpstreamContext#now}. */
     double lastSentMs() {
         return lastSentMs;
     }
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -20,7 +20,7 @@
     /** Encodes attempts in the server's protocol, and decodes its responses into calls of this connection. */
     interface Codec {
         /** Writes an attempt; {@code remainingMs}: how long, as the server is told, its response is waited for. */
-        ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress address);
+        ChannelFuture write(Channel channel, UpstreamAttempt attempt, long remainingMs, SocketAddress address);
     }
 
     private static final int TYPICAL_DEPTH = 4;
@@ -28,9 +28,9 @@
     private static final double REJECTION_CLOSE_MS = 5;
 
     private final ServerConnectionPool pool;
-    private final Dispatcher dispatcher;
+    private final UpstreamContext context;
     private final ResponseWatchdog watchdog;
-    private final ArrayDeque<RequestAttempt> attempts = new ArrayDeque<>(TYPICAL_DEPTH);
+    private final ArrayDeque<UpstreamAttempt> attempts = new ArrayDeque<>(TYPICAL_DEPTH);
     private Codec codec;
     private Channel channel;
     private SocketAddress address;
@@ -50,17 +50,17 @@
     /** Whether a response has arrived on it. */
     private boolean hasResponded;
     /** The first attempt, if it was rejected and it is not yet known whether the server is at its connection limit. */
-    private RequestAttempt rejectedFirst;
+    private UpstreamAttempt rejectedFirst;
 
-    UpstreamConnection(ServerConnectionPool pool, Dispatcher dispatcher) {
+    UpstreamConnection(ServerConnectionPool pool, UpstreamContext context) {
         this.pool = pool;
-        this.dispatcher = dispatcher;
-        watchdog = new ResponseWatchdog(dispatcher, this::close);
-        idleSinceMs = dispatcher.now();
+        this.context = context;
+        watchdog = new ResponseWatchdog(context, this::close);
+        idleSinceMs = context.now();
     }
 
-    Dispatcher dispatcher() {
-        return dispatcher;
+    UpstreamContext context() {
+        return context;
     }
 
     void setCodec(Codec connectionCodec) {
@@ -73,11 +73,11 @@
     void connecting(ChannelFuture future, SocketAddress toAddress) {
         channel = Connecting.channel(future);
         address = toAddress;
-        Connecting.whenDone(dispatcher.loop(), future, () -> {
+        Connecting.whenDone(context.loop(), future, () -> {
             if (future.isSuccess()) {
                 channelOpened();
             } else {
-                dispatcher.counters().increment(Metric.CONNECTIONS_FAILED);
+                context.increment(Metric.CONNECTIONS_FAILED);
                 channelClosed();
             }
         });
@@ -87,27 +87,27 @@
         expireWaiting();
         connected = true;
         if (attempts.isEmpty()) {
-            idleSinceMs = dispatcher.now();
+            idleSinceMs = context.now();
             if (retired) {
                 close();
             }
         }
-        for (RequestAttempt waiting : List.copyOf(attempts)) {
-            if (waiting.isHealthCheck() || dispatcher.attemptStarter().mayBegin(waiting)) {
+        for (UpstreamAttempt waiting : List.copyOf(attempts)) {
+            if (waiting.isHealthCheck() || waiting.mayBegin()) {
                 write(waiting);
             } else {
                 attempts.remove(waiting);
-                dispatcher.attempts().end(waiting, AttemptOutcome.NOT_SENT);
+                waiting.end(AttemptOutcome.NOT_SENT);
             }
         }
     }
 
     /** Expires attempts whose time ran out while the connection was opening: nothing may go out for them. */
     private void expireWaiting() {
-        double now = dispatcher.now();
+        double now = context.now();
         List.copyOf(attempts).stream()
-                .filter(attempt -> attempt.expiresMs <= now)
-                .forEach(dispatcher.attempts()::expire);
+                .filter(attempt -> attempt.expiresMs() <= now)
+                .forEach(UpstreamAttempt::expire);
     }
 
     // ---- state, as the pool chooses by it
@@ -163,30 +163,30 @@
     // ---- attempts
 
     /** Sends an attempt, as soon as the connection is open. */
-    void send(RequestAttempt attempt) {
-        attempt.connection = this;
+    void send(UpstreamAttempt attempt) {
+        attempt.assignedTo(this);
         attempts.add(attempt);
         if (connected) {
             write(attempt);
         }
     }
 
-    private void write(RequestAttempt attempt) {
+    private void write(UpstreamAttempt attempt) {
         // Less by the tolerance, since the request may have arrived earlier than estimated.
-        long remainingMs = attempt.remainingMs(dispatcher.now() + LoopClock.TOLERANCE_MS);
-        dispatcher.attemptStarter().checkRemainingTime(attempt, remainingMs);
+        long remainingMs = attempt.remainingMs(context.now() + LoopClock.TOLERANCE_MS);
+        attempt.sending(remainingMs);
         codec.write(channel, attempt, remainingMs, address).addListener(future -> {
             if (future.isSuccess()) {
-                attempt.written = true;
+                attempt.written();
                 if (!attempt.isHealthCheck()) {
-                    dispatcher.counters().recordForward();
+                    context.recordForward();
                 }
             }
         });
     }
 
     /** Removes an attempt that waits for the connection to open; false if it may have begun to go out. */
-    boolean removeUnsent(RequestAttempt attempt) {
+    boolean removeUnsent(UpstreamAttempt attempt) {
         return !connected && attempts.remove(attempt);
     }
 
@@ -196,8 +196,8 @@
             return;
         }
         retired = true;
-        for (RequestAttempt attempt = attempts.poll(); attempt != null; attempt = attempts.poll()) {
-            dispatcher.attempts().end(attempt, AttemptOutcome.NOT_SENT);
+        for (UpstreamAttempt attempt = attempts.poll(); attempt != null; attempt = attempts.poll()) {
+            attempt.end(AttemptOutcome.NOT_SENT);
         }
         close();
     }
@@ -211,7 +211,7 @@
     }
 
     /** Nobody waits for an attempt any more. True if nothing of it has gone out or will. */
-    boolean abandon(RequestAttempt attempt) {
+    boolean abandon(UpstreamAttempt attempt) {
         if (!connected) {
             return removeUnsent(attempt);
         }
@@ -237,11 +237,11 @@
 
     /** Closes the connection if a response on it has stopped in its middle, or an expired one still blocks it. */
     void closeIfStalled(double now) {
-        RequestAttempt current = attempts.peek();
+        UpstreamAttempt current = attempts.peek();
         boolean blocked = connected
                 && current != null
-                && current.ended
-                && now - current.expiresMs > ResponseWatchdog.STREAM_STALL_MS;
+                && current.hasEnded()
+                && now - current.expiresMs() > ResponseWatchdog.STREAM_STALL_MS;
         if (blocked || watchdog.isStreamStalled(now)) {
             close();
         }
@@ -268,7 +268,7 @@
     }
 
     /** The attempt whose response arrives next; null if none is in flight, so that input violates the protocol. */
-    RequestAttempt currentAttempt() {
+    UpstreamAttempt currentAttempt() {
         return attempts.peek();
     }
 
@@ -277,23 +277,23 @@
         watchdog.shortResponseProgressed();
     }
 
-    /** The response to the current attempt has arrived completely; arguments as of {@link AttemptLifecycle#end}. */
+    /** The response to the current attempt has arrived completely; arguments as of {@link UpstreamAttempt#end}. */
     void responseCompleted(AttemptOutcome outcome, int note, float[] report, ServerResponse response) {
-        RequestAttempt attempt = attempts.poll();
+        UpstreamAttempt attempt = attempts.poll();
         watchdog.responseCompleted();
-        if (attempt.ended) {
+        if (attempt.hasEnded()) {
             abandoned--;
         }
         if (attempts.isEmpty()) {
-            idleSinceMs = dispatcher.now();
+            idleSinceMs = context.now();
         }
         boolean isFirst = !hasResponded;
         hasResponded = true;
         if (isFirst && outcome == AttemptOutcome.REJECTED && !pool.isOrigin()) {
             rejectedFirst = attempt;
-            dispatcher.after(REJECTION_CLOSE_MS, () -> endRejectedFirst(AttemptOutcome.REJECTED));
+            context.after(REJECTION_CLOSE_MS, () -> endRejectedFirst(AttemptOutcome.REJECTED));
         } else {
-            dispatcher.attempts().end(attempt, outcome, note, report, response);
+            attempt.end(outcome, note, report, response);
         }
         // After the end, which may have paused it for a slow client: between two responses nobody would resume it.
         setPaused(false);
@@ -308,22 +308,22 @@
      */
     private void endRejectedFirst(AttemptOutcome outcome) {
         if (rejectedFirst != null) {
-            RequestAttempt attempt = rejectedFirst;
+            UpstreamAttempt attempt = rejectedFirst;
             rejectedFirst = null;
-            dispatcher.attempts().end(attempt, outcome);
+            attempt.end(outcome);
         }
     }
 
     /** A streamed response of {@code length} bytes begins; false if it is to be dropped. */
     boolean beginValue(int length) {
         watchdog.streamBegan();
-        return dispatcher.streaming().begin(attempts.peek(), length);
+        return attempts.peek().beginValue(length);
     }
 
     /** Passes on part of a streamed response, which is released there. */
     void writePart(ByteBuf part) {
         watchdog.streamProgressed();
-        dispatcher.streaming().writePart(attempts.peek(), part);
+        attempts.peek().writePart(part);
     }
 
     /** Pauses reading while the client can't take more, or resumes it. */
@@ -336,7 +336,7 @@
 
     /** The server has violated its protocol. */
     void protocolError(String reason) {
-        dispatcher.log(EventKind.SERVER_PROTOCOL_ERROR, LogMessage.of(reason).with("server", address));
+        context.log(EventKind.SERVER_PROTOCOL_ERROR, LogMessage.of(reason).with("server", address));
         close();
     }
 
@@ -353,11 +353,11 @@
             boolean atLimit = !retired && pool.connectionRejected();
             endRejectedFirst(atLimit ? AttemptOutcome.CONNECTION_LIMIT : AttemptOutcome.REJECTED);
         }
-        for (RequestAttempt attempt = attempts.poll(); attempt != null; attempt = attempts.poll()) {
-            if (!connected && !attempt.ended && pool.resend(attempt)) {
+        for (UpstreamAttempt attempt = attempts.poll(); attempt != null; attempt = attempts.poll()) {
+            if (!connected && !attempt.hasEnded() && pool.resend(attempt)) {
                 continue;
             }
-            dispatcher.attempts().end(attempt, attempt.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
+            attempt.end(attempt.isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/UpstreamServer.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamServer.java
@@ -15,7 +15,7 @@
     SocketAddress address;
     /** When its process started, on the clock of the list, in milliseconds. */
     double startTimeMs;
-    /** The same on the clock of {@link Dispatcher#now}; 0 if not known. */
+    /** The same on the clock of {@link UpstreamContext#now}; 0 if not known. */
     double localStartTimeMs;
 
     EndpointLocation location;
@@ -25,13 +25,14 @@
     UpstreamServer(
             int id,
             boolean origin,
-            Dispatcher dispatcher,
+            UpstreamContext context,
             Bootstrap bootstrap,
             ConnectionLimits globalLimits,
-            ServerConnectionPool.Limits limits) {
+            ServerConnectionPool.Limits limits,
+            Runnable onConnectionRejected) {
         this.id = id;
         this.origin = origin;
-        pool = new ServerConnectionPool(this, dispatcher, bootstrap, globalLimits, limits);
+        pool = new ServerConnectionPool(this, context, bootstrap, globalLimits, limits, onConnectionRejected);
     }
 
     /** Takes over what the list says now; connections to an earlier address or process are retired. */
@@ -53,7 +54,7 @@
         pool.retire();
     }
 
-    /** When it is warmed up, on the clock of {@link Dispatcher#now}; 0 if its start is not known. */
+    /** When it is warmed up, on the clock of {@link UpstreamContext#now}; 0 if its start is not known. */
     double warmedUpAtMs(double warmUpMs) {
         return localStartTimeMs == 0 ? 0 : localStartTimeMs + warmUpMs;
     }
--- a/src/main/java/cacheproxy/proxy/UpstreamServers.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamServers.java
@@ -23,7 +23,7 @@
 
     private static final double MIN_REJECTING_PART = 0.1;
 
-    private final Dispatcher dispatcher;
+    private final UpstreamContext context;
     private final Bootstrap bootstrap;
     private final ConnectionLimits limits;
     private final IntObjectHashMap<UpstreamServer> servers = new IntObjectHashMap<>();
@@ -31,10 +31,10 @@
     private final List<UpstreamServer> removed = new ArrayList<>();
 
     /** {@code maxConnections}: the limit over all servers. */
-    UpstreamServers(Dispatcher dispatcher, Bootstrap bootstrap, int maxConnections) {
-        this.dispatcher = dispatcher;
+    UpstreamServers(UpstreamContext context, Bootstrap bootstrap, int maxConnections) {
+        this.context = context;
         this.bootstrap = bootstrap;
-        limits = new ConnectionLimits(dispatcher, maxConnections, this::longestIdleConnection);
+        limits = new ConnectionLimits(context, maxConnections, this::longestIdleConnection);
     }
 
     /** The server of this id; null if it is not in the list. */
@@ -62,11 +62,17 @@
     }
 
     private UpstreamServer add(DiscoveredEndpoint discovered, int streams) {
-        RoutingSettings settings = dispatcher.settings();
+        RoutingSettings settings = context.settings();
         int id = discovered.endpoint().id();
         boolean origin = settings.cacheAside() && discovered.endpoint().kind() == settings.originKind();
         UpstreamServer server = new UpstreamServer(
-                id, origin, dispatcher, bootstrap, limits, origin ? limits.origin() : limits.cacheNode(streams));
+                id,
+                origin,
+                context,
+                bootstrap,
+                limits,
+                origin ? limits.origin() : limits.cacheNode(streams),
+                this::connectionRejected);
         servers.put(id, server);
         return server;
     }
@@ -98,8 +104,8 @@
     // ---- connections
 
     /** A server was at its limit for a further connection; a single one may be so for reasons of its own. */
-    void connectionRejected() {
-        dispatcher.counters().increment(Metric.CONNECTIONS_REJECTED);
+    private void connectionRejected() {
+        context.increment(Metric.CONNECTIONS_REJECTED);
         double since = limits.scarcitySinceMs();
         long rejecting = cacheNodeStream()
                 .filter(server -> server.pool.lastRejectedMs() > since)
@@ -127,7 +133,7 @@
 
     /** Closes connections that have been idle too long, or whose response has stopped in its middle. */
     void sweep() {
-        double now = dispatcher.now();
+        double now = context.now();
         for (UpstreamServer server : servers.values()) {
             server.pool.closeIdle(limits.idleBeforeMs(now));
             server.pool.closeStalled(now);
@@ -148,23 +154,22 @@
 
     /** How many of them are sent no ordinary request now and have been sent nothing for a while. */
     int ejectedNodeCount() {
-        double now = dispatcher.now();
+        double now = context.now();
         return (int) cacheNodeStream()
-                .filter(server ->
-                        now - server.pool.lastSentMs() > EJECTED_SILENCE_MS && dispatcher.isEjected(server.id))
+                .filter(server -> now - server.pool.lastSentMs() > EJECTED_SILENCE_MS && context.isEjected(server.id))
                 .count();
     }
 
     /** Metrics of those that are ejected or have rejected connections, {@link MetricsLine#MAX_NODES} at most. */
     List<MetricsLine.Node> unhealthyNodes() {
         return cacheNodeStream()
-                .filter(server -> server.pool.rejectedConnections() > 0 || dispatcher.isEjected(server.id))
+                .filter(server -> server.pool.rejectedConnections() > 0 || context.isEjected(server.id))
                 .limit(MetricsLine.MAX_NODES)
                 .map(server -> new MetricsLine.Node(
                         Integer.toHexString(server.id),
                         server.pool.openedConnections(),
                         server.pool.rejectedConnections(),
-                        dispatcher.isEjected(server.id)))
+                        context.isEjected(server.id)))
                 .toList();
     }
 
@@ -180,7 +185,7 @@
                 .count();
     }
 
-    /** When each of a zone's ready cache nodes is warmed up, on the clock of {@link Dispatcher#now}, in order. */
+    /** When each of a zone's ready cache nodes is warmed up, on the clock of {@link UpstreamContext#now}, in order. */
     List<Double> warmedUpAtMs(int zone, double warmUpMs) {
         return cacheNodeStream()
                 .filter(server -> server.location.zone() == zone && server.ready)
--- a/src/test/java/cacheproxy/proxy/EventLogTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLogTest.java
@@ -62,7 +62,7 @@
         RuleMonitor rules = new RuleMonitor(log);
         ClientRequest request = request();
         rules.recordForbidden(
-                new RequestAttempt(request, 1, 0x1a, new EndpointLocation(0, 0), 0, 100), Verdict.ALLOWED);
+                new RequestAttempt(null, request, 1, 0x1a, new EndpointLocation(0, 0), 0, 100), Verdict.ALLOWED);
         request.transitionTo(RequestState.ANSWERED);
         rules.recordViolation(RuleViolation.ANSWERED_LATE, request, message -> message.with("late_ms", 700));
         assertThat(lines())
--- a/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
@@ -109,7 +109,7 @@
 
     @Test
     void theRemainingTimeIsRoundedDownAndAtLeastOne() {
-        RequestAttempt attempt = new RequestAttempt(null, 0, 1, null, 0, 100);
+        RequestAttempt attempt = new RequestAttempt(null, null, 0, 1, null, 0, 100);
         assertThat(attempt.remainingMs(0.5)).isEqualTo(99);
         assertThat(attempt.remainingMs(99.9)).isEqualTo(1);
         assertThat(attempt.remainingMs(250)).isEqualTo(1);
