--- a/src/main/java/cacheproxy/proxy/DispatcherUpstreamContext.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherUpstreamContext.java
@@ -25,6 +25,11 @@
         return dispatcher.now();
     }
 
+    @Override
+    public double arrivalToleranceMs() {
+        return LoopClock.TOLERANCE_MS;
+    }
+
     @Override
     public void after(double ms, Runnable task) {
         dispatcher.after(ms, task);
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/FlowControl.java
@@ -0,0 +1,7 @@
+package cacheproxy.proxy;
+
+/** Controls how a streamed response is read from its server, so that a slow client need not buffer it. */
+interface FlowControl {
+    /** Pauses reading, or resumes it. */
+    void setPaused(boolean paused);
+}
--- a/src/main/java/cacheproxy/proxy/ResponseWriter.java
+++ b/src/main/java/cacheproxy/proxy/ResponseWriter.java
@@ -9,12 +9,6 @@
  * the event loop.
  */
 interface ResponseWriter {
-    /** Controls how a streamed response is read from its server, so that a slow client need not buffer it. */
-    interface FlowControl {
-        /** Pauses reading, or resumes it. */
-        void setPaused(boolean paused);
-    }
-
     /** Writes a complete response and releases it. */
     void writeResponse(ServerResponse response);
 
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -16,7 +16,7 @@
  * One connection to a server, with the attempts on it in the order in which their responses arrive. If the connection
  * ends, an attempt whose last byte was written may have been executed, any other has not. Event loop only.
  */
-final class UpstreamConnection implements ResponseWriter.FlowControl {
+final class UpstreamConnection implements FlowControl {
     /** Encodes attempts in the server's protocol, and decodes its responses into calls of this connection. */
     interface Codec {
         /** Writes an attempt; {@code remainingMs}: how long, as the server is told, its response is waited for. */
@@ -173,7 +173,7 @@
 
     private void write(UpstreamAttempt attempt) {
         // Less by the tolerance, since the request may have arrived earlier than estimated.
-        long remainingMs = attempt.remainingMs(context.now() + LoopClock.TOLERANCE_MS);
+        long remainingMs = attempt.remainingMs(context.now() + context.arrivalToleranceMs());
         attempt.sending(remainingMs);
         codec.write(channel, attempt, remainingMs, address).addListener(future -> {
             if (future.isSuccess()) {
--- a/src/main/java/cacheproxy/proxy/UpstreamContext.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamContext.java
@@ -14,6 +14,9 @@
     /** The time, in milliseconds, on the clock that every span is measured by. */
     double now();
 
+    /** By how much, in milliseconds, a request may have arrived earlier than its time says. */
+    double arrivalToleranceMs();
+
     /** Runs a task after this time, in milliseconds. */
     void after(double ms, Runnable task);
 
