--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/UpstreamServers.java
@@ -0,0 +1,195 @@
+package cacheproxy.proxy;
+
+import cacheproxy.metrics.Metric;
+import cacheproxy.metrics.MetricsLine;
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
+import cacheproxy.routing.EndpointState;
+import cacheproxy.routing.EndpointUpdateKind;
+import cacheproxy.routing.RoutingSettings;
+import io.netty.bootstrap.Bootstrap;
+import io.netty.util.collection.IntObjectHashMap;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.Stream;
+
+/** The servers of the endpoint list, with the connections to them. Event loop only. */
+final class UpstreamServers {
+    /** A node that has been sent nothing for so long, not even to try it again, counts as ejected. */
+    private static final double EJECTED_SILENCE_MS = 1000;
+    /** Connections are scarce if so many cache nodes reject them, and at least this part of them. */
+    private static final int MIN_REJECTING_NODES = 2;
+
+    private static final double MIN_REJECTING_PART = 0.1;
+
+    private final Dispatcher dispatcher;
+    private final Bootstrap bootstrap;
+    private final ConnectionLimits limits;
+    private final IntObjectHashMap<UpstreamServer> servers = new IntObjectHashMap<>();
+    /** Servers that the list has no longer, until attempts that wait for them are ended. */
+    private final List<UpstreamServer> removed = new ArrayList<>();
+
+    /** {@code maxConnections}: the limit over all servers. */
+    UpstreamServers(Dispatcher dispatcher, Bootstrap bootstrap, int maxConnections) {
+        this.dispatcher = dispatcher;
+        this.bootstrap = bootstrap;
+        limits = new ConnectionLimits(dispatcher, maxConnections, this::longestIdleConnection);
+    }
+
+    /** The server of this id; null if it is not in the list. */
+    UpstreamServer get(int id) {
+        return servers.get(id);
+    }
+
+    // ---- updates of the list
+
+    /** Applies an update of the list; {@code streams}: the limit of attempts on a connection to a cache node. */
+    void update(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints, int streams) {
+        for (DiscoveredEndpoint discovered : endpoints) {
+            int id = discovered.endpoint().id();
+            if (discovered.endpoint().state() == EndpointState.REMOVED) {
+                remove(id);
+            } else {
+                UpstreamServer known = servers.get(id);
+                UpstreamServer server = known != null ? known : add(discovered, streams);
+                server.update(discovered);
+            }
+        }
+        if (kind.isSnapshot()) {
+            removeAllBut(endpoints);
+        }
+    }
+
+    private UpstreamServer add(DiscoveredEndpoint discovered, int streams) {
+        RoutingSettings settings = dispatcher.settings();
+        int id = discovered.endpoint().id();
+        boolean origin = settings.cacheAside() && discovered.endpoint().kind() == settings.originKind();
+        UpstreamServer server = new UpstreamServer(
+                id, origin, dispatcher, bootstrap, limits, origin ? limits.origin() : limits.cacheNode(streams));
+        servers.put(id, server);
+        return server;
+    }
+
+    private void removeAllBut(List<DiscoveredEndpoint> endpoints) {
+        Set<Integer> listed = new HashSet<>();
+        endpoints.forEach(discovered -> listed.add(discovered.endpoint().id()));
+        for (Integer id : List.copyOf(servers.keySet())) {
+            if (!listed.contains(id)) {
+                remove(id);
+            }
+        }
+    }
+
+    private void remove(int id) {
+        UpstreamServer server = servers.remove(id);
+        if (server != null) {
+            server.removed();
+            removed.add(server);
+        }
+    }
+
+    /** Ends attempts that wait for servers which take nothing new; once the load balancer knows of the update. */
+    void endUnsent() {
+        Stream.concat(servers.values().stream(), removed.stream()).toList().forEach(server -> server.pool.endUnsent());
+        removed.clear();
+    }
+
+    // ---- connections
+
+    /** A server was at its limit for a further connection; a single one may be so for reasons of its own. */
+    void connectionRejected() {
+        dispatcher.counters().increment(Metric.CONNECTIONS_REJECTED);
+        double since = limits.scarcitySinceMs();
+        long rejecting = cacheNodeStream()
+                .filter(server -> server.pool.lastRejectedMs() > since)
+                .count();
+        if (rejecting >= Math.max(MIN_REJECTING_NODES, cacheNodeCount() * MIN_REJECTING_PART)) {
+            limits.noteScarcity();
+        }
+    }
+
+    private UpstreamConnection longestIdleConnection() {
+        UpstreamConnection longest = null;
+        for (UpstreamServer server : servers.values()) {
+            UpstreamConnection connection = server.pool.longestIdle();
+            if (connection != null && (longest == null || connection.idleSinceMs() < longest.idleSinceMs())) {
+                longest = connection;
+            }
+        }
+        return longest;
+    }
+
+    /** Connections that are open or being opened. */
+    int connections() {
+        return limits.connections();
+    }
+
+    /** Closes connections that have been idle too long, or whose response has stopped in its middle. */
+    void sweep() {
+        double now = dispatcher.now();
+        for (UpstreamServer server : servers.values()) {
+            server.pool.closeIdle(limits.idleBeforeMs(now));
+            server.pool.closeStalled(now);
+        }
+    }
+
+    /** Closes all connections. */
+    void close() {
+        servers.values().forEach(server -> server.pool.close());
+    }
+
+    // ---- cache nodes: state and metrics
+
+    /** How many cache nodes the list has. */
+    int cacheNodeCount() {
+        return (int) cacheNodeStream().count();
+    }
+
+    /** How many of them are sent no ordinary request now and have been sent nothing for a while. */
+    int ejectedNodeCount() {
+        double now = dispatcher.now();
+        return (int) cacheNodeStream()
+                .filter(server ->
+                        now - server.pool.lastSentMs() > EJECTED_SILENCE_MS && dispatcher.isEjected(server.id))
+                .count();
+    }
+
+    /** Metrics of those that are ejected or have rejected connections, {@link MetricsLine#MAX_NODES} at most. */
+    List<MetricsLine.Node> unhealthyNodes() {
+        return cacheNodeStream()
+                .filter(server -> server.pool.rejectedConnections() > 0 || dispatcher.isEjected(server.id))
+                .limit(MetricsLine.MAX_NODES)
+                .map(server -> new MetricsLine.Node(
+                        Integer.toHexString(server.id),
+                        server.pool.openedConnections(),
+                        server.pool.rejectedConnections(),
+                        dispatcher.isEjected(server.id)))
+                .toList();
+    }
+
+    /** The cache nodes of the list; a copy. */
+    List<UpstreamServer> cacheNodes() {
+        return cacheNodeStream().toList();
+    }
+
+    /** How many cache nodes a zone has. */
+    int cacheNodesInZone(int zone) {
+        return (int) cacheNodeStream()
+                .filter(server -> server.location.zone() == zone)
+                .count();
+    }
+
+    /** When each of a zone's ready cache nodes is warmed up, on the clock of {@link Dispatcher#now}, in order. */
+    List<Double> warmedUpAtMs(int zone, double warmUpMs) {
+        return cacheNodeStream()
+                .filter(server -> server.location.zone() == zone && server.ready)
+                .map(server -> server.warmedUpAtMs(warmUpMs))
+                .sorted()
+                .toList();
+    }
+
+    private Stream<UpstreamServer> cacheNodeStream() {
+        return servers.values().stream().filter(server -> !server.origin);
+    }
+}
