--- a/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
@@ -13,53 +13,60 @@
 import java.util.Map;
 
 /**
- * What the decision module has learnt, as JSON: what a process tells the one that takes over and what is stored are of
- * this one form.
+ * The JSON form of what the load balancer has learned, in state files and in the state that a process hands to its
+ * successor: an object with a field for each pool, named by the pool ({@code ""}: all endpoints).
+ *
+ * <table>
+ * <caption>Fields of a pool, arrays by position</caption>
+ * <tr><td>{@code figures}</td><td>origin fetch (ms), usual latency (ms), latency deviation (ms), usual cost (ms),
+ * origin requests, of these in time, endpoint requests, of these in time, keyed requests</td></tr>
+ * <tr><td>{@code hot}</td><td>for each hot key: key, count</td></tr>
+ * <tr><td>{@code servers}</td><td>for each endpoint: id, start time (Unix ms), failures, ejected until (Unix ms), slow
+ * responses</td></tr>
+ * </table>
  */
 final class LearnedStateCodec {
+    private static final String FIGURES = "figures";
+    private static final String HOT_KEYS = "hot";
+    private static final String ENDPOINTS = "servers";
+
     private static final int MAX_ENTRIES = 10_000;
     private static final double MAX_FIGURE = 1e15;
 
     private LearnedStateCodec() {}
 
-    /** By the pools' names. */
-    static JsonObject json(Map<String, LearnedState> learnt) {
+    // ---- writing
+
+    /** The JSON form of what was learned, by the pools' names. */
+    static JsonObject toJson(Map<String, LearnedState> learnedStates) {
         JsonObject pools = new JsonObject();
-        learnt.forEach((name, e) -> pools.add(name, json(e)));
+        learnedStates.forEach((pool, state) -> pools.add(pool, toJson(state)));
         return pools;
     }
 
-    /** Reads it; an exception says that it is of no use. */
-    static Map<String, LearnedState> read(JsonObject pools) {
-        Map<String, LearnedState> learnt = new HashMap<>();
-        pools.entrySet()
-                .forEach(e -> learnt.put(e.getKey(), experience(e.getValue().getAsJsonObject())));
-        return learnt;
-    }
-
-    private static JsonObject json(LearnedState e) {
-        JsonObject o = new JsonObject();
-        o.add(
-                "figures",
+    private static JsonObject toJson(LearnedState state) {
+        JsonObject json = new JsonObject();
+        json.add(
+                FIGURES,
                 array(
-                        e.originFetchMs(),
-                        e.usualLatencyMs(),
-                        e.latencyDeviationMs(),
-                        e.usualCostMs(),
-                        e.originLoad().requested(),
-                        e.originLoad().completedInTime(),
-                        e.endpointLoad().requested(),
-                        e.endpointLoad().completedInTime(),
-                        e.keyRequestCount()));
-        JsonArray hot = new JsonArray();
-        e.hotKeys().forEach(h -> hot.add(array(h.key(), h.count())));
-        o.add("hot", hot);
-        JsonArray servers = new JsonArray();
-        e.endpoints()
-                .forEach(s -> servers.add(
-                        array(s.id(), s.startTimeMs(), s.failures(), s.ejectedUntilMs(), s.slowResponses())));
-        o.add("servers", servers);
-        return o;
+                        state.originFetchMs(),
+                        state.usualLatencyMs(),
+                        state.latencyDeviationMs(),
+                        state.usualCostMs(),
+                        state.originLoad().requested(),
+                        state.originLoad().completedInTime(),
+                        state.endpointLoad().requested(),
+                        state.endpointLoad().completedInTime(),
+                        state.keyRequestCount()));
+        JsonArray hotKeys = new JsonArray();
+        state.hotKeys().forEach(k -> hotKeys.add(array(k.key(), k.count())));
+        json.add(HOT_KEYS, hotKeys);
+        JsonArray endpoints = new JsonArray();
+        state.endpoints()
+                .forEach(e -> endpoints.add(
+                        array(e.id(), e.startTimeMs(), e.failures(), e.ejectedUntilMs(), e.slowResponses())));
+        json.add(ENDPOINTS, endpoints);
+        return json;
     }
 
     private static JsonArray array(Number... numbers) {
@@ -70,45 +77,67 @@
         return array;
     }
 
-    private static LearnedState experience(JsonObject o) {
-        List<Double> f = new ArrayList<>();
-        o.getAsJsonArray("figures").forEach(n -> f.add(figure(n)));
-        List<HotKey> hot = new ArrayList<>();
-        entries(o, "hot")
-                .forEach(h -> hot.add(new HotKey(h.getAsJsonArray().get(0).getAsLong(), (int)
-                        figure(h.getAsJsonArray().get(1)))));
-        List<EndpointHealthRecord> servers = new ArrayList<>();
-        entries(o, "servers").forEach(e -> {
-            JsonArray s = e.getAsJsonArray();
-            servers.add(new EndpointHealthRecord(
-                    s.get(0).getAsInt(), figure(s.get(1)), (int) figure(s.get(2)), figure(s.get(3)), (int)
-                            figure(s.get(4))));
-        });
+    // ---- reading
+
+    /**
+     * Reads that form, by the pools' names.
+     *
+     * @throws MalformedStateException or another unchecked exception if it can't be used
+     */
+    static Map<String, LearnedState> fromJson(JsonObject pools) {
+        Map<String, LearnedState> learnedStates = new HashMap<>();
+        pools.entrySet()
+                .forEach(pool -> learnedStates.put(
+                        pool.getKey(), learnedState(pool.getValue().getAsJsonObject())));
+        return learnedStates;
+    }
+
+    private static LearnedState learnedState(JsonObject json) {
+        List<Double> figures = new ArrayList<>();
+        json.getAsJsonArray(FIGURES).forEach(f -> figures.add(figure(f)));
+        List<HotKey> hotKeys = new ArrayList<>();
+        entries(json, HOT_KEYS).forEach(k -> hotKeys.add(hotKey(k.getAsJsonArray())));
+        List<EndpointHealthRecord> endpoints = new ArrayList<>();
+        entries(json, ENDPOINTS).forEach(e -> endpoints.add(endpoint(e.getAsJsonArray())));
         return new LearnedState(
-                f.get(0),
-                f.get(1),
-                f.get(2),
-                f.get(3),
-                new LoadCount(f.get(4), f.get(5)),
-                new LoadCount(f.get(6), f.get(7)),
-                f.get(8),
-                hot,
-                servers);
+                figures.get(0),
+                figures.get(1),
+                figures.get(2),
+                figures.get(3),
+                new LoadCount(figures.get(4), figures.get(5)),
+                new LoadCount(figures.get(6), figures.get(7)),
+                figures.get(8),
+                hotKeys,
+                endpoints);
+    }
+
+    private static HotKey hotKey(JsonArray entry) {
+        return new HotKey(entry.get(0).getAsLong(), (int) figure(entry.get(1)));
+    }
+
+    private static EndpointHealthRecord endpoint(JsonArray entry) {
+        int id = entry.get(0).getAsInt();
+        double startTimeMs = figure(entry.get(1));
+        int failures = (int) figure(entry.get(2));
+        double ejectedUntilMs = figure(entry.get(3));
+        int slowResponses = (int) figure(entry.get(4));
+        return new EndpointHealthRecord(id, startTimeMs, failures, ejectedUntilMs, slowResponses);
     }
 
-    private static JsonArray entries(JsonObject o, String name) {
-        JsonArray entries = o.getAsJsonArray(name);
+    private static JsonArray entries(JsonObject json, String name) {
+        JsonArray entries = json.getAsJsonArray(name);
         if (entries.size() > MAX_ENTRIES) {
-            throw new IllegalArgumentException(entries.size() + " entries of " + name);
+            throw new MalformedStateException(
+                    "'" + name + "' has " + entries.size() + " entries; " + MAX_ENTRIES + " at most are expected");
         }
         return entries;
     }
 
-    /** All that is told is a time or a count: nothing under 0, and nothing that is no number. */
-    private static double figure(JsonElement e) {
-        double figure = e.getAsDouble();
+    /** A time or a count. */
+    private static double figure(JsonElement json) {
+        double figure = json.getAsDouble();
         if (!(figure >= 0 && figure <= MAX_FIGURE)) {
-            throw new IllegalArgumentException("figure " + e);
+            throw new MalformedStateException("a figure from 0 to 1e15 is expected, not " + json);
         }
         return figure;
     }
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -61,7 +61,7 @@
             }
             case RECALL -> {
                 if (stateQueries != null) {
-                    stateQueries.heard(peer, message);
+                    stateQueries.messageReceived(peer, message);
                 }
             }
         }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -121,7 +121,10 @@
         TakeoverState state = old == null ? null : old.state();
         succeeds = state != null;
         remembered = new Remembered(
-                state, kept == null ? OpenedState.EMPTY : kept.opened(), dispatcher.provenance(), dispatcher.now());
+                state,
+                kept == null ? OpenedState.EMPTY : kept.openedState(),
+                dispatcher.provenance(),
+                dispatcher.now());
         loop.submit(() -> {
                     dispatcher.start(discovery, peers, acceptor, routing);
                     discovery.start(remembered.list(config.known()));
@@ -358,8 +361,8 @@
                     dispatcher.peerLinks().setZoneFailover(zones);
                 }
                 if (kept != null) {
-                    kept.keep(members::incarnation, zones);
-                    members.onChange(kept::fleetChanged);
+                    kept.persistFleetState(members::incarnation, zones);
+                    members.onChange(kept::fleetStateChanged);
                 }
             }
             if (parts.recovers() && members != null) {
@@ -388,12 +391,12 @@
         return new RecoveryStatus(
                 dispatcher.provenance(),
                 recovery == null ? null : recovery.progress(),
-                recovery == null ? null : recovery.spread(),
-                recovery == null ? 0 : recovery.rate(),
-                kept == null ? null : kept.opened(),
+                recovery == null ? null : recovery.rebalancer(),
+                recovery == null ? 0 : recovery.requestsPerSecond(),
+                kept == null ? null : kept.openedState(),
                 kept == null ? null : kept.recordStore(),
                 kept == null ? null : kept.path().toString(),
-                kept != null && kept.locked());
+                kept != null && kept.isLockHeld());
     }
 
     /** What the fleet has decided of zones; null if this proxy takes no part in that. On the event loop only. */
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -16,52 +16,63 @@
 import java.util.Locale;
 
 /**
- * Carries out what is decided of coming back: tells the fleet how far this instance is and what it is asked, and ends
- * clients' connections where it carries more than its part. On the event loop only.
+ * Carries out what package recovery decides: tells the fleet this instance's stage and load, and closes client
+ * connections where it carries more than its share. Event loop only.
  */
 final class RecoveryLink {
-    /** The note of the view that holds what an instance is asked. */
+    /** The note in the membership view that holds an instance's load, one byte of {@link RequestRateCode} or none. */
     static final int LOAD_NOTE = 2;
 
     private static final double TICK_MS = 250;
-    /** What is asked is told so often at most. */
-    private static final double TELL_MS = 1500;
-    /** A rate is taken over so long. */
-    private static final double RATE_MS = 1500;
+    /** The load is shared no more often than this. */
+    private static final double MIN_SHARE_INTERVAL_MS = 1500;
+    /** The window over which the request rate is measured. */
+    private static final double RATE_WINDOW_MS = 1500;
+
+    private static final double MS_PER_SECOND = 1000.0;
 
     private final Dispatcher dispatcher;
+    /** Null where this proxy takes no part in the fleet's view. */
     private final MemberLink members;
+
     private final Acceptor acceptor;
-    private final Runnable listExpired;
+    private final Runnable discardEndpointList;
     private final RecoveryProgress progress;
-    private final ConnectionRebalancer spread = new ConnectionRebalancer();
-    private double rateMs;
-    private long rateTaken;
-    private double rate;
-    private byte toldLoad;
-    private double toldMs = Double.NEGATIVE_INFINITY;
-    private boolean paused;
+    private final ConnectionRebalancer rebalancer = new ConnectionRebalancer();
+    private double rateWindowStartMs;
+    private long acceptedAtWindowStart;
+    private double requestsPerSecond;
+    private byte sharedLoad;
+    private double sharedLoadMs = Double.NEGATIVE_INFINITY;
+    private boolean backingOff;
 
     /**
-     * {@code members}: null where no view is kept, and nobody is told; {@code firstHand}: whether the list came from
-     * the process before, which served until now; {@code listExpired}: lets go of a list that is past its bound.
+     * Begins at once.
+     *
+     * @param members null where this proxy takes no part in the fleet's view, and tells nobody
+     * @param listConfirmed whether the endpoint list came from the process that this one took over from
+     * @param discardEndpointList replaces a stored endpoint list that has expired by the configured one
      */
     RecoveryLink(
-            Dispatcher dispatcher, MemberLink members, Acceptor acceptor, boolean firstHand, Runnable listExpired) {
+            Dispatcher dispatcher,
+            MemberLink members,
+            Acceptor acceptor,
+            boolean listConfirmed,
+            Runnable discardEndpointList) {
         this.dispatcher = dispatcher;
         this.members = members;
         this.acceptor = acceptor;
-        this.listExpired = listExpired;
+        this.discardEndpointList = discardEndpointList;
         progress = new RecoveryProgress(dispatcher.startedMs());
         if (dispatcher.servers().discovered() > 0) {
-            progress.listAvailable(dispatcher.now(), firstHand);
+            progress.listAvailable(dispatcher.now(), listConfirmed);
         }
-        dispatcher.addEndpointListListener(this::listed);
-        rateMs = dispatcher.now();
+        dispatcher.addEndpointListListener(this::endpointListChanged);
+        rateWindowStartMs = dispatcher.now();
         run();
     }
 
-    private void listed(EndpointUpdateKind kind) {
+    private void endpointListChanged(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
             progress.listAvailable(dispatcher.now(), true);
         } else if (kind == EndpointUpdateKind.CACHED && dispatcher.servers().discovered() == 0) {
@@ -75,91 +86,112 @@
     }
 
     private void tick() {
-        double now = dispatcher.now();
-        if (dispatcher.provenance().expired(now, Subject.ENDPOINT_LIST)) {
+        double nowMs = dispatcher.now();
+        discardExpiredList(nowMs);
+        Stage stage = updateStage(nowMs);
+        measureRate(nowMs);
+        if (members != null && !dispatcher.drain().closing()) {
+            // A drain announces itself, and when it is cancelled the stage holds again.
+            members.phase(phase(stage));
+            shareLoad(nowMs);
+            rebalance(nowMs);
+        }
+    }
+
+    private void discardExpiredList(double nowMs) {
+        if (dispatcher.provenance().expired(nowMs, Subject.ENDPOINT_LIST)) {
             dispatcher.provenance().discarded(Subject.ENDPOINT_LIST);
-            dispatcher.log("recovery: the stored list is too old to go on with, and discovery has not answered");
-            listExpired.run();
+            dispatcher.log("recovery: the stored endpoint list has expired, and discovery has not answered");
+            discardEndpointList.run();
         }
-        Counters c = dispatcher.counters();
+    }
+
+    private Stage updateStage(double nowMs) {
+        Counters counters = dispatcher.counters();
+        RequestCounts counts = new RequestCounts(
+                dispatcher.acceptedRequests(),
+                counters.count(Metric.REQUESTS_SUCCEEDED),
+                counters.count(Metric.REQUESTS_REJECTED));
         Stage before = progress.stage();
-        Stage stage = progress.update(
-                now,
-                new RequestCounts(
-                        dispatcher.acceptedRequests(),
-                        c.count(Metric.REQUESTS_SUCCEEDED),
-                        c.count(Metric.REQUESTS_REJECTED)));
+        Stage stage = progress.update(nowMs, counts);
         if (stage != before) {
-            tell(stage);
-        }
-        if (now - rateMs >= RATE_MS) {
-            rate = (dispatcher.acceptedRequests() - rateTaken) * 1000.0 / (now - rateMs);
-            rateTaken = dispatcher.acceptedRequests();
-            rateMs = now;
-        }
-        if (members != null && !dispatcher.drain().closing()) {
-            phase(stage);
-            share(now);
+            logStage(stage);
         }
+        return stage;
     }
 
-    private void tell(Stage stage) {
+    private void logStage(Stage stage) {
         dispatcher.log(String.format(
                 Locale.ROOT,
-                "recovery: %s %.1f s after the start%s",
+                "recovery: %s after_s=%.1f%s",
                 stage.wireName(),
-                (dispatcher.now() - dispatcher.startedMs()) / 1000,
+                (dispatcher.now() - dispatcher.startedMs()) / MS_PER_SECOND,
                 stage == Stage.SERVING && progress.endedByTimeout() ? ", by the clock alone" : ""));
     }
 
-    /** A drain says so itself, and says so when it is taken back. */
-    private void phase(Stage stage) {
-        members.phase(
-                switch (stage) {
-                    case STARTING -> Phase.STARTING;
-                    case RECOVERING -> Phase.RECOVERING;
-                    case SERVING -> Phase.SERVING;
-                });
+    private void measureRate(double nowMs) {
+        if (nowMs - rateWindowStartMs >= RATE_WINDOW_MS) {
+            long accepted = dispatcher.acceptedRequests();
+            requestsPerSecond = (accepted - acceptedAtWindowStart) * MS_PER_SECOND / (nowMs - rateWindowStartMs);
+            acceptedAtWindowStart = accepted;
+            rateWindowStartMs = nowMs;
+        }
     }
 
-    private void share(double now) {
-        if (RequestRateCode.differs(toldLoad, rate) && now - toldMs >= TELL_MS) {
-            toldLoad = RequestRateCode.encode(rate);
-            toldMs = now;
-            members.note(LOAD_NOTE, toldLoad == 0 ? new byte[0] : new byte[] {toldLoad});
-        }
-        View view = members.view();
-        List<Double> others = new ArrayList<>();
-        for (Entry e : view.entries()) {
-            if (e.id() != view.me() && e.state().lives() && e.phase() == Phase.SERVING) {
-                byte[] told = e.note(LOAD_NOTE);
-                others.add(told.length == 1 ? RequestRateCode.decode(told[0]) : 0);
-            }
+    private static Phase phase(Stage stage) {
+        return switch (stage) {
+            case STARTING -> Phase.STARTING;
+            case RECOVERING -> Phase.RECOVERING;
+            case SERVING -> Phase.SERVING;
+        };
+    }
+
+    private void shareLoad(double nowMs) {
+        if (RequestRateCode.differs(sharedLoad, requestsPerSecond) && nowMs - sharedLoadMs >= MIN_SHARE_INTERVAL_MS) {
+            sharedLoad = RequestRateCode.encode(requestsPerSecond);
+            sharedLoadMs = nowMs;
+            members.note(LOAD_NOTE, sharedLoad == 0 ? new byte[0] : new byte[] {sharedLoad});
         }
-        int many = spread.connectionsToClose(now, rate, others, acceptor.open(), acceptor.idle());
-        if (many > 0) {
-            acceptor.endBusiest(many);
+    }
+
+    private void rebalance(double nowMs) {
+        int excess = rebalancer.connectionsToClose(
+                nowMs, requestsPerSecond, ratesOfOthers(members.view()), acceptor.open(), acceptor.idle());
+        if (excess > 0) {
+            acceptor.endBusiest(excess);
         }
-        if (paused != spread.isBackingOff(now)) {
-            paused = !paused;
-            if (paused) {
+        if (backingOff != rebalancer.isBackingOff(nowMs)) {
+            backingOff = !backingOff;
+            if (backingOff) {
                 dispatcher.log(
-                        "recovery: ending connections does not move clients elsewhere; they are left alone for a while");
+                        "recovery: ending connections does not move clients elsewhere; none is ended for a while");
+            }
+        }
+    }
+
+    private static List<Double> ratesOfOthers(View view) {
+        List<Double> rates = new ArrayList<>();
+        for (Entry member : view.entries()) {
+            if (member.id() != view.me() && member.state().lives() && member.phase() == Phase.SERVING) {
+                byte[] load = member.note(LOAD_NOTE);
+                rates.add(load.length == 1 ? RequestRateCode.decode(load[0]) : 0);
             }
         }
+        return rates;
     }
 
-    /** How far it is. */
+    /** The stage between the start and full service. */
     RecoveryProgress progress() {
         return progress;
     }
 
-    /** What it carries by what the others do. */
-    ConnectionRebalancer spread() {
-        return spread;
+    /** The load of this instance by that of the others. */
+    ConnectionRebalancer rebalancer() {
+        return rebalancer;
     }
 
-    double rate() {
-        return rate;
+    /** Requests a second that this proxy receives. */
+    double requestsPerSecond() {
+        return requestsPerSecond;
     }
 }
--- a/src/main/java/cacheproxy/proxy/RecoveryStatus.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryStatus.java
@@ -7,15 +7,15 @@
 import cacheproxy.state.RecordStore;
 
 /**
- * How far this process has come since its start, and what it keeps; for operators. On the event loop only.
+ * How far recovery of this process is and what it stores, for operators. Event loop only.
  *
- * @param provenance what it works with that it has not seen itself
- * @param progress how far it is; null where it runs without {@code --recovery}
- * @param rebalancer what it carries by what the others do; null likewise
- * @param requestsPerSecond requests that it is asked
- * @param openedState what it found in its folder; null where it has none
- * @param recordStore what it keeps there; null likewise
- * @param folder where; null likewise
+ * @param provenance where the state came from that it has not observed itself
+ * @param progress its stage; null where it runs without {@code --recovery}
+ * @param rebalancer its load by that of the others; null likewise
+ * @param requestsPerSecond requests that it receives
+ * @param openedState what its state folder held at the start; null where it has none
+ * @param recordStore what it stores there; null likewise
+ * @param folder the folder's path; null likewise
  * @param writable whether it alone writes there
  */
 public record RecoveryStatus(
--- a/src/main/java/cacheproxy/proxy/Remembered.java
+++ b/src/main/java/cacheproxy/proxy/Remembered.java
@@ -54,7 +54,7 @@
                             new StoredRecord(RecordKind.ENDPOINT_LIST, nowMs, predecessor.list()),
                             RecordKind.LEARNED_STATE,
                             new StoredRecord(
-                                    RecordKind.LEARNED_STATE, nowMs, LearnedStateCodec.json(predecessor.learnt()))),
+                                    RecordKind.LEARNED_STATE, nowMs, LearnedStateCodec.toJson(predecessor.learnt()))),
                     Provenance.PREDECESSOR);
         }
     }
@@ -128,7 +128,7 @@
             return Map.of();
         }
         try {
-            Map<String, LearnedState> all = new HashMap<>(LearnedStateCodec.read(
+            Map<String, LearnedState> all = new HashMap<>(LearnedStateCodec.fromJson(
                     records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
             if (use == Validity.HINT) {
                 all.replaceAll((pool, e) -> doubts(e));
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -8,137 +8,136 @@
 import cacheproxy.state.OpenedState;
 import cacheproxy.state.RecordKind;
 import cacheproxy.state.RecordStore;
-import cacheproxy.state.StateFileHeader;
 import cacheproxy.state.StateFolder;
-import cacheproxy.state.StateWrite;
 import cacheproxy.state.StoredRecord;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonPrimitive;
-import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Comparator;
 import java.util.Locale;
 import java.util.Map;
-import java.util.concurrent.ExecutorService;
-import java.util.concurrent.Executors;
-import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
+import java.util.stream.Collectors;
 
 /**
- * Keeps what outlasts this process in a folder: carries out what {@link RecordStore} orders, on a thread that may wait
- * for the disk. A folder that can't be written, now or later, is told once and costs no request; another process that
- * writes there, as the one that this one takes over from, is waited for. On the event loop but for the writing itself.
+ * Stores what the next process of this instance is to know in its state folder: the endpoint list, what was learned,
+ * the incarnation number and zone states, each when it changes or has to be confirmed. {@link RecordStore} decides when
+ * they are written, {@link StateFolderWriter} writes them.
+ *
+ * <p>Event loop only, but for the constructor and {@link #awaitClosed}.
  */
 final class StatePersistence {
+    /** How often learned state is stored, and zone states are confirmed. */
     private static final double REFRESH_MS = 5000;
-    /** A list that was told again is written again only when what is stored has come to be this old. */
+    /** An endpoint list that was confirmed without a change is stored again once the stored one is this old. */
     private static final double LIST_REFRESH_MS = 20_000;
 
-    private static final double LOCK_AGAIN_MS = 300;
-    /** What the last write may take at the end of the process. */
-    private static final long LAST_MS = 300;
+    private static final double MS_PER_SECOND = 1000;
 
     private final StateFolder folder;
-    private final String instance;
-    private final String fleet;
-    private final OpenedState opened;
+    private final OpenedState openedState;
     private final RecordStore recordStore;
-    private final ExecutorService writer = Executors.newSingleThreadExecutor(r -> {
-        Thread thread = new Thread(r, "state");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final StateFolderWriter writer;
     private Dispatcher dispatcher;
     private DiscoveryClient discovery;
     private LongSupplier incarnation = () -> 0;
     private ZoneLink zones;
-    private boolean locked;
-    private boolean locking;
-    private boolean told;
     private boolean closed;
-    /** A timer that was set before the last one is void. */
-    private long waits;
 
-    /** Reads the folder; waits for the disk, so not to be called on the event loop. Never fails. */
+    /** Reads the folder; blocks on the disk, so it is not to be called on the event loop. Never fails. */
     StatePersistence(Path path, String instance, String fleet) {
         folder = new StateFolder(path);
-        this.instance = instance;
-        this.fleet = fleet;
-        opened = folder.read(instance, fleet);
-        recordStore = new RecordStore(opened, instance, fleet);
+        openedState = folder.read(instance, fleet);
+        recordStore = new RecordStore(openedState, instance, fleet);
+        writer = new StateFolderWriter(folder, instance, fleet, recordStore);
     }
 
-    /** What was there. */
-    OpenedState opened() {
-        return opened;
+    /** What the folder held at the start. */
+    OpenedState openedState() {
+        return openedState;
     }
 
-    /** Keeps from now on what this proxy comes to know. */
-    void start(Dispatcher by, DiscoveryClient list) {
-        dispatcher = by;
-        discovery = list;
-        for (Finding f : opened.findings()) {
-            if (f.severity() != Severity.HARMLESS) {
-                dispatcher.log("state: " + folder.path() + ": " + f);
+    /** Begins to store what this proxy knows. */
+    void start(Dispatcher dispatcher, DiscoveryClient discovery) {
+        this.dispatcher = dispatcher;
+        this.discovery = discovery;
+        writer.start(dispatcher);
+        logOpenedState();
+        dispatcher.addEndpointListListener(this::endpointListChanged);
+        refresh();
+    }
+
+    private void logOpenedState() {
+        for (Finding finding : openedState.findings()) {
+            if (finding.severity() != Severity.HARMLESS) {
+                dispatcher.log("state: " + finding + ", folder=" + folder.path());
             }
         }
-        if (!opened.records().isEmpty()) {
-            double now = dispatcher.now();
+        if (!openedState.records().isEmpty()) {
+            double nowMs = dispatcher.now();
             dispatcher.log("state: found "
-                    + String.join(
-                            ", ",
-                            opened.records().values().stream()
-                                    .sorted(Comparator.comparing(StoredRecord::kind))
-                                    .map(r -> String.format(
-                                            Locale.ROOT,
-                                            "%s %.1f s old (%s)",
-                                            r.kind().wireName(),
-                                            (now - r.recordedAtMs()) / 1000,
-                                            r.validity(now).wireName()))
-                                    .toList()));
+                    + openedState.records().values().stream()
+                            .sorted(Comparator.comparing(StoredRecord::kind))
+                            .map(r -> logText(r, nowMs))
+                            .collect(Collectors.joining(", ")));
         }
-        dispatcher.addEndpointListListener(this::listed);
-        refresh();
     }
 
-    /** What else is kept: the number of this instance's life, and what is decided of zones; null for none. */
-    void keep(LongSupplier life, ZoneLink decided) {
-        incarnation = life;
-        zones = decided;
-        fleetChanged();
+    private static String logText(StoredRecord record, double nowMs) {
+        return String.format(
+                Locale.ROOT,
+                "%s age_s=%.1f use=%s",
+                record.kind().wireName(),
+                (nowMs - record.recordedAtMs()) / MS_PER_SECOND,
+                record.validity(nowMs).wireName());
     }
 
-    private void listed(EndpointUpdateKind kind) {
+    /**
+     * Begins to store what this instance knows of the fleet as well.
+     *
+     * @param incarnation this instance's incarnation number; 0 for none yet
+     * @param zones null where this proxy decides nothing of zones
+     */
+    void persistFleetState(LongSupplier incarnation, ZoneLink zones) {
+        this.incarnation = incarnation;
+        this.zones = zones;
+        fleetStateChanged();
+    }
+
+    private void endpointListChanged(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
             JsonElement list = discovery.snapshot();
-            StoredRecord before = recordStore.get(RecordKind.ENDPOINT_LIST);
-            if (before == null
-                    || !before.body().equals(list)
-                    || dispatcher.now() - before.recordedAtMs() > LIST_REFRESH_MS) {
+            StoredRecord stored = recordStore.get(RecordKind.ENDPOINT_LIST);
+            if (stored == null
+                    || !stored.body().equals(list)
+                    || dispatcher.now() - stored.recordedAtMs() > LIST_REFRESH_MS) {
                 put(RecordKind.ENDPOINT_LIST, list);
             }
         }
     }
 
-    /** The view of the fleet or what is decided of zones may have changed. */
-    void fleetChanged() {
+    /** The view of the fleet or zone states may have changed. */
+    void fleetStateChanged() {
         if (dispatcher == null || closed) {
             return;
         }
-        long life = incarnation.getAsLong();
-        if (life > 0) {
-            put(RecordKind.INCARNATION, new JsonPrimitive(life));
+        long number = incarnation.getAsLong();
+        if (number > 0) {
+            put(RecordKind.INCARNATION, new JsonPrimitive(number));
         }
         if (zones != null) {
             Map<Integer, Held> held = zones.zones().held();
-            putIfNew(RecordKind.ZONE_STATES, ZoneForm.json(held, false, zones.names()));
-            putIfNew(RecordKind.OPERATOR_ORDERS, ZoneForm.json(held, true, zones.names()));
+            putIfChanged(RecordKind.ZONE_STATES, ZoneForm.json(held, false, zones.names()));
+            putIfChanged(RecordKind.OPERATOR_ORDERS, ZoneForm.json(held, true, zones.names()));
         }
     }
 
-    private void putIfNew(RecordKind kind, JsonElement body) {
-        StoredRecord before = recordStore.get(kind);
-        if (before == null ? body.getAsJsonObject().size() > 0 : !before.body().equals(body)) {
+    private void putIfChanged(RecordKind kind, JsonElement body) {
+        StoredRecord stored = recordStore.get(kind);
+        boolean changed = stored == null
+                ? body.getAsJsonObject().size() > 0
+                : !stored.body().equals(body);
+        if (changed) {
             put(kind, body);
         }
     }
@@ -147,11 +146,11 @@
         if (closed) {
             return;
         }
-        put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.learnedState()));
+        put(RecordKind.LEARNED_STATE, LearnedStateCodec.toJson(dispatcher.learnedState()));
         if (zones != null && zones.zones().quorum()) {
             JsonElement held = ZoneForm.json(zones.zones().held(), false, zones.names());
             if (held.getAsJsonObject().size() > 0) {
-                put(RecordKind.ZONE_STATES, held); // it holds still
+                put(RecordKind.ZONE_STATES, held); // confirmed: it is valid as of now
             }
         }
         dispatcher.after(REFRESH_MS, this::refresh);
@@ -159,152 +158,38 @@
 
     private void put(RecordKind kind, JsonElement body) {
         if (!closed) {
-            recordStore.put(now(), new StoredRecord(kind, dispatcher.now(), body));
-            run();
-        }
-    }
-
-    private static double now() {
-        return System.nanoTime() / 1e6;
-    }
-
-    // ---- writing
-
-    private void run() {
-        if (!locked) {
-            lock();
-            return;
-        }
-        long mine = ++waits;
-        StateWrite write = recordStore.nextWrite(now());
-        if (write != null) {
-            writer.execute(() -> {
-                IOException failed = null;
-                try {
-                    folder.write(write);
-                } catch (IOException e) {
-                    failed = e;
-                } catch (RuntimeException e) {
-                    failed = new IOException(e);
-                }
-                IOException how = failed;
-                dispatcher.loop().execute(() -> written(how));
-            });
-            return;
-        }
-        double due = recordStore.nextWriteAtMs();
-        if (due != Double.POSITIVE_INFINITY) {
-            dispatcher.after(Math.max(1, due - now()), () -> {
-                if (waits == mine && !closed) {
-                    run();
-                }
-            });
-        }
-    }
-
-    private void written(IOException failed) {
-        if (failed == null) {
-            recordStore.writeSucceeded(now());
-            if (told) {
-                told = false;
-                dispatcher.log("state: " + folder.path() + " is written again");
-            }
-        } else {
-            recordStore.writeFailed(now());
-            tell("can't be written: " + failed);
-        }
-        run();
-    }
-
-    private void tell(String what) {
-        if (!told) {
-            told = true;
-            dispatcher.log("state: " + folder.path() + " " + what + "; it is tried again");
+            recordStore.put(StateFolderWriter.nowMs(), new StoredRecord(kind, dispatcher.now(), body));
+            writer.writeDue();
         }
     }
 
-    /** Waits until no other process writes here; what that one wrote last comes before whatever this one writes. */
-    private void lock() {
-        if (locking || closed) {
-            return;
-        }
-        locking = true;
-        writer.execute(() -> {
-            boolean got = false;
-            StateFileHeader since = null;
-            String wrong = null;
-            try {
-                got = folder.tryLock();
-                if (got) {
-                    OpenedState now = folder.read(instance, fleet);
-                    since = now.header();
-                    if (now.findings().stream().anyMatch(f -> f.severity() == Severity.UNUSABLE)) {
-                        folder.setAside();
-                    }
-                }
-            } catch (IOException | RuntimeException e) {
-                wrong = "can't be used: " + e;
-            }
-            boolean mine = got && wrong == null;
-            StateFileHeader found = since;
-            String why = wrong;
-            dispatcher.loop().execute(() -> {
-                locking = false;
-                if (mine) {
-                    locked = true;
-                    recordStore.continueAfter(found);
-                    run();
-                } else {
-                    if (why != null) {
-                        tell(why);
-                    }
-                    dispatcher.after(why != null ? REFRESH_MS : LOCK_AGAIN_MS, this::lock);
-                }
-            });
-        });
-    }
-
-    /** Writes what is not written yet, for as long as that takes within bounds, and lets go of the folder. */
+    /** Stores all of it a last time and releases the folder; does not wait for that. */
     void close() {
         if (closed) {
             return;
         }
-        fleetChanged();
-        put(RecordKind.LEARNED_STATE, LearnedStateCodec.json(dispatcher.learnedState()));
+        fleetStateChanged();
+        put(RecordKind.LEARNED_STATE, LearnedStateCodec.toJson(dispatcher.learnedState()));
         closed = true;
-        StateWrite last = locked ? recordStore.finalWrite() : null;
-        writer.execute(() -> {
-            try {
-                if (last != null) {
-                    folder.write(last);
-                }
-                folder.close();
-            } catch (IOException | RuntimeException e) {
-                System.err.println("state: the last of it is not written: " + e);
-            }
-        });
-        writer.shutdown();
+        writer.close();
     }
 
-    /** Waits for the last write; not to be called on the event loop. */
+    /** Waits for the final write within bounds; not to be called on the event loop. */
     void awaitClosed() {
-        try {
-            writer.awaitTermination(LAST_MS, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+        writer.awaitClosed();
     }
 
-    /** What is kept and how it is written; for status. */
+    /** The records, for the status. */
     RecordStore recordStore() {
         return recordStore;
     }
 
-    /** Whether this process alone writes there. */
-    boolean locked() {
-        return locked;
+    /** Whether this process alone writes to the folder. */
+    boolean isLockHeld() {
+        return writer.isLockHeld();
     }
 
+    /** The folder's path. */
     Path path() {
         return folder.path();
     }
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -2,10 +2,9 @@
 
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.recovery.PeerStateQuery;
-import cacheproxy.recovery.PeerStateQuery.Result;
 import cacheproxy.recovery.PeerStateSummary;
 import cacheproxy.recovery.Provenance;
-import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.recovery.ProvenanceTracker.Subject;
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.LoadCount;
@@ -15,119 +14,136 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Asks peers where nothing is remembered, and answers those who ask. On the event loop only. */
+/**
+ * Sends the state queries that {@link PeerStateQuery} decides on, adopts their result, and answers queries of peers.
+ * Event loop only.
+ */
 final class StateQueryLink {
     private static final double TICK_MS = 100;
-    /** What is asked for is not known better than to that many requests at the origin. */
+    /** The in-time ratio that peers report weighs as much as so many requests of this process to the origin. */
     private static final double ORIGIN_WEIGHT = 10;
-    /** What peers said is a doubt for no longer than this. */
-    private static final double BOUND_MS = 60_000;
+    /** What peers reported is a hint for no longer than this: by then this process has observed more itself. */
+    private static final double MAX_AGE_MS = 60_000;
+    /** The pool of all endpoints. */
+    private static final String ALL_ENDPOINTS = "";
 
     private final Dispatcher dispatcher;
     private final PeerSocket peers;
     private final MemberLink members;
     private final DiscoveryClient discovery;
-    private final PeerStateQuery recall;
+    /** Null where this process has state, and asks for none. */
+    private final PeerStateQuery query;
 
-    /** {@code asks}: whether there is anything to ask for. */
+    /** {@code needsState}: whether this process has started without learned state, and asks for it. */
     StateQueryLink(
-            Dispatcher dispatcher, PeerSocket peers, MemberLink members, DiscoveryClient discovery, boolean asks) {
+            Dispatcher dispatcher,
+            PeerSocket peers,
+            MemberLink members,
+            DiscoveryClient discovery,
+            boolean needsState) {
         this.dispatcher = dispatcher;
         this.peers = peers;
         this.members = members;
         this.discovery = discovery;
-        recall = asks ? new PeerStateQuery(dispatcher.settings().instanceIndex(), dispatcher.now()) : null;
-        if (asks) {
+        query = needsState ? new PeerStateQuery(dispatcher.settings().instanceIndex(), dispatcher.now()) : null;
+        if (needsState) {
             run();
         }
     }
 
-    void heard(int peer, byte[] message) {
+    /** A message of kind RECALL from a peer. */
+    void messageReceived(int peer, byte[] message) {
         if (PeerStateSummary.isQuery(message)) {
             answer(peer);
             return;
         }
-        PeerStateSummary memory = recall == null ? null : PeerStateSummary.decode(message);
-        if (memory != null) {
-            recall.answerReceived(peer, memory);
+        PeerStateSummary summary = query == null ? null : PeerStateSummary.decode(message);
+        if (summary != null) {
+            query.answerReceived(peer, summary);
         }
     }
 
-    /** What this proxy has learnt itself, as far as it goes into a datagram. */
+    // ---- answering
+
     private void answer(int peer) {
-        LearnedState e = dispatcher.learnedState().get("");
-        if (e == null) {
-            return; // it has pools, and none of all servers
+        LearnedState learned = dispatcher.learnedState().get(ALL_ENDPOINTS);
+        if (learned != null) { // null where there are pools and none of all endpoints
+            peers.send(peer, PeerSocket.Kind.RECALL, summary(learned).encode());
         }
-        List<Integer> bad = e.endpoints().stream()
-                .filter(s -> s.failures() > 0 && dispatcher.isEjected(s.id()))
+    }
+
+    private PeerStateSummary summary(LearnedState learned) {
+        List<Integer> avoidedNodes = learned.endpoints().stream()
+                .filter(e -> e.failures() > 0 && dispatcher.isEjected(e.id()))
                 .sorted(Comparator.comparingInt(EndpointHealthRecord::failures).reversed())
                 .limit(PeerStateSummary.MAX_AVOIDED_NODES)
                 .map(EndpointHealthRecord::id)
                 .toList();
-        double asked = e.originLoad().requested();
-        peers.send(
-                peer,
-                PeerSocket.Kind.RECALL,
-                new PeerStateSummary(
-                                Math.max(0, discovery.version()),
-                                (float) e.originFetchMs(),
-                                (float) e.usualLatencyMs(),
-                                asked < 1
-                                        ? 1
-                                        : (float) Math.max(
-                                                0, Math.min(1, e.originLoad().completedInTime() / asked)),
-                                bad)
-                        .encode());
+        return new PeerStateSummary(
+                Math.max(0, discovery.version()),
+                (float) learned.originFetchMs(),
+                (float) learned.usualLatencyMs(),
+                inTimeRatio(learned.originLoad()),
+                avoidedNodes);
     }
 
+    private static float inTimeRatio(LoadCount load) {
+        double requested = load.requested();
+        return requested < 1 ? 1 : (float) Math.max(0, Math.min(1, load.completedInTime() / requested));
+    }
+
+    // ---- asking
+
     private void run() {
-        recall.peersToQuery(dispatcher.now(), members.view())
-                .forEach(p -> peers.send(p, PeerSocket.Kind.RECALL, PeerStateSummary.query()));
-        switch (recall.state()) {
+        query.peersToQuery(dispatcher.now(), members.view())
+                .forEach(peer -> peers.send(peer, PeerSocket.Kind.RECALL, PeerStateSummary.query()));
+        switch (query.state()) {
             case QUERYING -> dispatcher.after(TICK_MS, this::run);
-            case ANSWERED -> take();
-            case NO_SERVING_PEER -> dispatcher.log("recovery: nobody serves who remembers; the settings' figures hold");
-            case UNANSWERED -> dispatcher.log("recovery: those that serve did not answer; the settings' figures hold");
+            case ANSWERED -> adopt(result());
+            case NO_SERVING_PEER -> dispatcher.log("recovery: state query ended, no peer serves; defaults are used");
+            case UNANSWERED -> dispatcher.log("recovery: state query ended, no peer answered; defaults are used");
         }
     }
 
-    private void take() {
+    private PeerStateQuery.Result result() {
         Map<Integer, Integer> zoneOf = new HashMap<>();
-        Map<Integer, Integer> inZone = new HashMap<>();
-        dispatcher.servers().nodes().forEach(u -> {
-            zoneOf.put(u.id, u.place.zone());
-            inZone.merge(u.place.zone(), 1, Integer::sum);
+        Map<Integer, Integer> nodesInZone = new HashMap<>();
+        dispatcher.servers().nodes().forEach(node -> {
+            zoneOf.put(node.id, node.place.zone());
+            nodesInZone.merge(node.place.zone(), 1, Integer::sum);
         });
-        Result r = recall.result(zoneOf, inZone);
-        List<EndpointHealthRecord> doubts = r.suspectedNodes().stream()
-                .map(id -> new EndpointHealthRecord(id, dispatcher.servers().get(id).bornMs, 1, 0, 0))
-                .toList();
-        double now = dispatcher.now();
-        dispatcher.resume(Map.of(
-                "",
-                new LearnedState(
-                        r.originFetchMs(),
-                        r.nodeLatencyMs(),
-                        r.nodeLatencyMs() / 2,
-                        0,
-                        new LoadCount(ORIGIN_WEIGHT, ORIGIN_WEIGHT * r.originInTimeRatio()),
-                        new LoadCount(0, 0),
-                        0,
-                        List.of(),
-                        doubts)));
-        dispatcher
-                .provenance()
-                .adopted(now, ProvenanceTracker.Subject.LEARNED_STATE, Provenance.PEERS, 0, BOUND_MS, true);
-        if (r.listVersion() > discovery.version()) {
-            discovery.onPeerAhead(); // a claim is no list, but worth a call
+        return query.result(zoneOf, nodesInZone);
+    }
+
+    private void adopt(PeerStateQuery.Result result) {
+        double nowMs = dispatcher.now();
+        dispatcher.resume(Map.of(ALL_ENDPOINTS, learnedState(result)));
+        dispatcher.provenance().adopted(nowMs, Subject.LEARNED_STATE, Provenance.PEERS, 0, MAX_AGE_MS, true);
+        if (result.listVersion() > discovery.version()) {
+            discovery.onPeerAhead(); // a claim makes no list, but is worth a poll
         }
         dispatcher.log(String.format(
                 Locale.ROOT,
-                "recovery: %d peers told of %d bad nodes, list version %d, fetches of %.0f ms",
-                r.answers(),
-                r.suspectedNodes().size(),
-                r.listVersion(),
-                r.originFetchMs()));
+                "recovery: state query answered, peers=%d suspected_nodes=%d list_version=%d origin_fetch_ms=%.0f",
+                result.answers(),
+                result.suspectedNodes().size(),
+                result.listVersion(),
+                result.originFetchMs()));
+    }
+
+    private LearnedState learnedState(PeerStateQuery.Result result) {
+        List<EndpointHealthRecord> suspected = result.suspectedNodes().stream()
+                .map(id -> new EndpointHealthRecord(id, dispatcher.servers().get(id).bornMs, 1, 0, 0))
+                .toList();
+        return new LearnedState(
+                result.originFetchMs(),
+                result.nodeLatencyMs(),
+                result.nodeLatencyMs() / 2,
+                0,
+                new LoadCount(ORIGIN_WEIGHT, ORIGIN_WEIGHT * result.originInTimeRatio()),
+                new LoadCount(0, 0),
+                0,
+                List.of(),
+                suspected);
     }
 }
--- a/src/main/java/cacheproxy/proxy/TakeoverState.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverState.java
@@ -25,7 +25,7 @@
         JsonObject state = new JsonObject();
         state.addProperty("v", VERSION);
         state.add("list", list);
-        state.add("learnt", LearnedStateCodec.json(learnt));
+        state.add("learnt", LearnedStateCodec.toJson(learnt));
         JsonArray records = new JsonArray();
         kept.values().forEach(r -> records.add(r.toJson()));
         state.add("kept", records);
@@ -39,7 +39,7 @@
             throw new IllegalArgumentException("version " + state.get("v"));
         }
         Map<String, LearnedState> learnt =
-                state.has("learnt") ? LearnedStateCodec.read(state.getAsJsonObject("learnt")) : Map.of();
+                state.has("learnt") ? LearnedStateCodec.fromJson(state.getAsJsonObject("learnt")) : Map.of();
         Map<RecordKind, StoredRecord> kept = new EnumMap<>(RecordKind.class);
         if (state.has("kept")) {
             state.getAsJsonArray("kept").forEach(e -> StoredRecord.fromJson(e).ifPresent(r -> kept.put(r.kind(), r)));
--- a/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
@@ -42,12 +42,12 @@
 
     @Test
     void everyFieldStandsWhereItStood() {
-        PinnedFile.assertText(FILE, LearnedStateCodec.json(everyField()) + "\n");
+        PinnedFile.assertText(FILE, LearnedStateCodec.toJson(everyField()) + "\n");
     }
 
     @Test
     void theStoredFormReadsAsItWasMeant() {
         JsonObject stored = JsonParser.parseString(PinnedFile.text(FILE)).getAsJsonObject();
-        assertThat(LearnedStateCodec.read(stored)).isEqualTo(everyField());
+        assertThat(LearnedStateCodec.fromJson(stored)).isEqualTo(everyField());
     }
 }
