--- /dev/null
+++ b/src/test/java/cacheproxy/membership/MembershipTraceTest.java
@@ -0,0 +1,154 @@
+package cacheproxy.membership;
+
+import cacheproxy.PinnedFile;
+import cacheproxy.membership.Send.Urgency;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Locale;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import java.util.zip.CRC32C;
+import org.junit.jupiter.api.Test;
+
+/**
+ * A fleet in virtual time, through loss, a crash, a cut, a stand-still, a return and a leave: every message, its time,
+ * its order and its bytes are the same as ever. Finds a changed order of random draws that no property would.
+ */
+class MembershipTraceTest {
+    private static final int INSTANCES = 14;
+    private static final double END_MS = 40_000;
+
+    private record Delivery(double atMs, long order, int from, int to, byte[] body) {}
+
+    /** A play of one fleet; the same at each run. */
+    private static final class Fleet {
+        private final SplittableRandom network = new SplittableRandom(11);
+        private final PriorityQueue<Delivery> deliveries =
+                new PriorityQueue<>(Comparator.comparingDouble(Delivery::atMs).thenComparingLong(Delivery::order));
+        private final List<Membership> members = new ArrayList<>();
+        private final boolean[] down = new boolean[INSTANCES];
+        private final CRC32C trace = new CRC32C();
+        private final boolean bySeeds;
+        private long messages;
+        private long bytes;
+
+        Fleet(boolean bySeeds) {
+            this.bySeeds = bySeeds;
+            for (int i = 0; i < INSTANCES; i++) {
+                members.add(start(i, 0, i));
+            }
+        }
+
+        private Membership start(int id, long remembered, long seed) {
+            MemberSettings settings =
+                    bySeeds ? MemberSettings.bySeeds(List.of(0, 1), 40) : MemberSettings.of(INSTANCES);
+            byte[] address = bySeeds ? new byte[] {10, 0, 0, (byte) id, 31, (byte) id} : new byte[0];
+            return new Membership(settings, id, id % 3, address, remembered, seed, new Membership.Allowance() {
+                @Override
+                public boolean take(double nowMs, int size, Urgency urgency) {
+                    return urgency != Urgency.OTHER || (long) nowMs % 7 != 0;
+                }
+
+                @Override
+                public int spare(double nowMs) {
+                    return (int) (nowMs % 400) - 100;
+                }
+            });
+        }
+
+        private boolean passes(double nowMs, int from, int to) {
+            boolean cut = nowMs >= 14_000 && nowMs < 22_000 && (from < 5) != (to < 5);
+            return !cut && !down[to] && network.nextDouble() >= 0.08;
+        }
+
+        private void events(double nowMs) {
+            if (nowMs == 1000) {
+                members.forEach(m -> m.phase(Phase.SERVING));
+            } else if (nowMs == 3000) {
+                members.get(2).note(1, new byte[] {1, 2, 3});
+            } else if (nowMs == 5000) {
+                down[3] = true;
+            } else if (nowMs == 26_000) {
+                down[3] = false;
+                members.set(3, start(3, 1, 77));
+            } else if (nowMs == 30_000) {
+                members.get(9).leave(nowMs);
+            }
+        }
+
+        /** Instance 6 stands still for two seconds. */
+        private boolean runs(double nowMs, int id) {
+            return !down[id] && !(id == 6 && nowMs >= 9000 && nowMs < 11_000);
+        }
+
+        private void collect(double nowMs, int from) {
+            for (Send s : members.get(from).outgoing()) {
+                messages++;
+                bytes += s.body().length;
+                trace.update(
+                        (nowMs + " " + from + " " + s.to() + " " + s.urgency().ordinal())
+                                .getBytes(StandardCharsets.US_ASCII));
+                trace.update(s.body());
+                if (passes(nowMs, from, s.to())) {
+                    double at = nowMs + 1 + network.nextInt(60);
+                    deliveries.add(new Delivery(at, messages, from, s.to(), s.body()));
+                }
+            }
+        }
+
+        String play() {
+            StringBuilder lines = new StringBuilder();
+            for (double nowMs = 0; nowMs <= END_MS; nowMs++) {
+                events(nowMs);
+                while (!deliveries.isEmpty() && deliveries.peek().atMs() <= nowMs) {
+                    Delivery d = deliveries.poll();
+                    if (runs(nowMs, d.to())) {
+                        members.get(d.to()).heard(nowMs, d.from(), d.body());
+                        collect(nowMs, d.to());
+                    }
+                }
+                for (int i = 0; i < INSTANCES; i++) {
+                    if (runs(nowMs, i) && members.get(i).dueMs() <= nowMs) {
+                        members.get(i).tick(nowMs);
+                        collect(nowMs, i);
+                    }
+                }
+                if (nowMs % 1000 == 0) {
+                    lines.append(line(nowMs));
+                }
+            }
+            return lines.toString();
+        }
+
+        private String line(double nowMs) {
+            StringBuilder living = new StringBuilder();
+            long refuted = 0;
+            for (Membership m : members) {
+                View view = m.view(nowMs);
+                living.append(' ').append(view.living().count()).append('/').append(m.incarnation());
+                refuted += m.deathsRefuted() + m.unreadable();
+            }
+            return String.format(
+                    Locale.ROOT,
+                    "%5.0f ms %6d messages %8d bytes trace %08x, refuted %d, living/incarnation%s%n",
+                    nowMs,
+                    messages,
+                    bytes,
+                    trace.getValue(),
+                    refuted,
+                    living);
+        }
+    }
+
+    @Test
+    void aConfiguredFleetSendsWhatItSent() {
+        PinnedFile.assertText("membership/trace-configured.txt", new Fleet(false).play());
+    }
+
+    @Test
+    void aFleetOfSeedsSendsWhatItSent() {
+        PinnedFile.assertText("membership/trace-seeds.txt", new Fleet(true).play());
+    }
+}
