--- a/src/jmh/java/cacheproxy/MembershipBenchmark.java
+++ b/src/jmh/java/cacheproxy/MembershipBenchmark.java
@@ -1,9 +1,9 @@
 package cacheproxy;
 
-import cacheproxy.membership.MemberSettings;
 import cacheproxy.membership.Membership;
-import cacheproxy.membership.Send;
-import cacheproxy.membership.Send.Urgency;
+import cacheproxy.membership.MembershipSettings;
+import cacheproxy.membership.OutgoingMessage;
+import cacheproxy.membership.OutgoingMessage.Urgency;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -50,7 +50,7 @@
     public void setUp() {
         all = new Membership[members];
         for (int i = 0; i < members; i++) {
-            all[i] = new Membership(MemberSettings.of(members), i, 0, new byte[0], 0, i, ALL);
+            all[i] = new Membership(MembershipSettings.of(members), i, 0, new byte[0], 0, i, ALL);
             if (i > 0) {
                 all[i].tick(now);
                 int from = i;
@@ -67,10 +67,10 @@
     public int round() {
         now += 250;
         all[0].tick(now);
-        List<Send> asked = all[0].outgoing();
-        for (Send s : asked) {
+        List<OutgoingMessage> asked = all[0].outgoing();
+        for (OutgoingMessage s : asked) {
             all[s.to()].heard(now, 0, s.body());
-            for (Send back : all[s.to()].outgoing()) {
+            for (OutgoingMessage back : all[s.to()].outgoing()) {
                 if (back.to() == 0) {
                     all[0].heard(now, s.to(), back.body());
                 }
--- a/src/main/java/cacheproxy/control/AnswerWords.java
+++ b/src/main/java/cacheproxy/control/AnswerWords.java
@@ -2,15 +2,15 @@
 
 import cacheproxy.failover.Sight;
 import cacheproxy.failover.ZoneState;
-import cacheproxy.membership.Hearing;
-import cacheproxy.membership.Phase;
-import cacheproxy.membership.State;
+import cacheproxy.membership.MemberState;
+import cacheproxy.membership.Reachability;
+import cacheproxy.membership.ServicePhase;
 
 /** The words by which answers to operators name the states of other packages; scripts depend on them. */
 final class AnswerWords {
     private AnswerWords() {}
 
-    static String of(Hearing reachability) {
+    static String of(Reachability reachability) {
         return switch (reachability) {
             case ALONE -> "alone";
             case MINORITY -> "minority";
@@ -19,7 +19,7 @@
         };
     }
 
-    static String of(State state) {
+    static String of(MemberState state) {
         return switch (state) {
             case ALIVE -> "alive";
             case SUSPECT -> "suspect";
@@ -28,7 +28,7 @@
         };
     }
 
-    static String of(Phase phase) {
+    static String of(ServicePhase phase) {
         return switch (phase) {
             case STARTING -> "starting";
             case RECOVERING -> "recovering";
--- a/src/main/java/cacheproxy/control/FleetViewControl.java
+++ b/src/main/java/cacheproxy/control/FleetViewControl.java
@@ -1,7 +1,7 @@
 package cacheproxy.control;
 
-import cacheproxy.membership.Entry;
-import cacheproxy.membership.View;
+import cacheproxy.membership.Member;
+import cacheproxy.membership.MembershipView;
 import cacheproxy.proxy.Proxy;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -26,7 +26,7 @@
         if (fleet == null) {
             return json;
         }
-        View view = fleet.view();
+        MembershipView view = fleet.view();
         json.addProperty("hearing", AnswerWords.of(view.hearing()));
         json.addProperty("living", view.living().count());
         json.addProperty("known", view.entries().size());
@@ -52,7 +52,7 @@
         return json;
     }
 
-    private static JsonObject row(Entry member) {
+    private static JsonObject row(Member member) {
         JsonObject row = new JsonObject();
         row.addProperty("instance", member.id());
         row.addProperty("zone", member.zone());
--- a/src/main/java/cacheproxy/failover/Zones.java
+++ b/src/main/java/cacheproxy/failover/Zones.java
@@ -2,8 +2,8 @@
 
 import cacheproxy.failover.Judge.Verdict;
 import cacheproxy.failover.ZoneState.Cause;
-import cacheproxy.membership.Entry;
-import cacheproxy.membership.View;
+import cacheproxy.membership.Member;
+import cacheproxy.membership.MembershipView;
 import cacheproxy.routing.ZoneDirective;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -133,7 +133,7 @@
         double badMs = Double.NaN;
     }
 
-    private record Read(Entry entry, Report report) {}
+    private record Read(Member entry, Report report) {}
 
     private final ZoneSettings settings;
     private final Observer observer;
@@ -310,13 +310,13 @@
     /**
      * Takes the fleet's view, decides what is due, and says what holds for the decision module where that has changed.
      */
-    public List<ZoneDirective> tick(double nowMs, View view) {
+    public List<ZoneDirective> tick(double nowMs, MembershipView view) {
         List<Report> reports = new ArrayList<>();
         Set<Integer> homes = new HashSet<>();
         if (read.size() > 2 * view.entries().size()) {
             read.clear(); // most of them are forgotten
         }
-        for (Entry e : view.entries()) {
+        for (Member e : view.entries()) {
             homes.add(e.zone());
             if (e.id() == settings.me()) {
                 continue;
@@ -352,7 +352,7 @@
 
     /** What an entry says; read anew only where it has changed. */
     @SuppressWarnings("ReferenceEquality") // immutable: the same entry says the same
-    private Report read(Entry e) {
+    private Report read(Member e) {
         Read before = read.get(e.id());
         if (before == null || before.entry() != e) {
             before = new Read(e, Report.decode(e.id(), e.zone(), e.note(SIGHT_NOTE), e.note(PLAN_NOTE), parts.size()));
@@ -362,7 +362,7 @@
     }
 
     /** Who has just started has met too few to know where the fleet stands. */
-    private static boolean knows(View view) {
+    private static boolean knows(MembershipView view) {
         return view.configured() == null
                 || 2 * view.entries().size() > view.configured().count();
     }
@@ -537,7 +537,7 @@
      * By which those who live take turns in deciding of a zone, in speaking of it and in trying it; the same at all.
      */
     private static long turn(int zone, int instance) {
-        return Entry.mix(instance ^ zone * 0x9e37_79b9_7f4a_7c15L);
+        return Member.mix(instance ^ zone * 0x9e37_79b9_7f4a_7c15L);
     }
 
     /** How many come before this instance. */
--- a/src/main/java/cacheproxy/gossip/ListVersionGossip.java
+++ b/src/main/java/cacheproxy/gossip/ListVersionGossip.java
@@ -1,6 +1,6 @@
 package cacheproxy.gossip;
 
-import cacheproxy.membership.Living;
+import cacheproxy.membership.LiveMembers;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
@@ -68,7 +68,7 @@
     }
 
     /** So many live now: turns are taken among them, and nobody waits for those who are away. */
-    public void setLiveMembers(Living living) {
+    public void setLiveMembers(LiveMembers living) {
         instanceCount = living.count();
     }
 
--- a/src/main/java/cacheproxy/gossip/MembershipBudget.java
+++ b/src/main/java/cacheproxy/gossip/MembershipBudget.java
@@ -1,7 +1,7 @@
 package cacheproxy.gossip;
 
 import cacheproxy.membership.Membership;
-import cacheproxy.membership.Send.Urgency;
+import cacheproxy.membership.OutgoingMessage.Urgency;
 
 /** The budget of an instance as its membership sees it: each of its messages is a datagram of its own. */
 public record MembershipBudget(SendBudget budget) implements Membership.Allowance {
--- a/src/main/java/cacheproxy/membership/Configured.java
+++ b/src/main/java/cacheproxy/membership/ConfiguredMembers.java
@@ -4,9 +4,9 @@
  * How many instances the settings name, at least 1. What a rule rests on counts all of them for as long as one that is
  * not seen may be alive behind a cut: the sums over cold nodes, places at nodes, caps of quotas.
  */
-public record Configured(int count) {
+public record ConfiguredMembers(int count) {
     /** Checks the range. */
-    public Configured {
+    public ConfiguredMembers {
         if (count < 1) {
             throw new IllegalArgumentException(count + " configured instances");
         }
--- a/src/main/java/cacheproxy/membership/News.java
+++ b/src/main/java/cacheproxy/membership/GossipQueue.java
@@ -10,7 +10,7 @@
  * What has changed and is still to be passed on with whatever is sent: those first that have gone out least, each as
  * often as the logarithm of the fleet (SWIM, section 4.1).
  */
-final class News {
+final class GossipQueue {
     private static final int MOST = 4096;
 
     private final Map<Integer, Integer> sent = new LinkedHashMap<>();
@@ -43,18 +43,18 @@
     }
 
     /** Entries to send with a message of so many bytes' room; {@code without}: whose entry is in it already. */
-    List<Entry> take(Table table, int room, int without) {
+    List<Member> take(MemberTable table, int room, int without) {
         int most = 32 - Integer.numberOfLeadingZeros(table.size() + 1);
         List<Map.Entry<Integer, Integer>> order = new ArrayList<>(sent.entrySet());
         order.sort(Comparator.comparingInt(Map.Entry::getValue));
-        List<Entry> taken = new ArrayList<>();
+        List<Member> taken = new ArrayList<>();
         if (room <= 0) {
             return taken;
         }
         int left = room;
         for (Map.Entry<Integer, Integer> e : order) {
-            Entry entry = table.get(e.getKey());
-            int bytes = entry == null ? 0 : Message.bytes(entry);
+            Member entry = table.get(e.getKey());
+            int bytes = entry == null ? 0 : MembershipMessage.bytes(entry);
             if (entry == null) {
                 sent.remove(e.getKey());
             } else if (e.getKey() != without && bytes <= left) {
--- a/src/main/java/cacheproxy/membership/Knowledge.java
+++ b/src/main/java/cacheproxy/membership/Knowledge.java
@@ -9,7 +9,7 @@
  */
 public class Knowledge {
     /** What came of something that was said. */
-    public enum Heard {
+    public enum MergeResult {
         /** It was known. */
         NOTHING_NEW,
         /** Something is known that was not. */
@@ -19,50 +19,50 @@
     }
 
     private final int most;
-    private final Table table;
-    private final Own own;
+    private final MemberTable table;
+    private final LocalMember own;
 
     /** A life that begins knowing only itself. */
-    public Knowledge(Entry self, int most) {
+    public Knowledge(Member self, int most) {
         this.most = most;
-        table = new Table(most, this::join);
-        own = new Own(self, this::beyond);
+        table = new MemberTable(most, this::join);
+        own = new LocalMember(self, this::beyond);
         table.join(self);
     }
 
     /** The same knowledge, to go its own way. */
     protected Knowledge(Knowledge of) {
         most = of.most;
-        table = new Table(most, this::join);
+        table = new MemberTable(most, this::join);
         of.table.all().forEach(table::join);
         own = of.own.copy(this::beyond);
     }
 
     /** What becomes of what is held and what is said of one instance. */
-    protected Entry join(Entry held, Entry said) {
+    protected Member join(Member held, Member said) {
         return held.join(said);
     }
 
     /** The entry by which this instance goes beyond what is said of it. */
-    protected Entry beyond(Entry self, Entry said) {
+    protected Member beyond(Member self, Member said) {
         return self.again(Math.max(said.incarnation(), self.incarnation()) + 1);
     }
 
     /** Takes in what somebody says. */
-    public Heard take(double nowMs, Entry said) {
+    public MergeResult take(double nowMs, Member said) {
         if (said.id() != self().id()) {
-            return table.join(said) == null ? Heard.NOTHING_NEW : Heard.NEWS;
+            return table.join(said) == null ? MergeResult.NOTHING_NEW : MergeResult.NEWS;
         }
         if (!own.contradicted(said, nowMs)) {
-            return Heard.NOTHING_NEW;
+            return MergeResult.NOTHING_NEW;
         }
         table.join(self());
-        return Heard.REFUTED;
+        return MergeResult.REFUTED;
     }
 
     /** This instance did not reach that one; nothing happens if it is not known to live. */
     public void suspect(int id) {
-        Entry e = table.get(id);
+        Member e = table.get(id);
         if (e != null && e.state().lives()) {
             table.join(e.suspectedBy(self().id()));
         }
@@ -70,24 +70,24 @@
 
     /** This instance gives up one that it suspects. */
     public void giveUp(int id) {
-        Entry e = table.get(id);
-        if (e != null && e.state() == State.SUSPECT) {
-            table.join(e.in(State.DEAD));
+        Member e = table.get(id);
+        if (e != null && e.state() == MemberState.SUSPECT) {
+            table.join(e.in(MemberState.DEAD));
         }
     }
 
     /** What the instance says of itself. */
-    public final Entry self() {
+    public final Member self() {
         return own.entry();
     }
 
     /** What is held of an instance, null if nothing is. */
-    public final Entry get(int id) {
+    public final Member get(int id) {
         return table.get(id);
     }
 
     /** All that is held, by number. */
-    public final Collection<Entry> all() {
+    public final Collection<Member> all() {
         return table.all();
     }
 
@@ -96,11 +96,11 @@
         return table.digest();
     }
 
-    Table table() {
+    MemberTable table() {
         return table;
     }
 
-    Own own() {
+    LocalMember own() {
         return own;
     }
 }
--- a/src/main/java/cacheproxy/membership/Health.java
+++ b/src/main/java/cacheproxy/membership/LocalHealth.java
@@ -6,7 +6,7 @@
  * that comes in time speaks for it. An unwell instance asks less often and waits longer before it speaks ill of others.
  * That helpers say nothing is no sign here: at a cut most of them stand on its other side.
  */
-final class Health {
+final class LocalHealth {
     private static final int MOST = 7;
     /** What a stand-still of its own counts. */
     private static final int STOOD_STILL = 3;
--- a/src/main/java/cacheproxy/membership/Own.java
+++ b/src/main/java/cacheproxy/membership/LocalMember.java
@@ -8,52 +8,52 @@
  * life under its name that others remember and it does not. A former life is told once by each who remembers it; when a
  * name is outbid again and again, another process lives under it, and that mistake is reported.
  */
-final class Own {
+final class LocalMember {
     /** A name outbid so often in this life is another's, too. */
     static final int OUTBIDS = 4;
     /** From then on it is defended only so often. */
     static final double DISPUTE_MS = 2000;
 
-    private final BinaryOperator<Entry> beyond;
-    private Entry entry;
+    private final BinaryOperator<Member> beyond;
+    private Member entry;
     private int outbids;
     private double defendedMs = Double.NEGATIVE_INFINITY;
     private boolean leaving;
 
     /** Begins a life in this entry; {@code beyond}: what refutes, of the own entry and what is said of it. */
-    Own(Entry entry, BinaryOperator<Entry> beyond) {
+    LocalMember(Member entry, BinaryOperator<Member> beyond) {
         this.entry = entry;
         this.beyond = beyond;
     }
 
     /** The same, to go its own way. */
-    Own copy(BinaryOperator<Entry> others) {
-        Own own = new Own(entry, others);
+    LocalMember copy(BinaryOperator<Member> others) {
+        LocalMember own = new LocalMember(entry, others);
         own.outbids = outbids;
         own.defendedMs = defendedMs;
         own.leaving = leaving;
         return own;
     }
 
-    Entry entry() {
+    Member entry() {
         return entry;
     }
 
     /** Somebody says this of the instance's own name. Whether the entry had to go beyond it. */
-    boolean contradicted(Entry said, double nowMs) {
+    boolean contradicted(Member said, double nowMs) {
         int by = said.compareLife(entry);
         boolean another = said.life() != entry.life();
         if (by < 0 || (by == 0 && (said.state().compareTo(entry.state()) <= 0 || leaving))) {
             return false;
         }
-        if (said.incarnation() > Entry.MAX_INCARNATION - Table.MOST_AHEAD) {
+        if (said.incarnation() > Member.MAX_INCARNATION - MemberTable.MOST_AHEAD) {
             return false; // nothing of ours gets there
         }
         if (another && ++outbids >= OUTBIDS && nowMs - defendedMs < DISPUTE_MS) {
             return false;
         }
         defendedMs = nowMs;
-        State was = entry.state();
+        MemberState was = entry.state();
         entry = beyond.apply(entry, said);
         if (leaving) {
             entry = entry.in(was);
@@ -69,10 +69,10 @@
     /** The instance goes for good. */
     void leave() {
         leaving = true;
-        entry = entry.in(State.LEFT);
+        entry = entry.in(MemberState.LEFT);
     }
 
-    void phase(Phase phase) {
+    void phase(ServicePhase phase) {
         if (entry.phase() != phase) {
             entry = entry.saying(phase, entry.notes());
         }
--- a/src/main/java/cacheproxy/membership/Entry.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -14,7 +14,7 @@
  *   <li>The higher incarnation holds; an instance raises its own, nobody else's.
  *   <li>In one incarnation the higher life holds: two processes under one name, of which one has to go beyond the
  *       other.
- *   <li>In one life the later {@link State} holds, and what the instance says of itself by the higher version.
+ *   <li>In one life the later {@link MemberState} holds, and what the instance says of itself by the higher version.
  * </ol>
  *
  * @param id its number, 0 to {@link #MAX_ID}
@@ -29,15 +29,15 @@
  *     and {@link #MOST_NOTES} together, so that three entries fit in any message
  * @param address where it is reached, 6 bytes; empty where the settings name it
  */
-public record Entry(
+public record Member(
         int id,
         long incarnation,
         int life,
-        State state,
+        MemberState state,
         TreeSet<Integer> confirmers,
         int zone,
         int version,
-        Phase phase,
+        ServicePhase phase,
         Map<Integer, byte[]> notes,
         byte[] address) {
     /** The highest number of an instance. */
@@ -58,7 +58,7 @@
     private static final byte[] NONE = {};
 
     /** Checks the ranges. */
-    public Entry {
+    public Member {
         if (id < 0
                 || id > MAX_ID
                 || incarnation < 1
@@ -81,38 +81,47 @@
     }
 
     /** An instance that begins a life. */
-    public static Entry begin(int id, long incarnation, int life, int zone, byte[] address) {
-        return new Entry(
-                id, incarnation, life, State.ALIVE, new TreeSet<>(), zone, 0, Phase.STARTING, Map.of(), address);
+    public static Member begin(int id, long incarnation, int life, int zone, byte[] address) {
+        return new Member(
+                id,
+                incarnation,
+                life,
+                MemberState.ALIVE,
+                new TreeSet<>(),
+                zone,
+                0,
+                ServicePhase.STARTING,
+                Map.of(),
+                address);
     }
 
     /** Whether what is said of a life here holds against what is said there: 0 for the same life in one incarnation. */
-    public int compareLife(Entry other) {
+    public int compareLife(Member other) {
         int by = Long.compare(incarnation, other.incarnation);
         return by != 0 ? by : Integer.compare(life, other.life);
     }
 
     /** Both as one; this itself if the other adds nothing. */
     @SuppressWarnings("ReferenceEquality") // this itself is what is given back
-    public Entry join(Entry other) {
+    public Member join(Member other) {
         int by = compareLife(other);
         if (by != 0) {
             return by > 0 ? this : other;
         }
-        State both = state.compareTo(other.state) >= 0 ? state : other.state;
+        MemberState both = state.compareTo(other.state) >= 0 ? state : other.state;
         TreeSet<Integer> confirming = confirming(both, other);
-        Entry said = version >= other.version ? this : other;
+        Member said = version >= other.version ? this : other;
         if (both == state && said == this && confirming.equals(confirmers)) {
             return this;
         }
-        return new Entry(
+        return new Member(
                 id, incarnation, life, both, confirming, said.zone, said.version, said.phase, said.notes, said.address);
     }
 
     /** The lowest of all who confirm; once it is dead nobody asks who did. */
-    private TreeSet<Integer> confirming(State both, Entry other) {
+    private TreeSet<Integer> confirming(MemberState both, Member other) {
         TreeSet<Integer> all = new TreeSet<>();
-        if (both == State.SUSPECT) {
+        if (both == MemberState.SUSPECT) {
             all.addAll(confirmers);
             all.addAll(other.confirmers);
         }
@@ -127,29 +136,30 @@
     }
 
     /** The same believed to be in that state. */
-    Entry in(State later) {
-        return new Entry(id, incarnation, life, later, new TreeSet<>(), zone, version, phase, notes, address);
+    Member in(MemberState later) {
+        return new Member(id, incarnation, life, later, new TreeSet<>(), zone, version, phase, notes, address);
     }
 
     /** The same with one more who does not reach it. */
-    Entry suspectedBy(int instance) {
+    Member suspectedBy(int instance) {
         TreeSet<Integer> all = new TreeSet<>(confirmers);
         all.add(instance);
-        return new Entry(id, incarnation, life, State.SUSPECT, lowest(all), zone, version, phase, notes, address);
+        return new Member(
+                id, incarnation, life, MemberState.SUSPECT, lowest(all), zone, version, phase, notes, address);
     }
 
     /** The same alive in another incarnation. */
-    Entry again(long higher) {
-        return new Entry(id, higher, life, State.ALIVE, new TreeSet<>(), zone, version, phase, notes, address);
+    Member again(long higher) {
+        return new Member(id, higher, life, MemberState.ALIVE, new TreeSet<>(), zone, version, phase, notes, address);
     }
 
     /** The same with something else to say, by the next version. */
-    Entry saying(Phase now, Map<Integer, byte[]> all) {
-        return new Entry(id, incarnation, life, state, confirmers, zone, version + 1, now, Map.copyOf(all), address);
+    Member saying(ServicePhase now, Map<Integer, byte[]> all) {
+        return new Member(id, incarnation, life, state, confirmers, zone, version + 1, now, Map.copyOf(all), address);
     }
 
     /** One part's note replaced; empty takes it out. */
-    Entry noting(int part, byte[] bytes) {
+    Member noting(int part, byte[] bytes) {
         Map<Integer, byte[]> all = new HashMap<>(notes);
         if (bytes.length == 0) {
             all.remove(part);
@@ -181,7 +191,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Entry e
+        return other instanceof Member e
                 && id == e.id
                 && incarnation == e.incarnation
                 && life == e.life
@@ -203,11 +213,11 @@
     @Override
     public String toString() {
         return id
-                + (state == State.ALIVE
+                + (state == MemberState.ALIVE
                         ? " alive"
-                        : state == State.SUSPECT
+                        : state == MemberState.SUSPECT
                                 ? " suspected by " + confirmers
-                                : state == State.DEAD ? " dead" : " left")
+                                : state == MemberState.DEAD ? " dead" : " left")
                 + " in " + incarnation + "/" + Integer.toHexString(life)
                 + " v" + version;
     }
--- a/src/main/java/cacheproxy/membership/State.java
+++ b/src/main/java/cacheproxy/membership/MemberState.java
@@ -1,7 +1,7 @@
 package cacheproxy.membership;
 
 /** What is believed of an instance's life; of two beliefs in the same life and incarnation the later one here holds. */
-public enum State {
+public enum MemberState {
     /** It answers, or nobody has found otherwise. */
     ALIVE(0),
     /** Somebody did not reach it. It may still refute that, by its next incarnation. */
@@ -13,7 +13,7 @@
 
     private final int code;
 
-    State(int code) {
+    MemberState(int code) {
         this.code = code;
     }
 
@@ -23,7 +23,7 @@
     }
 
     /** The state of that code, 0 to 3. */
-    static State of(int code) {
+    static MemberState of(int code) {
         return switch (code) {
             case 0 -> ALIVE;
             case 1 -> SUSPECT;
--- a/src/main/java/cacheproxy/membership/Table.java
+++ b/src/main/java/cacheproxy/membership/MemberTable.java
@@ -10,39 +10,39 @@
  * What one instance knows of all, by their numbers. Entries only go up in their order. Digests are kept as entries
  * change: one of all, and one for each of {@link #SLICES} slices, by which two that differ find where.
  */
-public final class Table {
+public final class MemberTable {
     /** Into how many slices the entries fall, by their numbers. */
     public static final int SLICES = 32;
     /** No instance refutes so often between two that hear of it; what claims more is no entry of ours. */
     static final long MOST_AHEAD = 1 << 20;
 
     private final int most;
-    private final BinaryOperator<Entry> joining;
-    private final TreeMap<Integer, Entry> entries = new TreeMap<>();
+    private final BinaryOperator<Member> joining;
+    private final TreeMap<Integer, Member> entries = new TreeMap<>();
     private final long[] slices = new long[SLICES];
 
     /** For so many instances at most, the dead among them. */
-    public Table(int most) {
-        this(most, Entry::join);
+    public MemberTable(int most) {
+        this(most, Member::join);
     }
 
     /** {@code joining}: what becomes of two entries of one instance, the held one first. */
-    Table(int most, BinaryOperator<Entry> joining) {
+    MemberTable(int most, BinaryOperator<Member> joining) {
         this.joining = joining;
-        if (most < 1 || most > Entry.MAX_ID + 1) {
+        if (most < 1 || most > Member.MAX_ID + 1) {
             throw new IllegalArgumentException(
-                    "a table for " + most + " instances; it takes 1 to " + (Entry.MAX_ID + 1));
+                    "a table for " + most + " instances; it takes 1 to " + (Member.MAX_ID + 1));
         }
         this.most = most;
     }
 
     /** The entry of an instance, null if nothing is known of it. */
-    public Entry get(int id) {
+    public Member get(int id) {
         return entries.get(id);
     }
 
     /** All entries, by number. */
-    public Collection<Entry> all() {
+    public Collection<Member> all() {
         return entries.values();
     }
 
@@ -57,8 +57,8 @@
      * @return the new entry, or null if that changes nothing or is beyond belief
      */
     @SuppressWarnings("ReferenceEquality") // cheap first: a join gives back what was held where nothing is new
-    public Entry join(Entry said) {
-        Entry held = entries.get(said.id());
+    public Member join(Member said) {
+        Member held = entries.get(said.id());
         if (held == null) {
             if (entries.size() >= most && !makeRoom()) {
                 return null;
@@ -69,7 +69,7 @@
         if (said.incarnation() > held.incarnation() + MOST_AHEAD) {
             return null;
         }
-        Entry both = joining.apply(held, said);
+        Member both = joining.apply(held, said);
         if (both == held || both.equals(held)) {
             return null;
         }
@@ -77,14 +77,14 @@
         return both;
     }
 
-    private void put(Entry entry) {
-        Entry before = entries.put(entry.id(), entry);
+    private void put(Member entry) {
+        Member before = entries.put(entry.id(), entry);
         slices[slice(entry.id())] += entry.hash() - (before == null ? 0 : before.hash());
     }
 
     /** Lets go of one that is dead or has left; nothing else makes room. */
     private boolean makeRoom() {
-        for (Entry e : entries.values()) {
+        for (Member e : entries.values()) {
             if (!e.state().lives()) {
                 forget(e.id());
                 return true;
@@ -95,7 +95,7 @@
 
     /** Lets go of an instance that the settings do not name and that has been gone for long. */
     void forget(int id) {
-        Entry gone = entries.remove(id);
+        Member gone = entries.remove(id);
         if (gone != null) {
             slices[slice(id)] -= gone.hash();
         }
@@ -122,13 +122,13 @@
     }
 
     private static int fold(long sum) {
-        long h = Entry.mix(sum);
+        long h = Member.mix(sum);
         return (int) (h ^ h >>> 32);
     }
 
     /** The entries of a slice, by number. */
-    public List<Entry> ofSlice(int slice) {
-        List<Entry> some = new ArrayList<>();
+    public List<Member> ofSlice(int slice) {
+        List<Member> some = new ArrayList<>();
         entries.values().forEach(e -> {
             if (slice(e.id()) == slice) {
                 some.add(e);
--- a/src/main/java/cacheproxy/membership/Membership.java
+++ b/src/main/java/cacheproxy/membership/Membership.java
@@ -1,7 +1,7 @@
 package cacheproxy.membership;
 
-import cacheproxy.membership.Message.Kind;
-import cacheproxy.membership.Send.Urgency;
+import cacheproxy.membership.MembershipMessage.Kind;
+import cacheproxy.membership.OutgoingMessage.Urgency;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -66,17 +66,17 @@
     /** A death that comes without a suspicion is believed only so much later. */
     private static final double CLAIM_MS = 800;
 
-    private record Claim(Entry said, double dueMs) {}
+    private record Claim(Member said, double dueMs) {}
 
-    private final MemberSettings settings;
+    private final MembershipSettings settings;
     private final int me;
     private final SplittableRandom random;
     private final Allowance allowance;
     private final Knowledge knowledge;
-    private final Table table;
-    private final Own own;
-    private final News news = new News();
-    private final Health health = new Health();
+    private final MemberTable table;
+    private final LocalMember own;
+    private final GossipQueue news = new GossipQueue();
+    private final LocalHealth health = new LocalHealth();
     private final Map<Integer, Probe> probes = new LinkedHashMap<>();
     private final Map<Integer, Suspicion> suspicions = new HashMap<>();
     /** Deaths that are not believed yet, by who is said to be dead. */
@@ -96,7 +96,7 @@
     /** Those who do not know what is held of them. */
     private final Set<Integer> owed = new HashSet<>();
 
-    private final List<Send> out = new ArrayList<>();
+    private final List<OutgoingMessage> out = new ArrayList<>();
     private final List<Integer> order = new ArrayList<>();
     /** The numbers of those that live but for this one, by their place on the ring; null when that has changed. */
     private List<Integer> others;
@@ -115,14 +115,14 @@
      * Begins a life. Nothing is sent before the first {@link #tick}.
      *
      * @param me this instance's number
-     * @param zone where it stands, 0 to {@link Entry#MAX_ZONE}
+     * @param zone where it stands, 0 to {@link Member#MAX_ZONE}
      * @param address where it is reached, 6 bytes; empty where the settings name it
      * @param remembered the incarnation of its last life; 0 if nothing is remembered
      * @param seed new at each start
      * @param allowance what may be sent
      */
     public Membership(
-            MemberSettings settings,
+            MembershipSettings settings,
             int me,
             int zone,
             byte[] address,
@@ -133,8 +133,8 @@
         this.allowance = allowance;
         this.me = me;
         random = new SplittableRandom(seed);
-        knowledge =
-                new Knowledge(Entry.begin(me, remembered + 1, random.nextInt(0x10000), zone, address), settings.most());
+        knowledge = new Knowledge(
+                Member.begin(me, remembered + 1, random.nextInt(0x10000), zone, address), settings.most());
         table = knowledge.table();
         own = knowledge.own();
         news.changed(me);
@@ -144,7 +144,7 @@
     // ---- what it is told
 
     /** What this instance says of its service from now on. */
-    public void phase(Phase phase) {
+    public void phase(ServicePhase phase) {
         own.phase(phase);
         ownChanged();
     }
@@ -173,7 +173,7 @@
     /** A message has come. {@code from}: whose address it came from, negative if addresses tell nothing. */
     public void heard(double nowMs, int from, byte[] body) {
         wake(nowMs);
-        Message m = Message.decode(body);
+        MembershipMessage m = MembershipMessage.decode(body);
         if (m == null
                 || (from >= 0 && m.entries().get(0).id() != from)
                 || m.entries().get(0).id() == me) {
@@ -182,17 +182,17 @@
         }
         int sender = m.entries().get(0).id();
         m.entries().forEach(e -> take(nowMs, e));
-        Entry held = table.get(sender);
+        Member held = table.get(sender);
         if (held == null) {
             return; // no room for it
         }
         heardMs.put(sender, nowMs);
-        Entry said = m.entries().get(0);
+        Member said = m.entries().get(0);
         if (held.compareLife(said) != 0 || held.state() != said.state()) {
             owed.add(sender);
         }
         switch (m.kind()) {
-            case PING -> send(nowMs, Kind.ACK, sender, m.number(), Message.NOBODY, Urgency.ANSWER);
+            case PING -> send(nowMs, Kind.ACK, sender, m.number(), MembershipMessage.NOBODY, Urgency.ANSWER);
             case ACK -> answered(nowMs, m, sender);
             case HELP -> help(nowMs, m, sender);
             case DIFFER -> differ(nowMs, m, sender);
@@ -206,13 +206,13 @@
     }
 
     /** Takes in what is said of somebody. */
-    private void take(double nowMs, Entry said) {
+    private void take(double nowMs, Member said) {
         if (said.id() == me) {
             boolean thisLife = said.life() == own.entry().life();
-            if (knowledge.take(nowMs, said) == Knowledge.Heard.REFUTED) {
+            if (knowledge.take(nowMs, said) == Knowledge.MergeResult.REFUTED) {
                 if (thisLife) {
                     health.suspected();
-                    deathsRefuted += said.state() == State.DEAD ? 1 : 0;
+                    deathsRefuted += said.state() == MemberState.DEAD ? 1 : 0;
                 }
                 news.changed(me);
             }
@@ -231,24 +231,33 @@
      * first, and told so that it may refute; it is believed when that has not come in time. Otherwise a cut that heals
      * would have each side give up its own neighbours for a moment.
      */
-    private boolean heldBack(double nowMs, Entry said) {
-        Entry held = table.get(said.id());
-        if (said.state() != State.DEAD || held == null || held.state() != State.ALIVE || held.compareLife(said) != 0) {
+    private boolean heldBack(double nowMs, Member said) {
+        Member held = table.get(said.id());
+        if (said.state() != MemberState.DEAD
+                || held == null
+                || held.state() != MemberState.ALIVE
+                || held.compareLife(said) != 0) {
             return false;
         }
         if (claims.putIfAbsent(said.id(), new Claim(said, nowMs + CLAIM_MS)) == null) {
             post(
                     nowMs,
                     said.id(),
-                    new Message(Kind.NEWS, 0, Message.NOBODY, table.digest(), new int[0], List.of(own.entry(), said)),
+                    new MembershipMessage(
+                            Kind.NEWS,
+                            0,
+                            MembershipMessage.NOBODY,
+                            table.digest(),
+                            new int[0],
+                            List.of(own.entry(), said)),
                     Urgency.CHANGE);
         }
         return true;
     }
 
-    private void apply(double nowMs, Entry said) {
-        Entry before = table.get(said.id());
-        Entry now = table.join(said);
+    private void apply(double nowMs, Member said) {
+        Member before = table.get(said.id());
+        Member now = table.join(said);
         if (now == null) {
             return;
         }
@@ -261,14 +270,14 @@
             goneMs.remove(now.id());
         } else {
             goneMs.putIfAbsent(now.id(), nowMs);
-            probes.values().removeIf(p -> p.target == now.id() && p.why != Probe.Why.RETURN);
+            probes.values().removeIf(p -> p.target == now.id() && p.why != Probe.Purpose.RETURN);
         }
         Suspicion s = suspicions.get(now.id());
-        if (s != null && (now.state() != State.SUSPECT || !s.of(now))) {
+        if (s != null && (now.state() != MemberState.SUSPECT || !s.of(now))) {
             suspicions.remove(now.id());
             s = null;
         }
-        if (now.state() == State.SUSPECT && s == null && own.entry().state() != State.LEFT) {
+        if (now.state() == MemberState.SUSPECT && s == null && own.entry().state() != MemberState.LEFT) {
             suspicions.put(now.id(), new Suspicion(now, nowMs)); // the next tick looks
         }
     }
@@ -294,14 +303,14 @@
             if (s != null && s.lookMs <= nowMs) {
                 s.lookMs = nowMs + LOOK_MS;
                 if (nowMs - s.failedMs > EVIDENCE_MS * health.longer() && looks(table.get(id))) {
-                    probe(nowMs, id, Probe.Why.CONFIRM);
+                    probe(nowMs, id, Probe.Purpose.CONFIRM);
                 }
             }
             if (s != null && endMs(id) <= nowMs) {
                 end(nowMs, id);
             }
         }
-        if (own.entry().state() != State.LEFT && nowMs >= roundMs) {
+        if (own.entry().state() != MemberState.LEFT && nowMs >= roundMs) {
             round(nowMs);
         }
         if (news.takeFresh() && flushMs == Double.POSITIVE_INFINITY) {
@@ -314,7 +323,7 @@
 
     /** When {@link #tick} wants to be called next, in milliseconds; after anything else that was told, at once. */
     public double dueMs() {
-        double due = own.entry().state() == State.LEFT ? Double.POSITIVE_INFINITY : roundMs;
+        double due = own.entry().state() == MemberState.LEFT ? Double.POSITIVE_INFINITY : roundMs;
         for (Probe p : probes.values()) {
             due = Math.min(due, p.nextMs);
         }
@@ -328,8 +337,8 @@
     }
 
     /** What is to go out now, in the order in which it was decided; handed out once. */
-    public List<Send> outgoing() {
-        List<Send> all = List.copyOf(out);
+    public List<OutgoingMessage> outgoing() {
+        List<OutgoingMessage> all = List.copyOf(out);
         out.clear();
         return all;
     }
@@ -368,7 +377,7 @@
         if (ring.isEmpty() || turn % RETURN_ROUNDS == 0) {
             List<Integer> gone = gone();
             for (int i = ring.isEmpty() ? JOIN_ASKS : 1; i > 0 && !gone.isEmpty(); i--) {
-                probe(nowMs, gone.remove(random.nextInt(gone.size())), Probe.Why.RETURN);
+                probe(nowMs, gone.remove(random.nextInt(gone.size())), Probe.Purpose.RETURN);
             }
             if (ring.isEmpty()) {
                 return;
@@ -376,7 +385,7 @@
         }
         int target = turn % 2 == 0 ? drawn(ring) : next(ring);
         if (target >= 0) {
-            probe(nowMs, target, Probe.Why.ROUND);
+            probe(nowMs, target, Probe.Purpose.ROUND);
         }
     }
 
@@ -396,8 +405,8 @@
         if (others == null) {
             others = table.all().stream()
                     .filter(e -> e.id() != me && e.state().lives())
-                    .map(Entry::id)
-                    .sorted(Comparator.comparingLong(id -> Entry.mix(id)))
+                    .map(Member::id)
+                    .sorted(Comparator.comparingLong(id -> Member.mix(id)))
                     .toList();
         }
         return others;
@@ -405,16 +414,16 @@
 
     /** The next on the ring that this instance neither suspects nor asks already; negative if there is none. */
     private int next(List<Integer> ring) {
-        long mine = Entry.mix(me);
+        long mine = Member.mix(me);
         int at = 0;
-        while (at < ring.size() && Entry.mix(ring.get(at)) < mine) {
+        while (at < ring.size() && Member.mix(ring.get(at)) < mine) {
             at++;
         }
         for (int i = 0; i < ring.size(); i++) {
             int id = ring.get((at + i) % ring.size());
             Suspicion s = suspicions.get(id);
             if ((s == null || s.failedMs == Double.NEGATIVE_INFINITY)
-                    && probes.values().stream().noneMatch(p -> p.target == id && p.why == Probe.Why.ROUND)) {
+                    && probes.values().stream().noneMatch(p -> p.target == id && p.why == Probe.Purpose.ROUND)) {
                 return id;
             }
         }
@@ -434,7 +443,7 @@
                 }
             }
             int id = order.remove(order.size() - 1);
-            Entry e = table.get(id);
+            Member e = table.get(id);
             if (e != null && e.state().lives()) {
                 return id;
             }
@@ -443,10 +452,10 @@
 
     // ---- probes
 
-    private void probe(double nowMs, int target, Probe.Why why) {
+    private void probe(double nowMs, int target, Probe.Purpose why) {
         boolean running = probes.values().stream().anyMatch(p -> p.target == target && p.why == why);
         if (!running) {
-            begin(nowMs, new Probe(number(), target, why, Message.NOBODY, 0, nowMs));
+            begin(nowMs, new Probe(number(), target, why, MembershipMessage.NOBODY, 0, nowMs));
         }
     }
 
@@ -471,20 +480,20 @@
                 Kind.PING,
                 p.target,
                 p.number,
-                Message.NOBODY,
-                p.why == Probe.Why.RETURN ? Urgency.OTHER : Urgency.CHANGE);
+                MembershipMessage.NOBODY,
+                p.why == Probe.Purpose.RETURN ? Urgency.OTHER : Urgency.CHANGE);
         p.asked += sent ? 1 : 0;
         return sent;
     }
 
     private void advance(double nowMs, Probe p) {
         boolean over = nowMs >= p.beganMs + settings.probeMs() * health.slower() * health.longer();
-        if (p.why == Probe.Why.RETURN || over) {
+        if (p.why == Probe.Purpose.RETURN || over) {
             probes.remove(p.number);
             failed(nowMs, p);
             return;
         }
-        if (p.asked == 1 && !many() && (p.why == Probe.Why.ROUND || p.why == Probe.Why.LAST)) {
+        if (p.asked == 1 && !many() && (p.why == Probe.Purpose.ROUND || p.why == Probe.Purpose.LAST)) {
             // Those who confirm a suspicion are helpers themselves; at a cut there is no way round.
             helpers(p.target).forEach(h -> send(nowMs, Kind.HELP, h, p.number, p.target, Urgency.CHANGE));
         }
@@ -509,23 +518,25 @@
         return some;
     }
 
-    private void help(double nowMs, Message m, int asker) {
+    private void help(double nowMs, MembershipMessage m, int asker) {
         if (m.target() != me && table.get(m.target()) != null) {
-            begin(nowMs, new Probe(number(), m.target(), Probe.Why.HELP, asker, m.number(), nowMs));
+            begin(nowMs, new Probe(number(), m.target(), Probe.Purpose.HELP, asker, m.number(), nowMs));
         }
     }
 
-    private void answered(double nowMs, Message m, int sender) {
+    private void answered(double nowMs, MembershipMessage m, int sender) {
         Probe p = probes.get(m.number());
-        if (p == null && m.target() == Message.NOBODY && Integer.valueOf(sender).equals(late.remove(m.number()))) {
+        if (p == null
+                && m.target() == MembershipMessage.NOBODY
+                && Integer.valueOf(sender).equals(late.remove(m.number()))) {
             health.late();
         }
-        if (p == null || p.target != (m.target() == Message.NOBODY ? sender : m.target())) {
+        if (p == null || p.target != (m.target() == MembershipMessage.NOBODY ? sender : m.target())) {
             return;
         }
         probes.remove(p.number);
         health.answered(p.asked);
-        if (p.why == Probe.Why.HELP) {
+        if (p.why == Probe.Purpose.HELP) {
             send(nowMs, Kind.ACK, p.asker, p.askerNumber, p.target, Urgency.ANSWER);
         }
         Suspicion s = suspicions.get(p.target);
@@ -535,39 +546,39 @@
     }
 
     private void failed(double nowMs, Probe p) {
-        Entry e = table.get(p.target);
-        if (p.why == Probe.Why.RETURN
-                || p.why == Probe.Why.HELP
+        Member e = table.get(p.target);
+        if (p.why == Probe.Purpose.RETURN
+                || p.why == Probe.Purpose.HELP
                 || e == null
                 || !e.state().lives()) {
             return;
         }
         late.put(p.number, p.target);
-        if (p.why == Probe.Why.LAST) {
+        if (p.why == Probe.Purpose.LAST) {
             if (suspicions.containsKey(p.target)) {
-                apply(nowMs, e.in(State.DEAD));
+                apply(nowMs, e.in(MemberState.DEAD));
             }
             return;
         }
-        boolean first = e.state() == State.ALIVE;
+        boolean first = e.state() == MemberState.ALIVE;
         apply(nowMs, e.suspectedBy(me));
         Suspicion s = suspicions.get(p.target);
         if (s != null) {
             s.failedMs = nowMs;
         }
-        if (p.why == Probe.Why.ROUND) {
+        if (p.why == Probe.Purpose.ROUND) {
             // Where one is gone there may be more: those behind it on the ring are asked at once.
             for (int i = 0; i < RING_ASKS; i++) {
                 int next = next(others());
                 if (next >= 0) {
-                    probe(nowMs, next, Probe.Why.ROUND);
+                    probe(nowMs, next, Probe.Purpose.ROUND);
                 }
             }
         }
         Collection<Integer> told = first ? lookers(e) : table.get(p.target).confirmers();
         told.stream()
                 .filter(t -> t != me && t != p.target)
-                .forEach(t -> send(nowMs, Kind.NEWS, t, 0, Message.NOBODY, Urgency.CHANGE));
+                .forEach(t -> send(nowMs, Kind.NEWS, t, 0, MembershipMessage.NOBODY, Urgency.CHANGE));
     }
 
     // ---- suspicions
@@ -576,8 +587,8 @@
      * Those who look at once after one that is suspected; alike at all whose views are. Who is suspected looks after
      * nobody: at a cut those on this side soon take the place of those on the other.
      */
-    private List<Integer> lookers(Entry suspect) {
-        long salt = Entry.mix(suspect.id() * 31L + suspect.incarnation());
+    private List<Integer> lookers(Member suspect) {
+        long salt = Member.mix(suspect.id() * 31L + suspect.incarnation());
         List<Integer> all = new ArrayList<>(others());
         all.add(me);
         boolean many = many();
@@ -585,7 +596,7 @@
         all.removeIf(id -> id == suspect.id()
                 || suspicions.containsKey(id)
                 || (many && id != me && heardMs.getOrDefault(id, Double.NEGATIVE_INFINITY) < since));
-        all.sort(Comparator.comparingLong(id -> Entry.mix(id ^ salt)));
+        all.sort(Comparator.comparingLong(id -> Member.mix(id ^ salt)));
         return all.subList(0, Math.min(settings.confirmers(), all.size()));
     }
 
@@ -598,19 +609,19 @@
         return suspicions.size() > Math.max(LEAST_MANY, others().size() / PART_MANY);
     }
 
-    private boolean looks(Entry suspect) {
+    private boolean looks(Member suspect) {
         return lookers(suspect).contains(me);
     }
 
     private double endMs(int id) {
         Suspicion s = suspicions.get(id);
-        Entry e = table.get(id);
+        Member e = table.get(id);
         int wanted = Math.min(many() ? 1 : settings.confirmers(), others().size() - suspicions.size());
         double end = s.endMs(settings, e.confirmers().size(), wanted);
         boolean mine = e.confirmers().contains(me) || s.failedMs != Double.NEGATIVE_INFINITY;
         double slow = s.beganMs + (end - s.beganMs) * health.slower() * health.longer();
         double looking = probes.values().stream()
-                .filter(p -> p.target == id && p.why == Probe.Why.LAST)
+                .filter(p -> p.target == id && p.why == Probe.Purpose.LAST)
                 .mapToDouble(p -> p.nextMs)
                 .findFirst()
                 .orElse(Double.NEGATIVE_INFINITY);
@@ -620,11 +631,11 @@
     private void end(double nowMs, int id) {
         Suspicion s = suspicions.get(id);
         if (nowMs - s.failedMs <= EVIDENCE_MS * health.longer()) {
-            apply(nowMs, table.get(id).in(State.DEAD));
-        } else if (probes.values().stream().noneMatch(p -> p.target == id && p.why == Probe.Why.LAST)) {
+            apply(nowMs, table.get(id).in(MemberState.DEAD));
+        } else if (probes.values().stream().noneMatch(p -> p.target == id && p.why == Probe.Purpose.LAST)) {
             s.failedMs = Double.NEGATIVE_INFINITY;
-            probe(nowMs, id, Probe.Why.LAST);
-            if (probes.values().stream().noneMatch(p -> p.target == id && p.why == Probe.Why.LAST)) {
+            probe(nowMs, id, Probe.Purpose.LAST);
+            if (probes.values().stream().noneMatch(p -> p.target == id && p.why == Probe.Purpose.LAST)) {
                 s.beganMs = nowMs; // too much to do; later
             }
         }
@@ -638,41 +649,42 @@
             return;
         }
         for (int to : drawn(many, me)) {
-            send(nowMs, Kind.NEWS, to, 0, Message.NOBODY, Urgency.OTHER);
+            send(nowMs, Kind.NEWS, to, 0, MembershipMessage.NOBODY, Urgency.OTHER);
         }
     }
 
     /** Whether there was room for it. */
     private boolean send(double nowMs, Kind kind, int to, int probe, int target, Urgency urgency) {
-        List<Entry> entries = new ArrayList<>(List.of(own.entry()));
-        Entry its = table.get(to);
-        if (its != null && (owed.remove(to) || its.state() != State.ALIVE)) {
+        List<Member> entries = new ArrayList<>(List.of(own.entry()));
+        Member its = table.get(to);
+        if (its != null && (owed.remove(to) || its.state() != MemberState.ALIVE)) {
             entries.add(its);
         }
-        if (target != Message.NOBODY && target != to && table.get(target) != null) {
+        if (target != MembershipMessage.NOBODY && target != to && table.get(target) != null) {
             entries.add(table.get(target));
         }
-        int bytes = Message.headBytes(kind)
-                + entries.stream().mapToInt(Message::bytes).sum();
+        int bytes = MembershipMessage.headBytes(kind)
+                + entries.stream().mapToInt(MembershipMessage::bytes).sum();
         int room = Math.min(ROOM - bytes, kind == Kind.NEWS ? ROOM : allowance.spare(nowMs));
-        List<Entry> more = news.take(table, room, me);
+        List<Member> more = news.take(table, room, me);
         more.removeIf(e -> entries.stream().anyMatch(x -> x.id() == e.id()));
         entries.addAll(more);
-        return post(nowMs, to, new Message(kind, probe, target, table.digest(), new int[0], entries), urgency);
+        return post(
+                nowMs, to, new MembershipMessage(kind, probe, target, table.digest(), new int[0], entries), urgency);
     }
 
-    private boolean post(double nowMs, int to, Message message, Urgency urgency) {
+    private boolean post(double nowMs, int to, MembershipMessage message, Urgency urgency) {
         byte[] body = message.encode();
         boolean room = allowance.take(nowMs, body.length, urgency);
         if (room) {
-            out.add(new Send(to, body, urgency));
+            out.add(new OutgoingMessage(to, body, urgency));
         }
         return room;
     }
 
-    private void differ(double nowMs, Message m, int sender) {
+    private void differ(double nowMs, MembershipMessage m, int sender) {
         List<Integer> slices = new ArrayList<>();
-        for (int i = 0; i < Table.SLICES; i++) {
+        for (int i = 0; i < MemberTable.SLICES; i++) {
             if (m.slices()[i] != table.digest(i)) {
                 slices.add(i);
             }
@@ -687,7 +699,7 @@
             repliedMs = nowMs;
             sendSlices(nowMs, sender, 1);
         }
-        List<Entry> left = new ArrayList<>();
+        List<Member> left = new ArrayList<>();
         slices.forEach(i -> left.addAll(table.ofSlice(i)));
         left.removeIf(e -> e.id() == me);
         for (int i = 0; i < SLICE_MESSAGES && (i == 0 || !left.isEmpty()); i++) {
@@ -695,12 +707,12 @@
         }
     }
 
-    private void sendSome(double nowMs, int to, List<Entry> left) {
-        List<Entry> entries = new ArrayList<>(List.of(own.entry()));
-        int room = ROOM - Message.headBytes(Kind.SLICES) - Message.bytes(own.entry());
+    private void sendSome(double nowMs, int to, List<Member> left) {
+        List<Member> entries = new ArrayList<>(List.of(own.entry()));
+        int room = ROOM - MembershipMessage.headBytes(Kind.SLICES) - MembershipMessage.bytes(own.entry());
         while (!left.isEmpty()) {
             int at = random.nextInt(left.size());
-            int bytes = Message.bytes(left.get(at));
+            int bytes = MembershipMessage.bytes(left.get(at));
             if (bytes > room) {
                 break;
             }
@@ -710,39 +722,40 @@
         post(
                 nowMs,
                 to,
-                new Message(Kind.SLICES, 0, Message.NOBODY, table.digest(), new int[0], entries),
+                new MembershipMessage(Kind.SLICES, 0, MembershipMessage.NOBODY, table.digest(), new int[0], entries),
                 Urgency.OTHER);
     }
 
     /** {@code reply}: 1 if this answers the other's own. */
     private void sendSlices(double nowMs, int to, int reply) {
-        int[] digests = new int[Table.SLICES];
+        int[] digests = new int[MemberTable.SLICES];
         for (int i = 0; i < digests.length; i++) {
             digests[i] = table.digest(i);
         }
         post(
                 nowMs,
                 to,
-                new Message(Kind.DIFFER, reply, Message.NOBODY, table.digest(), digests, List.of(own.entry())),
+                new MembershipMessage(
+                        Kind.DIFFER, reply, MembershipMessage.NOBODY, table.digest(), digests, List.of(own.entry())),
                 Urgency.CHANGE);
     }
 
     // ---- what it knows
 
     /** The fleet as this instance sees it now. */
-    public View view(double nowMs) {
-        return new View(
+    public MembershipView view(double nowMs) {
+        return new MembershipView(
                 me,
                 nowMs,
                 List.copyOf(table.all()),
                 table.digest(),
-                settings.configured() == 0 ? null : new Configured(settings.configured()),
+                settings.configured() == 0 ? null : new ConfiguredMembers(settings.configured()),
                 own.disputed());
     }
 
-    /** How many live, as {@link View#living} has it. */
-    public Living living() {
-        return new Living(others().size() + 1);
+    /** How many live, as {@link MembershipView#living} has it. */
+    public LiveMembers living() {
+        return new LiveMembers(others().size() + 1);
     }
 
     /** How often this instance has refuted that it was dead, in this life. */
@@ -756,7 +769,7 @@
     }
 
     /** What is held of an instance, null if nothing is. */
-    public Entry entry(int id) {
+    public Member entry(int id) {
         return table.get(id);
     }
 
--- a/src/main/java/cacheproxy/membership/Message.java
+++ b/src/main/java/cacheproxy/membership/MembershipMessage.java
@@ -19,12 +19,12 @@
  * @param slices digests of the sender's slices in a {@link Kind#DIFFER}; empty otherwise
  * @param entries the sender's own first
  */
-public record Message(Kind kind, int number, int target, int digest, int[] slices, List<Entry> entries) {
+public record MembershipMessage(Kind kind, int number, int target, int digest, int[] slices, List<Member> entries) {
     /** No instance's number. */
     public static final int NOBODY = 0xffff;
 
     private static final int HEAD_BYTES = 1 + 1 + 2 + 2 + 4;
-    private static final int SLICE_BYTES = 2 * Table.SLICES;
+    private static final int SLICE_BYTES = 2 * MemberTable.SLICES;
     private static final int ADDRESS = 0x10;
     private static final int NOTES = 0x20;
     private static final int CONFIRMERS = 0x40;
@@ -74,7 +74,7 @@
     }
 
     /** The bytes that an entry takes. */
-    static int bytes(Entry e) {
+    static int bytes(Member e) {
         int n = 1 + 2 + varint(e.zone()) + varint(e.incarnation()) + 2 + varint(e.version());
         n += e.address().length;
         if (!e.confirmers().isEmpty()) {
@@ -91,7 +91,8 @@
 
     /** As it goes out. */
     public byte[] encode() {
-        int size = headBytes(kind) + entries.stream().mapToInt(Message::bytes).sum();
+        int size = headBytes(kind)
+                + entries.stream().mapToInt(MembershipMessage::bytes).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
         out.put((byte) kind.code())
                 .put((byte) entries.size())
@@ -107,7 +108,7 @@
         return out.array();
     }
 
-    private static void encode(Entry e, ByteBuffer out) {
+    private static void encode(Member e, ByteBuffer out) {
         out.put((byte) (e.state().code()
                 | e.phase().code() << 2
                 | (e.address().length > 0 ? ADDRESS : 0)
@@ -151,7 +152,7 @@
     // ---- from bytes
 
     /** What came in; null if it is none of these, cut short, or longer than it says. */
-    public static Message decode(byte[] bytes) {
+    public static MembershipMessage decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < HEAD_BYTES) {
             return null;
@@ -164,11 +165,11 @@
         int number = in.getShort() & 0xffff;
         int target = in.getShort() & 0xffff;
         int digest = in.getInt();
-        int[] slices = new int[kind == Kind.DIFFER ? Table.SLICES : 0];
+        int[] slices = new int[kind == Kind.DIFFER ? MemberTable.SLICES : 0];
         for (int i = 0; i < slices.length; i++) {
             slices[i] = in.getShort() & 0xffff;
         }
-        List<Entry> entries = new ArrayList<>(many);
+        List<Member> entries = new ArrayList<>(many);
         try {
             for (int i = 0; i < many; i++) {
                 entries.add(entry(in));
@@ -176,10 +177,12 @@
         } catch (BufferUnderflowException | IllegalArgumentException e) {
             return null;
         }
-        return in.hasRemaining() || many == 0 ? null : new Message(kind, number, target, digest, slices, entries);
+        return in.hasRemaining() || many == 0
+                ? null
+                : new MembershipMessage(kind, number, target, digest, slices, entries);
     }
 
-    private static Entry entry(ByteBuffer in) {
+    private static Member entry(ByteBuffer in) {
         int flags = in.get();
         int id = in.getShort() & 0xffff;
         long zone = getVarint(in);
@@ -199,18 +202,18 @@
             in.get(note);
             notes.put(head >> 5, note);
         }
-        if (flags < 0 || zone > Entry.MAX_ZONE || version > Integer.MAX_VALUE) {
+        if (flags < 0 || zone > Member.MAX_ZONE || version > Integer.MAX_VALUE) {
             throw new IllegalArgumentException("an entry of another form");
         }
-        return new Entry(
+        return new Member(
                 id,
                 incarnation,
                 life,
-                State.of(flags & 3),
+                MemberState.of(flags & 3),
                 confirmers,
                 (int) zone,
                 (int) version,
-                Phase.of(flags >> 2 & 3),
+                ServicePhase.of(flags >> 2 & 3),
                 Map.copyOf(notes),
                 address);
     }
--- a/src/main/java/cacheproxy/membership/MemberSettings.java
+++ b/src/main/java/cacheproxy/membership/MembershipSettings.java
@@ -18,7 +18,7 @@
  * @param fanout to how many news goes on at once
  * @param forgetMs after which one that is gone and that the settings do not name is forgotten
  */
-public record MemberSettings(
+public record MembershipSettings(
         int configured,
         List<Integer> seeds,
         int most,
@@ -32,11 +32,11 @@
         int fanout,
         double forgetMs) {
     /** Checks the ranges. */
-    public MemberSettings {
+    public MembershipSettings {
         seeds = List.copyOf(seeds);
         if (configured < 0
                 || most < Math.max(1, configured)
-                || most > Entry.MAX_ID
+                || most > Member.MAX_ID
                 || (configured == 0 && seeds.isEmpty())) {
             throw new IllegalArgumentException(configured + " configured instances, " + seeds.size()
                     + " seeds and room for " + most + "; it takes one of the former, and room for all of them");
@@ -53,23 +53,23 @@
         if (helpers < 0
                 || helpers > 16
                 || confirmers < 0
-                || confirmers >= Entry.MOST_CONFIRMERS
+                || confirmers >= Member.MOST_CONFIRMERS
                 || fanout < 1
                 || fanout > 16) {
             throw new IllegalArgumentException(helpers + " helpers, " + confirmers + " confirmers and a fanout of "
-                    + fanout + "; it takes up to 16, up to " + (Entry.MOST_CONFIRMERS - 1) + ", and 1 to 16");
+                    + fanout + "; it takes up to 16, up to " + (Member.MOST_CONFIRMERS - 1) + ", and 1 to 16");
         }
     }
 
     /** For so many configured instances, as measured in {@code docs/design/members.md}. */
-    public static MemberSettings of(int configured) {
-        return new MemberSettings(
+    public static MembershipSettings of(int configured) {
+        return new MembershipSettings(
                 configured, List.of(), Math.max(1, configured), 200, 100, 300, 3, 3, 500, 6000, 3, 600_000);
     }
 
     /** For a fleet that only its seeds name. */
-    public static MemberSettings bySeeds(List<Integer> seeds, int most) {
-        return new MemberSettings(0, seeds, most, 200, 100, 300, 3, 3, 500, 6000, 3, 600_000);
+    public static MembershipSettings bySeeds(List<Integer> seeds, int most) {
+        return new MembershipSettings(0, seeds, most, 200, 100, 300, 3, 3, 500, 6000, 3, 600_000);
     }
 
     /** Whether the settings name an instance of this number. */
--- a/src/main/java/cacheproxy/membership/View.java
+++ b/src/main/java/cacheproxy/membership/MembershipView.java
@@ -17,9 +17,10 @@
  * @param configured instances that the settings name; null where only seeds do
  * @param disputed whether another process seems to live under the instance's name
  */
-public record View(int me, double atMs, List<Entry> entries, int digest, Configured configured, boolean disputed) {
+public record MembershipView(
+        int me, double atMs, List<Member> entries, int digest, ConfiguredMembers configured, boolean disputed) {
     /** Checks that the instance itself is in it. */
-    public View {
+    public MembershipView {
         entries = List.copyOf(entries);
         if (entries.stream().noneMatch(e -> e.id() == me)) {
             throw new IllegalArgumentException("a view without the instance whose it is");
@@ -27,34 +28,35 @@
     }
 
     /** Those that live, itself among them. */
-    public Living living() {
-        return new Living(1
+    public LiveMembers living() {
+        return new LiveMembers(1
                 + (int) entries.stream()
                         .filter(e -> e.id() != me && e.state().lives())
                         .count());
     }
 
     /** Which part of the configured fleet it hears; of all that are known where only seeds are configured. */
-    public Hearing hearing() {
+    public Reachability hearing() {
         int all = configured == null ? entries.size() : configured.count();
-        return Hearing.of(
+        return Reachability.of(
                 (int) entries.stream()
-                        .filter(e -> e.state() == State.ALIVE && (configured == null || e.id() < configured.count()))
+                        .filter(e ->
+                                e.state() == MemberState.ALIVE && (configured == null || e.id() < configured.count()))
                         .count(),
                 all);
     }
 
     /** The same by the zones in which instances said they stand. */
-    public Map<Integer, Hearing> hearingByZone() {
+    public Map<Integer, Reachability> hearingByZone() {
         Map<Integer, int[]> counts = new TreeMap<>();
-        for (Entry e : entries) {
+        for (Member e : entries) {
             int[] c = counts.computeIfAbsent(e.zone(), z -> new int[2]);
-            c[0] += e.state() == State.ALIVE ? 1 : 0;
+            c[0] += e.state() == MemberState.ALIVE ? 1 : 0;
             c[1]++;
         }
-        Map<Integer, Hearing> by = new TreeMap<>();
+        Map<Integer, Reachability> by = new TreeMap<>();
         counts.forEach((zone, c) ->
-                by.put(zone, c[0] == 0 ? Hearing.ALONE : Hearing.of(c[0] == 1 && c[1] > 1 ? 2 : c[0], c[1])));
+                by.put(zone, c[0] == 0 ? Reachability.ALONE : Reachability.of(c[0] == 1 && c[1] > 1 ? 2 : c[0], c[1])));
         return by;
     }
 }
--- a/src/main/java/cacheproxy/membership/Probe.java
+++ b/src/main/java/cacheproxy/membership/Probe.java
@@ -3,7 +3,7 @@
 /** An instance that has been asked whether it lives. */
 final class Probe {
     /** Why it was asked. */
-    enum Why {
+    enum Purpose {
         /** It is its turn. */
         ROUND,
         /** Somebody suspects it. */
@@ -18,7 +18,7 @@
 
     final int number;
     final int target;
-    final Why why;
+    final Purpose why;
     /** For whom and by which number of theirs, where another asked. */
     final int asker;
 
@@ -27,7 +27,7 @@
     double nextMs;
     int asked;
 
-    Probe(int number, int target, Why why, int asker, int askerNumber, double beganMs) {
+    Probe(int number, int target, Purpose why, int asker, int askerNumber, double beganMs) {
         this.number = number;
         this.target = target;
         this.why = why;
--- a/src/main/java/cacheproxy/membership/Hearing.java
+++ b/src/main/java/cacheproxy/membership/Reachability.java
@@ -1,7 +1,7 @@
 package cacheproxy.membership;
 
 /** Which part of the configured fleet an instance can hear, itself among it. */
-public enum Hearing {
+public enum Reachability {
     /** Nobody else, though there are others. */
     ALONE,
     /** At most half. */
@@ -11,7 +11,7 @@
     /** All. */
     ALL;
 
-    static Hearing of(int heard, int all) {
+    static Reachability of(int heard, int all) {
         return heard >= all ? ALL : heard <= 1 ? ALONE : 2 * heard > all ? MAJORITY : MINORITY;
     }
 }
--- a/src/main/java/cacheproxy/membership/Phase.java
+++ b/src/main/java/cacheproxy/membership/ServicePhase.java
@@ -1,7 +1,7 @@
 package cacheproxy.membership;
 
 /** What an instance says of its own service. */
-public enum Phase {
+public enum ServicePhase {
     /** It takes no requests yet. */
     STARTING(0),
     /** It serves what it can and learns the rest. */
@@ -13,7 +13,7 @@
 
     private final int code;
 
-    Phase(int code) {
+    ServicePhase(int code) {
         this.code = code;
     }
 
@@ -23,7 +23,7 @@
     }
 
     /** The phase of that code, 0 to 3. */
-    static Phase of(int code) {
+    static ServicePhase of(int code) {
         return switch (code) {
             case 0 -> STARTING;
             case 1 -> RECOVERING;
--- a/src/main/java/cacheproxy/membership/Suspicion.java
+++ b/src/main/java/cacheproxy/membership/Suspicion.java
@@ -13,18 +13,18 @@
     /** When this instance itself did not reach it last; negative infinity if it has not tried. */
     double failedMs = Double.NEGATIVE_INFINITY;
 
-    Suspicion(Entry entry, double nowMs) {
+    Suspicion(Member entry, double nowMs) {
         incarnation = entry.incarnation();
         life = entry.life();
         beganMs = nowMs;
     }
 
-    boolean of(Entry entry) {
+    boolean of(Member entry) {
         return incarnation == entry.incarnation() && life == entry.life();
     }
 
     /** When it is over. */
-    double endMs(MemberSettings s, int confirmers, int wanted) {
+    double endMs(MembershipSettings s, int confirmers, int wanted) {
         double part = wanted <= 0 ? 1 : Math.min(1, Math.log(Math.max(1, confirmers)) / Math.log(wanted + 1));
         return beganMs + Math.max(s.leastMs(), s.longestMs() - (s.longestMs() - s.leastMs()) * part);
     }
--- a/src/main/java/cacheproxy/model/FleetPart.java
+++ b/src/main/java/cacheproxy/model/FleetPart.java
@@ -4,9 +4,9 @@
 import cacheproxy.failover.Zones;
 import cacheproxy.gossip.MembershipBudget;
 import cacheproxy.gossip.SendBudget;
-import cacheproxy.membership.MemberSettings;
 import cacheproxy.membership.Membership;
-import cacheproxy.membership.Phase;
+import cacheproxy.membership.MembershipSettings;
+import cacheproxy.membership.ServicePhase;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.EndpointState;
@@ -40,14 +40,14 @@
         this.post = post;
         this.order = order;
         members = new Membership(
-                MemberSettings.of(settings.instanceCount()),
+                MembershipSettings.of(settings.instanceCount()),
                 settings.instanceIndex(),
                 settings.zone(),
                 new byte[0],
                 0,
                 seed,
                 new MembershipBudget(new SendBudget(ViewPlay.BYTES_PER_SECOND, ViewPlay.BURST)));
-        members.phase(Phase.SERVING);
+        members.phase(ServicePhase.SERVING);
         zones = new Zones(
                 new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs()));
     }
--- a/src/main/java/cacheproxy/model/ViewPlay.java
+++ b/src/main/java/cacheproxy/model/ViewPlay.java
@@ -3,12 +3,12 @@
 import cacheproxy.gossip.Envelope;
 import cacheproxy.gossip.MembershipBudget;
 import cacheproxy.gossip.SendBudget;
-import cacheproxy.membership.Entry;
-import cacheproxy.membership.MemberSettings;
+import cacheproxy.membership.Member;
+import cacheproxy.membership.MemberState;
 import cacheproxy.membership.Membership;
-import cacheproxy.membership.Phase;
-import cacheproxy.membership.Send;
-import cacheproxy.membership.State;
+import cacheproxy.membership.MembershipSettings;
+import cacheproxy.membership.OutgoingMessage;
+import cacheproxy.membership.ServicePhase;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -49,14 +49,14 @@
             outbox = new SendBudget(BYTES_PER_SECOND, BURST);
             members = new Membership(
                     settings, id, id % ZONES, new byte[0], remembered, random.nextLong(), new MembershipBudget(outbox));
-            members.phase(Phase.SERVING);
+            members.phase(ServicePhase.SERVING);
             go();
         }
 
         void go() {
             long mine = ++waits;
             members.tick(time.now());
-            for (Send s : members.outgoing()) {
+            for (OutgoingMessage s : members.outgoing()) {
                 bytes += Envelope.datagramBytes(s.body().length);
                 post(id, s.to(), s.body());
             }
@@ -86,7 +86,7 @@
         }
     }
 
-    private final MemberSettings settings;
+    private final MembershipSettings settings;
     private final VirtualTime time = new VirtualTime(0);
     private final SplittableRandom random;
     private final List<Instance> instances = new ArrayList<>();
@@ -112,7 +112,7 @@
             throw new IllegalArgumentException(
                     many + " instances at a loss of " + loss + "; it takes 1 to 10000 and 0 to 1");
         }
-        settings = MemberSettings.of(many);
+        settings = MembershipSettings.of(many);
         this.loss = loss;
         this.twice = twice;
         random = new SplittableRandom(seed);
@@ -226,9 +226,9 @@
             return;
         }
         for (Instance other : instances) {
-            Entry e = other.members == null ? null : i.members.entry(other.id);
+            Member e = other.members == null ? null : i.members.entry(other.id);
             if (e != null
-                    && e.state() == State.DEAD
+                    && e.state() == MemberState.DEAD
                     && e.compareLife(other.members.entry(e.id())) == 0
                     && reaches(i.id, other.id)
                     && time.now() >= other.stoppedUntilMs) {
@@ -252,7 +252,7 @@
                 continue;
             }
             for (Instance other : instances) {
-                Entry e = i.members.entry(other.id);
+                Member e = i.members.entry(other.id);
                 boolean lives = other.members != null && reaches(i.id, other.id) && reaches(other.id, i.id);
                 if (lives
                         ? e == null || !e.state().lives() || i.members.digest() != other.members.digest()
@@ -267,7 +267,7 @@
     /** Whether all that live hold that one for alive, or for gone. */
     public boolean allHold(int id, boolean alive) {
         return instances.stream().filter(i -> i.members != null).allMatch(i -> {
-            Entry e = i.members.entry(id);
+            Member e = i.members.entry(id);
             return alive
                     ? e != null && e.state().lives()
                     : e == null || !e.state().lives();
--- a/src/main/java/cacheproxy/model/check/MemberProtocol.java
+++ b/src/main/java/cacheproxy/model/check/MemberProtocol.java
@@ -1,8 +1,8 @@
 package cacheproxy.model.check;
 
-import cacheproxy.membership.Entry;
 import cacheproxy.membership.Knowledge;
-import cacheproxy.membership.State;
+import cacheproxy.membership.Member;
+import cacheproxy.membership.MemberState;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -35,7 +35,7 @@
     public record Bounds(int messages, int suspicions, int deaths) {}
 
     /** A message: all that the sender knew. */
-    private record Mail(int to, List<Entry> entries) {}
+    private record Mail(int to, List<Member> entries) {}
 
     /** One state of all. A process that is dead has no knowledge; what it remembers is its last incarnation. */
     public record Fleet(
@@ -46,11 +46,11 @@
     }
 
     private final Bounds bounds;
-    private final Function<Entry, Knowledge> begin;
+    private final Function<Member, Knowledge> begin;
     private final UnaryOperator<Knowledge> copy;
 
     /** {@code begin} and {@code copy}: the knowledge to explore. */
-    public MemberProtocol(Bounds bounds, Function<Entry, Knowledge> begin, UnaryOperator<Knowledge> copy) {
+    public MemberProtocol(Bounds bounds, Function<Member, Knowledge> begin, UnaryOperator<Knowledge> copy) {
         this.bounds = bounds;
         this.begin = begin;
         this.copy = copy;
@@ -62,7 +62,7 @@
     }
 
     private static final class Real extends Knowledge {
-        Real(Entry self) {
+        Real(Member self) {
             super(self, INSTANCES);
         }
 
@@ -72,7 +72,7 @@
     }
 
     private Knowledge life(int id, long remembered, int life) {
-        return begin.apply(Entry.begin(id, remembered + 1, life, 0, new byte[0]));
+        return begin.apply(Member.begin(id, remembered + 1, life, 0, new byte[0]));
     }
 
     @Override
@@ -135,8 +135,8 @@
     }
 
     private void doubt(Fleet f, int i, int j, List<Move<Fleet>> moves) {
-        Entry e = f.of(i).get(j);
-        if (e != null && e.state() == State.ALIVE && f.suspicions() < bounds.suspicions()) {
+        Member e = f.of(i).get(j);
+        if (e != null && e.state() == MemberState.ALIVE && f.suspicions() < bounds.suspicions()) {
             Knowledge k = copy.apply(f.of(i));
             k.suspect(j);
             moves.add(new Move<>(
@@ -144,7 +144,7 @@
                     with(f, i, k, f.mail(), f.suspicions() + 1, f.deaths(), f.lives(), f.remembered()),
                     null));
         }
-        if (e != null && e.state() == State.SUSPECT) {
+        if (e != null && e.state() == MemberState.SUSPECT) {
             Knowledge k = copy.apply(f.of(i));
             k.giveUp(j);
             moves.add(new Move<>(
@@ -194,11 +194,11 @@
     }
 
     /** What is broken by it: an entry that goes back. */
-    private static String tell(Knowledge k, List<Entry> entries) {
-        for (Entry said : entries) {
-            Entry before = k.get(said.id());
+    private static String tell(Knowledge k, List<Member> entries) {
+        for (Member said : entries) {
+            Member before = k.get(said.id());
             k.take(0, said);
-            Entry after = k.get(said.id());
+            Member after = k.get(said.id());
             if (before != null && after.compareLife(before) < 0) {
                 return "what " + k.self().id() + " holds of " + said.id() + " goes back from " + before + " to "
                         + after;
@@ -223,7 +223,7 @@
             changed = false;
             for (Knowledge from : all) {
                 for (Knowledge to : all) {
-                    List<Entry> before = List.copyOf(to.all());
+                    List<Member> before = List.copyOf(to.all());
                     if (from != to) {
                         tell(to, List.copyOf(from.all()));
                     }
@@ -236,12 +236,12 @@
         }
         for (Knowledge a : all) {
             for (Knowledge b : all) {
-                Entry held = a.get(b.self().id());
+                Member held = a.get(b.self().id());
                 if (a.digest() != b.digest()) {
                     return a.self().id() + " and " + b.self().id() + " exchange without loss and hold " + a.all()
                             + " and " + b.all();
                 }
-                if (held == null || !held.equals(b.self()) || held.state() != State.ALIVE) {
+                if (held == null || !held.equals(b.self()) || held.state() != MemberState.ALIVE) {
                     return a.self().id() + " holds " + held + ", and it is " + b.self();
                 }
             }
@@ -284,9 +284,9 @@
         return Arrays.toString(parts) + mail + f.suspicions() + '.' + f.deaths();
     }
 
-    private static void append(StringBuilder s, Iterable<Entry> entries, int[] names) {
+    private static void append(StringBuilder s, Iterable<Member> entries, int[] names) {
         String[] each = new String[INSTANCES];
-        for (Entry e : entries) {
+        for (Member e : entries) {
             TreeSet<Integer> by = new TreeSet<>();
             e.confirmers().forEach(c -> by.add(names[c]));
             each[names[e.id()]] = e.incarnation() + "/" + e.life() + e.state().ordinal() + by;
--- a/src/main/java/cacheproxy/proxy/MemberLink.java
+++ b/src/main/java/cacheproxy/proxy/MembershipLink.java
@@ -1,43 +1,43 @@
 package cacheproxy.proxy;
 
 import cacheproxy.gossip.MembershipBudget;
-import cacheproxy.membership.Living;
-import cacheproxy.membership.MemberSettings;
+import cacheproxy.membership.LiveMembers;
 import cacheproxy.membership.Membership;
-import cacheproxy.membership.Phase;
-import cacheproxy.membership.View;
+import cacheproxy.membership.MembershipSettings;
+import cacheproxy.membership.MembershipView;
+import cacheproxy.membership.ServicePhase;
 import cacheproxy.routing.RoutingSettings;
 import java.util.function.Consumer;
 
 /** Carries out what {@link Membership} decides: its messages and its times. On the event loop only. */
-final class MemberLink {
+final class MembershipLink {
     private final Dispatcher dispatcher;
     private final PeerSocket peers;
     private final Membership members;
-    private final Consumer<Living> advised;
+    private final Consumer<LiveMembers> advised;
     /** A timer that was set before the last one is void. */
     private long waits;
 
-    private Living living = new Living(1);
+    private LiveMembers living = new LiveMembers(1);
     private Runnable changed = () -> {};
 
     /**
      * {@code remembered}: the incarnation of this instance's last life, 0 for none; {@code advised}: told the number
      * that lives each time that it changes.
      */
-    MemberLink(
+    MembershipLink(
             Dispatcher dispatcher,
             PeerSocket peers,
             RoutingSettings settings,
             long remembered,
             long seed,
-            Phase phase,
-            Consumer<Living> advised) {
+            ServicePhase phase,
+            Consumer<LiveMembers> advised) {
         this.dispatcher = dispatcher;
         this.peers = peers;
         this.advised = advised;
         members = new Membership(
-                MemberSettings.of(settings.instanceCount()),
+                MembershipSettings.of(settings.instanceCount()),
                 settings.instanceIndex(),
                 settings.zone(),
                 new byte[0],
@@ -64,7 +64,7 @@
         run();
     }
 
-    void phase(Phase phase) {
+    void phase(ServicePhase phase) {
         members.phase(phase);
         run();
     }
@@ -75,7 +75,7 @@
         run();
     }
 
-    View view() {
+    MembershipView view() {
         return members.view(now());
     }
 
@@ -102,7 +102,7 @@
         long mine = ++waits;
         members.tick(now());
         members.outgoing().forEach(s -> peers.sendAdmitted(s.to(), PeerSocket.Kind.MEMBERS, s.body()));
-        Living lives = members.living();
+        LiveMembers lives = members.living();
         if (!lives.equals(living)) {
             living = lives;
             advised.accept(lives);
--- a/src/main/java/cacheproxy/proxy/NodeTalk.java
+++ b/src/main/java/cacheproxy/proxy/NodeTalk.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.gossip.OutlierGossip;
 import cacheproxy.gossip.PeerMessage;
-import cacheproxy.membership.View;
+import cacheproxy.membership.MembershipView;
 import cacheproxy.routing.EndpointSignal;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -18,7 +18,7 @@
 
     private final Dispatcher dispatcher;
     private final PeerSocket peers;
-    private final MemberLink members;
+    private final MembershipLink members;
     private final OutlierGossip bad = new OutlierGossip();
     /** When peers were told of a node last; of those in the list alone. */
     private final Map<Integer, Double> toldMs = new HashMap<>();
@@ -27,7 +27,7 @@
 
     private double zonesMs = Double.NEGATIVE_INFINITY;
 
-    NodeTalk(Dispatcher dispatcher, PeerSocket peers, MemberLink members) {
+    NodeTalk(Dispatcher dispatcher, PeerSocket peers, MembershipLink members) {
         this.dispatcher = dispatcher;
         this.peers = peers;
         this.members = members;
@@ -57,7 +57,7 @@
         }
         double now = dispatcher.now();
         if (now - zonesMs >= ZONES_MS) {
-            View view = members.view();
+            MembershipView view = members.view();
             zonesMs = now;
             zones.clear();
             view.entries().stream()
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.membership.Living;
+import cacheproxy.membership.LiveMembers;
 import cacheproxy.routing.EndpointSignal;
 
 /**
@@ -10,7 +10,7 @@
 final class PeerLinks {
     private final SerialLoadBalancer loadBalancer;
     private PeerNews endpointListGossip;
-    private MemberLink membership;
+    private MembershipLink membership;
     private NodeTalk outlierGossip;
     private ZoneLink zoneFailover;
     private StateQueryLink stateQueries;
@@ -25,7 +25,7 @@
     }
 
     /** Sets the links for the fleet's membership and for gossip of outliers. */
-    void setMembership(MemberLink link, NodeTalk outliers) {
+    void setMembership(MembershipLink link, NodeTalk outliers) {
         membership = link;
         outlierGossip = outliers;
     }
@@ -68,7 +68,7 @@
     }
 
     /** The set of live members has changed. */
-    void liveMembersChanged(Living living) {
+    void liveMembersChanged(LiveMembers living) {
         if (endpointListGossip != null) {
             endpointListGossip.among(living);
         }
--- a/src/main/java/cacheproxy/proxy/PeerNews.java
+++ b/src/main/java/cacheproxy/proxy/PeerNews.java
@@ -6,7 +6,7 @@
 import cacheproxy.gossip.ListVersionGossip.Action;
 import cacheproxy.gossip.PeerMessage;
 import cacheproxy.gossip.ProvisionalEndpoints;
-import cacheproxy.membership.Living;
+import cacheproxy.membership.LiveMembers;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import java.util.SplittableRandom;
@@ -100,7 +100,7 @@
     }
 
     /** So many live. */
-    void among(Living living) {
+    void among(LiveMembers living) {
         news.setLiveMembers(living);
     }
 
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -6,8 +6,8 @@
 import cacheproxy.flow.ByteBudget;
 import cacheproxy.gossip.ListVersionGossip;
 import cacheproxy.gossip.ProvisionalEndpoints;
-import cacheproxy.membership.Phase;
-import cacheproxy.membership.View;
+import cacheproxy.membership.MembershipView;
+import cacheproxy.membership.ServicePhase;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
@@ -73,7 +73,7 @@
     private final CountDownLatch ended = new CountDownLatch(1);
     private volatile Runnable whenEnded = () -> {};
     /** Null where this proxy takes no part in the fleet's view. On the event loop only. */
-    private MemberLink members;
+    private MembershipLink members;
     /** Null where it decides nothing of zones. On the event loop only. */
     private ZoneLink zones;
     /** Null where it does not look at how it comes back. On the event loop only. */
@@ -347,13 +347,13 @@
         loop.execute(() -> {
             boolean peersTalk = config.settings().peerMessagesAllowed();
             if (peersTalk && (parts.view() || parts.zones() || parts.recovers())) {
-                members = new MemberLink(
+                members = new MembershipLink(
                         dispatcher,
                         peers,
                         config.settings(),
                         remembered.incarnation(),
                         config.seed(),
-                        parts.recovers() ? Phase.STARTING : Phase.SERVING,
+                        parts.recovers() ? ServicePhase.STARTING : ServicePhase.SERVING,
                         dispatcher.peerLinks()::liveMembersChanged);
                 dispatcher.peerLinks().setMembership(members, new NodeTalk(dispatcher, peers, members));
                 if (parts.zones()) {
@@ -422,7 +422,7 @@
      * @param refuted how often this proxy refuted that it was dead
      * @param dropped datagrams that found no room in the budget
      */
-    public record FleetView(View view, long unreadable, long refuted, long dropped) {}
+    public record FleetView(MembershipView view, long unreadable, long refuted, long dropped) {}
 
     // ---- a new configuration
 
@@ -492,14 +492,14 @@
     public String cancelDrain() {
         String why = drainer.cancel();
         if (why == null && members != null && recovery == null) {
-            members.phase(Phase.SERVING); // else its own stage is told anyway
+            members.phase(ServicePhase.SERVING); // else its own stage is told anyway
         }
         return why;
     }
 
     private void draining() {
         if (members != null && !handover.passesClients()) {
-            members.phase(Phase.DRAINING);
+            members.phase(ServicePhase.DRAINING);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.membership.Entry;
-import cacheproxy.membership.Phase;
-import cacheproxy.membership.View;
+import cacheproxy.membership.Member;
+import cacheproxy.membership.MembershipView;
+import cacheproxy.membership.ServicePhase;
 import cacheproxy.metrics.Metric;
 import cacheproxy.recovery.ConnectionRebalancer;
 import cacheproxy.recovery.ProvenanceTracker.Subject;
@@ -33,7 +33,7 @@
 
     private final Dispatcher dispatcher;
     /** Null where this proxy takes no part in the fleet's view. */
-    private final MemberLink members;
+    private final MembershipLink members;
 
     private final Acceptor acceptor;
     private final Runnable discardEndpointList;
@@ -55,7 +55,7 @@
      */
     RecoveryLink(
             Dispatcher dispatcher,
-            MemberLink members,
+            MembershipLink members,
             Acceptor acceptor,
             boolean listConfirmed,
             Runnable discardEndpointList) {
@@ -138,11 +138,11 @@
         }
     }
 
-    private static Phase phase(Stage stage) {
+    private static ServicePhase phase(Stage stage) {
         return switch (stage) {
-            case STARTING -> Phase.STARTING;
-            case RECOVERING -> Phase.RECOVERING;
-            case SERVING -> Phase.SERVING;
+            case STARTING -> ServicePhase.STARTING;
+            case RECOVERING -> ServicePhase.RECOVERING;
+            case SERVING -> ServicePhase.SERVING;
         };
     }
 
@@ -169,10 +169,10 @@
         }
     }
 
-    private static List<Double> ratesOfOthers(View view) {
+    private static List<Double> ratesOfOthers(MembershipView view) {
         List<Double> rates = new ArrayList<>();
-        for (Entry member : view.entries()) {
-            if (member.id() != view.me() && member.state().lives() && member.phase() == Phase.SERVING) {
+        for (Member member : view.entries()) {
+            if (member.id() != view.me() && member.state().lives() && member.phase() == ServicePhase.SERVING) {
                 byte[] load = member.note(LOAD_NOTE);
                 rates.add(load.length == 1 ? RequestRateCode.decode(load[0]) : 0);
             }
--- a/src/main/java/cacheproxy/proxy/Remembered.java
+++ b/src/main/java/cacheproxy/proxy/Remembered.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.failover.Zones.Held;
-import cacheproxy.membership.Entry;
+import cacheproxy.membership.Member;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.recovery.ProvenanceTracker.Subject;
@@ -170,7 +170,7 @@
             if (incarnation > 0) {
                 taken(RecordKind.INCARNATION);
             }
-            return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
+            return Math.max(0, Math.min(Member.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
             trust.rejected(Subject.INCARNATION);
             return 0;
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -29,7 +29,7 @@
 
     private final Dispatcher dispatcher;
     private final PeerSocket peers;
-    private final MemberLink members;
+    private final MembershipLink members;
     private final DiscoveryClient discovery;
     /** Null where this process has state, and asks for none. */
     private final PeerStateQuery query;
@@ -38,7 +38,7 @@
     StateQueryLink(
             Dispatcher dispatcher,
             PeerSocket peers,
-            MemberLink members,
+            MembershipLink members,
             DiscoveryClient discovery,
             boolean needsState) {
         this.dispatcher = dispatcher;
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -17,7 +17,7 @@
  */
 final class ZoneLink {
     private final Dispatcher dispatcher;
-    private final MemberLink members;
+    private final MembershipLink members;
     private final ZoneSettings settings;
     private final Zones zones;
     private final List<String> names;
@@ -25,7 +25,12 @@
     private byte[] sight = {};
 
     /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
-    ZoneLink(Dispatcher dispatcher, MemberLink members, RoutingSettings settings, List<String> names, Remembered last) {
+    ZoneLink(
+            Dispatcher dispatcher,
+            MembershipLink members,
+            RoutingSettings settings,
+            List<String> names,
+            Remembered last) {
         this.dispatcher = dispatcher;
         this.members = members;
         this.names = List.copyOf(names);
--- a/src/main/java/cacheproxy/recovery/PeerStateQuery.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateQuery.java
@@ -1,8 +1,8 @@
 package cacheproxy.recovery;
 
-import cacheproxy.membership.Entry;
-import cacheproxy.membership.Phase;
-import cacheproxy.membership.View;
+import cacheproxy.membership.Member;
+import cacheproxy.membership.MembershipView;
+import cacheproxy.membership.ServicePhase;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -83,11 +83,11 @@
     }
 
     /** The peers to ask now; to be called some times a second. */
-    public List<Integer> peersToQuery(double nowMs, View view) {
+    public List<Integer> peersToQuery(double nowMs, MembershipView view) {
         if (state != State.QUERYING) {
             return List.of();
         }
-        List<Entry> serving = servingPeers(view);
+        List<Member> serving = servingPeers(view);
         if (!serving.isEmpty() && Double.isNaN(servingPeerSeenMs)) {
             servingPeerSeenMs = nowMs;
         }
@@ -95,10 +95,10 @@
         return state == State.QUERYING ? choosePeers(nowMs, serving) : List.of();
     }
 
-    private List<Entry> servingPeers(View view) {
+    private List<Member> servingPeers(MembershipView view) {
         return view.entries().stream()
-                .filter(e -> e.id() != instance && e.state().lives() && e.phase() == Phase.SERVING)
-                .sorted(Comparator.comparingLong(e -> Entry.mix(e.id() ^ instance * 0x9e37_79b9_7f4a_7c15L)))
+                .filter(e -> e.id() != instance && e.state().lives() && e.phase() == ServicePhase.SERVING)
+                .sorted(Comparator.comparingLong(e -> Member.mix(e.id() ^ instance * 0x9e37_79b9_7f4a_7c15L)))
                 .toList();
     }
 
@@ -117,7 +117,7 @@
     }
 
     /** Peers of zones that none was asked of first, then any. */
-    private List<Integer> choosePeers(double nowMs, List<Entry> serving) {
+    private List<Integer> choosePeers(double nowMs, List<Member> serving) {
         long awaited = queriedAtMs.entrySet().stream()
                 .filter(e -> !answers.containsKey(e.getKey()) && nowMs - e.getValue() < ANSWER_TIMEOUT_MS)
                 .count();
@@ -125,7 +125,7 @@
         serving.stream().filter(e -> queriedAtMs.containsKey(e.id())).forEach(e -> zones.add(e.zone()));
         List<Integer> chosen = new ArrayList<>();
         for (boolean anyZone : new boolean[] {false, true}) {
-            for (Entry e : serving) {
+            for (Member e : serving) {
                 if (awaited + answers.size() < ANSWERS_WANTED
                         && !queriedAtMs.containsKey(e.id())
                         && (zones.add(e.zone()) || anyZone)) {
--- a/src/test/java/cacheproxy/control/AnswerWordsTest.java
+++ b/src/test/java/cacheproxy/control/AnswerWordsTest.java
@@ -5,9 +5,9 @@
 import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.failover.Sight;
 import cacheproxy.failover.ZoneState;
-import cacheproxy.membership.Hearing;
-import cacheproxy.membership.Phase;
-import cacheproxy.membership.State;
+import cacheproxy.membership.MemberState;
+import cacheproxy.membership.Reachability;
+import cacheproxy.membership.ServicePhase;
 import cacheproxy.takeover.HandoverStateMachine;
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
@@ -20,11 +20,11 @@
                 .containsExactly("alone", "offered", "taken", "served", "retiring", "ending");
         assertThat(Arrays.stream(DrainStateMachine.Phase.values()).map(DrainStateMachine.Phase::statusName))
                 .containsExactly("serving", "draining", "drained", "expired");
-        assertThat(Arrays.stream(Hearing.values()).map(AnswerWords::of))
+        assertThat(Arrays.stream(Reachability.values()).map(AnswerWords::of))
                 .containsExactly("alone", "minority", "majority", "all");
-        assertThat(Arrays.stream(State.values()).map(AnswerWords::of))
+        assertThat(Arrays.stream(MemberState.values()).map(AnswerWords::of))
                 .containsExactly("alive", "suspect", "dead", "left");
-        assertThat(Arrays.stream(Phase.values()).map(AnswerWords::of))
+        assertThat(Arrays.stream(ServicePhase.values()).map(AnswerWords::of))
                 .containsExactly("starting", "recovering", "serving", "draining");
         assertThat(Arrays.stream(ZoneState.Cause.values()).map(AnswerWords::of))
                 .containsExactly("evidence", "return", "hold", "leave");
--- a/src/test/java/cacheproxy/failover/RememberTest.java
+++ b/src/test/java/cacheproxy/failover/RememberTest.java
@@ -4,9 +4,9 @@
 
 import cacheproxy.failover.ZoneState.Cause;
 import cacheproxy.failover.Zones.Held;
-import cacheproxy.membership.Configured;
-import cacheproxy.membership.Entry;
-import cacheproxy.membership.View;
+import cacheproxy.membership.ConfiguredMembers;
+import cacheproxy.membership.Member;
+import cacheproxy.membership.MembershipView;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -19,8 +19,9 @@
     private static final ZoneState CLOSED = new ZoneState(5, 0, Cause.EVIDENCE, 1);
     private final Zones zones = new Zones(new ZoneSettings(0, 0, 4, 9000));
 
-    private static View alone() {
-        return new View(0, 0, List.of(Entry.begin(0, 1, 7, 0, new byte[0])), 0, new Configured(1), false);
+    private static MembershipView alone() {
+        return new MembershipView(
+                0, 0, List.of(Member.begin(0, 1, 7, 0, new byte[0])), 0, new ConfiguredMembers(1), false);
     }
 
     private void tick(double nowMs) {
--- a/src/test/java/cacheproxy/membership/EntryTest.java
+++ b/src/test/java/cacheproxy/membership/EntryTest.java
@@ -17,28 +17,28 @@
 class EntryTest {
     /** What an instance says of itself hangs on its life, incarnation and version alone, as nobody else writes it. */
     @Provide
-    static Arbitrary<Entry> entries() {
+    static Arbitrary<Member> entries() {
         return Combinators.combine(
                         Arbitraries.longs().between(1, 3),
                         Arbitraries.integers().between(0, 2),
-                        Arbitraries.of(State.class),
+                        Arbitraries.of(MemberState.class),
                         Arbitraries.integers().between(0, 9).set().ofMaxSize(4),
                         Arbitraries.integers().between(0, 2))
-                .as((incarnation, life, state, by, version) -> new Entry(
+                .as((incarnation, life, state, by, version) -> new Member(
                         7,
                         incarnation,
                         life,
                         state,
-                        new TreeSet<>(state == State.SUSPECT ? by : List.of()),
+                        new TreeSet<>(state == MemberState.SUSPECT ? by : List.of()),
                         1,
                         version,
-                        Phase.values()[version],
+                        ServicePhase.values()[version],
                         Map.of(version, new byte[] {version.byteValue()}),
                         new byte[0]));
     }
 
     @Property(seed = "41", tries = 2000)
-    void entriesAreASemilattice(@ForAll("entries") Entry a, @ForAll("entries") Entry b, @ForAll("entries") Entry c) {
+    void entriesAreASemilattice(@ForAll("entries") Member a, @ForAll("entries") Member b, @ForAll("entries") Member c) {
         assertThat(a.join(a)).isEqualTo(a);
         assertThat(a.join(b)).isEqualTo(b.join(a));
         assertThat(a.join(b).join(c)).isEqualTo(a.join(b.join(c)));
@@ -48,28 +48,33 @@
 
     @Property(seed = "42", tries = 500)
     void tablesThatHeardTheSameHaveOneDigest(
-            @ForAll("entries") Entry a, @ForAll("entries") Entry b, @ForAll("entries") Entry c) {
-        Table one = new Table(10);
-        Table other = new Table(10);
+            @ForAll("entries") Member a, @ForAll("entries") Member b, @ForAll("entries") Member c) {
+        MemberTable one = new MemberTable(10);
+        MemberTable other = new MemberTable(10);
         List.of(a, b, c).forEach(one::join);
         List.of(c, a, b, a).forEach(other::join);
         assertThat(one.digest()).isEqualTo(other.digest());
-        assertThat(one.digest(Table.slice(7))).isEqualTo(other.digest(Table.slice(7)));
+        assertThat(one.digest(MemberTable.slice(7))).isEqualTo(other.digest(MemberTable.slice(7)));
     }
 
     @Property(seed = "43", tries = 1000)
     void aMessageIsReadAsItWasWritten(
-            @ForAll("entries") Entry a, @ForAll("entries") Entry b, @ForAll Message.Kind kind) {
-        Message m = new Message(
-                kind, 65_535, 3, -5, new int[kind == Message.Kind.DIFFER ? Table.SLICES : 0], List.of(a, b));
+            @ForAll("entries") Member a, @ForAll("entries") Member b, @ForAll MembershipMessage.Kind kind) {
+        MembershipMessage m = new MembershipMessage(
+                kind,
+                65_535,
+                3,
+                -5,
+                new int[kind == MembershipMessage.Kind.DIFFER ? MemberTable.SLICES : 0],
+                List.of(a, b));
         byte[] bytes = m.encode();
-        Message read = Message.decode(bytes);
+        MembershipMessage read = MembershipMessage.decode(bytes);
         assertThat(read.entries()).isEqualTo(m.entries());
         assertThat(read.kind()).isEqualTo(kind);
         assertThat(read.number()).isEqualTo(65_535);
         assertThat(read.digest()).isEqualTo(-5);
         for (int i = 0; i < bytes.length; i++) {
-            assertThat(Message.decode(Arrays.copyOf(bytes, i)))
+            assertThat(MembershipMessage.decode(Arrays.copyOf(bytes, i)))
                     .as("cut to %d bytes", i)
                     .isNull();
         }
@@ -78,32 +83,37 @@
     /** Whatever comes in is read or dropped, and nothing is thrown. */
     @Property(seed = "44", tries = 20_000)
     void noiseIsDropped(@ForAll byte[] noise) {
-        Message.decode(noise);
+        MembershipMessage.decode(noise);
     }
 
     /** Zones under 128 take the one byte that they always took. */
     @Test
     void aZoneOf1024IsReadAsItWasWritten() {
-        for (int zone : new int[] {0, 127, 128, 255, 256, 1023, Entry.MAX_ZONE}) {
-            Entry e = Entry.begin(1023, 1, 7, zone, new byte[0]);
-            byte[] bytes = new Message(Message.Kind.NEWS, 0, Message.NOBODY, 0, new int[0], List.of(e)).encode();
-            assertThat(Message.decode(bytes).entries()).containsExactly(e);
-            assertThat(bytes).hasSize(Message.headBytes(Message.Kind.NEWS) + Message.bytes(e));
+        for (int zone : new int[] {0, 127, 128, 255, 256, 1023, Member.MAX_ZONE}) {
+            Member e = Member.begin(1023, 1, 7, zone, new byte[0]);
+            byte[] bytes = new MembershipMessage(
+                            MembershipMessage.Kind.NEWS, 0, MembershipMessage.NOBODY, 0, new int[0], List.of(e))
+                    .encode();
+            assertThat(MembershipMessage.decode(bytes).entries()).containsExactly(e);
+            assertThat(bytes)
+                    .hasSize(MembershipMessage.headBytes(MembershipMessage.Kind.NEWS) + MembershipMessage.bytes(e));
             assertThat(bytes.length).isEqualTo(zone < 128 ? 18 : 19);
         }
     }
 
     @Test
     void aZoneThatIsNoneIsNotRead() {
-        Entry e = Entry.begin(5, 1, 7, Entry.MAX_ZONE, new byte[0]);
-        byte[] bytes = new Message(Message.Kind.NEWS, 0, Message.NOBODY, 0, new int[0], List.of(e)).encode();
-        int zone = Message.headBytes(Message.Kind.NEWS) + 3;
+        Member e = Member.begin(5, 1, 7, Member.MAX_ZONE, new byte[0]);
+        byte[] bytes = new MembershipMessage(
+                        MembershipMessage.Kind.NEWS, 0, MembershipMessage.NOBODY, 0, new int[0], List.of(e))
+                .encode();
+        int zone = MembershipMessage.headBytes(MembershipMessage.Kind.NEWS) + 3;
         assertThat(bytes[zone + 1]).isEqualTo((byte) 0x7f);
         byte[] beyond = new byte[bytes.length + 1];
         System.arraycopy(bytes, 0, beyond, 0, zone + 1);
         beyond[zone + 1] = (byte) 0x80;
         beyond[zone + 2] = 1;
         System.arraycopy(bytes, zone + 2, beyond, zone + 3, bytes.length - zone - 2);
-        assertThat(Message.decode(beyond)).isNull();
+        assertThat(MembershipMessage.decode(beyond)).isNull();
     }
 }
--- a/src/test/java/cacheproxy/membership/MembershipTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.membership.Send.Urgency;
+import cacheproxy.membership.OutgoingMessage.Urgency;
 import cacheproxy.model.ViewPlay;
 import cacheproxy.model.ViewStudy;
 import java.util.ArrayList;
@@ -52,12 +52,12 @@
         p.stop(4, 8000);
         p.pass(7900);
         assertThat(p.allHold(4, false)).as("the others gave it up").isFalse(); // it holds itself for alive
-        assertThat(p.of(0).entry(4).state()).isEqualTo(State.DEAD);
+        assertThat(p.of(0).entry(4).state()).isEqualTo(MemberState.DEAD);
         p.pass(200);
         for (int i = 0; i < 40; i++) {
             p.pass(50);
             for (int other = 0; other < 12; other++) {
-                assertThat(p.of(4).entry(other).state()).isNotEqualTo(State.DEAD);
+                assertThat(p.of(4).entry(other).state()).isNotEqualTo(MemberState.DEAD);
             }
         }
         assertThat(p.until(p::settled, 5000)).isLessThan(3000);
@@ -117,7 +117,7 @@
         ViewPlay p = settled(12, 0, 17);
         p.leave(5);
         assertThat(p.until(() -> p.allHold(5, false), 3000)).isLessThan(1000);
-        assertThat(p.of(0).entry(5).state()).isEqualTo(State.LEFT);
+        assertThat(p.of(0).entry(5).state()).isEqualTo(MemberState.LEFT);
     }
 
     // ---- one instance alone
@@ -135,7 +135,7 @@
     };
 
     private static Membership alone(int me, long remembered, long seed) {
-        return new Membership(MemberSettings.of(3), me, 0, new byte[0], remembered, seed, ALL);
+        return new Membership(MembershipSettings.of(3), me, 0, new byte[0], remembered, seed, ALL);
     }
 
     /** Passes what goes from one to the other. */
@@ -152,10 +152,10 @@
         for (double now = 0; now < 20_000; now += 50) {
             pass(one, 0, other, now);
             pass(twin, 0, other, now);
-            List<Send> back = new ArrayList<>();
+            List<OutgoingMessage> back = new ArrayList<>();
             other.tick(now);
             back.addAll(other.outgoing());
-            for (Send s : back) {
+            for (OutgoingMessage s : back) {
                 one.heard(now, 1, s.body());
                 twin.heard(now, 1, s.body());
             }
@@ -187,7 +187,7 @@
         Membership one = alone(0, 0, 1);
         Membership other = alone(1, 0, 3);
         other.tick(0);
-        List<Send> old = other.outgoing();
+        List<OutgoingMessage> old = other.outgoing();
         old.forEach(s -> one.heard(0, 1, s.body()));
         other.note(2, new byte[] {9});
         other.tick(100);
@@ -202,20 +202,20 @@
     @Test
     void aViewSaysWhatItHearsAndWhatTheSettingsName() {
         Membership one = alone(0, 0, 1);
-        View v = one.view(0);
-        assertThat(v.hearing()).isEqualTo(Hearing.ALONE);
+        MembershipView v = one.view(0);
+        assertThat(v.hearing()).isEqualTo(Reachability.ALONE);
         assertThat(v.living().count()).isEqualTo(1);
         assertThat(v.configured().count()).isEqualTo(3);
         pass(alone(1, 0, 3), 1, one, 1);
-        assertThat(one.view(1).hearing()).isEqualTo(Hearing.MAJORITY);
-        assertThat(one.view(1).hearingByZone()).containsEntry(0, Hearing.ALL);
+        assertThat(one.view(1).hearing()).isEqualTo(Reachability.MAJORITY);
+        assertThat(one.view(1).hearingByZone()).containsEntry(0, Reachability.ALL);
     }
 
     /** Instances that no settings name, which know one seed each and are told of one another with their addresses. */
     @Test
     void aFleetThatOnlySeedsNameComesTogetherAndForgetsWhoIsGone() {
         int many = 6;
-        MemberSettings settings = MemberSettings.bySeeds(List.of(0), 100);
+        MembershipSettings settings = MembershipSettings.bySeeds(List.of(0), 100);
         List<Membership> all = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             all.add(new Membership(settings, i, 0, new byte[] {127, 0, 0, 1, 0, (byte) i}, 0, i, ALL));
@@ -227,7 +227,7 @@
             for (int i = 0; i < many; i++) {
                 if (!gone[i]) {
                     all.get(i).tick(now);
-                    for (Send s : all.get(i).outgoing()) {
+                    for (OutgoingMessage s : all.get(i).outgoing()) {
                         if (!gone[s.to()]) {
                             all.get(s.to()).heard(now, -1, s.body());
                         }
@@ -248,7 +248,7 @@
     @Test
     void withoutABudgetNobodyIsSuspected() {
         boolean[] room = {true};
-        Membership one = new Membership(MemberSettings.of(3), 0, 0, new byte[0], 0, 1, new Membership.Allowance() {
+        Membership one = new Membership(MembershipSettings.of(3), 0, 0, new byte[0], 0, 1, new Membership.Allowance() {
             @Override
             public boolean take(double nowMs, int bytes, Urgency urgency) {
                 return room[0];
@@ -265,7 +265,7 @@
         for (double now = 0; now < 10_000; now += 20) {
             one.tick(now);
         }
-        assertThat(one.entry(1).state()).isEqualTo(State.ALIVE);
+        assertThat(one.entry(1).state()).isEqualTo(MemberState.ALIVE);
         assertThat(one.outgoing()).isEmpty();
     }
 }
--- a/src/test/java/cacheproxy/membership/MembershipTraceTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTraceTest.java
@@ -1,7 +1,7 @@
 package cacheproxy.membership;
 
 import cacheproxy.PinnedFile;
-import cacheproxy.membership.Send.Urgency;
+import cacheproxy.membership.OutgoingMessage.Urgency;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -42,8 +42,8 @@
         }
 
         private Membership start(int id, long remembered, long seed) {
-            MemberSettings settings =
-                    bySeeds ? MemberSettings.bySeeds(List.of(0, 1), 40) : MemberSettings.of(INSTANCES);
+            MembershipSettings settings =
+                    bySeeds ? MembershipSettings.bySeeds(List.of(0, 1), 40) : MembershipSettings.of(INSTANCES);
             byte[] address = bySeeds ? new byte[] {10, 0, 0, (byte) id, 31, (byte) id} : new byte[0];
             return new Membership(settings, id, id % 3, address, remembered, seed, new Membership.Allowance() {
                 @Override
@@ -65,7 +65,7 @@
 
         private void events(double nowMs) {
             if (nowMs == 1000) {
-                members.forEach(m -> m.phase(Phase.SERVING));
+                members.forEach(m -> m.phase(ServicePhase.SERVING));
             } else if (nowMs == 3000) {
                 members.get(2).note(1, new byte[] {1, 2, 3});
             } else if (nowMs == 5000) {
@@ -84,7 +84,7 @@
         }
 
         private void collect(double nowMs, int from) {
-            for (Send s : members.get(from).outgoing()) {
+            for (OutgoingMessage s : members.get(from).outgoing()) {
                 messages++;
                 bytes += s.body().length;
                 trace.update(
@@ -126,7 +126,7 @@
             StringBuilder living = new StringBuilder();
             long refuted = 0;
             for (Membership m : members) {
-                View view = m.view(nowMs);
+                MembershipView view = m.view(nowMs);
                 living.append(' ').append(view.living().count()).append('/').append(m.incarnation());
                 refuted += m.deathsRefuted() + m.unreadable();
             }
--- a/src/test/java/cacheproxy/membership/MessageFormatTest.java
+++ b/src/test/java/cacheproxy/membership/MessageFormatTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.WireSamples;
-import cacheproxy.membership.Message.Kind;
+import cacheproxy.membership.MembershipMessage.Kind;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -18,47 +18,58 @@
     private static final String SAMPLES = "wire/membership-messages.txt";
     private static final byte[] NO_ADDRESS = {};
 
-    private static final List<Entry> ENTRIES = List.of(
-            new Entry(3, 1, 0xbeef, State.ALIVE, new TreeSet<>(), 0, 0, Phase.STARTING, Map.of(), NO_ADDRESS),
-            new Entry(
+    private static final List<Member> ENTRIES = List.of(
+            new Member(
+                    3,
+                    1,
+                    0xbeef,
+                    MemberState.ALIVE,
+                    new TreeSet<>(),
+                    0,
+                    0,
+                    ServicePhase.STARTING,
+                    Map.of(),
+                    NO_ADDRESS),
+            new Member(
                     0x1234,
                     300,
                     1,
-                    State.SUSPECT,
+                    MemberState.SUSPECT,
                     new TreeSet<>(List.of(7, 0x102)),
                     200,
                     129,
-                    Phase.RECOVERING,
+                    ServicePhase.RECOVERING,
                     Map.of(0, new byte[] {0, 0, 1, 4, 0, 0, 0, (byte) 0xf0}),
                     new byte[] {127, 0, 0, 1, 0x1f, (byte) 0x90}),
-            new Entry(
+            new Member(
                     4,
-                    Entry.MAX_INCARNATION,
+                    Member.MAX_INCARNATION,
                     2,
-                    State.DEAD,
+                    MemberState.DEAD,
                     new TreeSet<>(),
-                    Entry.MAX_ZONE,
+                    Member.MAX_ZONE,
                     5,
-                    Phase.SERVING,
+                    ServicePhase.SERVING,
                     Map.of(1, new byte[] {0, 0, 0x2c}),
                     NO_ADDRESS),
-            new Entry(
-                    Entry.MAX_ID,
+            new Member(
+                    Member.MAX_ID,
                     2,
                     3,
-                    State.LEFT,
+                    MemberState.LEFT,
                     new TreeSet<>(),
                     1,
                     6,
-                    Phase.DRAINING,
+                    ServicePhase.DRAINING,
                     Map.of(2, new byte[] {9}),
                     NO_ADDRESS));
 
-    private static Message message(Kind kind) {
+    private static MembershipMessage message(Kind kind) {
         int[] slices = kind == Kind.DIFFER
-                ? IntStream.range(0, Table.SLICES).map(i -> 0xff00 + i).toArray()
+                ? IntStream.range(0, MemberTable.SLICES).map(i -> 0xff00 + i).toArray()
                 : new int[0];
-        return new Message(kind, 0xabcd, kind == Kind.HELP ? 9 : Message.NOBODY, 0x89abcdef, slices, ENTRIES);
+        return new MembershipMessage(
+                kind, 0xabcd, kind == Kind.HELP ? 9 : MembershipMessage.NOBODY, 0x89abcdef, slices, ENTRIES);
     }
 
     static Map<String, byte[]> messages() {
@@ -84,20 +95,21 @@
                 .indexOf(kind);
         byte[] sample = List.copyOf(WireSamples.bytes(SAMPLES).values()).get(code);
         assertThat(sample[0]).isEqualTo((byte) code);
-        Message read = Message.decode(sample);
-        Message written = message(kind);
+        MembershipMessage read = MembershipMessage.decode(sample);
+        MembershipMessage written = message(kind);
         assertThat(read.kind()).isEqualTo(kind);
         assertThat(read.number()).isEqualTo(0xabcd);
         assertThat(read.target()).isEqualTo(written.target());
         assertThat(read.digest()).isEqualTo(0x89abcdef);
         assertThat(read.slices()).isEqualTo(written.slices());
-        assertThat(read.entries()).extracting(Entry::id).containsExactly(3, 0x1234, 4, Entry.MAX_ID);
+        assertThat(read.entries()).extracting(Member::id).containsExactly(3, 0x1234, 4, Member.MAX_ID);
         assertThat(read.entries())
-                .extracting(Entry::state)
-                .containsExactly(State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT);
+                .extracting(Member::state)
+                .containsExactly(MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT);
         assertThat(read.entries())
-                .extracting(Entry::phase)
-                .containsExactly(Phase.STARTING, Phase.RECOVERING, Phase.SERVING, Phase.DRAINING);
+                .extracting(Member::phase)
+                .containsExactly(
+                        ServicePhase.STARTING, ServicePhase.RECOVERING, ServicePhase.SERVING, ServicePhase.DRAINING);
         assertThat(read.encode()).isEqualTo(sample);
     }
 }
--- a/src/test/java/cacheproxy/model/check/ExplorerTest.java
+++ b/src/test/java/cacheproxy/model/check/ExplorerTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.membership.Entry;
 import cacheproxy.membership.Knowledge;
-import cacheproxy.membership.State;
+import cacheproxy.membership.Member;
+import cacheproxy.membership.MemberState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -17,22 +17,22 @@
         /** Whoever lives is believed in its own incarnation, so a death is forgotten and comes back. */
         BELIEVES_THE_LIVING {
             @Override
-            Entry join(Entry held, Entry said) {
-                return held.compareLife(said) == 0 && said.state() == State.ALIVE ? said : held.join(said);
+            Member join(Member held, Member said) {
+                return held.compareLife(said) == 0 && said.state() == MemberState.ALIVE ? said : held.join(said);
             }
         },
         /** What was said last holds. */
         BELIEVES_THE_LAST {
             @Override
-            Entry join(Entry held, Entry said) {
+            Member join(Member held, Member said) {
                 return said;
             }
         },
         /** What refutes says the same once more. */
         REFUTES_NOTHING {
             @Override
-            Entry beyond(Entry self, Entry said) {
-                return new Entry(
+            Member beyond(Member self, Member said) {
+                return new Member(
                         self.id(),
                         Math.max(self.incarnation(), said.incarnation()) + 1,
                         self.life(),
@@ -48,28 +48,28 @@
         /** It goes as far as what was said, and no further. */
         GOES_NOT_BEYOND {
             @Override
-            Entry beyond(Entry self, Entry said) {
+            Member beyond(Member self, Member said) {
                 return next(self, said.incarnation());
             }
         };
 
-        Entry join(Entry held, Entry said) {
+        Member join(Member held, Member said) {
             return held.join(said);
         }
 
-        Entry beyond(Entry self, Entry said) {
+        Member beyond(Member self, Member said) {
             return next(self, Math.max(self.incarnation(), said.incarnation()) + 1);
         }
 
-        private static Entry next(Entry self, long incarnation) {
-            return Entry.begin(self.id(), incarnation, self.life(), self.zone(), self.address());
+        private static Member next(Member self, long incarnation) {
+            return Member.begin(self.id(), incarnation, self.life(), self.zone(), self.address());
         }
     }
 
     private static final class Wrong extends Knowledge {
         private static final ThreadLocal<Mutant> MUTANT = new ThreadLocal<>();
 
-        Wrong(Entry self) {
+        Wrong(Member self) {
             super(self, MemberProtocol.INSTANCES);
         }
 
@@ -78,12 +78,12 @@
         }
 
         @Override
-        protected Entry join(Entry held, Entry said) {
+        protected Member join(Member held, Member said) {
             return MUTANT.get().join(held, said);
         }
 
         @Override
-        protected Entry beyond(Entry self, Entry said) {
+        protected Member beyond(Member self, Member said) {
             return MUTANT.get().beyond(self, said);
         }
     }
--- a/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.membership.Configured;
-import cacheproxy.membership.Entry;
-import cacheproxy.membership.MemberSettings;
+import cacheproxy.membership.ConfiguredMembers;
+import cacheproxy.membership.Member;
 import cacheproxy.membership.Membership;
-import cacheproxy.membership.Phase;
-import cacheproxy.membership.Send;
-import cacheproxy.membership.View;
+import cacheproxy.membership.MembershipSettings;
+import cacheproxy.membership.MembershipView;
+import cacheproxy.membership.OutgoingMessage;
+import cacheproxy.membership.ServicePhase;
 import cacheproxy.recovery.PeerStateQuery.Result;
 import cacheproxy.recovery.PeerStateQuery.State;
 import java.util.ArrayList;
@@ -31,13 +31,13 @@
     private static final int ZONES = 4;
 
     /** What one instance of so many holds, of which the first so many serve. */
-    private static View view(int me, int all, int serving) {
-        List<Entry> entries = new ArrayList<>();
+    private static MembershipView view(int me, int all, int serving) {
+        List<Member> entries = new ArrayList<>();
         for (int i = 0; i < all; i++) {
-            Membership m =
-                    new Membership(MemberSettings.of(all), i, i % ZONES, new byte[0], 0, i, new Membership.Allowance() {
+            Membership m = new Membership(
+                    MembershipSettings.of(all), i, i % ZONES, new byte[0], 0, i, new Membership.Allowance() {
                         @Override
-                        public boolean take(double nowMs, int bytes, Send.Urgency urgency) {
+                        public boolean take(double nowMs, int bytes, OutgoingMessage.Urgency urgency) {
                             return true;
                         }
 
@@ -46,10 +46,10 @@
                             return 0;
                         }
                     });
-            m.phase(i < serving ? Phase.SERVING : Phase.RECOVERING);
+            m.phase(i < serving ? ServicePhase.SERVING : ServicePhase.RECOVERING);
             entries.add(m.entry(i));
         }
-        return new View(me, 0, entries, 0, new Configured(all), false);
+        return new MembershipView(me, 0, entries, 0, new ConfiguredMembers(all), false);
     }
 
     private static PeerStateSummary summary(long version, Integer... bad) {
@@ -71,7 +71,7 @@
     @Example
     void anAnswerThatDoesNotComeIsAskedOfTheNext() {
         PeerStateQuery query = new PeerStateQuery(9, 0);
-        View view = view(9, 10, 6);
+        MembershipView view = view(9, 10, 6);
         List<Integer> first = query.peersToQuery(0, view);
         assertThat(query.peersToQuery(400, view)).isEmpty();
         query.answerReceived(first.get(0), summary(4));
@@ -101,7 +101,7 @@
     @Example
     void whereNobodyAnswersItEnds() {
         PeerStateQuery query = new PeerStateQuery(9, 0);
-        View view = view(9, 10, 6);
+        MembershipView view = view(9, 10, 6);
         Set<Integer> asked = new HashSet<>();
         for (int t = 0; t <= PeerStateQuery.QUERY_TIMEOUT_MS; t += 100) {
             query.peersToQuery(t, view).forEach(p -> assertThat(asked.add(p)).isTrue());
@@ -118,7 +118,7 @@
     void noWordOfPeersTakesOutMoreThanAPartOfAZone(
             @ForAll @Size(3) List<@Size(max = 40) List<@IntRange(max = 60) Integer>> said) {
         PeerStateQuery query = new PeerStateQuery(9, 0);
-        View view = view(9, 10, 3);
+        MembershipView view = view(9, 10, 3);
         List<Integer> asked = query.peersToQuery(0, view);
         Map<Integer, Integer> zoneOf = new HashMap<>();
         Map<Integer, Integer> inZone = new HashMap<>();
