--- a/src/jmh/java/cacheproxy/MembershipBenchmark.java
+++ b/src/jmh/java/cacheproxy/MembershipBenchmark.java
@@ -33,8 +33,8 @@
         }
 
         @Override
-        public int spare(double nowMs) {
-            return Membership.ROOM;
+        public int spareBytes(double nowMs) {
+            return Membership.MAX_MESSAGE_BYTES;
         }
     };
 
@@ -50,11 +50,11 @@
     public void setUp() {
         all = new Membership[members];
         for (int i = 0; i < members; i++) {
-            all[i] = new Membership(MembershipSettings.of(members), i, 0, new byte[0], 0, i, ALL);
+            all[i] = new Membership(MembershipSettings.forConfigured(members), i, 0, new byte[0], 0, i, ALL);
             if (i > 0) {
                 all[i].tick(now);
                 int from = i;
-                all[i].outgoing().forEach(s -> all[0].heard(now, from, s.body()));
+                all[i].outgoing().forEach(s -> all[0].messageReceived(now, from, s.body()));
             }
         }
         for (int i = 0; i < 2000; i++) {
@@ -69,10 +69,10 @@
         all[0].tick(now);
         List<OutgoingMessage> asked = all[0].outgoing();
         for (OutgoingMessage s : asked) {
-            all[s.to()].heard(now, 0, s.body());
+            all[s.to()].messageReceived(now, 0, s.body());
             for (OutgoingMessage back : all[s.to()].outgoing()) {
                 if (back.to() == 0) {
-                    all[0].heard(now, s.to(), back.body());
+                    all[0].messageReceived(now, s.to(), back.body());
                 }
             }
         }
--- a/src/main/java/cacheproxy/control/FleetViewControl.java
+++ b/src/main/java/cacheproxy/control/FleetViewControl.java
@@ -27,11 +27,11 @@
             return json;
         }
         MembershipView view = fleet.view();
-        json.addProperty("hearing", AnswerWords.of(view.hearing()));
-        json.addProperty("living", view.living().count());
-        json.addProperty("known", view.entries().size());
-        if (view.configured() != null) {
-            json.addProperty("configured", view.configured().count());
+        json.addProperty("hearing", AnswerWords.of(view.reachability()));
+        json.addProperty("living", view.liveMembers().count());
+        json.addProperty("known", view.members().size());
+        if (view.configuredMembers() != null) {
+            json.addProperty("configured", view.configuredMembers().count());
         }
         json.addProperty("digest", String.format("%08x", view.digest()));
         json.addProperty("disputed", view.disputed());
@@ -47,7 +47,7 @@
         }
         JsonObject json = summary(fleet);
         JsonArray rows = new JsonArray();
-        fleet.view().entries().stream().limit(MAX_MEMBERS).forEach(member -> rows.add(row(member)));
+        fleet.view().members().stream().limit(MAX_MEMBERS).forEach(member -> rows.add(row(member)));
         json.add("members", rows);
         return json;
     }
@@ -59,7 +59,7 @@
         row.addProperty("state", AnswerWords.of(member.state()));
         row.addProperty("phase", AnswerWords.of(member.phase()));
         row.addProperty("incarnation", member.incarnation());
-        row.addProperty("life", String.format("%04x", member.life()));
+        row.addProperty("life", String.format("%04x", member.processNonce()));
         row.addProperty("version", member.version());
         return row;
     }
--- a/src/main/java/cacheproxy/failover/Zones.java
+++ b/src/main/java/cacheproxy/failover/Zones.java
@@ -313,17 +313,17 @@
     public List<ZoneDirective> tick(double nowMs, MembershipView view) {
         List<Report> reports = new ArrayList<>();
         Set<Integer> homes = new HashSet<>();
-        if (read.size() > 2 * view.entries().size()) {
+        if (read.size() > 2 * view.members().size()) {
             read.clear(); // most of them are forgotten
         }
-        for (Member e : view.entries()) {
+        for (Member e : view.members()) {
             homes.add(e.zone());
             if (e.id() == settings.me()) {
                 continue;
             }
             Report r = read(e);
             adopt(nowMs, r);
-            if (e.state().lives()) {
+            if (e.state().isLive()) {
                 reports.add(r);
             }
         }
@@ -363,8 +363,8 @@
 
     /** Who has just started has met too few to know where the fleet stands. */
     private static boolean knows(MembershipView view) {
-        return view.configured() == null
-                || 2 * view.entries().size() > view.configured().count();
+        return view.configuredMembers() == null
+                || 2 * view.members().size() > view.configuredMembers().count();
     }
 
     private List<Sight> sights(double nowMs) {
--- a/src/main/java/cacheproxy/gossip/MembershipBudget.java
+++ b/src/main/java/cacheproxy/gossip/MembershipBudget.java
@@ -13,13 +13,13 @@
     private static SendBudget.Priority priority(Urgency urgency) {
         return switch (urgency) {
             case ANSWER -> SendBudget.Priority.HIGH;
-            case CHANGE -> SendBudget.Priority.NORMAL;
-            case OTHER -> SendBudget.Priority.LOW;
+            case MEMBERSHIP_CHANGE -> SendBudget.Priority.NORMAL;
+            case BACKGROUND -> SendBudget.Priority.LOW;
         };
     }
 
     @Override
-    public int spare(double nowMs) {
+    public int spareBytes(double nowMs) {
         return budget.availableForLowPriority(nowMs);
     }
 }
--- a/src/main/java/cacheproxy/membership/GossipQueue.java
+++ b/src/main/java/cacheproxy/membership/GossipQueue.java
@@ -11,41 +11,41 @@
  * often as the logarithm of the fleet (SWIM, section 4.1).
  */
 final class GossipQueue {
-    private static final int MOST = 4096;
+    private static final int MAX_MEMBERS = 4096;
 
-    private final Map<Integer, Integer> sent = new LinkedHashMap<>();
-    private boolean fresh;
+    private final Map<Integer, Integer> timesSent = new LinkedHashMap<>();
+    private boolean changedSinceTaken;
 
     /** The entry of an instance has changed. */
     void changed(int id) {
-        sent.remove(id);
-        sent.put(id, 0);
-        fresh = true;
-        if (sent.size() > MOST) {
-            sent.remove(sent.keySet().iterator().next());
+        timesSent.remove(id);
+        timesSent.put(id, 0);
+        changedSinceTaken = true;
+        if (timesSent.size() > MAX_MEMBERS) {
+            timesSent.remove(timesSent.keySet().iterator().next());
         }
     }
 
     /** Whether anything has changed since the last call. */
-    boolean takeFresh() {
-        boolean was = fresh;
-        fresh = false;
+    boolean takeChanged() {
+        boolean was = changedSinceTaken;
+        changedSinceTaken = false;
         return was;
     }
 
     /** Nothing more is passed on of it. */
-    void drop(int id) {
-        sent.remove(id);
+    void remove(int id) {
+        timesSent.remove(id);
     }
 
     boolean isEmpty() {
-        return sent.isEmpty();
+        return timesSent.isEmpty();
     }
 
     /** Entries to send with a message of so many bytes' room; {@code without}: whose entry is in it already. */
     List<Member> take(MemberTable table, int room, int without) {
         int most = 32 - Integer.numberOfLeadingZeros(table.size() + 1);
-        List<Map.Entry<Integer, Integer>> order = new ArrayList<>(sent.entrySet());
+        List<Map.Entry<Integer, Integer>> order = new ArrayList<>(timesSent.entrySet());
         order.sort(Comparator.comparingInt(Map.Entry::getValue));
         List<Member> taken = new ArrayList<>();
         if (room <= 0) {
@@ -56,14 +56,14 @@
             Member entry = table.get(e.getKey());
             int bytes = entry == null ? 0 : MembershipMessage.bytes(entry);
             if (entry == null) {
-                sent.remove(e.getKey());
+                timesSent.remove(e.getKey());
             } else if (e.getKey() != without && bytes <= left) {
                 left -= bytes;
                 taken.add(entry);
                 if (e.getValue() + 1 >= most) {
-                    sent.remove(e.getKey());
+                    timesSent.remove(e.getKey());
                 } else {
-                    sent.put(e.getKey(), e.getValue() + 1);
+                    timesSent.put(e.getKey(), e.getValue() + 1);
                 }
             }
         }
--- a/src/main/java/cacheproxy/membership/Knowledge.java
+++ b/src/main/java/cacheproxy/membership/Knowledge.java
@@ -11,74 +11,74 @@
     /** What came of something that was said. */
     public enum MergeResult {
         /** It was known. */
-        NOTHING_NEW,
+        UNCHANGED,
         /** Something is known that was not. */
-        NEWS,
+        CHANGED,
         /** It spoke against this instance, which has gone beyond it. */
         REFUTED
     }
 
     private final int most;
     private final MemberTable table;
-    private final LocalMember own;
+    private final LocalMember localMember;
 
     /** A life that begins knowing only itself. */
     public Knowledge(Member self, int most) {
         this.most = most;
-        table = new MemberTable(most, this::join);
-        own = new LocalMember(self, this::beyond);
-        table.join(self);
+        table = new MemberTable(most, this::mergeMembers);
+        localMember = new LocalMember(self, this::refute);
+        table.merge(self);
     }
 
     /** The same knowledge, to go its own way. */
     protected Knowledge(Knowledge of) {
         most = of.most;
-        table = new MemberTable(most, this::join);
-        of.table.all().forEach(table::join);
-        own = of.own.copy(this::beyond);
+        table = new MemberTable(most, this::mergeMembers);
+        of.table.all().forEach(table::merge);
+        localMember = of.localMember.copy(this::refute);
     }
 
     /** What becomes of what is held and what is said of one instance. */
-    protected Member join(Member held, Member said) {
-        return held.join(said);
+    protected Member mergeMembers(Member held, Member said) {
+        return held.merge(said);
     }
 
     /** The entry by which this instance goes beyond what is said of it. */
-    protected Member beyond(Member self, Member said) {
-        return self.again(Math.max(said.incarnation(), self.incarnation()) + 1);
+    protected Member refute(Member self, Member said) {
+        return self.withIncarnation(Math.max(said.incarnation(), self.incarnation()) + 1);
     }
 
     /** Takes in what somebody says. */
-    public MergeResult take(double nowMs, Member said) {
+    public MergeResult merge(double nowMs, Member said) {
         if (said.id() != self().id()) {
-            return table.join(said) == null ? MergeResult.NOTHING_NEW : MergeResult.NEWS;
+            return table.merge(said) == null ? MergeResult.UNCHANGED : MergeResult.CHANGED;
         }
-        if (!own.contradicted(said, nowMs)) {
-            return MergeResult.NOTHING_NEW;
+        if (!localMember.refuteIfContradicted(said, nowMs)) {
+            return MergeResult.UNCHANGED;
         }
-        table.join(self());
+        table.merge(self());
         return MergeResult.REFUTED;
     }
 
     /** This instance did not reach that one; nothing happens if it is not known to live. */
     public void suspect(int id) {
         Member e = table.get(id);
-        if (e != null && e.state().lives()) {
-            table.join(e.suspectedBy(self().id()));
+        if (e != null && e.state().isLive()) {
+            table.merge(e.suspectedBy(self().id()));
         }
     }
 
     /** This instance gives up one that it suspects. */
-    public void giveUp(int id) {
+    public void declareDead(int id) {
         Member e = table.get(id);
         if (e != null && e.state() == MemberState.SUSPECT) {
-            table.join(e.in(MemberState.DEAD));
+            table.merge(e.withState(MemberState.DEAD));
         }
     }
 
     /** What the instance says of itself. */
     public final Member self() {
-        return own.entry();
+        return localMember.member();
     }
 
     /** What is held of an instance, null if nothing is. */
@@ -100,7 +100,7 @@
         return table;
     }
 
-    LocalMember own() {
-        return own;
+    LocalMember localMember() {
+        return localMember;
     }
 }
--- a/src/main/java/cacheproxy/membership/LocalHealth.java
+++ b/src/main/java/cacheproxy/membership/LocalHealth.java
@@ -7,54 +7,58 @@
  * That helpers say nothing is no sign here: at a cut most of them stand on its other side.
  */
 final class LocalHealth {
-    private static final int MOST = 7;
+    private static final int MAX_SCORE = 7;
     /** What a stand-still of its own counts. */
-    private static final int STOOD_STILL = 3;
+    private static final int STALL_SCORE = 3;
 
     /** What one probe may miss of those that live. */
-    private static final double MISSED = 0.03;
+    private static final double MAX_FALSE_FAILURES = 0.03;
 
-    private static final double PINGS = 3;
-    private static final double MOST_LONGER = 5;
-    private static final double NEW = 0.05;
+    private static final double PINGS_PER_PROBE = 3;
+    private static final double MAX_LOSS_FACTOR = 5;
+    private static final double LOSS_SMOOTHING = 0.05;
 
     private int score;
     /** The part of pings that remain without an answer, of probes that had one in the end. */
-    private double lost;
+    private double lossRatio;
 
     /** By how much rounds and waits are longer: 1 to 8. */
-    double slower() {
+    double intervalFactor() {
         return 1 + score;
     }
 
     /**
      * By how much probes and suspicions last longer as messages get lost: so that as few pings as are sent then all get
-     * lost in one probe of {@link #MISSED}. 1 to {@link #MOST_LONGER}.
+     * lost in one probe of {@link #MAX_FALSE_FAILURES}. 1 to {@link #MAX_LOSS_FACTOR}.
      */
-    double longer() {
-        return lost <= 0
+    double lossFactor() {
+        return lossRatio <= 0
                 ? 1
-                : Math.max(1, Math.min(MOST_LONGER, Math.log(MISSED) / Math.log(Math.min(0.95, lost)) / PINGS));
+                : Math.max(
+                        1,
+                        Math.min(
+                                MAX_LOSS_FACTOR,
+                                Math.log(MAX_FALSE_FAILURES) / Math.log(Math.min(0.95, lossRatio)) / PINGS_PER_PROBE));
     }
 
     /** A probe was answered at its so-manieth ping. */
-    void answered(int pings) {
+    void probeAnswered(int pings) {
         score = Math.max(0, score - 1);
         for (int i = 0; i < pings; i++) {
-            lost += NEW * ((i < pings - 1 ? 1 : 0) - lost);
+            lossRatio += LOSS_SMOOTHING * ((i < pings - 1 ? 1 : 0) - lossRatio);
         }
     }
 
     /** An answer came too late. */
-    void late() {
-        score = Math.min(MOST, score + 1);
+    void answeredLate() {
+        score = Math.min(MAX_SCORE, score + 1);
     }
 
     void suspected() {
-        score = Math.min(MOST, score + 1);
+        score = Math.min(MAX_SCORE, score + 1);
     }
 
-    void stoodStill() {
-        score = Math.min(MOST, score + STOOD_STILL);
+    void stalled() {
+        score = Math.min(MAX_SCORE, score + STALL_SCORE);
     }
 }
--- a/src/main/java/cacheproxy/membership/LocalMember.java
+++ b/src/main/java/cacheproxy/membership/LocalMember.java
@@ -10,77 +10,77 @@
  */
 final class LocalMember {
     /** A name outbid so often in this life is another's, too. */
-    static final int OUTBIDS = 4;
+    static final int DISPUTE_CONTRADICTIONS = 4;
     /** From then on it is defended only so often. */
-    static final double DISPUTE_MS = 2000;
+    static final double DISPUTE_REFUTE_INTERVAL_MS = 2000;
 
-    private final BinaryOperator<Member> beyond;
-    private Member entry;
-    private int outbids;
-    private double defendedMs = Double.NEGATIVE_INFINITY;
+    private final BinaryOperator<Member> refutation;
+    private Member member;
+    private int contradictions;
+    private double refutedMs = Double.NEGATIVE_INFINITY;
     private boolean leaving;
 
-    /** Begins a life in this entry; {@code beyond}: what refutes, of the own entry and what is said of it. */
+    /** Begins a life in this entry; {@code refutation}: what refutes, of the own entry and what is said of it. */
     LocalMember(Member entry, BinaryOperator<Member> beyond) {
-        this.entry = entry;
-        this.beyond = beyond;
+        this.member = entry;
+        this.refutation = beyond;
     }
 
     /** The same, to go its own way. */
     LocalMember copy(BinaryOperator<Member> others) {
-        LocalMember own = new LocalMember(entry, others);
-        own.outbids = outbids;
-        own.defendedMs = defendedMs;
+        LocalMember own = new LocalMember(member, others);
+        own.contradictions = contradictions;
+        own.refutedMs = refutedMs;
         own.leaving = leaving;
         return own;
     }
 
-    Member entry() {
-        return entry;
+    Member member() {
+        return member;
     }
 
     /** Somebody says this of the instance's own name. Whether the entry had to go beyond it. */
-    boolean contradicted(Member said, double nowMs) {
-        int by = said.compareLife(entry);
-        boolean another = said.life() != entry.life();
-        if (by < 0 || (by == 0 && (said.state().compareTo(entry.state()) <= 0 || leaving))) {
+    boolean refuteIfContradicted(Member said, double nowMs) {
+        int by = said.compareIncarnation(member);
+        boolean another = said.processNonce() != member.processNonce();
+        if (by < 0 || (by == 0 && (said.state().compareTo(member.state()) <= 0 || leaving))) {
             return false;
         }
-        if (said.incarnation() > Member.MAX_INCARNATION - MemberTable.MOST_AHEAD) {
+        if (said.incarnation() > Member.MAX_INCARNATION - MemberTable.MAX_INCARNATION_STEP) {
             return false; // nothing of ours gets there
         }
-        if (another && ++outbids >= OUTBIDS && nowMs - defendedMs < DISPUTE_MS) {
+        if (another && ++contradictions >= DISPUTE_CONTRADICTIONS && nowMs - refutedMs < DISPUTE_REFUTE_INTERVAL_MS) {
             return false;
         }
-        defendedMs = nowMs;
-        MemberState was = entry.state();
-        entry = beyond.apply(entry, said);
+        refutedMs = nowMs;
+        MemberState was = member.state();
+        member = refutation.apply(member, said);
         if (leaving) {
-            entry = entry.in(was);
+            member = member.withState(was);
         }
         return true;
     }
 
     /** Whether another process seems to live under this name. */
     boolean disputed() {
-        return outbids >= OUTBIDS;
+        return contradictions >= DISPUTE_CONTRADICTIONS;
     }
 
     /** The instance goes for good. */
     void leave() {
         leaving = true;
-        entry = entry.in(MemberState.LEFT);
+        member = member.withState(MemberState.LEFT);
     }
 
     void phase(ServicePhase phase) {
-        if (entry.phase() != phase) {
-            entry = entry.saying(phase, entry.notes());
+        if (member.phase() != phase) {
+            member = member.withPhaseAndNotes(phase, member.notes());
         }
     }
 
     void note(int part, byte[] bytes) {
-        if (!Arrays.equals(entry.note(part), bytes)) {
-            entry = entry.noting(part, bytes);
+        if (!Arrays.equals(member.note(part), bytes)) {
+            member = member.withNote(part, bytes);
         }
     }
 }
--- a/src/main/java/cacheproxy/membership/Member.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -6,7 +6,7 @@
 import java.util.TreeSet;
 
 /**
- * What is known of one instance. Entries of the same instance form a join semilattice: {@link #join} is associative,
+ * What is known of one instance. Entries of the same instance form a join semilattice: {@link #merge} is associative,
  * commutative and idempotent, so any two that have heard the same come to hold the same, in whatever order and however
  * often they heard it.
  *
@@ -19,20 +19,20 @@
  *
  * @param id its number, 0 to {@link #MAX_ID}
  * @param incarnation 1 to {@link #MAX_INCARNATION}, raised at each start and each refutation
- * @param life drawn by the process at its start, 0 to 65,535: tells two processes of one name apart
+ * @param processNonce drawn by the process at its start, 0 to 65,535: tells two processes of one name apart
  * @param state what is believed
- * @param confirmers of a suspicion, those who did not reach it either, {@link #MOST_CONFIRMERS} at most
+ * @param confirmers of a suspicion, those who did not reach it either, {@link #MAX_CONFIRMERS} at most
  * @param zone where it stands, 0 to {@link #MAX_ZONE}
  * @param version of what it says of itself: phase and notes
  * @param phase of its service
- * @param notes what other parts of the program publish by it, by a number 0 to 7, {@link #MOST_NOTE} bytes each at most
- *     and {@link #MOST_NOTES} together, so that three entries fit in any message
+ * @param notes what other parts of the program publish by it, by a number 0 to 7, {@link #MAX_NOTE_BYTES} bytes each at
+ *     most and {@link #MAX_NOTES_BYTES} together, so that three entries fit in any message
  * @param address where it is reached, 6 bytes; empty where the settings name it
  */
 public record Member(
         int id,
         long incarnation,
-        int life,
+        int processNonce,
         MemberState state,
         TreeSet<Integer> confirmers,
         int zone,
@@ -47,13 +47,13 @@
     /** The highest incarnation; at one a second it lasts 136 years. */
     public static final long MAX_INCARNATION = 0xffff_ffffL;
     /** How many confirmers a suspicion names at most; beyond it the lowest numbers. */
-    public static final int MOST_CONFIRMERS = 4;
+    public static final int MAX_CONFIRMERS = 4;
     /** What one part may publish, in bytes. */
-    public static final int MOST_NOTE = 24;
+    public static final int MAX_NOTE_BYTES = 24;
     /** What all parts may publish together, in bytes. */
-    public static final int MOST_NOTES = 32;
+    public static final int MAX_NOTES_BYTES = 32;
     /** How many parts may publish. */
-    public static final int NOTES = 8;
+    public static final int MAX_NOTES = 8;
 
     private static final byte[] NONE = {};
 
@@ -63,25 +63,26 @@
                 || id > MAX_ID
                 || incarnation < 1
                 || incarnation > MAX_INCARNATION
-                || life < 0
-                || life > 0xffff
+                || processNonce < 0
+                || processNonce > 0xffff
                 || zone < 0
                 || zone > MAX_ZONE
                 || version < 0) {
-            throw new IllegalArgumentException("instance " + id + " in incarnation " + incarnation + ", life " + life
-                    + ", zone " + zone + ", version " + version + " is out of range");
+            throw new IllegalArgumentException("instance " + id + " in incarnation " + incarnation + ", life "
+                    + processNonce + ", zone " + zone + ", version " + version + " is out of range");
         }
-        if (confirmers.size() > MOST_CONFIRMERS
+        if (confirmers.size() > MAX_CONFIRMERS
                 || (address.length != 0 && address.length != 6)
                 || notes.entrySet().stream()
-                        .anyMatch(n -> n.getKey() < 0 || n.getKey() >= NOTES || n.getValue().length > MOST_NOTE)
-                || notes.values().stream().mapToInt(n -> n.length).sum() > MOST_NOTES) {
+                        .anyMatch(
+                                n -> n.getKey() < 0 || n.getKey() >= MAX_NOTES || n.getValue().length > MAX_NOTE_BYTES)
+                || notes.values().stream().mapToInt(n -> n.length).sum() > MAX_NOTES_BYTES) {
             throw new IllegalArgumentException("instance " + id + " has too much to say");
         }
     }
 
     /** An instance that begins a life. */
-    public static Member begin(int id, long incarnation, int life, int zone, byte[] address) {
+    public static Member start(int id, long incarnation, int life, int zone, byte[] address) {
         return new Member(
                 id,
                 incarnation,
@@ -96,30 +97,39 @@
     }
 
     /** Whether what is said of a life here holds against what is said there: 0 for the same life in one incarnation. */
-    public int compareLife(Member other) {
+    public int compareIncarnation(Member other) {
         int by = Long.compare(incarnation, other.incarnation);
-        return by != 0 ? by : Integer.compare(life, other.life);
+        return by != 0 ? by : Integer.compare(processNonce, other.processNonce);
     }
 
     /** Both as one; this itself if the other adds nothing. */
     @SuppressWarnings("ReferenceEquality") // this itself is what is given back
-    public Member join(Member other) {
-        int by = compareLife(other);
+    public Member merge(Member other) {
+        int by = compareIncarnation(other);
         if (by != 0) {
             return by > 0 ? this : other;
         }
         MemberState both = state.compareTo(other.state) >= 0 ? state : other.state;
-        TreeSet<Integer> confirming = confirming(both, other);
+        TreeSet<Integer> confirming = mergeConfirmers(both, other);
         Member said = version >= other.version ? this : other;
         if (both == state && said == this && confirming.equals(confirmers)) {
             return this;
         }
         return new Member(
-                id, incarnation, life, both, confirming, said.zone, said.version, said.phase, said.notes, said.address);
+                id,
+                incarnation,
+                processNonce,
+                both,
+                confirming,
+                said.zone,
+                said.version,
+                said.phase,
+                said.notes,
+                said.address);
     }
 
     /** The lowest of all who confirm; once it is dead nobody asks who did. */
-    private TreeSet<Integer> confirming(MemberState both, Member other) {
+    private TreeSet<Integer> mergeConfirmers(MemberState both, Member other) {
         TreeSet<Integer> all = new TreeSet<>();
         if (both == MemberState.SUSPECT) {
             all.addAll(confirmers);
@@ -129,15 +139,15 @@
     }
 
     private static TreeSet<Integer> lowest(TreeSet<Integer> all) {
-        while (all.size() > MOST_CONFIRMERS) {
+        while (all.size() > MAX_CONFIRMERS) {
             all.pollLast();
         }
         return all;
     }
 
     /** The same believed to be in that state. */
-    Member in(MemberState later) {
-        return new Member(id, incarnation, life, later, new TreeSet<>(), zone, version, phase, notes, address);
+    Member withState(MemberState later) {
+        return new Member(id, incarnation, processNonce, later, new TreeSet<>(), zone, version, phase, notes, address);
     }
 
     /** The same with one more who does not reach it. */
@@ -145,28 +155,30 @@
         TreeSet<Integer> all = new TreeSet<>(confirmers);
         all.add(instance);
         return new Member(
-                id, incarnation, life, MemberState.SUSPECT, lowest(all), zone, version, phase, notes, address);
+                id, incarnation, processNonce, MemberState.SUSPECT, lowest(all), zone, version, phase, notes, address);
     }
 
     /** The same alive in another incarnation. */
-    Member again(long higher) {
-        return new Member(id, higher, life, MemberState.ALIVE, new TreeSet<>(), zone, version, phase, notes, address);
+    Member withIncarnation(long higher) {
+        return new Member(
+                id, higher, processNonce, MemberState.ALIVE, new TreeSet<>(), zone, version, phase, notes, address);
     }
 
     /** The same with something else to say, by the next version. */
-    Member saying(ServicePhase now, Map<Integer, byte[]> all) {
-        return new Member(id, incarnation, life, state, confirmers, zone, version + 1, now, Map.copyOf(all), address);
+    Member withPhaseAndNotes(ServicePhase now, Map<Integer, byte[]> all) {
+        return new Member(
+                id, incarnation, processNonce, state, confirmers, zone, version + 1, now, Map.copyOf(all), address);
     }
 
     /** One part's note replaced; empty takes it out. */
-    Member noting(int part, byte[] bytes) {
+    Member withNote(int part, byte[] bytes) {
         Map<Integer, byte[]> all = new HashMap<>(notes);
         if (bytes.length == 0) {
             all.remove(part);
         } else {
             all.put(part, bytes.clone());
         }
-        return saying(phase, all);
+        return withPhaseAndNotes(phase, all);
     }
 
     /** A part's note, empty if it has none. */
@@ -179,7 +191,9 @@
      * Suspicions do not count: they pass, and while answers get lost there is always one somewhere.
      */
     long hash() {
-        return state.lives() ? mix(mix(id * 0x9e3779b97f4a7c15L + incarnation) ^ ((long) life << 34 | version)) : 0;
+        return state.isLive()
+                ? mix(mix(id * 0x9e3779b97f4a7c15L + incarnation) ^ ((long) processNonce << 34 | version))
+                : 0;
     }
 
     /** A thorough mix of 64 bits (Stafford's variant 13), by which ranks are drawn that are the same at all. */
@@ -194,7 +208,7 @@
         return other instanceof Member e
                 && id == e.id
                 && incarnation == e.incarnation
-                && life == e.life
+                && processNonce == e.processNonce
                 && state == e.state
                 && confirmers.equals(e.confirmers)
                 && zone == e.zone
@@ -218,7 +232,7 @@
                         : state == MemberState.SUSPECT
                                 ? " suspected by " + confirmers
                                 : state == MemberState.DEAD ? " dead" : " left")
-                + " in " + incarnation + "/" + Integer.toHexString(life)
+                + " in " + incarnation + "/" + Integer.toHexString(processNonce)
                 + " v" + version;
     }
 }
--- a/src/main/java/cacheproxy/membership/MemberState.java
+++ b/src/main/java/cacheproxy/membership/MemberState.java
@@ -34,7 +34,7 @@
     }
 
     /** Whether it is to be counted among those that live. */
-    public boolean lives() {
+    public boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
 }
--- a/src/main/java/cacheproxy/membership/MemberTable.java
+++ b/src/main/java/cacheproxy/membership/MemberTable.java
@@ -14,26 +14,26 @@
     /** Into how many slices the entries fall, by their numbers. */
     public static final int SLICES = 32;
     /** No instance refutes so often between two that hear of it; what claims more is no entry of ours. */
-    static final long MOST_AHEAD = 1 << 20;
+    static final long MAX_INCARNATION_STEP = 1 << 20;
 
-    private final int most;
-    private final BinaryOperator<Member> joining;
+    private final int capacity;
+    private final BinaryOperator<Member> merger;
     private final TreeMap<Integer, Member> entries = new TreeMap<>();
     private final long[] slices = new long[SLICES];
 
     /** For so many instances at most, the dead among them. */
     public MemberTable(int most) {
-        this(most, Member::join);
+        this(most, Member::merge);
     }
 
-    /** {@code joining}: what becomes of two entries of one instance, the held one first. */
+    /** {@code merger}: what becomes of two entries of one instance, the held one first. */
     MemberTable(int most, BinaryOperator<Member> joining) {
-        this.joining = joining;
+        this.merger = joining;
         if (most < 1 || most > Member.MAX_ID + 1) {
             throw new IllegalArgumentException(
                     "a table for " + most + " instances; it takes 1 to " + (Member.MAX_ID + 1));
         }
-        this.most = most;
+        this.capacity = most;
     }
 
     /** The entry of an instance, null if nothing is known of it. */
@@ -57,19 +57,19 @@
      * @return the new entry, or null if that changes nothing or is beyond belief
      */
     @SuppressWarnings("ReferenceEquality") // cheap first: a join gives back what was held where nothing is new
-    public Member join(Member said) {
+    public Member merge(Member said) {
         Member held = entries.get(said.id());
         if (held == null) {
-            if (entries.size() >= most && !makeRoom()) {
+            if (entries.size() >= capacity && !evictGone()) {
                 return null;
             }
             put(said);
             return said;
         }
-        if (said.incarnation() > held.incarnation() + MOST_AHEAD) {
+        if (said.incarnation() > held.incarnation() + MAX_INCARNATION_STEP) {
             return null;
         }
-        Member both = joining.apply(held, said);
+        Member both = merger.apply(held, said);
         if (both == held || both.equals(held)) {
             return null;
         }
@@ -83,10 +83,10 @@
     }
 
     /** Lets go of one that is dead or has left; nothing else makes room. */
-    private boolean makeRoom() {
+    private boolean evictGone() {
         for (Member e : entries.values()) {
-            if (!e.state().lives()) {
-                forget(e.id());
+            if (!e.state().isLive()) {
+                remove(e.id());
                 return true;
             }
         }
@@ -94,7 +94,7 @@
     }
 
     /** Lets go of an instance that the settings do not name and that has been gone for long. */
-    void forget(int id) {
+    void remove(int id) {
         Member gone = entries.remove(id);
         if (gone != null) {
             slices[slice(id)] -= gone.hash();
@@ -127,7 +127,7 @@
     }
 
     /** The entries of a slice, by number. */
-    public List<Member> ofSlice(int slice) {
+    public List<Member> inSlice(int slice) {
         List<Member> some = new ArrayList<>();
         entries.values().forEach(e -> {
             if (slice(e.id()) == slice) {
--- a/src/main/java/cacheproxy/membership/Membership.java
+++ b/src/main/java/cacheproxy/membership/Membership.java
@@ -15,7 +15,7 @@
 
 /**
  * One instance's part in the view that the fleet keeps. Takes times and messages, gives messages: whoever owns the
- * sockets calls {@link #tick} when {@link #dueMs} has come, {@link #heard} for each message, and sends what
+ * sockets calls {@link #tick} when {@link #dueMs} has come, {@link #messageReceived} for each message, and sends what
  * {@link #outgoing} hands out. Messages may be lost, late, doubled, out of order, or wrong.
  *
  * <p>Every second round asks the one that follows on a ring of all that live, so that each is watched by somebody; the
@@ -26,7 +26,7 @@
  */
 public final class Membership {
     /** The most bytes of a message. */
-    public static final int ROOM = 250;
+    public static final int MAX_MESSAGE_BYTES = 250;
 
     /** What of the budget for messages is free: one for all parts of the program, which somebody else keeps. */
     public interface Allowance {
@@ -38,7 +38,7 @@
         boolean take(double nowMs, int bytes, Urgency urgency);
 
         /** How many bytes may be added to a message for what may as well go later; 0 or less for none. */
-        int spare(double nowMs);
+        int spareBytes(double nowMs);
     }
     /** A call that comes so much later than it was due means that this process stood still. */
     static final double STILL_MS = 500;
@@ -134,9 +134,9 @@
         this.me = me;
         random = new SplittableRandom(seed);
         knowledge = new Knowledge(
-                Member.begin(me, remembered + 1, random.nextInt(0x10000), zone, address), settings.most());
+                Member.start(me, remembered + 1, random.nextInt(0x10000), zone, address), settings.capacity());
         table = knowledge.table();
-        own = knowledge.own();
+        own = knowledge.localMember();
         news.changed(me);
         number = random.nextInt(0x10000);
     }
@@ -165,38 +165,38 @@
     }
 
     private void ownChanged() {
-        if (table.join(own.entry()) != null) {
+        if (table.merge(own.member()) != null) {
             news.changed(me);
         }
     }
 
     /** A message has come. {@code from}: whose address it came from, negative if addresses tell nothing. */
-    public void heard(double nowMs, int from, byte[] body) {
+    public void messageReceived(double nowMs, int from, byte[] body) {
         wake(nowMs);
         MembershipMessage m = MembershipMessage.decode(body);
         if (m == null
-                || (from >= 0 && m.entries().get(0).id() != from)
-                || m.entries().get(0).id() == me) {
+                || (from >= 0 && m.members().get(0).id() != from)
+                || m.members().get(0).id() == me) {
             unreadable++;
             return;
         }
-        int sender = m.entries().get(0).id();
-        m.entries().forEach(e -> take(nowMs, e));
+        int sender = m.members().get(0).id();
+        m.members().forEach(e -> take(nowMs, e));
         Member held = table.get(sender);
         if (held == null) {
             return; // no room for it
         }
         heardMs.put(sender, nowMs);
-        Member said = m.entries().get(0);
-        if (held.compareLife(said) != 0 || held.state() != said.state()) {
+        Member said = m.members().get(0);
+        if (held.compareIncarnation(said) != 0 || held.state() != said.state()) {
             owed.add(sender);
         }
         switch (m.kind()) {
-            case PING -> send(nowMs, Kind.ACK, sender, m.number(), MembershipMessage.NOBODY, Urgency.ANSWER);
+            case PING -> send(nowMs, Kind.ACK, sender, m.number(), MembershipMessage.NO_MEMBER, Urgency.ANSWER);
             case ACK -> answered(nowMs, m, sender);
-            case HELP -> help(nowMs, m, sender);
-            case DIFFER -> differ(nowMs, m, sender);
-            case NEWS, SLICES -> {}
+            case PING_REQUEST -> help(nowMs, m, sender);
+            case DIGESTS -> differ(nowMs, m, sender);
+            case GOSSIP, MEMBERS -> {}
         }
         if (m.kind() == Kind.ACK && m.digest() != table.digest() && nowMs >= differMs) {
             // While there is news under way digests differ for that alone.
@@ -208,18 +208,19 @@
     /** Takes in what is said of somebody. */
     private void take(double nowMs, Member said) {
         if (said.id() == me) {
-            boolean thisLife = said.life() == own.entry().life();
-            if (knowledge.take(nowMs, said) == Knowledge.MergeResult.REFUTED) {
+            boolean thisLife = said.processNonce() == own.member().processNonce();
+            if (knowledge.merge(nowMs, said) == Knowledge.MergeResult.REFUTED) {
                 if (thisLife) {
                     health.suspected();
                     deathsRefuted += said.state() == MemberState.DEAD ? 1 : 0;
                 }
                 news.changed(me);
             }
-        } else if (settings.names(said.id())
+        } else if (settings.isConfigured(said.id())
                 || said.address().length > 0
                 || settings.seeds().contains(said.id())) {
-            boolean forgotten = table.get(said.id()) == null && !said.state().lives() && !settings.names(said.id());
+            boolean forgotten =
+                    table.get(said.id()) == null && !said.state().isLive() && !settings.isConfigured(said.id());
             if (!forgotten && !heldBack(nowMs, said)) {
                 apply(nowMs, said);
             }
@@ -236,7 +237,7 @@
         if (said.state() != MemberState.DEAD
                 || held == null
                 || held.state() != MemberState.ALIVE
-                || held.compareLife(said) != 0) {
+                || held.compareIncarnation(said) != 0) {
             return false;
         }
         if (claims.putIfAbsent(said.id(), new Claim(said, nowMs + CLAIM_MS)) == null) {
@@ -244,40 +245,40 @@
                     nowMs,
                     said.id(),
                     new MembershipMessage(
-                            Kind.NEWS,
+                            Kind.GOSSIP,
                             0,
-                            MembershipMessage.NOBODY,
+                            MembershipMessage.NO_MEMBER,
                             table.digest(),
                             new int[0],
-                            List.of(own.entry(), said)),
-                    Urgency.CHANGE);
+                            List.of(own.member(), said)),
+                    Urgency.MEMBERSHIP_CHANGE);
         }
         return true;
     }
 
     private void apply(double nowMs, Member said) {
         Member before = table.get(said.id());
-        Member now = table.join(said);
+        Member now = table.merge(said);
         if (now == null) {
             return;
         }
         news.changed(now.id());
-        boolean livedBefore = before != null && before.state().lives();
-        if (livedBefore != now.state().lives()) {
+        boolean livedBefore = before != null && before.state().isLive();
+        if (livedBefore != now.state().isLive()) {
             others = null;
         }
-        if (now.state().lives()) {
+        if (now.state().isLive()) {
             goneMs.remove(now.id());
         } else {
             goneMs.putIfAbsent(now.id(), nowMs);
-            probes.values().removeIf(p -> p.target == now.id() && p.why != Probe.Purpose.RETURN);
+            probes.values().removeIf(p -> p.target == now.id() && p.purpose != Probe.Purpose.REJOIN);
         }
         Suspicion s = suspicions.get(now.id());
-        if (s != null && (now.state() != MemberState.SUSPECT || !s.of(now))) {
+        if (s != null && (now.state() != MemberState.SUSPECT || !s.concerns(now))) {
             suspicions.remove(now.id());
             s = null;
         }
-        if (now.state() == MemberState.SUSPECT && s == null && own.entry().state() != MemberState.LEFT) {
+        if (now.state() == MemberState.SUSPECT && s == null && own.member().state() != MemberState.LEFT) {
             suspicions.put(now.id(), new Suspicion(now, nowMs)); // the next tick looks
         }
     }
@@ -300,20 +301,20 @@
         }
         for (int id : List.copyOf(suspicions.keySet())) {
             Suspicion s = suspicions.get(id);
-            if (s != null && s.lookMs <= nowMs) {
-                s.lookMs = nowMs + LOOK_MS;
-                if (nowMs - s.failedMs > EVIDENCE_MS * health.longer() && looks(table.get(id))) {
-                    probe(nowMs, id, Probe.Purpose.CONFIRM);
+            if (s != null && s.confirmAtMs <= nowMs) {
+                s.confirmAtMs = nowMs + LOOK_MS;
+                if (nowMs - s.ownProbeFailedMs > EVIDENCE_MS * health.lossFactor() && looks(table.get(id))) {
+                    probe(nowMs, id, Probe.Purpose.CONFIRM_SUSPICION);
                 }
             }
             if (s != null && endMs(id) <= nowMs) {
                 end(nowMs, id);
             }
         }
-        if (own.entry().state() != MemberState.LEFT && nowMs >= roundMs) {
+        if (own.member().state() != MemberState.LEFT && nowMs >= roundMs) {
             round(nowMs);
         }
-        if (news.takeFresh() && flushMs == Double.POSITIVE_INFINITY) {
+        if (news.takeChanged() && flushMs == Double.POSITIVE_INFINITY) {
             flushMs = nowMs + GATHER_MS;
         }
         if (nowMs >= flushMs) {
@@ -323,12 +324,12 @@
 
     /** When {@link #tick} wants to be called next, in milliseconds; after anything else that was told, at once. */
     public double dueMs() {
-        double due = own.entry().state() == MemberState.LEFT ? Double.POSITIVE_INFINITY : roundMs;
+        double due = own.member().state() == MemberState.LEFT ? Double.POSITIVE_INFINITY : roundMs;
         for (Probe p : probes.values()) {
             due = Math.min(due, p.nextMs);
         }
         for (int id : suspicions.keySet()) {
-            due = Math.min(due, Math.min(endMs(id), suspicions.get(id).lookMs));
+            due = Math.min(due, Math.min(endMs(id), suspicions.get(id).confirmAtMs));
         }
         for (Claim c : claims.values()) {
             due = Math.min(due, c.dueMs());
@@ -348,12 +349,12 @@
         if (!Double.isNaN(lastMs)) {
             double late = nowMs - Math.max(lastMs, dueMs());
             if (late > STILL_MS) {
-                health.stoodStill();
+                health.stalled();
                 probes.clear();
                 claims.replaceAll((id, c) -> new Claim(c.said(), c.dueMs() + late));
                 suspicions.values().forEach(s -> {
-                    s.beganMs += late;
-                    s.failedMs = Double.NEGATIVE_INFINITY;
+                    s.startedMs += late;
+                    s.ownProbeFailedMs = Double.NEGATIVE_INFINITY;
                 });
                 roundMs = nowMs;
             }
@@ -362,14 +363,14 @@
     }
 
     private void round(double nowMs) {
-        roundMs = nowMs + settings.roundMs() * health.slower() * (0.9 + 0.2 * random.nextDouble());
+        roundMs = nowMs + settings.roundMs() * health.intervalFactor() * (0.9 + 0.2 * random.nextDouble());
         turn++;
         goneMs.entrySet().removeIf(e -> {
-            boolean forget = !settings.names(e.getKey()) && nowMs - e.getValue() > settings.forgetMs();
+            boolean forget = !settings.isConfigured(e.getKey()) && nowMs - e.getValue() > settings.forgetMs();
             if (forget) {
-                table.forget(e.getKey());
+                table.remove(e.getKey());
                 heardMs.remove(e.getKey());
-                news.drop(e.getKey());
+                news.remove(e.getKey());
             }
             return forget;
         });
@@ -377,7 +378,7 @@
         if (ring.isEmpty() || turn % RETURN_ROUNDS == 0) {
             List<Integer> gone = gone();
             for (int i = ring.isEmpty() ? JOIN_ASKS : 1; i > 0 && !gone.isEmpty(); i--) {
-                probe(nowMs, gone.remove(random.nextInt(gone.size())), Probe.Purpose.RETURN);
+                probe(nowMs, gone.remove(random.nextInt(gone.size())), Probe.Purpose.REJOIN);
             }
             if (ring.isEmpty()) {
                 return;
@@ -397,14 +398,14 @@
         }
         all.addAll(goneMs.keySet());
         all.remove(me);
-        all.removeIf(id -> table.get(id) != null && table.get(id).state().lives());
+        all.removeIf(id -> table.get(id) != null && table.get(id).state().isLive());
         return new ArrayList<>(all.stream().sorted().toList());
     }
 
     private List<Integer> others() {
         if (others == null) {
             others = table.all().stream()
-                    .filter(e -> e.id() != me && e.state().lives())
+                    .filter(e -> e.id() != me && e.state().isLive())
                     .map(Member::id)
                     .sorted(Comparator.comparingLong(id -> Member.mix(id)))
                     .toList();
@@ -422,8 +423,8 @@
         for (int i = 0; i < ring.size(); i++) {
             int id = ring.get((at + i) % ring.size());
             Suspicion s = suspicions.get(id);
-            if ((s == null || s.failedMs == Double.NEGATIVE_INFINITY)
-                    && probes.values().stream().noneMatch(p -> p.target == id && p.why == Probe.Purpose.ROUND)) {
+            if ((s == null || s.ownProbeFailedMs == Double.NEGATIVE_INFINITY)
+                    && probes.values().stream().noneMatch(p -> p.target == id && p.purpose == Probe.Purpose.ROUND)) {
                 return id;
             }
         }
@@ -444,7 +445,7 @@
             }
             int id = order.remove(order.size() - 1);
             Member e = table.get(id);
-            if (e != null && e.state().lives()) {
+            if (e != null && e.state().isLive()) {
                 return id;
             }
         }
@@ -453,9 +454,9 @@
     // ---- probes
 
     private void probe(double nowMs, int target, Probe.Purpose why) {
-        boolean running = probes.values().stream().anyMatch(p -> p.target == target && p.why == why);
+        boolean running = probes.values().stream().anyMatch(p -> p.target == target && p.purpose == why);
         if (!running) {
-            begin(nowMs, new Probe(number(), target, why, MembershipMessage.NOBODY, 0, nowMs));
+            begin(nowMs, new Probe(number(), target, why, MembershipMessage.NO_MEMBER, 0, nowMs));
         }
     }
 
@@ -474,31 +475,33 @@
 
     /** Whether there was room to ask; who was not asked has not failed to answer. */
     private boolean ask(double nowMs, Probe p) {
-        p.nextMs = nowMs + settings.directMs() * health.slower();
+        p.nextMs = nowMs + settings.pingTimeoutMs() * health.intervalFactor();
         boolean sent = send(
                 nowMs,
                 Kind.PING,
                 p.target,
                 p.number,
-                MembershipMessage.NOBODY,
-                p.why == Probe.Purpose.RETURN ? Urgency.OTHER : Urgency.CHANGE);
-        p.asked += sent ? 1 : 0;
+                MembershipMessage.NO_MEMBER,
+                p.purpose == Probe.Purpose.REJOIN ? Urgency.BACKGROUND : Urgency.MEMBERSHIP_CHANGE);
+        p.pings += sent ? 1 : 0;
         return sent;
     }
 
     private void advance(double nowMs, Probe p) {
-        boolean over = nowMs >= p.beganMs + settings.probeMs() * health.slower() * health.longer();
-        if (p.why == Probe.Purpose.RETURN || over) {
+        boolean over = nowMs >= p.startedMs + settings.probeTimeoutMs() * health.intervalFactor() * health.lossFactor();
+        if (p.purpose == Probe.Purpose.REJOIN || over) {
             probes.remove(p.number);
             failed(nowMs, p);
             return;
         }
-        if (p.asked == 1 && !many() && (p.why == Probe.Purpose.ROUND || p.why == Probe.Purpose.LAST)) {
+        if (p.pings == 1 && !many() && (p.purpose == Probe.Purpose.ROUND || p.purpose == Probe.Purpose.BEFORE_DEATH)) {
             // Those who confirm a suspicion are helpers themselves; at a cut there is no way round.
-            helpers(p.target).forEach(h -> send(nowMs, Kind.HELP, h, p.number, p.target, Urgency.CHANGE));
+            helpers(p.target)
+                    .forEach(h -> send(nowMs, Kind.PING_REQUEST, h, p.number, p.target, Urgency.MEMBERSHIP_CHANGE));
         }
         ask(nowMs, p);
-        p.nextMs = Math.min(p.nextMs, p.beganMs + settings.probeMs() * health.slower() * health.longer());
+        p.nextMs = Math.min(
+                p.nextMs, p.startedMs + settings.probeTimeoutMs() * health.intervalFactor() * health.lossFactor());
     }
 
     private List<Integer> helpers(int target) {
@@ -520,43 +523,43 @@
 
     private void help(double nowMs, MembershipMessage m, int asker) {
         if (m.target() != me && table.get(m.target()) != null) {
-            begin(nowMs, new Probe(number(), m.target(), Probe.Purpose.HELP, asker, m.number(), nowMs));
+            begin(nowMs, new Probe(number(), m.target(), Probe.Purpose.FOR_PEER, asker, m.number(), nowMs));
         }
     }
 
     private void answered(double nowMs, MembershipMessage m, int sender) {
         Probe p = probes.get(m.number());
         if (p == null
-                && m.target() == MembershipMessage.NOBODY
+                && m.target() == MembershipMessage.NO_MEMBER
                 && Integer.valueOf(sender).equals(late.remove(m.number()))) {
-            health.late();
+            health.answeredLate();
         }
-        if (p == null || p.target != (m.target() == MembershipMessage.NOBODY ? sender : m.target())) {
+        if (p == null || p.target != (m.target() == MembershipMessage.NO_MEMBER ? sender : m.target())) {
             return;
         }
         probes.remove(p.number);
-        health.answered(p.asked);
-        if (p.why == Probe.Purpose.HELP) {
-            send(nowMs, Kind.ACK, p.asker, p.askerNumber, p.target, Urgency.ANSWER);
+        health.probeAnswered(p.pings);
+        if (p.purpose == Probe.Purpose.FOR_PEER) {
+            send(nowMs, Kind.ACK, p.requester, p.requesterNumber, p.target, Urgency.ANSWER);
         }
         Suspicion s = suspicions.get(p.target);
         if (s != null) {
-            s.failedMs = Double.NEGATIVE_INFINITY; // it has been told, and refutes what others say
+            s.ownProbeFailedMs = Double.NEGATIVE_INFINITY; // it has been told, and refutes what others say
         }
     }
 
     private void failed(double nowMs, Probe p) {
         Member e = table.get(p.target);
-        if (p.why == Probe.Purpose.RETURN
-                || p.why == Probe.Purpose.HELP
+        if (p.purpose == Probe.Purpose.REJOIN
+                || p.purpose == Probe.Purpose.FOR_PEER
                 || e == null
-                || !e.state().lives()) {
+                || !e.state().isLive()) {
             return;
         }
         late.put(p.number, p.target);
-        if (p.why == Probe.Purpose.LAST) {
+        if (p.purpose == Probe.Purpose.BEFORE_DEATH) {
             if (suspicions.containsKey(p.target)) {
-                apply(nowMs, e.in(MemberState.DEAD));
+                apply(nowMs, e.withState(MemberState.DEAD));
             }
             return;
         }
@@ -564,9 +567,9 @@
         apply(nowMs, e.suspectedBy(me));
         Suspicion s = suspicions.get(p.target);
         if (s != null) {
-            s.failedMs = nowMs;
+            s.ownProbeFailedMs = nowMs;
         }
-        if (p.why == Probe.Purpose.ROUND) {
+        if (p.purpose == Probe.Purpose.ROUND) {
             // Where one is gone there may be more: those behind it on the ring are asked at once.
             for (int i = 0; i < RING_ASKS; i++) {
                 int next = next(others());
@@ -578,7 +581,7 @@
         Collection<Integer> told = first ? lookers(e) : table.get(p.target).confirmers();
         told.stream()
                 .filter(t -> t != me && t != p.target)
-                .forEach(t -> send(nowMs, Kind.NEWS, t, 0, MembershipMessage.NOBODY, Urgency.CHANGE));
+                .forEach(t -> send(nowMs, Kind.GOSSIP, t, 0, MembershipMessage.NO_MEMBER, Urgency.MEMBERSHIP_CHANGE));
     }
 
     // ---- suspicions
@@ -618,10 +621,10 @@
         Member e = table.get(id);
         int wanted = Math.min(many() ? 1 : settings.confirmers(), others().size() - suspicions.size());
         double end = s.endMs(settings, e.confirmers().size(), wanted);
-        boolean mine = e.confirmers().contains(me) || s.failedMs != Double.NEGATIVE_INFINITY;
-        double slow = s.beganMs + (end - s.beganMs) * health.slower() * health.longer();
+        boolean mine = e.confirmers().contains(me) || s.ownProbeFailedMs != Double.NEGATIVE_INFINITY;
+        double slow = s.startedMs + (end - s.startedMs) * health.intervalFactor() * health.lossFactor();
         double looking = probes.values().stream()
-                .filter(p -> p.target == id && p.why == Probe.Purpose.LAST)
+                .filter(p -> p.target == id && p.purpose == Probe.Purpose.BEFORE_DEATH)
                 .mapToDouble(p -> p.nextMs)
                 .findFirst()
                 .orElse(Double.NEGATIVE_INFINITY);
@@ -630,13 +633,13 @@
 
     private void end(double nowMs, int id) {
         Suspicion s = suspicions.get(id);
-        if (nowMs - s.failedMs <= EVIDENCE_MS * health.longer()) {
-            apply(nowMs, table.get(id).in(MemberState.DEAD));
-        } else if (probes.values().stream().noneMatch(p -> p.target == id && p.why == Probe.Purpose.LAST)) {
-            s.failedMs = Double.NEGATIVE_INFINITY;
-            probe(nowMs, id, Probe.Purpose.LAST);
-            if (probes.values().stream().noneMatch(p -> p.target == id && p.why == Probe.Purpose.LAST)) {
-                s.beganMs = nowMs; // too much to do; later
+        if (nowMs - s.ownProbeFailedMs <= EVIDENCE_MS * health.lossFactor()) {
+            apply(nowMs, table.get(id).withState(MemberState.DEAD));
+        } else if (probes.values().stream().noneMatch(p -> p.target == id && p.purpose == Probe.Purpose.BEFORE_DEATH)) {
+            s.ownProbeFailedMs = Double.NEGATIVE_INFINITY;
+            probe(nowMs, id, Probe.Purpose.BEFORE_DEATH);
+            if (probes.values().stream().noneMatch(p -> p.target == id && p.purpose == Probe.Purpose.BEFORE_DEATH)) {
+                s.startedMs = nowMs; // too much to do; later
             }
         }
     }
@@ -649,23 +652,24 @@
             return;
         }
         for (int to : drawn(many, me)) {
-            send(nowMs, Kind.NEWS, to, 0, MembershipMessage.NOBODY, Urgency.OTHER);
+            send(nowMs, Kind.GOSSIP, to, 0, MembershipMessage.NO_MEMBER, Urgency.BACKGROUND);
         }
     }
 
     /** Whether there was room for it. */
     private boolean send(double nowMs, Kind kind, int to, int probe, int target, Urgency urgency) {
-        List<Member> entries = new ArrayList<>(List.of(own.entry()));
+        List<Member> entries = new ArrayList<>(List.of(own.member()));
         Member its = table.get(to);
         if (its != null && (owed.remove(to) || its.state() != MemberState.ALIVE)) {
             entries.add(its);
         }
-        if (target != MembershipMessage.NOBODY && target != to && table.get(target) != null) {
+        if (target != MembershipMessage.NO_MEMBER && target != to && table.get(target) != null) {
             entries.add(table.get(target));
         }
         int bytes = MembershipMessage.headBytes(kind)
                 + entries.stream().mapToInt(MembershipMessage::bytes).sum();
-        int room = Math.min(ROOM - bytes, kind == Kind.NEWS ? ROOM : allowance.spare(nowMs));
+        int room = Math.min(
+                MAX_MESSAGE_BYTES - bytes, kind == Kind.GOSSIP ? MAX_MESSAGE_BYTES : allowance.spareBytes(nowMs));
         List<Member> more = news.take(table, room, me);
         more.removeIf(e -> entries.stream().anyMatch(x -> x.id() == e.id()));
         entries.addAll(more);
@@ -685,7 +689,7 @@
     private void differ(double nowMs, MembershipMessage m, int sender) {
         List<Integer> slices = new ArrayList<>();
         for (int i = 0; i < MemberTable.SLICES; i++) {
-            if (m.slices()[i] != table.digest(i)) {
+            if (m.sliceDigests()[i] != table.digest(i)) {
                 slices.add(i);
             }
         }
@@ -700,7 +704,7 @@
             sendSlices(nowMs, sender, 1);
         }
         List<Member> left = new ArrayList<>();
-        slices.forEach(i -> left.addAll(table.ofSlice(i)));
+        slices.forEach(i -> left.addAll(table.inSlice(i)));
         left.removeIf(e -> e.id() == me);
         for (int i = 0; i < SLICE_MESSAGES && (i == 0 || !left.isEmpty()); i++) {
             sendSome(nowMs, sender, left);
@@ -708,8 +712,9 @@
     }
 
     private void sendSome(double nowMs, int to, List<Member> left) {
-        List<Member> entries = new ArrayList<>(List.of(own.entry()));
-        int room = ROOM - MembershipMessage.headBytes(Kind.SLICES) - MembershipMessage.bytes(own.entry());
+        List<Member> entries = new ArrayList<>(List.of(own.member()));
+        int room =
+                MAX_MESSAGE_BYTES - MembershipMessage.headBytes(Kind.MEMBERS) - MembershipMessage.bytes(own.member());
         while (!left.isEmpty()) {
             int at = random.nextInt(left.size());
             int bytes = MembershipMessage.bytes(left.get(at));
@@ -722,8 +727,9 @@
         post(
                 nowMs,
                 to,
-                new MembershipMessage(Kind.SLICES, 0, MembershipMessage.NOBODY, table.digest(), new int[0], entries),
-                Urgency.OTHER);
+                new MembershipMessage(
+                        Kind.MEMBERS, 0, MembershipMessage.NO_MEMBER, table.digest(), new int[0], entries),
+                Urgency.BACKGROUND);
     }
 
     /** {@code reply}: 1 if this answers the other's own. */
@@ -736,8 +742,13 @@
                 nowMs,
                 to,
                 new MembershipMessage(
-                        Kind.DIFFER, reply, MembershipMessage.NOBODY, table.digest(), digests, List.of(own.entry())),
-                Urgency.CHANGE);
+                        Kind.DIGESTS,
+                        reply,
+                        MembershipMessage.NO_MEMBER,
+                        table.digest(),
+                        digests,
+                        List.of(own.member())),
+                Urgency.MEMBERSHIP_CHANGE);
     }
 
     // ---- what it knows
@@ -753,8 +764,8 @@
                 own.disputed());
     }
 
-    /** How many live, as {@link MembershipView#living} has it. */
-    public LiveMembers living() {
+    /** How many live, as {@link MembershipView#liveMembers} has it. */
+    public LiveMembers liveMembers() {
         return new LiveMembers(others().size() + 1);
     }
 
@@ -769,13 +780,13 @@
     }
 
     /** What is held of an instance, null if nothing is. */
-    public Member entry(int id) {
+    public Member member(int id) {
         return table.get(id);
     }
 
     /** The incarnation that is to be remembered beyond this life. */
     public long incarnation() {
-        return own.entry().incarnation();
+        return own.member().incarnation();
     }
 
     /** Messages that could not be read, or came under another's name. */
--- a/src/main/java/cacheproxy/membership/MembershipMessage.java
+++ b/src/main/java/cacheproxy/membership/MembershipMessage.java
@@ -14,14 +14,15 @@
  *
  * @param kind what it is
  * @param number of the probe that it belongs to, 0 to 65,535
- * @param target whom a helper is to reach, or has reached; {@link #NOBODY} otherwise
+ * @param target whom a helper is to reach, or has reached; {@link #NO_MEMBER} otherwise
  * @param digest of all that the sender knows
- * @param slices digests of the sender's slices in a {@link Kind#DIFFER}; empty otherwise
- * @param entries the sender's own first
+ * @param sliceDigests digests of the sender's slices in a {@link Kind#DIGESTS}; empty otherwise
+ * @param members the sender's own first
  */
-public record MembershipMessage(Kind kind, int number, int target, int digest, int[] slices, List<Member> entries) {
+public record MembershipMessage(
+        Kind kind, int number, int target, int digest, int[] sliceDigests, List<Member> members) {
     /** No instance's number. */
-    public static final int NOBODY = 0xffff;
+    public static final int NO_MEMBER = 0xffff;
 
     private static final int HEAD_BYTES = 1 + 1 + 2 + 2 + 4;
     private static final int SLICE_BYTES = 2 * MemberTable.SLICES;
@@ -36,13 +37,13 @@
         /** I do, or the one that was asked after does. */
         ACK(1),
         /** Ask after that one for me. */
-        HELP(2),
+        PING_REQUEST(2),
         /** What has changed; wants no answer. */
-        NEWS(3),
+        GOSSIP(3),
         /** Our digests differ; mine by slice. Wants the entries of the slices that differ, and yours. */
-        DIFFER(4),
+        DIGESTS(4),
         /** The entries of slices that differ; wants no answer. */
-        SLICES(5);
+        MEMBERS(5);
 
         private final int code;
 
@@ -70,7 +71,7 @@
 
     /** The bytes that this takes without entries. */
     static int headBytes(Kind kind) {
-        return HEAD_BYTES + (kind == Kind.DIFFER ? SLICE_BYTES : 0);
+        return HEAD_BYTES + (kind == Kind.DIGESTS ? SLICE_BYTES : 0);
     }
 
     /** The bytes that an entry takes. */
@@ -92,19 +93,19 @@
     /** As it goes out. */
     public byte[] encode() {
         int size = headBytes(kind)
-                + entries.stream().mapToInt(MembershipMessage::bytes).sum();
+                + members.stream().mapToInt(MembershipMessage::bytes).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
         out.put((byte) kind.code())
-                .put((byte) entries.size())
+                .put((byte) members.size())
                 .putShort((short) number)
                 .putShort((short) target)
                 .putInt(digest);
-        if (kind == Kind.DIFFER) {
-            for (int s : slices) {
+        if (kind == Kind.DIGESTS) {
+            for (int s : sliceDigests) {
                 out.putShort((short) s);
             }
         }
-        entries.forEach(e -> encode(e, out));
+        members.forEach(e -> encode(e, out));
         return out.array();
     }
 
@@ -117,7 +118,7 @@
         out.putShort((short) e.id());
         putVarint(out, e.zone());
         putVarint(out, e.incarnation());
-        out.putShort((short) e.life());
+        out.putShort((short) e.processNonce());
         putVarint(out, e.version());
         out.put(e.address());
         if (!e.confirmers().isEmpty()) {
@@ -165,7 +166,7 @@
         int number = in.getShort() & 0xffff;
         int target = in.getShort() & 0xffff;
         int digest = in.getInt();
-        int[] slices = new int[kind == Kind.DIFFER ? MemberTable.SLICES : 0];
+        int[] slices = new int[kind == Kind.DIGESTS ? MemberTable.SLICES : 0];
         for (int i = 0; i < slices.length; i++) {
             slices[i] = in.getShort() & 0xffff;
         }
--- a/src/main/java/cacheproxy/membership/MembershipView.java
+++ b/src/main/java/cacheproxy/membership/MembershipView.java
@@ -7,49 +7,54 @@
 /**
  * What one instance holds of the fleet at a moment; immutable. It is advice: instances that can hear each other come to
  * hold the same soon, and until then, and across a cut, they do not. So it hands out two kinds of number that do not
- * fit in each other's place: {@link #living()} for what costs only work, {@link #configured()} for what a rule rests
- * on.
+ * fit in each other's place: {@link #liveMembers()} for what costs only work, {@link #configuredMembers()} for what a
+ * rule rests on.
  *
- * @param me the instance whose view it is
+ * @param self the instance whose view it is
  * @param atMs when it was taken, by the instance's own clock
- * @param entries of all that are known, by number
+ * @param members of all that are known, by number
  * @param digest alike for views that hold the same
- * @param configured instances that the settings name; null where only seeds do
+ * @param configuredMembers instances that the settings name; null where only seeds do
  * @param disputed whether another process seems to live under the instance's name
  */
 public record MembershipView(
-        int me, double atMs, List<Member> entries, int digest, ConfiguredMembers configured, boolean disputed) {
+        int self,
+        double atMs,
+        List<Member> members,
+        int digest,
+        ConfiguredMembers configuredMembers,
+        boolean disputed) {
     /** Checks that the instance itself is in it. */
     public MembershipView {
-        entries = List.copyOf(entries);
-        if (entries.stream().noneMatch(e -> e.id() == me)) {
+        members = List.copyOf(members);
+        if (members.stream().noneMatch(e -> e.id() == self)) {
             throw new IllegalArgumentException("a view without the instance whose it is");
         }
     }
 
     /** Those that live, itself among them. */
-    public LiveMembers living() {
+    public LiveMembers liveMembers() {
         return new LiveMembers(1
-                + (int) entries.stream()
-                        .filter(e -> e.id() != me && e.state().lives())
+                + (int) members.stream()
+                        .filter(e -> e.id() != self && e.state().isLive())
                         .count());
     }
 
     /** Which part of the configured fleet it hears; of all that are known where only seeds are configured. */
-    public Reachability hearing() {
-        int all = configured == null ? entries.size() : configured.count();
+    public Reachability reachability() {
+        int all = configuredMembers == null ? members.size() : configuredMembers.count();
         return Reachability.of(
-                (int) entries.stream()
-                        .filter(e ->
-                                e.state() == MemberState.ALIVE && (configured == null || e.id() < configured.count()))
+                (int) members.stream()
+                        .filter(e -> e.state() == MemberState.ALIVE
+                                && (configuredMembers == null || e.id() < configuredMembers.count()))
                         .count(),
                 all);
     }
 
     /** The same by the zones in which instances said they stand. */
-    public Map<Integer, Reachability> hearingByZone() {
+    public Map<Integer, Reachability> reachabilityByZone() {
         Map<Integer, int[]> counts = new TreeMap<>();
-        for (Member e : entries) {
+        for (Member e : members) {
             int[] c = counts.computeIfAbsent(e.zone(), z -> new int[2]);
             c[0] += e.state() == MemberState.ALIVE ? 1 : 0;
             c[1]++;
--- a/src/main/java/cacheproxy/membership/OutgoingMessage.java
+++ b/src/main/java/cacheproxy/membership/OutgoingMessage.java
@@ -13,8 +13,8 @@
         /** Somebody waits for it, or it refutes what is wrong. */
         ANSWER,
         /** Something has changed. */
-        CHANGE,
+        MEMBERSHIP_CHANGE,
         /** The rest. */
-        OTHER
+        BACKGROUND
     }
 }
--- a/src/main/java/cacheproxy/membership/Probe.java
+++ b/src/main/java/cacheproxy/membership/Probe.java
@@ -7,32 +7,32 @@
         /** It is its turn. */
         ROUND,
         /** Somebody suspects it. */
-        CONFIRM,
+        CONFIRM_SUSPICION,
         /** A last look before it is given up. */
-        LAST,
+        BEFORE_DEATH,
         /** Another asked for it. */
-        HELP,
+        FOR_PEER,
         /** It is gone, or was never heard of: whether it is back. */
-        RETURN
+        REJOIN
     }
 
     final int number;
     final int target;
-    final Purpose why;
+    final Purpose purpose;
     /** For whom and by which number of theirs, where another asked. */
-    final int asker;
+    final int requester;
 
-    final int askerNumber;
-    final double beganMs;
+    final int requesterNumber;
+    final double startedMs;
     double nextMs;
-    int asked;
+    int pings;
 
     Probe(int number, int target, Purpose why, int asker, int askerNumber, double beganMs) {
         this.number = number;
         this.target = target;
-        this.why = why;
-        this.asker = asker;
-        this.askerNumber = askerNumber;
-        this.beganMs = beganMs;
+        this.purpose = why;
+        this.requester = asker;
+        this.requesterNumber = askerNumber;
+        this.startedMs = beganMs;
     }
 }
--- a/src/main/java/cacheproxy/membership/Suspicion.java
+++ b/src/main/java/cacheproxy/membership/Suspicion.java
@@ -7,25 +7,26 @@
 final class Suspicion {
     final long incarnation;
     final int life;
-    double beganMs;
+    double startedMs;
     /** When this instance asks next whether it is to look. */
-    double lookMs;
+    double confirmAtMs;
     /** When this instance itself did not reach it last; negative infinity if it has not tried. */
-    double failedMs = Double.NEGATIVE_INFINITY;
+    double ownProbeFailedMs = Double.NEGATIVE_INFINITY;
 
     Suspicion(Member entry, double nowMs) {
         incarnation = entry.incarnation();
-        life = entry.life();
-        beganMs = nowMs;
+        life = entry.processNonce();
+        startedMs = nowMs;
     }
 
-    boolean of(Member entry) {
-        return incarnation == entry.incarnation() && life == entry.life();
+    boolean concerns(Member entry) {
+        return incarnation == entry.incarnation() && life == entry.processNonce();
     }
 
     /** When it is over. */
     double endMs(MembershipSettings s, int confirmers, int wanted) {
         double part = wanted <= 0 ? 1 : Math.min(1, Math.log(Math.max(1, confirmers)) / Math.log(wanted + 1));
-        return beganMs + Math.max(s.leastMs(), s.longestMs() - (s.longestMs() - s.leastMs()) * part);
+        return startedMs
+                + Math.max(s.minSuspicionMs(), s.maxSuspicionMs() - (s.maxSuspicionMs() - s.minSuspicionMs()) * part);
     }
 }
--- a/src/main/java/cacheproxy/model/FleetPart.java
+++ b/src/main/java/cacheproxy/model/FleetPart.java
@@ -40,7 +40,7 @@
         this.post = post;
         this.order = order;
         members = new Membership(
-                MembershipSettings.of(settings.instanceCount()),
+                MembershipSettings.forConfigured(settings.instanceCount()),
                 settings.instanceIndex(),
                 settings.zone(),
                 new byte[0],
@@ -60,7 +60,7 @@
     }
 
     void heard(int from, byte[] body) {
-        members.heard(time.now(), from, body);
+        members.messageReceived(time.now(), from, body);
     }
 
     /** What the list holds now. */
--- a/src/main/java/cacheproxy/model/ViewPlay.java
+++ b/src/main/java/cacheproxy/model/ViewPlay.java
@@ -112,7 +112,7 @@
             throw new IllegalArgumentException(
                     many + " instances at a loss of " + loss + "; it takes 1 to 10000 and 0 to 1");
         }
-        settings = MembershipSettings.of(many);
+        settings = MembershipSettings.forConfigured(many);
         this.loss = loss;
         this.twice = twice;
         random = new SplittableRandom(seed);
@@ -145,7 +145,7 @@
                 Instance i = instances.get(to);
                 if (i.members != null) {
                     i.whenAwake(() -> {
-                        i.members.heard(time.now(), from, body);
+                        i.members.messageReceived(time.now(), from, body);
                         i.go();
                     });
                 }
@@ -226,10 +226,10 @@
             return;
         }
         for (Instance other : instances) {
-            Member e = other.members == null ? null : i.members.entry(other.id);
+            Member e = other.members == null ? null : i.members.member(other.id);
             if (e != null
                     && e.state() == MemberState.DEAD
-                    && e.compareLife(other.members.entry(e.id())) == 0
+                    && e.compareIncarnation(other.members.member(e.id())) == 0
                     && reaches(i.id, other.id)
                     && time.now() >= other.stoppedUntilMs) {
                 falseDeaths.add(e.id() + "/" + e.incarnation());
@@ -252,11 +252,11 @@
                 continue;
             }
             for (Instance other : instances) {
-                Member e = i.members.entry(other.id);
+                Member e = i.members.member(other.id);
                 boolean lives = other.members != null && reaches(i.id, other.id) && reaches(other.id, i.id);
                 if (lives
-                        ? e == null || !e.state().lives() || i.members.digest() != other.members.digest()
-                        : e != null && e.state().lives()) {
+                        ? e == null || !e.state().isLive() || i.members.digest() != other.members.digest()
+                        : e != null && e.state().isLive()) {
                     return false;
                 }
             }
@@ -267,10 +267,10 @@
     /** Whether all that live hold that one for alive, or for gone. */
     public boolean allHold(int id, boolean alive) {
         return instances.stream().filter(i -> i.members != null).allMatch(i -> {
-            Member e = i.members.entry(id);
+            Member e = i.members.member(id);
             return alive
-                    ? e != null && e.state().lives()
-                    : e == null || !e.state().lives();
+                    ? e != null && e.state().isLive()
+                    : e == null || !e.state().isLive();
         });
     }
 
--- a/src/main/java/cacheproxy/model/check/MemberProtocol.java
+++ b/src/main/java/cacheproxy/model/check/MemberProtocol.java
@@ -72,7 +72,7 @@
     }
 
     private Knowledge life(int id, long remembered, int life) {
-        return begin.apply(Member.begin(id, remembered + 1, life, 0, new byte[0]));
+        return begin.apply(Member.start(id, remembered + 1, life, 0, new byte[0]));
     }
 
     @Override
@@ -82,7 +82,7 @@
             all.add(life(i, 0, 1));
         }
         for (Knowledge k : all) {
-            all.forEach(other -> k.take(0, other.self()));
+            all.forEach(other -> k.merge(0, other.self()));
         }
         return new Fleet(all, new long[INSTANCES], List.of(), 0, 0, 1);
     }
@@ -146,7 +146,7 @@
         }
         if (e != null && e.state() == MemberState.SUSPECT) {
             Knowledge k = copy.apply(f.of(i));
-            k.giveUp(j);
+            k.declareDead(j);
             moves.add(new Move<>(
                     i + " gives " + j + " up",
                     with(f, i, k, f.mail(), f.suspicions(), f.deaths(), f.lives(), f.remembered()),
@@ -197,14 +197,14 @@
     private static String tell(Knowledge k, List<Member> entries) {
         for (Member said : entries) {
             Member before = k.get(said.id());
-            k.take(0, said);
+            k.merge(0, said);
             Member after = k.get(said.id());
-            if (before != null && after.compareLife(before) < 0) {
+            if (before != null && after.compareIncarnation(before) < 0) {
                 return "what " + k.self().id() + " holds of " + said.id() + " goes back from " + before + " to "
                         + after;
             }
             if (before != null
-                    && after.compareLife(before) == 0
+                    && after.compareIncarnation(before) == 0
                     && after.state().compareTo(before.state()) < 0) {
                 return k.self().id() + " takes back " + before + " for " + after + ", which nobody refuted";
             }
@@ -289,7 +289,8 @@
         for (Member e : entries) {
             TreeSet<Integer> by = new TreeSet<>();
             e.confirmers().forEach(c -> by.add(names[c]));
-            each[names[e.id()]] = e.incarnation() + "/" + e.life() + e.state().ordinal() + by;
+            each[names[e.id()]] =
+                    e.incarnation() + "/" + e.processNonce() + e.state().ordinal() + by;
         }
         s.append(Arrays.toString(each));
     }
--- a/src/main/java/cacheproxy/proxy/MembershipLink.java
+++ b/src/main/java/cacheproxy/proxy/MembershipLink.java
@@ -14,16 +14,16 @@
     private final Dispatcher dispatcher;
     private final PeerSocket peers;
     private final Membership members;
-    private final Consumer<LiveMembers> advised;
+    private final Consumer<LiveMembers> liveMembersListener;
     /** A timer that was set before the last one is void. */
-    private long waits;
+    private long timerGeneration;
 
-    private LiveMembers living = new LiveMembers(1);
+    private LiveMembers liveMembers = new LiveMembers(1);
     private Runnable changed = () -> {};
 
     /**
-     * {@code remembered}: the incarnation of this instance's last life, 0 for none; {@code advised}: told the number
-     * that lives each time that it changes.
+     * {@code remembered}: the incarnation of this instance's last life, 0 for none; {@code liveMembersListener}: told
+     * the number that lives each time that it changes.
      */
     MembershipLink(
             Dispatcher dispatcher,
@@ -35,9 +35,9 @@
             Consumer<LiveMembers> advised) {
         this.dispatcher = dispatcher;
         this.peers = peers;
-        this.advised = advised;
+        this.liveMembersListener = advised;
         members = new Membership(
-                MembershipSettings.of(settings.instanceCount()),
+                MembershipSettings.forConfigured(settings.instanceCount()),
                 settings.instanceIndex(),
                 settings.zone(),
                 new byte[0],
@@ -48,8 +48,8 @@
         run();
     }
 
-    void heard(int peer, byte[] body) {
-        members.heard(now(), peer, body);
+    void messageReceived(int peer, byte[] body) {
+        members.messageReceived(now(), peer, body);
         run();
     }
 
@@ -99,19 +99,19 @@
     }
 
     private void run() {
-        long mine = ++waits;
+        long mine = ++timerGeneration;
         members.tick(now());
         members.outgoing().forEach(s -> peers.sendAdmitted(s.to(), PeerSocket.Kind.MEMBERS, s.body()));
-        LiveMembers lives = members.living();
-        if (!lives.equals(living)) {
-            living = lives;
-            advised.accept(lives);
+        LiveMembers lives = members.liveMembers();
+        if (!lives.equals(liveMembers)) {
+            liveMembers = lives;
+            liveMembersListener.accept(lives);
         }
         changed.run();
         double due = members.dueMs();
         if (due != Double.POSITIVE_INFINITY) {
             dispatcher.after(Math.max(0, due - now()), () -> {
-                if (waits == mine) {
+                if (timerGeneration == mine) {
                     run();
                 }
             });
--- a/src/main/java/cacheproxy/proxy/NodeTalk.java
+++ b/src/main/java/cacheproxy/proxy/NodeTalk.java
@@ -60,8 +60,8 @@
             MembershipView view = members.view();
             zonesMs = now;
             zones.clear();
-            view.entries().stream()
-                    .filter(e -> e.id() != view.me() && e.state().lives())
+            view.members().stream()
+                    .filter(e -> e.id() != view.self() && e.state().isLive())
                     .forEach(e -> zones.put(e.id(), e.zone()));
         }
         Integer zone = zones.get(peer);
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -51,7 +51,7 @@
             case MODULE -> loadBalancer.peerMessageReceived(peer, message);
             case MEMBERS -> {
                 if (membership != null) {
-                    membership.heard(peer, message);
+                    membership.messageReceived(peer, message);
                 }
             }
             case NODES -> {
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -171,8 +171,8 @@
 
     private static List<Double> ratesOfOthers(MembershipView view) {
         List<Double> rates = new ArrayList<>();
-        for (Member member : view.entries()) {
-            if (member.id() != view.me() && member.state().lives() && member.phase() == ServicePhase.SERVING) {
+        for (Member member : view.members()) {
+            if (member.id() != view.self() && member.state().isLive() && member.phase() == ServicePhase.SERVING) {
                 byte[] load = member.note(LOAD_NOTE);
                 rates.add(load.length == 1 ? RequestRateCode.decode(load[0]) : 0);
             }
--- a/src/main/java/cacheproxy/recovery/PeerStateQuery.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateQuery.java
@@ -96,8 +96,8 @@
     }
 
     private List<Member> servingPeers(MembershipView view) {
-        return view.entries().stream()
-                .filter(e -> e.id() != instance && e.state().lives() && e.phase() == ServicePhase.SERVING)
+        return view.members().stream()
+                .filter(e -> e.id() != instance && e.state().isLive() && e.phase() == ServicePhase.SERVING)
                 .sorted(Comparator.comparingLong(e -> Member.mix(e.id() ^ instance * 0x9e37_79b9_7f4a_7c15L)))
                 .toList();
     }
--- a/src/test/java/cacheproxy/failover/RememberTest.java
+++ b/src/test/java/cacheproxy/failover/RememberTest.java
@@ -21,7 +21,7 @@
 
     private static MembershipView alone() {
         return new MembershipView(
-                0, 0, List.of(Member.begin(0, 1, 7, 0, new byte[0])), 0, new ConfiguredMembers(1), false);
+                0, 0, List.of(Member.start(0, 1, 7, 0, new byte[0])), 0, new ConfiguredMembers(1), false);
     }
 
     private void tick(double nowMs) {
--- a/src/test/java/cacheproxy/membership/EntryTest.java
+++ b/src/test/java/cacheproxy/membership/EntryTest.java
@@ -39,11 +39,11 @@
 
     @Property(seed = "41", tries = 2000)
     void entriesAreASemilattice(@ForAll("entries") Member a, @ForAll("entries") Member b, @ForAll("entries") Member c) {
-        assertThat(a.join(a)).isEqualTo(a);
-        assertThat(a.join(b)).isEqualTo(b.join(a));
-        assertThat(a.join(b).join(c)).isEqualTo(a.join(b.join(c)));
-        assertThat(a.join(b).compareLife(a)).isNotNegative();
-        assertThat(a.join(b).join(a)).isEqualTo(a.join(b));
+        assertThat(a.merge(a)).isEqualTo(a);
+        assertThat(a.merge(b)).isEqualTo(b.merge(a));
+        assertThat(a.merge(b).merge(c)).isEqualTo(a.merge(b.merge(c)));
+        assertThat(a.merge(b).compareIncarnation(a)).isNotNegative();
+        assertThat(a.merge(b).merge(a)).isEqualTo(a.merge(b));
     }
 
     @Property(seed = "42", tries = 500)
@@ -51,8 +51,8 @@
             @ForAll("entries") Member a, @ForAll("entries") Member b, @ForAll("entries") Member c) {
         MemberTable one = new MemberTable(10);
         MemberTable other = new MemberTable(10);
-        List.of(a, b, c).forEach(one::join);
-        List.of(c, a, b, a).forEach(other::join);
+        List.of(a, b, c).forEach(one::merge);
+        List.of(c, a, b, a).forEach(other::merge);
         assertThat(one.digest()).isEqualTo(other.digest());
         assertThat(one.digest(MemberTable.slice(7))).isEqualTo(other.digest(MemberTable.slice(7)));
     }
@@ -65,11 +65,11 @@
                 65_535,
                 3,
                 -5,
-                new int[kind == MembershipMessage.Kind.DIFFER ? MemberTable.SLICES : 0],
+                new int[kind == MembershipMessage.Kind.DIGESTS ? MemberTable.SLICES : 0],
                 List.of(a, b));
         byte[] bytes = m.encode();
         MembershipMessage read = MembershipMessage.decode(bytes);
-        assertThat(read.entries()).isEqualTo(m.entries());
+        assertThat(read.members()).isEqualTo(m.members());
         assertThat(read.kind()).isEqualTo(kind);
         assertThat(read.number()).isEqualTo(65_535);
         assertThat(read.digest()).isEqualTo(-5);
@@ -90,24 +90,24 @@
     @Test
     void aZoneOf1024IsReadAsItWasWritten() {
         for (int zone : new int[] {0, 127, 128, 255, 256, 1023, Member.MAX_ZONE}) {
-            Member e = Member.begin(1023, 1, 7, zone, new byte[0]);
+            Member e = Member.start(1023, 1, 7, zone, new byte[0]);
             byte[] bytes = new MembershipMessage(
-                            MembershipMessage.Kind.NEWS, 0, MembershipMessage.NOBODY, 0, new int[0], List.of(e))
+                            MembershipMessage.Kind.GOSSIP, 0, MembershipMessage.NO_MEMBER, 0, new int[0], List.of(e))
                     .encode();
-            assertThat(MembershipMessage.decode(bytes).entries()).containsExactly(e);
+            assertThat(MembershipMessage.decode(bytes).members()).containsExactly(e);
             assertThat(bytes)
-                    .hasSize(MembershipMessage.headBytes(MembershipMessage.Kind.NEWS) + MembershipMessage.bytes(e));
+                    .hasSize(MembershipMessage.headBytes(MembershipMessage.Kind.GOSSIP) + MembershipMessage.bytes(e));
             assertThat(bytes.length).isEqualTo(zone < 128 ? 18 : 19);
         }
     }
 
     @Test
     void aZoneThatIsNoneIsNotRead() {
-        Member e = Member.begin(5, 1, 7, Member.MAX_ZONE, new byte[0]);
+        Member e = Member.start(5, 1, 7, Member.MAX_ZONE, new byte[0]);
         byte[] bytes = new MembershipMessage(
-                        MembershipMessage.Kind.NEWS, 0, MembershipMessage.NOBODY, 0, new int[0], List.of(e))
+                        MembershipMessage.Kind.GOSSIP, 0, MembershipMessage.NO_MEMBER, 0, new int[0], List.of(e))
                 .encode();
-        int zone = MembershipMessage.headBytes(MembershipMessage.Kind.NEWS) + 3;
+        int zone = MembershipMessage.headBytes(MembershipMessage.Kind.GOSSIP) + 3;
         assertThat(bytes[zone + 1]).isEqualTo((byte) 0x7f);
         byte[] beyond = new byte[bytes.length + 1];
         System.arraycopy(bytes, 0, beyond, 0, zone + 1);
--- a/src/test/java/cacheproxy/membership/MembershipTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTest.java
@@ -52,12 +52,12 @@
         p.stop(4, 8000);
         p.pass(7900);
         assertThat(p.allHold(4, false)).as("the others gave it up").isFalse(); // it holds itself for alive
-        assertThat(p.of(0).entry(4).state()).isEqualTo(MemberState.DEAD);
+        assertThat(p.of(0).member(4).state()).isEqualTo(MemberState.DEAD);
         p.pass(200);
         for (int i = 0; i < 40; i++) {
             p.pass(50);
             for (int other = 0; other < 12; other++) {
-                assertThat(p.of(4).entry(other).state()).isNotEqualTo(MemberState.DEAD);
+                assertThat(p.of(4).member(other).state()).isNotEqualTo(MemberState.DEAD);
             }
         }
         assertThat(p.until(p::settled, 5000)).isLessThan(3000);
@@ -117,7 +117,7 @@
         ViewPlay p = settled(12, 0, 17);
         p.leave(5);
         assertThat(p.until(() -> p.allHold(5, false), 3000)).isLessThan(1000);
-        assertThat(p.of(0).entry(5).state()).isEqualTo(MemberState.LEFT);
+        assertThat(p.of(0).member(5).state()).isEqualTo(MemberState.LEFT);
     }
 
     // ---- one instance alone
@@ -129,19 +129,19 @@
         }
 
         @Override
-        public int spare(double nowMs) {
-            return Membership.ROOM;
+        public int spareBytes(double nowMs) {
+            return Membership.MAX_MESSAGE_BYTES;
         }
     };
 
     private static Membership alone(int me, long remembered, long seed) {
-        return new Membership(MembershipSettings.of(3), me, 0, new byte[0], remembered, seed, ALL);
+        return new Membership(MembershipSettings.forConfigured(3), me, 0, new byte[0], remembered, seed, ALL);
     }
 
     /** Passes what goes from one to the other. */
     private static void pass(Membership from, int me, Membership to, double now) {
         from.tick(now);
-        from.outgoing().forEach(s -> to.heard(now, me, s.body()));
+        from.outgoing().forEach(s -> to.messageReceived(now, me, s.body()));
     }
 
     @Test
@@ -156,8 +156,8 @@
             other.tick(now);
             back.addAll(other.outgoing());
             for (OutgoingMessage s : back) {
-                one.heard(now, 1, s.body());
-                twin.heard(now, 1, s.body());
+                one.messageReceived(now, 1, s.body());
+                twin.messageReceived(now, 1, s.body());
             }
         }
         assertThat(one.view(20_000).disputed()).isTrue();
@@ -174,10 +174,10 @@
         for (int i = 0; i < 20_000; i++) {
             byte[] noise = new byte[random.nextInt(250)];
             random.nextBytes(noise);
-            one.heard(i, 1, noise);
+            one.messageReceived(i, 1, noise);
         }
         other.tick(30_000);
-        other.outgoing().forEach(s -> one.heard(30_000, 2, s.body()));
+        other.outgoing().forEach(s -> one.messageReceived(30_000, 2, s.body()));
         assertThat(one.digest()).isEqualTo(digest);
         assertThat(one.unreadable()).isGreaterThan(20_000);
     }
@@ -188,34 +188,34 @@
         Membership other = alone(1, 0, 3);
         other.tick(0);
         List<OutgoingMessage> old = other.outgoing();
-        old.forEach(s -> one.heard(0, 1, s.body()));
+        old.forEach(s -> one.messageReceived(0, 1, s.body()));
         other.note(2, new byte[] {9});
         other.tick(100);
-        other.outgoing().forEach(s -> one.heard(100, 1, s.body()));
+        other.outgoing().forEach(s -> one.messageReceived(100, 1, s.body()));
         for (int i = 0; i < 3; i++) {
-            old.forEach(s -> one.heard(200, 1, s.body()));
+            old.forEach(s -> one.messageReceived(200, 1, s.body()));
         }
         pass(other, 1, one, 60_000);
-        assertThat(one.entry(1).note(2)).containsExactly(9);
+        assertThat(one.member(1).note(2)).containsExactly(9);
     }
 
     @Test
     void aViewSaysWhatItHearsAndWhatTheSettingsName() {
         Membership one = alone(0, 0, 1);
         MembershipView v = one.view(0);
-        assertThat(v.hearing()).isEqualTo(Reachability.ALONE);
-        assertThat(v.living().count()).isEqualTo(1);
-        assertThat(v.configured().count()).isEqualTo(3);
+        assertThat(v.reachability()).isEqualTo(Reachability.ALONE);
+        assertThat(v.liveMembers().count()).isEqualTo(1);
+        assertThat(v.configuredMembers().count()).isEqualTo(3);
         pass(alone(1, 0, 3), 1, one, 1);
-        assertThat(one.view(1).hearing()).isEqualTo(Reachability.MAJORITY);
-        assertThat(one.view(1).hearingByZone()).containsEntry(0, Reachability.ALL);
+        assertThat(one.view(1).reachability()).isEqualTo(Reachability.MAJORITY);
+        assertThat(one.view(1).reachabilityByZone()).containsEntry(0, Reachability.ALL);
     }
 
     /** Instances that no settings name, which know one seed each and are told of one another with their addresses. */
     @Test
     void aFleetThatOnlySeedsNameComesTogetherAndForgetsWhoIsGone() {
         int many = 6;
-        MembershipSettings settings = MembershipSettings.bySeeds(List.of(0), 100);
+        MembershipSettings settings = MembershipSettings.forSeeds(List.of(0), 100);
         List<Membership> all = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             all.add(new Membership(settings, i, 0, new byte[] {127, 0, 0, 1, 0, (byte) i}, 0, i, ALL));
@@ -229,7 +229,7 @@
                     all.get(i).tick(now);
                     for (OutgoingMessage s : all.get(i).outgoing()) {
                         if (!gone[s.to()]) {
-                            all.get(s.to()).heard(now, -1, s.body());
+                            all.get(s.to()).messageReceived(now, -1, s.body());
                         }
                     }
                 }
@@ -237,10 +237,10 @@
             digest = now == 4000 ? all.get(0).digest() : digest;
         }
         assertThat(all.get(5).digest()).as("before it went").isEqualTo(digest);
-        assertThat(all.get(5).entry(3).address()).containsExactly(127, 0, 0, 1, 0, 3);
+        assertThat(all.get(5).member(3).address()).containsExactly(127, 0, 0, 1, 0, 3);
         assertThat(all.subList(0, 5)).allSatisfy(m -> {
-            assertThat(m.entry(5)).isNull();
-            assertThat(m.living().count()).isEqualTo(5);
+            assertThat(m.member(5)).isNull();
+            assertThat(m.liveMembers().count()).isEqualTo(5);
         });
     }
 
@@ -248,24 +248,25 @@
     @Test
     void withoutABudgetNobodyIsSuspected() {
         boolean[] room = {true};
-        Membership one = new Membership(MembershipSettings.of(3), 0, 0, new byte[0], 0, 1, new Membership.Allowance() {
-            @Override
-            public boolean take(double nowMs, int bytes, Urgency urgency) {
-                return room[0];
-            }
+        Membership one = new Membership(
+                MembershipSettings.forConfigured(3), 0, 0, new byte[0], 0, 1, new Membership.Allowance() {
+                    @Override
+                    public boolean take(double nowMs, int bytes, Urgency urgency) {
+                        return room[0];
+                    }
 
-            @Override
-            public int spare(double nowMs) {
-                return 0;
-            }
-        });
+                    @Override
+                    public int spareBytes(double nowMs) {
+                        return 0;
+                    }
+                });
         pass(alone(1, 0, 3), 1, one, 0);
         one.outgoing();
         room[0] = false;
         for (double now = 0; now < 10_000; now += 20) {
             one.tick(now);
         }
-        assertThat(one.entry(1).state()).isEqualTo(MemberState.ALIVE);
+        assertThat(one.member(1).state()).isEqualTo(MemberState.ALIVE);
         assertThat(one.outgoing()).isEmpty();
     }
 }
--- a/src/test/java/cacheproxy/membership/MembershipTraceTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTraceTest.java
@@ -42,17 +42,18 @@
         }
 
         private Membership start(int id, long remembered, long seed) {
-            MembershipSettings settings =
-                    bySeeds ? MembershipSettings.bySeeds(List.of(0, 1), 40) : MembershipSettings.of(INSTANCES);
+            MembershipSettings settings = bySeeds
+                    ? MembershipSettings.forSeeds(List.of(0, 1), 40)
+                    : MembershipSettings.forConfigured(INSTANCES);
             byte[] address = bySeeds ? new byte[] {10, 0, 0, (byte) id, 31, (byte) id} : new byte[0];
             return new Membership(settings, id, id % 3, address, remembered, seed, new Membership.Allowance() {
                 @Override
                 public boolean take(double nowMs, int size, Urgency urgency) {
-                    return urgency != Urgency.OTHER || (long) nowMs % 7 != 0;
+                    return urgency != Urgency.BACKGROUND || (long) nowMs % 7 != 0;
                 }
 
                 @Override
-                public int spare(double nowMs) {
+                public int spareBytes(double nowMs) {
                     return (int) (nowMs % 400) - 100;
                 }
             });
@@ -105,7 +106,7 @@
                 while (!deliveries.isEmpty() && deliveries.peek().atMs() <= nowMs) {
                     Delivery d = deliveries.poll();
                     if (runs(nowMs, d.to())) {
-                        members.get(d.to()).heard(nowMs, d.from(), d.body());
+                        members.get(d.to()).messageReceived(nowMs, d.from(), d.body());
                         collect(nowMs, d.to());
                     }
                 }
@@ -127,7 +128,10 @@
             long refuted = 0;
             for (Membership m : members) {
                 MembershipView view = m.view(nowMs);
-                living.append(' ').append(view.living().count()).append('/').append(m.incarnation());
+                living.append(' ')
+                        .append(view.liveMembers().count())
+                        .append('/')
+                        .append(m.incarnation());
                 refuted += m.deathsRefuted() + m.unreadable();
             }
             return String.format(
--- a/src/test/java/cacheproxy/membership/MessageFormatTest.java
+++ b/src/test/java/cacheproxy/membership/MessageFormatTest.java
@@ -65,21 +65,21 @@
                     NO_ADDRESS));
 
     private static MembershipMessage message(Kind kind) {
-        int[] slices = kind == Kind.DIFFER
+        int[] slices = kind == Kind.DIGESTS
                 ? IntStream.range(0, MemberTable.SLICES).map(i -> 0xff00 + i).toArray()
                 : new int[0];
         return new MembershipMessage(
-                kind, 0xabcd, kind == Kind.HELP ? 9 : MembershipMessage.NOBODY, 0x89abcdef, slices, ENTRIES);
+                kind, 0xabcd, kind == Kind.PING_REQUEST ? 9 : MembershipMessage.NO_MEMBER, 0x89abcdef, slices, ENTRIES);
     }
 
     static Map<String, byte[]> messages() {
         Map<String, byte[]> messages = new LinkedHashMap<>();
         messages.put("ping", message(Kind.PING).encode());
         messages.put("ack", message(Kind.ACK).encode());
-        messages.put("help", message(Kind.HELP).encode());
-        messages.put("news", message(Kind.NEWS).encode());
-        messages.put("differ", message(Kind.DIFFER).encode());
-        messages.put("slices", message(Kind.SLICES).encode());
+        messages.put("help", message(Kind.PING_REQUEST).encode());
+        messages.put("news", message(Kind.GOSSIP).encode());
+        messages.put("differ", message(Kind.DIGESTS).encode());
+        messages.put("slices", message(Kind.MEMBERS).encode());
         return messages;
     }
 
@@ -91,7 +91,7 @@
     @ParameterizedTest
     @EnumSource
     void recordedMessagesAreRead(Kind kind) {
-        int code = List.of(Kind.PING, Kind.ACK, Kind.HELP, Kind.NEWS, Kind.DIFFER, Kind.SLICES)
+        int code = List.of(Kind.PING, Kind.ACK, Kind.PING_REQUEST, Kind.GOSSIP, Kind.DIGESTS, Kind.MEMBERS)
                 .indexOf(kind);
         byte[] sample = List.copyOf(WireSamples.bytes(SAMPLES).values()).get(code);
         assertThat(sample[0]).isEqualTo((byte) code);
@@ -101,12 +101,12 @@
         assertThat(read.number()).isEqualTo(0xabcd);
         assertThat(read.target()).isEqualTo(written.target());
         assertThat(read.digest()).isEqualTo(0x89abcdef);
-        assertThat(read.slices()).isEqualTo(written.slices());
-        assertThat(read.entries()).extracting(Member::id).containsExactly(3, 0x1234, 4, Member.MAX_ID);
-        assertThat(read.entries())
+        assertThat(read.sliceDigests()).isEqualTo(written.sliceDigests());
+        assertThat(read.members()).extracting(Member::id).containsExactly(3, 0x1234, 4, Member.MAX_ID);
+        assertThat(read.members())
                 .extracting(Member::state)
                 .containsExactly(MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT);
-        assertThat(read.entries())
+        assertThat(read.members())
                 .extracting(Member::phase)
                 .containsExactly(
                         ServicePhase.STARTING, ServicePhase.RECOVERING, ServicePhase.SERVING, ServicePhase.DRAINING);
--- a/src/test/java/cacheproxy/model/check/ExplorerTest.java
+++ b/src/test/java/cacheproxy/model/check/ExplorerTest.java
@@ -18,7 +18,9 @@
         BELIEVES_THE_LIVING {
             @Override
             Member join(Member held, Member said) {
-                return held.compareLife(said) == 0 && said.state() == MemberState.ALIVE ? said : held.join(said);
+                return held.compareIncarnation(said) == 0 && said.state() == MemberState.ALIVE
+                        ? said
+                        : held.merge(said);
             }
         },
         /** What was said last holds. */
@@ -35,7 +37,7 @@
                 return new Member(
                         self.id(),
                         Math.max(self.incarnation(), said.incarnation()) + 1,
-                        self.life(),
+                        self.processNonce(),
                         said.state(),
                         said.confirmers(),
                         self.zone(),
@@ -54,7 +56,7 @@
         };
 
         Member join(Member held, Member said) {
-            return held.join(said);
+            return held.merge(said);
         }
 
         Member beyond(Member self, Member said) {
@@ -62,7 +64,7 @@
         }
 
         private static Member next(Member self, long incarnation) {
-            return Member.begin(self.id(), incarnation, self.life(), self.zone(), self.address());
+            return Member.start(self.id(), incarnation, self.processNonce(), self.zone(), self.address());
         }
     }
 
@@ -78,12 +80,12 @@
         }
 
         @Override
-        protected Member join(Member held, Member said) {
+        protected Member mergeMembers(Member held, Member said) {
             return MUTANT.get().join(held, said);
         }
 
         @Override
-        protected Member beyond(Member self, Member said) {
+        protected Member refute(Member self, Member said) {
             return MUTANT.get().beyond(self, said);
         }
     }
--- a/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
@@ -35,19 +35,19 @@
         List<Member> entries = new ArrayList<>();
         for (int i = 0; i < all; i++) {
             Membership m = new Membership(
-                    MembershipSettings.of(all), i, i % ZONES, new byte[0], 0, i, new Membership.Allowance() {
+                    MembershipSettings.forConfigured(all), i, i % ZONES, new byte[0], 0, i, new Membership.Allowance() {
                         @Override
                         public boolean take(double nowMs, int bytes, OutgoingMessage.Urgency urgency) {
                             return true;
                         }
 
                         @Override
-                        public int spare(double nowMs) {
+                        public int spareBytes(double nowMs) {
                             return 0;
                         }
                     });
             m.phase(i < serving ? ServicePhase.SERVING : ServicePhase.RECOVERING);
-            entries.add(m.entry(i));
+            entries.add(m.member(i));
         }
         return new MembershipView(me, 0, entries, 0, new ConfiguredMembers(all), false);
     }
