--- /dev/null
+++ b/src/main/java/cacheproxy/membership/DigestExchange.java
@@ -0,0 +1,101 @@
+package cacheproxy.membership;
+
+import cacheproxy.membership.MembershipMessage.Kind;
+import cacheproxy.membership.OutgoingMessage.Urgency;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/**
+ * Anti-entropy: two instances whose digests differ exchange digests of the slices of their tables, and then the members
+ * of the slices that differ. Finds what gossip has missed.
+ */
+final class DigestExchange {
+    /** Digests are exchanged no more often than this. */
+    private static final double MIN_INTERVAL_MS = 150;
+    /** While gossip is under way digests differ for that alone; then no more often than this. */
+    private static final double BUSY_INTERVAL_MS = 600;
+    /** How many messages with members answer one with digests. */
+    private static final int MAX_MEMBER_MESSAGES = 3;
+    /** The number in a message of digests that asks for the other's, and in one that answers it. */
+    private static final int ASK = 0;
+
+    private static final int ANSWER = 1;
+
+    private final FleetState fleet;
+    private final Transmitter transmitter;
+    private final SplittableRandom random;
+    private double nextAskMs;
+    private double answeredMs = Double.NEGATIVE_INFINITY;
+
+    DigestExchange(FleetState fleet, Transmitter transmitter, SplittableRandom random) {
+        this.fleet = fleet;
+        this.transmitter = transmitter;
+        this.random = random;
+    }
+
+    /** A member that lives has told its digest. */
+    void digestReceived(double nowMs, int sender, int digest) {
+        if (digest != fleet.table().digest() && nowMs >= nextAskMs) {
+            nextAskMs = nowMs + (fleet.gossip().isEmpty() ? MIN_INTERVAL_MS : BUSY_INTERVAL_MS);
+            sendDigests(nowMs, sender, ASK);
+        }
+    }
+
+    /** A member has sent the digests of its slices. */
+    void sliceDigestsReceived(double nowMs, MembershipMessage message, int sender) {
+        List<Integer> differing = new ArrayList<>();
+        for (int i = 0; i < MemberTable.SLICES; i++) {
+            if (message.sliceDigests()[i] != fleet.table().digest(i)) {
+                differing.add(i);
+            }
+        }
+        if (differing.isEmpty()) {
+            return;
+        }
+        if (message.number() == ASK) {
+            if (nowMs < answeredMs + MIN_INTERVAL_MS) {
+                return; // many find at once that this instance lags behind; one of them is enough
+            }
+            answeredMs = nowMs;
+            sendDigests(nowMs, sender, ANSWER);
+        }
+        sendSlices(nowMs, sender, differing);
+    }
+
+    private void sendDigests(double nowMs, int to, int number) {
+        int[] digests = new int[MemberTable.SLICES];
+        for (int i = 0; i < digests.length; i++) {
+            digests[i] = fleet.table().digest(i);
+        }
+        transmitter.sendDigests(nowMs, Kind.DIGESTS, to, number, digests, List.of(), Urgency.MEMBERSHIP_CHANGE);
+    }
+
+    private void sendSlices(double nowMs, int to, List<Integer> slices) {
+        List<Member> unsent = new ArrayList<>();
+        slices.forEach(slice -> unsent.addAll(fleet.table().inSlice(slice)));
+        unsent.removeIf(m -> m.id() == fleet.self());
+        for (int i = 0; i < MAX_MEMBER_MESSAGES && (i == 0 || !unsent.isEmpty()); i++) {
+            List<Member> members = takeOneMessageful(unsent);
+            transmitter.sendMembers(nowMs, Kind.MEMBERS, to, members, Urgency.BACKGROUND);
+        }
+    }
+
+    /** Random members of those that are unsent, until one doesn't fit. */
+    private List<Member> takeOneMessageful(List<Member> unsent) {
+        List<Member> taken = new ArrayList<>();
+        int room = Membership.MAX_MESSAGE_BYTES
+                - MembershipMessage.headBytes(Kind.MEMBERS)
+                - MembershipMessage.bytes(fleet.localMember().member());
+        while (!unsent.isEmpty()) {
+            int at = random.nextInt(unsent.size());
+            int bytes = MembershipMessage.bytes(unsent.get(at));
+            if (bytes > room) {
+                break;
+            }
+            room -= bytes;
+            taken.add(unsent.remove(at));
+        }
+        return taken;
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/membership/FailureDetector.java
@@ -0,0 +1,317 @@
+package cacheproxy.membership;
+
+import cacheproxy.membership.MembershipMessage.Kind;
+import cacheproxy.membership.OutgoingMessage.Urgency;
+import cacheproxy.membership.Probe.Purpose;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * SWIM's failure detector: probes members by pings and by helpers, suspects one that doesn't answer, and declares it
+ * dead when its suspicion ends. An instance declares another dead only if its own probe of it has failed. Times in
+ * milliseconds.
+ */
+final class FailureDetector {
+    /** Probes under way; one more isn't begun. */
+    private static final int MAX_PROBES = 64;
+    /** How many neighbours on the ring are probed at once after one that failed. */
+    private static final int NEIGHBOR_PROBES = 2;
+    /** A failed probe of this instance's own that is older is no evidence. */
+    private static final double EVIDENCE_MS = 1500;
+    /** An instance that neither suspects nor confirms waits so much longer for those that do. */
+    private static final double BYSTANDER_WAIT_MS = 3000;
+    /** Whether to confirm a suspicion is looked at again so often, as others become suspected. */
+    private static final double CONFIRM_INTERVAL_MS = 600;
+
+    private final MembershipSettings settings;
+    private final FleetState fleet;
+    private final PeerSelector selector;
+    private final Transmitter transmitter;
+    private final LocalHealth health;
+    private final SuspicionTable suspicions;
+    private final Map<Integer, Probe> probes = new LinkedHashMap<>();
+    /** The last failed probes by number, with their targets; an answer to one of them is late. */
+    private final Map<Integer, Integer> failedProbes = new LinkedHashMap<>() {
+        private static final long serialVersionUID = 1L;
+
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<Integer, Integer> eldest) {
+            return size() > MAX_PROBES;
+        }
+    };
+
+    private int lastNumber;
+
+    /** {@code firstNumber}: random, so that probes of an earlier process aren't taken for this one's. */
+    FailureDetector(
+            MembershipSettings settings,
+            FleetState fleet,
+            PeerSelector selector,
+            Transmitter transmitter,
+            LocalHealth health,
+            int firstNumber) {
+        this.settings = settings;
+        this.fleet = fleet;
+        this.selector = selector;
+        this.transmitter = transmitter;
+        this.health = health;
+        suspicions = new SuspicionTable(settings, fleet);
+        lastNumber = firstNumber;
+    }
+
+    /** Whether a member is suspected. */
+    boolean isSuspected(int id) {
+        return suspicions.contains(id);
+    }
+
+    /** Takes in what is said of another member, with what follows for its probes and suspicions. */
+    void apply(double nowMs, Member said) {
+        Member now = fleet.merge(nowMs, said);
+        if (now == null) {
+            return;
+        }
+        if (!now.state().isLive()) {
+            probes.values().removeIf(p -> p.target == now.id() && p.purpose != Purpose.REJOIN);
+        }
+        suspicions.memberChanged(nowMs, now);
+    }
+
+    /** Ends all probes and suspicions: this instance leaves. */
+    void stop() {
+        probes.clear();
+        suspicions.clear();
+    }
+
+    /** This process has stalled for so long: what wasn't answered meanwhile is no evidence. */
+    void stalled(double byMs) {
+        probes.clear();
+        suspicions.postpone(byMs);
+    }
+
+    // ---- probes
+
+    /** Probes a member, unless it is probed for this purpose already. */
+    void probe(double nowMs, int target, Purpose purpose) {
+        if (!isProbing(target, purpose)) {
+            begin(nowMs, new Probe(nextNumber(), target, purpose, MembershipMessage.NO_MEMBER, 0, nowMs));
+        }
+    }
+
+    private boolean isProbing(int target, Purpose purpose) {
+        return probes.values().stream().anyMatch(p -> p.target == target && p.purpose == purpose);
+    }
+
+    /** Probes the next member on the ring that is neither probed already nor failed to answer. */
+    void probeNextOnRing(double nowMs) {
+        int target = selector.nextOnRing(id -> {
+            Suspicion suspicion = suspicions.get(id);
+            return (suspicion == null || !suspicion.hasOwnFailure()) && !isProbing(id, Purpose.ROUND);
+        });
+        if (target >= 0) {
+            probe(nowMs, target, Purpose.ROUND);
+        }
+    }
+
+    private int nextNumber() {
+        do {
+            lastNumber = (lastNumber + 1) & 0xffff;
+        } while (probes.containsKey(lastNumber));
+        return lastNumber;
+    }
+
+    private void begin(double nowMs, Probe probe) {
+        if (probes.size() < MAX_PROBES && ping(nowMs, probe)) {
+            probes.put(probe.number, probe);
+        }
+    }
+
+    /** Whether the ping may be sent; a member that wasn't pinged has not failed to answer. */
+    private boolean ping(double nowMs, Probe probe) {
+        probe.nextMs = nowMs + settings.pingTimeoutMs() * health.intervalFactor();
+        boolean sent = transmitter.send(
+                nowMs,
+                Kind.PING,
+                probe.target,
+                probe.number,
+                MembershipMessage.NO_MEMBER,
+                probe.purpose == Purpose.REJOIN ? Urgency.BACKGROUND : Urgency.MEMBERSHIP_CHANGE);
+        probe.pings += sent ? 1 : 0;
+        return sent;
+    }
+
+    /** Pings again where an answer is overdue, or ends the probe. */
+    void tickProbes(double nowMs) {
+        for (Probe probe : List.copyOf(probes.values())) {
+            if (probe.nextMs <= nowMs && probes.get(probe.number) == probe) {
+                answerOverdue(nowMs, probe);
+            }
+        }
+    }
+
+    private void answerOverdue(double nowMs, Probe probe) {
+        double timeoutMs = probe.startedMs + settings.probeTimeoutMs() * health.intervalFactor() * health.lossFactor();
+        if (probe.purpose == Purpose.REJOIN || nowMs >= timeoutMs) {
+            probes.remove(probe.number);
+            probeFailed(nowMs, probe);
+            return;
+        }
+        // Those that confirm a suspicion are helpers themselves; at a partition there is no way round it.
+        boolean useHelpers = probe.purpose == Purpose.ROUND || probe.purpose == Purpose.BEFORE_DEATH;
+        if (probe.pings == 1 && !suspicions.isPartitionLikely() && useHelpers) {
+            askHelpers(nowMs, probe);
+        }
+        ping(nowMs, probe);
+        probe.nextMs = Math.min(probe.nextMs, timeoutMs);
+    }
+
+    private void askHelpers(double nowMs, Probe probe) {
+        selector.sample(settings.helpers(), id -> id != probe.target && !suspicions.contains(id))
+                .forEach(helper -> transmitter.send(
+                        nowMs, Kind.PING_REQUEST, helper, probe.number, probe.target, Urgency.MEMBERSHIP_CHANGE));
+    }
+
+    /** A peer asks this instance to probe a member for it. */
+    void pingRequested(double nowMs, MembershipMessage message, int requester) {
+        int target = message.target();
+        if (target != fleet.self() && fleet.get(target) != null) {
+            begin(nowMs, new Probe(nextNumber(), target, Purpose.FOR_PEER, requester, message.number(), nowMs));
+        }
+    }
+
+    /** A member has answered a ping, or a helper says that one has. */
+    void ackReceived(double nowMs, MembershipMessage message, int sender) {
+        Probe probe = probes.get(message.number());
+        boolean direct = message.target() == MembershipMessage.NO_MEMBER;
+        if (probe == null && direct && Integer.valueOf(sender).equals(failedProbes.remove(message.number()))) {
+            health.answeredLate();
+        }
+        if (probe == null || probe.target != (direct ? sender : message.target())) {
+            return;
+        }
+        probes.remove(probe.number);
+        health.probeAnswered(probe.pings);
+        if (probe.purpose == Purpose.FOR_PEER) {
+            transmitter.send(nowMs, Kind.ACK, probe.requester, probe.requesterNumber, probe.target, Urgency.ANSWER);
+        }
+        Suspicion suspicion = suspicions.get(probe.target);
+        if (suspicion != null) {
+            // It knows of the suspicion by now, and refutes it itself.
+            suspicion.ownProbeFailedMs = Double.NEGATIVE_INFINITY;
+        }
+    }
+
+    private void probeFailed(double nowMs, Probe probe) {
+        Member target = fleet.get(probe.target);
+        if (probe.purpose == Purpose.REJOIN
+                || probe.purpose == Purpose.FOR_PEER
+                || target == null
+                || !target.state().isLive()) {
+            return;
+        }
+        failedProbes.put(probe.number, probe.target);
+        if (probe.purpose == Purpose.BEFORE_DEATH) {
+            if (suspicions.contains(probe.target)) {
+                apply(nowMs, target.withState(MemberState.DEAD));
+            }
+            return;
+        }
+        suspect(nowMs, target);
+        if (probe.purpose == Purpose.ROUND) {
+            // Where one is gone there may be more: its neighbours on the ring are probed at once.
+            for (int i = 0; i < NEIGHBOR_PROBES; i++) {
+                probeNextOnRing(nowMs);
+            }
+        }
+        boolean first = target.state() == MemberState.ALIVE;
+        tellConfirmers(nowMs, target, first);
+    }
+
+    private void suspect(double nowMs, Member target) {
+        apply(nowMs, target.suspectedBy(fleet.self()));
+        Suspicion suspicion = suspicions.get(target.id());
+        if (suspicion != null) {
+            suspicion.ownProbeFailedMs = nowMs;
+        }
+    }
+
+    /** Asks those that have to confirm a new suspicion, or tells those that have confirmed an older one. */
+    private void tellConfirmers(double nowMs, Member target, boolean newSuspicion) {
+        Collection<Integer> confirmers = newSuspicion
+                ? suspicions.confirmersOf(nowMs, target)
+                : fleet.get(target.id()).confirmers();
+        confirmers.stream()
+                .filter(id -> id != fleet.self() && id != target.id())
+                .forEach(id -> transmitter.sendGossip(nowMs, id, Urgency.MEMBERSHIP_CHANGE));
+    }
+
+    // ---- suspicions
+
+    /** Confirms suspicions and ends them, where it is time. */
+    void tickSuspicions(double nowMs) {
+        for (int id : suspicions.ids()) {
+            Suspicion suspicion = suspicions.get(id);
+            if (suspicion == null) {
+                continue;
+            }
+            if (suspicion.confirmAtMs <= nowMs) {
+                suspicion.confirmAtMs = nowMs + CONFIRM_INTERVAL_MS;
+                if (!hasEvidence(nowMs, suspicion) && isConfirmer(nowMs, id)) {
+                    probe(nowMs, id, Purpose.CONFIRM_SUSPICION);
+                }
+            }
+            if (endMs(id, suspicion) <= nowMs) {
+                end(nowMs, id, suspicion);
+            }
+        }
+    }
+
+    private boolean hasEvidence(double nowMs, Suspicion suspicion) {
+        return nowMs - suspicion.ownProbeFailedMs <= EVIDENCE_MS * health.lossFactor();
+    }
+
+    private boolean isConfirmer(double nowMs, int suspect) {
+        return suspicions.confirmersOf(nowMs, fleet.get(suspect)).contains(fleet.self());
+    }
+
+    private double endMs(int id, Suspicion suspicion) {
+        Member member = fleet.get(id);
+        double endMs = suspicion.endMs(settings, member.confirmers().size(), suspicions.confirmationsWanted());
+        double slowedEndMs =
+                suspicion.startedMs + (endMs - suspicion.startedMs) * health.intervalFactor() * health.lossFactor();
+        boolean involved = member.confirmers().contains(fleet.self()) || suspicion.hasOwnFailure();
+        double lastProbeMs = probes.values().stream()
+                .filter(p -> p.target == id && p.purpose == Purpose.BEFORE_DEATH)
+                .mapToDouble(p -> p.nextMs)
+                .findFirst()
+                .orElse(Double.NEGATIVE_INFINITY);
+        return Math.max(lastProbeMs, slowedEndMs + (involved ? 0 : BYSTANDER_WAIT_MS));
+    }
+
+    /** Declares a member dead if there is evidence of this instance's own, or else probes it a last time. */
+    private void end(double nowMs, int id, Suspicion suspicion) {
+        if (hasEvidence(nowMs, suspicion)) {
+            apply(nowMs, fleet.get(id).withState(MemberState.DEAD));
+        } else if (!isProbing(id, Purpose.BEFORE_DEATH)) {
+            suspicion.ownProbeFailedMs = Double.NEGATIVE_INFINITY;
+            probe(nowMs, id, Purpose.BEFORE_DEATH);
+            if (!isProbing(id, Purpose.BEFORE_DEATH)) {
+                suspicion.startedMs = nowMs; // there was no room for the probe; later
+            }
+        }
+    }
+
+    /** When the next probe or suspicion is due; infinite for none. */
+    double dueMs() {
+        double dueMs = Double.POSITIVE_INFINITY;
+        for (Probe probe : probes.values()) {
+            dueMs = Math.min(dueMs, probe.nextMs);
+        }
+        for (int id : suspicions.ids()) {
+            Suspicion suspicion = suspicions.get(id);
+            dueMs = Math.min(dueMs, Math.min(endMs(id, suspicion), suspicion.confirmAtMs));
+        }
+        return dueMs;
+    }
+}
--- a/src/main/java/cacheproxy/membership/Membership.java
+++ b/src/main/java/cacheproxy/membership/Membership.java
@@ -2,33 +2,26 @@
 
 import cacheproxy.membership.MembershipMessage.Kind;
 import cacheproxy.membership.OutgoingMessage.Urgency;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
+import cacheproxy.membership.Probe.Purpose;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 
 /**
- * One instance's part in the view that the fleet keeps. Takes times and messages, gives messages: whoever owns the
- * sockets calls {@link #tick} when {@link #dueMs} has come, {@link #messageReceived} for each message, and sends what
- * {@link #outgoing} hands out. Messages may be lost, late, doubled, out of order, or wrong.
+ * One instance's part in the membership protocol of the fleet: SWIM with the refinements of Lifeguard. Takes times and
+ * messages, gives messages: whoever owns the sockets calls {@link #tick} when {@link #dueMs} has come,
+ * {@link #messageReceived} for each message, and sends what {@link #outgoing} hands out. Messages may be lost, late,
+ * duplicated, out of order, or wrong. Not thread-safe.
  *
- * <p>Every second round asks the one that follows on a ring of all that live, so that each is watched by somebody; the
- * others go through all in a drawn order, as in SWIM. Every fourth looks for one that is gone, so that a healed cut is
- * found from both sides. One that does not answer, not by helpers either, is suspected; a few that all can name look at
- * once, and when they confirm it, it is soon given up. An instance gives another up only if it has failed to reach it
- * itself.
+ * <p>Every second round probes the next member on a ring of all live ones, so that each is watched by somebody; the
+ * other rounds go through all in a shuffled order, as in SWIM. Every fourth also probes one that is gone, so that a
+ * healed partition is found from both sides. {@link FailureDetector} decides what follows from an answer that doesn't
+ * come, {@link DigestExchange} repairs what gossip has missed.
  */
 public final class Membership {
-    /** The most bytes of a message. */
+    /** The longest message, in bytes. */
     public static final int MAX_MESSAGE_BYTES = 250;
 
-    /** What of the budget for messages is free: one for all parts of the program, which somebody else keeps. */
+    /** The budget for messages; one for all parts of the program, which somebody else keeps. */
     public interface Allowance {
         /**
          * Takes a message's bytes out of the budget.
@@ -37,756 +30,285 @@
          */
         boolean take(double nowMs, int bytes, Urgency urgency);
 
-        /** How many bytes may be added to a message for what may as well go later; 0 or less for none. */
+        /** How many bytes may be added to a message for what could as well go later; 0 or less for none. */
         int spareBytes(double nowMs);
     }
-    /** A call that comes so much later than it was due means that this process stood still. */
-    static final double STILL_MS = 500;
-    /** News waits so long for more of it. */
-    private static final double GATHER_MS = 40;
-    /** Slices are compared with others only so often. */
-    private static final double DIFFER_MS = 150;
-
-    private static final double BUSY_DIFFER_MS = 600;
-    private static final int SLICE_MESSAGES = 3;
-    private static final int RETURN_ROUNDS = 4;
-    private static final int JOIN_ASKS = 3;
-    private static final int RING_ASKS = 2;
-    private static final int MOST_PROBES = 64;
-    private static final int LEAST_MANY = 3;
-    private static final int PART_MANY = 12;
-    /** Who was heard within this time stands on this side of a cut. */
-    private static final double HEARD_MS = 1500;
-    /** An own attempt that is older says nothing of now. */
-    private static final double EVIDENCE_MS = 1500;
-    /** Those who were not to look wait so much longer for the word of those who were. */
-    private static final double OTHERS_MS = 3000;
-    /** Who is to look at one that is suspected is asked again so often, as more are. */
-    private static final double LOOK_MS = 600;
-    /** A death that comes without a suspicion is believed only so much later. */
-    private static final double CLAIM_MS = 800;
-
-    private record Claim(Member said, double dueMs) {}
+
+    /** A call that comes so much later than it was due means that this process has stalled. */
+    static final double STALL_MS = 500;
+    /** Changes wait so long for more of them before they are gossiped. */
+    private static final double GOSSIP_DELAY_MS = 40;
+    /** Every so many rounds a member that is gone is probed as well. */
+    private static final int REJOIN_ROUNDS = 4;
+    /** How many members an instance that knows no live one probes in a round. */
+    private static final int JOIN_PROBES = 3;
+    /** The least length of a round and the range above it, by the settings' length: rounds of instances drift apart. */
+    private static final double MIN_ROUND_PART = 0.9;
+
+    private static final double ROUND_JITTER = 0.2;
+    /** A random number of 16 bits is below this. */
+    private static final int NUMBERS = 0x10000;
 
     private final MembershipSettings settings;
-    private final int me;
     private final SplittableRandom random;
-    private final Allowance allowance;
-    private final Knowledge knowledge;
-    private final MemberTable table;
-    private final LocalMember own;
-    private final GossipQueue news = new GossipQueue();
+    private final FleetState fleet;
+    private final Transmitter transmitter;
+    private final PeerSelector selector;
+    private final DigestExchange digests;
+    private final FailureDetector detector;
     private final LocalHealth health = new LocalHealth();
-    private final Map<Integer, Probe> probes = new LinkedHashMap<>();
-    private final Map<Integer, Suspicion> suspicions = new HashMap<>();
-    /** Deaths that are not believed yet, by who is said to be dead. */
-    private final Map<Integer, Claim> claims = new LinkedHashMap<>();
-
-    private final Map<Integer, Double> heardMs = new HashMap<>();
-    private final Map<Integer, Double> goneMs = new HashMap<>();
-    /** Probes that have failed last, with their targets: an answer to one of them came late. */
-    private final Map<Integer, Integer> late = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
-
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<Integer, Integer> eldest) {
-            return size() > MOST_PROBES;
-        }
-    };
-    /** Those who do not know what is held of them. */
-    private final Set<Integer> owed = new HashSet<>();
-
-    private final List<OutgoingMessage> out = new ArrayList<>();
-    private final List<Integer> order = new ArrayList<>();
-    /** The numbers of those that live but for this one, by their place on the ring; null when that has changed. */
-    private List<Integer> others;
-
-    private double lastMs = Double.NaN;
-    private double roundMs;
-    private double flushMs = Double.POSITIVE_INFINITY;
-    private double differMs;
-    private double repliedMs = Double.NEGATIVE_INFINITY;
-    private int turn;
-    private int number;
+    private final DeathClaims deathClaims = new DeathClaims();
+    private double lastCallMs = Double.NaN;
+    private double nextRoundMs;
+    private double gossipMs = Double.POSITIVE_INFINITY;
+    private int round;
     private long unreadable;
     private long deathsRefuted;
 
     /**
-     * Begins a life. Nothing is sent before the first {@link #tick}.
+     * Begins an incarnation. Nothing is sent before the first {@link #tick}.
      *
-     * @param me this instance's number
-     * @param zone where it stands, 0 to {@link Member#MAX_ZONE}
+     * @param self this instance's number
+     * @param zone its zone, 0 to {@link Member#MAX_ZONE}
      * @param address where it is reached, 6 bytes; empty where the settings name it
-     * @param remembered the incarnation of its last life; 0 if nothing is remembered
+     * @param lastIncarnation the incarnation of its last process; 0 if that is unknown
      * @param seed new at each start
      * @param allowance what may be sent
      */
     public Membership(
             MembershipSettings settings,
-            int me,
+            int self,
             int zone,
             byte[] address,
-            long remembered,
+            long lastIncarnation,
             long seed,
             Allowance allowance) {
         this.settings = settings;
-        this.allowance = allowance;
-        this.me = me;
         random = new SplittableRandom(seed);
-        knowledge = new Knowledge(
-                Member.start(me, remembered + 1, random.nextInt(0x10000), zone, address), settings.capacity());
-        table = knowledge.table();
-        own = knowledge.localMember();
-        news.changed(me);
-        number = random.nextInt(0x10000);
+        int processNonce = random.nextInt(NUMBERS);
+        fleet = new FleetState(settings, Member.start(self, lastIncarnation + 1, processNonce, zone, address));
+        transmitter = new Transmitter(fleet, allowance);
+        selector = new PeerSelector(fleet, random);
+        digests = new DigestExchange(fleet, transmitter, random);
+        detector = new FailureDetector(settings, fleet, selector, transmitter, health, random.nextInt(NUMBERS));
     }
 
-    // ---- what it is told
+    // ---- this instance
 
-    /** What this instance says of its service from now on. */
+    /** The phase of its service that this instance tells from now on. */
     public void phase(ServicePhase phase) {
-        own.phase(phase);
-        ownChanged();
+        fleet.localMember().phase(phase);
+        fleet.localMemberChanged();
     }
 
     /** What one part of the program, 0 to 7, publishes by this instance; empty for nothing. */
     public void note(int part, byte[] bytes) {
-        own.note(part, bytes);
-        ownChanged();
+        fleet.localMember().note(part, bytes);
+        fleet.localMemberChanged();
     }
 
-    /** This instance leaves for good; to be followed by a {@link #tick} whose messages still go out. */
+    /** This instance leaves for good; to be followed by a {@link #tick} whose messages are still sent. */
     public void leave(double nowMs) {
-        own.leave();
-        ownChanged();
-        probes.clear();
-        suspicions.clear();
-        flush(nowMs, 2 * settings.fanout());
+        fleet.localMember().leave();
+        fleet.localMemberChanged();
+        detector.stop();
+        gossip(nowMs, 2 * settings.fanout());
     }
 
-    private void ownChanged() {
-        if (table.merge(own.member()) != null) {
-            news.changed(me);
-        }
-    }
+    // ---- messages
 
-    /** A message has come. {@code from}: whose address it came from, negative if addresses tell nothing. */
+    /** A message has been received. {@code from}: whose address it came from, negative if addresses tell nothing. */
     public void messageReceived(double nowMs, int from, byte[] body) {
-        wake(nowMs);
-        MembershipMessage m = MembershipMessage.decode(body);
-        if (m == null
-                || (from >= 0 && m.members().get(0).id() != from)
-                || m.members().get(0).id() == me) {
+        checkForStall(nowMs);
+        MembershipMessage message = MembershipMessage.decode(body);
+        if (message == null || !isPlausibleSender(message.sender().id(), from)) {
             unreadable++;
             return;
         }
-        int sender = m.members().get(0).id();
-        m.members().forEach(e -> take(nowMs, e));
-        Member held = table.get(sender);
-        if (held == null) {
-            return; // no room for it
+        Member sender = message.sender();
+        message.members().forEach(m -> memberReceived(nowMs, m));
+        Member known = fleet.get(sender.id());
+        if (known == null) {
+            return; // there was no room for it
         }
-        heardMs.put(sender, nowMs);
-        Member said = m.members().get(0);
-        if (held.compareIncarnation(said) != 0 || held.state() != said.state()) {
-            owed.add(sender);
-        }
-        switch (m.kind()) {
-            case PING -> send(nowMs, Kind.ACK, sender, m.number(), MembershipMessage.NO_MEMBER, Urgency.ANSWER);
-            case ACK -> answered(nowMs, m, sender);
-            case PING_REQUEST -> help(nowMs, m, sender);
-            case DIGESTS -> differ(nowMs, m, sender);
-            case GOSSIP, MEMBERS -> {}
-        }
-        if (m.kind() == Kind.ACK && m.digest() != table.digest() && nowMs >= differMs) {
-            // While there is news under way digests differ for that alone.
-            differMs = nowMs + (news.isEmpty() ? DIFFER_MS : BUSY_DIFFER_MS);
-            sendSlices(nowMs, sender, 0);
+        fleet.received(sender.id(), nowMs);
+        if (known.compareIncarnation(sender) != 0 || known.state() != sender.state()) {
+            transmitter.markUnaware(sender.id());
         }
+        handle(nowMs, message, sender.id());
     }
 
-    /** Takes in what is said of somebody. */
-    private void take(double nowMs, Member said) {
-        if (said.id() == me) {
-            boolean thisLife = said.processNonce() == own.member().processNonce();
-            if (knowledge.merge(nowMs, said) == Knowledge.MergeResult.REFUTED) {
-                if (thisLife) {
-                    health.suspected();
-                    deathsRefuted += said.state() == MemberState.DEAD ? 1 : 0;
-                }
-                news.changed(me);
-            }
-        } else if (settings.isConfigured(said.id())
-                || said.address().length > 0
-                || settings.seeds().contains(said.id())) {
-            boolean forgotten =
-                    table.get(said.id()) == null && !said.state().isLive() && !settings.isConfigured(said.id());
-            if (!forgotten && !heldBack(nowMs, said)) {
-                apply(nowMs, said);
-            }
-        }
+    private boolean isPlausibleSender(int sender, int from) {
+        return sender != fleet.self() && (from < 0 || sender == from);
     }
 
-    /**
-     * A death of which no suspicion was heard before comes from beyond a cut, or late. The one concerned is asked
-     * first, and told so that it may refute; it is believed when that has not come in time. Otherwise a cut that heals
-     * would have each side give up its own neighbours for a moment.
-     */
-    private boolean heldBack(double nowMs, Member said) {
-        Member held = table.get(said.id());
-        if (said.state() != MemberState.DEAD
-                || held == null
-                || held.state() != MemberState.ALIVE
-                || held.compareIncarnation(said) != 0) {
-            return false;
-        }
-        if (claims.putIfAbsent(said.id(), new Claim(said, nowMs + CLAIM_MS)) == null) {
-            post(
-                    nowMs,
-                    said.id(),
-                    new MembershipMessage(
-                            Kind.GOSSIP,
-                            0,
-                            MembershipMessage.NO_MEMBER,
-                            table.digest(),
-                            new int[0],
-                            List.of(own.member(), said)),
-                    Urgency.MEMBERSHIP_CHANGE);
+    private void handle(double nowMs, MembershipMessage message, int sender) {
+        switch (message.kind()) {
+            case PING ->
+                transmitter.send(
+                        nowMs, Kind.ACK, sender, message.number(), MembershipMessage.NO_MEMBER, Urgency.ANSWER);
+            case ACK -> {
+                detector.ackReceived(nowMs, message, sender);
+                digests.digestReceived(nowMs, sender, message.digest());
+            }
+            case PING_REQUEST -> detector.pingRequested(nowMs, message, sender);
+            case DIGESTS -> digests.sliceDigestsReceived(nowMs, message, sender);
+            case GOSSIP, MEMBERS -> {}
         }
-        return true;
     }
 
-    private void apply(double nowMs, Member said) {
-        Member before = table.get(said.id());
-        Member now = table.merge(said);
-        if (now == null) {
+    /** Takes in what is said of a member. */
+    private void memberReceived(double nowMs, Member said) {
+        if (said.id() == fleet.self()) {
+            selfReceived(nowMs, said);
             return;
         }
-        news.changed(now.id());
-        boolean livedBefore = before != null && before.state().isLive();
-        if (livedBefore != now.state().isLive()) {
-            others = null;
-        }
-        if (now.state().isLive()) {
-            goneMs.remove(now.id());
-        } else {
-            goneMs.putIfAbsent(now.id(), nowMs);
-            probes.values().removeIf(p -> p.target == now.id() && p.purpose != Probe.Purpose.REJOIN);
-        }
-        Suspicion s = suspicions.get(now.id());
-        if (s != null && (now.state() != MemberState.SUSPECT || !s.concerns(now))) {
-            suspicions.remove(now.id());
-            s = null;
-        }
-        if (now.state() == MemberState.SUSPECT && s == null && own.member().state() != MemberState.LEFT) {
-            suspicions.put(now.id(), new Suspicion(now, nowMs)); // the next tick looks
+        boolean configured = settings.isConfigured(said.id());
+        boolean reachable =
+                configured || said.address().length > 0 || settings.seeds().contains(said.id());
+        boolean forgotten = fleet.get(said.id()) == null && !said.state().isLive() && !configured;
+        if (reachable && !forgotten && !deferDeath(nowMs, said)) {
+            detector.apply(nowMs, said);
         }
     }
 
-    // ---- time
-
-    /** Does what is due. */
-    public void tick(double nowMs) {
-        wake(nowMs);
-        for (Probe p : List.copyOf(probes.values())) {
-            if (p.nextMs <= nowMs && probes.get(p.number) == p) {
-                advance(nowMs, p);
-            }
-        }
-        for (Claim c : List.copyOf(claims.values())) {
-            if (c.dueMs() <= nowMs) {
-                claims.remove(c.said().id());
-                apply(nowMs, c.said());
-            }
-        }
-        for (int id : List.copyOf(suspicions.keySet())) {
-            Suspicion s = suspicions.get(id);
-            if (s != null && s.confirmAtMs <= nowMs) {
-                s.confirmAtMs = nowMs + LOOK_MS;
-                if (nowMs - s.ownProbeFailedMs > EVIDENCE_MS * health.lossFactor() && looks(table.get(id))) {
-                    probe(nowMs, id, Probe.Purpose.CONFIRM_SUSPICION);
-                }
-            }
-            if (s != null && endMs(id) <= nowMs) {
-                end(nowMs, id);
-            }
-        }
-        if (own.member().state() != MemberState.LEFT && nowMs >= roundMs) {
-            round(nowMs);
-        }
-        if (news.takeChanged() && flushMs == Double.POSITIVE_INFINITY) {
-            flushMs = nowMs + GATHER_MS;
-        }
-        if (nowMs >= flushMs) {
-            flush(nowMs, settings.fanout());
+    private void selfReceived(double nowMs, Member said) {
+        boolean ofThisProcess =
+                said.processNonce() == fleet.localMember().member().processNonce();
+        if (fleet.refuteIfWrong(nowMs, said) && ofThisProcess) {
+            health.suspected();
+            deathsRefuted += said.state() == MemberState.DEAD ? 1 : 0;
         }
     }
 
-    /** When {@link #tick} wants to be called next, in milliseconds; after anything else that was told, at once. */
-    public double dueMs() {
-        double due = own.member().state() == MemberState.LEFT ? Double.POSITIVE_INFINITY : roundMs;
-        for (Probe p : probes.values()) {
-            due = Math.min(due, p.nextMs);
-        }
-        for (int id : suspicions.keySet()) {
-            due = Math.min(due, Math.min(endMs(id), suspicions.get(id).confirmAtMs));
+    /** Whether what is said is a death that has to wait; the member is told, so that it may refute it. */
+    private boolean deferDeath(double nowMs, Member said) {
+        if (!DeathClaims.isClaim(fleet.get(said.id()), said)) {
+            return false;
         }
-        for (Claim c : claims.values()) {
-            due = Math.min(due, c.dueMs());
+        if (deathClaims.add(nowMs, said)) {
+            transmitter.sendMembers(nowMs, Kind.GOSSIP, said.id(), List.of(said), Urgency.MEMBERSHIP_CHANGE);
         }
-        return Math.min(due, flushMs);
+        return true;
     }
 
-    /** What is to go out now, in the order in which it was decided; handed out once. */
+    /** The messages to be sent now, in the order in which they were decided; each is handed out once. */
     public List<OutgoingMessage> outgoing() {
-        List<OutgoingMessage> all = List.copyOf(out);
-        out.clear();
-        return all;
-    }
-
-    /** A process that stood still knows nothing of the others, and must not hold its own silence against them. */
-    private void wake(double nowMs) {
-        if (!Double.isNaN(lastMs)) {
-            double late = nowMs - Math.max(lastMs, dueMs());
-            if (late > STILL_MS) {
-                health.stalled();
-                probes.clear();
-                claims.replaceAll((id, c) -> new Claim(c.said(), c.dueMs() + late));
-                suspicions.values().forEach(s -> {
-                    s.startedMs += late;
-                    s.ownProbeFailedMs = Double.NEGATIVE_INFINITY;
-                });
-                roundMs = nowMs;
-            }
-        }
-        lastMs = nowMs;
+        return transmitter.takeQueue();
     }
 
-    private void round(double nowMs) {
-        roundMs = nowMs + settings.roundMs() * health.intervalFactor() * (0.9 + 0.2 * random.nextDouble());
-        turn++;
-        goneMs.entrySet().removeIf(e -> {
-            boolean forget = !settings.isConfigured(e.getKey()) && nowMs - e.getValue() > settings.forgetMs();
-            if (forget) {
-                table.remove(e.getKey());
-                heardMs.remove(e.getKey());
-                news.remove(e.getKey());
-            }
-            return forget;
-        });
-        List<Integer> ring = others();
-        if (ring.isEmpty() || turn % RETURN_ROUNDS == 0) {
-            List<Integer> gone = gone();
-            for (int i = ring.isEmpty() ? JOIN_ASKS : 1; i > 0 && !gone.isEmpty(); i--) {
-                probe(nowMs, gone.remove(random.nextInt(gone.size())), Probe.Purpose.REJOIN);
-            }
-            if (ring.isEmpty()) {
-                return;
-            }
-        }
-        int target = turn % 2 == 0 ? drawn(ring) : next(ring);
-        if (target >= 0) {
-            probe(nowMs, target, Probe.Purpose.ROUND);
-        }
-    }
-
-    /** Those who may be there and do not live as far as is known. */
-    private List<Integer> gone() {
-        Set<Integer> all = new HashSet<>(settings.seeds());
-        for (int i = 0; i < settings.configured(); i++) {
-            all.add(i);
-        }
-        all.addAll(goneMs.keySet());
-        all.remove(me);
-        all.removeIf(id -> table.get(id) != null && table.get(id).state().isLive());
-        return new ArrayList<>(all.stream().sorted().toList());
-    }
-
-    private List<Integer> others() {
-        if (others == null) {
-            others = table.all().stream()
-                    .filter(e -> e.id() != me && e.state().isLive())
-                    .map(Member::id)
-                    .sorted(Comparator.comparingLong(id -> Member.mix(id)))
-                    .toList();
-        }
-        return others;
-    }
-
-    /** The next on the ring that this instance neither suspects nor asks already; negative if there is none. */
-    private int next(List<Integer> ring) {
-        long mine = Member.mix(me);
-        int at = 0;
-        while (at < ring.size() && Member.mix(ring.get(at)) < mine) {
-            at++;
-        }
-        for (int i = 0; i < ring.size(); i++) {
-            int id = ring.get((at + i) % ring.size());
-            Suspicion s = suspicions.get(id);
-            if ((s == null || s.ownProbeFailedMs == Double.NEGATIVE_INFINITY)
-                    && probes.values().stream().noneMatch(p -> p.target == id && p.purpose == Probe.Purpose.ROUND)) {
-                return id;
-            }
-        }
-        return -1;
-    }
-
-    /** All of them in a drawn order, one after another. */
-    private int drawn(List<Integer> ring) {
-        while (true) {
-            if (order.isEmpty()) {
-                order.addAll(ring);
-                for (int i = order.size() - 1; i > 0; i--) {
-                    int k = random.nextInt(i + 1);
-                    Integer swap = order.get(i);
-                    order.set(i, order.get(k));
-                    order.set(k, swap);
-                }
-            }
-            int id = order.remove(order.size() - 1);
-            Member e = table.get(id);
-            if (e != null && e.state().isLive()) {
-                return id;
-            }
-        }
-    }
-
-    // ---- probes
-
-    private void probe(double nowMs, int target, Probe.Purpose why) {
-        boolean running = probes.values().stream().anyMatch(p -> p.target == target && p.purpose == why);
-        if (!running) {
-            begin(nowMs, new Probe(number(), target, why, MembershipMessage.NO_MEMBER, 0, nowMs));
-        }
-    }
-
-    private int number() {
-        do {
-            number = (number + 1) & 0xffff;
-        } while (probes.containsKey(number));
-        return number;
-    }
+    // ---- time
 
-    private void begin(double nowMs, Probe p) {
-        if (probes.size() < MOST_PROBES && ask(nowMs, p)) {
-            probes.put(p.number, p);
+    /** Does what is due. */
+    public void tick(double nowMs) {
+        checkForStall(nowMs);
+        detector.tickProbes(nowMs);
+        deathClaims.takeDue(nowMs).forEach(dead -> detector.apply(nowMs, dead));
+        detector.tickSuspicions(nowMs);
+        if (!fleet.hasLeft() && nowMs >= nextRoundMs) {
+            beginRound(nowMs);
         }
-    }
-
-    /** Whether there was room to ask; who was not asked has not failed to answer. */
-    private boolean ask(double nowMs, Probe p) {
-        p.nextMs = nowMs + settings.pingTimeoutMs() * health.intervalFactor();
-        boolean sent = send(
-                nowMs,
-                Kind.PING,
-                p.target,
-                p.number,
-                MembershipMessage.NO_MEMBER,
-                p.purpose == Probe.Purpose.REJOIN ? Urgency.BACKGROUND : Urgency.MEMBERSHIP_CHANGE);
-        p.pings += sent ? 1 : 0;
-        return sent;
-    }
-
-    private void advance(double nowMs, Probe p) {
-        boolean over = nowMs >= p.startedMs + settings.probeTimeoutMs() * health.intervalFactor() * health.lossFactor();
-        if (p.purpose == Probe.Purpose.REJOIN || over) {
-            probes.remove(p.number);
-            failed(nowMs, p);
-            return;
+        if (fleet.gossip().takeChanged() && gossipMs == Double.POSITIVE_INFINITY) {
+            gossipMs = nowMs + GOSSIP_DELAY_MS;
         }
-        if (p.pings == 1 && !many() && (p.purpose == Probe.Purpose.ROUND || p.purpose == Probe.Purpose.BEFORE_DEATH)) {
-            // Those who confirm a suspicion are helpers themselves; at a cut there is no way round.
-            helpers(p.target)
-                    .forEach(h -> send(nowMs, Kind.PING_REQUEST, h, p.number, p.target, Urgency.MEMBERSHIP_CHANGE));
+        if (nowMs >= gossipMs) {
+            gossip(nowMs, settings.fanout());
         }
-        ask(nowMs, p);
-        p.nextMs = Math.min(
-                p.nextMs, p.startedMs + settings.probeTimeoutMs() * health.intervalFactor() * health.lossFactor());
     }
 
-    private List<Integer> helpers(int target) {
-        return drawn(settings.helpers(), target);
+    /** When {@link #tick} is to be called next, in milliseconds; after any other event at once. */
+    public double dueMs() {
+        double dueMs = fleet.hasLeft() ? Double.POSITIVE_INFINITY : nextRoundMs;
+        dueMs = Math.min(dueMs, detector.dueMs());
+        dueMs = Math.min(dueMs, deathClaims.dueMs());
+        return Math.min(dueMs, gossipMs);
     }
 
-    /** So many of those that live and are not suspected, drawn. */
-    private List<Integer> drawn(int many, int but) {
-        List<Integer> all = new ArrayList<>(others());
-        List<Integer> some = new ArrayList<>();
-        while (some.size() < many && !all.isEmpty()) {
-            int id = all.remove(random.nextInt(all.size()));
-            if (id != but && !suspicions.containsKey(id)) {
-                some.add(id);
+    /** A process that has stalled knows nothing of the others, and must not hold its own silence against them. */
+    private void checkForStall(double nowMs) {
+        if (!Double.isNaN(lastCallMs)) {
+            double lateMs = nowMs - Math.max(lastCallMs, dueMs());
+            if (lateMs > STALL_MS) {
+                health.stalled();
+                detector.stalled(lateMs);
+                deathClaims.postpone(lateMs);
+                nextRoundMs = nowMs;
             }
         }
-        return some;
+        lastCallMs = nowMs;
     }
 
-    private void help(double nowMs, MembershipMessage m, int asker) {
-        if (m.target() != me && table.get(m.target()) != null) {
-            begin(nowMs, new Probe(number(), m.target(), Probe.Purpose.FOR_PEER, asker, m.number(), nowMs));
+    private void beginRound(double nowMs) {
+        double jitter = MIN_ROUND_PART + ROUND_JITTER * random.nextDouble();
+        nextRoundMs = nowMs + settings.roundMs() * health.intervalFactor() * jitter;
+        round++;
+        fleet.forgetLongGone(nowMs);
+        boolean alone = fleet.liveOthers().isEmpty();
+        if (alone || round % REJOIN_ROUNDS == 0) {
+            probeAbsentMembers(nowMs, alone ? JOIN_PROBES : 1);
         }
-    }
-
-    private void answered(double nowMs, MembershipMessage m, int sender) {
-        Probe p = probes.get(m.number());
-        if (p == null
-                && m.target() == MembershipMessage.NO_MEMBER
-                && Integer.valueOf(sender).equals(late.remove(m.number()))) {
-            health.answeredLate();
-        }
-        if (p == null || p.target != (m.target() == MembershipMessage.NO_MEMBER ? sender : m.target())) {
+        if (alone) {
             return;
         }
-        probes.remove(p.number);
-        health.probeAnswered(p.pings);
-        if (p.purpose == Probe.Purpose.FOR_PEER) {
-            send(nowMs, Kind.ACK, p.requester, p.requesterNumber, p.target, Urgency.ANSWER);
-        }
-        Suspicion s = suspicions.get(p.target);
-        if (s != null) {
-            s.ownProbeFailedMs = Double.NEGATIVE_INFINITY; // it has been told, and refutes what others say
-        }
-    }
-
-    private void failed(double nowMs, Probe p) {
-        Member e = table.get(p.target);
-        if (p.purpose == Probe.Purpose.REJOIN
-                || p.purpose == Probe.Purpose.FOR_PEER
-                || e == null
-                || !e.state().isLive()) {
-            return;
-        }
-        late.put(p.number, p.target);
-        if (p.purpose == Probe.Purpose.BEFORE_DEATH) {
-            if (suspicions.containsKey(p.target)) {
-                apply(nowMs, e.withState(MemberState.DEAD));
-            }
-            return;
-        }
-        boolean first = e.state() == MemberState.ALIVE;
-        apply(nowMs, e.suspectedBy(me));
-        Suspicion s = suspicions.get(p.target);
-        if (s != null) {
-            s.ownProbeFailedMs = nowMs;
-        }
-        if (p.purpose == Probe.Purpose.ROUND) {
-            // Where one is gone there may be more: those behind it on the ring are asked at once.
-            for (int i = 0; i < RING_ASKS; i++) {
-                int next = next(others());
-                if (next >= 0) {
-                    probe(nowMs, next, Probe.Purpose.ROUND);
-                }
-            }
-        }
-        Collection<Integer> told = first ? lookers(e) : table.get(p.target).confirmers();
-        told.stream()
-                .filter(t -> t != me && t != p.target)
-                .forEach(t -> send(nowMs, Kind.GOSSIP, t, 0, MembershipMessage.NO_MEMBER, Urgency.MEMBERSHIP_CHANGE));
-    }
-
-    // ---- suspicions
-
-    /**
-     * Those who look at once after one that is suspected; alike at all whose views are. Who is suspected looks after
-     * nobody: at a cut those on this side soon take the place of those on the other.
-     */
-    private List<Integer> lookers(Member suspect) {
-        long salt = Member.mix(suspect.id() * 31L + suspect.incarnation());
-        List<Integer> all = new ArrayList<>(others());
-        all.add(me);
-        boolean many = many();
-        double since = lastMs - HEARD_MS;
-        all.removeIf(id -> id == suspect.id()
-                || suspicions.containsKey(id)
-                || (many && id != me && heardMs.getOrDefault(id, Double.NEGATIVE_INFINITY) < since));
-        all.sort(Comparator.comparingLong(id -> Member.mix(id ^ salt)));
-        return all.subList(0, Math.min(settings.confirmers(), all.size()));
-    }
-
-    /**
-     * So many are suspected at once that a way is cut rather than that they died one by one. Those who would be named
-     * to look then stand beyond the cut for the most part, so only such are named as were just heard, and one of them
-     * is enough.
-     */
-    private boolean many() {
-        return suspicions.size() > Math.max(LEAST_MANY, others().size() / PART_MANY);
-    }
-
-    private boolean looks(Member suspect) {
-        return lookers(suspect).contains(me);
-    }
-
-    private double endMs(int id) {
-        Suspicion s = suspicions.get(id);
-        Member e = table.get(id);
-        int wanted = Math.min(many() ? 1 : settings.confirmers(), others().size() - suspicions.size());
-        double end = s.endMs(settings, e.confirmers().size(), wanted);
-        boolean mine = e.confirmers().contains(me) || s.ownProbeFailedMs != Double.NEGATIVE_INFINITY;
-        double slow = s.startedMs + (end - s.startedMs) * health.intervalFactor() * health.lossFactor();
-        double looking = probes.values().stream()
-                .filter(p -> p.target == id && p.purpose == Probe.Purpose.BEFORE_DEATH)
-                .mapToDouble(p -> p.nextMs)
-                .findFirst()
-                .orElse(Double.NEGATIVE_INFINITY);
-        return Math.max(looking, slow + (mine ? 0 : OTHERS_MS));
-    }
-
-    private void end(double nowMs, int id) {
-        Suspicion s = suspicions.get(id);
-        if (nowMs - s.ownProbeFailedMs <= EVIDENCE_MS * health.lossFactor()) {
-            apply(nowMs, table.get(id).withState(MemberState.DEAD));
-        } else if (probes.values().stream().noneMatch(p -> p.target == id && p.purpose == Probe.Purpose.BEFORE_DEATH)) {
-            s.ownProbeFailedMs = Double.NEGATIVE_INFINITY;
-            probe(nowMs, id, Probe.Purpose.BEFORE_DEATH);
-            if (probes.values().stream().noneMatch(p -> p.target == id && p.purpose == Probe.Purpose.BEFORE_DEATH)) {
-                s.startedMs = nowMs; // too much to do; later
-            }
-        }
-    }
-
-    // ---- what goes out
-
-    private void flush(double nowMs, int many) {
-        flushMs = Double.POSITIVE_INFINITY;
-        if (news.isEmpty()) {
-            return;
-        }
-        for (int to : drawn(many, me)) {
-            send(nowMs, Kind.GOSSIP, to, 0, MembershipMessage.NO_MEMBER, Urgency.BACKGROUND);
-        }
-    }
-
-    /** Whether there was room for it. */
-    private boolean send(double nowMs, Kind kind, int to, int probe, int target, Urgency urgency) {
-        List<Member> entries = new ArrayList<>(List.of(own.member()));
-        Member its = table.get(to);
-        if (its != null && (owed.remove(to) || its.state() != MemberState.ALIVE)) {
-            entries.add(its);
-        }
-        if (target != MembershipMessage.NO_MEMBER && target != to && table.get(target) != null) {
-            entries.add(table.get(target));
+        if (round % 2 == 0) {
+            detector.probe(nowMs, selector.nextShuffled(), Purpose.ROUND);
+        } else {
+            detector.probeNextOnRing(nowMs);
         }
-        int bytes = MembershipMessage.headBytes(kind)
-                + entries.stream().mapToInt(MembershipMessage::bytes).sum();
-        int room = Math.min(
-                MAX_MESSAGE_BYTES - bytes, kind == Kind.GOSSIP ? MAX_MESSAGE_BYTES : allowance.spareBytes(nowMs));
-        List<Member> more = news.take(table, room, me);
-        more.removeIf(e -> entries.stream().anyMatch(x -> x.id() == e.id()));
-        entries.addAll(more);
-        return post(
-                nowMs, to, new MembershipMessage(kind, probe, target, table.digest(), new int[0], entries), urgency);
     }
 
-    private boolean post(double nowMs, int to, MembershipMessage message, Urgency urgency) {
-        byte[] body = message.encode();
-        boolean room = allowance.take(nowMs, body.length, urgency);
-        if (room) {
-            out.add(new OutgoingMessage(to, body, urgency));
+    private void probeAbsentMembers(double nowMs, int count) {
+        List<Integer> absent = fleet.absentMembers();
+        for (int i = count; i > 0 && !absent.isEmpty(); i--) {
+            detector.probe(nowMs, absent.remove(random.nextInt(absent.size())), Purpose.REJOIN);
         }
-        return room;
     }
 
-    private void differ(double nowMs, MembershipMessage m, int sender) {
-        List<Integer> slices = new ArrayList<>();
-        for (int i = 0; i < MemberTable.SLICES; i++) {
-            if (m.sliceDigests()[i] != table.digest(i)) {
-                slices.add(i);
-            }
-        }
-        if (slices.isEmpty()) {
+    private void gossip(double nowMs, int receivers) {
+        gossipMs = Double.POSITIVE_INFINITY;
+        if (fleet.gossip().isEmpty()) {
             return;
         }
-        if (m.number() == 0) {
-            if (nowMs < repliedMs + DIFFER_MS) {
-                return; // many find at once that this one lags behind, and one of them is enough
-            }
-            repliedMs = nowMs;
-            sendSlices(nowMs, sender, 1);
-        }
-        List<Member> left = new ArrayList<>();
-        slices.forEach(i -> left.addAll(table.inSlice(i)));
-        left.removeIf(e -> e.id() == me);
-        for (int i = 0; i < SLICE_MESSAGES && (i == 0 || !left.isEmpty()); i++) {
-            sendSome(nowMs, sender, left);
-        }
-    }
-
-    private void sendSome(double nowMs, int to, List<Member> left) {
-        List<Member> entries = new ArrayList<>(List.of(own.member()));
-        int room =
-                MAX_MESSAGE_BYTES - MembershipMessage.headBytes(Kind.MEMBERS) - MembershipMessage.bytes(own.member());
-        while (!left.isEmpty()) {
-            int at = random.nextInt(left.size());
-            int bytes = MembershipMessage.bytes(left.get(at));
-            if (bytes > room) {
-                break;
-            }
-            room -= bytes;
-            entries.add(left.remove(at));
-        }
-        post(
-                nowMs,
-                to,
-                new MembershipMessage(
-                        Kind.MEMBERS, 0, MembershipMessage.NO_MEMBER, table.digest(), new int[0], entries),
-                Urgency.BACKGROUND);
-    }
-
-    /** {@code reply}: 1 if this answers the other's own. */
-    private void sendSlices(double nowMs, int to, int reply) {
-        int[] digests = new int[MemberTable.SLICES];
-        for (int i = 0; i < digests.length; i++) {
-            digests[i] = table.digest(i);
-        }
-        post(
-                nowMs,
-                to,
-                new MembershipMessage(
-                        Kind.DIGESTS,
-                        reply,
-                        MembershipMessage.NO_MEMBER,
-                        table.digest(),
-                        digests,
-                        List.of(own.member())),
-                Urgency.MEMBERSHIP_CHANGE);
+        selector.sample(receivers, id -> id != fleet.self() && !detector.isSuspected(id))
+                .forEach(id -> transmitter.sendGossip(nowMs, id, Urgency.BACKGROUND));
     }
 
-    // ---- what it knows
+    // ---- what is known
 
     /** The fleet as this instance sees it now. */
     public MembershipView view(double nowMs) {
         return new MembershipView(
-                me,
+                fleet.self(),
                 nowMs,
-                List.copyOf(table.all()),
-                table.digest(),
+                List.copyOf(fleet.table().all()),
+                fleet.table().digest(),
                 settings.configured() == 0 ? null : new ConfiguredMembers(settings.configured()),
-                own.disputed());
+                fleet.localMember().disputed());
     }
 
-    /** How many live, as {@link MembershipView#liveMembers} has it. */
+    /** How many members are live, as in {@link MembershipView#liveMembers}. */
     public LiveMembers liveMembers() {
-        return new LiveMembers(others().size() + 1);
+        return new LiveMembers(fleet.liveOthers().size() + 1);
     }
 
-    /** How often this instance has refuted that it was dead, in this life. */
+    /** How often this process has refuted that it was dead. */
     public long deathsRefuted() {
         return deathsRefuted;
     }
 
-    /** Alike for instances that hold the same. */
+    /** Equal for instances that know the same. */
     public int digest() {
-        return table.digest();
+        return fleet.table().digest();
     }
 
-    /** What is held of an instance, null if nothing is. */
+    /** What is known of a member; null for nothing. */
     public Member member(int id) {
-        return table.get(id);
+        return fleet.get(id);
     }
 
-    /** The incarnation that is to be remembered beyond this life. */
+    /** This instance's incarnation, which its next process has to know. */
     public long incarnation() {
-        return own.member().incarnation();
+        return fleet.localMember().member().incarnation();
     }
 
     /** Messages that could not be read, or came under another's name. */
--- a/src/main/java/cacheproxy/membership/MembershipMessage.java
+++ b/src/main/java/cacheproxy/membership/MembershipMessage.java
@@ -67,6 +67,11 @@
         }
     }
 
+    /** The sender's own entry. */
+    Member sender() {
+        return members.get(0);
+    }
+
     // ---- to bytes
 
     /** The bytes that this takes without entries. */
--- a/src/main/java/cacheproxy/membership/Probe.java
+++ b/src/main/java/cacheproxy/membership/Probe.java
@@ -1,38 +1,42 @@
 package cacheproxy.membership;
 
-/** An instance that has been asked whether it lives. */
+/**
+ * A probe under way: a member has been pinged, perhaps several times, and has not answered yet. Times in milliseconds.
+ */
 final class Probe {
-    /** Why it was asked. */
+    /** Why a member is probed. */
     enum Purpose {
         /** It is its turn. */
         ROUND,
-        /** Somebody suspects it. */
+        /** Another suspects it. */
         CONFIRM_SUSPICION,
-        /** A last look before it is given up. */
+        /** Before it is declared dead. */
         BEFORE_DEATH,
-        /** Another asked for it. */
+        /** A peer has asked for it, as its own pings weren't answered. */
         FOR_PEER,
-        /** It is gone, or was never heard of: whether it is back. */
+        /** It is gone or was never heard of: whether it is there again. */
         REJOIN
     }
 
     final int number;
     final int target;
     final Purpose purpose;
-    /** For whom and by which number of theirs, where another asked. */
+    /** The peer that has asked for it, and the number of that peer's probe. */
     final int requester;
 
     final int requesterNumber;
     final double startedMs;
+    /** When the next ping is due, or the probe has failed. */
     double nextMs;
+
     int pings;
 
-    Probe(int number, int target, Purpose why, int asker, int askerNumber, double beganMs) {
+    Probe(int number, int target, Purpose purpose, int requester, int requesterNumber, double startedMs) {
         this.number = number;
         this.target = target;
-        this.purpose = why;
-        this.requester = asker;
-        this.requesterNumber = askerNumber;
-        this.startedMs = beganMs;
+        this.purpose = purpose;
+        this.requester = requester;
+        this.requesterNumber = requesterNumber;
+        this.startedMs = startedMs;
     }
 }
--- a/src/main/java/cacheproxy/membership/Suspicion.java
+++ b/src/main/java/cacheproxy/membership/Suspicion.java
@@ -1,32 +1,41 @@
 package cacheproxy.membership;
 
 /**
- * A suspicion under way. It lasts the longer the fewer confirm it: from the longest time with one who suspects down to
- * the least with all who were to look (Lifeguard, section IV.B).
+ * A suspicion under way. The fewer members confirm it, the longer it lasts: from the longest time with one that
+ * suspects down to the least with all that were asked to confirm (Lifeguard, section IV.B). Times in milliseconds.
  */
 final class Suspicion {
-    final long incarnation;
-    final int life;
+    /** When it began. */
     double startedMs;
-    /** When this instance asks next whether it is to look. */
+    /** When this instance looks next whether it has to confirm the suspicion. */
     double confirmAtMs;
-    /** When this instance itself did not reach it last; negative infinity if it has not tried. */
+    /** When this instance's own probe failed last; negative infinity if it has not tried or was answered. */
     double ownProbeFailedMs = Double.NEGATIVE_INFINITY;
 
-    Suspicion(Member entry, double nowMs) {
-        incarnation = entry.incarnation();
-        life = entry.processNonce();
+    private final long incarnation;
+    private final int processNonce;
+
+    Suspicion(Member suspect, double nowMs) {
+        incarnation = suspect.incarnation();
+        processNonce = suspect.processNonce();
         startedMs = nowMs;
     }
 
-    boolean concerns(Member entry) {
-        return incarnation == entry.incarnation() && life == entry.processNonce();
+    /** Whether it is of this incarnation of the member. */
+    boolean concerns(Member member) {
+        return incarnation == member.incarnation() && processNonce == member.processNonce();
+    }
+
+    /** Whether this instance's own last probe of the member has failed. */
+    boolean hasOwnFailure() {
+        return ownProbeFailedMs != Double.NEGATIVE_INFINITY;
     }
 
-    /** When it is over. */
-    double endMs(MembershipSettings s, int confirmers, int wanted) {
+    /** When it ends with so many confirmers, of so many that are wanted. */
+    double endMs(MembershipSettings settings, int confirmers, int wanted) {
         double part = wanted <= 0 ? 1 : Math.min(1, Math.log(Math.max(1, confirmers)) / Math.log(wanted + 1));
-        return startedMs
-                + Math.max(s.minSuspicionMs(), s.maxSuspicionMs() - (s.maxSuspicionMs() - s.minSuspicionMs()) * part);
+        double shortestMs = settings.minSuspicionMs();
+        double longestMs = settings.maxSuspicionMs();
+        return startedMs + Math.max(shortestMs, longestMs - (longestMs - shortestMs) * part);
     }
 }
