--- a/src/main/java/cacheproxy/control/FleetViewControl.java
+++ b/src/main/java/cacheproxy/control/FleetViewControl.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.membership.Member;
 import cacheproxy.membership.MembershipView;
-import cacheproxy.proxy.Proxy;
+import cacheproxy.proxy.FleetViewStatus;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.util.function.Supplier;
@@ -15,12 +15,12 @@
     private FleetViewControl() {}
 
     /** {@code view}: supplies null where this proxy takes no part in the fleet's view. */
-    static void register(ControlRegistry registry, Supplier<Proxy.FleetView> view) {
+    static void register(ControlRegistry registry, Supplier<FleetViewStatus> view) {
         registry.section("view", () -> summary(view.get()));
         registry.command("view", arguments -> members(view.get()));
     }
 
-    private static JsonObject summary(Proxy.FleetView fleet) {
+    private static JsonObject summary(FleetViewStatus fleet) {
         JsonObject json = new JsonObject();
         json.addProperty("kept", fleet != null);
         if (fleet == null) {
@@ -35,13 +35,13 @@
         }
         json.addProperty("digest", String.format("%08x", view.digest()));
         json.addProperty("disputed", view.disputed());
-        json.addProperty("refuted_deaths", fleet.refuted());
-        json.addProperty("unreadable", fleet.unreadable());
-        json.addProperty("over_budget", fleet.dropped());
+        json.addProperty("refuted_deaths", fleet.refutedDeaths());
+        json.addProperty("unreadable", fleet.unreadableMessages());
+        json.addProperty("over_budget", fleet.droppedDatagrams());
         return json;
     }
 
-    private static JsonObject members(Proxy.FleetView fleet) {
+    private static JsonObject members(FleetViewStatus fleet) {
         if (fleet == null) {
             throw new CommandException("this proxy keeps no view of the fleet; it was started without --view on");
         }
--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -1,6 +1,8 @@
 package cacheproxy.control;
 
+import cacheproxy.proxy.EndpointListStatus;
 import cacheproxy.proxy.Proxy;
+import cacheproxy.proxy.ProxyStatus;
 import cacheproxy.proxy.RuleCounts;
 import com.google.gson.JsonObject;
 import java.util.Map;
@@ -23,37 +25,37 @@
         }
         DrainControl.register(registry, proxy);
         registry.metrics(() -> ProxyMetrics.samples(proxy.status(), proxy.ruleCounts()));
-        registry.section("list", () -> endpointList(proxy.list()));
+        registry.section("list", () -> endpointList(proxy.endpointListStatus()));
         registry.section("rules", () -> ruleCounts(proxy.ruleCounts()));
         FleetViewControl.register(registry, proxy::fleetView);
-        ZoneControl.register(registry, proxy::zones);
-        RecoverySection.register(registry, proxy::recovering);
+        ZoneControl.register(registry, proxy::zoneDecisions);
+        RecoverySection.register(registry, proxy::recoveryStatus);
         return registry;
     }
 
     private static JsonObject process(Proxy proxy, long upSeconds) {
-        Proxy.Status status = proxy.status();
+        ProxyStatus status = proxy.status();
         JsonObject section = new JsonObject();
         section.addProperty("name", proxy.name());
         section.addProperty("pid", ProcessHandle.current().pid());
         section.addProperty("up_s", upSeconds);
-        section.addProperty("clients", status.clients());
-        section.addProperty("owed", status.owed());
-        section.addProperty("answered", status.answered());
-        section.addProperty("upstream", status.upstream());
-        section.addProperty("value_bytes", status.kept());
-        section.addProperty("values_waiting", status.waiting());
+        section.addProperty("clients", status.clientConnections());
+        section.addProperty("owed", status.openRequests());
+        section.addProperty("answered", status.completedRequests());
+        section.addProperty("upstream", status.upstreamConnections());
+        section.addProperty("value_bytes", status.valueBytes());
+        section.addProperty("values_waiting", status.waitingValues());
         return section;
     }
 
-    private static JsonObject handover(Proxy.Status status) {
+    private static JsonObject handover(ProxyStatus status) {
         JsonObject section = new JsonObject();
-        section.addProperty("phase", status.handover().statusName());
-        section.addProperty("successors", status.handovers());
+        section.addProperty("phase", status.handoverPhase().statusName());
+        section.addProperty("successors", status.completedHandovers());
         return section;
     }
 
-    private static JsonObject endpointList(Proxy.ListStatus list) {
+    private static JsonObject endpointList(EndpointListStatus list) {
         JsonObject section = new JsonObject();
         section.addProperty("version", list.version());
         if (!Double.isNaN(list.ageMs())) {
--- a/src/main/java/cacheproxy/control/ProxyMetrics.java
+++ b/src/main/java/cacheproxy/control/ProxyMetrics.java
@@ -1,7 +1,7 @@
 package cacheproxy.control;
 
 import cacheproxy.control.MetricSample.Kind;
-import cacheproxy.proxy.Proxy;
+import cacheproxy.proxy.ProxyStatus;
 import cacheproxy.proxy.RuleCounts;
 import java.util.ArrayList;
 import java.util.List;
@@ -11,19 +11,19 @@
 final class ProxyMetrics {
     private ProxyMetrics() {}
 
-    static List<MetricSample> samples(Proxy.Status status, RuleCounts rules) {
+    static List<MetricSample> samples(ProxyStatus status, RuleCounts rules) {
         List<MetricSample> samples = new ArrayList<>();
-        status.classes().forEach((name, ends) -> {
+        status.outcomesByClass().forEach((name, ends) -> {
             samples.add(counter("succeeded." + name, ends.succeeded()));
-            samples.add(counter("declined." + name, ends.declined()));
-            samples.add(counter("aborted." + name, ends.aborted()));
+            samples.add(counter("declined." + name, ends.rejected()));
+            samples.add(counter("aborted." + name, ends.failed()));
         });
-        samples.add(counter("forwards", status.forwards()));
-        samples.add(gauge("outstanding", status.owed()));
-        samples.add(gauge("discovered", status.discovered()));
-        samples.add(gauge("ejected", status.ejected()));
-        samples.add(counter("sighup_applied", status.applied()));
-        samples.add(counter("sighup_rejected", status.rejected()));
+        samples.add(counter("forwards", status.forwardedAttempts()));
+        samples.add(gauge("outstanding", status.openRequests()));
+        samples.add(gauge("discovered", status.discoveredNodes()));
+        samples.add(gauge("ejected", status.ejectedNodes()));
+        samples.add(counter("sighup_applied", status.reloadsApplied()));
+        samples.add(counter("sighup_rejected", status.reloadsRejected()));
         new TreeMap<>(rules.forbidden()).forEach((rule, count) -> samples.add(counter("forbidden." + rule, count)));
         new TreeMap<>(rules.violations()).forEach((rule, count) -> samples.add(counter("breaches." + rule, count)));
         return samples;
--- a/src/main/java/cacheproxy/proxy/MembershipLink.java
+++ b/src/main/java/cacheproxy/proxy/MembershipLink.java
@@ -6,13 +6,15 @@
 import cacheproxy.membership.MembershipSettings;
 import cacheproxy.membership.MembershipView;
 import cacheproxy.membership.ServicePhase;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.RoutingSettings;
 import java.util.function.Consumer;
 
 /** Carries out what {@link Membership} decides: its messages and its times. On the event loop only. */
 final class MembershipLink {
     private final Dispatcher dispatcher;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
     private final Membership members;
     private final Consumer<LiveMembers> liveMembersListener;
     /** A timer that was set before the last one is void. */
@@ -27,7 +29,7 @@
      */
     MembershipLink(
             Dispatcher dispatcher,
-            PeerSocket peers,
+            PeerDatagramSocket peers,
             RoutingSettings settings,
             long remembered,
             long seed,
@@ -43,7 +45,7 @@
                 new byte[0],
                 remembered,
                 settings.instanceSeed(seed),
-                new MembershipBudget(peers.outbox()));
+                new MembershipBudget(peers.budget()));
         members.phase(phase);
         run();
     }
@@ -101,7 +103,7 @@
     private void run() {
         long mine = ++timerGeneration;
         members.tick(now());
-        members.outgoing().forEach(s -> peers.sendAdmitted(s.to(), PeerSocket.Kind.MEMBERS, s.body()));
+        members.outgoing().forEach(s -> peers.sendWithinBudget(s.to(), PeerMessageKind.MEMBERSHIP, s.body()));
         LiveMembers lives = members.liveMembers();
         if (!lives.equals(liveMembers)) {
             liveMembers = lives;
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -1,6 +1,9 @@
 package cacheproxy.proxy;
 
 import cacheproxy.membership.LiveMembers;
+import cacheproxy.proxy.peer.EndpointGossipLink;
+import cacheproxy.proxy.peer.OutlierGossipLink;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.EndpointSignal;
 
 /**
@@ -9,9 +12,9 @@
  */
 final class PeerLinks {
     private final SerialLoadBalancer loadBalancer;
-    private PeerNews endpointListGossip;
+    private EndpointGossipLink endpointListGossip;
     private MembershipLink membership;
-    private NodeTalk outlierGossip;
+    private OutlierGossipLink outlierGossip;
     private ZoneLink zoneFailover;
     private StateQueryLink stateQueries;
 
@@ -20,12 +23,12 @@
     }
 
     /** Sets the link that gossips the version of the endpoint list. */
-    void setEndpointListGossip(PeerNews link) {
+    void setEndpointListGossip(EndpointGossipLink link) {
         endpointListGossip = link;
     }
 
     /** Sets the links for the fleet's membership and for gossip of outliers. */
-    void setMembership(MembershipLink link, NodeTalk outliers) {
+    void setMembership(MembershipLink link, OutlierGossipLink outliers) {
         membership = link;
         outlierGossip = outliers;
     }
@@ -41,25 +44,25 @@
     }
 
     /** A message from a peer has arrived. */
-    void messageReceived(int peer, PeerSocket.Kind kind, byte[] message) {
+    void messageReceived(int peer, PeerMessageKind kind, byte[] message) {
         switch (kind) {
-            case LIST -> {
+            case ENDPOINT_LIST -> {
                 if (endpointListGossip != null) {
-                    endpointListGossip.heard(peer, message);
+                    endpointListGossip.onMessage(peer, message);
                 }
             }
-            case MODULE -> loadBalancer.peerMessageReceived(peer, message);
-            case MEMBERS -> {
+            case LOAD_BALANCER -> loadBalancer.peerMessageReceived(peer, message);
+            case MEMBERSHIP -> {
                 if (membership != null) {
                     membership.messageReceived(peer, message);
                 }
             }
-            case NODES -> {
+            case OUTLIERS -> {
                 if (outlierGossip != null) {
-                    outlierGossip.heard(peer, message);
+                    outlierGossip.onMessage(peer, message);
                 }
             }
-            case RECALL -> {
+            case STATE_QUERY -> {
                 if (stateQueries != null) {
                     stateQueries.messageReceived(peer, message);
                 }
@@ -70,28 +73,28 @@
     /** The set of live members has changed. */
     void liveMembersChanged(LiveMembers living) {
         if (endpointListGossip != null) {
-            endpointListGossip.among(living);
+            endpointListGossip.setLiveMembers(living);
         }
     }
 
     /** A poll of the endpoint list has failed. */
     void endpointListPollFailed() {
         if (endpointListGossip != null) {
-            endpointListGossip.callFailed();
+            endpointListGossip.onPollFailed();
         }
     }
 
     /** This version of the endpoint list is in use. */
     void endpointListInUse(long version) {
         if (endpointListGossip != null) {
-            endpointListGossip.held(version);
+            endpointListGossip.onVersionApplied(version);
         }
     }
 
     /** The load balancer has seen a sign of a server's health. */
     void endpointSignaled(int server, EndpointSignal signal) {
         if (outlierGossip != null) {
-            outlierGossip.saw(server, signal);
+            outlierGossip.onEndpointSignal(server, signal);
         }
         if (zoneFailover != null) {
             zoneFailover.saw(server, signal);
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -35,7 +35,7 @@
     /** Null where this proxy takes no part in the fleet's view. */
     private final MembershipLink members;
 
-    private final Acceptor acceptor;
+    private final ClientAcceptor acceptor;
     private final Runnable discardEndpointList;
     private final RecoveryProgress progress;
     private final ConnectionRebalancer rebalancer = new ConnectionRebalancer();
@@ -56,7 +56,7 @@
     RecoveryLink(
             Dispatcher dispatcher,
             MembershipLink members,
-            Acceptor acceptor,
+            ClientAcceptor acceptor,
             boolean listConfirmed,
             Runnable discardEndpointList) {
         this.dispatcher = dispatcher;
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -1,6 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.recovery.PeerStateQuery;
 import cacheproxy.recovery.PeerStateSummary;
 import cacheproxy.recovery.Provenance;
@@ -28,7 +30,7 @@
     private static final String ALL_ENDPOINTS = "";
 
     private final Dispatcher dispatcher;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
     private final MembershipLink members;
     private final DiscoveryClient discovery;
     /** Null where this process has state, and asks for none. */
@@ -37,7 +39,7 @@
     /** {@code needsState}: whether this process has started without learned state, and asks for it. */
     StateQueryLink(
             Dispatcher dispatcher,
-            PeerSocket peers,
+            PeerDatagramSocket peers,
             MembershipLink members,
             DiscoveryClient discovery,
             boolean needsState) {
@@ -51,7 +53,7 @@
         }
     }
 
-    /** A message of kind RECALL from a peer. */
+    /** A state query of a peer, or its answer to one. */
     void messageReceived(int peer, byte[] message) {
         if (PeerStateSummary.isQuery(message)) {
             answer(peer);
@@ -68,7 +70,7 @@
     private void answer(int peer) {
         LearnedState learned = dispatcher.learnedState().get(ALL_ENDPOINTS);
         if (learned != null) { // null where there are pools and none of all endpoints
-            peers.send(peer, PeerSocket.Kind.RECALL, summary(learned).encode());
+            peers.send(peer, PeerMessageKind.STATE_QUERY, summary(learned).encode());
         }
     }
 
@@ -96,7 +98,7 @@
 
     private void run() {
         query.peersToQuery(dispatcher.now(), members.view())
-                .forEach(peer -> peers.send(peer, PeerSocket.Kind.RECALL, PeerStateSummary.query()));
+                .forEach(peer -> peers.send(peer, PeerMessageKind.STATE_QUERY, PeerStateSummary.query()));
         switch (query.state()) {
             case QUERYING -> dispatcher.after(TICK_MS, this::run);
             case ANSWERED -> adopt(result());
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -7,6 +7,7 @@
 import cacheproxy.gossip.EndpointListDelta;
 import cacheproxy.gossip.Envelope;
 import cacheproxy.gossip.PeerMessage;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.EndpointState;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -145,7 +146,7 @@
     }
 
     private static void send(DatagramSocket peer, byte[] body, Fleet fleet) throws Exception {
-        byte[] sealed = Envelope.encode(List.of(new Envelope.Item(PeerSocket.Kind.LIST.number(), 0, body)));
+        byte[] sealed = Envelope.encode(List.of(new Envelope.Item(PeerMessageKind.ENDPOINT_LIST.code(), 0, body)));
         peer.send(new DatagramPacket(sealed, sealed.length, fleet.proxy.peerAddress()));
     }
 
@@ -193,14 +194,14 @@
                         fleet);
                 Await.until(
                         "the peer's word is in use",
-                        () -> !fleet.on(() -> fleet.proxy.core().servers().get(1).ready));
+                        () -> !fleet.on(() -> fleet.proxy.dispatcher().servers().get(1).ready));
                 client.say(read.formatted(2)).line();
                 client.line();
                 assertThat(other.next()).contains("O2 ");
                 well.set(true);
                 Await.until(
                         "discovery's list of that version knows nothing of it",
-                        () -> fleet.on(() -> fleet.proxy.core().servers().get(1).ready));
+                        () -> fleet.on(() -> fleet.proxy.dispatcher().servers().get(1).ready));
                 client.say(read.formatted(3)).line();
                 client.line();
                 assertThat(drained.next()).contains("O3 ");
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -47,14 +47,14 @@
 
     private static Phase phase(Proxy proxy) {
         return proxy.loop()
-                .submit(() -> proxy.status().handover())
+                .submit(() -> proxy.status().handoverPhase())
                 .syncUninterruptibly()
                 .getNow();
     }
 
     private static long answered(Proxy proxy) {
         return proxy.loop()
-                .submit(() -> proxy.status().answered())
+                .submit(() -> proxy.status().completedRequests())
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -125,7 +125,8 @@
                 Fleet.Client mute = fleet.client()) {
             long owedBy = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
             Await.until(
-                    "it has come", () -> fleet.on(() -> fleet.proxy.clients().open()) == 1);
+                    "it has come",
+                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().open()) == 1);
             successor(fleet);
             Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             Thread ending = end(fleet.proxy);
@@ -201,11 +202,12 @@
                 String key = Long.toHexString(System.nanoTime());
                 client.say("mg " + key + " v O" + key + " Pc=text,d=20000\r\n");
                 served(client, key);
-                return fleet.on(() -> fleet.proxy.status().ejected()) == 1; // what is only doubted is known of, too
+                return fleet.on(() -> fleet.proxy.status().ejectedNodes())
+                        == 1; // what is only doubted is known of, too
             });
             Proxy next = successor(fleet);
             assertThat(next.loop()
-                            .submit(() -> next.status().ejected())
+                            .submit(() -> next.status().ejectedNodes())
                             .syncUninterruptibly()
                             .getNow())
                     .as("before it has sent anything")
@@ -231,7 +233,7 @@
     void oneThatAsksAndNeverServesHoldsNobodyUp() throws Exception {
         try (Fleet fleet = serving(node());
                 SocketChannel hung = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-            hung.connect(UnixDomainSocketAddress.of(HandoverLink.path(folder)));
+            hung.connect(UnixDomainSocketAddress.of(HandoverServer.socketPath(folder)));
             hung.write(ByteBuffer.wrap("STATE 1\nSOCKET\n".getBytes(StandardCharsets.US_ASCII)));
             Await.until("it has the socket", () -> phase(fleet.proxy) == Phase.SOCKET_PASSED);
             served(fleet.client().read("1"), "1");
@@ -246,7 +248,7 @@
             for (String words :
                     new String[] {"SERVING\n", "SOCKET\n", "STATE 9\n", "x".repeat(200), "STATE 1\nSERVING\n"}) {
                 try (SocketChannel link = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-                    link.connect(UnixDomainSocketAddress.of(HandoverLink.path(folder)));
+                    link.connect(UnixDomainSocketAddress.of(HandoverServer.socketPath(folder)));
                     link.write(ByteBuffer.wrap(words.getBytes(StandardCharsets.US_ASCII)));
                     if (words.length() < 100) {
                         ByteBuffer rest = ByteBuffer.allocate(1 << 16);
@@ -264,7 +266,7 @@
     /** A socket file whose process was killed, one that answers nothing, one that answers nonsense. */
     @Test
     void whereTheOldProcessIsOfNoUseTheNewOneServesAnyway() throws Exception {
-        Path path = HandoverLink.path(folder);
+        Path path = HandoverServer.socketPath(folder);
         for (String answer : new String[] {null, "", "{\"v\":9}\n", "{\"v\":1,\"li\n", "nonsense\n"}) {
             Files.deleteIfExists(path);
             try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
