--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.gossip.ListVersionGossip;
-import cacheproxy.membership.Phase;
+import cacheproxy.membership.ServicePhase;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.peer.EndpointGossipLink;
@@ -36,7 +36,7 @@
     private final Supplier<Config> config;
 
     /** Null where this instance takes no part in the membership view. */
-    private MemberLink members;
+    private MembershipLink members;
     /** Null where it takes no part in zone decisions. */
     private ZoneLink zones;
     /** Null where it does not coordinate its recovery. */
@@ -105,13 +105,13 @@
 
     private void joinMembership(FleetFeatures features) {
         Config current = config.get();
-        members = new MemberLink(
+        members = new MembershipLink(
                 dispatcher,
                 peers,
                 current.settings(),
                 restored.incarnation(),
                 current.seed(),
-                features.recovery() ? Phase.STARTING : Phase.SERVING,
+                features.recovery() ? ServicePhase.STARTING : ServicePhase.SERVING,
                 dispatcher.peerLinks()::liveMembersChanged);
         dispatcher
                 .peerLinks()
@@ -130,8 +130,8 @@
             dispatcher.peerLinks().setZoneFailover(zones);
         }
         if (stateLink != null) {
-            stateLink.keep(members::incarnation, zones);
-            members.onChange(stateLink::fleetChanged);
+            stateLink.persistFleetState(members::incarnation, zones);
+            members.onChange(stateLink::fleetStateChanged);
         }
     }
 
@@ -142,14 +142,14 @@
     /** Tells the fleet that this instance drains. */
     void announceDraining() {
         if (members != null) {
-            members.phase(Phase.DRAINING);
+            members.phase(ServicePhase.DRAINING);
         }
     }
 
     /** Tells the fleet that this instance serves again; one that coordinates its recovery announces its own stages. */
     void announceServing() {
         if (members != null && recovery == null) {
-            members.phase(Phase.SERVING);
+            members.phase(ServicePhase.SERVING);
         }
     }
 
@@ -186,12 +186,12 @@
         return new RecoveryStatus(
                 dispatcher.provenance(),
                 recovery == null ? null : recovery.progress(),
-                recovery == null ? null : recovery.spread(),
-                recovery == null ? 0 : recovery.rate(),
-                stateLink == null ? null : stateLink.opened(),
+                recovery == null ? null : recovery.rebalancer(),
+                recovery == null ? 0 : recovery.requestsPerSecond(),
+                stateLink == null ? null : stateLink.openedState(),
                 stateLink == null ? null : stateLink.recordStore(),
                 stateLink == null ? null : stateLink.path().toString(),
-                stateLink != null && stateLink.locked());
+                stateLink != null && stateLink.isLockHeld());
     }
 
     /** The fleet's zone decisions; null where this instance takes no part in them. */
--- a/src/main/java/cacheproxy/proxy/peer/EndpointGossipLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/EndpointGossipLink.java
@@ -6,7 +6,7 @@
 import cacheproxy.gossip.ListVersionGossip.Action;
 import cacheproxy.gossip.PeerMessage;
 import cacheproxy.gossip.ProvisionalEndpoints;
-import cacheproxy.membership.Living;
+import cacheproxy.membership.LiveMembers;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import java.util.SplittableRandom;
@@ -108,7 +108,7 @@
     }
 
     /** The number of live instances has changed. */
-    public void setLiveMembers(Living living) {
+    public void setLiveMembers(LiveMembers living) {
         versionGossip.setLiveMembers(living);
     }
 
