--- a/src/test/java/cacheproxy/route/RouterRig.java
+++ b/src/test/java/cacheproxy/route/RouterRig.java
@@ -56,6 +56,9 @@
 
     final RoutingSettings settings;
     final Router router;
+    /** Where the router's orders go: to the rig itself, or by way of someone who looks at them first. */
+    RoutingActions actions = this;
+
     final Map<Integer, Asked> asked = new LinkedHashMap<>();
     final List<Out> out = new ArrayList<>();
     final Map<Integer, Endpoint> list = new HashMap<>();
@@ -143,7 +146,7 @@
                 }
             }
         }
-        router.onEndpointUpdate(now, kind, members, this);
+        router.onEndpointUpdate(now, kind, members, actions);
         return this;
     }
 
@@ -163,7 +166,7 @@
                 new Request(id, kind, 0, key.hashCode() | 1L << 40, now + waitMs, Double.NaN, 0, kind != READ, false),
                 key,
                 Routing.META,
-                this);
+                actions);
         return id;
     }
 
@@ -189,14 +192,14 @@
         router.onAttemptEnd(
                 now,
                 new AttemptEnd(o.request(), o.attempt(), o.server(), outcome, now - o.at(), a.answer != null, 0, null),
-                this);
+                actions);
     }
 
     void gone(int request) {
         Asked a = of(request);
         if (a.answer == null) {
             a.answer = "gone";
-            router.onClientDisconnected(now, request, this);
+            router.onClientDisconnected(now, request, actions);
         }
     }
 
@@ -211,7 +214,7 @@
                     end(o, AttemptOutcome.TIMEOUT);
                 }
             }
-            router.onTimer(now, t.token(), this);
+            router.onTimer(now, t.token(), actions);
         }
         now = until;
     }
