--- a/src/jmh/java/cacheproxy/RouteMatchBenchmark.java
+++ b/src/jmh/java/cacheproxy/RouteMatchBenchmark.java
@@ -70,6 +70,6 @@
     @Benchmark
     public Route match() {
         int k = next++ & KEYS - 1;
-        return matcher.match(keys[k], -1, k & 3, Routing.META);
+        return matcher.match(keys[k], -1, k & 3, Routing.META_FRONT);
     }
 }
--- a/src/main/java/cacheproxy/config/edge/Changes.java
+++ b/src/main/java/cacheproxy/config/edge/Changes.java
@@ -60,7 +60,7 @@
                             : entry.name().equals(r.fallback()) ? " (fallback of route " + r.name() + ")" : null;
             };
             if (as != null) {
-                all.add(r.traffic() + as);
+                all.add(r.describeTraffic() + as);
             }
         }
         if (all.size() <= SHOWN) {
--- a/src/main/java/cacheproxy/config/edge/EdgeFile.java
+++ b/src/main/java/cacheproxy/config/edge/EdgeFile.java
@@ -5,7 +5,7 @@
 import cacheproxy.config.Problems;
 import cacheproxy.config.Schema;
 import cacheproxy.proxy.RouteSource;
-import cacheproxy.route.Known;
+import cacheproxy.route.KnownNames;
 import cacheproxy.route.Routing;
 import java.nio.file.Path;
 
@@ -19,12 +19,12 @@
     }
 
     /** All sections that such a file may have. {@code known} as for {@link RoutingSections#register}. */
-    public static Schema schema(Known known) {
+    public static Schema schema(KnownNames known) {
         return QuotaSections.register(RoutingSections.register(new Schema(), known));
     }
 
     @Override
-    public Routing read(Known known) {
+    public Routing read(KnownNames known) {
         Problems problems = new Problems();
         Configuration configuration = ConfigFile.read(file, schema(known), problems);
         if (!problems.none()) {
--- a/src/main/java/cacheproxy/config/edge/Explanation.java
+++ b/src/main/java/cacheproxy/config/edge/Explanation.java
@@ -1,7 +1,7 @@
 package cacheproxy.config.edge;
 
 import cacheproxy.proxy.Installation;
-import cacheproxy.route.Known;
+import cacheproxy.route.KnownNames;
 import cacheproxy.route.Pool;
 import cacheproxy.route.Route;
 import cacheproxy.route.RoutePolicy;
@@ -25,7 +25,7 @@
      */
     public static List<String> text(
             Routing routing, Installation installation, String key, String kind, String tenant, String front) {
-        Known known = installation == null ? null : installation.known();
+        KnownNames known = installation == null ? null : installation.known();
         List<String> lines = new ArrayList<>();
         if (known != null && kind != null && !known.classes().contains(kind)) {
             lines.add("note: this instance knows no class " + kind + " and would turn the request away");
@@ -37,11 +37,11 @@
             servers(lines, installation, Pool.ALL, key, "servers   ");
             return lines;
         }
-        lines.add("route     " + found.name() + " (" + found.traffic() + ")");
+        lines.add("route     " + found.name() + " (" + found.describeTraffic() + ")");
         left.remove(found);
         Route next = match(left, key, kind, tenant, front);
         for (int i = 0; next != null && i < SHOWN; i++) {
-            lines.add("          before " + next.name() + " (" + next.traffic() + "): " + why(found, next));
+            lines.add("          before " + next.name() + " (" + next.describeTraffic() + "): " + why(found, next));
             left.remove(next);
             next = match(left, key, kind, tenant, front);
         }
@@ -115,14 +115,17 @@
     private static String policy(RoutePolicy p) {
         StringBuilder s = new StringBuilder(p.name());
         s.append(p.deadlineMs() == Double.POSITIVE_INFINITY ? "" : ", deadline " + p.deadlineMs() + " ms");
-        s.append(p.attempts() == Integer.MAX_VALUE ? "" : ", " + p.attempts() + " attempts");
+        s.append(p.maxAttempts() == Integer.MAX_VALUE ? "" : ", " + p.maxAttempts() + " attempts");
         s.append(
-                p.retryShare() == Double.POSITIVE_INFINITY
+                p.retryRatio() == Double.POSITIVE_INFINITY
                         ? ""
-                        : ", retries " + p.retryShare() * 100 + "% and " + p.retryFloor() + "/s");
-        s.append(p.copies() ? "" : ", no copies");
-        s.append(p.turnAway() == RoutePolicy.TurnAway.NOTHING ? "" : ", turns away " + p.turnAway());
-        s.append(p.maxOpen() == Integer.MAX_VALUE ? "" : ", " + p.maxOpen() + " open at most");
+                        : ", retries " + p.retryRatio() * 100 + "% and " + p.minRetriesPerSecond() + "/s");
+        s.append(p.hedgingAllowed() ? "" : ", no copies");
+        s.append(
+                p.rejectedRequests() == RoutePolicy.RejectedRequests.NOTHING
+                        ? ""
+                        : ", turns away " + p.rejectedRequests());
+        s.append(p.maxOpenRequests() == Integer.MAX_VALUE ? "" : ", " + p.maxOpenRequests() + " open at most");
         return s.toString();
     }
 }
--- a/src/main/java/cacheproxy/config/edge/RoutingSections.java
+++ b/src/main/java/cacheproxy/config/edge/RoutingSections.java
@@ -9,12 +9,14 @@
 import cacheproxy.config.Section.Naming;
 import cacheproxy.config.Source.Place;
 import cacheproxy.config.Type;
+import cacheproxy.route.EndpointAttributes;
 import cacheproxy.route.Glob;
-import cacheproxy.route.Known;
+import cacheproxy.route.KnownNames;
 import cacheproxy.route.Pool;
 import cacheproxy.route.Route;
+import cacheproxy.route.RouteConflict;
 import cacheproxy.route.RoutePolicy;
-import cacheproxy.route.RoutePolicy.TurnAway;
+import cacheproxy.route.RoutePolicy.RejectedRequests;
 import cacheproxy.route.RouteTable;
 import cacheproxy.route.Routing;
 import java.util.ArrayList;
@@ -40,7 +42,7 @@
      * @param known what an instance knows, to check names against; null: names of classes, tenants, sites and kinds are
      *     taken as they are
      */
-    public static Schema register(Schema schema, Known known) {
+    public static Schema register(Schema schema, KnownNames known) {
         Type name = Type.name(LONGEST_NAME);
         schema.register(new Section("pool", Naming.NAMED, "a selection of the servers on the list")
                 .list("site", name, "where its servers stand")
@@ -73,7 +75,7 @@
                         "200ms",
                         "when those refused by this policy are told to come back"));
         schema.register(new Section("route", Naming.NAMED, "which requests go where")
-                .optional("key", Type.text(Glob.LONGEST), null, "pattern of the key: * any characters, ? one")
+                .optional("key", Type.text(Glob.MAX_LENGTH), null, "pattern of the key: * any characters, ? one")
                 .list("tenant", name, "whose they are")
                 .list("class", name, "of which class they are")
                 .list("front", Type.choice(Routing.FRONTS.toArray(String[]::new)), "through which front they came")
@@ -85,7 +87,7 @@
 
     // ---- checks
 
-    private static void check(Configuration configuration, Known known, Problems problems) {
+    private static void check(Configuration configuration, KnownNames known, Problems problems) {
         for (Entry pool : configuration.of("pool")) {
             globs(pool, "host", problems);
             pool.blocks().forEach(w -> globs(w, "host", problems));
@@ -146,7 +148,7 @@
         for (int i = 0; i < weights.size(); i++) {
             for (int j = 0; j < i; j++) {
                 if (new Glob(weights.get(i).text("host"))
-                        .meets(new Glob(weights.get(j).text("host")))) {
+                        .overlaps(new Glob(weights.get(j).text("host")))) {
                     problems.add(
                             weights.get(i).placeOf("host"),
                             "a server could match this weight and that at "
@@ -177,12 +179,12 @@
         Map<String, Place> places = new HashMap<>();
         configuration.of("route").forEach(r -> places.put(r.name(), r.place()));
         try {
-            for (RouteTable.Conflict c : RouteTable.conflicts(routes(configuration))) {
+            for (RouteConflict c : RouteTable.conflicts(routes(configuration))) {
                 problems.add(
                         places.get(c.second().name()),
                         "equally specific as route \"" + c.first().name() + "\" at "
                                 + places.get(c.first().name()).shortly() + ", and a request could match both ("
-                                + c.second().traffic() + ")",
+                                + c.second().describeTraffic() + ")",
                         "add a condition to one of them, or join them");
             }
         } catch (IllegalArgumentException e) {
@@ -203,7 +205,7 @@
     }
 
     /** A line for each pool that selects none of these servers. */
-    public static List<String> empty(Configuration configuration, List<Pool.Server> servers) {
+    public static List<String> empty(Configuration configuration, List<EndpointAttributes> servers) {
         return configuration.of("pool").stream()
                 .filter(e -> servers.stream().noneMatch(pool(e)::selects))
                 .map(e -> e.place() + ": " + e.title() + " selects none of the " + servers.size() + " servers")
@@ -247,7 +249,7 @@
                 e.number("retry-budget", Double.POSITIVE_INFINITY) / PERCENT,
                 e.number("retry-floor", 0) / SECONDS_PER_HOUR,
                 e.on("copies"),
-                TurnAway.valueOf(e.text("turn-away").toUpperCase(Locale.ROOT)),
+                RejectedRequests.valueOf(e.text("turn-away").toUpperCase(Locale.ROOT)),
                 (int) e.number("max-open", Integer.MAX_VALUE),
                 e.number("retry-after", 0));
     }
--- a/src/main/java/cacheproxy/control/RoutingSection.java
+++ b/src/main/java/cacheproxy/control/RoutingSection.java
@@ -1,5 +1,7 @@
 package cacheproxy.control;
 
+import cacheproxy.route.PoolStatus;
+import cacheproxy.route.RouteStatus;
 import cacheproxy.route.Router;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -21,31 +23,31 @@
         section.add("pools", pools);
         JsonArray routes = new JsonArray();
         router.routes().stream()
-                .sorted(Comparator.comparingLong(Router.RouteStatus::requests).reversed())
+                .sorted(Comparator.comparingLong(RouteStatus::requests).reversed())
                 .limit(MAX_SHOWN)
                 .forEach(route -> routes.add(toJson(route)));
         section.add("routes", routes);
         return section;
     }
 
-    private static JsonObject toJson(Router.PoolStatus pool) {
+    private static JsonObject toJson(PoolStatus pool) {
         JsonObject row = new JsonObject();
         row.addProperty("pool", pool.name().isEmpty() ? "all servers" : pool.name());
-        row.addProperty("servers", pool.servers());
-        row.addProperty("open", pool.open());
-        if (pool.leaving()) {
+        row.addProperty("servers", pool.readyEndpoints());
+        row.addProperty("open", pool.openRequests());
+        if (pool.draining()) {
             row.addProperty("leaving", true);
         }
         return row;
     }
 
-    private static JsonObject toJson(Router.RouteStatus route) {
+    private static JsonObject toJson(RouteStatus route) {
         JsonObject row = new JsonObject();
         row.addProperty("route", route.name().isEmpty() ? "no route" : route.name());
         row.addProperty("requests", route.requests());
         row.addProperty("fallbacks", route.fallbacks());
-        row.addProperty("turned_away", route.turnedAway());
-        row.addProperty("held_back", route.heldBack());
+        row.addProperty("turned_away", route.rejected());
+        row.addProperty("held_back", route.throttledAttempts());
         return row;
     }
 }
--- a/src/main/java/cacheproxy/proxy/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/ClientRequestReceiver.java
@@ -18,7 +18,7 @@
     private static final String BAD_FORMAT = "CLIENT_ERROR bad command line format\r\n";
     /** Stands for a write that makes no request; its value is read and dropped. */
     private static final RequestCommand NO_REQUEST =
-            new RequestCommand(Routing.META, "", null, true, null, DeadlineText.EMPTY, DeadlineText.EMPTY);
+            new RequestCommand(Routing.META_FRONT, "", null, true, null, DeadlineText.EMPTY, DeadlineText.EMPTY);
 
     private final ClientConnection connection;
     private final ClientResponseQueue responses;
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -5,7 +5,7 @@
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListCodec;
 import cacheproxy.proxy.peer.PeerAddresses;
-import cacheproxy.route.Known;
+import cacheproxy.route.KnownNames;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.simulator.SettingsParser;
 import com.google.gson.JsonArray;
@@ -51,8 +51,8 @@
         JsonObject file) {
 
     /** What routes may name here. */
-    Known names() {
-        return new Known(
+    KnownNames names() {
+        return new KnownNames(
                 settings.classes().stream().map(c -> c.name()).toList(),
                 settings.tenants().stream().map(t -> t.name()).toList(),
                 zones,
--- a/src/main/java/cacheproxy/proxy/Installation.java
+++ b/src/main/java/cacheproxy/proxy/Installation.java
@@ -1,7 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
-import cacheproxy.route.Known;
+import cacheproxy.route.EndpointAttributes;
+import cacheproxy.route.KnownNames;
 import cacheproxy.route.Pool;
 import cacheproxy.routing.CarpHash;
 import cacheproxy.routing.Endpoint;
@@ -26,13 +27,13 @@
     }
 
     /** What routes may name here. */
-    public Known known() {
+    public KnownNames known() {
         return config.names();
     }
 
     /** The servers of the list as it was last had. */
-    public List<Pool.Server> servers() {
-        return hosts.stream().map(DiscoveredEndpoint::poolMember).toList();
+    public List<EndpointAttributes> servers() {
+        return hosts.stream().map(DiscoveredEndpoint::attributes).toList();
     }
 
     /** A pool's servers for a key, the one that takes it first; those that drain and the origin are left out. */
@@ -42,7 +43,7 @@
             Endpoint m = h.endpoint();
             boolean origin = config.settings().cacheAside()
                     && m.kind() == config.settings().originKind();
-            if (m.state() == EndpointState.READY && !origin && pool.selects(h.poolMember())) {
+            if (m.state() == EndpointState.READY && !origin && pool.selects(h.attributes())) {
                 own.add(h);
             }
         }
@@ -50,7 +51,7 @@
         float[] weights = new float[own.size()];
         for (int i = 0; i < weights.length; i++) {
             weights[i] =
-                    pool.weight(own.get(i).poolMember(), own.get(i).endpoint().weight());
+                    pool.weight(own.get(i).attributes(), own.get(i).endpoint().weight());
         }
         float[] multipliers = CarpHash.multipliers(weights);
         int hash = CarpHash.keyHash(key(key));
@@ -62,7 +63,7 @@
             order.add(i);
         }
         order.sort(Comparator.comparingDouble(i -> -scores[i]));
-        return order.stream().map(i -> own.get(i).poolMember().host()).toList();
+        return order.stream().map(i -> own.get(i).attributes().host()).toList();
     }
 
     /** The module's key: what the text's hexadecimal digits say, else a hash of it that is alike everywhere. */
--- a/src/main/java/cacheproxy/proxy/MetaCommand.java
+++ b/src/main/java/cacheproxy/proxy/MetaCommand.java
@@ -69,7 +69,7 @@
         int deadline = MetaCodec.valueAt(extras, "d");
         int deadlineInLine = deadline < 0 ? -1 : list + deadline;
         return new RequestCommand(
-                Routing.META,
+                Routing.META_FRONT,
                 key,
                 id,
                 write,
--- a/src/main/java/cacheproxy/proxy/RouteSource.java
+++ b/src/main/java/cacheproxy/proxy/RouteSource.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.route.Known;
+import cacheproxy.route.KnownNames;
 import cacheproxy.route.Routing;
 
 /** Supplies the routes of an instance: at its start and again at each reload. */
@@ -11,5 +11,5 @@
      * @param known what routes may name
      * @throws IllegalArgumentException if they are of no use; its message is for operators
      */
-    Routing read(Known known);
+    Routing read(KnownNames known);
 }
--- a/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
+++ b/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
@@ -81,7 +81,7 @@
         executor.runSerially(() -> {
             if (router != null) { // together with the event and not before: another update may wait in the queue
                 endpoints.forEach(
-                        endpoint -> router.describe(endpoint.endpoint().id(), endpoint.poolMember()));
+                        endpoint -> router.updateAttributes(endpoint.endpoint().id(), endpoint.attributes()));
             }
             loadBalancer.onEndpointUpdate(
                     clock.now(),
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.proxy.discovery.EndpointListSource;
-import cacheproxy.route.Pool;
+import cacheproxy.route.EndpointAttributes;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
 import cacheproxy.routing.EndpointUpdateKind;
@@ -146,7 +146,9 @@
 
     private static DiscoveredEndpoint host(int id, int kind, SocketAddress dial) {
         return new DiscoveredEndpoint(
-                new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), dial, new Pool.Server("", "", "", Set.of()));
+                new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0),
+                dial,
+                new EndpointAttributes("", "", "", Set.of()));
     }
 
     /** One whose connection ends with the warm-up, and be it by a reset. */
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveredEndpoint.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveredEndpoint.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.route.Pool;
+import cacheproxy.route.EndpointAttributes;
 import cacheproxy.routing.Endpoint;
 import java.net.SocketAddress;
 
@@ -9,6 +9,6 @@
  *
  * @param endpoint for the decision module
  * @param address where it listens
- * @param poolMember what pools select it by
+ * @param attributes what pools select it by
  */
-public record DiscoveredEndpoint(Endpoint endpoint, SocketAddress address, Pool.Server poolMember) {}
+public record DiscoveredEndpoint(Endpoint endpoint, SocketAddress address, EndpointAttributes attributes) {}
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.route.Pool;
+import cacheproxy.route.EndpointAttributes;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
 import com.google.gson.JsonArray;
@@ -164,7 +164,7 @@
         return new DiscoveredEndpoint(
                 new Endpoint(endpointId(name), zone, kind, cell, state, weight, born),
                 Addresses.parse(h.get("dial").getAsString()),
-                new Pool.Server(name, zones.get(zone), kinds.get(kind), labels(name, h)));
+                new EndpointAttributes(name, zones.get(zone), kinds.get(kind), labels(name, h)));
     }
 
     /** Words that installations may put on their servers for pools to select by; most have none. */
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
@@ -116,7 +116,7 @@
         List<DiscoveredEndpoint> used = new ArrayList<>();
         for (Endpoint member : members) {
             DiscoveredEndpoint host = hosts.get(member.id());
-            used.add(new DiscoveredEndpoint(member, host.address(), host.poolMember()));
+            used.add(new DiscoveredEndpoint(member, host.address(), host.attributes()));
         }
         return used;
     }
--- a/src/main/java/cacheproxy/route/Glob.java
+++ b/src/main/java/cacheproxy/route/Glob.java
@@ -6,52 +6,52 @@
  */
 public final class Glob {
     /** In characters. */
-    public static final int LONGEST = 256;
+    public static final int MAX_LENGTH = 256;
 
     private final String pattern;
-    private final int beginning;
+    private final int literalPrefix;
     private final int literals;
 
     /** An IllegalArgumentException says what is wrong with it. */
     public Glob(String pattern) {
-        if (pattern.isEmpty() || pattern.length() > LONGEST) {
+        if (pattern.isEmpty() || pattern.length() > MAX_LENGTH) {
             throw new IllegalArgumentException(
-                    pattern.isEmpty() ? "an empty pattern" : "a pattern of more than " + LONGEST + " characters");
+                    pattern.isEmpty() ? "an empty pattern" : "a pattern of more than " + MAX_LENGTH + " characters");
         }
         if (pattern.contains("**")) {
             throw new IllegalArgumentException("two asterisks side by side, which mean no more than one");
         }
         this.pattern = pattern;
         int i = 0;
-        while (i < pattern.length() && !wild(pattern.charAt(i))) {
+        while (i < pattern.length() && !isWildcard(pattern.charAt(i))) {
             i++;
         }
-        beginning = i;
-        literals = (int) pattern.chars().filter(c -> !wild((char) c)).count();
+        literalPrefix = i;
+        literals = (int) pattern.chars().filter(c -> !isWildcard((char) c)).count();
     }
 
-    private static boolean wild(char c) {
+    private static boolean isWildcard(char c) {
         return c == '*' || c == '?';
     }
 
     /** Whether it matches one text only. */
-    public boolean exact() {
-        return beginning == pattern.length();
+    public boolean isExact() {
+        return literalPrefix == pattern.length();
     }
 
     /** Whether it is a beginning with one asterisk behind it. */
-    public boolean prefix() {
-        return beginning == pattern.length() - 1 && pattern.charAt(beginning) == '*';
+    public boolean isPrefix() {
+        return literalPrefix == pattern.length() - 1 && pattern.charAt(literalPrefix) == '*';
     }
 
     /** The literal characters that it begins with. */
-    public String beginning() {
-        return pattern.substring(0, beginning);
+    public String literalPrefix() {
+        return pattern.substring(0, literalPrefix);
     }
 
     /** How many literal characters it has behind its beginning. */
-    public int furtherLiterals() {
-        return literals - beginning;
+    public int literalsAfterPrefix() {
+        return literals - literalPrefix;
     }
 
     /** Whether it matches the whole text. Takes time in the product of the lengths at most, and no memory. */
@@ -81,7 +81,7 @@
     }
 
     /** Whether there is a text that both match. */
-    public boolean meets(Glob other) {
+    public boolean overlaps(Glob other) {
         String a = pattern;
         String b = other.pattern;
         boolean[][] reach = new boolean[a.length() + 1][b.length() + 1];
--- a/src/main/java/cacheproxy/route/Known.java
+++ b/src/main/java/cacheproxy/route/KnownNames.java
@@ -10,4 +10,4 @@
  * @param sites where servers stand
  * @param kinds of servers
  */
-public record Known(List<String> classes, List<String> tenants, List<String> sites, List<String> kinds) {}
+public record KnownNames(List<String> classes, List<String> tenants, List<String> sites, List<String> kinds) {}
--- a/src/main/java/cacheproxy/route/Pool.java
+++ b/src/main/java/cacheproxy/route/Pool.java
@@ -29,11 +29,8 @@
     /** A weight for the servers whose names match; 0 or above. */
     public record Weight(Glob host, float weight) {}
 
-    /** A server as pools see it. */
-    public record Server(String host, String site, String kind, Set<String> labels) {}
-
     /** Whether the selection names this server. */
-    public boolean selects(Server s) {
+    public boolean selects(EndpointAttributes s) {
         return (sites.isEmpty() || sites.contains(s.site()))
                 && (kinds.isEmpty() || kinds.contains(s.kind()))
                 && (labels.isEmpty() || s.labels().stream().anyMatch(labels::contains))
@@ -41,7 +38,7 @@
     }
 
     /** Its weight here, given the list's. */
-    public float weight(Server s, float listed) {
+    public float weight(EndpointAttributes s, float listed) {
         for (Weight w : weights) {
             if (w.host().matches(s.host())) {
                 return w.weight();
--- a/src/main/java/cacheproxy/route/Route.java
+++ b/src/main/java/cacheproxy/route/Route.java
@@ -25,30 +25,30 @@
         String policy) {
 
     /** Which of the conditions beside the key are set, the weightier in the higher bit: tenant, class, front. */
-    int mask() {
+    int conditionMask() {
         return (tenants.isEmpty() ? 0 : 4) | (classes.isEmpty() ? 0 : 2) | (fronts.isEmpty() ? 0 : 1);
     }
 
-    String beginning() {
-        return key == null ? "" : key.beginning();
+    String literalPrefix() {
+        return key == null ? "" : key.literalPrefix();
     }
 
-    boolean exact() {
-        return key != null && key.exact();
+    boolean isExact() {
+        return key != null && key.isExact();
     }
 
     /** Neither one key nor all that begin alike. */
-    boolean pattern() {
-        return key != null && !key.exact() && !key.prefix();
+    boolean isPattern() {
+        return key != null && !key.isExact() && !key.isPrefix();
     }
 
-    int furtherLiterals() {
-        return pattern() ? key.furtherLiterals() : -1;
+    int literalsAfterPrefix() {
+        return isPattern() ? key.literalsAfterPrefix() : -1;
     }
 
     /** For people: what it matches. */
-    public String traffic() {
-        StringBuilder s = new StringBuilder(key == null ? "any key" : key.exact() ? "key " + key : "keys " + key);
+    public String describeTraffic() {
+        StringBuilder s = new StringBuilder(key == null ? "any key" : key.isExact() ? "key " + key : "keys " + key);
         append(s, ", tenant ", tenants);
         append(s, ", class ", classes);
         append(s, ", front ", fronts);
--- a/src/main/java/cacheproxy/route/RouteTable.java
+++ b/src/main/java/cacheproxy/route/RouteTable.java
@@ -31,9 +31,6 @@
     private static final long PRIME = 0x100000001b3L;
     private static final int FILTER_BITS = 16;
 
-    /** Two routes that no rule tells apart. */
-    public record Conflict(Route first, Route second) {}
-
     private final List<Route> routes;
     private final Names tenants;
     private final Names classes;
@@ -216,15 +213,16 @@
         this(routes, null);
     }
 
-    private RouteTable(List<Route> routes, Set<Conflict> conflicts) {
+    private RouteTable(List<Route> routes, Set<RouteConflict> conflicts) {
         this.routes = List.copyOf(routes);
         tenants = new Names(routes.stream().map(Route::tenants).toList());
         classes = new Names(routes.stream().map(Route::classes).toList());
         fronts = new Names(routes.stream().map(Route::fronts).toList());
         Map<String, List<Route>> patterns = new HashMap<>();
         for (Route r : routes) {
-            if (r.pattern()) {
-                patterns.computeIfAbsent(r.beginning(), b -> new ArrayList<>()).add(r);
+            if (r.isPattern()) {
+                patterns.computeIfAbsent(r.literalPrefix(), b -> new ArrayList<>())
+                        .add(r);
             } else {
                 add(r, conflicts);
             }
@@ -259,8 +257,8 @@
     }
 
     /** The pairs of routes that no rule tells apart and that one request could match. */
-    public static Set<Conflict> conflicts(List<Route> routes) {
-        Set<Conflict> found = new LinkedHashSet<>();
+    public static Set<RouteConflict> conflicts(List<Route> routes) {
+        Set<RouteConflict> found = new LinkedHashSet<>();
         new RouteTable(routes, found);
         return found;
     }
@@ -277,19 +275,19 @@
 
     // ---- the making
 
-    private static void meet(Route a, Route b, Set<Conflict> conflicts) {
+    private static void meet(Route a, Route b, Set<RouteConflict> conflicts) {
         if (conflicts == null) {
             throw new IllegalArgumentException("routes " + a.name() + " and " + b.name() + " are equally specific");
         }
-        conflicts.add(new Conflict(a, b));
+        conflicts.add(new RouteConflict(a, b));
     }
 
-    private void add(Route r, Set<Conflict> conflicts) {
-        Node node = node(r.beginning());
-        if (r.exact() && node.exact == null) {
+    private void add(Route r, Set<RouteConflict> conflicts) {
+        Node node = node(r.literalPrefix());
+        if (r.isExact() && node.exact == null) {
             node.exact = new Bucket();
         }
-        Bucket bucket = r.exact() ? node.exact : node;
+        Bucket bucket = r.isExact() ? node.exact : node;
         for (int t : tenants.of(r.tenants())) {
             for (int c : classes.of(r.classes())) {
                 for (int f : fronts.of(r.fronts())) {
@@ -297,7 +295,7 @@
                         throw new IllegalArgumentException(
                                 "routes name more than " + MAX_TRIPLES + " triples of tenant, class and front");
                     }
-                    Route other = bucket.put(r.mask(), packed(t, c, f), r);
+                    Route other = bucket.put(r.conditionMask(), packed(t, c, f), r);
                     if (other != null) {
                         meet(other, r, conflicts);
                     }
@@ -306,26 +304,27 @@
         }
     }
 
-    private Pattern[] ordered(List<Route> list, Set<Conflict> conflicts) {
+    private Pattern[] ordered(List<Route> list, Set<RouteConflict> conflicts) {
         if (list.size() > MAX_PATTERNS) {
-            throw new IllegalArgumentException(list.size() + " patterns begin with \""
-                    + list.get(0).beginning() + "\"; at most " + MAX_PATTERNS + " may, as they are tried one by one");
+            throw new IllegalArgumentException(
+                    list.size() + " patterns begin with \"" + list.get(0).literalPrefix() + "\"; at most "
+                            + MAX_PATTERNS + " may, as they are tried one by one");
         }
-        list.sort(Comparator.comparingInt(Route::furtherLiterals)
-                .thenComparingInt(Route::mask)
+        list.sort(Comparator.comparingInt(Route::literalsAfterPrefix)
+                .thenComparingInt(Route::conditionMask)
                 .reversed());
         for (int i = 0; i < list.size(); i++) {
             Route a = list.get(i);
             for (int j = i + 1;
                     j < list.size()
-                            && list.get(j).furtherLiterals() == a.furtherLiterals()
-                            && list.get(j).mask() == a.mask();
+                            && list.get(j).literalsAfterPrefix() == a.literalsAfterPrefix()
+                            && list.get(j).conditionMask() == a.conditionMask();
                     j++) {
                 Route b = list.get(j);
                 if (meet(a.tenants(), b.tenants())
                         && meet(a.classes(), b.classes())
                         && meet(a.fronts(), b.fronts())
-                        && a.key().meets(b.key())) {
+                        && a.key().overlaps(b.key())) {
                     meet(a, b, conflicts);
                 }
             }
--- a/src/main/java/cacheproxy/route/Router.java
+++ b/src/main/java/cacheproxy/route/Router.java
@@ -38,12 +38,6 @@
  * and what it is told, to drain or that it is cold, holds in each.
  */
 public final class Router implements LoadBalancer {
-    /** What a pool has done, for the operators. */
-    public record PoolStatus(String name, int servers, int open, boolean leaving) {}
-
-    /** What a route has done, for the operators. */
-    public record RouteStatus(String name, long requests, long fallbacks, long turnedAway, long heldBack) {}
-
     /** A pool with its module. */
     private final class Lane {
         final String name;
@@ -82,7 +76,7 @@
 
         Limits(RoutePolicy policy) {
             this.policy = policy;
-            budget = new RetryBudget(policy.retryShare(), policy.retryFloor());
+            budget = new RetryBudget(policy.retryRatio(), policy.minRetriesPerSecond());
         }
     }
 
@@ -147,7 +141,7 @@
     private record Due(Lane lane, int token) {}
 
     private final long seed;
-    private final Map<Integer, Pool.Server> described = new HashMap<>();
+    private final Map<Integer, EndpointAttributes> described = new HashMap<>();
     private final Map<Integer, Endpoint> members = new LinkedHashMap<>();
     private final Map<Integer, Journey> journeys = new HashMap<>();
     private final Map<Integer, Due> timers = new HashMap<>();
@@ -181,7 +175,7 @@
                 new Route("", null, Set.of(), Set.of(), Set.of(), "", null, null),
                 all,
                 null,
-                new Limits(RoutePolicy.NONE));
+                new Limits(RoutePolicy.UNLIMITED));
         replace(routing);
     }
 
@@ -328,7 +322,7 @@
     // ---- the list
 
     /** Tells what pools select a server by, before the list event that names it. */
-    public void describe(int id, Pool.Server server) {
+    public void updateAttributes(int id, EndpointAttributes server) {
         described.put(id, server);
     }
 
@@ -359,7 +353,7 @@
     private void select(double now, Lane lane, EndpointUpdateKind kind, List<Endpoint> changes, RoutingActions out) {
         List<Endpoint> own = new ArrayList<>();
         for (Endpoint m : changes) {
-            Pool.Server s = described.get(m.id());
+            EndpointAttributes s = described.get(m.id());
             if (s != null && (lane == all || (origin(m) ? lane.pool.origin() : lane.pool.selects(s)))) {
                 own.add(with(m, m.state(), lane.pool.weight(s, m.weight())));
             } else if (lane == all || origin(m) || lane.ready.containsKey(m.id())) {
@@ -399,7 +393,7 @@
     /** A request without the text of its key, so that only routes for any key can match. */
     @Override
     public void onRequest(double now, Request request, RoutingActions out) {
-        onRequest(now, request, "", Routing.META, out);
+        onRequest(now, request, "", Routing.META_FRONT, out);
     }
 
     /** A client's request with its key's text and its front's index in {@link Routing#FRONTS}. */
@@ -410,7 +404,7 @@
         way.requests++;
         Limits limits = way.limits;
         RoutePolicy policy = limits.policy;
-        if (policy.turnsAway(request.write()) || limits.open >= policy.maxOpen()) {
+        if (policy.rejects(request.write()) || limits.open >= policy.maxOpenRequests()) {
             way.turnedAway++;
             out.reject(request.id(), policy.retryAfterMs());
             return;
@@ -465,7 +459,7 @@
                 && j.out == 0
                 && now < j.request.deadlineMs()
                 && (j.safe || !j.mayHaveRun)
-                && j.tries < j.way.limits.policy.attempts()
+                && j.tries < j.way.limits.policy.maxAttempts()
                 && j.lanes.size() < settings.maxAttempts();
     }
 
@@ -625,8 +619,8 @@
             if (j.missed || j.tries == 0) {
                 return true;
             }
-            return j.tries < limits.policy.attempts()
-                    && (limits.policy.copies() || j.out == 0)
+            return j.tries < limits.policy.maxAttempts()
+                    && (limits.policy.hedgingAllowed() || j.out == 0)
                     && limits.budget.take(now);
         }
 
--- a/src/main/java/cacheproxy/route/Routing.java
+++ b/src/main/java/cacheproxy/route/Routing.java
@@ -17,7 +17,7 @@
     /** The fronts that there are, by the index that requests name them by. */
     public static final List<String> FRONTS = List.of("meta", "http", "mqtt");
     /** The index of the meta front in {@link #FRONTS}. */
-    public static final int META = 0;
+    public static final int META_FRONT = 0;
 
     /** Checks it; an IllegalArgumentException tells what is wrong. */
     public Routing {
--- a/src/test/java/cacheproxy/proxy/RoutesTest.java
+++ b/src/test/java/cacheproxy/proxy/RoutesTest.java
@@ -9,7 +9,8 @@
 import cacheproxy.config.Source;
 import cacheproxy.config.edge.EdgeFile;
 import cacheproxy.config.edge.RoutingSections;
-import cacheproxy.route.Router;
+import cacheproxy.route.PoolStatus;
+import cacheproxy.route.RouteStatus;
 import cacheproxy.route.Routing;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
@@ -60,7 +61,7 @@
                 assertThat(get(client, "c" + i, "c" + i)).isIn("one", "two");
             }
             assertThat(fleet.on(() -> fleet.proxy.router().routes()))
-                    .extracting(Router.RouteStatus::requests)
+                    .extracting(RouteStatus::requests)
                     .containsExactly(20L, 20L, 20L);
         }
     }
@@ -137,7 +138,7 @@
                     () -> fleet.on(() -> fleet.proxy.router().version()) == 2);
             assertThat(get(fleet.client(), "a1", "2")).isEqualTo("two");
             assertThat(fleet.on(() -> fleet.proxy.router().pools()))
-                    .extracting(Router.PoolStatus::name)
+                    .extracting(PoolStatus::name)
                     .containsExactly("", "one", "two");
             go.countDown();
             assertThat(before.line()).isEqualTo("VA 3 O1");
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -141,7 +141,7 @@
             for (int i = 0; i < 3; i++) {
                 Full client = new Full();
                 RequestCommand read = new RequestCommand(
-                        Routing.META,
+                        Routing.META_FRONT,
                         "7f3a",
                         "" + i,
                         false,
--- a/src/test/java/cacheproxy/proxy/discovery/EndpointListSamplesTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/EndpointListSamplesTest.java
@@ -28,10 +28,10 @@
             text.append(" weight ").append(host.endpoint().weight());
             text.append(" started ").append(host.endpoint().startTimeMs());
             text.append(" at ").append(Addresses.text(host.address()));
-            text.append(" as ").append(host.poolMember().host());
-            text.append(", ").append(host.poolMember().site());
-            text.append(", ").append(host.poolMember().kind());
-            text.append(", ").append(new TreeSet<>(host.poolMember().labels()));
+            text.append(" as ").append(host.attributes().host());
+            text.append(", ").append(host.attributes().site());
+            text.append(", ").append(host.attributes().kind());
+            text.append(", ").append(new TreeSet<>(host.attributes().labels()));
         }
         text.append("\nnamed ").append(read.rawEntries().keySet());
         text.append("\nunusable ").append(new TreeSet<>(read.rejectedHosts()));
--- a/src/test/java/cacheproxy/route/GlobTest.java
+++ b/src/test/java/cacheproxy/route/GlobTest.java
@@ -52,13 +52,13 @@
     @Property(tries = 2000, seed = "52")
     void twoMeetIfThereIsATextThatBothMatch(@ForAll("globs") Glob a, @ForAll("globs") Glob b) {
         boolean shown = TEXTS.stream().anyMatch(t -> a.matches(t) && b.matches(t));
-        assertThat(a.meets(b)).isEqualTo(b.meets(a));
+        assertThat(a.overlaps(b)).isEqualTo(b.overlaps(a));
         if (shown) {
-            assertThat(a.meets(b)).as(a + " " + b).isTrue();
+            assertThat(a.overlaps(b)).as(a + " " + b).isTrue();
         }
         int least = (int) a.toString().chars().filter(c -> c != '*').count()
                 + (int) b.toString().chars().filter(c -> c != '*').count();
-        if (least <= 5 && a.meets(b)) { // then no text that both match needs more than that
+        if (least <= 5 && a.overlaps(b)) { // then no text that both match needs more than that
             assertThat(shown).as(a + " " + b).isTrue();
         }
     }
@@ -73,6 +73,6 @@
     void whatIsNoPatternIsTold() {
         assertThatThrownBy(() -> new Glob("")).hasMessageContaining("empty");
         assertThatThrownBy(() -> new Glob("a**")).hasMessageContaining("two asterisks");
-        assertThatThrownBy(() -> new Glob("a".repeat(Glob.LONGEST + 1))).hasMessageContaining("256");
+        assertThatThrownBy(() -> new Glob("a".repeat(Glob.MAX_LENGTH + 1))).hasMessageContaining("256");
     }
 }
--- a/src/test/java/cacheproxy/route/RouteTableTest.java
+++ b/src/test/java/cacheproxy/route/RouteTableTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cacheproxy.route.RouteTable.Conflict;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -74,11 +73,11 @@
 
     /** What the documentation says, as a number: the whole key, its beginning, what is behind it, the conditions. */
     private static long rank(Route r) {
-        long further = r.key() == null || r.key().exact() || r.key().prefix()
+        long further = r.key() == null || r.key().isExact() || r.key().isPrefix()
                 ? 0
-                : 1 + r.key().furtherLiterals();
-        return ((r.key() != null && r.key().exact() ? 1 : 0) * 1000L
-                                + (r.key() == null ? 0 : r.key().beginning().length()))
+                : 1 + r.key().literalsAfterPrefix();
+        return ((r.key() != null && r.key().isExact() ? 1 : 0) * 1000L
+                                + (r.key() == null ? 0 : r.key().literalPrefix().length()))
                         * 1_000_000
                 + further * 1000
                 + (r.tenants().isEmpty() ? 0 : 4)
@@ -87,7 +86,7 @@
     }
 
     private static void drop(List<Route> routes) {
-        Set<Conflict> conflicts = RouteTable.conflicts(routes);
+        Set<RouteConflict> conflicts = RouteTable.conflicts(routes);
         while (!conflicts.isEmpty()) {
             conflicts.forEach(c -> routes.remove(c.second()));
             conflicts = RouteTable.conflicts(routes);
@@ -125,7 +124,7 @@
     void findsEveryConflictThatARequestCanShow(@ForAll long seed) {
         Random random = new Random(seed);
         List<Route> routes = routes(random, 2 + random.nextInt(12));
-        Set<Conflict> told = RouteTable.conflicts(routes);
+        Set<RouteConflict> told = RouteTable.conflicts(routes);
         Set<Route> involved = new HashSet<>();
         told.forEach(c -> {
             assertThat(rank(c.first())).isEqualTo(rank(c.second()));
--- a/src/test/java/cacheproxy/route/RouterRig.java
+++ b/src/test/java/cacheproxy/route/RouterRig.java
@@ -137,8 +137,9 @@
                 toldToDrain.putIfAbsent(m.id(), now);
             } else {
                 list.put(m.id(), m);
-                router.describe(
-                        m.id(), new Pool.Server("s-" + m.id(), m.zone() == 0 ? "east" : "west", "node", Set.of()));
+                router.updateAttributes(
+                        m.id(),
+                        new EndpointAttributes("s-" + m.id(), m.zone() == 0 ? "east" : "west", "node", Set.of()));
                 if (m.state() == EndpointState.DRAINING) {
                     toldToDrain.putIfAbsent(m.id(), now);
                 } else {
@@ -165,7 +166,7 @@
                 now,
                 new Request(id, kind, 0, key.hashCode() | 1L << 40, now + waitMs, Double.NaN, 0, kind != READ, false),
                 key,
-                Routing.META,
+                Routing.META_FRONT,
                 actions);
         return id;
     }
--- a/src/test/java/cacheproxy/route/RouterTest.java
+++ b/src/test/java/cacheproxy/route/RouterTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.route.RoutePolicy.TurnAway;
+import cacheproxy.route.RoutePolicy.RejectedRequests;
 import cacheproxy.route.RouterRig.Asked;
 import cacheproxy.route.RouterRig.Out;
 import cacheproxy.routing.AttemptOutcome;
@@ -46,7 +46,15 @@
 
     private static RoutePolicy policy(String name, int attempts, double share, boolean copies) {
         return new RoutePolicy(
-                name, Double.POSITIVE_INFINITY, attempts, share, 0, copies, TurnAway.NOTHING, Integer.MAX_VALUE, 0);
+                name,
+                Double.POSITIVE_INFINITY,
+                attempts,
+                share,
+                0,
+                copies,
+                RejectedRequests.NOTHING,
+                Integer.MAX_VALUE,
+                0);
     }
 
     private static Routing routing(int version, List<Pool> pools, List<RoutePolicy> policies, Route... routes) {
@@ -78,8 +86,8 @@
             any.add(rig.out(rig.ask(RouterRig.READ, "x" + i)).server() % 2);
         }
         assertThat(any).containsExactlyInAnyOrder(0, 1);
-        assertThat(rig.router.routes()).extracting(Router.RouteStatus::requests).containsExactly(100L, 100L, 100L);
-        assertThat(rig.router.pools()).extracting(Router.PoolStatus::open).containsExactly(100, 100, 100);
+        assertThat(rig.router.routes()).extracting(RouteStatus::requests).containsExactly(100L, 100L, 100L);
+        assertThat(rig.router.pools()).extracting(PoolStatus::openRequests).containsExactly(100, 100, 100);
     }
 
     @Test
@@ -102,7 +110,7 @@
         assertThat(rig.of(id).answer).isEqualTo("refused");
         assertThat(rig.of(id).servers).hasSize(2);
         assertThat(rig.router.routes().get(0).fallbacks()).isOne();
-        assertThat(rig.router.pools()).extracting(Router.PoolStatus::open).containsOnly(0);
+        assertThat(rig.router.pools()).extracting(PoolStatus::openRequests).containsOnly(0);
     }
 
     @Test
@@ -172,16 +180,16 @@
         RouterRig rig = new RouterRig(
                         routing(1, List.of(hosts("a", "s-1", "s-2")), List.of(), route("a", "a*", "a", null, null)))
                 .fleet(3);
-        assertThat(rig.router.pools().get(1).servers()).isEqualTo(2);
+        assertThat(rig.router.pools().get(1).readyEndpoints()).isEqualTo(2);
         rig.list(EndpointUpdateKind.DELTA, List.of(RouterRig.member(1, EndpointState.REMOVED, 0)));
-        assertThat(rig.router.pools().get(1).servers()).isEqualTo(1);
+        assertThat(rig.router.pools().get(1).readyEndpoints()).isEqualTo(1);
         for (int i = 0; i < 50; i++) {
             assertThat(rig.out(rig.ask(RouterRig.READ, "a" + i)).server()).isEqualTo(2);
         }
         Endpoint two = RouterRig.member(2, EndpointState.READY, 0);
-        rig.router.describe(2, new Pool.Server("renamed", "east", "node", Set.of()));
+        rig.router.updateAttributes(2, new EndpointAttributes("renamed", "east", "node", Set.of()));
         rig.router.onEndpointUpdate(rig.now, EndpointUpdateKind.DELTA, List.of(two), rig);
-        assertThat(rig.router.pools().get(1).servers()).isZero();
+        assertThat(rig.router.pools().get(1).readyEndpoints()).isZero();
         assertThat(rig.of(rig.ask(RouterRig.READ, "a1")).answer).isEqualTo("refused");
     }
 
@@ -223,7 +231,7 @@
             further += rig.of(id).servers.size() - 1;
         }
         assertThat(further).isBetween(80, 100);
-        assertThat(rig.router.routes().get(0).heldBack()).isPositive();
+        assertThat(rig.router.routes().get(0).throttledAttempts()).isPositive();
     }
 
     @Test
@@ -241,7 +249,7 @@
     @Test
     void aPolicysDeadlineEndsARequestBeforeItsClients() {
         RoutePolicy quick = new RoutePolicy(
-                "quick", 200, 3, Double.POSITIVE_INFINITY, 0, true, TurnAway.NOTHING, Integer.MAX_VALUE, 0);
+                "quick", 200, 3, Double.POSITIVE_INFINITY, 0, true, RejectedRequests.NOTHING, Integer.MAX_VALUE, 0);
         RouterRig rig = new RouterRig(twoSites(quick)).fleet(4);
         int read = rig.ask(RouterRig.READ, "e1", 60_000);
         int write = rig.ask(RouterRig.FIX, "e1", 60_000);
@@ -255,7 +263,7 @@
     @Test
     void aPolicyTurnsAwayAtOnce() {
         RoutePolicy readOnly = new RoutePolicy(
-                "ro", Double.POSITIVE_INFINITY, 3, Double.POSITIVE_INFINITY, 0, true, TurnAway.WRITES, 2, 250);
+                "ro", Double.POSITIVE_INFINITY, 3, Double.POSITIVE_INFINITY, 0, true, RejectedRequests.WRITES, 2, 250);
         RouterRig rig = new RouterRig(twoSites(readOnly)).fleet(4);
         assertThat(rig.of(rig.ask(RouterRig.FIX, "e1")).answer).isEqualTo("refused");
         int first = rig.ask(RouterRig.READ, "e1");
@@ -267,7 +275,7 @@
         assertThat(rig.of(rig.ask(RouterRig.READ, "e3")).answer).isNull();
         rig.gone(second);
         assertThat(rig.of(rig.ask(RouterRig.READ, "e4")).answer).isNull();
-        assertThat(rig.router.routes().get(0).turnedAway()).isEqualTo(2);
+        assertThat(rig.router.routes().get(0).rejected()).isEqualTo(2);
     }
 
     @Test
@@ -275,13 +283,13 @@
         RouterRig rig = new RouterRig(twoSites()).fleet(2);
         int open = rig.ask(RouterRig.READ, "e1");
         rig.router.replace(rig.now, routing(2, List.of(WEST), List.of(), route("all", null, "west", null, null)), rig);
-        assertThat(rig.router.pools()).extracting(Router.PoolStatus::name).containsExactly("", "east", "west");
-        assertThat(rig.router.pools().get(1).leaving()).isTrue();
+        assertThat(rig.router.pools()).extracting(PoolStatus::name).containsExactly("", "east", "west");
+        assertThat(rig.router.pools().get(1).draining()).isTrue();
         assertThat(rig.out(rig.ask(RouterRig.READ, "e1")).server()).isEqualTo(1);
         rig.end(rig.out(open), AttemptOutcome.CONNECT_FAILED); // the old route still knows its fallback
         assertThat(rig.of(open).servers).containsExactly(2, 1);
         rig.end(rig.out(open), AttemptOutcome.OK);
-        assertThat(rig.router.pools()).extracting(Router.PoolStatus::name).containsExactly("", "west");
+        assertThat(rig.router.pools()).extracting(PoolStatus::name).containsExactly("", "west");
         assertThat(rig.of(open).answer).isEqualTo("served");
         assertThat(rig.router.version()).isEqualTo(2);
     }
@@ -299,7 +307,7 @@
             rig.end(rig.out(open), AttemptOutcome.CONNECT_FAILED); // the rig fails if it goes to 1 or 3
         }
         assertThat(rig.of(open).answer).isEqualTo("refused");
-        assertThat(rig.router.pools()).extracting(Router.PoolStatus::name).containsExactly("", "east");
+        assertThat(rig.router.pools()).extracting(PoolStatus::name).containsExactly("", "east");
     }
 
     /** A pool change between the two attempts of a write whose first may have run: there is no second. */
@@ -391,7 +399,7 @@
         rig.settle();
         assertThat(rig.asked.values()).allMatch(a -> a.answer != null);
         assertThat(rig.asked.values()).allMatch(a -> a.servers.size() <= 3);
-        assertThat(rig.router.pools()).allMatch(p -> p.open() == 0 && !p.leaving());
+        assertThat(rig.router.pools()).allMatch(p -> p.openRequests() == 0 && !p.draining());
         assertThat(rig.router.openRequests()).isZero();
     }
 }
--- a/src/test/java/cacheproxy/route/RouterTranscriptTest.java
+++ b/src/test/java/cacheproxy/route/RouterTranscriptTest.java
@@ -33,7 +33,8 @@
         return new Pool(name, Set.of(site), Set.of(), Set.of(), List.of(), List.of(), true);
     }
 
-    private static RoutePolicy policy(String name, RoutePolicy.TurnAway turnAway, int attempts, boolean copies) {
+    private static RoutePolicy policy(
+            String name, RoutePolicy.RejectedRequests turnAway, int attempts, boolean copies) {
         return new RoutePolicy(name, 700, attempts, 0.2, 1, copies, turnAway, 20, 250);
     }
 
@@ -45,8 +46,8 @@
         Map<String, Pool> pools = new LinkedHashMap<>();
         pools.put("east", pool("east", "east"));
         Map<String, RoutePolicy> policies = new LinkedHashMap<>();
-        policies.put("tight", policy("tight", RoutePolicy.TurnAway.NOTHING, 2, false));
-        policies.put("reads-only", policy("reads-only", RoutePolicy.TurnAway.WRITES, 3, true));
+        policies.put("tight", policy("tight", RoutePolicy.RejectedRequests.NOTHING, 2, false));
+        policies.put("reads-only", policy("reads-only", RoutePolicy.RejectedRequests.WRITES, 3, true));
         if (!both) {
             return new Routing(
                     "h" + version,
@@ -129,11 +130,11 @@
 
     private static void appendStatus(Router router, StringBuilder transcript) {
         router.pools()
-                .forEach(p -> transcript.append(
-                        "  pool %s: %d %d %s%n".formatted(p.name(), p.servers(), p.open(), p.leaving())));
+                .forEach(p -> transcript.append("  pool %s: %d %d %s%n"
+                        .formatted(p.name(), p.readyEndpoints(), p.openRequests(), p.draining())));
         router.routes()
                 .forEach(r -> transcript.append("  route %s: %d %d %d %d%n"
-                        .formatted(r.name(), r.requests(), r.fallbacks(), r.turnedAway(), r.heldBack())));
+                        .formatted(r.name(), r.requests(), r.fallbacks(), r.rejected(), r.throttledAttempts())));
     }
 
     private static void endOne(RouterRig rig, Random random) {
