--- a/src/test/java/cacheproxy/route/RouterRig.java
+++ b/src/test/java/cacheproxy/route/RouterRig.java
@@ -56,6 +56,9 @@
 
     final RoutingSettings settings;
     final Router router;
+    /** Where the router's orders go: to the rig itself, or by way of someone who looks at them first. */
+    RoutingActions actions = this;
+
     final Map<Integer, Asked> asked = new LinkedHashMap<>();
     final List<Out> out = new ArrayList<>();
     final Map<Integer, Endpoint> list = new HashMap<>();
@@ -134,8 +137,9 @@
                 toldToDrain.putIfAbsent(m.id(), now);
             } else {
                 list.put(m.id(), m);
-                router.describe(
-                        m.id(), new Pool.Server("s-" + m.id(), m.zone() == 0 ? "east" : "west", "node", Set.of()));
+                router.updateAttributes(
+                        m.id(),
+                        new EndpointAttributes("s-" + m.id(), m.zone() == 0 ? "east" : "west", "node", Set.of()));
                 if (m.state() == EndpointState.DRAINING) {
                     toldToDrain.putIfAbsent(m.id(), now);
                 } else {
@@ -143,7 +147,7 @@
                 }
             }
         }
-        router.onEndpointUpdate(now, kind, members, this);
+        router.onEndpointUpdate(now, kind, members, actions);
         return this;
     }
 
@@ -162,8 +166,8 @@
                 now,
                 new Request(id, kind, 0, key.hashCode() | 1L << 40, now + waitMs, Double.NaN, 0, kind != READ, false),
                 key,
-                Routing.META,
-                this);
+                Routing.META_FRONT,
+                actions);
         return id;
     }
 
@@ -189,14 +193,14 @@
         router.onAttemptEnd(
                 now,
                 new AttemptEnd(o.request(), o.attempt(), o.server(), outcome, now - o.at(), a.answer != null, 0, null),
-                this);
+                actions);
     }
 
     void gone(int request) {
         Asked a = of(request);
         if (a.answer == null) {
             a.answer = "gone";
-            router.onClientDisconnected(now, request, this);
+            router.onClientDisconnected(now, request, actions);
         }
     }
 
@@ -211,7 +215,7 @@
                     end(o, AttemptOutcome.TIMEOUT);
                 }
             }
-            router.onTimer(now, t.token(), this);
+            router.onTimer(now, t.token(), actions);
         }
         now = until;
     }
