--- a/src/main/java/cacheproxy/gossip/MembershipBudget.java
+++ b/src/main/java/cacheproxy/gossip/MembershipBudget.java
@@ -1,9 +1,13 @@
 package cacheproxy.gossip;
 
 import cacheproxy.membership.Membership;
-import cacheproxy.membership.Send.Urgency;
+import cacheproxy.membership.OutgoingMessage.Urgency;
 
-/** The budget of an instance as its membership sees it: each of its messages is a datagram of its own. */
+/**
+ * The {@link SendBudget} as membership uses it: each of its messages is a datagram of its own.
+ *
+ * @param budget that of this instance, shared with other senders
+ */
 public record MembershipBudget(SendBudget budget) implements Membership.Allowance {
     @Override
     public boolean take(double nowMs, int bytes, Urgency urgency) {
@@ -13,13 +17,13 @@
     private static SendBudget.Priority priority(Urgency urgency) {
         return switch (urgency) {
             case ANSWER -> SendBudget.Priority.HIGH;
-            case CHANGE -> SendBudget.Priority.NORMAL;
-            case OTHER -> SendBudget.Priority.LOW;
+            case MEMBERSHIP_CHANGE -> SendBudget.Priority.NORMAL;
+            case BACKGROUND -> SendBudget.Priority.LOW;
         };
     }
 
     @Override
-    public int spare(double nowMs) {
+    public int spareBytes(double nowMs) {
         return budget.availableForLowPriority(nowMs);
     }
 }
--- a/src/main/java/cacheproxy/membership/Probe.java
+++ b/src/main/java/cacheproxy/membership/Probe.java
@@ -1,38 +1,42 @@
 package cacheproxy.membership;
 
-/** An instance that has been asked whether it lives. */
+/**
+ * A probe under way: a member has been pinged, perhaps several times, and has not answered yet. Times in milliseconds.
+ */
 final class Probe {
-    /** Why it was asked. */
-    enum Why {
+    /** Why a member is probed. */
+    enum Purpose {
         /** It is its turn. */
         ROUND,
-        /** Somebody suspects it. */
-        CONFIRM,
-        /** A last look before it is given up. */
-        LAST,
-        /** Another asked for it. */
-        HELP,
-        /** It is gone, or was never heard of: whether it is back. */
-        RETURN
+        /** Another suspects it. */
+        CONFIRM_SUSPICION,
+        /** Before it is declared dead. */
+        BEFORE_DEATH,
+        /** A peer has asked for it, as its own pings weren't answered. */
+        FOR_PEER,
+        /** It is gone or was never heard of: whether it is there again. */
+        REJOIN
     }
 
     final int number;
     final int target;
-    final Why why;
-    /** For whom and by which number of theirs, where another asked. */
-    final int asker;
+    final Purpose purpose;
+    /** The peer that has asked for it, and the number of that peer's probe. */
+    final int requester;
 
-    final int askerNumber;
-    final double beganMs;
+    final int requesterNumber;
+    final double startedMs;
+    /** When the next ping is due, or the probe has failed. */
     double nextMs;
-    int asked;
 
-    Probe(int number, int target, Why why, int asker, int askerNumber, double beganMs) {
+    int pings;
+
+    Probe(int number, int target, Purpose purpose, int requester, int requesterNumber, double startedMs) {
         this.number = number;
         this.target = target;
-        this.why = why;
-        this.asker = asker;
-        this.askerNumber = askerNumber;
-        this.beganMs = beganMs;
+        this.purpose = purpose;
+        this.requester = requester;
+        this.requesterNumber = requesterNumber;
+        this.startedMs = startedMs;
     }
 }
--- a/src/main/java/cacheproxy/proxy/MemberLink.java
+++ b/src/main/java/cacheproxy/proxy/MembershipLink.java
@@ -1,45 +1,45 @@
 package cacheproxy.proxy;
 
 import cacheproxy.gossip.MembershipBudget;
-import cacheproxy.membership.Living;
-import cacheproxy.membership.MemberSettings;
+import cacheproxy.membership.LiveMembers;
 import cacheproxy.membership.Membership;
-import cacheproxy.membership.Phase;
-import cacheproxy.membership.View;
+import cacheproxy.membership.MembershipSettings;
+import cacheproxy.membership.MembershipView;
+import cacheproxy.membership.ServicePhase;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.RoutingSettings;
 import java.util.function.Consumer;
 
 /** Carries out what {@link Membership} decides: its messages and its times. On the event loop only. */
-final class MemberLink {
+final class MembershipLink {
     private final Dispatcher dispatcher;
     private final PeerDatagramSocket peers;
     private final Membership members;
-    private final Consumer<Living> advised;
+    private final Consumer<LiveMembers> liveMembersListener;
     /** A timer that was set before the last one is void. */
-    private long waits;
+    private long timerGeneration;
 
-    private Living living = new Living(1);
+    private LiveMembers liveMembers = new LiveMembers(1);
     private Runnable changed = () -> {};
 
     /**
-     * {@code remembered}: the incarnation of this instance's last life, 0 for none; {@code advised}: told the number
-     * that lives each time that it changes.
+     * {@code remembered}: the incarnation of this instance's last life, 0 for none; {@code liveMembersListener}: told
+     * the number that lives each time that it changes.
      */
-    MemberLink(
+    MembershipLink(
             Dispatcher dispatcher,
             PeerDatagramSocket peers,
             RoutingSettings settings,
             long remembered,
             long seed,
-            Phase phase,
-            Consumer<Living> advised) {
+            ServicePhase phase,
+            Consumer<LiveMembers> advised) {
         this.dispatcher = dispatcher;
         this.peers = peers;
-        this.advised = advised;
+        this.liveMembersListener = advised;
         members = new Membership(
-                MemberSettings.of(settings.instanceCount()),
+                MembershipSettings.forConfigured(settings.instanceCount()),
                 settings.instanceIndex(),
                 settings.zone(),
                 new byte[0],
@@ -50,8 +50,8 @@
         run();
     }
 
-    void heard(int peer, byte[] body) {
-        members.heard(now(), peer, body);
+    void messageReceived(int peer, byte[] body) {
+        members.messageReceived(now(), peer, body);
         run();
     }
 
@@ -66,7 +66,7 @@
         run();
     }
 
-    void phase(Phase phase) {
+    void phase(ServicePhase phase) {
         members.phase(phase);
         run();
     }
@@ -77,7 +77,7 @@
         run();
     }
 
-    View view() {
+    MembershipView view() {
         return members.view(now());
     }
 
@@ -101,19 +101,19 @@
     }
 
     private void run() {
-        long mine = ++waits;
+        long mine = ++timerGeneration;
         members.tick(now());
         members.outgoing().forEach(s -> peers.sendWithinBudget(s.to(), PeerMessageKind.MEMBERSHIP, s.body()));
-        Living lives = members.living();
-        if (!lives.equals(living)) {
-            living = lives;
-            advised.accept(lives);
+        LiveMembers lives = members.liveMembers();
+        if (!lives.equals(liveMembers)) {
+            liveMembers = lives;
+            liveMembersListener.accept(lives);
         }
         changed.run();
         double due = members.dueMs();
         if (due != Double.POSITIVE_INFINITY) {
             dispatcher.after(Math.max(0, due - now()), () -> {
-                if (waits == mine) {
+                if (timerGeneration == mine) {
                     run();
                 }
             });
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -17,7 +17,7 @@
  */
 final class ZoneLink {
     private final Dispatcher dispatcher;
-    private final MemberLink members;
+    private final MembershipLink members;
     private final ZoneSettings settings;
     private final Zones zones;
     private final List<String> names;
@@ -27,7 +27,7 @@
     /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
     ZoneLink(
             Dispatcher dispatcher,
-            MemberLink members,
+            MembershipLink members,
             RoutingSettings settings,
             List<String> names,
             RestoredState last) {
