--- a/src/main/java/cacheproxy/control/FleetViewControl.java
+++ b/src/main/java/cacheproxy/control/FleetViewControl.java
@@ -27,7 +27,7 @@
             return json;
         }
         MembershipView view = fleet.view();
-        json.addProperty("hearing", AnswerWords.of(view.reachability()));
+        json.addProperty("hearing", StatusNames.of(view.reachability()));
         json.addProperty("living", view.liveMembers().count());
         json.addProperty("known", view.members().size());
         if (view.configuredMembers() != null) {
@@ -56,8 +56,8 @@
         JsonObject row = new JsonObject();
         row.addProperty("instance", member.id());
         row.addProperty("zone", member.zone());
-        row.addProperty("state", AnswerWords.of(member.state()));
-        row.addProperty("phase", AnswerWords.of(member.phase()));
+        row.addProperty("state", StatusNames.of(member.state()));
+        row.addProperty("phase", StatusNames.of(member.phase()));
         row.addProperty("incarnation", member.incarnation());
         row.addProperty("life", String.format("%04x", member.processNonce()));
         row.addProperty("version", member.version());
--- a/src/main/java/cacheproxy/control/AnswerWords.java
+++ b/src/main/java/cacheproxy/control/StatusNames.java
@@ -6,9 +6,9 @@
 import cacheproxy.membership.Reachability;
 import cacheproxy.membership.ServicePhase;
 
-/** The words by which answers to operators name the states of other packages; scripts depend on them. */
-final class AnswerWords {
-    private AnswerWords() {}
+/** The names by which answers to operators show the states of other packages; scripts depend on them. */
+final class StatusNames {
+    private StatusNames() {}
 
     static String of(Reachability reachability) {
         return switch (reachability) {
--- a/src/main/java/cacheproxy/control/ZoneControl.java
+++ b/src/main/java/cacheproxy/control/ZoneControl.java
@@ -45,9 +45,9 @@
         row.addProperty("zone", zone);
         row.addProperty("open", Math.round(1000 * status.open()) / 1000.0);
         row.addProperty("epoch", status.state().epoch());
-        row.addProperty("cause", AnswerWords.of(status.state().cause()));
+        row.addProperty("cause", StatusNames.of(status.state().cause()));
         row.addProperty("leaves", status.state().leaves());
-        row.addProperty("sight", AnswerWords.of(status.sight()));
+        row.addProperty("sight", StatusNames.of(status.sight()));
         row.addProperty("verdict", status.verdict());
         if (status.sinceMs() < Double.POSITIVE_INFINITY) {
             row.addProperty("since_s", Math.round(status.sinceMs() / 100) / 10.0);
--- a/src/main/java/cacheproxy/membership/DigestExchange.java
+++ b/src/main/java/cacheproxy/membership/DigestExchange.java
@@ -18,15 +18,15 @@
     /** How many messages with members answer one with digests. */
     private static final int MAX_MEMBER_MESSAGES = 3;
     /** The number in a message of digests that asks for the other's, and in one that answers it. */
-    private static final int ASK = 0;
+    private static final int REQUEST = 0;
 
-    private static final int ANSWER = 1;
+    private static final int RESPONSE = 1;
 
     private final FleetState fleet;
     private final Transmitter transmitter;
     private final SplittableRandom random;
-    private double nextAskMs;
-    private double answeredMs = Double.NEGATIVE_INFINITY;
+    private double nextRequestMs;
+    private double respondedMs = Double.NEGATIVE_INFINITY;
 
     DigestExchange(FleetState fleet, Transmitter transmitter, SplittableRandom random) {
         this.fleet = fleet;
@@ -36,9 +36,9 @@
 
     /** A member that lives has told its digest. */
     void digestReceived(double nowMs, int sender, int digest) {
-        if (digest != fleet.table().digest() && nowMs >= nextAskMs) {
-            nextAskMs = nowMs + (fleet.gossip().isEmpty() ? MIN_INTERVAL_MS : BUSY_INTERVAL_MS);
-            sendDigests(nowMs, sender, ASK);
+        if (digest != fleet.table().digest() && nowMs >= nextRequestMs) {
+            nextRequestMs = nowMs + (fleet.gossip().isEmpty() ? MIN_INTERVAL_MS : BUSY_INTERVAL_MS);
+            sendDigests(nowMs, sender, REQUEST);
         }
     }
 
@@ -53,12 +53,12 @@
         if (differing.isEmpty()) {
             return;
         }
-        if (message.number() == ASK) {
-            if (nowMs < answeredMs + MIN_INTERVAL_MS) {
+        if (message.number() == REQUEST) {
+            if (nowMs < respondedMs + MIN_INTERVAL_MS) {
                 return; // many find at once that this instance lags behind; one of them is enough
             }
-            answeredMs = nowMs;
-            sendDigests(nowMs, sender, ANSWER);
+            respondedMs = nowMs;
+            sendDigests(nowMs, sender, RESPONSE);
         }
         sendSlices(nowMs, sender, differing);
     }
--- a/src/main/java/cacheproxy/membership/FailureDetector.java
+++ b/src/main/java/cacheproxy/membership/FailureDetector.java
@@ -160,13 +160,13 @@
         // Those that confirm a suspicion are helpers themselves; at a partition there is no way round it.
         boolean useHelpers = probe.purpose == Purpose.ROUND || probe.purpose == Purpose.BEFORE_DEATH;
         if (probe.pings == 1 && !suspicions.isPartitionLikely() && useHelpers) {
-            askHelpers(nowMs, probe);
+            sendPingRequests(nowMs, probe);
         }
         ping(nowMs, probe);
         probe.nextMs = Math.min(probe.nextMs, timeoutMs);
     }
 
-    private void askHelpers(double nowMs, Probe probe) {
+    private void sendPingRequests(double nowMs, Probe probe) {
         selector.sample(settings.helpers(), id -> id != probe.target && !suspicions.contains(id))
                 .forEach(helper -> transmitter.send(
                         nowMs, Kind.PING_REQUEST, helper, probe.number, probe.target, Urgency.MEMBERSHIP_CHANGE));
@@ -225,7 +225,7 @@
             }
         }
         boolean first = target.state() == MemberState.ALIVE;
-        tellConfirmers(nowMs, target, first);
+        notifyConfirmers(nowMs, target, first);
     }
 
     private void suspect(double nowMs, Member target) {
@@ -237,7 +237,7 @@
     }
 
     /** Asks those that have to confirm a new suspicion, or tells those that have confirmed an older one. */
-    private void tellConfirmers(double nowMs, Member target, boolean newSuspicion) {
+    private void notifyConfirmers(double nowMs, Member target, boolean newSuspicion) {
         Collection<Integer> confirmers = newSuspicion
                 ? suspicions.confirmersOf(nowMs, target)
                 : fleet.get(target.id()).confirmers();
--- a/src/main/java/cacheproxy/membership/FleetState.java
+++ b/src/main/java/cacheproxy/membership/FleetState.java
@@ -19,7 +19,7 @@
     private final MemberTable table;
     private final GossipQueue gossip = new GossipQueue();
     private final Map<Integer, Double> lastReceivedMs = new HashMap<>();
-    private final Map<Integer, Double> goneSinceMs = new HashMap<>();
+    private final Map<Integer, Double> absentSinceMs = new HashMap<>();
     /** Live members but this one, by their place on the ring; null when they have changed. */
     private List<Integer> liveOthers;
 
@@ -101,9 +101,9 @@
             liveOthers = null;
         }
         if (now.state().isLive()) {
-            goneSinceMs.remove(now.id());
+            absentSinceMs.remove(now.id());
         } else {
-            goneSinceMs.putIfAbsent(now.id(), nowMs);
+            absentSinceMs.putIfAbsent(now.id(), nowMs);
         }
         return now;
     }
@@ -119,8 +119,8 @@
     }
 
     /** Forgets members that have been gone for long and that the settings don't name. */
-    void forgetLongGone(double nowMs) {
-        goneSinceMs.entrySet().removeIf(gone -> {
+    void forgetLongAbsent(double nowMs) {
+        absentSinceMs.entrySet().removeIf(gone -> {
             int id = gone.getKey();
             boolean forget = !settings.isConfigured(id) && nowMs - gone.getValue() > settings.forgetMs();
             if (forget) {
@@ -152,7 +152,7 @@
         for (int i = 0; i < settings.configured(); i++) {
             absent.add(i);
         }
-        absent.addAll(goneSinceMs.keySet());
+        absent.addAll(absentSinceMs.keySet());
         absent.remove(self);
         absent.removeIf(id -> table.get(id) != null && table.get(id).state().isLive());
         return new ArrayList<>(absent.stream().sorted().toList());
--- a/src/main/java/cacheproxy/membership/GossipQueue.java
+++ b/src/main/java/cacheproxy/membership/GossipQueue.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * What has changed and is still to be passed on with whatever is sent: those first that have gone out least, each as
- * often as the logarithm of the fleet (SWIM, section 4.1).
+ * The members whose changes are still to be gossiped with whatever is sent: those first that were sent least often,
+ * each as often as the logarithm of the fleet's size (SWIM, section 4.1).
  */
 final class GossipQueue {
     private static final int MAX_MEMBERS = 4096;
@@ -16,7 +16,7 @@
     private final Map<Integer, Integer> timesSent = new LinkedHashMap<>();
     private boolean changedSinceTaken;
 
-    /** The entry of an instance has changed. */
+    /** A member has changed. */
     void changed(int id) {
         timesSent.remove(id);
         timesSent.put(id, 0);
@@ -33,34 +33,40 @@
         return was;
     }
 
-    /** Nothing more is passed on of it. */
+    /** A member is no longer gossiped. */
     void remove(int id) {
         timesSent.remove(id);
     }
 
+    /** Whether there is nothing to gossip. */
     boolean isEmpty() {
         return timesSent.isEmpty();
     }
 
-    /** Entries to send with a message of so many bytes' room; {@code without}: whose entry is in it already. */
+    /**
+     * Takes members to send in a message, and counts them as sent.
+     *
+     * @param room for so many bytes
+     * @param without a member that the message holds already
+     */
     List<Member> take(MemberTable table, int room, int without) {
-        int most = 32 - Integer.numberOfLeadingZeros(table.size() + 1);
-        List<Map.Entry<Integer, Integer>> order = new ArrayList<>(timesSent.entrySet());
-        order.sort(Comparator.comparingInt(Map.Entry::getValue));
+        int maxTimes = 32 - Integer.numberOfLeadingZeros(table.size() + 1);
+        List<Map.Entry<Integer, Integer>> leastSentFirst = new ArrayList<>(timesSent.entrySet());
+        leastSentFirst.sort(Comparator.comparingInt(Map.Entry::getValue));
         List<Member> taken = new ArrayList<>();
         if (room <= 0) {
             return taken;
         }
-        int left = room;
-        for (Map.Entry<Integer, Integer> e : order) {
+        int bytesLeft = room;
+        for (Map.Entry<Integer, Integer> e : leastSentFirst) {
             Member entry = table.get(e.getKey());
             int bytes = entry == null ? 0 : MembershipMessage.bytes(entry);
             if (entry == null) {
                 timesSent.remove(e.getKey());
-            } else if (e.getKey() != without && bytes <= left) {
-                left -= bytes;
+            } else if (e.getKey() != without && bytes <= bytesLeft) {
+                bytesLeft -= bytes;
                 taken.add(entry);
-                if (e.getValue() + 1 >= most) {
+                if (e.getValue() + 1 >= maxTimes) {
                     timesSent.remove(e.getKey());
                 } else {
                     timesSent.put(e.getKey(), e.getValue() + 1);
--- a/src/main/java/cacheproxy/membership/Knowledge.java
+++ b/src/main/java/cacheproxy/membership/Knowledge.java
@@ -3,52 +3,52 @@
 import java.util.Collection;
 
 /**
- * What one instance knows, and how that changes by what it is told and finds: all that matters for two to come to hold
- * the same, without times, probes and messages. {@link Membership} decides with it when something is suspected or given
- * up; the explorer ({@code model check}) lets both happen at any time.
+ * What one instance knows of the members, and how that changes by what it receives and detects: all that matters for
+ * the convergence of instances, without times, probes and messages. {@link Membership} decides when a member is
+ * suspected or declared dead; the model checker ({@code model check}) lets both happen at any time.
  */
 public class Knowledge {
-    /** What came of something that was said. */
+    /** The outcome of merging what is said of a member. */
     public enum MergeResult {
-        /** It was known. */
+        /** It was known already. */
         UNCHANGED,
-        /** Something is known that was not. */
+        /** It has changed what is known. */
         CHANGED,
-        /** It spoke against this instance, which has gone beyond it. */
+        /** It contradicted this instance, which now refutes it. */
         REFUTED
     }
 
-    private final int most;
+    private final int capacity;
     private final MemberTable table;
     private final LocalMember localMember;
 
-    /** A life that begins knowing only itself. */
-    public Knowledge(Member self, int most) {
-        this.most = most;
-        table = new MemberTable(most, this::mergeMembers);
+    /** Begins with this instance alone, and room for so many members. */
+    public Knowledge(Member self, int capacity) {
+        this.capacity = capacity;
+        table = new MemberTable(capacity, this::mergeMembers);
         localMember = new LocalMember(self, this::refute);
         table.merge(self);
     }
 
-    /** The same knowledge, to go its own way. */
+    /** A copy that changes independently. */
     protected Knowledge(Knowledge of) {
-        most = of.most;
-        table = new MemberTable(most, this::mergeMembers);
+        capacity = of.capacity;
+        table = new MemberTable(capacity, this::mergeMembers);
         of.table.all().forEach(table::merge);
         localMember = of.localMember.copy(this::refute);
     }
 
-    /** What becomes of what is held and what is said of one instance. */
+    /** The entry that follows from what is known and what is said of a member. */
     protected Member mergeMembers(Member held, Member said) {
         return held.merge(said);
     }
 
-    /** The entry by which this instance goes beyond what is said of it. */
+    /** The own entry that refutes what is said of this instance. */
     protected Member refute(Member self, Member said) {
         return self.withIncarnation(Math.max(said.incarnation(), self.incarnation()) + 1);
     }
 
-    /** Takes in what somebody says. */
+    /** Merges what another says of a member. */
     public MergeResult merge(double nowMs, Member said) {
         if (said.id() != self().id()) {
             return table.merge(said) == null ? MergeResult.UNCHANGED : MergeResult.CHANGED;
@@ -60,7 +60,7 @@
         return MergeResult.REFUTED;
     }
 
-    /** This instance did not reach that one; nothing happens if it is not known to live. */
+    /** Suspects a member; no effect unless it is live. */
     public void suspect(int id) {
         Member e = table.get(id);
         if (e != null && e.state().isLive()) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** This instance gives up one that it suspects. */
+    /** Declares a suspected member dead; no effect unless it is suspected. */
     public void declareDead(int id) {
         Member e = table.get(id);
         if (e != null && e.state() == MemberState.SUSPECT) {
@@ -76,22 +76,22 @@
         }
     }
 
-    /** What the instance says of itself. */
+    /** This instance's own entry. */
     public final Member self() {
         return localMember.member();
     }
 
-    /** What is held of an instance, null if nothing is. */
+    /** What is known of a member; null for nothing. */
     public final Member get(int id) {
         return table.get(id);
     }
 
-    /** All that is held, by number. */
+    /** All members, by number. */
     public final Collection<Member> all() {
         return table.all();
     }
 
-    /** Alike for all that hold the same. */
+    /** Equal for instances that know the same. */
     public final int digest() {
         return table.digest();
     }
--- a/src/main/java/cacheproxy/membership/LocalHealth.java
+++ b/src/main/java/cacheproxy/membership/LocalHealth.java
@@ -1,17 +1,17 @@
 package cacheproxy.membership;
 
 /**
- * How well this instance itself is doing: Lifeguard's local health multiplier (section IV.A there), by other signs. An
- * answer that comes when its probe has failed already, a suspicion of itself, and a stand-still speak against it; one
- * that comes in time speaks for it. An unwell instance asks less often and waits longer before it speaks ill of others.
- * That helpers say nothing is no sign here: at a cut most of them stand on its other side.
+ * This instance's own health: Lifeguard's local health multiplier (section IV.A there), by other signs. An answer that
+ * comes after its probe has failed, a suspicion of this instance and a stall lower it; an answer in time raises it. An
+ * unhealthy instance probes less often and waits longer before it suspects others. Silent helpers are no sign: at a
+ * partition most of them stand beyond it.
  */
 final class LocalHealth {
     private static final int MAX_SCORE = 7;
-    /** What a stand-still of its own counts. */
+    /** What a stall of this process adds to the score. */
     private static final int STALL_SCORE = 3;
 
-    /** What one probe may miss of those that live. */
+    /** The part of probes of live members that may fail, as messages get lost. */
     private static final double MAX_FALSE_FAILURES = 0.03;
 
     private static final double PINGS_PER_PROBE = 3;
@@ -19,17 +19,17 @@
     private static final double LOSS_SMOOTHING = 0.05;
 
     private int score;
-    /** The part of pings that remain without an answer, of probes that had one in the end. */
+    /** The part of pings without an answer, of probes that were answered in the end; 0 to 1. */
     private double lossRatio;
 
-    /** By how much rounds and waits are longer: 1 to 8. */
+    /** The factor of rounds and timeouts by the score: 1 to 8. */
     double intervalFactor() {
         return 1 + score;
     }
 
     /**
-     * By how much probes and suspicions last longer as messages get lost: so that as few pings as are sent then all get
-     * lost in one probe of {@link #MAX_FALSE_FAILURES}. 1 to {@link #MAX_LOSS_FACTOR}.
+     * The factor of probes and suspicions by the loss of messages: so long that all pings of a probe get lost in no
+     * more than {@link #MAX_FALSE_FAILURES} of them. 1 to {@link #MAX_LOSS_FACTOR}.
      */
     double lossFactor() {
         return lossRatio <= 0
@@ -41,7 +41,7 @@
                                 Math.log(MAX_FALSE_FAILURES) / Math.log(Math.min(0.95, lossRatio)) / PINGS_PER_PROBE));
     }
 
-    /** A probe was answered at its so-manieth ping. */
+    /** A probe was answered after so many pings. */
     void probeAnswered(int pings) {
         score = Math.max(0, score - 1);
         for (int i = 0; i < pings; i++) {
@@ -49,15 +49,17 @@
         }
     }
 
-    /** An answer came too late. */
+    /** An answer came after its probe had failed. */
     void answeredLate() {
         score = Math.min(MAX_SCORE, score + 1);
     }
 
+    /** This instance was suspected, and has refuted it. */
     void suspected() {
         score = Math.min(MAX_SCORE, score + 1);
     }
 
+    /** This process has stalled. */
     void stalled() {
         score = Math.min(MAX_SCORE, score + STALL_SCORE);
     }
--- a/src/main/java/cacheproxy/membership/LocalMember.java
+++ b/src/main/java/cacheproxy/membership/LocalMember.java
@@ -4,14 +4,14 @@
 import java.util.function.BinaryOperator;
 
 /**
- * An instance's own entry. It goes beyond whatever contradicts it: a death or suspicion told of this life, or a former
- * life under its name that others remember and it does not. A former life is told once by each who remembers it; when a
- * name is outbid again and again, another process lives under it, and that mistake is reported.
+ * This instance's own entry. It refutes what contradicts it by a higher incarnation: a suspicion or death of this
+ * process, or an earlier process under its number that others remember. Each that remembers an earlier process tells so
+ * once; when contradictions go on, another process runs under the same number, and that is reported as a dispute.
  */
 final class LocalMember {
-    /** A name outbid so often in this life is another's, too. */
+    /** So many contradictions by another process mean that it is running. */
     static final int DISPUTE_CONTRADICTIONS = 4;
-    /** From then on it is defended only so often. */
+    /** From then on it is refuted no more often than this. */
     static final double DISPUTE_REFUTE_INTERVAL_MS = 2000;
 
     private final BinaryOperator<Member> refutation;
@@ -20,64 +20,69 @@
     private double refutedMs = Double.NEGATIVE_INFINITY;
     private boolean leaving;
 
-    /** Begins a life in this entry; {@code refutation}: what refutes, of the own entry and what is said of it. */
-    LocalMember(Member entry, BinaryOperator<Member> beyond) {
-        this.member = entry;
-        this.refutation = beyond;
+    /** {@code refutation}: the entry that refutes, of the own one and what is said of it. */
+    LocalMember(Member member, BinaryOperator<Member> refutation) {
+        this.member = member;
+        this.refutation = refutation;
     }
 
-    /** The same, to go its own way. */
-    LocalMember copy(BinaryOperator<Member> others) {
-        LocalMember own = new LocalMember(member, others);
-        own.contradictions = contradictions;
-        own.refutedMs = refutedMs;
-        own.leaving = leaving;
-        return own;
+    /** A copy that changes independently. */
+    LocalMember copy(BinaryOperator<Member> otherRefutation) {
+        LocalMember copy = new LocalMember(member, otherRefutation);
+        copy.contradictions = contradictions;
+        copy.refutedMs = refutedMs;
+        copy.leaving = leaving;
+        return copy;
     }
 
+    /** The entry as it is now. */
     Member member() {
         return member;
     }
 
-    /** Somebody says this of the instance's own name. Whether the entry had to go beyond it. */
+    /** Another says this of this instance; whether it is wrong, and the own entry now refutes it. */
     boolean refuteIfContradicted(Member said, double nowMs) {
-        int by = said.compareIncarnation(member);
-        boolean another = said.processNonce() != member.processNonce();
-        if (by < 0 || (by == 0 && (said.state().compareTo(member.state()) <= 0 || leaving))) {
+        int order = said.compareIncarnation(member);
+        boolean anotherProcess = said.processNonce() != member.processNonce();
+        if (order < 0 || (order == 0 && (said.state().compareTo(member.state()) <= 0 || leaving))) {
             return false;
         }
         if (said.incarnation() > Member.MAX_INCARNATION - MemberTable.MAX_INCARNATION_STEP) {
-            return false; // nothing of ours gets there
+            return false; // no incarnation of ours is that high
         }
-        if (another && ++contradictions >= DISPUTE_CONTRADICTIONS && nowMs - refutedMs < DISPUTE_REFUTE_INTERVAL_MS) {
+        if (anotherProcess
+                && ++contradictions >= DISPUTE_CONTRADICTIONS
+                && nowMs - refutedMs < DISPUTE_REFUTE_INTERVAL_MS) {
             return false;
         }
         refutedMs = nowMs;
-        MemberState was = member.state();
+        MemberState state = member.state();
         member = refutation.apply(member, said);
         if (leaving) {
-            member = member.withState(was);
+            member = member.withState(state);
         }
         return true;
     }
 
-    /** Whether another process seems to live under this name. */
+    /** Whether another process seems to run under this number. */
     boolean disputed() {
         return contradictions >= DISPUTE_CONTRADICTIONS;
     }
 
-    /** The instance goes for good. */
+    /** The instance leaves for good. */
     void leave() {
         leaving = true;
         member = member.withState(MemberState.LEFT);
     }
 
+    /** The phase of the service from now on. */
     void phase(ServicePhase phase) {
         if (member.phase() != phase) {
             member = member.withPhaseAndNotes(phase, member.notes());
         }
     }
 
+    /** Replaces a part's note; an empty one is removed. */
     void note(int part, byte[] bytes) {
         if (!Arrays.equals(member.note(part), bytes)) {
             member = member.withNote(part, bytes);
--- a/src/main/java/cacheproxy/membership/Member.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -7,22 +7,22 @@
 
 /**
  * What is known of one instance. Entries of the same instance form a join semilattice: {@link #merge} is associative,
- * commutative and idempotent, so any two that have heard the same come to hold the same, in whatever order and however
- * often they heard it.
+ * commutative and idempotent, so instances that have received the same know the same, in whatever order and however
+ * often they received it.
  *
  * <ol>
- *   <li>The higher incarnation holds; an instance raises its own, nobody else's.
- *   <li>In one incarnation the higher life holds: two processes under one name, of which one has to go beyond the
- *       other.
- *   <li>In one life the later {@link MemberState} holds, and what the instance says of itself by the higher version.
+ *   <li>The higher incarnation holds; an instance raises its own alone.
+ *   <li>In one incarnation the higher process nonce holds: two processes run under one number, and one has to raise its
+ *       incarnation.
+ *   <li>In one process the later {@link MemberState} holds, and of what the instance says of itself the higher version.
  * </ol>
  *
  * @param id its number, 0 to {@link #MAX_ID}
  * @param incarnation 1 to {@link #MAX_INCARNATION}, raised at each start and each refutation
- * @param processNonce drawn by the process at its start, 0 to 65,535: tells two processes of one name apart
- * @param state what is believed
- * @param confirmers of a suspicion, those who did not reach it either, {@link #MAX_CONFIRMERS} at most
- * @param zone where it stands, 0 to {@link #MAX_ZONE}
+ * @param processNonce drawn by the process at its start, 0 to 65,535: tells two processes of one number apart
+ * @param state what others have found
+ * @param confirmers of a suspicion, the members whose probes of it have failed, {@link #MAX_CONFIRMERS} at most
+ * @param zone its zone, 0 to {@link #MAX_ZONE}
  * @param version of what it says of itself: phase and notes
  * @param phase of its service
  * @param notes what other parts of the program publish by it, by a number 0 to 7, {@link #MAX_NOTE_BYTES} bytes each at
@@ -77,11 +77,11 @@
                         .anyMatch(
                                 n -> n.getKey() < 0 || n.getKey() >= MAX_NOTES || n.getValue().length > MAX_NOTE_BYTES)
                 || notes.values().stream().mapToInt(n -> n.length).sum() > MAX_NOTES_BYTES) {
-            throw new IllegalArgumentException("instance " + id + " has too much to say");
+            throw new IllegalArgumentException("instance " + id + " has confirmers, notes or an address out of range");
         }
     }
 
-    /** An instance that begins a life. */
+    /** The entry of a process that starts. */
     public static Member start(int id, long incarnation, int life, int zone, byte[] address) {
         return new Member(
                 id,
@@ -96,14 +96,14 @@
                 address);
     }
 
-    /** Whether what is said of a life here holds against what is said there: 0 for the same life in one incarnation. */
+    /** Compares incarnation and process: positive if this entry holds, 0 for the same process in one incarnation. */
     public int compareIncarnation(Member other) {
         int by = Long.compare(incarnation, other.incarnation);
         return by != 0 ? by : Integer.compare(processNonce, other.processNonce);
     }
 
-    /** Both as one; this itself if the other adds nothing. */
-    @SuppressWarnings("ReferenceEquality") // this itself is what is given back
+    /** Both entries in one; this itself if the other adds nothing. */
+    @SuppressWarnings("ReferenceEquality") // this itself is what is returned
     public Member merge(Member other) {
         int by = compareIncarnation(other);
         if (by != 0) {
@@ -128,7 +128,7 @@
                 said.address);
     }
 
-    /** The lowest of all who confirm; once it is dead nobody asks who did. */
+    /** The lowest numbers of all confirmers; a dead member needs none. */
     private TreeSet<Integer> mergeConfirmers(MemberState both, Member other) {
         TreeSet<Integer> all = new TreeSet<>();
         if (both == MemberState.SUSPECT) {
@@ -145,12 +145,12 @@
         return all;
     }
 
-    /** The same believed to be in that state. */
+    /** This entry in another state. */
     Member withState(MemberState later) {
         return new Member(id, incarnation, processNonce, later, new TreeSet<>(), zone, version, phase, notes, address);
     }
 
-    /** The same with one more who does not reach it. */
+    /** This entry, suspected by one more member. */
     Member suspectedBy(int instance) {
         TreeSet<Integer> all = new TreeSet<>(confirmers);
         all.add(instance);
@@ -158,19 +158,19 @@
                 id, incarnation, processNonce, MemberState.SUSPECT, lowest(all), zone, version, phase, notes, address);
     }
 
-    /** The same alive in another incarnation. */
+    /** This entry, alive in another incarnation. */
     Member withIncarnation(long higher) {
         return new Member(
                 id, higher, processNonce, MemberState.ALIVE, new TreeSet<>(), zone, version, phase, notes, address);
     }
 
-    /** The same with something else to say, by the next version. */
+    /** This entry with another phase and other notes, in the next version. */
     Member withPhaseAndNotes(ServicePhase now, Map<Integer, byte[]> all) {
         return new Member(
                 id, incarnation, processNonce, state, confirmers, zone, version + 1, now, Map.copyOf(all), address);
     }
 
-    /** One part's note replaced; empty takes it out. */
+    /** This entry with one part's note replaced; an empty one is removed. */
     Member withNote(int part, byte[] bytes) {
         Map<Integer, byte[]> all = new HashMap<>(notes);
         if (bytes.length == 0) {
@@ -187,8 +187,8 @@
     }
 
     /**
-     * What counts in a digest: nothing for who is gone, as it may be forgotten at one and not yet at another.
-     * Suspicions do not count: they pass, and while answers get lost there is always one somewhere.
+     * Its part in a digest: nothing for one that is dead or has left, as one instance may have forgotten it and another
+     * not yet. Suspicions don't count: they pass, and while messages get lost there is always one somewhere.
      */
     long hash() {
         return state.isLive()
@@ -196,7 +196,7 @@
                 : 0;
     }
 
-    /** A thorough mix of 64 bits (Stafford's variant 13), by which ranks are drawn that are the same at all. */
+    /** A mix of 64 bits (Stafford's variant 13), by which all instances derive the same orders. */
     public static long mix(long x) {
         long z = (x ^ x >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
--- a/src/main/java/cacheproxy/membership/MemberState.java
+++ b/src/main/java/cacheproxy/membership/MemberState.java
@@ -1,14 +1,14 @@
 package cacheproxy.membership;
 
-/** What is believed of an instance's life; of two beliefs in the same life and incarnation the later one here holds. */
+/** The state of a member; of two states in the same incarnation and process the later one here holds. */
 public enum MemberState {
-    /** It answers, or nobody has found otherwise. */
+    /** It answers probes, or nobody has found otherwise. */
     ALIVE(0),
-    /** Somebody did not reach it. It may still refute that, by its next incarnation. */
+    /** A probe of it has failed. It may still refute that, by its next incarnation. */
     SUSPECT(1),
-    /** It has been given up. Only its own next incarnation brings it back. */
+    /** It was declared dead. Only its own next incarnation revives it. */
     DEAD(2),
-    /** It has said that it leaves. */
+    /** It has announced that it leaves. */
     LEFT(3);
 
     private final int code;
@@ -33,7 +33,7 @@
         };
     }
 
-    /** Whether it is to be counted among those that live. */
+    /** Whether it counts among the live members. */
     public boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/src/main/java/cacheproxy/membership/MemberTable.java
+++ b/src/main/java/cacheproxy/membership/MemberTable.java
@@ -7,13 +7,13 @@
 import java.util.function.BinaryOperator;
 
 /**
- * What one instance knows of all, by their numbers. Entries only go up in their order. Digests are kept as entries
- * change: one of all, and one for each of {@link #SLICES} slices, by which two that differ find where.
+ * The members by their numbers. An entry only goes up in the order of {@link Member#merge}. Digests are maintained as
+ * entries change: one of all, and one of each of {@link #SLICES} slices, by which two instances find where they differ.
  */
 public final class MemberTable {
-    /** Into how many slices the entries fall, by their numbers. */
+    /** The number of slices; a member belongs to one by its number. */
     public static final int SLICES = 32;
-    /** No instance refutes so often between two that hear of it; what claims more is no entry of ours. */
+    /** No member raises its incarnation so far between two messages; what claims more is ignored. */
     static final long MAX_INCARNATION_STEP = 1 << 20;
 
     private final int capacity;
@@ -21,12 +21,12 @@
     private final TreeMap<Integer, Member> entries = new TreeMap<>();
     private final long[] slices = new long[SLICES];
 
-    /** For so many instances at most, the dead among them. */
+    /** For so many members at most, the dead among them. */
     public MemberTable(int most) {
         this(most, Member::merge);
     }
 
-    /** {@code merger}: what becomes of two entries of one instance, the held one first. */
+    /** {@code merger}: merges two entries of one member, the known one first. */
     MemberTable(int most, BinaryOperator<Member> joining) {
         this.merger = joining;
         if (most < 1 || most > Member.MAX_ID + 1) {
@@ -36,31 +36,31 @@
         this.capacity = most;
     }
 
-    /** The entry of an instance, null if nothing is known of it. */
+    /** What is known of a member; null for nothing. */
     public Member get(int id) {
         return entries.get(id);
     }
 
-    /** All entries, by number. */
+    /** All members, by number. */
     public Collection<Member> all() {
         return entries.values();
     }
 
-    /** How many are known. */
+    /** How many members are known. */
     public int size() {
         return entries.size();
     }
 
     /**
-     * Takes in what somebody says of an instance.
+     * Merges what is said of a member.
      *
-     * @return the new entry, or null if that changes nothing or is beyond belief
+     * @return the new entry; null if nothing has changed, as it is known, implausible, or there is no room
      */
-    @SuppressWarnings("ReferenceEquality") // cheap first: a join gives back what was held where nothing is new
+    @SuppressWarnings("ReferenceEquality") // cheap first: a merge returns the known entry where nothing is new
     public Member merge(Member said) {
         Member held = entries.get(said.id());
         if (held == null) {
-            if (entries.size() >= capacity && !evictGone()) {
+            if (entries.size() >= capacity && !evictDead()) {
                 return null;
             }
             put(said);
@@ -82,8 +82,8 @@
         slices[slice(entry.id())] += entry.hash() - (before == null ? 0 : before.hash());
     }
 
-    /** Lets go of one that is dead or has left; nothing else makes room. */
-    private boolean evictGone() {
+    /** Removes one that is dead or has left; whether there was any. */
+    private boolean evictDead() {
         for (Member e : entries.values()) {
             if (!e.state().isLive()) {
                 remove(e.id());
@@ -93,7 +93,7 @@
         return false;
     }
 
-    /** Lets go of an instance that the settings do not name and that has been gone for long. */
+    /** Removes a member. */
     void remove(int id) {
         Member gone = entries.remove(id);
         if (gone != null) {
@@ -101,12 +101,12 @@
         }
     }
 
-    /** The slice of an instance's number. */
+    /** The slice of a member's number. */
     public static int slice(int id) {
         return id % SLICES;
     }
 
-    /** Of all entries, alike for tables that hold the same. */
+    /** The digest of all members; equal for tables that hold the same. */
     public int digest() {
         long all = 0;
         for (long s : slices) {
@@ -115,7 +115,7 @@
         return fold(all);
     }
 
-    /** Of one slice's, in 16 bits. */
+    /** The digest of one slice, 16 bits. */
     public int digest(int slice) {
         int d = fold(slices[slice]);
         return (d ^ d >>> 16) & 0xffff;
@@ -126,7 +126,7 @@
         return (int) (h ^ h >>> 32);
     }
 
-    /** The entries of a slice, by number. */
+    /** The members of a slice, by number. */
     public List<Member> inSlice(int slice) {
         List<Member> some = new ArrayList<>();
         entries.values().forEach(e -> {
--- a/src/main/java/cacheproxy/membership/Membership.java
+++ b/src/main/java/cacheproxy/membership/Membership.java
@@ -242,7 +242,7 @@
         double jitter = MIN_ROUND_PART + ROUND_JITTER * random.nextDouble();
         nextRoundMs = nowMs + settings.roundMs() * health.intervalFactor() * jitter;
         round++;
-        fleet.forgetLongGone(nowMs);
+        fleet.forgetLongAbsent(nowMs);
         boolean alone = fleet.liveOthers().isEmpty();
         if (alone || round % REJOIN_ROUNDS == 0) {
             probeAbsentMembers(nowMs, alone ? JOIN_PROBES : 1);
--- a/src/main/java/cacheproxy/membership/MembershipMessage.java
+++ b/src/main/java/cacheproxy/membership/MembershipMessage.java
@@ -9,19 +9,19 @@
 import java.util.TreeSet;
 
 /**
- * What instances say to one another of who lives, as {@code docs/design/members-wire.md} lays it out. Whatever the
- * kind, the sender's own entry and as many others as there is room for come with it.
+ * A message of the membership protocol, as {@code docs/design/members-wire.md} lays it out. Whatever its kind, it holds
+ * the sender's own entry and as many others as there is room for.
  *
  * @param kind what it is
  * @param number of the probe that it belongs to, 0 to 65,535
- * @param target whom a helper is to reach, or has reached; {@link #NO_MEMBER} otherwise
- * @param digest of all that the sender knows
+ * @param target the member that a helper is to ping, or that has answered it; {@link #NO_MEMBER} otherwise
+ * @param digest of all members that the sender knows
  * @param sliceDigests digests of the sender's slices in a {@link Kind#DIGESTS}; empty otherwise
  * @param members the sender's own first
  */
 public record MembershipMessage(
         Kind kind, int number, int target, int digest, int[] sliceDigests, List<Member> members) {
-    /** No instance's number. */
+    /** The number of no member. */
     public static final int NO_MEMBER = 0xffff;
 
     private static final int HEAD_BYTES = 1 + 1 + 2 + 2 + 4;
@@ -32,17 +32,17 @@
 
     /** The kinds. */
     public enum Kind {
-        /** Do you live? */
+        /** Asks for an {@link #ACK}. */
         PING(0),
-        /** I do, or the one that was asked after does. */
+        /** The sender is alive, or its probe of {@code target} was answered. */
         ACK(1),
-        /** Ask after that one for me. */
+        /** Asks the receiver to ping {@code target} for the sender. */
         PING_REQUEST(2),
-        /** What has changed; wants no answer. */
+        /** Changes; needs no answer. */
         GOSSIP(3),
-        /** Our digests differ; mine by slice. Wants the entries of the slices that differ, and yours. */
+        /** The sender's digests by slice; asks for the members of slices that differ. */
         DIGESTS(4),
-        /** The entries of slices that differ; wants no answer. */
+        /** Members of slices that differ; needs no answer. */
         MEMBERS(5);
 
         private final int code;
@@ -74,12 +74,12 @@
 
     // ---- to bytes
 
-    /** The bytes that this takes without entries. */
+    /** The bytes of a message without members. */
     static int headBytes(Kind kind) {
         return HEAD_BYTES + (kind == Kind.DIGESTS ? SLICE_BYTES : 0);
     }
 
-    /** The bytes that an entry takes. */
+    /** The bytes of a member. */
     static int bytes(Member e) {
         int n = 1 + 2 + varint(e.zone()) + varint(e.incarnation()) + 2 + varint(e.version());
         n += e.address().length;
@@ -95,7 +95,7 @@
         return n;
     }
 
-    /** As it goes out. */
+    /** The bytes of this message. */
     public byte[] encode() {
         int size = headBytes(kind)
                 + members.stream().mapToInt(MembershipMessage::bytes).sum();
@@ -157,7 +157,7 @@
 
     // ---- from bytes
 
-    /** What came in; null if it is none of these, cut short, or longer than it says. */
+    /** The message of these bytes; null if they are none, cut short, or longer than they say. */
     public static MembershipMessage decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < HEAD_BYTES) {
@@ -209,7 +209,7 @@
             notes.put(head >> 5, note);
         }
         if (flags < 0 || zone > Member.MAX_ZONE || version > Integer.MAX_VALUE) {
-            throw new IllegalArgumentException("an entry of another form");
+            throw new IllegalArgumentException("a member with unknown flags, or values out of range");
         }
         return new Member(
                 id,
@@ -233,6 +233,6 @@
                 return value;
             }
         }
-        throw new IllegalArgumentException("a number that does not end");
+        throw new IllegalArgumentException("a number of more than nine bytes");
     }
 }
--- a/src/main/java/cacheproxy/membership/MembershipSettings.java
+++ b/src/main/java/cacheproxy/membership/MembershipSettings.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * How an instance watches the others. Times in milliseconds.
+ * The settings of the membership protocol. Times in milliseconds.
  *
- * @param configured instances that the settings name, numbers 0 to this less one; 0 where there are only seeds
- * @param seeds numbers of those to ask first; all that are configured where there are none
- * @param capacity instances that are remembered at most, the dead among them
- * @param roundMs between two probes of one instance
- * @param pingTimeoutMs after which an answer is asked for again and by helpers
+ * @param configured how many instances the configuration names, by numbers from 0; 0 where there are only seeds
+ * @param seeds numbers of the members to join by; none where members are configured
+ * @param capacity how many members are known at most, the dead among them
+ * @param roundMs between two rounds, each of which probes a member
+ * @param pingTimeoutMs after which a member is pinged again, and by helpers
  * @param probeTimeoutMs after which a probe has failed
- * @param helpers that are asked to reach one that does not answer
- * @param confirmers that look at once after one that is suspected, beside who suspects it
- * @param minSuspicionMs for which a suspicion lasts when all of them confirm it
- * @param maxSuspicionMs for which it lasts when nobody does
- * @param fanout to how many news goes on at once
- * @param forgetMs after which one that is gone and that the settings do not name is forgotten
+ * @param helpers how many members are asked to ping one that does not answer
+ * @param confirmers how many members probe a suspected one at once, beside the one that suspects it
+ * @param minSuspicionMs how long a suspicion lasts when all of them confirm it
+ * @param maxSuspicionMs how long it lasts when none does
+ * @param fanout to how many members a change is gossiped at once
+ * @param forgetMs after which an absent member that is not configured is forgotten
  */
 public record MembershipSettings(
         int configured,
@@ -62,18 +62,18 @@
         }
     }
 
-    /** For so many configured instances, as measured in {@code docs/design/members.md}. */
+    /** For so many configured instances; the figures are measured in {@code docs/design/members.md}. */
     public static MembershipSettings forConfigured(int configured) {
         return new MembershipSettings(
                 configured, List.of(), Math.max(1, configured), 200, 100, 300, 3, 3, 500, 6000, 3, 600_000);
     }
 
-    /** For a fleet that only its seeds name. */
+    /** For a fleet whose members join by seeds. */
     public static MembershipSettings forSeeds(List<Integer> seeds, int most) {
         return new MembershipSettings(0, seeds, most, 200, 100, 300, 3, 3, 500, 6000, 3, 600_000);
     }
 
-    /** Whether the settings name an instance of this number. */
+    /** Whether the configuration names a member of this number. */
     boolean isConfigured(int id) {
         return id < configured;
     }
--- a/src/main/java/cacheproxy/membership/MembershipView.java
+++ b/src/main/java/cacheproxy/membership/MembershipView.java
@@ -5,17 +5,16 @@
 import java.util.TreeMap;
 
 /**
- * What one instance holds of the fleet at a moment; immutable. It is advice: instances that can hear each other come to
- * hold the same soon, and until then, and across a cut, they do not. So it hands out two kinds of number that do not
- * fit in each other's place: {@link #liveMembers()} for what costs only work, {@link #configuredMembers()} for what a
- * rule rests on.
+ * What one instance knows of the fleet at a moment; immutable. It is advice: instances that reach each other soon know
+ * the same, but not until then, and not across a partition. So there are two types of counts that can't be confused:
+ * {@link #liveMembers()} for what may save work, {@link #configuredMembers()} for what a safety rule rests on.
  *
- * @param self the instance whose view it is
- * @param atMs when it was taken, by the instance's own clock
- * @param members of all that are known, by number
- * @param digest alike for views that hold the same
- * @param configuredMembers instances that the settings name; null where only seeds do
- * @param disputed whether another process seems to live under the instance's name
+ * @param self the number of the instance whose view it is
+ * @param atMs when it was taken, by the instance's own clock, in milliseconds
+ * @param members all known members, by number
+ * @param digest equal for instances that know the same
+ * @param configuredMembers how many members are configured; null where they join by seeds
+ * @param disputed whether another process seems to run under the instance's number
  */
 public record MembershipView(
         int self,
@@ -28,11 +27,11 @@
     public MembershipView {
         members = List.copyOf(members);
         if (members.stream().noneMatch(e -> e.id() == self)) {
-            throw new IllegalArgumentException("a view without the instance whose it is");
+            throw new IllegalArgumentException("the view lacks its own instance");
         }
     }
 
-    /** Those that live, itself among them. */
+    /** How many members are live, itself among them. */
     public LiveMembers liveMembers() {
         return new LiveMembers(1
                 + (int) members.stream()
@@ -40,7 +39,7 @@
                         .count());
     }
 
-    /** Which part of the configured fleet it hears; of all that are known where only seeds are configured. */
+    /** Which part of the configured fleet it reaches; of all known members where they join by seeds. */
     public Reachability reachability() {
         int all = configuredMembers == null ? members.size() : configuredMembers.count();
         return Reachability.of(
@@ -51,7 +50,7 @@
                 all);
     }
 
-    /** The same by the zones in which instances said they stand. */
+    /** The same for each zone that members have announced. */
     public Map<Integer, Reachability> reachabilityByZone() {
         Map<Integer, int[]> counts = new TreeMap<>();
         for (Member e : members) {
--- a/src/main/java/cacheproxy/membership/OutgoingMessage.java
+++ b/src/main/java/cacheproxy/membership/OutgoingMessage.java
@@ -1,20 +1,20 @@
 package cacheproxy.membership;
 
 /**
- * A message that is to go out.
+ * A message to be sent.
  *
- * @param to the instance's number
+ * @param to the receiver's number
  * @param body as {@link MembershipMessage#decode} reads it
- * @param urgency what goes first where there is not room for all
+ * @param urgency which messages are sent first where the budget is short
  */
 public record OutgoingMessage(int to, byte[] body, Urgency urgency) {
-    /** From the most urgent on. */
+    /** The most urgent first. */
     public enum Urgency {
-        /** Somebody waits for it, or it refutes what is wrong. */
+        /** A peer waits for it, or it refutes a wrong state. */
         ANSWER,
-        /** Something has changed. */
+        /** It tells of a change, or looks for one. */
         MEMBERSHIP_CHANGE,
-        /** The rest. */
+        /** What may as well be sent later. */
         BACKGROUND
     }
 }
--- a/src/main/java/cacheproxy/membership/Reachability.java
+++ b/src/main/java/cacheproxy/membership/Reachability.java
@@ -1,8 +1,8 @@
 package cacheproxy.membership;
 
-/** Which part of the configured fleet an instance can hear, itself among it. */
+/** Which part of the configured fleet an instance can reach, itself among it. */
 public enum Reachability {
-    /** Nobody else, though there are others. */
+    /** No other, though there are others. */
     ALONE,
     /** At most half. */
     MINORITY,
@@ -11,7 +11,14 @@
     /** All. */
     ALL;
 
-    static Reachability of(int heard, int all) {
-        return heard >= all ? ALL : heard <= 1 ? ALONE : 2 * heard > all ? MAJORITY : MINORITY;
+    /** Of so many members that are reached, of all. */
+    static Reachability of(int reached, int all) {
+        if (reached >= all) {
+            return ALL;
+        }
+        if (reached <= 1) {
+            return ALONE;
+        }
+        return 2 * reached > all ? MAJORITY : MINORITY;
     }
 }
--- a/src/main/java/cacheproxy/membership/ServicePhase.java
+++ b/src/main/java/cacheproxy/membership/ServicePhase.java
@@ -1,14 +1,14 @@
 package cacheproxy.membership;
 
-/** What an instance says of its own service. */
+/** The phase of its service that an instance announces. */
 public enum ServicePhase {
-    /** It takes no requests yet. */
+    /** It accepts no requests yet. */
     STARTING(0),
-    /** It serves what it can and learns the rest. */
+    /** It serves what it can, and collects state. */
     RECOVERING(1),
-    /** It serves. */
+    /** Full service. */
     SERVING(2),
-    /** It takes nothing new. */
+    /** It accepts no new clients. */
     DRAINING(3);
 
     private final int code;
--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -191,7 +191,7 @@
                 stateLink == null ? null : stateLink.openedState(),
                 stateLink == null ? null : stateLink.recordStore(),
                 stateLink == null ? null : stateLink.path().toString(),
-                stateLink != null && stateLink.isLockHeld());
+                stateLink != null && stateLink.hasLock());
     }
 
     /** The fleet's zone decisions; null where this instance takes no part in them. */
--- a/src/main/java/cacheproxy/proxy/MembershipLink.java
+++ b/src/main/java/cacheproxy/proxy/MembershipLink.java
@@ -11,109 +11,114 @@
 import cacheproxy.routing.RoutingSettings;
 import java.util.function.Consumer;
 
-/** Carries out what {@link Membership} decides: its messages and its times. On the event loop only. */
+/** Sends the messages that {@link Membership} decides on, and calls it when it is due. Event loop only. */
 final class MembershipLink {
     private final Dispatcher dispatcher;
     private final PeerDatagramSocket peers;
-    private final Membership members;
+    private final Membership membership;
     private final Consumer<LiveMembers> liveMembersListener;
-    /** A timer that was set before the last one is void. */
+    /** Counts the timers that were set; an earlier timer than the last does nothing. */
     private long timerGeneration;
 
     private LiveMembers liveMembers = new LiveMembers(1);
-    private Runnable changed = () -> {};
+    private Runnable changeListener = () -> {};
 
     /**
-     * {@code remembered}: the incarnation of this instance's last life, 0 for none; {@code liveMembersListener}: told
-     * the number that lives each time that it changes.
+     * Begins at once.
+     *
+     * @param lastIncarnation the incarnation of this instance's last process; 0 if that is unknown
+     * @param liveMembersListener called with the number of live members each time that it changes
      */
     MembershipLink(
             Dispatcher dispatcher,
             PeerDatagramSocket peers,
             RoutingSettings settings,
-            long remembered,
+            long lastIncarnation,
             long seed,
             ServicePhase phase,
-            Consumer<LiveMembers> advised) {
+            Consumer<LiveMembers> liveMembersListener) {
         this.dispatcher = dispatcher;
         this.peers = peers;
-        this.liveMembersListener = advised;
-        members = new Membership(
+        this.liveMembersListener = liveMembersListener;
+        membership = new Membership(
                 MembershipSettings.forConfigured(settings.instanceCount()),
                 settings.instanceIndex(),
                 settings.zone(),
                 new byte[0],
-                remembered,
+                lastIncarnation,
                 settings.instanceSeed(seed),
                 new MembershipBudget(peers.budget()));
-        members.phase(phase);
+        membership.phase(phase);
         run();
     }
 
+    /** A membership message of a peer has been received. */
     void messageReceived(int peer, byte[] body) {
-        members.messageReceived(now(), peer, body);
+        membership.messageReceived(nowMs(), peer, body);
         run();
     }
 
-    /** What is to be done each time that something may have changed. */
-    void onChange(Runnable then) {
-        changed = then;
+    /** Sets what is called each time that something may have changed. */
+    void onChange(Runnable listener) {
+        changeListener = listener;
     }
 
-    /** What one part of the program publishes by this proxy. */
+    /** Publishes a part's note with this instance's entry; empty removes it. */
     void note(int part, byte[] bytes) {
-        members.note(part, bytes);
+        membership.note(part, bytes);
         run();
     }
 
+    /** Announces the phase of this instance's service. */
     void phase(ServicePhase phase) {
-        members.phase(phase);
+        membership.phase(phase);
         run();
     }
 
-    /** This instance goes for good; its peers are told. */
+    /** Announces that this instance leaves for good. */
     void leave() {
-        members.leave(now());
+        membership.leave(nowMs());
         run();
     }
 
+    /** The fleet as this instance sees it now. */
     MembershipView view() {
-        return members.view(now());
+        return membership.view(nowMs());
     }
 
-    /** The number of this instance's life. */
+    /** This instance's incarnation number. */
     long incarnation() {
-        return members.incarnation();
+        return membership.incarnation();
     }
 
     /** How often this proxy refuted that it was dead. */
     long deathsRefuted() {
-        return members.deathsRefuted();
+        return membership.deathsRefuted();
     }
 
     /** Messages that could not be read. */
     long unreadable() {
-        return members.unreadable();
+        return membership.unreadable();
     }
 
-    private static double now() {
-        return System.nanoTime() / 1e6; // the outbox's time, which all parts share
+    private static double nowMs() {
+        return System.nanoTime() / 1e6; // the clock of the send budget, which all parts share
     }
 
     private void run() {
-        long mine = ++timerGeneration;
-        members.tick(now());
-        members.outgoing().forEach(s -> peers.sendWithinBudget(s.to(), PeerMessageKind.MEMBERSHIP, s.body()));
-        LiveMembers lives = members.liveMembers();
-        if (!lives.equals(liveMembers)) {
-            liveMembers = lives;
-            liveMembersListener.accept(lives);
+        long timer = ++timerGeneration;
+        membership.tick(nowMs());
+        membership.outgoing().forEach(s -> peers.sendWithinBudget(s.to(), PeerMessageKind.MEMBERSHIP, s.body()));
+        LiveMembers nowLive = membership.liveMembers();
+        if (!nowLive.equals(liveMembers)) {
+            liveMembers = nowLive;
+            liveMembersListener.accept(nowLive);
         }
-        changed.run();
-        double due = members.dueMs();
-        if (due != Double.POSITIVE_INFINITY) {
-            dispatcher.after(Math.max(0, due - now()), () -> {
-                if (timerGeneration == mine) {
+        changeListener.run();
+        double dueMs = membership.dueMs();
+        if (dueMs != Double.POSITIVE_INFINITY) {
+            dispatcher.after(Math.max(0, dueMs - nowMs()), () -> {
+                if (timerGeneration == timer) {
                     run();
                 }
             });
--- a/src/main/java/cacheproxy/proxy/StateFolderWriter.java
+++ b/src/main/java/cacheproxy/proxy/StateFolderWriter.java
@@ -38,7 +38,7 @@
         return daemon;
     });
     private Dispatcher dispatcher;
-    private boolean lockHeld;
+    private boolean hasLock;
     private boolean lockPending;
     private boolean failureLogged;
     private boolean closed;
@@ -64,7 +64,7 @@
 
     /** Writes what is due, or sets a timer for when it will be. To be called when a record has changed. */
     void writeDue() {
-        if (!lockHeld) {
+        if (!hasLock) {
             acquireLock();
             return;
         }
@@ -161,7 +161,7 @@
     private void lockTried(LockOutcome outcome) {
         lockPending = false;
         if (outcome.held()) {
-            lockHeld = true;
+            hasLock = true;
             store.continueAfter(outcome.header());
             writeDue();
             return;
@@ -173,8 +173,8 @@
     }
 
     /** Whether this process alone writes to the folder. */
-    boolean isLockHeld() {
-        return lockHeld;
+    boolean hasLock() {
+        return hasLock;
     }
 
     // ---- the end
@@ -182,7 +182,7 @@
     /** Writes all records a last time and releases the folder; does not wait for that. */
     void close() {
         closed = true;
-        StateWrite last = lockHeld ? store.finalWrite() : null;
+        StateWrite last = hasLock ? store.finalWrite() : null;
         thread.execute(() -> {
             try {
                 if (last != null) {
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -185,8 +185,8 @@
     }
 
     /** Whether this process alone writes to the folder. */
-    boolean isLockHeld() {
-        return writer.isLockHeld();
+    boolean hasLock() {
+        return writer.hasLock();
     }
 
     /** The folder's path. */
--- a/src/test/java/cacheproxy/control/AnswerWordsTest.java
+++ b/src/test/java/cacheproxy/control/StatusNamesTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.api.Test;
 
 /** The words that scripts of operators look for. */
-class AnswerWordsTest {
+class StatusNamesTest {
     @Test
     void eachStateIsNamedAsItWas() {
         assertThat(Arrays.stream(HandoverStateMachine.Phase.values()).map(HandoverStateMachine.Phase::statusName))
                 .containsExactly("alone", "offered", "taken", "served", "retiring", "ending");
         assertThat(Arrays.stream(DrainStateMachine.Phase.values()).map(DrainStateMachine.Phase::statusName))
                 .containsExactly("serving", "draining", "drained", "expired");
-        assertThat(Arrays.stream(Reachability.values()).map(AnswerWords::of))
+        assertThat(Arrays.stream(Reachability.values()).map(StatusNames::of))
                 .containsExactly("alone", "minority", "majority", "all");
-        assertThat(Arrays.stream(MemberState.values()).map(AnswerWords::of))
+        assertThat(Arrays.stream(MemberState.values()).map(StatusNames::of))
                 .containsExactly("alive", "suspect", "dead", "left");
-        assertThat(Arrays.stream(ServicePhase.values()).map(AnswerWords::of))
+        assertThat(Arrays.stream(ServicePhase.values()).map(StatusNames::of))
                 .containsExactly("starting", "recovering", "serving", "draining");
-        assertThat(Arrays.stream(ZoneState.Cause.values()).map(AnswerWords::of))
+        assertThat(Arrays.stream(ZoneState.Cause.values()).map(StatusNames::of))
                 .containsExactly("evidence", "return", "hold", "leave");
-        assertThat(Arrays.stream(Sight.values()).map(AnswerWords::of)).containsExactly("none", "good", "poor", "lost");
+        assertThat(Arrays.stream(Sight.values()).map(StatusNames::of)).containsExactly("none", "good", "poor", "lost");
     }
 }
