--- a/src/test/java/cacheproxy/cli/OperatorTextTest.java
+++ b/src/test/java/cacheproxy/cli/OperatorTextTest.java
@@ -23,7 +23,7 @@
     private Path folder;
 
     @Test
-    void statusAndMembersPrintAsTheyDid() throws Exception {
+    void statusAndMembersPrintAsPinned() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         ControlRegistry registry = new ControlRegistry();
         JsonObject status = PinnedFile.json("operators/status.json").getAsJsonObject();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aStateFolderIsCheckedAndRepairedAsItWas() throws Exception {
+    void stateFolderIsCheckedAndRepairedAsPinned() throws Exception {
         StringBuilder all = new StringBuilder();
         for (String name : new String[] {"sound", "snapshot-damaged", "later-version"}) {
             String path = copy(name);
--- a/src/test/java/cacheproxy/control/AdminPortTest.java
+++ b/src/test/java/cacheproxy/control/AdminPortTest.java
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aCallIsAnsweredAndItsConnectionEnds() throws Exception {
+    void commandIsAnsweredAndConnectionCloses() throws Exception {
         assertThat(ask("HEALTH\r\n")).isEqualTo("OK\n");
         assertThat(ask("HEALTH\n")).isEqualTo("OK\n");
         assertThat(ask("DUMP\r\n"))
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void whereAnUpgradeStandsIsTold() throws Exception {
+    void handoverShowsThePhaseOfAnUpgrade() throws Exception {
         assertThat(ask("HANDOVER\r\n")).isEqualTo("ERR nothing is handed over here\n");
         registry.section("handover", () -> {
             JsonObject o = new JsonObject();
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void whatIsNoCallIsToldSo() throws Exception {
+    void unknownCommandIsAnsweredWithAnError() throws Exception {
         assertThat(ask("HELP\r\n"))
                 .startsWith("ERR")
                 .contains("DUMP, HANDOVER, HEALTH")
@@ -88,12 +88,12 @@
     }
 
     @Test
-    void oneAnswerForAConnectionWhateverComesBehind() throws Exception {
+    void onlyTheFirstCommandOfAConnectionIsAnswered() throws Exception {
         assertThat(ask("HEALTH\r\nDUMP\r\nHEALTH\r\n")).isEqualTo("OK\n");
     }
 
     @Test
-    void hundredsThatSayNothingOrHalfACallStayFewAndHoldNobodyUp() throws Exception {
+    void idleAndIncompleteConnectionsAreBounded() throws Exception {
         List<Socket> silent = new ArrayList<>();
         try {
             for (int i = 0; i < 300; i++) {
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void statusShowsTheSameFigures() {
+    void statusShowsTheSameMetrics() {
         String status = loop.submit(() -> registry.answer("{\"v\":1,\"command\":\"status\"}"))
                 .syncUninterruptibly()
                 .getNow();
--- a/src/test/java/cacheproxy/control/ControlServerTest.java
+++ b/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void commandsAndSectionsAnswerAndNobodyElseMayConnect() throws Exception {
+    void commandsAndSectionsAnswerTheOwnerOnly() throws Exception {
         works();
         assertThat(PosixFilePermissions.toString(Files.getPosixFilePermissions(path)))
                 .isEqualTo("rw-------");
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void whatIsNoRequestIsToldAndTheConnectionGoesOn() throws Exception {
+    void malformedRequestIsAnsweredAndConnectionStaysOpen() throws Exception {
         try (SocketChannel channel = raw("nonsense\n[1]\n{\n{}\n{\"v\":2,\"command\":\"echo\"}\n{\"v\":\"1\"}\n"
                 + "{\"v\":1,\"command\":[]}\n{\"v\":1,\"command\":\"no\"}\n{\"v\":1,\"command\":\"echo\"}\n")) {
             String[] words = {
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aHugeLineEndsItsConnectionAndNothingElse() throws Exception {
+    void overlongLineClosesItsConnectionOnly() throws Exception {
         try (SocketChannel channel = raw("x".repeat(ControlServer.MAX_LINE_BYTES + 10))) {
             assertThat(line(channel)).contains("a line of more than");
             assertThat(line(channel)).isNull();
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void halfAMessageAndAHundredSilentConnectionsHarmNothing() throws Exception {
+    void incompleteRequestAndIdleConnectionsAreTolerated() throws Exception {
         List<SocketChannel> silent = new ArrayList<>();
         silent.add(raw("{\"v\":1,\"comm"));
         for (int i = 0; i < 100; i++) {
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void aClientThatStopsReadingIsEnded() throws Exception {
+    void clientThatStopsReadingIsClosed() throws Exception {
         try (SocketChannel channel = raw("")) {
             channel.configureBlocking(false);
             ByteBuffer ask = ByteBuffer.wrap("{\"v\":1,\"command\":\"flood\"}\n".getBytes(UTF_8));
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void aSocketThatSomebodyListensOnStaysAndAStaleOneIsReplaced() throws Exception {
+    void liveSocketIsKeptAndStaleOneReplaced() throws Exception {
         assertThatThrownBy(() -> new ControlServer(loop, path, registry)).hasMessageContaining("somebody listens");
         works();
         Path stale = folder.resolve("stale");
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void aFileAMissingFolderAndALongPathAreTold() throws Exception {
+    void fileMissingFolderAndLongPathAreRefused() throws Exception {
         Path file = Files.writeString(folder.resolve("file"), "mine");
         assertThatThrownBy(() -> new ControlServer(loop, file, registry)).hasMessageContaining("no socket");
         assertThat(file).hasContent("mine");
--- a/src/test/java/cacheproxy/control/StatusNamesTest.java
+++ b/src/test/java/cacheproxy/control/StatusNamesTest.java
@@ -15,7 +15,7 @@
 /** The words that scripts of operators look for. */
 class StatusNamesTest {
     @Test
-    void eachStateIsNamedAsItWas() {
+    void statusNamesAreStable() {
         assertThat(Arrays.stream(HandoverStateMachine.Phase.values()).map(HandoverStateMachine.Phase::statusName))
                 .containsExactly("alone", "offered", "taken", "served", "retiring", "ending");
         assertThat(Arrays.stream(DrainStateMachine.Phase.values()).map(DrainStateMachine.Phase::statusName))
--- a/src/test/java/cacheproxy/membership/EntryTest.java
+++ b/src/test/java/cacheproxy/membership/EntryTest.java
@@ -47,7 +47,7 @@
     }
 
     @Property(seed = "42", tries = 500)
-    void tablesThatHeardTheSameHaveOneDigest(
+    void tablesWithTheSameMembersHaveTheSameDigest(
             @ForAll("entries") Member a, @ForAll("entries") Member b, @ForAll("entries") Member c) {
         MemberTable one = new MemberTable(10);
         MemberTable other = new MemberTable(10);
@@ -58,7 +58,7 @@
     }
 
     @Property(seed = "43", tries = 1000)
-    void aMessageIsReadAsItWasWritten(
+    void messagesRoundTrip(
             @ForAll("entries") Member a, @ForAll("entries") Member b, @ForAll MembershipMessage.Kind kind) {
         MembershipMessage m = new MembershipMessage(
                 kind,
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aZoneThatIsNoneIsNotRead() {
+    void zoneOutOfRangeIsRejected() {
         Member e = Member.start(5, 1, 7, Member.MAX_ZONE, new byte[0]);
         byte[] bytes = new MembershipMessage(
                         MembershipMessage.Kind.GOSSIP, 0, MembershipMessage.NO_MEMBER, 0, new int[0], List.of(e))
--- a/src/test/java/cacheproxy/membership/MembershipTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void crashesReturnsAndCutsSettleInTime() {
+    void crashesRejoinsAndPartitionsConvergeInTime() {
         ViewStudy s = ViewStudy.of(12, 0, 1, 20, 5000);
         double[] most = {4000, 3000, 1500, 5000, 3000};
         for (int e = 0; e < most.length; e++) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aHundredHearOfACrashWithinThreeSeconds() {
+    void crashIsKnownToAHundredWithinThreeSeconds() {
         ViewPlay p = settled(100, 0, 5);
         p.kill(17);
         assertThat(p.until(() -> p.allHold(17, false), 10_000)).isLessThan(3000);
@@ -40,14 +40,14 @@
     }
 
     @Test
-    void aFifthOfTheMessagesLostKillsNobody() {
+    void lossOfAFifthCausesNoFalseDeath() {
         ViewPlay p = settled(12, 0.2, 3);
         p.pass(600_000);
         assertThat(p.falseDeaths()).isZero();
     }
 
     @Test
-    void whoStoodStillHoldsThatAgainstNobodyElse() {
+    void stalledInstanceSuspectsNobodyForIt() {
         ViewPlay p = settled(12, 0, 7);
         p.stop(4, 8000);
         p.pass(7900);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aOneWayCutSettlesOnceItIsOver() {
+    void oneWayPartitionConvergesOnceHealed() {
         ViewPlay p = settled(12, 0, 9);
         p.cutOneWay(i -> i % 4 == 2);
         p.pass(8000);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void sevenInTenBackWithinASecondAreTheSameFleet() {
+    void fleetConvergesAfterRestartOfSevenInTen() {
         ViewPlay p = settled(20, 0, 11);
         for (int i = 0; i < 14; i++) {
             p.kill(i);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void allRestartedAndNobodyRemembers() {
+    void fleetConvergesAfterRestartWithoutState() {
         ViewPlay p = settled(12, 0, 13);
         for (int i = 0; i < 12; i++) {
             p.kill(i);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void oneThatFlapsEachSecondTakesNobodyWithIt() {
+    void flappingMemberHarmsNoOther() {
         ViewPlay p = settled(12, 0, 15);
         for (int i = 0; i < 20; i++) {
             p.kill(3);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void whoLeavesIsGoneAtOnceAndNobodySuspectsIt() {
+    void leavingMemberIsNotSuspected() {
         ViewPlay p = settled(12, 0, 17);
         p.leave(5);
         assertThat(p.until(() -> p.allHold(5, false), 3000)).isLessThan(1000);
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void twoProcessesUnderOneNameAreReported() {
+    void twoProcessesUnderOneNumberAreReported() {
         Membership one = alone(0, 0, 1);
         Membership twin = alone(0, 0, 2);
         Membership other = alone(1, 0, 3);
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void whatIsWrongOrUnderAnothersNameChangesNothing() {
+    void malformedOrForgedMessagesChangeNothing() {
         Membership one = alone(0, 0, 1);
         Membership other = alone(1, 0, 3);
         pass(other, 1, one, 0);
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void whatWasTrueAMinuteAgoIsNoNews() {
+    void outdatedMessagesChangeNothing() {
         Membership one = alone(0, 0, 1);
         Membership other = alone(1, 0, 3);
         other.tick(0);
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void aViewSaysWhatItHearsAndWhatTheSettingsName() {
+    void viewShowsReachabilityAndConfiguredMembers() {
         Membership one = alone(0, 0, 1);
         MembershipView v = one.view(0);
         assertThat(v.reachability()).isEqualTo(Reachability.ALONE);
@@ -213,7 +213,7 @@
 
     /** Instances that no settings name, which know one seed each and are told of one another with their addresses. */
     @Test
-    void aFleetThatOnlySeedsNameComesTogetherAndForgetsWhoIsGone() {
+    void seededFleetConvergesAndForgetsAbsentMembers() {
         int many = 6;
         MembershipSettings settings = MembershipSettings.forSeeds(List.of(0), 100);
         List<Membership> all = new ArrayList<>();
@@ -246,7 +246,7 @@
 
     /** A probe that found no room to be sent says nothing of whom it was meant for. */
     @Test
-    void withoutABudgetNobodyIsSuspected() {
+    void nobodyIsSuspectedWithoutBudget() {
         boolean[] room = {true};
         Membership one = new Membership(
                 MembershipSettings.forConfigured(3), 0, 0, new byte[0], 0, 1, new Membership.Allowance() {
--- a/src/test/java/cacheproxy/membership/MembershipTraceTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTraceTest.java
@@ -147,12 +147,12 @@
     }
 
     @Test
-    void aConfiguredFleetSendsWhatItSent() {
+    void configuredFleetSendsAsPinned() {
         PinnedFile.assertText("membership/trace-configured.txt", new Fleet(false).play());
     }
 
     @Test
-    void aFleetOfSeedsSendsWhatItSent() {
+    void seededFleetSendsAsPinned() {
         PinnedFile.assertText("membership/trace-seeds.txt", new Fleet(true).play());
     }
 }
--- a/src/test/java/cacheproxy/membership/MessageFormatTest.java
+++ b/src/test/java/cacheproxy/membership/MessageFormatTest.java
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void messagesAreWrittenAsRecorded() {
+    void messagesEncodeAsRecorded() {
         assertThat(WireSamples.lines(messages())).isEqualTo(WireSamples.text(SAMPLES));
     }
 
--- a/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
@@ -41,12 +41,12 @@
     }
 
     @Test
-    void everyFieldStandsWhereItStood() {
+    void everyFieldIsWrittenAsPinned() {
         PinnedFile.assertText(FILE, LearnedStateCodec.toJson(everyField()) + "\n");
     }
 
     @Test
-    void theStoredFormReadsAsItWasMeant() {
+    void pinnedFormIsRead() {
         JsonObject stored = JsonParser.parseString(PinnedFile.text(FILE)).getAsJsonObject();
         assertThat(LearnedStateCodec.fromJson(stored)).isEqualTo(everyField());
     }
--- a/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void aProxyWithAllPartsAnswersAsItDid() throws Exception {
+    void proxyWithAllFeaturesAnswersAsPinned() throws Exception {
         try (Fleet fleet = new Fleet().node("127.0.0.1:9").origin("127.0.0.1:9")) {
             fleet.config.add("known", fleet.known());
             fleet.config.addProperty("name", "proxy-3"); // whose folder it is
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void aProxyWithNoneAnswersAsItDid() throws Exception {
+    void proxyWithoutFeaturesAnswersAsPinned() throws Exception {
         try (Fleet fleet = new Fleet().node("127.0.0.1:9").origin("127.0.0.1:9").start()) {
             ControlRegistry registry = fleet.on(() -> ProxyControl.registry(fleet.proxy));
             Path path = folder.resolve("c");
@@ -166,7 +166,7 @@
 
     /** The section of a proxy with routes; the figures of a route that nobody asked for are zero in any case. */
     @Test
-    void aProxyWithRoutesShowsThemAsItDid() throws Exception {
+    void routingSectionIsAsPinned() throws Exception {
         Fleet fleet = new Fleet().node("127.0.0.1:9").origin("127.0.0.1:9");
         fleet.routing = RoutesTest.routing("pool one { host = \"s-00000001\" } route a { key = \"a*\" pool = one }");
         try (fleet) {
--- a/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
+++ b/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
@@ -68,7 +68,7 @@
 
     /** The first one back has all clients. Within ten seconds nobody has more than one and a half times the mean. */
     @Property(seed = "7", tries = 200)
-    void allClientsAtOneComeToBeSpread(
+    void clientsOfOneInstanceAreRebalanced(
             @ForAll @IntRange(min = 2, max = 60) int proxies, @ForAll @IntRange(min = 4, max = 40) int each) {
         int[] open = new int[proxies];
         open[proxies / 2] = proxies * each;
@@ -81,7 +81,7 @@
 
     /** Whatever the rebalancer, it comes to rest: no connection is ended for ever. */
     @Property(seed = "8", tries = 200)
-    void itComesToRest(@ForAll @IntRange(min = 2, max = 20) int proxies, @ForAll long seed) {
+    void rebalancingEnds(@ForAll @IntRange(min = 2, max = 20) int proxies, @ForAll long seed) {
         int[] open = new Random(seed).ints(proxies, 5, 100).toArray();
         Fleet fleet = new Fleet(open);
         while (fleet.now < 30_000) {
@@ -96,7 +96,7 @@
 
     /** Clients that sit beside their proxy come back to it: they are troubled less and less. */
     @Example
-    void whereItDoesNoGoodItStops() {
+    void rebalancingBacksOffWhereClientsComeBack() {
         Fleet fleet = new Fleet(120, 20, 20, 20);
         while (fleet.now < 600_000) {
             fleet.tick(true);
@@ -107,7 +107,7 @@
     }
 
     @Example
-    void withNobodyElseThereNobodyIsSentAway() {
+    void noConnectionIsClosedWithoutOtherInstances() {
         ConnectionRebalancer rebalancer = new ConnectionRebalancer();
         for (int t = 0; t < 20_000; t += 250) {
             assertThat(rebalancer.connectionsToClose(t, 1000, Collections.emptyList(), 100, 100))
@@ -116,7 +116,7 @@
     }
 
     @Example
-    void aLittleMoreThanOthersIsLeftAlone() {
+    void slightOverloadIsTolerated() {
         ConnectionRebalancer rebalancer = new ConnectionRebalancer();
         for (int t = 0; t < 20_000; t += 250) {
             assertThat(rebalancer.connectionsToClose(t, 120, List.of(100.0, 95.0, 105.0), 30, 30))
@@ -125,7 +125,7 @@
     }
 
     @Property(seed = "9")
-    void whatIsToldOfALoadIsAQuarterOffAtMost(@ForAll @IntRange(min = 1, max = 1_000_000) int perSecond) {
+    void rateCodeIsAccurateToAnEighth(@ForAll @IntRange(min = 1, max = 1_000_000) int perSecond) {
         double told = RequestRateCode.decode(RequestRateCode.encode(perSecond));
         assertThat(told).isBetween(perSecond / 1.13, perSecond * 1.13);
         assertThat(RequestRateCode.differs(RequestRateCode.encode(perSecond), perSecond))
--- a/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void eachMessageIsTheSameBytes() {
+    void messagesEncodeAsPinned() {
         StringBuilder all = new StringBuilder();
         all.append("question ").append(hex(PeerStateSummary.query())).append('\n');
         answers()
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void eachMessageIsReadAsItWasMeant() {
+    void pinnedMessagesDecode() {
         Map<String, byte[]> read = PinnedFile.text(FILE)
                 .lines()
                 .map(l -> l.split(" "))
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void theByteOfALoadIsTheSame() {
+    void rateCodesAreAsPinned() {
         StringBuilder table = new StringBuilder();
         for (double rate : new double[] {Double.NaN, 0, 0.49, 0.5, 1, 2, 7.5, 100, 2500, 1e6, 1e30}) {
             byte code = RequestRateCode.encode(rate);
--- a/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
@@ -57,7 +57,7 @@
     }
 
     @Example
-    void threeOfThreeZonesAreAskedAndEachAnotherThree() {
+    void threePeersOfThreeZonesAreQueriedByEachInstanceOthers() {
         Set<Integer> asked = new HashSet<>();
         for (int me = 20; me < 60; me++) {
             List<Integer> mine = new PeerStateQuery(me, 0).peersToQuery(0, view(me, 60, 20));
@@ -69,7 +69,7 @@
     }
 
     @Example
-    void anAnswerThatDoesNotComeIsAskedOfTheNext() {
+    void missingAnswerIsRequestedFromTheNextPeer() {
         PeerStateQuery query = new PeerStateQuery(9, 0);
         MembershipView view = view(9, 10, 6);
         List<Integer> first = query.peersToQuery(0, view);
@@ -88,7 +88,7 @@
     }
 
     @Example
-    void whereNobodyServesItIsKnownSoon() {
+    void queryEndsSoonWithoutServingPeers() {
         PeerStateQuery query = new PeerStateQuery(0, 0);
         for (int t = 0; t < 3000; t += 100) {
             assertThat(query.peersToQuery(t, view(0, 12, 0))).isEmpty();
@@ -99,7 +99,7 @@
     }
 
     @Example
-    void whereNobodyAnswersItEnds() {
+    void queryEndsWithoutAnswers() {
         PeerStateQuery query = new PeerStateQuery(9, 0);
         MembershipView view = view(9, 10, 6);
         Set<Integer> asked = new HashSet<>();
@@ -115,8 +115,7 @@
      * alone names.
      */
     @Property(seed = "3", tries = 500)
-    void noWordOfPeersTakesOutMoreThanAPartOfAZone(
-            @ForAll @Size(3) List<@Size(max = 40) List<@IntRange(max = 60) Integer>> said) {
+    void suspectedNodesAreBoundedByZone(@ForAll @Size(3) List<@Size(max = 40) List<@IntRange(max = 60) Integer>> said) {
         PeerStateQuery query = new PeerStateQuery(9, 0);
         MembershipView view = view(9, 10, 3);
         List<Integer> asked = query.peersToQuery(0, view);
@@ -142,7 +141,7 @@
     }
 
     @Property(seed = "4", tries = 500)
-    void whatIsToldIsReadAndNothingElse(@ForAll @Size(max = 48) List<Integer> bad, @ForAll byte[] bytes) {
+    void summariesRoundTripAndOtherBytesAreRejected(@ForAll @Size(max = 48) List<Integer> bad, @ForAll byte[] bytes) {
         PeerStateSummary told = new PeerStateSummary(7, 1.5f, 0, 0.25f, bad);
         assertThat(PeerStateSummary.decode(told.encode())).isEqualTo(told);
         assertThat(told.encode()).hasSizeLessThanOrEqualTo(250);
--- a/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
+++ b/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void withoutAListItIsStartingHoweverLongThatTakes() {
+    void startingLastsWhileThereIsNoList() {
         for (int t = 0; t <= 100_000; t += 250) {
             assertThat(progress.update(t, sample(t, 0, t))).isEqualTo(Stage.STARTING);
         }
@@ -22,7 +22,7 @@
 
     /** Who is asked a little at a time and refuses some of it has only the clock. */
     @Test
-    void onlyTheBoundEndsWhatEvidenceDoesNot() {
+    void timeoutEndsRecoveryWithoutEvidence() {
         progress.listAvailable(100, false);
         for (int t = 250; t < RecoveryProgress.MAX_RECOVERY_MS; t += 250) {
             assertThat(progress.update(t, sample(t / 250, t / 500, t / 500))).isEqualTo(Stage.RECOVERING);
@@ -34,7 +34,7 @@
 
     /** A watch that has no news says nothing: a list of any age that serves is good. */
     @Test
-    void aListThatNobodyHasToldIsGoodIfItServesOrNobodyAsks() {
+    void unconfirmedListSufficesIfItServesOrThereAreNoRequests() {
         progress.listAvailable(0, false);
         assertThat(progress.update(2900, sample(0, 0, 0))).isEqualTo(Stage.RECOVERING);
         assertThat(progress.update(3000, sample(0, 0, 0))).isEqualTo(Stage.SERVING);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void whoServesWhatIsAskedServes() {
+    void servedRequestsEndRecovery() {
         progress.listAvailable(0, true);
         assertThat(progress.update(250, sample(4, 4, 0))).isEqualTo(Stage.RECOVERING);
         assertThat(progress.update(500, sample(8, 8, 0))).isEqualTo(Stage.RECOVERING);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void whoRefusesDoesNot() {
+    void rejectionsProlongRecovery() {
         progress.listAvailable(0, true);
         for (int t = 250; t < 20_000; t += 250) {
             assertThat(progress.update(t, sample(t, t - t / 10, t / 10))).isEqualTo(Stage.RECOVERING);
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void whoIsAskedNothingServesAfterASecond() {
+    void idleInstanceServesAfterASecond() {
         progress.listAvailable(2000, true);
         assertThat(progress.update(2900, sample(0, 0, 0))).isEqualTo(Stage.RECOVERING);
         assertThat(progress.update(3000, sample(0, 0, 0))).isEqualTo(Stage.SERVING);
     }
 
     @Test
-    void aListThatHadToBeLetGoOfIsNone() {
+    void lostListLeadsBackToStarting() {
         progress.listAvailable(0, false);
         progress.update(250, sample(0, 0, 0));
         progress.listLost();
@@ -84,7 +84,7 @@
 
     /** What may be used until when, and that a decision beyond that is counted. */
     @Test
-    void whatIsPastItsBoundIsSeen() {
+    void decisionsByExpiredStateAreCounted() {
         ProvenanceTracker tracker = new ProvenanceTracker();
         tracker.adopted(1000, ProvenanceTracker.Subject.ENDPOINT_LIST, Provenance.STORED, 400, 1000, false);
         tracker.usedForDecision(1600, ProvenanceTracker.Subject.ENDPOINT_LIST);
--- a/src/test/java/cacheproxy/state/CrashTest.java
+++ b/src/test/java/cacheproxy/state/CrashTest.java
@@ -87,7 +87,7 @@
 
     /** 200 lives, each ended in the middle of a write at its every step: some 20,000 deaths. */
     @Test
-    void whateverStepItDiesInWhatWasDoneIsThereAndNothingElse() {
+    void crashAtAnyStepLosesNoCompletedWrite() {
         long deaths = 0;
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
@@ -148,7 +148,7 @@
 
     /** Each byte of both files changed in three ways, and each file cut at each byte. */
     @Test
-    void noByteThatIsChangedOrMissingMakesAWrongRecord() {
+    void changedOrMissingBytesNeverYieldAWrongRecord() {
         Disk disk = filled();
         OpenedState sound = disk.open();
         assertThat(sound.records()).hasSize(4);
@@ -186,7 +186,7 @@
      * Random bytes, and pieces of sound files in any order: never an exception, never a record that was not written.
      */
     @Test
-    void noBytesWhateverThrow() {
+    void arbitraryBytesNeverThrow() {
         Disk disk = filled();
         OpenedState sound = disk.open();
         for (long seed = 1; seed <= 3000; seed++) {
--- a/src/test/java/cacheproxy/state/RecordStoreTest.java
+++ b/src/test/java/cacheproxy/state/RecordStoreTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void whatIsUrgentIsWrittenSoonAndWhatIsLearntGathered() {
+    void urgentRecordsAreWrittenSoonAndLearnedStateIsDelayed() {
         RecordStore store = begun();
         assertThat(store.nextWriteAtMs()).isInfinite();
         store.put(1000, record(RecordKind.LEARNED_STATE, "a"));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void afterAFailureAllOfItIsWrittenAndEachFurtherOneDoublesTheWait() {
+    void failedWriteIsFollowedBySnapshotWithExponentialBackoff() {
         RecordStore store = begun();
         store.put(0, record(RecordKind.ENDPOINT_LIST, "b"));
         assertThat(store.nextWrite(100)).isInstanceOf(StateWrite.Append.class);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aJournalThatHasGrownBecomesASnapshotAndWearIsBounded() {
+    void longJournalBecomesSnapshotAndBytesPerMinuteAreBounded() {
         RecordStore store = begun();
         String big = "x".repeat(100_000);
         int replaced = 0;
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void whatIsTooLongIsNotKept() {
+    void oversizedRecordIsNotKept() {
         RecordStore store = begun();
         store.put(0, record(RecordKind.ENDPOINT_LIST, "x".repeat(RecordStore.MAX_RECORD_BYTES + 1)));
         assertThat(store.get(RecordKind.ENDPOINT_LIST)).isNull();
@@ -93,7 +93,7 @@
 
     /** An epoch of the files never goes back, whoever wrote last. */
     @Test
-    void whatAnotherProcessWroteComesBefore() {
+    void generationContinuesAfterAnotherProcess() {
         RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
         store.continueAfter(new StateFileHeader("p", "f", 17, 4));
         StateWrite.Replace w = (StateWrite.Replace) store.nextWrite(0);
@@ -124,7 +124,7 @@
         "ZONE_STATES,-300,HINT",
         "ENDPOINT_LIST,NaN,UNUSABLE"
     })
-    void whatWasKeptIsUsedAsFarAsItsAgeAllows(RecordKind kind, double seconds, Validity use) {
+    void validityFollowsFromKindAndAge(RecordKind kind, double seconds, Validity use) {
         assertThat(kind.validity(seconds * 1000)).isEqualTo(use);
     }
 
@@ -136,7 +136,7 @@
 
     /** Of another's folder or a later version's nothing is used, and it is told. */
     @Test
-    void whatIsAnothersIsOfNoUse() {
+    void filesOfAnotherInstanceOrVersionAreUnusable() {
         assertThat(open(null, "p").findings()).isEmpty();
         assertThat(open(null, "q").findings()).extracting(Finding::severity).containsExactly(Severity.UNUSABLE);
         assertThat(open(null, "q").findings().get(0))
@@ -151,7 +151,7 @@
 
     /** The two steps of a snapshot: a journal that is behind says nothing new, one that is ahead does. */
     @Test
-    void aJournalOfAnotherGenerationIsTakenOnlyIfItIsAhead() {
+    void journalOfAnotherGenerationAppliesOnlyIfNewer() {
         RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
         store.put(0, record(RecordKind.ENDPOINT_LIST, "old"));
         StateWrite.Replace first = (StateWrite.Replace) store.nextWrite(1000);
--- a/src/test/java/cacheproxy/state/StateFolderTest.java
+++ b/src/test/java/cacheproxy/state/StateFolderTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void whatIsWrittenIsThereForTheNext() throws IOException {
+    void writtenRecordsAreReadByTheNextProcess() throws IOException {
         Path there = path.resolve("not/yet");
         try (StateFolder folder = new StateFolder(there)) {
             assertThat(folder.read("p", "f").findings()).isEmpty();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void onlyOneWritesAtATime() throws IOException {
+    void onlyOneProcessHoldsTheLock() throws IOException {
         try (StateFolder one = new StateFolder(path);
                 StateFolder two = new StateFolder(path)) {
             assertThat(one.tryLock()).isTrue();
@@ -70,7 +70,7 @@
 
     /** What can't be written fails for itself: what was there stays, and the next whole write mends it. */
     @Test
-    void aWriteThatFailsLeavesWhatWasThere() throws IOException {
+    void failedWriteKeepsTheOldFiles() throws IOException {
         try (StateFolder folder = new StateFolder(path)) {
             RecordStore store = write(folder, 1);
             Path inTheWay = Files.createDirectory(path.resolve("snapshot.new"));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aFolderThatWentIsMadeAnew() throws IOException {
+    void deletedFolderIsRecreated() throws IOException {
         Path there = path.resolve("gone");
         try (StateFolder folder = new StateFolder(there)) {
             RecordStore store = write(folder, 1);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aFileInPlaceOfTheFolderIsToldAndNothingElse() throws IOException {
+    void fileInPlaceOfTheFolderFailsTheLock() throws IOException {
         Path file = Files.writeString(path.resolve("file"), "x");
         try (StateFolder folder = new StateFolder(file)) {
             assertThat(folder.read("p", "f").records()).isEmpty();
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void anothersFilesAreLaidAside() throws IOException {
+    void filesOfAnotherInstanceAreSetAside() throws IOException {
         try (StateFolder folder = new StateFolder(path)) {
             write(folder, 1);
             OpenedState others = folder.read("q", "f");
@@ -145,7 +145,7 @@
 
     /** Killed at some moment of a write; what it had said is there, and what comes after goes on from it. */
     @Test
-    void whatWasDoneOutlastsAKill() throws Exception {
+    void completedWritesSurviveAKill() throws Exception {
         int done = 0;
         for (int kill = 1; kill <= KILLS; kill++) {
             Process process = new ProcessBuilder(
--- a/src/test/java/cacheproxy/state/StoredFormTest.java
+++ b/src/test/java/cacheproxy/state/StoredFormTest.java
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void theFilesAreWrittenAsTheyWere() {
+    void filesAreWrittenAsPinned() {
         byte[][] files = written();
         PinnedFile.assertText("state/sound/snapshot", new String(files[0], StandardCharsets.UTF_8));
         PinnedFile.assertText("state/sound/journal", new String(files[1], StandardCharsets.UTF_8));
@@ -95,7 +95,7 @@
                 "other-bodies",
                 "empty-files"
             })
-    void eachFolderIsReadAsItWas(String folder) {
+    void folderIsReadAsPinned(String folder) {
         OpenedState opened = new StateFolder(PinnedFile.path("state/" + folder)).read(ME, FLEET);
         StateReport inspection = new StateReport(opened, NOW_MS);
         PinnedFile.assertJson("state/" + folder + "/inspection.json", inspection.toJson());
@@ -104,7 +104,7 @@
 
     /** How far each kind may be used over its age: what a process that starts decides by. */
     @Test
-    void theAgesAtWhichUseEndsAreWhatTheyWere() {
+    void validityByAgeIsAsPinned() {
         StringBuilder table = new StringBuilder();
         double[] agesMs = {
             Double.NaN, -1, 0, 30_000, 30_001, 60_000, 60_001, 600_000, 600_001, 86_400_000, 86_400_001, 1e15
