--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -6,6 +6,7 @@
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.peer.EndpointGossipLink;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
@@ -106,7 +107,7 @@
     private void joinMembership(FleetFeatures features) {
         Config current = config.get();
         members = new MembershipLink(
-                dispatcher,
+                new DispatcherPeerPorts(dispatcher),
                 peers,
                 current.settings(),
                 restored.incarnation(),
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.membership.LiveMembers;
 import cacheproxy.proxy.peer.EndpointGossipLink;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.EndpointSignal;
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -4,6 +4,7 @@
 import cacheproxy.membership.MembershipView;
 import cacheproxy.membership.ServicePhase;
 import cacheproxy.metrics.Metric;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.recovery.ConnectionRebalancer;
 import cacheproxy.recovery.ProvenanceTracker.Subject;
 import cacheproxy.recovery.RecoveryProgress;
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.recovery.PeerStateQuery;
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -3,6 +3,7 @@
 import cacheproxy.failover.ZoneSettings;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.Zones;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
--- a/src/main/java/cacheproxy/proxy/MembershipLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/MembershipLink.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.peer;
 
 import cacheproxy.gossip.MembershipBudget;
 import cacheproxy.membership.LiveMembers;
@@ -6,14 +6,12 @@
 import cacheproxy.membership.MembershipSettings;
 import cacheproxy.membership.MembershipView;
 import cacheproxy.membership.ServicePhase;
-import cacheproxy.proxy.peer.PeerDatagramSocket;
-import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.RoutingSettings;
 import java.util.function.Consumer;
 
 /** Sends the messages that {@link Membership} decides on, and calls it when it is due. Event loop only. */
-final class MembershipLink {
-    private final Dispatcher dispatcher;
+public final class MembershipLink {
+    private final EventScheduler scheduler;
     private final PeerDatagramSocket peers;
     private final Membership membership;
     private final Consumer<LiveMembers> liveMembersListener;
@@ -29,15 +27,15 @@
      * @param lastIncarnation the incarnation of this instance's last process; 0 if that is unknown
      * @param liveMembersListener called with the number of live members each time that it changes
      */
-    MembershipLink(
-            Dispatcher dispatcher,
+    public MembershipLink(
+            EventScheduler scheduler,
             PeerDatagramSocket peers,
             RoutingSettings settings,
             long lastIncarnation,
             long seed,
             ServicePhase phase,
             Consumer<LiveMembers> liveMembersListener) {
-        this.dispatcher = dispatcher;
+        this.scheduler = scheduler;
         this.peers = peers;
         this.liveMembersListener = liveMembersListener;
         membership = new Membership(
@@ -53,51 +51,51 @@
     }
 
     /** A membership message of a peer has been received. */
-    void messageReceived(int peer, byte[] body) {
+    public void messageReceived(int peer, byte[] body) {
         membership.messageReceived(nowMs(), peer, body);
         run();
     }
 
     /** Sets what is called each time that something may have changed. */
-    void onChange(Runnable listener) {
+    public void onChange(Runnable listener) {
         changeListener = listener;
     }
 
     /** Publishes a part's note with this instance's entry; empty removes it. */
-    void note(int part, byte[] bytes) {
+    public void note(int part, byte[] bytes) {
         membership.note(part, bytes);
         run();
     }
 
     /** Announces the phase of this instance's service. */
-    void phase(ServicePhase phase) {
+    public void phase(ServicePhase phase) {
         membership.phase(phase);
         run();
     }
 
     /** Announces that this instance leaves for good. */
-    void leave() {
+    public void leave() {
         membership.leave(nowMs());
         run();
     }
 
     /** The fleet as this instance sees it now. */
-    MembershipView view() {
+    public MembershipView view() {
         return membership.view(nowMs());
     }
 
     /** This instance's incarnation number. */
-    long incarnation() {
+    public long incarnation() {
         return membership.incarnation();
     }
 
     /** How often this proxy refuted that it was dead. */
-    long deathsRefuted() {
+    public long deathsRefuted() {
         return membership.deathsRefuted();
     }
 
     /** Messages that could not be read. */
-    long unreadable() {
+    public long unreadable() {
         return membership.unreadable();
     }
 
@@ -117,7 +115,7 @@
         changeListener.run();
         double dueMs = membership.dueMs();
         if (dueMs != Double.POSITIVE_INFINITY) {
-            dispatcher.after(Math.max(0, dueMs - nowMs()), () -> {
+            scheduler.schedule(Math.max(0, dueMs - nowMs()), () -> {
                 if (timerGeneration == timer) {
                     run();
                 }
