--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -65,7 +65,7 @@
         this.acceptor = acceptor;
         this.discardEndpointList = discardEndpointList;
         progress = new RecoveryProgress(dispatcher.startedMs());
-        if (dispatcher.servers().discovered() > 0) {
+        if (dispatcher.servers().cacheNodeCount() > 0) {
             progress.listAvailable(dispatcher.now(), listConfirmed);
         }
         dispatcher.addEndpointListListener(this::endpointListChanged);
@@ -76,7 +76,7 @@
     private void endpointListChanged(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.SNAPSHOT || kind == EndpointUpdateKind.DELTA) {
             progress.listAvailable(dispatcher.now(), true);
-        } else if (kind == EndpointUpdateKind.CACHED && dispatcher.servers().discovered() == 0) {
+        } else if (kind == EndpointUpdateKind.CACHED && dispatcher.servers().cacheNodeCount() == 0) {
             progress.listLost();
         }
     }
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -111,9 +111,9 @@
     private PeerStateQuery.Result result() {
         Map<Integer, Integer> zoneOf = new HashMap<>();
         Map<Integer, Integer> nodesInZone = new HashMap<>();
-        dispatcher.servers().nodes().forEach(node -> {
-            zoneOf.put(node.id, node.place.zone());
-            nodesInZone.merge(node.place.zone(), 1, Integer::sum);
+        dispatcher.servers().cacheNodes().forEach(node -> {
+            zoneOf.put(node.id, node.location.zone());
+            nodesInZone.merge(node.location.zone(), 1, Integer::sum);
         });
         return query.result(zoneOf, nodesInZone);
     }
@@ -136,7 +136,7 @@
 
     private LearnedState learnedState(PeerStateQuery.Result result) {
         List<EndpointHealthRecord> suspected = result.suspectedNodes().stream()
-                .map(id -> new EndpointHealthRecord(id, dispatcher.servers().get(id).bornMs, 1, 0, 0))
+                .map(id -> new EndpointHealthRecord(id, dispatcher.servers().get(id).startTimeMs, 1, 0, 0))
                 .toList();
         return new LearnedState(
                 result.originFetchMs(),
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/UpstreamServer.java
@@ -0,0 +1,60 @@
+package cacheproxy.proxy;
+
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointLocation;
+import cacheproxy.routing.EndpointState;
+import io.netty.bootstrap.Bootstrap;
+import java.net.SocketAddress;
+
+/** A server of the endpoint list, as the list describes it, with the connections to it. Event loop only. */
+final class UpstreamServer {
+    final int id;
+    final boolean origin;
+    final ServerConnectionPool pool;
+    SocketAddress address;
+    /** When its process started, on the clock of the list, in milliseconds. */
+    double startTimeMs;
+    /** The same on the clock of {@link Dispatcher#now}; 0 if not known. */
+    double localStartTimeMs;
+
+    EndpointLocation location;
+    /** Whether it takes new requests. */
+    boolean ready;
+
+    UpstreamServer(
+            int id,
+            boolean origin,
+            Dispatcher dispatcher,
+            Bootstrap bootstrap,
+            ConnectionLimits globalLimits,
+            ServerConnectionPool.Limits limits) {
+        this.id = id;
+        this.origin = origin;
+        pool = new ServerConnectionPool(this, dispatcher, bootstrap, globalLimits, limits);
+    }
+
+    /** Takes over what the list says now; connections to an earlier address or process are retired. */
+    void update(DiscoveredEndpoint discovered) {
+        Endpoint endpoint = discovered.endpoint();
+        if (!discovered.address().equals(address) || startTimeMs != endpoint.startTimeMs()) {
+            pool.retire();
+        }
+        address = discovered.address();
+        startTimeMs = endpoint.startTimeMs();
+        localStartTimeMs = endpoint.localStartTimeMs();
+        location = new EndpointLocation(endpoint.zone(), endpoint.cell());
+        ready = endpoint.state() == EndpointState.READY;
+    }
+
+    /** The list has it no longer. */
+    void removed() {
+        ready = false;
+        pool.retire();
+    }
+
+    /** When it is warmed up, on the clock of {@link Dispatcher#now}; 0 if its start is not known. */
+    double warmedUpAtMs(double warmUpMs) {
+        return localStartTimeMs == 0 ? 0 : localStartTimeMs + warmUpMs;
+    }
+}
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveredEndpoint.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveredEndpoint.java
@@ -1,14 +1,14 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.route.Pool;
+import cacheproxy.route.EndpointAttributes;
 import cacheproxy.routing.Endpoint;
 import java.net.SocketAddress;
 
 /**
- * An entry of the list.
+ * An entry of the endpoint list, as its users need it.
  *
- * @param endpoint for the decision module
- * @param address where it listens
- * @param poolMember what pools select it by
+ * @param endpoint as the load balancer knows it
+ * @param address where it accepts connections
+ * @param attributes what pools select it by
  */
-public record DiscoveredEndpoint(Endpoint endpoint, SocketAddress address, Pool.Server poolMember) {}
+public record DiscoveredEndpoint(Endpoint endpoint, SocketAddress address, EndpointAttributes attributes) {}
--- a/src/test/java/cacheproxy/proxy/WallClockTest.java
+++ b/src/test/java/cacheproxy/proxy/WallClockTest.java
@@ -41,10 +41,10 @@
                 .start()) {
             Await.until(
                     "its start is known",
-                    () -> fleet.on(
-                            () -> fleet.proxy.dispatcher().servers().nodes().get(0).bornMs == told + aheadMs));
+                    () -> fleet.on(() ->
+                            fleet.proxy.dispatcher().servers().cacheNodes().get(0).startTimeMs == told + aheadMs));
             List<Double> warm =
-                    fleet.on(() -> fleet.proxy.dispatcher().servers().warmAt(0, WARM_UP_MS));
+                    fleet.on(() -> fleet.proxy.dispatcher().servers().warmedUpAtMs(0, WARM_UP_MS));
             return warm.get(0) - fleet.on(() -> fleet.proxy.dispatcher().now());
         }
     }
