--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -6,6 +6,7 @@
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.peer.EndpointGossipLink;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
@@ -106,7 +107,7 @@
     private void joinMembership(FleetFeatures features) {
         Config current = config.get();
         members = new MembershipLink(
-                dispatcher,
+                new DispatcherPeerPorts(dispatcher),
                 peers,
                 current.settings(),
                 restored.incarnation(),
@@ -191,7 +192,7 @@
                 stateLink == null ? null : stateLink.openedState(),
                 stateLink == null ? null : stateLink.recordStore(),
                 stateLink == null ? null : stateLink.path().toString(),
-                stateLink != null && stateLink.isLockHeld());
+                stateLink != null && stateLink.hasLock());
     }
 
     /** The fleet's zone decisions; null where this instance takes no part in them. */
