--- a/src/main/java/cacheproxy/control/ZoneControl.java
+++ b/src/main/java/cacheproxy/control/ZoneControl.java
@@ -46,9 +46,9 @@
         row.addProperty("zone", zone);
         row.addProperty("open", Math.round(1000 * status.trafficFraction()) / 1000.0);
         row.addProperty("epoch", status.state().epoch());
-        row.addProperty("cause", AnswerWords.of(status.state().cause()));
+        row.addProperty("cause", StatusNames.of(status.state().cause()));
         row.addProperty("leaves", status.state().leaveCount());
-        row.addProperty("sight", AnswerWords.of(status.ownHealth()));
+        row.addProperty("sight", StatusNames.of(status.ownHealth()));
         row.addProperty("verdict", status.fleetVerdict());
         if (status.unchangedMs() < Double.POSITIVE_INFINITY) {
             row.addProperty("since_s", Math.round(status.unchangedMs() / 100) / 10.0);
--- a/src/main/java/cacheproxy/failover/InstanceRanking.java
+++ b/src/main/java/cacheproxy/failover/InstanceRanking.java
@@ -1,6 +1,6 @@
 package cacheproxy.failover;
 
-import cacheproxy.membership.Entry;
+import cacheproxy.membership.Member;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -20,7 +20,7 @@
     private InstanceRanking() {}
 
     private static long key(int zone, int instance) {
-        return Entry.mix(instance ^ zone * ZONE_FACTOR);
+        return Member.mix(instance ^ zone * ZONE_FACTOR);
     }
 
     /** How many of those that report come before an instance. */
--- a/src/main/java/cacheproxy/failover/ZoneFailover.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -2,8 +2,8 @@
 
 import cacheproxy.failover.ZoneFaultDetector.Verdict;
 import cacheproxy.failover.ZoneState.Cause;
-import cacheproxy.membership.Entry;
-import cacheproxy.membership.View;
+import cacheproxy.membership.Member;
+import cacheproxy.membership.MembershipView;
 import cacheproxy.routing.ZoneDirective;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -46,7 +46,7 @@
 
     private static final String OPERATOR_ORDER = "an operator's order here";
 
-    private record DecodedEntry(Entry entry, ZoneHealthReport report) {}
+    private record DecodedEntry(Member entry, ZoneHealthReport report) {}
 
     private final ZoneFailoverSettings settings;
     private final ZoneHealthMonitor monitor;
@@ -198,7 +198,7 @@
     // ---- time
 
     /** Takes the fleet's view, decides what is due, and returns what has changed for the load balancer. */
-    public List<ZoneDirective> tick(double nowMs, View view) {
+    public List<ZoneDirective> tick(double nowMs, MembershipView view) {
         List<ZoneHealthReport> reports = new ArrayList<>();
         Set<Integer> homeZones = new HashSet<>();
         takeReports(nowMs, view, reports, homeZones);
@@ -221,18 +221,19 @@
     }
 
     /** Adopts the plans of all others, and adds the reports of those that live. */
-    private void takeReports(double nowMs, View view, List<ZoneHealthReport> reports, Set<Integer> homeZones) {
-        if (decodedEntries.size() > 2 * view.entries().size()) {
+    private void takeReports(
+            double nowMs, MembershipView view, List<ZoneHealthReport> reports, Set<Integer> homeZones) {
+        if (decodedEntries.size() > 2 * view.members().size()) {
             decodedEntries.clear(); // most of them are of instances that are gone
         }
-        for (Entry entry : view.entries()) {
+        for (Member entry : view.members()) {
             homeZones.add(entry.zone());
             if (entry.id() == settings.instanceId()) {
                 continue;
             }
             ZoneHealthReport report = decoded(entry);
             planState.adopt(nowMs, report);
-            if (entry.state().lives()) {
+            if (entry.state().isLive()) {
                 reports.add(report);
             }
         }
@@ -240,7 +241,7 @@
 
     /** Decodes an entry anew only where it has changed. */
     @SuppressWarnings("ReferenceEquality") // immutable: the same entry says the same
-    private ZoneHealthReport decoded(Entry entry) {
+    private ZoneHealthReport decoded(Member entry) {
         DecodedEntry known = decodedEntries.get(entry.id());
         if (known == null || known.entry() != entry) {
             byte[] health = entry.note(HEALTH_NOTE);
@@ -267,9 +268,9 @@
     }
 
     /** An instance that has just started has met too few to know how the fleet stands. */
-    private static boolean hasMetMost(View view) {
-        return view.configured() == null
-                || 2 * view.entries().size() > view.configured().count();
+    private static boolean hasMetMost(MembershipView view) {
+        return view.configuredMembers() == null
+                || 2 * view.members().size() > view.configuredMembers().count();
     }
 
     private void decideIfDue(double nowMs, int zone, ZoneFaultDetector detector, List<ZoneHealthReport> reports) {
--- a/src/main/java/cacheproxy/gossip/ListVersionGossip.java
+++ b/src/main/java/cacheproxy/gossip/ListVersionGossip.java
@@ -1,6 +1,6 @@
 package cacheproxy.gossip;
 
-import cacheproxy.membership.Living;
+import cacheproxy.membership.LiveMembers;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
@@ -79,7 +79,7 @@
     }
 
     /** So many instances live: spans are for them, and nobody waits for those that are gone. */
-    public void setLiveMembers(Living living) {
+    public void setLiveMembers(LiveMembers living) {
         instanceCount = living.count();
     }
 
--- a/src/main/java/cacheproxy/membership/State.java
+++ b/src/main/java/cacheproxy/membership/MemberState.java
@@ -1,19 +1,19 @@
 package cacheproxy.membership;
 
-/** What is believed of an instance's life; of two beliefs in the same life and incarnation the later one here holds. */
-public enum State {
-    /** It answers, or nobody has found otherwise. */
+/** The state of a member; of two states in the same incarnation and process the later one here holds. */
+public enum MemberState {
+    /** It answers probes, or nobody has found otherwise. */
     ALIVE(0),
-    /** Somebody did not reach it. It may still refute that, by its next incarnation. */
+    /** A probe of it has failed. It may still refute that, by its next incarnation. */
     SUSPECT(1),
-    /** It has been given up. Only its own next incarnation brings it back. */
+    /** It was declared dead. Only its own next incarnation revives it. */
     DEAD(2),
-    /** It has said that it leaves. */
+    /** It has announced that it leaves. */
     LEFT(3);
 
     private final int code;
 
-    State(int code) {
+    MemberState(int code) {
         this.code = code;
     }
 
@@ -23,7 +23,7 @@
     }
 
     /** The state of that code, 0 to 3. */
-    static State of(int code) {
+    static MemberState of(int code) {
         return switch (code) {
             case 0 -> ALIVE;
             case 1 -> SUSPECT;
@@ -33,8 +33,8 @@
         };
     }
 
-    /** Whether it is to be counted among those that live. */
-    public boolean lives() {
+    /** Whether it counts among the live members. */
+    public boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/membership/MembershipView.java
@@ -0,0 +1,66 @@
+package cacheproxy.membership;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * What one instance knows of the fleet at a moment; immutable. It is advice: instances that reach each other soon know
+ * the same, but not until then, and not across a partition. So there are two types of counts that can't be confused:
+ * {@link #liveMembers()} for what may save work, {@link #configuredMembers()} for what a safety rule rests on.
+ *
+ * @param self the number of the instance whose view it is
+ * @param atMs when it was taken, by the instance's own clock, in milliseconds
+ * @param members all known members, by number
+ * @param digest equal for instances that know the same
+ * @param configuredMembers how many members are configured; null where they join by seeds
+ * @param disputed whether another process seems to run under the instance's number
+ */
+public record MembershipView(
+        int self,
+        double atMs,
+        List<Member> members,
+        int digest,
+        ConfiguredMembers configuredMembers,
+        boolean disputed) {
+    /** Checks that the instance itself is in it. */
+    public MembershipView {
+        members = List.copyOf(members);
+        if (members.stream().noneMatch(e -> e.id() == self)) {
+            throw new IllegalArgumentException("the view lacks its own instance");
+        }
+    }
+
+    /** How many members are live, itself among them. */
+    public LiveMembers liveMembers() {
+        return new LiveMembers(1
+                + (int) members.stream()
+                        .filter(e -> e.id() != self && e.state().isLive())
+                        .count());
+    }
+
+    /** Which part of the configured fleet it reaches; of all known members where they join by seeds. */
+    public Reachability reachability() {
+        int all = configuredMembers == null ? members.size() : configuredMembers.count();
+        return Reachability.of(
+                (int) members.stream()
+                        .filter(e -> e.state() == MemberState.ALIVE
+                                && (configuredMembers == null || e.id() < configuredMembers.count()))
+                        .count(),
+                all);
+    }
+
+    /** The same for each zone that members have announced. */
+    public Map<Integer, Reachability> reachabilityByZone() {
+        Map<Integer, int[]> counts = new TreeMap<>();
+        for (Member e : members) {
+            int[] c = counts.computeIfAbsent(e.zone(), z -> new int[2]);
+            c[0] += e.state() == MemberState.ALIVE ? 1 : 0;
+            c[1]++;
+        }
+        Map<Integer, Reachability> by = new TreeMap<>();
+        counts.forEach((zone, c) ->
+                by.put(zone, c[0] == 0 ? Reachability.ALONE : Reachability.of(c[0] == 1 && c[1] > 1 ? 2 : c[0], c[1])));
+        return by;
+    }
+}
--- a/src/main/java/cacheproxy/membership/Phase.java
+++ b/src/main/java/cacheproxy/membership/ServicePhase.java
@@ -1,19 +1,19 @@
 package cacheproxy.membership;
 
-/** What an instance says of its own service. */
-public enum Phase {
-    /** It takes no requests yet. */
+/** The phase of its service that an instance announces. */
+public enum ServicePhase {
+    /** It accepts no requests yet. */
     STARTING(0),
-    /** It serves what it can and learns the rest. */
+    /** It serves what it can, and collects state. */
     RECOVERING(1),
-    /** It serves. */
+    /** Full service. */
     SERVING(2),
-    /** It takes nothing new. */
+    /** It accepts no new clients. */
     DRAINING(3);
 
     private final int code;
 
-    Phase(int code) {
+    ServicePhase(int code) {
         this.code = code;
     }
 
@@ -23,7 +23,7 @@
     }
 
     /** The phase of that code, 0 to 3. */
-    static Phase of(int code) {
+    static ServicePhase of(int code) {
         return switch (code) {
             case 0 -> STARTING;
             case 1 -> RECOVERING;
--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -19,18 +19,19 @@
 
     private static final double HEALTH_CHECK_TIMEOUT_MS = 250;
     /** Of a server that is not in the endpoint list. */
-    private static final EndpointLocation UNKNOWN_PLACE = new EndpointLocation(-1, -1);
+    private static final EndpointLocation UNKNOWN_LOCATION = new EndpointLocation(-1, -1);
 
     private final EventLoop loop;
     private final LoopClock loopClock;
     private final ProxyClock clock;
     private final Timers timers;
     private final RequestSettings settings;
-    private final Servers servers;
+    private final UpstreamServers servers;
     private final Counters counters;
     private final RuleMonitor rules;
     private final SerialLoadBalancer loadBalancer;
     private final AttemptLifecycle attempts;
+    private final AttemptOperations operations;
 
     AttemptStarter(
             EventLoop loop,
@@ -38,11 +39,12 @@
             ProxyClock clock,
             Timers timers,
             RequestSettings settings,
-            Servers servers,
+            UpstreamServers servers,
             Counters counters,
             RuleMonitor rules,
             SerialLoadBalancer loadBalancer,
-            AttemptLifecycle attempts) {
+            AttemptLifecycle attempts,
+            ResponseStreaming streaming) {
         this.loop = loop;
         this.loopClock = loopClock;
         this.clock = clock;
@@ -53,6 +55,7 @@
         this.rules = rules;
         this.loadBalancer = loadBalancer;
         this.attempts = attempts;
+        operations = new AttemptOperations(this, attempts, streaming);
     }
 
     /**
@@ -64,9 +67,10 @@
         double now = clock.now();
         double remainingMs = request.deadlineMs - now;
         double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
-        Upstream upstream = servers.get(server);
-        EndpointLocation place = upstream == null ? UNKNOWN_PLACE : upstream.place;
-        RequestAttempt attempt = new RequestAttempt(request, request.attempts.size(), server, place, now, now + waitMs);
+        UpstreamServer upstream = servers.get(server);
+        EndpointLocation location = upstream == null ? UNKNOWN_LOCATION : upstream.location;
+        RequestAttempt attempt =
+                new RequestAttempt(operations, request, request.attempts.size(), server, location, now, now + waitMs);
         count(request, upstream);
         request.attempts.add(attempt);
         request.attemptsInFlight++;
@@ -87,7 +91,7 @@
         }
         if (!mayBegin(attempt)) {
             attempts.endSerially(attempt, AttemptOutcome.NOT_SENT);
-        } else if (!servers.get(attempt.server).send(attempt)) {
+        } else if (!servers.get(attempt.server).pool.send(attempt)) {
             attempts.endSerially(attempt, AttemptOutcome.CONNECT_FAILED);
         }
     }
@@ -98,7 +102,7 @@
      */
     boolean mayBegin(RequestAttempt attempt) {
         ClientRequest request = attempt.request;
-        Upstream upstream = servers.get(attempt.server);
+        UpstreamServer upstream = servers.get(attempt.server);
         boolean serverReady = upstream != null && upstream.ready;
         if (attempt.isHealthCheck()) {
             return serverReady;
@@ -109,9 +113,9 @@
                 new SafetyRules.AttemptStart(
                         request.state(),
                         request.serviceClass,
-                        Math.min(attempt.expiresMs, request.deadlineMs) - now,
+                        Math.min(attempt.expiresMs(), request.deadlineMs) - now,
                         serverReady,
-                        attempt.place,
+                        attempt.location,
                         attempt.index,
                         Math.min(request.maxAttempts, settings.routing().maxAttempts()),
                         settings.routing().hedgingAllowed(),
@@ -134,7 +138,7 @@
         }
     }
 
-    private void count(ClientRequest request, Upstream upstream) {
+    private void count(ClientRequest request, UpstreamServer upstream) {
         counters.increment(Metric.ATTEMPTS);
         if (!request.attempts.isEmpty()) {
             counters.increment(request.attemptsInFlight > 0 ? Metric.HEDGES : Metric.RETRIES);
@@ -152,11 +156,12 @@
 
     /** Starts a health check of a server; its result goes to the load balancer. */
     void startHealthCheck(int server) {
-        Upstream upstream = servers.get(server);
+        UpstreamServer upstream = servers.get(server);
         counters.increment(Metric.HEALTH_CHECKS);
         double now = clock.now();
-        RequestAttempt check = new RequestAttempt(null, 0, server, UNKNOWN_PLACE, now, now + HEALTH_CHECK_TIMEOUT_MS);
-        if (upstream == null || !upstream.ready || !upstream.send(check)) {
+        RequestAttempt check =
+                new RequestAttempt(operations, null, 0, server, UNKNOWN_LOCATION, now, now + HEALTH_CHECK_TIMEOUT_MS);
+        if (upstream == null || !upstream.ready || !upstream.pool.send(check)) {
             attempts.endSerially(check, AttemptOutcome.CONNECT_FAILED);
         } else {
             check.timer = timers.after(HEALTH_CHECK_TIMEOUT_MS, () -> attempts.expire(check));
--- a/src/main/java/cacheproxy/proxy/FleetViewStatus.java
+++ b/src/main/java/cacheproxy/proxy/FleetViewStatus.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.membership.View;
+import cacheproxy.membership.MembershipView;
 
 /**
  * The membership view with its counters.
@@ -10,4 +10,5 @@
  * @param refutedDeaths how often this instance refuted that it was dead
  * @param droppedDatagrams datagrams that exceeded the send budget
  */
-public record FleetViewStatus(View view, long unreadableMessages, long refutedDeaths, long droppedDatagrams) {}
+public record FleetViewStatus(
+        MembershipView view, long unreadableMessages, long refutedDeaths, long droppedDatagrams) {}
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -1,7 +1,8 @@
 package cacheproxy.proxy;
 
-import cacheproxy.membership.Living;
+import cacheproxy.membership.LiveMembers;
 import cacheproxy.proxy.peer.EndpointGossipLink;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.EndpointSignal;
@@ -13,7 +14,7 @@
 final class PeerLinks {
     private final SerialLoadBalancer loadBalancer;
     private EndpointGossipLink endpointListGossip;
-    private MemberLink membership;
+    private MembershipLink membership;
     private OutlierGossipLink outlierGossip;
     private ZoneFailoverLink zoneFailover;
     private StateQueryLink stateQueries;
@@ -28,7 +29,7 @@
     }
 
     /** Sets the links for the fleet's membership and for gossip of outliers. */
-    void setMembership(MemberLink link, OutlierGossipLink outliers) {
+    void setMembership(MembershipLink link, OutlierGossipLink outliers) {
         membership = link;
         outlierGossip = outliers;
     }
@@ -54,7 +55,7 @@
             case LOAD_BALANCER -> loadBalancer.peerMessageReceived(peer, message);
             case MEMBERSHIP -> {
                 if (membership != null) {
-                    membership.heard(peer, message);
+                    membership.messageReceived(peer, message);
                 }
             }
             case OUTLIERS -> {
@@ -64,14 +65,14 @@
             }
             case STATE_QUERY -> {
                 if (stateQueries != null) {
-                    stateQueries.heard(peer, message);
+                    stateQueries.messageReceived(peer, message);
                 }
             }
         }
     }
 
     /** The set of live members has changed. */
-    void liveMembersChanged(Living living) {
+    void liveMembersChanged(LiveMembers living) {
         if (endpointListGossip != null) {
             endpointListGossip.setLiveMembers(living);
         }
--- a/src/main/java/cacheproxy/proxy/TakeoverSnapshot.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverSnapshot.java
@@ -34,7 +34,7 @@
         JsonObject snapshot = new JsonObject();
         snapshot.addProperty("v", VERSION);
         snapshot.add("list", endpointList);
-        snapshot.add("learnt", LearnedStateCodec.json(learnedState));
+        snapshot.add("learnt", LearnedStateCodec.toJson(learnedState));
         JsonArray recordArray = new JsonArray();
         records.values().forEach(r -> recordArray.add(r.toJson()));
         snapshot.add("kept", recordArray);
@@ -52,7 +52,7 @@
             throw new IllegalArgumentException("version " + snapshot.get("v"));
         }
         Map<String, LearnedState> learnedState =
-                snapshot.has("learnt") ? LearnedStateCodec.read(snapshot.getAsJsonObject("learnt")) : Map.of();
+                snapshot.has("learnt") ? LearnedStateCodec.fromJson(snapshot.getAsJsonObject("learnt")) : Map.of();
         Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
         if (snapshot.has("kept")) {
             snapshot.getAsJsonArray("kept")
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
@@ -4,6 +4,7 @@
 import cacheproxy.failover.ZoneFailoverSettings;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.ZoneTransition;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
@@ -18,7 +19,7 @@
  */
 final class ZoneFailoverLink {
     private final Dispatcher dispatcher;
-    private final MemberLink members;
+    private final MembershipLink members;
     private final ZoneFailoverSettings settings;
     private final ZoneFailover zones;
     private final List<String> names;
@@ -28,7 +29,7 @@
     /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
     ZoneFailoverLink(
             Dispatcher dispatcher,
-            MemberLink members,
+            MembershipLink members,
             RoutingSettings settings,
             List<String> names,
             RestoredState last) {
@@ -53,7 +54,7 @@
 
     /** The decision module has met this at a server. */
     void saw(int server, EndpointSignal what) {
-        Upstream u = dispatcher.servers().get(server);
+        UpstreamServer u = dispatcher.servers().get(server);
         if (u == null) {
             return;
         }
@@ -63,8 +64,8 @@
             return;
         }
         switch (what) {
-            case RESPONDED, CACHE_MISS -> zones.onResponse(now, u.place.zone(), what == EndpointSignal.RESPONDED);
-            case UNRESPONSIVE -> zones.onNoResponse(now, u.place.zone(), server);
+            case RESPONDED, CACHE_MISS -> zones.onResponse(now, u.location.zone(), what == EndpointSignal.RESPONDED);
+            case UNRESPONSIVE -> zones.onNoResponse(now, u.location.zone(), server);
         }
     }
 
@@ -73,7 +74,7 @@
         for (int z = 0;
                 z < Math.min(settings.zoneCount(), ZoneFailoverSettings.MAX_ZONES);
                 z++) { // others take no part
-            List<Double> warm = dispatcher.servers().warmAt(z, settings.warmUpMs());
+            List<Double> warm = dispatcher.servers().warmedUpAtMs(z, settings.warmUpMs());
             // When half of them are warm; each moved key of the others misses.
             zones.onEndpoints(z, warm.size(), warm.isEmpty() ? now : warm.get(warm.size() / 2));
         }
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListCodec.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.route.Pool;
+import cacheproxy.route.EndpointAttributes;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
 import com.google.gson.JsonArray;
@@ -205,7 +205,7 @@
         return new DiscoveredEndpoint(
                 new Endpoint(endpointId(host), zone, kind, cell, state, weight, startTimeMs),
                 address(subject, text(subject, entry, "dial")),
-                new Pool.Server(host, zones.get(zone), kinds.get(kind), labels(subject, entry)));
+                new EndpointAttributes(host, zones.get(zone), kinds.get(kind), labels(subject, entry)));
     }
 
     private static EndpointState state(String subject, String health) {
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
@@ -114,7 +114,7 @@
         List<DiscoveredEndpoint> addressed = new ArrayList<>();
         for (Endpoint endpoint : endpoints) {
             DiscoveredEndpoint known = endpointsById.get(endpoint.id());
-            addressed.add(new DiscoveredEndpoint(endpoint, known.address(), known.poolMember()));
+            addressed.add(new DiscoveredEndpoint(endpoint, known.address(), known.attributes()));
         }
         return addressed;
     }
--- a/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
@@ -41,13 +41,13 @@
     }
 
     @Test
-    void everyFieldStandsWhereItStood() {
-        PinnedFile.assertText(FILE, LearnedStateCodec.json(everyField()) + "\n");
+    void everyFieldIsWrittenAsPinned() {
+        PinnedFile.assertText(FILE, LearnedStateCodec.toJson(everyField()) + "\n");
     }
 
     @Test
-    void theStoredFormReadsAsItWasMeant() {
+    void pinnedFormIsRead() {
         JsonObject stored = JsonParser.parseString(PinnedFile.text(FILE)).getAsJsonObject();
-        assertThat(LearnedStateCodec.read(stored)).isEqualTo(everyField());
+        assertThat(LearnedStateCodec.fromJson(stored)).isEqualTo(everyField());
     }
 }
