--- a/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
@@ -2,10 +2,18 @@
 
 import cacheproxy.proxy.peer.CacheNodes;
 import cacheproxy.proxy.peer.EventScheduler;
+import cacheproxy.proxy.peer.LearnedStateAccess;
+import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.routing.LearnedState;
+import java.util.HashMap;
+import java.util.Map;
 import java.util.OptionalInt;
 
-/** What the links to peers use of the core: its clock, its timers and the cache nodes of its list. */
-final class DispatcherPeerPorts implements EventScheduler, CacheNodes {
+/** What the links to peers use of the core: its clock, its timers, the cache nodes of its list and learned state. */
+final class DispatcherPeerPorts implements EventScheduler, CacheNodes, LearnedStateAccess {
+    /** The pool of all endpoints. */
+    private static final String ALL_ENDPOINTS = "";
+
     private final Dispatcher dispatcher;
 
     DispatcherPeerPorts(Dispatcher dispatcher) {
@@ -32,4 +40,41 @@
     public int countInZone(int zone) {
         return dispatcher.servers().cacheNodesInZone(zone);
     }
+
+    @Override
+    public LearnedState learnedState() {
+        return dispatcher.learnedState().get(ALL_ENDPOINTS);
+    }
+
+    @Override
+    public void resume(LearnedState learned) {
+        dispatcher.resume(Map.of(ALL_ENDPOINTS, learned));
+    }
+
+    @Override
+    public ProvenanceTracker provenance() {
+        return dispatcher.provenance();
+    }
+
+    @Override
+    public boolean isEjected(int endpointId) {
+        return dispatcher.isEjected(endpointId);
+    }
+
+    @Override
+    public double startTimeMs(int endpointId) {
+        return dispatcher.servers().get(endpointId).startTimeMs;
+    }
+
+    @Override
+    public Map<Integer, Integer> zonesOfCacheNodes() {
+        Map<Integer, Integer> zones = new HashMap<>();
+        dispatcher.servers().cacheNodes().forEach(node -> zones.put(node.id, node.location.zone()));
+        return zones;
+    }
+
+    @Override
+    public void log(String text) {
+        dispatcher.log(text);
+    }
 }
--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -10,6 +10,7 @@
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
+import cacheproxy.proxy.peer.StateQueryLink;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.RoutingSettings;
@@ -95,9 +96,17 @@
         if (features.recovery() && members != null) {
             ProvenanceTracker.Entry learned = dispatcher.provenance().entry(ProvenanceTracker.Subject.LEARNED_STATE);
             boolean nothingLearned = learned.provenance() == Provenance.NONE;
+            DispatcherPeerPorts ports = new DispatcherPeerPorts(dispatcher);
             dispatcher
                     .peerLinks()
-                    .setStateQueries(new StateQueryLink(dispatcher, peers, members, discovery, nothingLearned));
+                    .setStateQueries(new StateQueryLink(
+                            ports,
+                            ports,
+                            peers,
+                            members,
+                            discovery,
+                            dispatcher.settings().instanceIndex(),
+                            nothingLearned));
         }
         if (features.recovery()) {
             recovery = new RecoveryLink(dispatcher, members, acceptor, tookOver, this::restartDiscovery);
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -5,6 +5,7 @@
 import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerMessageKind;
+import cacheproxy.proxy.peer.StateQueryLink;
 import cacheproxy.routing.EndpointSignal;
 
 /**
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/StateQueryLink.java
@@ -1,9 +1,6 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.peer;
 
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.proxy.peer.MembershipLink;
-import cacheproxy.proxy.peer.PeerDatagramSocket;
-import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.recovery.PeerStateQuery;
 import cacheproxy.recovery.PeerStateSummary;
 import cacheproxy.recovery.Provenance;
@@ -21,41 +18,48 @@
  * Sends the state queries that {@link PeerStateQuery} decides on, adopts their result, and answers queries of peers.
  * Event loop only.
  */
-final class StateQueryLink {
+public final class StateQueryLink {
     private static final double TICK_MS = 100;
     /** The in-time ratio that peers report weighs as much as so many requests of this process to the origin. */
     private static final double ORIGIN_WEIGHT = 10;
     /** What peers reported is a hint for no longer than this: by then this process has observed more itself. */
     private static final double MAX_AGE_MS = 60_000;
-    /** The pool of all endpoints. */
-    private static final String ALL_ENDPOINTS = "";
 
-    private final Dispatcher dispatcher;
+    private final EventScheduler scheduler;
+    private final LearnedStateAccess state;
     private final PeerDatagramSocket peers;
     private final MembershipLink members;
     private final DiscoveryClient discovery;
     /** Null where this process has state, and asks for none. */
     private final PeerStateQuery query;
 
-    /** {@code needsState}: whether this process has started without learned state, and asks for it. */
-    StateQueryLink(
-            Dispatcher dispatcher,
+    /**
+     * Begins at once.
+     *
+     * @param instance this instance's number
+     * @param needsState whether this process has started without learned state, and asks for it
+     */
+    public StateQueryLink(
+            EventScheduler scheduler,
+            LearnedStateAccess state,
             PeerDatagramSocket peers,
             MembershipLink members,
             DiscoveryClient discovery,
+            int instance,
             boolean needsState) {
-        this.dispatcher = dispatcher;
+        this.scheduler = scheduler;
+        this.state = state;
         this.peers = peers;
         this.members = members;
         this.discovery = discovery;
-        query = needsState ? new PeerStateQuery(dispatcher.settings().instanceIndex(), dispatcher.now()) : null;
+        query = needsState ? new PeerStateQuery(instance, scheduler.nowMs()) : null;
         if (needsState) {
             run();
         }
     }
 
     /** A state query of a peer, or its answer to one. */
-    void messageReceived(int peer, byte[] message) {
+    public void messageReceived(int peer, byte[] message) {
         if (PeerStateSummary.isQuery(message)) {
             answer(peer);
             return;
@@ -69,7 +73,7 @@
     // ---- answering
 
     private void answer(int peer) {
-        LearnedState learned = dispatcher.learnedState().get(ALL_ENDPOINTS);
+        LearnedState learned = state.learnedState();
         if (learned != null) { // null where there are pools and none of all endpoints
             peers.send(peer, PeerMessageKind.STATE_QUERY, summary(learned).encode());
         }
@@ -77,7 +81,7 @@
 
     private PeerStateSummary summary(LearnedState learned) {
         List<Integer> avoidedNodes = learned.endpoints().stream()
-                .filter(e -> e.failures() > 0 && dispatcher.isEjected(e.id()))
+                .filter(e -> e.failures() > 0 && state.isEjected(e.id()))
                 .sorted(Comparator.comparingInt(EndpointHealthRecord::failures).reversed())
                 .limit(PeerStateSummary.MAX_AVOIDED_NODES)
                 .map(EndpointHealthRecord::id)
@@ -98,34 +102,31 @@
     // ---- asking
 
     private void run() {
-        query.peersToQuery(dispatcher.now(), members.view())
+        query.peersToQuery(scheduler.nowMs(), members.view())
                 .forEach(peer -> peers.send(peer, PeerMessageKind.STATE_QUERY, PeerStateSummary.query()));
         switch (query.state()) {
-            case QUERYING -> dispatcher.after(TICK_MS, this::run);
+            case QUERYING -> scheduler.schedule(TICK_MS, this::run);
             case ANSWERED -> adopt(result());
-            case NO_SERVING_PEER -> dispatcher.log("recovery: state query ended, no peer serves; defaults are used");
-            case UNANSWERED -> dispatcher.log("recovery: state query ended, no peer answered; defaults are used");
+            case NO_SERVING_PEER -> state.log("recovery: state query ended, no peer serves; defaults are used");
+            case UNANSWERED -> state.log("recovery: state query ended, no peer answered; defaults are used");
         }
     }
 
     private PeerStateQuery.Result result() {
-        Map<Integer, Integer> zoneOf = new HashMap<>();
+        Map<Integer, Integer> zoneOf = state.zonesOfCacheNodes();
         Map<Integer, Integer> nodesInZone = new HashMap<>();
-        dispatcher.servers().cacheNodes().forEach(node -> {
-            zoneOf.put(node.id, node.location.zone());
-            nodesInZone.merge(node.location.zone(), 1, Integer::sum);
-        });
+        zoneOf.values().forEach(zone -> nodesInZone.merge(zone, 1, Integer::sum));
         return query.result(zoneOf, nodesInZone);
     }
 
     private void adopt(PeerStateQuery.Result result) {
-        double nowMs = dispatcher.now();
-        dispatcher.resume(Map.of(ALL_ENDPOINTS, learnedState(result)));
-        dispatcher.provenance().adopted(nowMs, Subject.LEARNED_STATE, Provenance.PEERS, 0, MAX_AGE_MS, true);
+        double nowMs = scheduler.nowMs();
+        state.resume(learnedState(result));
+        state.provenance().adopted(nowMs, Subject.LEARNED_STATE, Provenance.PEERS, 0, MAX_AGE_MS, true);
         if (result.listVersion() > discovery.version()) {
             discovery.onPeerAhead(); // a claim makes no list, but is worth a poll
         }
-        dispatcher.log(String.format(
+        state.log(String.format(
                 Locale.ROOT,
                 "recovery: state query answered, peers=%d suspected_nodes=%d list_version=%d origin_fetch_ms=%.0f",
                 result.answers(),
@@ -136,7 +137,7 @@
 
     private LearnedState learnedState(PeerStateQuery.Result result) {
         List<EndpointHealthRecord> suspected = result.suspectedNodes().stream()
-                .map(id -> new EndpointHealthRecord(id, dispatcher.servers().get(id).startTimeMs, 1, 0, 0))
+                .map(id -> new EndpointHealthRecord(id, state.startTimeMs(id), 1, 0, 0))
                 .toList();
         return new LearnedState(
                 result.originFetchMs(),
