--- a/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
+++ b/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
@@ -72,7 +72,7 @@
 
     /** Replaces the routes; only where there are any. */
     void routesChanged(Routing routing) {
-        executor.runSerially(() -> router.replace(clock.now(), routing, actions));
+        executor.runSerially(() -> router.replaceRoutes(clock.now(), routing, actions));
     }
 
     /** Delivers news of the endpoint list; false if the load balancer failed on it. */
--- /dev/null
+++ b/src/main/java/cacheproxy/route/AttemptPermission.java
@@ -0,0 +1,27 @@
+package cacheproxy.route;
+
+/**
+ * Whether an attempt that a pool's load balancer orders may be sent. Inputs: the request's attempts so far, its policy,
+ * and whether the endpoint is warming up.
+ */
+final class AttemptPermission {
+    private final EndpointCatalog endpoints;
+
+    AttemptPermission(EndpointCatalog endpoints) {
+        this.endpoints = endpoints;
+    }
+
+    /**
+     * Whether it may be sent; if so and it is a retry, it is taken from the policy's budget. Asking the origin for what
+     * an endpoint lacks is no retry; anything else after the first attempt is.
+     */
+    boolean trySend(double nowMs, RoutedRequest request, int endpointId) {
+        if (request.hasFallenBack() && endpoints.isWarmingUp(nowMs, endpointId)) {
+            return false; // the load that a failing pool sheds would overload an endpoint in slow start
+        }
+        if (request.missed() || request.countedAttempts() == 0) {
+            return true;
+        }
+        return request.route().limits().tryRetry(nowMs, request.countedAttempts(), request.hasInFlight());
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/route/PoolActions.java
@@ -0,0 +1,137 @@
+package cacheproxy.route;
+
+import cacheproxy.routing.AttemptEnd;
+import cacheproxy.routing.AttemptOutcome;
+import cacheproxy.routing.EndpointSignal;
+import cacheproxy.routing.RoutingActions;
+
+/**
+ * What the load balancer of one pool orders by during one event. Maps its attempts and timers to the dispatcher's, and
+ * decides what policies and fallbacks make of its orders. An attempt that is not allowed ends as
+ * {@link AttemptOutcome#NOT_SENT} for the load balancer, which goes on as after any such end.
+ */
+final class PoolActions implements RoutingActions {
+    /** The parts of the router that orders concern. */
+    record Context(
+            RoutedRequests requests,
+            AttemptPermission permission,
+            PoolTimers timers,
+            PendingHealthChecks healthChecks,
+            DeferredActions deferred) {}
+
+    private final Context context;
+    private final PoolBalancer pool;
+    private final double nowMs;
+    private final RoutingActions out;
+
+    PoolActions(Context context, PoolBalancer pool, double nowMs, RoutingActions out) {
+        this.context = context;
+        this.pool = pool;
+        this.nowMs = nowMs;
+        this.out = out;
+    }
+
+    @Override
+    public void send(int requestId, int endpointId, double timeoutMs) {
+        RoutedRequest request = context.requests().get(requestId);
+        int index = request.nextOrderIndex();
+        if (context.permission().trySend(nowMs, request, endpointId)) {
+            request.onAttemptSent(pool, index);
+            out.send(requestId, endpointId, timeoutMs);
+        } else {
+            throttle(request, index, endpointId);
+        }
+    }
+
+    private void throttle(RoutedRequest request, int index, int endpointId) {
+        request.route().onThrottledAttempt();
+        AttemptEnd end =
+                new AttemptEnd(request.request().id(), index, endpointId, AttemptOutcome.NOT_SENT, 0, false, 0, null);
+        context.deferred()
+                .add(later -> context.requests().closingOnFailure(request, () -> pool.onAttemptEnd(nowMs, end, later)));
+    }
+
+    /** What the pool has failed at goes to the fallback; what it rejects without an attempt does not. */
+    @Override
+    public void reject(int requestId, double retryAfterMs) {
+        RoutedRequests requests = context.requests();
+        RoutedRequest request = requests.get(requestId);
+        if (request != null
+                && (request.hasFailedAttempt() || !pool.hasReadyEndpoint())
+                && requests.mayFallBack(nowMs, request)) {
+            context.deferred().add(later -> requests.fallBack(nowMs, request, later));
+        } else {
+            close(request);
+            out.reject(requestId, retryAfterMs);
+        }
+    }
+
+    @Override
+    public void fail(int requestId) {
+        close(context.requests().get(requestId));
+        out.fail(requestId);
+    }
+
+    private void close(RoutedRequest request) {
+        if (request != null) {
+            context.requests().close(request);
+        }
+    }
+
+    @Override
+    public void cancel(int requestId, int attempt) {
+        RoutedRequest request = context.requests().get(requestId);
+        int index = request == null ? -1 : request.dispatcherIndex(pool, attempt);
+        if (index >= 0) {
+            out.cancel(requestId, index);
+        }
+    }
+
+    @Override
+    public void setTimer(double afterMs, int token) {
+        out.setTimer(afterMs, context.timers().add(pool, token));
+    }
+
+    @Override
+    public void checkHealth(int endpointId) {
+        if (!context.healthChecks().isPending(endpointId)) {
+            out.checkHealth(endpointId);
+        }
+        context.healthChecks().add(endpointId, pool);
+    }
+
+    @Override
+    public void closeIdle(int endpointId) {
+        out.closeIdle(endpointId);
+    }
+
+    @Override
+    public void sendToPeer(int peerIndex, byte[] message) {
+        out.sendToPeer(peerIndex, message);
+    }
+
+    /** The endpoint list is one for all pools, and the pool of all endpoints looks after it. */
+    @Override
+    public void setWatch(boolean on) {
+        if (pool.isOfAllEndpoints()) {
+            out.setWatch(on);
+        }
+    }
+
+    @Override
+    public void fetchEndpointList() {
+        if (pool.isOfAllEndpoints()) {
+            out.fetchEndpointList();
+        }
+    }
+
+    @Override
+    public void report(int endpointId, EndpointSignal signal) {
+        out.report(endpointId, signal);
+    }
+
+    @Override
+    public void log(String line) {
+        out.log(pool.isOfAllEndpoints() ? line : "pool " + pool.name() + ": " + line);
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/route/PoolBalancer.java
@@ -0,0 +1,184 @@
+package cacheproxy.route;
+
+import cacheproxy.routing.AttemptEnd;
+import cacheproxy.routing.AttemptOutcome;
+import cacheproxy.routing.CarpLoadBalancer;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointUpdateKind;
+import cacheproxy.routing.LearnedState;
+import cacheproxy.routing.Request;
+import cacheproxy.routing.RoutingActions;
+import cacheproxy.routing.RoutingSettings;
+import cacheproxy.routing.ZoneDirective;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * A pool with its own load balancer: hands it the events that concern the pool, with ids and indices as that load
+ * balancer counts them, and with {@link PoolActions} to order by. Not thread-safe.
+ */
+final class PoolBalancer {
+    /** A load balancer's own name for what it has learned. */
+    private static final String ONLY_POOL = "";
+
+    /** Makes what a pool's load balancer orders by. */
+    @FunctionalInterface
+    interface ActionsFactory {
+        /**
+         * The actions for one event.
+         *
+         * @param nowMs the time of the event
+         * @param out takes what the router orders in the end
+         */
+        RoutingActions create(PoolBalancer pool, double nowMs, RoutingActions out);
+    }
+
+    private final String name;
+    private final boolean ofAllEndpoints;
+    private final ActionsFactory actions;
+    private final PoolEndpoints endpoints;
+    private final CarpLoadBalancer loadBalancer;
+    private Pool pool;
+    /** Requests that it has now and that are owed an answer. */
+    private int openRequests;
+    /** Those that it has or may yet be given: while there are any it must be told of the endpoint list. */
+    private int reachableBy;
+
+    private boolean draining;
+
+    /**
+     * A pool without endpoints yet.
+     *
+     * @param ofAllEndpoints whether this is the one pool of all endpoints, which looks after the endpoint list
+     */
+    PoolBalancer(
+            Pool pool,
+            boolean ofAllEndpoints,
+            EndpointCatalog catalog,
+            CarpLoadBalancer loadBalancer,
+            ActionsFactory actions) {
+        this.pool = pool;
+        this.ofAllEndpoints = ofAllEndpoints;
+        this.loadBalancer = loadBalancer;
+        this.actions = actions;
+        name = pool.name();
+        endpoints = new PoolEndpoints(catalog, ofAllEndpoints);
+    }
+
+    // ---- state
+
+    String name() {
+        return name;
+    }
+
+    boolean isOfAllEndpoints() {
+        return ofAllEndpoints;
+    }
+
+    /** Takes the pool's definition of a new configuration. */
+    void redefine(Pool next) {
+        pool = next;
+    }
+
+    /** The configuration names the pool no more: it only serves the requests that can still reach it. */
+    void startDraining() {
+        draining = true;
+    }
+
+    boolean isDraining() {
+        return draining;
+    }
+
+    boolean isDrained() {
+        return draining && reachableBy == 0;
+    }
+
+    boolean hasReadyEndpoint() {
+        return endpoints.hasReady();
+    }
+
+    boolean contains(int endpointId) {
+        return endpoints.contains(endpointId);
+    }
+
+    void addReachableBy(int change) {
+        reachableBy += change;
+    }
+
+    void addOpenRequests(int change) {
+        openRequests += change;
+    }
+
+    PoolStatus status() {
+        return new PoolStatus(name, endpoints.readyCount(), openRequests, draining);
+    }
+
+    LearnedState learnedState(double nowMs) {
+        return loadBalancer.learnedState(nowMs).get(ONLY_POOL);
+    }
+
+    void resume(double nowMs, LearnedState learned) {
+        loadBalancer.resume(nowMs, Map.of(ONLY_POOL, learned));
+    }
+
+    boolean isAvoided(double nowMs, int endpointId) {
+        return loadBalancer.isAvoided(nowMs, endpointId);
+    }
+
+    // ---- events
+
+    private RoutingActions actions(double nowMs, RoutingActions out) {
+        return actions.create(this, nowMs, out);
+    }
+
+    void onSettings(double nowMs, RoutingSettings settings, RoutingActions out) {
+        loadBalancer.onSettings(nowMs, settings, actions(nowMs, out));
+    }
+
+    /** Hands on what of an update of the list is the pool's own. */
+    void onEndpointUpdate(double nowMs, EndpointUpdateKind kind, List<Endpoint> changes, RoutingActions out) {
+        List<Endpoint> own = endpoints.update(pool, kind, changes);
+        // Only the pool of all endpoints has to replace a cached list by a fresh one.
+        EndpointUpdateKind ownKind =
+                kind == EndpointUpdateKind.CACHED && !ofAllEndpoints ? EndpointUpdateKind.SNAPSHOT : kind;
+        loadBalancer.onEndpointUpdate(nowMs, ownKind, own, actions(nowMs, out));
+    }
+
+    void onRequest(double nowMs, Request request, RoutingActions out) {
+        loadBalancer.onRequest(nowMs, request, actions(nowMs, out));
+    }
+
+    void onFirstByte(double nowMs, int requestId, int attempt, int endpointId, RoutingActions out) {
+        loadBalancer.onFirstByte(nowMs, requestId, attempt, endpointId, actions(nowMs, out));
+    }
+
+    void onAttemptEnd(double nowMs, AttemptEnd end, RoutingActions out) {
+        loadBalancer.onAttemptEnd(nowMs, end, actions(nowMs, out));
+    }
+
+    void onClientDisconnected(double nowMs, int requestId, RoutingActions out) {
+        loadBalancer.onClientDisconnected(nowMs, requestId, actions(nowMs, out));
+    }
+
+    void onTimer(double nowMs, int token, RoutingActions out) {
+        loadBalancer.onTimer(nowMs, token, actions(nowMs, out));
+    }
+
+    void onHealthCheckResult(
+            double nowMs,
+            int endpointId,
+            AttemptOutcome outcome,
+            double elapsedMs,
+            float[] report,
+            RoutingActions out) {
+        loadBalancer.onHealthCheckResult(nowMs, endpointId, outcome, elapsedMs, report, actions(nowMs, out));
+    }
+
+    void onPeerMessage(double nowMs, int peerIndex, byte[] message, RoutingActions out) {
+        loadBalancer.onPeerMessage(nowMs, peerIndex, message, actions(nowMs, out));
+    }
+
+    void onZoneDirectives(double nowMs, List<ZoneDirective> directives, RoutingActions out) {
+        loadBalancer.onZoneDirectives(nowMs, directives, actions(nowMs, out));
+    }
+}
--- a/src/test/java/cacheproxy/route/RouterTest.java
+++ b/src/test/java/cacheproxy/route/RouterTest.java
@@ -282,7 +282,8 @@
     void openRequestsEndUnderTheirOldRoutesAndAPoolThatVanishesDrains() {
         RouterRig rig = new RouterRig(twoSites()).fleet(2);
         int open = rig.ask(RouterRig.READ, "e1");
-        rig.router.replace(rig.now, routing(2, List.of(WEST), List.of(), route("all", null, "west", null, null)), rig);
+        rig.router.replaceRoutes(
+                rig.now, routing(2, List.of(WEST), List.of(), route("all", null, "west", null, null)), rig);
         assertThat(rig.router.pools()).extracting(PoolStatus::name).containsExactly("", "east", "west");
         assertThat(rig.router.pools().get(1).draining()).isTrue();
         assertThat(rig.out(rig.ask(RouterRig.READ, "e1")).server()).isEqualTo(1);
@@ -299,7 +300,8 @@
     void aPoolThatHasVanishedStillHearsOfDrainsWhileARequestMayReachIt() {
         RouterRig rig = new RouterRig(twoSites()).fleet(4);
         int open = rig.ask(RouterRig.READ, "e1");
-        rig.router.replace(rig.now, routing(2, List.of(EAST), List.of(), route("all", null, "east", null, null)), rig);
+        rig.router.replaceRoutes(
+                rig.now, routing(2, List.of(EAST), List.of(), route("all", null, "east", null, null)), rig);
         rig.list(
                 EndpointUpdateKind.DELTA,
                 List.of(RouterRig.member(1, EndpointState.DRAINING, 0), RouterRig.member(3, EndpointState.REMOVED, 0)));
@@ -315,7 +317,7 @@
     void aPoolChangeDuringAWriteThatMayHaveRunSendsItNowhereElse() {
         RouterRig rig = new RouterRig(twoSites()).fleet(2);
         int write = rig.ask(RouterRig.FIX, "e1");
-        rig.router.replace(
+        rig.router.replaceRoutes(
                 rig.now,
                 routing(
                         2,
@@ -377,7 +379,7 @@
                 }
                 default -> {
                     if (random.nextInt(4) == 0) {
-                        rig.router.replace(
+                        rig.router.replaceRoutes(
                                 rig.now,
                                 ++version % 2 == 0
                                         ? routing(
--- a/src/test/java/cacheproxy/route/RouterTranscriptTest.java
+++ b/src/test/java/cacheproxy/route/RouterTranscriptTest.java
@@ -99,7 +99,7 @@
                 case 8 -> {
                     if (random.nextInt(4) == 0) {
                         version++;
-                        rig.router.replace(rig.now, routing(version, version % 2 != 0), rig.actions);
+                        rig.router.replaceRoutes(rig.now, routing(version, version % 2 != 0), rig.actions);
                     }
                 }
                 case 9 -> {
