--- a/src/jmh/java/cacheproxy/RouteMatchBenchmark.java
+++ b/src/jmh/java/cacheproxy/RouteMatchBenchmark.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.route.Glob;
 import cacheproxy.route.Route;
+import cacheproxy.route.RouteMatcher;
 import cacheproxy.route.RouteTable;
 import cacheproxy.route.Routing;
 import java.util.ArrayList;
@@ -39,7 +40,7 @@
     public int routes;
 
     private final String[] keys = new String[KEYS];
-    private RouteTable.Matcher matcher;
+    private RouteMatcher matcher;
     private int next;
 
     /** Builds the table, and keys of which one in ten has no route. */
--- a/src/main/java/cacheproxy/route/ActiveRoutes.java
+++ b/src/main/java/cacheproxy/route/ActiveRoutes.java
@@ -22,7 +22,7 @@
     private final ActiveRoute unmatched;
 
     private Routing routing;
-    private RouteTable.Matcher matcher;
+    private RouteMatcher matcher;
     private int version;
     /** By identity: the table returns the same objects, and hashing a route's fields costs more than a match. */
     private IdentityHashMap<Route, ActiveRoute> active = new IdentityHashMap<>();
--- a/src/test/java/cacheproxy/route/RouteTableTest.java
+++ b/src/test/java/cacheproxy/route/RouteTableTest.java
@@ -23,7 +23,7 @@
         return new Route(name, key == null ? null : new Glob(key), tenants, classes, fronts, "p", null, null);
     }
 
-    private static RouteTable.Matcher matcher(List<Route> routes) {
+    private static RouteMatcher matcher(List<Route> routes) {
         return new RouteTable(routes).matcher(TENANTS, CLASSES, Routing.FRONTS);
     }
 
@@ -98,10 +98,10 @@
         Random random = new Random(seed);
         List<Route> routes = routes(random, 1 + random.nextInt(40));
         drop(routes);
-        RouteTable.Matcher table = matcher(routes);
+        RouteMatcher table = matcher(routes);
         List<Route> shuffled = new ArrayList<>(routes);
         Collections.shuffle(shuffled, random);
-        RouteTable.Matcher other = matcher(shuffled);
+        RouteMatcher other = matcher(shuffled);
         for (int i = 0; i < 60; i++) {
             String key = text(random, "ab", 6);
             int t = random.nextInt(TENANTS.size());
@@ -148,7 +148,7 @@
 
     @Test
     void aWholeKeyIsMoreThanABeginningAndNamesAreNoPartOfEachOther() {
-        RouteTable.Matcher table = matcher(List.of(
+        RouteMatcher table = matcher(List.of(
                 route("exact", "abc", Set.of(), Set.of(), Set.of()),
                 route("prefix", "abc*", Set.of("t1"), Set.of(), Set.of()),
                 route("short", "a*", Set.of(), Set.of(), Set.of()),
@@ -173,7 +173,7 @@
                     i % 2 == 0 ? Set.of("c1") : Set.of(),
                     Set.of()));
         }
-        RouteTable.Matcher table = matcher(routes);
+        RouteMatcher table = matcher(routes);
         String[] keys = {"team3/3", "team4/4/x", "team5/5/x/v1", "none"};
         var threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         long least = Long.MAX_VALUE;
@@ -217,7 +217,7 @@
             tenants.add("t" + i);
             routes.add(route("r" + i, "x*y", Set.of("t" + i), Set.of(), Set.of()));
         }
-        RouteTable.Matcher matcher = new RouteTable(routes).matcher(tenants, CLASSES, Routing.FRONTS);
+        RouteMatcher matcher = new RouteTable(routes).matcher(tenants, CLASSES, Routing.FRONTS);
         assertThat(matcher.match("x7y", 1023, 0, 0).name()).isEqualTo("r1023");
         assertThat(matcher.match("x7y", 0, 0, 0).name()).isEqualTo("r0");
     }
