--- a/src/jmh/java/cacheproxy/MembershipBenchmark.java
+++ b/src/jmh/java/cacheproxy/MembershipBenchmark.java
@@ -1,9 +1,9 @@
 package cacheproxy;
 
-import cacheproxy.membership.MemberSettings;
 import cacheproxy.membership.Membership;
-import cacheproxy.membership.Send;
-import cacheproxy.membership.Send.Urgency;
+import cacheproxy.membership.MembershipSettings;
+import cacheproxy.membership.OutgoingMessage;
+import cacheproxy.membership.OutgoingMessage.Urgency;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -33,8 +33,8 @@
         }
 
         @Override
-        public int spare(double nowMs) {
-            return Membership.ROOM;
+        public int spareBytes(double nowMs) {
+            return Membership.MAX_MESSAGE_BYTES;
         }
     };
 
@@ -50,11 +50,11 @@
     public void setUp() {
         all = new Membership[members];
         for (int i = 0; i < members; i++) {
-            all[i] = new Membership(MemberSettings.of(members), i, 0, new byte[0], 0, i, ALL);
+            all[i] = new Membership(MembershipSettings.forConfigured(members), i, 0, new byte[0], 0, i, ALL);
             if (i > 0) {
                 all[i].tick(now);
                 int from = i;
-                all[i].outgoing().forEach(s -> all[0].heard(now, from, s.body()));
+                all[i].outgoing().forEach(s -> all[0].messageReceived(now, from, s.body()));
             }
         }
         for (int i = 0; i < 2000; i++) {
@@ -67,12 +67,12 @@
     public int round() {
         now += 250;
         all[0].tick(now);
-        List<Send> asked = all[0].outgoing();
-        for (Send s : asked) {
-            all[s.to()].heard(now, 0, s.body());
-            for (Send back : all[s.to()].outgoing()) {
+        List<OutgoingMessage> asked = all[0].outgoing();
+        for (OutgoingMessage s : asked) {
+            all[s.to()].messageReceived(now, 0, s.body());
+            for (OutgoingMessage back : all[s.to()].outgoing()) {
                 if (back.to() == 0) {
-                    all[0].heard(now, s.to(), back.body());
+                    all[0].messageReceived(now, s.to(), back.body());
                 }
             }
         }
--- a/src/main/java/cacheproxy/control/FleetViewControl.java
+++ b/src/main/java/cacheproxy/control/FleetViewControl.java
@@ -1,7 +1,7 @@
 package cacheproxy.control;
 
-import cacheproxy.membership.Entry;
-import cacheproxy.membership.View;
+import cacheproxy.membership.Member;
+import cacheproxy.membership.MembershipView;
 import cacheproxy.proxy.FleetViewStatus;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -26,12 +26,12 @@
         if (fleet == null) {
             return json;
         }
-        View view = fleet.view();
-        json.addProperty("hearing", AnswerWords.of(view.hearing()));
-        json.addProperty("living", view.living().count());
-        json.addProperty("known", view.entries().size());
-        if (view.configured() != null) {
-            json.addProperty("configured", view.configured().count());
+        MembershipView view = fleet.view();
+        json.addProperty("hearing", AnswerWords.of(view.reachability()));
+        json.addProperty("living", view.liveMembers().count());
+        json.addProperty("known", view.members().size());
+        if (view.configuredMembers() != null) {
+            json.addProperty("configured", view.configuredMembers().count());
         }
         json.addProperty("digest", String.format("%08x", view.digest()));
         json.addProperty("disputed", view.disputed());
@@ -47,19 +47,19 @@
         }
         JsonObject json = summary(fleet);
         JsonArray rows = new JsonArray();
-        fleet.view().entries().stream().limit(MAX_MEMBERS).forEach(member -> rows.add(row(member)));
+        fleet.view().members().stream().limit(MAX_MEMBERS).forEach(member -> rows.add(row(member)));
         json.add("members", rows);
         return json;
     }
 
-    private static JsonObject row(Entry member) {
+    private static JsonObject row(Member member) {
         JsonObject row = new JsonObject();
         row.addProperty("instance", member.id());
         row.addProperty("zone", member.zone());
         row.addProperty("state", AnswerWords.of(member.state()));
         row.addProperty("phase", AnswerWords.of(member.phase()));
         row.addProperty("incarnation", member.incarnation());
-        row.addProperty("life", String.format("%04x", member.life()));
+        row.addProperty("life", String.format("%04x", member.processNonce()));
         row.addProperty("version", member.version());
         return row;
     }
--- a/src/main/java/cacheproxy/membership/Knowledge.java
+++ b/src/main/java/cacheproxy/membership/Knowledge.java
@@ -9,85 +9,85 @@
  */
 public class Knowledge {
     /** What came of something that was said. */
-    public enum Heard {
+    public enum MergeResult {
         /** It was known. */
-        NOTHING_NEW,
+        UNCHANGED,
         /** Something is known that was not. */
-        NEWS,
+        CHANGED,
         /** It spoke against this instance, which has gone beyond it. */
         REFUTED
     }
 
     private final int most;
-    private final Table table;
-    private final Own own;
+    private final MemberTable table;
+    private final LocalMember localMember;
 
     /** A life that begins knowing only itself. */
-    public Knowledge(Entry self, int most) {
+    public Knowledge(Member self, int most) {
         this.most = most;
-        table = new Table(most, this::join);
-        own = new Own(self, this::beyond);
-        table.join(self);
+        table = new MemberTable(most, this::mergeMembers);
+        localMember = new LocalMember(self, this::refute);
+        table.merge(self);
     }
 
     /** The same knowledge, to go its own way. */
     protected Knowledge(Knowledge of) {
         most = of.most;
-        table = new Table(most, this::join);
-        of.table.all().forEach(table::join);
-        own = of.own.copy(this::beyond);
+        table = new MemberTable(most, this::mergeMembers);
+        of.table.all().forEach(table::merge);
+        localMember = of.localMember.copy(this::refute);
     }
 
     /** What becomes of what is held and what is said of one instance. */
-    protected Entry join(Entry held, Entry said) {
-        return held.join(said);
+    protected Member mergeMembers(Member held, Member said) {
+        return held.merge(said);
     }
 
     /** The entry by which this instance goes beyond what is said of it. */
-    protected Entry beyond(Entry self, Entry said) {
-        return self.again(Math.max(said.incarnation(), self.incarnation()) + 1);
+    protected Member refute(Member self, Member said) {
+        return self.withIncarnation(Math.max(said.incarnation(), self.incarnation()) + 1);
     }
 
     /** Takes in what somebody says. */
-    public Heard take(double nowMs, Entry said) {
+    public MergeResult merge(double nowMs, Member said) {
         if (said.id() != self().id()) {
-            return table.join(said) == null ? Heard.NOTHING_NEW : Heard.NEWS;
+            return table.merge(said) == null ? MergeResult.UNCHANGED : MergeResult.CHANGED;
         }
-        if (!own.contradicted(said, nowMs)) {
-            return Heard.NOTHING_NEW;
+        if (!localMember.refuteIfContradicted(said, nowMs)) {
+            return MergeResult.UNCHANGED;
         }
-        table.join(self());
-        return Heard.REFUTED;
+        table.merge(self());
+        return MergeResult.REFUTED;
     }
 
     /** This instance did not reach that one; nothing happens if it is not known to live. */
     public void suspect(int id) {
-        Entry e = table.get(id);
-        if (e != null && e.state().lives()) {
-            table.join(e.suspectedBy(self().id()));
+        Member e = table.get(id);
+        if (e != null && e.state().isLive()) {
+            table.merge(e.suspectedBy(self().id()));
         }
     }
 
     /** This instance gives up one that it suspects. */
-    public void giveUp(int id) {
-        Entry e = table.get(id);
-        if (e != null && e.state() == State.SUSPECT) {
-            table.join(e.in(State.DEAD));
+    public void declareDead(int id) {
+        Member e = table.get(id);
+        if (e != null && e.state() == MemberState.SUSPECT) {
+            table.merge(e.withState(MemberState.DEAD));
         }
     }
 
     /** What the instance says of itself. */
-    public final Entry self() {
-        return own.entry();
+    public final Member self() {
+        return localMember.member();
     }
 
     /** What is held of an instance, null if nothing is. */
-    public final Entry get(int id) {
+    public final Member get(int id) {
         return table.get(id);
     }
 
     /** All that is held, by number. */
-    public final Collection<Entry> all() {
+    public final Collection<Member> all() {
         return table.all();
     }
 
@@ -96,11 +96,11 @@
         return table.digest();
     }
 
-    Table table() {
+    MemberTable table() {
         return table;
     }
 
-    Own own() {
-        return own;
+    LocalMember localMember() {
+        return localMember;
     }
 }
--- a/src/main/java/cacheproxy/proxy/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/RestoredState.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.failover.Zones.Held;
-import cacheproxy.membership.Entry;
+import cacheproxy.membership.Member;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.recovery.ProvenanceTracker.Subject;
@@ -61,7 +61,7 @@
                             new StoredRecord(
                                     RecordKind.LEARNED_STATE,
                                     nowMs,
-                                    LearnedStateCodec.json(predecessor.learnedState()))),
+                                    LearnedStateCodec.toJson(predecessor.learnedState()))),
                     Provenance.PREDECESSOR);
         }
     }
@@ -135,7 +135,7 @@
             return Map.of();
         }
         try {
-            Map<String, LearnedState> all = new HashMap<>(LearnedStateCodec.read(
+            Map<String, LearnedState> all = new HashMap<>(LearnedStateCodec.fromJson(
                     records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
             if (use == Validity.HINT) {
                 all.replaceAll((pool, e) -> suspectsOnly(e));
@@ -177,7 +177,7 @@
             if (incarnation > 0) {
                 recordUse(RecordKind.INCARNATION);
             }
-            return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
+            return Math.max(0, Math.min(Member.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
             trust.rejected(Subject.INCARNATION);
             return 0;
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -17,7 +17,7 @@
  */
 final class ZoneLink {
     private final Dispatcher dispatcher;
-    private final MemberLink members;
+    private final MembershipLink members;
     private final ZoneSettings settings;
     private final Zones zones;
     private final List<String> names;
@@ -27,7 +27,7 @@
     /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
     ZoneLink(
             Dispatcher dispatcher,
-            MemberLink members,
+            MembershipLink members,
             RoutingSettings settings,
             List<String> names,
             RestoredState last) {
@@ -52,7 +52,7 @@
 
     /** The decision module has met this at a server. */
     void saw(int server, EndpointSignal what) {
-        Upstream u = dispatcher.servers().get(server);
+        UpstreamServer u = dispatcher.servers().get(server);
         if (u == null) {
             return;
         }
@@ -62,15 +62,15 @@
             return;
         }
         switch (what) {
-            case RESPONDED, CACHE_MISS -> zones.answered(now, u.place.zone(), what == EndpointSignal.RESPONDED);
-            case UNRESPONSIVE -> zones.silent(now, u.place.zone(), server);
+            case RESPONDED, CACHE_MISS -> zones.answered(now, u.location.zone(), what == EndpointSignal.RESPONDED);
+            case UNRESPONSIVE -> zones.silent(now, u.location.zone(), server);
         }
     }
 
     private void listed() {
         double now = dispatcher.now();
         for (int z = 0; z < Math.min(settings.zones(), ZoneSettings.MOST_ZONES); z++) { // others take no part
-            List<Double> warm = dispatcher.servers().warmAt(z, settings.warmUpMs());
+            List<Double> warm = dispatcher.servers().warmedUpAtMs(z, settings.warmUpMs());
             // When half of them are warm; each moved key of the others misses.
             zones.listed(z, warm.size(), warm.isEmpty() ? now : warm.get(warm.size() / 2));
         }
--- a/src/main/java/cacheproxy/proxy/peer/OutlierGossipLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/OutlierGossipLink.java
@@ -3,7 +3,7 @@
 import cacheproxy.gossip.OutlierGossip;
 import cacheproxy.gossip.OutlierGossip.ReportedNode;
 import cacheproxy.gossip.PeerMessage;
-import cacheproxy.membership.View;
+import cacheproxy.membership.MembershipView;
 import cacheproxy.routing.EndpointSignal;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -31,7 +31,7 @@
     private final DoubleSupplier nowMs;
     private final PeerDatagramSocket peers;
     private final CacheNodes nodes;
-    private final Supplier<View> members;
+    private final Supplier<MembershipView> members;
     private final OutlierListener listener;
     private final OutlierGossip outliers = new OutlierGossip();
     /** When each node was reported last by this proxy. */
@@ -51,7 +51,7 @@
             DoubleSupplier nowMs,
             PeerDatagramSocket peers,
             CacheNodes nodes,
-            Supplier<View> members,
+            Supplier<MembershipView> members,
             OutlierListener listener) {
         this.nowMs = nowMs;
         this.peers = peers;
@@ -97,11 +97,11 @@
         if (now - zonesReadMs < ZONES_CACHED_MS) {
             return;
         }
-        View view = members.get();
+        MembershipView view = members.get();
         zonesReadMs = now;
         zoneOfPeer.clear();
-        view.entries().stream()
-                .filter(e -> e.id() != view.me() && e.state().lives())
+        view.members().stream()
+                .filter(e -> e.id() != view.self() && e.state().isLive())
                 .forEach(e -> zoneOfPeer.put(e.id(), e.zone()));
     }
 }
--- a/src/main/java/cacheproxy/proxy/peer/PeerMessageKind.java
+++ b/src/main/java/cacheproxy/proxy/peer/PeerMessageKind.java
@@ -18,7 +18,7 @@
     ENDPOINT_LIST(1),
     /** A message of the load balancer to its peers: {@code LoadBalancer.onPeerMessage}. */
     LOAD_BALANCER(2),
-    /** A message of the membership protocol: {@code MemberLink}. */
+    /** A message of the membership protocol: {@code MembershipLink}. */
     MEMBERSHIP(3),
     /** Cache nodes that did not respond: {@code OutlierGossipLink}. */
     OUTLIERS(4),
