--- a/src/test/java/cacheproxy/route/GlobTest.java
+++ b/src/test/java/cacheproxy/route/GlobTest.java
@@ -50,7 +50,7 @@
      * Two patterns of five characters that meet do so in a text of nine at most; five are tried here, so one way only.
      */
     @Property(tries = 2000, seed = "52")
-    void twoMeetIfThereIsATextThatBothMatch(@ForAll("globs") Glob a, @ForAll("globs") Glob b) {
+    void patternsOverlapIfThereIsATextThatBothMatch(@ForAll("globs") Glob a, @ForAll("globs") Glob b) {
         boolean shown = TEXTS.stream().anyMatch(t -> a.matches(t) && b.matches(t));
         assertThat(a.overlaps(b)).isEqualTo(b.overlaps(a));
         if (shown) {
@@ -64,13 +64,13 @@
     }
 
     @Test
-    void aLongPatternTakesNoLongTime() {
+    void aLongPatternIsMatchedInBoundedTime() {
         Glob glob = new Glob("a*".repeat(100) + "b");
         assertThat(glob.matches("a".repeat(5000))).isFalse();
     }
 
     @Test
-    void whatIsNoPatternIsTold() {
+    void anInvalidPatternIsRejectedWithItsReason() {
         assertThatThrownBy(() -> new Glob("")).hasMessageContaining("empty");
         assertThatThrownBy(() -> new Glob("a**")).hasMessageContaining("two asterisks");
         assertThatThrownBy(() -> new Glob("a".repeat(Glob.MAX_LENGTH + 1))).hasMessageContaining("256");
--- a/src/test/java/cacheproxy/route/RetryBudgetTest.java
+++ b/src/test/java/cacheproxy/route/RetryBudgetTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 
 class RetryBudgetTest {
-    /** Whatever comes when: no more than the share of the requests, the floor, and ten seconds of it saved. */
+    /** At any times: no more than the ratio of the requests, the minimum, and ten seconds of it saved. */
     @Property(tries = 200, seed = "71")
-    void neverGivesMoreThanItsShareAndItsFloor(
+    void neverAllowsMoreThanItsRatioAndItsMinimum(
             @ForAll long seed,
-            @ForAll @DoubleRange(min = 0, max = 2) double share,
-            @ForAll @DoubleRange(min = 0, max = 20) double floor) {
+            @ForAll @DoubleRange(min = 0, max = 2) double ratio,
+            @ForAll @DoubleRange(min = 0, max = 20) double minPerSecond) {
         Random random = new Random(seed);
-        RetryBudget budget = new RetryBudget(share, floor);
+        RetryBudget budget = new RetryBudget(ratio, minPerSecond);
         double now = 1e12;
         double start = now;
         long requests = 0;
@@ -29,15 +29,15 @@
             }
             taken += budget.tryTake(now) ? 1 : 0;
             assertThat((double) taken)
-                    .isLessThanOrEqualTo(requests * share
-                            + floor * (now - start) / 1000
-                            + floor * RetryBudget.SAVED_MS / 1000
+                    .isLessThanOrEqualTo(requests * ratio
+                            + minPerSecond * (now - start) / 1000
+                            + minPerSecond * RetryBudget.SAVED_MS / 1000
                             + 0.1);
         }
     }
 
     @Test
-    void aStormOfFailuresAddsItsShareAndNoMore() {
+    void aStormOfFailuresAddsTheRatioAndNoMore() {
         RetryBudget budget = new RetryBudget(0.2, 0);
         int taken = 0;
         for (int i = 0; i < 10_000; i++) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aQuietInstanceStillHasItsFloorAndSavesTenSecondsOfIt() {
+    void aQuietInstanceHasTheMinimumAndSavesTenSecondsOfIt() {
         RetryBudget budget = new RetryBudget(0, 2);
         int taken = 0;
         while (taken < 100 && budget.tryTake(0)) {
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void withoutABoundAllMay() {
+    void anInfiniteRatioAllowsEveryRetry() {
         RetryBudget budget = new RetryBudget(Double.POSITIVE_INFINITY, 0);
         for (int i = 0; i < 1000; i++) {
             assertThat(budget.tryTake(0)).isTrue();
--- a/src/test/java/cacheproxy/route/RouteTableTest.java
+++ b/src/test/java/cacheproxy/route/RouteTableTest.java
@@ -71,7 +71,7 @@
                 && (r.fronts().isEmpty() || r.fronts().contains(Routing.FRONTS.get(f)));
     }
 
-    /** What the documentation says, as a number: the whole key, its beginning, what is behind it, the conditions. */
+    /** The documented order as a number: exact key, literal prefix, literals behind it, conditions. */
     private static long rank(Route r) {
         long further = r.key() == null || r.key().isExact() || r.key().isPrefix()
                 ? 0
@@ -124,9 +124,9 @@
     void findsEveryConflictThatARequestCanShow(@ForAll long seed) {
         Random random = new Random(seed);
         List<Route> routes = routes(random, 2 + random.nextInt(12));
-        Set<RouteConflict> told = RouteTable.conflicts(routes);
+        Set<RouteConflict> conflicts = RouteTable.conflicts(routes);
         Set<Route> involved = new HashSet<>();
-        told.forEach(c -> {
+        conflicts.forEach(c -> {
             assertThat(rank(c.first())).isEqualTo(rank(c.second()));
             involved.add(c.first());
             involved.add(c.second());
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void aWholeKeyIsMoreThanABeginningAndNamesAreNoPartOfEachOther() {
+    void anExactKeyIsMoreSpecificThanAPrefix() {
         RouteMatcher table = matcher(List.of(
                 route("exact", "abc", Set.of(), Set.of(), Set.of()),
                 route("prefix", "abc*", Set.of("t1"), Set.of(), Set.of()),
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void twoEquallySpecificRoutesAreRefused() {
+    void twoEquallySpecificRoutesAreRejected() {
         List<Route> routes = List.of(
                 route("a", "x*", Set.of("t1", "t2"), Set.of(), Set.of()),
                 route("b", "x*", Set.of("t2", "t3"), Set.of(), Set.of()));
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void patternsThatWouldBeTriedOneByOneAreBounded() {
+    void patternsWithTheSamePrefixAreBounded() {
         List<Route> routes = new ArrayList<>();
         for (int i = 0; i <= RouteTable.MAX_PATTERNS; i++) {
             routes.add(route("r" + i, "x*" + (char) ('A' + i) + "y", Set.of(), Set.of(), Set.of()));
--- a/src/test/java/cacheproxy/route/RouterRig.java
+++ b/src/test/java/cacheproxy/route/RouterRig.java
@@ -24,31 +24,31 @@
 import java.util.Set;
 
 /**
- * A router as the dispatcher drives it, in virtual time: orders are written down, attempts numbered, timers fire in
- * order, and what no request may suffer is looked at as it happens.
+ * Drives a router as the dispatcher does, in virtual time: records its orders, numbers attempts, fires timers in order,
+ * and checks the safety rules at each order.
  */
 final class RouterRig implements RoutingActions {
     static final int ORIGIN = 9000;
     static final int READ = 0;
-    static final int PUBLISH = 1;
-    static final int FIX = 2;
+    static final int KEYED = 1;
+    static final int NON_IDEMPOTENT = 2;
     static final double GRACE_MS = 100;
 
-    /** One attempt on its way. */
-    record Out(int request, int attempt, int server, double at) {}
+    /** An attempt in flight. */
+    record InFlightAttempt(int request, int attempt, int endpointId, double sentMs) {}
 
-    /** What is known of a request. */
-    static final class Asked {
-        final int kind;
-        final double due;
-        final List<Integer> servers = new ArrayList<>();
-        int out;
+    /** A request as its client and the endpoints see it. */
+    static final class TrackedRequest {
+        final int serviceClass;
+        final double deadlineMs;
+        final List<Integer> endpoints = new ArrayList<>();
+        int inFlight;
         boolean mayHaveRun;
         String answer;
 
-        Asked(int kind, double due) {
-            this.kind = kind;
-            this.due = due;
+        TrackedRequest(int serviceClass, double deadlineMs) {
+            this.serviceClass = serviceClass;
+            this.deadlineMs = deadlineMs;
         }
     }
 
@@ -56,32 +56,32 @@
 
     final RoutingSettings settings;
     final Router router;
-    /** Where the router's orders go: to the rig itself, or by way of someone who looks at them first. */
+    /** Where the router's orders go: to the rig itself, or to an observer that hands them on. */
     RoutingActions actions = this;
 
-    final Map<Integer, Asked> asked = new LinkedHashMap<>();
-    final List<Out> out = new ArrayList<>();
-    final Map<Integer, Endpoint> list = new HashMap<>();
-    final Map<Integer, Double> toldToDrain = new HashMap<>();
-    final List<Integer> probes = new ArrayList<>();
+    final Map<Integer, TrackedRequest> requests = new LinkedHashMap<>();
+    final List<InFlightAttempt> inFlight = new ArrayList<>();
+    final Map<Integer, Endpoint> endpoints = new HashMap<>();
+    final Map<Integer, Double> drainingSince = new HashMap<>();
+    final List<Integer> healthChecks = new ArrayList<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingLong(Timer::number));
     private long timerNumber;
-    private int next;
-    int watches;
+    private int lastId;
+    int watchOrders;
     double now = 1_000_000;
 
     RouterRig(Routing routing) {
         this(routing, true);
     }
 
-    RouterRig(Routing routing, boolean copies) {
+    RouterRig(Routing routing, boolean hedgingAllowed) {
         List<ServiceClass> classes = List.of(
                 new ServiceClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false),
                 new ServiceClass("publish", Idempotency.KEYED, DeduplicationScope.ALL, 400, 300, 1000, 1, 0.2, false),
                 new ServiceClass(
                         "fix", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false));
-        // Writes go to the caches' own servers here, so that their second attempts can be looked at: no origin aside.
+        // Without cache-aside, writes go to the cache endpoints, so that their retries can be observed.
         settings = new RoutingSettings(
                 0,
                 4,
@@ -98,7 +98,7 @@
                 true,
                 true,
                 false,
-                copies,
+                hedgingAllowed,
                 true,
                 3,
                 500,
@@ -117,33 +117,33 @@
         router = new Router(settings, 42, routing);
     }
 
-    /** Servers 1 to n; odd ones stand in the west, and each is called {@code s-NUMBER}. */
+    /** Endpoints 1 to n; odd ones stand in the west, and each host is called {@code s-NUMBER}. */
     RouterRig fleet(int n) {
         List<Endpoint> members = new ArrayList<>();
         for (int i = 1; i <= n; i++) {
             members.add(new Endpoint(i, i % 2, 0, 0, EndpointState.READY, 1, 0));
         }
-        return list(EndpointUpdateKind.CACHED, members);
+        return updateList(EndpointUpdateKind.CACHED, members);
     }
 
-    RouterRig list(EndpointUpdateKind kind, List<Endpoint> members) {
+    RouterRig updateList(EndpointUpdateKind kind, List<Endpoint> members) {
         if (kind != EndpointUpdateKind.DELTA) {
-            list.clear();
-            toldToDrain.clear();
+            endpoints.clear();
+            drainingSince.clear();
         }
         for (Endpoint m : members) {
             if (m.state() == EndpointState.REMOVED) {
-                list.remove(m.id());
-                toldToDrain.putIfAbsent(m.id(), now);
+                endpoints.remove(m.id());
+                drainingSince.putIfAbsent(m.id(), now);
             } else {
-                list.put(m.id(), m);
+                endpoints.put(m.id(), m);
                 router.updateAttributes(
                         m.id(),
                         new EndpointAttributes("s-" + m.id(), m.zone() == 0 ? "east" : "west", "node", Set.of()));
                 if (m.state() == EndpointState.DRAINING) {
-                    toldToDrain.putIfAbsent(m.id(), now);
+                    drainingSince.putIfAbsent(m.id(), now);
                 } else {
-                    toldToDrain.remove(m.id());
+                    drainingSince.remove(m.id());
                 }
             }
         }
@@ -151,67 +151,78 @@
         return this;
     }
 
-    static Endpoint member(int id, EndpointState state, double born) {
-        return new Endpoint(id, id % 2, 0, 0, state, 1, born);
+    static Endpoint endpoint(int id, EndpointState state, double startTimeMs) {
+        return new Endpoint(id, id % 2, 0, 0, state, 1, startTimeMs);
     }
 
-    int ask(int kind, String key) {
-        return ask(kind, key, 1000);
+    int request(int serviceClass, String key) {
+        return request(serviceClass, key, 1000);
     }
 
-    int ask(int kind, String key, double waitMs) {
-        int id = ++next;
-        asked.put(id, new Asked(kind, now + waitMs));
+    int request(int serviceClass, String key, double waitMs) {
+        int id = ++lastId;
+        requests.put(id, new TrackedRequest(serviceClass, now + waitMs));
         router.onRequest(
                 now,
-                new Request(id, kind, 0, key.hashCode() | 1L << 40, now + waitMs, Double.NaN, 0, kind != READ, false),
+                new Request(
+                        id,
+                        serviceClass,
+                        0,
+                        key.hashCode() | 1L << 40,
+                        now + waitMs,
+                        Double.NaN,
+                        0,
+                        serviceClass != READ,
+                        false),
                 key,
                 Routing.META_FRONT,
                 actions);
         return id;
     }
 
-    Asked of(int request) {
-        return asked.get(request);
+    TrackedRequest tracked(int request) {
+        return requests.get(request);
     }
 
     /** The attempt of a request that is out; there is one. */
-    Out out(int request) {
-        List<Out> own = out.stream().filter(o -> o.request() == request).toList();
+    InFlightAttempt inFlight(int request) {
+        List<InFlightAttempt> own =
+                inFlight.stream().filter(o -> o.request() == request).toList();
         assertThat(own).as("attempts out of " + request).hasSize(1);
         return own.get(0);
     }
 
-    void end(Out o, AttemptOutcome outcome) {
-        assertThat(out.remove(o)).isTrue();
-        Asked a = of(o.request());
-        a.out--;
+    void end(InFlightAttempt o, AttemptOutcome outcome) {
+        assertThat(inFlight.remove(o)).isTrue();
+        TrackedRequest a = tracked(o.request());
+        a.inFlight--;
         a.mayHaveRun |= outcome.mayHaveRun();
         if (a.answer == null && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR)) {
             a.answer = "served";
         }
         router.onAttemptEnd(
                 now,
-                new AttemptEnd(o.request(), o.attempt(), o.server(), outcome, now - o.at(), a.answer != null, 0, null),
+                new AttemptEnd(
+                        o.request(), o.attempt(), o.endpointId(), outcome, now - o.sentMs(), a.answer != null, 0, null),
                 actions);
     }
 
-    void gone(int request) {
-        Asked a = of(request);
+    void disconnect(int request) {
+        TrackedRequest a = tracked(request);
         if (a.answer == null) {
-            a.answer = "gone";
+            a.answer = "disconnected";
             router.onClientDisconnected(now, request, actions);
         }
     }
 
-    /** Lets time pass; requests end at their due times as the dispatcher sees to. */
-    void pass(double ms) {
+    /** Advances time; ends attempts at the deadlines of their requests, as the dispatcher does. */
+    void advance(double ms) {
         double until = now + ms;
         while (!timers.isEmpty() && timers.peek().at() <= until) {
             Timer t = timers.poll();
             now = Math.max(now, t.at());
-            for (Out o : List.copyOf(out)) {
-                if (of(o.request()).due <= now) {
+            for (InFlightAttempt o : List.copyOf(inFlight)) {
+                if (tracked(o.request()).deadlineMs <= now) {
                     end(o, AttemptOutcome.TIMEOUT);
                 }
             }
@@ -221,37 +232,39 @@
     }
 
     private void answer(int request, String how) {
-        Asked a = of(request);
+        TrackedRequest a = tracked(request);
         assertThat(a.answer).as("answers of " + request).isNull();
         a.answer = how;
     }
 
     @Override
     public void send(int request, int server, double timeoutMs) {
-        Asked a = of(request);
+        TrackedRequest a = tracked(request);
         assertThat(a.answer).as("sent after the answer of " + request).isNull();
-        if (a.kind != READ) {
-            assertThat(a.out).as("attempts of a write at once").isZero();
-            if (a.kind == FIX) {
+        if (a.serviceClass != READ) {
+            assertThat(a.inFlight).as("attempts of a write at once").isZero();
+            if (a.serviceClass == NON_IDEMPOTENT) {
                 assertThat(a.mayHaveRun)
                         .as("a write that may have run is sent again")
                         .isFalse();
             }
         }
-        assertThat(toldToDrain.get(server)).as("sent to a server that drains").isNull();
-        assertThat(list).containsKey(server);
-        out.add(new Out(request, a.servers.size(), server, now));
-        a.servers.add(server);
-        a.out++;
+        assertThat(drainingSince.get(server)).as("sent to a server that drains").isNull();
+        assertThat(endpoints).containsKey(server);
+        inFlight.add(new InFlightAttempt(request, a.endpoints.size(), server, now));
+        a.endpoints.add(server);
+        a.inFlight++;
     }
 
     @Override
     public void reject(int request, double retryAfterMs) {
-        Asked a = of(request);
-        if (a.kind != READ) {
-            assertThat(a.mayHaveRun || a.out > 0).as("refused and may have run").isFalse();
+        TrackedRequest a = tracked(request);
+        if (a.serviceClass != READ) {
+            assertThat(a.mayHaveRun || a.inFlight > 0)
+                    .as("refused and may have run")
+                    .isFalse();
         }
-        answer(request, "refused");
+        answer(request, "rejected");
     }
 
     @Override
@@ -261,22 +274,22 @@
 
     @Override
     public void cancel(int request, int attempt) {
-        out.stream()
+        inFlight.stream()
                 .filter(o -> o.request() == request && o.attempt() == attempt)
                 .findFirst()
-                .ifPresent(o -> later.add(() -> {
-                    if (out.contains(o)) {
+                .ifPresent(o -> deferred.add(() -> {
+                    if (inFlight.contains(o)) {
                         end(o, AttemptOutcome.CANCELLED);
                     }
                 }));
     }
 
-    private final List<Runnable> later = new ArrayList<>();
+    private final List<Runnable> deferred = new ArrayList<>();
 
-    /** What the dispatcher tells after the event in whose course it was ordered. */
-    void settle() {
-        while (!later.isEmpty()) {
-            later.remove(0).run();
+    /** Delivers what the dispatcher notifies of after the event in which it was ordered. */
+    void runDeferred() {
+        while (!deferred.isEmpty()) {
+            deferred.remove(0).run();
         }
     }
 
@@ -287,7 +300,7 @@
 
     @Override
     public void checkHealth(int server) {
-        probes.add(server);
+        healthChecks.add(server);
     }
 
     @Override
@@ -298,7 +311,7 @@
 
     @Override
     public void setWatch(boolean on) {
-        watches++;
+        watchOrders++;
     }
 
     @Override
--- a/src/test/java/cacheproxy/route/RouterTest.java
+++ b/src/test/java/cacheproxy/route/RouterTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.route.RoutePolicy.RejectedRequests;
-import cacheproxy.route.RouterRig.Asked;
-import cacheproxy.route.RouterRig.Out;
+import cacheproxy.route.RouterRig.InFlightAttempt;
+import cacheproxy.route.RouterRig.TrackedRequest;
 import cacheproxy.routing.AttemptOutcome;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
@@ -44,14 +44,14 @@
                 name, key == null ? null : new Glob(key), Set.of(), Set.of(), Set.of(), pool, fallback, policy);
     }
 
-    private static RoutePolicy policy(String name, int attempts, double share, boolean copies) {
+    private static RoutePolicy policy(String name, int attempts, double share, boolean hedgingAllowed) {
         return new RoutePolicy(
                 name,
                 Double.POSITIVE_INFINITY,
                 attempts,
                 share,
                 0,
-                copies,
+                hedgingAllowed,
                 RejectedRequests.NOTHING,
                 Integer.MAX_VALUE,
                 0);
@@ -77,13 +77,15 @@
     }
 
     @Test
-    void requestsGoToTheirPoolsServersAndOthersToAll() {
+    void requestsGoToTheirPoolsEndpointsAndOthersToAll() {
         RouterRig rig = new RouterRig(twoSites()).fleet(20);
         Set<Integer> any = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            assertThat(rig.out(rig.ask(RouterRig.READ, "e" + i)).server() % 2).isZero();
-            assertThat(rig.out(rig.ask(RouterRig.READ, "w" + i)).server() % 2).isOne();
-            any.add(rig.out(rig.ask(RouterRig.READ, "x" + i)).server() % 2);
+            assertThat(rig.inFlight(rig.request(RouterRig.READ, "e" + i)).endpointId() % 2)
+                    .isZero();
+            assertThat(rig.inFlight(rig.request(RouterRig.READ, "w" + i)).endpointId() % 2)
+                    .isOne();
+            any.add(rig.inFlight(rig.request(RouterRig.READ, "x" + i)).endpointId() % 2);
         }
         assertThat(any).containsExactlyInAnyOrder(0, 1);
         assertThat(rig.router.routes()).extracting(RouteStatus::requests).containsExactly(100L, 100L, 100L);
@@ -91,66 +93,66 @@
     }
 
     @Test
-    void theListIsAskedForOnceForAllPools() {
+    void theListIsWatchedOnceForAllPools() {
         RouterRig rig = new RouterRig(twoSites()).fleet(4);
-        rig.pass(20_000);
-        assertThat(rig.watches).isEqualTo(1);
-        rig.list(EndpointUpdateKind.FAILED, List.of());
-        rig.pass(20_000);
-        assertThat(rig.watches).isEqualTo(2);
+        rig.advance(20_000);
+        assertThat(rig.watchOrders).isEqualTo(1);
+        rig.updateList(EndpointUpdateKind.FAILED, List.of());
+        rig.advance(20_000);
+        assertThat(rig.watchOrders).isEqualTo(2);
     }
 
     @Test
     void whatThePoolCouldNotServeGoesToTheFallbackAndAttemptsCountOverBoth() {
         RouterRig rig = new RouterRig(twoSites(policy("two", 2, Double.POSITIVE_INFINITY, true))).fleet(2);
-        int id = rig.ask(RouterRig.READ, "e1"); // server 2 is the only one in the east
-        rig.end(rig.out(id), AttemptOutcome.CONNECT_FAILED);
-        assertThat(rig.of(id).servers).containsExactly(2, 1);
-        rig.end(rig.out(id), AttemptOutcome.CONNECT_FAILED);
-        assertThat(rig.of(id).answer).isEqualTo("refused");
-        assertThat(rig.of(id).servers).hasSize(2);
+        int id = rig.request(RouterRig.READ, "e1"); // server 2 is the only one in the east
+        rig.end(rig.inFlight(id), AttemptOutcome.CONNECT_FAILED);
+        assertThat(rig.tracked(id).endpoints).containsExactly(2, 1);
+        rig.end(rig.inFlight(id), AttemptOutcome.CONNECT_FAILED);
+        assertThat(rig.tracked(id).answer).isEqualTo("rejected");
+        assertThat(rig.tracked(id).endpoints).hasSize(2);
         assertThat(rig.router.routes().get(0).fallbacks()).isOne();
         assertThat(rig.router.pools()).extracting(PoolStatus::openRequests).containsOnly(0);
     }
 
     @Test
     void aWriteThatMayHaveRunHasNoSecondPoolAndOneThatHasNotHas() {
-        for (int kind : new int[] {RouterRig.FIX, RouterRig.PUBLISH}) {
+        for (int kind : new int[] {RouterRig.NON_IDEMPOTENT, RouterRig.KEYED}) {
             for (AttemptOutcome outcome : AttemptOutcome.values()) {
                 if (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.MISS) {
                     continue;
                 }
                 RouterRig rig = new RouterRig(twoSites()).fleet(2);
-                int id = rig.ask(kind, "e1");
-                rig.end(rig.out(id), outcome);
-                Asked a = rig.of(id);
+                int id = rig.request(kind, "e1");
+                rig.end(rig.inFlight(id), outcome);
+                TrackedRequest a = rig.tracked(id);
                 if (outcome.mayHaveRun()) {
-                    assertThat(a.servers).as(outcome + " of " + kind).containsExactly(2);
+                    assertThat(a.endpoints).as(outcome + " of " + kind).containsExactly(2);
                     assertThat(a.answer).isEqualTo("failed");
                 } else {
-                    assertThat(a.servers).as(outcome + " of " + kind).containsExactly(2, 1);
+                    assertThat(a.endpoints).as(outcome + " of " + kind).containsExactly(2, 1);
                 }
             }
         }
     }
 
     @Test
-    void aPoolWithoutAServerIsPassedOverAtOnce() {
+    void aPoolWithoutAnEndpointFallsBackAtOnce() {
         RouterRig rig = new RouterRig(routing(
                         1, List.of(hosts("none", "gone-*"), WEST), List.of(), route("r", null, "none", "west", null)))
                 .fleet(4);
-        int id = rig.ask(RouterRig.FIX, "k");
-        assertThat(rig.out(id).server() % 2).isOne();
+        int id = rig.request(RouterRig.NON_IDEMPOTENT, "k");
+        assertThat(rig.inFlight(id).endpointId() % 2).isOne();
         RouterRig without = new RouterRig(
                         routing(1, List.of(hosts("none", "gone-*")), List.of(), route("r", null, "none", null, null)))
                 .fleet(4);
-        assertThat(without.of(without.ask(RouterRig.READ, "k")).answer)
+        assertThat(without.tracked(without.request(RouterRig.READ, "k")).answer)
                 .as("answered at once")
-                .isEqualTo("refused");
+                .isEqualTo("rejected");
     }
 
     @Test
-    void aServerThatDrainsOrIsColdIsSoInEachPoolItStandsIn() {
+    void drainingAndSlowStartHoldInEachPoolOfAnEndpoint() {
         Routing both = routing(
                 1,
                 List.of(hosts("a", "s-1", "s-2"), hosts("b", "s-1", "s-3")),
@@ -158,92 +160,95 @@
                 route("a", "a*", "a", "b", null),
                 route("b", "b*", "b", "a", null));
         RouterRig rig = new RouterRig(both).fleet(3);
-        rig.list(EndpointUpdateKind.DELTA, List.of(RouterRig.member(1, EndpointState.DRAINING, 0)));
+        rig.updateList(EndpointUpdateKind.DELTA, List.of(RouterRig.endpoint(1, EndpointState.DRAINING, 0)));
         for (int i = 0; i < 200; i++) {
-            assertThat(rig.out(rig.ask(RouterRig.READ, "a" + i)).server()).isEqualTo(2);
-            assertThat(rig.out(rig.ask(RouterRig.READ, "b" + i)).server()).isEqualTo(3);
+            assertThat(rig.inFlight(rig.request(RouterRig.READ, "a" + i)).endpointId())
+                    .isEqualTo(2);
+            assertThat(rig.inFlight(rig.request(RouterRig.READ, "b" + i)).endpointId())
+                    .isEqualTo(3);
         }
         RouterRig cold = new RouterRig(both).fleet(3);
-        cold.list(EndpointUpdateKind.DELTA, List.of(RouterRig.member(1, EndpointState.READY, cold.now)));
+        cold.updateList(EndpointUpdateKind.DELTA, List.of(RouterRig.endpoint(1, EndpointState.READY, cold.now)));
         int sent = 0;
         for (int i = 0; i < 400; i++) {
-            sent += cold.out(cold.ask(RouterRig.READ, "a" + i)).server() == 1 ? 1 : 0;
-            sent += cold.out(cold.ask(RouterRig.READ, "b" + i)).server() == 1 ? 1 : 0;
+            sent += cold.inFlight(cold.request(RouterRig.READ, "a" + i)).endpointId() == 1 ? 1 : 0;
+            sent += cold.inFlight(cold.request(RouterRig.READ, "b" + i)).endpointId() == 1 ? 1 : 0;
         }
         // Warm it would have half of 800; cold it can do three tenths, in each pool.
         assertThat(sent).isBetween(400 * 3 / 10 - 45, 400 * 3 / 10 + 45);
     }
 
-    /** A pool by names knows no more of a server that is gone than its number. */
+    /** A removed endpoint is known by its id alone, without the attributes that its pool selected it by. */
     @Test
-    void aServerThatIsGoneOrIsSelectedNoMoreIsGoneForItsPool() {
+    void anEndpointThatIsRemovedOrNoLongerSelectedIsRemovedFromItsPool() {
         RouterRig rig = new RouterRig(
                         routing(1, List.of(hosts("a", "s-1", "s-2")), List.of(), route("a", "a*", "a", null, null)))
                 .fleet(3);
         assertThat(rig.router.pools().get(1).readyEndpoints()).isEqualTo(2);
-        rig.list(EndpointUpdateKind.DELTA, List.of(RouterRig.member(1, EndpointState.REMOVED, 0)));
+        rig.updateList(EndpointUpdateKind.DELTA, List.of(RouterRig.endpoint(1, EndpointState.REMOVED, 0)));
         assertThat(rig.router.pools().get(1).readyEndpoints()).isEqualTo(1);
         for (int i = 0; i < 50; i++) {
-            assertThat(rig.out(rig.ask(RouterRig.READ, "a" + i)).server()).isEqualTo(2);
+            assertThat(rig.inFlight(rig.request(RouterRig.READ, "a" + i)).endpointId())
+                    .isEqualTo(2);
         }
-        Endpoint two = RouterRig.member(2, EndpointState.READY, 0);
+        Endpoint two = RouterRig.endpoint(2, EndpointState.READY, 0);
         rig.router.updateAttributes(2, new EndpointAttributes("renamed", "east", "node", Set.of()));
         rig.router.onEndpointUpdate(rig.now, EndpointUpdateKind.DELTA, List.of(two), rig);
         assertThat(rig.router.pools().get(1).readyEndpoints()).isZero();
-        assertThat(rig.of(rig.ask(RouterRig.READ, "a1")).answer).isEqualTo("refused");
+        assertThat(rig.tracked(rig.request(RouterRig.READ, "a1")).answer).isEqualTo("rejected");
     }
 
-    /** All of one pool fails at once: its requests must not push the other's cold server over. */
+    /** All of one pool fails at once: its requests must not overload an endpoint of the other in slow start. */
     @Test
-    void whatFallsBackKeepsOffColdServers() {
+    void aRequestInItsFallbackIsNotSentToAnEndpointInSlowStart() {
         RouterRig rig = new RouterRig(twoSites()).fleet(4); // 2 and 4 in the east, 1 and 3 in the west
-        rig.list(EndpointUpdateKind.DELTA, List.of(RouterRig.member(1, EndpointState.READY, rig.now)));
+        rig.updateList(EndpointUpdateKind.DELTA, List.of(RouterRig.endpoint(1, EndpointState.READY, rig.now)));
         for (int i = 0; i < 200; i++) {
-            int id = rig.ask(RouterRig.READ, "e" + i);
-            for (Out o;
-                    rig.of(id).answer == null
-                            && (o = rig.out.stream()
+            int id = rig.request(RouterRig.READ, "e" + i);
+            for (InFlightAttempt o;
+                    rig.tracked(id).answer == null
+                            && (o = rig.inFlight.stream()
                                             .filter(x -> x.request() == id)
                                             .findFirst()
                                             .orElse(null))
                                     != null; ) {
-                assertThat(o.server()).isNotEqualTo(1);
-                if (o.server() == 3) {
+                assertThat(o.endpointId()).isNotEqualTo(1);
+                if (o.endpointId() == 3) {
                     rig.end(o, AttemptOutcome.OK);
                 } else {
                     rig.end(o, AttemptOutcome.CONNECT_FAILED);
                 }
             }
-            rig.pass(1);
+            rig.advance(1);
         }
         assertThat(rig.router.routes().get(0).fallbacks()).isPositive();
     }
 
     @Test
-    void aBudgetHoldsFurtherAttemptsBackInAStormAndRequestsAreAnsweredAtOnce() {
+    void aBudgetLimitsRetriesInAStormAndRequestsAreAnsweredAtOnce() {
         RouterRig rig = new RouterRig(twoSites(policy("tight", 3, 0.1, true))).fleet(20);
         int further = 0;
         for (int i = 0; i < 1000; i++) {
-            int id = rig.ask(RouterRig.READ, "e" + i);
-            while (rig.of(id).answer == null) {
-                rig.end(rig.out(id), AttemptOutcome.CONNECT_FAILED);
+            int id = rig.request(RouterRig.READ, "e" + i);
+            while (rig.tracked(id).answer == null) {
+                rig.end(rig.inFlight(id), AttemptOutcome.CONNECT_FAILED);
             }
-            further += rig.of(id).servers.size() - 1;
+            further += rig.tracked(id).endpoints.size() - 1;
         }
         assertThat(further).isBetween(80, 100);
         assertThat(rig.router.routes().get(0).throttledAttempts()).isPositive();
     }
 
     @Test
-    void withoutCopiesASlowAttemptHasNoSecondBesideIt() {
+    void withoutHedgingASlowAttemptHasNoSecondBesideIt() {
         RouterRig rig = new RouterRig(twoSites(policy("one", 3, Double.POSITIVE_INFINITY, false))).fleet(20);
-        int id = rig.ask(RouterRig.READ, "e1");
-        rig.pass(900);
-        assertThat(rig.of(id).servers).hasSize(1);
+        int id = rig.request(RouterRig.READ, "e1");
+        rig.advance(900);
+        assertThat(rig.tracked(id).endpoints).hasSize(1);
         RouterRig with = new RouterRig(twoSites()).fleet(20);
-        int other = with.ask(RouterRig.READ, "e1");
-        with.pass(900);
-        assertThat(with.of(other).servers).hasSizeGreaterThan(1);
+        int other = with.request(RouterRig.READ, "e1");
+        with.advance(900);
+        assertThat(with.tracked(other).endpoints).hasSizeGreaterThan(1);
     }
 
     @Test
@@ -251,64 +256,67 @@
         RoutePolicy quick = new RoutePolicy(
                 "quick", 200, 3, Double.POSITIVE_INFINITY, 0, true, RejectedRequests.NOTHING, Integer.MAX_VALUE, 0);
         RouterRig rig = new RouterRig(twoSites(quick)).fleet(4);
-        int read = rig.ask(RouterRig.READ, "e1", 60_000);
-        int write = rig.ask(RouterRig.FIX, "e1", 60_000);
-        rig.pass(199);
-        assertThat(rig.of(write).answer).isNull(); // a read that is given up may be told before
-        rig.pass(2);
-        assertThat(rig.of(read).answer).isEqualTo("refused");
-        assertThat(rig.of(write).answer).isEqualTo("failed");
+        int read = rig.request(RouterRig.READ, "e1", 60_000);
+        int write = rig.request(RouterRig.NON_IDEMPOTENT, "e1", 60_000);
+        rig.advance(199);
+        assertThat(rig.tracked(write).answer).isNull(); // a read that is given up may be told before
+        rig.advance(2);
+        assertThat(rig.tracked(read).answer).isEqualTo("rejected");
+        assertThat(rig.tracked(write).answer).isEqualTo("failed");
     }
 
     @Test
-    void aPolicyTurnsAwayAtOnce() {
+    void aPolicyRejectsAtOnce() {
         RoutePolicy readOnly = new RoutePolicy(
                 "ro", Double.POSITIVE_INFINITY, 3, Double.POSITIVE_INFINITY, 0, true, RejectedRequests.WRITES, 2, 250);
         RouterRig rig = new RouterRig(twoSites(readOnly)).fleet(4);
-        assertThat(rig.of(rig.ask(RouterRig.FIX, "e1")).answer).isEqualTo("refused");
-        int first = rig.ask(RouterRig.READ, "e1");
-        int second = rig.ask(RouterRig.READ, "w1");
-        assertThat(rig.of(rig.ask(RouterRig.READ, "e2")).answer)
+        assertThat(rig.tracked(rig.request(RouterRig.NON_IDEMPOTENT, "e1")).answer)
+                .isEqualTo("rejected");
+        int first = rig.request(RouterRig.READ, "e1");
+        int second = rig.request(RouterRig.READ, "w1");
+        assertThat(rig.tracked(rig.request(RouterRig.READ, "e2")).answer)
                 .as("two are open")
-                .isEqualTo("refused");
-        rig.end(rig.out(first), AttemptOutcome.OK);
-        assertThat(rig.of(rig.ask(RouterRig.READ, "e3")).answer).isNull();
-        rig.gone(second);
-        assertThat(rig.of(rig.ask(RouterRig.READ, "e4")).answer).isNull();
+                .isEqualTo("rejected");
+        rig.end(rig.inFlight(first), AttemptOutcome.OK);
+        assertThat(rig.tracked(rig.request(RouterRig.READ, "e3")).answer).isNull();
+        rig.disconnect(second);
+        assertThat(rig.tracked(rig.request(RouterRig.READ, "e4")).answer).isNull();
         assertThat(rig.router.routes().get(0).rejected()).isEqualTo(2);
     }
 
     @Test
-    void openRequestsEndUnderTheirOldRoutesAndAPoolThatVanishesDrains() {
+    void openRequestsEndUnderTheirOldRoutesAndARemovedPoolDrains() {
         RouterRig rig = new RouterRig(twoSites()).fleet(2);
-        int open = rig.ask(RouterRig.READ, "e1");
+        int open = rig.request(RouterRig.READ, "e1");
         rig.router.replaceRoutes(
                 rig.now, routing(2, List.of(WEST), List.of(), route("all", null, "west", null, null)), rig);
         assertThat(rig.router.pools()).extracting(PoolStatus::name).containsExactly("", "east", "west");
         assertThat(rig.router.pools().get(1).draining()).isTrue();
-        assertThat(rig.out(rig.ask(RouterRig.READ, "e1")).server()).isEqualTo(1);
-        rig.end(rig.out(open), AttemptOutcome.CONNECT_FAILED); // the old route still knows its fallback
-        assertThat(rig.of(open).servers).containsExactly(2, 1);
-        rig.end(rig.out(open), AttemptOutcome.OK);
+        assertThat(rig.inFlight(rig.request(RouterRig.READ, "e1")).endpointId()).isEqualTo(1);
+        rig.end(rig.inFlight(open), AttemptOutcome.CONNECT_FAILED); // the old route still knows its fallback
+        assertThat(rig.tracked(open).endpoints).containsExactly(2, 1);
+        rig.end(rig.inFlight(open), AttemptOutcome.OK);
         assertThat(rig.router.pools()).extracting(PoolStatus::name).containsExactly("", "west");
-        assertThat(rig.of(open).answer).isEqualTo("served");
+        assertThat(rig.tracked(open).answer).isEqualTo("served");
         assertThat(rig.router.version()).isEqualTo(2);
     }
 
-    /** Nobody is in the pool any more, but an open request may still fall back on it. */
+    /** The pool has no request any more, but an open request may still fall back on it. */
     @Test
-    void aPoolThatHasVanishedStillHearsOfDrainsWhileARequestMayReachIt() {
+    void aDrainingPoolIsToldOfDrainingEndpointsWhileARequestMayReachIt() {
         RouterRig rig = new RouterRig(twoSites()).fleet(4);
-        int open = rig.ask(RouterRig.READ, "e1");
+        int open = rig.request(RouterRig.READ, "e1");
         rig.router.replaceRoutes(
                 rig.now, routing(2, List.of(EAST), List.of(), route("all", null, "east", null, null)), rig);
-        rig.list(
+        rig.updateList(
                 EndpointUpdateKind.DELTA,
-                List.of(RouterRig.member(1, EndpointState.DRAINING, 0), RouterRig.member(3, EndpointState.REMOVED, 0)));
-        while (rig.of(open).answer == null) {
-            rig.end(rig.out(open), AttemptOutcome.CONNECT_FAILED); // the rig fails if it goes to 1 or 3
+                List.of(
+                        RouterRig.endpoint(1, EndpointState.DRAINING, 0),
+                        RouterRig.endpoint(3, EndpointState.REMOVED, 0)));
+        while (rig.tracked(open).answer == null) {
+            rig.end(rig.inFlight(open), AttemptOutcome.CONNECT_FAILED); // the rig fails if it goes to 1 or 3
         }
-        assertThat(rig.of(open).answer).isEqualTo("refused");
+        assertThat(rig.tracked(open).answer).isEqualTo("rejected");
         assertThat(rig.router.pools()).extracting(PoolStatus::name).containsExactly("", "east");
     }
 
@@ -316,7 +324,7 @@
     @Test
     void aPoolChangeDuringAWriteThatMayHaveRunSendsItNowhereElse() {
         RouterRig rig = new RouterRig(twoSites()).fleet(2);
-        int write = rig.ask(RouterRig.FIX, "e1");
+        int write = rig.request(RouterRig.NON_IDEMPOTENT, "e1");
         rig.router.replaceRoutes(
                 rig.now,
                 routing(
@@ -325,9 +333,9 @@
                         List.of(),
                         route("all", null, "east", null, null)),
                 rig);
-        rig.end(rig.out(write), AttemptOutcome.RESET);
-        assertThat(rig.of(write).servers).containsExactly(2);
-        assertThat(rig.of(write).answer).isEqualTo("failed");
+        rig.end(rig.inFlight(write), AttemptOutcome.RESET);
+        assertThat(rig.tracked(write).endpoints).containsExactly(2);
+        assertThat(rig.tracked(write).answer).isEqualTo("failed");
     }
 
     @Test
@@ -339,16 +347,16 @@
         int first = 0;
         int plain = 0;
         for (int i = 0; i < 1600; i++) {
-            first += rig.out(rig.ask(RouterRig.READ, "h" + i)).server() == 1 ? 1 : 0;
-            plain += rig.out(rig.ask(RouterRig.READ, "x" + i)).server() == 1 ? 1 : 0;
+            first += rig.inFlight(rig.request(RouterRig.READ, "h" + i)).endpointId() == 1 ? 1 : 0;
+            plain += rig.inFlight(rig.request(RouterRig.READ, "x" + i)).endpointId() == 1 ? 1 : 0;
         }
         assertThat(first).isBetween(700, 900);
         assertThat(plain).isBetween(100, 260);
     }
 
-    /** Anything in any order; the rig looks at the rules as orders come, and at the end all is answered and empty. */
+    /** Random events; the rig checks the safety rules at each order, and at the end all requests are answered. */
     @Property(tries = 300, seed = "81")
-    void theRulesHoldWhateverHappens(@ForAll long seed) {
+    void theSafetyRulesHoldInRandomRuns(@ForAll long seed) {
         Random random = new Random(seed);
         RoutePolicy tight = policy(
                 "t",
@@ -359,23 +367,25 @@
         int version = 1;
         for (int step = 0; step < 300; step++) {
             switch (random.nextInt(10)) {
-                case 0, 1, 2 -> rig.ask(random.nextInt(3), "ewx".charAt(random.nextInt(3)) + "" + random.nextInt(20));
+                case 0, 1, 2 ->
+                    rig.request(random.nextInt(3), "ewx".charAt(random.nextInt(3)) + "" + random.nextInt(20));
                 case 3, 4, 5, 6 -> {
-                    if (!rig.out.isEmpty()) {
+                    if (!rig.inFlight.isEmpty()) {
                         AttemptOutcome[] all = AttemptOutcome.values();
                         AttemptOutcome o = all[random.nextInt(all.length)];
                         rig.end(
-                                rig.out.get(random.nextInt(rig.out.size())),
+                                rig.inFlight.get(random.nextInt(rig.inFlight.size())),
                                 o == AttemptOutcome.MISS ? AttemptOutcome.OK : o);
                     }
                 }
-                case 7 -> rig.pass(random.nextInt(200));
+                case 7 -> rig.advance(random.nextInt(200));
                 case 8 -> {
                     List<Endpoint> changes = new ArrayList<>();
                     int id = 1 + random.nextInt(8);
                     EndpointState state = EndpointState.values()[random.nextInt(3)];
-                    changes.add(RouterRig.member(id, state, random.nextBoolean() ? 0 : rig.now - random.nextInt(9000)));
-                    rig.list(EndpointUpdateKind.DELTA, changes);
+                    changes.add(
+                            RouterRig.endpoint(id, state, random.nextBoolean() ? 0 : rig.now - random.nextInt(9000)));
+                    rig.updateList(EndpointUpdateKind.DELTA, changes);
                 }
                 default -> {
                     if (random.nextInt(4) == 0) {
@@ -386,21 +396,21 @@
                                                 version, List.of(EAST), List.of(), route("x", "x*", "east", null, null))
                                         : twoSites(tight),
                                 rig);
-                    } else if (!rig.asked.isEmpty()) {
-                        rig.gone(1 + random.nextInt(rig.asked.size()));
+                    } else if (!rig.requests.isEmpty()) {
+                        rig.disconnect(1 + random.nextInt(rig.requests.size()));
                     }
                 }
             }
-            rig.settle();
+            rig.runDeferred();
         }
-        rig.pass(5000);
-        rig.settle();
-        for (Out o : List.copyOf(rig.out)) {
+        rig.advance(5000);
+        rig.runDeferred();
+        for (InFlightAttempt o : List.copyOf(rig.inFlight)) {
             rig.end(o, AttemptOutcome.TIMEOUT);
         }
-        rig.settle();
-        assertThat(rig.asked.values()).allMatch(a -> a.answer != null);
-        assertThat(rig.asked.values()).allMatch(a -> a.servers.size() <= 3);
+        rig.runDeferred();
+        assertThat(rig.requests.values()).allMatch(a -> a.answer != null);
+        assertThat(rig.requests.values()).allMatch(a -> a.endpoints.size() <= 3);
         assertThat(rig.router.pools()).allMatch(p -> p.openRequests() == 0 && !p.draining());
         assertThat(rig.router.openRequests()).isZero();
     }
--- a/src/test/java/cacheproxy/route/RouterTranscriptTest.java
+++ b/src/test/java/cacheproxy/route/RouterTranscriptTest.java
@@ -34,8 +34,8 @@
     }
 
     private static RoutePolicy policy(
-            String name, RoutePolicy.RejectedRequests turnAway, int attempts, boolean copies) {
-        return new RoutePolicy(name, 700, attempts, 0.2, 1, copies, turnAway, 20, 250);
+            String name, RoutePolicy.RejectedRequests rejectedRequests, int attempts, boolean hedgingAllowed) {
+        return new RoutePolicy(name, 700, attempts, 0.2, 1, hedgingAllowed, rejectedRequests, 20, 250);
     }
 
     private static Route route(String name, String key, String pool, String fallback, String policy) {
@@ -87,15 +87,16 @@
         rig.fleet(2 + random.nextInt(6));
         int version = 1;
         for (int step = 0; step < STEPS; step++) {
-            int kind = random.nextInt(15);
-            transcript.append(step).append(" event ").append(kind).append('\n');
-            switch (kind) {
-                case 0, 1, 2 -> rig.ask(random.nextInt(3), "ewxwa".charAt(random.nextInt(5)) + "" + random.nextInt(20));
+            int event = random.nextInt(15);
+            transcript.append(step).append(" event ").append(event).append('\n');
+            switch (event) {
+                case 0, 1, 2 ->
+                    rig.request(random.nextInt(3), "ewxwa".charAt(random.nextInt(5)) + "" + random.nextInt(20));
                 case 3, 4, 5 -> endOne(rig, random);
-                case 12 -> rig.ask(RouterRig.READ, "e" + random.nextInt(20));
+                case 12 -> rig.request(RouterRig.READ, "e" + random.nextInt(20));
                 case 13 -> rig.router.onSettings(rig.now, rig.settings, rig.actions);
-                case 6 -> rig.pass(random.nextInt(200));
-                case 7 -> rig.list(EndpointUpdateKind.DELTA, List.of(change(rig, random)));
+                case 6 -> rig.advance(random.nextInt(200));
+                case 7 -> rig.updateList(EndpointUpdateKind.DELTA, List.of(change(rig, random)));
                 case 8 -> {
                     if (random.nextInt(4) == 0) {
                         version++;
@@ -103,8 +104,8 @@
                     }
                 }
                 case 9 -> {
-                    if (!rig.asked.isEmpty()) {
-                        rig.gone(1 + random.nextInt(rig.asked.size()));
+                    if (!rig.requests.isEmpty()) {
+                        rig.disconnect(1 + random.nextInt(rig.requests.size()));
                     }
                 }
                 case 10 ->
@@ -114,9 +115,9 @@
                                     random.nextInt(2), random.nextInt(4) == 0 ? 0.5 : 1, random.nextBoolean(), false)),
                             rig.actions);
                 case 11 -> answerHealthCheck(rig, random);
-                default -> rig.pass(random.nextInt(20));
+                default -> rig.advance(random.nextInt(20));
             }
-            rig.settle();
+            rig.runDeferred();
             if (step % 50 == 0) {
                 appendStatus(rig.router, transcript);
                 for (int server = 1; server <= 8; server++) {
@@ -138,27 +139,27 @@
     }
 
     private static void endOne(RouterRig rig, Random random) {
-        if (!rig.out.isEmpty()) {
+        if (!rig.inFlight.isEmpty()) {
             AttemptOutcome[] all = AttemptOutcome.values();
             AttemptOutcome outcome = all[random.nextInt(all.length)];
             rig.end(
-                    rig.out.get(random.nextInt(rig.out.size())),
+                    rig.inFlight.get(random.nextInt(rig.inFlight.size())),
                     outcome == AttemptOutcome.MISS ? AttemptOutcome.OK : outcome);
         }
     }
 
     private static Endpoint change(RouterRig rig, Random random) {
-        return RouterRig.member(
+        return RouterRig.endpoint(
                 1 + random.nextInt(8),
                 EndpointState.values()[random.nextInt(3)],
                 random.nextBoolean() ? 0 : rig.now - random.nextInt(9000));
     }
 
     private static void answerHealthCheck(RouterRig rig, Random random) {
-        if (!rig.probes.isEmpty()) {
+        if (!rig.healthChecks.isEmpty()) {
             rig.router.onHealthCheckResult(
                     rig.now,
-                    rig.probes.remove(0),
+                    rig.healthChecks.remove(0),
                     random.nextBoolean() ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT,
                     5,
                     null,
