--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -33,10 +33,10 @@
     public ChannelFuture write(Channel channel, RequestAttempt attempt, long remainingMs, SocketAddress dial) {
         if (attempt.request == null) {
             String probe = dispatcher.loadReports().inHealthChecks() ? "stats load\r\n" : "mn\r\n";
-            return channel.writeAndFlush(MetaCodec.text(channel.alloc(), probe));
+            return channel.writeAndFlush(MetaCodec.encode(channel.alloc(), probe));
         }
         RequestCommand command = attempt.request.command;
-        ByteBuf head = MetaCodec.text(channel.alloc(), command.commandLine.with(remainingMs) + "\r\n");
+        ByteBuf head = MetaCodec.encode(channel.alloc(), command.commandLine.with(remainingMs) + "\r\n");
         if (command.value == null) {
             return channel.writeAndFlush(head);
         }
@@ -65,7 +65,7 @@
             if (missing >= 0) {
                 value(in);
             } else {
-                String line = MetaCodec.line(in);
+                String line = MetaCodec.readLine(in);
                 if (line != null) {
                     answer(line);
                 } else if (in.isReadable()) {
@@ -89,10 +89,10 @@
             connection.ended(AttemptOutcome.ERROR, 0, report(line), null);
         } else if (line.startsWith("VA ") && !attempt.request.command.write) {
             String word = MetaCodec.wordAt(line, 3);
-            length = MetaCodec.length(word);
+            length = MetaCodec.parseLength(word);
             flags(attempt, line, 4 + word.length());
             missing = length + 2;
-            streamed = length > MetaCodec.WHOLE;
+            streamed = length > MetaCodec.MAX_WHOLE_VALUE_BYTES;
             if (streamed) {
                 dropped = !connection.begin(length);
             }
@@ -172,7 +172,8 @@
             stats += name + "=" + MetaCodec.wordAt(line, 6 + name.length()) + ",";
         } else {
             boolean ok = line.equals("MN") || line.equals("END");
-            float[] figures = MetaCodec.report(stats, dispatcher.loadReports().fields());
+            float[] figures =
+                    MetaCodec.loadReport(stats, dispatcher.loadReports().fields());
             stats = "";
             connection.ended(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null);
         }
--- a/src/main/java/cacheproxy/proxy/ClientAcceptor.java
+++ b/src/main/java/cacheproxy/proxy/ClientAcceptor.java
@@ -21,72 +21,81 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** The listening socket and the clients' connections that came through it, with their bound. */
-final class ClientAcceptor implements Dispatcher.ClientListener {
-    /** As many clients as may come at once while the event loop is busy; each further one would come a second late. */
+/**
+ * Accepts the clients' connections and keeps them within a limit: listens, adopts connections that another process has
+ * accepted, and closes idle ones to make room or during a drain. On the event loop but for {@link #listen}, which
+ * waits.
+ */
+final class ClientAcceptor implements ClientConnection.Listener {
+    /**
+     * As many clients as may connect at once while the event loop is busy; a further one would retry a second later.
+     */
     private static final int BACKLOG = 1024;
-    /** Rounds of the event loop in which all of a full backlog is accepted, some at a time. */
+    /** Rounds of the event loop in which a full backlog is accepted, some connections at a time. */
     private static final int MAX_ROUNDS = 128;
-    /** A client that has connected sends its first request within this time, on a busy machine, too. */
-    private static final double UNHEARD_MS = 300;
-    /** So many connections beyond the bound may wait for their clients to end them as well. */
-    private static final int LINGERING = 16;
+    /** A client sends its first request within this time of connecting, on a busy machine too. */
+    private static final double FIRST_REQUEST_GRACE_MS = 300;
+    /** How many connections beyond the limit may wait for their clients to close them. */
+    private static final int MAX_ENDING = 16;
 
+    /** Above the upper mark, in bytes, no further command of the client is decoded; below the lower one again. */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 << 10, 64 << 10);
+
     private static final Comparator<ClientConnection> LONGEST_IDLE =
             Comparator.comparingDouble(ClientConnection::lastActiveMs);
 
     private final Dispatcher dispatcher;
     private final int maxClients;
     private final Set<ClientConnection> clients = new HashSet<>();
-    private Channel server;
-    /** Connections that were taken from the system so far. */
-    private long accepted;
-    /** New connections are another process's. */
-    private boolean left;
+    private Channel listener;
+    /** Connections accepted since the start. */
+    private long acceptedCount;
+    /** New connections are accepted by another process. */
+    private boolean acceptedElsewhere;
 
-    private Consumer<ClientConnection> retire = ClientConnection::finish;
+    private Consumer<ClientConnection> idleCloser = ClientConnection::closeGracefully;
 
+    /** Creates an acceptor of at most {@code maxClients} open connections. */
     ClientAcceptor(Dispatcher dispatcher, int maxClients) {
         this.dispatcher = dispatcher;
         this.maxClients = maxClients;
     }
 
-    /** How an idle connection ends, where it does not just end. */
-    void retireBy(Consumer<ClientConnection> by) {
-        retire = by;
+    /** Sets how an idle connection ends during a drain, where it is not just closed. */
+    void closeIdleBy(Consumer<ClientConnection> closer) {
+        idleCloser = closer;
     }
 
     @Override
-    public void closeWhenIdle(ClientConnection client) {
-        retire.accept(client);
+    public void idleWhileDraining(ClientConnection client) {
+        idleCloser.accept(client);
     }
 
-    /** Listens from here on; waits until it does, so not to be called on the event loop. */
+    /** Listens at this address. Waits; not to be called on the event loop. */
     void listen(EventLoopGroup group, InetSocketAddress address) throws InterruptedException {
         ServerBootstrap bootstrap = bootstrap(group).channel(Transport.BEST.server());
         if (Transport.BEST.passesDescriptors()) {
             // So that another process can serve beside this one, should it not get this one's socket.
             bootstrap.option(EpollChannelOption.SO_REUSEPORT, true);
         }
-        server = bootstrap.bind(address).sync().channel();
+        listener = bootstrap.bind(address).sync().channel();
     }
 
-    /** The same at a socket that listens already. */
+    /** Accepts at a socket that listens already. Waits; not to be called on the event loop. */
     void listen(EventLoopGroup group, FileDescriptor socket) throws InterruptedException {
-        server = bootstrap(group)
+        listener = bootstrap(group)
                 .channelFactory(() -> new EpollServerSocketChannel(socket.intValue()))
                 .option(ChannelOption.AUTO_READ, false)
                 .register()
                 .sync()
                 .channel();
-        server.config().setAutoRead(true); // only now is there a handler for what it accepts
+        listener.config().setAutoRead(true); // only now is there a handler for what it accepts
     }
 
     private ServerBootstrap bootstrap(EventLoopGroup group) {
         return new ServerBootstrap()
                 .group(group)
-                .handler(new AcceptErrors(this::regulate, dispatcher.failures()::acceptFailed))
+                .handler(new AcceptErrors(this::updateAutoRead, dispatcher.failures()::acceptFailed))
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -94,152 +103,155 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted(channel, false);
+                        add(channel, false);
                     }
                 });
     }
 
-    /** Takes a client's connection that another process has accepted. */
+    /** Serves a client's connection that another process has accepted. */
     void adopt(EventLoop loop, FileDescriptor client) {
         Channel channel = new EpollSocketChannel(client.intValue());
         channel.config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK);
-        accepted(channel, true);
+        add(channel, true);
         loop.register(channel);
     }
 
-    Channel channel() {
-        return server;
+    Channel listeningChannel() {
+        return listener;
     }
 
-    /** Takes new connections, or leaves them to the process that shares the socket. */
-    void accept(boolean on) {
-        left = !on;
-        regulate();
+    /** Accepts new connections, or leaves them to the process that shares the socket. */
+    void setAccepting(boolean on) {
+        acceptedElsewhere = !on;
+        updateAutoRead();
     }
 
-    private void regulate() {
-        if (server == null) {
-            return; // it has accepted before it was handed over
+    private void updateAutoRead() {
+        if (listener == null) {
+            return; // the socket accepted before this process had its handler in place
         }
-        server.config()
-                .setAutoRead(!left && (clients.size() <= maxClients || clients.size() - lingering() <= maxClients));
+        listener.config()
+                .setAutoRead(!acceptedElsewhere
+                        && (clients.size() <= maxClients || clients.size() - endingConnections() <= maxClients));
     }
 
-    private int lingering() {
+    private int endingConnections() {
         return (int) clients.stream().filter(ClientConnection::ending).count();
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) server.localAddress();
+        return (InetSocketAddress) listener.localAddress();
     }
 
     /**
-     * A connection that the kernel has accepted counts as taken, so where there are too many the one that has stood
-     * idle longest makes room. It ends in order, as a request on it may be on its way, and a close over one would reset
-     * what else the client is to read; but clients that do not end theirs have room of their own alone.
+     * Adds a connection. The kernel has accepted it, so where there are too many the one that has been idle longest
+     * makes room. It is closed gracefully, as a request may be on its way and a reset would destroy what the client is
+     * still to read; but the room for connections whose clients do not close them is limited too.
      */
-    private void accepted(Channel channel, boolean adopted) {
-        ClientConnection client = new ClientConnection(dispatcher, adopted);
+    private void add(Channel channel, boolean adopted) {
+        ClientConnection client = new ClientConnection(dispatcher, this, adopted);
         channel.pipeline().addLast(client);
         clients.add(client);
-        accepted++;
-        if (clients.size() - lingering() > maxClients) {
+        acceptedCount++;
+        if (clients.size() - endingConnections() > maxClients) {
             idleClients()
                     .filter(c -> c != client)
                     .min(LONGEST_IDLE)
-                    .ifPresentOrElse(ClientConnection::finish, this::regulate);
+                    .ifPresentOrElse(ClientConnection::closeGracefully, this::updateAutoRead);
         }
-        if (clients.size() > maxClients + LINGERING) {
-            clients.stream().filter(ClientConnection::ending).min(LONGEST_IDLE).ifPresent(ClientConnection::close);
+        if (clients.size() > maxClients + MAX_ENDING) {
+            clients.stream().filter(ClientConnection::ending).min(LONGEST_IDLE).ifPresent(ClientConnection::closeNow);
         }
     }
 
     @Override
-    public void clientLeft(ClientConnection client) {
+    public void closed(ClientConnection client) {
         clients.remove(client);
-        regulate();
+        updateAutoRead();
     }
 
-    void sweep() {
-        sweep(dispatcher.now());
+    /** Closes the connections of clients that have not taken their responses for too long. */
+    void closeStalled() {
+        closeStalled(dispatcher.now());
     }
 
-    /** Ends clients that have not taken their answers for too long by then. */
-    void sweep(double now) {
+    /** As above, at this time. */
+    void closeStalled(double now) {
         for (ClientConnection c : List.copyOf(clients)) {
             if (c.stalled(now)) {
-                c.close();
+                c.closeNow();
             }
         }
     }
 
-    // ---- its end
+    // ---- drain
 
     /**
-     * Refuses new connections; those it has go on. What the system has accepted counts as taken, and closing the socket
-     * would reset it, so all of that is accepted first: until a round of the event loop brings none.
+     * Refuses new connections. Those that the kernel has accepted are accepted first, as closing the socket would reset
+     * them: until a round of the event loop brings none.
      */
     void stopListening() {
-        closeOnceEmpty(accepted, MAX_ROUNDS);
+        closeOnceBacklogIsEmpty(acceptedCount, MAX_ROUNDS);
     }
 
-    private void closeOnceEmpty(long before, int rounds) {
-        server.eventLoop()
+    private void closeOnceBacklogIsEmpty(long before, int rounds) {
+        listener.eventLoop()
                 .schedule(
-                        () -> { // behind the next round's input
-                            if (accepted == before || rounds == 0) {
-                                server.close();
+                        () -> { // after the next round's input
+                            if (acceptedCount == before || rounds == 0) {
+                                listener.close();
                             } else {
-                                closeOnceEmpty(accepted, rounds - 1);
+                                closeOnceBacklogIsEmpty(acceptedCount, rounds - 1);
                             }
                         },
                         0,
                         TimeUnit.MILLISECONDS);
     }
 
-    int open() {
+    /** How many connections are open. */
+    int openConnections() {
         return clients.size();
     }
 
-    int idle() {
+    /** How many connections are between requests and not ending. */
+    int idleConnections() {
         return (int) idleClients().count();
     }
 
     /**
-     * Ends so many connections between requests, those first that have stood idle longest; not one that has just come,
-     * as a client whose new connection ends unheard has been turned away.
+     * Closes so many idle connections, those first that have been idle longest; not one that has just connected, as a
+     * client whose new connection is closed without a response counts as rejected.
      */
-    void endIdle(int many) {
-        endIdle(many, dispatcher.now());
+    void closeIdle(int many) {
+        closeIdle(many, dispatcher.now());
     }
 
-    /** The same at that time. */
-    void endIdle(int many, double now) {
+    /** As above, at this time. */
+    void closeIdle(int many, double now) {
         idleClients()
-                .filter(c -> c.used() || now - c.lastActiveMs() >= UNHEARD_MS)
+                .filter(c -> c.hasResponded() || now - c.lastActiveMs() >= FIRST_REQUEST_GRACE_MS)
                 .sorted(LONGEST_IDLE)
                 .limit(many)
                 .toList()
-                .forEach(this::closeWhenIdle);
+                .forEach(idleCloser);
     }
 
     /**
-     * Ends so many connections between requests, those first that were used last: these carry what is asked. Never one
-     * that has had no answer yet: its first request is on its way, and a client whose new connection ends unheard has
-     * been turned away.
+     * Closes so many idle connections, those first that were used last, as these carry most requests. Never one that
+     * has had no response yet: its first request is on its way.
      */
-    void endBusiest(int many) {
+    void closeMostRecentlyUsed(int many) {
         idleClients()
-                .filter(ClientConnection::used)
+                .filter(ClientConnection::hasResponded)
                 .sorted(LONGEST_IDLE.reversed())
                 .limit(many)
                 .toList()
-                .forEach(ClientConnection::finish);
+                .forEach(ClientConnection::closeGracefully);
     }
 
-    /** Ends all connections, whatever is on them. */
-    void endAll() {
-        List.copyOf(clients).forEach(ClientConnection::finish);
+    /** Closes all connections gracefully, whatever is under way on them. */
+    void closeAll() {
+        List.copyOf(clients).forEach(ClientConnection::closeGracefully);
     }
 
     private Stream<ClientConnection> idleClients() {
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/ClientConnection.java
@@ -16,12 +16,22 @@
  * passed to the process that takes over. On the event loop only.
  */
 final class ClientConnection extends PausableDecoder {
+    /** Is told of the connection's end. On the event loop only. */
+    interface Listener {
+        /** The connection is closed. */
+        void closed(ClientConnection client);
+
+        /** The instance drains, and the connection is between requests. */
+        void idleWhileDraining(ClientConnection client);
+    }
+
     /** How long a client has to close a connection whose output is closed, in milliseconds. */
     private static final long LINGER_MS = 300;
     /** A client that has taken nothing of its responses for so long is disconnected, in milliseconds. */
     private static final double WRITE_STALL_MS = 10_000;
 
     private final Dispatcher dispatcher;
+    private final Listener listener;
     private final boolean adopted;
     private final ClientResponseQueue responses;
     private final ClientRequestReceiver receiver;
@@ -40,8 +50,9 @@
     private long lastUnwrittenBytes;
 
     /** {@code adopted}: another process has accepted it and may have served it. */
-    ClientConnection(Dispatcher dispatcher, boolean adopted) {
+    ClientConnection(Dispatcher dispatcher, Listener listener, boolean adopted) {
         this.dispatcher = dispatcher;
+        this.listener = listener;
         this.adopted = adopted;
         responses = new ClientResponseQueue(this, dispatcher);
         receiver = new ClientRequestReceiver(this, responses, dispatcher);
@@ -66,13 +77,13 @@
     }
 
     /** Whether it has been sent a response here; a connection that has not has a request on its way. */
-    boolean used() {
+    boolean hasResponded() {
         return responses.hasWritten();
     }
 
     /** Whether this or another process has served it, so that no first command is awaited. */
     boolean served() {
-        return adopted || used();
+        return adopted || hasResponded();
     }
 
     /** Whether its output is closed or it is on its way to another process. */
@@ -171,9 +182,9 @@
     /** Ends the connection if that is due and nothing is under way on it. */
     void closeIfDue() {
         if (closing && responses.isEmpty() && responses.allWritten()) {
-            finish();
+            closeGracefully();
         } else if (dispatcher.drain().closing() && idle()) {
-            dispatcher.closeWhenIdle(this);
+            listener.idleWhileDraining(this);
         }
     }
 
@@ -181,7 +192,7 @@
      * Closes the output and waits for the client to close the connection: closing with unread input would send a reset,
      * which could overtake the last response.
      */
-    void finish() {
+    void closeGracefully() {
         if (finished) {
             return;
         }
@@ -189,11 +200,11 @@
         closing = true;
         context.channel().config().setAutoRead(true);
         ((DuplexChannel) context.channel()).shutdownOutput();
-        context.executor().schedule(this::close, LINGER_MS, TimeUnit.MILLISECONDS);
+        context.executor().schedule(this::closeNow, LINGER_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Closes the connection at once, whatever is under way on it. */
-    void close() {
+    void closeNow() {
         closedByProxy = true;
         context.close();
     }
@@ -206,7 +217,7 @@
         super.channelInactive(ctx);
         receiver.dropIncoming();
         responses.drop(closedByProxy);
-        dispatcher.clientLeft(this);
+        listener.closed(this);
     }
 
     @Override
@@ -244,7 +255,7 @@
         } else {
             keep();
             if (idle()) {
-                finish();
+                closeGracefully();
             }
         }
     }
--- a/src/main/java/cacheproxy/proxy/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/ClientRequestReceiver.java
@@ -101,7 +101,7 @@
     }
 
     private void receiveLine(ByteBuf in) throws MetaCodec.SyntaxException {
-        String line = MetaCodec.line(in);
+        String line = MetaCodec.readLine(in);
         if (line != null) {
             readTimeout.commandCompleted();
             handle(line, input.lastTakenArrivedMs(in.readableBytes()));
@@ -254,7 +254,7 @@
         if (input.anyReceived()) {
             connection.respondAndClose("CLIENT_ERROR timed out\r\n");
         } else {
-            connection.finish(); // a line would be taken for the response to a request that is on its way
+            connection.closeGracefully(); // a line would be taken for the response to a request that is on its way
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/ClientResponseQueue.java
+++ b/src/main/java/cacheproxy/proxy/ClientResponseQueue.java
@@ -56,7 +56,7 @@
     void respond(String text) {
         PendingResponse response = new PendingResponse(null);
         pending.add(response);
-        response.complete(MetaCodec.text(context().alloc(), text));
+        response.complete(MetaCodec.encode(context().alloc(), text));
     }
 
     /** Writes what is ready, as far as the order allows. */
@@ -129,7 +129,7 @@
         }
 
         private void complete(String text) {
-            complete(MetaCodec.text(context().alloc(), text));
+            complete(MetaCodec.encode(context().alloc(), text));
         }
 
         @Override
@@ -163,7 +163,7 @@
 
         @Override
         public void fail() {
-            complete(MetaCodec.FAILED);
+            complete(MetaCodec.FAILED_LINE);
         }
 
         @Override
@@ -174,7 +174,7 @@
         @Override
         public void beginValue(int length, FlowControl flowControl) {
             source = flowControl;
-            writePart(MetaCodec.text(context().alloc(), MetaCodec.valueHead(length, id)));
+            writePart(MetaCodec.encode(context().alloc(), MetaCodec.valueHead(length, id)));
         }
 
         @Override
@@ -196,7 +196,7 @@
         public void endValue() {
             source = null; // first, or the write pauses the connection that the next response is to arrive on
             complete = true;
-            writePart(MetaCodec.text(context().alloc(), "\r\n"));
+            writePart(MetaCodec.encode(context().alloc(), "\r\n"));
         }
 
         /** Only the connection's end tells the client that the value is incomplete. */
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -70,18 +70,8 @@
     private final EndpointListEvents endpointListEvents;
 
     private RoutingOrders orders;
-    private ClientListener clientListener;
     private Future<?> sweeper;
 
-    /** Is told of clients' connections. Event loop only. */
-    interface ClientListener {
-        /** The connection has ended. */
-        void clientLeft(ClientConnection client);
-
-        /** The connection is between requests, and is to take no further one. */
-        void closeWhenIdle(ClientConnection client);
-    }
-
     /** {@code upstream}: the kind of channel for connections to servers. */
     Dispatcher(EventLoop loop, LoopClock loopClock, Config config, Class<? extends Channel> upstream) {
         this.loop = loop;
@@ -130,8 +120,7 @@
      *
      * @param routing the routes; null: a single pool under the settings' own policy
      */
-    void start(EndpointListSource discovery, PeerSocket peers, ClientListener clients, Routing routing) {
-        clientListener = clients;
+    void start(EndpointListSource discovery, PeerSocket peers, Routing routing) {
         orders = new RoutingOrders(
                 requests,
                 lifecycle,
@@ -207,14 +196,6 @@
 
     // ---- clients: connections
 
-    void clientLeft(ClientConnection client) {
-        clientListener.clientLeft(client);
-    }
-
-    void closeWhenIdle(ClientConnection client) {
-        clientListener.closeWhenIdle(client);
-    }
-
     /** Counts and logs what goes wrong with connections. */
     ConnectionFailures failures() {
         return failures;
--- a/src/main/java/cacheproxy/proxy/DrainCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/DrainCoordinator.java
@@ -58,7 +58,10 @@
 
     private DrainStateMachine.OpenWork openWork() {
         return new DrainStateMachine.OpenWork(
-                dispatcher.openRequests(), acceptor.open(), acceptor.idle(), dispatcher.completedRequests());
+                dispatcher.openRequests(),
+                acceptor.openConnections(),
+                acceptor.idleConnections(),
+                dispatcher.completedRequests());
     }
 
     private void tick() {
@@ -73,10 +76,10 @@
             listening = false;
             acceptor.stopListening();
         }
-        acceptor.endIdle(orders.closeIdle());
+        acceptor.closeIdle(orders.closeIdle());
         if (orders.answerAll()) {
             dispatcher.completeAll();
-            acceptor.endAll();
+            acceptor.closeAll();
         }
         if (orders.exit()) {
             loop.schedule(onDrained, orders.answerAll() ? FLUSH_MS : 0, TimeUnit.MILLISECONDS);
--- a/src/main/java/cacheproxy/proxy/Initializer.java
+++ b/src/main/java/cacheproxy/proxy/HandlerInitializer.java
@@ -4,11 +4,11 @@
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelInitializer;
 
-/** Puts the handlers of one new connection in place. */
-final class Initializer extends ChannelInitializer<Channel> {
+/** Adds handlers to the pipeline of one new connection. */
+final class HandlerInitializer extends ChannelInitializer<Channel> {
     private final ChannelHandler[] handlers;
 
-    Initializer(ChannelHandler... handlers) {
+    HandlerInitializer(ChannelHandler... handlers) {
         this.handlers = handlers;
     }
 
--- a/src/main/java/cacheproxy/proxy/HandoverServer.java
+++ b/src/main/java/cacheproxy/proxy/HandoverServer.java
@@ -183,7 +183,8 @@
                     handover.snapshotRequested(number)
                             && sendSnapshot(ctx, snapshot.get().toJson() + "\n");
                 case SOCKET_REQUEST ->
-                    handover.socketRequested(number) && sendDescriptor(ctx, Transport.descriptor(acceptor.channel()));
+                    handover.socketRequested(number)
+                            && sendDescriptor(ctx, Transport.descriptor(acceptor.listeningChannel()));
                 case SERVING_REPORT -> handover.successorServes(number) && successorServes(ctx.channel());
                 default -> false;
             };
@@ -204,7 +205,7 @@
 
         private boolean successorServes(Channel channel) {
             successor = channel;
-            acceptor.accept(handover.acceptsConnections());
+            acceptor.setAccepting(handover.acceptsConnections());
             return true;
         }
 
@@ -215,7 +216,7 @@
             if (successor == ctx.channel()) {
                 successor = null;
             }
-            acceptor.accept(handover.acceptsConnections());
+            acceptor.setAccepting(handover.acceptsConnections());
             if (gone) {
                 republish();
             }
--- a/src/main/java/cacheproxy/proxy/LoadReports.java
+++ b/src/main/java/cacheproxy/proxy/LoadReports.java
@@ -19,7 +19,7 @@
     /** Parses the load report of a response; null where the settings say that responses have none. */
     float[] parse(String text) {
         return settings.routing().loadReportSource() == LoadReportSource.WITH_RESPONSES
-                ? MetaCodec.report(text, fields())
+                ? MetaCodec.loadReport(text, fields())
                 : null;
     }
 
--- a/src/main/java/cacheproxy/proxy/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/MetaCodec.java
@@ -6,23 +6,23 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The grammar of the meta text protocol, shared by the sides of clients and of cache nodes. */
+/** The grammar of the meta text protocol, shared by the codecs towards clients and cache nodes. Stateless. */
 final class MetaCodec {
-    /** The longest value the protocol has. */
-    static final int MAX_VALUE = 4 << 20;
-    /** Answers up to this size are passed on whole, longer ones as they come. */
-    static final int WHOLE = 64 << 10;
+    /** The longest value of the protocol. */
+    static final int MAX_VALUE_BYTES = 4 << 20;
+    /** Values up to this size are passed on whole, longer ones are streamed. */
+    static final int MAX_WHOLE_VALUE_BYTES = 64 << 10;
 
-    static final int MAX_LINE = 4096;
-    /** Of the line end behind a value. */
+    static final int MAX_LINE_BYTES = 4096;
+    /** Length of the line end behind a value. */
     static final int LINE_END_BYTES = 2;
 
-    static final String FAILED = "SERVER_ERROR failed\r\n";
+    static final String FAILED_LINE = "SERVER_ERROR failed\r\n";
     static final String BUSY = "SERVER_ERROR busy";
 
     private MetaCodec() {}
 
-    /** Input that is not the protocol's. */
+    /** Input violates the protocol's grammar. */
     static final class SyntaxException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -31,12 +31,12 @@
         }
     }
 
-    /** Takes one line off the input, without its end; null while it is not all there. */
-    static String line(ByteBuf in) throws SyntaxException {
+    /** Reads one line and returns it without its end; null while it is incomplete. */
+    static String readLine(ByteBuf in) throws SyntaxException {
         int start = in.readerIndex();
-        int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE), (byte) '\n');
+        int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE_BYTES), (byte) '\n');
         if (end < 0) {
-            if (in.readableBytes() >= MAX_LINE) {
+            if (in.readableBytes() >= MAX_LINE_BYTES) {
                 throw new SyntaxException("line too long");
             }
             return null;
@@ -50,28 +50,29 @@
         return line;
     }
 
-    /** A decimal length between 0 and the longest value. */
-    static int length(String word) throws SyntaxException {
+    /** Parses a value's decimal length, at most {@link #MAX_VALUE_BYTES}. */
+    static int parseLength(String word) throws SyntaxException {
         int n = 0;
         for (int i = 0; i < word.length(); i++) {
             int digit = word.charAt(i) - '0';
-            if (digit < 0 || digit > 9 || n > MAX_VALUE) {
+            if (digit < 0 || digit > 9 || n > MAX_VALUE_BYTES) {
                 throw new SyntaxException("bad data length");
             }
             n = 10 * n + digit;
         }
-        if (word.isEmpty() || n > MAX_VALUE) {
+        if (word.isEmpty() || n > MAX_VALUE_BYTES) {
             throw new SyntaxException("bad data length");
         }
         return n;
     }
 
+    /** The word that starts at this index; empty at the end of the line. */
     static String wordAt(String line, int start) {
         int end = line.indexOf(' ', start);
         return start >= line.length() ? "" : line.substring(start, end < 0 ? line.length() : end);
     }
 
-    /** The flag that begins with this letter, without the letter; null if the line has none from there on. */
+    /** The flag that starts with this letter, without the letter; null if there is none from {@code from} on. */
     static String flag(String line, int from, char letter) {
         for (int at = from; at >= 0 && at < line.length(); at = line.indexOf(' ', at) + 1) {
             if (line.charAt(at) == letter) {
@@ -84,9 +85,9 @@
         return null;
     }
 
-    /** The value under this name in a list such as {@code c=read,d=480}; null if it is not there. */
-    static String named(String list, String name) {
-        int at = valueAt(list, name);
+    /** The value of a parameter in a list such as {@code c=read,d=480}; null if it is absent. */
+    static String parameter(String list, String name) {
+        int at = parameterIndex(list, name);
         if (at < 0) {
             return null;
         }
@@ -94,8 +95,8 @@
         return list.substring(at, end < 0 ? list.length() : end);
     }
 
-    /** Where the value under this name begins in a list, or -1. */
-    static int valueAt(String list, String name) {
+    /** Where the value of a parameter starts in a list; -1 if it is absent. */
+    static int parameterIndex(String list, String name) {
         for (int at = 0; at >= 0 && at < list.length(); at = list.indexOf(',', at) + 1) {
             if (list.startsWith(name, at) && list.startsWith("=", at + name.length())) {
                 return at + name.length() + 1;
@@ -107,14 +108,14 @@
         return -1;
     }
 
-    /** A load report as the module takes it; null where there is none or a figure is not one. */
-    static float[] report(String list, List<String> names) {
+    /** The figures of a load report in the order of their names; null if one is absent or malformed. */
+    static float[] loadReport(String list, List<String> names) {
         if (list == null || names.isEmpty()) {
             return null;
         }
         float[] report = new float[Math.min(4, names.size())];
         for (int i = 0; i < report.length; i++) {
-            String value = named(list, names.get(i));
+            String value = parameter(list, names.get(i));
             if (value == null) {
                 return null;
             }
@@ -127,11 +128,12 @@
         return report;
     }
 
-    /** The first line of a served read. */
+    /** The first line of a response with a value. */
     static String valueHead(int length, String id) {
         return "VA " + length + " O" + id + "\r\n";
     }
 
+    /** The response to a write, with the origin's receipt. */
     static String receipt(String id, String receipt) {
         return "HD O" + id + " c" + receipt + "\r\n";
     }
@@ -142,7 +144,8 @@
         return value.getByte(end - 2) == '\r' && value.getByte(end - 1) == '\n';
     }
 
-    static ByteBuf text(ByteBufAllocator alloc, String text) {
+    /** The text as bytes. */
+    static ByteBuf encode(ByteBufAllocator alloc, String text) {
         ByteBuf buf = alloc.buffer(text.length() + 2);
         ByteBufUtil.writeAscii(buf, text);
         return buf;
--- a/src/main/java/cacheproxy/proxy/MetaCommand.java
+++ b/src/main/java/cacheproxy/proxy/MetaCommand.java
@@ -3,26 +3,31 @@
 import cacheproxy.route.Routing;
 
 /**
- * What a client's line of the meta protocol asks for.
+ * One command line of a client. The words of the protocol:
+ *
+ * <pre>
+ * mn  {@link Kind#NOOP}     mg  {@link Kind#READ}     ms  {@link Kind#WRITE}
+ * O   the request's id      P   its parameters: c class, t tenant, d deadline in ms, h work, size, r repeated
+ * </pre>
  *
  * @param kind of command
- * @param command the request, but for a write's value; null where the line makes none
- * @param valueLength bytes of a write's value, without its line's end; 0 for the others
+ * @param command the request, without a write's value; null where the line makes none
+ * @param valueLength bytes of a write's value without its line end; 0 for the others
  */
 record MetaCommand(Kind kind, RequestCommand command, int valueLength) {
-    private static final int MAX_KEY = 250;
-    /** Of {@code mg} and {@code ms}, with the space behind. */
-    private static final int NAME_LENGTH = 3;
+    private static final int MAX_KEY_LENGTH = 250;
+    /** Length of {@code mg} and {@code ms} with the space behind. */
+    private static final int NAME_BYTES = 3;
 
-    /** What a line can be. */
+    /** The commands. */
     enum Kind {
-        /** {@code mn}: asks whether anybody is there. */
+        /** {@code mn}: checks that the instance responds. */
         NOOP,
         /** {@code mg}: reads a key. */
         READ,
-        /** {@code ms}: writes one; a value follows, whether the line makes a request or not. */
+        /** {@code ms}: writes a key; a value follows, whether the line makes a request or not. */
         WRITE,
-        /** Nothing that is known. */
+        /** Any other line. */
         UNKNOWN
     }
 
@@ -30,9 +35,9 @@
     private static final MetaCommand UNKNOWN = new MetaCommand(Kind.UNKNOWN, null, 0);
 
     /**
-     * Reads a line without its end.
+     * Parses a line without its end.
      *
-     * @throws MetaCodec.SyntaxException for a write whose value's length can't be read, so that its end is not known
+     * @throws MetaCodec.SyntaxException for a write whose value's length is malformed, so that its end is unknown
      */
     static MetaCommand parse(String line) throws MetaCodec.SyntaxException {
         if (line.equals("mn")) {
@@ -42,12 +47,12 @@
         if (!write && !line.startsWith("mg ")) {
             return UNKNOWN;
         }
-        String key = MetaCodec.wordAt(line, NAME_LENGTH);
-        int flags = NAME_LENGTH + key.length() + 1;
+        String key = MetaCodec.wordAt(line, NAME_BYTES);
+        int flags = NAME_BYTES + key.length() + 1;
         int length = 0;
         if (write) {
             String word = MetaCodec.wordAt(line, flags);
-            length = MetaCodec.length(word);
+            length = MetaCodec.parseLength(word);
             flags += word.length() + 1;
         }
         return new MetaCommand(write ? Kind.WRITE : Kind.READ, command(line, key, flags, write), length);
@@ -57,7 +62,7 @@
         String id = MetaCodec.flag(line, flags, 'O');
         String extras = MetaCodec.flag(line, flags, 'P');
         boolean bad = key.isEmpty()
-                || key.length() > MAX_KEY
+                || key.length() > MAX_KEY_LENGTH
                 || id == null
                 || id.isEmpty()
                 || extras == null
@@ -66,7 +71,7 @@
             return null;
         }
         int list = line.indexOf(" P", flags - 1) + 2;
-        int deadline = MetaCodec.valueAt(extras, "d");
+        int deadline = MetaCodec.parameterIndex(extras, "d");
         int deadlineInLine = deadline < 0 ? -1 : list + deadline;
         return new RequestCommand(
                 Routing.META,
@@ -78,23 +83,26 @@
                 DeadlineText.of(line, deadlineInLine));
     }
 
-    /** Guards the servers' connections: one that reads what it can't make out closes on all that wait there. */
+    /**
+     * Protects the servers' connections: a server that can't parse a line closes its connection with all requests on
+     * it.
+     */
     private static boolean printable(String line) {
         return line.chars().allMatch(c -> c >= ' ' && c <= '~');
     }
 
     private static RequestTerms terms(String extras) {
         return new RequestTerms(
-                MetaCodec.named(extras, "c"),
-                MetaCodec.named(extras, "t"),
-                figure(extras, "d", Double.NaN),
-                figure(extras, "h", Double.NaN),
-                (float) figure(extras, "size", 0),
-                "1".equals(MetaCodec.named(extras, "r")));
+                MetaCodec.parameter(extras, "c"),
+                MetaCodec.parameter(extras, "t"),
+                number(extras, "d", Double.NaN),
+                number(extras, "h", Double.NaN),
+                (float) number(extras, "size", 0),
+                "1".equals(MetaCodec.parameter(extras, "r")));
     }
 
-    private static double figure(String extras, String name, double absent) {
-        String text = MetaCodec.named(extras, name);
+    private static double number(String extras, String name, double absent) {
+        String text = MetaCodec.parameter(extras, name);
         try {
             return text == null ? absent : Double.parseDouble(text);
         } catch (NumberFormatException e) {
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -65,7 +65,7 @@
         private final UpstreamConnection connection;
 
         Responses(UpstreamConnection connection) {
-            super(MetaCodec.MAX_LINE, MAX_HEADERS, MAX_PART);
+            super(MetaCodec.MAX_LINE_BYTES, MAX_HEADERS, MAX_PART);
             this.connection = connection;
         }
 
@@ -145,7 +145,7 @@
             fail("header line without colon");
             return;
         }
-        if (missing > MetaCodec.MAX_VALUE) {
+        if (missing > MetaCodec.MAX_VALUE_BYTES) {
             fail("too long");
             return;
         }
@@ -156,10 +156,10 @@
         streamed = r.status().code() == 200
                 && attempt.request != null
                 && !attempt.request.command.write
-                && missing > MetaCodec.WHOLE;
+                && missing > MetaCodec.MAX_WHOLE_VALUE_BYTES;
         body = null;
         if (!streamed) {
-            body = new ValueBuffer(ctx.alloc(), missing < 0 ? MetaCodec.MAX_VALUE : (int) missing);
+            body = new ValueBuffer(ctx.alloc(), missing < 0 ? MetaCodec.MAX_VALUE_BYTES : (int) missing);
             connection.partial();
         } else if (connection.begin((int) missing)) {
             return;
@@ -189,9 +189,9 @@
             }
         } else if (body != null) {
             int length = body.length() + part.readableBytes();
-            if (length > MetaCodec.MAX_VALUE) {
+            if (length > MetaCodec.MAX_VALUE_BYTES) {
                 fail("too long");
-            } else if (!claim(length - MetaCodec.WHOLE)) {
+            } else if (!claim(length - MetaCodec.MAX_WHOLE_VALUE_BYTES)) {
                 fail("no room for it");
             } else {
                 body.add(part, part.readableBytes());
@@ -201,8 +201,9 @@
     }
 
     private boolean claim(int bytes) {
-        while (room.size() * (long) MetaCodec.WHOLE < bytes) {
-            ByteBudget.Reservation ticket = dispatcher.bufferLimits().values().reserve(MetaCodec.WHOLE, () -> {});
+        while (room.size() * (long) MetaCodec.MAX_WHOLE_VALUE_BYTES < bytes) {
+            ByteBudget.Reservation ticket =
+                    dispatcher.bufferLimits().values().reserve(MetaCodec.MAX_WHOLE_VALUE_BYTES, () -> {});
             if (ticket == null || !ticket.granted()) {
                 if (ticket != null) {
                     ticket.release();
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -82,7 +82,7 @@
         discovery = discoveryClient(config, list);
         reloader = new ConfigReloader(config, routes, loop, dispatcher, discovery);
         handoverServer = new HandoverServer(loop, takeoverFolder, handover, acceptor, this::takeoverSnapshot);
-        acceptor.retireBy(this::retire);
+        acceptor.closeIdleBy(this::retire);
         // As late as possible, so that the snapshot shows the old process's present state.
         TakeoverClient predecessor = TakeoverClient.connect(loop, takeoverFolder);
         TakeoverSnapshot snapshot = predecessor == null ? null : predecessor.snapshot();
@@ -122,7 +122,7 @@
 
     private void startSubsystems(EndpointListPublisher list, Routing routing) {
         Config config = config();
-        dispatcher.start(discovery, peers, acceptor, routing);
+        dispatcher.start(discovery, peers, routing);
         discovery.start(restored.endpointList(config.known()));
         if (config.settings().peerMessagesAllowed()) {
             startListGossip(config, list);
@@ -131,7 +131,7 @@
         if (stateLink != null) {
             stateLink.start(dispatcher, discovery);
         }
-        loop.scheduleWithFixedDelay(acceptor::sweep, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S, TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(acceptor::closeStalled, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S, TimeUnit.SECONDS);
     }
 
     private void startListGossip(Config config, EndpointListPublisher list) {
@@ -273,7 +273,7 @@
     /** Ends an idle client's connection during a drain, or passes it to the successor. */
     private void retire(ClientConnection client) {
         if (!handover.passesClients()) {
-            client.finish();
+            client.closeGracefully();
         } else if (client.served()) {
             client.passTo(handoverServer);
         } // else its first command is awaited here: the successor does not know since when
--- a/src/main/java/cacheproxy/proxy/ProxyStatus.java
+++ b/src/main/java/cacheproxy/proxy/ProxyStatus.java
@@ -46,7 +46,7 @@
                 .forEach((name, total) ->
                         outcomes.put(name, new ClassOutcomes(total.succeeded(), total.rejected(), total.failed())));
         return new ProxyStatus(
-                acceptor.open(),
+                acceptor.openConnections(),
                 dispatcher.openRequests(),
                 dispatcher.completedRequests(),
                 dispatcher.servers().connections(),
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -140,9 +140,9 @@
                 others.add(told.length == 1 ? RequestRateCode.decode(told[0]) : 0);
             }
         }
-        int many = spread.connectionsToClose(now, rate, others, acceptor.open(), acceptor.idle());
+        int many = spread.connectionsToClose(now, rate, others, acceptor.openConnections(), acceptor.idleConnections());
         if (many > 0) {
-            acceptor.endBusiest(many);
+            acceptor.closeMostRecentlyUsed(many);
         }
         if (paused != spread.isBackingOff(now)) {
             paused = !paused;
--- a/src/main/java/cacheproxy/proxy/TakeoverClient.java
+++ b/src/main/java/cacheproxy/proxy/TakeoverClient.java
@@ -62,7 +62,7 @@
         channel = new Bootstrap()
                 .group(loop)
                 .channel(Transport.BEST.localSocket())
-                .handler(new Initializer(new LineBasedFrameDecoder(MAX_SNAPSHOT_BYTES), new AnswerHandler()))
+                .handler(new HandlerInitializer(new LineBasedFrameDecoder(MAX_SNAPSHOT_BYTES), new AnswerHandler()))
                 .connect(Transport.BEST.local(path))
                 .addListener(f -> {
                     if (f.isSuccess()) {
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -181,7 +181,7 @@
                 origin ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
         ChannelFuture future = bootstrap
                 .clone()
-                .handler(new Initializer(handlers))
+                .handler(new HandlerInitializer(handlers))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) dispatcher.connectTimeoutMs())
                 .connect(dial);
         connection.opening(future, dial);
--- a/src/main/java/cacheproxy/proxy/ValueBuffer.java
+++ b/src/main/java/cacheproxy/proxy/ValueBuffer.java
@@ -6,46 +6,46 @@
 import java.util.ArrayDeque;
 
 /**
- * A value on its way in, kept in parts of even size: one buffer that grows is there twice while it does, and slices of
- * what was read keep whole reads for a few bytes each.
+ * A value while it is received, in parts of equal size: a single growing buffer exists twice while it grows, and slices
+ * of the input would retain whole reads for a few bytes each.
  */
 final class ValueBuffer {
-    private static final int PART = 64 << 10;
+    private static final int PART_BYTES = 64 << 10;
 
     private final ByteBufAllocator alloc;
     private final ArrayDeque<ByteBuf> parts = new ArrayDeque<>();
-    private int missing;
+    private int missingBytes;
     private int length;
 
-    /** For a value of this many bytes at most. */
+    /** Creates a buffer for at most {@code length} bytes. */
     ValueBuffer(ByteBufAllocator alloc, int length) {
         this.alloc = alloc;
-        missing = length;
+        missingBytes = length;
     }
 
-    /** Takes so many bytes off the input, of those that are missing. */
+    /** Takes so many bytes from the input, at most those that are missing. */
     void add(ByteBuf in, int bytes) {
         for (int left = bytes; left > 0; ) {
             ByteBuf last = parts.peekLast();
             if (last == null || !last.isWritable()) {
-                int size = Math.min(missing, PART);
+                int size = Math.min(missingBytes, PART_BYTES);
                 last = alloc.buffer(size, size);
                 parts.add(last);
             }
             int n = Math.min(left, last.writableBytes());
             last.writeBytes(in, n);
             left -= n;
-            missing -= n;
+            missingBytes -= n;
         }
         length += bytes;
     }
 
-    /** What has come so far, in bytes. */
+    /** Bytes received so far. */
     int length() {
         return length;
     }
 
-    /** The whole value, which is the caller's to release from here on. */
+    /** The whole value, which the caller has to release. */
     ByteBuf whole() {
         if (parts.size() == 1) {
             return parts.poll();
@@ -57,6 +57,7 @@
         return whole;
     }
 
+    /** Releases what has been received. */
     void release() {
         for (ByteBuf part; (part = parts.poll()) != null; ) {
             part.release();
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -44,12 +44,12 @@
         public void fetchSnapshot() {}
     };
 
-    private static final Dispatcher.ClientListener NO_CLIENT_LISTENER = new Dispatcher.ClientListener() {
+    private static final ClientConnection.Listener NO_LISTENER = new ClientConnection.Listener() {
         @Override
-        public void clientLeft(ClientConnection client) {}
+        public void closed(ClientConnection client) {}
 
         @Override
-        public void closeWhenIdle(ClientConnection client) {}
+        public void idleWhileDraining(ClientConnection client) {}
     };
 
     /** A few times the calls after which the JVM compiles a method; more would hold up a restart. */
@@ -106,19 +106,19 @@
         Dispatcher dispatcher = new Dispatcher(loop, new LoopClock(), config, Transport.BEST.localSocket());
         SocketAddress node = listen("n", Node::new);
         SocketAddress origin = listen("o", Origin::new);
-        SocketAddress proxy = listen("p", () -> new ClientConnection(dispatcher, false));
+        SocketAddress proxy = listen("p", () -> new ClientConnection(dispatcher, NO_LISTENER, false));
         int originKind = config.settings().originKind();
         List<DiscoveredEndpoint> hosts =
                 List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
         loop.submit(() -> {
-                    dispatcher.start(NO_DISCOVERY, null, NO_CLIENT_LISTENER, null);
+                    dispatcher.start(NO_DISCOVERY, null, null);
                     dispatcher.endpointList().onEndpoints(EndpointUpdateKind.CACHED, hosts);
                 })
                 .sync();
         new Bootstrap()
                 .group(loop)
                 .channel(Transport.BEST.localSocket())
-                .handler(new Initializer(new Client()))
+                .handler(new HandlerInitializer(new Client()))
                 .connect(proxy)
                 .sync();
         if (!done.await(LIMIT_MS, TimeUnit.MILLISECONDS)) {
@@ -161,11 +161,11 @@
     private static final class Node extends Peer {
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            String line = MetaCodec.line(in);
+            String line = MetaCodec.readLine(in);
             if (line != null) {
                 String id = MetaCodec.flag(line, 3, 'O');
                 boolean miss = id.endsWith("0");
-                ctx.writeAndFlush(MetaCodec.text(
+                ctx.writeAndFlush(MetaCodec.encode(
                         ctx.alloc(), miss ? "EN O" + id + " h0\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n"));
             }
         }
@@ -174,9 +174,9 @@
     private static final class Origin extends Peer {
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            String line = MetaCodec.line(in);
+            String line = MetaCodec.readLine(in);
             if (line != null && line.isEmpty()) {
-                ctx.writeAndFlush(MetaCodec.text(ctx.alloc(), "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"));
+                ctx.writeAndFlush(MetaCodec.encode(ctx.alloc(), "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"));
             }
         }
     }
@@ -192,7 +192,7 @@
 
         private void send(ChannelHandlerContext ctx) {
             String id = Integer.toString(++sent, 4);
-            ctx.writeAndFlush(MetaCodec.text(
+            ctx.writeAndFlush(MetaCodec.encode(
                     ctx.alloc(),
                     "mg " + Integer.toHexString(0x70000000 + sent * 7919) + " v O" + id + " Pc="
                             + config.settings().classes().get(0).name() + ",d=60000\r\n"));
@@ -200,7 +200,7 @@
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            String line = MetaCodec.line(in);
+            String line = MetaCodec.readLine(in);
             if (line == null || line.startsWith("VA")) {
                 return;
             }
--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -68,7 +68,7 @@
 
     @Test
     void aBinaryValueOfFourMebibytesReachesTheOriginWhole() throws Exception {
-        byte[] value = new byte[MetaCodec.MAX_VALUE];
+        byte[] value = new byte[MetaCodec.MAX_VALUE_BYTES];
         new Random(1).nextBytes(value);
         FakeServer origin = new FakeServer(c -> {
             c.request();
@@ -109,7 +109,7 @@
                 "ms 7f3a -5 O1 Pc=fix,d=500\r\n",
                 "ms 7f3a 5 O1 Pc=fix,d=500\r\nhelloXX",
                 "ms 7f3a 4194305 O1 Pc=fix,d=500\r\n",
-                "x".repeat(MetaCodec.MAX_LINE)
+                "x".repeat(MetaCodec.MAX_LINE_BYTES)
             }) {
                 try (Fleet.Client client = fleet.client()) {
                     client.say(lost);
@@ -298,9 +298,9 @@
             double late = fleet.on(() -> fleet.proxy.dispatcher().now()) + 15_000;
             Await.until(
                     "both have been read",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idle()) == 0);
+                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idleConnections()) == 0);
             fleet.on(() -> {
-                fleet.proxy.clientAcceptor().sweep(late);
+                fleet.proxy.clientAcceptor().closeStalled(late);
                 return null;
             });
             assertThat(half.line()).startsWith("CLIENT_ERROR");
--- a/src/test/java/cacheproxy/proxy/ClosingTest.java
+++ b/src/test/java/cacheproxy/proxy/ClosingTest.java
@@ -32,13 +32,14 @@
             }
             Await.until(
                     "the listener ends then",
-                    () -> !fleet.on(() -> fleet.proxy.clientAcceptor().channel().isOpen()));
+                    () -> !fleet.on(() ->
+                            fleet.proxy.clientAcceptor().listeningChannel().isOpen()));
         }
     }
 
     private static void endIdle(Fleet fleet, double now) {
         fleet.on(() -> {
-            fleet.proxy.clientAcceptor().endIdle(3, now);
+            fleet.proxy.clientAcceptor().closeIdle(3, now);
             return null;
         });
     }
@@ -53,7 +54,7 @@
             Fleet.Client mute = fleet.client();
             Await.until(
                     "all have come",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idle()) == 3);
+                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
             endIdle(fleet, now);
             assertThat(used.ended()).isTrue();
             assertThat(fresh.read("1").line()).isEqualTo("VA 5 O1");
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -304,7 +304,7 @@
     /** Seen: its connection ended as soon as the last answer was in the proxy's own buffer, and cut it off. */
     @Test
     void answersThatWaitInTheProxyForTheirClientReachItWhole() throws Exception {
-        String value = "x".repeat(MetaCodec.WHOLE);
+        String value = "x".repeat(MetaCodec.MAX_WHOLE_VALUE_BYTES);
         FakeServer node = FakeServer.node(
                 line -> "VA " + value.length() + " O" + FakeServer.id(line) + " h1\r\n" + value + "\r\n");
         try (Fleet fleet = new Fleet().node(node).start();
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -15,7 +15,7 @@
 /** Values to 4 MiB, many at a time, in pieces cut anywhere, taken and given slowly. */
 @Timeout(90)
 class LargeValuesTest {
-    private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE];
+    private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE_BYTES];
 
     static {
         new Random(7).nextBytes(VALUE);
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -90,7 +90,8 @@
                     "its end is seen",
                     () -> fleet.on(() -> fleet.proxy.dispatcher().openRequests()) == 0);
             assertThat(System.nanoTime() - since).isLessThan(SOON_NANOS);
-            assertThat(fleet.on(() -> fleet.proxy.clientAcceptor().open())).isZero();
+            assertThat(fleet.on(() -> fleet.proxy.clientAcceptor().openConnections()))
+                    .isZero();
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/SharedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/SharedClientsTest.java
@@ -13,9 +13,9 @@
 class SharedClientsTest {
     private static int end(Fleet fleet, int many) {
         return fleet.on(() -> {
-            int before = fleet.proxy.clientAcceptor().idle();
-            fleet.proxy.clientAcceptor().endBusiest(many);
-            return before - fleet.proxy.clientAcceptor().idle();
+            int before = fleet.proxy.clientAcceptor().idleConnections();
+            fleet.proxy.clientAcceptor().closeMostRecentlyUsed(many);
+            return before - fleet.proxy.clientAcceptor().idleConnections();
         });
     }
 
@@ -30,7 +30,7 @@
             Fleet.Client unheard = fleet.client(); // only now: the proxy closes a client that stays silent
             Await.until(
                     "all are idle",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idle()) == 3);
+                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
             assertThat(end(fleet, 1)).isEqualTo(1);
             assertThat(last.ended()).isTrue();
             assertThat(end(fleet, 9)).isEqualTo(1);
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -18,7 +18,7 @@
 
 /** Values over 64 KiB: passed on as they come, held back while the client does not read. */
 class StreamTest {
-    private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE];
+    private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE_BYTES];
 
     static {
         new Random(7).nextBytes(VALUE);
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -126,7 +126,7 @@
             long owedBy = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
             Await.until(
                     "it has come",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().open()) == 1);
+                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().openConnections()) == 1);
             successor(fleet);
             Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             Thread ending = end(fleet.proxy);
