--- a/src/main/java/cacheproxy/proxy/BufferLimits.java
+++ b/src/main/java/cacheproxy/proxy/BufferLimits.java
@@ -5,7 +5,7 @@
 import io.netty.util.internal.PlatformDependent;
 
 /** Limits the direct memory that values and input read ahead of clients may take. Event loop only. */
-final class BufferLimits {
+public final class BufferLimits {
     /** Complete values may take one part in so many of the direct memory; the rest is for what passes through. */
     private static final int VALUES_PART = 2;
     /** Input read ahead may take one part in so many, beside what each connection has of its own. */
@@ -26,12 +26,12 @@
     }
 
     /** The budget for values that are held completely. */
-    ByteBudget values() {
+    public ByteBudget values() {
         return values;
     }
 
     /** The limit of what may be read of clients before it can be decoded. */
-    ReadAheadBudget readAhead() {
+    public ReadAheadBudget readAhead() {
         return readAhead;
     }
 }
--- a/src/main/java/cacheproxy/proxy/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/ClientRequest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** A client's request that the proxy has accepted, its state and its attempts. Event loop only. */
-final class ClientRequest {
+public final class ClientRequest {
     private static final int TYPICAL_ATTEMPTS = 3;
 
     final ResponseWriter responseWriter;
@@ -32,7 +32,8 @@
     final List<RequestAttempt> attempts = new ArrayList<>(TYPICAL_ATTEMPTS);
     private RequestState state = RequestState.OPEN;
 
-    ClientRequest(ResponseWriter responseWriter, RequestCommand command, double receivedMs) {
+    /** Creates an open request; {@code receivedMs}: when its last byte arrived. */
+    public ClientRequest(ResponseWriter responseWriter, RequestCommand command, double receivedMs) {
         this.responseWriter = responseWriter;
         this.command = command;
         this.receivedMs = receivedMs;
--- a/src/main/java/cacheproxy/proxy/ConnectionFailures.java
+++ b/src/main/java/cacheproxy/proxy/ConnectionFailures.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 
 /** Counts and logs what goes wrong with connections and the event loop. Event loop only. */
-final class ConnectionFailures {
+public final class ConnectionFailures {
     private final Counters counters;
     private final EventLog log;
 
@@ -17,7 +17,7 @@
     }
 
     /** A client's connection could not be accepted. */
-    void acceptFailed(Throwable cause) {
+    public void acceptFailed(Throwable cause) {
         counters.increment(Metric.ACCEPT_FAILURES);
         log.log(
                 EventKind.ACCEPT_FAILED,
@@ -25,7 +25,7 @@
     }
 
     /** A client has stopped within a request, or has not sent one. */
-    void clientTimedOut(Object client, ReadTimeout timeout) {
+    public void clientTimedOut(Object client, ReadTimeout timeout) {
         counters.increment(Metric.CLIENT_TIMEOUTS);
         log.log(
                 EventKind.CLIENT_TIMEOUT,
@@ -33,7 +33,7 @@
     }
 
     /** A connection fails. That its other side has closed it is ordinary; anything else is logged. */
-    void connectionFailed(Throwable cause) {
+    public void connectionFailed(Throwable cause) {
         if (!(cause instanceof IOException)) {
             log.log(EventKind.INTERNAL_ERROR, LogMessage.of("connection failed").with("cause", cause));
         }
--- a/src/main/java/cacheproxy/proxy/Counters.java
+++ b/src/main/java/cacheproxy/proxy/Counters.java
@@ -9,7 +9,7 @@
  * Counts outcomes of requests and attempts since the start of the process. Each is counted once, where it is decided. A
  * class that the settings no longer name keeps its counts, since a counter must never go down. Event loop only.
  */
-final class Counters {
+public final class Counters {
     /** How many classes that the settings no longer name are kept; those removed first are dropped first. */
     static final int MAX_REMOVED_CLASSES = 256;
 
@@ -50,7 +50,7 @@
     }
 
     /** Counts a completed request of this class; one of an unknown class is not counted. */
-    void recordOutcome(String className, RequestOutcome outcome) {
+    public void recordOutcome(String className, RequestOutcome outcome) {
         ClassCounts ofClass = classes.get(className);
         if (ofClass == null) {
             return;
--- a/src/main/java/cacheproxy/proxy/DeadlineText.java
+++ b/src/main/java/cacheproxy/proxy/DeadlineText.java
@@ -7,16 +7,16 @@
  * @param before what comes before the figure
  * @param after what comes behind it
  */
-record DeadlineText(String before, String after) {
+public record DeadlineText(String before, String after) {
     /** Names no deadline and nothing else. */
-    static final DeadlineText EMPTY = new DeadlineText("", "");
+    public static final DeadlineText EMPTY = new DeadlineText("", "");
 
     /**
      * Takes a text apart at the figure that begins at {@code at} and ends before the next comma or space.
      *
      * @param at where the figure begins; negative if the text names none, which then would stand at its end
      */
-    static DeadlineText of(String text, int at) {
+    public static DeadlineText of(String text, int at) {
         int begin = at < 0 ? text.length() : at;
         int end = begin;
         while (end < text.length() && text.charAt(end) != ',' && text.charAt(end) != ' ') {
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -37,7 +37,7 @@
  *
  * A request has one response and an attempt one end. Event loop only, except for {@link #now}.
  */
-final class Dispatcher {
+public final class Dispatcher {
     private static final long SWEEP_MS = 1000;
     /** Connections to servers may take one in so many of the process's sockets. */
     private static final int UPSTREAM_SOCKETS_PART = 3;
@@ -160,12 +160,12 @@
     // ---- clients: requests
 
     /** Accepts a request that has been received completely; its {@link ResponseWriter} gets one response. */
-    void accept(ClientRequest request) {
+    public void accept(ClientRequest request) {
         lifecycle.accept(request);
     }
 
     /** A client's connection has ended; {@code closedHere}: by this side, and not in order. */
-    void clientDisconnected(ClientRequest request, boolean closedHere) {
+    public void clientDisconnected(ClientRequest request, boolean closedHere) {
         lifecycle.clientDisconnected(request, closedHere);
     }
 
@@ -197,17 +197,17 @@
     // ---- clients: connections
 
     /** Counts and logs what goes wrong with connections. */
-    ConnectionFailures failures() {
+    public ConnectionFailures failures() {
         return failures;
     }
 
     /** The limits of memory for values and input. */
-    BufferLimits bufferLimits() {
+    public BufferLimits bufferLimits() {
         return bufferLimits;
     }
 
     /** Whether this process drains. */
-    DrainState drain() {
+    public DrainState drain() {
         return drain;
     }
 
@@ -312,22 +312,22 @@
     }
 
     /** The time of {@link ProxyClock}, which every span is measured by, in milliseconds. Any thread. */
-    double now() {
+    public double now() {
         return clock.now();
     }
 
     /** When input that is being read from this connection arrived, on the clock of {@link #now}. */
-    double inputReceivedMs(Channel channel) {
+    public double inputReceivedMs(Channel channel) {
         return clock.inputReceivedMs(channel);
     }
 
     /** Runs a task after this time, in milliseconds, or up to a slot of {@link Timers} later. */
-    Timer after(double ms, Runnable task) {
+    public Timer after(double ms, Runnable task) {
         return timers.after(ms, task);
     }
 
     /** Logs an event, within the rate limit of its kind. */
-    void log(EventKind kind, String text) {
+    public void log(EventKind kind, String text) {
         log.log(kind, text);
     }
 
@@ -341,7 +341,8 @@
         log.log(EventKind.INFO, text);
     }
 
-    Counters counters() {
+    /** What is counted of requests, connections and reloads. */
+    public Counters counters() {
         return counters;
     }
 
--- a/src/main/java/cacheproxy/proxy/DrainCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/DrainCoordinator.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.drain.DrainPlan;
 import cacheproxy.drain.DrainStateMachine;
+import cacheproxy.proxy.client.ClientAcceptor;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
--- a/src/main/java/cacheproxy/proxy/DrainState.java
+++ b/src/main/java/cacheproxy/proxy/DrainState.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
 /** Whether this process drains, as clients' connections are to act on it. Event loop only. */
-final class DrainState {
+public final class DrainState {
     private boolean closing;
     private boolean announced;
 
@@ -12,12 +12,12 @@
     }
 
     /** Whether connections close after the last response that they are owed. */
-    boolean closing() {
+    public boolean closing() {
         return closing;
     }
 
     /** Whether clients that ask are told that the process drains. */
-    boolean announced() {
+    public boolean announced() {
         return announced;
     }
 }
--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.membership.Phase;
+import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
--- a/src/main/java/cacheproxy/proxy/HandoverServer.java
+++ b/src/main/java/cacheproxy/proxy/HandoverServer.java
@@ -1,5 +1,6 @@
 package cacheproxy.proxy;
 
+import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.takeover.HandoverStateMachine;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -34,7 +35,7 @@
  * SERVING  {@link #SERVING_REPORT}
  * </pre>
  */
-final class HandoverServer {
+public final class HandoverServer {
     static final String SNAPSHOT_REQUEST = "STATE " + TakeoverSnapshot.VERSION;
     static final String SOCKET_REQUEST = "SOCKET";
     static final String SERVING_REPORT = "SERVING";
@@ -153,7 +154,7 @@
      *
      * @param done told whether it was passed; the connection is then the successor's
      */
-    void passClient(Channel client, Consumer<Boolean> done) {
+    public void passClient(Channel client, Consumer<Boolean> done) {
         if (successor == null || !handover.passesClients()) {
             done.accept(false);
             return;
--- a/src/main/java/cacheproxy/proxy/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/MetaCodec.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** The grammar of the meta text protocol, shared by the codecs towards clients and cache nodes. Stateless. */
-final class MetaCodec {
+public final class MetaCodec {
     /** The longest value of the protocol. */
     static final int MAX_VALUE_BYTES = 4 << 20;
     /** Values up to this size are passed on whole, longer ones are streamed. */
@@ -15,24 +15,25 @@
 
     static final int MAX_LINE_BYTES = 4096;
     /** Length of the line end behind a value. */
-    static final int LINE_END_BYTES = 2;
+    public static final int LINE_END_BYTES = 2;
 
-    static final String FAILED_LINE = "SERVER_ERROR failed\r\n";
-    static final String BUSY = "SERVER_ERROR busy";
+    public static final String FAILED_LINE = "SERVER_ERROR failed\r\n";
+    public static final String BUSY = "SERVER_ERROR busy";
 
     private MetaCodec() {}
 
     /** Input violates the protocol's grammar. */
-    static final class SyntaxException extends Exception {
+    public static final class SyntaxException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        SyntaxException(String message) {
+        /** Says what is wrong, for the client and the log. */
+        public SyntaxException(String message) {
             super(message, null, false, false);
         }
     }
 
     /** Reads one line and returns it without its end; null while it is incomplete. */
-    static String readLine(ByteBuf in) throws SyntaxException {
+    public static String readLine(ByteBuf in) throws SyntaxException {
         int start = in.readerIndex();
         int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE_BYTES), (byte) '\n');
         if (end < 0) {
@@ -51,7 +52,7 @@
     }
 
     /** Parses a value's decimal length, at most {@link #MAX_VALUE_BYTES}. */
-    static int parseLength(String word) throws SyntaxException {
+    public static int parseLength(String word) throws SyntaxException {
         int n = 0;
         for (int i = 0; i < word.length(); i++) {
             int digit = word.charAt(i) - '0';
@@ -67,13 +68,13 @@
     }
 
     /** The word that starts at this index; empty at the end of the line. */
-    static String wordAt(String line, int start) {
+    public static String wordAt(String line, int start) {
         int end = line.indexOf(' ', start);
         return start >= line.length() ? "" : line.substring(start, end < 0 ? line.length() : end);
     }
 
     /** The flag that starts with this letter, without the letter; null if there is none from {@code from} on. */
-    static String flag(String line, int from, char letter) {
+    public static String flag(String line, int from, char letter) {
         for (int at = from; at >= 0 && at < line.length(); at = line.indexOf(' ', at) + 1) {
             if (line.charAt(at) == letter) {
                 return wordAt(line, at).substring(1);
@@ -86,7 +87,7 @@
     }
 
     /** The value of a parameter in a list such as {@code c=read,d=480}; null if it is absent. */
-    static String parameter(String list, String name) {
+    public static String parameter(String list, String name) {
         int at = parameterIndex(list, name);
         if (at < 0) {
             return null;
@@ -96,7 +97,7 @@
     }
 
     /** Where the value of a parameter starts in a list; -1 if it is absent. */
-    static int parameterIndex(String list, String name) {
+    public static int parameterIndex(String list, String name) {
         for (int at = 0; at >= 0 && at < list.length(); at = list.indexOf(',', at) + 1) {
             if (list.startsWith(name, at) && list.startsWith("=", at + name.length())) {
                 return at + name.length() + 1;
@@ -129,23 +130,23 @@
     }
 
     /** The first line of a response with a value. */
-    static String valueHead(int length, String id) {
+    public static String valueHead(int length, String id) {
         return "VA " + length + " O" + id + "\r\n";
     }
 
     /** The response to a write, with the origin's receipt. */
-    static String receipt(String id, String receipt) {
+    public static String receipt(String id, String receipt) {
         return "HD O" + id + " c" + receipt + "\r\n";
     }
 
     /** Whether the value is followed by its line end. */
-    static boolean endsWithLineEnd(ByteBuf value) {
+    public static boolean endsWithLineEnd(ByteBuf value) {
         int end = value.writerIndex();
         return value.getByte(end - 2) == '\r' && value.getByte(end - 1) == '\n';
     }
 
     /** The text as bytes. */
-    static ByteBuf encode(ByteBufAllocator alloc, String text) {
+    public static ByteBuf encode(ByteBufAllocator alloc, String text) {
         ByteBuf buf = alloc.buffer(text.length() + 2);
         ByteBufUtil.writeAscii(buf, text);
         return buf;
--- a/src/main/java/cacheproxy/proxy/PausableDecoder.java
+++ b/src/main/java/cacheproxy/proxy/PausableDecoder.java
@@ -7,7 +7,7 @@
  * A decoder on a connection whose reading is paused at times. Netty's own requests a further read after each one that
  * produced no message, paused or not; a decoder that turns input into calls produces none.
  */
-abstract class PausableDecoder extends ByteToMessageDecoder {
+public abstract class PausableDecoder extends ByteToMessageDecoder {
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
         discardSomeReadBytes();
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -1,9 +1,10 @@
 package cacheproxy.proxy;
 
 import cacheproxy.drain.DrainStateMachine;
-import cacheproxy.flow.ByteBudget;
 import cacheproxy.gossip.ListVersionGossip;
 import cacheproxy.gossip.ProvisionalEndpoints;
+import cacheproxy.proxy.client.ClientAcceptor;
+import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
@@ -275,7 +276,7 @@
         if (!handover.passesClients()) {
             client.closeGracefully();
         } else if (client.served()) {
-            client.passTo(handoverServer);
+            client.passTo(handoverServer::passClient);
         } // else its first command is awaited here: the successor does not know since when
     }
 
@@ -382,10 +383,6 @@
         return acceptor;
     }
 
-    ByteBudget valueBudget() {
-        return dispatcher.bufferLimits().values();
-    }
-
     /** What a successor is passed of what was learned. On the event loop only. */
     Map<String, LearnedState> learnedState() {
         return dispatcher.learnedState();
--- a/src/main/java/cacheproxy/proxy/ProxyStatus.java
+++ b/src/main/java/cacheproxy/proxy/ProxyStatus.java
@@ -1,5 +1,6 @@
 package cacheproxy.proxy;
 
+import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.takeover.HandoverStateMachine;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -4,6 +4,7 @@
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
 import cacheproxy.metrics.Metric;
+import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.recovery.ConnectionRebalancer;
 import cacheproxy.recovery.ProvenanceTracker.Subject;
 import cacheproxy.recovery.RecoveryProgress;
--- a/src/main/java/cacheproxy/proxy/RequestCommand.java
+++ b/src/main/java/cacheproxy/proxy/RequestCommand.java
@@ -7,26 +7,27 @@
  * A command as a front protocol has decoded it: what is asked for, and its value in the case of a write. Owns the value
  * and the budget reserved for it. Event loop only.
  */
-final class RequestCommand {
+public final class RequestCommand {
     /** The index of the front protocol in {@link cacheproxy.route.Routing#FRONTS}. */
     final int front;
 
     final String key;
     /** The client's id of the request; no two open requests have the same. */
-    final String id;
+    public final String id;
 
     final boolean write;
-    final RequestTerms terms;
+    public final RequestTerms terms;
     /** The list of named parameters for the origin, in the syntax of the meta protocol. */
     final DeadlineText originParameters;
     /** The command line for a cache node, without its line end. */
     final DeadlineText commandLine;
     /** The value with its line end, kept for further attempts until the request is completed; null for reads. */
-    ByteBuf value;
+    public ByteBuf value;
     /** The part of the value budget that the value takes; null for reads. */
-    ByteBudget.Reservation valueReservation;
+    public ByteBudget.Reservation valueReservation;
 
-    RequestCommand(
+    /** Creates a command without a value; the codec adds that of a write. */
+    public RequestCommand(
             int front,
             String key,
             String id,
@@ -44,7 +45,7 @@
     }
 
     /** Releases the value and its part of the budget. Idempotent. */
-    void release() {
+    public void release() {
         if (value != null) {
             value.release();
             value = null;
--- a/src/main/java/cacheproxy/proxy/RequestOutcome.java
+++ b/src/main/java/cacheproxy/proxy/RequestOutcome.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
 /** The final outcome of a request. Each request has exactly one, counted when it is decided. */
-enum RequestOutcome {
+public enum RequestOutcome {
     /** Answered with a server's response. */
     SUCCEEDED,
     /** Rejected with a promise that a repeat is harmless. */
--- a/src/main/java/cacheproxy/proxy/RequestTerms.java
+++ b/src/main/java/cacheproxy/proxy/RequestTerms.java
@@ -10,5 +10,5 @@
  * @param valueBytes the length of the value in bytes; 0 if the client does not say
  * @param repeated whether the client has sent the request before
  */
-record RequestTerms(
+public record RequestTerms(
         String className, String tenant, double timeoutMs, double workMicros, float valueBytes, boolean repeated) {}
--- a/src/main/java/cacheproxy/proxy/ResponseWriter.java
+++ b/src/main/java/cacheproxy/proxy/ResponseWriter.java
@@ -8,7 +8,7 @@
  * {@link #beginValue} follow calls of {@link #writePart} and then one of {@link #endValue} or {@link #abort}. Called on
  * the event loop.
  */
-interface ResponseWriter {
+public interface ResponseWriter {
     /** Controls how a streamed response is read from its server, so that a slow client need not buffer it. */
     interface FlowControl {
         /** Pauses reading, or resumes it. */
--- a/src/main/java/cacheproxy/proxy/ServerResponse.java
+++ b/src/main/java/cacheproxy/proxy/ServerResponse.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 
 /** A usable response of a server, independent of its protocol. The last owner releases it. */
-sealed interface ServerResponse {
+public sealed interface ServerResponse {
     /** Releases the buffers that it owns. */
     default void release() {}
 
--- a/src/main/java/cacheproxy/proxy/Transport.java
+++ b/src/main/java/cacheproxy/proxy/Transport.java
@@ -53,7 +53,7 @@
                     NioDomainSocketChannel.class);
 
     /** Whether sockets can be passed to another process. */
-    boolean passesDescriptors() {
+    public boolean passesDescriptors() {
         return socket == EpollSocketChannel.class;
     }
 
--- a/src/main/java/cacheproxy/proxy/ValueBuffer.java
+++ b/src/main/java/cacheproxy/proxy/ValueBuffer.java
@@ -9,7 +9,7 @@
  * A value while it is received, in parts of equal size: a single growing buffer exists twice while it grows, and slices
  * of the input would retain whole reads for a few bytes each.
  */
-final class ValueBuffer {
+public final class ValueBuffer {
     private static final int PART_BYTES = 64 << 10;
 
     private final ByteBufAllocator alloc;
@@ -18,13 +18,13 @@
     private int length;
 
     /** Creates a buffer for at most {@code length} bytes. */
-    ValueBuffer(ByteBufAllocator alloc, int length) {
+    public ValueBuffer(ByteBufAllocator alloc, int length) {
         this.alloc = alloc;
         missingBytes = length;
     }
 
     /** Takes so many bytes from the input, at most those that are missing. */
-    void add(ByteBuf in, int bytes) {
+    public void add(ByteBuf in, int bytes) {
         for (int left = bytes; left > 0; ) {
             ByteBuf last = parts.peekLast();
             if (last == null || !last.isWritable()) {
@@ -46,7 +46,7 @@
     }
 
     /** The whole value, which the caller has to release. */
-    ByteBuf whole() {
+    public ByteBuf whole() {
         if (parts.size() == 1) {
             return parts.poll();
         }
@@ -58,7 +58,7 @@
     }
 
     /** Releases what has been received. */
-    void release() {
+    public void release() {
         for (ByteBuf part; (part = parts.poll()) != null; ) {
             part.release();
         }
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -1,5 +1,6 @@
 package cacheproxy.proxy;
 
+import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.route.Pool;
--- a/src/main/java/cacheproxy/proxy/ClientAcceptor.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientAcceptor.java
@@ -1,5 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.Transport;
 import cacheproxy.proxy.transport.AcceptErrors;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -26,7 +28,7 @@
  * accepted, and closes idle ones to make room or during a drain. On the event loop but for {@link #listen}, which
  * waits.
  */
-final class ClientAcceptor implements ClientConnection.Listener {
+public final class ClientAcceptor implements ClientConnection.Listener {
     /**
      * As many clients as may connect at once while the event loop is busy; a further one would retry a second later.
      */
@@ -56,13 +58,13 @@
     private Consumer<ClientConnection> idleCloser = ClientConnection::closeGracefully;
 
     /** Creates an acceptor of at most {@code maxClients} open connections. */
-    ClientAcceptor(Dispatcher dispatcher, int maxClients) {
+    public ClientAcceptor(Dispatcher dispatcher, int maxClients) {
         this.dispatcher = dispatcher;
         this.maxClients = maxClients;
     }
 
     /** Sets how an idle connection ends during a drain, where it is not just closed. */
-    void closeIdleBy(Consumer<ClientConnection> closer) {
+    public void closeIdleBy(Consumer<ClientConnection> closer) {
         idleCloser = closer;
     }
 
@@ -72,7 +74,7 @@
     }
 
     /** Listens at this address. Waits; not to be called on the event loop. */
-    void listen(EventLoopGroup group, InetSocketAddress address) throws InterruptedException {
+    public void listen(EventLoopGroup group, InetSocketAddress address) throws InterruptedException {
         ServerBootstrap bootstrap = bootstrap(group).channel(Transport.BEST.server());
         if (Transport.BEST.passesDescriptors()) {
             // So that another process can serve beside this one, should it not get this one's socket.
@@ -82,7 +84,7 @@
     }
 
     /** Accepts at a socket that listens already. Waits; not to be called on the event loop. */
-    void listen(EventLoopGroup group, FileDescriptor socket) throws InterruptedException {
+    public void listen(EventLoopGroup group, FileDescriptor socket) throws InterruptedException {
         listener = bootstrap(group)
                 .channelFactory(() -> new EpollServerSocketChannel(socket.intValue()))
                 .option(ChannelOption.AUTO_READ, false)
@@ -109,19 +111,20 @@
     }
 
     /** Serves a client's connection that another process has accepted. */
-    void adopt(EventLoop loop, FileDescriptor client) {
+    public void adopt(EventLoop loop, FileDescriptor client) {
         Channel channel = new EpollSocketChannel(client.intValue());
         channel.config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK);
         add(channel, true);
         loop.register(channel);
     }
 
-    Channel listeningChannel() {
+    /** The channel of the listening socket. */
+    public Channel listeningChannel() {
         return listener;
     }
 
     /** Accepts new connections, or leaves them to the process that shares the socket. */
-    void setAccepting(boolean on) {
+    public void setAccepting(boolean on) {
         acceptedElsewhere = !on;
         updateAutoRead();
     }
@@ -139,7 +142,8 @@
         return (int) clients.stream().filter(ClientConnection::ending).count();
     }
 
-    InetSocketAddress address() {
+    /** The address that it listens at. */
+    public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
@@ -171,12 +175,12 @@
     }
 
     /** Closes the connections of clients that have not taken their responses for too long. */
-    void closeStalled() {
+    public void closeStalled() {
         closeStalled(dispatcher.now());
     }
 
     /** As above, at this time. */
-    void closeStalled(double now) {
+    public void closeStalled(double now) {
         for (ClientConnection c : List.copyOf(clients)) {
             if (c.stalled(now)) {
                 c.closeNow();
@@ -190,7 +194,7 @@
      * Refuses new connections. Those that the kernel has accepted are accepted first, as closing the socket would reset
      * them: until a round of the event loop brings none.
      */
-    void stopListening() {
+    public void stopListening() {
         closeOnceBacklogIsEmpty(acceptedCount, MAX_ROUNDS);
     }
 
@@ -209,12 +213,12 @@
     }
 
     /** How many connections are open. */
-    int openConnections() {
+    public int openConnections() {
         return clients.size();
     }
 
     /** How many connections are between requests and not ending. */
-    int idleConnections() {
+    public int idleConnections() {
         return (int) idleClients().count();
     }
 
@@ -222,12 +226,12 @@
      * Closes so many idle connections, those first that have been idle longest; not one that has just connected, as a
      * client whose new connection is closed without a response counts as rejected.
      */
-    void closeIdle(int many) {
+    public void closeIdle(int many) {
         closeIdle(many, dispatcher.now());
     }
 
     /** As above, at this time. */
-    void closeIdle(int many, double now) {
+    public void closeIdle(int many, double now) {
         idleClients()
                 .filter(c -> c.hasResponded() || now - c.lastActiveMs() >= FIRST_REQUEST_GRACE_MS)
                 .sorted(LONGEST_IDLE)
@@ -240,7 +244,7 @@
      * Closes so many idle connections, those first that were used last, as these carry most requests. Never one that
      * has had no response yet: its first request is on its way.
      */
-    void closeMostRecentlyUsed(int many) {
+    public void closeMostRecentlyUsed(int many) {
         idleClients()
                 .filter(ClientConnection::hasResponded)
                 .sorted(LONGEST_IDLE.reversed())
@@ -250,7 +254,7 @@
     }
 
     /** Closes all connections gracefully, whatever is under way on them. */
-    void closeAll() {
+    public void closeAll() {
         List.copyOf(clients).forEach(ClientConnection::closeGracefully);
     }
 
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -1,23 +1,29 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
 import cacheproxy.metrics.EventKind;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.MetaCodec;
+import cacheproxy.proxy.PausableDecoder;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.socket.DuplexChannel;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 
 /**
  * The connection of one client: its states from the start to the end, while {@link ClientRequestReceiver} decodes
  * requests and {@link ClientResponseQueue} writes their responses. Ends in order, by closing its output first, or is
  * passed to the process that takes over. On the event loop only.
  */
-final class ClientConnection extends PausableDecoder {
+public final class ClientConnection extends PausableDecoder {
     /** Is told of the connection's end. On the event loop only. */
-    interface Listener {
+    public interface Listener {
         /** The connection is closed. */
         void closed(ClientConnection client);
 
@@ -50,7 +56,7 @@
     private long lastUnwrittenBytes;
 
     /** {@code adopted}: another process has accepted it and may have served it. */
-    ClientConnection(Dispatcher dispatcher, Listener listener, boolean adopted) {
+    public ClientConnection(Dispatcher dispatcher, Listener listener, boolean adopted) {
         this.dispatcher = dispatcher;
         this.listener = listener;
         this.adopted = adopted;
@@ -82,7 +88,7 @@
     }
 
     /** Whether this or another process has served it, so that no first command is awaited. */
-    boolean served() {
+    public boolean served() {
         return adopted || hasResponded();
     }
 
@@ -192,7 +198,7 @@
      * Closes the output and waits for the client to close the connection: closing with unread input would send a reset,
      * which could overtake the last response.
      */
-    void closeGracefully() {
+    public void closeGracefully() {
         if (finished) {
             return;
         }
@@ -232,8 +238,10 @@
     /**
      * Passes the connection to the successor, and closes it here without a word to the client. In a task of its own:
      * what is being read or written now is done then.
+     *
+     * @param successor passes a channel on and reports whether that succeeded
      */
-    void passTo(HandoverServer successor) {
+    public void passTo(BiConsumer<Channel, Consumer<Boolean>> successor) {
         if (passing || finished) {
             return;
         }
@@ -241,7 +249,7 @@
         context.channel().config().setAutoRead(false); // what arrives now is the successor's to read
         context.executor().execute(() -> {
             if (idle() && !finished) {
-                successor.passClient(context.channel(), this::passed);
+                successor.accept(context.channel(), this::passed);
             } else {
                 keep();
             }
--- a/src/main/java/cacheproxy/proxy/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientInput.java
@@ -1,7 +1,8 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
 import cacheproxy.flow.ArrivalTimes;
 import cacheproxy.flow.ReadAheadBudget;
+import cacheproxy.proxy.Dispatcher;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 
--- a/src/main/java/cacheproxy/proxy/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
@@ -1,6 +1,12 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
 import cacheproxy.flow.ReadTimeout;
+import cacheproxy.proxy.DeadlineText;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.MetaCodec;
+import cacheproxy.proxy.RequestCommand;
+import cacheproxy.proxy.RequestOutcome;
+import cacheproxy.proxy.ValueBuffer;
 import cacheproxy.route.Routing;
 import io.netty.buffer.ByteBuf;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/cacheproxy/proxy/ClientResponseQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientResponseQueue.java
@@ -1,5 +1,11 @@
-package cacheproxy.proxy;
-
+package cacheproxy.proxy.client;
+
+import cacheproxy.proxy.ClientRequest;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.MetaCodec;
+import cacheproxy.proxy.RequestCommand;
+import cacheproxy.proxy.ResponseWriter;
+import cacheproxy.proxy.ServerResponse;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/cacheproxy/proxy/MetaCommand.java
+++ b/src/main/java/cacheproxy/proxy/client/MetaCommand.java
@@ -1,5 +1,9 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
+import cacheproxy.proxy.DeadlineText;
+import cacheproxy.proxy.MetaCodec;
+import cacheproxy.proxy.RequestCommand;
+import cacheproxy.proxy.RequestTerms;
 import cacheproxy.route.Routing;
 
 /**
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -22,7 +22,7 @@
     }
 
     private static long used(Fleet fleet) {
-        return fleet.on(() -> fleet.proxy.valueBudget().reserved());
+        return fleet.on(() -> fleet.proxy.dispatcher().bufferLimits().values().reserved());
     }
 
     private static FakeServer origin() throws IOException {
