--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -6,9 +6,10 @@
 import cacheproxy.control.ControlRegistry;
 import cacheproxy.control.ControlServer;
 import cacheproxy.control.ProxyControl;
-import cacheproxy.proxy.Proxy;
-import cacheproxy.proxy.StateLocation;
+import cacheproxy.proxy.lifecycle.ArchiveTraining;
+import cacheproxy.proxy.lifecycle.Proxy;
 import cacheproxy.proxy.lifecycle.SighupHandler;
+import cacheproxy.proxy.lifecycle.StateLocation;
 import cacheproxy.simulator.SimulatorAdapter;
 import java.io.IOException;
 import java.nio.file.InvalidPathException;
@@ -29,7 +30,7 @@
     public static void main(String[] args) {
         switch (args.length == 0 ? "" : args.length == 1 || args[0].equals("serve") ? args[0] : "") {
             case "serve" -> serve(args);
-            case "train" -> System.exit(Proxy.loadClasses(Main::exerciseAdminPort));
+            case "train" -> System.exit(ArchiveTraining.run(Main::exerciseAdminPort));
             case "drill" -> System.exit(SimulatorAdapter.main());
             default -> System.exit(Cli.run(args));
         }
--- a/src/main/java/cacheproxy/ServeOptions.java
+++ b/src/main/java/cacheproxy/ServeOptions.java
@@ -1,6 +1,6 @@
 package cacheproxy;
 
-import cacheproxy.proxy.FleetFeatures;
+import cacheproxy.proxy.lifecycle.FleetFeatures;
 
 /**
  * The options of {@code serve}. Parsed by hand, so that a proxy's start loads no command line library. The flags stand
--- a/src/main/java/cacheproxy/config/edge/EdgeFile.java
+++ b/src/main/java/cacheproxy/config/edge/EdgeFile.java
@@ -4,7 +4,7 @@
 import cacheproxy.config.Configuration;
 import cacheproxy.config.Problems;
 import cacheproxy.config.Schema;
-import cacheproxy.proxy.RouteSource;
+import cacheproxy.proxy.lifecycle.RouteSource;
 import cacheproxy.route.Known;
 import cacheproxy.route.Routing;
 import java.nio.file.Path;
--- a/src/main/java/cacheproxy/control/RecoveryReport.java
+++ b/src/main/java/cacheproxy/control/RecoveryReport.java
@@ -1,6 +1,6 @@
 package cacheproxy.control;
 
-import cacheproxy.proxy.RecoveryStatus;
+import cacheproxy.proxy.lifecycle.RecoveryStatus;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.recovery.RecoveryProgress;
 import cacheproxy.state.RecordStore;
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -29,7 +29,7 @@
  * What the proxy is told at its start. Settings are read by the adapter's own parser, from the same paths and values;
  * addresses are literal, as there is no DNS.
  */
-record Config(
+public record Config(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -50,7 +50,7 @@
         JsonObject file) {
 
     /** What routes may name here. */
-    Known names() {
+    public Known names() {
         return new Known(
                 settings.classes().stream().map(c -> c.name()).toList(),
                 settings.tenants().stream().map(t -> t.name()).toList(),
@@ -64,7 +64,7 @@
     }
 
     /** Where the list comes from, and how. */
-    DiscoveryClient.Settings discoverySettings() {
+    public DiscoveryClient.Settings discoverySettings() {
         return new DiscoveryClient.Settings(
                 discovery,
                 listForm(),
@@ -77,7 +77,7 @@
     }
 
     /** Reads the file; an IllegalArgumentException says in one line what is wrong. */
-    static Config read(String path) {
+    public static Config read(String path) {
         if (path == null || path.isEmpty()) {
             throw new IllegalArgumentException("BALANCER_CONFIG names no file");
         }
@@ -94,7 +94,7 @@
      * Reads the file again in service. One that lacks a key which it had before is of no use either: it has been cut or
      * written by hand, and what was meant by the missing key nobody can say.
      */
-    Config again(String path) {
+    public Config again(String path) {
         Config next = read(path);
         String lost = lost("", file, next.file);
         if (lost != null) {
--- a/src/main/java/cacheproxy/proxy/Counters.java
+++ b/src/main/java/cacheproxy/proxy/Counters.java
@@ -14,20 +14,23 @@
     static final int MAX_REMOVED_CLASSES = 256;
 
     /** Outcomes of the requests of one class. */
-    static final class ClassCounts {
+    public static final class ClassCounts {
         private long succeeded;
         private long rejected;
         private long failed;
 
-        long succeeded() {
+        /** Answered with a server's response. */
+        public long succeeded() {
             return succeeded;
         }
 
-        long rejected() {
+        /** Refused; a repeat was harmless. */
+        public long rejected() {
             return rejected;
         }
 
-        long failed() {
+        /** Ended without a response though they may have run. */
+        public long failed() {
             return failed;
         }
     }
@@ -88,7 +91,7 @@
     }
 
     /** Counts a settings file read at SIGHUP, applied or rejected. */
-    void recordReload(boolean applied) {
+    public void recordReload(boolean applied) {
         if (applied) {
             reloadsApplied++;
         } else {
@@ -96,19 +99,23 @@
         }
     }
 
-    Map<String, ClassCounts> classes() {
+    /** The outcomes by class name. */
+    public Map<String, ClassCounts> classes() {
         return classes;
     }
 
-    long forwards() {
+    /** Attempts fully written to cache nodes or the origin. */
+    public long forwards() {
         return forwards;
     }
 
-    long reloadsApplied() {
+    /** Configuration reloads that took effect. */
+    public long reloadsApplied() {
         return reloadsApplied;
     }
 
-    long reloadsRejected() {
+    /** Configuration reloads that were rejected. */
+    public long reloadsRejected() {
         return reloadsRejected;
     }
 }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -73,7 +73,7 @@
     private Future<?> sweeper;
 
     /** {@code upstream}: the kind of channel for connections to servers. */
-    Dispatcher(EventLoop loop, LoopClock loopClock, Config config, Class<? extends Channel> upstream) {
+    public Dispatcher(EventLoop loop, LoopClock loopClock, Config config, Class<? extends Channel> upstream) {
         this.loop = loop;
         clock = new ProxyClock(loopClock);
         timers = new Timers(loop);
@@ -120,7 +120,7 @@
      *
      * @param routing the routes; null: a single pool under the settings' own policy
      */
-    void start(EndpointListSource discovery, PeerSocket peers, Routing routing) {
+    public void start(EndpointListSource discovery, PeerSocket peers, Routing routing) {
         orders = new RoutingOrders(
                 requests,
                 lifecycle,
@@ -139,14 +139,14 @@
     }
 
     /** Applies other settings to requests to come; those that are open keep the ones they were accepted with. */
-    void applySettings(Config next) {
+    public void applySettings(Config next) {
         settings.apply(next);
         counters.retainClasses(settings.classNames());
         loadBalancer.settingsChanged(next.settings());
     }
 
     /** Replaces the routes; only where there are any. */
-    void replaceRoutes(Routing routing) {
+    public void replaceRoutes(Routing routing) {
         loadBalancer.routesChanged(routing);
     }
 
@@ -170,12 +170,12 @@
     }
 
     /** Completes every open request now, because a drain's deadline has passed. */
-    void completeAll() {
+    public void completeAll() {
         lifecycle.completeAll();
     }
 
     /** How many requests are open. */
-    int openRequests() {
+    public int openRequests() {
         return requests.openCount();
     }
 
@@ -185,12 +185,12 @@
     }
 
     /** How many accepted requests are completed, including those whose clients disconnected. */
-    long completedRequests() {
+    public long completedRequests() {
         return metrics.completed();
     }
 
     /** The longest deadline of any request that is open or to come, in milliseconds. */
-    double longestDeadlineMs() {
+    public double longestDeadlineMs() {
         return Math.max(settings.longestDeadlineMs(), requests.longestDeadlineMs());
     }
 
@@ -214,7 +214,7 @@
     // ---- servers: attempts
 
     /** The servers of the endpoint list, with the connections to them. */
-    Servers servers() {
+    public Servers servers() {
         return servers;
     }
 
@@ -260,17 +260,17 @@
     }
 
     /** What the load balancer has learned, by pool, for a process that takes over. */
-    Map<String, LearnedState> learnedState() {
+    public Map<String, LearnedState> learnedState() {
         return loadBalancer.learnedState();
     }
 
     /** Continues with what another process has learned; after the endpoint list that it used. */
-    void resume(Map<String, LearnedState> learned) {
+    public void resume(Map<String, LearnedState> learned) {
         loadBalancer.resume(learned);
     }
 
     /** The routes, or null where there are none. */
-    Router router() {
+    public Router router() {
         return loadBalancer.router();
     }
 
@@ -281,7 +281,7 @@
     // ---- endpoint list and peers
 
     /** Takes updates of the endpoint list. */
-    EndpointListPublisher.Subscriber endpointList() {
+    public EndpointListPublisher.Subscriber endpointList() {
         return endpointListEvents;
     }
 
@@ -291,7 +291,7 @@
     }
 
     /** The links to other proxies. */
-    PeerLinks peerLinks() {
+    public PeerLinks peerLinks() {
         return peerLinks;
     }
 
@@ -301,7 +301,7 @@
     }
 
     /** Provenance and age of what is in use that was not observed by this process. */
-    ProvenanceTracker provenance() {
+    public ProvenanceTracker provenance() {
         return provenance;
     }
 
@@ -337,7 +337,7 @@
     }
 
     /** Logs a line of information. */
-    void log(String text) {
+    public void log(String text) {
         log.log(EventKind.INFO, text);
     }
 
@@ -357,7 +357,7 @@
     }
 
     /** What the rules forbade and what violated them. */
-    RuleMonitor rules() {
+    public RuleMonitor rules() {
         return rules;
     }
 }
--- a/src/main/java/cacheproxy/proxy/DrainState.java
+++ b/src/main/java/cacheproxy/proxy/DrainState.java
@@ -6,7 +6,7 @@
     private boolean announced;
 
     /** Sets both, as {@link #closing} and {@link #announced} tell them. */
-    void set(boolean nowClosing, boolean nowAnnounced) {
+    public void set(boolean nowClosing, boolean nowAnnounced) {
         closing = nowClosing;
         announced = nowAnnounced;
     }
--- a/src/main/java/cacheproxy/proxy/EndpointListEvents.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListEvents.java
@@ -14,7 +14,7 @@
  * Puts updates of the endpoint list to use, in this order: connections, load balancer, listeners. Counts and logs what
  * became of polls. Event loop only.
  */
-final class EndpointListEvents implements EndpointListPublisher.Subscriber {
+public final class EndpointListEvents implements EndpointListPublisher.Subscriber {
     private final RequestSettings settings;
     private final Servers servers;
     private final SerialExecutor executor;
--- a/src/main/java/cacheproxy/proxy/FleetZones.java
+++ b/src/main/java/cacheproxy/proxy/FleetZones.java
@@ -7,7 +7,8 @@
 public final class FleetZones {
     private final ZoneLink link;
 
-    FleetZones(ZoneLink link) {
+    /** Shows the decisions that this link takes part in. */
+    public FleetZones(ZoneLink link) {
         this.link = link;
     }
 
--- a/src/main/java/cacheproxy/proxy/HandlerInitializer.java
+++ b/src/main/java/cacheproxy/proxy/HandlerInitializer.java
@@ -5,10 +5,11 @@
 import io.netty.channel.ChannelInitializer;
 
 /** Adds handlers to the pipeline of one new connection. */
-final class HandlerInitializer extends ChannelInitializer<Channel> {
+public final class HandlerInitializer extends ChannelInitializer<Channel> {
     private final ChannelHandler[] handlers;
 
-    HandlerInitializer(ChannelHandler... handlers) {
+    /** The handlers, in the order of the pipeline. */
+    public HandlerInitializer(ChannelHandler... handlers) {
         this.handlers = handlers;
     }
 
--- a/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
@@ -16,21 +16,21 @@
  * What the decision module has learnt, as JSON: what a process tells the one that takes over and what is stored are of
  * this one form.
  */
-final class LearnedStateCodec {
+public final class LearnedStateCodec {
     private static final int MAX_ENTRIES = 10_000;
     private static final double MAX_FIGURE = 1e15;
 
     private LearnedStateCodec() {}
 
     /** By the pools' names. */
-    static JsonObject json(Map<String, LearnedState> learnt) {
+    public static JsonObject json(Map<String, LearnedState> learnt) {
         JsonObject pools = new JsonObject();
         learnt.forEach((name, e) -> pools.add(name, json(e)));
         return pools;
     }
 
     /** Reads it; an exception says that it is of no use. */
-    static Map<String, LearnedState> read(JsonObject pools) {
+    public static Map<String, LearnedState> read(JsonObject pools) {
         Map<String, LearnedState> learnt = new HashMap<>();
         pools.entrySet()
                 .forEach(e -> learnt.put(e.getKey(), experience(e.getValue().getAsJsonObject())));
--- a/src/main/java/cacheproxy/proxy/LoopClock.java
+++ b/src/main/java/cacheproxy/proxy/LoopClock.java
@@ -14,7 +14,7 @@
  * read after a wait in which nothing came has just come; what is there without a wait, as the loop was held up, may
  * have come as soon as it had looked before. Wraps the handler of one loop, and is used on it alone.
  */
-final class LoopClock implements IoHandler {
+public final class LoopClock implements IoHandler {
     /** By how much input may have come earlier than it is taken to have. */
     static final int TOLERATED_MS = 20;
 
@@ -55,7 +55,7 @@
     }
 
     /** Handlers of this kind, the last of them with this clock. */
-    IoHandlerFactory wrap(IoHandlerFactory factory) {
+    public IoHandlerFactory wrap(IoHandlerFactory factory) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
--- a/src/main/java/cacheproxy/proxy/MemberLink.java
+++ b/src/main/java/cacheproxy/proxy/MemberLink.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 
 /** Carries out what {@link Membership} decides: its messages and its times. On the event loop only. */
-final class MemberLink {
+public final class MemberLink {
     private final Dispatcher dispatcher;
     private final PeerSocket peers;
     private final Membership members;
@@ -25,7 +25,7 @@
      * {@code remembered}: the incarnation of this instance's last life, 0 for none; {@code advised}: told the number
      * that lives each time that it changes.
      */
-    MemberLink(
+    public MemberLink(
             Dispatcher dispatcher,
             PeerSocket peers,
             RoutingSettings settings,
@@ -54,7 +54,7 @@
     }
 
     /** What is to be done each time that something may have changed. */
-    void onChange(Runnable then) {
+    public void onChange(Runnable then) {
         changed = then;
     }
 
@@ -64,33 +64,35 @@
         run();
     }
 
-    void phase(Phase phase) {
+    /** Announces this phase of the instance. */
+    public void phase(Phase phase) {
         members.phase(phase);
         run();
     }
 
     /** This instance goes for good; its peers are told. */
-    void leave() {
+    public void leave() {
         members.leave(now());
         run();
     }
 
-    View view() {
+    /** The members of the fleet as this instance sees them. */
+    public View view() {
         return members.view(now());
     }
 
     /** The number of this instance's life. */
-    long incarnation() {
+    public long incarnation() {
         return members.incarnation();
     }
 
     /** How often this proxy refuted that it was dead. */
-    long deathsRefuted() {
+    public long deathsRefuted() {
         return members.deathsRefuted();
     }
 
     /** Messages that could not be read. */
-    long unreadable() {
+    public long unreadable() {
         return members.unreadable();
     }
 
--- a/src/main/java/cacheproxy/proxy/MetricsLog.java
+++ b/src/main/java/cacheproxy/proxy/MetricsLog.java
@@ -14,21 +14,22 @@
  * Writes the metrics of this process as a line at a fixed interval, for the command {@code figures} to aggregate over
  * the fleet. Event loop only, as the counters are.
  */
-final class MetricsLog {
+public final class MetricsLog {
     private static final long UNKNOWN = -1;
 
     private final String proxyName;
     private final Dispatcher dispatcher;
     private final PrintStream out;
 
-    MetricsLog(String proxyName, Dispatcher dispatcher, PrintStream out) {
+    /** Creates a log that writes nothing until it is started. */
+    public MetricsLog(String proxyName, Dispatcher dispatcher, PrintStream out) {
         this.proxyName = proxyName;
         this.dispatcher = dispatcher;
         this.out = out;
     }
 
     /** Starts to write a line every so many milliseconds. */
-    void start(EventLoop loop, long intervalMs) {
+    public void start(EventLoop loop, long intervalMs) {
         loop.scheduleAtFixedRate(() -> out.println(line().text()), intervalMs, intervalMs, TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/cacheproxy/proxy/NodeTalk.java
+++ b/src/main/java/cacheproxy/proxy/NodeTalk.java
@@ -12,7 +12,7 @@
  * Tells peers of nodes that were found silent, and passes on to the decision module what several say. On the event loop
  * only.
  */
-final class NodeTalk {
+public final class NodeTalk {
     private static final int ALL = -1;
     private static final double ZONES_MS = 500;
 
@@ -27,7 +27,8 @@
 
     private double zonesMs = Double.NEGATIVE_INFINITY;
 
-    NodeTalk(Dispatcher dispatcher, PeerSocket peers, MemberLink members) {
+    /** Creates the exchange with the members of this view. */
+    public NodeTalk(Dispatcher dispatcher, PeerSocket peers, MemberLink members) {
         this.dispatcher = dispatcher;
         this.peers = peers;
         this.members = members;
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -7,7 +7,7 @@
  * Passes events on to the links to other proxies: messages from peers, by kind, and what happens here that the links
  * gossip. A link that is not set, because its feature is off or it starts later, gets nothing. Event loop only.
  */
-final class PeerLinks {
+public final class PeerLinks {
     private final SerialLoadBalancer loadBalancer;
     private PeerNews endpointListGossip;
     private MemberLink membership;
@@ -20,28 +20,28 @@
     }
 
     /** Sets the link that gossips the version of the endpoint list. */
-    void setEndpointListGossip(PeerNews link) {
+    public void setEndpointListGossip(PeerNews link) {
         endpointListGossip = link;
     }
 
     /** Sets the links for the fleet's membership and for gossip of outliers. */
-    void setMembership(MemberLink link, NodeTalk outliers) {
+    public void setMembership(MemberLink link, NodeTalk outliers) {
         membership = link;
         outlierGossip = outliers;
     }
 
     /** Sets the link that queries peers for their state and answers such queries. */
-    void setStateQueries(StateQueryLink link) {
+    public void setStateQueries(StateQueryLink link) {
         stateQueries = link;
     }
 
     /** Sets the link that fails over zones together with the fleet. */
-    void setZoneFailover(ZoneLink link) {
+    public void setZoneFailover(ZoneLink link) {
         zoneFailover = link;
     }
 
     /** A message from a peer has arrived. */
-    void messageReceived(int peer, PeerSocket.Kind kind, byte[] message) {
+    public void messageReceived(int peer, PeerSocket.Kind kind, byte[] message) {
         switch (kind) {
             case LIST -> {
                 if (endpointListGossip != null) {
@@ -68,7 +68,7 @@
     }
 
     /** The set of live members has changed. */
-    void liveMembersChanged(Living living) {
+    public void liveMembersChanged(Living living) {
         if (endpointListGossip != null) {
             endpointListGossip.among(living);
         }
--- a/src/main/java/cacheproxy/proxy/PeerNews.java
+++ b/src/main/java/cacheproxy/proxy/PeerNews.java
@@ -16,7 +16,7 @@
  * discovery serves all instances, peers tell each other what has changed; where lists are pushed, each has an agent of
  * its own to ask, and the version is enough. On the event loop only.
  */
-final class PeerNews {
+public final class PeerNews {
     private static final int ALL = -1;
     /** Of what somebody has missed, so many messages are sent at most; who needs more has discovery tell it. */
     private static final int MOST_ANSWERS = 4;
@@ -30,7 +30,7 @@
     private final AntiEntropy antiEntropy;
 
     /** {@code seed}: apart from that of other instances, so that they do not all ask one peer. */
-    PeerNews(
+    public PeerNews(
             Dispatcher dispatcher,
             PeerSocket peers,
             DiscoveryClient discovery,
--- a/src/main/java/cacheproxy/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerSocket.java
@@ -25,7 +25,7 @@
  * Messages between the proxies of a tier: datagrams that come late or not at all. The one owner of what may be sent to
  * peers: all parts of the program share its budget.
  */
-final class PeerSocket {
+public final class PeerSocket {
     /** What an instance may send, whatever the size of the fleet. */
     private static final double BYTES_PER_SECOND = 2000;
 
@@ -34,7 +34,7 @@
     private static final long AGAIN_MS = 500;
 
     /** The kinds of item. */
-    enum Kind {
+    public enum Kind {
         /** The version of the list, as {@code ListNews} has it. */
         LIST(1),
         /** What the decision module tells. */
@@ -82,11 +82,13 @@
     private Channel channel;
 
     /** What takes the messages of peers. */
-    interface Receiver {
+    public interface Receiver {
+        /** A message of this kind has arrived from a peer. */
         void heard(int peer, Kind kind, byte[] body);
     }
 
-    PeerSocket(EventLoop loop, Config config, Receiver receiver, Counters counters) {
+    /** Binds the socket, where the configuration names peers. */
+    public PeerSocket(EventLoop loop, Config config, Receiver receiver, Counters counters) {
         this.loop = loop;
         this.config = config;
         this.receiver = receiver;
@@ -124,11 +126,13 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    InetSocketAddress address() {
+    /** The address that it is bound to. */
+    public InetSocketAddress address() {
         return channel == null ? null : (InetSocketAddress) channel.localAddress();
     }
 
-    SendBudget outbox() {
+    /** What bounds the datagrams that are sent. */
+    public SendBudget outbox() {
         return outbox;
     }
 
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -20,7 +20,7 @@
  * Carries out what is decided of coming back: tells the fleet how far this instance is and what it is asked, and ends
  * clients' connections where it carries more than its part. On the event loop only.
  */
-final class RecoveryLink {
+public final class RecoveryLink {
     /** The note of the view that holds what an instance is asked. */
     static final int LOAD_NOTE = 2;
 
@@ -47,7 +47,7 @@
      * {@code members}: null where no view is kept, and nobody is told; {@code firstHand}: whether the list came from
      * the process before, which served until now; {@code listExpired}: lets go of a list that is past its bound.
      */
-    RecoveryLink(
+    public RecoveryLink(
             Dispatcher dispatcher,
             MemberLink members,
             ClientAcceptor acceptor,
@@ -155,16 +155,17 @@
     }
 
     /** How far it is. */
-    RecoveryProgress progress() {
+    public RecoveryProgress progress() {
         return progress;
     }
 
     /** What it carries by what the others do. */
-    ConnectionRebalancer spread() {
+    public ConnectionRebalancer spread() {
         return spread;
     }
 
-    double rate() {
+    /** Requests per second that this instance receives. */
+    public double rate() {
         return rate;
     }
 }
--- a/src/main/java/cacheproxy/proxy/RuleMonitor.java
+++ b/src/main/java/cacheproxy/proxy/RuleMonitor.java
@@ -14,7 +14,7 @@
  * Counts and logs what {@link SafetyRules} forbade, and violations of the rules that happened all the same. Event loop
  * only.
  */
-final class RuleMonitor {
+public final class RuleMonitor {
     private final EventLog log;
     private final Map<Verdict, Long> forbidden = new EnumMap<>(Verdict.class);
     private final Map<RuleViolation, Long> violations = new EnumMap<>(RuleViolation.class);
@@ -63,7 +63,7 @@
     }
 
     /** Both counts by their stable names. */
-    RuleCounts counts() {
+    public RuleCounts counts() {
         Map<String, Long> forbiddenByKey = new TreeMap<>();
         forbidden.forEach((verdict, count) -> forbiddenByKey.put(verdict.key(), count));
         Map<String, Long> violationsByKey = new TreeMap<>();
--- a/src/main/java/cacheproxy/proxy/Servers.java
+++ b/src/main/java/cacheproxy/proxy/Servers.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 
 /** The servers of the list with our connections to them, and what bounds these over all servers. */
-final class Servers {
+public final class Servers {
     private static final double AVOIDED_MS = 1000;
     /** To one cache node, ordinarily and with those that pass long answers on. */
     private static final int CONNECTIONS = 4;
@@ -191,7 +191,7 @@
     }
 
     /** Connections that are open or being opened. */
-    int connections() {
+    public int connections() {
         return connections;
     }
 
@@ -225,12 +225,12 @@
     // ---- figures
 
     /** The cache nodes of the list. */
-    int discovered() {
+    public int discovered() {
         return (int) cacheNodes().count();
     }
 
     /** Those of them that get no ordinary request now, and have got nothing for a while: not even to be tried again. */
-    int ejected() {
+    public int ejected() {
         double now = dispatcher.now();
         return (int) cacheNodes()
                 .filter(u -> now - u.sentMs() > AVOIDED_MS && dispatcher.isEjected(u.id))
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -29,7 +29,7 @@
  * for the disk. A folder that can't be written, now or later, is told once and costs no request; another process that
  * writes there, as the one that this one takes over from, is waited for. On the event loop but for the writing itself.
  */
-final class StatePersistence {
+public final class StatePersistence {
     private static final double REFRESH_MS = 5000;
     /** A list that was told again is written again only when what is stored has come to be this old. */
     private static final double LIST_REFRESH_MS = 20_000;
@@ -60,7 +60,7 @@
     private long waits;
 
     /** Reads the folder; waits for the disk, so not to be called on the event loop. Never fails. */
-    StatePersistence(Path path, String instance, String fleet) {
+    public StatePersistence(Path path, String instance, String fleet) {
         folder = new StateFolder(path);
         this.instance = instance;
         this.fleet = fleet;
@@ -69,12 +69,12 @@
     }
 
     /** What was there. */
-    OpenedState opened() {
+    public OpenedState opened() {
         return opened;
     }
 
     /** Keeps from now on what this proxy comes to know. */
-    void start(Dispatcher by, DiscoveryClient list) {
+    public void start(Dispatcher by, DiscoveryClient list) {
         dispatcher = by;
         discovery = list;
         for (Finding f : opened.findings()) {
@@ -102,7 +102,7 @@
     }
 
     /** What else is kept: the number of this instance's life, and what is decided of zones; null for none. */
-    void keep(LongSupplier life, ZoneLink decided) {
+    public void keep(LongSupplier life, ZoneLink decided) {
         incarnation = life;
         zones = decided;
         fleetChanged();
@@ -121,7 +121,7 @@
     }
 
     /** The view of the fleet or what is decided of zones may have changed. */
-    void fleetChanged() {
+    public void fleetChanged() {
         if (dispatcher == null || closed) {
             return;
         }
@@ -265,7 +265,7 @@
     }
 
     /** Writes what is not written yet, for as long as that takes within bounds, and lets go of the folder. */
-    void close() {
+    public void close() {
         if (closed) {
             return;
         }
@@ -287,7 +287,7 @@
     }
 
     /** Waits for the last write; not to be called on the event loop. */
-    void awaitClosed() {
+    public void awaitClosed() {
         try {
             writer.awaitTermination(LAST_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -296,16 +296,17 @@
     }
 
     /** What is kept and how it is written; for status. */
-    RecordStore recordStore() {
+    public RecordStore recordStore() {
         return recordStore;
     }
 
     /** Whether this process alone writes there. */
-    boolean locked() {
+    public boolean locked() {
         return locked;
     }
 
-    Path path() {
+    /** The folder in which it is stored. */
+    public Path path() {
         return folder.path();
     }
 }
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 
 /** Asks peers where nothing is remembered, and answers those who ask. On the event loop only. */
-final class StateQueryLink {
+public final class StateQueryLink {
     private static final double TICK_MS = 100;
     /** What is asked for is not known better than to that many requests at the origin. */
     private static final double ORIGIN_WEIGHT = 10;
@@ -30,7 +30,7 @@
     private final PeerStateQuery recall;
 
     /** {@code asks}: whether there is anything to ask for. */
-    StateQueryLink(
+    public StateQueryLink(
             Dispatcher dispatcher, PeerSocket peers, MemberLink members, DiscoveryClient discovery, boolean asks) {
         this.dispatcher = dispatcher;
         this.peers = peers;
--- a/src/main/java/cacheproxy/proxy/Transport.java
+++ b/src/main/java/cacheproxy/proxy/Transport.java
@@ -58,7 +58,7 @@
     }
 
     /** What stands for a channel's socket in another process's hands; only where sockets can be passed. */
-    static FileDescriptor descriptor(Channel channel) {
+    public static FileDescriptor descriptor(Channel channel) {
         return new FileDescriptor(((UnixChannel) channel).fd().intValue());
     }
 
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -36,7 +36,7 @@
  * Local sockets in the private temporary folder, on an event loop of their own, so that nothing is left of them when it
  * ends, also where it fails because the platform has none.
  */
-final class WarmUp {
+public final class WarmUp {
     private static final EndpointListSource NO_DISCOVERY = new EndpointListSource() {
         @Override
         public void setWatch(boolean on) {}
@@ -74,7 +74,7 @@
     }
 
     /** Warms up; a failure to do so is only told, as the proxy can do without. */
-    static void run(Config config) {
+    public static void run(Config config) {
         try {
             Path folder = Files.createTempDirectory(Path.of(System.getenv().getOrDefault("TMPDIR", "/tmp")), "warm");
             run(config, folder);
--- a/src/main/java/cacheproxy/proxy/ZoneForm.java
+++ b/src/main/java/cacheproxy/proxy/ZoneForm.java
@@ -14,11 +14,11 @@
  * What is held of zones, as JSON: by the zones' names, as their numbers hang on the settings, and apart by whose word
  * it is, as an order lasts longer than what was seen.
  */
-final class ZoneForm {
+public final class ZoneForm {
     private ZoneForm() {}
 
     /** Of those zones that stand as ordered, or as found on evidence. */
-    static JsonObject json(Map<Integer, Held> held, boolean ordered, List<String> names) {
+    public static JsonObject json(Map<Integer, Held> held, boolean ordered, List<String> names) {
         JsonObject all = new JsonObject();
         held.forEach((zone, h) -> {
             if (zone < names.size() && ordered != (h.state().cause() == Cause.EVIDENCE)) {
@@ -35,7 +35,7 @@
     }
 
     /** Reads it; zones that there are no more are left out, and an exception says that it is of no use. */
-    static Map<Integer, Held> read(JsonElement json, List<String> names) {
+    public static Map<Integer, Held> read(JsonElement json, List<String> names) {
         Map<Integer, Held> held = new TreeMap<>();
         json.getAsJsonObject().entrySet().forEach(e -> {
             JsonObject o = e.getValue().getAsJsonObject();
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -3,19 +3,20 @@
 import cacheproxy.failover.ZoneSettings;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.Zones;
+import cacheproxy.failover.Zones.Held;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
-import cacheproxy.state.RecordKind;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 
 /**
  * Carries out what {@link Zones} decides: tells it what the decision module saw and what the list holds, passes its
  * orders on, and has the fleet's view carry its notes. On the event loop only.
  */
-final class ZoneLink {
+public final class ZoneLink {
     private final Dispatcher dispatcher;
     private final MemberLink members;
     private final ZoneSettings settings;
@@ -24,27 +25,30 @@
     private byte[] plan = {};
     private byte[] sight = {};
 
-    /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
-    ZoneLink(
+    /**
+     * Zone decisions from before this process's start.
+     *
+     * @param decisions by the zones' numbers
+     * @param valid whether they are recent enough to decide by
+     */
+    public record RestoredDecisions(Map<Integer, Held> decisions, boolean valid) {}
+
+    /** {@code names}: of the zones, by number; {@code states} and {@code orders}: restored ones. */
+    public ZoneLink(
             Dispatcher dispatcher,
             MemberLink members,
             RoutingSettings settings,
             List<String> names,
-            RestoredState last) {
+            RestoredDecisions states,
+            RestoredDecisions orders) {
         this.dispatcher = dispatcher;
         this.members = members;
         this.names = List.copyOf(names);
         this.settings =
                 new ZoneSettings(settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
         zones = new Zones(this.settings);
-        zones.remember(
-                dispatcher.now(),
-                last.zoneDecisions(RecordKind.ZONE_STATES, names),
-                last.isValid(RecordKind.ZONE_STATES));
-        zones.remember(
-                dispatcher.now(),
-                last.zoneDecisions(RecordKind.OPERATOR_ORDERS, names),
-                last.isValid(RecordKind.OPERATOR_ORDERS));
+        zones.remember(dispatcher.now(), states.decisions(), states.valid());
+        zones.remember(dispatcher.now(), orders.decisions(), orders.valid());
         dispatcher.addEndpointListListener(k -> listed());
         listed();
         run();
@@ -122,11 +126,13 @@
         }
     }
 
-    Zones zones() {
+    /** The decisions. */
+    public Zones zones() {
         return zones;
     }
 
-    List<String> names() {
+    /** The zones' names, by number. */
+    public List<String> names() {
         return names;
     }
 
--- a/src/main/java/cacheproxy/proxy/ClassOutcomes.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ClassOutcomes.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 /**
  * How the requests of one service class have ended since the start.
--- a/src/main/java/cacheproxy/proxy/ConfigReloader.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ConfigReloader.java
@@ -1,5 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
+import cacheproxy.proxy.Config;
+import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.route.Routing;
 import io.netty.channel.EventLoop;
--- a/src/main/java/cacheproxy/proxy/DrainCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/DrainCoordinator.java
@@ -1,7 +1,8 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.drain.DrainPlan;
 import cacheproxy.drain.DrainStateMachine;
+import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.client.ClientAcceptor;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/cacheproxy/proxy/EndpointListStatus.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/EndpointListStatus.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 /**
  * How fresh the endpoint list is.
--- a/src/main/java/cacheproxy/proxy/FleetFeatures.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetFeatures.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 /**
  * What an instance does together with the other instances of its fleet, where the settings allow peer messages.
--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
@@ -1,7 +1,18 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.membership.Phase;
+import cacheproxy.proxy.Config;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.FleetZones;
+import cacheproxy.proxy.MemberLink;
+import cacheproxy.proxy.NodeTalk;
+import cacheproxy.proxy.PeerSocket;
+import cacheproxy.proxy.RecoveryLink;
+import cacheproxy.proxy.StatePersistence;
+import cacheproxy.proxy.StateQueryLink;
+import cacheproxy.proxy.ZoneForm;
+import cacheproxy.proxy.ZoneLink;
 import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.recovery.Provenance;
@@ -91,7 +102,13 @@
                 dispatcher.peerLinks()::liveMembersChanged);
         dispatcher.peerLinks().setMembership(members, new NodeTalk(dispatcher, peers, members));
         if (features.zones()) {
-            zones = new ZoneLink(dispatcher, members, current.settings(), current.zones(), restored);
+            zones = new ZoneLink(
+                    dispatcher,
+                    members,
+                    current.settings(),
+                    current.zones(),
+                    restored.zoneDecisions(RecordKind.ZONE_STATES, current.zones()),
+                    restored.zoneDecisions(RecordKind.OPERATOR_ORDERS, current.zones()));
             dispatcher.peerLinks().setZoneFailover(zones);
         }
         if (stateLink != null) {
--- a/src/main/java/cacheproxy/proxy/FleetViewStatus.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetViewStatus.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.membership.View;
 
--- a/src/main/java/cacheproxy/proxy/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/GracefulShutdown.java
@@ -1,7 +1,9 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.drain.DrainPlan;
 import cacheproxy.drain.DrainStateMachine;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.StatePersistence;
 import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.takeover.HandoverStateMachine;
 import io.netty.channel.EventLoop;
--- a/src/main/java/cacheproxy/proxy/HandoverServer.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/HandoverServer.java
@@ -1,5 +1,6 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
+import cacheproxy.proxy.Transport;
 import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.takeover.HandoverStateMachine;
 import io.netty.bootstrap.ServerBootstrap;
@@ -35,7 +36,7 @@
  * SERVING  {@link #SERVING_REPORT}
  * </pre>
  */
-public final class HandoverServer {
+final class HandoverServer {
     static final String SNAPSHOT_REQUEST = "STATE " + TakeoverSnapshot.VERSION;
     static final String SOCKET_REQUEST = "SOCKET";
     static final String SERVING_REPORT = "SERVING";
@@ -154,7 +155,7 @@
      *
      * @param done told whether it was passed; the connection is then the successor's
      */
-    public void passClient(Channel client, Consumer<Boolean> done) {
+    void passClient(Channel client, Consumer<Boolean> done) {
         if (successor == null || !handover.passesClients()) {
             done.accept(false);
             return;
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
@@ -1,18 +1,26 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.gossip.ListVersionGossip;
 import cacheproxy.gossip.ProvisionalEndpoints;
+import cacheproxy.proxy.Config;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.FleetZones;
+import cacheproxy.proxy.LoopClock;
+import cacheproxy.proxy.MetricsLog;
+import cacheproxy.proxy.PeerNews;
+import cacheproxy.proxy.PeerSocket;
+import cacheproxy.proxy.RuleCounts;
+import cacheproxy.proxy.StatePersistence;
+import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.WarmUp;
 import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
-import cacheproxy.proxy.lifecycle.ConfigFileWatcher;
-import cacheproxy.proxy.lifecycle.SighupHandler;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
-import cacheproxy.routing.LearnedState;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.state.OpenedState;
 import cacheproxy.takeover.HandoverStateMachine;
@@ -24,13 +32,8 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Comparator;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
-import java.util.stream.Stream;
 
 /**
  * One proxy instance: builds its subsystems, starts them in order and offers operators what they ask for and command.
@@ -43,8 +46,6 @@
 
     private static final int MIN_CLIENTS = 16;
     private static final long SWEEP_INTERVAL_S = 1;
-    /** Covers some rounds of the view, ticks of zones and recovery, and writes, in milliseconds. */
-    private static final long TRAINING_MS = 700;
 
     private static final int EXIT_START_FAILED = 1;
     private static final int EXIT_WRONG_CONFIGURATION = 2;
@@ -69,7 +70,14 @@
 
     // ---- start
 
-    private Proxy(Config config, RouteSource routes, boolean warmUp, Path takeoverFolder, StateLocation storage)
+    /**
+     * Builds and starts an instance.
+     *
+     * @param routes null: none
+     * @param takeoverFolder where it takes over from another process and hands over; null: nowhere
+     * @param storage where it stores what outlasts it; null: nowhere
+     */
+    Proxy(Config config, RouteSource routes, boolean warmUp, Path takeoverFolder, StateLocation storage)
             throws InterruptedException, IOException {
         stateLink = storage == null ? null : new StatePersistence(storage.folder(), config.name(), storage.fleetName());
         Routing routing = routes == null ? null : routes.read(config.names());
@@ -185,7 +193,8 @@
         }
     }
 
-    private static Config startConfiguration() {
+    /** The configuration that the environment names. Exits the process if it is unusable. */
+    static Config startConfiguration() {
         try {
             return Config.read(System.getenv("BALANCER_CONFIG"));
         } catch (IllegalArgumentException e) {
@@ -204,46 +213,23 @@
         }
     }
 
-    /**
-     * Starts a proxy with every feature, has it used and stops it, so that the build can archive the classes that a
-     * restarted proxy loads. Returns the process's exit code.
-     */
-    public static int loadClasses(Consumer<Proxy> use) {
-        try {
-            Path folder = Files.createTempDirectory("train");
-            Proxy proxy = new Proxy(startConfiguration(), null, true, null, new StateLocation(folder, "train"));
-            proxy.joinFleet(new FleetFeatures(true, true, true));
-            use.accept(proxy);
-            TimeUnit.MILLISECONDS.sleep(TRAINING_MS);
-            proxy.close();
-            try (Stream<Path> files = Files.walk(folder)) {
-                for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(file);
-                }
-            }
-            return 0;
-        } catch (InterruptedException | IOException e) {
-            return 1;
-        }
-    }
-
     /** Starts without a warm-up. */
-    static Proxy start(Config config) throws InterruptedException, IOException {
+    public static Proxy start(Config config) throws InterruptedException, IOException {
         return new Proxy(config, null, false, null, null);
     }
 
     /** Starts without a warm-up, with routes. */
-    static Proxy start(Config config, RouteSource routes) throws InterruptedException, IOException {
+    public static Proxy start(Config config, RouteSource routes) throws InterruptedException, IOException {
         return new Proxy(config, routes, false, null, null);
     }
 
     /** Starts without a warm-up, as the successor of the process that serves by this folder. */
-    static Proxy start(Config config, Path takeoverFolder) throws InterruptedException, IOException {
+    public static Proxy start(Config config, Path takeoverFolder) throws InterruptedException, IOException {
         return new Proxy(config, null, false, takeoverFolder, null);
     }
 
     /** As above, with what is stored at {@code storage}; {@code takeoverFolder}: null for no takeover. */
-    static Proxy start(Config config, Path takeoverFolder, StateLocation storage)
+    public static Proxy start(Config config, Path takeoverFolder, StateLocation storage)
             throws InterruptedException, IOException {
         return new Proxy(config, null, false, takeoverFolder, storage);
     }
@@ -261,7 +247,7 @@
     // ---- reload
 
     /** Reloads the configuration from this file. On any thread but the event loop. */
-    void reload(String file) {
+    public void reload(String file) {
         reloader.reload(file);
     }
 
@@ -283,7 +269,7 @@
     // ---- drain and shutdown
 
     /** What SIGTERM starts; returns when the process may exit. Not on the event loop. */
-    void drain() {
+    public void drain() {
         shutdown.terminate();
     }
 
@@ -303,7 +289,7 @@
     }
 
     /** Stops at once; for tests and training. */
-    void close() {
+    public void close() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
@@ -365,30 +351,28 @@
 
     // ---- for tests
 
-    InetSocketAddress address() {
+    /** Where clients connect. */
+    public InetSocketAddress address() {
         return acceptor.address();
     }
 
-    InetSocketAddress peerAddress() {
+    /** Where peers send datagrams. */
+    public InetSocketAddress peerAddress() {
         return peers.address();
     }
 
-    /** On the event loop only. */
-    Dispatcher dispatcher() {
+    /** The core. On the event loop only. */
+    public Dispatcher dispatcher() {
         return dispatcher;
     }
 
-    /** On the event loop only. */
-    ClientAcceptor clientAcceptor() {
+    /** The clients' connections. On the event loop only. */
+    public ClientAcceptor clientAcceptor() {
         return acceptor;
     }
 
-    /** What a successor is passed of what was learned. On the event loop only. */
-    Map<String, LearnedState> learnedState() {
-        return dispatcher.learnedState();
-    }
-
-    MetricsLog metricsLog(PrintStream out) {
+    /** A log of metrics that writes to {@code out}. */
+    public MetricsLog metricsLog(PrintStream out) {
         return new MetricsLog(name(), dispatcher, out);
     }
 
--- a/src/main/java/cacheproxy/proxy/ProxyStatus.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ProxyStatus.java
@@ -1,5 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
+import cacheproxy.proxy.Counters;
+import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.takeover.HandoverStateMachine;
 import java.util.LinkedHashMap;
--- a/src/main/java/cacheproxy/proxy/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -1,7 +1,10 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.failover.Zones.Held;
 import cacheproxy.membership.Entry;
+import cacheproxy.proxy.LearnedStateCodec;
+import cacheproxy.proxy.ZoneForm;
+import cacheproxy.proxy.ZoneLink;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.recovery.ProvenanceTracker.Subject;
@@ -38,7 +41,7 @@
 
     private final Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
     private final Map<RecordKind, Provenance> sources = new EnumMap<>(RecordKind.class);
-    private final ProvenanceTracker trust;
+    private final ProvenanceTracker provenance;
     private final double nowMs;
 
     /**
@@ -47,8 +50,8 @@
      * @param predecessor null where no process is taken over from
      * @param nowMs wall clock time, in milliseconds
      */
-    RestoredState(TakeoverSnapshot predecessor, OpenedState stored, ProvenanceTracker trust, double nowMs) {
-        this.trust = trust;
+    RestoredState(TakeoverSnapshot predecessor, OpenedState stored, ProvenanceTracker provenance, double nowMs) {
+        this.provenance = provenance;
         this.nowMs = nowMs;
         add(stored.records(), Provenance.STORED);
         if (predecessor != null) {
@@ -78,15 +81,10 @@
         return r == null ? Validity.UNUSABLE : r.validity(nowMs);
     }
 
-    /** Whether data of this kind is recent enough to decide by. */
-    boolean isValid(RecordKind kind) {
-        return validity(kind) == Validity.VALID;
-    }
-
     private void recordUse(RecordKind kind) {
         StoredRecord r = records.get(kind);
         boolean hint = validity(kind) == Validity.HINT;
-        trust.adopted(
+        provenance.adopted(
                 nowMs,
                 SUBJECT_BY_KIND.get(kind),
                 sources.get(kind),
@@ -102,7 +100,7 @@
     JsonObject endpointList(JsonObject configured) {
         StoredRecord r = records.get(RecordKind.ENDPOINT_LIST);
         if (configured != null) {
-            trust.adopted(
+            provenance.adopted(
                     nowMs, Subject.ENDPOINT_LIST, Provenance.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
         }
         if (r == null) {
@@ -111,7 +109,7 @@
         try {
             JsonObject list = r.body().getAsJsonObject();
             if (validity(RecordKind.ENDPOINT_LIST) == Validity.UNUSABLE) {
-                trust.rejected(Subject.ENDPOINT_LIST);
+                provenance.rejected(Subject.ENDPOINT_LIST);
                 return configured;
             }
             if (configured == null
@@ -120,7 +118,7 @@
                 return list;
             }
         } catch (RuntimeException e) {
-            trust.rejected(Subject.ENDPOINT_LIST);
+            provenance.rejected(Subject.ENDPOINT_LIST);
         }
         return configured;
     }
@@ -130,7 +128,7 @@
         Validity use = validity(RecordKind.LEARNED_STATE);
         if (use == Validity.UNUSABLE) {
             if (records.containsKey(RecordKind.LEARNED_STATE)) {
-                trust.rejected(Subject.LEARNED_STATE);
+                provenance.rejected(Subject.LEARNED_STATE);
             }
             return Map.of();
         }
@@ -143,7 +141,7 @@
             recordUse(RecordKind.LEARNED_STATE);
             return all;
         } catch (RuntimeException e) {
-            trust.rejected(Subject.LEARNED_STATE);
+            provenance.rejected(Subject.LEARNED_STATE);
             return Map.of();
         }
     }
@@ -179,26 +177,27 @@
             }
             return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
-            trust.rejected(Subject.INCARNATION);
+            provenance.rejected(Subject.INCARNATION);
             return 0;
         }
     }
 
     /** The restored zone decisions of one kind, by the zones' present numbers. */
-    Map<Integer, Held> zoneDecisions(RecordKind kind, List<String> names) {
+    ZoneLink.RestoredDecisions zoneDecisions(RecordKind kind, List<String> names) {
         StoredRecord r = records.get(kind);
         if (r == null) {
-            return Map.of();
+            return new ZoneLink.RestoredDecisions(Map.of(), false);
         }
+        boolean valid = validity(kind) == Validity.VALID;
         try {
-            Map<Integer, Held> held = ZoneForm.read(r.body(), names);
-            if (!held.isEmpty()) {
+            Map<Integer, Held> decisions = ZoneForm.read(r.body(), names);
+            if (!decisions.isEmpty()) {
                 recordUse(kind);
             }
-            return held;
+            return new ZoneLink.RestoredDecisions(decisions, valid);
         } catch (RuntimeException e) {
-            trust.rejected(Subject.ZONE_STATES);
-            return Map.of();
+            provenance.rejected(Subject.ZONE_STATES);
+            return new ZoneLink.RestoredDecisions(Map.of(), valid);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/RouteSource.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RouteSource.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.route.Known;
 import cacheproxy.route.Routing;
--- a/src/main/java/cacheproxy/proxy/TakeoverClient.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/TakeoverClient.java
@@ -1,5 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
+import cacheproxy.proxy.HandlerInitializer;
+import cacheproxy.proxy.Transport;
 import cacheproxy.takeover.TakeoverStateMachine;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cacheproxy/proxy/TakeoverSnapshot.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/TakeoverSnapshot.java
@@ -1,5 +1,6 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
+import cacheproxy.proxy.LearnedStateCodec;
 import cacheproxy.routing.LearnedState;
 import cacheproxy.state.RecordKind;
 import cacheproxy.state.StoredRecord;
@@ -24,13 +25,13 @@
  * @param learnedState by pool name; empty from a process of an earlier version
  * @param records what else outlasts a process, in the form in which it is stored; empty from an earlier version
  */
-record TakeoverSnapshot(
+public record TakeoverSnapshot(
         JsonObject endpointList, Map<String, LearnedState> learnedState, Map<RecordKind, StoredRecord> records) {
     /** Version of the line; a process that uses another starts beside this one, without the snapshot. */
     static final int VERSION = 1;
 
     /** The snapshot as one line, without its end. */
-    String toJson() {
+    public String toJson() {
         JsonObject snapshot = new JsonObject();
         snapshot.addProperty("v", VERSION);
         snapshot.add("list", endpointList);
@@ -46,7 +47,7 @@
      *
      * @throws RuntimeException if it is malformed or of another version
      */
-    static TakeoverSnapshot parse(String line) {
+    public static TakeoverSnapshot parse(String line) {
         JsonObject snapshot = JsonParser.parseString(line).getAsJsonObject();
         if (snapshot.get("v").getAsInt() != VERSION) {
             throw new IllegalArgumentException("version " + snapshot.get("v"));
--- a/src/test/java/cacheproxy/ServeOptionsTest.java
+++ b/src/test/java/cacheproxy/ServeOptionsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.proxy.FleetFeatures;
+import cacheproxy.proxy.lifecycle.FleetFeatures;
 import org.junit.jupiter.api.Test;
 
 /** What the command line of {@code serve} accepts. */
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -1,5 +1,6 @@
 package cacheproxy.proxy;
 
+import cacheproxy.proxy.lifecycle.Proxy;
 import cacheproxy.route.Routing;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -4,6 +4,7 @@
 
 import cacheproxy.Await;
 import cacheproxy.drain.DrainStateMachine;
+import cacheproxy.proxy.lifecycle.TakeoverSnapshot;
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.HotKey;
 import cacheproxy.routing.LearnedState;
--- a/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
@@ -3,6 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
+import cacheproxy.proxy.lifecycle.ClassOutcomes;
+import cacheproxy.proxy.lifecycle.ProxyStatus;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
+++ b/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.proxy.lifecycle.TakeoverSnapshot;
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.HotKey;
 import cacheproxy.routing.LearnedState;
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
+import cacheproxy.proxy.lifecycle.Proxy;
 import cacheproxy.takeover.HandoverStateMachine.Phase;
 import java.io.IOException;
 import java.net.StandardProtocolFamily;
@@ -39,6 +40,10 @@
         return fleet;
     }
 
+    private Path takeoverSocket() {
+        return folder.resolve("takeover");
+    }
+
     private Proxy successor(Fleet fleet) throws Exception {
         Proxy next = Proxy.start(Config.parse(fleet.config), folder);
         fleet.parts.add(next::close);
@@ -233,7 +238,7 @@
     void oneThatAsksAndNeverServesHoldsNobodyUp() throws Exception {
         try (Fleet fleet = serving(node());
                 SocketChannel hung = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-            hung.connect(UnixDomainSocketAddress.of(HandoverServer.socketPath(folder)));
+            hung.connect(UnixDomainSocketAddress.of(takeoverSocket()));
             hung.write(ByteBuffer.wrap("STATE 1\nSOCKET\n".getBytes(StandardCharsets.US_ASCII)));
             Await.until("it has the socket", () -> phase(fleet.proxy) == Phase.SOCKET_PASSED);
             served(fleet.client().read("1"), "1");
@@ -248,7 +253,7 @@
             for (String words :
                     new String[] {"SERVING\n", "SOCKET\n", "STATE 9\n", "x".repeat(200), "STATE 1\nSERVING\n"}) {
                 try (SocketChannel link = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-                    link.connect(UnixDomainSocketAddress.of(HandoverServer.socketPath(folder)));
+                    link.connect(UnixDomainSocketAddress.of(takeoverSocket()));
                     link.write(ByteBuffer.wrap(words.getBytes(StandardCharsets.US_ASCII)));
                     if (words.length() < 100) {
                         ByteBuffer rest = ByteBuffer.allocate(1 << 16);
@@ -266,7 +271,7 @@
     /** A socket file whose process was killed, one that answers nothing, one that answers nonsense. */
     @Test
     void whereTheOldProcessIsOfNoUseTheNewOneServesAnyway() throws Exception {
-        Path path = HandoverServer.socketPath(folder);
+        Path path = takeoverSocket();
         for (String answer : new String[] {null, "", "{\"v\":9}\n", "{\"v\":1,\"li\n", "nonsense\n"}) {
             Files.deleteIfExists(path);
             try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
