--- a/src/main/java/cacheproxy/proxy/Counters.java
+++ b/src/main/java/cacheproxy/proxy/Counters.java
@@ -76,7 +76,7 @@
     }
 
     /** Adds one to this metric. */
-    void increment(Metric metric) {
+    public void increment(Metric metric) {
         counts[metric.ordinal()]++;
     }
 
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -5,6 +5,7 @@
 import cacheproxy.proxy.Timers.Timer;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.discovery.EndpointListSource;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
@@ -120,7 +121,7 @@
      *
      * @param routing the routes; null: a single pool under the settings' own policy
      */
-    public void start(EndpointListSource discovery, PeerSocket peers, Routing routing) {
+    public void start(EndpointListSource discovery, PeerDatagramSocket peers, Routing routing) {
         orders = new RoutingOrders(
                 requests,
                 lifecycle,
@@ -274,7 +275,8 @@
         return loadBalancer.router();
     }
 
-    RoutingSettings settings() {
+    /** The settings of routing in force. */
+    public RoutingSettings settings() {
         return settings.routing();
     }
 
--- a/src/main/java/cacheproxy/proxy/MemberLink.java
+++ b/src/main/java/cacheproxy/proxy/MemberLink.java
@@ -6,13 +6,15 @@
 import cacheproxy.membership.Membership;
 import cacheproxy.membership.Phase;
 import cacheproxy.membership.View;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.RoutingSettings;
 import java.util.function.Consumer;
 
 /** Carries out what {@link Membership} decides: its messages and its times. On the event loop only. */
 public final class MemberLink {
     private final Dispatcher dispatcher;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
     private final Membership members;
     private final Consumer<Living> advised;
     /** A timer that was set before the last one is void. */
@@ -27,7 +29,7 @@
      */
     public MemberLink(
             Dispatcher dispatcher,
-            PeerSocket peers,
+            PeerDatagramSocket peers,
             RoutingSettings settings,
             long remembered,
             long seed,
@@ -43,7 +45,7 @@
                 new byte[0],
                 remembered,
                 settings.instanceSeed(seed),
-                new MembershipBudget(peers.outbox()));
+                new MembershipBudget(peers.budget()));
         members.phase(phase);
         run();
     }
@@ -103,7 +105,7 @@
     private void run() {
         long mine = ++waits;
         members.tick(now());
-        members.outgoing().forEach(s -> peers.sendAdmitted(s.to(), PeerSocket.Kind.MEMBERS, s.body()));
+        members.outgoing().forEach(s -> peers.sendWithinBudget(s.to(), PeerMessageKind.MEMBERSHIP, s.body()));
         Living lives = members.living();
         if (!lives.equals(living)) {
             living = lives;
--- a/src/main/java/cacheproxy/proxy/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/StateQueryLink.java
@@ -1,6 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.recovery.PeerStateQuery;
 import cacheproxy.recovery.PeerStateQuery.Result;
 import cacheproxy.recovery.PeerStateSummary;
@@ -24,14 +26,18 @@
     private static final double BOUND_MS = 60_000;
 
     private final Dispatcher dispatcher;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
     private final MemberLink members;
     private final DiscoveryClient discovery;
     private final PeerStateQuery recall;
 
     /** {@code asks}: whether there is anything to ask for. */
     public StateQueryLink(
-            Dispatcher dispatcher, PeerSocket peers, MemberLink members, DiscoveryClient discovery, boolean asks) {
+            Dispatcher dispatcher,
+            PeerDatagramSocket peers,
+            MemberLink members,
+            DiscoveryClient discovery,
+            boolean asks) {
         this.dispatcher = dispatcher;
         this.peers = peers;
         this.members = members;
@@ -68,7 +74,7 @@
         double asked = e.originLoad().requested();
         peers.send(
                 peer,
-                PeerSocket.Kind.RECALL,
+                PeerMessageKind.STATE_QUERY,
                 new PeerStateSummary(
                                 Math.max(0, discovery.version()),
                                 (float) e.originFetchMs(),
@@ -83,7 +89,7 @@
 
     private void run() {
         recall.peersToQuery(dispatcher.now(), members.view())
-                .forEach(p -> peers.send(p, PeerSocket.Kind.RECALL, PeerStateSummary.query()));
+                .forEach(p -> peers.send(p, PeerMessageKind.STATE_QUERY, PeerStateSummary.query()));
         switch (recall.state()) {
             case QUERYING -> dispatcher.after(TICK_MS, this::run);
             case ANSWERED -> take();
--- a/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
@@ -1,13 +1,13 @@
 package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.failover.Zones.Held;
+import cacheproxy.gossip.ListVersionGossip;
 import cacheproxy.membership.Phase;
 import cacheproxy.proxy.Config;
 import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.DispatcherPeerPorts;
 import cacheproxy.proxy.FleetZones;
 import cacheproxy.proxy.MemberLink;
-import cacheproxy.proxy.NodeTalk;
-import cacheproxy.proxy.PeerSocket;
 import cacheproxy.proxy.RecoveryLink;
 import cacheproxy.proxy.StatePersistence;
 import cacheproxy.proxy.StateQueryLink;
@@ -15,8 +15,14 @@
 import cacheproxy.proxy.ZoneLink;
 import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.EndpointListPublisher;
+import cacheproxy.proxy.peer.EndpointGossipLink;
+import cacheproxy.proxy.peer.OutlierGossipLink;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
+import cacheproxy.routing.RoutingSettings;
 import cacheproxy.state.RecordKind;
 import cacheproxy.state.StoredRecord;
 import com.google.gson.JsonPrimitive;
@@ -30,7 +36,7 @@
  */
 final class FleetParticipation {
     private final Dispatcher dispatcher;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
     private final DiscoveryClient discovery;
     private final ClientAcceptor acceptor;
     /** Null where nothing is stored. */
@@ -56,7 +62,7 @@
      */
     FleetParticipation(
             Dispatcher dispatcher,
-            PeerSocket peers,
+            PeerDatagramSocket peers,
             DiscoveryClient discovery,
             ClientAcceptor acceptor,
             StatePersistence stateLink,
@@ -73,6 +79,24 @@
         this.config = config;
     }
 
+    /** Passes on to peers, and learns from them, which version of the endpoint list is current. */
+    void startListGossip(EndpointListPublisher list) {
+        Config config = this.config.get();
+        RoutingSettings settings = config.settings();
+        ListVersionGossip gossip =
+                new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
+        gossip.start(discovery.version());
+        EndpointGossipLink link = new EndpointGossipLink(
+                new DispatcherPeerPorts(dispatcher),
+                peers,
+                discovery,
+                list,
+                gossip,
+                () -> dispatcher.settings().pollsDiscovery(),
+                settings.instanceSeed(config.seed() + 1));
+        dispatcher.peerLinks().setEndpointListGossip(link);
+    }
+
     /** Starts to take part in what the features name. */
     void join(FleetFeatures features) {
         if (config.get().settings().peerMessagesAllowed() && features.any()) {
@@ -100,7 +124,18 @@
                 current.seed(),
                 features.recovery() ? Phase.STARTING : Phase.SERVING,
                 dispatcher.peerLinks()::liveMembersChanged);
-        dispatcher.peerLinks().setMembership(members, new NodeTalk(dispatcher, peers, members));
+        dispatcher
+                .peerLinks()
+                .setMembership(
+                        members,
+                        new OutlierGossipLink(
+                                dispatcher::now,
+                                peers,
+                                new DispatcherPeerPorts(dispatcher),
+                                members::view,
+                                (peer, message) -> dispatcher
+                                        .peerLinks()
+                                        .messageReceived(peer, PeerMessageKind.LOAD_BALANCER, message)));
         if (features.zones()) {
             zones = new ZoneLink(
                     dispatcher,
@@ -189,6 +224,6 @@
                         members.view(),
                         members.unreadable(),
                         members.deathsRefuted(),
-                        peers.outbox().droppedDatagrams());
+                        peers.budget().droppedDatagrams());
     }
 }
--- a/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
@@ -1,15 +1,12 @@
 package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.drain.DrainStateMachine;
-import cacheproxy.gossip.ListVersionGossip;
 import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.proxy.Config;
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.FleetZones;
 import cacheproxy.proxy.LoopClock;
 import cacheproxy.proxy.MetricsLog;
-import cacheproxy.proxy.PeerNews;
-import cacheproxy.proxy.PeerSocket;
 import cacheproxy.proxy.RuleCounts;
 import cacheproxy.proxy.StatePersistence;
 import cacheproxy.proxy.Transport;
@@ -19,6 +16,7 @@
 import cacheproxy.proxy.discovery.Addresses;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
+import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
 import cacheproxy.routing.RoutingSettings;
@@ -57,7 +55,7 @@
 
     private final Dispatcher dispatcher;
     private final DiscoveryClient discovery;
-    private final PeerSocket peers;
+    private final PeerDatagramSocket peers;
     private final ClientAcceptor acceptor;
     private final HandoverStateMachine handover = new HandoverStateMachine();
     private final HandoverServer handoverServer;
@@ -85,7 +83,12 @@
             WarmUp.run(config);
         }
         dispatcher = new Dispatcher(loop, loopClock, config, Transport.BEST.socket());
-        peers = new PeerSocket(loop, config, dispatcher.peerLinks()::messageReceived, dispatcher.counters());
+        peers = new PeerDatagramSocket(
+                loop,
+                Transport.BEST.datagram(),
+                config.peerAddresses(),
+                dispatcher.peerLinks()::messageReceived,
+                dispatcher.counters()::increment);
         acceptor = new ClientAcceptor(dispatcher, maxClients(config));
         EndpointListPublisher list = provisionalList(config);
         discovery = discoveryClient(config, list);
@@ -134,7 +137,7 @@
         dispatcher.start(discovery, peers, routing);
         discovery.start(restored.endpointList(config.known()));
         if (config.settings().peerMessagesAllowed()) {
-            startListGossip(config, list);
+            fleet.startListGossip(list);
         }
         dispatcher.resume(restored.learnedState());
         if (stateLink != null) {
@@ -143,16 +146,6 @@
         loop.scheduleWithFixedDelay(acceptor::closeStalled, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S, TimeUnit.SECONDS);
     }
 
-    private void startListGossip(Config config, EndpointListPublisher list) {
-        RoutingSettings settings = config.settings();
-        ListVersionGossip news = new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
-        news.start(discovery.version());
-        dispatcher
-                .peerLinks()
-                .setEndpointListGossip(new PeerNews(
-                        dispatcher, peers, discovery, list, news, settings.instanceSeed(config.seed() + 1)));
-    }
-
     /** At the predecessor's socket if it passes that, else at one of its own; null: there is no predecessor. */
     private void listen(TakeoverClient predecessor) throws InterruptedException {
         FileDescriptor socket = predecessor == null ? null : predecessor.socket();
--- a/src/main/java/cacheproxy/state/RecordKind.java
+++ b/src/main/java/cacheproxy/state/RecordKind.java
@@ -50,7 +50,6 @@
     private final String wireName;
     private final Authority authority;
 
-    @SuppressWarnings("ImmutableEnumChecker") // a record of two numbers
     private final double validForMs;
 
     private final double hintForMs;
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -8,6 +8,7 @@
 import cacheproxy.proxy.lifecycle.ClassOutcomes;
 import cacheproxy.proxy.lifecycle.FleetFeatures;
 import cacheproxy.proxy.lifecycle.Proxy;
+import cacheproxy.proxy.peer.PeerMessageKind;
 import cacheproxy.routing.EndpointSignal;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -312,7 +313,7 @@
             fleet.node(node).start();
             assertThat(served(fleet, 1)).isEqualTo(1);
             byte[] bytes = Envelope.encode(List.of(
-                    new Envelope.Item(PeerSocket.Kind.MODULE.number(), PeerSocket.Kind.VERSION, new byte[] {0})));
+                    new Envelope.Item(PeerMessageKind.LOAD_BALANCER.code(), PeerMessageKind.VERSION, new byte[] {0})));
             last.send(new DatagramPacket(bytes, bytes.length, fleet.proxy.peerAddress()));
             Counters counters = fleet.proxy.dispatcher().counters();
             Await.until("the message", () -> fleet.on(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
