--- a/src/main/java/cacheproxy/drain/DrainStateMachine.java
+++ b/src/main/java/cacheproxy/drain/DrainStateMachine.java
@@ -216,16 +216,16 @@
         }
         double tickMs = Math.min(now - lastTickMs, elapsedMs - plan.idleGraceMs());
         closeCredit += idle * Math.min(1, tickMs / (remainingMs + tickMs));
-        int whole = (int) Math.min(idle, closeCredit);
-        closeCredit -= whole;
-        return whole;
+        int count = (int) Math.min(idle, closeCredit);
+        closeCredit -= count;
+        return count;
     }
 
     /** What is closed of the peak of open work; requests answered in between do not count as progress. */
     private double completed() {
-        int left = openWork.connections() + openWork.unanswered();
-        peakOpen = Math.max(peakOpen, left);
-        return peakOpen == 0 ? 0 : Math.min(MAX_FRACTION_WHILE_OPEN, 1 - (double) left / peakOpen);
+        int stillOpen = openWork.connections() + openWork.unanswered();
+        peakOpen = Math.max(peakOpen, stillOpen);
+        return peakOpen == 0 ? 0 : Math.min(MAX_FRACTION_WHILE_OPEN, 1 - (double) stillOpen / peakOpen);
     }
 
     /** How far it has come at this time. */
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -88,7 +88,7 @@
         } else if (line.startsWith("SERVER_ERROR")) {
             connection.ended(AttemptOutcome.ERROR, 0, report(line), null);
         } else if (line.startsWith("VA ") && !attempt.request.command.write) {
-            String word = MetaCodec.wordAt(line, 3);
+            String word = MetaCodec.tokenAt(line, 3);
             length = MetaCodec.parseLength(word);
             flags(attempt, line, 4 + word.length());
             missing = length + 2;
@@ -168,8 +168,8 @@
 
     private void probed(String line) {
         if (line.startsWith("STAT ")) {
-            String name = MetaCodec.wordAt(line, 5);
-            stats += name + "=" + MetaCodec.wordAt(line, 6 + name.length()) + ",";
+            String name = MetaCodec.tokenAt(line, 5);
+            stats += name + "=" + MetaCodec.tokenAt(line, 6 + name.length()) + ",";
         } else {
             boolean ok = line.equals("MN") || line.equals("END");
             float[] figures =
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -27,8 +27,30 @@
 import java.util.Map;
 
 /**
- * What the proxy is told at its start. Settings are read by the adapter's own parser, from the same paths and values;
- * addresses are literal, as there is no DNS.
+ * The configuration of one instance, read from the file that {@code BALANCER_CONFIG} names. Settings are parsed as the
+ * simulator's adapter does, from the same paths; addresses are literal, as there is no DNS. Keys of the file and
+ * components have the same names, but for {@code limits.cores}, {@code limits.memory_mb}, {@code limits.sockets},
+ * {@code settings.zones}, {@code settings.kinds}, {@code settings.caps.idle-close} and
+ * {@code settings.caps.streams-per-conn}.
+ *
+ * @param name of the instance; {@code proxy} if the file has none
+ * @param listen where clients connect
+ * @param discovery where discovery is called
+ * @param seed of all random draws
+ * @param cores that the process may use
+ * @param memoryMb memory limit in megabytes
+ * @param sockets limit of open sockets
+ * @param peerListen where peers' datagrams arrive; null: nowhere
+ * @param peers addresses of all instances, in the order of their numbers
+ * @param peersAll reaches all instances at once; null: none
+ * @param known the endpoint list to start with; null: none
+ * @param settings of routing
+ * @param zones names by number
+ * @param kinds names of the kinds of endpoints, by number
+ * @param idleCloseMs after which servers close an idle connection
+ * @param streamsPerConnection how many requests a server takes on one connection at a time
+ * @param operator the admin port's address; null: none
+ * @param source the file as it was read
  */
 public record Config(
         String name,
@@ -48,10 +70,10 @@
         double idleCloseMs,
         int streamsPerConnection,
         InetSocketAddress operator,
-        JsonObject file) {
+        JsonObject source) {
 
-    /** What routes may name here. */
-    public Known names() {
+    /** The names that routes may refer to. */
+    public Known routableNames() {
         return new Known(
                 settings.classes().stream().map(c -> c.name()).toList(),
                 settings.tenants().stream().map(t -> t.name()).toList(),
@@ -60,7 +82,7 @@
     }
 
     /** What discovery's list may name. */
-    EndpointListCodec listForm() {
+    EndpointListCodec endpointListCodec() {
         return new EndpointListCodec(zones, kinds);
     }
 
@@ -70,11 +92,11 @@
                 settings.peerMessagesAllowed() ? peerListen : null, peers, peersAll, settings.instanceIndex());
     }
 
-    /** Where the list comes from, and how. */
+    /** How discovery is called. */
     public DiscoveryClient.Settings discoverySettings() {
         return new DiscoveryClient.Settings(
                 discovery,
-                listForm(),
+                endpointListCodec(),
                 settings.instanceSeed(seed),
                 new PollerSettings(
                         settings.pollsDiscovery(),
@@ -83,7 +105,11 @@
                         settings.peerMessagesAllowed()));
     }
 
-    /** Reads the file; an IllegalArgumentException says in one line what is wrong. */
+    /**
+     * Reads the file.
+     *
+     * @throws IllegalArgumentException if it is unusable; its message says why in one line
+     */
     public static Config read(String path) {
         if (path == null || path.isEmpty()) {
             throw new IllegalArgumentException("BALANCER_CONFIG names no file");
@@ -98,12 +124,14 @@
     }
 
     /**
-     * Reads the file again in service. One that lacks a key which it had before is of no use either: it has been cut or
-     * written by hand, and what was meant by the missing key nobody can say.
+     * Reads the file again while the instance serves. One that lacks a key which it had before is rejected: it was cut
+     * off, or edited by hand, and nobody can say what the missing key should mean.
+     *
+     * @throws IllegalArgumentException if it is unusable; its message says why in one line
      */
-    public Config again(String path) {
+    public Config reread(String path) {
         Config next = read(path);
-        String lost = lost("", file, next.file);
+        String lost = firstMissingKey("", source, next.source);
         if (lost != null) {
             throw new IllegalArgumentException("configuration " + path + ": '" + lost + "' is missing");
         }
@@ -120,21 +148,26 @@
         return json;
     }
 
-    /** The first key of the one that the other lacks; of a list's entries, a key that all of the one's have. */
-    private static String lost(String path, JsonElement before, JsonElement now) {
+    /**
+     * The first key of {@code before} that {@code now} lacks, with its path; of lists, the keys that all entries of
+     * {@code before} have.
+     */
+    private static String firstMissingKey(String path, JsonElement before, JsonElement now) {
         if (before.isJsonObject()) {
             for (Map.Entry<String, JsonElement> e : before.getAsJsonObject().entrySet()) {
                 String at = path.isEmpty() ? e.getKey() : path + "." + e.getKey();
                 JsonElement there = now.isJsonObject() ? now.getAsJsonObject().get(e.getKey()) : null;
-                String lost = there == null ? at : e.getKey().equals("known") ? null : lost(at, e.getValue(), there);
+                String lost = there == null
+                        ? at
+                        : e.getKey().equals("known") ? null : firstMissingKey(at, e.getValue(), there);
                 if (lost != null) {
                     return lost;
                 }
             }
         } else if (before.isJsonArray() && now.isJsonArray()) {
-            JsonObject common = common(before.getAsJsonArray());
+            JsonObject common = commonKeys(before.getAsJsonArray());
             for (JsonElement e : now.getAsJsonArray()) {
-                String lost = lost(path, common, e);
+                String lost = firstMissingKey(path, common, e);
                 if (lost != null) {
                     return lost;
                 }
@@ -143,7 +176,7 @@
         return null;
     }
 
-    private static JsonObject common(JsonArray list) {
+    private static JsonObject commonKeys(JsonArray list) {
         JsonObject common = null;
         for (JsonElement e : list) {
             if (!e.isJsonObject()) {
@@ -160,7 +193,7 @@
 
     static Config parse(JsonObject json) {
         Map<String, String> values = new HashMap<>();
-        flatten("", need(json, "settings"), values);
+        flatten("", required(json, "settings"), values);
         SettingsParser parser = new SettingsParser(values);
         JsonObject limits = json.has("limits") ? json.getAsJsonObject("limits") : new JsonObject();
         List<InetSocketAddress> peers = new ArrayList<>();
@@ -169,9 +202,9 @@
         }
         return new Config(
                 json.has("name") ? json.get("name").getAsString() : "proxy",
-                Addresses.parse(need(json, "listen").getAsString()),
-                Addresses.parse(need(json, "discovery").getAsString()),
-                Long.parseUnsignedLong(need(json, "seed").getAsString(), 16),
+                Addresses.parse(required(json, "listen").getAsString()),
+                Addresses.parse(required(json, "discovery").getAsString()),
+                Long.parseUnsignedLong(required(json, "seed").getAsString(), 16),
                 number(limits, "cores", 1),
                 (int) number(limits, "memory_mb", 192),
                 (int) number(limits, "sockets", 1024),
@@ -188,7 +221,7 @@
                 json);
     }
 
-    private static JsonElement need(JsonObject json, String key) {
+    private static JsonElement required(JsonObject json, String key) {
         JsonElement value = json.get(key);
         if (value == null || value.isJsonNull()) {
             throw new IllegalArgumentException("'" + key + "' is missing");
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -152,7 +152,7 @@
     }
 
     /** Closes all connections to servers; the load balancer is not called any more. */
-    void stop() {
+    public void stop() {
         executor.stop();
         sweeper.cancel(false);
         servers.close();
--- a/src/main/java/cacheproxy/proxy/Installation.java
+++ b/src/main/java/cacheproxy/proxy/Installation.java
@@ -17,7 +17,7 @@
 
     private Installation(Config config) {
         this.config = config;
-        hosts = config.known() == null ? List.of() : config.listForm().decodeAll(config.known());
+        hosts = config.known() == null ? List.of() : config.endpointListCodec().decodeAll(config.known());
     }
 
     /** Reads the file that a proxy is configured by; an IllegalArgumentException says what is wrong with it. */
@@ -27,7 +27,7 @@
 
     /** What routes may name here. */
     public Known known() {
-        return config.names();
+        return config.routableNames();
     }
 
     /** The servers of the list as it was last had. */
--- a/src/main/java/cacheproxy/proxy/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/MetaCodec.java
@@ -68,7 +68,7 @@
     }
 
     /** The word that starts at this index; empty at the end of the line. */
-    public static String wordAt(String line, int start) {
+    public static String tokenAt(String line, int start) {
         int end = line.indexOf(' ', start);
         return start >= line.length() ? "" : line.substring(start, end < 0 ? line.length() : end);
     }
@@ -77,7 +77,7 @@
     public static String flag(String line, int from, char letter) {
         for (int at = from; at >= 0 && at < line.length(); at = line.indexOf(' ', at) + 1) {
             if (line.charAt(at) == letter) {
-                return wordAt(line, at).substring(1);
+                return tokenAt(line, at).substring(1);
             }
             if (line.indexOf(' ', at) < 0) {
                 break;
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -218,7 +218,7 @@
     @SuppressWarnings("UnusedVariable") // ctx: as the other steps of decoding take it
     private void end(ChannelHandlerContext ctx) {
         HttpResponse r = response;
-        ByteBuf whole = body == null ? null : body.whole();
+        ByteBuf whole = body == null ? null : body.assemble();
         response = null;
         drop();
         if (!HttpUtil.isKeepAlive(r) || !HttpUtil.isContentLengthSet(r) && !HttpUtil.isTransferEncodingChunked(r)) {
--- a/src/main/java/cacheproxy/proxy/ValueBuffer.java
+++ b/src/main/java/cacheproxy/proxy/ValueBuffer.java
@@ -46,7 +46,7 @@
     }
 
     /** The whole value, which the caller has to release. */
-    public ByteBuf whole() {
+    public ByteBuf assemble() {
         if (parts.size() == 1) {
             return parts.poll();
         }
--- a/src/main/java/cacheproxy/proxy/client/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientInput.java
@@ -64,13 +64,13 @@
     }
 
     /** When the last byte arrived that has been decoded, so many being left. */
-    double lastTakenArrivedMs(int leftBytes) {
-        return arrivals.arrivedAtMs(arrivals.received() - leftBytes);
+    double lastTakenArrivedMs(int remainingBytes) {
+        return arrivals.arrivedAtMs(arrivals.received() - remainingBytes);
     }
 
     /** When the first of the bytes arrived that are left. */
-    double nextArrivedMs(int leftBytes) {
-        return arrivals.arrivedAtMs(arrivals.received() - leftBytes + 1);
+    double nextArrivedMs(int remainingBytes) {
+        return arrivals.arrivedAtMs(arrivals.received() - remainingBytes + 1);
     }
 
     /** Nothing is decoded for now, and so many bytes wait: pauses reading where there is no budget to read ahead. */
--- a/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
@@ -198,7 +198,7 @@
             rejectWithoutValue(command);
             return;
         }
-        command.value = value.whole();
+        command.value = value.assemble();
         value = null;
         if (!MetaCodec.endsWithLineEnd(command.value)) {
             command.release();
--- a/src/main/java/cacheproxy/proxy/client/MetaCommand.java
+++ b/src/main/java/cacheproxy/proxy/client/MetaCommand.java
@@ -51,13 +51,13 @@
         if (!write && !line.startsWith("mg ")) {
             return UNKNOWN;
         }
-        String key = MetaCodec.wordAt(line, NAME_BYTES);
+        String key = MetaCodec.tokenAt(line, NAME_BYTES);
         int flags = NAME_BYTES + key.length() + 1;
         int length = 0;
         if (write) {
-            String word = MetaCodec.wordAt(line, flags);
-            length = MetaCodec.parseLength(word);
-            flags += word.length() + 1;
+            String lengthToken = MetaCodec.tokenAt(line, flags);
+            length = MetaCodec.parseLength(lengthToken);
+            flags += lengthToken.length() + 1;
         }
         return new MetaCommand(write ? Kind.WRITE : Kind.READ, command(line, key, flags, write), length);
     }
--- a/src/main/java/cacheproxy/proxy/lifecycle/ConfigReloader.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ConfigReloader.java
@@ -39,8 +39,8 @@
      */
     synchronized void reload(String file) {
         try {
-            Config next = config.again(file);
-            Routing routing = routes == null ? null : routes.read(next.names());
+            Config next = config.reread(file);
+            Routing routing = routes == null ? null : routes.read(next.routableNames());
             config = next;
             loop.execute(() -> apply(next, routing));
         } catch (IllegalArgumentException e) {
--- a/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
@@ -187,13 +187,13 @@
                     new StoredRecord(RecordKind.INCARNATION, now, new JsonPrimitive(members.incarnation())));
         }
         if (zones != null) {
-            Map<Integer, Held> held = zones.zones().held();
+            Map<Integer, Held> decisions = zones.zones().held();
             records.put(
                     RecordKind.ZONE_STATES,
-                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneForm.json(held, false, zones.names())));
+                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneForm.json(decisions, false, zones.names())));
             records.put(
                     RecordKind.OPERATOR_ORDERS,
-                    new StoredRecord(RecordKind.OPERATOR_ORDERS, now, ZoneForm.json(held, true, zones.names())));
+                    new StoredRecord(RecordKind.OPERATOR_ORDERS, now, ZoneForm.json(decisions, true, zones.names())));
         }
         return records;
     }
--- a/src/main/java/cacheproxy/proxy/lifecycle/HandoverServer.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/HandoverServer.java
@@ -214,12 +214,12 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(number);
-            boolean gone = handover.linkClosed(number);
+            boolean wasServing = handover.linkClosed(number);
             if (successor == ctx.channel()) {
                 successor = null;
             }
             acceptor.setAccepting(handover.acceptsConnections());
-            if (gone) {
+            if (wasServing) {
                 republish();
             }
         }
--- a/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
@@ -10,7 +10,6 @@
 import cacheproxy.proxy.RuleCounts;
 import cacheproxy.proxy.StatePersistence;
 import cacheproxy.proxy.Transport;
-import cacheproxy.proxy.WarmUp;
 import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.discovery.Addresses;
@@ -78,7 +77,7 @@
     Proxy(Config config, RouteSource routes, boolean warmUp, Path takeoverFolder, StateLocation storage)
             throws InterruptedException, IOException {
         stateLink = storage == null ? null : new StatePersistence(storage.folder(), config.name(), storage.fleetName());
-        Routing routing = routes == null ? null : routes.read(config.names());
+        Routing routing = routes == null ? null : routes.read(config.routableNames());
         if (warmUp) {
             WarmUp.run(config);
         }
--- a/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -151,7 +151,7 @@
      * keys nothing is kept.
      */
     private static LearnedState suspectsOnly(LearnedState e) {
-        List<EndpointHealthRecord> seen = e.endpoints().stream()
+        List<EndpointHealthRecord> suspects = e.endpoints().stream()
                 .filter(s -> s.failures() > 0)
                 .map(s -> new EndpointHealthRecord(s.id(), s.startTimeMs(), 1, 0, 0))
                 .toList();
@@ -164,7 +164,7 @@
                 new LoadCount(0, 0),
                 0,
                 List.of(),
-                seen);
+                suspects);
     }
 
     /** The last incarnation of this instance; 0 if unknown. */
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/WarmUp.java
@@ -1,5 +1,11 @@
-package cacheproxy.proxy;
-
+package cacheproxy.proxy.lifecycle;
+
+import cacheproxy.proxy.Config;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.HandlerInitializer;
+import cacheproxy.proxy.LoopClock;
+import cacheproxy.proxy.MetaCodec;
+import cacheproxy.proxy.Transport;
 import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.proxy.discovery.EndpointListSource;
@@ -30,13 +36,13 @@
 import java.util.function.Supplier;
 
 /**
- * Takes requests of its own through the proxy's code before it says that it is ready, so that classes are loaded and
- * hot code is compiled. Guards against the jam of a cold start on part of a core: while the first seconds' requests are
- * interpreted they run out of time, their clients open new connections, and these cost more than the requests did.
- * Local sockets in the private temporary folder, on an event loop of their own, so that nothing is left of them when it
- * ends, also where it fails because the platform has none.
+ * Sends requests through the proxy's own code before the instance reports that it is ready, so that classes are loaded
+ * and hot code is compiled. Otherwise, on part of a core, the first seconds' requests would be interpreted and time
+ * out, and their clients would open new connections that cost more than the requests did. Uses local sockets in the
+ * private temporary folder and an event loop of its own; nothing is left of either at the end, even if the warm-up
+ * fails.
  */
-public final class WarmUp {
+final class WarmUp {
     private static final EndpointListSource NO_DISCOVERY = new EndpointListSource() {
         @Override
         public void setWatch(boolean on) {}
@@ -53,28 +59,37 @@
         public void idleWhileDraining(ClientConnection client) {}
     };
 
-    /** A few times the calls after which the JVM compiles a method; more would hold up a restart. */
-    static final int REQUESTS = 400;
+    /** A few times the calls after which the JVM compiles a method; more would delay a restart. */
+    static final int REQUEST_COUNT = 400;
+
+    static final String THREAD_NAME = "warm-up";
+    private static final int PIPELINE_DEPTH = 8;
+    private static final int TIMEOUT_MS = 6000;
+    /** Local sockets of the stand-ins and of the proxy, in the warm-up's folder. */
+    private static final String NODE_SOCKET = "n";
 
-    static final String THREAD = "warm-up";
-    private static final int DEPTH = 8;
-    private static final int LIMIT_MS = 6000;
+    private static final String ORIGIN_SOCKET = "o";
+    private static final String PROXY_SOCKET = "p";
+    private static final int NODE_ID = 1;
+    private static final int ORIGIN_ID = 2;
+    /** Where a read's key starts, behind {@code mg }; its flags follow. */
+    private static final int FLAGS_START = 3;
 
     private final EventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(THREAD, true), Transport.BEST.io());
+            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(THREAD_NAME, true), Transport.BEST.io());
     private final EventLoop loop = group.next();
     private final Config config;
     private final Path folder;
-    private final CountDownLatch done = new CountDownLatch(REQUESTS);
-    private int sent;
+    private final CountDownLatch unanswered = new CountDownLatch(REQUEST_COUNT);
+    private int sentCount;
 
     private WarmUp(Config config, Path folder) {
         this.config = config;
         this.folder = folder;
     }
 
-    /** Warms up; a failure to do so is only told, as the proxy can do without. */
-    public static void run(Config config) {
+    /** Warms up. A failure is only logged, as the proxy can do without. */
+    static void run(Config config) {
         try {
             Path folder = Files.createTempDirectory(Path.of(System.getenv().getOrDefault("TMPDIR", "/tmp")), "warm");
             run(config, folder);
@@ -86,7 +101,7 @@
         }
     }
 
-    /** Its sockets in that folder; returns how many requests were answered. */
+    /** Warms up with sockets in this folder; returns how many requests were answered. */
     static int run(Config config, Path folder) throws IOException, InterruptedException {
         WarmUp warmUp = new WarmUp(config, folder);
         try {
@@ -95,25 +110,26 @@
             System.err.println("no warm-up: " + e);
         } finally {
             warmUp.group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
-            for (String name : new String[] {"n", "o", "p"}) {
+            for (String name : new String[] {NODE_SOCKET, ORIGIN_SOCKET, PROXY_SOCKET}) {
                 Files.deleteIfExists(folder.resolve(name));
             }
         }
-        return (int) (REQUESTS - warmUp.done.getCount());
+        return (int) (REQUEST_COUNT - warmUp.unanswered.getCount());
     }
 
-    /** Netty throws what went wrong with a socket as it is, told of or not. */
+    /** Netty throws a socket's IOException undeclared. */
     private void run() throws IOException, InterruptedException {
         Dispatcher dispatcher = new Dispatcher(loop, new LoopClock(), config, Transport.BEST.localSocket());
-        SocketAddress node = listen("n", Node::new);
-        SocketAddress origin = listen("o", Origin::new);
-        SocketAddress proxy = listen("p", () -> new ClientConnection(dispatcher, NO_LISTENER, false));
+        SocketAddress node = listen(NODE_SOCKET, Node::new);
+        SocketAddress origin = listen(ORIGIN_SOCKET, Origin::new);
+        SocketAddress proxy = listen(PROXY_SOCKET, () -> new ClientConnection(dispatcher, NO_LISTENER, false));
         int originKind = config.settings().originKind();
-        List<DiscoveredEndpoint> hosts =
-                List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
+        int nodeKind = originKind == 0 ? 1 : 0;
+        List<DiscoveredEndpoint> endpoints =
+                List.of(endpoint(NODE_ID, nodeKind, node), endpoint(ORIGIN_ID, Math.max(0, originKind), origin));
         loop.submit(() -> {
                     dispatcher.start(NO_DISCOVERY, null, null);
-                    dispatcher.endpointList().onEndpoints(EndpointUpdateKind.CACHED, hosts);
+                    dispatcher.endpointList().onEndpoints(EndpointUpdateKind.CACHED, endpoints);
                 })
                 .sync();
         new Bootstrap()
@@ -122,9 +138,9 @@
                 .handler(new HandlerInitializer(new Client()))
                 .connect(proxy)
                 .sync();
-        if (!done.await(LIMIT_MS, TimeUnit.MILLISECONDS)) {
-            System.err.println(
-                    "a short warm-up: " + done.getCount() + " of " + REQUESTS + " requests without an answer");
+        if (!unanswered.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+            System.err.println("a short warm-up: " + unanswered.getCount() + " of " + REQUEST_COUNT
+                    + " requests without an answer");
         }
         loop.submit(dispatcher::stop).sync();
     }
@@ -145,13 +161,15 @@
         return address;
     }
 
-    private static DiscoveredEndpoint host(int id, int kind, SocketAddress dial) {
+    private static DiscoveredEndpoint endpoint(int id, int kind, SocketAddress address) {
         return new DiscoveredEndpoint(
-                new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), dial, new Pool.Server("", "", "", Set.of()));
+                new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0),
+                address,
+                new Pool.Server("", "", "", Set.of()));
     }
 
-    /** One whose connection ends with the warm-up, and be it by a reset. */
-    private abstract static class Peer extends ByteToMessageDecoder {
+    /** A side whose connection ends with the warm-up, possibly by a reset. */
+    private abstract static class StandIn extends ByteToMessageDecoder {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
@@ -159,12 +177,12 @@
     }
 
     /** Answers reads; one in four is a miss. */
-    private static final class Node extends Peer {
+    private static final class Node extends StandIn {
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
             String line = MetaCodec.readLine(in);
             if (line != null) {
-                String id = MetaCodec.flag(line, 3, 'O');
+                String id = MetaCodec.flag(line, FLAGS_START, 'O');
                 boolean miss = id.endsWith("0");
                 ctx.writeAndFlush(MetaCodec.encode(
                         ctx.alloc(), miss ? "EN O" + id + " h0\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n"));
@@ -172,7 +190,8 @@
         }
     }
 
-    private static final class Origin extends Peer {
+    /** Answers every fetch. */
+    private static final class Origin extends StandIn {
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
             String line = MetaCodec.readLine(in);
@@ -182,20 +201,20 @@
         }
     }
 
-    /** Keeps some requests in hand until enough have been answered. */
-    private final class Client extends Peer {
+    /** Keeps some requests in flight until enough have been answered. */
+    private final class Client extends StandIn {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            for (int i = 0; i < DEPTH; i++) {
+            for (int i = 0; i < PIPELINE_DEPTH; i++) {
                 send(ctx);
             }
         }
 
         private void send(ChannelHandlerContext ctx) {
-            String id = Integer.toString(++sent, 4);
+            String id = Integer.toString(++sentCount, 4);
             ctx.writeAndFlush(MetaCodec.encode(
                     ctx.alloc(),
-                    "mg " + Integer.toHexString(0x70000000 + sent * 7919) + " v O" + id + " Pc="
+                    "mg " + Integer.toHexString(0x70000000 + sentCount * 7919) + " v O" + id + " Pc="
                             + config.settings().classes().get(0).name() + ",d=60000\r\n"));
         }
 
@@ -205,8 +224,8 @@
             if (line == null || line.startsWith("VA")) {
                 return;
             }
-            done.countDown();
-            if (sent < REQUESTS) {
+            unanswered.countDown();
+            if (sentCount < REQUEST_COUNT) {
                 send(ctx);
             }
         }
--- a/src/test/java/cacheproxy/proxy/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/lifecycle/WarmUpTest.java
@@ -1,9 +1,9 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
-import com.google.gson.JsonArray;
+import cacheproxy.proxy.Config;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
@@ -14,10 +14,9 @@
     @TempDir
     private Path folder;
 
-    private static Config config(String mode) {
-        Fleet fleet = new Fleet().set("extra.mode", mode);
-        fleet.config.add("known", Fleet.list(41, true, new JsonArray()));
-        return Config.parse(fleet.config);
+    /** In the operators' form, with cache nodes beside the origin. */
+    private static Config config() {
+        return Config.read("src/test/resources/config.json");
     }
 
     private void nothingIsLeft() throws Exception {
@@ -27,12 +26,12 @@
         Await.until(
                 "its event loop has ended",
                 () -> Thread.getAllStackTraces().keySet().stream()
-                        .noneMatch(t -> t.getName().startsWith(WarmUp.THREAD)));
+                        .noneMatch(t -> t.getName().startsWith(WarmUp.THREAD_NAME)));
     }
 
     @Test
     void allOfItsRequestsAreAnswered() throws Exception {
-        assertThat(WarmUp.run(config("aside"), folder)).isEqualTo(WarmUp.REQUESTS);
+        assertThat(WarmUp.run(config(), folder)).isEqualTo(WarmUp.REQUEST_COUNT);
         nothingIsLeft();
     }
 
@@ -40,7 +39,7 @@
     @Test
     void nothingIsLeftOfOneThatFails() throws Exception {
         Files.createDirectory(folder.resolve("p")); // where it would listen
-        assertThat(WarmUp.run(config("aside"), folder)).isZero();
+        assertThat(WarmUp.run(config(), folder)).isZero();
         nothingIsLeft();
     }
 }
