--- a/src/main/java/cacheproxy/cli/ConfigCommand.java
+++ b/src/main/java/cacheproxy/cli/ConfigCommand.java
@@ -9,7 +9,7 @@
 import cacheproxy.config.edge.Explanation;
 import cacheproxy.config.edge.QuotaSections;
 import cacheproxy.config.edge.RoutingSections;
-import cacheproxy.proxy.Installation;
+import cacheproxy.proxy.ConfiguredEndpoints;
 import cacheproxy.quota.QuotaSpec;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -58,10 +58,10 @@
     }
 
     /** The configuration, or null if it has mistakes, which are then told. */
-    private Configuration read(Path file, Installation installation) {
+    private Configuration read(Path file, ConfiguredEndpoints installation) {
         Problems problems = new Problems();
-        Configuration configuration =
-                ConfigFile.read(file, EdgeFile.schema(installation == null ? null : installation.known()), problems);
+        Configuration configuration = ConfigFile.read(
+                file, EdgeFile.schema(installation == null ? null : installation.routableNames()), problems);
         return told(problems) ? null : configuration;
     }
 
@@ -75,8 +75,8 @@
         return true;
     }
 
-    private static Installation installation(Path with) {
-        return with == null ? null : Installation.read(with.toString());
+    private static ConfiguredEndpoints installation(Path with) {
+        return with == null ? null : ConfiguredEndpoints.read(with.toString());
     }
 
     @Command(
@@ -92,12 +92,12 @@
                                     "Checks names of classes, tenants, sites "
                                             + "and kinds against a proxy's configuration, and that each pool has a server of its list.")
                     Path with) {
-        Installation installation = installation(with);
+        ConfiguredEndpoints installation = installation(with);
         Configuration c = read(file, installation);
         if (c == null) {
             return Cli.FAILED;
         }
-        List<String> empty = installation == null ? List.of() : RoutingSections.empty(c, installation.servers());
+        List<String> empty = installation == null ? List.of() : RoutingSections.empty(c, installation.poolMembers());
         empty.forEach(err()::println);
         err().flush();
         if (!empty.isEmpty()) {
@@ -225,7 +225,7 @@
                             paramLabel = "CONFIG",
                             description = "A proxy's configuration, whose list of servers is used.")
                     Path with) {
-        Installation installation = installation(with);
+        ConfiguredEndpoints installation = installation(with);
         Configuration c = read(file, installation);
         if (c == null) {
             return Cli.FAILED;
--- a/src/main/java/cacheproxy/config/edge/Explanation.java
+++ b/src/main/java/cacheproxy/config/edge/Explanation.java
@@ -1,6 +1,6 @@
 package cacheproxy.config.edge;
 
-import cacheproxy.proxy.Installation;
+import cacheproxy.proxy.ConfiguredEndpoints;
 import cacheproxy.route.Known;
 import cacheproxy.route.Pool;
 import cacheproxy.route.Route;
@@ -24,8 +24,8 @@
      * @param kind the class, null for one that no route names; likewise the tenant
      */
     public static List<String> text(
-            Routing routing, Installation installation, String key, String kind, String tenant, String front) {
-        Known known = installation == null ? null : installation.known();
+            Routing routing, ConfiguredEndpoints installation, String key, String kind, String tenant, String front) {
+        Known known = installation == null ? null : installation.routableNames();
         List<String> lines = new ArrayList<>();
         if (known != null && kind != null && !known.classes().contains(kind)) {
             lines.add("note: this instance knows no class " + kind + " and would turn the request away");
@@ -99,12 +99,13 @@
         }
     }
 
-    private static void servers(List<String> lines, Installation installation, Pool pool, String key, String words) {
+    private static void servers(
+            List<String> lines, ConfiguredEndpoints installation, Pool pool, String key, String words) {
         if (installation == null) {
             lines.add(words + "not known without an instance's configuration (--with)");
             return;
         }
-        List<String> ranks = installation.ranks(pool, key);
+        List<String> ranks = installation.rank(pool, key);
         lines.add(words
                 + (ranks.isEmpty()
                         ? "none" + (pool.origin() ? "; reads go to the origin" : "")
--- a/src/main/java/cacheproxy/drain/DrainStateMachine.java
+++ b/src/main/java/cacheproxy/drain/DrainStateMachine.java
@@ -118,7 +118,7 @@
     }
 
     /** Starts a drain or joins the one in progress: the shorter deadline holds, and an irrevocable plan wins. */
-    public StartResult begin(double now, DrainPlan requested) {
+    public StartResult startDrain(double now, DrainPlan requested) {
         if (!draining()) {
             drainCount++;
             start(now, requested);
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -108,18 +108,19 @@
     /**
      * Reads the file.
      *
-     * @throws IllegalArgumentException if it is unusable; its message says why in one line
+     * @throws ConfigurationException if it is unusable
      */
     public static Config read(String path) {
         if (path == null || path.isEmpty()) {
-            throw new IllegalArgumentException("BALANCER_CONFIG names no file");
+            throw new ConfigurationException("BALANCER_CONFIG names no file");
         }
         try {
             return parse(json(path));
         } catch (Exception e) {
             String message = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            throw new IllegalArgumentException("configuration " + path + ": "
-                    + (e instanceof IllegalArgumentException ? "" : e.getClass().getSimpleName() + " ") + message);
+            String kind =
+                    e instanceof IllegalArgumentException ? "" : e.getClass().getSimpleName() + " ";
+            throw new ConfigurationException("configuration " + path + ": " + kind + message, e);
         }
     }
 
@@ -127,13 +128,13 @@
      * Reads the file again while the instance serves. One that lacks a key which it had before is rejected: it was cut
      * off, or edited by hand, and nobody can say what the missing key should mean.
      *
-     * @throws IllegalArgumentException if it is unusable; its message says why in one line
+     * @throws ConfigurationException if it is unusable
      */
     public Config reread(String path) {
         Config next = read(path);
-        String lost = firstMissingKey("", source, next.source);
-        if (lost != null) {
-            throw new IllegalArgumentException("configuration " + path + ": '" + lost + "' is missing");
+        String missing = firstMissingKey("", source, next.source);
+        if (missing != null) {
+            throw new ConfigurationException("configuration " + path + ": '" + missing + "' is missing");
         }
         return next;
     }
@@ -157,19 +158,19 @@
             for (Map.Entry<String, JsonElement> e : before.getAsJsonObject().entrySet()) {
                 String at = path.isEmpty() ? e.getKey() : path + "." + e.getKey();
                 JsonElement there = now.isJsonObject() ? now.getAsJsonObject().get(e.getKey()) : null;
-                String lost = there == null
+                String missing = there == null
                         ? at
                         : e.getKey().equals("known") ? null : firstMissingKey(at, e.getValue(), there);
-                if (lost != null) {
-                    return lost;
+                if (missing != null) {
+                    return missing;
                 }
             }
         } else if (before.isJsonArray() && now.isJsonArray()) {
             JsonObject common = commonKeys(before.getAsJsonArray());
             for (JsonElement e : now.getAsJsonArray()) {
-                String lost = firstMissingKey(path, common, e);
-                if (lost != null) {
-                    return lost;
+                String missing = firstMissingKey(path, common, e);
+                if (missing != null) {
+                    return missing;
                 }
             }
         }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/ConfiguredEndpoints.java
@@ -0,0 +1,104 @@
+package cacheproxy.proxy;
+
+import cacheproxy.proxy.discovery.DiscoveredEndpoint;
+import cacheproxy.route.Known;
+import cacheproxy.route.Pool;
+import cacheproxy.routing.CarpHash;
+import cacheproxy.routing.Endpoint;
+import cacheproxy.routing.EndpointState;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+
+/** The endpoints and names in an instance's own configuration, for tools that inspect it without a proxy. */
+public final class ConfiguredEndpoints {
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    private static final int MAX_HEX_DIGITS = 16;
+
+    private final Config config;
+    private final List<DiscoveredEndpoint> endpoints;
+
+    private ConfiguredEndpoints(Config config) {
+        this.config = config;
+        endpoints =
+                config.known() == null ? List.of() : config.endpointListCodec().decodeAll(config.known());
+    }
+
+    /**
+     * Reads the file that an instance is configured by.
+     *
+     * @throws ConfigurationException if it is unusable
+     */
+    public static ConfiguredEndpoints read(String path) {
+        return new ConfiguredEndpoints(Config.read(path));
+    }
+
+    /** The names that routes may refer to. */
+    public Known routableNames() {
+        return config.routableNames();
+    }
+
+    /** The endpoints of the configured list, as pools select them. */
+    public List<Pool.Server> poolMembers() {
+        return endpoints.stream().map(DiscoveredEndpoint::poolMember).toList();
+    }
+
+    /**
+     * The hosts of a pool's endpoints by their CARP score for a key, the preferred one first. Those that drain and the
+     * origin are left out.
+     */
+    public List<String> rank(Pool pool, String key) {
+        List<DiscoveredEndpoint> candidates = candidates(pool);
+        float[] weights = new float[candidates.size()];
+        for (int i = 0; i < weights.length; i++) {
+            DiscoveredEndpoint candidate = candidates.get(i);
+            weights[i] =
+                    pool.weight(candidate.poolMember(), candidate.endpoint().weight());
+        }
+        float[] multipliers = CarpHash.multipliers(weights);
+        int keyHash = CarpHash.keyHash(routingKey(key));
+        double[] scores = new double[weights.length];
+        List<Integer> order = new ArrayList<>();
+        for (int i = 0; i < weights.length; i++) {
+            int endpointHash =
+                    CarpHash.endpointHash(candidates.get(i).endpoint().id());
+            scores[i] = CarpHash.score(keyHash, endpointHash, multipliers[i]);
+            order.add(i);
+        }
+        order.sort(Comparator.comparingDouble(i -> -scores[i]));
+        return order.stream().map(i -> candidates.get(i).poolMember().host()).toList();
+    }
+
+    /** The pool's endpoints that take ordinary requests, by id. */
+    private List<DiscoveredEndpoint> candidates(Pool pool) {
+        List<DiscoveredEndpoint> candidates = new ArrayList<>();
+        for (DiscoveredEndpoint candidate : endpoints) {
+            Endpoint endpoint = candidate.endpoint();
+            boolean origin = config.settings().cacheAside()
+                    && endpoint.kind() == config.settings().originKind();
+            if (endpoint.state() == EndpointState.READY && !origin && pool.selects(candidate.poolMember())) {
+                candidates.add(candidate);
+            }
+        }
+        candidates.sort(Comparator.comparing(c -> c.endpoint().id(), Integer::compareUnsigned));
+        return candidates;
+    }
+
+    /**
+     * The routing module's key: the value of up to 16 hexadecimal digits, else a 64-bit FNV-1a hash of the text, which
+     * is the same on every instance.
+     */
+    static long routingKey(String text) {
+        long hash = FNV_OFFSET_BASIS;
+        long value = 0;
+        boolean hexadecimal = text.length() <= MAX_HEX_DIGITS;
+        for (int i = 0; i < text.length(); i++) {
+            int digit = Character.digit(text.charAt(i), 16);
+            hexadecimal &= digit >= 0;
+            value = value << 4 | (digit & 15);
+            hash = (hash ^ text.charAt(i)) * FNV_PRIME;
+        }
+        return hexadecimal && value != 0 ? value : hash;
+    }
+}
--- a/src/main/java/cacheproxy/proxy/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/RequestLifecycle.java
@@ -99,7 +99,7 @@
                 request.id,
                 classIndex,
                 tenantIndex,
-                Installation.key(command.key),
+                ConfiguredEndpoints.routingKey(command.key),
                 request.deadlineMs,
                 terms.workMicros() / MICROS_PER_MILLI,
                 terms.valueBytes(),
--- a/src/main/java/cacheproxy/proxy/client/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientInput.java
@@ -34,7 +34,7 @@
             return;
         }
         reads++;
-        // Only a client's end is told of while nothing is read, and it is told once: it stands behind these bytes.
+        // While reading is paused Netty reads only when the client has closed, and once: its end is behind these bytes.
         readWhilePaused |= paused;
         arrivals.received(bytes.readableBytes(), dispatcher.inputReceivedMs(context.channel()), idle);
         if (bytes.isWritable()) {
--- a/src/main/java/cacheproxy/proxy/lifecycle/DrainCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/DrainCoordinator.java
@@ -36,24 +36,27 @@
         this.onDrained = onDrained;
     }
 
-    DrainStateMachine.StartResult begin(DrainPlan plan) {
+    /** Starts a drain or joins the one in progress. */
+    DrainStateMachine.StartResult startDrain(DrainPlan plan) {
         drain.tick(dispatcher.now(), openWork()); // what is open at the beginning is what there is to do
-        DrainStateMachine.StartResult begun = drain.begin(dispatcher.now(), plan);
+        DrainStateMachine.StartResult result = drain.startDrain(dispatcher.now(), plan);
         if (!ticking) {
             ticking = true;
             tick();
         }
-        return begun;
+        return result;
     }
 
+    /** Cancels the drain; null if that was done, else the reason why it can't be. */
     String cancel() {
-        String why = drain.cancel();
-        if (why == null) {
+        String refusal = drain.cancel();
+        if (refusal == null) {
             dispatcher.drain().set(false, false);
         }
-        return why;
+        return refusal;
     }
 
+    /** How far the drain has come. */
     DrainStateMachine.Progress progress() {
         return drain.progress(dispatcher.now());
     }
@@ -68,23 +71,23 @@
 
     private void tick() {
         double now = dispatcher.now();
-        DrainStateMachine.Actions orders = drain.tick(now, openWork());
+        DrainStateMachine.Actions actions = drain.tick(now, openWork());
         if (!drain.draining()) {
             ticking = false;
             return;
         }
         dispatcher.drain().set(drain.closesAfterAnswer(now), drain.announced());
-        if (listening && !orders.listen()) {
+        if (listening && !actions.listen()) {
             listening = false;
             acceptor.stopListening();
         }
-        acceptor.closeIdle(orders.closeIdle());
-        if (orders.answerAll()) {
+        acceptor.closeIdle(actions.closeIdle());
+        if (actions.answerAll()) {
             dispatcher.completeAll();
             acceptor.closeAll();
         }
-        if (orders.exit()) {
-            loop.schedule(onDrained, orders.answerAll() ? FLUSH_MS : 0, TimeUnit.MILLISECONDS);
+        if (actions.exit()) {
+            loop.schedule(onDrained, actions.answerAll() ? FLUSH_MS : 0, TimeUnit.MILLISECONDS);
         } else {
             loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
         }
--- a/src/main/java/cacheproxy/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/GracefulShutdown.java
@@ -65,7 +65,7 @@
             handover.terminationRequested();
             announceDraining();
             double longestMs = dispatcher.longestDeadlineMs() + ANSWER_MARGIN_MS;
-            drain.begin(
+            drain.startDrain(
                     handover.passesClients()
                             ? DrainPlan.onTerminationWithSuccessor(longestMs)
                             : DrainPlan.onTermination(LISTEN_ON_MS, longestMs));
@@ -83,7 +83,7 @@
     /** Starts a drain that can be cancelled, or joins the one in progress. */
     DrainStateMachine.StartResult drain(double deadlineMs) {
         announceDraining();
-        return drain.begin(DrainPlan.requested(deadlineMs));
+        return drain.startDrain(DrainPlan.requested(deadlineMs));
     }
 
     /** Cancels a drain; null if that was done, else the reason why it can't be. */
--- a/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -77,18 +77,18 @@
     }
 
     private Validity validity(RecordKind kind) {
-        StoredRecord r = records.get(kind);
-        return r == null ? Validity.UNUSABLE : r.validity(nowMs);
+        StoredRecord record = records.get(kind);
+        return record == null ? Validity.UNUSABLE : record.validity(nowMs);
     }
 
     private void recordUse(RecordKind kind) {
-        StoredRecord r = records.get(kind);
+        StoredRecord record = records.get(kind);
         boolean hint = validity(kind) == Validity.HINT;
         provenance.adopted(
                 nowMs,
                 SUBJECT_BY_KIND.get(kind),
                 sources.get(kind),
-                nowMs - r.recordedAtMs(),
+                nowMs - record.recordedAtMs(),
                 hint || kind == RecordKind.ENDPOINT_LIST ? kind.hintForMs() : kind.validForMs(),
                 hint);
     }
@@ -98,16 +98,16 @@
      * configured one if the versions are equal. Null if there is neither.
      */
     JsonObject endpointList(JsonObject configured) {
-        StoredRecord r = records.get(RecordKind.ENDPOINT_LIST);
+        StoredRecord record = records.get(RecordKind.ENDPOINT_LIST);
         if (configured != null) {
             provenance.adopted(
                     nowMs, Subject.ENDPOINT_LIST, Provenance.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
         }
-        if (r == null) {
+        if (record == null) {
             return configured;
         }
         try {
-            JsonObject list = r.body().getAsJsonObject();
+            JsonObject list = record.body().getAsJsonObject();
             if (validity(RecordKind.ENDPOINT_LIST) == Validity.UNUSABLE) {
                 provenance.rejected(Subject.ENDPOINT_LIST);
                 return configured;
@@ -125,21 +125,21 @@
 
     /** What was learned, by pool name; if it is too old for that, the suspected endpoints alone; empty for nothing. */
     Map<String, LearnedState> learnedState() {
-        Validity use = validity(RecordKind.LEARNED_STATE);
-        if (use == Validity.UNUSABLE) {
+        Validity validity = validity(RecordKind.LEARNED_STATE);
+        if (validity == Validity.UNUSABLE) {
             if (records.containsKey(RecordKind.LEARNED_STATE)) {
                 provenance.rejected(Subject.LEARNED_STATE);
             }
             return Map.of();
         }
         try {
-            Map<String, LearnedState> all = new HashMap<>(LearnedStateCodec.read(
+            Map<String, LearnedState> states = new HashMap<>(LearnedStateCodec.read(
                     records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
-            if (use == Validity.HINT) {
-                all.replaceAll((pool, e) -> suspectsOnly(e));
+            if (validity == Validity.HINT) {
+                states.replaceAll((pool, e) -> suspectsOnly(e));
             }
             recordUse(RecordKind.LEARNED_STATE);
-            return all;
+            return states;
         } catch (RuntimeException e) {
             provenance.rejected(Subject.LEARNED_STATE);
             return Map.of();
@@ -150,16 +150,16 @@
      * Endpoints whose last request failed are tried by one request before others; of the origin's throttle and of hot
      * keys nothing is kept.
      */
-    private static LearnedState suspectsOnly(LearnedState e) {
-        List<EndpointHealthRecord> suspects = e.endpoints().stream()
+    private static LearnedState suspectsOnly(LearnedState learned) {
+        List<EndpointHealthRecord> suspects = learned.endpoints().stream()
                 .filter(s -> s.failures() > 0)
                 .map(s -> new EndpointHealthRecord(s.id(), s.startTimeMs(), 1, 0, 0))
                 .toList();
         return new LearnedState(
-                e.originFetchMs(),
-                e.usualLatencyMs(),
-                e.latencyDeviationMs(),
-                e.usualCostMs(),
+                learned.originFetchMs(),
+                learned.usualLatencyMs(),
+                learned.latencyDeviationMs(),
+                learned.usualCostMs(),
                 new LoadCount(0, 0),
                 new LoadCount(0, 0),
                 0,
@@ -169,9 +169,9 @@
 
     /** The last incarnation of this instance; 0 if unknown. */
     long incarnation() {
-        StoredRecord r = records.get(RecordKind.INCARNATION);
+        StoredRecord record = records.get(RecordKind.INCARNATION);
         try {
-            long incarnation = r == null ? 0 : r.body().getAsLong();
+            long incarnation = record == null ? 0 : record.body().getAsLong();
             if (incarnation > 0) {
                 recordUse(RecordKind.INCARNATION);
             }
@@ -184,13 +184,13 @@
 
     /** The restored zone decisions of one kind, by the zones' present numbers. */
     ZoneLink.RestoredDecisions zoneDecisions(RecordKind kind, List<String> names) {
-        StoredRecord r = records.get(kind);
-        if (r == null) {
+        StoredRecord record = records.get(kind);
+        if (record == null) {
             return new ZoneLink.RestoredDecisions(Map.of(), false);
         }
         boolean valid = validity(kind) == Validity.VALID;
         try {
-            Map<Integer, Held> decisions = ZoneForm.read(r.body(), names);
+            Map<Integer, Held> decisions = ZoneForm.read(record.body(), names);
             if (!decisions.isEmpty()) {
                 recordUse(kind);
             }
--- a/src/main/java/cacheproxy/proxy/lifecycle/SighupHandler.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/SighupHandler.java
@@ -59,13 +59,13 @@
 
     /** Runs on the thread that the JVM starts for each signal. */
     private void handle() {
-        Runnable now;
+        Runnable current;
         synchronized (this) {
-            now = task;
-            pending |= now == null;
+            current = task;
+            pending |= current == null;
         }
-        if (now != null) {
-            now.run();
+        if (current != null) {
+            current.run();
         }
     }
 }
--- a/src/test/java/cacheproxy/drain/DrainStateMachineTest.java
+++ b/src/test/java/cacheproxy/drain/DrainStateMachineTest.java
@@ -33,7 +33,7 @@
 
     @Test
     void idleConnectionsAreEndedInEvenSteps() {
-        drain.begin(0, DrainPlan.requested(10_000)); // over 2 s
+        drain.startDrain(0, DrainPlan.requested(10_000)); // over 2 s
         int idle = 1000;
         int most = 0;
         int half = 0;
@@ -50,10 +50,10 @@
 
     @Test
     void connectionsInUseEndAfterTheirAnswerOnceThePaceIsOver() {
-        drain.begin(0, DrainPlan.requested(10_000));
+        drain.startDrain(0, DrainPlan.requested(10_000));
         assertThat(drain.closesAfterAnswer(1999)).isFalse();
         assertThat(drain.closesAfterAnswer(2000)).isTrue();
-        drain.begin(2000, DrainPlan.onTermination(500, 1000));
+        drain.startDrain(2000, DrainPlan.onTermination(500, 1000));
         assertThat(drain.closesAfterAnswer(2499)).isFalse();
         assertThat(drain.closesAfterAnswer(2500)).isTrue();
     }
@@ -61,7 +61,7 @@
     @Test
     void progressIsWhatIsGoneOfTheMostThatWasOpen() {
         drain.tick(0, open(10, 90, 80));
-        drain.begin(0, DrainPlan.requested(10_000));
+        drain.startDrain(0, DrainPlan.requested(10_000));
         drain.tick(20, open(0, 50, 50));
         assertThat(drain.progress(20).completedFraction()).isEqualTo(0.5);
         drain.tick(40, open(0, 80, 80)); // others came
@@ -74,7 +74,7 @@
 
     @Test
     void drainedMeansThatNothingWasOpenForAWhile() {
-        drain.begin(0, DrainPlan.requested(30_000));
+        drain.startDrain(0, DrainPlan.requested(30_000));
         assertThat(drain.tick(100, open(0, 0, 0)).exit()).isFalse();
         assertThat(drain.tick(900, open(1, 1, 0)).exit()).isFalse(); // one came after all
         assertThat(drain.tick(1000, open(0, 0, 0)).exit()).isFalse();
@@ -88,22 +88,22 @@
 
     @Test
     void atTheDeadlineAllIsAnsweredAndTheProcessEnds() {
-        drain.begin(0, DrainPlan.requested(5000));
+        drain.startDrain(0, DrainPlan.requested(5000));
         assertThat(drain.tick(4999, open(2, 3, 0)).answerAll()).isFalse();
         assertThat(drain.tick(5000, open(2, 3, 0))).isEqualTo(new Actions(0, false, true, true));
         assertThat(drain.progress(5001).phase()).isEqualTo(Phase.EXPIRED);
         assertThat(drain.cancel()).contains("too late");
-        assertThat(drain.begin(5001, DrainPlan.requested(1000)).message()).contains("is over");
+        assertThat(drain.startDrain(5001, DrainPlan.requested(1000)).message()).contains("is over");
     }
 
     @Test
     void aCancelLeadsBackAndASecondDrainBeginsAnew() {
-        drain.begin(0, DrainPlan.requested(5000));
+        drain.startDrain(0, DrainPlan.requested(5000));
         drain.tick(4000, open(2, 3, 1));
         assertThat(drain.cancel()).isNull();
         assertThat(drain.cancel()).contains("no drain");
         assertThat(drain.tick(6000, open(2, 3, 1))).isEqualTo(Actions.NONE);
-        drain.begin(7000, DrainPlan.requested(5000));
+        drain.startDrain(7000, DrainPlan.requested(5000));
         assertThat(drain.progress(7000).completedFraction()).isZero();
         assertThat(drain.tick(11_999, open(2, 3, 0)).exit()).isFalse();
         assertThat(drain.progress(11_999).drainCount()).isEqualTo(2);
@@ -112,20 +112,21 @@
 
     @Test
     void askedTwiceTheShorterDeadlineHoldsAndIsTold() {
-        assertThat(drain.begin(0, DrainPlan.requested(5000)).alreadyDraining()).isFalse();
-        DrainStateMachine.StartResult longer = drain.begin(1000, DrainPlan.requested(60_000));
+        assertThat(drain.startDrain(0, DrainPlan.requested(5000)).alreadyDraining())
+                .isFalse();
+        DrainStateMachine.StartResult longer = drain.startDrain(1000, DrainPlan.requested(60_000));
         assertThat(longer.alreadyDraining()).isTrue();
         assertThat(longer.deadlineRemainingMs()).isEqualTo(4000);
         assertThat(longer.message()).contains("its own deadline is the shorter");
-        assertThat(drain.begin(1000, DrainPlan.requested(500)).message()).contains("shortened");
+        assertThat(drain.startDrain(1000, DrainPlan.requested(500)).message()).contains("shortened");
         assertThat(drain.tick(1500, open(1, 1, 0)).answerAll()).isTrue();
     }
 
     @Test
     void aTerminationTakesOverAndCantBeTakenBack() {
-        drain.begin(0, DrainPlan.requested(60_000));
+        drain.startDrain(0, DrainPlan.requested(60_000));
         drain.tick(100, open(1, 5, 4));
-        drain.begin(100, DrainPlan.onTermination(500, 1000));
+        drain.startDrain(100, DrainPlan.onTermination(500, 1000));
         assertThat(drain.cancel()).contains("can't be taken back");
         assertThat(drain.tick(599, open(1, 5, 4))).isEqualTo(new Actions(0, true, false, false));
         assertThat(drain.tick(600, open(1, 5, 4))).isEqualTo(new Actions(4, false, false, false));
@@ -134,8 +135,8 @@
 
     @Test
     void aTerminationLeavesASoonerDeadline() {
-        drain.begin(0, DrainPlan.requested(1000));
-        drain.begin(900, DrainPlan.onTermination(500, 1000));
+        drain.startDrain(0, DrainPlan.requested(1000));
+        drain.startDrain(900, DrainPlan.onTermination(500, 1000));
         assertThat(drain.tick(1000, open(1, 1, 0)).answerAll()).isTrue();
     }
 
@@ -230,16 +231,20 @@
                 case DRAIN ->
                     bound = Math.min(
                             bound,
-                            now + machine.begin(now, DrainPlan.requested(4000)).deadlineRemainingMs());
+                            now
+                                    + machine.startDrain(now, DrainPlan.requested(4000))
+                                            .deadlineRemainingMs());
                 case DRAIN_SHORT ->
                     bound = Math.min(
                             bound,
-                            now + machine.begin(now, DrainPlan.requested(300)).deadlineRemainingMs());
+                            now
+                                    + machine.startDrain(now, DrainPlan.requested(300))
+                                            .deadlineRemainingMs());
                 case TERMINATE ->
                     bound = Math.min(
                             bound,
                             now
-                                    + machine.begin(now, DrainPlan.onTermination(500, 1000))
+                                    + machine.startDrain(now, DrainPlan.onTermination(500, 1000))
                                             .deadlineRemainingMs());
                 case CANCEL -> {
                     if (machine.cancel() == null) {
--- a/src/test/java/cacheproxy/proxy/Keys.java
+++ b/src/test/java/cacheproxy/proxy/Keys.java
@@ -10,7 +10,7 @@
     static String ranked(int... nodes) {
         for (int i = 1; ; i++) {
             String key = Integer.toHexString(i);
-            int hash = CarpHash.keyHash(Installation.key(key));
+            int hash = CarpHash.keyHash(ConfiguredEndpoints.routingKey(key));
             boolean inOrder = true;
             for (int n = 1; n < nodes.length; n++) {
                 inOrder &= CarpHash.score(hash, CarpHash.endpointHash(nodes[n - 1]), 1)
