--- a/src/main/java/cacheproxy/membership/Entry.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -6,7 +6,7 @@
 import java.util.TreeSet;
 
 /**
- * What is known of one instance. Entries of the same instance form a join semilattice: {@link #join} is associative,
+ * What is known of one instance. Entries of the same instance form a join semilattice: {@link #merge} is associative,
  * commutative and idempotent, so any two that have heard the same come to hold the same, in whatever order and however
  * often they heard it.
  *
@@ -14,30 +14,30 @@
  *   <li>The higher incarnation holds; an instance raises its own, nobody else's.
  *   <li>In one incarnation the higher life holds: two processes under one name, of which one has to go beyond the
  *       other.
- *   <li>In one life the later {@link State} holds, and what the instance says of itself by the higher version.
+ *   <li>In one life the later {@link MemberState} holds, and what the instance says of itself by the higher version.
  * </ol>
  *
  * @param id its number, 0 to {@link #MAX_ID}
  * @param incarnation 1 to {@link #MAX_INCARNATION}, raised at each start and each refutation
- * @param life drawn by the process at its start, 0 to 65,535: tells two processes of one name apart
+ * @param processNonce drawn by the process at its start, 0 to 65,535: tells two processes of one name apart
  * @param state what is believed
- * @param confirmers of a suspicion, those who did not reach it either, {@link #MOST_CONFIRMERS} at most
+ * @param confirmers of a suspicion, those who did not reach it either, {@link #MAX_CONFIRMERS} at most
  * @param zone where it stands, 0 to {@link #MAX_ZONE}
  * @param version of what it says of itself: phase and notes
  * @param phase of its service
- * @param notes what other parts of the program publish by it, by a number 0 to 7, {@link #MOST_NOTE} bytes each at most
- *     and {@link #MOST_NOTES} together, so that three entries fit in any message
+ * @param notes what other parts of the program publish by it, by a number 0 to 7, {@link #MAX_NOTE_BYTES} bytes each at
+ *     most and {@link #MAX_NOTES_BYTES} together, so that three entries fit in any message
  * @param address where it is reached, 6 bytes; empty where the settings name it
  */
-public record Entry(
+public record Member(
         int id,
         long incarnation,
-        int life,
-        State state,
+        int processNonce,
+        MemberState state,
         TreeSet<Integer> confirmers,
         int zone,
         int version,
-        Phase phase,
+        ServicePhase phase,
         Map<Integer, byte[]> notes,
         byte[] address) {
     /** The highest number of an instance. */
@@ -47,72 +47,91 @@
     /** The highest incarnation; at one a second it lasts 136 years. */
     public static final long MAX_INCARNATION = 0xffff_ffffL;
     /** How many confirmers a suspicion names at most; beyond it the lowest numbers. */
-    public static final int MOST_CONFIRMERS = 4;
+    public static final int MAX_CONFIRMERS = 4;
     /** What one part may publish, in bytes. */
-    public static final int MOST_NOTE = 24;
+    public static final int MAX_NOTE_BYTES = 24;
     /** What all parts may publish together, in bytes. */
-    public static final int MOST_NOTES = 32;
+    public static final int MAX_NOTES_BYTES = 32;
     /** How many parts may publish. */
-    public static final int NOTES = 8;
+    public static final int MAX_NOTES = 8;
 
     private static final byte[] NONE = {};
 
     /** Checks the ranges. */
-    public Entry {
+    public Member {
         if (id < 0
                 || id > MAX_ID
                 || incarnation < 1
                 || incarnation > MAX_INCARNATION
-                || life < 0
-                || life > 0xffff
+                || processNonce < 0
+                || processNonce > 0xffff
                 || zone < 0
                 || zone > MAX_ZONE
                 || version < 0) {
-            throw new IllegalArgumentException("instance " + id + " in incarnation " + incarnation + ", life " + life
-                    + ", zone " + zone + ", version " + version + " is out of range");
+            throw new IllegalArgumentException("instance " + id + " in incarnation " + incarnation + ", life "
+                    + processNonce + ", zone " + zone + ", version " + version + " is out of range");
         }
-        if (confirmers.size() > MOST_CONFIRMERS
+        if (confirmers.size() > MAX_CONFIRMERS
                 || (address.length != 0 && address.length != 6)
                 || notes.entrySet().stream()
-                        .anyMatch(n -> n.getKey() < 0 || n.getKey() >= NOTES || n.getValue().length > MOST_NOTE)
-                || notes.values().stream().mapToInt(n -> n.length).sum() > MOST_NOTES) {
+                        .anyMatch(
+                                n -> n.getKey() < 0 || n.getKey() >= MAX_NOTES || n.getValue().length > MAX_NOTE_BYTES)
+                || notes.values().stream().mapToInt(n -> n.length).sum() > MAX_NOTES_BYTES) {
             throw new IllegalArgumentException("instance " + id + " has too much to say");
         }
     }
 
     /** An instance that begins a life. */
-    public static Entry begin(int id, long incarnation, int life, int zone, byte[] address) {
-        return new Entry(
-                id, incarnation, life, State.ALIVE, new TreeSet<>(), zone, 0, Phase.STARTING, Map.of(), address);
+    public static Member start(int id, long incarnation, int life, int zone, byte[] address) {
+        return new Member(
+                id,
+                incarnation,
+                life,
+                MemberState.ALIVE,
+                new TreeSet<>(),
+                zone,
+                0,
+                ServicePhase.STARTING,
+                Map.of(),
+                address);
     }
 
     /** Whether what is said of a life here holds against what is said there: 0 for the same life in one incarnation. */
-    public int compareLife(Entry other) {
+    public int compareIncarnation(Member other) {
         int by = Long.compare(incarnation, other.incarnation);
-        return by != 0 ? by : Integer.compare(life, other.life);
+        return by != 0 ? by : Integer.compare(processNonce, other.processNonce);
     }
 
     /** Both as one; this itself if the other adds nothing. */
     @SuppressWarnings("ReferenceEquality") // this itself is what is given back
-    public Entry join(Entry other) {
-        int by = compareLife(other);
+    public Member merge(Member other) {
+        int by = compareIncarnation(other);
         if (by != 0) {
             return by > 0 ? this : other;
         }
-        State both = state.compareTo(other.state) >= 0 ? state : other.state;
-        TreeSet<Integer> confirming = confirming(both, other);
-        Entry said = version >= other.version ? this : other;
+        MemberState both = state.compareTo(other.state) >= 0 ? state : other.state;
+        TreeSet<Integer> confirming = mergeConfirmers(both, other);
+        Member said = version >= other.version ? this : other;
         if (both == state && said == this && confirming.equals(confirmers)) {
             return this;
         }
-        return new Entry(
-                id, incarnation, life, both, confirming, said.zone, said.version, said.phase, said.notes, said.address);
+        return new Member(
+                id,
+                incarnation,
+                processNonce,
+                both,
+                confirming,
+                said.zone,
+                said.version,
+                said.phase,
+                said.notes,
+                said.address);
     }
 
     /** The lowest of all who confirm; once it is dead nobody asks who did. */
-    private TreeSet<Integer> confirming(State both, Entry other) {
+    private TreeSet<Integer> mergeConfirmers(MemberState both, Member other) {
         TreeSet<Integer> all = new TreeSet<>();
-        if (both == State.SUSPECT) {
+        if (both == MemberState.SUSPECT) {
             all.addAll(confirmers);
             all.addAll(other.confirmers);
         }
@@ -120,43 +139,46 @@
     }
 
     private static TreeSet<Integer> lowest(TreeSet<Integer> all) {
-        while (all.size() > MOST_CONFIRMERS) {
+        while (all.size() > MAX_CONFIRMERS) {
             all.pollLast();
         }
         return all;
     }
 
     /** The same believed to be in that state. */
-    Entry in(State later) {
-        return new Entry(id, incarnation, life, later, new TreeSet<>(), zone, version, phase, notes, address);
+    Member withState(MemberState later) {
+        return new Member(id, incarnation, processNonce, later, new TreeSet<>(), zone, version, phase, notes, address);
     }
 
     /** The same with one more who does not reach it. */
-    Entry suspectedBy(int instance) {
+    Member suspectedBy(int instance) {
         TreeSet<Integer> all = new TreeSet<>(confirmers);
         all.add(instance);
-        return new Entry(id, incarnation, life, State.SUSPECT, lowest(all), zone, version, phase, notes, address);
+        return new Member(
+                id, incarnation, processNonce, MemberState.SUSPECT, lowest(all), zone, version, phase, notes, address);
     }
 
     /** The same alive in another incarnation. */
-    Entry again(long higher) {
-        return new Entry(id, higher, life, State.ALIVE, new TreeSet<>(), zone, version, phase, notes, address);
+    Member withIncarnation(long higher) {
+        return new Member(
+                id, higher, processNonce, MemberState.ALIVE, new TreeSet<>(), zone, version, phase, notes, address);
     }
 
     /** The same with something else to say, by the next version. */
-    Entry saying(Phase now, Map<Integer, byte[]> all) {
-        return new Entry(id, incarnation, life, state, confirmers, zone, version + 1, now, Map.copyOf(all), address);
+    Member withPhaseAndNotes(ServicePhase now, Map<Integer, byte[]> all) {
+        return new Member(
+                id, incarnation, processNonce, state, confirmers, zone, version + 1, now, Map.copyOf(all), address);
     }
 
     /** One part's note replaced; empty takes it out. */
-    Entry noting(int part, byte[] bytes) {
+    Member withNote(int part, byte[] bytes) {
         Map<Integer, byte[]> all = new HashMap<>(notes);
         if (bytes.length == 0) {
             all.remove(part);
         } else {
             all.put(part, bytes.clone());
         }
-        return saying(phase, all);
+        return withPhaseAndNotes(phase, all);
     }
 
     /** A part's note, empty if it has none. */
@@ -169,7 +191,9 @@
      * Suspicions do not count: they pass, and while answers get lost there is always one somewhere.
      */
     long hash() {
-        return state.lives() ? mix(mix(id * 0x9e3779b97f4a7c15L + incarnation) ^ ((long) life << 34 | version)) : 0;
+        return state.isLive()
+                ? mix(mix(id * 0x9e3779b97f4a7c15L + incarnation) ^ ((long) processNonce << 34 | version))
+                : 0;
     }
 
     /** A thorough mix of 64 bits (Stafford's variant 13), by which ranks are drawn that are the same at all. */
@@ -181,10 +205,10 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Entry e
+        return other instanceof Member e
                 && id == e.id
                 && incarnation == e.incarnation
-                && life == e.life
+                && processNonce == e.processNonce
                 && state == e.state
                 && confirmers.equals(e.confirmers)
                 && zone == e.zone
@@ -203,12 +227,12 @@
     @Override
     public String toString() {
         return id
-                + (state == State.ALIVE
+                + (state == MemberState.ALIVE
                         ? " alive"
-                        : state == State.SUSPECT
+                        : state == MemberState.SUSPECT
                                 ? " suspected by " + confirmers
-                                : state == State.DEAD ? " dead" : " left")
-                + " in " + incarnation + "/" + Integer.toHexString(life)
+                                : state == MemberState.DEAD ? " dead" : " left")
+                + " in " + incarnation + "/" + Integer.toHexString(processNonce)
                 + " v" + version;
     }
 }
--- a/src/main/java/cacheproxy/proxy/ConfiguredEndpoints.java
+++ b/src/main/java/cacheproxy/proxy/ConfiguredEndpoints.java
@@ -1,7 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
-import cacheproxy.route.Known;
+import cacheproxy.route.EndpointAttributes;
+import cacheproxy.route.KnownNames;
 import cacheproxy.route.Pool;
 import cacheproxy.routing.CarpHash;
 import cacheproxy.routing.Endpoint;
@@ -35,13 +36,13 @@
     }
 
     /** The names that routes may refer to. */
-    public Known routableNames() {
+    public KnownNames routableNames() {
         return config.routableNames();
     }
 
     /** The endpoints of the configured list, as pools select them. */
-    public List<Pool.Server> poolMembers() {
-        return endpoints.stream().map(DiscoveredEndpoint::poolMember).toList();
+    public List<EndpointAttributes> poolMembers() {
+        return endpoints.stream().map(DiscoveredEndpoint::attributes).toList();
     }
 
     /**
@@ -54,7 +55,7 @@
         for (int i = 0; i < weights.length; i++) {
             DiscoveredEndpoint candidate = candidates.get(i);
             weights[i] =
-                    pool.weight(candidate.poolMember(), candidate.endpoint().weight());
+                    pool.weight(candidate.attributes(), candidate.endpoint().weight());
         }
         float[] multipliers = CarpHash.multipliers(weights);
         int keyHash = CarpHash.keyHash(routingKey(key));
@@ -67,7 +68,7 @@
             order.add(i);
         }
         order.sort(Comparator.comparingDouble(i -> -scores[i]));
-        return order.stream().map(i -> candidates.get(i).poolMember().host()).toList();
+        return order.stream().map(i -> candidates.get(i).attributes().host()).toList();
     }
 
     /** The pool's endpoints that take ordinary requests, by id. */
@@ -77,7 +78,7 @@
             Endpoint endpoint = candidate.endpoint();
             boolean origin = config.settings().cacheAside()
                     && endpoint.kind() == config.settings().originKind();
-            if (endpoint.state() == EndpointState.READY && !origin && pool.selects(candidate.poolMember())) {
+            if (endpoint.state() == EndpointState.READY && !origin && pool.selects(candidate.attributes())) {
                 candidates.add(candidate);
             }
         }
--- a/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
@@ -25,12 +25,12 @@
 
     @Override
     public OptionalInt zoneOf(int endpointId) {
-        Upstream upstream = dispatcher.servers().get(endpointId);
-        return upstream == null || upstream.origin ? OptionalInt.empty() : OptionalInt.of(upstream.place.zone());
+        UpstreamServer upstream = dispatcher.servers().get(endpointId);
+        return upstream == null || upstream.origin ? OptionalInt.empty() : OptionalInt.of(upstream.location.zone());
     }
 
     @Override
     public int countInZone(int zone) {
-        return dispatcher.servers().inZone(zone);
+        return dispatcher.servers().cacheNodesInZone(zone);
     }
 }
--- a/src/main/java/cacheproxy/proxy/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/RequestAttempt.java
@@ -16,7 +16,7 @@
     /** When the proxy stops waiting for it, on the same clock. */
     final double expiresMs;
     /** The location of its server. */
-    final EndpointLocation place;
+    final EndpointLocation location;
 
     /** The connection it was assigned to; null before. */
     UpstreamConnection connection;
@@ -33,11 +33,11 @@
     Timer timer;
 
     RequestAttempt(
-            ClientRequest request, int index, int server, EndpointLocation place, double sentMs, double expiresMs) {
+            ClientRequest request, int index, int server, EndpointLocation location, double sentMs, double expiresMs) {
         this.request = request;
         this.index = index;
         this.server = server;
-        this.place = place;
+        this.location = location;
         this.sentMs = sentMs;
         this.expiresMs = expiresMs;
     }
--- a/src/main/java/cacheproxy/proxy/client/MetaCommand.java
+++ b/src/main/java/cacheproxy/proxy/client/MetaCommand.java
@@ -78,7 +78,7 @@
         int deadline = MetaCodec.parameterIndex(extras, "d");
         int deadlineInLine = deadline < 0 ? -1 : list + deadline;
         return new RequestCommand(
-                Routing.META,
+                Routing.META_FRONT,
                 key,
                 id,
                 write,
--- a/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
@@ -127,7 +127,7 @@
     }
 
     private RestoredState restoredState(TakeoverSnapshot snapshot) {
-        OpenedState stored = stateLink == null ? OpenedState.EMPTY : stateLink.opened();
+        OpenedState stored = stateLink == null ? OpenedState.EMPTY : stateLink.openedState();
         return new RestoredState(snapshot, stored, dispatcher.provenance(), dispatcher.now());
     }
 
--- a/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.failover.Zones.Held;
-import cacheproxy.membership.Entry;
+import cacheproxy.membership.Member;
 import cacheproxy.proxy.LearnedStateCodec;
 import cacheproxy.proxy.ZoneForm;
 import cacheproxy.proxy.ZoneLink;
@@ -64,7 +64,7 @@
                             new StoredRecord(
                                     RecordKind.LEARNED_STATE,
                                     nowMs,
-                                    LearnedStateCodec.json(predecessor.learnedState()))),
+                                    LearnedStateCodec.toJson(predecessor.learnedState()))),
                     Provenance.PREDECESSOR);
         }
     }
@@ -133,7 +133,7 @@
             return Map.of();
         }
         try {
-            Map<String, LearnedState> states = new HashMap<>(LearnedStateCodec.read(
+            Map<String, LearnedState> states = new HashMap<>(LearnedStateCodec.fromJson(
                     records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
             if (validity == Validity.HINT) {
                 states.replaceAll((pool, e) -> suspectsOnly(e));
@@ -175,7 +175,7 @@
             if (incarnation > 0) {
                 recordUse(RecordKind.INCARNATION);
             }
-            return Math.max(0, Math.min(Entry.MAX_INCARNATION - 1, incarnation));
+            return Math.max(0, Math.min(Member.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
             provenance.rejected(Subject.INCARNATION);
             return 0;
--- a/src/main/java/cacheproxy/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/WarmUp.java
@@ -9,7 +9,7 @@
 import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.proxy.discovery.EndpointListSource;
-import cacheproxy.route.Pool;
+import cacheproxy.route.EndpointAttributes;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
 import cacheproxy.routing.EndpointUpdateKind;
@@ -165,7 +165,7 @@
         return new DiscoveredEndpoint(
                 new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0),
                 address,
-                new Pool.Server("", "", "", Set.of()));
+                new EndpointAttributes("", "", "", Set.of()));
     }
 
     /** A side whose connection ends with the warm-up, possibly by a reset. */
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -93,9 +93,9 @@
             LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fleet::host);
             fleet.start();
             assertThat(served(fleet, READS)).isEqualTo(READS);
-            List<Upstream> nodes =
-                    fleet.on(() -> fleet.proxy.dispatcher().servers().nodes());
-            assertThat(nodes).hasSize(SERVERS).allMatch(u -> u.openedTimes() > 0);
+            List<UpstreamServer> nodes =
+                    fleet.on(() -> fleet.proxy.dispatcher().servers().cacheNodes());
+            assertThat(nodes).hasSize(SERVERS).allMatch(u -> u.pool.openedConnections() > 0);
             Await.until(
                     "no more connections than there are descriptors for",
                     () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) <= SOCKETS / 3);
@@ -160,7 +160,7 @@
 
     private static Set<Integer> known(Fleet fleet) {
         Set<Integer> ids = new HashSet<>();
-        fleet.on(() -> fleet.proxy.dispatcher().servers().nodes()).forEach(u -> ids.add(u.id));
+        fleet.on(() -> fleet.proxy.dispatcher().servers().cacheNodes()).forEach(u -> ids.add(u.id));
         return ids;
     }
 
@@ -246,7 +246,7 @@
             fleet.start();
             fleet.proxy.joinFleet(new FleetFeatures(true, true, false));
             assertThat(served(fleet, SERVERS)).isEqualTo(SERVERS);
-            assertThat(fleet.on(() -> fleet.proxy.dispatcher().servers().inZone(ZONES - 1)))
+            assertThat(fleet.on(() -> fleet.proxy.dispatcher().servers().cacheNodesInZone(ZONES - 1)))
                     .isEqualTo(1);
             assertThat(fleet.on(() -> fleet.proxy.fleetView())).isNotNull();
             assertThat(fleet.on(() -> fleet.proxy.zoneDecisions())).isNotNull();
@@ -290,7 +290,7 @@
                 Dispatcher core = fleet.proxy.dispatcher();
                 long before = core.counters().count(Metric.PEER_MESSAGES_SENT)
                         + fleet.proxy.fleetView().droppedDatagrams();
-                core.servers().nodes().forEach(u -> core.orders().report(u.id, EndpointSignal.UNRESPONSIVE));
+                core.servers().cacheNodes().forEach(u -> core.orders().report(u.id, EndpointSignal.UNRESPONSIVE));
                 assertThat(core.counters().count(Metric.PEER_MESSAGES_SENT)
                                 + fleet.proxy.fleetView().droppedDatagrams()
                                 - before)
