--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -185,8 +185,8 @@
     }
 
     /** Whether this process alone writes to the folder. */
-    public boolean isLockHeld() {
-        return writer.isLockHeld();
+    public boolean hasLock() {
+        return writer.hasLock();
     }
 
     /** The folder's path. */
--- a/src/main/java/cacheproxy/proxy/ZoneLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneLink.java
@@ -4,6 +4,7 @@
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.Zones;
 import cacheproxy.failover.Zones.Held;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
--- a/src/main/java/cacheproxy/proxy/client/ClientResponseQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientResponseQueue.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.proxy.ClientRequest;
 import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.FlowControl;
 import cacheproxy.proxy.MetaCodec;
 import cacheproxy.proxy.RequestCommand;
 import cacheproxy.proxy.ResponseWriter;
--- a/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
@@ -7,7 +7,6 @@
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.DispatcherPeerPorts;
 import cacheproxy.proxy.FleetZones;
-import cacheproxy.proxy.MembershipLink;
 import cacheproxy.proxy.RecoveryLink;
 import cacheproxy.proxy.StatePersistence;
 import cacheproxy.proxy.StateQueryLink;
@@ -17,6 +16,7 @@
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.peer.EndpointGossipLink;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
@@ -117,7 +117,7 @@
     private void joinMembership(FleetFeatures features) {
         Config current = config.get();
         members = new MembershipLink(
-                dispatcher,
+                new DispatcherPeerPorts(dispatcher),
                 peers,
                 current.settings(),
                 restored.incarnation(),
@@ -208,7 +208,7 @@
                 stateLink == null ? null : stateLink.openedState(),
                 stateLink == null ? null : stateLink.recordStore(),
                 stateLink == null ? null : stateLink.path().toString(),
-                stateLink != null && stateLink.isLockHeld());
+                stateLink != null && stateLink.hasLock());
     }
 
     /** The fleet's zone decisions; null where this instance takes no part in them. */
