--- a/src/main/java/cacheproxy/control/ProxyMetrics.java
+++ b/src/main/java/cacheproxy/control/ProxyMetrics.java
@@ -1,8 +1,8 @@
 package cacheproxy.control;
 
 import cacheproxy.control.MetricSample.Kind;
-import cacheproxy.proxy.ProxyStatus;
 import cacheproxy.proxy.RuleCounts;
+import cacheproxy.proxy.lifecycle.ProxyStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -73,10 +73,10 @@
     public ChannelFuture write(Channel channel, UpstreamAttempt attempt, long remainingMs, SocketAddress address) {
         if (attempt.isHealthCheck()) {
             String check = loadReports.inHealthChecks() ? LOAD_QUERY : NO_OP;
-            return channel.writeAndFlush(MetaCodec.text(channel.alloc(), check));
+            return channel.writeAndFlush(MetaCodec.encode(channel.alloc(), check));
         }
         RequestCommand command = attempt.command();
-        ByteBuf line = MetaCodec.text(channel.alloc(), command.commandLine.with(remainingMs) + "\r\n");
+        ByteBuf line = MetaCodec.encode(channel.alloc(), command.commandLine.with(remainingMs) + "\r\n");
         if (command.value == null) {
             return channel.writeAndFlush(line);
         }
@@ -117,7 +117,7 @@
     }
 
     private void decodeLine(ByteBuf in) throws MetaCodec.SyntaxException {
-        String line = MetaCodec.line(in);
+        String line = MetaCodec.readLine(in);
         if (line == null) {
             if (in.isReadable()) {
                 connection.responseProgressed();
@@ -152,11 +152,11 @@
     }
 
     private void beginValue(String line, RequestCommand command) throws MetaCodec.SyntaxException {
-        String word = MetaCodec.wordAt(line, VALUE.length());
-        length = MetaCodec.length(word);
+        String word = MetaCodec.tokenAt(line, VALUE.length());
+        length = MetaCodec.parseLength(word);
         decodeFlags(line, VALUE.length() + word.length() + 1, command);
         missing = length + LINE_END_BYTES;
-        streamed = length > MetaCodec.WHOLE;
+        streamed = length > MetaCodec.MAX_WHOLE_VALUE_BYTES;
         if (streamed) {
             dropped = !connection.beginValue(length);
         }
@@ -226,12 +226,12 @@
 
     private void healthCheckLine(String line) {
         if (line.startsWith(STAT)) {
-            String name = MetaCodec.wordAt(line, STAT.length());
-            stats += name + "=" + MetaCodec.wordAt(line, STAT.length() + name.length() + 1) + ",";
+            String name = MetaCodec.tokenAt(line, STAT.length());
+            stats += name + "=" + MetaCodec.tokenAt(line, STAT.length() + name.length() + 1) + ",";
             return;
         }
         boolean healthy = line.equals(NO_OP_RESPONSE) || line.equals(STAT_END);
-        float[] figures = MetaCodec.report(stats, loadReports.fields());
+        float[] figures = MetaCodec.loadReport(stats, loadReports.fields());
         stats = "";
         connection.responseCompleted(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, NOTE_NONE, figures, null);
     }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -38,7 +38,7 @@
  *
  * A request has one response and an attempt one end. Event loop only, except for {@link #now}.
  */
-final class Dispatcher {
+public final class Dispatcher {
     private static final long SWEEP_MS = 1000;
     /** Connections to servers may take one in so many of the process's sockets. */
     private static final int UPSTREAM_SOCKETS_PART = 3;
@@ -69,20 +69,10 @@
     private final EndpointListEvents endpointListEvents;
 
     private RoutingOrders orders;
-    private ClientListener clientListener;
     private Future<?> sweeper;
 
-    /** Is told of clients' connections. Event loop only. */
-    interface ClientListener {
-        /** The connection has ended. */
-        void clientLeft(ClientConnection client);
-
-        /** The connection is between requests, and is to take no further one. */
-        void closeWhenIdle(ClientConnection client);
-    }
-
     /** {@code upstream}: the kind of channel for connections to servers. */
-    Dispatcher(EventLoop loop, LoopClock loopClock, Config config, Class<? extends Channel> upstream) {
+    public Dispatcher(EventLoop loop, LoopClock loopClock, Config config, Class<? extends Channel> upstream) {
         this.loop = loop;
         clock = new ProxyClock(loopClock);
         timers = new Timers(loop);
@@ -131,8 +121,7 @@
      *
      * @param routing the routes; null: a single pool under the settings' own policy
      */
-    void start(EndpointListSource discovery, PeerDatagramSocket peers, ClientListener clients, Routing routing) {
-        clientListener = clients;
+    public void start(EndpointListSource discovery, PeerDatagramSocket peers, Routing routing) {
         orders = new RoutingOrders(
                 requests,
                 lifecycle,
@@ -151,19 +140,19 @@
     }
 
     /** Applies other settings to requests to come; those that are open keep the ones they were accepted with. */
-    void applySettings(Config next) {
+    public void applySettings(Config next) {
         settings.apply(next);
         counters.retainClasses(settings.classNames());
         loadBalancer.settingsChanged(next.settings());
     }
 
     /** Replaces the routes; only where there are any. */
-    void replaceRoutes(Routing routing) {
+    public void replaceRoutes(Routing routing) {
         loadBalancer.routesChanged(routing);
     }
 
     /** Closes all connections to servers; the load balancer is not called any more. */
-    void stop() {
+    public void stop() {
         executor.stop();
         sweeper.cancel(false);
         servers.close();
@@ -172,22 +161,22 @@
     // ---- clients: requests
 
     /** Accepts a request that has been received completely; its {@link ResponseWriter} gets one response. */
-    void accept(ClientRequest request) {
+    public void accept(ClientRequest request) {
         lifecycle.accept(request);
     }
 
     /** A client's connection has ended; {@code closedHere}: by this side, and not in order. */
-    void clientDisconnected(ClientRequest request, boolean closedHere) {
+    public void clientDisconnected(ClientRequest request, boolean closedHere) {
         lifecycle.clientDisconnected(request, closedHere);
     }
 
     /** Completes every open request now, because a drain's deadline has passed. */
-    void completeAll() {
+    public void completeAll() {
         lifecycle.completeAll();
     }
 
     /** How many requests are open. */
-    int openRequests() {
+    public int openRequests() {
         return requests.openCount();
     }
 
@@ -197,44 +186,36 @@
     }
 
     /** How many accepted requests are completed, including those whose clients disconnected. */
-    long completedRequests() {
+    public long completedRequests() {
         return metrics.completed();
     }
 
     /** The longest deadline of any request that is open or to come, in milliseconds. */
-    double longestDeadlineMs() {
+    public double longestDeadlineMs() {
         return Math.max(settings.longestDeadlineMs(), requests.longestDeadlineMs());
     }
 
     // ---- clients: connections
 
-    void clientLeft(ClientConnection client) {
-        clientListener.clientLeft(client);
-    }
-
-    void closeWhenIdle(ClientConnection client) {
-        clientListener.closeWhenIdle(client);
-    }
-
     /** Counts and logs what goes wrong with connections. */
-    ConnectionFailures failures() {
+    public ConnectionFailures failures() {
         return failures;
     }
 
     /** The limits of memory for values and input. */
-    BufferLimits bufferLimits() {
+    public BufferLimits bufferLimits() {
         return bufferLimits;
     }
 
     /** Whether this process drains. */
-    DrainState drain() {
+    public DrainState drain() {
         return drain;
     }
 
     // ---- servers: attempts
 
     /** The servers of the endpoint list, with the connections to them. */
-    UpstreamServers servers() {
+    public UpstreamServers servers() {
         return servers;
     }
 
@@ -256,28 +237,29 @@
     }
 
     /** What the load balancer has learned, by pool, for a process that takes over. */
-    Map<String, LearnedState> learnedState() {
+    public Map<String, LearnedState> learnedState() {
         return loadBalancer.learnedState();
     }
 
     /** Continues with what another process has learned; after the endpoint list that it used. */
-    void resume(Map<String, LearnedState> learned) {
+    public void resume(Map<String, LearnedState> learned) {
         loadBalancer.resume(learned);
     }
 
     /** The routes, or null where there are none. */
-    Router router() {
+    public Router router() {
         return loadBalancer.router();
     }
 
-    RoutingSettings settings() {
+    /** The settings of routing in force. */
+    public RoutingSettings settings() {
         return settings.routing();
     }
 
     // ---- endpoint list and peers
 
     /** Takes updates of the endpoint list. */
-    EndpointListPublisher.Subscriber endpointList() {
+    public EndpointListPublisher.Subscriber endpointList() {
         return endpointListEvents;
     }
 
@@ -287,7 +269,7 @@
     }
 
     /** The links to other proxies. */
-    PeerLinks peerLinks() {
+    public PeerLinks peerLinks() {
         return peerLinks;
     }
 
@@ -297,7 +279,7 @@
     }
 
     /** Provenance and age of what is in use that was not observed by this process. */
-    ProvenanceTracker provenance() {
+    public ProvenanceTracker provenance() {
         return provenance;
     }
 
@@ -308,22 +290,22 @@
     }
 
     /** The time of {@link ProxyClock}, which every span is measured by, in milliseconds. Any thread. */
-    double now() {
+    public double now() {
         return clock.now();
     }
 
     /** When input that is being read from this connection arrived, on the clock of {@link #now}. */
-    double inputReceivedMs(Channel channel) {
+    public double inputReceivedMs(Channel channel) {
         return clock.inputReceivedMs(channel);
     }
 
     /** Runs a task after this time, in milliseconds, or up to a slot of {@link Timers} later. */
-    Timer after(double ms, Runnable task) {
+    public Timer after(double ms, Runnable task) {
         return timers.after(ms, task);
     }
 
     /** Logs an event, within the rate limit of its kind. */
-    void log(EventKind kind, String text) {
+    public void log(EventKind kind, String text) {
         log.log(kind, text);
     }
 
@@ -333,11 +315,12 @@
     }
 
     /** Logs a line of information. */
-    void log(String text) {
+    public void log(String text) {
         log.log(EventKind.INFO, text);
     }
 
-    Counters counters() {
+    /** What is counted of requests, connections and reloads. */
+    public Counters counters() {
         return counters;
     }
 
@@ -352,7 +335,7 @@
     }
 
     /** What the rules forbade and what violated them. */
-    RuleMonitor rules() {
+    public RuleMonitor rules() {
         return rules;
     }
 }
--- a/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
@@ -25,7 +25,7 @@
  * responses</td></tr>
  * </table>
  */
-final class LearnedStateCodec {
+public final class LearnedStateCodec {
     private static final String FIGURES = "figures";
     private static final String HOT_KEYS = "hot";
     private static final String ENDPOINTS = "servers";
@@ -38,7 +38,7 @@
     // ---- writing
 
     /** The JSON form of what was learned, by the pools' names. */
-    static JsonObject toJson(Map<String, LearnedState> learnedStates) {
+    public static JsonObject toJson(Map<String, LearnedState> learnedStates) {
         JsonObject pools = new JsonObject();
         learnedStates.forEach((pool, state) -> pools.add(pool, toJson(state)));
         return pools;
@@ -84,7 +84,7 @@
      *
      * @throws MalformedStateException or another unchecked exception if it can't be used
      */
-    static Map<String, LearnedState> fromJson(JsonObject pools) {
+    public static Map<String, LearnedState> fromJson(JsonObject pools) {
         Map<String, LearnedState> learnedStates = new HashMap<>();
         pools.entrySet()
                 .forEach(pool -> learnedStates.put(
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -12,7 +12,7 @@
  * Passes events on to the links to other proxies: messages from peers, by kind, and what happens here that the links
  * gossip. A link that is not set, because its feature is off or it starts later, gets nothing. Event loop only.
  */
-final class PeerLinks {
+public final class PeerLinks {
     private final SerialLoadBalancer loadBalancer;
     private EndpointGossipLink endpointListGossip;
     private MembershipLink membership;
@@ -25,28 +25,28 @@
     }
 
     /** Sets the link that gossips the version of the endpoint list. */
-    void setEndpointListGossip(EndpointGossipLink link) {
+    public void setEndpointListGossip(EndpointGossipLink link) {
         endpointListGossip = link;
     }
 
     /** Sets the links for the fleet's membership and for gossip of outliers. */
-    void setMembership(MembershipLink link, OutlierGossipLink outliers) {
+    public void setMembership(MembershipLink link, OutlierGossipLink outliers) {
         membership = link;
         outlierGossip = outliers;
     }
 
     /** Sets the link that queries peers for their state and answers such queries. */
-    void setStateQueries(StateQueryLink link) {
+    public void setStateQueries(StateQueryLink link) {
         stateQueries = link;
     }
 
     /** Sets the link that fails over zones together with the fleet. */
-    void setZoneFailover(ZoneFailoverLink link) {
+    public void setZoneFailover(ZoneFailoverLink link) {
         zoneFailover = link;
     }
 
     /** A message from a peer has arrived. */
-    void messageReceived(int peer, PeerMessageKind kind, byte[] message) {
+    public void messageReceived(int peer, PeerMessageKind kind, byte[] message) {
         switch (kind) {
             case ENDPOINT_LIST -> {
                 if (endpointListGossip != null) {
@@ -73,7 +73,7 @@
     }
 
     /** The set of live members has changed. */
-    void liveMembersChanged(LiveMembers living) {
+    public void liveMembersChanged(LiveMembers living) {
         if (endpointListGossip != null) {
             endpointListGossip.setLiveMembers(living);
         }
--- a/src/main/java/cacheproxy/proxy/Transport.java
+++ b/src/main/java/cacheproxy/proxy/Transport.java
@@ -53,12 +53,12 @@
                     NioDomainSocketChannel.class);
 
     /** Whether sockets can be passed to another process. */
-    boolean passesDescriptors() {
+    public boolean passesDescriptors() {
         return socket == EpollSocketChannel.class;
     }
 
     /** What stands for a channel's socket in another process's hands; only where sockets can be passed. */
-    static FileDescriptor descriptor(Channel channel) {
+    public static FileDescriptor descriptor(Channel channel) {
         return new FileDescriptor(((UnixChannel) channel).fd().intValue());
     }
 
--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
@@ -1,8 +1,17 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.failover.StoredZoneState;
 import cacheproxy.gossip.ListVersionGossip;
 import cacheproxy.membership.ServicePhase;
+import cacheproxy.proxy.Config;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.DispatcherPeerPorts;
+import cacheproxy.proxy.RecoveryLink;
+import cacheproxy.proxy.StatePersistence;
+import cacheproxy.proxy.ZoneFailoverLink;
+import cacheproxy.proxy.ZoneOperations;
+import cacheproxy.proxy.ZoneStateCodec;
+import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.peer.EndpointGossipLink;
@@ -136,7 +145,13 @@
                                         .peerLinks()
                                         .messageReceived(peer, PeerMessageKind.LOAD_BALANCER, message)));
         if (features.zones()) {
-            zones = new ZoneFailoverLink(dispatcher, members, current.settings(), current.zones(), restored);
+            zones = new ZoneFailoverLink(
+                    dispatcher,
+                    members,
+                    current.settings(),
+                    current.zones(),
+                    restored.zoneDecisions(RecordKind.ZONE_STATES, current.zones()),
+                    restored.zoneDecisions(RecordKind.OPERATOR_ORDERS, current.zones()));
             dispatcher.peerLinks().setZoneFailover(zones);
         }
         if (stateLink != null) {
@@ -180,14 +195,15 @@
                     new StoredRecord(RecordKind.INCARNATION, now, new JsonPrimitive(members.incarnation())));
         }
         if (zones != null) {
-            Map<Integer, StoredZoneState> held = zones.zones().statesToStore();
+            Map<Integer, StoredZoneState> decisions = zones.zones().statesToStore();
             records.put(
                     RecordKind.ZONE_STATES,
-                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneStateCodec.encode(held, false, zones.names())));
+                    new StoredRecord(
+                            RecordKind.ZONE_STATES, now, ZoneStateCodec.encode(decisions, false, zones.names())));
             records.put(
                     RecordKind.OPERATOR_ORDERS,
                     new StoredRecord(
-                            RecordKind.OPERATOR_ORDERS, now, ZoneStateCodec.encode(held, true, zones.names())));
+                            RecordKind.OPERATOR_ORDERS, now, ZoneStateCodec.encode(decisions, true, zones.names())));
         }
         return records;
     }
--- a/src/main/java/cacheproxy/proxy/TakeoverClient.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/TakeoverClient.java
@@ -1,5 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
+import cacheproxy.proxy.HandlerInitializer;
+import cacheproxy.proxy.Transport;
 import cacheproxy.takeover.TakeoverStateMachine;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -62,7 +64,7 @@
         channel = new Bootstrap()
                 .group(loop)
                 .channel(Transport.BEST.localSocket())
-                .handler(new Initializer(new LineBasedFrameDecoder(MAX_SNAPSHOT_BYTES), new AnswerHandler()))
+                .handler(new HandlerInitializer(new LineBasedFrameDecoder(MAX_SNAPSHOT_BYTES), new AnswerHandler()))
                 .connect(Transport.BEST.local(path))
                 .addListener(f -> {
                     if (f.isSuccess()) {
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -15,14 +15,14 @@
 /** Values up to 4 MiB, many at a time, in parts of any size, sent and read slowly. */
 @Timeout(90)
 class LargeValuesTest {
-    private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE];
+    private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE_BYTES];
 
     static {
         new Random(7).nextBytes(VALUE);
     }
 
     private static long used(Fleet fleet) {
-        return fleet.on(() -> fleet.proxy.valueBudget().reserved());
+        return fleet.on(() -> fleet.proxy.dispatcher().bufferLimits().values().reserved());
     }
 
     private static FakeServer origin() throws IOException {
