--- a/src/main/java/cacheproxy/cli/DrainCommand.java
+++ b/src/main/java/cacheproxy/cli/DrainCommand.java
@@ -60,7 +60,7 @@
             if (deadline != null) {
                 request.addProperty("deadline_ms", deadline.ms());
             }
-            JsonObject begun = client.ask(request);
+            JsonObject begun = client.call(request);
             out.println(
                     cancel
                             ? "cancelled; in full service"
@@ -75,7 +75,7 @@
         while (true) {
             JsonObject drain;
             try {
-                drain = client.ask(ControlClient.request("status")).getAsJsonObject("drain");
+                drain = client.call(ControlClient.request("status")).getAsJsonObject("drain");
             } catch (IOException e) {
                 out.println("the proxy has ended");
                 out.flush();
--- a/src/main/java/cacheproxy/cli/StatusCommand.java
+++ b/src/main/java/cacheproxy/cli/StatusCommand.java
@@ -49,7 +49,7 @@
         PrintWriter out = spec.commandLine().getOut();
         try (ControlClient client = control.connect()) {
             do {
-                JsonObject status = client.ask(ControlClient.request(members ? "view" : "status"));
+                JsonObject status = client.call(ControlClient.request(members ? "view" : "status"));
                 out.println(json ? status.toString() : members ? table(status) : text(status));
                 out.flush();
                 if (watch) {
--- a/src/main/java/cacheproxy/cli/ZoneCommand.java
+++ b/src/main/java/cacheproxy/cli/ZoneCommand.java
@@ -47,7 +47,7 @@
     private int status(@Mixin ControlOption control, @Option(names = "--json", description = "As JSON.") boolean json)
             throws IOException {
         try (ControlClient client = control.connect()) {
-            JsonObject zones = client.ask(ControlClient.request("status")).getAsJsonObject("zones");
+            JsonObject zones = client.call(ControlClient.request("status")).getAsJsonObject("zones");
             return print(zones, json);
         }
     }
@@ -67,7 +67,7 @@
             return order("leave", zone, control, over);
         }
         try (ControlClient client = control.connect()) {
-            JsonObject cost = client.ask(request("cost", zone));
+            JsonObject cost = client.call(request("cost", zone));
             PrintWriter out = spec.commandLine().getOut();
             out.printf(
                     Locale.ROOT,
@@ -127,7 +127,7 @@
             request.addProperty("over_ms", over.ms());
         }
         try (ControlClient client = control.connect()) {
-            return print(client.ask(request), false);
+            return print(client.call(request), false);
         }
     }
 
--- a/src/main/java/cacheproxy/control/AdminPort.java
+++ b/src/main/java/cacheproxy/control/AdminPort.java
@@ -70,10 +70,10 @@
     /** Opens an admin port, gives each command once and closes it; for the archive of loaded classes. */
     public static void exercise(EventLoop loop, ControlRegistry registry) throws Exception {
         try (AdminPort port = new AdminPort(loop, new InetSocketAddress("127.0.0.1", 0), registry)) {
-            for (String word : COMMANDS.keySet()) {
+            for (String command : COMMANDS.keySet()) {
                 try (Socket caller = new Socket()) {
                     caller.connect(port.address());
-                    caller.getOutputStream().write((word + "\r\n").getBytes(StandardCharsets.US_ASCII));
+                    caller.getOutputStream().write((command + "\r\n").getBytes(StandardCharsets.US_ASCII));
                     caller.getInputStream().readAllBytes();
                 }
             }
--- a/src/main/java/cacheproxy/control/ControlClient.java
+++ b/src/main/java/cacheproxy/control/ControlClient.java
@@ -55,7 +55,7 @@
      * @throws RefusedException if the proxy can't carry it out
      * @throws IOException if the connection has ended, or the answer is of another protocol
      */
-    public JsonObject ask(JsonObject request) throws IOException {
+    public JsonObject call(JsonObject request) throws IOException {
         ByteBuffer out = ByteBuffer.wrap((request + "\n").getBytes(StandardCharsets.UTF_8));
         while (out.hasRemaining()) {
             channel.write(out);
--- a/src/main/java/cacheproxy/demo/ProxiedFleet.java
+++ b/src/main/java/cacheproxy/demo/ProxiedFleet.java
@@ -246,7 +246,7 @@
 
     private static void ask(ProxyProcess p, JsonObject request) throws IOException {
         try (ControlClient client = new ControlClient(p.control())) {
-            client.ask(request);
+            client.call(request);
         } catch (ControlClient.RefusedException e) {
             System.err.println(p.name() + ": " + e.getMessage());
         }
--- a/src/main/java/cacheproxy/demo/ProxyWatch.java
+++ b/src/main/java/cacheproxy/demo/ProxyWatch.java
@@ -107,7 +107,7 @@
                 if (s.client == null) {
                     s.client = new ControlClient(proxies.get(i).control());
                 }
-                take(s, s.client.ask(ControlClient.request("status")), seconds);
+                take(s, s.client.call(ControlClient.request("status")), seconds);
             } catch (IOException e) {
                 s.client = null;
                 s.sight = AWAY;
--- a/src/main/java/cacheproxy/membership/DigestExchange.java
+++ b/src/main/java/cacheproxy/membership/DigestExchange.java
@@ -84,16 +84,16 @@
     /** Random members of those that are unsent, until one doesn't fit. */
     private List<Member> takeOneMessageful(List<Member> unsent) {
         List<Member> taken = new ArrayList<>();
-        int room = Membership.MAX_MESSAGE_BYTES
+        int freeBytes = Membership.MAX_MESSAGE_BYTES
                 - MembershipMessage.headBytes(Kind.MEMBERS)
                 - MembershipMessage.bytes(fleet.localMember().member());
         while (!unsent.isEmpty()) {
             int at = random.nextInt(unsent.size());
             int bytes = MembershipMessage.bytes(unsent.get(at));
-            if (bytes > room) {
+            if (bytes > freeBytes) {
                 break;
             }
-            room -= bytes;
+            freeBytes -= bytes;
             taken.add(unsent.remove(at));
         }
         return taken;
--- a/src/main/java/cacheproxy/membership/FleetState.java
+++ b/src/main/java/cacheproxy/membership/FleetState.java
@@ -10,7 +10,7 @@
 
 /**
  * What one instance knows of the fleet: the members with their states, when a message of each was received last, which
- * are gone since when, and which changes are still to be gossiped.
+ * are absent since when, and which changes are still to be gossiped.
  */
 final class FleetState {
     private final MembershipSettings settings;
@@ -118,11 +118,11 @@
         return lastReceivedMs.getOrDefault(id, Double.NEGATIVE_INFINITY);
     }
 
-    /** Forgets members that have been gone for long and that the settings don't name. */
+    /** Forgets members that have been absent for long and that the settings don't name. */
     void forgetLongAbsent(double nowMs) {
-        absentSinceMs.entrySet().removeIf(gone -> {
-            int id = gone.getKey();
-            boolean forget = !settings.isConfigured(id) && nowMs - gone.getValue() > settings.forgetMs();
+        absentSinceMs.entrySet().removeIf(entry -> {
+            int id = entry.getKey();
+            boolean forget = !settings.isConfigured(id) && nowMs - entry.getValue() > settings.forgetMs();
             if (forget) {
                 table.remove(id);
                 lastReceivedMs.remove(id);
--- a/src/main/java/cacheproxy/membership/GossipQueue.java
+++ b/src/main/java/cacheproxy/membership/GossipQueue.java
@@ -46,18 +46,18 @@
     /**
      * Takes members to send in a message, and counts them as sent.
      *
-     * @param room for so many bytes
+     * @param maxBytes how many bytes they may take
      * @param without a member that the message holds already
      */
-    List<Member> take(MemberTable table, int room, int without) {
+    List<Member> take(MemberTable table, int maxBytes, int without) {
         int maxTimes = 32 - Integer.numberOfLeadingZeros(table.size() + 1);
         List<Map.Entry<Integer, Integer>> leastSentFirst = new ArrayList<>(timesSent.entrySet());
         leastSentFirst.sort(Comparator.comparingInt(Map.Entry::getValue));
         List<Member> taken = new ArrayList<>();
-        if (room <= 0) {
+        if (maxBytes <= 0) {
             return taken;
         }
-        int bytesLeft = room;
+        int bytesLeft = maxBytes;
         for (Map.Entry<Integer, Integer> e : leastSentFirst) {
             Member entry = table.get(e.getKey());
             int bytes = entry == null ? 0 : MembershipMessage.bytes(entry);
--- a/src/main/java/cacheproxy/membership/MemberTable.java
+++ b/src/main/java/cacheproxy/membership/MemberTable.java
@@ -58,23 +58,23 @@
      */
     @SuppressWarnings("ReferenceEquality") // cheap first: a merge returns the known entry where nothing is new
     public Member merge(Member said) {
-        Member held = entries.get(said.id());
-        if (held == null) {
+        Member known = entries.get(said.id());
+        if (known == null) {
             if (entries.size() >= capacity && !evictDead()) {
                 return null;
             }
             put(said);
             return said;
         }
-        if (said.incarnation() > held.incarnation() + MAX_INCARNATION_STEP) {
+        if (said.incarnation() > known.incarnation() + MAX_INCARNATION_STEP) {
             return null;
         }
-        Member both = merger.apply(held, said);
-        if (both == held || both.equals(held)) {
+        Member merged = merger.apply(known, said);
+        if (merged == known || merged.equals(known)) {
             return null;
         }
-        put(both);
-        return both;
+        put(merged);
+        return merged;
     }
 
     private void put(Member entry) {
--- a/src/main/java/cacheproxy/membership/Transmitter.java
+++ b/src/main/java/cacheproxy/membership/Transmitter.java
@@ -61,8 +61,8 @@
         int bytes = MembershipMessage.headBytes(kind)
                 + members.stream().mapToInt(MembershipMessage::bytes).sum();
         int spareBytes = kind == Kind.GOSSIP ? Membership.MAX_MESSAGE_BYTES : allowance.spareBytes(nowMs);
-        int room = Math.min(Membership.MAX_MESSAGE_BYTES - bytes, spareBytes);
-        List<Member> gossip = fleet.gossip().take(fleet.table(), room, fleet.self());
+        int maxBytes = Math.min(Membership.MAX_MESSAGE_BYTES - bytes, spareBytes);
+        List<Member> gossip = fleet.gossip().take(fleet.table(), maxBytes, fleet.self());
         gossip.removeIf(g -> members.stream().anyMatch(m -> m.id() == g.id()));
         return gossip;
     }
--- a/src/test/java/cacheproxy/control/ControlServerTest.java
+++ b/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -83,7 +83,7 @@
 
     private void works() throws IOException {
         try (ControlClient client = new ControlClient(path)) {
-            assertThat(client.ask(ControlClient.request("status")).has("part")).isTrue();
+            assertThat(client.call(ControlClient.request("status")).has("part")).isTrue();
         }
     }
 
@@ -96,7 +96,9 @@
             assertThat(files).containsExactly(path);
         }
         try (ControlClient client = new ControlClient(path)) {
-            assertThat(client.ask(ControlClient.request("help")).get("commands").getAsString())
+            assertThat(client.call(ControlClient.request("help"))
+                            .get("commands")
+                            .getAsString())
                     .isEqualTo("echo flood help status");
         }
         assertThatThrownBy(() -> registry.command("echo", a -> a.toJson())).isInstanceOf(IllegalStateException.class);
@@ -194,7 +196,7 @@
         assertThat(stale).exists();
         try (ControlServer second = new ControlServer(loop, stale, registry);
                 ControlClient client = new ControlClient(stale)) {
-            assertThat(client.ask(ControlClient.request("status")).has("part")).isTrue();
+            assertThat(client.call(ControlClient.request("status")).has("part")).isTrue();
         }
         assertThat(stale).doesNotExist();
     }
--- a/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
@@ -63,7 +63,7 @@
             }
         }
         try {
-            return masked("", client.ask(request));
+            return masked("", client.call(request));
         } catch (ControlClient.RefusedException e) {
             return new JsonPrimitive("refused: " + e.getMessage());
         }
@@ -71,7 +71,7 @@
 
     private static String stage(ControlClient client) {
         try {
-            return client.ask(ControlClient.request("status"))
+            return client.call(ControlClient.request("status"))
                     .getAsJsonObject("recovery")
                     .get("stage")
                     .getAsString();
