--- a/src/main/java/cacheproxy/cli/DrainCommand.java
+++ b/src/main/java/cacheproxy/cli/DrainCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code drain}: begins a drain, watches it, or takes it back. */
+/** {@code drain}: starts a drain, watches it, or cancels it. */
 @Command(
         name = "drain",
         mixinStandardHelpOptions = true,
@@ -28,8 +28,9 @@
             "  drain --control /run/proxy.sock --cancel"
         })
 final class DrainCommand implements Callable<Integer> {
-    private static final int BAR = 40;
-    private static final long LOOK_MS = 200;
+    private static final int BAR_WIDTH = 40;
+    private static final long POLL_MS = 200;
+    private static final double MS_PER_SECOND = 1000;
 
     @Spec
     private CommandSpec spec;
@@ -60,12 +61,12 @@
             if (deadline != null) {
                 request.addProperty("deadline_ms", deadline.ms());
             }
-            JsonObject begun = client.call(request);
+            JsonObject start = client.call(request);
             out.println(
                     cancel
                             ? "cancelled; in full service"
-                            : begun.get("words").getAsString() + "; "
-                                    + begun.get("deadline_left_ms").getAsLong() / 1000.0 + " s to the deadline");
+                            : start.get("words").getAsString() + "; "
+                                    + start.get("deadline_left_ms").getAsLong() / MS_PER_SECOND + " s to the deadline");
             out.flush();
             return wait && !cancel ? watch(client, out) : Cli.OK;
         }
@@ -88,21 +89,21 @@
             }
             out.println(bar(drain));
             out.flush();
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
     }
 
     private static String bar(JsonObject drain) {
         double share = drain.get("share").getAsDouble();
-        int done = (int) (share * BAR);
+        int done = (int) (share * BAR_WIDTH);
         return String.format(
                 "[%s%s] %5.1f%%  %d owed, %d connections, some %.1f s left, %.1f s at most",
                 "#".repeat(done),
-                ".".repeat(BAR - done),
+                ".".repeat(BAR_WIDTH - done),
                 100 * share,
                 drain.get("owed").getAsInt(),
                 drain.get("connections").getAsInt(),
-                drain.get("left_ms").getAsDouble() / 1000,
-                drain.get("deadline_left_ms").getAsDouble() / 1000);
+                drain.get("left_ms").getAsDouble() / MS_PER_SECOND,
+                drain.get("deadline_left_ms").getAsDouble() / MS_PER_SECOND);
     }
 }
--- a/src/main/java/cacheproxy/cli/StateCommand.java
+++ b/src/main/java/cacheproxy/cli/StateCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code state}: what a proxy has kept in its folder, and whether it is sound. */
+/** {@code state}: the records in a state folder, and whether it is intact. */
 @Command(
         name = "state",
         mixinStandardHelpOptions = true,
@@ -45,32 +45,23 @@
                     "What it holds, how old it is, and how far a process that starts now would use it. May be run beside one.")
     private int show(
             @Parameters(paramLabel = "FOLDER") Path path,
-            @Option(names = "--json", description = "As JSON, with the " + "records' bodies.") boolean json) {
-        return say(inspect(path), json);
+            @Option(names = "--json", description = "As JSON, with the records' bodies.") boolean json) {
+        return print(inspect(path), json);
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true, description = "Only what is wrong, if anything is.")
     private int check(
             @Parameters(paramLabel = "FOLDER") Path path,
             @Option(names = "--json", description = "As JSON.") boolean json) {
-        StateReport all = inspect(path);
-        return json
-                ? say(all, true)
-                : say(
-                        new StateReport(
-                                new OpenedState(
-                                        all.state().header(),
-                                        Map.of(),
-                                        all.state().findings()),
-                                all.nowMs()),
-                        false);
+        StateReport report = inspect(path);
+        return print(json ? report : withoutRecords(report), json);
     }
 
     @Command(
             name = "repair",
             mixinStandardHelpOptions = true,
             description = {
-                "Writes what is sound as a whole snapshot; files of " + "no use are laid aside as NAME.aside.",
+                "Writes what is sound as a whole snapshot; files of no use are laid aside as NAME.aside.",
                 "Not while a process uses the folder."
             })
     private int repair(@Parameters(paramLabel = "FOLDER") Path path) throws IOException {
@@ -81,23 +72,30 @@
                 out.flush();
                 return Cli.FAILED;
             }
-            OpenedState found = folder.read(null, null);
-            StateFileHeader h = found.header();
-            if (h == null) {
-                folder.setAside();
-                out.println(
-                        "nothing could be used; what was there is laid aside, and a proxy starts from nothing here");
-            } else {
-                RecordStore store = new RecordStore(found, h.instance(), h.fleet());
-                folder.write(store.nextWrite(0));
-                out.println(found.records().size() + " records are whole");
-            }
-            found.findings().forEach(f -> out.println("was: " + f));
+            OpenedState state = folder.read(null, null);
+            out.println(repair(folder, state));
+            state.findings().forEach(f -> out.println("was: " + f));
             out.flush();
             return Cli.OK;
         }
     }
 
+    /** Writes the intact records as a snapshot, or sets unusable files aside; what was done, for people. */
+    private static String repair(StateFolder folder, OpenedState state) throws IOException {
+        StateFileHeader header = state.header();
+        if (header == null) {
+            folder.setAside();
+            return "nothing could be used; what was there is laid aside, and a proxy starts from nothing here";
+        }
+        folder.write(new RecordStore(state, header.instance(), header.fleet()).nextWrite(0));
+        return state.records().size() + " records are whole";
+    }
+
+    private static StateReport withoutRecords(StateReport report) {
+        OpenedState state = report.state();
+        return new StateReport(new OpenedState(state.header(), Map.of(), state.findings()), report.nowMs());
+    }
+
     private StateFolder folder(Path path) {
         if (!Files.isDirectory(path)) {
             throw new ParameterException(spec.commandLine(), path + " is no folder");
@@ -109,10 +107,10 @@
         return new StateReport(folder(path).read(null, null), System.currentTimeMillis());
     }
 
-    private int say(StateReport found, boolean json) {
+    private int print(StateReport report, boolean json) {
         PrintWriter out = spec.commandLine().getOut();
-        out.print(json ? found.toJson() + "\n" : found.toText());
+        out.print(json ? report.toJson() + "\n" : report.toText());
         out.flush();
-        return found.isIntact() ? Cli.OK : Cli.FAILED;
+        return report.isIntact() ? Cli.OK : Cli.FAILED;
     }
 }
--- a/src/main/java/cacheproxy/cli/StatusCommand.java
+++ b/src/main/java/cacheproxy/cli/StatusCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code status}: what a running proxy says of itself. */
+/** {@code status}: the status of a running proxy, section by section. */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
@@ -60,26 +60,26 @@
         return Cli.OK;
     }
 
-    private static void figures(StringBuilder s, JsonObject figures) {
-        figures.entrySet().stream()
+    private static void appendFields(StringBuilder text, JsonObject section) {
+        section.entrySet().stream()
                 .filter(e -> e.getValue().isJsonPrimitive())
-                .forEach(e -> s.append(' ')
+                .forEach(e -> text.append(' ')
                         .append(e.getKey())
                         .append('=')
                         .append(e.getValue().getAsString()));
-        s.append(System.lineSeparator());
-        figures.entrySet().stream()
+        text.append(System.lineSeparator());
+        section.entrySet().stream()
                 .filter(e -> e.getValue().isJsonArray())
                 .forEach(e -> e.getValue().getAsJsonArray().forEach(part -> {
-                    s.append("        ");
-                    figures(s, part.getAsJsonObject());
+                    text.append("        ");
+                    appendFields(text, part.getAsJsonObject());
                 }));
     }
 
-    /** A line for the view, then a row for each instance. */
+    /** A line for the view, then a row for each member. */
     private static String table(JsonObject view) {
         StringBuilder s = new StringBuilder();
-        figures(s, summary(view));
+        appendFields(s, summary(view));
         s.append(String.format(
                 "%-10s%6s  %-8s %-11s%12s  %s%n", "instance", "zone", "state", "phase", "incarnation", "life"));
         for (JsonElement e : view.getAsJsonArray("members")) {
@@ -102,12 +102,12 @@
         return o;
     }
 
-    /** A line a section: its name, then its figures. */
+    /** A line for each section: its name, then its fields; a further line for each element of a list. */
     static String text(JsonObject status) {
         StringBuilder s = new StringBuilder();
         for (Map.Entry<String, JsonElement> section : status.entrySet()) {
             s.append(String.format("%-8s", section.getKey()));
-            figures(s, section.getValue().getAsJsonObject());
+            appendFields(s, section.getValue().getAsJsonObject());
         }
         return s.toString().stripTrailing();
     }
--- a/src/main/java/cacheproxy/membership/MembershipSettings.java
+++ b/src/main/java/cacheproxy/membership/MembershipSettings.java
@@ -31,6 +31,16 @@
         double maxSuspicionMs,
         int fanout,
         double forgetMs) {
+    private static final double ROUND_MS = 200;
+    private static final double PING_TIMEOUT_MS = 100;
+    private static final double PROBE_TIMEOUT_MS = 300;
+    private static final int HELPERS = 3;
+    private static final int CONFIRMERS = 3;
+    private static final double MIN_SUSPICION_MS = 500;
+    private static final double MAX_SUSPICION_MS = 6000;
+    private static final int FANOUT = 3;
+    private static final double FORGET_MS = 600_000;
+
     /** Checks the ranges. */
     public MembershipSettings {
         seeds = List.copyOf(seeds);
@@ -64,13 +74,28 @@
 
     /** For so many configured instances; the figures are measured in {@code docs/design/members.md}. */
     public static MembershipSettings forConfigured(int configured) {
-        return new MembershipSettings(
-                configured, List.of(), Math.max(1, configured), 200, 100, 300, 3, 3, 500, 6000, 3, 600_000);
+        return withDefaults(configured, List.of(), Math.max(1, configured));
     }
 
     /** For a fleet whose members join by seeds. */
-    public static MembershipSettings forSeeds(List<Integer> seeds, int most) {
-        return new MembershipSettings(0, seeds, most, 200, 100, 300, 3, 3, 500, 6000, 3, 600_000);
+    public static MembershipSettings forSeeds(List<Integer> seeds, int capacity) {
+        return withDefaults(0, seeds, capacity);
+    }
+
+    private static MembershipSettings withDefaults(int configured, List<Integer> seeds, int capacity) {
+        return new MembershipSettings(
+                configured,
+                seeds,
+                capacity,
+                ROUND_MS,
+                PING_TIMEOUT_MS,
+                PROBE_TIMEOUT_MS,
+                HELPERS,
+                CONFIRMERS,
+                MIN_SUSPICION_MS,
+                MAX_SUSPICION_MS,
+                FANOUT,
+                FORGET_MS);
     }
 
     /** Whether the configuration names a member of this number. */
