--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -17,7 +17,7 @@
     private EndpointGossipLink endpointListGossip;
     private MembershipLink membership;
     private OutlierGossipLink outlierGossip;
-    private ZoneLink zoneFailover;
+    private ZoneFailoverLink zoneFailover;
     private StateQueryLink stateQueries;
 
     PeerLinks(SerialLoadBalancer loadBalancer) {
@@ -41,7 +41,7 @@
     }
 
     /** Sets the link that fails over zones together with the fleet. */
-    void setZoneFailover(ZoneLink link) {
+    void setZoneFailover(ZoneFailoverLink link) {
         zoneFailover = link;
     }
 
