--- a/src/main/java/cacheproxy/proxy/RequestTable.java
+++ b/src/main/java/cacheproxy/proxy/RequestTable.java
@@ -44,11 +44,11 @@
     /**
      * Removes a completed request from the open ones, and altogether once no attempt of it is in flight. Idempotent.
      *
-     * @param idHoldMs for how long its id stays in use: so long may a server still execute it
+     * @param idRetentionMs for how long its id stays in use: so long may a server still execute it
      */
-    void remove(double nowMs, ClientRequest request, double idHoldMs) {
+    void remove(double nowMs, ClientRequest request, double idRetentionMs) {
         if (openByClientId.remove(request.command.id, request)) {
-            recentlyEnded.add(nowMs, request.command.id, idHoldMs);
+            recentlyEnded.add(nowMs, request.command.id, idRetentionMs);
         }
         if (request.attemptsInFlight == 0) {
             byNumber.remove(request.id);
