--- a/src/main/java/cacheproxy/control/AnswerWords.java
+++ b/src/main/java/cacheproxy/control/StatusNames.java
@@ -1,14 +1,14 @@
 package cacheproxy.control;
 
-import cacheproxy.failover.Sight;
+import cacheproxy.failover.ZoneHealth;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.membership.MemberState;
 import cacheproxy.membership.Reachability;
 import cacheproxy.membership.ServicePhase;
 
-/** The words by which answers to operators name the states of other packages; scripts depend on them. */
-final class AnswerWords {
-    private AnswerWords() {}
+/** The names by which answers to operators show the states of other packages; scripts depend on them. */
+final class StatusNames {
+    private StatusNames() {}
 
     static String of(Reachability reachability) {
         return switch (reachability) {
@@ -46,12 +46,12 @@
         };
     }
 
-    static String of(Sight health) {
+    static String of(ZoneHealth health) {
         return switch (health) {
-            case NONE -> "none";
-            case GOOD -> "good";
-            case POOR -> "poor";
-            case LOST -> "lost";
+            case UNKNOWN -> "none";
+            case HEALTHY -> "good";
+            case DEGRADED -> "poor";
+            case UNREACHABLE -> "lost";
         };
     }
 }
--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -1,14 +1,16 @@
 package cacheproxy.proxy;
 
-import cacheproxy.failover.Zones.Held;
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.gossip.ListVersionGossip;
 import cacheproxy.membership.ServicePhase;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.peer.EndpointGossipLink;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
+import cacheproxy.proxy.peer.StateQueryLink;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.RoutingSettings;
@@ -38,7 +40,7 @@
     /** Null where this instance takes no part in the membership view. */
     private MembershipLink members;
     /** Null where it takes no part in zone decisions. */
-    private ZoneLink zones;
+    private ZoneFailoverLink zones;
     /** Null where it does not coordinate its recovery. */
     private RecoveryLink recovery;
 
@@ -94,9 +96,17 @@
         if (features.recovery() && members != null) {
             ProvenanceTracker.Entry learned = dispatcher.provenance().entry(ProvenanceTracker.Subject.LEARNED_STATE);
             boolean nothingLearned = learned.provenance() == Provenance.NONE;
+            DispatcherPeerPorts ports = new DispatcherPeerPorts(dispatcher);
             dispatcher
                     .peerLinks()
-                    .setStateQueries(new StateQueryLink(dispatcher, peers, members, discovery, nothingLearned));
+                    .setStateQueries(new StateQueryLink(
+                            ports,
+                            ports,
+                            peers,
+                            members,
+                            discovery,
+                            dispatcher.settings().instanceIndex(),
+                            nothingLearned));
         }
         if (features.recovery()) {
             recovery = new RecoveryLink(dispatcher, members, acceptor, tookOver, this::restartDiscovery);
@@ -106,7 +116,7 @@
     private void joinMembership(FleetFeatures features) {
         Config current = config.get();
         members = new MembershipLink(
-                dispatcher,
+                new DispatcherPeerPorts(dispatcher),
                 peers,
                 current.settings(),
                 restored.incarnation(),
@@ -126,7 +136,7 @@
                                         .peerLinks()
                                         .messageReceived(peer, PeerMessageKind.LOAD_BALANCER, message)));
         if (features.zones()) {
-            zones = new ZoneLink(dispatcher, members, current.settings(), current.zones(), restored);
+            zones = new ZoneFailoverLink(dispatcher, members, current.settings(), current.zones(), restored);
             dispatcher.peerLinks().setZoneFailover(zones);
         }
         if (stateLink != null) {
@@ -170,13 +180,14 @@
                     new StoredRecord(RecordKind.INCARNATION, now, new JsonPrimitive(members.incarnation())));
         }
         if (zones != null) {
-            Map<Integer, Held> held = zones.zones().held();
+            Map<Integer, StoredZoneState> held = zones.zones().statesToStore();
             records.put(
                     RecordKind.ZONE_STATES,
-                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneForm.json(held, false, zones.names())));
+                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneStateCodec.encode(held, false, zones.names())));
             records.put(
                     RecordKind.OPERATOR_ORDERS,
-                    new StoredRecord(RecordKind.OPERATOR_ORDERS, now, ZoneForm.json(held, true, zones.names())));
+                    new StoredRecord(
+                            RecordKind.OPERATOR_ORDERS, now, ZoneStateCodec.encode(held, true, zones.names())));
         }
         return records;
     }
@@ -191,12 +202,12 @@
                 stateLink == null ? null : stateLink.openedState(),
                 stateLink == null ? null : stateLink.recordStore(),
                 stateLink == null ? null : stateLink.path().toString(),
-                stateLink != null && stateLink.isLockHeld());
+                stateLink != null && stateLink.hasLock());
     }
 
     /** The fleet's zone decisions; null where this instance takes no part in them. */
-    FleetZones zoneDecisions() {
-        return zones == null ? null : new FleetZones(zones);
+    ZoneOperations zoneDecisions() {
+        return zones == null ? null : new ZoneOperations(zones);
     }
 
     /** The membership view; null where this instance takes no part in it. */
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -2,8 +2,10 @@
 
 import cacheproxy.membership.LiveMembers;
 import cacheproxy.proxy.peer.EndpointGossipLink;
+import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerMessageKind;
+import cacheproxy.proxy.peer.StateQueryLink;
 import cacheproxy.routing.EndpointSignal;
 
 /**
@@ -15,7 +17,7 @@
     private EndpointGossipLink endpointListGossip;
     private MembershipLink membership;
     private OutlierGossipLink outlierGossip;
-    private ZoneLink zoneFailover;
+    private ZoneFailoverLink zoneFailover;
     private StateQueryLink stateQueries;
 
     PeerLinks(SerialLoadBalancer loadBalancer) {
@@ -39,7 +41,7 @@
     }
 
     /** Sets the link that fails over zones together with the fleet. */
-    void setZoneFailover(ZoneLink link) {
+    void setZoneFailover(ZoneFailoverLink link) {
         zoneFailover = link;
     }
 
