--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -5,6 +5,7 @@
 import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerMessageKind;
+import cacheproxy.proxy.peer.StateQueryLink;
 import cacheproxy.routing.EndpointSignal;
 
 /**
@@ -16,7 +17,7 @@
     private EndpointGossipLink endpointListGossip;
     private MembershipLink membership;
     private OutlierGossipLink outlierGossip;
-    private ZoneLink zoneFailover;
+    private ZoneFailoverLink zoneFailover;
     private StateQueryLink stateQueries;
 
     PeerLinks(SerialLoadBalancer loadBalancer) {
@@ -40,7 +41,7 @@
     }
 
     /** Sets the link that fails over zones together with the fleet. */
-    public void setZoneFailover(ZoneLink link) {
+    public void setZoneFailover(ZoneFailoverLink link) {
         zoneFailover = link;
     }
 
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.failover.Zones.Held;
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.routing.EndpointUpdateKind;
 import cacheproxy.state.Finding;
@@ -41,7 +41,7 @@
     private Dispatcher dispatcher;
     private DiscoveryClient discovery;
     private LongSupplier incarnation = () -> 0;
-    private ZoneLink zones;
+    private ZoneFailoverLink zones;
     private boolean closed;
 
     /** Reads the folder; blocks on the disk, so it is not to be called on the event loop. Never fails. */
@@ -98,7 +98,7 @@
      * @param incarnation this instance's incarnation number; 0 for none yet
      * @param zones null where this proxy decides nothing of zones
      */
-    public void persistFleetState(LongSupplier incarnation, ZoneLink zones) {
+    public void persistFleetState(LongSupplier incarnation, ZoneFailoverLink zones) {
         this.incarnation = incarnation;
         this.zones = zones;
         fleetStateChanged();
@@ -126,9 +126,9 @@
             put(RecordKind.INCARNATION, new JsonPrimitive(number));
         }
         if (zones != null) {
-            Map<Integer, Held> held = zones.zones().held();
-            putIfChanged(RecordKind.ZONE_STATES, ZoneForm.json(held, false, zones.names()));
-            putIfChanged(RecordKind.OPERATOR_ORDERS, ZoneForm.json(held, true, zones.names()));
+            Map<Integer, StoredZoneState> held = zones.zones().statesToStore();
+            putIfChanged(RecordKind.ZONE_STATES, ZoneStateCodec.encode(held, false, zones.names()));
+            putIfChanged(RecordKind.OPERATOR_ORDERS, ZoneStateCodec.encode(held, true, zones.names()));
         }
     }
 
@@ -147,8 +147,8 @@
             return;
         }
         put(RecordKind.LEARNED_STATE, LearnedStateCodec.toJson(dispatcher.learnedState()));
-        if (zones != null && zones.zones().quorum()) {
-            JsonElement held = ZoneForm.json(zones.zones().held(), false, zones.names());
+        if (zones != null && zones.zones().hasQuorum()) {
+            JsonElement held = ZoneStateCodec.encode(zones.zones().statesToStore(), false, zones.names());
             if (held.getAsJsonObject().size() > 0) {
                 put(RecordKind.ZONE_STATES, held); // confirmed: it is valid as of now
             }
--- a/src/main/java/cacheproxy/proxy/ZoneForm.java
+++ b/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.ZoneState.Cause;
-import cacheproxy.failover.Zones.Held;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.util.List;
@@ -14,29 +14,38 @@
  * What is held of zones, as JSON: by the zones' names, as their numbers hang on the settings, and apart by whose word
  * it is, as an order lasts longer than what was seen.
  */
-public final class ZoneForm {
-    private ZoneForm() {}
+public final class ZoneStateCodec {
+    private ZoneStateCodec() {}
 
     /** Of those zones that stand as ordered, or as found on evidence. */
-    public static JsonObject json(Map<Integer, Held> held, boolean ordered, List<String> names) {
+    public static JsonObject encode(Map<Integer, StoredZoneState> held, boolean ordered, List<String> names) {
         JsonObject all = new JsonObject();
         held.forEach((zone, h) -> {
             if (zone < names.size() && ordered != (h.state().cause() == Cause.EVIDENCE)) {
                 JsonObject o = new JsonObject();
                 o.addProperty("epoch", h.state().epoch());
-                o.addProperty("open", h.state().open());
-                o.addProperty("cause", h.state().cause().name().toLowerCase(Locale.ROOT));
-                o.addProperty("leaves", h.state().leaves());
-                o.addProperty("floor", h.floor());
+                o.addProperty("open", h.state().openParts());
+                o.addProperty("cause", h.state().cause().storedName());
+                o.addProperty("leaves", h.state().leaveCount());
+                o.addProperty("floor", h.minEpoch());
                 all.add(names.get(zone), o);
             }
         });
         return all;
     }
 
+    private static Cause cause(String zone, String name) {
+        Cause cause = Cause.ofStoredName(name.toLowerCase(Locale.ROOT));
+        if (cause == null) {
+            throw new InvalidZoneStateException(
+                    "zone " + zone + ": cause '" + name + "', expected evidence, return, hold or leave");
+        }
+        return cause;
+    }
+
     /** Reads it; zones that there are no more are left out, and an exception says that it is of no use. */
-    public static Map<Integer, Held> read(JsonElement json, List<String> names) {
-        Map<Integer, Held> held = new TreeMap<>();
+    public static Map<Integer, StoredZoneState> decode(JsonElement json, List<String> names) {
+        Map<Integer, StoredZoneState> held = new TreeMap<>();
         json.getAsJsonObject().entrySet().forEach(e -> {
             JsonObject o = e.getValue().getAsJsonObject();
             int zone = names.indexOf(e.getKey());
@@ -44,11 +53,11 @@
                 ZoneState state = new ZoneState(
                         o.get("epoch").getAsInt(),
                         o.get("open").getAsInt(),
-                        Cause.valueOf(o.get("cause").getAsString().toUpperCase(Locale.ROOT)),
+                        cause(e.getKey(), o.get("cause").getAsString()),
                         o.get("leaves").getAsInt());
-                int floor = Math.max(
-                        0, Math.min(ZoneState.MOST_EPOCH, o.get("floor").getAsInt()));
-                held.put(zone, new Held(state, Math.max(floor, state.epoch())));
+                int floor =
+                        Math.max(0, Math.min(ZoneState.MAX_EPOCH, o.get("floor").getAsInt()));
+                held.put(zone, new StoredZoneState(state, Math.max(floor, state.epoch())));
             }
         });
         return held;
--- a/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
@@ -1,17 +1,16 @@
 package cacheproxy.proxy.lifecycle;
 
-import cacheproxy.failover.Zones.Held;
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.gossip.ListVersionGossip;
 import cacheproxy.membership.ServicePhase;
 import cacheproxy.proxy.Config;
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.DispatcherPeerPorts;
-import cacheproxy.proxy.FleetZones;
 import cacheproxy.proxy.RecoveryLink;
 import cacheproxy.proxy.StatePersistence;
-import cacheproxy.proxy.StateQueryLink;
-import cacheproxy.proxy.ZoneForm;
-import cacheproxy.proxy.ZoneLink;
+import cacheproxy.proxy.ZoneFailoverLink;
+import cacheproxy.proxy.ZoneOperations;
+import cacheproxy.proxy.ZoneStateCodec;
 import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
@@ -20,6 +19,7 @@
 import cacheproxy.proxy.peer.OutlierGossipLink;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
+import cacheproxy.proxy.peer.StateQueryLink;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.RoutingSettings;
@@ -49,7 +49,7 @@
     /** Null where this instance takes no part in the membership view. */
     private MembershipLink members;
     /** Null where it takes no part in zone decisions. */
-    private ZoneLink zones;
+    private ZoneFailoverLink zones;
     /** Null where it does not coordinate its recovery. */
     private RecoveryLink recovery;
 
@@ -105,9 +105,17 @@
         if (features.recovery() && members != null) {
             ProvenanceTracker.Entry learned = dispatcher.provenance().entry(ProvenanceTracker.Subject.LEARNED_STATE);
             boolean nothingLearned = learned.provenance() == Provenance.NONE;
+            DispatcherPeerPorts ports = new DispatcherPeerPorts(dispatcher);
             dispatcher
                     .peerLinks()
-                    .setStateQueries(new StateQueryLink(dispatcher, peers, members, discovery, nothingLearned));
+                    .setStateQueries(new StateQueryLink(
+                            ports,
+                            ports,
+                            peers,
+                            members,
+                            discovery,
+                            dispatcher.settings().instanceIndex(),
+                            nothingLearned));
         }
         if (features.recovery()) {
             recovery = new RecoveryLink(dispatcher, members, acceptor, tookOver, this::restartDiscovery);
@@ -137,7 +145,7 @@
                                         .peerLinks()
                                         .messageReceived(peer, PeerMessageKind.LOAD_BALANCER, message)));
         if (features.zones()) {
-            zones = new ZoneLink(
+            zones = new ZoneFailoverLink(
                     dispatcher,
                     members,
                     current.settings(),
@@ -187,13 +195,15 @@
                     new StoredRecord(RecordKind.INCARNATION, now, new JsonPrimitive(members.incarnation())));
         }
         if (zones != null) {
-            Map<Integer, Held> decisions = zones.zones().held();
+            Map<Integer, StoredZoneState> decisions = zones.zones().statesToStore();
             records.put(
                     RecordKind.ZONE_STATES,
-                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneForm.json(decisions, false, zones.names())));
+                    new StoredRecord(
+                            RecordKind.ZONE_STATES, now, ZoneStateCodec.encode(decisions, false, zones.names())));
             records.put(
                     RecordKind.OPERATOR_ORDERS,
-                    new StoredRecord(RecordKind.OPERATOR_ORDERS, now, ZoneForm.json(decisions, true, zones.names())));
+                    new StoredRecord(
+                            RecordKind.OPERATOR_ORDERS, now, ZoneStateCodec.encode(decisions, true, zones.names())));
         }
         return records;
     }
@@ -212,8 +222,8 @@
     }
 
     /** The fleet's zone decisions; null where this instance takes no part in them. */
-    FleetZones zoneDecisions() {
-        return zones == null ? null : new FleetZones(zones);
+    ZoneOperations zoneDecisions() {
+        return zones == null ? null : new ZoneOperations(zones);
     }
 
     /** The membership view; null where this instance takes no part in it. */
--- a/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
@@ -4,12 +4,12 @@
 import cacheproxy.gossip.ProvisionalEndpoints;
 import cacheproxy.proxy.Config;
 import cacheproxy.proxy.Dispatcher;
-import cacheproxy.proxy.FleetZones;
 import cacheproxy.proxy.LoopClock;
 import cacheproxy.proxy.MetricsLog;
 import cacheproxy.proxy.RuleCounts;
 import cacheproxy.proxy.StatePersistence;
 import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.ZoneOperations;
 import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.discovery.Addresses;
@@ -332,7 +332,7 @@
     }
 
     /** The fleet's zone decisions; null where this instance takes no part in them. On the event loop only. */
-    public FleetZones zoneDecisions() {
+    public ZoneOperations zoneDecisions() {
         return fleet.zoneDecisions();
     }
 
--- a/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -1,10 +1,10 @@
 package cacheproxy.proxy.lifecycle;
 
-import cacheproxy.failover.Zones.Held;
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.membership.Member;
 import cacheproxy.proxy.LearnedStateCodec;
-import cacheproxy.proxy.ZoneForm;
-import cacheproxy.proxy.ZoneLink;
+import cacheproxy.proxy.ZoneFailoverLink;
+import cacheproxy.proxy.ZoneStateCodec;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.recovery.ProvenanceTracker.Subject;
@@ -183,21 +183,21 @@
     }
 
     /** The restored zone decisions of one kind, by the zones' present numbers. */
-    ZoneLink.RestoredDecisions zoneDecisions(RecordKind kind, List<String> names) {
+    ZoneFailoverLink.RestoredDecisions zoneDecisions(RecordKind kind, List<String> names) {
         StoredRecord record = records.get(kind);
         if (record == null) {
-            return new ZoneLink.RestoredDecisions(Map.of(), false);
+            return new ZoneFailoverLink.RestoredDecisions(Map.of(), false);
         }
         boolean valid = validity(kind) == Validity.VALID;
         try {
-            Map<Integer, Held> decisions = ZoneForm.read(record.body(), names);
+            Map<Integer, StoredZoneState> decisions = ZoneStateCodec.decode(record.body(), names);
             if (!decisions.isEmpty()) {
                 recordUse(kind);
             }
-            return new ZoneLink.RestoredDecisions(decisions, valid);
+            return new ZoneFailoverLink.RestoredDecisions(decisions, valid);
         } catch (RuntimeException e) {
             provenance.rejected(Subject.ZONE_STATES);
-            return new ZoneLink.RestoredDecisions(Map.of(), valid);
+            return new ZoneFailoverLink.RestoredDecisions(Map.of(), valid);
         }
     }
 }
