--- a/src/main/java/cacheproxy/control/ZoneControl.java
+++ b/src/main/java/cacheproxy/control/ZoneControl.java
@@ -33,10 +33,10 @@
         if (fleetZones == null) {
             return section;
         }
-        section.addProperty("quorum", fleetZones.quorum());
-        section.addProperty("decided", fleetZones.decided());
+        section.addProperty("quorum", fleetZones.hasQuorum());
+        section.addProperty("decided", fleetZones.decisionCount());
         JsonArray rows = new JsonArray();
-        fleetZones.status().forEach(status -> rows.add(row(fleetZones.name(status.zone()), status)));
+        fleetZones.status().forEach(status -> rows.add(row(fleetZones.zoneName(status.zone()), status)));
         section.add("zones", rows);
         return section;
     }
@@ -65,11 +65,11 @@
         String zone = arguments.text(ZONE);
         switch (arguments.text(ORDER)) {
             case "leave" -> fleetZones.leave(zone, arguments.has(DURATION) ? arguments.number(DURATION) : 0);
-            case "return" -> fleetZones.comeBack(zone);
+            case "return" -> fleetZones.returnTo(zone);
             case "hold" -> fleetZones.hold(zone);
             case "release" -> fleetZones.release(zone);
             case "cost" -> {
-                return cost(fleetZones.cost(zone));
+                return cost(fleetZones.leaveCost(zone));
             }
             default -> throw new CommandException("'order' is to be leave, return, hold, release or cost");
         }
--- a/src/main/java/cacheproxy/failover/FailoverPlan.java
+++ b/src/main/java/cacheproxy/failover/FailoverPlan.java
@@ -6,20 +6,19 @@
 import java.util.List;
 
 /**
- * What is decided of all zones; immutable. Plans form a join semilattice, zone by zone: who have heard the same hold
- * the same, in whatever order they heard it, so a healed cut merges to one plan. What two sides of a cut decided may
- * together be more than either would have left; so what holds is not a zone's own state but {@link #openParts}, which
- * keeps a floor open.
+ * What is decided of all zones; immutable. Plans form a join semilattice, zone by zone: instances that have heard the
+ * same hold the same plan, in whatever order they heard it, so a healed partition merges to one plan. What two sides of
+ * a partition decided may together close more than either would have; so what holds is not a zone's own state but
+ * {@link #openParts}, which keeps a minimum of all zones together open. In a note of the view, 4 bytes for each zone
+ * ({@link ZoneState#encode}).
  *
  * @param zones their states, by zone
  */
 public record FailoverPlan(List<ZoneState> zones) {
-    /** Zones that fit in a note. */
+    /** The zones that fit into a note. */
     public static final int MAX_ZONES = 6;
-    /**
-     * Of all zones together, so much stays open whatever was decided, in parts of {@link ZoneState#ALL_PARTS}: a third.
-     */
-    private static final int MIN_OPEN_FRACTION = 3;
+    /** Of all zones together, one part in so many stays open whatever was decided. */
+    private static final int MIN_OPEN_DIVISOR = 3;
 
     private static final int ZONE_BYTES = 4;
 
@@ -27,28 +26,28 @@
     public FailoverPlan {
         zones = List.copyOf(zones);
         if (zones.isEmpty() || zones.size() > MAX_ZONES) {
-            throw new IllegalArgumentException("a plan of " + zones.size() + " zones; it takes 1 to " + MAX_ZONES);
+            throw new IllegalArgumentException("a plan of " + zones.size() + " zones, expected 1 to " + MAX_ZONES);
         }
     }
 
-    /** Of so many zones nothing is decided. */
+    /** The plan of so many zones of which nothing is decided. */
     public static FailoverPlan initial(int zones) {
         return new FailoverPlan(Collections.nCopies(zones, ZoneState.INITIAL));
     }
 
-    /** What is decided of a zone. */
+    /** The state of a zone, as decided. */
     public ZoneState stateOf(int zone) {
         return zones.get(zone);
     }
 
-    /** The same but for one zone. */
+    /** This plan with another state of one zone. */
     public FailoverPlan with(int zone, ZoneState state) {
         List<ZoneState> all = new ArrayList<>(zones);
         all.set(zone, state);
         return new FailoverPlan(all);
     }
 
-    /** Both as one; this itself if the other adds nothing. Zones that only the other knows are left out. */
+    /** The join of both; this itself if the other adds nothing. Zones that only the other has are left out. */
     public FailoverPlan join(FailoverPlan other) {
         List<ZoneState> all = new ArrayList<>(zones);
         boolean more = false;
@@ -61,7 +60,7 @@
         return more ? new FailoverPlan(all) : this;
     }
 
-    /** Whether a zone could be closed as far as this and the floor still held. */
+    /** Whether the minimum of all zones together would stay open if a zone had only so many parts open. */
     public boolean allowsOpenParts(int zone, int parts) {
         return zones.stream().mapToInt(ZoneState::openParts).sum()
                         - zones.get(zone).openParts()
@@ -70,8 +69,8 @@
     }
 
     /**
-     * The state that leaves a zone down to so many parts, or to as many more as the floor asks for; null if that is no
-     * less.
+     * The state of a zone with so many parts open, or as many more as the minimum of all zones asks for; null if it has
+     * no more open now.
      */
     public ZoneState lowered(int zone, int parts, int leaves) {
         ZoneState s = zones.get(zone);
@@ -84,13 +83,13 @@
     }
 
     private int minOpenParts() {
-        return (zones.size() * ZoneState.ALL_PARTS + MIN_OPEN_FRACTION - 1) / MIN_OPEN_FRACTION;
+        return (zones.size() * ZoneState.ALL_PARTS + MIN_OPEN_DIVISOR - 1) / MIN_OPEN_DIVISOR;
     }
 
     /**
      * How far a zone is open, in parts of {@link ZoneState#ALL_PARTS}: as decided, but that a third of all zones
-     * together stays open. Where less would be, the zones are opened in the order of their numbers, the same at all who
-     * hold the plan, until it is reached. So the last zone is never left.
+     * together stays open. Where less would, zones are opened in the order of their numbers, the same at all that hold
+     * the plan, until it does; so the last zone is never left.
      */
     public int openParts(int zone) {
         int missing =
@@ -111,17 +110,17 @@
         return zones.stream().anyMatch(s -> s.epoch() > 0);
     }
 
-    /** The form in a note: four bytes a zone, none if nothing was ever decided. */
+    /** The note; no bytes if nothing was ever decided. */
     byte[] encode() {
         if (!hasDecisions()) {
             return new byte[0];
         }
         ByteBuffer out = ByteBuffer.allocate(ZONE_BYTES * zones.size());
-        zones.forEach(s -> out.putInt(s.bits()));
+        zones.forEach(s -> out.putInt(s.encode()));
         return out.array();
     }
 
-    /** The plan in a note, of so many zones; nothing decided where the note has another length. */
+    /** The plan in a note, of so many zones; nothing is decided if the note has another length. */
     static FailoverPlan decode(byte[] note, int zones) {
         if (note.length != ZONE_BYTES * zones) {
             return initial(zones);
@@ -129,7 +128,7 @@
         ByteBuffer in = ByteBuffer.wrap(note);
         List<ZoneState> all = new ArrayList<>();
         for (int z = 0; z < zones; z++) {
-            all.add(ZoneState.of(in.getInt()));
+            all.add(ZoneState.decode(in.getInt()));
         }
         return new FailoverPlan(all);
     }
--- a/src/main/java/cacheproxy/failover/ZoneFailoverSettings.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailoverSettings.java
@@ -1,7 +1,7 @@
 package cacheproxy.failover;
 
 /**
- * What holds for leaving zones and returning to them.
+ * The settings of zone failover.
  *
  * @param instanceId this instance's number, 0 or more
  * @param homeZone the zone in which it stands, 0 to {@code zoneCount} less one
@@ -10,7 +10,7 @@
  * @param warmUpMs how long a node that has just started is cold, in milliseconds, 0 or more
  */
 public record ZoneFailoverSettings(int instanceId, int homeZone, int zoneCount, double warmUpMs) {
-    /** So many zones may be left: what is decided of them has to fit in a note of the view. */
+    /** So many zones take part: the plan has to fit into a note of the view. */
     public static final int MAX_ZONES = FailoverPlan.MAX_ZONES;
 
     /** Checks the ranges. */
--- a/src/main/java/cacheproxy/failover/ZoneFaultDetector.java
+++ b/src/main/java/cacheproxy/failover/ZoneFaultDetector.java
@@ -7,36 +7,38 @@
 import java.util.Set;
 
 /**
- * Tells by what all that live say of a zone which case it is. A verdict against a zone takes observers that stand in
- * more than half of the zones in which the fleet has instances, each zone speaking by most of those in it that have
- * seen anything, and three of them at least. So
+ * Comes to a verdict on each zone by the reports of all live instances. A verdict against a zone takes observers in
+ * more than half of the zones in which the fleet has instances, each of these zones counting by the majority of those
+ * in it that have observed anything, and {@link #MIN_OBSERVERS} observers in all. So
  *
  * <ul>
- *   <li>the way from one zone to another is cut: only its own observers speak against it, one zone of several: nothing
- *       follows, and each of them keeps to its own evidence;
- *   <li>an observer's own zone is cut off: it hears no others, so it has not enough zones; when it is heard again, a
- *       report in which nothing but home is good does not count;
- *   <li>one bad node, or two, speak against no zone ({@link ZoneHealthMonitor});
- *   <li>all nodes are slow now and then, or the origin is: a zone is only {@link Verdict#DEGRADED} beside others that
- *       are good;
- *   <li>one that lies, or two in concert, are not most of any zone of three, and not three.
+ *   <li>a path cut between two zones is reported by the observers of one zone of several: nothing follows, and each of
+ *       them keeps to its own evidence;
+ *   <li>observers in a zone that is cut off hear no others and have too few zones; when they are heard again, a report
+ *       without a healthy zone but their own does not count;
+ *   <li>one or two bad nodes do not speak against their zone ({@link ZoneHealthMonitor});
+ *   <li>where all nodes are slow, or the origin is, no zone is {@link Verdict#DEGRADED}: that takes others that are
+ *       healthy;
+ *   <li>one or two instances that report wrongly are not the majority of any zone of three, and not three.
  * </ul>
+ *
+ * <p>Immutable; for one moment.
  */
 final class ZoneFaultDetector {
-    /** A verdict takes so many observers, or all that there are. */
+    /** A verdict takes so many observers, or all live instances if they are fewer. */
     static final int MIN_OBSERVERS = 3;
-    /** A zone is good again when so many of those that try it say so. */
+    /** A zone is healthy again when so many of its probers say so. */
     static final int MIN_HEALTHY_OBSERVERS = 2;
 
-    /** What is said of a zone. */
+    /** What all live instances together say of a zone. */
     enum Verdict {
-        /** Too few say anything, or they don't agree. */
+        /** Too few report it, or they do not agree. */
         UNCERTAIN("unsure"),
-        /** Those who see it find it answers. */
+        /** Those that observe it get responses. */
         HEALTHY("sound"),
-        /** Those in most zones see a good part of it fail, while other zones are good. */
+        /** Observers in most zones see a good part of it fail, while other zones are healthy. */
         DEGRADED("poor"),
-        /** Those in most zones get nothing from it. */
+        /** Observers in most zones get no response from it. */
         UNREACHABLE("lost");
 
         private final String displayName;
@@ -52,26 +54,27 @@
     }
 
     private final List<ZoneHealthReport> reports;
-    private final Set<Integer> homes;
+    private final Set<Integer> homeZones;
 
     /**
      * By the reports of those that live.
      *
-     * @param homes the zones in which the fleet has instances, whether they live or not
+     * @param homeZones the zones in which the fleet has instances, whether they live or not
      */
-    ZoneFaultDetector(List<ZoneHealthReport> reports, Set<Integer> homes) {
+    ZoneFaultDetector(List<ZoneHealthReport> reports, Set<Integer> homeZones) {
         this.reports = reports;
-        this.homes = homes;
+        this.homeZones = homeZones;
     }
 
     /** Whether enough of the fleet is heard to decide for it: instances in more than half of its zones. */
     boolean hasQuorum() {
         Set<Integer> heard = new HashSet<>();
         reports.forEach(r -> heard.add(r.homeZone()));
-        heard.retainAll(homes);
-        return 2 * heard.size() > homes.size();
+        heard.retainAll(homeZones);
+        return 2 * heard.size() > homeZones.size();
     }
 
+    /** The verdict on a zone. */
     Verdict verdict(int zone) {
         if (isReportedBy(zone, ZoneHealth.UNREACHABLE)) {
             return Verdict.UNREACHABLE;
@@ -82,66 +85,66 @@
         return isHealthy(zone) ? Verdict.HEALTHY : Verdict.UNCERTAIN;
     }
 
-    /** Whether observers in most zones see it at least that bad. */
-    private boolean isReportedBy(int zone, ZoneHealth least) {
-        Map<Integer, Integer> votes = new HashMap<>();
-        Map<Integer, Integer> against = new HashMap<>();
-        int speakers = 0;
+    /** Whether enough observers, in enough zones, see a zone at least that bad. */
+    private boolean isReportedBy(int zone, ZoneHealth threshold) {
+        Map<Integer, Integer> majorities = new HashMap<>();
+        Map<Integer, Integer> faultyByZone = new HashMap<>();
+        int observers = 0;
         for (ZoneHealthReport r : reports) {
-            ZoneHealth s = r.healthOf(zone);
-            if (s == ZoneHealth.UNKNOWN || r.isPartitioned()) {
+            ZoneHealth health = r.healthOf(zone);
+            if (health == ZoneHealth.UNKNOWN || r.isPartitioned()) {
                 continue;
             }
-            boolean bad = s.compareTo(least) >= 0;
-            votes.merge(r.homeZone(), bad ? 1 : -1, Integer::sum);
-            against.merge(r.homeZone(), bad ? 1 : 0, Integer::sum);
+            boolean faulty = health.compareTo(threshold) >= 0;
+            majorities.merge(r.homeZone(), faulty ? 1 : -1, Integer::sum);
+            faultyByZone.merge(r.homeZone(), faulty ? 1 : 0, Integer::sum);
         }
-        int places = 0;
-        for (Map.Entry<Integer, Integer> v : votes.entrySet()) {
-            if (v.getValue() > 0) {
-                places++;
-                speakers += against.get(v.getKey());
+        int zonesAgainst = 0;
+        for (Map.Entry<Integer, Integer> vote : majorities.entrySet()) {
+            if (vote.getValue() > 0) {
+                zonesAgainst++;
+                observers += faultyByZone.get(vote.getKey());
             }
         }
-        return 2 * places > homes.size() && speakers >= Math.min(MIN_OBSERVERS, reports.size());
+        return 2 * zonesAgainst > homeZones.size() && observers >= Math.min(MIN_OBSERVERS, reports.size());
     }
 
-    /** Whether of the other zones of which anybody speaks more are good than not, by those who speak. */
+    /** Whether reports of other zones find them healthy more than twice as often as at fault. */
     private boolean otherZonesAreHealthy(int zone) {
-        int good = 0;
-        int bad = 0;
+        int healthy = 0;
+        int faulty = 0;
         for (ZoneHealthReport r : reports) {
             for (int z = 0; z < r.health().size(); z++) {
                 if (z != zone && !r.isPartitioned()) {
-                    good += r.healthOf(z) == ZoneHealth.HEALTHY ? 1 : 0;
-                    bad += r.healthOf(z).isFaulty() ? 1 : 0;
+                    healthy += r.healthOf(z) == ZoneHealth.HEALTHY ? 1 : 0;
+                    faulty += r.healthOf(z).isFaulty() ? 1 : 0;
                 }
             }
         }
-        return good > 2 * bad;
+        return healthy > 2 * faulty;
     }
 
-    /** By those who stand elsewhere, where there are any: in the zone itself its nodes may be reached all the while. */
+    /** By observers elsewhere, if there are any: from within the zone its nodes may be reached all the while. */
     private boolean isHealthy(int zone) {
-        int good = 0;
-        int bad = 0;
-        int others = 0;
+        int healthy = 0;
+        int faulty = 0;
+        int observers = 0;
         for (ZoneHealthReport r : reports) {
-            if (r.homeZone() != zone || homes.size() == 1) {
-                others++;
-                good += r.healthOf(zone) == ZoneHealth.HEALTHY ? 1 : 0;
-                bad += r.healthOf(zone).isFaulty() && !r.isPartitioned() ? 1 : 0;
+            if (r.homeZone() != zone || homeZones.size() == 1) {
+                observers++;
+                healthy += r.healthOf(zone) == ZoneHealth.HEALTHY ? 1 : 0;
+                faulty += r.healthOf(zone).isFaulty() && !r.isPartitioned() ? 1 : 0;
             }
         }
-        return good >= Math.max(1, Math.min(MIN_HEALTHY_OBSERVERS, others)) && good > 2 * bad;
+        return healthy >= Math.max(1, Math.min(MIN_HEALTHY_OBSERVERS, observers)) && healthy > 2 * faulty;
     }
 
-    /** Whether those who get answers from it find that its nodes have lost what they held. */
+    /** Whether an observer that gets responses from a zone finds that its nodes have lost their caches. */
     boolean isCold(int zone) {
         return reports.stream().anyMatch(r -> r.coldZones().contains(zone) && r.healthOf(zone) == ZoneHealth.HEALTHY);
     }
 
-    /** Whether a quarter of those who live say that the origin has no room for more. */
+    /** Whether a quarter of the live instances find the origin saturated. */
     boolean isOriginSaturated() {
         return 4 * reports.stream().filter(ZoneHealthReport::originSaturated).count() >= Math.max(1, reports.size());
     }
--- a/src/main/java/cacheproxy/failover/ZoneHealth.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealth.java
@@ -1,14 +1,14 @@
 package cacheproxy.failover;
 
-/** What one instance sees of the cache nodes of a zone now. */
+/** The health of a zone's cache nodes, as one instance observes it; ordered from good to bad. */
 public enum ZoneHealth {
-    /** Too little was sent there lately to say anything. */
+    /** Too few attempts went there lately to tell. */
     UNKNOWN(0),
-    /** What is sent there is answered. */
+    /** Attempts get responses. */
     HEALTHY(1),
-    /** A good part of what is sent there is not answered, or long overdue, at several of its nodes. */
+    /** A good part of attempts, at several nodes, gets no response in time. */
     DEGRADED(2),
-    /** Several of its nodes in a row said nothing, and none has answered since. */
+    /** Several nodes in a row did not respond, and none has responded since. */
     UNREACHABLE(3);
 
     private final int code;
--- a/src/main/java/cacheproxy/failover/ZoneHealthMonitor.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthMonitor.java
@@ -6,62 +6,76 @@
 import java.util.Set;
 
 /**
- * What this instance's own attempts say of each zone, over the last {@link #WINDOW_MS}. One server that is silent is
- * one, however many attempts were at it; a zone is only spoken against by several.
+ * What this instance's own attempts say of each zone, over the last {@link #WINDOW_MS}. A node that does not respond
+ * counts as one, however many attempts went there; only several nodes speak against their zone. Times in milliseconds
+ * of one clock; not thread-safe.
  */
 final class ZoneHealthMonitor {
-    /** How far back it looks. */
+    /** How far back attempts count. */
     static final double WINDOW_MS = 2500;
 
     private static final int SLOTS = 10;
     private static final double SLOT_MS = WINDOW_MS / SLOTS;
-    /**
-     * So many servers in a row that say nothing, and no other that answers, are a zone that is lost to this instance.
-     */
-    static final int LOST_SERVERS = 3;
-    /** For so long at least: nodes that all stall for a moment are no zone that is lost. */
-    private static final double ROW_MS = 300;
-    /** So much of what was sent, at as many servers, makes it poor; one bad node of six alone would be more. */
-    private static final double POOR_PART = 0.15;
-
-    private static final int POOR_LEAST = 8;
-    /** So many answers, and nothing against them, make it good. */
-    private static final int GOOD_LEAST = 2;
-    /** The origin is tight when so much of what it was asked came late or not at all. */
-    private static final double TIGHT_PART = 0.2;
-
-    private static final int TIGHT_LEAST = 5;
-
-    /** What was seen in one part of the window. */
+    /** So many nodes in a row that do not respond, and no other that does, make a zone unreachable. */
+    static final int UNREACHABLE_NODES = 3;
+    /** For so long at least: nodes that all stall for a moment are not unreachable. */
+    private static final double UNREACHABLE_AFTER_MS = 300;
+    /** So large a part of attempts without a response makes a zone degraded; one bad node of six would exceed it. */
+    private static final double DEGRADED_FRACTION = 0.15;
+
+    private static final int MIN_DEGRADED_ATTEMPTS = 8;
+    /** So many responses, and nothing against them, make a zone healthy. */
+    private static final int MIN_HEALTHY_RESPONSES = 2;
+    /** The origin is saturated when so large a part of fetches came late or not at all. */
+    private static final double SATURATED_FRACTION = 0.2;
+
+    private static final int MIN_SATURATED_FETCHES = 5;
+
+    /** What was observed in one part of the window. */
     private static final class Slot {
-        long number = -1;
-        int answered;
-        int missed;
-        int overdue;
-        final Set<Integer> silent = new HashSet<>();
-
-        void at(long now) {
-            if (number != now) {
-                number = now;
-                answered = 0;
-                missed = 0;
-                overdue = 0;
-                silent.clear();
+        private static final long UNUSED = -1;
+
+        long number = UNUSED;
+        int responses;
+        int misses;
+        int timeouts;
+        final Set<Integer> silentNodes = new HashSet<>();
+
+        /** Begins anew if it was of another part of the window. */
+        void use(long currentNumber) {
+            if (number != currentNumber) {
+                number = currentNumber;
+                responses = 0;
+                misses = 0;
+                timeouts = 0;
+                silentNodes.clear();
             }
         }
     }
 
-    /** One zone, or the origin. */
-    private static final class Part {
+    /** What the window holds in all. */
+    private static final class Totals {
+        int responses;
+        int misses;
+        int timeouts;
+        final Set<Integer> silentNodes = new HashSet<>();
+
+        int attempts() {
+            return responses + timeouts;
+        }
+    }
+
+    /** The window of one zone, or of the origin. */
+    private static final class Window {
         final Slot[] slots = new Slot[SLOTS];
-        /** Those that have said nothing since one of the zone last answered. */
-        final Set<Integer> row = new HashSet<>();
+        /** Nodes without a response since one of the zone last responded. */
+        final Set<Integer> silentInRow = new HashSet<>();
 
-        double rowMs;
-        double silentMs = Double.NEGATIVE_INFINITY;
-        int servers = LOST_SERVERS;
+        double rowStartedMs;
+        double lastTimeoutMs = Double.NEGATIVE_INFINITY;
+        int readyNodes = UNREACHABLE_NODES;
 
-        Part() {
+        Window() {
             for (int i = 0; i < SLOTS; i++) {
                 slots[i] = new Slot();
             }
@@ -69,124 +83,130 @@
 
         Slot slot(double nowMs) {
             long number = (long) (nowMs / SLOT_MS);
-            Slot s = slots[(int) (number % SLOTS)];
-            s.at(number);
-            return s;
+            Slot slot = slots[(int) (number % SLOTS)];
+            slot.use(number);
+            return slot;
         }
 
-        int[] sum(double nowMs, Set<Integer> silent) {
+        Totals totals(double nowMs) {
             long number = (long) (nowMs / SLOT_MS);
-            int[] sum = new int[3];
-            for (Slot s : slots) {
-                if (s.number >= 0 && number - s.number < SLOTS) {
-                    sum[0] += s.answered;
-                    sum[1] += s.overdue;
-                    sum[2] += s.missed;
-                    silent.addAll(s.silent);
+            Totals totals = new Totals();
+            for (Slot slot : slots) {
+                if (slot.number != Slot.UNUSED && number - slot.number < SLOTS) {
+                    totals.responses += slot.responses;
+                    totals.misses += slot.misses;
+                    totals.timeouts += slot.timeouts;
+                    totals.silentNodes.addAll(slot.silentNodes);
                 }
             }
-            return sum;
+            return totals;
+        }
+
+        void clear() {
+            for (Slot slot : slots) {
+                slot.number = Slot.UNUSED;
+            }
+        }
+
+        /** How many nodes are several, in a zone that may have fewer. */
+        int severalNodes() {
+            return Math.min(UNREACHABLE_NODES, readyNodes);
+        }
+
+        boolean isUnreachable(double nowMs) {
+            return silentInRow.size() >= severalNodes()
+                    && nowMs - rowStartedMs >= UNREACHABLE_AFTER_MS
+                    && nowMs - lastTimeoutMs <= WINDOW_MS;
         }
     }
 
-    private final List<Part> zones = new ArrayList<>();
-    private final Part onOriginFetch = new Part();
+    private final List<Window> zones = new ArrayList<>();
+    private final Window origin = new Window();
 
-    /** Has seen nothing of so many zones. */
-    ZoneHealthMonitor(int zones) {
-        for (int z = 0; z < zones; z++) {
-            this.zones.add(new Part());
+    /** Of so many zones, without an observation yet. */
+    ZoneHealthMonitor(int zoneCount) {
+        for (int z = 0; z < zoneCount; z++) {
+            zones.add(new Window());
         }
     }
 
-    /** So many servers of a zone are ready. */
-    void setReadyNodes(int zone, int ready) {
-        zones.get(zone).servers = Math.max(1, ready);
+    /** So many nodes of a zone may be sent requests. */
+    void setReadyNodes(int zone, int readyNodes) {
+        zones.get(zone).readyNodes = Math.max(1, readyNodes);
     }
 
-    /** A server of a zone has answered; {@code hit}: it had what it was asked for. */
+    /** A node of a zone has responded; {@code hit}: it had what was requested. */
     void onResponse(double nowMs, int zone, boolean hit) {
-        Part p = zones.get(zone);
-        if (lost(p, nowMs)) {
-            // It was lost and is not any more: what it does from here on counts, or its silence would speak for a whole
-            // window.
-            for (Slot old : p.slots) {
-                old.number = -1;
-            }
+        Window window = zones.get(zone);
+        if (window.isUnreachable(nowMs)) {
+            window.clear(); // or the time while it was unreachable would count for a whole window
         }
-        Slot s = p.slot(nowMs);
-        s.answered++;
-        s.missed += hit ? 0 : 1;
-        p.row.clear();
+        Slot slot = window.slot(nowMs);
+        slot.responses++;
+        slot.misses += hit ? 0 : 1;
+        window.silentInRow.clear();
     }
 
-    /** A server of a zone has not answered in time, or ended the connection instead. */
-    void onNoResponse(double nowMs, int zone, int server) {
-        Part p = zones.get(zone);
-        Slot s = p.slot(nowMs);
-        s.overdue++;
-        if (s.silent.size() < FailoverPlan.MAX_ZONES * LOST_SERVERS) {
-            s.silent.add(server);
+    /** A node of a zone has not responded in time, or closed the connection instead. */
+    void onNoResponse(double nowMs, int zone, int endpointId) {
+        Window window = zones.get(zone);
+        Slot slot = window.slot(nowMs);
+        slot.timeouts++;
+        if (slot.silentNodes.size() < FailoverPlan.MAX_ZONES * UNREACHABLE_NODES) {
+            slot.silentNodes.add(endpointId);
         }
-        if (nowMs - p.silentMs > WINDOW_MS) {
-            p.row.clear(); // what is older has not been tried since
+        if (nowMs - window.lastTimeoutMs > WINDOW_MS) {
+            window.silentInRow.clear(); // these have not been tried since
         }
-        p.silentMs = nowMs;
-        p.rowMs = p.row.isEmpty() ? nowMs : p.rowMs;
-        if (p.row.size() < LOST_SERVERS) {
-            p.row.add(server);
+        window.lastTimeoutMs = nowMs;
+        window.rowStartedMs = window.silentInRow.isEmpty() ? nowMs : window.rowStartedMs;
+        if (window.silentInRow.size() < UNREACHABLE_NODES) {
+            window.silentInRow.add(endpointId);
         }
     }
 
-    /** The origin has answered a fetch, in time or not. */
+    /** A fetch at the origin has ended, in time or not. */
     void onOriginFetch(double nowMs, boolean inTime) {
-        Slot s = onOriginFetch.slot(nowMs);
+        Slot slot = origin.slot(nowMs);
         if (inTime) {
-            s.answered++;
+            slot.responses++;
         } else {
-            s.overdue++;
+            slot.timeouts++;
         }
     }
 
-    /** Whether the origin has no room for more. */
+    /** Whether the origin has no capacity left. */
     boolean isOriginSaturated(double nowMs) {
-        int[] sum = onOriginFetch.sum(nowMs, new HashSet<>());
-        return sum[1] >= TIGHT_LEAST && sum[1] > TIGHT_PART * (sum[0] + sum[1]);
-    }
-
-    private static int several(Part p) {
-        return Math.min(LOST_SERVERS, p.servers);
-    }
-
-    private static boolean lost(Part p, double nowMs) {
-        return p.row.size() >= several(p) && nowMs - p.rowMs >= ROW_MS && nowMs - p.silentMs <= WINDOW_MS;
+        Totals totals = origin.totals(nowMs);
+        return totals.timeouts >= MIN_SATURATED_FETCHES && totals.timeouts > SATURATED_FRACTION * totals.attempts();
     }
 
-    /** What is seen of a zone now. */
+    /** The health of a zone as this instance sees it now. */
     ZoneHealth health(double nowMs, int zone) {
-        Part p = zones.get(zone);
-        if (lost(p, nowMs)) {
+        Window window = zones.get(zone);
+        if (window.isUnreachable(nowMs)) {
             return ZoneHealth.UNREACHABLE;
         }
-        int several = several(p);
-        Set<Integer> silent = new HashSet<>();
-        int[] sum = p.sum(nowMs, silent);
-        int all = sum[0] + sum[1];
-        if (all >= POOR_LEAST && sum[1] >= POOR_PART * all && silent.size() >= several) {
+        Totals totals = window.totals(nowMs);
+        int attempts = totals.attempts();
+        if (attempts >= MIN_DEGRADED_ATTEMPTS
+                && totals.timeouts >= DEGRADED_FRACTION * attempts
+                && totals.silentNodes.size() >= window.severalNodes()) {
             return ZoneHealth.DEGRADED;
         }
-        return sum[0] >= GOOD_LEAST && sum[1] < POOR_PART * all ? ZoneHealth.HEALTHY : ZoneHealth.UNKNOWN;
+        return totals.responses >= MIN_HEALTHY_RESPONSES && totals.timeouts < DEGRADED_FRACTION * attempts
+                ? ZoneHealth.HEALTHY
+                : ZoneHealth.UNKNOWN;
     }
 
-    /** Whether its nodes answer and lack most of what they are asked for: they have lost what they held. */
+    /** Whether a zone's nodes respond and lack most of what is requested: they have lost their caches. */
     boolean isCold(double nowMs, int zone) {
-        int[] sum = zones.get(zone).sum(nowMs, new HashSet<>());
-        return sum[0] >= GOOD_LEAST && 2 * sum[2] >= sum[0];
+        Totals totals = zones.get(zone).totals(nowMs);
+        return totals.responses >= MIN_HEALTHY_RESPONSES && 2 * totals.misses >= totals.responses;
     }
 
-    /** Attempts that ended lately at a zone, a second. */
+    /** Attempts at a zone that ended within the window, a second. */
     double attemptsPerSecond(double nowMs, int zone) {
-        int[] sum = zones.get(zone).sum(nowMs, new HashSet<>());
-        return (sum[0] + sum[1]) * 1000 / WINDOW_MS;
+        return zones.get(zone).totals(nowMs).attempts() * 1000 / WINDOW_MS;
     }
 }
--- a/src/main/java/cacheproxy/failover/ZoneHealthReport.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthReport.java
@@ -6,13 +6,14 @@
 import java.util.Set;
 
 /**
- * What one instance that lives says of the zones.
+ * What one live instance reports of the zones. In a note of the view, 3 bytes: bit 0 the origin is saturated, then for
+ * each zone 3 bits: its nodes are cold (1), its {@link ZoneHealth} (2); no bytes where there is nothing to report.
  *
- * @param instance whose it is
+ * @param instance its number
  * @param homeZone the zone in which it stands
- * @param health by zone
- * @param coldZones zones whose nodes answer it and lack most of what they are asked for
- * @param originSaturated whether the origin answers it late or turns it away
+ * @param health of the zones, by number
+ * @param coldZones zones whose nodes respond to it and lack most of what is requested
+ * @param originSaturated whether the origin responds to it late or rejects its fetches
  * @param plan that it holds
  */
 public record ZoneHealthReport(
@@ -22,7 +23,7 @@
         Set<Integer> coldZones,
         boolean originSaturated,
         FailoverPlan plan) {
-    private static final int BYTES = 3;
+    private static final int NOTE_BYTES = 3;
 
     /** Copies what is passed. */
     public ZoneHealthReport {
@@ -36,42 +37,41 @@
     }
 
     /**
-     * Whether it sees nothing good but, perhaps, at home: then it is cut off itself, or lies, and says nothing of
-     * others.
+     * Whether it sees no healthy zone but, perhaps, its own: it is cut off itself then, or lies, and does not count for
+     * other zones.
      */
     boolean isPartitioned() {
-        boolean bad = false;
+        boolean faulty = false;
         for (int z = 0; z < health.size(); z++) {
             if (z != homeZone && health.get(z) == ZoneHealth.HEALTHY) {
                 return false;
             }
-            bad |= z != homeZone && health.get(z).isFaulty();
+            faulty |= z != homeZone && health.get(z).isFaulty();
         }
-        return bad && health.size() > 2;
+        return faulty && health.size() > 2;
     }
 
-    /**
-     * The form of what was seen in a note: a bit for the origin and three a zone; none where there is nothing to say.
-     */
-    static byte[] encode(List<ZoneHealth> sights, Set<Integer> cold, boolean originTight) {
-        int bits = originTight ? 1 : 0;
-        for (int z = 0; z < sights.size(); z++) {
-            bits |= (sights.get(z).code() << 1 | (cold.contains(z) ? 1 : 0)) << (3 * z + 1);
+    /** The note. */
+    static byte[] encode(List<ZoneHealth> health, Set<Integer> coldZones, boolean originSaturated) {
+        int bits = originSaturated ? 1 : 0;
+        for (int z = 0; z < health.size(); z++) {
+            bits |= (health.get(z).code() << 1 | (coldZones.contains(z) ? 1 : 0)) << (3 * z + 1);
         }
         return bits == 0 ? new byte[0] : new byte[] {(byte) (bits >> 16), (byte) (bits >> 8), (byte) bits};
     }
 
-    /** The report in an instance's notes; a note of another length says nothing. */
-    static ZoneHealthReport decode(int instance, int home, byte[] seen, byte[] plan, int zones) {
-        List<ZoneHealth> sights = new ArrayList<>();
-        Set<Integer> cold = new HashSet<>();
-        int bits = seen.length == BYTES ? (seen[0] & 0xff) << 16 | (seen[1] & 0xff) << 8 | (seen[2] & 0xff) : 0;
+    /** The report in an instance's notes; a note of another length reports nothing. */
+    static ZoneHealthReport decode(int instance, int homeZone, byte[] note, byte[] planNote, int zones) {
+        List<ZoneHealth> health = new ArrayList<>();
+        Set<Integer> coldZones = new HashSet<>();
+        int bits = note.length == NOTE_BYTES ? (note[0] & 0xff) << 16 | (note[1] & 0xff) << 8 | (note[2] & 0xff) : 0;
         for (int z = 0; z < zones; z++) {
-            sights.add(ZoneHealth.of(bits >> (3 * z + 2)));
+            health.add(ZoneHealth.of(bits >> (3 * z + 2)));
             if ((bits >> (3 * z + 1) & 1) != 0) {
-                cold.add(z);
+                coldZones.add(z);
             }
         }
-        return new ZoneHealthReport(instance, home, sights, cold, (bits & 1) != 0, FailoverPlan.decode(plan, zones));
+        return new ZoneHealthReport(
+                instance, homeZone, health, coldZones, (bits & 1) != 0, FailoverPlan.decode(planNote, zones));
     }
 }
--- a/src/main/java/cacheproxy/failover/ZoneState.java
+++ b/src/main/java/cacheproxy/failover/ZoneState.java
@@ -1,33 +1,33 @@
 package cacheproxy.failover;
 
 /**
- * What is decided of one zone.
+ * What is decided of one zone. On the wire, 32 bits: epoch (24), open parts (4), leave count (2), cause (2).
  *
- * @param epoch 0 for what nobody has ever decided, up to {@link #MAX_EPOCH}; whoever decides anew goes one beyond, so
- *     it never goes back
+ * @param epoch 0 if nothing was ever decided, up to {@link #MAX_EPOCH}; each decision raises it, so that it never goes
+ *     back
  * @param openParts for so many of {@link #ALL_PARTS} parts of its keys, 0 to {@link #ALL_PARTS}
- * @param cause on whose account
- * @param leaveCount how often it was left lately, 0 to {@link #MAX_LEAVE_COUNT}; costs patience before a return
+ * @param cause why it is so
+ * @param leaveCount how often it was left lately, 0 to {@link #MAX_LEAVE_COUNT}; delays a return
  */
 public record ZoneState(int epoch, int openParts, Cause cause, int leaveCount) implements Comparable<ZoneState> {
-    /** All keys. Fine enough that the misses of one part of a zone in four are some 2% of all requests. */
+    /** All of its keys. One part of a zone of four then moves some 2% of all requests. */
     public static final int ALL_PARTS = 15;
-    /** The highest epoch; a step every half second would take it 97 days without a pause to get there. */
+    /** The highest epoch; a decision every half second would take 97 days to get there. */
     public static final int MAX_EPOCH = 0xff_ffff;
-    /** As many leaves are remembered. */
+    /** More leaves are not counted. */
     public static final int MAX_LEAVE_COUNT = 3;
-    /** What nobody has ever decided. */
+    /** Nothing was ever decided: open. */
     static final ZoneState INITIAL = new ZoneState(0, ALL_PARTS, Cause.EVIDENCE, 0);
 
-    /** On whose account a state holds; the later of them is the stronger among decisions of one epoch. */
+    /** Why a state holds; of decisions in one epoch that with the later of these holds. */
     public enum Cause {
-        /** What the fleet sees. */
+        /** The zone's health, as the fleet observes it. */
         EVIDENCE(0, "evidence"),
-        /** An operator has it opened step by step; what is seen holds again when it is open. */
+        /** An operator returns to it step by step; once it is open, its health decides again. */
         RETURN(1, "return"),
-        /** An operator has it kept as it is. */
+        /** An operator keeps it as it is. */
         HOLD(2, "hold"),
-        /** An operator has it left and kept so. */
+        /** An operator leaves it, and keeps it left. */
         LEAVE(3, "leave");
 
         private final int code;
@@ -82,24 +82,24 @@
         }
     }
 
-    /** The open part, 0 to 1. */
+    /** The part of its keys that goes there, 0 to 1. */
     public double openFraction() {
         return (double) openParts / ALL_PARTS;
     }
 
-    /** The next decision. At the highest epoch nothing more is decided, rather than beginning anew. */
+    /** The next decision; this itself at the highest epoch, as epochs never begin anew. */
     public ZoneState next(int parts, Cause by, int lately) {
         return epoch == MAX_EPOCH ? this : new ZoneState(epoch + 1, parts, by, Math.min(MAX_LEAVE_COUNT, lately));
     }
 
-    /** The same beyond an epoch that is known to have been there. */
+    /** The same decision in an epoch above one that has been in use. */
     ZoneState withEpochAbove(int floor) {
         return epoch > floor ? this : new ZoneState(Math.min(MAX_EPOCH, floor + 1), openParts, cause, leaveCount);
     }
 
     /**
-     * Which of two holds: the higher epoch; in one epoch an operator's word over what is seen, then the wider open, so
-     * that two who decide at once leave no more than either would; then the longer memory.
+     * Which of two holds: the higher epoch; in one epoch an operator's order over evidence, then the one with more
+     * parts open, so that two who decide at once leave no more than either would; then the higher leave count.
      */
     @Override
     public int compareTo(ZoneState other) {
@@ -109,11 +109,11 @@
         return by != 0 ? by : Integer.compare(leaveCount, other.leaveCount);
     }
 
-    int bits() {
+    int encode() {
         return epoch << 8 | openParts << 4 | leaveCount << 2 | cause.code();
     }
 
-    static ZoneState of(int bits) {
+    static ZoneState decode(int bits) {
         return new ZoneState(bits >>> 8, bits >>> 4 & 15, Cause.of(bits), bits >>> 2 & 3);
     }
 }
--- a/src/main/java/cacheproxy/proxy/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/FleetParticipation.java
@@ -171,14 +171,15 @@
                     new StoredRecord(RecordKind.INCARNATION, now, new JsonPrimitive(members.incarnation())));
         }
         if (zones != null) {
-            Map<Integer, StoredZoneState> held = zones.zones().statesToStore();
+            Map<Integer, StoredZoneState> held = zones.failover().statesToStore();
             records.put(
                     RecordKind.ZONE_STATES,
-                    new StoredRecord(RecordKind.ZONE_STATES, now, ZoneStateCodec.encode(held, false, zones.names())));
+                    new StoredRecord(
+                            RecordKind.ZONE_STATES, now, ZoneStateCodec.encode(held, false, zones.zoneNames())));
             records.put(
                     RecordKind.OPERATOR_ORDERS,
                     new StoredRecord(
-                            RecordKind.OPERATOR_ORDERS, now, ZoneStateCodec.encode(held, true, zones.names())));
+                            RecordKind.OPERATOR_ORDERS, now, ZoneStateCodec.encode(held, true, zones.zoneNames())));
         }
         return records;
     }
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -98,7 +98,7 @@
             outlierGossip.onEndpointSignal(server, signal);
         }
         if (zoneFailover != null) {
-            zoneFailover.saw(server, signal);
+            zoneFailover.onEndpointSignal(server, signal);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -126,9 +126,9 @@
             put(RecordKind.INCARNATION, new JsonPrimitive(number));
         }
         if (zones != null) {
-            Map<Integer, StoredZoneState> held = zones.zones().statesToStore();
-            putIfChanged(RecordKind.ZONE_STATES, ZoneStateCodec.encode(held, false, zones.names()));
-            putIfChanged(RecordKind.OPERATOR_ORDERS, ZoneStateCodec.encode(held, true, zones.names()));
+            Map<Integer, StoredZoneState> held = zones.failover().statesToStore();
+            putIfChanged(RecordKind.ZONE_STATES, ZoneStateCodec.encode(held, false, zones.zoneNames()));
+            putIfChanged(RecordKind.OPERATOR_ORDERS, ZoneStateCodec.encode(held, true, zones.zoneNames()));
         }
     }
 
@@ -147,8 +147,8 @@
             return;
         }
         put(RecordKind.LEARNED_STATE, LearnedStateCodec.toJson(dispatcher.learnedState()));
-        if (zones != null && zones.zones().hasQuorum()) {
-            JsonElement held = ZoneStateCodec.encode(zones.zones().statesToStore(), false, zones.names());
+        if (zones != null && zones.failover().hasQuorum()) {
+            JsonElement held = ZoneStateCodec.encode(zones.failover().statesToStore(), false, zones.zoneNames());
             if (held.getAsJsonObject().size() > 0) {
                 put(RecordKind.ZONE_STATES, held); // confirmed: it is valid as of now
             }
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
@@ -4,6 +4,8 @@
 import cacheproxy.failover.ZoneFailoverSettings;
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.ZoneTransition;
+import cacheproxy.metrics.EventKind;
+import cacheproxy.metrics.LogMessage;
 import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
@@ -11,143 +13,154 @@
 import cacheproxy.state.RecordKind;
 import java.util.Arrays;
 import java.util.List;
-import java.util.Locale;
 
 /**
- * Carries out what {@link ZoneFailover} decides: tells it what the decision module saw and what the list holds, passes
- * its orders on, and has the fleet's view carry its notes. On the event loop only.
+ * Carries out what {@link ZoneFailover} decides: tells it what attempts met and what the endpoint list holds, passes
+ * its directives on to the load balancer, and publishes its notes by the fleet's view. On the event loop only.
  */
 final class ZoneFailoverLink {
     private final Dispatcher dispatcher;
     private final MembershipLink members;
     private final ZoneFailoverSettings settings;
-    private final ZoneFailover zones;
-    private final List<String> names;
-    private byte[] plan = {};
-    private byte[] sight = {};
+    private final ZoneFailover failover;
+    private final List<String> zoneNames;
+    /** The notes as they were published last. */
+    private byte[] planNote = {};
 
-    /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
+    private byte[] healthNote = {};
+
+    /**
+     * Takes what the process before had stored, and begins to decide.
+     *
+     * @param zoneNames by the zones' numbers
+     */
     ZoneFailoverLink(
             Dispatcher dispatcher,
             MembershipLink members,
             RoutingSettings settings,
-            List<String> names,
-            RestoredState last) {
+            List<String> zoneNames,
+            RestoredState restored) {
         this.dispatcher = dispatcher;
         this.members = members;
-        this.names = List.copyOf(names);
+        this.zoneNames = List.copyOf(zoneNames);
         this.settings = new ZoneFailoverSettings(
                 settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
-        zones = new ZoneFailover(this.settings);
-        zones.restore(
-                dispatcher.now(),
-                last.zoneDecisions(RecordKind.ZONE_STATES, names),
-                last.isValid(RecordKind.ZONE_STATES));
-        zones.restore(
-                dispatcher.now(),
-                last.zoneDecisions(RecordKind.OPERATOR_ORDERS, names),
-                last.isValid(RecordKind.OPERATOR_ORDERS));
-        dispatcher.addEndpointListListener(k -> listed());
-        listed();
-        run();
+        failover = new ZoneFailover(this.settings);
+        restore(restored, RecordKind.ZONE_STATES);
+        restore(restored, RecordKind.OPERATOR_ORDERS);
+        dispatcher.addEndpointListListener(kind -> endpointsChanged());
+        endpointsChanged();
+        tickRegularly();
     }
 
-    /** The decision module has met this at a server. */
-    void saw(int server, EndpointSignal what) {
-        UpstreamServer u = dispatcher.servers().get(server);
-        if (u == null) {
+    private void restore(RestoredState restored, RecordKind kind) {
+        failover.restore(dispatcher.now(), restored.zoneDecisions(kind, zoneNames), restored.isValid(kind));
+    }
+
+    /** The load balancer has observed this at an endpoint. */
+    void onEndpointSignal(int endpointId, EndpointSignal signal) {
+        UpstreamServer server = dispatcher.servers().get(endpointId);
+        if (server == null) {
             return;
         }
         double now = dispatcher.now();
-        if (u.origin) {
-            zones.onOriginFetch(now, what == EndpointSignal.RESPONDED);
+        boolean responded = signal == EndpointSignal.RESPONDED;
+        if (server.origin) {
+            failover.onOriginFetch(now, responded);
             return;
         }
-        switch (what) {
-            case RESPONDED, CACHE_MISS -> zones.onResponse(now, u.location.zone(), what == EndpointSignal.RESPONDED);
-            case UNRESPONSIVE -> zones.onNoResponse(now, u.location.zone(), server);
+        int zone = server.location.zone();
+        switch (signal) {
+            case RESPONDED, CACHE_MISS -> failover.onResponse(now, zone, responded);
+            case UNRESPONSIVE -> failover.onNoResponse(now, zone, endpointId);
         }
     }
 
-    private void listed() {
+    private void endpointsChanged() {
         double now = dispatcher.now();
-        for (int z = 0;
-                z < Math.min(settings.zoneCount(), ZoneFailoverSettings.MAX_ZONES);
-                z++) { // others take no part
-            List<Double> warm = dispatcher.servers().warmedUpAtMs(z, settings.warmUpMs());
-            // When half of them are warm; each moved key of the others misses.
-            zones.onEndpoints(z, warm.size(), warm.isEmpty() ? now : warm.get(warm.size() / 2));
+        int decidedZones = Math.min(settings.zoneCount(), ZoneFailoverSettings.MAX_ZONES);
+        for (int z = 0; z < decidedZones; z++) {
+            List<Double> warmedUpAtMs = dispatcher.servers().warmedUpAtMs(z, settings.warmUpMs());
+            int nodes = warmedUpAtMs.size();
+            // Cold until half of them are warm: each key that moves to one of the others misses.
+            failover.onEndpoints(z, nodes, nodes == 0 ? now : warmedUpAtMs.get(nodes / 2));
         }
     }
 
-    private void run() {
+    private void tickRegularly() {
         tick();
-        dispatcher.after(ZoneFailover.TICK_MS, this::run);
+        dispatcher.after(ZoneFailover.TICK_MS, this::tickRegularly);
     }
 
-    /** The view has changed, or an operator has spoken: what follows from it need not wait. */
+    /** Decides what is due now; also called when the view has changed or an operator has given an order. */
     void tick() {
-        List<ZoneDirective> orders = zones.tick(dispatcher.now(), members.view());
-        if (!orders.isEmpty()) {
-            dispatcher.applyZoneDirectives(orders);
+        List<ZoneDirective> directives = failover.tick(dispatcher.now(), members.view());
+        if (!directives.isEmpty()) {
+            dispatcher.applyZoneDirectives(directives);
         }
-        zones.takeTransitions().forEach(this::tell);
-        byte[] nextPlan = zones.planNote();
-        byte[] nextSight = zones.healthNote();
-        if (!Arrays.equals(nextPlan, plan) || !Arrays.equals(nextSight, sight)) {
-            plan = nextPlan;
-            sight = nextSight;
-            members.note(ZoneFailover.PLAN_NOTE, plan);
-            members.note(ZoneFailover.HEALTH_NOTE, sight);
+        failover.takeTransitions().forEach(this::log);
+        publishNotes();
+    }
+
+    private void publishNotes() {
+        byte[] nextPlanNote = failover.planNote();
+        byte[] nextHealthNote = failover.healthNote();
+        if (!Arrays.equals(nextPlanNote, planNote) || !Arrays.equals(nextHealthNote, healthNote)) {
+            planNote = nextPlanNote;
+            healthNote = nextHealthNote;
+            members.note(ZoneFailover.PLAN_NOTE, planNote);
+            members.note(ZoneFailover.HEALTH_NOTE, healthNote);
         }
     }
 
-    /**
-     * A line where a zone begins to be left, is closed, begins to be returned to, is whole, or an operator has spoken.
-     */
-    private void tell(ZoneTransition e) {
-        boolean step = e.before().cause() == e.after().cause()
-                && e.after().openParts() > 0
-                && e.after().openParts() < ZoneState.ALL_PARTS
-                && e.before().openParts() > 0
-                && e.before().openParts() < ZoneState.ALL_PARTS;
-        if (!step) {
-            dispatcher.log(String.format(
-                    Locale.ROOT,
-                    "zone %s: %d/%d open, %s, epoch %d (%d/%d before); %s",
-                    name(e.zone()),
-                    e.after().openParts(),
-                    ZoneState.ALL_PARTS,
-                    e.after().cause().storedName(),
-                    e.after().epoch(),
-                    e.before().openParts(),
-                    ZoneState.ALL_PARTS,
-                    e.reason()));
+    /** Logs a transition, but for steps on the way: from partly open to partly open, by the same cause. */
+    private void log(ZoneTransition transition) {
+        ZoneState before = transition.before();
+        ZoneState after = transition.after();
+        if (before.cause() == after.cause() && isPartlyOpen(before) && isPartlyOpen(after)) {
+            return;
         }
+        dispatcher.log(
+                EventKind.INFO,
+                LogMessage.of("zone state changed")
+                        .with("zone", zoneName(transition.zone()))
+                        .with("open", openParts(after))
+                        .with("open_before", openParts(before))
+                        .with("cause", after.cause().storedName())
+                        .with("epoch", after.epoch())
+                        .with("reason", transition.reason()));
+    }
+
+    private static boolean isPartlyOpen(ZoneState state) {
+        return state.openParts() > 0 && state.openParts() < ZoneState.ALL_PARTS;
+    }
+
+    private static String openParts(ZoneState state) {
+        return state.openParts() + "/" + ZoneState.ALL_PARTS;
     }
 
-    ZoneFailover zones() {
-        return zones;
+    ZoneFailover failover() {
+        return failover;
     }
 
-    List<String> names() {
-        return names;
+    List<String> zoneNames() {
+        return zoneNames;
     }
 
-    double now() {
+    double nowMs() {
         return dispatcher.now();
     }
 
-    /** A zone's name. */
-    String name(int zone) {
-        return zone < names.size() ? names.get(zone) : String.valueOf(zone);
+    /** A zone's name; its number if it has none. */
+    String zoneName(int zone) {
+        return zone < zoneNames.size() ? zoneNames.get(zone) : String.valueOf(zone);
     }
 
     /** The number of the zone of this name; an IllegalArgumentException names those that there are. */
-    int number(String name) {
-        int zone = names.indexOf(name);
+    int zoneNumber(String name) {
+        int zone = zoneNames.indexOf(name);
         if (zone < 0) {
-            throw new IllegalArgumentException("no zone '" + name + "'; there are: " + String.join(", ", names));
+            throw new IllegalArgumentException("no zone '" + name + "'; there are: " + String.join(", ", zoneNames));
         }
         return zone;
     }
--- a/src/main/java/cacheproxy/proxy/ZoneOperations.java
+++ b/src/main/java/cacheproxy/proxy/ZoneOperations.java
@@ -4,7 +4,10 @@
 import cacheproxy.failover.ZoneStatus;
 import java.util.List;
 
-/** The zones as operators see and order them by one proxy. On the event loop only. */
+/**
+ * The operators' commands on zones, by way of one proxy. A zone that there is not is an IllegalArgumentException. Event
+ * loop only.
+ */
 public final class ZoneOperations {
     private final ZoneFailoverLink link;
 
@@ -14,50 +17,55 @@
 
     /** How each zone stands. */
     public List<ZoneStatus> status() {
-        return link.zones().status(link.now());
+        return link.failover().status(link.nowMs());
     }
 
     /** A zone's name by its number. */
-    public String name(int zone) {
-        return link.name(zone);
+    public String zoneName(int zone) {
+        return link.zoneName(zone);
     }
 
     /** Whether this proxy hears enough of the fleet to decide for it. */
-    public boolean quorum() {
-        return link.zones().hasQuorum();
+    public boolean hasQuorum() {
+        return link.failover().hasQuorum();
     }
 
     /** Decisions that this proxy was the first to make. */
-    public long decided() {
-        return link.zones().decisionCount();
+    public long decisionCount() {
+        return link.failover().decisionCount();
     }
 
     /** What leaving a zone would cost. */
-    public ZoneLeaveCost cost(String zone) {
-        return link.zones().leaveCost(link.now(), link.number(zone));
+    public ZoneLeaveCost leaveCost(String zone) {
+        return link.failover().leaveCost(link.nowMs(), link.zoneNumber(zone));
     }
 
-    /** Has it left, at once or over a time; an IllegalArgumentException says why not. */
-    public void leave(String zone, double overMs) {
-        link.zones().leaveZone(link.now(), link.number(zone), overMs);
+    /**
+     * Leaves a zone, until it is returned to or released.
+     *
+     * @param durationMs over which it is left, in milliseconds; 0 for at once
+     * @throws IllegalArgumentException if that is too long, or too little would stay open
+     */
+    public void leave(String zone, double durationMs) {
+        link.failover().leaveZone(link.nowMs(), link.zoneNumber(zone), durationMs);
         link.tick();
     }
 
-    /** Has it opened step by step. */
-    public void comeBack(String zone) {
-        link.zones().returnToZone(link.now(), link.number(zone));
+    /** Opens a zone step by step, whatever its health. */
+    public void returnTo(String zone) {
+        link.failover().returnToZone(link.nowMs(), link.zoneNumber(zone));
         link.tick();
     }
 
-    /** Has it stay as it is. */
+    /** Keeps a zone as it is, until it is released. */
     public void hold(String zone) {
-        link.zones().holdZone(link.now(), link.number(zone));
+        link.failover().holdZone(link.nowMs(), link.zoneNumber(zone));
         link.tick();
     }
 
-    /** Takes operators' orders back. */
+    /** Takes orders for a zone back: its health decides again. */
     public void release(String zone) {
-        link.zones().releaseZone(link.now(), link.number(zone));
+        link.failover().releaseZone(link.nowMs(), link.zoneNumber(zone));
         link.tick();
     }
 }
--- a/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
@@ -11,23 +11,37 @@
 import java.util.TreeMap;
 
 /**
- * What is held of zones, as JSON: by the zones' names, as their numbers hang on the settings, and apart by whose word
- * it is, as an order lasts longer than what was seen.
+ * The codec of stored zone states, in JSON: an object with a field for each zone, by its name, as its number depends on
+ * the settings. States by operators' orders and states on evidence are stored apart, as orders hold for longer.
+ *
+ * <pre>
+ * epoch    epoch
+ * open     openParts
+ * cause    cause: evidence, return, hold, leave
+ * leaves   leaveCount
+ * floor    minEpoch
+ * </pre>
  */
 final class ZoneStateCodec {
     private ZoneStateCodec() {}
 
-    /** Of those zones that stand as ordered, or as found on evidence. */
-    static JsonObject encode(Map<Integer, StoredZoneState> held, boolean ordered, List<String> names) {
+    /**
+     * Writes the states of zones whose cause is an order, or of those on evidence.
+     *
+     * @param states by zone
+     * @param ordered which of them
+     * @param names of the zones, by number; zones without a name are left out
+     */
+    static JsonObject encode(Map<Integer, StoredZoneState> states, boolean ordered, List<String> names) {
         JsonObject all = new JsonObject();
-        held.forEach((zone, h) -> {
-            if (zone < names.size() && ordered != (h.state().cause() == Cause.EVIDENCE)) {
+        states.forEach((zone, stored) -> {
+            if (zone < names.size() && ordered != (stored.state().cause() == Cause.EVIDENCE)) {
                 JsonObject o = new JsonObject();
-                o.addProperty("epoch", h.state().epoch());
-                o.addProperty("open", h.state().openParts());
-                o.addProperty("cause", h.state().cause().storedName());
-                o.addProperty("leaves", h.state().leaveCount());
-                o.addProperty("floor", h.minEpoch());
+                o.addProperty("epoch", stored.state().epoch());
+                o.addProperty("open", stored.state().openParts());
+                o.addProperty("cause", stored.state().cause().storedName());
+                o.addProperty("leaves", stored.state().leaveCount());
+                o.addProperty("floor", stored.minEpoch());
                 all.add(names.get(zone), o);
             }
         });
@@ -43,9 +57,13 @@
         return cause;
     }
 
-    /** Reads it; zones that there are no more are left out, and an exception says that it is of no use. */
+    /**
+     * Reads states, by zone; zones that have no name now are left out.
+     *
+     * @throws RuntimeException if a field is missing, of another type or out of range
+     */
     static Map<Integer, StoredZoneState> decode(JsonElement json, List<String> names) {
-        Map<Integer, StoredZoneState> held = new TreeMap<>();
+        Map<Integer, StoredZoneState> states = new TreeMap<>();
         json.getAsJsonObject().entrySet().forEach(e -> {
             JsonObject o = e.getValue().getAsJsonObject();
             int zone = names.indexOf(e.getKey());
@@ -55,11 +73,11 @@
                         o.get("open").getAsInt(),
                         cause(e.getKey(), o.get("cause").getAsString()),
                         o.get("leaves").getAsInt());
-                int floor =
+                int minEpoch =
                         Math.max(0, Math.min(ZoneState.MAX_EPOCH, o.get("floor").getAsInt()));
-                held.put(zone, new StoredZoneState(state, Math.max(floor, state.epoch())));
+                states.put(zone, new StoredZoneState(state, Math.max(minEpoch, state.epoch())));
             }
         });
-        return held;
+        return states;
     }
 }
--- a/src/test/java/cacheproxy/failover/FailoverPlanTest.java
+++ b/src/test/java/cacheproxy/failover/FailoverPlanTest.java
@@ -110,6 +110,6 @@
     void atTheHighestEpochNothingBeginsAnew() {
         ZoneState last = new ZoneState(ZoneState.MAX_EPOCH, 7, Cause.HOLD, 1);
         assertThat(last.next(0, Cause.LEAVE, 0)).isSameAs(last);
-        assertThat(ZoneState.of(last.bits())).isEqualTo(last);
+        assertThat(ZoneState.decode(last.encode())).isEqualTo(last);
     }
 }
