--- a/src/test/java/cacheproxy/failover/FailoverPlanTest.java
+++ b/src/test/java/cacheproxy/failover/FailoverPlanTest.java
@@ -29,7 +29,7 @@
     }
 
     @Property(seed = "1")
-    void whoHaveHeardTheSameHoldTheSame(
+    void joinsAreCommutativeAssociativeAndIdempotent(
             @ForAll("plans") FailoverPlan a, @ForAll("plans") FailoverPlan b, @ForAll("plans") FailoverPlan c) {
         assertThat(a.join(b)).isEqualTo(b.join(a));
         assertThat(a.join(b).join(c)).isEqualTo(a.join(b.join(c)));
@@ -41,7 +41,7 @@
     }
 
     @Property(seed = "2")
-    void aThirdOfAllStaysOpenWhateverWasDecided(@ForAll("plans") FailoverPlan a) {
+    void aThirdOfAllZonesStaysOpen(@ForAll("plans") FailoverPlan a) {
         int sum = 0;
         for (int z = 0; z < 4; z++) {
             assertThat(a.openParts(z)).isBetween(a.stateOf(z).openParts(), ZoneState.ALL_PARTS);
@@ -52,7 +52,7 @@
     }
 
     @Property(seed = "3")
-    void aNoteHoldsAllOfIt(@ForAll("plans") FailoverPlan a) {
+    void aNoteEncodesTheWholePlan(@ForAll("plans") FailoverPlan a) {
         byte[] note = a.encode();
         assertThat(note.length).isLessThanOrEqualTo(24);
         assertThat(FailoverPlan.decode(note, 4)).isEqualTo(a.hasDecisions() ? a : FailoverPlan.initial(4));
@@ -61,7 +61,7 @@
 
     /** The vectors of docs/design/members-wire.md. */
     @Test
-    void theFormOnTheWireIsAsItIsWritten() {
+    void notesAreEncodedAsOnTheWirePage() {
         HexFormat hex = HexFormat.of();
         FailoverPlan plan = FailoverPlan.initial(2).with(0, ZoneState.INITIAL.next(0, Cause.EVIDENCE, 1));
         assertThat(hex.formatHex(plan.encode())).isEqualTo("00000104000000f0");
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void theLastZoneIsNeverLeft() {
+    void theLastZoneIsNeverClosed() {
         ZoneState closed = ZoneState.INITIAL.next(0, Cause.LEAVE, 0);
         assertThat(new FailoverPlan(List.of(closed)).openParts(0)).isPositive();
         FailoverPlan two = new FailoverPlan(List.of(closed, ZoneState.INITIAL));
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void anOperatorsWordHoldsAgainstEvidenceOfTheSameEpochAndNotOfALaterOne() {
+    void anOrderPrevailsOverEvidenceOfItsEpochAndNotOfALaterOne() {
         ZoneState seen = new ZoneState(3, 15, Cause.EVIDENCE, 0);
         ZoneState told = new ZoneState(3, 0, Cause.LEAVE, 0);
         assertThat(new FailoverPlan(List.of(seen))
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void atTheHighestEpochNothingBeginsAnew() {
+    void atTheHighestEpochNothingIsDecided() {
         ZoneState last = new ZoneState(ZoneState.MAX_EPOCH, 7, Cause.HOLD, 1);
         assertThat(last.next(0, Cause.LEAVE, 0)).isSameAs(last);
         assertThat(ZoneState.decode(last.encode())).isEqualTo(last);
--- a/src/test/java/cacheproxy/failover/RestoredZoneStatesTest.java
+++ b/src/test/java/cacheproxy/failover/RestoredZoneStatesTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void whatHoldsIsGoneOnWith() {
+    void aRestoredStateThatStillHoldsIsInThePlan() {
         zones.restore(0, Map.of(2, new StoredZoneState(CLOSED, 5)), true);
         tick(100);
         assertThat(zones.plan().stateOf(2)).isEqualTo(CLOSED);
@@ -39,7 +39,7 @@
      * It is not told to others either: in one epoch the wider open share would hold, and open what they have closed.
      */
     @Test
-    void ofWhatIsTooOldOnlyTheEpochCounts() {
+    void ofAnExpiredStateOnlyTheEpochCounts() {
         zones.restore(0, Map.of(2, new StoredZoneState(CLOSED, 9)), false);
         tick(100);
         assertThat(zones.plan().stateOf(2)).isEqualTo(ZoneState.INITIAL);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void whatIsKnownByNowGoesBeforeIt() {
+    void aLaterDecisionPrevailsOverARestoredState() {
         zones.leaveZone(0, 1, 0);
         zones.releaseZone(10, 1);
         ZoneState now = zones.plan().stateOf(1);
@@ -70,7 +70,7 @@
      * A zone that was lost and answers again is good by its answers since, not after a whole window without silence.
      */
     @Test
-    void whatWasLostAndAnswersIsSoonGood() {
+    void anUnreachableZoneThatRespondsIsSoonHealthy() {
         ZoneHealthMonitor o = new ZoneHealthMonitor(1);
         o.setReadyNodes(0, 6);
         for (int server = 0; server < 6; server++) {
--- a/src/test/java/cacheproxy/failover/ZoneFailoverTest.java
+++ b/src/test/java/cacheproxy/failover/ZoneFailoverTest.java
@@ -36,7 +36,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void aZoneWhoseNodesDieIsLeftByAllAtOnceAndReturnedTo(long seed) {
+    void aZoneWhoseNodesFailIsClosedByAllAndRecovers(long seed) {
         ZonePlay p = fleet(seed);
         p.nodesDie(0);
         double first = until(p, () -> p.any(0, 0), 5000);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void nodesThatStayedWarmHaveTheirKeysBackSooner() {
+    void warmNodesRecoverSooner() {
         ZonePlay p = fleet(6);
         p.nodesDie(1);
         p.pass(6000);
@@ -63,7 +63,7 @@
     /** The far side must not have the fleet leave three zones; when it is heard again, what most decided holds. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aZoneThatIsCutOffIsLeftByTheOthersAndDecidesNothingItself(long seed) {
+    void aPartitionedZoneIsClosedByTheOthersAndDecidesNothing(long seed) {
         ZonePlay p = fleet(seed);
         p.cutOff(z -> z == 0);
         assertThat(until(p, () -> p.all(h -> h != 0, 0, 0), 8000)).isLessThan(4000);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void aWayThatIsCutFromOneZoneAloneIsNoMatterOfTheFleet() {
+    void aPathCutFromOneZoneClosesNothingForTheFleet() {
         ZonePlay p = fleet(7);
         p.cutWay(1, 2, true);
         p.pass(10_000);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void oneBadNodeOrTwoAreNoZone() {
+    void oneOrTwoBadNodesCloseNoZone() {
         ZonePlay p = fleet(8);
         p.node(0, true);
         p.node(4, true);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void noZoneIsLeftWhereAllAreSlowNowAndThen() {
+    void noZoneIsClosedWhileAllAreSlowAtTimes() {
         ZonePlay p = fleet(9);
         for (int i = 0; i < 10; i++) {
             p.stall(0.41);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void oneThatLiesAndTwoInConcertHaveNothingLeft() {
+    void oneOrTwoFalseReportersCloseNoZone() {
         ZonePlay p = fleet(10);
         p.lies(1, Set.of(0, 2, 3));
         p.pass(5000);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aZoneThatLosesAThirdOfItsAnswersIsLeftWhileOthersAreGood() {
+    void aDegradedZoneIsDrainedWhileOthersAreHealthy() {
         ZonePlay p = fleet(11);
         p.lose(2, 0.3);
         assertThat(until(p, () -> p.all(h -> true, 2, 0), 30_000)).isLessThan(15_000);
@@ -143,7 +143,7 @@
 
     /** Seen in the model: the others had its keys too, were slow for that, and were left one after another. */
     @Test
-    void whatIsSlowWhileAnotherZoneIsLeftIsNotLeftAsWell() {
+    void aSlowZoneIsNotDrainedWhileAnotherIsClosed() {
         ZonePlay p = fleet(18);
         p.nodesDie(0);
         p.pass(4000);
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void aZoneThatFailsEveryTwentySecondsIsLeftThreeTimesInThreeMinutesAtMost() {
+    void aZoneThatFlapsIsClosedThreeTimesInThreeMinutesAtMost() {
         ZonePlay p = fleet(12);
         int[] leaves = new int[1];
         boolean[] left = new boolean[1];
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void twoZonesAreLeftAndAThirdOnlyAsFarAsTheFloorAllows() {
+    void twoZonesAreClosedAndAThirdOnlyDownToTheMinimum() {
         ZonePlay p = fleet(13);
         p.nodesDie(0);
         p.nodesDie(1);
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void whatIsLeftStaysLeftWhileSixInTenRestart() {
+    void aClosedZoneStaysClosedWhileSixOfTenInstancesRestart() {
         ZonePlay p = fleet(14);
         p.nodesDie(3);
         p.pass(5000);
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void anOperatorsOrderHoldsAtAllAndOutlivesWhoTookIt() {
+    void anOrderHoldsAtAllInstancesAndOutlivesItsReceiver() {
         ZonePlay p = fleet(15);
         p.of(2).leaveZone(p.now(), 1, 0);
         p.pass(1500);
@@ -231,7 +231,7 @@
     }
 
     @Test
-    void aZoneIsLeftOverTheTimeThatWasSaidThoughWhoTookTheOrderDies() {
+    void aGradualLeaveGoesOnThoughItsReceiverDies() {
         ZonePlay p = fleet(16);
         p.of(2).leaveZone(p.now(), 1, 15_000);
         p.pass(5000);
@@ -245,7 +245,7 @@
 
     /** An order on each side of a cut: after it one holds everywhere. */
     @Test
-    void ordersThatContradictEachOtherMergeToOne() {
+    void contradictoryOrdersMergeToOne() {
         ZonePlay p = fleet(17);
         p.cutOff(z -> z < 2);
         p.pass(4000);
@@ -262,7 +262,7 @@
     }
 
     @Test
-    void anOrderThatWouldLeaveTooLittleIsTurnedDown() {
+    void anOrderThatWouldCloseTooMuchIsRejected() {
         ZoneFailover z = new ZoneFailover(new ZoneFailoverSettings(0, 0, 2, 9000));
         z.leaveZone(0, 0, 0);
         assertThatThrownBy(() -> z.leaveZone(1, 1, 0))
