--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -99,7 +99,7 @@
             outlierGossip.onEndpointSignal(server, signal);
         }
         if (zoneFailover != null) {
-            zoneFailover.saw(server, signal);
+            zoneFailover.onEndpointSignal(server, signal);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
@@ -195,15 +195,17 @@
                     new StoredRecord(RecordKind.INCARNATION, now, new JsonPrimitive(members.incarnation())));
         }
         if (zones != null) {
-            Map<Integer, StoredZoneState> decisions = zones.zones().statesToStore();
+            Map<Integer, StoredZoneState> decisions = zones.failover().statesToStore();
             records.put(
                     RecordKind.ZONE_STATES,
                     new StoredRecord(
-                            RecordKind.ZONE_STATES, now, ZoneStateCodec.encode(decisions, false, zones.names())));
+                            RecordKind.ZONE_STATES, now, ZoneStateCodec.encode(decisions, false, zones.zoneNames())));
             records.put(
                     RecordKind.OPERATOR_ORDERS,
                     new StoredRecord(
-                            RecordKind.OPERATOR_ORDERS, now, ZoneStateCodec.encode(decisions, true, zones.names())));
+                            RecordKind.OPERATOR_ORDERS,
+                            now,
+                            ZoneStateCodec.encode(decisions, true, zones.zoneNames())));
         }
         return records;
     }
