--- a/src/main/java/cacheproxy/control/DrainControl.java
+++ b/src/main/java/cacheproxy/control/DrainControl.java
@@ -1,7 +1,7 @@
 package cacheproxy.control;
 
 import cacheproxy.drain.DrainStateMachine;
-import cacheproxy.proxy.Proxy;
+import cacheproxy.proxy.lifecycle.Proxy;
 import com.google.gson.JsonObject;
 
 /** The section {@code drain} of the status, and the commands {@code drain} and {@code drain-cancel}. */
--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -1,9 +1,9 @@
 package cacheproxy.control;
 
-import cacheproxy.proxy.EndpointListStatus;
-import cacheproxy.proxy.Proxy;
-import cacheproxy.proxy.ProxyStatus;
 import cacheproxy.proxy.RuleCounts;
+import cacheproxy.proxy.lifecycle.EndpointListStatus;
+import cacheproxy.proxy.lifecycle.Proxy;
+import cacheproxy.proxy.lifecycle.ProxyStatus;
 import com.google.gson.JsonObject;
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/cacheproxy/proxy/Counters.java
+++ b/src/main/java/cacheproxy/proxy/Counters.java
@@ -9,25 +9,28 @@
  * Counts outcomes of requests and attempts since the start of the process. Each is counted once, where it is decided. A
  * class that the settings no longer name keeps its counts, since a counter must never go down. Event loop only.
  */
-final class Counters {
+public final class Counters {
     /** How many classes that the settings no longer name are kept; those removed first are dropped first. */
     static final int MAX_REMOVED_CLASSES = 256;
 
     /** Outcomes of the requests of one class. */
-    static final class ClassCounts {
+    public static final class ClassCounts {
         private long succeeded;
         private long rejected;
         private long failed;
 
-        long succeeded() {
+        /** Answered with a server's response. */
+        public long succeeded() {
             return succeeded;
         }
 
-        long rejected() {
+        /** Refused; a repeat was harmless. */
+        public long rejected() {
             return rejected;
         }
 
-        long failed() {
+        /** Ended without a response though they may have run. */
+        public long failed() {
             return failed;
         }
     }
@@ -50,7 +53,7 @@
     }
 
     /** Counts a completed request of this class; one of an unknown class is not counted. */
-    void recordOutcome(String className, RequestOutcome outcome) {
+    public void recordOutcome(String className, RequestOutcome outcome) {
         ClassCounts ofClass = classes.get(className);
         if (ofClass == null) {
             return;
@@ -73,7 +76,7 @@
     }
 
     /** Adds one to this metric. */
-    void increment(Metric metric) {
+    public void increment(Metric metric) {
         counts[metric.ordinal()]++;
     }
 
@@ -88,7 +91,7 @@
     }
 
     /** Counts a settings file read at SIGHUP, applied or rejected. */
-    void recordReload(boolean applied) {
+    public void recordReload(boolean applied) {
         if (applied) {
             reloadsApplied++;
         } else {
@@ -96,19 +99,23 @@
         }
     }
 
-    Map<String, ClassCounts> classes() {
+    /** The outcomes by class name. */
+    public Map<String, ClassCounts> classes() {
         return classes;
     }
 
-    long forwards() {
+    /** Attempts fully written to cache nodes or the origin. */
+    public long forwards() {
         return forwards;
     }
 
-    long reloadsApplied() {
+    /** Configuration reloads that took effect. */
+    public long reloadsApplied() {
         return reloadsApplied;
     }
 
-    long reloadsRejected() {
+    /** Configuration reloads that were rejected. */
+    public long reloadsRejected() {
         return reloadsRejected;
     }
 }
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -92,7 +92,7 @@
         private final UpstreamConnection connection;
 
         ResponseDecoder(UpstreamConnection connection) {
-            super(MetaCodec.MAX_LINE, MAX_HEADERS_BYTES, MAX_CHUNK_BYTES);
+            super(MetaCodec.MAX_LINE_BYTES, MAX_HEADERS_BYTES, MAX_CHUNK_BYTES);
             this.connection = connection;
         }
 
@@ -185,7 +185,7 @@
         boolean streamable = isStreamable(head, contentLength);
         streamed = streamable && connection.beginValue((int) contentLength); // else nobody waits for it
         if (!streamable) {
-            int maxLength = contentLength < 0 ? MetaCodec.MAX_VALUE : (int) contentLength;
+            int maxLength = contentLength < 0 ? MetaCodec.MAX_VALUE_BYTES : (int) contentLength;
             body = new ValueBuffer(channelContext.alloc(), maxLength);
             connection.responseProgressed();
         }
@@ -196,7 +196,7 @@
         if (hasMalformedHeader(head.headers())) {
             return "header line without colon";
         }
-        if (contentLength > MetaCodec.MAX_VALUE) {
+        if (contentLength > MetaCodec.MAX_VALUE_BYTES) {
             return "too long";
         }
         boolean endUnknown =
@@ -206,7 +206,10 @@
 
     private boolean isStreamable(HttpResponse head, long contentLength) {
         UpstreamAttempt attempt = connection.currentAttempt();
-        return isOk(head) && !attempt.isHealthCheck() && !attempt.command().write && contentLength > MetaCodec.WHOLE;
+        return isOk(head)
+                && !attempt.isHealthCheck()
+                && !attempt.command().write
+                && contentLength > MetaCodec.MAX_WHOLE_VALUE_BYTES;
     }
 
     private static boolean isOk(HttpResponse head) {
@@ -234,9 +237,9 @@
             }
         } else if (body != null) {
             int length = body.length() + part.readableBytes();
-            if (length > MetaCodec.MAX_VALUE) {
+            if (length > MetaCodec.MAX_VALUE_BYTES) {
                 fail("too long");
-            } else if (!reserve(length - MetaCodec.WHOLE)) {
+            } else if (!reserve(length - MetaCodec.MAX_WHOLE_VALUE_BYTES)) {
                 fail("no room for it");
             } else {
                 body.add(part, part.readableBytes());
@@ -247,8 +250,9 @@
 
     /** Reserves budget for this many bytes in all; false if there is not enough now. */
     private boolean reserve(int bytes) {
-        while (reservations.size() * (long) MetaCodec.WHOLE < bytes) {
-            ByteBudget.Reservation reservation = context.valueBudget().reserve(MetaCodec.WHOLE, () -> {});
+        while (reservations.size() * (long) MetaCodec.MAX_WHOLE_VALUE_BYTES < bytes) {
+            ByteBudget.Reservation reservation =
+                    context.valueBudget().reserve(MetaCodec.MAX_WHOLE_VALUE_BYTES, () -> {});
             if (reservation == null || !reservation.granted()) {
                 if (reservation != null) {
                     reservation.release();
@@ -262,7 +266,7 @@
 
     private void complete() {
         HttpResponse head = response;
-        ByteBuf whole = body == null ? null : body.whole();
+        ByteBuf whole = body == null ? null : body.assemble();
         response = null;
         releaseBody();
         if (!HttpUtil.isKeepAlive(head)
--- a/src/main/java/cacheproxy/proxy/ResponseWriter.java
+++ b/src/main/java/cacheproxy/proxy/ResponseWriter.java
@@ -8,7 +8,7 @@
  * {@link #beginValue} follow calls of {@link #writePart} and then one of {@link #endValue} or {@link #abort}. Called on
  * the event loop.
  */
-interface ResponseWriter {
+public interface ResponseWriter {
     /** Writes a complete response and releases it. */
     void writeResponse(ServerResponse response);
 
--- a/src/main/java/cacheproxy/proxy/ZoneOperations.java
+++ b/src/main/java/cacheproxy/proxy/ZoneOperations.java
@@ -8,7 +8,8 @@
 public final class ZoneOperations {
     private final ZoneFailoverLink link;
 
-    ZoneOperations(ZoneFailoverLink link) {
+    /** Shows the decisions that this link takes part in. */
+    public ZoneOperations(ZoneFailoverLink link) {
         this.link = link;
     }
 
--- a/src/main/java/cacheproxy/proxy/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientInput.java
@@ -1,7 +1,8 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
 import cacheproxy.flow.ArrivalTimes;
 import cacheproxy.flow.ReadAheadBudget;
+import cacheproxy.proxy.Dispatcher;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 
@@ -33,7 +34,7 @@
             return;
         }
         reads++;
-        // Only a client's end is told of while nothing is read, and it is told once: it stands behind these bytes.
+        // While reading is paused Netty reads only when the client has closed, and once: its end is behind these bytes.
         readWhilePaused |= paused;
         arrivals.received(bytes.readableBytes(), dispatcher.inputReceivedMs(context.channel()), idle);
         if (bytes.isWritable()) {
@@ -63,13 +64,13 @@
     }
 
     /** When the last byte arrived that has been decoded, so many being left. */
-    double lastTakenArrivedMs(int leftBytes) {
-        return arrivals.arrivedAtMs(arrivals.received() - leftBytes);
+    double lastTakenArrivedMs(int remainingBytes) {
+        return arrivals.arrivedAtMs(arrivals.received() - remainingBytes);
     }
 
     /** When the first of the bytes arrived that are left. */
-    double nextArrivedMs(int leftBytes) {
-        return arrivals.arrivedAtMs(arrivals.received() - leftBytes + 1);
+    double nextArrivedMs(int remainingBytes) {
+        return arrivals.arrivedAtMs(arrivals.received() - remainingBytes + 1);
     }
 
     /** Nothing is decoded for now, and so many bytes wait: pauses reading where there is no budget to read ahead. */
--- a/src/main/java/cacheproxy/proxy/ConfigReloader.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ConfigReloader.java
@@ -1,5 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
+import cacheproxy.proxy.Config;
+import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.route.Routing;
 import io.netty.channel.EventLoop;
@@ -37,8 +39,8 @@
      */
     synchronized void reload(String file) {
         try {
-            Config next = config.again(file);
-            Routing routing = routes == null ? null : routes.read(next.names());
+            Config next = config.reread(file);
+            Routing routing = routes == null ? null : routes.read(next.routableNames());
             config = next;
             loop.execute(() -> apply(next, routing));
         } catch (IllegalArgumentException e) {
--- a/src/main/java/cacheproxy/proxy/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -1,7 +1,10 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
 import cacheproxy.failover.StoredZoneState;
 import cacheproxy.membership.Member;
+import cacheproxy.proxy.LearnedStateCodec;
+import cacheproxy.proxy.ZoneFailoverLink;
+import cacheproxy.proxy.ZoneStateCodec;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.recovery.ProvenanceTracker.Subject;
@@ -38,7 +41,7 @@
 
     private final Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
     private final Map<RecordKind, Provenance> sources = new EnumMap<>(RecordKind.class);
-    private final ProvenanceTracker trust;
+    private final ProvenanceTracker provenance;
     private final double nowMs;
 
     /**
@@ -47,8 +50,8 @@
      * @param predecessor null where no process is taken over from
      * @param nowMs wall clock time, in milliseconds
      */
-    RestoredState(TakeoverSnapshot predecessor, OpenedState stored, ProvenanceTracker trust, double nowMs) {
-        this.trust = trust;
+    RestoredState(TakeoverSnapshot predecessor, OpenedState stored, ProvenanceTracker provenance, double nowMs) {
+        this.provenance = provenance;
         this.nowMs = nowMs;
         add(stored.records(), Provenance.STORED);
         if (predecessor != null) {
@@ -74,23 +77,18 @@
     }
 
     private Validity validity(RecordKind kind) {
-        StoredRecord r = records.get(kind);
-        return r == null ? Validity.UNUSABLE : r.validity(nowMs);
-    }
-
-    /** Whether data of this kind is recent enough to decide by. */
-    boolean isValid(RecordKind kind) {
-        return validity(kind) == Validity.VALID;
+        StoredRecord record = records.get(kind);
+        return record == null ? Validity.UNUSABLE : record.validity(nowMs);
     }
 
     private void recordUse(RecordKind kind) {
-        StoredRecord r = records.get(kind);
+        StoredRecord record = records.get(kind);
         boolean hint = validity(kind) == Validity.HINT;
-        trust.adopted(
+        provenance.adopted(
                 nowMs,
                 SUBJECT_BY_KIND.get(kind),
                 sources.get(kind),
-                nowMs - r.recordedAtMs(),
+                nowMs - record.recordedAtMs(),
                 hint || kind == RecordKind.ENDPOINT_LIST ? kind.hintForMs() : kind.validForMs(),
                 hint);
     }
@@ -100,18 +98,18 @@
      * configured one if the versions are equal. Null if there is neither.
      */
     JsonObject endpointList(JsonObject configured) {
-        StoredRecord r = records.get(RecordKind.ENDPOINT_LIST);
+        StoredRecord record = records.get(RecordKind.ENDPOINT_LIST);
         if (configured != null) {
-            trust.adopted(
+            provenance.adopted(
                     nowMs, Subject.ENDPOINT_LIST, Provenance.CONFIGURED, Double.NaN, Double.POSITIVE_INFINITY, false);
         }
-        if (r == null) {
+        if (record == null) {
             return configured;
         }
         try {
-            JsonObject list = r.body().getAsJsonObject();
+            JsonObject list = record.body().getAsJsonObject();
             if (validity(RecordKind.ENDPOINT_LIST) == Validity.UNUSABLE) {
-                trust.rejected(Subject.ENDPOINT_LIST);
+                provenance.rejected(Subject.ENDPOINT_LIST);
                 return configured;
             }
             if (configured == null
@@ -120,30 +118,30 @@
                 return list;
             }
         } catch (RuntimeException e) {
-            trust.rejected(Subject.ENDPOINT_LIST);
+            provenance.rejected(Subject.ENDPOINT_LIST);
         }
         return configured;
     }
 
     /** What was learned, by pool name; if it is too old for that, the suspected endpoints alone; empty for nothing. */
     Map<String, LearnedState> learnedState() {
-        Validity use = validity(RecordKind.LEARNED_STATE);
-        if (use == Validity.UNUSABLE) {
+        Validity validity = validity(RecordKind.LEARNED_STATE);
+        if (validity == Validity.UNUSABLE) {
             if (records.containsKey(RecordKind.LEARNED_STATE)) {
-                trust.rejected(Subject.LEARNED_STATE);
+                provenance.rejected(Subject.LEARNED_STATE);
             }
             return Map.of();
         }
         try {
-            Map<String, LearnedState> all = new HashMap<>(LearnedStateCodec.fromJson(
+            Map<String, LearnedState> states = new HashMap<>(LearnedStateCodec.fromJson(
                     records.get(RecordKind.LEARNED_STATE).body().getAsJsonObject()));
-            if (use == Validity.HINT) {
-                all.replaceAll((pool, e) -> suspectsOnly(e));
+            if (validity == Validity.HINT) {
+                states.replaceAll((pool, e) -> suspectsOnly(e));
             }
             recordUse(RecordKind.LEARNED_STATE);
-            return all;
+            return states;
         } catch (RuntimeException e) {
-            trust.rejected(Subject.LEARNED_STATE);
+            provenance.rejected(Subject.LEARNED_STATE);
             return Map.of();
         }
     }
@@ -152,53 +150,54 @@
      * Endpoints whose last request failed are tried by one request before others; of the origin's throttle and of hot
      * keys nothing is kept.
      */
-    private static LearnedState suspectsOnly(LearnedState e) {
-        List<EndpointHealthRecord> seen = e.endpoints().stream()
+    private static LearnedState suspectsOnly(LearnedState learned) {
+        List<EndpointHealthRecord> suspects = learned.endpoints().stream()
                 .filter(s -> s.failures() > 0)
                 .map(s -> new EndpointHealthRecord(s.id(), s.startTimeMs(), 1, 0, 0))
                 .toList();
         return new LearnedState(
-                e.originFetchMs(),
-                e.usualLatencyMs(),
-                e.latencyDeviationMs(),
-                e.usualCostMs(),
+                learned.originFetchMs(),
+                learned.usualLatencyMs(),
+                learned.latencyDeviationMs(),
+                learned.usualCostMs(),
                 new LoadCount(0, 0),
                 new LoadCount(0, 0),
                 0,
                 List.of(),
-                seen);
+                suspects);
     }
 
     /** The last incarnation of this instance; 0 if unknown. */
     long incarnation() {
-        StoredRecord r = records.get(RecordKind.INCARNATION);
+        StoredRecord record = records.get(RecordKind.INCARNATION);
         try {
-            long incarnation = r == null ? 0 : r.body().getAsLong();
+            long incarnation = record == null ? 0 : record.body().getAsLong();
             if (incarnation > 0) {
                 recordUse(RecordKind.INCARNATION);
             }
             return Math.max(0, Math.min(Member.MAX_INCARNATION - 1, incarnation));
         } catch (RuntimeException e) {
-            trust.rejected(Subject.INCARNATION);
+            provenance.rejected(Subject.INCARNATION);
             return 0;
         }
     }
 
     /** The restored zone decisions of one kind, by the zones' present numbers. */
-    Map<Integer, StoredZoneState> zoneDecisions(RecordKind kind, List<String> names) {
-        StoredRecord r = records.get(kind);
-        if (r == null) {
-            return Map.of();
+    ZoneFailoverLink.RestoredDecisions zoneDecisions(RecordKind kind, List<String> names) {
+        StoredRecord record = records.get(kind);
+        if (record == null) {
+            return new ZoneFailoverLink.RestoredDecisions(Map.of(), false);
         }
+        boolean valid = validity(kind) == Validity.VALID;
         try {
-            Map<Integer, StoredZoneState> held = ZoneStateCodec.decode(r.body(), names);
-            if (!held.isEmpty()) {
+            Map<Integer, StoredZoneState> decisions = ZoneStateCodec.decode(record.body(), names);
+            if (!decisions.isEmpty()) {
                 recordUse(kind);
             }
-            return held;
+            return new ZoneFailoverLink.RestoredDecisions(decisions, valid);
         } catch (RuntimeException e) {
-            trust.rejected(Subject.ZONE_STATES);
-            return Map.of();
+            provenance.rejected(Subject.ZONE_STATES);
+            return new ZoneFailoverLink.RestoredDecisions(Map.of(), valid);
         }
     }
 }
