--- a/src/jmh/java/cacheproxy/quota/QuotaBenchmark.java
+++ b/src/jmh/java/cacheproxy/quota/QuotaBenchmark.java
@@ -31,7 +31,7 @@
     public int nodes;
 
     private final SplittableRandom random = new SplittableRandom(1);
-    private final Ticket ticket = new Ticket();
+    private final QuotaCharge ticket = new QuotaCharge();
     private final String[][] paths = new String[1024][];
     private QuotaTree tree;
     private double now = 1e12;
--- a/src/main/java/cacheproxy/quota/LeaseHolder.java
+++ b/src/main/java/cacheproxy/quota/LeaseHolder.java
@@ -12,78 +12,80 @@
  */
 final class LeaseHolder {
     /** So much, and until when. */
-    private record Part(long amount, double untilMs) {}
+    private record TimedAmount(long amount, double untilMs) {}
 
     private final double windowMs;
-    private final Map<Integer, Part> ceded = new HashMap<>();
-    private final Map<Integer, Long> wants = new HashMap<>();
+    private final Map<Integer, TimedAmount> cessions = new HashMap<>();
+    private final Map<Integer, Long> demands = new HashMap<>();
     /** Each may be using any of these, and what it used may be in the window until then. */
-    private final Map<Integer, List<Part>> out = new HashMap<>();
+    private final Map<Integer, List<TimedAmount>> outstanding = new HashMap<>();
 
     private long round;
-    private double beganMs;
+    private double roundStartMs;
 
     /**
      * {@code life}: apart from, and above, that of any life of this instance before, as the second it was started in.
      */
-    LeaseHolder(double windowMs, int life) {
+    LeaseHolder(double windowMs, int incarnation) {
         this.windowMs = windowMs;
-        round = (long) life << LeaseParty.LIFE_BITS;
+        round = (long) incarnation << LeaseParticipant.INCARNATION_SHIFT;
     }
 
     /** Begins a round, which all are to be told of; its number. */
-    long begin(double now) {
-        beganMs = now;
-        wants.clear();
+    long startRound(double nowMs) {
+        roundStartMs = nowMs;
+        demands.clear();
         return ++round;
     }
 
     /** An instance has answered; what is late, doubled or of another round tells nothing. */
-    void reported(int instance, LeaseParty.Report report) {
-        if (report.round() == round && !wants.containsKey(instance)) {
-            wants.put(instance, report.want());
+    void onReport(int instance, LeaseParticipant.Report report) {
+        if (report.round() == round && !demands.containsKey(instance)) {
+            demands.put(instance, report.demand());
             // It was sent after the round began, so it binds at least until then.
-            ceded.put(instance, new Part(report.ceded(), beganMs + windowMs + LeaseParty.TERM_MS));
+            cessions.put(instance, new TimedAmount(report.ceded(), roundStartMs + windowMs + LeaseParticipant.TERM_MS));
         }
     }
 
     /** What each that has reported gets from now on; to be told to it. */
-    Map<Integer, LeaseParty.Grant> grants(double now) {
-        ceded.values().removeIf(c -> c.untilMs <= now);
-        out.values().forEach(l -> l.removeIf(o -> o.untilMs <= now));
-        List<Integer> asking = new ArrayList<>();
-        double wanted = 0;
-        for (int instance : new TreeSet<>(wants.keySet())) {
-            if (wants.get(instance) > 0) {
-                asking.add(instance);
-                wanted += wants.get(instance);
+    Map<Integer, LeaseParticipant.Grant> grants(double nowMs) {
+        cessions.values().removeIf(cession -> cession.untilMs <= nowMs);
+        outstanding.values().forEach(l -> l.removeIf(o -> o.untilMs <= nowMs));
+        List<Integer> demanding = new ArrayList<>();
+        double totalDemand = 0;
+        for (int instance : new TreeSet<>(demands.keySet())) {
+            if (demands.get(instance) > 0) {
+                demanding.add(instance);
+                totalDemand += demands.get(instance);
             }
         }
-        long taken = 0;
-        long had = 0;
-        for (int instance : out.keySet()) {
-            if (asking.contains(instance)) {
-                had += most(instance);
+        long outstandingElsewhere = 0;
+        long current = 0;
+        for (int instance : outstanding.keySet()) {
+            if (demanding.contains(instance)) {
+                current += maxOutstanding(instance);
             } else {
-                taken += most(instance);
+                outstandingElsewhere += maxOutstanding(instance);
             }
         }
-        double ends = end(now, taken, wanted);
-        double usableMs = usableMs(now, ends);
-        long free = standing(ends);
+        double expiryMs = bestExpiryMs(nowMs, outstandingElsewhere, totalDemand);
+        double usableMs = usableMs(nowMs, expiryMs);
+        long available = cededUntil(expiryMs);
         // Where even what is out is more than stands, nothing new is granted until that has ended.
-        return usableMs <= 0 || taken + had > free ? Map.of() : grants(asking, free, taken, ends, usableMs);
+        return usableMs <= 0 || outstandingElsewhere + current > available
+                ? Map.of()
+                : grants(demanding, available, outstandingElsewhere, expiryMs, usableMs);
     }
 
-    private double usableMs(double now, double ends) {
-        return ends - now - windowMs - LeaseParty.MARGIN_MS;
+    private double usableMs(double nowMs, double expiryMs) {
+        return expiryMs - nowMs - windowMs - LeaseParticipant.TIMER_MARGIN_MS;
     }
 
     /** What is ceded and stands until then. */
-    private long standing(double untilMs) {
+    private long cededUntil(double untilMs) {
         long sum = 0;
-        for (Part c : ceded.values()) {
-            sum += c.untilMs >= untilMs ? c.amount : 0;
+        for (TimedAmount cession : cessions.values()) {
+            sum += cession.untilMs >= untilMs ? cession.amount : 0;
         }
         return sum;
     }
@@ -91,57 +93,58 @@
     /**
      * A grant that ends sooner can also draw on what was ceded in rounds before, by whoever was not heard in this one.
      */
-    private double end(double now, long taken, double wanted) {
-        double best = Double.NEGATIVE_INFINITY;
-        double most = 0;
-        for (Part c : ceded.values()) {
-            double worth = Math.min(wanted, (double) (standing(c.untilMs) - taken)) * usableMs(now, c.untilMs);
-            if (worth > most) {
-                most = worth;
-                best = c.untilMs;
+    private double bestExpiryMs(double nowMs, long outstandingElsewhere, double wanted) {
+        double bestMs = Double.NEGATIVE_INFINITY;
+        double bestBenefit = 0;
+        for (TimedAmount cession : cessions.values()) {
+            double benefit = Math.min(wanted, (double) (cededUntil(cession.untilMs) - outstandingElsewhere))
+                    * usableMs(nowMs, cession.untilMs);
+            if (benefit > bestBenefit) {
+                bestBenefit = benefit;
+                bestMs = cession.untilMs;
             }
         }
-        return best;
+        return bestMs;
     }
 
-    private Map<Integer, LeaseParty.Grant> grants(
-            List<Integer> asking, long free, long taken, double ends, double usableMs) {
-        Map<Integer, LeaseParty.Grant> grants = new HashMap<>();
-        double[] want = new double[asking.size()];
-        double[] weight = new double[asking.size()];
-        double[] given = new double[asking.size()];
-        for (int i = 0; i < want.length; i++) {
-            want[i] = wants.get(asking.get(i));
+    private Map<Integer, LeaseParticipant.Grant> grants(
+            List<Integer> demanding, long available, long outstandingElsewhere, double expiryMs, double usableMs) {
+        Map<Integer, LeaseParticipant.Grant> grants = new HashMap<>();
+        double[] demand = new double[demanding.size()];
+        double[] weight = new double[demanding.size()];
+        double[] share = new double[demanding.size()];
+        for (int i = 0; i < demand.length; i++) {
+            demand[i] = demands.get(demanding.get(i));
             weight[i] = 1;
         }
-        Lending.share((double) (free - taken), want, weight, given, want.length);
-        long sum = taken;
-        for (int i = 0; i < want.length; i++) {
-            sum += Math.max(most(asking.get(i)), (long) given[i]);
+        MaxMinFairShare.share((double) (available - outstandingElsewhere), demand, weight, share, demand.length);
+        long total = outstandingElsewhere;
+        for (int i = 0; i < demand.length; i++) {
+            total += Math.max(maxOutstanding(demanding.get(i)), (long) share[i]);
         }
-        for (int i = 0; i < want.length; i++) {
-            int instance = asking.get(i);
-            long had = most(instance);
-            long amount = (long) given[i];
-            if (amount > had && sum > free) { // others still have what they are to do without
-                long less = Math.min(amount - had, sum - free);
-                amount -= less;
-                sum -= less;
+        for (int i = 0; i < demand.length; i++) {
+            int instance = demanding.get(i);
+            long current = maxOutstanding(instance);
+            long amount = (long) share[i];
+            if (amount > current && total > available) { // others still have what they are to do without
+                long reduction = Math.min(amount - current, total - available);
+                amount -= reduction;
+                total -= reduction;
             }
             if (amount > 0) {
-                out.computeIfAbsent(instance, k -> new ArrayList<>()).add(new Part(amount, ends));
-                grants.put(instance, new LeaseParty.Grant(round, amount, usableMs));
+                outstanding.computeIfAbsent(instance, k -> new ArrayList<>()).add(new TimedAmount(amount, expiryMs));
+                grants.put(instance, new LeaseParticipant.Grant(round, amount, usableMs));
             }
         }
         return grants;
     }
 
     /** The most that this instance may be using. */
-    private long most(int instance) {
-        long most = 0;
-        for (Part o : out.getOrDefault(instance, List.of())) {
-            most = Math.max(most, o.amount);
+    private long maxOutstanding(int instance) {
+        long max = 0;
+        for (TimedAmount grant : outstanding.getOrDefault(instance, List.of())) {
+            max = Math.max(max, grant.amount);
         }
-        return most;
+        return max;
     }
 }
--- a/src/main/java/cacheproxy/quota/Limit.java
+++ b/src/main/java/cacheproxy/quota/Limit.java
@@ -10,13 +10,13 @@
  */
 public record Limit(Measure measure, long windowMs, long guarantee, long cap) {
     /** One second. */
-    public static final long SHORTEST_MS = 1000;
+    public static final long MIN_WINDOW_MS = 1000;
     /** One hour. */
-    public static final long LONGEST_MS = 3_600_000;
+    public static final long MAX_WINDOW_MS = 3_600_000;
 
     /** Checks the ranges. */
     public Limit {
-        if (windowMs < SHORTEST_MS || windowMs > LONGEST_MS) {
+        if (windowMs < MIN_WINDOW_MS || windowMs > MAX_WINDOW_MS) {
             throw new IllegalArgumentException("a window of " + windowMs + " ms; it takes 1 s to 1 h");
         }
         if (cap < 1) {
@@ -28,7 +28,7 @@
     }
 
     /** Whether both count the same over the same time, so that what one node leaves the other may use. */
-    boolean comparesTo(Limit other) {
+    boolean hasSameMeasureAndWindow(Limit other) {
         return measure == other.measure && windowMs == other.windowMs;
     }
 }
--- a/src/main/java/cacheproxy/quota/Lending.java
+++ b/src/main/java/cacheproxy/quota/MaxMinFairShare.java
@@ -4,8 +4,8 @@
  * Who gets what of a rate that is free: by weight, nobody more than wanted, and what one leaves goes to the others
  * (weighted max-min fair; Demers, Keshav and Shenker, 1989).
  */
-final class Lending {
-    private Lending() {}
+final class MaxMinFairShare {
+    private MaxMinFairShare() {}
 
     /**
      * Fills {@code given} for the first {@code many}, whose wishes are in {@code wants}. Neither gives more than
--- a/src/main/java/cacheproxy/quota/Meter.java
+++ b/src/main/java/cacheproxy/quota/Meter.java
@@ -7,49 +7,49 @@
  */
 final class Meter {
     /** Demand is what was asked for in about this time. */
-    static final double DEMAND_MS = 500;
+    static final double DEMAND_DECAY_MS = 500;
     /** What is lent may be saved up for so long, which is no longer than the shortest window. */
-    static final double SAVED_MS = Limit.SHORTEST_MS;
+    static final double MAX_CREDIT_MS = Limit.MIN_WINDOW_MS;
 
     final Limit limit;
     /** Whether siblings share the parent's; else only the cap counts. */
-    final boolean shares;
+    final boolean borrows;
 
-    private final SlidingCount all;
-    private final SlidingCount own;
-    private double asked;
-    private double askedAt;
+    private final SlidingCount totalCount;
+    private final SlidingCount guaranteedCount;
+    private double recentDemand;
+    private double demandMs;
     private double lentPerMs;
-    private double sparePerMs;
+    private double idlePerMs;
     private double credit;
-    private double creditAt;
+    private double creditMs;
     private long debt;
-    private double paidAt;
+    private double debtPaidMs;
 
-    Meter(Limit limit, boolean shares) {
+    Meter(Limit limit, boolean borrows) {
         this.limit = limit;
-        this.shares = shares;
-        all = new SlidingCount(limit.windowMs());
-        own = shares ? new SlidingCount(limit.windowMs()) : null;
+        this.borrows = borrows;
+        totalCount = new SlidingCount(limit.windowMs());
+        guaranteedCount = borrows ? new SlidingCount(limit.windowMs()) : null;
     }
 
     /** One request counts for no more than the whole cap, or it would never be let in; the rest is settled as debt. */
-    long charge(long bytes, boolean write) {
+    long chargeFor(long bytes, boolean write) {
         return Math.min(limit.cap(), limit.measure().of(bytes, write));
     }
 
-    void asked(double now, long much) {
-        asked = asked * left(now - askedAt) + much;
-        askedAt = Math.max(askedAt, now);
+    void recordDemand(double now, long much) {
+        recentDemand = recentDemand * remainingFraction(now - demandMs) + much;
+        demandMs = Math.max(demandMs, now);
     }
 
-    private static double left(double ms) {
-        return Math.exp(-Math.max(0, ms) / DEMAND_MS);
+    private static double remainingFraction(double ms) {
+        return Math.exp(-Math.max(0, ms) / DEMAND_DECAY_MS);
     }
 
     /** What is asked for, in units a millisecond. */
-    double demand(double now) {
-        return asked * left(now - askedAt) / DEMAND_MS;
+    double demandPerMs(double now) {
+        return recentDemand * remainingFraction(now - demandMs) / DEMAND_DECAY_MS;
     }
 
     double guaranteePerMs() {
@@ -62,24 +62,24 @@
 
     /** The rate that it has to give to those beneath it. */
     double ratePerMs() {
-        return shares ? Math.min(capPerMs(), guaranteePerMs() + lentPerMs) : capPerMs();
+        return borrows ? Math.min(capPerMs(), guaranteePerMs() + lentPerMs) : capPerMs();
     }
 
     /** What lay idle when shares were last dealt out beneath it, for each that asked and one more. */
-    double spare() {
-        return sparePerMs;
+    double idlePerMs() {
+        return idlePerMs;
     }
 
-    void spare(double perMs) {
-        sparePerMs = perMs;
+    void idlePerMs(double perMs) {
+        idlePerMs = perMs;
     }
 
     /**
      * It has begun to ask: what is spare is lent to it as if it had been for a while, or its first request would wait.
      */
-    void begin(double now, double perMs) {
+    void startLending(double now, double perMs) {
         lend(now, perMs);
-        credit = lentPerMs * SAVED_MS;
+        credit = lentPerMs * MAX_CREDIT_MS;
     }
 
     /** From now on it is lent so much a millisecond, and never more than leads to its cap. */
@@ -89,25 +89,25 @@
     }
 
     private void refill(double now, long wanted) {
-        double most = lentPerMs * SAVED_MS + (lentPerMs > 0 ? wanted : 0);
-        credit = Math.min(most, credit + lentPerMs * Math.max(0, now - creditAt));
-        creditAt = Math.max(creditAt, now);
+        double most = lentPerMs * MAX_CREDIT_MS + (lentPerMs > 0 ? wanted : 0);
+        credit = Math.min(most, credit + lentPerMs * Math.max(0, now - creditMs));
+        creditMs = Math.max(creditMs, now);
     }
 
     /** 0 if so much may be charged now, else how long until it may, as far as can be told. */
-    double wait(double now, long much) {
+    double waitMs(double now, long much) {
         if (much == 0) {
             return 0;
         }
-        pay(now);
-        double cap = all.roomInMs(now, Math.min(limit.cap(), much + debt), limit.cap());
+        payDebt(now);
+        double cap = totalCount.timeUntilCapacityMs(now, Math.min(limit.cap(), much + debt), limit.cap());
         if (debt > 0) {
             return Math.max(1, cap + (debt - 1) / limit.cap() * limit.windowMs());
         }
         if (cap > 0) {
             return Math.max(1, cap);
         }
-        if (!shares || isOwn(now, much)) {
+        if (!borrows || fitsGuarantee(now, much)) {
             return 0;
         }
         refill(now, much);
@@ -115,22 +115,24 @@
             return 0;
         }
         double lent = lentPerMs > 0 ? (much - credit) / lentPerMs : limit.windowMs();
-        double mine = much <= limit.guarantee() ? own.roomInMs(now, much, limit.guarantee()) : limit.windowMs();
+        double mine = much <= limit.guarantee()
+                ? guaranteedCount.timeUntilCapacityMs(now, much, limit.guarantee())
+                : limit.windowMs();
         return Math.max(1, Math.min(lent, mine));
     }
 
-    private boolean isOwn(double now, long much) {
-        return own.sum(now) + much <= limit.guarantee();
+    private boolean fitsGuarantee(double now, long much) {
+        return guaranteedCount.sum(now) + much <= limit.guarantee();
     }
 
-    /** Charges what {@link #wait} has let in; whether it was its own. */
-    boolean take(double now, long much) {
-        all.add(now, much);
-        if (!shares) {
+    /** Charges what {@link #waitMs} has let in; whether it was its own. */
+    boolean charge(double now, long much) {
+        totalCount.add(now, much);
+        if (!borrows) {
             return true;
         }
-        if (isOwn(now, much)) {
-            own.add(now, much);
+        if (fitsGuarantee(now, much)) {
+            guaranteedCount.add(now, much);
             return true;
         }
         credit -= much;
@@ -138,27 +140,27 @@
     }
 
     /** As if it had not been charged. */
-    void payBack(double now, double at, long much, boolean wasOwn) {
-        all.takeBack(now, at, much);
-        if (shares && wasOwn) {
-            own.takeBack(now, at, much);
-        } else if (shares) {
+    void refund(double now, double at, long much, boolean wasOwn) {
+        totalCount.subtract(now, at, much);
+        if (borrows && wasOwn) {
+            guaranteedCount.subtract(now, at, much);
+        } else if (borrows) {
             credit += much;
             refill(now, much);
         }
     }
 
     /** It was so much and not what had been supposed: less is given back, more is charged now or owed. */
-    void settle(double now, double at, long supposed, long actual, boolean wasOwn) {
+    void adjust(double now, double at, long supposed, long actual, boolean wasOwn) {
         if (actual <= supposed) {
-            payBack(now, at, supposed - actual, wasOwn);
+            refund(now, at, supposed - actual, wasOwn);
         } else {
-            pay(now);
+            payDebt(now);
             if (debt == 0) {
-                paidAt = now;
+                debtPaidMs = now;
             }
             debt += actual - supposed;
-            pay(now);
+            payDebt(now);
         }
     }
 
@@ -167,20 +169,20 @@
      * several that have passed unasked each has paid for as much as it holds, the last of them as the room that is
      * there now.
      */
-    private void pay(double now) {
+    private void payDebt(double now) {
         if (debt == 0) {
             return;
         }
-        long passed = Math.max(0, (long) ((now - paidAt) / all.lengthMs()) - 1);
+        long passed = Math.max(0, (long) ((now - debtPaidMs) / totalCount.lengthMs()) - 1);
         debt = passed > debt / limit.cap() ? 0 : debt - passed * limit.cap();
-        long part = Math.min(debt, limit.cap() - all.sum(now));
+        long part = Math.min(debt, limit.cap() - totalCount.sum(now));
         if (part > 0) {
-            all.add(now, part);
-            if (shares) {
-                own.add(now, part);
+            totalCount.add(now, part);
+            if (borrows) {
+                guaranteedCount.add(now, part);
             }
             debt -= part;
-            paidAt = now;
+            debtPaidMs = now;
         }
     }
 
@@ -190,11 +192,11 @@
 
     /** What was charged in the window that ends now. */
     long used(double now) {
-        return all.sum(now);
+        return totalCount.sum(now);
     }
 
     /** Whether nothing is lost by forgetting it. */
-    boolean forgettable(double now) {
-        return debt == 0 && all.sum(now) == 0;
+    boolean isIdle(double now) {
+        return debt == 0 && totalCount.sum(now) == 0;
     }
 }
--- a/src/main/java/cacheproxy/quota/Ticket.java
+++ b/src/main/java/cacheproxy/quota/QuotaCharge.java
@@ -4,25 +4,25 @@
  * What one request has been charged, for its end: held by whoever holds the request, and used for one at a time. One
  * that was not admitted, or has ended, is empty.
  */
-public final class Ticket {
-    static final int MOST = (QuotaSpec.MAX_DEPTH + 1) * QuotaSpec.MAX_LIMITS;
+public final class QuotaCharge {
+    static final int MAX_METERS = (QuotaSpec.MAX_DEPTH + 1) * QuotaSpec.MAX_LIMITS;
 
     QuotaNode leaf;
     double atMs;
     long bytes;
     boolean write;
-    private final boolean[] own = new boolean[MOST];
+    private final boolean[] wasGuaranteed = new boolean[MAX_METERS];
 
     /** Whether something is charged by it. */
-    public boolean open() {
+    public boolean isOpen() {
         return leaf != null;
     }
 
-    void own(int slot, boolean is) {
-        own[slot] = is;
+    void wasGuaranteed(int slot, boolean is) {
+        wasGuaranteed[slot] = is;
     }
 
-    boolean own(int slot) {
-        return own[slot];
+    boolean wasGuaranteed(int slot) {
+        return wasGuaranteed[slot];
     }
 }
--- a/src/main/java/cacheproxy/quota/QuotaNode.java
+++ b/src/main/java/cacheproxy/quota/QuotaNode.java
@@ -12,16 +12,16 @@
      * Shares are dealt out anew so often, by whoever asks next, and less often where many ask: it looks at each of
      * them.
      */
-    static final double DEAL_MS = 100;
+    static final double MIN_LENDING_INTERVAL_MS = 100;
 
-    static final double DEAL_MS_EACH = 2;
-    static final double LONGEST_DEAL_MS = 1000;
+    static final double LENDING_INTERVAL_PER_CHILD_MS = 2;
+    static final double MAX_LENDING_INTERVAL_MS = 1000;
     /** Who has not asked for so long has no part in that, and all that is its own is lent. */
-    static final double QUIET_MS = 5000;
+    static final double INACTIVE_MS = 5000;
     /** An owner that asks for less than its own is kept so much more of it, for chance. */
-    private static final double MARGIN = 1.1;
+    private static final double GUARANTEE_HEADROOM = 1.1;
     /** A borrower is lent somewhat more than it asks for, so that its demand shows. */
-    private static final double REACH = 1.25;
+    private static final double LENDING_HEADROOM = 1.25;
 
     final String name;
     final QuotaSpec spec;
@@ -31,16 +31,16 @@
     /** Made for a name that came, so it may be forgotten. */
     final boolean unnamed;
     /** Requests that are charged and not settled yet. */
-    int open;
+    int openCharges;
 
-    private final List<QuotaNode> asking = new ArrayList<>();
-    private boolean isAsking;
-    private double askedAt;
-    private double dealtAt = Double.NEGATIVE_INFINITY;
-    private Meter[] sharing = new Meter[4];
+    private final List<QuotaNode> active = new ArrayList<>();
+    private boolean isActive;
+    private double lastRequestMs;
+    private double lastLendingMs = Double.NEGATIVE_INFINITY;
+    private Meter[] borrowers = new Meter[4];
     private double[] wants = new double[4];
     private double[] weights = new double[4];
-    private double[] given = new double[4];
+    private double[] shares = new double[4];
 
     QuotaNode(String name, QuotaSpec spec, QuotaNode parent, boolean unnamed) {
         this.name = name;
@@ -50,14 +50,14 @@
         meters = new Meter[spec.limits().size()];
         for (int i = 0; i < meters.length; i++) {
             Limit limit = spec.limits().get(i);
-            meters[i] = new Meter(limit, parent != null && parent.like(limit) != null);
+            meters[i] = new Meter(limit, parent != null && parent.meterLike(limit) != null);
         }
     }
 
     /** Its quota of that measure and window, or null. */
-    Meter like(Limit limit) {
+    Meter meterLike(Limit limit) {
         for (Meter m : meters) {
-            if (m.limit.comparesTo(limit)) {
+            if (m.limit.hasSameMeasureAndWindow(limit)) {
                 return m;
             }
         }
@@ -65,83 +65,86 @@
     }
 
     /** A request has come for it, or for one beneath it. */
-    void asked(double now, long bytes, boolean write) {
-        askedAt = Math.max(askedAt, now);
+    void onRequest(double now, long bytes, boolean write) {
+        lastRequestMs = Math.max(lastRequestMs, now);
         for (Meter m : meters) {
-            m.asked(now, m.charge(bytes, write));
+            m.recordDemand(now, m.chargeFor(bytes, write));
         }
-        if (parent != null && !isAsking) {
-            isAsking = true;
-            parent.asking.add(this);
-            parent.deal(now);
+        if (parent != null && !isActive) {
+            isActive = true;
+            parent.active.add(this);
+            parent.lend(now);
             for (Meter m : meters) {
-                Meter of = parent.like(m.limit);
+                Meter of = parent.meterLike(m.limit);
                 if (of != null) {
-                    m.begin(now, of.spare());
+                    m.startLending(now, of.idlePerMs());
                 }
             }
         }
     }
 
     /** Deals out what lies idle here, if it is time to. */
-    void deal(double now) {
-        if (now - dealtAt < Math.min(LONGEST_DEAL_MS, DEAL_MS + DEAL_MS_EACH * asking.size())) {
+    void lend(double now) {
+        if (now - lastLendingMs
+                < Math.min(
+                        MAX_LENDING_INTERVAL_MS,
+                        MIN_LENDING_INTERVAL_MS + LENDING_INTERVAL_PER_CHILD_MS * active.size())) {
             return;
         }
-        dealtAt = now;
-        asking.removeIf(c -> {
-            if (now - c.askedAt <= QUIET_MS) {
+        lastLendingMs = now;
+        active.removeIf(c -> {
+            if (now - c.lastRequestMs <= INACTIVE_MS) {
                 return false;
             }
-            c.isAsking = false;
+            c.isActive = false;
             for (Meter m : c.meters) {
                 m.lend(now, 0);
             }
             return true;
         });
         for (Meter mine : meters) {
-            deal(now, mine);
+            lend(now, mine);
         }
     }
 
-    private void deal(double now, Meter mine) {
-        if (wants.length < asking.size()) {
-            sharing = new Meter[2 * asking.size()];
-            wants = new double[2 * asking.size()];
-            weights = new double[2 * asking.size()];
-            given = new double[2 * asking.size()];
+    private void lend(double now, Meter mine) {
+        if (wants.length < active.size()) {
+            borrowers = new Meter[2 * active.size()];
+            wants = new double[2 * active.size()];
+            weights = new double[2 * active.size()];
+            shares = new double[2 * active.size()];
         }
         double free = mine.ratePerMs();
         int many = 0;
-        for (QuotaNode child : asking) {
-            Meter m = child.like(mine.limit);
+        for (QuotaNode child : active) {
+            Meter m = child.meterLike(mine.limit);
             if (m == null) {
                 continue;
             }
-            double demand = m.demand(now);
-            free -= Math.min(m.guaranteePerMs(), demand * MARGIN);
-            wants[many] = Math.max(0, Math.min(m.capPerMs(), demand * REACH) - m.guaranteePerMs());
+            double demand = m.demandPerMs(now);
+            free -= Math.min(m.guaranteePerMs(), demand * GUARANTEE_HEADROOM);
+            wants[many] = Math.max(0, Math.min(m.capPerMs(), demand * LENDING_HEADROOM) - m.guaranteePerMs());
             weights[many] = child.spec.weight();
-            sharing[many++] = m;
+            borrowers[many++] = m;
         }
-        mine.spare(Lending.share(free, wants, weights, given, many) / (many + 1));
+        mine.idlePerMs(MaxMinFairShare.share(free, wants, weights, shares, many) / (many + 1));
         for (int i = 0; i < many; i++) {
-            sharing[i].lend(now, given[i] + mine.spare());
+            borrowers[i].lend(now, shares[i] + mine.idlePerMs());
         }
-        Arrays.fill(sharing, 0, many, null); // one that is forgotten is not kept by this
+        Arrays.fill(borrowers, 0, many, null); // one that is forgotten is not kept by this
     }
 
-    boolean forgettable(double now) {
+    boolean isIdle(double now) {
         for (Meter m : meters) {
-            if (!m.forgettable(now)) {
+            if (!m.isIdle(now)) {
                 return false;
             }
         }
-        if (open > 0) {
+        if (openCharges > 0) {
             return false;
         }
         for (QuotaNode c : children.values()) {
-            if (c.unnamed || !c.forgettable(now)) {
+            if (c.unnamed || !c.isIdle(now)) {
                 return false; // one that is not named is forgotten by itself, before what it is under
             }
         }
@@ -149,11 +152,11 @@
     }
 
     /** It is no longer one of its parent's. */
-    void leave() {
+    void removeFromParent() {
         parent.children.remove(name, this);
-        if (isAsking) {
-            isAsking = false;
-            parent.asking.remove(this);
+        if (isActive) {
+            isActive = false;
+            parent.active.remove(this);
         }
     }
 }
--- a/src/main/java/cacheproxy/quota/QuotaReplay.java
+++ b/src/main/java/cacheproxy/quota/QuotaReplay.java
@@ -16,9 +16,9 @@
     public static final String HEADER = "time_ms,org,app,device,bytes,write";
 
     private static final int COLUMNS = 6;
-    private static final int LONGEST_LINE = 4096;
+    private static final int MAX_LINE_LENGTH = 4096;
     /** Organisations that are told of one by one; further ones are added up. */
-    private static final int SHOWN = 50;
+    private static final int MAX_SHOWN = 50;
 
     /** A line that can't be read, with its number and the likely fix. */
     public static final class TraceException extends IllegalArgumentException {
@@ -31,18 +31,18 @@
 
     /** What came of one organisation's requests. */
     private static final class Sum {
-        long asked;
+        long requests;
         long admitted;
         long bytes;
     }
 
     private final String name;
     private final QuotaTree tree;
-    private final Ticket ticket = new Ticket();
+    private final QuotaCharge ticket = new QuotaCharge();
     private final Map<String, Sum> sums = new TreeMap<>();
-    private int number;
-    private double latest = Double.NEGATIVE_INFINITY;
-    private double first = Double.NaN;
+    private int lineNumber;
+    private double latestMs = Double.NEGATIVE_INFINITY;
+    private double firstMs = Double.NaN;
 
     /** {@code name}: of the trace, for messages. */
     public QuotaReplay(String name, QuotaSpec quotas, long seed) {
@@ -56,31 +56,31 @@
      * @throws TraceException it can't be read, or is earlier than the one before it
      */
     public String line(String line) {
-        number++;
-        if (line.isBlank() || (number == 1 && line.startsWith("time_ms"))) {
+        lineNumber++;
+        if (line.isBlank() || (lineNumber == 1 && line.startsWith("time_ms"))) {
             return null;
         }
-        String[] words = line.strip().split(",", -1);
-        if (line.length() > LONGEST_LINE || words.length != COLUMNS) {
-            throw wrong(words.length + " columns", "write " + HEADER);
+        String[] columns = line.strip().split(",", -1);
+        if (line.length() > MAX_LINE_LENGTH || columns.length != COLUMNS) {
+            throw malformed(columns.length + " columns", "write " + HEADER);
         }
-        double at = number(words[0], "a time in milliseconds");
-        if (at < latest) {
-            throw wrong("earlier than the line before it", "sort the trace by time: sort -t, -k1,1g");
+        double at = lineNumber(columns[0], "a time in milliseconds");
+        if (at < latestMs) {
+            throw malformed("earlier than the line before it", "sort the trace by time: sort -t, -k1,1g");
         }
-        latest = at;
-        first = Double.isNaN(first) ? at : first;
-        double bytes = number(words[4], "a number of bytes");
+        latestMs = at;
+        firstMs = Double.isNaN(firstMs) ? at : firstMs;
+        double bytes = lineNumber(columns[4], "a number of bytes");
         if (bytes < 0 || bytes != Math.rint(bytes) || bytes > 1e15) {
-            throw wrong("'" + words[4] + "' where a number of bytes belongs", "write a whole number from 0");
+            throw malformed("'" + columns[4] + "' where a number of bytes belongs", "write a whole number from 0");
         }
-        if (!words[5].equals("0") && !words[5].equals("1")) {
-            throw wrong("'" + words[5] + "' where 0 or 1 belongs", "write 1 for a write, 0 for a read");
+        if (!columns[5].equals("0") && !columns[5].equals("1")) {
+            throw malformed("'" + columns[5] + "' where 0 or 1 belongs", "write 1 for a write, 0 for a read");
         }
-        double wait = tree.admit(at, path(words), (long) bytes, words[5].equals("1"), ticket);
-        boolean shown = sums.size() < SHOWN || sums.containsKey(words[1]);
-        Sum sum = sums.computeIfAbsent(shown ? words[1] : "others", k -> new Sum());
-        sum.asked++;
+        double wait = tree.admit(at, path(columns), (long) bytes, columns[5].equals("1"), ticket);
+        boolean shown = sums.size() < MAX_SHOWN || sums.containsKey(columns[1]);
+        Sum sum = sums.computeIfAbsent(shown ? columns[1] : "others", k -> new Sum());
+        sum.requests++;
         if (wait == 0) {
             tree.settle(at, ticket, (long) bytes);
             sum.admitted++;
@@ -90,15 +90,15 @@
     }
 
     /** Down to the last level that is named. */
-    private static String[] path(String[] words) {
+    private static String[] path(String[] columns) {
         int levels = 3;
-        while (levels > 0 && words[levels].isEmpty()) {
+        while (levels > 0 && columns[levels].isEmpty()) {
             levels--;
         }
-        return Arrays.copyOfRange(words, 1, 1 + levels);
+        return Arrays.copyOfRange(columns, 1, 1 + levels);
     }
 
-    private double number(String word, String what) {
+    private double lineNumber(String word, String what) {
         try {
             double value = Double.parseDouble(word.strip());
             if (Math.abs(value) < 1e16) {
@@ -107,17 +107,17 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        throw wrong("'" + word + "' where " + what + " belongs", "write digits, as 1500");
+        throw malformed("'" + word + "' where " + what + " belongs", "write digits, as 1500");
     }
 
-    private TraceException wrong(String what, String fix) {
-        return new TraceException(name + ":" + number + ": " + what + "; " + fix);
+    private TraceException malformed(String what, String fix) {
+        return new TraceException(name + ":" + lineNumber + ": " + what + "; " + fix);
     }
 
     /** What came of it, by organisation. */
     public List<String> table() {
         List<String> lines = new ArrayList<>();
-        double seconds = Math.max(0.001, (latest - first) / 1000);
+        double seconds = Math.max(0.001, (latestMs - firstMs) / 1000);
         lines.add(String.format(
                 Locale.ROOT,
                 "%-24s %12s %12s %9s %12s %14s",
@@ -131,9 +131,9 @@
                 Locale.ROOT,
                 "%-24s %12d %12d %8.2f%% %12.1f %14.0f",
                 org,
-                s.asked,
+                s.requests,
                 s.admitted,
-                100.0 * s.admitted / s.asked,
+                100.0 * s.admitted / s.requests,
                 s.admitted / seconds,
                 s.bytes / seconds)));
         return lines;
--- a/src/main/java/cacheproxy/quota/QuotaSpec.java
+++ b/src/main/java/cacheproxy/quota/QuotaSpec.java
@@ -35,7 +35,7 @@
         }
         for (int i = 0; i < limits.size(); i++) {
             for (Limit other : limits.subList(0, i)) {
-                if (limits.get(i).comparesTo(other)) {
+                if (limits.get(i).hasSameMeasureAndWindow(other)) {
                     throw new IllegalArgumentException(
                             name + " has two quotas for " + other.measure() + " in " + other.windowMs() + " ms");
                 }
--- a/src/main/java/cacheproxy/quota/QuotaTree.java
+++ b/src/main/java/cacheproxy/quota/QuotaTree.java
@@ -13,7 +13,7 @@
  * <p>What becomes of a charge:
  *
  * <ul>
- *   <li>refused later, or known never to have run: {@link #payBack}, as if it had not come;
+ *   <li>refused later, or known never to have run: {@link #refund}, as if it had not come;
  *   <li>answered, or it may have run: {@link #settle} with the bytes that it came to;
  *   <li>a resend that is answered from what is kept, or attaches to one under way: not admitted anew, so not charged
  *       twice;
@@ -24,9 +24,9 @@
     /** Of those that are not named one by one, so many are kept apart; beyond, those idle for longest are forgotten. */
     public static final int MAX_UNNAMED = 2048;
     /** Looked at for one that can be forgotten. */
-    private static final int LOOKED_AT = 8;
+    private static final int MAX_EVICTION_CANDIDATES = 8;
     /** Refused clients are spread over this part of the wait more, or they would all come back in one moment. */
-    private static final double SPREAD = 0.5;
+    private static final double RETRY_JITTER = 0.5;
 
     private final QuotaNode root;
     private final int maxUnnamed;
@@ -34,7 +34,7 @@
     private final Map<QuotaNode, QuotaNode> unnamed = new LinkedHashMap<>(16, 0.75f, true);
 
     private final SplittableRandom random;
-    private double latest;
+    private double latestMs;
 
     /**
      * A tree with nothing used yet.
@@ -62,7 +62,7 @@
             long sum = 0;
             for (QuotaSpec child : spec.children()) {
                 for (Limit l : child.limits()) {
-                    sum += l.comparesTo(limit) ? l.guarantee() : 0;
+                    sum += l.hasSameMeasureAndWindow(limit) ? l.guarantee() : 0;
                 }
             }
             if (sum > limit.cap()) {
@@ -102,18 +102,18 @@
      * @param bytes how many it is supposed to come to, at least 0
      * @param ticket empty; filled if the request may go on
      */
-    public double admit(double nowMs, String[] path, long bytes, boolean write, Ticket ticket) {
-        double now = forward(nowMs);
+    public double admit(double nowMs, String[] path, long bytes, boolean write, QuotaCharge ticket) {
+        double now = monotonic(nowMs);
         QuotaNode leaf = find(now, path);
         double wait = 0;
-        ask(now, leaf, bytes, write);
+        recordRequest(now, leaf, bytes, write);
         for (QuotaNode n = leaf; n != null; n = n.parent) {
             for (Meter m : n.meters) {
-                wait = Math.max(wait, m.wait(now, m.charge(bytes, write)));
+                wait = Math.max(wait, m.waitMs(now, m.chargeFor(bytes, write)));
             }
         }
         if (wait > 0) {
-            return wait * (1 + SPREAD * random.nextDouble());
+            return wait * (1 + RETRY_JITTER * random.nextDouble());
         }
         ticket.leaf = leaf;
         ticket.atMs = now;
@@ -121,46 +121,46 @@
         ticket.write = write;
         int slot = 0;
         for (QuotaNode n = leaf; n != null; n = n.parent) {
-            n.open++;
+            n.openCharges++;
             for (Meter m : n.meters) {
-                ticket.own(slot++, m.take(now, m.charge(bytes, write)));
+                ticket.wasGuaranteed(slot++, m.charge(now, m.chargeFor(bytes, write)));
             }
         }
         return 0;
     }
 
     /** From the top down: what a node has to lend hangs on what it is lent. */
-    private static void ask(double now, QuotaNode node, long bytes, boolean write) {
+    private static void recordRequest(double now, QuotaNode node, long bytes, boolean write) {
         if (node != null) {
-            ask(now, node.parent, bytes, write);
-            node.asked(now, bytes, write);
-            node.deal(now);
+            recordRequest(now, node.parent, bytes, write);
+            node.onRequest(now, bytes, write);
+            node.lend(now);
         }
     }
 
     /** It was refused after all, or has certainly not run: nothing of it counts. */
-    public void payBack(double nowMs, Ticket ticket) {
+    public void refund(double nowMs, QuotaCharge ticket) {
         end(nowMs, ticket, -1);
     }
 
     /** It has ended and came to so many bytes; what is over the estimate is owed before anything new is let in. */
-    public void settle(double nowMs, Ticket ticket, long bytes) {
+    public void settle(double nowMs, QuotaCharge ticket, long bytes) {
         end(nowMs, ticket, Math.max(0, bytes));
     }
 
     /** {@code bytes} negative: as if it had not come. */
-    private void end(double nowMs, Ticket ticket, long bytes) {
-        double now = forward(nowMs);
+    private void end(double nowMs, QuotaCharge ticket, long bytes) {
+        double now = monotonic(nowMs);
         int slot = 0;
         for (QuotaNode n = ticket.leaf; n != null; n = n.parent) {
-            n.open--;
+            n.openCharges--;
             for (Meter m : n.meters) {
-                boolean own = ticket.own(slot++);
-                long supposed = m.charge(ticket.bytes, ticket.write);
+                boolean own = ticket.wasGuaranteed(slot++);
+                long supposed = m.chargeFor(ticket.bytes, ticket.write);
                 if (bytes < 0) {
-                    m.payBack(now, ticket.atMs, supposed, own);
+                    m.refund(now, ticket.atMs, supposed, own);
                 } else if (m.limit.measure() == Measure.BYTES) {
-                    m.settle(now, ticket.atMs, supposed, bytes, own);
+                    m.adjust(now, ticket.atMs, supposed, bytes, own);
                 }
             }
         }
@@ -168,9 +168,9 @@
     }
 
     /** A clock that steps back stands still until it is where it was. */
-    private double forward(double nowMs) {
-        latest = Math.max(latest, nowMs);
-        return latest;
+    private double monotonic(double nowMs) {
+        latestMs = Math.max(latestMs, nowMs);
+        return latestMs;
     }
 
     /**
@@ -200,7 +200,7 @@
         if (each == null) {
             return parent.children.get(QuotaSpec.ANY);
         }
-        if (unnamed.size() >= maxUnnamed && !forgetOne(now)) {
+        if (unnamed.size() >= maxUnnamed && !evictOne(now)) {
             return each; // they share one, which is stricter than what each is owed, and bounded
         }
         QuotaNode node = node(name, each.spec, parent, true);
@@ -210,13 +210,13 @@
     }
 
     /** What is owed, or was used within its window, is not forgotten. */
-    private boolean forgetOne(double now) {
+    private boolean evictOne(double now) {
         Iterator<QuotaNode> eldest = unnamed.keySet().iterator();
-        for (int i = 0; i < LOOKED_AT && eldest.hasNext(); i++) {
+        for (int i = 0; i < MAX_EVICTION_CANDIDATES && eldest.hasNext(); i++) {
             QuotaNode node = eldest.next();
-            if (node.forgettable(now)) {
+            if (node.isIdle(now)) {
                 eldest.remove();
-                node.leave();
+                node.removeFromParent();
                 return true;
             }
         }
@@ -231,7 +231,7 @@
     /** What the node at this path has used in the window of this quota; 0 if it has no such quota. */
     public long used(double nowMs, String[] path, Measure measure, long windowMs) {
         Meter m = meter(path, measure, windowMs);
-        return m == null ? 0 : m.used(forward(nowMs));
+        return m == null ? 0 : m.used(monotonic(nowMs));
     }
 
     /** What it owes. */
@@ -245,6 +245,6 @@
         for (int i = 0; i < path.length && node != null; i++) {
             node = node.children.get(path[i]);
         }
-        return node == null ? null : node.like(new Limit(measure, windowMs, 0, 1));
+        return node == null ? null : node.meterLike(new Limit(measure, windowMs, 0, 1));
     }
 }
--- a/src/main/java/cacheproxy/quota/SlidingCount.java
+++ b/src/main/java/cacheproxy/quota/SlidingCount.java
@@ -9,39 +9,39 @@
  * forward.
  */
 final class SlidingCount {
-    static final int PARTS = 100;
+    static final int STEPS = 100;
 
-    private final long[] parts = new long[PARTS + 1];
-    private final double partMs;
+    private final long[] steps = new long[STEPS + 1];
+    private final double stepMs;
     private long current = Long.MIN_VALUE;
     private long sum;
 
     SlidingCount(long windowMs) {
-        partMs = (double) windowMs / PARTS;
+        stepMs = (double) windowMs / STEPS;
     }
 
-    private long part(double now) {
-        return (long) Math.floor(now / partMs);
+    private long stepAt(double now) {
+        return (long) Math.floor(now / stepMs);
     }
 
     private int index(long part) {
-        return (int) Math.floorMod(part, (long) parts.length);
+        return (int) Math.floorMod(part, (long) steps.length);
     }
 
     private void advance(double now) {
-        long to = part(now);
+        long to = stepAt(now);
         if (to <= current) {
             return; // a clock that has stepped back: what it counts now counts as of then
         }
-        if (current == Long.MIN_VALUE || to - current > PARTS) {
-            Arrays.fill(parts, 0);
+        if (current == Long.MIN_VALUE || to - current > STEPS) {
+            Arrays.fill(steps, 0);
             sum = 0;
         } else {
             int at = index(current);
             for (long p = current; p < to && sum != 0; p++) { // where nothing is left, all parts are 0
-                at = at == PARTS ? 0 : at + 1;
-                sum -= parts[at];
-                parts[at] = 0;
+                at = at == STEPS ? 0 : at + 1;
+                sum -= steps[at];
+                steps[at] = 0;
             }
         }
         current = to;
@@ -49,7 +49,7 @@
 
     /** For how long something counts at most: the window, and the step in which it was counted. */
     double lengthMs() {
-        return (PARTS + 1) * partMs;
+        return (STEPS + 1) * stepMs;
     }
 
     /** What was counted in the window that ends now. */
@@ -60,35 +60,35 @@
 
     void add(double now, long much) {
         advance(now);
-        parts[index(current)] += much;
+        steps[index(current)] += much;
         sum += much;
     }
 
     /** Takes back what was counted at that time; nothing where the window has left it behind. */
-    void takeBack(double now, double at, long much) {
+    void subtract(double now, double at, long much) {
         advance(now);
-        long p = Math.min(part(at), current);
-        if (current - p <= PARTS) {
+        long p = Math.min(stepAt(at), current);
+        if (current - p <= STEPS) {
             int i = index(p);
-            long left = Math.min(parts[i], much);
-            parts[i] -= left;
+            long left = Math.min(steps[i], much);
+            steps[i] -= left;
             sum -= left;
         }
     }
 
     /** How long until so much more is under the limit, if nothing else is counted; the whole window if it never is. */
-    double roomInMs(double now, long much, long limit) {
+    double timeUntilCapacityMs(double now, long much, long limit) {
         advance(now);
         long left = sum;
         if (left + much <= limit) {
             return 0;
         }
-        for (long p = current - PARTS; p <= current; p++) {
-            left -= parts[index(p)];
+        for (long p = current - STEPS; p <= current; p++) {
+            left -= steps[index(p)];
             if (left + much <= limit) {
-                return (p + PARTS + 1) * partMs - now;
+                return (p + STEPS + 1) * stepMs - now;
             }
         }
-        return PARTS * partMs;
+        return STEPS * stepMs;
     }
 }
--- a/src/test/java/cacheproxy/quota/LeaseTest.java
+++ b/src/test/java/cacheproxy/quota/LeaseTest.java
@@ -26,7 +26,7 @@
         final int many;
         final SplittableRandom random;
         final VirtualTime time = new VirtualTime(10_000);
-        final LeaseParty[] parties;
+        final LeaseParticipant[] parties;
         final LeaseHolder[] holders;
         final boolean[] down;
         final int[] life;
@@ -50,7 +50,7 @@
         Tier(int many, long seed) {
             this.many = many;
             random = new SplittableRandom(seed);
-            parties = new LeaseParty[many];
+            parties = new LeaseParticipant[many];
             holders = new LeaseHolder[many];
             down = new boolean[many];
             life = new int[many];
@@ -79,7 +79,7 @@
             life[i]++;
             down[i] = false;
             used.get(i).clear();
-            parties[i] = new LeaseParty(CAP / many, WINDOW, clock(i));
+            parties[i] = new LeaseParticipant(CAP / many, WINDOW, clock(i));
             holders[i] = new LeaseHolder(WINDOW, life[i]);
             int mine = life[i];
             after(random.nextDouble() * ROUND, () -> round(i, mine));
@@ -95,23 +95,23 @@
             if (down[i] || life[i] != mine) {
                 return;
             }
-            long round = holders[i].begin(clock(i));
+            long round = holders[i].startRound(clock(i));
             for (int to = 0; to < many; to++) {
                 int p = to;
                 send(i, p, () -> {
                     long in = used(p);
-                    LeaseParty.Report report =
-                            parties[p].collect(clock(p), i, round, (long) (perSecond[p] * WINDOW / 1000), in);
+                    LeaseParticipant.Report report =
+                            parties[p].onRoundStarted(clock(p), i, round, (long) (perSecond[p] * WINDOW / 1000), in);
                     if (report != null) {
-                        send(p, i, () -> holders[i].reported(p, report));
+                        send(p, i, () -> holders[i].onReport(p, report));
                     }
                 });
             }
             after(REPLIES, () -> {
                 if (!down[i] && life[i] == mine) {
-                    for (Map.Entry<Integer, LeaseParty.Grant> g :
+                    for (Map.Entry<Integer, LeaseParticipant.Grant> g :
                             holders[i].grants(clock(i)).entrySet()) {
-                        send(i, g.getKey(), () -> parties[g.getKey()].granted(clock(g.getKey()), i, g.getValue()));
+                        send(i, g.getKey(), () -> parties[g.getKey()].onGrant(clock(g.getKey()), i, g.getValue()));
                     }
                 }
             });
@@ -226,22 +226,22 @@
     /** A holder that was started again does not know what it has granted of what it was ceded. */
     @Test
     void whatWasCededToOneLifeOfAHolderIsNotCededToTheNext() {
-        LeaseParty party = new LeaseParty(100, WINDOW, 0);
-        long first = 1L << LeaseParty.LIFE_BITS;
-        long second = 2L << LeaseParty.LIFE_BITS;
-        assertThat(party.collect(10_000, 0, first + 1, 0, 0).ceded()).isEqualTo(50);
+        LeaseParticipant party = new LeaseParticipant(100, WINDOW, 0);
+        long first = 1L << LeaseParticipant.INCARNATION_SHIFT;
+        long second = 2L << LeaseParticipant.INCARNATION_SHIFT;
+        assertThat(party.onRoundStarted(10_000, 0, first + 1, 0, 0).ceded()).isEqualTo(50);
         assertThat(party.limit(10_000)).isEqualTo(50);
-        assertThat(party.collect(10_400, 0, first + 2, 0, 0).ceded())
+        assertThat(party.onRoundStarted(10_400, 0, first + 2, 0, 0).ceded())
                 .as("the same once more")
                 .isEqualTo(50);
         assertThat(party.limit(10_400)).isEqualTo(50);
-        assertThat(party.collect(10_800, 0, second + 1, 0, 0).ceded())
+        assertThat(party.onRoundStarted(10_800, 0, second + 1, 0, 0).ceded())
                 .as("the next life")
                 .isZero();
-        assertThat(party.collect(10_900, 0, first + 3, 0, 0))
+        assertThat(party.onRoundStarted(10_900, 0, first + 3, 0, 0))
                 .as("late, of the life before")
                 .isNull();
-        assertThat(party.collect(13_500, 0, second + 2, 0, 0).ceded())
+        assertThat(party.onRoundStarted(13_500, 0, second + 2, 0, 0).ceded())
                 .as("when that has ended")
                 .isEqualTo(50);
     }
--- a/src/test/java/cacheproxy/quota/LendingTest.java
+++ b/src/test/java/cacheproxy/quota/MaxMinFairShareTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.assertj.core.data.Offset;
 
-class LendingTest {
+class MaxMinFairShareTest {
     @Property(seed = "1", tries = 500)
     void nobodyGetsMoreThanWantedAndNothingIsLeftWhileSomebodyWants(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int many) {
@@ -23,7 +23,7 @@
             wanted += wants[i];
         }
         double free = random.nextInt(4) == 0 ? -5 : random.nextDouble() * 60 * many;
-        Lending.share(free, wants, weights, given, many);
+        MaxMinFairShare.share(free, wants, weights, given, many);
         double sum = 0;
         double level = 0;
         for (int i = 0; i < many; i++) {
--- a/src/test/java/cacheproxy/quota/QuotaTranscriptTest.java
+++ b/src/test/java/cacheproxy/quota/QuotaTranscriptTest.java
@@ -39,13 +39,13 @@
         SplittableRandom random = new SplittableRandom(3);
         QuotaTree tree = new QuotaTree(tree(), 6, 7);
         String[] organisations = {"alpha", "beta", "gamma"};
-        List<Ticket> open = new ArrayList<>();
+        List<QuotaCharge> open = new ArrayList<>();
         double now = START_MS;
         for (int i = 0; i < 1500; i++) {
             now += random.nextInt(60) == 0 ? random.nextInt(9000) : random.nextDouble() * 12;
             String organisation = organisations[random.nextInt(3)];
             String app = random.nextBoolean() ? "player" : "app-" + random.nextInt(12);
-            Ticket ticket = new Ticket();
+            QuotaCharge ticket = new QuotaCharge();
             double wait = tree.admit(
                     now,
                     random.nextInt(9) == 0 ? new String[] {organisation} : new String[] {organisation, app},
@@ -59,7 +59,7 @@
                     .append(' ')
                     .append(wait)
                     .append('\n');
-            if (ticket.open()) {
+            if (ticket.isOpen()) {
                 open.add(ticket);
             }
             if (open.size() > random.nextInt(9)) {
@@ -71,9 +71,9 @@
         }
     }
 
-    private static void end(QuotaTree tree, double now, Ticket ticket, SplittableRandom random) {
+    private static void end(QuotaTree tree, double now, QuotaCharge ticket, SplittableRandom random) {
         if (random.nextInt(5) == 0) {
-            tree.payBack(now, ticket);
+            tree.refund(now, ticket);
         } else {
             tree.settle(now, ticket, random.nextInt(40) == 0 ? 90_000 : random.nextInt(300));
         }
@@ -99,40 +99,40 @@
         SplittableRandom random = new SplittableRandom(5);
         double now = START_MS;
         LeaseHolder[] holders = {new LeaseHolder(1000, 1), new LeaseHolder(1000, 1)};
-        LeaseParty[] parties = new LeaseParty[4];
+        LeaseParticipant[] parties = new LeaseParticipant[4];
         for (int i = 0; i < parties.length; i++) {
-            parties[i] = new LeaseParty(150, 1000, now);
+            parties[i] = new LeaseParticipant(150, 1000, now);
         }
         for (int round = 0; round < 150; round++) {
             now += random.nextDouble() * 900;
             if (random.nextInt(25) == 0) {
                 holders[0] = new LeaseHolder(1000, 2 + round);
-                parties[random.nextInt(4)] = new LeaseParty(150, 1000, now);
+                parties[random.nextInt(4)] = new LeaseParticipant(150, 1000, now);
             }
             int from = random.nextInt(4) == 0 ? 1 : 0;
-            long number = holders[from].begin(now);
+            long number = holders[from].startRound(now);
             for (int i = 0; i < parties.length; i++) {
-                LeaseParty.Report report = random.nextInt(6) == 0
+                LeaseParticipant.Report report = random.nextInt(6) == 0
                         ? null
-                        : parties[i].collect(now + i, from, number, random.nextInt(400), random.nextInt(150));
+                        : parties[i].onRoundStarted(now + i, from, number, random.nextInt(400), random.nextInt(150));
                 if (report != null) {
                     transcript
                             .append("ceded ")
                             .append(report.ceded())
                             .append(" want ")
-                            .append(report.want());
+                            .append(report.demand());
                     transcript.append('\n');
-                    holders[from].reported(i, report);
+                    holders[from].onReport(i, report);
                 }
             }
-            Map<Integer, LeaseParty.Grant> grants = new TreeMap<>(holders[from].grants(now + 100));
-            for (Map.Entry<Integer, LeaseParty.Grant> grant : grants.entrySet()) {
-                LeaseParty.Grant granted = grant.getValue();
+            Map<Integer, LeaseParticipant.Grant> grants = new TreeMap<>(holders[from].grants(now + 100));
+            for (Map.Entry<Integer, LeaseParticipant.Grant> grant : grants.entrySet()) {
+                LeaseParticipant.Grant granted = grant.getValue();
                 transcript.append("grant ").append(grant.getKey()).append(' ').append(granted.amount());
                 transcript.append(' ').append(granted.usableMs()).append('\n');
-                parties[grant.getKey()].granted(now + 101, from, granted);
+                parties[grant.getKey()].onGrant(now + 101, from, granted);
             }
-            for (LeaseParty party : parties) {
+            for (LeaseParticipant party : parties) {
                 transcript.append(party.limit(now + 200)).append(' ');
             }
             transcript.append('\n');
--- a/src/test/java/cacheproxy/quota/QuotaTreeTest.java
+++ b/src/test/java/cacheproxy/quota/QuotaTreeTest.java
@@ -59,13 +59,13 @@
         }
 
         void ask(String[] path, long bytes, boolean write) {
-            Ticket ticket = new Ticket();
+            QuotaCharge ticket = new QuotaCharge();
             if (tree.admit(now, path, bytes, write, ticket) > 0) {
                 return;
             }
             admitted++;
             if (random.nextInt(10) == 0) {
-                tree.payBack(now, ticket);
+                tree.refund(now, ticket);
                 return;
             }
             String at = "";
@@ -147,7 +147,7 @@
                 h.now += switch (random.nextInt(5)) {
                     case 0 -> 50;
                     case 1 -> 1000 - 0.001;
-                    case 2 -> 1000.0 / SlidingCount.PARTS;
+                    case 2 -> 1000.0 / SlidingCount.STEPS;
                     case 3 -> random.nextDouble() * 7000;
                     default -> random.nextDouble() * 20;
                 };
@@ -173,7 +173,7 @@
         Map<String, Integer> in = new HashMap<>();
         List<Next> next = new ArrayList<>();
         perSecond.forEach((name, rate) -> next.add(new Next(name, from + random.nextDouble() * 1000 / rate)));
-        Ticket ticket = new Ticket();
+        QuotaCharge ticket = new QuotaCharge();
         while (!next.isEmpty()) {
             Next n = next.stream().min((a, b) -> Double.compare(a.at, b.at)).orElseThrow();
             next.remove(n);
@@ -241,18 +241,18 @@
                 1,
                 1);
         String[] path = {};
-        Ticket first = new Ticket();
+        QuotaCharge first = new QuotaCharge();
         assertThat(tree.admit(START, path, 400, true, first)).isZero();
-        Ticket second = new Ticket();
+        QuotaCharge second = new QuotaCharge();
         assertThat(tree.admit(START, path, 0, true, second))
                 .as("a second write")
                 .isPositive();
-        assertThat(second.open()).isFalse();
+        assertThat(second.isOpen()).isFalse();
         assertThat(tree.used(START, path, Measure.REQUESTS, 1000))
                 .as("nothing of it was charged")
                 .isEqualTo(1);
-        tree.payBack(START + 10, first);
-        assertThat(first.open()).isFalse();
+        tree.refund(START + 10, first);
+        assertThat(first.isOpen()).isFalse();
         assertThat(tree.used(START + 10, path, Measure.BYTES, 1000)).isZero();
         assertThat(tree.admit(START + 10, path, 400, true, first))
                 .as("it never ran")
@@ -269,8 +269,8 @@
     void aDebtIsPaidBeforeAnythingNew() {
         QuotaTree tree = new QuotaTree(spec("all", List.of(new Limit(Measure.BYTES, 1000, 0, 1 << 20))), 1, 1);
         String[] path = {};
-        Ticket ticket = new Ticket();
-        tree.admit(START, path, (1 << 20) - 1024, false, new Ticket());
+        QuotaCharge ticket = new QuotaCharge();
+        tree.admit(START, path, (1 << 20) - 1024, false, new QuotaCharge());
         assertThat(tree.admit(START, path, 1000, false, ticket)).isZero();
         tree.settle(START, ticket, 4 << 20);
         assertThat(tree.debt(path, Measure.BYTES, 1000)).isEqualTo((4 << 20) - 1024);
@@ -284,8 +284,9 @@
 
     @Test
     void aDebtBeyondAnHoursWindowIsNotForgotten() {
-        QuotaTree tree = new QuotaTree(spec("all", List.of(new Limit(Measure.BYTES, Limit.LONGEST_MS, 0, 1000))), 1, 1);
-        Ticket ticket = new Ticket();
+        QuotaTree tree =
+                new QuotaTree(spec("all", List.of(new Limit(Measure.BYTES, Limit.MAX_WINDOW_MS, 0, 1000))), 1, 1);
+        QuotaCharge ticket = new QuotaCharge();
         tree.admit(START, new String[0], 10, false, ticket);
         tree.settle(START, ticket, 5000);
         for (int hour = 1; hour < 5; hour++) {
@@ -301,7 +302,7 @@
     @Test
     void oneLargerThanItsCapIsLetInAloneAndPaidFor() {
         QuotaTree tree = new QuotaTree(spec("all", List.of(new Limit(Measure.BYTES, 1000, 0, 1000))), 1, 1);
-        Ticket ticket = new Ticket();
+        QuotaCharge ticket = new QuotaCharge();
         assertThat(tree.admit(START, new String[0], 2500, false, ticket)).isZero();
         tree.settle(START, ticket, 2500);
         assertThat(tree.debt(new String[0], Measure.BYTES, 1000)).isEqualTo(1500);
@@ -310,7 +311,7 @@
     @Test
     void theTimeToComeBackIsThatOfTheWindowAndSpread() {
         QuotaTree tree = new QuotaTree(spec("all", List.of(requests(10_000, 0, 3))), 1, 1);
-        Ticket ticket = new Ticket();
+        QuotaCharge ticket = new QuotaCharge();
         for (int i = 0; i < 3; i++) {
             assertThat(tree.admit(START + i * 1000, new String[0], 0, false, ticket))
                     .isZero();
@@ -331,7 +332,7 @@
     @Test
     void aClockThatStepsBackGivesNothingAway() {
         QuotaTree tree = new QuotaTree(spec("all", List.of(requests(1000, 0, 5))), 1, 1);
-        Ticket ticket = new Ticket();
+        QuotaCharge ticket = new QuotaCharge();
         int in = 0;
         for (int i = 0; i < 50; i++) {
             in += tree.admit(START - i * 100_000.0, new String[0], 0, false, ticket) == 0 ? 1 : 0;
@@ -354,7 +355,7 @@
                         spec(QuotaSpec.ANY, List.of(requests(1000, 3, 3)))),
                 64,
                 1);
-        Ticket ticket = new Ticket();
+        QuotaCharge ticket = new QuotaCharge();
         int in = 0;
         for (int i = 0; i < 10; i++) {
             in += tree.admit(START, new String[] {"nobody-" + i, "app"}, 0, false, ticket) == 0 ? 1 : 0;
@@ -373,7 +374,7 @@
     void theUnnamedAreBoundedAndADebtIsNotForgotten() {
         QuotaTree tree = new QuotaTree(
                 spec("all", List.of(), spec(QuotaSpec.EACH, List.of(new Limit(Measure.BYTES, 1000, 0, 1000)))), 256, 1);
-        Ticket ticket = new Ticket();
+        QuotaCharge ticket = new QuotaCharge();
         String[] owes = {"owes"};
         tree.admit(START, owes, 1, false, ticket);
         tree.settle(START, ticket, 1_000_000);
--- a/src/test/java/cacheproxy/quota/SlidingCountTest.java
+++ b/src/test/java/cacheproxy/quota/SlidingCountTest.java
@@ -28,12 +28,12 @@
         SlidingCount count = new SlidingCount(window);
         List<Counted> log = new ArrayList<>();
         double now = 1e12 + random.nextDouble() * window;
-        double step = (double) window / SlidingCount.PARTS;
+        double step = (double) window / SlidingCount.STEPS;
         for (int i = 0; i < 150; i++) {
             now += random.nextInt(4) == 0 ? 0 : random.nextDouble() * window / (random.nextInt(60) + 1);
             if (random.nextInt(5) == 0 && !log.isEmpty()) {
                 Counted back = log.remove(random.nextInt(log.size()));
-                count.takeBack(now, back.at, back.much);
+                count.subtract(now, back.at, back.much);
             } else {
                 Counted c = new Counted(now, random.nextInt(1000));
                 log.add(c);
@@ -52,9 +52,9 @@
         for (int i = 0; i < 200; i++) {
             now += random.nextDouble() * 40;
             long much = random.nextInt(limit) + 1L;
-            double wait = count.roomInMs(now, much, limit);
+            double wait = count.timeUntilCapacityMs(now, much, limit);
             if (wait > 0) {
-                assertThat(wait).isLessThanOrEqualTo(1000 + 1000.0 / SlidingCount.PARTS);
+                assertThat(wait).isLessThanOrEqualTo(1000 + 1000.0 / SlidingCount.STEPS);
                 if (random.nextBoolean()) {
                     now += wait + 1e-6;
                     assertThat(count.sum(now) + much).isLessThanOrEqualTo(limit);
