--- a/src/main/java/cacheproxy/config/edge/QuotaSections.java
+++ b/src/main/java/cacheproxy/config/edge/QuotaSections.java
@@ -53,7 +53,7 @@
         for (Measure m : Measure.values()) {
             Type amount = m == Measure.BYTES ? Type.size("1B", "1000GB") : Type.count(1, MOST);
             Type own = m == Measure.BYTES ? Type.size("0B", "1000GB") : Type.count(0, MOST);
-            Section limit = new Section(word(m), Naming.MANY, "how many " + word(m) + " in one window")
+            Section limit = new Section(m.setting(), Naming.MANY, "how many " + m.setting() + " in one window")
                     .required("per", Type.duration("1s", "1h"), "the window, which slides")
                     .required("cap", amount, "how many at most in any window");
             section.block(
@@ -64,12 +64,8 @@
         return section;
     }
 
-    private static String word(Measure m) {
-        return m.name().toLowerCase(Locale.ROOT);
-    }
-
     private static boolean isLimit(Entry e) {
-        return List.of("requests", "bytes", "writes").contains(e.section().name());
+        return Measure.isSetting(e.section().name());
     }
 
     // ---- checks
@@ -180,7 +176,7 @@
         for (Entry e : node.blocks()) {
             if (isLimit(e)) {
                 limits.add(new Limit(
-                        Measure.valueOf(e.section().name().toUpperCase(Locale.ROOT)),
+                        Measure.ofSetting(e.section().name()),
                         Math.round(e.number("per", 0)),
                         Math.round(e.number("guarantee", 0)),
                         Math.round(e.number("cap", 0))));
--- a/src/main/java/cacheproxy/quota/LeaseHolder.java
+++ b/src/main/java/cacheproxy/quota/LeaseHolder.java
@@ -7,50 +7,70 @@
 import java.util.TreeSet;
 
 /**
- * Grants what instances have ceded of one cap to those that want more. It never grants what has not been ceded to
- * itself, so several holders at once, as when a tier is split in halves, do no harm.
+ * Grants what instances have ceded of one cap to those with more demand. It never grants what has not been ceded to
+ * itself, so that several holders at once, as in a network partition, do no harm. Amounts in units of the quota's
+ * measure, times in milliseconds of this instance's clock. Not thread-safe.
  */
 final class LeaseHolder {
-    /** So much, and until when. */
     private record TimedAmount(long amount, double untilMs) {}
 
+    /** The demand of all instances that report some, and what is outstanding. */
+    private record Situation(
+            List<Integer> demanding, double totalDemand, long outstandingElsewhere, long outstandingToDemanding) {}
+
     private final double windowMs;
+    /** The latest cession of each instance. */
     private final Map<Integer, TimedAmount> cessions = new HashMap<>();
+    /** Of the present round, by instance: demand beyond its own share. */
     private final Map<Integer, Long> demands = new HashMap<>();
-    /** Each may be using any of these, and what it used may be in the window until then. */
+    /** Grants by instance: it may be using any of them, and its use may be in the window until they expire. */
     private final Map<Integer, List<TimedAmount>> outstanding = new HashMap<>();
 
     private long round;
     private double roundStartMs;
 
     /**
-     * {@code life}: apart from, and above, that of any life of this instance before, as the second it was started in.
+     * A holder that nothing has been ceded to yet.
+     *
+     * @param incarnation above that of any earlier start of this instance, such as the second in which it started
      */
     LeaseHolder(double windowMs, int incarnation) {
         this.windowMs = windowMs;
         round = (long) incarnation << LeaseParticipant.INCARNATION_SHIFT;
     }
 
-    /** Begins a round, which all are to be told of; its number. */
+    /** Starts a round, of which all instances are to be notified; its number. */
     long startRound(double nowMs) {
         roundStartMs = nowMs;
         demands.clear();
         return ++round;
     }
 
-    /** An instance has answered; what is late, doubled or of another round tells nothing. */
+    /** An instance has reported; duplicates and reports of other rounds are ignored. */
     void onReport(int instance, LeaseParticipant.Report report) {
         if (report.round() == round && !demands.containsKey(instance)) {
             demands.put(instance, report.demand());
-            // It was sent after the round began, so it binds at least until then.
+            // It was sent after the round started, so it binds at least until then.
             cessions.put(instance, new TimedAmount(report.ceded(), roundStartMs + windowMs + LeaseParticipant.TERM_MS));
         }
     }
 
-    /** What each that has reported gets from now on; to be told to it. */
+    /** The grants to the instances that have reported, to be sent to them. */
     Map<Integer, LeaseParticipant.Grant> grants(double nowMs) {
         cessions.values().removeIf(cession -> cession.untilMs <= nowMs);
-        outstanding.values().forEach(l -> l.removeIf(o -> o.untilMs <= nowMs));
+        outstanding.values().forEach(grants -> grants.removeIf(grant -> grant.untilMs <= nowMs));
+        Situation situation = situation();
+        double expiryMs = bestExpiryMs(nowMs, situation);
+        double usableMs = usableMs(nowMs, expiryMs);
+        long available = cededUntil(expiryMs);
+        long allOutstanding = situation.outstandingElsewhere() + situation.outstandingToDemanding();
+        // Where more is outstanding than ceded, nothing is granted until that has expired.
+        return usableMs <= 0 || allOutstanding > available
+                ? Map.of()
+                : grants(situation, available, expiryMs, usableMs);
+    }
+
+    private Situation situation() {
         List<Integer> demanding = new ArrayList<>();
         double totalDemand = 0;
         for (int instance : new TreeSet<>(demands.keySet())) {
@@ -59,29 +79,24 @@
                 totalDemand += demands.get(instance);
             }
         }
-        long outstandingElsewhere = 0;
-        long current = 0;
+        long elsewhere = 0;
+        long toDemanding = 0;
         for (int instance : outstanding.keySet()) {
             if (demanding.contains(instance)) {
-                current += maxOutstanding(instance);
+                toDemanding += maxOutstanding(instance);
             } else {
-                outstandingElsewhere += maxOutstanding(instance);
+                elsewhere += maxOutstanding(instance);
             }
         }
-        double expiryMs = bestExpiryMs(nowMs, outstandingElsewhere, totalDemand);
-        double usableMs = usableMs(nowMs, expiryMs);
-        long available = cededUntil(expiryMs);
-        // Where even what is out is more than stands, nothing new is granted until that has ended.
-        return usableMs <= 0 || outstandingElsewhere + current > available
-                ? Map.of()
-                : grants(demanding, available, outstandingElsewhere, expiryMs, usableMs);
+        return new Situation(demanding, totalDemand, elsewhere, toDemanding);
     }
 
+    /** How long a grant that expires then can be used; what is used last must leave the window before. */
     private double usableMs(double nowMs, double expiryMs) {
         return expiryMs - nowMs - windowMs - LeaseParticipant.TIMER_MARGIN_MS;
     }
 
-    /** What is ceded and stands until then. */
+    /** What is ceded at least until then. */
     private long cededUntil(double untilMs) {
         long sum = 0;
         for (TimedAmount cession : cessions.values()) {
@@ -91,14 +106,15 @@
     }
 
     /**
-     * A grant that ends sooner can also draw on what was ceded in rounds before, by whoever was not heard in this one.
+     * The expiry at which grants are of most use, as amount times duration. One that is sooner can also draw on the
+     * earlier cessions of instances that have not reported in this round. Negative infinity if none is of use.
      */
-    private double bestExpiryMs(double nowMs, long outstandingElsewhere, double wanted) {
+    private double bestExpiryMs(double nowMs, Situation situation) {
         double bestMs = Double.NEGATIVE_INFINITY;
         double bestBenefit = 0;
         for (TimedAmount cession : cessions.values()) {
-            double benefit = Math.min(wanted, (double) (cededUntil(cession.untilMs) - outstandingElsewhere))
-                    * usableMs(nowMs, cession.untilMs);
+            double grantable = (double) (cededUntil(cession.untilMs) - situation.outstandingElsewhere());
+            double benefit = Math.min(situation.totalDemand(), grantable) * usableMs(nowMs, cession.untilMs);
             if (benefit > bestBenefit) {
                 bestBenefit = benefit;
                 bestMs = cession.untilMs;
@@ -108,38 +124,44 @@
     }
 
     private Map<Integer, LeaseParticipant.Grant> grants(
-            List<Integer> demanding, long available, long outstandingElsewhere, double expiryMs, double usableMs) {
-        Map<Integer, LeaseParticipant.Grant> grants = new HashMap<>();
-        double[] demand = new double[demanding.size()];
-        double[] weight = new double[demanding.size()];
-        double[] share = new double[demanding.size()];
-        for (int i = 0; i < demand.length; i++) {
-            demand[i] = demands.get(demanding.get(i));
-            weight[i] = 1;
-        }
-        MaxMinFairShare.share((double) (available - outstandingElsewhere), demand, weight, share, demand.length);
-        long total = outstandingElsewhere;
-        for (int i = 0; i < demand.length; i++) {
-            total += Math.max(maxOutstanding(demanding.get(i)), (long) share[i]);
+            Situation situation, long available, double expiryMs, double usableMs) {
+        List<Integer> demanding = situation.demanding();
+        double[] shares = shares(demanding, available - situation.outstandingElsewhere());
+        long total = situation.outstandingElsewhere();
+        for (int i = 0; i < shares.length; i++) {
+            total += Math.max(maxOutstanding(demanding.get(i)), (long) shares[i]);
         }
-        for (int i = 0; i < demand.length; i++) {
+        Map<Integer, LeaseParticipant.Grant> grants = new HashMap<>();
+        for (int i = 0; i < shares.length; i++) {
             int instance = demanding.get(i);
             long current = maxOutstanding(instance);
-            long amount = (long) share[i];
-            if (amount > current && total > available) { // others still have what they are to do without
+            long amount = (long) shares[i];
+            if (amount > current && total > available) { // others still use what they are to lose
                 long reduction = Math.min(amount - current, total - available);
                 amount -= reduction;
                 total -= reduction;
             }
             if (amount > 0) {
-                outstanding.computeIfAbsent(instance, k -> new ArrayList<>()).add(new TimedAmount(amount, expiryMs));
+                outstanding.computeIfAbsent(instance, id -> new ArrayList<>()).add(new TimedAmount(amount, expiryMs));
                 grants.put(instance, new LeaseParticipant.Grant(round, amount, usableMs));
             }
         }
         return grants;
     }
 
-    /** The most that this instance may be using. */
+    private double[] shares(List<Integer> demanding, long amount) {
+        double[] demand = new double[demanding.size()];
+        double[] weights = new double[demanding.size()];
+        double[] shares = new double[demanding.size()];
+        for (int i = 0; i < demand.length; i++) {
+            demand[i] = demands.get(demanding.get(i));
+            weights[i] = 1;
+        }
+        MaxMinFairShare.share((double) amount, demand, weights, shares, demand.length);
+        return shares;
+    }
+
+    /** The most that an instance may be using of its grants. */
     private long maxOutstanding(int instance) {
         long max = 0;
         for (TimedAmount grant : outstanding.getOrDefault(instance, List.of())) {
--- a/src/main/java/cacheproxy/quota/MaxMinFairShare.java
+++ b/src/main/java/cacheproxy/quota/MaxMinFairShare.java
@@ -1,42 +1,51 @@
 package cacheproxy.quota;
 
 /**
- * Who gets what of a rate that is free: by weight, nobody more than wanted, and what one leaves goes to the others
- * (weighted max-min fair; Demers, Keshav and Shenker, 1989).
+ * Divides a rate by weight: nobody gets more than demanded, and what one does not demand goes to the others (weighted
+ * max-min fairness; Demers, Keshav and Shenker, 1989).
  */
 final class MaxMinFairShare {
+    /** Rates and weights below these are taken for rounding errors. */
+    private static final double MIN_RATE = 1e-9;
+
+    private static final double MIN_WEIGHT = 1e-12;
+
     private MaxMinFairShare() {}
 
     /**
-     * Fills {@code given} for the first {@code many}, whose wishes are in {@code wants}. Neither gives more than
-     * {@code free} in all nor leaves any while somebody wants more. Returns what is left, 0 or more.
+     * Divides {@code available} among the first {@code count}. Neither gives more than that in all, nor leaves any
+     * while a demand is not met.
+     *
+     * @param available negative counts as 0
+     * @param shares takes the result
+     * @return what is left over, 0 or more
      */
-    static double share(double free, double[] wants, double[] weights, double[] given, int many) {
-        double left = Math.max(0, free);
-        double weight = 0;
-        for (int i = 0; i < many; i++) {
-            given[i] = 0;
-            weight += wants[i] > 0 ? weights[i] : 0;
+    static double share(double available, double[] demands, double[] weights, double[] shares, int count) {
+        double remaining = Math.max(0, available);
+        double totalWeight = 0;
+        for (int i = 0; i < count; i++) {
+            shares[i] = 0;
+            totalWeight += demands[i] > 0 ? weights[i] : 0;
         }
-        // At each round somebody has all that was wanted, or all is given away.
-        while (left > 1e-9 && weight > 1e-12) {
-            double each = left / weight;
-            double next = 0;
-            for (int i = 0; i < many; i++) {
-                double open = wants[i] - given[i];
-                if (open <= 0) {
+        // In each round a demand is met, or all is given away.
+        while (remaining > MIN_RATE && totalWeight > MIN_WEIGHT) {
+            double perWeight = remaining / totalWeight;
+            double unmetWeight = 0;
+            for (int i = 0; i < count; i++) {
+                double unmet = demands[i] - shares[i];
+                if (unmet <= 0) {
                     continue;
                 }
-                double part = Math.min(open, each * weights[i]);
-                given[i] = part == open ? wants[i] : given[i] + part;
-                left -= part;
-                next += part == open ? 0 : weights[i];
+                double part = Math.min(unmet, perWeight * weights[i]);
+                shares[i] = part == unmet ? demands[i] : shares[i] + part;
+                remaining -= part;
+                unmetWeight += part == unmet ? 0 : weights[i];
             }
-            if (next == weight) {
+            if (unmetWeight == totalWeight) {
                 break;
             }
-            weight = next;
+            totalWeight = unmetWeight;
         }
-        return Math.max(0, left);
+        return Math.max(0, remaining);
     }
 }
--- a/src/main/java/cacheproxy/quota/Meter.java
+++ b/src/main/java/cacheproxy/quota/Meter.java
@@ -1,31 +1,29 @@
 package cacheproxy.quota;
 
 /**
- * One quota of one node at work. What is its own it may use in any order within the window; what is lent to it comes at
- * a pace, and is counted apart: so an owner that comes back finds its rate free within moments, also where the window
- * is an hour long, and a borrower has not used up what is its own.
+ * The state of one quota of one node. The guarantee may be used in any order within the window; what is lent beyond it
+ * arrives at a rate and is counted apart. So an owner that comes back finds its rate free within moments, even with a
+ * window of an hour, and a borrower has not used up its guarantee. Amounts in units of the quota's measure, times in
+ * milliseconds.
  */
 final class Meter {
-    /** Demand is what was asked for in about this time. */
-    static final double DEMAND_DECAY_MS = 500;
-    /** What is lent may be saved up for so long, which is no longer than the shortest window. */
-    static final double MAX_CREDIT_MS = Limit.MIN_WINDOW_MS;
-
-    final Limit limit;
-    /** Whether siblings share the parent's; else only the cap counts. */
-    final boolean borrows;
-
+    private final Limit limit;
+    private final boolean borrows;
     private final SlidingCount totalCount;
+    /** What was charged to the guarantee; null unless it borrows. */
     private final SlidingCount guaranteedCount;
-    private double recentDemand;
-    private double demandMs;
-    private double lentPerMs;
+
+    private final DemandRate demand = new DemandRate();
+    private final LentCredit lent = new LentCredit();
     private double idlePerMs;
-    private double credit;
-    private double creditMs;
     private long debt;
     private double debtPaidMs;
 
+    /**
+     * A meter with nothing used yet.
+     *
+     * @param borrows whether siblings share the parent's quota; if not, the cap alone counts
+     */
     Meter(Limit limit, boolean borrows) {
         this.limit = limit;
         this.borrows = borrows;
@@ -33,23 +31,24 @@
         guaranteedCount = borrows ? new SlidingCount(limit.windowMs()) : null;
     }
 
-    /** One request counts for no more than the whole cap, or it would never be let in; the rest is settled as debt. */
+    Limit limit() {
+        return limit;
+    }
+
+    /** The charge of a request: no more than the whole cap, or it would never be admitted; the rest becomes debt. */
     long chargeFor(long bytes, boolean write) {
         return Math.min(limit.cap(), limit.measure().of(bytes, write));
     }
 
-    void recordDemand(double now, long much) {
-        recentDemand = recentDemand * remainingFraction(now - demandMs) + much;
-        demandMs = Math.max(demandMs, now);
-    }
+    // ---- rates
 
-    private static double remainingFraction(double ms) {
-        return Math.exp(-Math.max(0, ms) / DEMAND_DECAY_MS);
+    void recordDemand(double nowMs, long amount) {
+        demand.add(nowMs, amount);
     }
 
-    /** What is asked for, in units a millisecond. */
-    double demandPerMs(double now) {
-        return recentDemand * remainingFraction(now - demandMs) / DEMAND_DECAY_MS;
+    /** Recent demand, in units a millisecond. */
+    double demandPerMs(double nowMs) {
+        return demand.perMs(nowMs);
     }
 
     double guaranteePerMs() {
@@ -60,129 +59,126 @@
         return (double) limit.cap() / limit.windowMs();
     }
 
-    /** The rate that it has to give to those beneath it. */
+    /** The rate that its node can divide among its children. */
     double ratePerMs() {
-        return borrows ? Math.min(capPerMs(), guaranteePerMs() + lentPerMs) : capPerMs();
+        return borrows ? Math.min(capPerMs(), guaranteePerMs() + lent.ratePerMs()) : capPerMs();
     }
 
-    /** What lay idle when shares were last dealt out beneath it, for each that asked and one more. */
+    /** The rate that was left over when its node last lent, for each active child and one more. */
     double idlePerMs() {
         return idlePerMs;
     }
 
-    void idlePerMs(double perMs) {
+    void setIdlePerMs(double perMs) {
         idlePerMs = perMs;
     }
 
-    /**
-     * It has begun to ask: what is spare is lent to it as if it had been for a while, or its first request would wait.
-     */
-    void startLending(double now, double perMs) {
-        lend(now, perMs);
-        credit = lentPerMs * MAX_CREDIT_MS;
+    /** Starts to be lent a rate, with credit as if it had been for a while: its first request must not wait. */
+    void startBorrowing(double nowMs, double perMs) {
+        borrow(nowMs, perMs);
+        lent.fill();
     }
 
-    /** From now on it is lent so much a millisecond, and never more than leads to its cap. */
-    void lend(double now, double perMs) {
-        refill(now, 0);
-        lentPerMs = Math.min(perMs, capPerMs() - guaranteePerMs());
+    /** Is lent this rate from now on, up to its cap. */
+    void borrow(double nowMs, double perMs) {
+        lent.setRate(nowMs, Math.min(perMs, capPerMs() - guaranteePerMs()));
     }
 
-    private void refill(double now, long wanted) {
-        double most = lentPerMs * MAX_CREDIT_MS + (lentPerMs > 0 ? wanted : 0);
-        credit = Math.min(most, credit + lentPerMs * Math.max(0, now - creditMs));
-        creditMs = Math.max(creditMs, now);
-    }
+    // ---- charges
 
-    /** 0 if so much may be charged now, else how long until it may, as far as can be told. */
-    double waitMs(double now, long much) {
-        if (much == 0) {
+    /** 0 if this amount may be charged now, else an estimate of how long until it may, at least 1 ms. */
+    double waitMs(double nowMs, long amount) {
+        if (amount == 0) {
             return 0;
         }
-        payDebt(now);
-        double cap = totalCount.timeUntilCapacityMs(now, Math.min(limit.cap(), much + debt), limit.cap());
+        payDebt(nowMs);
+        double capWaitMs = totalCount.timeUntilCapacityMs(nowMs, Math.min(limit.cap(), amount + debt), limit.cap());
         if (debt > 0) {
-            return Math.max(1, cap + (debt - 1) / limit.cap() * limit.windowMs());
+            return Math.max(1, capWaitMs + (debt - 1) / limit.cap() * limit.windowMs());
         }
-        if (cap > 0) {
-            return Math.max(1, cap);
+        if (capWaitMs > 0) {
+            return Math.max(1, capWaitMs);
         }
-        if (!borrows || fitsGuarantee(now, much)) {
+        if (!borrows || fitsGuarantee(nowMs, amount)) {
             return 0;
         }
-        refill(now, much);
-        if (credit >= much) {
+        lent.refill(nowMs, amount);
+        if (lent.covers(amount)) {
             return 0;
         }
-        double lent = lentPerMs > 0 ? (much - credit) / lentPerMs : limit.windowMs();
-        double mine = much <= limit.guarantee()
-                ? guaranteedCount.timeUntilCapacityMs(now, much, limit.guarantee())
+        double lentWaitMs = lent.waitMs(amount, (double) limit.windowMs());
+        double guaranteeWaitMs = amount <= limit.guarantee()
+                ? guaranteedCount.timeUntilCapacityMs(nowMs, amount, limit.guarantee())
                 : limit.windowMs();
-        return Math.max(1, Math.min(lent, mine));
+        return Math.max(1, Math.min(lentWaitMs, guaranteeWaitMs));
     }
 
-    private boolean fitsGuarantee(double now, long much) {
-        return guaranteedCount.sum(now) + much <= limit.guarantee();
+    private boolean fitsGuarantee(double nowMs, long amount) {
+        return guaranteedCount.sum(nowMs) + amount <= limit.guarantee();
     }
 
-    /** Charges what {@link #waitMs} has let in; whether it was its own. */
-    boolean charge(double now, long much) {
-        totalCount.add(now, much);
+    /** Charges what {@link #waitMs} admits; whether it is charged to the guarantee, and not to what is lent. */
+    boolean charge(double nowMs, long amount) {
+        totalCount.add(nowMs, amount);
         if (!borrows) {
             return true;
         }
-        if (fitsGuarantee(now, much)) {
-            guaranteedCount.add(now, much);
+        if (fitsGuarantee(nowMs, amount)) {
+            guaranteedCount.add(nowMs, amount);
             return true;
         }
-        credit -= much;
+        lent.subtract(amount);
         return false;
     }
 
-    /** As if it had not been charged. */
-    void refund(double now, double at, long much, boolean wasOwn) {
-        totalCount.subtract(now, at, much);
-        if (borrows && wasOwn) {
-            guaranteedCount.subtract(now, at, much);
+    /**
+     * Takes a charge back.
+     *
+     * @param chargedMs when it was charged
+     * @param guaranteed as {@link #charge} has returned
+     */
+    void refund(double nowMs, double chargedMs, long amount, boolean guaranteed) {
+        totalCount.subtract(nowMs, chargedMs, amount);
+        if (borrows && guaranteed) {
+            guaranteedCount.subtract(nowMs, chargedMs, amount);
         } else if (borrows) {
-            credit += much;
-            refill(now, much);
+            lent.add(amount);
+            lent.refill(nowMs, amount);
         }
     }
 
-    /** It was so much and not what had been supposed: less is given back, more is charged now or owed. */
-    void adjust(double now, double at, long supposed, long actual, boolean wasOwn) {
-        if (actual <= supposed) {
-            refund(now, at, supposed - actual, wasOwn);
-        } else {
-            payDebt(now);
-            if (debt == 0) {
-                debtPaidMs = now;
-            }
-            debt += actual - supposed;
-            payDebt(now);
+    /** Corrects a charge to the actual amount: refunds what is less, and owes what is more. */
+    void adjust(double nowMs, double chargedMs, long charged, long actual, boolean guaranteed) {
+        if (actual <= charged) {
+            refund(nowMs, chargedMs, charged - actual, guaranteed);
+            return;
+        }
+        payDebt(nowMs);
+        if (debt == 0) {
+            debtPaidMs = nowMs;
         }
+        debt += actual - charged;
+        payDebt(nowMs);
     }
 
     /**
-     * What is owed comes first, as the window makes room for it. While something is owed the window is full, so of
-     * several that have passed unasked each has paid for as much as it holds, the last of them as the room that is
-     * there now.
+     * Pays debt as the window has capacity, before any new charge. While there is debt the window is full: each window
+     * that has passed since the last payment has paid a whole cap, and the present one pays what it has capacity for.
      */
-    private void payDebt(double now) {
+    private void payDebt(double nowMs) {
         if (debt == 0) {
             return;
         }
-        long passed = Math.max(0, (long) ((now - debtPaidMs) / totalCount.lengthMs()) - 1);
-        debt = passed > debt / limit.cap() ? 0 : debt - passed * limit.cap();
-        long part = Math.min(debt, limit.cap() - totalCount.sum(now));
-        if (part > 0) {
-            totalCount.add(now, part);
+        long passedWindows = Math.max(0, (long) ((nowMs - debtPaidMs) / totalCount.lengthMs()) - 1);
+        debt = passedWindows > debt / limit.cap() ? 0 : debt - passedWindows * limit.cap();
+        long payment = Math.min(debt, limit.cap() - totalCount.sum(nowMs));
+        if (payment > 0) {
+            totalCount.add(nowMs, payment);
             if (borrows) {
-                guaranteedCount.add(now, part);
+                guaranteedCount.add(nowMs, payment);
             }
-            debt -= part;
-            debtPaidMs = now;
+            debt -= payment;
+            debtPaidMs = nowMs;
         }
     }
 
@@ -191,12 +187,12 @@
     }
 
     /** What was charged in the window that ends now. */
-    long used(double now) {
-        return totalCount.sum(now);
+    long used(double nowMs) {
+        return totalCount.sum(nowMs);
     }
 
-    /** Whether nothing is lost by forgetting it. */
-    boolean isIdle(double now) {
-        return debt == 0 && totalCount.sum(now) == 0;
+    /** Whether it has neither use nor debt, so that a new meter would decide the same. */
+    boolean isIdle(double nowMs) {
+        return debt == 0 && totalCount.sum(nowMs) == 0;
     }
 }
--- a/src/main/java/cacheproxy/quota/QuotaCharge.java
+++ b/src/main/java/cacheproxy/quota/QuotaCharge.java
@@ -1,28 +1,29 @@
 package cacheproxy.quota;
 
 /**
- * What one request has been charged, for its end: held by whoever holds the request, and used for one at a time. One
- * that was not admitted, or has ended, is empty.
+ * What one request has been charged along its path, to be refunded or settled at its end. Empty unless the request was
+ * admitted and has not ended; may be reused for one request after another. Owned by whoever owns the request.
  */
 public final class QuotaCharge {
     static final int MAX_METERS = (QuotaSpec.MAX_DEPTH + 1) * QuotaSpec.MAX_LIMITS;
 
     QuotaNode leaf;
-    double atMs;
+    double chargedMs;
     long bytes;
     boolean write;
-    private final boolean[] wasGuaranteed = new boolean[MAX_METERS];
+    /** By meter, from the leaf up: whether it was charged to the guarantee. */
+    private final boolean[] guaranteed = new boolean[MAX_METERS];
 
     /** Whether something is charged by it. */
     public boolean isOpen() {
         return leaf != null;
     }
 
-    void wasGuaranteed(int slot, boolean is) {
-        wasGuaranteed[slot] = is;
+    void setGuaranteed(int meter, boolean value) {
+        guaranteed[meter] = value;
     }
 
-    boolean wasGuaranteed(int slot) {
-        return wasGuaranteed[slot];
+    boolean isGuaranteed(int meter) {
+        return guaranteed[meter];
     }
 }
--- a/src/main/java/cacheproxy/quota/QuotaNode.java
+++ b/src/main/java/cacheproxy/quota/QuotaNode.java
@@ -6,42 +6,49 @@
 import java.util.List;
 import java.util.Map;
 
-/** One organisation, app or device class, with its quotas at work and those beneath it. */
+/**
+ * An organisation, app or device class: its quotas, and the nodes below it, to which it lends what is idle of its rate.
+ * Times in milliseconds. Not thread-safe.
+ */
 final class QuotaNode {
     /**
-     * Shares are dealt out anew so often, by whoever asks next, and less often where many ask: it looks at each of
-     * them.
+     * The least time between two rounds of lending, to which {@link #LENDING_INTERVAL_PER_CHILD_MS} is added for each
+     * active child, as a round looks at each of them.
      */
     static final double MIN_LENDING_INTERVAL_MS = 100;
 
     static final double LENDING_INTERVAL_PER_CHILD_MS = 2;
     static final double MAX_LENDING_INTERVAL_MS = 1000;
-    /** Who has not asked for so long has no part in that, and all that is its own is lent. */
+    /** A child without a request for so long is inactive: nothing is lent to it, and all of its guarantee is lent. */
     static final double INACTIVE_MS = 5000;
-    /** An owner that asks for less than its own is kept so much more of it, for chance. */
+    /** Of its guarantee an owner keeps its demand times this, for chance. */
     private static final double GUARANTEE_HEADROOM = 1.1;
-    /** A borrower is lent somewhat more than it asks for, so that its demand shows. */
+    /** A borrower is lent up to its demand times this, so that a growing demand shows. */
     private static final double LENDING_HEADROOM = 1.25;
 
+    private static final int INITIAL_CAPACITY = 4;
+
     final String name;
     final QuotaSpec spec;
     final QuotaNode parent;
     final Meter[] meters;
     final Map<String, QuotaNode> children = new HashMap<>();
-    /** Made for a name that came, so it may be forgotten. */
+    /** Whether it was created for a name that the configuration does not have, and may be evicted. */
     final boolean unnamed;
-    /** Requests that are charged and not settled yet. */
+    /** Charges that are neither refunded nor settled yet. */
     int openCharges;
 
-    private final List<QuotaNode> active = new ArrayList<>();
+    private final List<QuotaNode> activeChildren = new ArrayList<>();
     private boolean isActive;
     private double lastRequestMs;
     private double lastLendingMs = Double.NEGATIVE_INFINITY;
-    private Meter[] borrowers = new Meter[4];
-    private double[] wants = new double[4];
-    private double[] weights = new double[4];
-    private double[] shares = new double[4];
+    // Of one round of lending; kept, so that a round allocates nothing.
+    private Meter[] borrowers = new Meter[INITIAL_CAPACITY];
+    private double[] demands = new double[INITIAL_CAPACITY];
+    private double[] weights = new double[INITIAL_CAPACITY];
+    private double[] shares = new double[INITIAL_CAPACITY];
 
+    /** A node without children; {@code parent} is null at the root. */
     QuotaNode(String name, QuotaSpec spec, QuotaNode parent, boolean unnamed) {
         this.name = name;
         this.unnamed = unnamed;
@@ -54,109 +61,121 @@
         }
     }
 
-    /** Its quota of that measure and window, or null. */
+    /** Its meter of the same measure and window; null if there is none. */
     Meter meterLike(Limit limit) {
-        for (Meter m : meters) {
-            if (m.limit.hasSameMeasureAndWindow(limit)) {
-                return m;
+        for (Meter meter : meters) {
+            if (meter.limit().hasSameMeasureAndWindow(limit)) {
+                return meter;
             }
         }
         return null;
     }
 
-    /** A request has come for it, or for one beneath it. */
-    void onRequest(double now, long bytes, boolean write) {
-        lastRequestMs = Math.max(lastRequestMs, now);
-        for (Meter m : meters) {
-            m.recordDemand(now, m.chargeFor(bytes, write));
+    /** A request has arrived for it, or for a node below it. */
+    void onRequest(double nowMs, long bytes, boolean write) {
+        lastRequestMs = Math.max(lastRequestMs, nowMs);
+        for (Meter meter : meters) {
+            meter.recordDemand(nowMs, meter.chargeFor(bytes, write));
         }
         if (parent != null && !isActive) {
-            isActive = true;
-            parent.active.add(this);
-            parent.lend(now);
-            for (Meter m : meters) {
-                Meter of = parent.meterLike(m.limit);
-                if (of != null) {
-                    m.startLending(now, of.idlePerMs());
-                }
+            activate(nowMs);
+        }
+    }
+
+    private void activate(double nowMs) {
+        isActive = true;
+        parent.activeChildren.add(this);
+        parent.lend(nowMs);
+        for (Meter meter : meters) {
+            Meter lender = parent.meterLike(meter.limit());
+            if (lender != null) {
+                meter.startBorrowing(nowMs, lender.idlePerMs());
             }
         }
     }
 
-    /** Deals out what lies idle here, if it is time to. */
-    void lend(double now) {
-        if (now - lastLendingMs
-                < Math.min(
-                        MAX_LENDING_INTERVAL_MS,
-                        MIN_LENDING_INTERVAL_MS + LENDING_INTERVAL_PER_CHILD_MS * active.size())) {
+    /** Divides its idle rate among its active children, if the interval is over. */
+    void lend(double nowMs) {
+        double intervalMs = Math.min(
+                MAX_LENDING_INTERVAL_MS,
+                MIN_LENDING_INTERVAL_MS + LENDING_INTERVAL_PER_CHILD_MS * activeChildren.size());
+        if (nowMs - lastLendingMs < intervalMs) {
             return;
         }
-        lastLendingMs = now;
-        active.removeIf(c -> {
-            if (now - c.lastRequestMs <= INACTIVE_MS) {
-                return false;
-            }
-            c.isActive = false;
-            for (Meter m : c.meters) {
-                m.lend(now, 0);
-            }
-            return true;
-        });
-        for (Meter mine : meters) {
-            lend(now, mine);
+        lastLendingMs = nowMs;
+        activeChildren.removeIf(child -> child.deactivateIfQuiet(nowMs));
+        for (Meter meter : meters) {
+            lend(nowMs, meter);
+        }
+    }
+
+    private boolean deactivateIfQuiet(double nowMs) {
+        if (nowMs - lastRequestMs <= INACTIVE_MS) {
+            return false;
+        }
+        isActive = false;
+        for (Meter meter : meters) {
+            meter.borrow(nowMs, 0);
         }
+        return true;
     }
 
-    private void lend(double now, Meter mine) {
-        if (wants.length < active.size()) {
-            borrowers = new Meter[2 * active.size()];
-            wants = new double[2 * active.size()];
-            weights = new double[2 * active.size()];
-            shares = new double[2 * active.size()];
-        }
-        double free = mine.ratePerMs();
-        int many = 0;
-        for (QuotaNode child : active) {
-            Meter m = child.meterLike(mine.limit);
-            if (m == null) {
+    private void lend(double nowMs, Meter lender) {
+        ensureCapacity(activeChildren.size());
+        double available = lender.ratePerMs();
+        int count = 0;
+        for (QuotaNode child : activeChildren) {
+            Meter borrower = child.meterLike(lender.limit());
+            if (borrower == null) {
                 continue;
             }
-            double demand = m.demandPerMs(now);
-            free -= Math.min(m.guaranteePerMs(), demand * GUARANTEE_HEADROOM);
-            wants[many] = Math.max(0, Math.min(m.capPerMs(), demand * LENDING_HEADROOM) - m.guaranteePerMs());
-            weights[many] = child.spec.weight();
-            borrowers[many++] = m;
+            double demand = borrower.demandPerMs(nowMs);
+            available -= Math.min(borrower.guaranteePerMs(), demand * GUARANTEE_HEADROOM);
+            demands[count] =
+                    Math.max(0, Math.min(borrower.capPerMs(), demand * LENDING_HEADROOM) - borrower.guaranteePerMs());
+            weights[count] = child.spec.weight();
+            borrowers[count++] = borrower;
+        }
+        lender.setIdlePerMs(MaxMinFairShare.share(available, demands, weights, shares, count) / (count + 1));
+        for (int i = 0; i < count; i++) {
+            borrowers[i].borrow(nowMs, shares[i] + lender.idlePerMs());
         }
-        mine.idlePerMs(MaxMinFairShare.share(free, wants, weights, shares, many) / (many + 1));
-        for (int i = 0; i < many; i++) {
-            borrowers[i].lend(now, shares[i] + mine.idlePerMs());
+        Arrays.fill(borrowers, 0, count, null); // or it would keep evicted ones from garbage collection
+    }
+
+    private void ensureCapacity(int count) {
+        if (demands.length < count) {
+            borrowers = new Meter[2 * count];
+            demands = new double[2 * count];
+            weights = new double[2 * count];
+            shares = new double[2 * count];
         }
-        Arrays.fill(borrowers, 0, many, null); // one that is forgotten is not kept by this
     }
 
-    boolean isIdle(double now) {
-        for (Meter m : meters) {
-            if (!m.isIdle(now)) {
+    /** Whether it and the nodes below it have neither use nor debt, so that it may be evicted. */
+    boolean isIdle(double nowMs) {
+        for (Meter meter : meters) {
+            if (!meter.isIdle(nowMs)) {
                 return false;
             }
         }
         if (openCharges > 0) {
             return false;
         }
-        for (QuotaNode c : children.values()) {
-            if (c.unnamed || !c.isIdle(now)) {
-                return false; // one that is not named is forgotten by itself, before what it is under
+        for (QuotaNode child : children.values()) {
+            if (child.unnamed || !child.isIdle(nowMs)) {
+                return false; // an unnamed child is evicted by itself, before its parent
             }
         }
         return true;
     }
 
-    /** It is no longer one of its parent's. */
+    /** Removes it from its parent. */
     void removeFromParent() {
         parent.children.remove(name, this);
         if (isActive) {
             isActive = false;
-            parent.active.remove(this);
+            parent.activeChildren.remove(this);
         }
     }
 }
--- a/src/main/java/cacheproxy/quota/QuotaReplay.java
+++ b/src/main/java/cacheproxy/quota/QuotaReplay.java
@@ -7,20 +7,31 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * Decides over the lines of a trace, in the trace's own time. What an answer comes to is known there when it is asked
- * for.
- */
+/** Replays a trace of requests through a quota tree, in the trace's own time, with sizes known on arrival. */
 public final class QuotaReplay {
     /** The columns of a trace. */
     public static final String HEADER = "time_ms,org,app,device,bytes,write";
 
+    private static final String HEADER_START = "time_ms";
     private static final int COLUMNS = 6;
+    private static final int TIME = 0;
+    private static final int ORGANISATION = 1;
+    /** Columns from {@link #ORGANISATION} on that name the owner. */
+    private static final int LEVELS = 3;
+
+    private static final int BYTES = 4;
+    private static final int WRITE = 5;
+    /** Numbers from this on are rejected. */
+    private static final double MAX_NUMBER = 1e16;
+
+    private static final double MAX_BYTES = 1e15;
     private static final int MAX_LINE_LENGTH = 4096;
-    /** Organisations that are told of one by one; further ones are added up. */
-    private static final int MAX_SHOWN = 50;
+    /** Organisations with a row of their own in the table; others are added up. */
+    private static final int MAX_ROWS = 50;
 
-    /** A line that can't be read, with its number and the likely fix. */
+    private static final String OTHERS = "others";
+
+    /** A line of a trace is malformed; the message has the trace, the line number and the likely fix. */
     public static final class TraceException extends IllegalArgumentException {
         private static final long serialVersionUID = 1L;
 
@@ -29,92 +40,122 @@
         }
     }
 
-    /** What came of one organisation's requests. */
-    private static final class Sum {
+    /** A line of a trace. */
+    private record TraceRequest(double timeMs, String organisation, String[] path, long bytes, boolean write) {}
+
+    /** The totals of one organisation. */
+    private static final class Totals {
         long requests;
         long admitted;
         long bytes;
     }
 
-    private final String name;
+    private final String traceName;
     private final QuotaTree tree;
-    private final QuotaCharge ticket = new QuotaCharge();
-    private final Map<String, Sum> sums = new TreeMap<>();
+    private final QuotaCharge charge = new QuotaCharge();
+    private final Map<String, Totals> totals = new TreeMap<>();
     private int lineNumber;
     private double latestMs = Double.NEGATIVE_INFINITY;
     private double firstMs = Double.NaN;
 
-    /** {@code name}: of the trace, for messages. */
-    public QuotaReplay(String name, QuotaSpec quotas, long seed) {
-        this.name = name;
+    /**
+     * A replay that begins with nothing used.
+     *
+     * @param traceName the trace's name, for messages
+     * @param seed of the jitter of waits
+     */
+    public QuotaReplay(String traceName, QuotaSpec quotas, long seed) {
+        this.traceName = traceName;
         tree = new QuotaTree(quotas, QuotaTree.MAX_UNNAMED, seed);
     }
 
     /**
-     * The line with what was decided behind it; null for a header or an empty line.
+     * Decides on the request of a line.
      *
-     * @throws TraceException it can't be read, or is earlier than the one before it
+     * @return the line with whether the request is admitted (0 or 1) and its wait in milliseconds appended; null for a
+     *     header or an empty line
+     * @throws TraceException if the line is malformed, or earlier than the one before it
      */
     public String line(String line) {
         lineNumber++;
-        if (line.isBlank() || (lineNumber == 1 && line.startsWith("time_ms"))) {
+        if (line.isBlank() || (lineNumber == 1 && line.startsWith(HEADER_START))) {
             return null;
         }
+        TraceRequest request = parse(line);
+        double waitMs = tree.admit(request.timeMs(), request.path(), request.bytes(), request.write(), charge);
+        boolean hasRow = totals.size() < MAX_ROWS || totals.containsKey(request.organisation());
+        Totals sums = totals.computeIfAbsent(hasRow ? request.organisation() : OTHERS, name -> new Totals());
+        sums.requests++;
+        if (waitMs == 0) {
+            tree.settle(request.timeMs(), charge, request.bytes());
+            sums.admitted++;
+            sums.bytes += request.bytes();
+        }
+        return line.strip() + (waitMs == 0 ? ",1,0" : ",0," + (long) Math.ceil(waitMs));
+    }
+
+    private TraceRequest parse(String line) {
         String[] columns = line.strip().split(",", -1);
         if (line.length() > MAX_LINE_LENGTH || columns.length != COLUMNS) {
             throw malformed(columns.length + " columns", "write " + HEADER);
         }
-        double at = lineNumber(columns[0], "a time in milliseconds");
-        if (at < latestMs) {
+        double timeMs = parseTime(columns[TIME]);
+        long bytes = parseBytes(columns[BYTES]);
+        boolean write = parseWrite(columns[WRITE]);
+        return new TraceRequest(timeMs, columns[ORGANISATION], path(columns), bytes, write);
+    }
+
+    private double parseTime(String column) {
+        double timeMs = parseNumber(column, "a time in milliseconds");
+        if (timeMs < latestMs) {
             throw malformed("earlier than the line before it", "sort the trace by time: sort -t, -k1,1g");
         }
-        latestMs = at;
-        firstMs = Double.isNaN(firstMs) ? at : firstMs;
-        double bytes = lineNumber(columns[4], "a number of bytes");
-        if (bytes < 0 || bytes != Math.rint(bytes) || bytes > 1e15) {
-            throw malformed("'" + columns[4] + "' where a number of bytes belongs", "write a whole number from 0");
-        }
-        if (!columns[5].equals("0") && !columns[5].equals("1")) {
-            throw malformed("'" + columns[5] + "' where 0 or 1 belongs", "write 1 for a write, 0 for a read");
-        }
-        double wait = tree.admit(at, path(columns), (long) bytes, columns[5].equals("1"), ticket);
-        boolean shown = sums.size() < MAX_SHOWN || sums.containsKey(columns[1]);
-        Sum sum = sums.computeIfAbsent(shown ? columns[1] : "others", k -> new Sum());
-        sum.requests++;
-        if (wait == 0) {
-            tree.settle(at, ticket, (long) bytes);
-            sum.admitted++;
-            sum.bytes += (long) bytes;
+        latestMs = timeMs;
+        firstMs = Double.isNaN(firstMs) ? timeMs : firstMs;
+        return timeMs;
+    }
+
+    private long parseBytes(String column) {
+        double bytes = parseNumber(column, "a number of bytes");
+        if (bytes < 0 || bytes != Math.rint(bytes) || bytes > MAX_BYTES) {
+            throw malformed("'" + column + "' where a number of bytes belongs", "write a whole number from 0");
         }
-        return line.strip() + (wait == 0 ? ",1,0" : ",0," + (long) Math.ceil(wait));
+        return (long) bytes;
     }
 
-    /** Down to the last level that is named. */
-    private static String[] path(String[] columns) {
-        int levels = 3;
-        while (levels > 0 && columns[levels].isEmpty()) {
-            levels--;
+    private boolean parseWrite(String column) {
+        if (!column.equals("0") && !column.equals("1")) {
+            throw malformed("'" + column + "' where 0 or 1 belongs", "write 1 for a write, 0 for a read");
         }
-        return Arrays.copyOfRange(columns, 1, 1 + levels);
+        return column.equals("1");
     }
 
-    private double lineNumber(String word, String what) {
+    private double parseNumber(String column, String expected) {
         try {
-            double value = Double.parseDouble(word.strip());
-            if (Math.abs(value) < 1e16) {
+            double value = Double.parseDouble(column.strip());
+            if (Math.abs(value) < MAX_NUMBER) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below, like a number that is out of range
+        }
+        throw malformed("'" + column + "' where " + expected + " belongs", "write digits, as 1500");
+    }
+
+    /** The names of organisation, app and device, down to the last that is not empty. */
+    private static String[] path(String[] columns) {
+        int levels = LEVELS;
+        while (levels > 0 && columns[levels].isEmpty()) {
+            levels--;
         }
-        throw malformed("'" + word + "' where " + what + " belongs", "write digits, as 1500");
+        return Arrays.copyOfRange(columns, ORGANISATION, ORGANISATION + levels);
     }
 
-    private TraceException malformed(String what, String fix) {
-        return new TraceException(name + ":" + lineNumber + ": " + what + "; " + fix);
+    private TraceException malformed(String found, String fix) {
+        return new TraceException(traceName + ":" + lineNumber + ": " + found + "; " + fix);
     }
 
-    /** What came of it, by organisation. */
+    /** The totals by organisation, as lines of a table with a header. */
     public List<String> table() {
         List<String> lines = new ArrayList<>();
         double seconds = Math.max(0.001, (latestMs - firstMs) / 1000);
@@ -127,15 +168,15 @@
                 "part",
                 "a second",
                 "bytes a second"));
-        sums.forEach((org, s) -> lines.add(String.format(
+        totals.forEach((organisation, sums) -> lines.add(String.format(
                 Locale.ROOT,
                 "%-24s %12d %12d %8.2f%% %12.1f %14.0f",
-                org,
-                s.requests,
-                s.admitted,
-                100.0 * s.admitted / s.requests,
-                s.admitted / seconds,
-                s.bytes / seconds)));
+                organisation,
+                sums.requests,
+                sums.admitted,
+                100.0 * sums.admitted / sums.requests,
+                sums.admitted / seconds,
+                sums.bytes / seconds)));
         return lines;
     }
 }
--- a/src/main/java/cacheproxy/quota/QuotaSpec.java
+++ b/src/main/java/cacheproxy/quota/QuotaSpec.java
@@ -5,52 +5,56 @@
 import java.util.Set;
 
 /**
- * One node as it is configured, with what lies beneath it.
+ * The definition of a node of the quota tree, with the nodes below it.
  *
- * @param name what requests call it; {@value #ANY} stands for all who are not named beside it together, {@value #EACH}
- *     for each of them
- * @param weight its part of what is lent, against its siblings': above 0
- * @param limits none: only what is above it bounds it
- * @param children apart in name
+ * @param name the name that requests carry; {@value #ANY} stands for all unnamed siblings together, {@value #EACH} for
+ *     each of them
+ * @param weight its part of what is lent, relative to its siblings; above 0
+ * @param limits its quotas; empty if only those above it bound it
+ * @param children with different names
  */
 public record QuotaSpec(String name, double weight, List<Limit> limits, List<QuotaSpec> children) {
-    /** The name of whoever is not named. */
+    /** The name of the node that all unnamed owners share. */
     public static final String ANY = "*";
-    /** The name of a node that is made anew for each name that is not named beside it. */
+    /** The name of the node that is copied for each unnamed owner. */
     public static final String EACH = "each";
-    /** Levels beneath the root. */
+    /** Levels below the root. */
     public static final int MAX_DEPTH = 5;
-    /** Of one node: three measures over a short and a long window, with one to spare of each. */
+    /** Quotas of one node: three measures over a short and a long window, and one more of each. */
     public static final int MAX_LIMITS = 9;
 
-    /** Checks what can be wrong with one node by itself. */
+    /**
+     * Checks the node by itself; {@link QuotaTree} checks it against others.
+     *
+     * @throws InvalidQuotaException if it has an invalid weight, too many quotas, or two of a kind
+     */
     public QuotaSpec {
         limits = List.copyOf(limits);
         children = List.copyOf(children);
         if (!(weight > 0) || Double.isInfinite(weight)) {
-            throw new IllegalArgumentException(name + " has weight " + weight + "; it takes more than 0");
+            throw new InvalidQuotaException(name + " has weight " + weight + "; it takes more than 0");
         }
         if (limits.size() > MAX_LIMITS) {
-            throw new IllegalArgumentException(name + " has " + limits.size() + " quotas; " + MAX_LIMITS + " at most");
+            throw new InvalidQuotaException(name + " has " + limits.size() + " quotas; " + MAX_LIMITS + " at most");
         }
         for (int i = 0; i < limits.size(); i++) {
             for (Limit other : limits.subList(0, i)) {
                 if (limits.get(i).hasSameMeasureAndWindow(other)) {
-                    throw new IllegalArgumentException(
-                            name + " has two quotas for " + other.measure() + " in " + other.windowMs() + " ms");
+                    throw new InvalidQuotaException(name + " has two quotas for "
+                            + other.measure().label() + " in " + other.windowMs() + " ms");
                 }
             }
         }
         Set<String> names = new HashSet<>();
-        children.forEach(c -> {
-            if (!names.add(c.name())) {
-                throw new IllegalArgumentException(name + " has two of the name " + c.name());
+        children.forEach(child -> {
+            if (!names.add(child.name())) {
+                throw new InvalidQuotaException(name + " has two of the name " + child.name());
             }
         });
     }
 
-    /** Levels beneath this one. */
+    /** Levels below this one. */
     int depth() {
-        return children.stream().mapToInt(c -> 1 + c.depth()).max().orElse(0);
+        return children.stream().mapToInt(child -> 1 + child.depth()).max().orElse(0);
     }
 }
--- a/src/main/java/cacheproxy/quota/SlidingCount.java
+++ b/src/main/java/cacheproxy/quota/SlidingCount.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 
 /**
- * How much was counted in the last window, never too little: it slides in {@value #PARTS} steps, and the step that lies
- * in it only in part counts whole. So who keeps this under a limit keeps every window of that length under it, wherever
- * it begins; the price is that a steady rate may come to 1 / {@value #PARTS} less than the limit. Time only goes
- * forward.
+ * An upper bound of what was counted in the last window. The window slides in {@value #STEPS} steps, and the step that
+ * lies in it only in part counts whole: whoever keeps this sum under a limit keeps every window of that length under
+ * it, wherever it begins. The price is that a steady rate may come to 1 / {@value #STEPS} less than the limit. Times in
+ * milliseconds; a time before the latest one counts as that.
  */
 final class SlidingCount {
     static final int STEPS = 100;
@@ -20,73 +20,73 @@
         stepMs = (double) windowMs / STEPS;
     }
 
-    private long stepAt(double now) {
-        return (long) Math.floor(now / stepMs);
+    private long stepAt(double timeMs) {
+        return (long) Math.floor(timeMs / stepMs);
     }
 
-    private int index(long part) {
-        return (int) Math.floorMod(part, (long) steps.length);
+    private int index(long step) {
+        return (int) Math.floorMod(step, (long) steps.length);
     }
 
-    private void advance(double now) {
-        long to = stepAt(now);
-        if (to <= current) {
-            return; // a clock that has stepped back: what it counts now counts as of then
+    private void advance(double nowMs) {
+        long next = stepAt(nowMs);
+        if (next <= current) {
+            return; // the clock may have stepped back
         }
-        if (current == Long.MIN_VALUE || to - current > STEPS) {
+        if (current == Long.MIN_VALUE || next - current > STEPS) {
             Arrays.fill(steps, 0);
             sum = 0;
         } else {
-            int at = index(current);
-            for (long p = current; p < to && sum != 0; p++) { // where nothing is left, all parts are 0
-                at = at == STEPS ? 0 : at + 1;
-                sum -= steps[at];
-                steps[at] = 0;
+            int index = index(current);
+            for (long step = current; step < next && sum != 0; step++) { // with a sum of 0 all steps are 0
+                index = index == STEPS ? 0 : index + 1;
+                sum -= steps[index];
+                steps[index] = 0;
             }
         }
-        current = to;
+        current = next;
     }
 
-    /** For how long something counts at most: the window, and the step in which it was counted. */
+    /** How long an amount counts at most: the window, and the step in which it was counted. */
     double lengthMs() {
         return (STEPS + 1) * stepMs;
     }
 
     /** What was counted in the window that ends now. */
-    long sum(double now) {
-        advance(now);
+    long sum(double nowMs) {
+        advance(nowMs);
         return sum;
     }
 
-    void add(double now, long much) {
-        advance(now);
-        steps[index(current)] += much;
-        sum += much;
+    void add(double nowMs, long amount) {
+        advance(nowMs);
+        steps[index(current)] += amount;
+        sum += amount;
     }
 
-    /** Takes back what was counted at that time; nothing where the window has left it behind. */
-    void subtract(double now, double at, long much) {
-        advance(now);
-        long p = Math.min(stepAt(at), current);
-        if (current - p <= STEPS) {
-            int i = index(p);
-            long left = Math.min(steps[i], much);
-            steps[i] -= left;
-            sum -= left;
+    /** Subtracts what was counted at an earlier time; nothing if that has left the window. */
+    void subtract(double nowMs, double countedMs, long amount) {
+        advance(nowMs);
+        long step = Math.min(stepAt(countedMs), current);
+        if (current - step <= STEPS) {
+            int index = index(step);
+            long subtracted = Math.min(steps[index], amount);
+            steps[index] -= subtracted;
+            sum -= subtracted;
         }
     }
 
-    /** How long until so much more is under the limit, if nothing else is counted; the whole window if it never is. */
-    double timeUntilCapacityMs(double now, long much, long limit) {
-        advance(now);
-        long left = sum;
-        if (left + much <= limit) {
+    /** How long until an amount more is within the limit if nothing else is counted; the window if it never is. */
+    double timeUntilCapacityMs(double nowMs, long amount, long limit) {
+        advance(nowMs);
+        long remaining = sum;
+        if (remaining + amount <= limit) {
             return 0;
         }
-        for (long p = current - STEPS; p <= current; p++) {
-            left -= steps[index(p)];
-            if (left + much <= limit) {
-                return (p + STEPS + 1) * stepMs - now;
+        for (long step = current - STEPS; step <= current; step++) {
+            remaining -= steps[index(step)];
+            if (remaining + amount <= limit) {
+                return (step + STEPS + 1) * stepMs - nowMs;
             }
         }
         return STEPS * stepMs;
