--- a/src/jmh/java/cacheproxy/quota/QuotaBenchmark.java
+++ b/src/jmh/java/cacheproxy/quota/QuotaBenchmark.java
@@ -31,7 +31,7 @@
     public int nodes;
 
     private final SplittableRandom random = new SplittableRandom(1);
-    private final QuotaCharge ticket = new QuotaCharge();
+    private final QuotaCharge charge = new QuotaCharge();
     private final String[][] paths = new String[1024][];
     private QuotaTree tree;
     private double now = 1e12;
@@ -69,9 +69,9 @@
     @Benchmark
     public double admitAndSettle() {
         now += 0.5;
-        double wait = tree.admit(now, paths[at++ & 1023], 400, false, ticket);
+        double wait = tree.admit(now, paths[at++ & 1023], 400, false, charge);
         if (wait == 0) {
-            tree.settle(now, ticket, 380);
+            tree.settle(now, charge, 380);
         }
         return wait;
     }
--- a/src/test/java/cacheproxy/quota/LeaseTest.java
+++ b/src/test/java/cacheproxy/quota/LeaseTest.java
@@ -23,52 +23,52 @@
     private static final double REPLIES = 100;
 
     private static final class Tier {
-        final int many;
+        final int size;
         final SplittableRandom random;
         final VirtualTime time = new VirtualTime(10_000);
-        final LeaseParticipant[] parties;
+        final LeaseParticipant[] participants;
         final LeaseHolder[] holders;
         final boolean[] down;
-        final int[] life;
-        /** Which half an instance is in; messages go within one only. */
-        final int[] half;
+        final int[] incarnation;
+        /** The network partition that an instance is in; messages pass within one only. */
+        final int[] partition;
 
         final double[] perSecond;
         final List<ArrayDeque<Double>> used = new ArrayList<>();
         final ArrayDeque<Double> all = new ArrayDeque<>();
         final long[] served;
-        final long[] asked;
-        /** Each instance's clock is ahead by this. */
-        final double[] ahead;
+        final long[] requested;
+        /** How far the clock of each instance is ahead. */
+        final double[] clockOffsetMs;
 
         double loss;
         /** Which of the next messages between two are lost, a bit each; negative: by chance. */
-        long plan = -1;
+        long lossPattern = -1;
 
-        int most;
+        int fullestWindow;
 
         Tier(int many, long seed) {
-            this.many = many;
+            this.size = many;
             random = new SplittableRandom(seed);
-            parties = new LeaseParticipant[many];
+            participants = new LeaseParticipant[many];
             holders = new LeaseHolder[many];
             down = new boolean[many];
-            life = new int[many];
-            half = new int[many];
+            incarnation = new int[many];
+            partition = new int[many];
             perSecond = new double[many];
             served = new long[many];
-            asked = new long[many];
-            ahead = new double[many];
+            requested = new long[many];
+            clockOffsetMs = new double[many];
             for (int i = 0; i < many; i++) {
                 used.add(new ArrayDeque<>());
-                ahead[i] = random.nextDouble() * 400 - 200;
+                clockOffsetMs[i] = random.nextDouble() * 400 - 200;
                 start(i);
                 after(random.nextDouble() * 5, () -> {});
             }
         }
 
         double clock(int i) {
-            return time.now() + ahead[i];
+            return time.now() + clockOffsetMs[i];
         }
 
         /**
@@ -76,14 +76,14 @@
          * itself.
          */
         void start(int i) {
-            life[i]++;
+            incarnation[i]++;
             down[i] = false;
             used.get(i).clear();
-            parties[i] = new LeaseParticipant(CAP / many, WINDOW, clock(i));
-            holders[i] = new LeaseHolder(WINDOW, life[i]);
-            int mine = life[i];
+            participants[i] = new LeaseParticipant(CAP / size, WINDOW, clock(i));
+            holders[i] = new LeaseHolder(WINDOW, incarnation[i]);
+            int mine = incarnation[i];
             after(random.nextDouble() * ROUND, () -> round(i, mine));
-            after(random.nextDouble() * 10, () -> ask(i, mine));
+            after(random.nextDouble() * 10, () -> request(i, mine));
         }
 
         void after(double ms, Runnable what) {
@@ -92,26 +92,26 @@
 
         /** Every instance that knows of none before it begins rounds; here all do, which must not matter. */
         void round(int i, int mine) {
-            if (down[i] || life[i] != mine) {
+            if (down[i] || incarnation[i] != mine) {
                 return;
             }
             long round = holders[i].startRound(clock(i));
-            for (int to = 0; to < many; to++) {
+            for (int to = 0; to < size; to++) {
                 int p = to;
                 send(i, p, () -> {
                     long in = used(p);
-                    LeaseParticipant.Report report =
-                            parties[p].onRoundStarted(clock(p), i, round, (long) (perSecond[p] * WINDOW / 1000), in);
+                    LeaseParticipant.Report report = participants[p].onRoundStarted(
+                            clock(p), i, round, (long) (perSecond[p] * WINDOW / 1000), in);
                     if (report != null) {
                         send(p, i, () -> holders[i].onReport(p, report));
                     }
                 });
             }
             after(REPLIES, () -> {
-                if (!down[i] && life[i] == mine) {
+                if (!down[i] && incarnation[i] == mine) {
                     for (Map.Entry<Integer, LeaseParticipant.Grant> g :
                             holders[i].grants(clock(i)).entrySet()) {
-                        send(i, g.getKey(), () -> parties[g.getKey()].onGrant(clock(g.getKey()), i, g.getValue()));
+                        send(i, g.getKey(), () -> participants[g.getKey()].onGrant(clock(g.getKey()), i, g.getValue()));
                     }
                 }
             });
@@ -125,9 +125,9 @@
                     double ms = from == to
                             ? 0
                             : random.nextInt(50) == 0 ? random.nextDouble() * 6000 : 3 + random.nextDouble() * 27;
-                    int mine = life[to];
+                    int mine = incarnation[to];
                     after(ms, () -> {
-                        if (!down[to] && life[to] == mine && half[from] == half[to]) {
+                        if (!down[to] && incarnation[to] == mine && partition[from] == partition[to]) {
                             message.run();
                         }
                     });
@@ -136,11 +136,11 @@
         }
 
         private boolean lost() {
-            if (plan < 0) {
+            if (lossPattern < 0) {
                 return random.nextDouble() < loss;
             }
-            boolean lost = (plan & 1) != 0;
-            plan >>= 1;
+            boolean lost = (lossPattern & 1) != 0;
+            lossPattern >>= 1;
             return lost;
         }
 
@@ -152,32 +152,34 @@
             return mine.size();
         }
 
-        void ask(int i, int mine) {
-            if (down[i] || life[i] != mine) {
+        void request(int i, int mine) {
+            if (down[i] || incarnation[i] != mine) {
                 return;
             }
             if (perSecond[i] > 0) {
-                asked[i]++;
-                if (used(i) < parties[i].limit(clock(i))) {
+                requested[i]++;
+                if (used(i) < participants[i].limit(clock(i))) {
                     served[i]++;
                     used.get(i).add(time.now());
                     all.add(time.now());
                     while (all.peek() <= time.now() - WINDOW) {
                         all.poll();
                     }
-                    most = Math.max(most, all.size());
+                    fullestWindow = Math.max(fullestWindow, all.size());
                 }
             }
-            after(perSecond[i] > 0 ? -Math.log(1 - random.nextDouble()) * 1000 / perSecond[i] : 20, () -> ask(i, mine));
+            after(
+                    perSecond[i] > 0 ? -Math.log(1 - random.nextDouble()) * 1000 / perSecond[i] : 20,
+                    () -> request(i, mine));
         }
 
-        void pass(double ms) {
+        void advance(double ms) {
             time.passTo(time.now() + ms);
         }
 
         double servedPerSecond(int i, double ms) {
             long before = served[i];
-            pass(ms);
+            advance(ms);
             return (served[i] - before) * 1000 / ms;
         }
     }
@@ -197,13 +199,13 @@
                     tier.down[i] = true;
                     tier.after(tier.random.nextDouble() * 3000, () -> tier.start(i));
                 }
-                case 1 -> tier.half[i] = tier.random.nextInt(2);
-                case 2 -> Arrays.fill(tier.half, 0);
+                case 1 -> tier.partition[i] = tier.random.nextInt(2);
+                case 2 -> Arrays.fill(tier.partition, 0);
                 case 3 -> tier.perSecond[i] = 0;
                 default -> tier.perSecond[i] = tier.random.nextDouble() * 10 * CAP;
             }
-            tier.pass(tier.random.nextDouble() * 1500);
-            assertThat(tier.most).as("in the fullest window so far").isLessThanOrEqualTo((int) CAP);
+            tier.advance(tier.random.nextDouble() * 1500);
+            assertThat(tier.fullestWindow).as("in the fullest window so far").isLessThanOrEqualTo((int) CAP);
         }
     }
 
@@ -215,17 +217,17 @@
         for (int plan = 0; plan < 1 << 10; plan++) {
             Tier tier = new Tier(2, 11);
             tier.perSecond[0] = 10 * CAP;
-            tier.pass(4200);
-            tier.plan = plan;
+            tier.advance(4200);
+            tier.lossPattern = plan;
             tier.perSecond[1] = 10 * CAP;
-            tier.pass(2500);
-            assertThat(tier.most).as("pattern %x", plan).isLessThanOrEqualTo((int) CAP);
+            tier.advance(2500);
+            assertThat(tier.fullestWindow).as("pattern %x", plan).isLessThanOrEqualTo((int) CAP);
         }
     }
 
     /** A holder that was started again does not know what it has granted of what it was ceded. */
     @Test
-    void whatWasCededToOneLifeOfAHolderIsNotCededToTheNext() {
+    void aCessionBindsTowardsOneIncarnationOfAHolder() {
         LeaseParticipant party = new LeaseParticipant(100, WINDOW, 0);
         long first = 1L << LeaseParticipant.INCARNATION_SHIFT;
         long second = 2L << LeaseParticipant.INCARNATION_SHIFT;
@@ -236,10 +238,10 @@
                 .isEqualTo(50);
         assertThat(party.limit(10_400)).isEqualTo(50);
         assertThat(party.onRoundStarted(10_800, 0, second + 1, 0, 0).ceded())
-                .as("the next life")
+                .as("the next incarnation")
                 .isZero();
         assertThat(party.onRoundStarted(10_900, 0, first + 3, 0, 0))
-                .as("late, of the life before")
+                .as("late, of the incarnation before")
                 .isNull();
         assertThat(party.onRoundStarted(13_500, 0, second + 2, 0, 0).ceded())
                 .as("when that has ended")
@@ -247,48 +249,48 @@
     }
 
     @Test
-    void whatLiesIdleIsUsedElsewhereAndComesBackWithinFiveSeconds() {
+    void idleSharesAreUsedElsewhereAndReturnWithinFiveSeconds() {
         for (double loss : new double[] {0, 0.5}) {
             Tier tier = new Tier(2, 7);
             tier.loss = loss;
             tier.perSecond[0] = 10 * CAP;
-            tier.pass(10_000);
+            tier.advance(10_000);
             assertThat(tier.servedPerSecond(0, 10_000))
                     .as("with the other idle, loss " + loss)
                     .isGreaterThan(loss == 0 ? 430 : 340);
             tier.perSecond[1] = 250;
-            tier.pass(5000);
+            tier.advance(5000);
             assertThat(tier.servedPerSecond(1, 10_000))
                     .as("back to 250 of its own 300, loss " + loss)
                     .isGreaterThan(245);
-            assertThat(tier.most).isLessThanOrEqualTo((int) CAP);
+            assertThat(tier.fullestWindow).isLessThanOrEqualTo((int) CAP);
         }
     }
 
     @Test
-    void withTheHolderGoneEachHasItsOwnAndAnotherTakesOver() {
+    void withoutTheHolderEachHasItsOwnShareAndAnotherTakesOver() {
         Tier tier = new Tier(3, 3);
         tier.perSecond[1] = 10 * CAP;
-        tier.pass(10_000);
+        tier.advance(10_000);
         assertThat(tier.servedPerSecond(1, 5000)).isGreaterThan(330);
         tier.down[0] = true;
         assertThat(tier.servedPerSecond(1, 3000)).as("never less than its own").isGreaterThan(195);
-        tier.pass(4000);
+        tier.advance(4000);
         assertThat(tier.servedPerSecond(1, 5000))
                 .as("what the third cedes, by a holder of its own")
                 .isGreaterThan(280);
         tier.start(0);
-        tier.pass(8000);
+        tier.advance(8000);
         assertThat(tier.servedPerSecond(1, 5000)).isGreaterThan(330);
-        assertThat(tier.most).isLessThanOrEqualTo((int) CAP);
+        assertThat(tier.fullestWindow).isLessThanOrEqualTo((int) CAP);
     }
 
     @Test
-    void oneThatHearsNobodyKeepsItsStaticShare() {
+    void anIsolatedInstanceKeepsItsOwnShare() {
         Tier tier = new Tier(4, 3);
         tier.loss = 1;
         tier.perSecond[2] = 10 * CAP;
-        tier.pass(5000);
+        tier.advance(5000);
         assertThat(tier.servedPerSecond(2, 10_000)).isBetween(147.0, 150.5);
     }
 }
--- a/src/test/java/cacheproxy/quota/MaxMinFairShareTest.java
+++ b/src/test/java/cacheproxy/quota/MaxMinFairShareTest.java
@@ -10,7 +10,7 @@
 
 class MaxMinFairShareTest {
     @Property(seed = "1", tries = 500)
-    void nobodyGetsMoreThanWantedAndNothingIsLeftWhileSomebodyWants(
+    void sharesNeverExceedDemandsAndNothingIsLeftWhileADemandIsUnmet(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int many) {
         SplittableRandom random = new SplittableRandom(seed);
         double[] wants = new double[many + 2];
--- a/src/test/java/cacheproxy/quota/QuotaTranscriptTest.java
+++ b/src/test/java/cacheproxy/quota/QuotaTranscriptTest.java
@@ -45,13 +45,13 @@
             now += random.nextInt(60) == 0 ? random.nextInt(9000) : random.nextDouble() * 12;
             String organisation = organisations[random.nextInt(3)];
             String app = random.nextBoolean() ? "player" : "app-" + random.nextInt(12);
-            QuotaCharge ticket = new QuotaCharge();
+            QuotaCharge charge = new QuotaCharge();
             double wait = tree.admit(
                     now,
                     random.nextInt(9) == 0 ? new String[] {organisation} : new String[] {organisation, app},
                     random.nextInt(200),
                     random.nextInt(4) == 0,
-                    ticket);
+                    charge);
             transcript
                     .append(organisation)
                     .append(' ')
@@ -59,8 +59,8 @@
                     .append(' ')
                     .append(wait)
                     .append('\n');
-            if (ticket.isOpen()) {
-                open.add(ticket);
+            if (charge.isOpen()) {
+                open.add(charge);
             }
             if (open.size() > random.nextInt(9)) {
                 end(tree, now, open.remove(random.nextInt(open.size())), random);
@@ -71,11 +71,11 @@
         }
     }
 
-    private static void end(QuotaTree tree, double now, QuotaCharge ticket, SplittableRandom random) {
+    private static void end(QuotaTree tree, double now, QuotaCharge charge, SplittableRandom random) {
         if (random.nextInt(5) == 0) {
-            tree.refund(now, ticket);
+            tree.refund(now, charge);
         } else {
-            tree.settle(now, ticket, random.nextInt(40) == 0 ? 90_000 : random.nextInt(300));
+            tree.settle(now, charge, random.nextInt(40) == 0 ? 90_000 : random.nextInt(300));
         }
     }
 
--- a/src/test/java/cacheproxy/quota/QuotaTreeTest.java
+++ b/src/test/java/cacheproxy/quota/QuotaTreeTest.java
@@ -58,14 +58,14 @@
             random = new SplittableRandom(seed);
         }
 
-        void ask(String[] path, long bytes, boolean write) {
-            QuotaCharge ticket = new QuotaCharge();
-            if (tree.admit(now, path, bytes, write, ticket) > 0) {
+        void request(String[] path, long bytes, boolean write) {
+            QuotaCharge charge = new QuotaCharge();
+            if (tree.admit(now, path, bytes, write, charge) > 0) {
                 return;
             }
             admitted++;
             if (random.nextInt(10) == 0) {
-                tree.refund(now, ticket);
+                tree.refund(now, charge);
                 return;
             }
             String at = "";
@@ -74,7 +74,7 @@
                 at += "/" + name;
                 log(at, bytes, write);
             }
-            tree.settle(now, ticket, bytes);
+            tree.settle(now, charge, bytes);
         }
 
         private void log(String node, long bytes, boolean write) {
@@ -155,7 +155,7 @@
                         ? new String[] {"org" + random.nextInt(3)}
                         : new String[] {"org" + random.nextInt(3), "app" + random.nextInt(2)};
                 for (int burst = random.nextInt(40); burst >= 0; burst--) {
-                    h.ask(path, random.nextInt(3000), random.nextInt(5) == 0);
+                    h.request(path, random.nextInt(3000), random.nextInt(5) == 0);
                 }
             }
             h.check();
@@ -166,23 +166,23 @@
 
     // ---- shares
 
-    /** Asks at these rates for so long, counts what was let in, by name; requests come at random. */
-    private static Map<String, Integer> ask(
+    /** Sends requests at these rates for so long, counts the admitted ones by name; arrivals are random. */
+    private static Map<String, Integer> replay(
             QuotaTree tree, double from, double seconds, Map<String, Double> perSecond, SplittableRandom random) {
         record Next(String name, double at) {}
         Map<String, Integer> in = new HashMap<>();
         List<Next> next = new ArrayList<>();
         perSecond.forEach((name, rate) -> next.add(new Next(name, from + random.nextDouble() * 1000 / rate)));
-        QuotaCharge ticket = new QuotaCharge();
+        QuotaCharge charge = new QuotaCharge();
         while (!next.isEmpty()) {
             Next n = next.stream().min((a, b) -> Double.compare(a.at, b.at)).orElseThrow();
             next.remove(n);
             if (n.at >= from + seconds * 1000) {
                 continue;
             }
-            if (tree.admit(n.at, n.name.split("/"), 0, false, ticket) == 0) {
+            if (tree.admit(n.at, n.name.split("/"), 0, false, charge) == 0) {
                 in.merge(n.name, 1, Integer::sum);
-                tree.settle(n.at, ticket, 0);
+                tree.settle(n.at, charge, 0);
             }
             next.add(new Next(n.name, n.at - Math.log(1 - random.nextDouble()) * 1000 / perSecond.get(n.name)));
         }
@@ -191,18 +191,18 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1000, 10_000, 60_000})
-    void whatIsLentComesBackWithinFiveSecondsThoughTheBorrowerNeverGoesQuiet(long window) {
+    void lentRateReturnsWithinFiveSecondsWhileTheBorrowerStaysActive(long window) {
         QuotaTree tree = new QuotaTree(partners(window), 64, 1);
         SplittableRandom random = new SplittableRandom(5);
         double seconds = 2 * window / 1000.0 + 10;
-        Map<String, Integer> alone = ask(tree, START, seconds, Map.of("beta/player", 8000.0), random);
+        Map<String, Integer> alone = replay(tree, START, seconds, Map.of("beta/player", 8000.0), random);
         assertThat(alone.get("beta/player") / seconds)
                 .as("lent to one that asks alone")
                 .isBetween(700.0, 900.0);
         double back = START + seconds * 1000;
         Map<String, Double> both = Map.of("beta/player", 8000.0, "alpha/player", 330.0, "alpha/set-top", 140.0);
-        ask(tree, back, 5, both, random);
-        Map<String, Integer> after = ask(tree, back + 5000, 20, both, random);
+        replay(tree, back, 5, both, random);
+        Map<String, Integer> after = replay(tree, back + 5000, 20, both, random);
         assertThat(after.get("alpha/player"))
                 .as("served of what the owner asks")
                 .isGreaterThan((int) (330 * 20 * 0.93));
@@ -211,12 +211,12 @@
     }
 
     @Test
-    void eachIsServedItsOwnWhileOthersAskTenTimesTheirs() {
+    void eachGetsItsGuaranteeWhileOthersDemandTenTimesTheirs() {
         QuotaTree tree = new QuotaTree(partners(1000), 64, 1);
         SplittableRandom random = new SplittableRandom(5);
         Map<String, Double> all = Map.of("alpha/player", 5000.0, "beta/player", 3000.0, "gamma/player", 190.0);
-        ask(tree, START, 5, all, random);
-        Map<String, Integer> in = ask(tree, START + 5000, 30, all, random);
+        replay(tree, START, 5, all, random);
+        Map<String, Integer> in = replay(tree, START + 5000, 30, all, random);
         assertThat(in.get("gamma/player") / 30.0)
                 .as("asks for less than its own")
                 .isGreaterThan(190 * 0.95);
@@ -230,7 +230,7 @@
     // ---- charges
 
     @Test
-    void whatBecomesOfACharge() {
+    void chargesAreRefundedOrSettled() {
         QuotaTree tree = new QuotaTree(
                 spec(
                         "all",
@@ -259,83 +259,83 @@
                 .isZero();
         tree.settle(START + 20, first, 100);
         assertThat(tree.used(START + 20, path, Measure.BYTES, 1000))
-                .as("less than supposed")
+                .as("less than estimated")
                 .isEqualTo(100);
         assertThat(tree.used(START + 20, path, Measure.WRITES, 1000)).isEqualTo(1);
     }
 
     /** 4 MiB to one with 1 KB left: let in by the estimate, then nothing more until it is paid for. */
     @Test
-    void aDebtIsPaidBeforeAnythingNew() {
+    void debtIsPaidBeforeAnyNewCharge() {
         QuotaTree tree = new QuotaTree(spec("all", List.of(new Limit(Measure.BYTES, 1000, 0, 1 << 20))), 1, 1);
         String[] path = {};
-        QuotaCharge ticket = new QuotaCharge();
+        QuotaCharge charge = new QuotaCharge();
         tree.admit(START, path, (1 << 20) - 1024, false, new QuotaCharge());
-        assertThat(tree.admit(START, path, 1000, false, ticket)).isZero();
-        tree.settle(START, ticket, 4 << 20);
+        assertThat(tree.admit(START, path, 1000, false, charge)).isZero();
+        tree.settle(START, charge, 4 << 20);
         assertThat(tree.debt(path, Measure.BYTES, 1000)).isEqualTo((4 << 20) - 1024);
         double wait = 0;
         double now = START;
-        for (; (wait = tree.admit(now, path, 1, false, ticket)) > 0; now += 50) {
+        for (; (wait = tree.admit(now, path, 1, false, charge)) > 0; now += 50) {
             assertThat(tree.used(now, path, Measure.BYTES, 1000)).isLessThanOrEqualTo(1 << 20);
         }
         assertThat(now - START).as("four windows and the one that was full").isBetween(4000.0, 5500.0);
     }
 
     @Test
-    void aDebtBeyondAnHoursWindowIsNotForgotten() {
+    void debtOutlastsAWindowOfAnHour() {
         QuotaTree tree =
                 new QuotaTree(spec("all", List.of(new Limit(Measure.BYTES, Limit.MAX_WINDOW_MS, 0, 1000))), 1, 1);
-        QuotaCharge ticket = new QuotaCharge();
-        tree.admit(START, new String[0], 10, false, ticket);
-        tree.settle(START, ticket, 5000);
+        QuotaCharge charge = new QuotaCharge();
+        tree.admit(START, new String[0], 10, false, charge);
+        tree.settle(START, charge, 5000);
         for (int hour = 1; hour < 5; hour++) {
-            assertThat(tree.admit(START + hour * 3_600_000.0, new String[0], 1, false, ticket))
+            assertThat(tree.admit(START + hour * 3_600_000.0, new String[0], 1, false, charge))
                     .isPositive();
         }
         // Paid for when somebody looks, so who asks once an hour finds it paid somewhat late, and never early.
-        assertThat(tree.admit(START + 9 * 3_600_000.0, new String[0], 1, false, ticket))
+        assertThat(tree.admit(START + 9 * 3_600_000.0, new String[0], 1, false, charge))
                 .isZero();
     }
 
     /** What is asked for is more than the cap: it counts as all of it, or it would never be let in. */
     @Test
-    void oneLargerThanItsCapIsLetInAloneAndPaidFor() {
+    void aRequestLargerThanTheCapIsAdmittedAloneAndBecomesDebt() {
         QuotaTree tree = new QuotaTree(spec("all", List.of(new Limit(Measure.BYTES, 1000, 0, 1000))), 1, 1);
-        QuotaCharge ticket = new QuotaCharge();
-        assertThat(tree.admit(START, new String[0], 2500, false, ticket)).isZero();
-        tree.settle(START, ticket, 2500);
+        QuotaCharge charge = new QuotaCharge();
+        assertThat(tree.admit(START, new String[0], 2500, false, charge)).isZero();
+        tree.settle(START, charge, 2500);
         assertThat(tree.debt(new String[0], Measure.BYTES, 1000)).isEqualTo(1500);
     }
 
     @Test
-    void theTimeToComeBackIsThatOfTheWindowAndSpread() {
+    void theWaitIsThatOfTheWindowWithJitter() {
         QuotaTree tree = new QuotaTree(spec("all", List.of(requests(10_000, 0, 3))), 1, 1);
-        QuotaCharge ticket = new QuotaCharge();
+        QuotaCharge charge = new QuotaCharge();
         for (int i = 0; i < 3; i++) {
-            assertThat(tree.admit(START + i * 1000, new String[0], 0, false, ticket))
+            assertThat(tree.admit(START + i * 1000, new String[0], 0, false, charge))
                     .isZero();
         }
         double least = 1e9;
         double most = 0;
         for (int i = 0; i < 100; i++) {
-            double wait = tree.admit(START + 4000, new String[0], 0, false, ticket);
+            double wait = tree.admit(START + 4000, new String[0], 0, false, charge);
             least = Math.min(least, wait);
             most = Math.max(most, wait);
         }
         assertThat(least).isBetween(6000.0, 6300.0);
         assertThat(most).isBetween(8500.0, 9500.0);
-        assertThat(tree.admit(START + 4000 + least, new String[0], 0, false, ticket))
+        assertThat(tree.admit(START + 4000 + least, new String[0], 0, false, charge))
                 .isZero();
     }
 
     @Test
-    void aClockThatStepsBackGivesNothingAway() {
+    void aClockThatStepsBackAdmitsNothingMore() {
         QuotaTree tree = new QuotaTree(spec("all", List.of(requests(1000, 0, 5))), 1, 1);
-        QuotaCharge ticket = new QuotaCharge();
+        QuotaCharge charge = new QuotaCharge();
         int in = 0;
         for (int i = 0; i < 50; i++) {
-            in += tree.admit(START - i * 100_000.0, new String[0], 0, false, ticket) == 0 ? 1 : 0;
+            in += tree.admit(START - i * 100_000.0, new String[0], 0, false, charge) == 0 ? 1 : 0;
         }
         assertThat(in).isEqualTo(5);
     }
@@ -343,7 +343,7 @@
     // ---- those who are not named
 
     @Test
-    void whoIsNotNamedSharesOrHasOneOfItsOwn() {
+    void unnamedOwnersShareANodeOrGetOneEach() {
         QuotaTree tree = new QuotaTree(
                 spec(
                         "all",
@@ -355,15 +355,15 @@
                         spec(QuotaSpec.ANY, List.of(requests(1000, 3, 3)))),
                 64,
                 1);
-        QuotaCharge ticket = new QuotaCharge();
+        QuotaCharge charge = new QuotaCharge();
         int in = 0;
         for (int i = 0; i < 10; i++) {
-            in += tree.admit(START, new String[] {"nobody-" + i, "app"}, 0, false, ticket) == 0 ? 1 : 0;
+            in += tree.admit(START, new String[] {"nobody-" + i, "app"}, 0, false, charge) == 0 ? 1 : 0;
         }
         assertThat(in).as("all of them together").isEqualTo(3);
         for (String app : new String[] {"one", "two"}) {
             for (int i = 0; i < 3; i++) {
-                assertThat(tree.admit(START, new String[] {"alpha", app}, 0, false, ticket) == 0)
+                assertThat(tree.admit(START, new String[] {"alpha", app}, 0, false, charge) == 0)
                         .isEqualTo(i < 2);
             }
         }
@@ -371,25 +371,25 @@
 
     /** 100,000 device classes, each seen once: bounded, and whoever owes is still known when it comes again. */
     @Test
-    void theUnnamedAreBoundedAndADebtIsNotForgotten() {
+    void unnamedNodesAreBoundedAndThoseInDebtAreNotEvicted() {
         QuotaTree tree = new QuotaTree(
                 spec("all", List.of(), spec(QuotaSpec.EACH, List.of(new Limit(Measure.BYTES, 1000, 0, 1000)))), 256, 1);
-        QuotaCharge ticket = new QuotaCharge();
+        QuotaCharge charge = new QuotaCharge();
         String[] owes = {"owes"};
-        tree.admit(START, owes, 1, false, ticket);
-        tree.settle(START, ticket, 1_000_000);
+        tree.admit(START, owes, 1, false, charge);
+        tree.settle(START, charge, 1_000_000);
         for (int i = 0; i < 100_000; i++) {
-            if (tree.admit(START + i, new String[] {"device-" + i}, 1, false, ticket) == 0) {
-                tree.settle(START + i, ticket, 1);
+            if (tree.admit(START + i, new String[] {"device-" + i}, 1, false, charge) == 0) {
+                tree.settle(START + i, charge, 1);
             }
             assertThat(tree.unnamed()).isLessThanOrEqualTo(256);
         }
         assertThat(tree.debt(owes, Measure.BYTES, 1000)).isPositive();
-        assertThat(tree.admit(START + 100_000, owes, 1, false, ticket)).isPositive();
+        assertThat(tree.admit(START + 100_000, owes, 1, false, charge)).isPositive();
     }
 
     @Test
-    void whatIsOfNoSenseIsToldWithAReason() {
+    void invalidDefinitionsAreRejectedWithTheReason() {
         assertThatThrownBy(() -> new QuotaTree(
                         spec(
                                 "all",
