--- a/src/main/java/cacheproxy/proxy/DeadlineText.java
+++ b/src/main/java/cacheproxy/proxy/DeadlineText.java
@@ -7,16 +7,16 @@
  * @param before the text before the number
  * @param after the text behind the number
  */
-record DeadlineText(String before, String after) {
+public record DeadlineText(String before, String after) {
     /** Contains the timeout and nothing else. */
-    static final DeadlineText EMPTY = new DeadlineText("", "");
+    public static final DeadlineText EMPTY = new DeadlineText("", "");
 
     /**
      * Splits a text around the number that begins at {@code index} and ends before the next comma or space.
      *
      * @param index where the number begins; negative if the text has none: it then gets one at its end
      */
-    static DeadlineText of(String text, int index) {
+    public static DeadlineText of(String text, int index) {
         int begin = index < 0 ? text.length() : index;
         int end = begin;
         while (end < text.length() && text.charAt(end) != ',' && text.charAt(end) != ' ') {
--- a/src/main/java/cacheproxy/proxy/ServerConnectionPool.java
+++ b/src/main/java/cacheproxy/proxy/ServerConnectionPool.java
@@ -151,7 +151,7 @@
                 isOrigin() ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
         ChannelFuture future = bootstrap
                 .clone()
-                .handler(new Initializer(handlers))
+                .handler(new HandlerInitializer(handlers))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
                         context.settings().connectTimeoutMs())
                 .connect(server.address);
--- a/src/main/java/cacheproxy/proxy/UpstreamServers.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamServers.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 
 /** The servers of the endpoint list, with the connections to them. Event loop only. */
-final class UpstreamServers {
+public final class UpstreamServers {
     /** A node that has been sent nothing for so long, not even to try it again, counts as ejected. */
     private static final double EJECTED_SILENCE_MS = 1000;
     /** Connections are scarce if so many cache nodes reject them, and at least this part of them. */
@@ -127,7 +127,7 @@
     }
 
     /** Connections that are open or being opened. */
-    int connections() {
+    public int connections() {
         return limits.connections();
     }
 
@@ -148,12 +148,12 @@
     // ---- cache nodes: state and metrics
 
     /** How many cache nodes the list has. */
-    int cacheNodeCount() {
+    public int cacheNodeCount() {
         return (int) cacheNodeStream().count();
     }
 
     /** How many of them are sent no ordinary request now and have been sent nothing for a while. */
-    int ejectedNodeCount() {
+    public int ejectedNodeCount() {
         double now = context.now();
         return (int) cacheNodeStream()
                 .filter(server -> now - server.pool.lastSentMs() > EJECTED_SILENCE_MS && context.isEjected(server.id))
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
@@ -1,5 +1,6 @@
 package cacheproxy.proxy;
 
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.failover.ZoneFailover;
 import cacheproxy.failover.ZoneFailoverSettings;
 import cacheproxy.failover.ZoneState;
@@ -8,16 +9,16 @@
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
-import cacheproxy.state.RecordKind;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 
 /**
  * Carries out what {@link ZoneFailover} decides: tells it what the decision module saw and what the list holds, passes
  * its orders on, and has the fleet's view carry its notes. On the event loop only.
  */
-final class ZoneFailoverLink {
+public final class ZoneFailoverLink {
     private final Dispatcher dispatcher;
     private final MembershipLink members;
     private final ZoneFailoverSettings settings;
@@ -26,27 +27,30 @@
     private byte[] plan = {};
     private byte[] sight = {};
 
-    /** {@code names}: of the zones, by number; {@code last}: what the process before held of them. */
-    ZoneFailoverLink(
+    /**
+     * Zone decisions from before this process's start.
+     *
+     * @param decisions by the zones' numbers
+     * @param valid whether they are recent enough to decide by
+     */
+    public record RestoredDecisions(Map<Integer, StoredZoneState> decisions, boolean valid) {}
+
+    /** {@code names}: of the zones, by number; {@code states} and {@code orders}: restored ones. */
+    public ZoneFailoverLink(
             Dispatcher dispatcher,
             MembershipLink members,
             RoutingSettings settings,
             List<String> names,
-            RestoredState last) {
+            RestoredDecisions states,
+            RestoredDecisions orders) {
         this.dispatcher = dispatcher;
         this.members = members;
         this.names = List.copyOf(names);
         this.settings = new ZoneFailoverSettings(
                 settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
         zones = new ZoneFailover(this.settings);
-        zones.restore(
-                dispatcher.now(),
-                last.zoneDecisions(RecordKind.ZONE_STATES, names),
-                last.isValid(RecordKind.ZONE_STATES));
-        zones.restore(
-                dispatcher.now(),
-                last.zoneDecisions(RecordKind.OPERATOR_ORDERS, names),
-                last.isValid(RecordKind.OPERATOR_ORDERS));
+        zones.restore(dispatcher.now(), states.decisions(), states.valid());
+        zones.restore(dispatcher.now(), orders.decisions(), orders.valid());
         dispatcher.addEndpointListListener(k -> listed());
         listed();
         run();
@@ -126,11 +130,13 @@
         }
     }
 
-    ZoneFailover zones() {
+    /** The decisions. */
+    public ZoneFailover zones() {
         return zones;
     }
 
-    List<String> names() {
+    /** The zones' names, by number. */
+    public List<String> names() {
         return names;
     }
 
--- a/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
@@ -14,11 +14,11 @@
  * What is held of zones, as JSON: by the zones' names, as their numbers hang on the settings, and apart by whose word
  * it is, as an order lasts longer than what was seen.
  */
-final class ZoneStateCodec {
+public final class ZoneStateCodec {
     private ZoneStateCodec() {}
 
     /** Of those zones that stand as ordered, or as found on evidence. */
-    static JsonObject encode(Map<Integer, StoredZoneState> held, boolean ordered, List<String> names) {
+    public static JsonObject encode(Map<Integer, StoredZoneState> held, boolean ordered, List<String> names) {
         JsonObject all = new JsonObject();
         held.forEach((zone, h) -> {
             if (zone < names.size() && ordered != (h.state().cause() == Cause.EVIDENCE)) {
@@ -44,7 +44,7 @@
     }
 
     /** Reads it; zones that there are no more are left out, and an exception says that it is of no use. */
-    static Map<Integer, StoredZoneState> decode(JsonElement json, List<String> names) {
+    public static Map<Integer, StoredZoneState> decode(JsonElement json, List<String> names) {
         Map<Integer, StoredZoneState> held = new TreeMap<>();
         json.getAsJsonObject().entrySet().forEach(e -> {
             JsonObject o = e.getValue().getAsJsonObject();
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -1,27 +1,43 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
 import cacheproxy.metrics.EventKind;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.MetaCodec;
+import cacheproxy.proxy.PausableDecoder;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.socket.DuplexChannel;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 
 /**
  * The connection of one client: its states from the start to the end, while {@link ClientRequestReceiver} decodes
  * requests and {@link ClientResponseQueue} writes their responses. Ends in order, by closing its output first, or is
  * passed to the process that takes over. On the event loop only.
  */
-final class ClientConnection extends PausableDecoder {
+public final class ClientConnection extends PausableDecoder {
+    /** Is told of the connection's end. On the event loop only. */
+    public interface Listener {
+        /** The connection is closed. */
+        void closed(ClientConnection client);
+
+        /** The instance drains, and the connection is between requests. */
+        void idleWhileDraining(ClientConnection client);
+    }
+
     /** How long a client has to close a connection whose output is closed, in milliseconds. */
     private static final long LINGER_MS = 300;
     /** A client that has taken nothing of its responses for so long is disconnected, in milliseconds. */
     private static final double WRITE_STALL_MS = 10_000;
 
     private final Dispatcher dispatcher;
+    private final Listener listener;
     private final boolean adopted;
     private final ClientResponseQueue responses;
     private final ClientRequestReceiver receiver;
@@ -40,8 +56,9 @@
     private long lastUnwrittenBytes;
 
     /** {@code adopted}: another process has accepted it and may have served it. */
-    ClientConnection(Dispatcher dispatcher, boolean adopted) {
+    public ClientConnection(Dispatcher dispatcher, Listener listener, boolean adopted) {
         this.dispatcher = dispatcher;
+        this.listener = listener;
         this.adopted = adopted;
         responses = new ClientResponseQueue(this, dispatcher);
         receiver = new ClientRequestReceiver(this, responses, dispatcher);
@@ -66,13 +83,13 @@
     }
 
     /** Whether it has been sent a response here; a connection that has not has a request on its way. */
-    boolean used() {
+    boolean hasResponded() {
         return responses.hasWritten();
     }
 
     /** Whether this or another process has served it, so that no first command is awaited. */
-    boolean served() {
-        return adopted || used();
+    public boolean served() {
+        return adopted || hasResponded();
     }
 
     /** Whether its output is closed or it is on its way to another process. */
@@ -171,9 +188,9 @@
     /** Ends the connection if that is due and nothing is under way on it. */
     void closeIfDue() {
         if (closing && responses.isEmpty() && responses.allWritten()) {
-            finish();
+            closeGracefully();
         } else if (dispatcher.drain().closing() && idle()) {
-            dispatcher.closeWhenIdle(this);
+            listener.idleWhileDraining(this);
         }
     }
 
@@ -181,7 +198,7 @@
      * Closes the output and waits for the client to close the connection: closing with unread input would send a reset,
      * which could overtake the last response.
      */
-    void finish() {
+    public void closeGracefully() {
         if (finished) {
             return;
         }
@@ -189,11 +206,11 @@
         closing = true;
         context.channel().config().setAutoRead(true);
         ((DuplexChannel) context.channel()).shutdownOutput();
-        context.executor().schedule(this::close, LINGER_MS, TimeUnit.MILLISECONDS);
+        context.executor().schedule(this::closeNow, LINGER_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Closes the connection at once, whatever is under way on it. */
-    void close() {
+    void closeNow() {
         closedByProxy = true;
         context.close();
     }
@@ -206,7 +223,7 @@
         super.channelInactive(ctx);
         receiver.dropIncoming();
         responses.drop(closedByProxy);
-        dispatcher.clientLeft(this);
+        listener.closed(this);
     }
 
     @Override
@@ -221,8 +238,10 @@
     /**
      * Passes the connection to the successor, and closes it here without a word to the client. In a task of its own:
      * what is being read or written now is done then.
+     *
+     * @param successor passes a channel on and reports whether that succeeded
      */
-    void passTo(HandoverServer successor) {
+    public void passTo(BiConsumer<Channel, Consumer<Boolean>> successor) {
         if (passing || finished) {
             return;
         }
@@ -230,7 +249,7 @@
         context.channel().config().setAutoRead(false); // what arrives now is the successor's to read
         context.executor().execute(() -> {
             if (idle() && !finished) {
-                successor.passClient(context.channel(), this::passed);
+                successor.accept(context.channel(), this::passed);
             } else {
                 keep();
             }
@@ -244,7 +263,7 @@
         } else {
             keep();
             if (idle()) {
-                finish();
+                closeGracefully();
             }
         }
     }
--- a/src/main/java/cacheproxy/proxy/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
@@ -1,6 +1,12 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
 import cacheproxy.flow.ReadTimeout;
+import cacheproxy.proxy.DeadlineText;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.MetaCodec;
+import cacheproxy.proxy.RequestCommand;
+import cacheproxy.proxy.RequestOutcome;
+import cacheproxy.proxy.ValueBuffer;
 import cacheproxy.route.Routing;
 import io.netty.buffer.ByteBuf;
 import java.util.concurrent.TimeUnit;
@@ -101,7 +107,7 @@
     }
 
     private void receiveLine(ByteBuf in) throws MetaCodec.SyntaxException {
-        String line = MetaCodec.line(in);
+        String line = MetaCodec.readLine(in);
         if (line != null) {
             readTimeout.commandCompleted();
             handle(line, input.lastTakenArrivedMs(in.readableBytes()));
@@ -192,7 +198,7 @@
             rejectWithoutValue(command);
             return;
         }
-        command.value = value.whole();
+        command.value = value.assemble();
         value = null;
         if (!MetaCodec.endsWithLineEnd(command.value)) {
             command.release();
@@ -254,7 +260,7 @@
         if (input.anyReceived()) {
             connection.respondAndClose("CLIENT_ERROR timed out\r\n");
         } else {
-            connection.finish(); // a line would be taken for the response to a request that is on its way
+            connection.closeGracefully(); // a line would be taken for the response to a request that is on its way
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/ProxyStatus.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ProxyStatus.java
@@ -1,5 +1,8 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
+import cacheproxy.proxy.Counters;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.takeover.HandoverStateMachine;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -46,7 +49,7 @@
                 .forEach((name, total) ->
                         outcomes.put(name, new ClassOutcomes(total.succeeded(), total.rejected(), total.failed())));
         return new ProxyStatus(
-                acceptor.open(),
+                acceptor.openConnections(),
                 dispatcher.openRequests(),
                 dispatcher.completedRequests(),
                 dispatcher.servers().connections(),
