--- a/src/main/java/cacheproxy/quota/Meter.java
+++ b/src/main/java/cacheproxy/quota/Meter.java
@@ -1,55 +1,54 @@
 package cacheproxy.quota;
 
 /**
- * One quota of one node at work. What is its own it may use in any order within the window; what is lent to it comes at
- * a pace, and is counted apart: so an owner that comes back finds its rate free within moments, also where the window
- * is an hour long, and a borrower has not used up what is its own.
+ * The state of one quota of one node. The guarantee may be used in any order within the window; what is lent beyond it
+ * arrives at a rate and is counted apart. So an owner that comes back finds its rate free within moments, even with a
+ * window of an hour, and a borrower has not used up its guarantee. Amounts in units of the quota's measure, times in
+ * milliseconds.
  */
 final class Meter {
-    /** Demand is what was asked for in about this time. */
-    static final double DEMAND_MS = 500;
-    /** What is lent may be saved up for so long, which is no longer than the shortest window. */
-    static final double SAVED_MS = Limit.SHORTEST_MS;
-
-    final Limit limit;
-    /** Whether siblings share the parent's; else only the cap counts. */
-    final boolean shares;
-
-    private final SlidingCount all;
-    private final SlidingCount own;
-    private double asked;
-    private double askedAt;
-    private double lentPerMs;
-    private double sparePerMs;
-    private double credit;
-    private double creditAt;
+    private final Limit limit;
+    private final boolean borrows;
+    private final SlidingCount totalCount;
+    /** What was charged to the guarantee; null unless it borrows. */
+    private final SlidingCount guaranteedCount;
+
+    private final DemandRate demand = new DemandRate();
+    private final LentCredit lent = new LentCredit();
+    private double idlePerMs;
     private long debt;
-    private double paidAt;
+    private double debtPaidMs;
 
-    Meter(Limit limit, boolean shares) {
+    /**
+     * A meter with nothing used yet.
+     *
+     * @param borrows whether siblings share the parent's quota; if not, the cap alone counts
+     */
+    Meter(Limit limit, boolean borrows) {
         this.limit = limit;
-        this.shares = shares;
-        all = new SlidingCount(limit.windowMs());
-        own = shares ? new SlidingCount(limit.windowMs()) : null;
+        this.borrows = borrows;
+        totalCount = new SlidingCount(limit.windowMs());
+        guaranteedCount = borrows ? new SlidingCount(limit.windowMs()) : null;
     }
 
-    /** One request counts for no more than the whole cap, or it would never be let in; the rest is settled as debt. */
-    long charge(long bytes, boolean write) {
-        return Math.min(limit.cap(), limit.measure().of(bytes, write));
+    Limit limit() {
+        return limit;
     }
 
-    void asked(double now, long much) {
-        asked = asked * left(now - askedAt) + much;
-        askedAt = Math.max(askedAt, now);
+    /** The charge of a request: no more than the whole cap, or it would never be admitted; the rest becomes debt. */
+    long chargeFor(long bytes, boolean write) {
+        return Math.min(limit.cap(), limit.measure().of(bytes, write));
     }
 
-    private static double left(double ms) {
-        return Math.exp(-Math.max(0, ms) / DEMAND_MS);
+    // ---- rates
+
+    void recordDemand(double nowMs, long amount) {
+        demand.add(nowMs, amount);
     }
 
-    /** What is asked for, in units a millisecond. */
-    double demand(double now) {
-        return asked * left(now - askedAt) / DEMAND_MS;
+    /** Recent demand, in units a millisecond. */
+    double demandPerMs(double nowMs) {
+        return demand.perMs(nowMs);
     }
 
     double guaranteePerMs() {
@@ -60,127 +59,126 @@
         return (double) limit.cap() / limit.windowMs();
     }
 
-    /** The rate that it has to give to those beneath it. */
+    /** The rate that its node can divide among its children. */
     double ratePerMs() {
-        return shares ? Math.min(capPerMs(), guaranteePerMs() + lentPerMs) : capPerMs();
+        return borrows ? Math.min(capPerMs(), guaranteePerMs() + lent.ratePerMs()) : capPerMs();
     }
 
-    /** What lay idle when shares were last dealt out beneath it, for each that asked and one more. */
-    double spare() {
-        return sparePerMs;
+    /** The rate that was left over when its node last lent, for each active child and one more. */
+    double idlePerMs() {
+        return idlePerMs;
     }
 
-    void spare(double perMs) {
-        sparePerMs = perMs;
+    void setIdlePerMs(double perMs) {
+        idlePerMs = perMs;
     }
 
-    /**
-     * It has begun to ask: what is spare is lent to it as if it had been for a while, or its first request would wait.
-     */
-    void begin(double now, double perMs) {
-        lend(now, perMs);
-        credit = lentPerMs * SAVED_MS;
+    /** Starts to be lent a rate, with credit as if it had been for a while: its first request must not wait. */
+    void startBorrowing(double nowMs, double perMs) {
+        borrow(nowMs, perMs);
+        lent.fill();
     }
 
-    /** From now on it is lent so much a millisecond, and never more than leads to its cap. */
-    void lend(double now, double perMs) {
-        refill(now, 0);
-        lentPerMs = Math.min(perMs, capPerMs() - guaranteePerMs());
+    /** Is lent this rate from now on, up to its cap. */
+    void borrow(double nowMs, double perMs) {
+        lent.setRate(nowMs, Math.min(perMs, capPerMs() - guaranteePerMs()));
     }
 
-    private void refill(double now, long wanted) {
-        double most = lentPerMs * SAVED_MS + (lentPerMs > 0 ? wanted : 0);
-        credit = Math.min(most, credit + lentPerMs * Math.max(0, now - creditAt));
-        creditAt = Math.max(creditAt, now);
-    }
+    // ---- charges
 
-    /** 0 if so much may be charged now, else how long until it may, as far as can be told. */
-    double wait(double now, long much) {
-        if (much == 0) {
+    /** 0 if this amount may be charged now, else an estimate of how long until it may, at least 1 ms. */
+    double waitMs(double nowMs, long amount) {
+        if (amount == 0) {
             return 0;
         }
-        pay(now);
-        double cap = all.roomInMs(now, Math.min(limit.cap(), much + debt), limit.cap());
+        payDebt(nowMs);
+        double capWaitMs = totalCount.timeUntilCapacityMs(nowMs, Math.min(limit.cap(), amount + debt), limit.cap());
         if (debt > 0) {
-            return Math.max(1, cap + (debt - 1) / limit.cap() * limit.windowMs());
+            return Math.max(1, capWaitMs + (debt - 1) / limit.cap() * limit.windowMs());
         }
-        if (cap > 0) {
-            return Math.max(1, cap);
+        if (capWaitMs > 0) {
+            return Math.max(1, capWaitMs);
         }
-        if (!shares || isOwn(now, much)) {
+        if (!borrows || fitsGuarantee(nowMs, amount)) {
             return 0;
         }
-        refill(now, much);
-        if (credit >= much) {
+        lent.refill(nowMs, amount);
+        if (lent.covers(amount)) {
             return 0;
         }
-        double lent = lentPerMs > 0 ? (much - credit) / lentPerMs : limit.windowMs();
-        double mine = much <= limit.guarantee() ? own.roomInMs(now, much, limit.guarantee()) : limit.windowMs();
-        return Math.max(1, Math.min(lent, mine));
+        double lentWaitMs = lent.waitMs(amount, (double) limit.windowMs());
+        double guaranteeWaitMs = amount <= limit.guarantee()
+                ? guaranteedCount.timeUntilCapacityMs(nowMs, amount, limit.guarantee())
+                : limit.windowMs();
+        return Math.max(1, Math.min(lentWaitMs, guaranteeWaitMs));
     }
 
-    private boolean isOwn(double now, long much) {
-        return own.sum(now) + much <= limit.guarantee();
+    private boolean fitsGuarantee(double nowMs, long amount) {
+        return guaranteedCount.sum(nowMs) + amount <= limit.guarantee();
     }
 
-    /** Charges what {@link #wait} has let in; whether it was its own. */
-    boolean take(double now, long much) {
-        all.add(now, much);
-        if (!shares) {
+    /** Charges what {@link #waitMs} admits; whether it is charged to the guarantee, and not to what is lent. */
+    boolean charge(double nowMs, long amount) {
+        totalCount.add(nowMs, amount);
+        if (!borrows) {
             return true;
         }
-        if (isOwn(now, much)) {
-            own.add(now, much);
+        if (fitsGuarantee(nowMs, amount)) {
+            guaranteedCount.add(nowMs, amount);
             return true;
         }
-        credit -= much;
+        lent.subtract(amount);
         return false;
     }
 
-    /** As if it had not been charged. */
-    void payBack(double now, double at, long much, boolean wasOwn) {
-        all.takeBack(now, at, much);
-        if (shares && wasOwn) {
-            own.takeBack(now, at, much);
-        } else if (shares) {
-            credit += much;
-            refill(now, much);
+    /**
+     * Takes a charge back.
+     *
+     * @param chargedMs when it was charged
+     * @param guaranteed as {@link #charge} has returned
+     */
+    void refund(double nowMs, double chargedMs, long amount, boolean guaranteed) {
+        totalCount.subtract(nowMs, chargedMs, amount);
+        if (borrows && guaranteed) {
+            guaranteedCount.subtract(nowMs, chargedMs, amount);
+        } else if (borrows) {
+            lent.add(amount);
+            lent.refill(nowMs, amount);
         }
     }
 
-    /** It was so much and not what had been supposed: less is given back, more is charged now or owed. */
-    void settle(double now, double at, long supposed, long actual, boolean wasOwn) {
-        if (actual <= supposed) {
-            payBack(now, at, supposed - actual, wasOwn);
-        } else {
-            pay(now);
-            if (debt == 0) {
-                paidAt = now;
-            }
-            debt += actual - supposed;
-            pay(now);
+    /** Corrects a charge to the actual amount: refunds what is less, and owes what is more. */
+    void adjust(double nowMs, double chargedMs, long charged, long actual, boolean guaranteed) {
+        if (actual <= charged) {
+            refund(nowMs, chargedMs, charged - actual, guaranteed);
+            return;
+        }
+        payDebt(nowMs);
+        if (debt == 0) {
+            debtPaidMs = nowMs;
         }
+        debt += actual - charged;
+        payDebt(nowMs);
     }
 
     /**
-     * What is owed comes first, as the window makes room for it. While something is owed the window is full, so of
-     * several that have passed unasked each has paid for as much as it holds, the last of them as the room that is
-     * there now.
+     * Pays debt as the window has capacity, before any new charge. While there is debt the window is full: each window
+     * that has passed since the last payment has paid a whole cap, and the present one pays what it has capacity for.
      */
-    private void pay(double now) {
+    private void payDebt(double nowMs) {
         if (debt == 0) {
             return;
         }
-        long passed = Math.max(0, (long) ((now - paidAt) / all.lengthMs()) - 1);
-        debt = passed > debt / limit.cap() ? 0 : debt - passed * limit.cap();
-        long part = Math.min(debt, limit.cap() - all.sum(now));
-        if (part > 0) {
-            all.add(now, part);
-            if (shares) {
-                own.add(now, part);
+        long passedWindows = Math.max(0, (long) ((nowMs - debtPaidMs) / totalCount.lengthMs()) - 1);
+        debt = passedWindows > debt / limit.cap() ? 0 : debt - passedWindows * limit.cap();
+        long payment = Math.min(debt, limit.cap() - totalCount.sum(nowMs));
+        if (payment > 0) {
+            totalCount.add(nowMs, payment);
+            if (borrows) {
+                guaranteedCount.add(nowMs, payment);
             }
-            debt -= part;
-            paidAt = now;
+            debt -= payment;
+            debtPaidMs = nowMs;
         }
     }
 
@@ -189,12 +187,12 @@
     }
 
     /** What was charged in the window that ends now. */
-    long used(double now) {
-        return all.sum(now);
+    long used(double nowMs) {
+        return totalCount.sum(nowMs);
     }
 
-    /** Whether nothing is lost by forgetting it. */
-    boolean forgettable(double now) {
-        return debt == 0 && all.sum(now) == 0;
+    /** Whether it has neither use nor debt, so that a new meter would decide the same. */
+    boolean isIdle(double nowMs) {
+        return debt == 0 && totalCount.sum(nowMs) == 0;
     }
 }
