--- a/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
@@ -40,7 +40,7 @@
     private final DiscoveryClient discovery;
     private final ClientAcceptor acceptor;
     /** Null where nothing is stored. */
-    private final StatePersistence stateLink;
+    private final StatePersistence statePersistence;
 
     private final RestoredState restored;
     private final boolean tookOver;
@@ -56,7 +56,7 @@
     /**
      * Creates the participation of an instance that has not joined.
      *
-     * @param stateLink null where nothing is stored
+     * @param statePersistence null where nothing is stored
      * @param tookOver whether another process served for this instance until now
      * @param config supplies the configuration in force
      */
@@ -65,7 +65,7 @@
             PeerDatagramSocket peers,
             DiscoveryClient discovery,
             ClientAcceptor acceptor,
-            StatePersistence stateLink,
+            StatePersistence statePersistence,
             RestoredState restored,
             boolean tookOver,
             Supplier<Config> config) {
@@ -73,7 +73,7 @@
         this.peers = peers;
         this.discovery = discovery;
         this.acceptor = acceptor;
-        this.stateLink = stateLink;
+        this.statePersistence = statePersistence;
         this.restored = restored;
         this.tookOver = tookOver;
         this.config = config;
@@ -132,18 +132,7 @@
                 current.seed(),
                 features.recovery() ? ServicePhase.STARTING : ServicePhase.SERVING,
                 dispatcher.peerLinks()::liveMembersChanged);
-        dispatcher
-                .peerLinks()
-                .setMembership(
-                        members,
-                        new OutlierGossipLink(
-                                dispatcher::now,
-                                peers,
-                                new DispatcherPeerPorts(dispatcher),
-                                members::view,
-                                (peer, message) -> dispatcher
-                                        .peerLinks()
-                                        .messageReceived(peer, PeerMessageKind.LOAD_BALANCER, message)));
+        dispatcher.peerLinks().setMembership(members, outlierGossip());
         if (features.zones()) {
             zones = new ZoneFailoverLink(
                     dispatcher,
@@ -154,12 +143,22 @@
                     restored.zoneDecisions(RecordKind.OPERATOR_ORDERS, current.zones()));
             dispatcher.peerLinks().setZoneFailover(zones);
         }
-        if (stateLink != null) {
-            stateLink.persistFleetState(members::incarnation, zones);
-            members.onChange(stateLink::fleetStateChanged);
+        if (statePersistence != null) {
+            statePersistence.persistFleetState(members::incarnation, zones);
+            members.onChange(statePersistence::fleetStateChanged);
         }
     }
 
+    private OutlierGossipLink outlierGossip() {
+        return new OutlierGossipLink(
+                dispatcher::now,
+                peers,
+                new DispatcherPeerPorts(dispatcher),
+                members::view,
+                (peer, message) ->
+                        dispatcher.peerLinks().messageReceived(peer, PeerMessageKind.LOAD_BALANCER, message));
+    }
+
     private void restartDiscovery() {
         discovery.start(config.get().known());
     }
@@ -215,10 +214,10 @@
                 recovery == null ? null : recovery.progress(),
                 recovery == null ? null : recovery.rebalancer(),
                 recovery == null ? 0 : recovery.requestsPerSecond(),
-                stateLink == null ? null : stateLink.openedState(),
-                stateLink == null ? null : stateLink.recordStore(),
-                stateLink == null ? null : stateLink.path().toString(),
-                stateLink != null && stateLink.hasLock());
+                statePersistence == null ? null : statePersistence.openedState(),
+                statePersistence == null ? null : statePersistence.recordStore(),
+                statePersistence == null ? null : statePersistence.path().toString(),
+                statePersistence != null && statePersistence.hasLock());
     }
 
     /** The fleet's zone decisions; null where this instance takes no part in them. */
--- a/src/main/java/cacheproxy/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/GracefulShutdown.java
@@ -26,13 +26,13 @@
     private final HandoverServer handoverServer;
     private final FleetParticipation fleet;
     /** Null where nothing is stored. */
-    private final StatePersistence stateLink;
+    private final StatePersistence statePersistence;
 
     private final DrainCoordinator drain;
     private final CountDownLatch completed = new CountDownLatch(1);
     private volatile Runnable onCompleted = () -> {};
 
-    /** {@code stateLink}: null where nothing is stored. */
+    /** {@code statePersistence}: null where nothing is stored. */
     GracefulShutdown(
             EventLoop loop,
             Dispatcher dispatcher,
@@ -40,13 +40,13 @@
             HandoverStateMachine handover,
             HandoverServer handoverServer,
             FleetParticipation fleet,
-            StatePersistence stateLink) {
+            StatePersistence statePersistence) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.handover = handover;
         this.handoverServer = handoverServer;
         this.fleet = fleet;
-        this.stateLink = stateLink;
+        this.statePersistence = statePersistence;
         drain = new DrainCoordinator(loop, dispatcher, acceptor, this::complete);
     }
 
@@ -72,8 +72,8 @@
         });
         try {
             completed.await();
-            if (stateLink != null) {
-                stateLink.awaitClosed();
+            if (statePersistence != null) {
+                statePersistence.awaitClosed();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -115,8 +115,8 @@
         if (!handover.passesClients()) {
             fleet.leave();
         }
-        if (stateLink != null) {
-            stateLink.close();
+        if (statePersistence != null) {
+            statePersistence.close();
         }
         completed.countDown();
         onCompleted.run();
--- a/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
@@ -63,7 +63,7 @@
     private final GracefulShutdown shutdown;
     private final RestoredState restored;
     /** Null where nothing is stored. */
-    private final StatePersistence stateLink;
+    private final StatePersistence statePersistence;
 
     // ---- start
 
@@ -76,7 +76,8 @@
      */
     Proxy(Config config, RouteSource routes, boolean warmUp, Path takeoverFolder, StateLocation storage)
             throws InterruptedException, IOException {
-        stateLink = storage == null ? null : new StatePersistence(storage.folder(), config.name(), storage.fleetName());
+        statePersistence =
+                storage == null ? null : new StatePersistence(storage.folder(), config.name(), storage.fleetName());
         Routing routing = routes == null ? null : routes.read(config.routableNames());
         if (warmUp) {
             WarmUp.run(config);
@@ -99,8 +100,8 @@
         TakeoverSnapshot snapshot = predecessor == null ? null : predecessor.snapshot();
         restored = restoredState(snapshot);
         fleet = new FleetParticipation(
-                dispatcher, peers, discovery, acceptor, stateLink, restored, snapshot != null, reloader::config);
-        shutdown = new GracefulShutdown(loop, dispatcher, acceptor, handover, handoverServer, fleet, stateLink);
+                dispatcher, peers, discovery, acceptor, statePersistence, restored, snapshot != null, reloader::config);
+        shutdown = new GracefulShutdown(loop, dispatcher, acceptor, handover, handoverServer, fleet, statePersistence);
         loop.submit(() -> startSubsystems(list, routing)).syncUninterruptibly();
         listen(predecessor);
         if (takeoverFolder != null) {
@@ -127,7 +128,7 @@
     }
 
     private RestoredState restoredState(TakeoverSnapshot snapshot) {
-        OpenedState stored = stateLink == null ? OpenedState.EMPTY : stateLink.openedState();
+        OpenedState stored = statePersistence == null ? OpenedState.EMPTY : statePersistence.openedState();
         return new RestoredState(snapshot, stored, dispatcher.provenance(), dispatcher.now());
     }
 
@@ -139,8 +140,8 @@
             fleet.startListGossip(list);
         }
         dispatcher.resume(restored.learnedState());
-        if (stateLink != null) {
-            stateLink.start(dispatcher, discovery);
+        if (statePersistence != null) {
+            statePersistence.start(dispatcher, discovery);
         }
         loop.scheduleWithFixedDelay(acceptor::closeStalled, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S, TimeUnit.SECONDS);
     }
