--- a/src/main/java/cacheproxy/gossip/Restriction.java
+++ b/src/main/java/cacheproxy/gossip/Restriction.java
@@ -13,11 +13,11 @@
  * @param untilMs from then on any list of discovery's ends it, in milliseconds
  */
 record Restriction(Source source, boolean draining, double startTimeMs, long version, double untilMs) {
-    /** On whose word an endpoint is restricted. */
+    /** Why an endpoint is restricted. */
     enum Source {
-        /** A peer's, to which discovery has sent a newer version. */
+        /** A peer, to which discovery has sent a newer version. */
         PEER,
-        /** Discovery's, by a list that was newer than its last one. */
+        /** Discovery, by a list that was newer than its last one. */
         NEWER_LIST
     }
 
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListPublisher.java
@@ -22,8 +22,8 @@
     /** Uses the list. All methods run on the event loop. */
     public interface Subscriber {
         /**
-         * The complete list, changes of it, or changes on the word of a peer ({@code PROVISIONAL}). An exception says
-         * that it can't be used.
+         * The complete list, changes of it, or changes by a peer ({@code PROVISIONAL}). An exception says that it can't
+         * be used.
          */
         void onEndpoints(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints);
 
--- a/src/main/java/cacheproxy/proxy/peer/PeerMessageKind.java
+++ b/src/main/java/cacheproxy/proxy/peer/PeerMessageKind.java
@@ -22,7 +22,7 @@
     MEMBERSHIP(3),
     /** Cache nodes that did not respond: {@code OutlierGossipLink}. */
     OUTLIERS(4),
-    /** What an instance that restarts asks of its peers, and their answers: {@code RecallLink}. */
+    /** The queries of an instance that has restarted, and the answers: {@code StateQueryLink}. */
     STATE_QUERY(5);
 
     /** The version of the body's form, the same for all kinds so far. */
--- a/src/test/java/cacheproxy/endpoints/EndpointListPollerPropertyTest.java
+++ b/src/test/java/cacheproxy/endpoints/EndpointListPollerPropertyTest.java
@@ -99,7 +99,7 @@
     }
 
     @Property(seed = "1", tries = 3000)
-    void whatOneKindOfPollBringsIsKnownInTime(
+    void aChangeThatOneKindOfPollBringsIsKnownInTime(
             @ForAll long seed, @ForAll boolean sharedDiscovery, @ForAll PollKind broken) {
         assertThat(responseAfter(seed, sharedDiscovery, broken, 5)).isLessThan(MAX_STALENESS_MS);
     }
--- a/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
+++ b/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How long news that discovery has stays unknown once discovery could be asked for it, by the way in which the call
- * before failed: it counts as told after 6 s, whatever that was.
+ * How long news that discovery has stays unknown once discovery could be asked for it, by the way in which the poll
+ * before failed: it has to be known after 6 s, whatever that was.
  */
 @Timeout(120)
 class EndpointListPollingTest {
--- a/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
+++ b/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
@@ -21,16 +21,16 @@
 
 /**
  * How long a change that discovery has stays unknown, by what is wrong with its answers and for as long as that lasts,
- * in both forms of discovery: it counts as told after 6 s wherever any way of asking would have brought it.
+ * with either kind of discovery: it has to be known after 6 s wherever any kind of poll would have brought it.
  */
 @Timeout(120)
 class FaultyDiscoveryTest {
-    private static final String NEWS = list("{\"seq\":43,", entry("s-0000beef", "up"));
-    /** Of what is wrong for some calls only: so many. */
-    private static final int BAD_CALLS = 2;
+    private static final String CHANGED_LIST = list("{\"seq\":43,", entry("s-0000beef", "up"));
+    /** Of faults that concern some polls only: so many polls. */
+    private static final int FAULTY_POLLS = 2;
 
-    /** What discovery does to a call. */
-    private enum Trouble {
+    /** What is wrong with an answer. */
+    private enum Fault {
         WATCHES_BREAK_OFF(3000),
         WATCHES_ARE_SILENT(5500),
         ANSWERS_ARE_1200_MS_LATE(3000),
@@ -48,10 +48,10 @@
         ENDLESS_BODY(3000),
         NO_LIST(3000);
 
-        final double knownMs;
+        final double maxDelayMs;
 
-        Trouble(double knownMs) {
-            this.knownMs = knownMs;
+        Fault(double knownMs) {
+            this.maxDelayMs = knownMs;
         }
 
         void answer(FakeServer.Connection c, String request, int call, CountDownLatch never) throws Exception {
@@ -88,7 +88,7 @@
                                     entry("s-1", "draining"),
                                     entry("s-0000beef", "up")));
                 default -> {
-                    if (call < BAD_CALLS) {
+                    if (call < FAULTY_POLLS) {
                         spoilt(c);
                     } else {
                         well(c);
@@ -106,14 +106,14 @@
                         c.say(field);
                     }
                 }
-                case LENGTH_TOO_SHORT -> c.say("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n" + NEWS);
+                case LENGTH_TOO_SHORT -> c.say("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n" + CHANGED_LIST);
                 case LENGTH_TOO_LONG -> {
-                    c.say("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + NEWS);
+                    c.say("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + CHANGED_LIST);
                     c.awaitEnd();
                 }
-                case TWO_LISTS -> c.sayHttp(200, "", NEWS + NEWS);
-                case NUMBER_PAST_2_53 -> c.sayHttp(200, "", NEWS.replace("43", "1e300"));
-                case NEGATIVE_NUMBER -> c.sayHttp(200, "", NEWS.replace("43", "-43"));
+                case TWO_LISTS -> c.sayHttp(200, "", CHANGED_LIST + CHANGED_LIST);
+                case NUMBER_PAST_2_53 -> c.sayHttp(200, "", CHANGED_LIST.replace("43", "1e300"));
+                case NEGATIVE_NUMBER -> c.sayHttp(200, "", CHANGED_LIST.replace("43", "-43"));
                 case ENDLESS_BODY -> {
                     c.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     String chunk = "10000\r\n" + " ".repeat(0x10000) + "\r\n";
@@ -135,7 +135,7 @@
     }
 
     private static void well(FakeServer.Connection c) throws IOException {
-        c.sayHttp(200, "", NEWS);
+        c.sayHttp(200, "", CHANGED_LIST);
     }
 
     private static void late(FakeServer.Connection c, long ms, CountDownLatch never) throws Exception {
@@ -144,7 +144,7 @@
     }
 
     /** Milliseconds from the proxy's start until the change is in use. */
-    private static double unknownFor(Trouble trouble, String mode) throws Exception {
+    private static double unknownFor(Fault trouble, String mode) throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
         FakeServer discovery = new FakeServer(c -> {
@@ -175,18 +175,20 @@
         List<String> late = new ArrayList<>();
         ExecutorService each = Executors.newCachedThreadPool();
         try {
-            for (Trouble trouble : Trouble.values()) {
+            for (Fault trouble : Fault.values()) {
                 for (String mode : new String[] {"ask", "push"}) {
                     times.put(mode + " " + trouble, each.submit(() -> unknownFor(trouble, mode)));
                 }
             }
-            for (Trouble trouble : Trouble.values()) {
+            for (Fault trouble : Fault.values()) {
                 for (String mode : new String[] {"ask", "push"}) {
                     String name = mode + " " + trouble;
                     String outcome;
                     try {
                         double ms = times.get(name).get();
-                        outcome = ms <= trouble.knownMs ? null : "%.0f ms, %.0f allowed".formatted(ms, trouble.knownMs);
+                        outcome = ms <= trouble.maxDelayMs
+                                ? null
+                                : "%.0f ms, %.0f allowed".formatted(ms, trouble.maxDelayMs);
                         System.out.printf("known after %5.0f ms: %s%n", ms, name);
                     } catch (ExecutionException e) {
                         outcome = "never";
