--- a/src/main/java/cacheproxy/control/FleetViewControl.java
+++ b/src/main/java/cacheproxy/control/FleetViewControl.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.membership.Member;
 import cacheproxy.membership.MembershipView;
-import cacheproxy.proxy.FleetViewStatus;
+import cacheproxy.proxy.lifecycle.FleetViewStatus;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.util.function.Supplier;
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -27,10 +27,32 @@
 import java.util.Map;
 
 /**
- * What the proxy is told at its start. Settings are read by the adapter's own parser, from the same paths and values;
- * addresses are literal, as there is no DNS.
+ * The configuration of one instance, read from the file that {@code BALANCER_CONFIG} names. Settings are parsed as the
+ * simulator's adapter does, from the same paths; addresses are literal, as there is no DNS. Keys of the file and
+ * components have the same names, but for {@code limits.cores}, {@code limits.memory_mb}, {@code limits.sockets},
+ * {@code settings.zones}, {@code settings.kinds}, {@code settings.caps.idle-close} and
+ * {@code settings.caps.streams-per-conn}.
+ *
+ * @param name of the instance; {@code proxy} if the file has none
+ * @param listen where clients connect
+ * @param discovery where discovery is called
+ * @param seed of all random draws
+ * @param cores that the process may use
+ * @param memoryMb memory limit in megabytes
+ * @param sockets limit of open sockets
+ * @param peerListen where peers' datagrams arrive; null: nowhere
+ * @param peers addresses of all instances, in the order of their numbers
+ * @param peersAll reaches all instances at once; null: none
+ * @param known the endpoint list to start with; null: none
+ * @param settings of routing
+ * @param zones names by number
+ * @param kinds names of the kinds of endpoints, by number
+ * @param idleCloseMs after which servers close an idle connection
+ * @param streamsPerConnection how many requests a server takes on one connection at a time
+ * @param operator the admin port's address; null: none
+ * @param source the file as it was read
  */
-record Config(
+public record Config(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -48,10 +70,10 @@
         double idleCloseMs,
         int streamsPerConnection,
         InetSocketAddress operator,
-        JsonObject file) {
+        JsonObject source) {
 
-    /** What routes may name here. */
-    KnownNames names() {
+    /** The names that routes may refer to. */
+    public KnownNames routableNames() {
         return new KnownNames(
                 settings.classes().stream().map(c -> c.name()).toList(),
                 settings.tenants().stream().map(t -> t.name()).toList(),
@@ -60,21 +82,21 @@
     }
 
     /** What discovery's list may name. */
-    EndpointListCodec listForm() {
+    EndpointListCodec endpointListCodec() {
         return new EndpointListCodec(zones, kinds);
     }
 
     /** Where the proxies of the tier exchange datagrams; without an address of its own where the settings forbid it. */
-    PeerAddresses peerAddresses() {
+    public PeerAddresses peerAddresses() {
         return new PeerAddresses(
                 settings.peerMessagesAllowed() ? peerListen : null, peers, peersAll, settings.instanceIndex());
     }
 
-    /** Where the list comes from, and how. */
-    DiscoveryClient.Settings discoverySettings() {
+    /** How discovery is called. */
+    public DiscoveryClient.Settings discoverySettings() {
         return new DiscoveryClient.Settings(
                 discovery,
-                listForm(),
+                endpointListCodec(),
                 settings.instanceSeed(seed),
                 new PollerSettings(
                         settings.pollsDiscovery(),
@@ -83,29 +105,36 @@
                         settings.peerMessagesAllowed()));
     }
 
-    /** Reads the file; an IllegalArgumentException says in one line what is wrong. */
-    static Config read(String path) {
+    /**
+     * Reads the file.
+     *
+     * @throws ConfigurationException if it is unusable
+     */
+    public static Config read(String path) {
         if (path == null || path.isEmpty()) {
-            throw new IllegalArgumentException("BALANCER_CONFIG names no file");
+            throw new ConfigurationException("BALANCER_CONFIG names no file");
         }
         try {
             return parse(json(path));
         } catch (Exception e) {
             String message = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            throw new IllegalArgumentException("configuration " + path + ": "
-                    + (e instanceof IllegalArgumentException ? "" : e.getClass().getSimpleName() + " ") + message);
+            String kind =
+                    e instanceof IllegalArgumentException ? "" : e.getClass().getSimpleName() + " ";
+            throw new ConfigurationException("configuration " + path + ": " + kind + message, e);
         }
     }
 
     /**
-     * Reads the file again in service. One that lacks a key which it had before is of no use either: it has been cut or
-     * written by hand, and what was meant by the missing key nobody can say.
+     * Reads the file again while the instance serves. One that lacks a key which it had before is rejected: it was cut
+     * off, or edited by hand, and nobody can say what the missing key should mean.
+     *
+     * @throws ConfigurationException if it is unusable
      */
-    Config again(String path) {
+    public Config reread(String path) {
         Config next = read(path);
-        String lost = lost("", file, next.file);
-        if (lost != null) {
-            throw new IllegalArgumentException("configuration " + path + ": '" + lost + "' is missing");
+        String missing = firstMissingKey("", source, next.source);
+        if (missing != null) {
+            throw new ConfigurationException("configuration " + path + ": '" + missing + "' is missing");
         }
         return next;
     }
@@ -120,30 +149,35 @@
         return json;
     }
 
-    /** The first key of the one that the other lacks; of a list's entries, a key that all of the one's have. */
-    private static String lost(String path, JsonElement before, JsonElement now) {
+    /**
+     * The first key of {@code before} that {@code now} lacks, with its path; of lists, the keys that all entries of
+     * {@code before} have.
+     */
+    private static String firstMissingKey(String path, JsonElement before, JsonElement now) {
         if (before.isJsonObject()) {
             for (Map.Entry<String, JsonElement> e : before.getAsJsonObject().entrySet()) {
                 String at = path.isEmpty() ? e.getKey() : path + "." + e.getKey();
                 JsonElement there = now.isJsonObject() ? now.getAsJsonObject().get(e.getKey()) : null;
-                String lost = there == null ? at : e.getKey().equals("known") ? null : lost(at, e.getValue(), there);
-                if (lost != null) {
-                    return lost;
+                String missing = there == null
+                        ? at
+                        : e.getKey().equals("known") ? null : firstMissingKey(at, e.getValue(), there);
+                if (missing != null) {
+                    return missing;
                 }
             }
         } else if (before.isJsonArray() && now.isJsonArray()) {
-            JsonObject common = common(before.getAsJsonArray());
+            JsonObject common = commonKeys(before.getAsJsonArray());
             for (JsonElement e : now.getAsJsonArray()) {
-                String lost = lost(path, common, e);
-                if (lost != null) {
-                    return lost;
+                String missing = firstMissingKey(path, common, e);
+                if (missing != null) {
+                    return missing;
                 }
             }
         }
         return null;
     }
 
-    private static JsonObject common(JsonArray list) {
+    private static JsonObject commonKeys(JsonArray list) {
         JsonObject common = null;
         for (JsonElement e : list) {
             if (!e.isJsonObject()) {
@@ -160,7 +194,7 @@
 
     static Config parse(JsonObject json) {
         Map<String, String> values = new HashMap<>();
-        flatten("", need(json, "settings"), values);
+        flatten("", required(json, "settings"), values);
         SettingsParser parser = new SettingsParser(values);
         JsonObject limits = json.has("limits") ? json.getAsJsonObject("limits") : new JsonObject();
         List<InetSocketAddress> peers = new ArrayList<>();
@@ -169,9 +203,9 @@
         }
         return new Config(
                 json.has("name") ? json.get("name").getAsString() : "proxy",
-                Addresses.parse(need(json, "listen").getAsString()),
-                Addresses.parse(need(json, "discovery").getAsString()),
-                Long.parseUnsignedLong(need(json, "seed").getAsString(), 16),
+                Addresses.parse(required(json, "listen").getAsString()),
+                Addresses.parse(required(json, "discovery").getAsString()),
+                Long.parseUnsignedLong(required(json, "seed").getAsString(), 16),
                 number(limits, "cores", 1),
                 (int) number(limits, "memory_mb", 192),
                 (int) number(limits, "sockets", 1024),
@@ -188,7 +222,7 @@
                 json);
     }
 
-    private static JsonElement need(JsonObject json, String key) {
+    private static JsonElement required(JsonObject json, String key) {
         JsonElement value = json.get(key);
         if (value == null || value.isJsonNull()) {
             throw new IllegalArgumentException("'" + key + "' is missing");
--- a/src/main/java/cacheproxy/proxy/Initializer.java
+++ b/src/main/java/cacheproxy/proxy/HandlerInitializer.java
@@ -4,11 +4,12 @@
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelInitializer;
 
-/** Puts the handlers of one new connection in place. */
-final class Initializer extends ChannelInitializer<Channel> {
+/** Adds handlers to the pipeline of one new connection. */
+public final class HandlerInitializer extends ChannelInitializer<Channel> {
     private final ChannelHandler[] handlers;
 
-    Initializer(ChannelHandler... handlers) {
+    /** The handlers, in the order of the pipeline. */
+    public HandlerInitializer(ChannelHandler... handlers) {
         this.handlers = handlers;
     }
 
--- a/src/main/java/cacheproxy/proxy/LoopClock.java
+++ b/src/main/java/cacheproxy/proxy/LoopClock.java
@@ -15,7 +15,7 @@
  * have arrived right after the poll before. Also reports when the loop was blocked for too long. Decorates the
  * {@link IoHandler} of one event loop and is used on that loop only.
  */
-final class LoopClock implements IoHandler {
+public final class LoopClock implements IoHandler {
     /** By how many milliseconds input may have arrived earlier than estimated. */
     static final int TOLERANCE_MS = 20;
 
@@ -59,7 +59,7 @@
     }
 
     /** Decorates the handlers of a factory; the clock is that of the handler made last. */
-    IoHandlerFactory wrap(IoHandlerFactory factory) {
+    public IoHandlerFactory wrap(IoHandlerFactory factory) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -4,6 +4,7 @@
 import cacheproxy.membership.MembershipView;
 import cacheproxy.membership.ServicePhase;
 import cacheproxy.metrics.Metric;
+import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.proxy.peer.MembershipLink;
 import cacheproxy.recovery.ConnectionRebalancer;
 import cacheproxy.recovery.ProvenanceTracker.Subject;
@@ -20,7 +21,7 @@
  * Carries out what package recovery decides: tells the fleet this instance's stage and load, and closes client
  * connections where it carries more than its share. Event loop only.
  */
-final class RecoveryLink {
+public final class RecoveryLink {
     /** The note in the membership view that holds an instance's load, one byte of {@link RequestRateCode} or none. */
     static final int LOAD_NOTE = 2;
 
@@ -54,7 +55,7 @@
      * @param listConfirmed whether the endpoint list came from the process that this one took over from
      * @param discardEndpointList replaces a stored endpoint list that has expired by the configured one
      */
-    RecoveryLink(
+    public RecoveryLink(
             Dispatcher dispatcher,
             MembershipLink members,
             ClientAcceptor acceptor,
@@ -157,9 +158,13 @@
 
     private void rebalance(double nowMs) {
         int excess = rebalancer.connectionsToClose(
-                nowMs, requestsPerSecond, ratesOfOthers(members.view()), acceptor.open(), acceptor.idle());
+                nowMs,
+                requestsPerSecond,
+                ratesOfOthers(members.view()),
+                acceptor.openConnections(),
+                acceptor.idleConnections());
         if (excess > 0) {
-            acceptor.endBusiest(excess);
+            acceptor.closeMostRecentlyUsed(excess);
         }
         if (backingOff != rebalancer.isBackingOff(nowMs)) {
             backingOff = !backingOff;
@@ -182,17 +187,17 @@
     }
 
     /** The stage between the start and full service. */
-    RecoveryProgress progress() {
+    public RecoveryProgress progress() {
         return progress;
     }
 
     /** The load of this instance by that of the others. */
-    ConnectionRebalancer rebalancer() {
+    public ConnectionRebalancer rebalancer() {
         return rebalancer;
     }
 
     /** Requests a second that this proxy receives. */
-    double requestsPerSecond() {
+    public double requestsPerSecond() {
         return requestsPerSecond;
     }
 }
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -26,7 +26,7 @@
  *
  * <p>Event loop only, but for the constructor and {@link #awaitClosed}.
  */
-final class StatePersistence {
+public final class StatePersistence {
     /** How often learned state is stored, and zone states are confirmed. */
     private static final double REFRESH_MS = 5000;
     /** An endpoint list that was confirmed without a change is stored again once the stored one is this old. */
@@ -45,7 +45,7 @@
     private boolean closed;
 
     /** Reads the folder; blocks on the disk, so it is not to be called on the event loop. Never fails. */
-    StatePersistence(Path path, String instance, String fleet) {
+    public StatePersistence(Path path, String instance, String fleet) {
         folder = new StateFolder(path);
         openedState = folder.read(instance, fleet);
         recordStore = new RecordStore(openedState, instance, fleet);
@@ -53,12 +53,12 @@
     }
 
     /** What the folder held at the start. */
-    OpenedState openedState() {
+    public OpenedState openedState() {
         return openedState;
     }
 
     /** Begins to store what this proxy knows. */
-    void start(Dispatcher dispatcher, DiscoveryClient discovery) {
+    public void start(Dispatcher dispatcher, DiscoveryClient discovery) {
         this.dispatcher = dispatcher;
         this.discovery = discovery;
         writer.start(dispatcher);
@@ -98,7 +98,7 @@
      * @param incarnation this instance's incarnation number; 0 for none yet
      * @param zones null where this proxy decides nothing of zones
      */
-    void persistFleetState(LongSupplier incarnation, ZoneFailoverLink zones) {
+    public void persistFleetState(LongSupplier incarnation, ZoneFailoverLink zones) {
         this.incarnation = incarnation;
         this.zones = zones;
         fleetStateChanged();
@@ -117,7 +117,7 @@
     }
 
     /** The view of the fleet or zone states may have changed. */
-    void fleetStateChanged() {
+    public void fleetStateChanged() {
         if (dispatcher == null || closed) {
             return;
         }
@@ -164,7 +164,7 @@
     }
 
     /** Stores all of it a last time and releases the folder; does not wait for that. */
-    void close() {
+    public void close() {
         if (closed) {
             return;
         }
@@ -175,22 +175,22 @@
     }
 
     /** Waits for the final write within bounds; not to be called on the event loop. */
-    void awaitClosed() {
+    public void awaitClosed() {
         writer.awaitClosed();
     }
 
     /** The records, for the status. */
-    RecordStore recordStore() {
+    public RecordStore recordStore() {
         return recordStore;
     }
 
     /** Whether this process alone writes to the folder. */
-    boolean hasLock() {
+    public boolean hasLock() {
         return writer.hasLock();
     }
 
     /** The folder's path. */
-    Path path() {
+    public Path path() {
         return folder.path();
     }
 }
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
@@ -1,5 +1,6 @@
 package cacheproxy.proxy;
 
+import cacheproxy.failover.StoredZoneState;
 import cacheproxy.failover.ZoneFailover;
 import cacheproxy.failover.ZoneFailoverSettings;
 import cacheproxy.failover.ZoneState;
@@ -10,15 +11,15 @@
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
-import cacheproxy.state.RecordKind;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Map;
 
 /**
  * Carries out what {@link ZoneFailover} decides: tells it what attempts met and what the endpoint list holds, passes
  * its directives on to the load balancer, and publishes its notes by the fleet's view. On the event loop only.
  */
-final class ZoneFailoverLink {
+public final class ZoneFailoverLink {
     private final Dispatcher dispatcher;
     private final MembershipLink members;
     private final ZoneFailoverSettings settings;
@@ -29,34 +30,41 @@
 
     private byte[] healthNote = {};
 
+    /**
+     * Zone decisions from before this process's start.
+     *
+     * @param decisions by the zones' numbers
+     * @param valid whether they are recent enough to decide by
+     */
+    public record RestoredDecisions(Map<Integer, StoredZoneState> decisions, boolean valid) {}
+
     /**
      * Takes what the process before had stored, and begins to decide.
      *
      * @param zoneNames by the zones' numbers
+     * @param states restored decisions on evidence
+     * @param orders restored decisions by operators' orders
      */
-    ZoneFailoverLink(
+    public ZoneFailoverLink(
             Dispatcher dispatcher,
             MembershipLink members,
             RoutingSettings settings,
             List<String> zoneNames,
-            RestoredState restored) {
+            RestoredDecisions states,
+            RestoredDecisions orders) {
         this.dispatcher = dispatcher;
         this.members = members;
         this.zoneNames = List.copyOf(zoneNames);
         this.settings = new ZoneFailoverSettings(
                 settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs());
         failover = new ZoneFailover(this.settings);
-        restore(restored, RecordKind.ZONE_STATES);
-        restore(restored, RecordKind.OPERATOR_ORDERS);
+        failover.restore(dispatcher.now(), states.decisions(), states.valid());
+        failover.restore(dispatcher.now(), orders.decisions(), orders.valid());
         dispatcher.addEndpointListListener(kind -> endpointsChanged());
         endpointsChanged();
         tickRegularly();
     }
 
-    private void restore(RestoredState restored, RecordKind kind) {
-        failover.restore(dispatcher.now(), restored.zoneDecisions(kind, zoneNames), restored.isValid(kind));
-    }
-
     /** The load balancer has observed this at an endpoint. */
     void onEndpointSignal(int endpointId, EndpointSignal signal) {
         UpstreamServer server = dispatcher.servers().get(endpointId);
@@ -139,11 +147,13 @@
         return state.openParts() + "/" + ZoneState.ALL_PARTS;
     }
 
-    ZoneFailover failover() {
+    /** The decisions that are carried out here. */
+    public ZoneFailover failover() {
         return failover;
     }
 
-    List<String> zoneNames() {
+    /** The names of the zones, by number. */
+    public List<String> zoneNames() {
         return zoneNames;
     }
 
--- a/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
@@ -22,7 +22,7 @@
  * floor    minEpoch
  * </pre>
  */
-final class ZoneStateCodec {
+public final class ZoneStateCodec {
     private ZoneStateCodec() {}
 
     /**
@@ -32,7 +32,7 @@
      * @param ordered which of them
      * @param names of the zones, by number; zones without a name are left out
      */
-    static JsonObject encode(Map<Integer, StoredZoneState> states, boolean ordered, List<String> names) {
+    public static JsonObject encode(Map<Integer, StoredZoneState> states, boolean ordered, List<String> names) {
         JsonObject all = new JsonObject();
         states.forEach((zone, stored) -> {
             if (zone < names.size() && ordered != (stored.state().cause() == Cause.EVIDENCE)) {
@@ -62,7 +62,7 @@
      *
      * @throws RuntimeException if a field is missing, of another type or out of range
      */
-    static Map<Integer, StoredZoneState> decode(JsonElement json, List<String> names) {
+    public static Map<Integer, StoredZoneState> decode(JsonElement json, List<String> names) {
         Map<Integer, StoredZoneState> states = new TreeMap<>();
         json.getAsJsonObject().entrySet().forEach(e -> {
             JsonObject o = e.getValue().getAsJsonObject();
--- a/src/main/java/cacheproxy/proxy/HandoverServer.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/HandoverServer.java
@@ -1,5 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.lifecycle;
 
+import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.client.ClientAcceptor;
 import cacheproxy.takeover.HandoverStateMachine;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -183,7 +185,8 @@
                     handover.snapshotRequested(number)
                             && sendSnapshot(ctx, snapshot.get().toJson() + "\n");
                 case SOCKET_REQUEST ->
-                    handover.socketRequested(number) && sendDescriptor(ctx, Transport.descriptor(acceptor.channel()));
+                    handover.socketRequested(number)
+                            && sendDescriptor(ctx, Transport.descriptor(acceptor.listeningChannel()));
                 case SERVING_REPORT -> handover.successorServes(number) && successorServes(ctx.channel());
                 default -> false;
             };
@@ -204,19 +207,19 @@
 
         private boolean successorServes(Channel channel) {
             successor = channel;
-            acceptor.accept(handover.acceptsConnections());
+            acceptor.setAccepting(handover.acceptsConnections());
             return true;
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(number);
-            boolean gone = handover.linkClosed(number);
+            boolean wasServing = handover.linkClosed(number);
             if (successor == ctx.channel()) {
                 successor = null;
             }
-            acceptor.accept(handover.acceptsConnections());
-            if (gone) {
+            acceptor.setAccepting(handover.acceptsConnections());
+            if (wasServing) {
                 republish();
             }
         }
