--- a/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
@@ -1,6 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.admission.RequestState;
+import cacheproxy.proxy.protocol.ServerResponse;
+import cacheproxy.proxy.upstream.UpstreamConnection;
 import cacheproxy.routing.AttemptEnd;
 import cacheproxy.routing.AttemptOutcome;
 import java.util.List;
--- a/src/main/java/cacheproxy/proxy/AttemptOperations.java
+++ b/src/main/java/cacheproxy/proxy/AttemptOperations.java
@@ -1,5 +1,6 @@
 package cacheproxy.proxy;
 
+import cacheproxy.proxy.protocol.ServerResponse;
 import cacheproxy.routing.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
 
--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -4,6 +4,8 @@
 import cacheproxy.admission.SafetyRules;
 import cacheproxy.admission.Verdict;
 import cacheproxy.metrics.Metric;
+import cacheproxy.proxy.upstream.UpstreamServer;
+import cacheproxy.proxy.upstream.UpstreamServers;
 import cacheproxy.routing.AttemptOutcome;
 import cacheproxy.routing.EndpointLocation;
 import io.netty.channel.EventLoop;
--- a/src/main/java/cacheproxy/proxy/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/ClientRequest.java
@@ -3,6 +3,7 @@
 import cacheproxy.admission.RequestState;
 import cacheproxy.admission.SafetyRules;
 import cacheproxy.proxy.Timers.Timer;
+import cacheproxy.proxy.protocol.RequestCommand;
 import cacheproxy.routing.ServiceClass;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -6,6 +6,7 @@
 import cacheproxy.proxy.discovery.EndpointListPublisher;
 import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
+import cacheproxy.proxy.upstream.UpstreamServers;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.route.Router;
 import cacheproxy.route.Routing;
--- a/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
@@ -3,6 +3,7 @@
 import cacheproxy.proxy.peer.CacheNodes;
 import cacheproxy.proxy.peer.EventScheduler;
 import cacheproxy.proxy.peer.LearnedStateAccess;
+import cacheproxy.proxy.upstream.UpstreamServer;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.LearnedState;
 import java.util.HashMap;
--- a/src/main/java/cacheproxy/proxy/DispatcherUpstreamContext.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherUpstreamContext.java
@@ -4,6 +4,7 @@
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.LogMessage;
 import cacheproxy.metrics.Metric;
+import cacheproxy.proxy.upstream.UpstreamContext;
 import cacheproxy.routing.RoutingSettings;
 import io.netty.channel.EventLoop;
 
--- a/src/main/java/cacheproxy/proxy/EndpointListEvents.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListEvents.java
@@ -5,6 +5,7 @@
 import cacheproxy.metrics.Metric;
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.proxy.discovery.EndpointListPublisher;
+import cacheproxy.proxy.upstream.UpstreamServers;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.EndpointUpdateKind;
 import java.util.ArrayList;
--- a/src/main/java/cacheproxy/proxy/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/RequestAttempt.java
@@ -1,6 +1,10 @@
 package cacheproxy.proxy;
 
 import cacheproxy.proxy.Timers.Timer;
+import cacheproxy.proxy.protocol.RequestCommand;
+import cacheproxy.proxy.protocol.ServerResponse;
+import cacheproxy.proxy.upstream.UpstreamAttempt;
+import cacheproxy.proxy.upstream.UpstreamConnection;
 import cacheproxy.routing.AttemptOutcome;
 import cacheproxy.routing.EndpointLocation;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cacheproxy/proxy/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/RequestLifecycle.java
@@ -5,6 +5,8 @@
 import cacheproxy.admission.SafetyRules;
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.LogMessage;
+import cacheproxy.proxy.protocol.RequestCommand;
+import cacheproxy.proxy.protocol.RequestTerms;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.Request;
 
--- a/src/main/java/cacheproxy/proxy/ResponseWriter.java
+++ b/src/main/java/cacheproxy/proxy/ResponseWriter.java
@@ -1,5 +1,7 @@
 package cacheproxy.proxy;
 
+import cacheproxy.proxy.protocol.FlowControl;
+import cacheproxy.proxy.protocol.ServerResponse;
 import io.netty.buffer.ByteBuf;
 
 /**
--- a/src/main/java/cacheproxy/proxy/RoutingOrders.java
+++ b/src/main/java/cacheproxy/proxy/RoutingOrders.java
@@ -5,6 +5,8 @@
 import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.proxy.peer.PeerDatagramSocket;
 import cacheproxy.proxy.peer.PeerMessageKind;
+import cacheproxy.proxy.upstream.UpstreamServer;
+import cacheproxy.proxy.upstream.UpstreamServers;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingActions;
 
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
@@ -6,6 +6,7 @@
 import cacheproxy.failover.ZoneState;
 import cacheproxy.failover.ZoneTransition;
 import cacheproxy.proxy.peer.MembershipLink;
+import cacheproxy.proxy.upstream.UpstreamServer;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -2,8 +2,8 @@
 
 import cacheproxy.metrics.EventKind;
 import cacheproxy.proxy.Dispatcher;
-import cacheproxy.proxy.MetaCodec;
-import cacheproxy.proxy.PausableDecoder;
+import cacheproxy.proxy.protocol.MetaCodec;
+import cacheproxy.proxy.protocol.PausableDecoder;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
@@ -1,12 +1,12 @@
 package cacheproxy.proxy.client;
 
 import cacheproxy.flow.ReadTimeout;
-import cacheproxy.proxy.DeadlineText;
 import cacheproxy.proxy.Dispatcher;
-import cacheproxy.proxy.MetaCodec;
-import cacheproxy.proxy.RequestCommand;
 import cacheproxy.proxy.RequestOutcome;
-import cacheproxy.proxy.ValueBuffer;
+import cacheproxy.proxy.protocol.DeadlineText;
+import cacheproxy.proxy.protocol.MetaCodec;
+import cacheproxy.proxy.protocol.RequestCommand;
+import cacheproxy.proxy.protocol.ValueBuffer;
 import cacheproxy.route.Routing;
 import io.netty.buffer.ByteBuf;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/cacheproxy/proxy/client/ClientResponseQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientResponseQueue.java
@@ -2,11 +2,11 @@
 
 import cacheproxy.proxy.ClientRequest;
 import cacheproxy.proxy.Dispatcher;
-import cacheproxy.proxy.FlowControl;
-import cacheproxy.proxy.MetaCodec;
-import cacheproxy.proxy.RequestCommand;
 import cacheproxy.proxy.ResponseWriter;
-import cacheproxy.proxy.ServerResponse;
+import cacheproxy.proxy.protocol.FlowControl;
+import cacheproxy.proxy.protocol.MetaCodec;
+import cacheproxy.proxy.protocol.RequestCommand;
+import cacheproxy.proxy.protocol.ServerResponse;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/cacheproxy/proxy/client/MetaCommand.java
+++ b/src/main/java/cacheproxy/proxy/client/MetaCommand.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy.client;
 
-import cacheproxy.proxy.DeadlineText;
-import cacheproxy.proxy.MetaCodec;
-import cacheproxy.proxy.RequestCommand;
-import cacheproxy.proxy.RequestTerms;
+import cacheproxy.proxy.protocol.DeadlineText;
+import cacheproxy.proxy.protocol.MetaCodec;
+import cacheproxy.proxy.protocol.RequestCommand;
+import cacheproxy.proxy.protocol.RequestTerms;
 import cacheproxy.route.Routing;
 
 /**
--- a/src/main/java/cacheproxy/proxy/lifecycle/TakeoverClient.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/TakeoverClient.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy.lifecycle;
 
-import cacheproxy.proxy.HandlerInitializer;
 import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.transport.HandlerInitializer;
 import cacheproxy.takeover.TakeoverStateMachine;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cacheproxy/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/WarmUp.java
@@ -2,13 +2,13 @@
 
 import cacheproxy.proxy.Config;
 import cacheproxy.proxy.Dispatcher;
-import cacheproxy.proxy.HandlerInitializer;
 import cacheproxy.proxy.LoopClock;
-import cacheproxy.proxy.MetaCodec;
 import cacheproxy.proxy.Transport;
 import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.proxy.discovery.EndpointListSource;
+import cacheproxy.proxy.protocol.MetaCodec;
+import cacheproxy.proxy.transport.HandlerInitializer;
 import cacheproxy.route.EndpointAttributes;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
--- a/src/main/java/cacheproxy/proxy/DeadlineText.java
+++ b/src/main/java/cacheproxy/proxy/protocol/DeadlineText.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.protocol;
 
 /**
  * A text of a request that contains its timeout, split around that number. Each attempt is sent the time that remains
@@ -26,7 +26,7 @@
     }
 
     /** The text with this timeout, in milliseconds. */
-    String with(long remainingMs) {
+    public String with(long remainingMs) {
         return before + remainingMs + after;
     }
 }
--- a/src/main/java/cacheproxy/proxy/FlowControl.java
+++ b/src/main/java/cacheproxy/proxy/protocol/FlowControl.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.protocol;
 
 /** Controls how a streamed response is read from its server, so that a slow client need not buffer it. */
 public interface FlowControl {
--- a/src/main/java/cacheproxy/proxy/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/protocol/MetaCodec.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.protocol;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -9,11 +9,11 @@
 /** The grammar of the meta text protocol, shared by the codecs towards clients and cache nodes. Stateless. */
 public final class MetaCodec {
     /** The longest value of the protocol. */
-    static final int MAX_VALUE_BYTES = 4 << 20;
+    public static final int MAX_VALUE_BYTES = 4 << 20;
     /** Values up to this size are passed on whole, longer ones are streamed. */
-    static final int MAX_WHOLE_VALUE_BYTES = 64 << 10;
+    public static final int MAX_WHOLE_VALUE_BYTES = 64 << 10;
 
-    static final int MAX_LINE_BYTES = 4096;
+    public static final int MAX_LINE_BYTES = 4096;
     /** Length of the line end behind a value. */
     public static final int LINE_END_BYTES = 2;
 
@@ -110,7 +110,7 @@
     }
 
     /** The figures of a load report in the order of their names; null if one is absent or malformed. */
-    static float[] loadReport(String list, List<String> names) {
+    public static float[] loadReport(String list, List<String> names) {
         if (list == null || names.isEmpty()) {
             return null;
         }
--- a/src/main/java/cacheproxy/proxy/PausableDecoder.java
+++ b/src/main/java/cacheproxy/proxy/protocol/PausableDecoder.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.protocol;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.ByteToMessageDecoder;
--- a/src/main/java/cacheproxy/proxy/RequestCommand.java
+++ b/src/main/java/cacheproxy/proxy/protocol/RequestCommand.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.protocol;
 
 import cacheproxy.flow.ByteBudget;
 import io.netty.buffer.ByteBuf;
@@ -9,18 +9,18 @@
  */
 public final class RequestCommand {
     /** The index of the front protocol in {@link cacheproxy.route.Routing#FRONTS}. */
-    final int front;
+    public final int front;
 
-    final String key;
+    public final String key;
     /** The client's id of the request; no two open requests have the same. */
     public final String id;
 
-    final boolean write;
+    public final boolean write;
     public final RequestTerms terms;
     /** The list of named parameters for the origin, in the syntax of the meta protocol. */
-    final DeadlineText originParameters;
+    public final DeadlineText originParameters;
     /** The command line for a cache node, without its line end. */
-    final DeadlineText commandLine;
+    public final DeadlineText commandLine;
     /** The value with its line end, kept for further attempts until the request is completed; null for reads. */
     public ByteBuf value;
     /** The part of the value budget that the value takes; null for reads. */
--- a/src/main/java/cacheproxy/proxy/RequestTerms.java
+++ b/src/main/java/cacheproxy/proxy/protocol/RequestTerms.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.protocol;
 
 /**
  * The terms that a client states for its request.
--- a/src/main/java/cacheproxy/proxy/ServerResponse.java
+++ b/src/main/java/cacheproxy/proxy/protocol/ServerResponse.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.protocol;
 
 import io.netty.buffer.ByteBuf;
 
@@ -20,6 +20,6 @@
 
     /** A streamed value has arrived completely; its parts have been passed on. */
     record EndOfValue() implements ServerResponse {
-        static final EndOfValue INSTANCE = new EndOfValue();
+        public static final EndOfValue INSTANCE = new EndOfValue();
     }
 }
--- a/src/main/java/cacheproxy/proxy/ValueBuffer.java
+++ b/src/main/java/cacheproxy/proxy/protocol/ValueBuffer.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.protocol;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -41,7 +41,7 @@
     }
 
     /** Bytes received so far. */
-    int length() {
+    public int length() {
         return length;
     }
 
--- a/src/main/java/cacheproxy/proxy/HandlerInitializer.java
+++ b/src/main/java/cacheproxy/proxy/transport/HandlerInitializer.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -1,5 +1,9 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
+import cacheproxy.proxy.protocol.MetaCodec;
+import cacheproxy.proxy.protocol.PausableDecoder;
+import cacheproxy.proxy.protocol.RequestCommand;
+import cacheproxy.proxy.protocol.ServerResponse;
 import cacheproxy.routing.AttemptOutcome;
 import cacheproxy.routing.LoadBalancer;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cacheproxy/proxy/ConnectionLimits.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ConnectionLimits.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.metrics.Metric;
 import cacheproxy.routing.RoutingSettings;
--- a/src/main/java/cacheproxy/proxy/LoadReports.java
+++ b/src/main/java/cacheproxy/proxy/upstream/LoadReports.java
@@ -1,5 +1,6 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
+import cacheproxy.proxy.protocol.MetaCodec;
 import cacheproxy.routing.LoadReportSource;
 import java.util.List;
 
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -1,7 +1,11 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.flow.ByteBudget;
 import cacheproxy.proxy.discovery.Addresses;
+import cacheproxy.proxy.protocol.MetaCodec;
+import cacheproxy.proxy.protocol.RequestCommand;
+import cacheproxy.proxy.protocol.ServerResponse;
+import cacheproxy.proxy.protocol.ValueBuffer;
 import cacheproxy.routing.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cacheproxy/proxy/ResponseWatchdog.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ResponseWatchdog.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 /**
  * Watches whether the response that a connection is receiving makes progress. A server pauses for 0.1 s at most within
--- a/src/main/java/cacheproxy/proxy/ServerConnectionPool.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ServerConnectionPool.java
@@ -1,5 +1,6 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
+import cacheproxy.proxy.transport.HandlerInitializer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
@@ -11,7 +12,7 @@
  * The connections to one server. An attempt takes the idle connection that was used last, so that the rest can age and
  * be closed; else a new one, up to a limit; else the one with the fewest attempts. Event loop only.
  */
-final class ServerConnectionPool {
+public final class ServerConnectionPool {
     private static final int TYPICAL_CONNECTIONS = 2;
     /** After the server has not taken a further connection, none is opened beside others for so long. */
     private static final double REJECTION_BACKOFF_MS = 5000;
@@ -79,7 +80,7 @@
      * Sends an attempt; false if no connection can take it. What is sent behind a streamed response waits as long as
      * its client takes to read it, so a streaming connection is the last resort, and does not count against the limit.
      */
-    boolean send(UpstreamAttempt attempt) {
+    public boolean send(UpstreamAttempt attempt) {
         double now = context.now();
         Candidates candidates = findCandidates(now);
         UpstreamConnection chosen = shouldOpen(candidates, now) ? open() : candidates.best;
@@ -210,7 +211,7 @@
     }
 
     /** Closes connections that have been idle since this time. */
-    void closeIdle(double sinceMs) {
+    public void closeIdle(double sinceMs) {
         for (UpstreamConnection connection : List.copyOf(connections)) {
             if (connection.depth() == 0 && connection.idleSinceMs() <= sinceMs) {
                 connection.close();
@@ -277,7 +278,7 @@
     }
 
     /** How many connections were begun. */
-    long openedConnections() {
+    public long openedConnections() {
         return openedConnections;
     }
 }
--- a/src/main/java/cacheproxy/proxy/UpstreamAttempt.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamAttempt.java
@@ -1,5 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
+import cacheproxy.proxy.protocol.RequestCommand;
+import cacheproxy.proxy.protocol.ServerResponse;
 import cacheproxy.routing.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
 
@@ -7,10 +9,11 @@
  * An attempt as the connection that carries it sees it: what to send, until when, and where its events go. Event loop
  * only.
  */
-interface UpstreamAttempt {
+public interface UpstreamAttempt {
     /** The command to send; null for a health check. */
     RequestCommand command();
 
+    /** Whether it is a health check. */
     default boolean isHealthCheck() {
         return command() == null;
     }
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -1,8 +1,10 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.LogMessage;
 import cacheproxy.metrics.Metric;
+import cacheproxy.proxy.protocol.FlowControl;
+import cacheproxy.proxy.protocol.ServerResponse;
 import cacheproxy.proxy.transport.Connecting;
 import cacheproxy.routing.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
@@ -16,7 +18,7 @@
  * One connection to a server, with the attempts on it in the order in which their responses arrive. If the connection
  * ends, an attempt whose last byte was written may have been executed, any other has not. Event loop only.
  */
-final class UpstreamConnection implements FlowControl {
+public final class UpstreamConnection implements FlowControl {
     /** Encodes attempts in the server's protocol, and decodes its responses into calls of this connection. */
     interface Codec {
         /** Writes an attempt; {@code remainingMs}: how long, as the server is told, its response is waited for. */
@@ -186,7 +188,7 @@
     }
 
     /** Removes an attempt that waits for the connection to open; false if it may have begun to go out. */
-    boolean removeUnsent(UpstreamAttempt attempt) {
+    public boolean removeUnsent(UpstreamAttempt attempt) {
         return !connected && attempts.remove(attempt);
     }
 
@@ -206,12 +208,12 @@
      * Whether abandoning an attempt ends it. What has gone out can be ended only with the connection, and that would
      * end the others that are waited for as well.
      */
-    boolean isAlone() {
+    public boolean isAlone() {
         return !connected || attempts.size() - abandoned == 1;
     }
 
     /** Nobody waits for an attempt any more. True if nothing of it has gone out or will. */
-    boolean abandon(UpstreamAttempt attempt) {
+    public boolean abandon(UpstreamAttempt attempt) {
         if (!connected) {
             return removeUnsent(attempt);
         }
--- a/src/main/java/cacheproxy/proxy/UpstreamContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamContext.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.flow.ByteBudget;
 import cacheproxy.metrics.EventKind;
@@ -8,7 +8,8 @@
 import io.netty.channel.EventLoop;
 
 /** What the connections to servers use of the core. Event loop only. */
-interface UpstreamContext {
+public interface UpstreamContext {
+    /** What everything runs on. */
     EventLoop loop();
 
     /** The time, in milliseconds, on the clock that every span is measured by. */
--- a/src/main/java/cacheproxy/proxy/UpstreamServer.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamServer.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.proxy.discovery.DiscoveredEndpoint;
 import cacheproxy.routing.Endpoint;
@@ -8,19 +8,19 @@
 import java.net.SocketAddress;
 
 /** A server of the endpoint list, as the list describes it, with the connections to it. Event loop only. */
-final class UpstreamServer {
-    final int id;
-    final boolean origin;
-    final ServerConnectionPool pool;
+public final class UpstreamServer {
+    public final int id;
+    public final boolean origin;
+    public final ServerConnectionPool pool;
     SocketAddress address;
     /** When its process started, on the clock of the list, in milliseconds. */
-    double startTimeMs;
+    public double startTimeMs;
     /** The same on the clock of {@link UpstreamContext#now}; 0 if not known. */
     double localStartTimeMs;
 
-    EndpointLocation location;
+    public EndpointLocation location;
     /** Whether it takes new requests. */
-    boolean ready;
+    public boolean ready;
 
     UpstreamServer(
             int id,
--- a/src/main/java/cacheproxy/proxy/UpstreamServers.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamServers.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.metrics.Metric;
 import cacheproxy.metrics.MetricsLine;
@@ -31,21 +31,21 @@
     private final List<UpstreamServer> removed = new ArrayList<>();
 
     /** {@code maxConnections}: the limit over all servers. */
-    UpstreamServers(UpstreamContext context, Bootstrap bootstrap, int maxConnections) {
+    public UpstreamServers(UpstreamContext context, Bootstrap bootstrap, int maxConnections) {
         this.context = context;
         this.bootstrap = bootstrap;
         limits = new ConnectionLimits(context, maxConnections, this::longestIdleConnection);
     }
 
     /** The server of this id; null if it is not in the list. */
-    UpstreamServer get(int id) {
+    public UpstreamServer get(int id) {
         return servers.get(id);
     }
 
     // ---- updates of the list
 
     /** Applies an update of the list; {@code streams}: the limit of attempts on a connection to a cache node. */
-    void update(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints, int streams) {
+    public void update(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints, int streams) {
         for (DiscoveredEndpoint discovered : endpoints) {
             int id = discovered.endpoint().id();
             if (discovered.endpoint().state() == EndpointState.REMOVED) {
@@ -96,7 +96,7 @@
     }
 
     /** Ends attempts that wait for servers which take nothing new; once the load balancer knows of the update. */
-    void endUnsent() {
+    public void endUnsent() {
         Stream.concat(servers.values().stream(), removed.stream()).toList().forEach(server -> server.pool.endUnsent());
         removed.clear();
     }
@@ -132,7 +132,7 @@
     }
 
     /** Closes connections that have been idle too long, or whose response has stopped in its middle. */
-    void sweep() {
+    public void sweep() {
         double now = context.now();
         for (UpstreamServer server : servers.values()) {
             server.pool.closeIdle(limits.idleBeforeMs(now));
@@ -141,7 +141,7 @@
     }
 
     /** Closes all connections. */
-    void close() {
+    public void close() {
         servers.values().forEach(server -> server.pool.close());
     }
 
@@ -161,7 +161,7 @@
     }
 
     /** Metrics of those that are ejected or have rejected connections, {@link MetricsLine#MAX_NODES} at most. */
-    List<MetricsLine.Node> unhealthyNodes() {
+    public List<MetricsLine.Node> unhealthyNodes() {
         return cacheNodeStream()
                 .filter(server -> server.pool.rejectedConnections() > 0 || context.isEjected(server.id))
                 .limit(MetricsLine.MAX_NODES)
@@ -174,19 +174,19 @@
     }
 
     /** The cache nodes of the list; a copy. */
-    List<UpstreamServer> cacheNodes() {
+    public List<UpstreamServer> cacheNodes() {
         return cacheNodeStream().toList();
     }
 
     /** How many cache nodes a zone has. */
-    int cacheNodesInZone(int zone) {
+    public int cacheNodesInZone(int zone) {
         return (int) cacheNodeStream()
                 .filter(server -> server.location.zone() == zone)
                 .count();
     }
 
     /** When each of a zone's ready cache nodes is warmed up, on the clock of {@link UpstreamContext#now}, in order. */
-    List<Double> warmedUpAtMs(int zone, double warmUpMs) {
+    public List<Double> warmedUpAtMs(int zone, double warmUpMs) {
         return cacheNodeStream()
                 .filter(server -> server.location.zone() == zone && server.ready)
                 .map(server -> server.warmedUpAtMs(warmUpMs))
--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
+import cacheproxy.proxy.protocol.MetaCodec;
 import com.google.gson.JsonObject;
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -6,6 +6,7 @@
 import cacheproxy.drain.DrainPlan;
 import cacheproxy.drain.DrainStateMachine;
 import cacheproxy.drain.DrainStateMachine.Phase;
+import cacheproxy.proxy.protocol.MetaCodec;
 import com.google.gson.JsonArray;
 import java.net.ConnectException;
 import java.util.concurrent.CompletableFuture;
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -9,6 +9,7 @@
 import cacheproxy.proxy.lifecycle.FleetFeatures;
 import cacheproxy.proxy.lifecycle.Proxy;
 import cacheproxy.proxy.peer.PeerMessageKind;
+import cacheproxy.proxy.upstream.UpstreamServer;
 import cacheproxy.routing.EndpointSignal;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -4,6 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.Await;
+import cacheproxy.proxy.protocol.MetaCodec;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -2,6 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.proxy.protocol.DeadlineText;
+import cacheproxy.proxy.protocol.FlowControl;
+import cacheproxy.proxy.protocol.MetaCodec;
+import cacheproxy.proxy.protocol.RequestCommand;
+import cacheproxy.proxy.protocol.RequestTerms;
+import cacheproxy.proxy.protocol.ServerResponse;
 import cacheproxy.route.Routing;
 import io.netty.buffer.ByteBuf;
 import java.io.IOException;
