--- a/src/main/java/cacheproxy/proxy/client/ClientAcceptor.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientAcceptor.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.Transport;
-import cacheproxy.proxy.transport.AcceptErrors;
+import cacheproxy.proxy.transport.AcceptErrorHandler;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
@@ -97,7 +97,7 @@
     private ServerBootstrap bootstrap(EventLoopGroup group) {
         return new ServerBootstrap()
                 .group(group)
-                .handler(new AcceptErrors(this::updateAutoRead, dispatcher.failures()::acceptFailed))
+                .handler(new AcceptErrorHandler(this::updateAutoRead, dispatcher.failures()::acceptFailed))
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
