--- a/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
@@ -8,6 +8,7 @@
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.LogMessage;
 import cacheproxy.proxy.peer.MembershipLink;
+import cacheproxy.proxy.upstream.UpstreamServer;
 import cacheproxy.routing.EndpointSignal;
 import cacheproxy.routing.RoutingSettings;
 import cacheproxy.routing.ZoneDirective;
