--- a/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
+++ b/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
@@ -1,5 +1,7 @@
 package cacheproxy.endpoints;
 
+import cacheproxy.backoff.ExponentialBackoff;
+import cacheproxy.backoff.FailureBackoff;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
@@ -45,8 +47,8 @@
     private final SplittableRandom random;
     private final PollKindSelector kinds;
     /** Grows with each poll in a row that was cancelled. */
-    private final ExponentialBackoff cancelAfter =
-            new ExponentialBackoff(PollTimeouts.CANCEL_AFTER_MS, PollTimeouts.MAX_CANCEL_DOUBLINGS);
+    private final FailureBackoff cancelAfter = new FailureBackoff(
+            ExponentialBackoff.ofDoublings(PollTimeouts.CANCEL_AFTER_MS, PollTimeouts.MAX_CANCEL_DOUBLINGS));
     /** The oldest first. */
     private final List<PendingPoll> pending = new ArrayList<>();
 
--- a/src/main/java/cacheproxy/endpoints/PollBackoff.java
+++ b/src/main/java/cacheproxy/endpoints/PollBackoff.java
@@ -1,5 +1,7 @@
 package cacheproxy.endpoints;
 
+import cacheproxy.backoff.ExponentialBackoff;
+import cacheproxy.backoff.FailureBackoff;
 import java.util.SplittableRandom;
 
 /**
@@ -13,7 +15,7 @@
     private static final double MIN_JITTER = 0.5;
 
     private final double baseMs;
-    private final ExponentialBackoff backoff;
+    private final FailureBackoff backoff;
 
     /**
      * Without a failure yet.
@@ -22,7 +24,7 @@
      */
     public PollBackoff(double maxPollIntervalMs) {
         baseMs = Math.min(maxPollIntervalMs, EndpointListFreshness.MAX_STALENESS_MS) / BASE_FRACTION;
-        backoff = new ExponentialBackoff(baseMs, MAX_DOUBLINGS);
+        backoff = new FailureBackoff(ExponentialBackoff.ofDoublings(baseMs, MAX_DOUBLINGS));
     }
 
     /** A poll was answered: the next failure is the first again. */
@@ -40,8 +42,7 @@
      */
     public double nextDelayMs(double tookMs, SplittableRandom random) {
         double jitter = MIN_JITTER + random.nextDouble() / 2;
-        double delayMs = backoff.delayMs(jitter);
-        backoff.recordFailure();
+        double delayMs = backoff.nextDelayMs() * jitter;
         return Math.max(baseMs * jitter, delayMs - tookMs);
     }
 }
--- a/src/main/java/cacheproxy/recovery/ConnectionRebalancer.java
+++ b/src/main/java/cacheproxy/recovery/ConnectionRebalancer.java
@@ -1,6 +1,7 @@
 package cacheproxy.recovery;
 
-import cacheproxy.flow.ExponentialBackoff;
+import cacheproxy.backoff.ExponentialBackoff;
+import cacheproxy.backoff.FailureBackoff;
 import java.util.Collection;
 
 /**
@@ -33,7 +34,8 @@
     static final double INITIAL_BACKOFF_MS = 30_000;
     static final double MAX_BACKOFF_MS = 600_000;
 
-    private final ExponentialBackoff backoff = new ExponentialBackoff(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS);
+    private final FailureBackoff backoff =
+            new FailureBackoff(new ExponentialBackoff(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS));
     private double overloadedSinceMs = Double.NaN;
     private double lastUpdateMs = Double.NaN;
     /** Connections that may be closed; the fraction is carried over. */
--- a/src/main/java/cacheproxy/routing/CircuitBreaker.java
+++ b/src/main/java/cacheproxy/routing/CircuitBreaker.java
@@ -1,5 +1,7 @@
 package cacheproxy.routing;
 
+import cacheproxy.backoff.ExponentialBackoff;
+
 /**
  * Stops all traffic on one path after some failures in a row, for a time that grows while they go on. Any success
  * closes it. Open means that nothing is sent.
--- a/src/main/java/cacheproxy/routing/ConnectionCapacity.java
+++ b/src/main/java/cacheproxy/routing/ConnectionCapacity.java
@@ -1,5 +1,6 @@
 package cacheproxy.routing;
 
+import cacheproxy.backoff.ExponentialBackoff;
 import cacheproxy.gossip.PeerMessage;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
@@ -58,9 +59,8 @@
         double connectTimeoutMs = settings.get().connectTimeoutMs();
         double minMs = MIN_CONNECT_TIMEOUTS * connectTimeoutMs;
         double baseMs = Math.max(minMs, settings.get().instanceCount() * connectTimeoutMs);
-        double delayMs = Math.min(
-                new ExponentialBackoff(minMs, MAX_DOUBLINGS).delayMs(MAX_DOUBLINGS),
-                new ExponentialBackoff(baseMs, MAX_DOUBLINGS).delayMs(earlierRejections));
+        double capMs = minMs * (1 << MAX_DOUBLINGS);
+        double delayMs = new ExponentialBackoff(baseMs, capMs).delayMs(earlierRejections);
         endpoint.health().markFull(nowMs + delayMs * (0.5 + random.nextDouble()));
     }
 }
--- a/src/main/java/cacheproxy/routing/EndpointHealth.java
+++ b/src/main/java/cacheproxy/routing/EndpointHealth.java
@@ -1,5 +1,7 @@
 package cacheproxy.routing;
 
+import cacheproxy.backoff.ExponentialBackoff;
+
 /**
  * What this instance has seen of one endpoint: failures in a row and the ejection that follows from them, and whether
  * it had capacity for a connection. {@link OutlierDetection} and {@link ConnectionCapacity} decide on it; here each
--- a/src/main/java/cacheproxy/routing/OutlierDetection.java
+++ b/src/main/java/cacheproxy/routing/OutlierDetection.java
@@ -1,5 +1,6 @@
 package cacheproxy.routing;
 
+import cacheproxy.backoff.ExponentialBackoff;
 import java.util.function.Supplier;
 
 /**
@@ -100,7 +101,7 @@
     }
 
     private void eject(double nowMs, EndpointEntry endpoint) {
-        endpoint.health().eject(nowMs, new ExponentialBackoff(ejectionMs(), MAX_EJECTION_DOUBLINGS));
+        endpoint.health().eject(nowMs, ExponentialBackoff.ofDoublings(ejectionMs(), MAX_EJECTION_DOUBLINGS));
     }
 
     private double ejectionMs() {
--- a/src/main/java/cacheproxy/routing/RequestAdmission.java
+++ b/src/main/java/cacheproxy/routing/RequestAdmission.java
@@ -1,5 +1,6 @@
 package cacheproxy.routing;
 
+import cacheproxy.backoff.ExponentialBackoff;
 import java.util.function.Supplier;
 
 /**
@@ -86,7 +87,7 @@
         switch (outcome) {
             case CONNECT_FAILED -> {
                 double openMs = ORIGIN_BREAKER_CONNECT_TIMEOUTS * settings.get().connectTimeoutMs();
-                originBreaker.recordFailure(nowMs, new ExponentialBackoff(openMs, 0));
+                originBreaker.recordFailure(nowMs, ExponentialBackoff.ofDoublings(openMs, 0));
             }
             case TIMEOUT, CANCELLED -> {} // no word on the path, either way
             default -> originBreaker.recordSuccess();
--- a/src/main/java/cacheproxy/routing/ZoneCircuitBreaker.java
+++ b/src/main/java/cacheproxy/routing/ZoneCircuitBreaker.java
@@ -1,5 +1,6 @@
 package cacheproxy.routing;
 
+import cacheproxy.backoff.ExponentialBackoff;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -62,7 +63,7 @@
      * @param ejectionMs for how long one endpoint is ejected at first, in milliseconds; the zone is for as long
      */
     void recordSilence(double nowMs, int zone, double ejectionMs) {
-        zone(zone).breaker.recordFailure(nowMs, new ExponentialBackoff(ejectionMs, MAX_DOUBLINGS));
+        zone(zone).breaker.recordFailure(nowMs, ExponentialBackoff.ofDoublings(ejectionMs, MAX_DOUBLINGS));
     }
 
     /** An endpoint of the zone has answered, so there is a path. */
--- a/src/main/java/cacheproxy/state/RecordStore.java
+++ b/src/main/java/cacheproxy/state/RecordStore.java
@@ -1,6 +1,7 @@
 package cacheproxy.state;
 
-import cacheproxy.flow.ExponentialBackoff;
+import cacheproxy.backoff.ExponentialBackoff;
+import cacheproxy.backoff.FailureBackoff;
 import com.google.gson.JsonElement;
 import java.util.EnumMap;
 import java.util.EnumSet;
@@ -34,7 +35,8 @@
     private final Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
     private final Set<RecordKind> dirty = EnumSet.noneOf(RecordKind.class);
     private final Map<RecordKind, Double> dirtySince = new EnumMap<>(RecordKind.class);
-    private final ExponentialBackoff backoff = new ExponentialBackoff(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS);
+    private final FailureBackoff backoff =
+            new FailureBackoff(new ExponentialBackoff(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS));
     private final WriteBudget budget = new WriteBudget(MAX_BYTES_PER_MINUTE);
     private StateFileHeader header;
     private boolean snapshotNeeded = true;
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -61,6 +61,7 @@
                 .that()
                 .resideInAnyPackage(
                         "cacheproxy.routing..",
+                        "cacheproxy.backoff..",
                         "cacheproxy.drain..",
                         "cacheproxy.route..",
                         "cacheproxy.takeover..",
--- a/src/test/java/cacheproxy/routing/CircuitBreakerTest.java
+++ b/src/test/java/cacheproxy/routing/CircuitBreakerTest.java
@@ -2,13 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.backoff.ExponentialBackoff;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
 class CircuitBreakerTest {
-    private static final ExponentialBackoff BACKOFF = new ExponentialBackoff(100, 2);
+    private static final ExponentialBackoff BACKOFF = ExponentialBackoff.ofDoublings(100, 2);
 
     @Test
     void threeFailuresInARowOpenItAndASuccessClosesIt() {
