--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -297,6 +297,31 @@
                 .check(ALL);
     }
 
+    /** The I/O around the core meets it by interfaces of its own. */
+    @Test
+    void upstreamProtocolAndPeersKnowNothingOfTheCore() {
+        noClasses()
+                .that()
+                .resideInAnyPackage(
+                        "cacheproxy.proxy.upstream..", "cacheproxy.proxy.protocol..", "cacheproxy.proxy.peer..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("cacheproxy.proxy", "cacheproxy.proxy.client..", "cacheproxy.proxy.lifecycle..")
+                .check(ALL);
+    }
+
+    /** Start and end stand above everything else of the proxy. */
+    @Test
+    void clientsKnowNothingOfTheLifecycle() {
+        noClasses()
+                .that()
+                .resideInAnyPackage("cacheproxy.proxy", "cacheproxy.proxy.client..", "cacheproxy.proxy.discovery..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("cacheproxy.proxy.lifecycle..")
+                .check(ALL);
+    }
+
     @Test
     void onlyTheMainClassKnowsTheCommandLine() {
         classes()
--- a/src/test/java/cacheproxy/SizeLimitsTest.java
+++ b/src/test/java/cacheproxy/SizeLimitsTest.java
@@ -13,10 +13,10 @@
 /** Checkstyle limits the length of files and methods; the lists of what is over a limit still may only shrink. */
 class SizeLimitsTest {
     private static final int MAX_FILE_LINES = 400;
-    /** Entries when the limits were introduced; lower them with the lists. */
-    private static final int MAX_LONG_FILES = 12;
+    /** Entries that are left; lower them with the lists. */
+    private static final int MAX_LONG_FILES = 4;
 
-    private static final int MAX_FILES_WITH_LONG_METHODS = 24;
+    private static final int MAX_FILES_WITH_LONG_METHODS = 16;
 
     @Test
     void everyListedFileIsStillOverTheLimit() throws IOException {
