--- a/src/main/java/cacheproxy/admission/RequestState.java
+++ b/src/main/java/cacheproxy/admission/RequestState.java
@@ -12,13 +12,13 @@
  * </pre>
  */
 public enum RequestState {
-    /** Its one final answer is owed. */
+    /** It has had no final answer yet. */
     OPEN("OPEN"),
-    /** A streamed answer is being passed on; its end is owed. */
+    /** A streamed answer is being passed on; it is unanswered until that ends. */
     STREAMING("STREAMING"),
     /** It has had its final answer. */
     ANSWERED("ANSWERED"),
-    /** Its client disconnected before it was answered; nothing is owed. */
+    /** Its client disconnected before it was answered; it gets no answer. */
     CLIENT_DISCONNECTED("CLIENT_GONE");
 
     private final String key;
@@ -32,7 +32,7 @@
         return key;
     }
 
-    /** Whether nothing is owed any more. */
+    /** Whether it gets nothing more. */
     public boolean isFinal() {
         return this == ANSWERED || this == CLIENT_DISCONNECTED;
     }
--- a/src/main/java/cacheproxy/admission/RuleViolation.java
+++ b/src/main/java/cacheproxy/admission/RuleViolation.java
@@ -2,7 +2,7 @@
 
 /**
  * A violation of a rule that was seen after the fact. Each is counted and logged; none is expected. The keys, which
- * logs and counters show, are older than the names of the constants.
+ * logs and counters show, are stable.
  */
 public enum RuleViolation {
     /** Rule 1: a request was given more than one final answer, or end of a streamed answer. */
--- a/src/main/java/cacheproxy/admission/Verdict.java
+++ b/src/main/java/cacheproxy/admission/Verdict.java
@@ -1,8 +1,8 @@
 package cacheproxy.admission;
 
 /**
- * Whether an act is allowed now, or the condition that forbids it. The rules are those of the protocol page and of the
- * simulator page. The keys, which logs and counters show, are older than the names of the constants.
+ * Whether an act is allowed now, or the condition that forbids it. The rules are numbered as in
+ * {@code docs/GLOSSARY.md}. Logs and counters show the keys, which are stable.
  */
 public enum Verdict {
     /** Nothing forbids it. */
--- a/src/main/java/cacheproxy/control/DrainControl.java
+++ b/src/main/java/cacheproxy/control/DrainControl.java
@@ -20,7 +20,7 @@
     }
 
     private JsonObject drain(CommandArguments arguments) {
-        DrainStateMachine.StartResult start = proxy.drain(arguments.number("deadline_ms"));
+        DrainStateMachine.StartResult start = proxy.startDrain(arguments.number("deadline_ms"));
         JsonObject result = progress();
         result.addProperty("already", start.alreadyDraining());
         result.addProperty("words", start.message());
--- a/src/main/java/cacheproxy/drain/DrainPlan.java
+++ b/src/main/java/cacheproxy/drain/DrainPlan.java
@@ -8,7 +8,7 @@
  * @param idleClosePeriodMs over which period after that they are closed, so that their clients do not all reconnect
  *     elsewhere at once
  * @param quietPeriodMs how long no request may have been open before an instance without connections counts as drained
- * @param deadlineMs when every open request gets its final answer and the process exits; above 0, at most an hour
+ * @param timeoutMs when every open request gets its final answer and the process exits; above 0, at most an hour
  * @param unannounced whether clients that ask are still told that the instance serves
  * @param irrevocable whether it can't be cancelled
  */
@@ -17,7 +17,7 @@
         double idleGraceMs,
         double idleClosePeriodMs,
         double quietPeriodMs,
-        double deadlineMs,
+        double timeoutMs,
         boolean unannounced,
         boolean irrevocable) {
     private static final double MAX_DEADLINE_MS = 3_600_000;
@@ -27,9 +27,20 @@
      */
     static final double MAX_ANSWER_MS = 3500;
 
+    /**
+     * An operator's drain closes idle connections over this part of its time, as its inverse, and no longer than this.
+     */
+    private static final int IDLE_CLOSE_DIVISOR = 5;
+
+    private static final double MAX_IDLE_CLOSE_PERIOD_MS = 5000;
+    /** It has ended once nothing was open for this part of its time, as its inverse, and no longer than this. */
+    private static final int QUIET_DIVISOR = 10;
+
+    private static final double MAX_QUIET_PERIOD_MS = 1000;
+
     /** Checks the ranges. */
     public DrainPlan {
-        if (!(deadlineMs > 0 && deadlineMs <= MAX_DEADLINE_MS)) {
+        if (!(timeoutMs > 0 && timeoutMs <= MAX_DEADLINE_MS)) {
             throw new IllegalArgumentException("a drain's deadline lies above 0 s and an hour away at most");
         }
         if (!(listenMs >= 0) || !(idleGraceMs >= 0) || !(idleClosePeriodMs >= 0) || !(quietPeriodMs >= 0)) {
@@ -41,13 +52,13 @@
      * The plan of a drain that an operator requests: it goes on listening, as load balancers notice late, closes idle
      * connections over the first fifth of the time, five seconds at most, and can be cancelled.
      */
-    public static DrainPlan requested(double deadlineMs) {
+    public static DrainPlan requested(double timeoutMs) {
         return new DrainPlan(
                 Double.POSITIVE_INFINITY,
                 0,
-                Math.min(5000, deadlineMs / 5),
-                Math.min(1000, deadlineMs / 10),
-                deadlineMs,
+                Math.min(MAX_IDLE_CLOSE_PERIOD_MS, timeoutMs / IDLE_CLOSE_DIVISOR),
+                Math.min(MAX_QUIET_PERIOD_MS, timeoutMs / QUIET_DIVISOR),
+                timeoutMs,
                 false,
                 false);
     }
@@ -57,8 +68,8 @@
      * deadline or come after SIGKILL are not waited for.
      */
     public static DrainPlan onTermination(double listenMs, double longestDeadlineMs) {
-        double deadlineMs = Math.min(MAX_ANSWER_MS, listenMs + longestDeadlineMs);
-        return new DrainPlan(listenMs, listenMs, 0, 0, deadlineMs, true, true);
+        double timeoutMs = Math.min(MAX_ANSWER_MS, listenMs + longestDeadlineMs);
+        return new DrainPlan(listenMs, listenMs, 0, 0, timeoutMs, true, true);
     }
 
     /**
@@ -76,7 +87,7 @@
                 idleGraceMs,
                 idleClosePeriodMs,
                 quietPeriodMs,
-                Math.min(deadlineMs, Math.max(1, ms)),
+                Math.min(timeoutMs, Math.max(1, ms)),
                 unannounced,
                 irrevocable);
     }
--- a/src/main/java/cacheproxy/drain/DrainStateMachine.java
+++ b/src/main/java/cacheproxy/drain/DrainStateMachine.java
@@ -124,17 +124,17 @@
             start(now, requested);
             completedFraction = 0;
             peakOpen = openWork.connections() + openWork.unanswered();
-            return new StartResult(false, requested.deadlineMs(), "draining");
+            return new StartResult(false, requested.timeoutMs(), "draining");
         }
         double remainingMs = deadlineMs - now;
         if (phase != Phase.DRAINING) {
             return new StartResult(true, 0, "the drain is over; the process ends");
         }
-        boolean shorter = requested.deadlineMs() < remainingMs;
+        boolean shorter = requested.timeoutMs() < remainingMs;
         if (requested.irrevocable() && !plan.irrevocable()) {
             start(now, requested.withDeadlineAtMost(remainingMs));
         } else if (shorter) {
-            deadlineMs = now + requested.deadlineMs();
+            deadlineMs = now + requested.timeoutMs();
         }
         return new StartResult(
                 true,
@@ -152,7 +152,7 @@
         lastTickMs = now;
         quietSinceMs = now;
         answeredWhenQuiet = openWork.answered();
-        deadlineMs = now + next.deadlineMs();
+        deadlineMs = now + next.timeoutMs();
         closeCredit = 0;
     }
 
--- a/src/main/java/cacheproxy/failover/FailoverPlan.java
+++ b/src/main/java/cacheproxy/failover/FailoverPlan.java
@@ -9,7 +9,7 @@
  * What is decided of all zones; immutable. Plans form a join semilattice, zone by zone: instances that have heard the
  * same hold the same plan, in whatever order they heard it, so a healed partition merges to one plan. What two sides of
  * a partition decided may together close more than either would have; so what holds is not a zone's own state but
- * {@link #openParts}, which keeps a minimum of all zones together open. In a note of the view, 4 bytes for each zone
+ * {@link #trafficParts}, which keeps a minimum of all zones together open. In a note of the view, 4 bytes for each zone
  * ({@link ZoneState#encode}).
  *
  * @param zones their states, by zone
@@ -62,10 +62,10 @@
 
     /** Whether the minimum of all zones together would stay open if a zone had only so many parts open. */
     public boolean allowsOpenParts(int zone, int parts) {
-        return zones.stream().mapToInt(ZoneState::openParts).sum()
-                        - zones.get(zone).openParts()
+        return zones.stream().mapToInt(ZoneState::trafficParts).sum()
+                        - zones.get(zone).trafficParts()
                         + parts
-                >= minOpenParts();
+                >= minTrafficParts();
     }
 
     /**
@@ -74,7 +74,7 @@
      */
     public ZoneState lowered(int zone, int parts, int leaves) {
         ZoneState s = zones.get(zone);
-        for (int open = parts; open < s.openParts(); open++) {
+        for (int open = parts; open < s.trafficParts(); open++) {
             if (allowsOpenParts(zone, open)) {
                 return s.next(open, ZoneState.Cause.EVIDENCE, leaves);
             }
@@ -82,7 +82,7 @@
         return null;
     }
 
-    private int minOpenParts() {
+    private int minTrafficParts() {
         return (zones.size() * ZoneState.ALL_PARTS + MIN_OPEN_DIVISOR - 1) / MIN_OPEN_DIVISOR;
     }
 
@@ -91,18 +91,18 @@
      * together stays open. Where less would, zones are opened in the order of their numbers, the same at all that hold
      * the plan, until it does; so the last zone is never left.
      */
-    public int openParts(int zone) {
-        int missing =
-                minOpenParts() - zones.stream().mapToInt(ZoneState::openParts).sum();
+    public int trafficParts(int zone) {
+        int missing = minTrafficParts()
+                - zones.stream().mapToInt(ZoneState::trafficParts).sum();
         for (int z = 0; z <= zone; z++) {
             int more = Math.max(
-                    0, Math.min(missing, ZoneState.ALL_PARTS - zones.get(z).openParts()));
+                    0, Math.min(missing, ZoneState.ALL_PARTS - zones.get(z).trafficParts()));
             if (z == zone) {
-                return zones.get(z).openParts() + more;
+                return zones.get(z).trafficParts() + more;
             }
             missing -= more;
         }
-        return zones.get(zone).openParts();
+        return zones.get(zone).trafficParts();
     }
 
     /** Whether anything was ever decided. */
--- a/src/main/java/cacheproxy/failover/ZoneDecision.java
+++ b/src/main/java/cacheproxy/failover/ZoneDecision.java
@@ -53,8 +53,8 @@
             case HOLD -> null;
             case LEAVE -> leaveStep();
             case RETURN ->
-                state.openParts() == ZoneState.ALL_PARTS
-                        ? state.next(state.openParts(), Cause.EVIDENCE, 0)
+                state.trafficParts() == ZoneState.ALL_PARTS
+                        ? state.next(state.trafficParts(), Cause.EVIDENCE, 0)
                         : recoveryStep();
             case EVIDENCE -> quorum ? byEvidence() : null;
         };
@@ -66,13 +66,13 @@
 
     private ZoneState leaveStep() {
         double stepMs = tracker.leaveStepMs > 0 ? tracker.leaveStepMs : TAKE_OVER_MS;
-        return state.openParts() > 0 && sinceChangeMs() >= stepMs
-                ? state.next(state.openParts() - 1, Cause.LEAVE, state.leaveCount())
+        return state.trafficParts() > 0 && sinceChangeMs() >= stepMs
+                ? state.next(state.trafficParts() - 1, Cause.LEAVE, state.leaveCount())
                 : null;
     }
 
     private ZoneState byEvidence() {
-        boolean open = state.openParts() == ZoneState.ALL_PARTS;
+        boolean open = state.trafficParts() == ZoneState.ALL_PARTS;
         return switch (tracker.verdict) {
             case UNREACHABLE -> plan.lowered(zone, 0, state.leaveCount() + 1);
             case DEGRADED -> whenDegraded(open);
@@ -97,7 +97,7 @@
 
     /** The fewer of its keys are left, the less is seen of it: a drain goes on unless the zone is found healthy. */
     private ZoneState whenUncertain() {
-        return state.openParts() > 0
+        return state.trafficParts() > 0
                         && tracker.leftDegraded
                         && otherZonesAreOpen()
                         && sinceChangeMs() >= 2 * RecoveryRamp.DEGRADED_BEFORE_DRAIN_MS
@@ -107,7 +107,7 @@
     }
 
     private ZoneState drainStep(int leaveCount) {
-        return plan.lowered(zone, Math.max(0, state.openParts() - RecoveryRamp.DRAIN_STEP_PARTS), leaveCount);
+        return plan.lowered(zone, Math.max(0, state.trafficParts() - RecoveryRamp.DRAIN_STEP_PARTS), leaveCount);
     }
 
     /**
@@ -116,7 +116,7 @@
      */
     private boolean otherZonesAreOpen() {
         for (int z = 0; z < plan.zones().size(); z++) {
-            if (z != zone && plan.stateOf(z).openParts() < ZoneState.ALL_PARTS) {
+            if (z != zone && plan.stateOf(z).trafficParts() < ZoneState.ALL_PARTS) {
                 return false;
             }
         }
@@ -125,7 +125,7 @@
 
     private ZoneState withFewerLeaves() {
         return state.leaveCount() > 0 && sinceChangeMs() >= RecoveryRamp.LEAVE_COUNT_DECAY_MS
-                ? state.next(state.openParts(), Cause.EVIDENCE, state.leaveCount() - 1)
+                ? state.next(state.trafficParts(), Cause.EVIDENCE, state.leaveCount() - 1)
                 : null;
     }
 
@@ -138,7 +138,7 @@
         if (sinceChangeMs() < stepMs || waitsForOrigin) {
             return null;
         }
-        int parts = Math.min(ZoneState.ALL_PARTS, state.openParts() + RecoveryRamp.stepParts(cold));
+        int parts = Math.min(ZoneState.ALL_PARTS, state.trafficParts() + RecoveryRamp.stepParts(cold));
         return state.next(parts, state.cause(), state.leaveCount());
     }
 }
--- a/src/main/java/cacheproxy/failover/ZoneFailover.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -1,6 +1,6 @@
 package cacheproxy.failover;
 
-import cacheproxy.failover.ZoneFaultDetector.Verdict;
+import cacheproxy.failover.ZoneFaultDetector.ZoneCondition;
 import cacheproxy.failover.ZoneState.Cause;
 import cacheproxy.membership.Member;
 import cacheproxy.membership.MembershipView;
@@ -143,8 +143,8 @@
                     "without this zone less than a third of all would be open; return to another first");
         }
         ZoneState state = plan().stateOf(zone);
-        int openParts = durationMs == 0 ? 0 : state.openParts();
-        trackers.get(zone).leaveStepMs = durationMs / Math.max(1, state.openParts());
+        int openParts = durationMs == 0 ? 0 : state.trafficParts();
+        trackers.get(zone).leaveStepMs = durationMs / Math.max(1, state.trafficParts());
         planState.decide(nowMs, zone, state.next(openParts, Cause.LEAVE, state.leaveCount()), OPERATOR_ORDER);
     }
 
@@ -168,7 +168,7 @@
     private void order(double nowMs, int zone, Cause cause, int leaveCount) {
         check(zone);
         ZoneState state = plan().stateOf(zone);
-        planState.decide(nowMs, zone, state.next(state.openParts(), cause, leaveCount), OPERATOR_ORDER);
+        planState.decide(nowMs, zone, state.next(state.trafficParts(), cause, leaveCount), OPERATOR_ORDER);
     }
 
     private void check(int zone) {
@@ -192,7 +192,7 @@
     }
 
     private double capacity(int zone) {
-        return trackers.get(zone).readyNodes * (double) plan().openParts(zone);
+        return trackers.get(zone).readyNodes * (double) plan().trafficParts(zone);
     }
 
     // ---- time
@@ -275,7 +275,7 @@
 
     private void decideIfDue(double nowMs, int zone, ZoneFaultDetector detector, List<ZoneHealthReport> reports) {
         ZoneTracker tracker = trackers.get(zone);
-        Verdict verdict = detector.verdict(zone);
+        ZoneCondition verdict = detector.verdict(zone);
         tracker.onVerdict(nowMs, verdict);
         ZoneDecision decision = new ZoneDecision(nowMs, zone, plan(), tracker, detector, settings.warmUpMs());
         ZoneState proposal = decision.next(quorum);
@@ -320,7 +320,9 @@
 
     /** What was decided on evidence holds only with a quorum, which could take it back. */
     private int effectiveParts(int zone) {
-        return quorum || plan().stateOf(zone).cause() != Cause.EVIDENCE ? plan().openParts(zone) : ZoneState.ALL_PARTS;
+        return quorum || plan().stateOf(zone).cause() != Cause.EVIDENCE
+                ? plan().trafficParts(zone)
+                : ZoneState.ALL_PARTS;
     }
 
     // ---- what is decided
--- a/src/main/java/cacheproxy/failover/ZoneFaultDetector.java
+++ b/src/main/java/cacheproxy/failover/ZoneFaultDetector.java
@@ -17,8 +17,8 @@
  *   <li>observers in a zone that is cut off hear no others and have too few zones; when they are heard again, a report
  *       without a healthy zone but their own does not count;
  *   <li>one or two bad nodes do not speak against their zone ({@link ZoneHealthMonitor});
- *   <li>where all nodes are slow, or the origin is, no zone is {@link Verdict#DEGRADED}: that takes others that are
- *       healthy;
+ *   <li>where all nodes are slow, or the origin is, no zone is {@link ZoneCondition#DEGRADED}: that takes others that
+ *       are healthy;
  *   <li>one or two instances that report wrongly are not the majority of any zone of three, and not three.
  * </ul>
  *
@@ -31,7 +31,7 @@
     static final int MIN_HEALTHY_OBSERVERS = 2;
 
     /** What all live instances together say of a zone. */
-    enum Verdict {
+    enum ZoneCondition {
         /** Too few report it, or they do not agree. */
         UNCERTAIN("unsure"),
         /** Those that observe it get responses. */
@@ -43,7 +43,7 @@
 
         private final String displayName;
 
-        Verdict(String displayName) {
+        ZoneCondition(String displayName) {
             this.displayName = displayName;
         }
 
@@ -75,14 +75,14 @@
     }
 
     /** The verdict on a zone. */
-    Verdict verdict(int zone) {
+    ZoneCondition verdict(int zone) {
         if (isReportedBy(zone, ZoneHealth.UNREACHABLE)) {
-            return Verdict.UNREACHABLE;
+            return ZoneCondition.UNREACHABLE;
         }
         if (isReportedBy(zone, ZoneHealth.DEGRADED) && otherZonesAreHealthy(zone)) {
-            return Verdict.DEGRADED;
+            return ZoneCondition.DEGRADED;
         }
-        return isHealthy(zone) ? Verdict.HEALTHY : Verdict.UNCERTAIN;
+        return isHealthy(zone) ? ZoneCondition.HEALTHY : ZoneCondition.UNCERTAIN;
     }
 
     /** Whether enough observers, in enough zones, see a zone at least that bad. */
--- a/src/main/java/cacheproxy/failover/ZoneHealthPublisher.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthPublisher.java
@@ -49,9 +49,9 @@
             ZoneHealth health = own.health().get(z);
             ZoneTracker tracker = trackers.get(z);
             tracker.onOwnHealth(nowMs, health);
-            boolean left = plan.stateOf(z).openParts() < ZoneState.ALL_PARTS;
+            boolean left = plan.stateOf(z).trafficParts() < ZoneState.ALL_PARTS;
             boolean isPublished = health.isFaulty()
-                    ? isFirst || (nowMs - tracker.faultySinceMs >= OTHERS_DELAY_MS && plan.openParts(z) > 0)
+                    ? isFirst || (nowMs - tracker.faultySinceMs >= OTHERS_DELAY_MS && plan.trafficParts(z) > 0)
                     : health == ZoneHealth.HEALTHY
                             && ((alarm && isFirst) || (left && InstanceRanking.isProber(z, own.instance(), reports)));
             published.add(isPublished ? health : ZoneHealth.UNKNOWN);
--- a/src/main/java/cacheproxy/failover/ZoneState.java
+++ b/src/main/java/cacheproxy/failover/ZoneState.java
@@ -5,11 +5,11 @@
  *
  * @param epoch 0 if nothing was ever decided, up to {@link #MAX_EPOCH}; each decision raises it, so that it never goes
  *     back
- * @param openParts for so many of {@link #ALL_PARTS} parts of its keys, 0 to {@link #ALL_PARTS}
+ * @param trafficParts for so many of {@link #ALL_PARTS} parts of its keys, 0 to {@link #ALL_PARTS}
  * @param cause why it is so
  * @param leaveCount how often it was left lately, 0 to {@link #MAX_LEAVE_COUNT}; delays a return
  */
-public record ZoneState(int epoch, int openParts, Cause cause, int leaveCount) implements Comparable<ZoneState> {
+public record ZoneState(int epoch, int trafficParts, Cause cause, int leaveCount) implements Comparable<ZoneState> {
     /** All of its keys. One part of a zone of four then moves some 2% of all requests. */
     public static final int ALL_PARTS = 15;
     /** The highest epoch; a decision every half second would take 97 days to get there. */
@@ -73,18 +73,18 @@
     public ZoneState {
         if (epoch < 0
                 || epoch > MAX_EPOCH
-                || openParts < 0
-                || openParts > ALL_PARTS
+                || trafficParts < 0
+                || trafficParts > ALL_PARTS
                 || leaveCount < 0
                 || leaveCount > MAX_LEAVE_COUNT) {
             throw new IllegalArgumentException(
-                    "epoch " + epoch + ", " + openParts + " parts open, left " + leaveCount + " times");
+                    "epoch " + epoch + ", " + trafficParts + " parts open, left " + leaveCount + " times");
         }
     }
 
     /** The part of its keys that goes there, 0 to 1. */
     public double openFraction() {
-        return (double) openParts / ALL_PARTS;
+        return (double) trafficParts / ALL_PARTS;
     }
 
     /** The next decision; this itself at the highest epoch, as epochs never begin anew. */
@@ -94,7 +94,7 @@
 
     /** The same decision in an epoch above one that has been in use. */
     ZoneState withEpochAbove(int floor) {
-        return epoch > floor ? this : new ZoneState(Math.min(MAX_EPOCH, floor + 1), openParts, cause, leaveCount);
+        return epoch > floor ? this : new ZoneState(Math.min(MAX_EPOCH, floor + 1), trafficParts, cause, leaveCount);
     }
 
     /**
@@ -105,12 +105,12 @@
     public int compareTo(ZoneState other) {
         int by = Integer.compare(epoch, other.epoch);
         by = by != 0 ? by : cause.compareTo(other.cause);
-        by = by != 0 ? by : Integer.compare(openParts, other.openParts);
+        by = by != 0 ? by : Integer.compare(trafficParts, other.trafficParts);
         return by != 0 ? by : Integer.compare(leaveCount, other.leaveCount);
     }
 
     int encode() {
-        return epoch << 8 | openParts << 4 | leaveCount << 2 | cause.code();
+        return epoch << 8 | trafficParts << 4 | leaveCount << 2 | cause.code();
     }
 
     static ZoneState decode(int bits) {
--- a/src/main/java/cacheproxy/failover/ZoneTracker.java
+++ b/src/main/java/cacheproxy/failover/ZoneTracker.java
@@ -1,6 +1,6 @@
 package cacheproxy.failover;
 
-import cacheproxy.failover.ZoneFaultDetector.Verdict;
+import cacheproxy.failover.ZoneFaultDetector.ZoneCondition;
 import cacheproxy.failover.ZoneState.Cause;
 
 /**
@@ -27,7 +27,7 @@
 
     String changeReason = "never left";
 
-    Verdict verdict = Verdict.UNCERTAIN;
+    ZoneCondition verdict = ZoneCondition.UNCERTAIN;
     /** Since when it was found degraded, or healthy, without a gap; and when it was last. */
     double degradedSinceMs = Double.NEGATIVE_INFINITY;
 
@@ -50,14 +50,14 @@
     double faultySinceMs = Double.NaN;
 
     /** All live instances together come to this verdict now. */
-    void onVerdict(double nowMs, Verdict now) {
+    void onVerdict(double nowMs, ZoneCondition now) {
         verdict = now;
-        if (now == Verdict.DEGRADED) {
+        if (now == ZoneCondition.DEGRADED) {
             degradedSinceMs = nowMs - lastDegradedMs > VERDICT_GAP_MS ? nowMs : degradedSinceMs;
             lastDegradedMs = nowMs;
             lastHealthyMs = Double.NEGATIVE_INFINITY;
         }
-        if (now == Verdict.HEALTHY) {
+        if (now == ZoneCondition.HEALTHY) {
             healthySinceMs = nowMs - lastHealthyMs > VERDICT_GAP_MS ? nowMs : healthySinceMs;
             lastHealthyMs = nowMs;
         }
@@ -73,8 +73,9 @@
 
     /** The decision has changed. */
     void onChange(double nowMs, ZoneState before, ZoneState after, String reason) {
-        opening = after.openParts() > before.openParts();
-        leftDegraded = after.openParts() > 0 ? !opening : leftDegraded && before.openParts() < ZoneState.ALL_PARTS;
+        opening = after.trafficParts() > before.trafficParts();
+        leftDegraded =
+                after.trafficParts() > 0 ? !opening : leftDegraded && before.trafficParts() < ZoneState.ALL_PARTS;
         changedMs = nowMs;
         changeReason = reason;
         proposal = null;
--- a/src/main/java/cacheproxy/metrics/Metric.java
+++ b/src/main/java/cacheproxy/metrics/Metric.java
@@ -22,7 +22,7 @@
     /** Attempts begun while another of the same request was in flight. */
     HEDGES("second_copies", "of these second copies"),
     /** Attempts at ejected endpoints and health checks. */
-    HEALTH_CHECKS("trials", "trials of avoided servers"),
+    PROBES("trials", "trials of avoided servers"),
     /** Reads sent to the origin. */
     ORIGIN_FETCHES("fetches", "fetches at the origin"),
     /** Messages sent to peers; one to all peers counts once. */
--- a/src/main/java/cacheproxy/model/ClientsModel.java
+++ b/src/main/java/cacheproxy/model/ClientsModel.java
@@ -180,7 +180,7 @@
                 return;
             }
             InstanceModel at = play.instance(instance);
-            double wait = draw.tryShare() * kind.deadlineMs();
+            double wait = draw.tryShare() * kind.timeoutMs();
             int id = nextRequest++;
             play.time().after(CLIENT_MS, () -> {
                 if (!at.takes()) {
@@ -233,7 +233,7 @@
                                     Figure.WORTH_EARNED,
                                     took <= kind.latencyObjectiveMs()
                                             ? kind.priorityWeight()
-                                            : took <= kind.deadlineMs()
+                                            : took <= kind.timeoutMs()
                                                     ? kind.priorityWeight() * kind.lateValueShare()
                                                     : 0);
                 } else if (answer == Ask.Answer.REFUSED || kind.idempotency() != Idempotency.NON_IDEMPOTENT) {
@@ -245,7 +245,7 @@
         private void again(double advisedMs) {
             double backoffMs = BACKOFF_MS * (1 << (tries - 1)) * (0.5 + random.nextDouble());
             double wait = Math.max(advisedMs, backoffMs) / retryTimes;
-            if (tries <= draw.retries() && play.time().now() + wait < cameMs + kind.deadlineMs()) {
+            if (tries <= draw.retries() && play.time().now() + wait < cameMs + kind.timeoutMs()) {
                 play.time().after(wait, this::go);
             }
         }
--- a/src/main/java/cacheproxy/model/FleetPlay.java
+++ b/src/main/java/cacheproxy/model/FleetPlay.java
@@ -236,7 +236,7 @@
 
     double longestDeadlineMs() {
         return FleetDraw.CLASSES.stream()
-                .mapToDouble(ServiceClass::deadlineMs)
+                .mapToDouble(ServiceClass::timeoutMs)
                 .max()
                 .orElseThrow();
     }
--- a/src/main/java/cacheproxy/model/check/ZoneProtocol.java
+++ b/src/main/java/cacheproxy/model/check/ZoneProtocol.java
@@ -105,12 +105,12 @@
         ZoneState s = p.stateOf(z);
         if (s.cause() == Cause.EVIDENCE) {
             decided(f, i, z, p.lowered(z, 0, s.leaveCount() + 1), "finds " + z + " lost", moves);
-            if (s.openParts() < ZoneState.ALL_PARTS) {
+            if (s.trafficParts() < ZoneState.ALL_PARTS) {
                 decided(
                         f,
                         i,
                         z,
-                        s.next(Math.min(ZoneState.ALL_PARTS, s.openParts() + STEP), Cause.EVIDENCE, s.leaveCount()),
+                        s.next(Math.min(ZoneState.ALL_PARTS, s.trafficParts() + STEP), Cause.EVIDENCE, s.leaveCount()),
                         "finds " + z + " sound",
                         moves);
             }
@@ -118,7 +118,7 @@
         if (p.allowsOpenParts(z, 0)) {
             decided(f, i, z, s.next(0, Cause.LEAVE, s.leaveCount()), "is told to leave " + z, moves);
         }
-        decided(f, i, z, s.next(s.openParts(), Cause.HOLD, s.leaveCount()), "is told to hold " + z, moves);
+        decided(f, i, z, s.next(s.trafficParts(), Cause.HOLD, s.leaveCount()), "is told to hold " + z, moves);
     }
 
     private static void decided(Fleet f, int i, int z, ZoneState next, String words, List<Move<Fleet>> moves) {
@@ -191,7 +191,7 @@
     private static String closed(FailoverPlan p, int who) {
         int sum = 0;
         for (int z = 0; z < ZONES; z++) {
-            sum += p.openParts(z);
+            sum += p.trafficParts(z);
         }
         return 3 * sum >= ZONES * ZoneState.ALL_PARTS ? null : who + " has less than a third open by " + p;
     }
@@ -220,7 +220,7 @@
         p.zones()
                 .forEach(z -> s.append(z.epoch())
                         .append('/')
-                        .append(z.openParts())
+                        .append(z.trafficParts())
                         .append(z.cause().ordinal())
                         .append(z.leaveCount())
                         .append(' '));
--- a/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
@@ -49,7 +49,7 @@
         attempt.mayHaveRun = outcome.mayHaveRun();
         Timers.cancel(attempt.timer);
         double endMs = attempt.isStreaming() ? attempt.firstByteMs : clock.now();
-        double elapsedMs = endMs - attempt.sentMs;
+        double elapsedMs = endMs - attempt.orderedMs;
         if (attempt.isHealthCheck()) {
             loadBalancer.healthCheckEnded(attempt.server, outcome, elapsedMs, report);
             return;
--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -151,15 +151,15 @@
         if (upstream.origin && !request.command.write) {
             counters.increment(Metric.ORIGIN_FETCHES);
         }
-        if (!upstream.origin && loadBalancer.isEjected(upstream.id)) {
-            counters.increment(Metric.HEALTH_CHECKS);
+        if (!upstream.origin && loadBalancer.isAvoided(upstream.id)) {
+            counters.increment(Metric.PROBES);
         }
     }
 
     /** Starts a health check of a server; its result goes to the load balancer. */
     void startHealthCheck(int server) {
         UpstreamServer upstream = servers.get(server);
-        counters.increment(Metric.HEALTH_CHECKS);
+        counters.increment(Metric.PROBES);
         double now = clock.now();
         RequestAttempt check =
                 new RequestAttempt(operations, null, 0, server, UNKNOWN_LOCATION, now, now + HEALTH_CHECK_TIMEOUT_MS);
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -86,6 +86,11 @@
         return new EndpointListCodec(zones, kinds);
     }
 
+    /** How many of the process's sockets connections to servers may take: a third. */
+    public int upstreamSockets() {
+        return sockets / 3;
+    }
+
     /** Where the proxies of the tier exchange datagrams; without an address of its own where the settings forbid it. */
     public PeerAddresses peerAddresses() {
         return new PeerAddresses(
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -41,8 +41,6 @@
  */
 public final class Dispatcher {
     private static final long SWEEP_MS = 1000;
-    /** Connections to servers may take one in so many of the process's sockets. */
-    private static final int UPSTREAM_SOCKETS_PART = 3;
 
     private final EventLoop loop;
     private final ProxyClock clock;
@@ -85,9 +83,7 @@
         failures = new ConnectionFailures(counters, log);
         bufferLimits = new BufferLimits(config.memoryMb());
         servers = new UpstreamServers(
-                new DispatcherUpstreamContext(this),
-                bootstrap(loop, upstream),
-                config.sockets() / UPSTREAM_SOCKETS_PART);
+                new DispatcherUpstreamContext(this), bootstrap(loop, upstream), config.upstreamSockets());
         executor = new SerialExecutor(log);
         loadBalancer = new SerialLoadBalancer(executor, clock);
         completion = new RequestCompletion(clock, settings, requests, metrics, rules, this::endUnsentAttempts);
@@ -233,8 +229,8 @@
     }
 
     /** Whether the load balancer sends this server no ordinary request now. */
-    boolean isEjected(int server) {
-        return loadBalancer.isEjected(server);
+    boolean isAvoided(int server) {
+        return loadBalancer.isAvoided(server);
     }
 
     /** What the load balancer has learned, by pool, for a process that takes over. */
--- a/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
@@ -59,8 +59,8 @@
     }
 
     @Override
-    public boolean isEjected(int endpointId) {
-        return dispatcher.isEjected(endpointId);
+    public boolean isAvoided(int endpointId) {
+        return dispatcher.isAvoided(endpointId);
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/DispatcherUpstreamContext.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherUpstreamContext.java
@@ -52,8 +52,8 @@
     }
 
     @Override
-    public boolean isEjected(int server) {
-        return dispatcher.isEjected(server);
+    public boolean isAvoided(int server) {
+        return dispatcher.isAvoided(server);
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/RequestAttempt.java
@@ -17,8 +17,11 @@
     final int index;
 
     final int server;
-    /** When it was ordered, on the clock of {@link Dispatcher#now}. */
-    final double sentMs;
+    /**
+     * When it was ordered, on the clock of {@link Dispatcher#now}. Its bytes are written later, so a deduplication
+     * window counted from here ends early, never late.
+     */
+    final double orderedMs;
     /** The location of its server. */
     final EndpointLocation location;
 
@@ -51,7 +54,7 @@
         this.index = index;
         this.server = server;
         this.location = location;
-        this.sentMs = sentMs;
+        this.orderedMs = sentMs;
         this.expiresMs = expiresMs;
     }
 
--- a/src/main/java/cacheproxy/proxy/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/RequestLifecycle.java
@@ -170,7 +170,7 @@
         boolean rejected = !wasStreaming && rejectableOnceExpired(request);
         completion.recordOutcome(request, rejected ? RequestOutcome.REJECTED : RequestOutcome.FAILED);
         log(EventKind.REQUEST_ABORTED, "the drain's deadline has passed", request);
-        loadBalancer.clientDisconnected(request);
+        loadBalancer.clientDisconnected(request); // it gives no more orders for it, as after a disconnect
         if (wasStreaming) {
             request.responseWriter.abort();
         } else if (rejected) {
--- a/src/main/java/cacheproxy/proxy/RequestSettings.java
+++ b/src/main/java/cacheproxy/proxy/RequestSettings.java
@@ -31,7 +31,7 @@
         tenantIndexes.clear();
         routing.tenants().forEach(t -> tenantIndexes.put(t.name(), tenantIndexes.size()));
         longestDeadlineMs = routing.classes().stream()
-                .mapToDouble(ServiceClass::deadlineMs)
+                .mapToDouble(ServiceClass::timeoutMs)
                 .max()
                 .orElse(0);
     }
--- a/src/main/java/cacheproxy/proxy/RequestTable.java
+++ b/src/main/java/cacheproxy/proxy/RequestTable.java
@@ -58,7 +58,7 @@
     /** The longest deadline of the classes of open requests, in milliseconds; 0 if none is open. */
     double longestDeadlineMs() {
         return openByClientId.values().stream()
-                .mapToDouble(request -> request.serviceClass.deadlineMs())
+                .mapToDouble(request -> request.serviceClass.timeoutMs())
                 .max()
                 .orElse(0);
     }
--- a/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
+++ b/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether the load balancer sends this server no ordinary request now. */
-    boolean isEjected(int server) {
+    boolean isAvoided(int server) {
         return loadBalancer.isAvoided(clock.now(), server);
     }
 
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
@@ -145,11 +145,11 @@
     }
 
     private static boolean isPartlyOpen(ZoneState state) {
-        return state.openParts() > 0 && state.openParts() < ZoneState.ALL_PARTS;
+        return state.trafficParts() > 0 && state.trafficParts() < ZoneState.ALL_PARTS;
     }
 
     private static String openParts(ZoneState state) {
-        return state.openParts() + "/" + ZoneState.ALL_PARTS;
+        return state.trafficParts() + "/" + ZoneState.ALL_PARTS;
     }
 
     /** The decisions. */
--- a/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
@@ -38,7 +38,7 @@
             if (zone < names.size() && ordered != (stored.state().cause() == Cause.EVIDENCE)) {
                 JsonObject o = new JsonObject();
                 o.addProperty("epoch", stored.state().epoch());
-                o.addProperty("open", stored.state().openParts());
+                o.addProperty("open", stored.state().trafficParts());
                 o.addProperty("cause", stored.state().cause().storedName());
                 o.addProperty("leaves", stored.state().leaveCount());
                 o.addProperty("floor", stored.minEpoch());
--- a/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
@@ -111,7 +111,7 @@
 
     /** A third of the descriptors is for connections to servers. */
     private static int maxClients(Config config) {
-        return Math.max(MIN_CLIENTS, config.sockets() - config.sockets() / 3 - RESERVED_DESCRIPTORS);
+        return Math.max(MIN_CLIENTS, config.sockets() - config.upstreamSockets() - RESERVED_DESCRIPTORS);
     }
 
     private EndpointListPublisher provisionalList(Config config) {
@@ -170,7 +170,7 @@
         Config config = startConfiguration();
         try {
             Proxy proxy = new Proxy(config, routes, true, HandoverServer.folder(), storage);
-            Runtime.getRuntime().addShutdownHook(new Thread(proxy::drain));
+            Runtime.getRuntime().addShutdownHook(new Thread(proxy::terminate));
             proxy.reloadOn(sighup, System.getenv("BALANCER_CONFIG"));
             // Not on the event loop, which the process's end waits for.
             proxy.shutdown.onCompleted(() -> new Thread(() -> System.exit(0), "drained").start());
@@ -262,13 +262,13 @@
     // ---- drain and shutdown
 
     /** What SIGTERM starts; returns when the process may exit. Not on the event loop. */
-    public void drain() {
+    public void terminate() {
         shutdown.terminate();
     }
 
     /** Starts a drain that can be watched and cancelled, or joins the one in progress. On the event loop only. */
-    public DrainStateMachine.StartResult drain(double deadlineMs) {
-        return shutdown.drain(deadlineMs);
+    public DrainStateMachine.StartResult startDrain(double timeoutMs) {
+        return shutdown.drain(timeoutMs);
     }
 
     /** Cancels a drain; null if that was done, else the reason why it can't be. On the event loop only. */
--- a/src/main/java/cacheproxy/proxy/peer/LearnedStateAccess.java
+++ b/src/main/java/cacheproxy/proxy/peer/LearnedStateAccess.java
@@ -16,7 +16,7 @@
     ProvenanceTracker provenance();
 
     /** Whether the load balancer sends an endpoint no requests for now, as it failed. */
-    boolean isEjected(int endpointId);
+    boolean isAvoided(int endpointId);
 
     /** When the process of an endpoint on the list has started, Unix time in milliseconds. */
     double startTimeMs(int endpointId);
--- a/src/main/java/cacheproxy/proxy/peer/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/StateQueryLink.java
@@ -81,7 +81,7 @@
 
     private PeerStateSummary summary(LearnedState learned) {
         List<Integer> avoidedNodes = learned.endpoints().stream()
-                .filter(e -> e.failures() > 0 && state.isEjected(e.id()))
+                .filter(e -> e.failures() > 0 && state.isAvoided(e.id()))
                 .sorted(Comparator.comparingInt(EndpointHealthRecord::failures).reversed())
                 .limit(PeerStateSummary.MAX_AVOIDED_NODES)
                 .map(EndpointHealthRecord::id)
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamContext.java
@@ -31,7 +31,7 @@
     ByteBudget valueBudget();
 
     /** Whether the load balancer sends this server no ordinary request now. */
-    boolean isEjected(int server);
+    boolean isAvoided(int server);
 
     /** Adds one to this metric. */
     void increment(Metric metric);
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamServers.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamServers.java
@@ -156,20 +156,20 @@
     public int ejectedNodeCount() {
         double now = context.now();
         return (int) cacheNodeStream()
-                .filter(server -> now - server.pool.lastSentMs() > EJECTED_SILENCE_MS && context.isEjected(server.id))
+                .filter(server -> now - server.pool.lastSentMs() > EJECTED_SILENCE_MS && context.isAvoided(server.id))
                 .count();
     }
 
     /** Metrics of those that are ejected or have rejected connections, {@link MetricsLine#MAX_NODES} at most. */
     public List<MetricsLine.Node> unhealthyNodes() {
         return cacheNodeStream()
-                .filter(server -> server.pool.rejectedConnections() > 0 || context.isEjected(server.id))
+                .filter(server -> server.pool.rejectedConnections() > 0 || context.isAvoided(server.id))
                 .limit(MetricsLine.MAX_NODES)
                 .map(server -> new MetricsLine.Node(
                         Integer.toHexString(server.id),
                         server.pool.openedConnections(),
                         server.pool.rejectedConnections(),
-                        context.isEjected(server.id)))
+                        context.isAvoided(server.id)))
                 .toList();
     }
 
--- a/src/main/java/cacheproxy/recovery/RecoveryProgress.java
+++ b/src/main/java/cacheproxy/recovery/RecoveryProgress.java
@@ -36,7 +36,7 @@
         }
     }
 
-    /** The longest that an instance may be recovering. */
+    /** Recovery ends this long after the process's start at the latest, once there is an endpoint list. */
     public static final double MAX_RECOVERY_MS = 30_000;
     /** The window over which requests are judged. */
     static final double WINDOW_MS = 2000;
--- a/src/main/java/cacheproxy/route/AttemptPermission.java
+++ b/src/main/java/cacheproxy/route/RetryBudgetGate.java
@@ -4,10 +4,10 @@
  * Whether an attempt that a pool's load balancer orders may be sent. Inputs: the request's attempts so far, its policy,
  * and whether the endpoint is warming up.
  */
-final class AttemptPermission {
+final class RetryBudgetGate {
     private final EndpointCatalog endpoints;
 
-    AttemptPermission(EndpointCatalog endpoints) {
+    RetryBudgetGate(EndpointCatalog endpoints) {
         this.endpoints = endpoints;
     }
 
@@ -15,7 +15,7 @@
      * Whether it may be sent; if so and it is a retry, it is taken from the policy's budget. Asking the origin for what
      * an endpoint lacks is no retry; anything else after the first attempt is.
      */
-    boolean trySend(double nowMs, RoutedRequest request, int endpointId) {
+    boolean tryAcquire(double nowMs, RoutedRequest request, int endpointId) {
         if (request.hasFallenBack() && endpoints.isWarmingUp(nowMs, endpointId)) {
             return false; // the load that a failing pool sheds would overload an endpoint in slow start
         }
--- a/src/main/java/cacheproxy/route/Router.java
+++ b/src/main/java/cacheproxy/route/Router.java
@@ -52,7 +52,7 @@
         pools = new PoolRegistry(this::settings, seed, endpoints, this::actions);
         requests = new RoutedRequests(this::settings, pools);
         routes = new ActiveRoutes(pools.allEndpoints());
-        context = new PoolActions.Context(requests, new AttemptPermission(endpoints), timers, healthChecks, deferred);
+        context = new PoolActions.Context(requests, new RetryBudgetGate(endpoints), timers, healthChecks, deferred);
         replaceRoutes(routing);
     }
 
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -50,9 +50,9 @@
     private final EndpointSelector selector;
     private final RetryPolicy retries;
     private final HedgingPolicy hedging;
-    private final RequestAdmission admission;
+    private final OverloadProtection admission;
     private final OutcomeRecorder outcomes;
-    private final RequestCompletion completion;
+    private final RequestTermination completion;
     private final LearnedStateTransfer learned;
     private RoutingSettings settings;
 
@@ -75,10 +75,11 @@
         selector = new EndpointSelector(this::settings, random, endpoints, zones, outliers, slowStart);
         retries = new RetryPolicy(this::settings, random, latency);
         hedging = new HedgingPolicy(this::settings, latency);
-        admission = new RequestAdmission(this::settings, latency, shedding, endpointThrottle, originThrottle, fetches);
+        admission =
+                new OverloadProtection(this::settings, latency, shedding, endpointThrottle, originThrottle, fetches);
         outcomes = new OutcomeRecorder(
                 hedging, admission, endpointThrottle, originThrottle, latency, zones, outliers, capacity);
-        completion = new RequestCompletion(this::settings, pending, retries, fetches);
+        completion = new RequestTermination(this::settings, pending, retries, fetches);
         learned = new LearnedStateTransfer(endpoints, latency, originThrottle, endpointThrottle, hotKeys);
         listWatch.onSettings(initial);
         shedding.onSettings(null, initial);
@@ -144,11 +145,11 @@
     @Override
     public void onEndpointUpdate(double nowMs, EndpointUpdateKind kind, List<Endpoint> update, RoutingActions out) {
         if (kind == EndpointUpdateKind.FAILED) {
-            timers.set(listWatch.onFailure(nowMs), Kind.LIST_CALL, out);
+            timers.set(listWatch.onFailure(nowMs), Kind.LIST_POLL, out);
             return;
         }
         if (kind == EndpointUpdateKind.CACHED && settings.pollsDiscovery()) {
-            timers.set(listWatch.firstCallDelayMs(settings), Kind.LIST_CALL, out);
+            timers.set(listWatch.firstPollDelayMs(settings), Kind.LIST_POLL, out);
         } else if (kind != EndpointUpdateKind.PROVISIONAL) {
             listWatch.onEntries();
         }
@@ -236,7 +237,7 @@
             completion.giveUp(request, out);
             return;
         }
-        RequestAdmission.Decision decision = endpoints.isOrigin(target)
+        OverloadProtection.Decision decision = endpoints.isOrigin(target)
                 ? admission.admitToOrigin(nowMs, request)
                 : admission.admitToEndpoint(nowMs, request);
         switch (decision) {
@@ -343,7 +344,7 @@
     public void onTimer(double nowMs, int token, RoutingActions out) {
         RequestTimers.Due due = timers.due(token);
         PendingRequest request = due.request();
-        if (due.kind() == Kind.LIST_CALL) {
+        if (due.kind() == Kind.LIST_POLL) {
             if (listWatch.subscribe(nowMs)) {
                 out.setWatch(true);
             }
@@ -372,7 +373,7 @@
         }
         out.report(endpoint.id(), EndpointSignal.UNRESPONSIVE);
         boolean hedgingAllowed = settings.hedgingAllowed();
-        outliers.recordOverdue(nowMs, endpoint, hedgingAllowed);
+        outliers.onOverdue(nowMs, endpoint, hedgingAllowed);
         if (!hedging.spend(nowMs, request)) {
             return;
         }
--- a/src/main/java/cacheproxy/routing/ConnectionCapacity.java
+++ b/src/main/java/cacheproxy/routing/ConnectionCapacity.java
@@ -15,6 +15,7 @@
     /** The shortest delay, in connect timeouts. */
     private static final int MIN_CONNECT_TIMEOUTS = 10;
 
+    /** The longest delay, in doublings of the shortest. */
     private static final int MAX_DOUBLINGS = 4;
     /**
      * An instance that was answered within so many connect timeouts, 20 s where these are 100 ms, still has its
--- a/src/main/java/cacheproxy/routing/EndpointHealth.java
+++ b/src/main/java/cacheproxy/routing/EndpointHealth.java
@@ -67,14 +67,17 @@
         fullUntilMs = 0;
     }
 
-    /** It answered in time: nothing is held against it any more. */
+    /** It answered in time: the counts of failures, slow responses and rejected connections start at 0 again. */
     void clearFailures() {
         consecutiveFailures = 0;
         slowResponses = 0;
         capacityRejections = 0;
     }
 
-    /** It has started anew: what was seen is of its earlier incarnation. */
+    /**
+     * It has started anew: failures, ejection and capacity are of its earlier incarnation. A probe in flight and the
+     * count of slow responses stay.
+     */
     void onRestart() {
         consecutiveFailures = 0;
         capacityRejections = 0;
@@ -83,7 +86,10 @@
         lastAnsweredMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** The fleet finds its zone healthy again: what was seen is of the past. */
+    /**
+     * The fleet finds its zone healthy again: failures, slow responses, ejection and probe end; capacity stays as
+     * known.
+     */
     void reset() {
         consecutiveFailures = 0;
         slowResponses = 0;
--- a/src/main/java/cacheproxy/routing/EndpointListWatch.java
+++ b/src/main/java/cacheproxy/routing/EndpointListWatch.java
@@ -42,7 +42,7 @@
      * The delay until the first call, after a start with a cached list: discovery is small, and all instances of a
      * fleet that starts must not call at once.
      */
-    double firstCallDelayMs(RoutingSettings settings) {
+    double firstPollDelayMs(RoutingSettings settings) {
         double limitMs = Math.min(settings.pollIntervalMs(), EndpointListFreshness.MAX_STALENESS_MS);
         double spanMs = Math.min(limitMs, settings.instanceCount() * settings.connectTimeoutMs()) / 2;
         return random.nextDouble() * spanMs;
--- a/src/main/java/cacheproxy/routing/HedgingPolicy.java
+++ b/src/main/java/cacheproxy/routing/HedgingPolicy.java
@@ -8,7 +8,9 @@
  * slow fleet isn't slowed further by them. Times in milliseconds.
  */
 final class HedgingPolicy {
+    /** Hedged requests earned by each answer of an endpoint: hedging adds at most a twentieth of load. */
     private static final double HEDGES_PER_ANSWER = 0.05;
+    /** Hedged requests that may be saved up for a burst of overdue attempts. */
     private static final double MAX_BUDGET = 5;
     /** Over the usual time: sound answers later than that are rare. */
     private static final int DEVIATIONS = 3;
--- a/src/main/java/cacheproxy/routing/LatencyEstimates.java
+++ b/src/main/java/cacheproxy/routing/LatencyEstimates.java
@@ -5,7 +5,7 @@
  * attempts, and how much work a request usually is. Times in milliseconds.
  */
 final class LatencyEstimates {
-    /** Weight of one sample: the inverse of these, so that some ten samples carry over into the average. */
+    /** A sample has this weight in the moving average, as its inverse. */
     private static final int ENDPOINT_SAMPLES = 16;
 
     private static final int ORIGIN_SAMPLES = 8;
--- a/src/main/java/cacheproxy/routing/OutcomeRecorder.java
+++ b/src/main/java/cacheproxy/routing/OutcomeRecorder.java
@@ -6,7 +6,7 @@
  */
 final class OutcomeRecorder {
     private final HedgingPolicy hedging;
-    private final RequestAdmission admission;
+    private final OverloadProtection admission;
     private final AdaptiveThrottle endpointThrottle;
     private final AdaptiveThrottle originThrottle;
     private final LatencyEstimates latency;
@@ -16,7 +16,7 @@
 
     OutcomeRecorder(
             HedgingPolicy hedging,
-            RequestAdmission admission,
+            OverloadProtection admission,
             AdaptiveThrottle endpointThrottle,
             AdaptiveThrottle originThrottle,
             LatencyEstimates latency,
@@ -131,17 +131,17 @@
     private void recordFailure(double nowMs, EndpointEntry endpoint, AttemptOutcome cause, RoutingActions out) {
         boolean timedOut = cause == AttemptOutcome.TIMEOUT;
         int expectedFailures = endpointThrottle.isOverloaded(nowMs) ? 1 : 0;
+        // A timeout counts as load only if the endpoint was not failing already: one that is down says nothing of load.
         if (timedOut && endpoint.health().consecutiveFailures() <= expectedFailures) {
-            endpointThrottle.recordRequest(
-                    nowMs); // a sound endpoint that is slow; one that is down says nothing of load
+            endpointThrottle.recordRequest(nowMs);
         }
         if (!timedOut) { // a timeout was reported when it was overdue
             out.report(endpoint.id(), EndpointSignal.UNRESPONSIVE);
         }
         if (cause == AttemptOutcome.RESET) {
-            outliers.recordReset(nowMs, endpoint);
+            outliers.onReset(nowMs, endpoint);
         } else {
-            outliers.recordSilence(nowMs, endpoint);
+            outliers.onNoResponse(nowMs, endpoint);
         }
     }
 }
--- a/src/main/java/cacheproxy/routing/OutlierDetection.java
+++ b/src/main/java/cacheproxy/routing/OutlierDetection.java
@@ -15,12 +15,14 @@
     /** The first ejection in connect timeouts; it doubles with each failure that follows. */
     private static final int EJECTION_CONNECT_TIMEOUTS = 10;
 
+    /** So the longest ejection is 80 connect timeouts: a server that restarts is probed again within seconds. */
     private static final int MAX_EJECTION_DOUBLINGS = 3;
     /** Slow responses or resets in a row that eject: one is no evidence, and ejection moves keys to the origin. */
     private static final int SLOW_RESPONSE_LIMIT = 2;
     /** Probes for each request: a probe may cost the request that is used for it. */
     private static final double PROBES_PER_REQUEST = 0.05;
 
+    /** Probes that may be saved up. */
     private static final double MAX_PROBE_BUDGET = 1;
 
     private final Supplier<RoutingSettings> settings;
@@ -67,7 +69,7 @@
     }
 
     /** It can't be contacted, or didn't answer at all. */
-    void recordSilence(double nowMs, EndpointEntry endpoint) {
+    void onNoResponse(double nowMs, EndpointEntry endpoint) {
         if (endpoint.health().consecutiveFailures() == 0) { // one endpoint counts once, with however many attempts
             zones.recordSilence(nowMs, endpoint.zone(), ejectionMs());
         }
@@ -78,14 +80,14 @@
      * An attempt takes longer than it should. Where it stays in flight, its answer will clear the endpoint, which is
      * ejected at once; where it is cancelled nothing would, and only the second in a row ejects.
      */
-    void recordOverdue(double nowMs, EndpointEntry endpoint, boolean staysInFlight) {
+    void onOverdue(double nowMs, EndpointEntry endpoint, boolean staysInFlight) {
         if (staysInFlight || endpoint.health().recordSlowResponse() >= SLOW_RESPONSE_LIMIT) {
-            recordSilence(nowMs, endpoint);
+            onNoResponse(nowMs, endpoint);
         }
     }
 
     /** It closed a connection under way. No word on its zone: there is a path to it. */
-    void recordReset(double nowMs, EndpointEntry endpoint) {
+    void onReset(double nowMs, EndpointEntry endpoint) {
         if (endpoint.health().consecutiveFailures() > 0
                 || endpoint.health().recordSlowResponse() >= SLOW_RESPONSE_LIMIT) {
             eject(nowMs, endpoint);
--- a/src/main/java/cacheproxy/routing/RequestAdmission.java
+++ b/src/main/java/cacheproxy/routing/OverloadProtection.java
@@ -7,7 +7,7 @@
  * Whether an attempt that is otherwise possible is made now: sheds load from overloaded endpoints and from the origin,
  * and has one request at a time fetch an object. Times in milliseconds.
  */
-final class RequestAdmission {
+final class OverloadProtection {
     /** Half of an endpoint's first ejection, in connect timeouts: there is no other origin to go to. */
     private static final int ORIGIN_BREAKER_CONNECT_TIMEOUTS = 5;
 
@@ -19,7 +19,7 @@
     private final FetchCoalescer fetches;
     private final CircuitBreaker originBreaker = new CircuitBreaker();
 
-    RequestAdmission(
+    OverloadProtection(
             Supplier<RoutingSettings> settings,
             LatencyEstimates latency,
             LoadShedding shedding,
--- a/src/main/java/cacheproxy/routing/PendingRequest.java
+++ b/src/main/java/cacheproxy/routing/PendingRequest.java
@@ -164,7 +164,7 @@
         return state == State.DONE;
     }
 
-    /** Whether its final answer is owed and none has begun. */
+    /** Whether it is unanswered and no streamed answer has begun. */
     boolean isUnanswered() {
         return state == State.ACTIVE || state == State.WAITING;
     }
@@ -227,12 +227,12 @@
     }
 
     /** When the first attempt that may have taken effect was sent, in milliseconds; there must be one. */
-    double firstExecutionMs() {
+    double firstMaybeExecutedSentMs() {
         return possibleExecution.sentMs();
     }
 
     /** Where that attempt was sent. */
-    EndpointEntry firstExecutedAt() {
+    EndpointEntry firstMaybeExecutedEndpoint() {
         return possibleExecution.endpoint();
     }
 
--- a/src/main/java/cacheproxy/routing/RequestCompletion.java
+++ b/src/main/java/cacheproxy/routing/RequestTermination.java
@@ -7,13 +7,13 @@
  * How a request ends: its one final answer, and what becomes of attempts that are still in flight then. Forgets it once
  * it is answered and all its attempts have ended.
  */
-final class RequestCompletion {
+final class RequestTermination {
     private final Supplier<RoutingSettings> settings;
     private final Map<Integer, PendingRequest> pending;
     private final RetryPolicy retries;
     private final FetchCoalescer fetches;
 
-    RequestCompletion(
+    RequestTermination(
             Supplier<RoutingSettings> settings,
             Map<Integer, PendingRequest> pending,
             RetryPolicy retries,
@@ -35,14 +35,14 @@
 
     /** Orders the final answer of a request that has had none. */
     void answer(PendingRequest request, RoutingActions out) {
-        if (retries.mayReject(request)) {
+        if (retries.willReject(request)) {
             out.reject(request.id(), retries.retryAfterMs());
         } else {
             out.fail(request.id());
         }
     }
 
-    /** Nothing is owed any more. */
+    /** It gets nothing more. */
     void finish(PendingRequest request) {
         request.finish();
         if (!request.hasInFlight()) {
--- a/src/main/java/cacheproxy/routing/RequestTimers.java
+++ b/src/main/java/cacheproxy/routing/RequestTimers.java
@@ -17,7 +17,7 @@
         /** The delay of a retry is over. */
         RETRY(2),
         /** The delay before the next call for the endpoint list is over; belongs to no request. */
-        LIST_CALL(3);
+        LIST_POLL(3);
 
         private final int code;
 
@@ -30,7 +30,7 @@
                 case 0 -> DEADLINE;
                 case 1 -> HEDGE;
                 case 2 -> RETRY;
-                default -> LIST_CALL;
+                default -> LIST_POLL;
             };
         }
     }
--- a/src/main/java/cacheproxy/routing/RetryPolicy.java
+++ b/src/main/java/cacheproxy/routing/RetryPolicy.java
@@ -87,20 +87,24 @@
         if (!request.mayHaveExecuted() || request.isIdempotent()) {
             return true;
         }
-        // A connection for it may take its time to come up, and endpoints go by when the repeat reaches them. Admission
-        // asks again when the attempt is written; planned later than this, it could only be forbidden then.
+        // A connection for it may take its time to come up, and endpoints go by when the repeat reaches them. {@code
+        // SafetyRules}
+        // is asked again when the attempt is written; planned later than this, it could only be forbidden then.
         double arrivalMs = nowMs + settings.get().connectTimeoutMs();
         RepeatSafety safety = RepeatSafety.of(
                 request.serviceClass(),
-                request.firstExecutionMs(),
-                request.firstExecutedAt().endpoint().location(),
+                request.firstMaybeExecutedSentMs(),
+                request.firstMaybeExecutedEndpoint().endpoint().location(),
                 arrivalMs,
                 endpoint.endpoint().location());
         return safety == RepeatSafety.SAFE;
     }
 
-    /** Whether it may be rejected, which promises its client that a repeat does no harm; it fails otherwise. */
-    boolean mayReject(PendingRequest request) {
+    /**
+     * Whether it is rejected, which promises its client that a repeat does no harm; it fails otherwise. Stricter than
+     * {@code SafetyRules.mayReject}: a keyed request that may have run is failed.
+     */
+    boolean willReject(PendingRequest request) {
         return request.isIdempotent() || (!request.mayHaveExecuted() && !request.hasInFlight());
     }
 
--- a/src/main/java/cacheproxy/routing/SlowStart.java
+++ b/src/main/java/cacheproxy/routing/SlowStart.java
@@ -8,16 +8,20 @@
  * no cold member.
  *
  * <p>Two limits. Of one key an endpoint takes no more than its fair part of what this instance sees. And it takes only
- * keys whose sample, the same at all instances, lies under its ramp; the others stay with their successors in the
- * ranking. The ramp is what it can do, less where endpoints are missing and each has the keys of others, and less where
- * clients' repeats add to an overload. Any less would leave the keys of a replaced endpoint to warm ones that have
- * their own: all instances alike would overload these. Hot keys, retries and clients' repeats keep off it: they are
- * what pushes it over.
+ * keys whose {@link CarpHash#keyFraction}, a fixed pseudo-random number per key and endpoint that is the same at all
+ * instances, lies below the admitted fraction (the ramp); the others go to their successors in the ranking. The
+ * admitted fraction is the capacity that the endpoint has by now, less where endpoints are missing and each has the
+ * keys of others, and less where clients' repeats add to an overload. If it were lower, all instances alike would send
+ * the keys of a replaced endpoint to warm ones, and overload these. Hot keys, retries and clients' repeats are not
+ * admitted: they come in bursts.
  *
  * <p>Times in milliseconds, fractions 0 to 1, loads in units of what a warm endpoint can do.
  */
 final class SlowStart {
-    /** Of what overloads a cold endpoint, no more than this part may reach it for want of other endpoints. */
+    /**
+     * A cold endpoint gets at most this part of the load that would overload it, while clients' repeats add to an
+     * overload.
+     */
     private static final double OVERLOAD_PART = 0.5;
     /** In so many warm-ups a fleet that has shrunk counts as the usual one by half. */
     private static final double USUAL_WEIGHT_HALF_LIFE_WARM_UPS = 4;
@@ -32,7 +36,7 @@
 
     private final DecayingCounter usualWeight = new DecayingCounter();
     private double weight;
-    /** What the fleet is asked to read over what its endpoints can do, as far as this instance can tell. */
+    /** The estimate of {@link #recordRead}. */
     private double offeredLoad;
 
     SlowStart(
@@ -58,10 +62,11 @@
     }
 
     /**
-     * One more read: measures what the fleet is offered. Each instance takes the others to be asked as much as it is
-     * itself, so those that are asked more send a cold endpoint less, and all together send it no more than was
-     * reckoned. An endpoint can do more than one read in the time that one usually takes there: what overloads counts
-     * as more than it is.
+     * One more read: estimates the fleet's offered load per endpoint, in reads in progress (Little's law):
+     * {@code instances * readsPerMs * latencyMs / endpoints}. {@code readsPerMs} is the decayed count times {@code ln 2
+     * / halfLifeMs}. Each instance assumes that the others receive as much as it does itself, so those that receive
+     * more send a cold endpoint less. An endpoint can serve several reads at once, so the estimate is high where there
+     * is an overload, which is the safe side.
      */
     void recordRead(double nowMs, int endpoints) {
         double halfLifeMs = Math.max(1, settings.get().overloadWindowMs());
--- a/src/main/java/cacheproxy/routing/ZoneCircuitBreaker.java
+++ b/src/main/java/cacheproxy/routing/ZoneCircuitBreaker.java
@@ -17,6 +17,7 @@
  * moves.
  */
 final class ZoneCircuitBreaker {
+    /** How often the time for which a zone stays open (nothing is sent) doubles with each further failure. */
     private static final int MAX_DOUBLINGS = 3;
 
     private final Map<Integer, Zone> zones = new HashMap<>();
--- a/src/main/java/cacheproxy/state/RecordKind.java
+++ b/src/main/java/cacheproxy/state/RecordKind.java
@@ -19,8 +19,9 @@
     INCARNATION("incarnation", Authority.SELF, Limits.ANY_AGE, Limits.ANY_AGE, 0),
     /**
      * The endpoint list with its version, as discovery sent it; the draining endpoints in it bind the next process as
-     * well. A higher version from the configuration or from discovery goes before it. After a day the nodes may be
-     * other ones.
+     * well. A process that starts uses it until discovery answers, also while it is only a hint: what drains in it
+     * stays draining, and no node comes back by it. A higher version from the configuration or from discovery goes
+     * before it. After a day the nodes may be other ones.
      */
     ENDPOINT_LIST("list", Authority.DISCOVERY, Limits.MINUTE_MS, Limits.DAY_MS, Limits.URGENT_DELAY_MS),
     /**
--- a/src/main/java/cacheproxy/state/Validity.java
+++ b/src/main/java/cacheproxy/state/Validity.java
@@ -6,7 +6,8 @@
     VALID("holds"),
     /**
      * It may only make decisions more careful or name whom to ask: a suspected endpoint, an address, a lower bound of
-     * an epoch. It never makes anything trusted again.
+     * an epoch. It never makes anything trusted again. One exception: the endpoint list is the one to start with as
+     * long as it is a hint, until discovery answers ({@link RecordKind#ENDPOINT_LIST}).
      */
     HINT("hint"),
     /** It is too old, or its age is unknown. */
--- a/src/test/java/cacheproxy/drain/DrainStateMachineTest.java
+++ b/src/test/java/cacheproxy/drain/DrainStateMachineTest.java
@@ -150,9 +150,9 @@
     /** The platform's kill does not wait for a class that does. */
     @Test
     void afterSigtermAllIsAnsweredBeforeTheKillHoweverLongAClassWaits() {
-        assertThat(DrainPlan.onTermination(500, 30_000).deadlineMs()).isEqualTo(DrainPlan.MAX_ANSWER_MS);
-        assertThat(DrainPlan.onTerminationWithSuccessor(30_000).deadlineMs()).isEqualTo(DrainPlan.MAX_ANSWER_MS);
-        assertThat(DrainPlan.onTermination(500, 1000).deadlineMs()).isEqualTo(1500);
+        assertThat(DrainPlan.onTermination(500, 30_000).timeoutMs()).isEqualTo(DrainPlan.MAX_ANSWER_MS);
+        assertThat(DrainPlan.onTerminationWithSuccessor(30_000).timeoutMs()).isEqualTo(DrainPlan.MAX_ANSWER_MS);
+        assertThat(DrainPlan.onTermination(500, 1000).timeoutMs()).isEqualTo(1500);
     }
 
     // ---- any interleaving
--- a/src/test/java/cacheproxy/failover/FailoverPlanTest.java
+++ b/src/test/java/cacheproxy/failover/FailoverPlanTest.java
@@ -44,10 +44,10 @@
     void aThirdOfAllZonesStaysOpen(@ForAll("plans") FailoverPlan a) {
         int sum = 0;
         for (int z = 0; z < 4; z++) {
-            assertThat(a.openParts(z)).isBetween(a.stateOf(z).openParts(), ZoneState.ALL_PARTS);
-            sum += a.openParts(z);
+            assertThat(a.trafficParts(z)).isBetween(a.stateOf(z).trafficParts(), ZoneState.ALL_PARTS);
+            sum += a.trafficParts(z);
         }
-        int decided = a.zones().stream().mapToInt(ZoneState::openParts).sum();
+        int decided = a.zones().stream().mapToInt(ZoneState::trafficParts).sum();
         assertThat(sum).isEqualTo(Math.max(decided, 4 * ZoneState.ALL_PARTS / 3));
     }
 
@@ -84,9 +84,9 @@
     @Test
     void theLastZoneIsNeverClosed() {
         ZoneState closed = ZoneState.INITIAL.next(0, Cause.LEAVE, 0);
-        assertThat(new FailoverPlan(List.of(closed)).openParts(0)).isPositive();
+        assertThat(new FailoverPlan(List.of(closed)).trafficParts(0)).isPositive();
         FailoverPlan two = new FailoverPlan(List.of(closed, ZoneState.INITIAL));
-        assertThat(two.openParts(0)).isZero();
+        assertThat(two.trafficParts(0)).isZero();
         assertThat(two.allowsOpenParts(1, 0)).isFalse();
         assertThat(FailoverPlan.initial(2).allowsOpenParts(1, 0)).isTrue();
     }
--- a/src/test/java/cacheproxy/model/check/ZoneProtocolTest.java
+++ b/src/test/java/cacheproxy/model/check/ZoneProtocolTest.java
@@ -34,14 +34,14 @@
         WIDER {
             @Override
             ZoneState of(ZoneState held, ZoneState said) {
-                return said.openParts() > held.openParts() ? said : held;
+                return said.trafficParts() > held.trafficParts() ? said : held;
             }
         },
         /** Causes of one epoch count for nothing, and the narrower holds there; else what is said. */
         NARROWER_OR_LAST {
             @Override
             ZoneState of(ZoneState held, ZoneState said) {
-                return held.epoch() == said.epoch() && held.openParts() < said.openParts() ? held : said;
+                return held.epoch() == said.epoch() && held.trafficParts() < said.trafficParts() ? held : said;
             }
         };
 
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -24,7 +24,7 @@
     private static final int LONG_VALUE = 4_000_000;
 
     private static DrainStateMachine.StartResult drain(Fleet fleet, double deadlineMs) {
-        return fleet.on(() -> fleet.proxy.drain(deadlineMs));
+        return fleet.on(() -> fleet.proxy.startDrain(deadlineMs));
     }
 
     private static DrainStateMachine.Progress progress(Fleet fleet) {
@@ -236,7 +236,7 @@
                                     () -> cancelled.complete(String.valueOf(fleet.proxy.cancelDrain())),
                                     after,
                                     TimeUnit.MILLISECONDS);
-                    return fleet.proxy.drain(deadlineMs);
+                    return fleet.proxy.startDrain(deadlineMs);
                 });
                 if (cancelled.get(30, TimeUnit.SECONDS).equals("null")) {
                     assertThat(progress(fleet).phase()).isEqualTo(Phase.SERVING);
@@ -353,7 +353,7 @@
     /** What SIGTERM begins ends connections at once; returns when the proxy has stopped listening. */
     private static Thread drainAndTerminate(Fleet fleet) {
         drain(fleet, LONG_MS);
-        Thread end = new Thread(fleet.proxy::drain);
+        Thread end = new Thread(fleet.proxy::terminate);
         end.start();
         Await.until("SIGTERM's time to listen is over", () -> {
             try {
@@ -377,7 +377,7 @@
             node.next();
             drain(fleet, 700);
             awaitPhase(fleet, Phase.EXPIRED);
-            fleet.proxy.drain(); // returns once the proxy has ended
+            fleet.proxy.terminate(); // returns once the proxy has ended
         }
     }
 
@@ -390,7 +390,7 @@
             client.read("1");
             node.next();
             drain(fleet, LONG_MS);
-            Thread end = new Thread(fleet.proxy::drain);
+            Thread end = new Thread(fleet.proxy::terminate);
             end.start();
             Await.until(
                     "it can't be taken back",
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -23,7 +23,7 @@
             assertThat(idle.line()).isEqualTo("MN");
             node.next();
             assertThat(half.line()).isEqualTo("MN");
-            Thread drain = new Thread(fleet.proxy::drain);
+            Thread drain = new Thread(fleet.proxy::terminate);
             drain.start();
             assertThat(idle.ended()).isTrue();
             go.countDown();
--- a/src/test/java/cacheproxy/proxy/FiguresTest.java
+++ b/src/test/java/cacheproxy/proxy/FiguresTest.java
@@ -139,7 +139,7 @@
             client.read("1").say("ms k 2 O2 Pc=fix,d=20000\r\nab\r\n");
             silent.next();
             origin.next();
-            fleet.on(() -> fleet.proxy.drain(100));
+            fleet.on(() -> fleet.proxy.startDrain(100));
             assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(status(fleet).outcomesByClass())
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -65,7 +65,7 @@
     }
 
     private static Thread end(Proxy proxy) {
-        Thread ending = new Thread(proxy::drain, "ending");
+        Thread ending = new Thread(proxy::terminate, "ending");
         ending.start();
         return ending;
     }
--- a/src/test/java/cacheproxy/routing/RequestTimersTest.java
+++ b/src/test/java/cacheproxy/routing/RequestTimersTest.java
@@ -22,7 +22,7 @@
         timers.set(5, Kind.DEADLINE, request, orders);
         timers.set(5, Kind.HEDGE, request, orders);
         timers.set(5, Kind.RETRY, request, orders);
-        timers.set(5, Kind.LIST_CALL, orders);
+        timers.set(5, Kind.LIST_POLL, orders);
         assertThat(orders.timers).extracting(LoadBalancerHarness.Timer::token).containsExactly(0, 5, 10, 15);
     }
 
