--- a/src/main/java/cacheproxy/admission/RuleViolation.java
+++ b/src/main/java/cacheproxy/admission/RuleViolation.java
@@ -1,8 +1,8 @@
 package cacheproxy.admission;
 
 /**
- * A violation of a rule that was seen after the fact. Each is counted and logged; none is expected. The keys, which
- * logs and counters show, are stable.
+ * A violation of a rule that was seen after the fact. Each is counted and logged; none is expected. The rules are
+ * numbered as in {@code docs/GLOSSARY.md}. Logs and counters show the keys, which are stable.
  */
 public enum RuleViolation {
     /** Rule 1: a request was given more than one final answer, or end of a streamed answer. */
--- a/src/main/java/cacheproxy/proxy/ProxyClock.java
+++ b/src/main/java/cacheproxy/proxy/ProxyClock.java
@@ -7,7 +7,7 @@
 import io.netty.channel.epoll.EpollTcpInfo;
 
 /**
- * The one clock of a proxy: milliseconds since the Unix epoch when it was created, monotonic from there. So times of
+ * The clock of requests and of the endpoint list: milliseconds since the Unix epoch when it was created, monotonic from there. So times of
  * the endpoint list need no conversion, and steps of the wall clock are not seen. Also dates the input of connections.
  * Event loop only, except for {@link #now}.
  */
--- a/src/main/java/cacheproxy/proxy/lifecycle/ConfigReloader.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ConfigReloader.java
@@ -28,7 +28,7 @@
         this.discovery = discovery;
     }
 
-    /** The configuration in force. */
+    /** The configuration that was accepted last; the event loop applies it right after. On any thread. */
     Config config() {
         return config;
     }
--- a/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -48,7 +48,7 @@
      * Merges what the two sources know; the predecessor's goes before the folder's.
      *
      * @param predecessor null where no process is taken over from
-     * @param nowMs wall clock time, in milliseconds
+     * @param nowMs Unix time by {@code ProxyClock}, in milliseconds
      */
     RestoredState(TakeoverSnapshot predecessor, OpenedState stored, ProvenanceTracker provenance, double nowMs) {
         this.provenance = provenance;
--- a/src/main/java/cacheproxy/routing/RoutingActions.java
+++ b/src/main/java/cacheproxy/routing/RoutingActions.java
@@ -36,7 +36,7 @@
     /** Checks the health of an endpoint, which ends in {@link LoadBalancer#onHealthCheckResult}. */
     void checkHealth(int endpointId);
 
-    /** Closes those connections to an endpoint on which nothing is in flight. */
+    /** Closes those connections to an endpoint on which nothing is in flight. {@link CarpLoadBalancer} never orders it. */
     void closeIdle(int endpointId);
 
     /**
@@ -49,7 +49,7 @@
     /** Subscribes to changes of the endpoint list, or ends the subscription. */
     void setWatch(boolean on);
 
-    /** Asks for a snapshot of the endpoint list once. */
+    /** Asks for a snapshot of the endpoint list once. {@link CarpLoadBalancer} never orders it. */
     void fetchEndpointList();
 
     /** A line for the operators. */
--- a/src/main/java/cacheproxy/routing/RoutingSettings.java
+++ b/src/main/java/cacheproxy/routing/RoutingSettings.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * The settings that decisions rest on. Indices count from 0.
+ * The settings that an instance is given for its decisions. Indices count from 0. No decision uses the graces, the
+ * origin's overload or {@code priorityByWork} so far: they are read so that a wrong value is found.
  *
  * @param instanceIndex this instance's index in the fleet
  * @param instanceCount how many instances the fleet has
