--- a/src/main/java/cacheproxy/admission/SafetyRules.java
+++ b/src/main/java/cacheproxy/admission/SafetyRules.java
@@ -13,7 +13,10 @@
  * milliseconds on one clock.
  */
 public final class SafetyRules {
-    /** By how much the timeout that an endpoint is sent may exceed the time that its client has left; the same everywhere. */
+    /**
+     * By how much the timeout that an endpoint is sent may exceed the time that its client has left; the same
+     * everywhere.
+     */
     public static final double SENT_TIMEOUT_SLACK_MS = 150;
     /** How late after its deadline a final answer still is one; the same in every deployment, whatever its settings. */
     public static final double FINAL_ANSWER_SLACK_MS = 500;
--- a/src/main/java/cacheproxy/proxy/ProxyClock.java
+++ b/src/main/java/cacheproxy/proxy/ProxyClock.java
@@ -7,9 +7,9 @@
 import io.netty.channel.epoll.EpollTcpInfo;
 
 /**
- * The clock of requests and of the endpoint list: milliseconds since the Unix epoch when it was created, monotonic from there. So times of
- * the endpoint list need no conversion, and steps of the wall clock are not seen. Also dates the input of connections.
- * Event loop only, except for {@link #now}.
+ * The clock of requests and of the endpoint list: milliseconds since the Unix epoch when it was created, monotonic from
+ * there. So times of the endpoint list need no conversion, and steps of the wall clock are not seen. Also dates the
+ * input of connections. Event loop only, except for {@link #now}.
  */
 final class ProxyClock {
     private static final double NANOS_PER_MILLI = 1e6;
--- a/src/main/java/cacheproxy/routing/AttemptOutcome.java
+++ b/src/main/java/cacheproxy/routing/AttemptOutcome.java
@@ -13,8 +13,8 @@
     /** No answer within its timeout. */
     TIMEOUT(true),
     /**
-     * No connection could be made: refused, timed out, or still coming up when the attempt ended; of a health check also
-     * that the endpoint takes no requests.
+     * No connection could be made: refused, timed out, or still coming up when the attempt ended; of a health check
+     * also that the endpoint takes no requests.
      */
     CONNECT_FAILED(false),
     /** The connection broke while it was in flight. */
--- a/src/main/java/cacheproxy/routing/RoutingActions.java
+++ b/src/main/java/cacheproxy/routing/RoutingActions.java
@@ -36,7 +36,9 @@
     /** Checks the health of an endpoint, which ends in {@link LoadBalancer#onHealthCheckResult}. */
     void checkHealth(int endpointId);
 
-    /** Closes those connections to an endpoint on which nothing is in flight. {@link CarpLoadBalancer} never orders it. */
+    /**
+     * Closes those connections to an endpoint on which nothing is in flight. {@link CarpLoadBalancer} never orders it.
+     */
     void closeIdle(int endpointId);
 
     /**
