--- a/src/main/java/cacheproxy/flow/ReadTimeout.java
+++ b/src/main/java/cacheproxy/flow/ReadTimeout.java
@@ -79,7 +79,7 @@
     }
 
     /** The proxy pauses reading or processing this client's input from this time on, or resumes it. */
-    public void paused(boolean on, double atMs) {
+    public void setPaused(boolean on, double atMs) {
         if (on == paused()) {
             return;
         }
--- a/src/main/java/cacheproxy/flow/RecentIds.java
+++ b/src/main/java/cacheproxy/flow/RecentRequestIds.java
@@ -9,7 +9,7 @@
  * client's request: served, that request would have two answers, and servers that still work on the first would take
  * the two for one. Bounded in time and number; the oldest are evicted first.
  */
-public final class RecentIds {
+public final class RecentRequestIds {
     /** Two thousand requests a second for eight seconds, in about two megabytes. */
     static final int MAX_IDS = 16_384;
 
--- a/src/main/java/cacheproxy/metrics/LogBudget.java
+++ b/src/main/java/cacheproxy/metrics/LogRateLimiter.java
@@ -7,7 +7,7 @@
  * Limits the rate of log lines by a token bucket for each kind of event, so that one kind can't crowd out another.
  * Suppressed lines are counted and reported with the next line of the kind.
  */
-public final class LogBudget {
+public final class LogRateLimiter {
     /** Lines of one kind that may be logged at once. */
     static final double BURST = 20;
     /** Lines of one kind a second in the long run. */
--- a/src/main/java/cacheproxy/proxy/EventLog.java
+++ b/src/main/java/cacheproxy/proxy/EventLog.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.metrics.EventKind;
-import cacheproxy.metrics.LogBudget;
 import cacheproxy.metrics.LogMessage;
+import cacheproxy.metrics.LogRateLimiter;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.function.DoubleSupplier;
@@ -17,7 +17,7 @@
 
     private final PrintStream out;
     private final DoubleSupplier nowMs;
-    private final LogBudget budget = new LogBudget();
+    private final LogRateLimiter budget = new LogRateLimiter();
 
     /** {@code nowMs}: a monotonic clock in milliseconds. */
     EventLog(PrintStream out, DoubleSupplier nowMs) {
--- a/src/main/java/cacheproxy/proxy/RequestTable.java
+++ b/src/main/java/cacheproxy/proxy/RequestTable.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.flow.RecentIds;
+import cacheproxy.flow.RecentRequestIds;
 import io.netty.util.collection.IntObjectHashMap;
 import java.util.HashMap;
 import java.util.List;
@@ -13,7 +13,7 @@
 final class RequestTable {
     private final IntObjectHashMap<ClientRequest> byNumber = new IntObjectHashMap<>();
     private final Map<String, ClientRequest> openByClientId = new HashMap<>();
-    private final RecentIds recentlyEnded = new RecentIds();
+    private final RecentRequestIds recentlyEnded = new RecentRequestIds();
     private int lastNumber;
 
     /**
--- a/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
@@ -91,7 +91,7 @@
 
     private void stop() {
         stopped = true;
-        readTimeout.paused(true, dispatcher.now());
+        readTimeout.setPaused(true, dispatcher.now());
     }
 
     /** Decodes on if that was stopped and need not be any more. */
@@ -99,7 +99,7 @@
         if (stopped && !mustStop()) {
             stopped = false;
             resumedMs = dispatcher.now();
-            readTimeout.paused(false, resumedMs);
+            readTimeout.setPaused(false, resumedMs);
             setTimer();
             input.resume(connection.context());
             connection.decodeBuffered();
--- a/src/main/java/cacheproxy/proxy/lifecycle/HandoverServer.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/HandoverServer.java
@@ -214,7 +214,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(number);
-            boolean wasServing = handover.linkClosed(number);
+            boolean wasServing = handover.connectionClosed(number);
             if (successor == ctx.channel()) {
                 successor = null;
             }
--- a/src/main/java/cacheproxy/proxy/lifecycle/TakeoverClient.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/TakeoverClient.java
@@ -117,7 +117,7 @@
     }
 
     private void connectionLost() {
-        takeover.linkClosed();
+        takeover.connectionClosed();
         snapshot.trySuccess(null);
         socket.trySuccess(null);
     }
--- a/src/main/java/cacheproxy/takeover/HandoverStateMachine.java
+++ b/src/main/java/cacheproxy/takeover/HandoverStateMachine.java
@@ -95,7 +95,7 @@
      * A connection has closed. Returns whether it was that of a serving successor, so that this process has to take the
      * takeover socket's name back.
      */
-    public boolean linkClosed(long link) {
+    public boolean connectionClosed(long link) {
         if (link != successorLink) {
             return false;
         }
--- a/src/main/java/cacheproxy/takeover/TakeoverStateMachine.java
+++ b/src/main/java/cacheproxy/takeover/TakeoverStateMachine.java
@@ -54,7 +54,7 @@
     }
 
     /** The connection has closed, or could not be made. */
-    public void linkClosed() {
+    public void connectionClosed() {
         if (phase != Phase.TAKEN_OVER) {
             phase = Phase.INDEPENDENT;
         }
--- a/src/test/java/cacheproxy/PinnedFile.java
+++ b/src/test/java/cacheproxy/GoldenFile.java
@@ -13,7 +13,7 @@
 import java.nio.file.Path;
 
 /** A file under src/test/resources that holds what the program wrote when the file was made, for comparison. */
-public final class PinnedFile {
+public final class GoldenFile {
     private static final Path ROOT = Path.of("src/test/resources");
     private static final Gson PRETTY = new GsonBuilder()
             .setPrettyPrinting()
@@ -21,7 +21,7 @@
             .serializeNulls()
             .create();
 
-    private PinnedFile() {}
+    private GoldenFile() {}
 
     /** Where a file or folder of this name lies. */
     public static Path path(String name) {
--- a/src/test/java/cacheproxy/cli/EdgeOutputTest.java
+++ b/src/test/java/cacheproxy/cli/EdgeOutputTest.java
@@ -1,6 +1,6 @@
 package cacheproxy.cli;
 
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import org.junit.jupiter.api.Test;
 
 /** What {@code config show} and {@code config explain} print for edge configurations, to the letter. */
@@ -35,6 +35,6 @@
         run("explain", LIMITS, "--key", "a/2", "--front", "http", "--class", "seg-video", "--with", PROXY);
         run("explain", LIMITS, "--key", "b", "--class", "seg-text");
         run("explain", LIMITS, "--key", "b", "--class", "other", "--with", PROXY);
-        PinnedFile.assertText(EXPECTED, printed.toString());
+        GoldenFile.assertText(EXPECTED, printed.toString());
     }
 }
--- a/src/test/java/cacheproxy/cli/OperatorTextTest.java
+++ b/src/test/java/cacheproxy/cli/OperatorTextTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import cacheproxy.control.ControlRegistry;
 import cacheproxy.control.ControlServer;
 import cacheproxy.proxy.Transport;
@@ -26,16 +26,16 @@
     void statusAndMembersPrintAsPinned() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         ControlRegistry registry = new ControlRegistry();
-        JsonObject status = PinnedFile.json("operators/status.json").getAsJsonObject();
+        JsonObject status = GoldenFile.json("operators/status.json").getAsJsonObject();
         status.keySet().forEach(name -> registry.section(name, () -> status.getAsJsonObject(name)));
-        JsonObject view = PinnedFile.json("operators/view.json").getAsJsonObject();
+        JsonObject view = GoldenFile.json("operators/view.json").getAsJsonObject();
         registry.command("view", arguments -> view);
         String path = folder.resolve("c").toString();
         try (ControlServer server = new ControlServer(group.next(), Path.of(path), registry)) {
             assertThat(run("status", "--control", path)).as(err).isZero();
-            PinnedFile.assertText("operators/status.txt", out);
+            GoldenFile.assertText("operators/status.txt", out);
             assertThat(run("status", "--control", path, "--members")).as(err).isZero();
-            PinnedFile.assertText("operators/view.txt", out);
+            GoldenFile.assertText("operators/view.txt", out);
             assertThat(run("status", "--control", path, "--json")).as(err).isZero();
             assertThat(JsonParser.parseString(out)).isEqualTo(status);
         } finally {
@@ -47,7 +47,7 @@
     private String copy(String name) throws Exception {
         Path copy = Files.createDirectory(folder.resolve(name));
         for (String file : new String[] {"snapshot", "journal"}) {
-            Files.write(copy.resolve(file), PinnedFile.bytes("state/" + name + "/" + file));
+            Files.write(copy.resolve(file), GoldenFile.bytes("state/" + name + "/" + file));
         }
         return copy.toString();
     }
@@ -69,6 +69,6 @@
                 all.append(out).append(err);
             }
         }
-        PinnedFile.assertText("operators/state-command.txt", all.toString());
+        GoldenFile.assertText("operators/state-command.txt", all.toString());
     }
 }
--- a/src/test/java/cacheproxy/cli/QuotaOutputTest.java
+++ b/src/test/java/cacheproxy/cli/QuotaOutputTest.java
@@ -1,6 +1,6 @@
 package cacheproxy.cli;
 
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -56,6 +56,6 @@
         }
         run("config", "show", "--effective", EXAMPLE);
         run("config", "check", EXAMPLE);
-        PinnedFile.assertText("quota/output.txt", printed.toString());
+        GoldenFile.assertText("quota/output.txt", printed.toString());
     }
 }
--- a/src/test/java/cacheproxy/flow/ReadTimeoutTest.java
+++ b/src/test/java/cacheproxy/flow/ReadTimeoutTest.java
@@ -62,19 +62,19 @@
     void timeInWhichTheProxyBlocksTheClientDoesNotCount() {
         ReadTimeout timeout = ReadTimeout.forAdoptedConnection(0);
         timeout.valueStarted(1000);
-        timeout.paused(true, 1500);
+        timeout.setPaused(true, 1500);
         assertThat(timeout.expiresAtMs()).isInfinite();
-        timeout.paused(true, 1700);
-        timeout.paused(false, 6500);
+        timeout.setPaused(true, 1700);
+        timeout.setPaused(false, 6500);
         assertThat(timeout.expiresAtMs()).isEqualTo(6000 + SPAN_MS);
     }
 
     @Test
     void aSpanThatBeginsWhileTheClientIsBlockedCountsFromTheEndOfThat() {
         ReadTimeout timeout = ReadTimeout.forAdoptedConnection(0);
-        timeout.paused(true, 500);
+        timeout.setPaused(true, 500);
         timeout.valueStarted(1000);
-        timeout.paused(false, 4000);
+        timeout.setPaused(false, 4000);
         assertThat(timeout.expiresAtMs()).isEqualTo(4000 + SPAN_MS);
     }
 }
--- a/src/test/java/cacheproxy/flow/RecentIdsTest.java
+++ b/src/test/java/cacheproxy/flow/RecentRequestIdsTest.java
@@ -11,12 +11,12 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-class RecentIdsTest {
+class RecentRequestIdsTest {
     private static final double HOLD_MS = 100;
 
     @Example
     void anIdIsHeldForItsTimeAndFreeThen() {
-        RecentIds ids = new RecentIds();
+        RecentRequestIds ids = new RecentRequestIds();
         ids.add(0, "a", HOLD_MS);
         assertThat(ids.contains(HOLD_MS - 1, "a")).isTrue();
         assertThat(ids.contains(HOLD_MS - 1, "b")).isFalse();
@@ -26,20 +26,20 @@
 
     @Example
     void ofTooManyTheOldestIsForgotten() {
-        RecentIds ids = new RecentIds();
-        for (int i = 0; i <= RecentIds.MAX_IDS; i++) {
+        RecentRequestIds ids = new RecentRequestIds();
+        for (int i = 0; i <= RecentRequestIds.MAX_IDS; i++) {
             ids.add(0, "i" + i, HOLD_MS);
         }
-        assertThat(ids.size()).isEqualTo(RecentIds.MAX_IDS);
+        assertThat(ids.size()).isEqualTo(RecentRequestIds.MAX_IDS);
         assertThat(ids.contains(0, "i0")).isFalse();
         assertThat(ids.contains(0, "i1")).isTrue();
-        assertThat(ids.contains(0, "i" + RecentIds.MAX_IDS)).isTrue();
+        assertThat(ids.contains(0, "i" + RecentRequestIds.MAX_IDS)).isTrue();
     }
 
     /** Against a plain map of ends, with ids that come again once they are free. */
     @Property
     void holdsWhatEndedWithinItsTime(@ForAll @Size(max = 200) List<@IntRange(min = 0, max = 19) Integer> requests) {
-        RecentIds ids = new RecentIds();
+        RecentRequestIds ids = new RecentRequestIds();
         Map<String, Double> endedMs = new HashMap<>();
         double now = 0;
         for (int request : requests) {
--- a/src/test/java/cacheproxy/membership/MembershipTraceTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTraceTest.java
@@ -1,6 +1,6 @@
 package cacheproxy.membership;
 
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import cacheproxy.membership.OutgoingMessage.Urgency;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -148,11 +148,11 @@
 
     @Test
     void configuredFleetSendsAsPinned() {
-        PinnedFile.assertText("membership/trace-configured.txt", new Fleet(false).play());
+        GoldenFile.assertText("membership/trace-configured.txt", new Fleet(false).play());
     }
 
     @Test
     void seededFleetSendsAsPinned() {
-        PinnedFile.assertText("membership/trace-seeds.txt", new Fleet(true).play());
+        GoldenFile.assertText("membership/trace-seeds.txt", new Fleet(true).play());
     }
 }
--- a/src/test/java/cacheproxy/metrics/LogBudgetTest.java
+++ b/src/test/java/cacheproxy/metrics/LogRateLimiterTest.java
@@ -5,26 +5,26 @@
 import org.junit.jupiter.api.Test;
 
 /** How many lines of each kind are logged. */
-class LogBudgetTest {
+class LogRateLimiterTest {
     private static final double START_MS = 1e12;
 
     @Test
     void eachKindHasItsOwnBurstAndSuppressedEventsAreReported() {
-        LogBudget budget = new LogBudget();
-        for (int i = 0; i < LogBudget.BURST; i++) {
+        LogRateLimiter budget = new LogRateLimiter();
+        for (int i = 0; i < LogRateLimiter.BURST; i++) {
             assertThat(budget.admit(START_MS, EventKind.SERVER_PROTOCOL_ERROR)).isZero();
         }
         assertThat(budget.admit(START_MS, EventKind.SERVER_PROTOCOL_ERROR)).isNegative();
         assertThat(budget.admit(START_MS, EventKind.SERVER_PROTOCOL_ERROR)).isNegative();
         assertThat(budget.admit(START_MS, EventKind.RULE_VIOLATION)).isZero();
-        assertThat(budget.admit(START_MS + 1000 / LogBudget.PER_SECOND, EventKind.SERVER_PROTOCOL_ERROR))
+        assertThat(budget.admit(START_MS + 1000 / LogRateLimiter.PER_SECOND, EventKind.SERVER_PROTOCOL_ERROR))
                 .isEqualTo(2);
     }
 
     /** An incident a week later has its lines, however many there were before. */
     @Test
     void eventsOverAProcesssLifetimeDoNotSuppressALaterOne() {
-        LogBudget budget = new LogBudget();
+        LogRateLimiter budget = new LogRateLimiter();
         double now = START_MS;
         for (int i = 0; i < 10_000; i++) {
             budget.admit(now += 10, EventKind.SERVER_PROTOCOL_ERROR);
--- a/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import cacheproxy.routing.EndpointHealthRecord;
 import cacheproxy.routing.HotKey;
 import cacheproxy.routing.LearnedState;
@@ -42,12 +42,12 @@
 
     @Test
     void everyFieldIsWrittenAsPinned() {
-        PinnedFile.assertText(FILE, LearnedStateCodec.toJson(everyField()) + "\n");
+        GoldenFile.assertText(FILE, LearnedStateCodec.toJson(everyField()) + "\n");
     }
 
     @Test
     void pinnedFormIsRead() {
-        JsonObject stored = JsonParser.parseString(PinnedFile.text(FILE)).getAsJsonObject();
+        JsonObject stored = JsonParser.parseString(GoldenFile.text(FILE)).getAsJsonObject();
         assertThat(LearnedStateCodec.fromJson(stored)).isEqualTo(everyField());
     }
 }
--- a/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.Await;
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import cacheproxy.control.AdminPort;
 import cacheproxy.control.ControlClient;
 import cacheproxy.control.ControlRegistry;
@@ -90,7 +90,7 @@
             fleet.config.addProperty("name", "proxy-3"); // whose folder it is
             Path kept = Files.createDirectory(folder.resolve("kept"));
             for (String file : new String[] {"snapshot", "journal"}) {
-                Files.write(kept.resolve(file), PinnedFile.bytes("state/journal-torn/" + file));
+                Files.write(kept.resolve(file), GoldenFile.bytes("state/journal-torn/" + file));
             }
             fleet.proxy = Proxy.start(Config.parse(fleet.config), null, new StateLocation(kept, "edge"));
             fleet.proxy.joinFleet(new FleetFeatures(true, true, true));
@@ -99,8 +99,8 @@
             try (ControlServer server = new ControlServer(fleet.proxy.loop(), path, registry);
                     ControlClient client = new ControlClient(path)) {
                 Await.until("it serves", () -> stage(client).equals("serving"));
-                PinnedFile.assertJson("operators/status.json", answer(client, "status", ""));
-                PinnedFile.assertJson("operators/view.json", answer(client, "view", ""));
+                GoldenFile.assertJson("operators/status.json", answer(client, "status", ""));
+                GoldenFile.assertJson("operators/view.json", answer(client, "view", ""));
                 JsonObject others = new JsonObject();
                 for (String[] ask : new String[][] {
                     {"help", ""},
@@ -130,14 +130,14 @@
                     }
                     others.add(name, answer(client, ask[0], ask[1]));
                 }
-                PinnedFile.assertJson("operators/commands.json", others);
+                GoldenFile.assertJson("operators/commands.json", others);
             }
             try (AdminPort port = new AdminPort(fleet.proxy.loop(), new InetSocketAddress("127.0.0.1", 0), registry)) {
                 StringBuilder all = new StringBuilder();
                 for (String call : new String[] {"HEALTH", "HANDOVER", "DUMP", "STATUS", ""}) {
                     all.append("> ").append(call).append('\n').append(call(port, call));
                 }
-                PinnedFile.assertText("operators/admin-port.txt", all.toString());
+                GoldenFile.assertText("operators/admin-port.txt", all.toString());
             }
         }
     }
@@ -162,7 +162,7 @@
                 for (String ask : new String[] {"status", "view", "zone"}) {
                     all.add(ask, answer(client, ask, ""));
                 }
-                PinnedFile.assertJson("operators/status-alone.json", all);
+                GoldenFile.assertJson("operators/status-alone.json", all);
             }
         }
     }
@@ -180,7 +180,7 @@
                     ControlClient client = new ControlClient(path)) {
                 JsonObject routing =
                         answer(client, "status", "").getAsJsonObject().getAsJsonObject("routing");
-                PinnedFile.assertJson("operators/status-routing.json", routing);
+                GoldenFile.assertJson("operators/status-routing.json", routing);
             }
         }
     }
--- a/src/test/java/cacheproxy/quota/QuotaTranscriptTest.java
+++ b/src/test/java/cacheproxy/quota/QuotaTranscriptTest.java
@@ -1,6 +1,6 @@
 package cacheproxy.quota;
 
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -144,6 +144,6 @@
         StringBuilder transcript = new StringBuilder();
         decideAll(transcript);
         leaseAll(transcript);
-        PinnedFile.assertText("quota/decisions.txt", transcript.toString());
+        GoldenFile.assertText("quota/decisions.txt", transcript.toString());
     }
 }
--- a/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -45,12 +45,12 @@
                         .append(' ')
                         .append(hex(summary.encode()))
                         .append('\n'));
-        PinnedFile.assertText(FILE, all.toString());
+        GoldenFile.assertText(FILE, all.toString());
     }
 
     @Test
     void pinnedMessagesDecode() {
-        Map<String, byte[]> read = PinnedFile.text(FILE)
+        Map<String, byte[]> read = GoldenFile.text(FILE)
                 .lines()
                 .map(l -> l.split(" "))
                 .collect(Collectors.toMap(w -> w[0], w -> HexFormat.of().parseHex(w[1])));
@@ -72,6 +72,6 @@
                     .append(RequestRateCode.decode(code))
                     .append('\n');
         }
-        PinnedFile.assertText("recovery/load-codes.txt", table.toString());
+        GoldenFile.assertText("recovery/load-codes.txt", table.toString());
     }
 }
--- a/src/test/java/cacheproxy/route/RouterTranscriptTest.java
+++ b/src/test/java/cacheproxy/route/RouterTranscriptTest.java
@@ -1,6 +1,6 @@
 package cacheproxy.route;
 
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import cacheproxy.routing.AttemptOutcome;
 import cacheproxy.routing.Endpoint;
 import cacheproxy.routing.EndpointState;
@@ -186,6 +186,6 @@
                     .append(hash(run(seed)))
                     .append('\n');
         }
-        PinnedFile.assertText(EXPECTED, all.toString());
+        GoldenFile.assertText(EXPECTED, all.toString());
     }
 }
--- a/src/test/java/cacheproxy/state/StoredFormTest.java
+++ b/src/test/java/cacheproxy/state/StoredFormTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonParser;
 import java.io.ByteArrayOutputStream;
@@ -41,7 +41,7 @@
                         TOLD_MS + 1,
                         "{\"seq\":43,\"whole\":true,\"hosts\":[" + host("s-0000beef", "up") + ","
                                 + host("s-0000bef0", "draining") + "]}"));
-        store.put(0, record(RecordKind.LEARNED_STATE, TOLD_MS + 2, PinnedFile.text("proxy/learned-state.json")));
+        store.put(0, record(RecordKind.LEARNED_STATE, TOLD_MS + 2, GoldenFile.text("proxy/learned-state.json")));
         store.put(
                 0,
                 record(
@@ -67,8 +67,8 @@
     @Test
     void filesAreWrittenAsPinned() {
         byte[][] files = written();
-        PinnedFile.assertText("state/sound/snapshot", new String(files[0], StandardCharsets.UTF_8));
-        PinnedFile.assertText("state/sound/journal", new String(files[1], StandardCharsets.UTF_8));
+        GoldenFile.assertText("state/sound/snapshot", new String(files[0], StandardCharsets.UTF_8));
+        GoldenFile.assertText("state/sound/journal", new String(files[1], StandardCharsets.UTF_8));
     }
 
     @ParameterizedTest
@@ -96,10 +96,10 @@
                 "empty-files"
             })
     void folderIsReadAsPinned(String folder) {
-        OpenedState opened = new StateFolder(PinnedFile.path("state/" + folder)).read(ME, FLEET);
+        OpenedState opened = new StateFolder(GoldenFile.path("state/" + folder)).read(ME, FLEET);
         StateReport inspection = new StateReport(opened, NOW_MS);
-        PinnedFile.assertJson("state/" + folder + "/inspection.json", inspection.toJson());
-        PinnedFile.assertText("state/" + folder + "/inspection.txt", inspection.toText());
+        GoldenFile.assertJson("state/" + folder + "/inspection.json", inspection.toJson());
+        GoldenFile.assertText("state/" + folder + "/inspection.txt", inspection.toText());
     }
 
     /** How far each kind may be used over its age: what a process that starts decides by. */
@@ -126,6 +126,6 @@
             table.append('\n');
         }
         assertThat(table).isNotEmpty();
-        PinnedFile.assertText("state/use-by-age.txt", table.toString());
+        GoldenFile.assertText("state/use-by-age.txt", table.toString());
     }
 }
--- a/src/test/java/cacheproxy/takeover/HandoverStateMachineTest.java
+++ b/src/test/java/cacheproxy/takeover/HandoverStateMachineTest.java
@@ -31,7 +31,7 @@
         h.snapshotRequested(1);
         h.socketRequested(1);
         h.successorServes(1);
-        h.linkClosed(1);
+        h.connectionClosed(1);
         assertThat(h.acceptsConnections()).isTrue();
         assertThat(h.snapshotRequested(2)).isTrue();
     }
@@ -43,7 +43,7 @@
         h.socketRequested(1);
         assertThat(h.snapshotRequested(2)).isTrue();
         assertThat(h.successorServes(1)).isFalse();
-        h.linkClosed(1);
+        h.connectionClosed(1);
         assertThat(h.phase()).isEqualTo(Phase.SNAPSHOT_SENT);
         assertThat(h.socketRequested(2)).isTrue();
         assertThat(h.successorServes(2)).isTrue();
@@ -76,7 +76,7 @@
                 case 2 -> serving[link] |= h.successorServes(link);
                 case 3 -> {
                     alive[link] = serving[link] = false;
-                    h.linkClosed(link);
+                    h.connectionClosed(link);
                 }
                 default -> {
                     terminated = true;
--- a/src/test/java/cacheproxy/takeover/TakeoverStateMachineTest.java
+++ b/src/test/java/cacheproxy/takeover/TakeoverStateMachineTest.java
@@ -17,7 +17,7 @@
         assertThat(t.snapshotReceived(10, true)).isTrue();
         assertThat(t.descriptorReceived()).isTrue();
         assertThat(t.phase()).isEqualTo(Phase.TAKEN_OVER);
-        t.linkClosed(); // the old process has ended, as it should
+        t.connectionClosed(); // the old process has ended, as it should
         assertThat(t.phase()).isEqualTo(Phase.TAKEN_OVER);
     }
 
@@ -54,7 +54,7 @@
                 case 0 -> t.snapshotReceived(now, true);
                 case 1 -> t.snapshotReceived(now, false);
                 case 2 -> sockets += t.descriptorReceived() ? 1 : 0;
-                case 3 -> t.linkClosed();
+                case 3 -> t.connectionClosed();
                 default -> t.checkTimeout(now);
             }
             assertThat(sockets).isLessThanOrEqualTo(1);
