--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -21,8 +21,8 @@
  * of the tools; whatever else is asked goes to {@link Cli}.
  */
 public final class Main {
-    private static final int EXIT_FAILED = 1;
-    private static final int EXIT_WRONG_USE = 2;
+    private static final int EXIT_FAILURE = 1;
+    private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
@@ -50,7 +50,7 @@
         ServeOptions options = ServeOptions.parse(args);
         if (options == null) {
             System.err.println(ServeOptions.USAGE);
-            System.exit(EXIT_WRONG_USE);
+            System.exit(EXIT_USAGE);
             return;
         }
         Proxy proxy = start(options, sighup);
@@ -87,7 +87,7 @@
             Runtime.getRuntime().addShutdownHook(new Thread(server::close));
         } catch (IOException | InvalidPathException e) {
             System.err.println("no control socket: " + e.getMessage());
-            System.exit(EXIT_FAILED);
+            System.exit(EXIT_FAILURE);
         }
     }
 
@@ -96,7 +96,7 @@
             new AdminPort(proxy.loop(), proxy.adminAddress(), registry); // as long as the process serves
         } catch (Exception e) {
             System.err.println("can't listen for operators on " + proxy.adminAddress() + ": " + e.getMessage());
-            System.exit(EXIT_FAILED);
+            System.exit(EXIT_FAILURE);
         }
     }
 }
--- a/src/main/java/cacheproxy/ServeOptions.java
+++ b/src/main/java/cacheproxy/ServeOptions.java
@@ -20,9 +20,9 @@
 final class ServeOptions {
     static final String USAGE = "usage: serve [--edge FILE] [--control PATH] [--figures SECONDSs] [--view on|off] "
             + "[--zones on|off] [--recovery on|off] [--state FOLDER] [--fleet NAME]";
-    private static final String SECONDS = "[1-9][0-9]{0,4}s";
-    private static final String ON_OR_OFF = "on|off";
-    private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,59}";
+    private static final String SECONDS_PATTERN = "[1-9][0-9]{0,4}s";
+    private static final String ON_OFF_PATTERN = "on|off";
+    private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,59}";
 
     private String routesFile;
     private String controlSocket;
@@ -66,15 +66,15 @@
             }
             case "--fleet" -> {
                 fleetName = value;
-                yield value.matches(NAME);
+                yield value.matches(NAME_PATTERN);
             }
             case "--figures" -> setMetricsInterval(value);
-            default -> value.matches(ON_OR_OFF) && setFeature(flag, value.equals("on"));
+            default -> value.matches(ON_OFF_PATTERN) && setFeature(flag, value.equals("on"));
         };
     }
 
     private boolean setMetricsInterval(String value) {
-        if (metricsIntervalMs != 0 || !value.matches(SECONDS)) {
+        if (metricsIntervalMs != 0 || !value.matches(SECONDS_PATTERN)) {
             return false;
         }
         metricsIntervalMs = 1000 * Long.parseLong(value.substring(0, value.length() - 1));
--- a/src/main/java/cacheproxy/flow/ReadTimeout.java
+++ b/src/main/java/cacheproxy/flow/ReadTimeout.java
@@ -79,11 +79,11 @@
     }
 
     /** The proxy pauses reading or processing this client's input from this time on, or resumes it. */
-    public void setPaused(boolean on, double atMs) {
-        if (on == paused()) {
+    public void setPaused(boolean pause, double atMs) {
+        if (pause == paused()) {
             return;
         }
-        if (on) {
+        if (pause) {
             pausedSinceMs = atMs;
         } else {
             double pausedMs = Math.max(0, atMs - pausedSinceMs);
--- a/src/main/java/cacheproxy/simulator/EventBatch.java
+++ b/src/main/java/cacheproxy/simulator/EventBatch.java
@@ -17,9 +17,9 @@
     private static final int HEADER_BYTES = 20;
     private static final int RECORD_BYTES = 48;
     private static final int LENGTH_BYTES = Integer.BYTES;
-    private static final int TIME_AT = 4;
-    private static final int COUNT_AT = 12;
-    private static final int NUMBER_AT = 16;
+    private static final int TIME_OFFSET = 4;
+    private static final int COUNT_OFFSET = 12;
+    private static final int NUMBER_OFFSET = 16;
     private static final int INITIAL_BYTES = 1 << 16;
 
     private final DataInputStream in;
@@ -52,9 +52,9 @@
         } catch (EOFException e) {
             throw new MalformedInputException("after batch " + number + ": input ends inside a frame");
         }
-        timeMs = frame.getDouble(TIME_AT);
-        long count = frame.getInt(COUNT_AT) & 0xFFFFFFFFL;
-        number = frame.getInt(NUMBER_AT);
+        timeMs = frame.getDouble(TIME_OFFSET);
+        long count = frame.getInt(COUNT_OFFSET) & 0xFFFFFFFFL;
+        number = frame.getInt(NUMBER_OFFSET);
         if (HEADER_BYTES + count * RECORD_BYTES > frame.limit()) {
             throw new MalformedInputException("batch " + number + ": " + count + " records exceed the frame");
         }
--- a/src/main/java/cacheproxy/simulator/ReplyFrame.java
+++ b/src/main/java/cacheproxy/simulator/ReplyFrame.java
@@ -33,9 +33,9 @@
 final class ReplyFrame implements RoutingActions {
     private static final int HEADER_BYTES = 12;
     private static final int RECORD_BYTES = 24;
-    private static final int LENGTH_AT = 0;
-    private static final int COUNT_AT = 4;
-    private static final int BATCH_AT = 8;
+    private static final int LENGTH_OFFSET = 0;
+    private static final int COUNT_OFFSET = 4;
+    private static final int BATCH_OFFSET = 8;
     private static final int INITIAL_RECORD_BYTES = 1 << 16;
     private static final int INITIAL_TAIL_BYTES = 1 << 12;
 
@@ -78,21 +78,21 @@
     }
 
     /** The instance whose orders follow. */
-    void actAs(int index) {
+    void setInstance(int index) {
         instance = index;
     }
 
     /** Writes the reply, whole. */
     void write(OutputStream out, int batch) throws IOException {
-        records.putInt(LENGTH_AT, records.position() + tail.position());
-        records.putInt(COUNT_AT, count);
-        records.putInt(BATCH_AT, batch);
+        records.putInt(LENGTH_OFFSET, records.position() + tail.position());
+        records.putInt(COUNT_OFFSET, count);
+        records.putInt(BATCH_OFFSET, batch);
         out.write(records.array(), 0, records.position());
         out.write(tail.array(), 0, tail.position());
         out.flush();
     }
 
-    private ByteBuffer record(int code) {
+    private ByteBuffer beginRecord(int code) {
         records = ensureRemaining(records, RECORD_BYTES);
         int start = records.position();
         Arrays.fill(records.array(), start, start + RECORD_BYTES, (byte) 0);
@@ -101,85 +101,85 @@
         return records;
     }
 
-    private void end() {
+    private void endRecord() {
         records.position(HEADER_BYTES + RECORD_BYTES * count);
     }
 
-    private void bytes(byte[] data) {
+    private void appendTail(byte[] data) {
         records.putInt(tail.position()).putInt(data.length);
         tail = ensureRemaining(tail, data.length).put(data);
-        end();
+        endRecord();
     }
 
     @Override
     public void send(int request, int server, double timeoutMs) {
-        record(SEND).putInt(request).putInt(server).putDouble(timeoutMs);
-        end();
+        beginRecord(SEND).putInt(request).putInt(server).putDouble(timeoutMs);
+        endRecord();
     }
 
     @Override
     public void reject(int request, double retryAfterMs) {
-        record(REJECT).putInt(request).putDouble(retryAfterMs);
-        end();
+        beginRecord(REJECT).putInt(request).putDouble(retryAfterMs);
+        endRecord();
     }
 
     @Override
     public void fail(int request) {
-        record(FAIL).putInt(request);
-        end();
+        beginRecord(FAIL).putInt(request);
+        endRecord();
     }
 
     @Override
     public void cancel(int request, int attempt) {
-        record(CANCEL).putInt(request).put((byte) attempt);
-        end();
+        beginRecord(CANCEL).putInt(request).put((byte) attempt);
+        endRecord();
     }
 
     @Override
     public void setTimer(double afterMs, int token) {
-        record(SET_TIMER).putDouble(afterMs).putInt(token);
-        end();
+        beginRecord(SET_TIMER).putDouble(afterMs).putInt(token);
+        endRecord();
     }
 
     @Override
     public void checkHealth(int server) {
-        record(CHECK_HEALTH).putInt(server);
-        end();
+        beginRecord(CHECK_HEALTH).putInt(server);
+        endRecord();
     }
 
     @Override
     public void closeIdle(int server) {
-        record(CLOSE_IDLE).putInt(server);
-        end();
+        beginRecord(CLOSE_IDLE).putInt(server);
+        endRecord();
     }
 
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        record(SEND_TO_PEER).putInt(peer);
-        bytes(message);
+        beginRecord(SEND_TO_PEER).putInt(peer);
+        appendTail(message);
     }
 
     @Override
     public void log(String line) {
-        record(LOG);
-        bytes(line.getBytes(StandardCharsets.UTF_8));
+        beginRecord(LOG);
+        appendTail(line.getBytes(StandardCharsets.UTF_8));
     }
 
     /** The decision module of the instance has failed. */
     void fault(String cause) {
-        record(FAULT);
-        bytes(cause.getBytes(StandardCharsets.UTF_8));
+        beginRecord(FAULT);
+        appendTail(cause.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
     public void setWatch(boolean on) {
-        record(SET_WATCH).put((byte) (on ? 1 : 0));
-        end();
+        beginRecord(SET_WATCH).put((byte) (on ? 1 : 0));
+        endRecord();
     }
 
     @Override
     public void fetchEndpointList() {
-        record(FETCH_ENDPOINT_LIST);
-        end();
+        beginRecord(FETCH_ENDPOINT_LIST);
+        endRecord();
     }
 }
--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -62,9 +62,11 @@
     static SettingsParser ofLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                values.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                values.put(
+                        line.substring(0, separator).trim(),
+                        line.substring(separator + 1).trim());
             }
         }
         return new SettingsParser(values);
@@ -178,17 +180,17 @@
     /**
      * A number.
      *
-     * @param absent what stands for it where the key is absent
+     * @param defaultValue what stands for it where the key is absent
      * @throws MalformedInputException if it is no finite number
      */
-    public double number(String key, double absent) {
-        return values.containsKey(key) ? number(key) : absent;
+    public double number(String key, double defaultValue) {
+        return values.containsKey(key) ? number(key) : defaultValue;
     }
 
     /** A number over 0, and no less than this. */
-    private double positive(String key, double least) {
+    private double positive(String key, double minimum) {
         double value = number(key);
-        if (!(value > 0 && value >= least)) {
+        if (!(value > 0 && value >= minimum)) {
             throw new MalformedInputException("setting '" + key + "' is not over 0: " + values.get(key));
         }
         return value;
@@ -212,11 +214,11 @@
         return constants[oneOf(key, Stream.of(constants).map(wireName).toArray(String[]::new))];
     }
 
-    private int oneOf(String key, String... words) {
-        int index = List.of(words).indexOf(text(key));
+    private int oneOf(String key, String... allowed) {
+        int index = List.of(allowed).indexOf(text(key));
         if (index < 0) {
             throw new MalformedInputException(
-                    "setting '" + key + "' is none of " + String.join(", ", words) + ": " + text(key));
+                    "setting '" + key + "' is none of " + String.join(", ", allowed) + ": " + text(key));
         }
         return index;
     }
--- a/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
+++ b/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
@@ -61,7 +61,7 @@
     private void handle(int index) {
         int record = batch.recordStart(index);
         int instance = decoder.instance(record);
-        reply.actAs(instance);
+        reply.setInstance(instance);
         try {
             dispatch(record, instance);
         } catch (MalformedInputException e) {
--- a/src/main/java/cacheproxy/takeover/HandoverStateMachine.java
+++ b/src/main/java/cacheproxy/takeover/HandoverStateMachine.java
@@ -34,7 +34,7 @@
     }
 
     private Phase phase = Phase.NO_SUCCESSOR;
-    private long successorLink;
+    private long successorConnection;
     private int completedHandovers;
 
     /** The current phase. */
@@ -60,21 +60,21 @@
     /**
      * A process requests the snapshot. It displaces one that requested before and does not serve yet, which may hang.
      *
-     * @param link the unique number of its connection, above 0
+     * @param connection the unique number of its connection, above 0
      * @return whether it is sent the snapshot; if not, its connection is to be closed
      */
-    public boolean snapshotRequested(long link) {
+    public boolean snapshotRequested(long connection) {
         if (phase.compareTo(Phase.SUCCESSOR_SERVES) >= 0) {
             return false;
         }
-        successorLink = link;
+        successorConnection = connection;
         phase = Phase.SNAPSHOT_SENT;
         return true;
     }
 
     /** A process requests the listening socket; whether it is sent it. */
-    public boolean socketRequested(long link) {
-        if (link != successorLink || phase != Phase.SNAPSHOT_SENT) {
+    public boolean socketRequested(long connection) {
+        if (connection != successorConnection || phase != Phase.SNAPSHOT_SENT) {
             return false;
         }
         phase = Phase.SOCKET_PASSED;
@@ -82,8 +82,8 @@
     }
 
     /** A process reports that it serves; whether it may: only the one that was sent the socket. */
-    public boolean successorServes(long link) {
-        if (link != successorLink || phase != Phase.SOCKET_PASSED) {
+    public boolean successorServes(long connection) {
+        if (connection != successorConnection || phase != Phase.SOCKET_PASSED) {
             return false;
         }
         phase = Phase.SUCCESSOR_SERVES;
@@ -95,12 +95,12 @@
      * A connection has closed. Returns whether it was that of a serving successor, so that this process has to take the
      * takeover socket's name back.
      */
-    public boolean connectionClosed(long link) {
-        if (link != successorLink) {
+    public boolean connectionClosed(long connection) {
+        if (connection != successorConnection) {
             return false;
         }
         boolean served = phase == Phase.SUCCESSOR_SERVES;
-        successorLink = 0;
+        successorConnection = 0;
         phase = phase == Phase.PASSING_CLIENTS
                 ? Phase.TERMINATING
                 : phase == Phase.TERMINATING ? phase : Phase.NO_SUCCESSOR;
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -85,7 +85,7 @@
 
     /** Bytes in memory are not input or output. */
     @Test
-    void whatInstancesTellEachOtherIsDecidedWithoutSocketsOrClocks() {
+    void fleetCoordinationUsesNoSocketsOrClocks() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -118,7 +118,7 @@
 
     /** Only what owns the folder touches it, and what decides of it reads no clock. */
     @Test
-    void whatIsKeptIsDecidedApartFromFiles() {
+    void onlyTheStateFolderAccessesFiles() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.state..")
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void theLanguageKnowsNoSubsystemAndOnlyItsLoaderReadsFiles() {
+    void theConfigLanguageDependsOnNoSubsystemAndOnlyItsLoaderReadsFiles() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.config")
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void theModelsOfStandInsAndLoadDoNoInputOrOutput() {
+    void emulatorAndLoadModelsDoNoInputOrOutput() {
         noClasses()
                 .that()
                 .haveNameMatching("cacheproxy\\.fleet\\.(Oracle|ServiceModel|ColdStart|LruStore|Roster|"
@@ -206,7 +206,7 @@
 
     /** The same seed gives the same run on any machine. */
     @Test
-    void theModelOfTheFleetDoesNoInputOrOutputAndReadsNoClock() {
+    void theFleetModelDoesNoInputOrOutputAndReadsNoClock() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.model..")
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void theProxyKnowsNothingOfTheTools() {
+    void theProxyDoesNotDependOnTheTools() {
         noClasses()
                 .that()
                 .resideInAnyPackage("cacheproxy.proxy..", "cacheproxy.simulator..")
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void standInsKnowTheProtocolAndNotTheProxy() {
+    void emulatorLoadAndDemoDoNotDependOnTheProxy() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.emulator..")
@@ -287,7 +287,7 @@
 
     /** What hears of servers knows nothing of requests. */
     @Test
-    void discoveryKnowsNothingOfTheCore() {
+    void discoveryDoesNotDependOnTheCore() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.proxy.discovery")
@@ -299,7 +299,7 @@
 
     /** The I/O around the core meets it by interfaces of its own. */
     @Test
-    void upstreamProtocolAndPeersKnowNothingOfTheCore() {
+    void upstreamProtocolAndPeersDoNotDependOnTheCore() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -312,7 +312,7 @@
 
     /** Start and end stand above everything else of the proxy. */
     @Test
-    void clientsKnowNothingOfTheLifecycle() {
+    void coreClientsAndDiscoveryDoNotDependOnTheLifecycle() {
         noClasses()
                 .that()
                 .resideInAnyPackage("cacheproxy.proxy", "cacheproxy.proxy.client..", "cacheproxy.proxy.discovery..")
@@ -323,7 +323,7 @@
     }
 
     @Test
-    void onlyTheMainClassKnowsTheCommandLine() {
+    void onlyTheMainClassDependsOnTheCommandLine() {
         classes()
                 .that()
                 .resideInAPackage("cacheproxy.cli..")
--- a/src/test/java/cacheproxy/JarIT.java
+++ b/src/test/java/cacheproxy/JarIT.java
@@ -30,14 +30,14 @@
     private Path folder;
 
     private Process start(String command, String config, String... flags) throws IOException {
-        List<String> words = new ArrayList<>(List.of(
+        List<String> arguments = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Djava.io.tmpdir=" + folder,
                 "-jar",
                 "target/cacheproxy.jar",
                 command));
-        words.addAll(List.of(flags));
-        ProcessBuilder builder = new ProcessBuilder(words);
+        arguments.addAll(List.of(flags));
+        ProcessBuilder builder = new ProcessBuilder(arguments);
         builder.environment().put("TMPDIR", folder.toString());
         if (config != null) {
             builder.environment().put("BALANCER_CONFIG", config);
@@ -157,13 +157,13 @@
      * is owed its answer holds the drain up.
      */
     @Test
-    void aDrainIsAskedForWatchedTakenBackAndEndsTheProcess() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void aDrainIsStartedMonitoredCancelledAndCompleted() throws Exception {
+        CountDownLatch respond = new CountDownLatch(1);
         try (ServerSocket node = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             Thread script = new Thread(() -> {
                 try (Socket socket = node.accept()) {
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), UTF_8)).readLine();
-                    go.await();
+                    respond.await();
                     socket.getOutputStream().write("VA 5 O1 h1\r\nhello\r\n".getBytes(UTF_8));
                     socket.getInputStream().read();
                 } catch (IOException | InterruptedException e) {
@@ -181,11 +181,11 @@
                             .replace("\"dial\": \"127.0.0.1:9\"", "\"dial\": \"127.0.0.1:" + node.getLocalPort() + "\"")
                             .replace("\"second-copies\": true", "\"second-copies\": false")
                             .replace("\"may-cancel\": true", "\"may-cancel\": false"));
-            drainWithARequestOpen(port, config, go);
+            drainWithARequestOpen(port, config, respond);
         }
     }
 
-    private void drainWithARequestOpen(int port, Path config, CountDownLatch go) throws Exception {
+    private void drainWithARequestOpen(int port, Path config, CountDownLatch respond) throws Exception {
         Path control = folder.resolve("control");
         Process process = start("serve", config.toString(), "--control", control.toString());
         String[] at = {"--control", control.toString()};
@@ -194,30 +194,31 @@
             client.getOutputStream().write("mn\r\nmg 7f3a v O1 Pc=seg-text,d=60000\r\n".getBytes(UTF_8));
             assertThat(in.readLine()).isEqualTo("MN");
             Await.until("the socket is there", () -> Files.exists(control));
-            assertThat(output(0, "status", at)).contains("clients=1", "phase=serving");
-            assertThat(output(0, "drain", at[0], at[1], "--deadline", "60s"))
+            assertThat(runCommand(0, "status", at)).contains("clients=1", "phase=serving");
+            assertThat(runCommand(0, "drain", at[0], at[1], "--deadline", "60s"))
                     .startsWith("draining; ")
                     .contains(" s to the deadline");
-            assertThat(output(0, "drain", at[0], at[1], "--deadline", "90s")).contains("under way already");
+            assertThat(runCommand(0, "drain", at[0], at[1], "--deadline", "90s"))
+                    .contains("under way already");
             new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
                     .start()
                     .waitFor();
-            assertThat(output(0, "status", at)).contains("phase=draining");
-            assertThat(output(0, "drain", at[0], at[1], "--cancel")).contains("in full service");
-            assertThat(output(1, "drain", at[0], at[1], "--cancel")).contains("no drain is under way");
-            assertThat(output(1, "drain", at[0], at[1], "--deadline", "0s")).contains("deadline");
-            Process wait = start("drain", null, at[0], at[1], "--deadline", "60s", "--wait");
-            BufferedReader bar = wait.inputReader();
-            assertThat(bar.readLine()).contains("draining");
-            assertThat(bar.readLine()).startsWith("[").contains("1 connections");
+            assertThat(runCommand(0, "status", at)).contains("phase=draining");
+            assertThat(runCommand(0, "drain", at[0], at[1], "--cancel")).contains("in full service");
+            assertThat(runCommand(1, "drain", at[0], at[1], "--cancel")).contains("no drain is under way");
+            assertThat(runCommand(1, "drain", at[0], at[1], "--deadline", "0s")).contains("deadline");
+            Process waiting = start("drain", null, at[0], at[1], "--deadline", "60s", "--wait");
+            BufferedReader progress = waiting.inputReader();
+            assertThat(progress.readLine()).contains("draining");
+            assertThat(progress.readLine()).startsWith("[").contains("1 connections");
             client.getOutputStream().write("mn\r\n".getBytes(UTF_8));
-            go.countDown();
+            respond.countDown();
             assertThat(in.readLine()).isEqualTo("VA 5 O1");
             assertThat(in.readLine()).isEqualTo("hello");
             assertThat(in.readLine()).isEqualTo("SERVER_ERROR draining");
             assertThat(in.readLine()).isNull();
             assertThat(process.waitFor()).isZero();
-            assertThat(wait.waitFor()).isZero();
+            assertThat(waiting.waitFor()).isZero();
             assertThat(control).doesNotExist();
         } finally {
             process.destroyForcibly();
@@ -226,7 +227,7 @@
 
     /** As nohup starts it: the signal is ignored for good, and the file is looked at in its place. */
     @Test
-    void aNewConfigurationIsTakenWhereSighupIsIgnored() throws Exception {
+    void theConfigurationIsReloadedIfSighupIsIgnored() throws Exception {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         try (ServerSocket before = new ServerSocket(0, 5, loopback);
                 ServerSocket after = new ServerSocket(0, 5, loopback)) {
@@ -234,8 +235,8 @@
             String text = Files.readString(Path.of("src/test/resources/config.json"))
                     .replace("127.0.0.1:0", "127.0.0.1:" + port);
             Path config = folder.resolve("config.json");
-            Files.writeString(config, discoveredAt(text, before));
-            List<String> words = List.of(
+            Files.writeString(config, withDiscovery(text, before));
+            List<String> arguments = List.of(
                     "sh",
                     "-c",
                     "trap '' HUP; exec \"$0\" \"$@\"",
@@ -243,7 +244,7 @@
                     "-jar",
                     "target/cacheproxy.jar",
                     "serve");
-            ProcessBuilder builder = new ProcessBuilder(words);
+            ProcessBuilder builder = new ProcessBuilder(arguments);
             builder.environment().put("TMPDIR", folder.toString());
             builder.environment().put("BALANCER_CONFIG", config.toString());
             Process process = builder.start();
@@ -252,7 +253,7 @@
                 BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream(), UTF_8));
                 assertThat(in.readLine()).isEqualTo("MN");
                 Path next = folder.resolve("config.next");
-                Files.writeString(next, discoveredAt(text, after));
+                Files.writeString(next, withDiscovery(text, after));
                 Files.move(next, config, StandardCopyOption.ATOMIC_MOVE);
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
                         .start()
@@ -270,7 +271,7 @@
 
     /** The settings may come while the process warms up; before, it ended by the signal. */
     @Test
-    void aSighupWhileItStartsDoesNotEndIt() throws Exception {
+    void aSighupDuringStartupDoesNotEndTheProcess() throws Exception {
         int port = freePort();
         Path config = folder.resolve("config.json");
         Files.writeString(
@@ -288,41 +289,41 @@
             new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
                     .start()
                     .waitFor();
-            noop(port, process);
+            assertServing(port, process);
         } finally {
             process.destroyForcibly();
         }
     }
 
-    private static String discoveredAt(String text, ServerSocket discovery) {
+    private static String withDiscovery(String text, ServerSocket discovery) {
         return text.replace(
                 "\"discovery\": \"127.0.0.1:9\"", "\"discovery\": \"127.0.0.1:" + discovery.getLocalPort() + "\"");
     }
 
-    private String output(int code, String command, String... flags) throws Exception {
+    private String runCommand(int code, String command, String... flags) throws Exception {
         Process process = start(command, null, flags);
-        String told = new String(process.getInputStream().readAllBytes(), UTF_8)
+        String output = new String(process.getInputStream().readAllBytes(), UTF_8)
                 + new String(process.getErrorStream().readAllBytes(), UTF_8);
-        assertThat(process.waitFor()).as(told).isEqualTo(code);
-        return told;
+        assertThat(process.waitFor()).as(output).isEqualTo(code);
+        return output;
     }
 
     /** The newcomer's second command, through a fault that the rules stand, and a Ctrl-C in the middle. */
     @Test
-    void theDemoHoldsItsRulesAndLeavesNothingBehind() throws Exception {
+    void theDemoKeepsTheRulesAndCleansUp() throws Exception {
         Path script = folder.resolve("x.faults");
         Files.writeString(script, "500ms node-0 stall 200ms\n1s node-1 reset\n");
         String[] flags = {
             "--nodes", "3", "--proxies", "2", "--rate", "40", "--patience", "15", "--fault", script.toString(), "--for"
         };
-        List<String> words = new ArrayList<>(List.of(flags));
-        words.add("3s");
-        Process process = start("demo", null, words.toArray(String[]::new));
-        String told = new String(process.getInputStream().readAllBytes(), UTF_8);
-        assertThat(process.waitFor()).as(told).isZero();
-        assertThat(told).contains("held   LOST").doesNotContain("BROKEN");
-        words.set(words.size() - 1, "10m");
-        process = start("demo", null, words.toArray(String[]::new));
+        List<String> arguments = new ArrayList<>(List.of(flags));
+        arguments.add("3s");
+        Process process = start("demo", null, arguments.toArray(String[]::new));
+        String output = new String(process.getInputStream().readAllBytes(), UTF_8);
+        assertThat(process.waitFor()).as(output).isZero();
+        assertThat(output).contains("held   LOST").doesNotContain("BROKEN");
+        arguments.set(arguments.size() - 1, "10m");
+        process = start("demo", null, arguments.toArray(String[]::new));
         BufferedReader lines = process.inputReader();
         while (!lines.readLine().contains("sent ")) {
             // the proxies start
@@ -369,9 +370,9 @@
                 "--for",
                 "5s");
         BufferedReader lines = process.inputReader();
-        StringBuilder told = new StringBuilder();
+        StringBuilder output = new StringBuilder();
         for (String line; (line = lines.readLine()) != null; ) {
-            told.append(line).append('\n');
+            output.append(line).append('\n');
             if (line.contains("   1.0 s")) {
                 Files.writeString(
                         edge,
@@ -381,13 +382,13 @@
                 Files.writeString(edge, "of no use");
             }
         }
-        assertThat(process.waitFor()).as(told.toString()).isZero();
-        assertThat(told).contains("held   LOST", "held   RAN_TWICE").doesNotContain("BROKEN");
+        assertThat(process.waitFor()).as(output.toString()).isZero();
+        assertThat(output).contains("held   LOST", "held   RAN_TWICE").doesNotContain("BROKEN");
     }
 
     /** Each proxy gives way to a new process while it serves, one of them twice; nobody is turned back unheard. */
     @Test
-    void upgradesUnderLoadLoseNothing() throws Exception {
+    void upgradesUnderLoadLoseNoRequest() throws Exception {
         Path script = folder.resolve("x.faults");
         Files.writeString(script, "1s proxy-0 upgrade\n2s proxy-1 upgrade\n4s proxy-0 upgrade\n");
         Process process = start(
@@ -407,10 +408,10 @@
                 script.toString(),
                 "--for",
                 "8s");
-        String told = new String(process.getInputStream().readAllBytes(), UTF_8);
-        assertThat(process.waitFor()).as(told).isZero();
-        assertThat(told).contains("held   LOST", "held   RAN_TWICE").doesNotContain("BROKEN");
-        assertThat(told).contains(" 0 unanswered");
+        String output = new String(process.getInputStream().readAllBytes(), UTF_8);
+        assertThat(process.waitFor()).as(output).isZero();
+        assertThat(output).contains("held   LOST", "held   RAN_TWICE").doesNotContain("BROKEN");
+        assertThat(output).contains(" 0 unanswered");
     }
 
     /**
@@ -418,7 +419,7 @@
      * its end: there is always somebody who answers on a connection that is opened afresh.
      */
     @Test
-    void whicheverProcessIsKilledSomebodyServes() throws Exception {
+    void serviceContinuesWhicheverProcessIsKilled() throws Exception {
         int port = freePort();
         Path config = folder.resolve("config.json");
         Files.writeString(
@@ -428,29 +429,29 @@
         Process serving = start("serve", config.toString());
         List<Process> all = new ArrayList<>(List.of(serving));
         try {
-            noop(port, serving);
+            assertServing(port, serving);
             for (int step = 0; step < 9; step++) {
                 Process next = start("serve", config.toString());
                 all.add(next);
                 next.waitFor(150L * step, TimeUnit.MILLISECONDS);
                 next.destroyForcibly().waitFor();
-                noop(port, serving);
+                assertServing(port, serving);
             }
             for (int step = 0; step < 3; step++) {
                 Process next = start("serve", config.toString());
                 all.add(next);
                 BufferedReader log = next.errorReader();
-                String told = log.readLine();
-                while (told != null && !told.contains("takeover completed: duration_ms=")) {
-                    told = log.readLine(); // it may have called discovery before, which is not there
+                String line = log.readLine();
+                while (line != null && !line.contains("takeover completed: duration_ms=")) {
+                    line = log.readLine(); // it may have called discovery before, which is not there
                 }
-                assertThat(told).as("what the new one says").isNotNull();
+                assertThat(line).as("what the new one says").isNotNull();
                 if (step > 0) {
                     serving.destroy();
                     serving.waitFor(20L * (step - 1), TimeUnit.MILLISECONDS);
                 }
                 serving.destroyForcibly().waitFor();
-                noop(port, next);
+                assertServing(port, next);
                 serving = next;
             }
         } finally {
@@ -458,7 +459,7 @@
         }
     }
 
-    private static void noop(int port, Process process) throws IOException {
+    private static void assertServing(int port, Process process) throws IOException {
         try (Socket client = connect(port, process)) {
             client.setSoTimeout(30_000);
             client.getOutputStream().write("mn\r\n".getBytes(UTF_8));
@@ -469,7 +470,7 @@
 
     /** Values of up to 4 MiB, a process that takes over every second, settings that change and a file of no use. */
     @Test
-    void theOperatorsDaysInTheDemo() throws Exception {
+    void theDemoHandlesLargeValuesUpgradesAndConfigChanges() throws Exception {
         Path script = folder.resolve("x.faults");
         Files.writeString(script, "1s proxy-0 retune\n1500ms proxy-1 misfile\n3s proxy-1 retune\n4s proxy-1 retune\n");
         Process process = start(
@@ -493,9 +494,9 @@
                 script.toString(),
                 "--for",
                 "6s");
-        String told = new String(process.getInputStream().readAllBytes(), UTF_8);
-        assertThat(process.waitFor()).as(told).isZero();
-        assertThat(told)
+        String output = new String(process.getInputStream().readAllBytes(), UTF_8);
+        assertThat(process.waitFor()).as(output).isZero();
+        assertThat(output)
                 .contains("held   LOST", "held   WRONG_VALUE", "held   RAN_TWICE", " 0 unanswered")
                 .containsPattern("files were taken [1-9].* turned down 1 times")
                 .doesNotContain("BROKEN");
@@ -503,7 +504,7 @@
 
     /** A target that never answers needs a connection for each request, and there are not as many descriptors. */
     @Test
-    void aGeneratorShortOfDescriptorsGoesOnWithWhatItHas() throws Exception {
+    void theLoadGeneratorContinuesWhenShortOfDescriptors() throws Exception {
         Path json = folder.resolve("short.json");
         try (ServerSocket target = new ServerSocket(0, 500, InetAddress.getByName("127.0.0.1"))) {
             String load = String.join(
@@ -519,15 +520,15 @@
                             "ulimit -n 100; exec '" + System.getProperty("java.home")
                                     + "/bin/java' -jar target/cacheproxy.jar " + load)
                     .start();
-            String told = new String(process.getInputStream().readAllBytes(), UTF_8);
+            String output = new String(process.getInputStream().readAllBytes(), UTF_8);
             String errors = new String(process.getErrorStream().readAllBytes(), UTF_8);
-            assertThat(process.waitFor()).as(told + errors).isIn(0, 3);
+            assertThat(process.waitFor()).as(output + errors).isIn(0, 3);
             JsonObject report = JsonParser.parseString(Files.readString(json)).getAsJsonObject();
             assertThat(report.get("requests").getAsLong())
                     .isEqualTo(report.get("unanswered").getAsLong())
                     .isPositive();
             assertThat(report.get("connections_short").getAsInt()).isGreaterThan(400);
-            assertThat(told).contains("ulimit -n");
+            assertThat(output).contains("ulimit -n");
         }
     }
 
@@ -540,11 +541,11 @@
         while (!lines.readLine().contains("interrupt it to end")) {
             // it starts
         }
-        JsonObject told = JsonParser.parseString(Files.readString(json)).getAsJsonObject();
-        JsonObject proxy = told.getAsJsonArray("proxies").get(0).getAsJsonObject();
+        JsonObject addresses = JsonParser.parseString(Files.readString(json)).getAsJsonObject();
+        JsonObject proxy = addresses.getAsJsonArray("proxies").get(0).getAsJsonObject();
         assertThat(ProcessHandle.of(proxy.get("pid").getAsLong())).isPresent();
         assertThat(Path.of(proxy.get("config").getAsString())).exists();
-        assertThat(told.getAsJsonArray("nodes")).hasSize(2);
+        assertThat(addresses.getAsJsonArray("nodes")).hasSize(2);
         String[] listen = proxy.get("listen").getAsString().split(":");
         try (Socket client = new Socket(listen[0], Integer.parseInt(listen[1]))) {
             client.getOutputStream().write("mg 7f3a v O1 Pc=seg-text,d=30000\r\n".getBytes(UTF_8));
@@ -567,7 +568,7 @@
     }
 
     @Test
-    void aConfigurationOfNoUseIsToldInOneLine() throws Exception {
+    void anInvalidConfigurationIsReportedInOneLine() throws Exception {
         Path broken = folder.resolve("broken.json");
         for (String text :
                 new String[] {null, "", "{", "[]", "{\"settings\":{}}", "{\"settings\":{},\"listen\":\"x:y\"}"}) {
@@ -576,9 +577,9 @@
                 Files.writeString(broken, text);
             }
             Process process = start("serve", broken.toString());
-            String told = new String(process.getErrorStream().readAllBytes(), UTF_8);
-            assertThat(told.lines()).as(told).hasSize(1);
-            assertThat(told).contains("broken.json");
+            String output = new String(process.getErrorStream().readAllBytes(), UTF_8);
+            assertThat(output.lines()).as(output).hasSize(1);
+            assertThat(output).contains("broken.json");
             assertThat(process.waitFor()).isEqualTo(2);
         }
     }
--- a/src/test/java/cacheproxy/LabIT.java
+++ b/src/test/java/cacheproxy/LabIT.java
@@ -17,22 +17,22 @@
 /** The lab as people run it: several processes of the packaged program, and faults between them. */
 @Timeout(180)
 class LabIT {
-    private static final int TOO_BUSY_TO_JUDGE = 3;
+    private static final int EXIT_TOO_BUSY_TO_JUDGE = 3;
 
     @TempDir
     private Path folder;
 
     private String printed;
 
-    private int lab(String... words) throws IOException, InterruptedException {
+    private int runLab(String... arguments) throws IOException, InterruptedException {
         Path out = folder.resolve("out");
-        List<String> all = new ArrayList<>(List.of(
+        List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-jar",
                 "target/cacheproxy.jar",
                 "lab"));
-        all.addAll(List.of(words));
-        int code = new ProcessBuilder(all)
+        command.addAll(List.of(arguments));
+        int code = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(out.toFile())
                 .start()
@@ -41,13 +41,13 @@
         return code;
     }
 
-    private static long sum(JsonObject outcome, String what, int from, int to) {
+    private static long sum(JsonObject outcome, String field, int from, int to) {
         long sum = 0;
         for (JsonElement e : outcome.getAsJsonArray("series")) {
             JsonObject row = e.getAsJsonObject();
             int second = row.get("second").getAsInt();
-            sum += second >= from && second < to && row.has(what)
-                    ? row.get(what).getAsLong()
+            sum += second >= from && second < to && row.has(field)
+                    ? row.get(field).getAsLong()
                     : 0;
         }
         return sum;
@@ -55,7 +55,7 @@
 
     /** Three seeds beside one another, as one after another would take too long for each change. */
     @Test
-    void aShortSoakOfThreeSeedsHolds() throws Exception {
+    void shortSoaksOfThreeSeedsKeepTheRules() throws Exception {
         List<Process> soaks = new ArrayList<>();
         List<Path> outs = new ArrayList<>();
         for (int seed = 1; seed <= 3; seed++) {
@@ -80,17 +80,17 @@
         }
         for (int i = 0; i < soaks.size(); i++) {
             int code = soaks.get(i).waitFor();
-            String told = Files.readString(outs.get(i));
-            assertThat(told).doesNotContain("BROKEN").contains("bad clients were owed an answer");
-            assertThat(code).as(told).isIn(0, TOO_BUSY_TO_JUDGE);
+            String output = Files.readString(outs.get(i));
+            assertThat(output).doesNotContain("BROKEN").contains("bad clients were owed an answer");
+            assertThat(code).as(output).isIn(0, EXIT_TOO_BUSY_TO_JUDGE);
         }
     }
 
     @Test
-    void cutsAndKillsAreBorneAndSeen() throws Exception {
+    void networkCutsAndKillsAreToleratedAndReported() throws Exception {
         Path json = folder.resolve("json");
         Path html = folder.resolve("html");
-        int code = lab(
+        int code = runLab(
                 "run",
                 "lab/ci-cuts-and-kills.conf",
                 "--json",
@@ -112,9 +112,9 @@
 
     /** Real processes leave a zone whose nodes say nothing, within a moment of each other, and return to it. */
     @Test
-    void aZoneThatFailsIsLeftByAllAndReturnedTo() throws Exception {
+    void allProxiesLeaveAFailedZoneAndReturn() throws Exception {
         Path logs = folder.resolve("logs");
-        assertThat(lab("run", "lab/ci-zone.conf", "--logs", logs.toString()))
+        assertThat(runLab("run", "lab/ci-zone.conf", "--logs", logs.toString()))
                 .as("%s", printed)
                 .isZero();
         assertThat(printed).contains("held   left").contains("held   whole").contains("held   leaves     1 ");
@@ -122,9 +122,9 @@
 
     /** All proxies die at once; each comes back with what it had stored, and its life goes on beyond the last. */
     @Test
-    void proxiesThatHaveAllDiedComeBackWithWhatTheyKept() throws Exception {
+    void allProxiesRestoreTheirStateAfterBeingKilled() throws Exception {
         Path logs = folder.resolve("logs");
-        assertThat(lab("run", "lab/ci-back.conf", "--logs", logs.toString()))
+        assertThat(runLab("run", "lab/ci-back.conf", "--logs", logs.toString()))
                 .as("%s", printed)
                 .isZero();
         for (int p = 0; p < 4; p++) {
@@ -140,7 +140,7 @@
 
     /** What can't hold is told as broken, so a verdict of "held" says something. */
     @Test
-    void whatIsExpectedAndDoesNotHoldIsBroken() throws Exception {
+    void anUnmetExpectationIsReportedAsBroken() throws Exception {
         Path file = Files.writeString(folder.resolve("dead.conf"), """
                 fleet {
                   proxies = 2
@@ -159,14 +159,14 @@
                   served = 90%
                 }
                 """);
-        assertThat(lab("run", file.toString())).as(printed).isEqualTo(1);
+        assertThat(runLab("run", file.toString())).as(printed).isEqualTo(1);
         assertThat(printed).contains("BROKEN served").contains("held   rules").doesNotContain("by itself");
     }
 
     @Test
-    void aMistakeIsToldWithoutARun() throws Exception {
+    void aScenarioErrorIsReportedWithoutARun() throws Exception {
         Path file = Files.writeString(folder.resolve("wrong.conf"), "fault \"x\" {\n  at = 1s\n  kil = [proxy-*]\n}\n");
-        assertThat(lab("run", file.toString())).isEqualTo(2);
+        assertThat(runLab("run", file.toString())).isEqualTo(2);
         assertThat(printed).contains("wrong.conf:3").contains("did you mean kill?");
     }
 }
--- a/src/test/java/cacheproxy/ServeOptionsTest.java
+++ b/src/test/java/cacheproxy/ServeOptionsTest.java
@@ -12,7 +12,7 @@
     }
 
     @Test
-    void withoutOptionsNothingIsOn() {
+    void withoutOptionsNothingIsEnabled() {
         ServeOptions options = parse("serve");
         assertThat(options.routesFile()).isNull();
         assertThat(options.controlSocket()).isNull();
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void eachOptionIsRead() {
+    void eachOptionIsParsed() {
         ServeOptions options = parse("serve --edge a --control b --figures 5s --view on --zones on --recovery on "
                 + "--zones off --state c --fleet d.e-f_1");
         assertThat(options.routesFile()).isEqualTo("a");
@@ -35,13 +35,13 @@
     }
 
     @Test
-    void wrongUseIsNotAccepted() {
-        for (String wrong : new String[] {
+    void invalidCommandLinesAreRejected() {
+        for (String invalid : new String[] {
             "--edge", "--edge ", "--edge a --edge b", "--control a --control b", "--state a --state b", "--figures 0s",
             "--figures 5", "--figures 123456s", "--figures 5s --figures 6s", "--view maybe", "--view", "--fleet -a",
             "--fleet ", "--unknown on", "on"
         }) {
-            assertThat(parse("serve " + wrong)).as(wrong).isNull();
+            assertThat(parse("serve " + invalid)).as(invalid).isNull();
         }
     }
 }
--- a/src/test/java/cacheproxy/SizeLimitsTest.java
+++ b/src/test/java/cacheproxy/SizeLimitsTest.java
@@ -41,7 +41,7 @@
 
     /** The decision files that the deploy file names are held to the same limits and exist. */
     @Test
-    void theDeployFilesDecisionFilesExist() throws IOException {
+    void thePolicyFilesOfTheDeployFileExist() throws IOException {
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
         List<String> policy = Pattern.compile("(?m)^policy = \\[(.*)]")
                 .matcher(deploy)
--- a/src/test/java/cacheproxy/admission/StableNamesTest.java
+++ b/src/test/java/cacheproxy/admission/StableNamesTest.java
@@ -8,7 +8,7 @@
 /** Names that stand in logs and counters; alerts rest on them, so they stay whatever the constants are called. */
 class StableNamesTest {
     @Test
-    void theConditionsThatForbidAnAct() {
+    void verdictKeys() {
         assertThat(Arrays.stream(Verdict.values()).map(Verdict::key))
                 .containsExactly(
                         "allowed",
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theViolationsOfRules() {
+    void ruleViolationKeys() {
         assertThat(Arrays.stream(RuleViolation.values()).map(RuleViolation::key))
                 .containsExactly(
                         "answered_twice",
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void theStatesOfARequest() {
+    void requestStateKeys() {
         assertThat(Arrays.stream(RequestState.values()).map(RequestState::key))
                 .containsExactly("OPEN", "STREAMING", "ANSWERED", "CLIENT_GONE");
     }
--- a/src/test/java/cacheproxy/drain/DrainStateMachineTest.java
+++ b/src/test/java/cacheproxy/drain/DrainStateMachineTest.java
@@ -20,36 +20,36 @@
 class DrainStateMachineTest {
     private final DrainStateMachine drain = new DrainStateMachine();
 
-    private static OpenWork open(int owed, int connections, int idle) {
-        return new OpenWork(owed, connections, idle, 0);
+    private static OpenWork open(int unanswered, int connections, int idle) {
+        return new OpenWork(unanswered, connections, idle, 0);
     }
 
     @Test
-    void servingOrdersNothing() {
+    void noActionsWhileServing() {
         assertThat(drain.tick(0, open(5, 9, 4))).isEqualTo(Actions.NONE);
         assertThat(drain.draining()).isFalse();
         assertThat(drain.progress(0).phase()).isEqualTo(Phase.SERVING);
     }
 
     @Test
-    void idleConnectionsAreEndedInEvenSteps() {
+    void idleConnectionsAreClosedAtAnEvenRate() {
         drain.startDrain(0, DrainPlan.requested(10_000)); // over 2 s
         int idle = 1000;
-        int most = 0;
-        int half = 0;
+        int maxClosed = 0;
+        int idleAtHalf = 0;
         for (int now = 20; now <= 2000; now += 20) {
-            int end = drain.tick(now, open(0, idle, idle)).closeIdle();
-            most = Math.max(most, end);
-            idle -= end;
-            half = now == 1000 ? idle : half;
+            int closed = drain.tick(now, open(0, idle, idle)).closeIdle();
+            maxClosed = Math.max(maxClosed, closed);
+            idle -= closed;
+            idleAtHalf = now == 1000 ? idle : idleAtHalf;
         }
         assertThat(idle).isZero();
-        assertThat(most).isLessThanOrEqualTo(12);
-        assertThat(half).isBetween(480, 520);
+        assertThat(maxClosed).isLessThanOrEqualTo(12);
+        assertThat(idleAtHalf).isBetween(480, 520);
     }
 
     @Test
-    void connectionsInUseEndAfterTheirAnswerOnceThePaceIsOver() {
+    void connectionsInUseCloseAfterTheirResponseOnceTheIdleClosePeriodIsOver() {
         drain.startDrain(0, DrainPlan.requested(10_000));
         assertThat(drain.closesAfterAnswer(1999)).isFalse();
         assertThat(drain.closesAfterAnswer(2000)).isTrue();
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void progressIsWhatIsGoneOfTheMostThatWasOpen() {
+    void progressIsTheClosedFractionOfThePeak() {
         drain.tick(0, open(10, 90, 80));
         drain.startDrain(0, DrainPlan.requested(10_000));
         drain.tick(20, open(0, 50, 50));
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void drainedMeansThatNothingWasOpenForAWhile() {
+    void drainedAfterAQuietPeriodWithNothingOpen() {
         drain.startDrain(0, DrainPlan.requested(30_000));
         assertThat(drain.tick(100, open(0, 0, 0)).exit()).isFalse();
         assertThat(drain.tick(900, open(1, 1, 0)).exit()).isFalse(); // one came after all
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void atTheDeadlineAllIsAnsweredAndTheProcessEnds() {
+    void atTheDeadlineAllRequestsAreAnsweredAndTheProcessExits() {
         drain.startDrain(0, DrainPlan.requested(5000));
         assertThat(drain.tick(4999, open(2, 3, 0)).answerAll()).isFalse();
         assertThat(drain.tick(5000, open(2, 3, 0))).isEqualTo(new Actions(0, false, true, true));
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void aCancelLeadsBackAndASecondDrainBeginsAnew() {
+    void aCancelReturnsToServingAndASecondDrainStartsOver() {
         drain.startDrain(0, DrainPlan.requested(5000));
         drain.tick(4000, open(2, 3, 1));
         assertThat(drain.cancel()).isNull();
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void askedTwiceTheShorterDeadlineHoldsAndIsTold() {
+    void ofTwoDrainsTheEarlierDeadlineAppliesAndIsReported() {
         assertThat(drain.startDrain(0, DrainPlan.requested(5000)).alreadyDraining())
                 .isFalse();
         DrainStateMachine.StartResult longer = drain.startDrain(1000, DrainPlan.requested(60_000));
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aTerminationTakesOverAndCantBeTakenBack() {
+    void aTerminationReplacesADrainAndCannotBeCancelled() {
         drain.startDrain(0, DrainPlan.requested(60_000));
         drain.tick(100, open(1, 5, 4));
         drain.startDrain(100, DrainPlan.onTermination(500, 1000));
@@ -134,14 +134,14 @@
     }
 
     @Test
-    void aTerminationLeavesASoonerDeadline() {
+    void aTerminationKeepsAnEarlierDeadline() {
         drain.startDrain(0, DrainPlan.requested(1000));
         drain.startDrain(900, DrainPlan.onTermination(500, 1000));
         assertThat(drain.tick(1000, open(1, 1, 0)).answerAll()).isTrue();
     }
 
     @Test
-    void aPlanOfNoSenseIsRefused() {
+    void anInvalidPlanIsRejected() {
         assertThatThrownBy(() -> DrainPlan.requested(0)).hasMessageContaining("deadline");
         assertThatThrownBy(() -> DrainPlan.requested(Double.NaN)).hasMessageContaining("deadline");
         assertThatThrownBy(() -> DrainPlan.requested(1e9)).hasMessageContaining("hour");
@@ -149,7 +149,7 @@
 
     /** The platform's kill does not wait for a class that does. */
     @Test
-    void afterSigtermAllIsAnsweredBeforeTheKillHoweverLongAClassWaits() {
+    void afterSigtermAllRequestsAreAnsweredBeforeSigkill() {
         assertThat(DrainPlan.onTermination(500, 30_000).timeoutMs()).isEqualTo(DrainPlan.MAX_ANSWER_MS);
         assertThat(DrainPlan.onTerminationWithSuccessor(30_000).timeoutMs()).isEqualTo(DrainPlan.MAX_ANSWER_MS);
         assertThat(DrainPlan.onTermination(500, 1000).timeoutMs()).isEqualTo(1500);
@@ -163,7 +163,7 @@
         CONNECT,
         REQUEST,
         ANSWER,
-        CLIENT_LEAVES,
+        CLIENT_DISCONNECTS,
         DRAIN,
         DRAIN_SHORT,
         CANCEL,
@@ -177,7 +177,7 @@
                         Tuple.of(4, Step.CONNECT),
                         Tuple.of(4, Step.REQUEST),
                         Tuple.of(4, Step.ANSWER),
-                        Tuple.of(1, Step.CLIENT_LEAVES),
+                        Tuple.of(1, Step.CLIENT_DISCONNECTS),
                         Tuple.of(1, Step.DRAIN),
                         Tuple.of(1, Step.DRAIN_SHORT),
                         Tuple.of(1, Step.CANCEL),
@@ -193,16 +193,16 @@
      * every request is answered once, and after the end nothing is open.
      */
     @Property(tries = 500, seed = "21")
-    void everyInterleavingKeepsItsPromises(
-            @ForAll("steps") List<Step> steps, @ForAll @IntRange(min = 0, max = 30) int first) {
+    void everyInterleavingKeepsTheInvariants(
+            @ForAll("steps") List<Step> steps, @ForAll @IntRange(min = 0, max = 30) int initialIdle) {
         DrainStateMachine machine = new DrainStateMachine();
-        int idle = first;
+        int idle = initialIdle;
         int busy = 0;
-        long taken = 0;
+        long accepted = 0;
         long answered = 0;
-        double share = 0;
-        int drains = 0;
-        double bound = Double.POSITIVE_INFINITY;
+        double completedFraction = 0;
+        int drainCount = 0;
+        double deadlineMs = Double.POSITIVE_INFINITY;
         boolean listen = true;
         boolean exit = false;
         double now = 0;
@@ -215,7 +215,7 @@
                     if (idle > 0) {
                         idle--;
                         busy++;
-                        taken++;
+                        accepted++;
                     }
                 }
                 case ANSWER -> {
@@ -225,59 +225,59 @@
                         idle += machine.closesAfterAnswer(now) ? 0 : 1;
                     }
                 }
-                case CLIENT_LEAVES -> {
+                case CLIENT_DISCONNECTS -> {
                     idle -= idle > 0 ? 1 : 0;
                 }
                 case DRAIN ->
-                    bound = Math.min(
-                            bound,
+                    deadlineMs = Math.min(
+                            deadlineMs,
                             now
                                     + machine.startDrain(now, DrainPlan.requested(4000))
                                             .deadlineRemainingMs());
                 case DRAIN_SHORT ->
-                    bound = Math.min(
-                            bound,
+                    deadlineMs = Math.min(
+                            deadlineMs,
                             now
                                     + machine.startDrain(now, DrainPlan.requested(300))
                                             .deadlineRemainingMs());
                 case TERMINATE ->
-                    bound = Math.min(
-                            bound,
+                    deadlineMs = Math.min(
+                            deadlineMs,
                             now
                                     + machine.startDrain(now, DrainPlan.onTermination(500, 1000))
                                             .deadlineRemainingMs());
                 case CANCEL -> {
                     if (machine.cancel() == null) {
-                        bound = Double.POSITIVE_INFINITY;
+                        deadlineMs = Double.POSITIVE_INFINITY;
                     }
                 }
                 default -> {}
             }
-            Actions orders = machine.tick(now, new OpenWork(busy, idle + busy, idle, answered));
-            assertThat(orders.closeIdle()).isBetween(0, idle);
-            idle -= orders.closeIdle();
-            listen = orders.listen();
-            exit = orders.exit();
-            if (orders.answerAll()) {
+            Actions actions = machine.tick(now, new OpenWork(busy, idle + busy, idle, answered));
+            assertThat(actions.closeIdle()).isBetween(0, idle);
+            idle -= actions.closeIdle();
+            listen = actions.listen();
+            exit = actions.exit();
+            if (actions.answerAll()) {
                 answered += busy;
                 busy = 0;
             }
-            DrainStateMachine.Progress p = machine.progress(now);
-            if (p.drainCount() != drains) {
-                drains = p.drainCount();
-                share = 0;
+            DrainStateMachine.Progress progress = machine.progress(now);
+            if (progress.drainCount() != drainCount) {
+                drainCount = progress.drainCount();
+                completedFraction = 0;
             }
-            assertThat(machine.draining()).isEqualTo(p.phase() != Phase.SERVING);
+            assertThat(machine.draining()).isEqualTo(progress.phase() != Phase.SERVING);
             if (machine.draining()) {
-                assertThat(p.completedFraction()).isBetween(share, 1.0);
-                share = p.completedFraction();
-                assertThat(now).isLessThan(bound + 40);
+                assertThat(progress.completedFraction()).isBetween(completedFraction, 1.0);
+                completedFraction = progress.completedFraction();
+                assertThat(now).isLessThan(deadlineMs + 40);
             } else {
                 assertThat(listen).isTrue();
             }
         }
         assertThat(exit).isTrue();
         assertThat(busy).isZero();
-        assertThat(answered).isEqualTo(taken);
+        assertThat(answered).isEqualTo(accepted);
     }
 }
--- a/src/test/java/cacheproxy/flow/ArrivalTimesTest.java
+++ b/src/test/java/cacheproxy/flow/ArrivalTimesTest.java
@@ -14,7 +14,7 @@
 /** When bytes came that wait to be looked at. */
 class ArrivalTimesTest {
     @Test
-    void eachByteHasTheTimeOfTheReadThatBroughtIt() {
+    void eachByteHasTheTimeOfItsRead() {
         ArrivalTimes times = new ArrivalTimes();
         times.received(10, 100, true);
         times.received(5, 200, false);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void whatMayHaveWaitedInTheSystemCameWhenItMayHaveBegunToWait() {
+    void bytesThatMayHaveWaitedGetTheStartOfTheWait() {
         ArrivalTimes times = new ArrivalTimes();
         times.backlogPossible(100);
         times.backlogPossible(300);
@@ -36,7 +36,7 @@
 
     /** Its sender had no room for it, and sends it as soon as there is some. */
     @Test
-    void whatComesRightBehindBytesThatWaitedHasWaitedToo() {
+    void bytesRightAfterABacklogCountAsPartOfIt() {
         ArrivalTimes times = new ArrivalTimes();
         times.backlogPossible(100);
         times.received(10, 900, false);
@@ -50,7 +50,7 @@
 
     /** The rest of a long value that had to wait for room is sent once there is some. */
     @Test
-    void whatComesBehindAllThatCanWaitHasNotWaited() {
+    void bytesBeyondTheMaximumBacklogHaveNotWaited() {
         ArrivalTimes times = new ArrivalTimes();
         times.backlogPossible(100);
         times.received(ArrivalTimes.MAX_BACKLOG_BYTES + 1, 2000, false);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void whatAClientSendsThatHasAllItsAnswersHasNotWaited() {
+    void bytesOfAnIdleClientHaveNotWaited() {
         ArrivalTimes times = new ArrivalTimes();
         times.backlogPossible(100);
         times.received(10, 900, false);
@@ -72,22 +72,21 @@
 
     /** The number of pieces is bounded, at the price of times that are too early and never too late. */
     @Property(tries = 100)
-    void noByteIsTakenToHaveComeLaterThanItDid(
-            @ForAll @Size(min = 1, max = 600) List<@IntRange(min = 1, max = 50) Integer> reads) {
+    void noArrivalTimeIsTooLate(@ForAll @Size(min = 1, max = 600) List<@IntRange(min = 1, max = 50) Integer> reads) {
         ArrivalTimes times = new ArrivalTimes();
-        List<Double> came = new ArrayList<>();
+        List<Double> actualMs = new ArrayList<>();
         double now = 0;
         for (int bytes : reads) {
             now += 30;
             times.received(bytes, now, false);
             times.backlogDrained(now);
             for (int i = 0; i < bytes; i++) {
-                came.add(now);
+                actualMs.add(now);
             }
         }
-        for (int i = 0; i < came.size(); i++) {
-            assertThat(times.arrivedAtMs(i + 1)).isLessThanOrEqualTo(came.get(i));
+        for (int i = 0; i < actualMs.size(); i++) {
+            assertThat(times.arrivedAtMs(i + 1)).isLessThanOrEqualTo(actualMs.get(i));
         }
-        assertThat(times.received()).isEqualTo(came.size());
+        assertThat(times.received()).isEqualTo(actualMs.size());
     }
 }
--- a/src/test/java/cacheproxy/flow/ByteBudgetTest.java
+++ b/src/test/java/cacheproxy/flow/ByteBudgetTest.java
@@ -15,41 +15,42 @@
     private static final int MB = 1 << 20;
     private final List<String> granted = new ArrayList<>();
 
-    private Reservation claim(ByteBudget budget, int bytes, String name) {
+    private Reservation reserveNamed(ByteBudget budget, int bytes, String name) {
         return budget.reserve(bytes, () -> granted.add(name));
     }
 
     @Example
-    void largeOnesWaitInLineAndSmallOnesPass() {
+    void largeValuesQueueAndSmallValuesPassThem() {
         ByteBudget budget = new ByteBudget(8 * MB);
-        Reservation a = claim(budget, 4 * MB, "a");
-        Reservation b = claim(budget, 4 * MB, "b");
-        Reservation c = claim(budget, MB, "c");
+        Reservation a = reserveNamed(budget, 4 * MB, "a");
+        Reservation b = reserveNamed(budget, 4 * MB, "b");
+        Reservation c = reserveNamed(budget, MB, "c");
         assertThat(a.granted()).isTrue();
         assertThat(b.granted()).isFalse();
         assertThat(c.granted()).as("would fit, but came behind a large one").isFalse();
-        assertThat(claim(budget, ByteBudget.SMALL_VALUE_BYTES, "small").granted())
+        assertThat(reserveNamed(budget, ByteBudget.SMALL_VALUE_BYTES, "small").granted())
                 .isTrue();
         a.release();
         assertThat(granted).containsExactly("b", "c");
     }
 
     @Example
-    void aPartIsLeftToSmallOnes() {
+    void aFractionIsReservedForSmallValues() {
         ByteBudget budget = new ByteBudget(8 * MB);
         for (int i = 0; i < 6; i++) {
-            assertThat(claim(budget, MB, "large").granted()).isTrue();
+            assertThat(reserveNamed(budget, MB, "large").granted()).isTrue();
         }
-        assertThat(claim(budget, MB, "one more").granted()).isFalse();
+        assertThat(reserveNamed(budget, MB, "one more").granted()).isFalse();
         for (int i = 0; i < 32; i++) {
-            assertThat(claim(budget, ByteBudget.SMALL_VALUE_BYTES, "small").granted())
+            assertThat(reserveNamed(budget, ByteBudget.SMALL_VALUE_BYTES, "small")
+                            .granted())
                     .isTrue();
         }
-        assertThat(claim(budget, 1, "full").granted()).isFalse();
+        assertThat(reserveNamed(budget, 1, "full").granted()).isFalse();
     }
 
     @Example
-    void whatCanNeverFitIsToldSo() {
+    void reservationsThatCannotBeGrantedAreRejected() {
         ByteBudget budget = new ByteBudget(4 * MB);
         assertThat(budget.reserve(4 * MB, () -> {})).isNull();
         assertThat(budget.reserve(-1, () -> {})).isNull();
@@ -62,10 +63,10 @@
     }
 
     @Example
-    void oneThatLeavesTheLineIsNeverGranted() {
+    void aCancelledReservationIsNeverGranted() {
         ByteBudget budget = new ByteBudget(4 * MB);
-        Reservation a = claim(budget, 3 * MB, "a");
-        Reservation b = claim(budget, 3 * MB, "b");
+        Reservation a = reserveNamed(budget, 3 * MB, "a");
+        Reservation b = reserveNamed(budget, 3 * MB, "b");
         b.release();
         a.release();
         a.release();
@@ -75,26 +76,29 @@
 
     /** Claims and releases in any order: never over the bound, everybody gets room in the end, nothing is left over. */
     @Property(seed = "1", tries = 1000)
-    void theBoundHoldsAndNobodyStarves(
+    void theLimitHoldsAndEveryReservationIsGranted(
             @ForAll @Size(max = 60) List<@IntRange(min = 1, max = 3 * MB) Integer> sizes,
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 59) Integer> releases) {
         ByteBudget budget = new ByteBudget(4 * MB);
-        List<Reservation> held = new ArrayList<>();
-        int next = 0;
+        List<Reservation> reservations = new ArrayList<>();
+        int index = 0;
         for (int bytes : sizes) {
-            held.add(budget.reserve(bytes % 3 == 0 ? bytes : 1 + bytes % ByteBudget.SMALL_VALUE_BYTES, () -> {}));
-            if (next < releases.size() && releases.get(next) < held.size()) {
-                held.remove((int) releases.get(next)).release();
+            reservations.add(
+                    budget.reserve(bytes % 3 == 0 ? bytes : 1 + bytes % ByteBudget.SMALL_VALUE_BYTES, () -> {}));
+            if (index < releases.size() && releases.get(index) < reservations.size()) {
+                reservations.remove((int) releases.get(index)).release();
             }
-            next++;
+            index++;
             assertThat(budget.reserved()).isBetween(0L, 4L * MB);
         }
-        while (!held.isEmpty()) {
-            Reservation done =
-                    held.stream().filter(Reservation::granted).findFirst().orElse(null);
-            assertThat(done).as("somebody has room while any wait").isNotNull();
-            held.remove(done);
-            done.release();
+        while (!reservations.isEmpty()) {
+            Reservation next = reservations.stream()
+                    .filter(Reservation::granted)
+                    .findFirst()
+                    .orElse(null);
+            assertThat(next).as("somebody has room while any wait").isNotNull();
+            reservations.remove(next);
+            next.release();
         }
         assertThat(budget.reserved()).isZero();
         assertThat(budget.waiting()).isZero();
--- a/src/test/java/cacheproxy/flow/ReadAheadBudgetTest.java
+++ b/src/test/java/cacheproxy/flow/ReadAheadBudgetTest.java
@@ -15,50 +15,50 @@
     private static final int SHARED = 100_000;
 
     @Test
-    void eachConnectionHasSomeOfItsOwnWhateverOthersTake() {
-        ReadAheadBudget all = new ReadAheadBudget(SHARED);
-        assertThat(all.newReservation().tryReserve(ReadAheadBudget.OWN_BYTES_PER_CONNECTION + SHARED - 1))
+    void eachConnectionHasItsOwnReadAheadBesideTheSharedBudget() {
+        ReadAheadBudget budget = new ReadAheadBudget(SHARED);
+        assertThat(budget.newReservation().tryReserve(ReadAheadBudget.OWN_BYTES_PER_CONNECTION + SHARED - 1))
                 .isTrue();
-        ReadAheadBudget.Reservation late = all.newReservation();
-        assertThat(late.tryReserve(ReadAheadBudget.OWN_BYTES_PER_CONNECTION - 1))
+        ReadAheadBudget.Reservation second = budget.newReservation();
+        assertThat(second.tryReserve(ReadAheadBudget.OWN_BYTES_PER_CONNECTION - 1))
                 .isTrue();
-        assertThat(late.tryReserve(ReadAheadBudget.OWN_BYTES_PER_CONNECTION + 2))
+        assertThat(second.tryReserve(ReadAheadBudget.OWN_BYTES_PER_CONNECTION + 2))
                 .isFalse();
     }
 
     @Test
-    void whatIsReleasedIsAnothersToTake() {
-        ReadAheadBudget all = new ReadAheadBudget(SHARED);
-        ReadAheadBudget.Reservation first = all.newReservation();
+    void releasedBytesAreAvailableToOthers() {
+        ReadAheadBudget budget = new ReadAheadBudget(SHARED);
+        ReadAheadBudget.Reservation first = budget.newReservation();
         first.tryReserve(ReadAheadBudget.OWN_BYTES_PER_CONNECTION + SHARED - 1);
         first.release();
-        assertThat(all.reserved()).isZero();
-        assertThat(all.newReservation().tryReserve(ReadAheadBudget.OWN_BYTES_PER_CONNECTION + 2))
+        assertThat(budget.reserved()).isZero();
+        assertThat(budget.newReservation().tryReserve(ReadAheadBudget.OWN_BYTES_PER_CONNECTION + 2))
                 .isTrue();
     }
 
     @Test
-    void oneConnectionHasABoundWhateverIsFree() {
-        ReadAheadBudget all = new ReadAheadBudget(1L << 30);
-        assertThat(all.newReservation().tryReserve(ReadAheadBudget.MAX_BYTES_PER_CONNECTION - 1))
+    void aConnectionIsLimitedRegardlessOfTheFreeBudget() {
+        ReadAheadBudget budget = new ReadAheadBudget(1L << 30);
+        assertThat(budget.newReservation().tryReserve(ReadAheadBudget.MAX_BYTES_PER_CONNECTION - 1))
                 .isTrue();
-        assertThat(all.newReservation().tryReserve(ReadAheadBudget.MAX_BYTES_PER_CONNECTION))
+        assertThat(budget.newReservation().tryReserve(ReadAheadBudget.MAX_BYTES_PER_CONNECTION))
                 .isFalse();
     }
 
     @Property(tries = 200)
-    void allTogetherNeverTakeMoreThanThereIs(
+    void allReservationsTogetherStayWithinTheBudget(
             @ForAll @Size(max = 50) List<@IntRange(min = 0, max = 600_000) Integer> waiting) {
-        ReadAheadBudget all = new ReadAheadBudget(SHARED);
-        List<ReadAheadBudget.Reservation> parts = new ArrayList<>();
+        ReadAheadBudget budget = new ReadAheadBudget(SHARED);
+        List<ReadAheadBudget.Reservation> reservations = new ArrayList<>();
         for (int bytes : waiting) {
-            if (parts.size() < 5) {
-                parts.add(all.newReservation());
+            if (reservations.size() < 5) {
+                reservations.add(budget.newReservation());
             }
-            parts.get(bytes % parts.size()).tryReserve(bytes);
-            assertThat(all.reserved()).isBetween(0L, (long) SHARED);
+            reservations.get(bytes % reservations.size()).tryReserve(bytes);
+            assertThat(budget.reserved()).isBetween(0L, (long) SHARED);
         }
-        parts.forEach(ReadAheadBudget.Reservation::release);
-        assertThat(all.reserved()).isZero();
+        reservations.forEach(ReadAheadBudget.Reservation::release);
+        assertThat(budget.reserved()).isZero();
     }
 }
--- a/src/test/java/cacheproxy/flow/ReadTimeoutTest.java
+++ b/src/test/java/cacheproxy/flow/ReadTimeoutTest.java
@@ -10,44 +10,44 @@
 
 /** How long a client may take over a request that it has begun. */
 class ReadTimeoutTest {
-    private static final double SPAN_MS = ReadTimeout.TIMEOUT_MS;
+    private static final double PERIOD_MS = ReadTimeout.TIMEOUT_MS;
 
     @Test
-    void aConnectionHasOneSpanForItsFirstCommandWhateverComesOfIt() {
+    void aNewConnectionHasOnePeriodForItsFirstCommand() {
         ReadTimeout timeout = ReadTimeout.forNewConnection(100);
         timeout.lineStarted(2000);
-        assertThat(timeout.expiresAtMs()).isEqualTo(100 + SPAN_MS);
+        assertThat(timeout.expiresAtMs()).isEqualTo(100 + PERIOD_MS);
         timeout.commandCompleted();
         assertThat(timeout.expiresAtMs()).isInfinite();
     }
 
     @Test
-    void aConnectionOfAnotherProcessMayRest() {
+    void anAdoptedConnectionMayBeIdle() {
         assertThat(ReadTimeout.forAdoptedConnection(100).expiresAtMs()).isInfinite();
     }
 
     @Test
-    void furtherBytesOfALineDoNotRenewItsSpan() {
+    void furtherBytesOfALineDoNotRestartItsPeriod() {
         ReadTimeout timeout = ReadTimeout.forAdoptedConnection(0);
         timeout.lineStarted(1000);
         timeout.lineStarted(3000);
-        assertThat(timeout.expiresAtMs()).isEqualTo(1000 + SPAN_MS);
+        assertThat(timeout.expiresAtMs()).isEqualTo(1000 + PERIOD_MS);
     }
 
     @Test
-    void aValueEarnsTimeByWhatHasComeOfItAndMayNotStop() {
+    void aValueExtendsItsPeriodByReceivedBytesAndMayNotPause() {
         ReadTimeout timeout = ReadTimeout.forAdoptedConnection(0);
         timeout.valueStarted(1000);
-        assertThat(timeout.expiresAtMs()).isEqualTo(1000 + SPAN_MS);
+        assertThat(timeout.expiresAtMs()).isEqualTo(1000 + PERIOD_MS);
         timeout.valueReceived(1 << 20, 3000);
-        assertThat(timeout.expiresAtMs()).isEqualTo(3000 + SPAN_MS);
+        assertThat(timeout.expiresAtMs()).isEqualTo(3000 + PERIOD_MS);
         timeout.valueReceived(1, 5000);
-        assertThat(timeout.expiresAtMs()).isEqualTo(5000 + SPAN_MS);
+        assertThat(timeout.expiresAtMs()).isEqualTo(5000 + PERIOD_MS);
     }
 
     /** However its bytes are spread, a value of so many has ended by what they earn. */
     @Property(tries = 200)
-    void aDripEndsWhenItsBytesHaveEarnedNoMore(
+    void aSlowValueTimesOutAfterTheTimeForItsBytes(
             @ForAll @IntRange(min = 1, max = 1000) int bytes,
             @ForAll @DoubleRange(min = 1, max = 2000) double everyMs) {
         ReadTimeout timeout = ReadTimeout.forAdoptedConnection(0);
@@ -55,26 +55,26 @@
         for (int i = 1; i <= bytes && i * everyMs < timeout.expiresAtMs(); i++) {
             timeout.valueReceived(1, i * everyMs);
         }
-        assertThat(timeout.expiresAtMs()).isLessThanOrEqualTo(SPAN_MS + bytes / ReadTimeout.MIN_VALUE_BYTES_PER_MS);
+        assertThat(timeout.expiresAtMs()).isLessThanOrEqualTo(PERIOD_MS + bytes / ReadTimeout.MIN_VALUE_BYTES_PER_MS);
     }
 
     @Test
-    void timeInWhichTheProxyBlocksTheClientDoesNotCount() {
+    void timeWhileTheProxyPausesReadingDoesNotCount() {
         ReadTimeout timeout = ReadTimeout.forAdoptedConnection(0);
         timeout.valueStarted(1000);
         timeout.setPaused(true, 1500);
         assertThat(timeout.expiresAtMs()).isInfinite();
         timeout.setPaused(true, 1700);
         timeout.setPaused(false, 6500);
-        assertThat(timeout.expiresAtMs()).isEqualTo(6000 + SPAN_MS);
+        assertThat(timeout.expiresAtMs()).isEqualTo(6000 + PERIOD_MS);
     }
 
     @Test
-    void aSpanThatBeginsWhileTheClientIsBlockedCountsFromTheEndOfThat() {
+    void aPeriodThatStartsDuringAPauseCountsFromItsEnd() {
         ReadTimeout timeout = ReadTimeout.forAdoptedConnection(0);
         timeout.setPaused(true, 500);
         timeout.valueStarted(1000);
         timeout.setPaused(false, 4000);
-        assertThat(timeout.expiresAtMs()).isEqualTo(4000 + SPAN_MS);
+        assertThat(timeout.expiresAtMs()).isEqualTo(4000 + PERIOD_MS);
     }
 }
--- a/src/test/java/cacheproxy/flow/RecentRequestIdsTest.java
+++ b/src/test/java/cacheproxy/flow/RecentRequestIdsTest.java
@@ -12,23 +12,23 @@
 import net.jqwik.api.constraints.Size;
 
 class RecentRequestIdsTest {
-    private static final double HOLD_MS = 100;
+    private static final double RETENTION_MS = 100;
 
     @Example
-    void anIdIsHeldForItsTimeAndFreeThen() {
+    void anIdIsRememberedForTheRetentionTime() {
         RecentRequestIds ids = new RecentRequestIds();
-        ids.add(0, "a", HOLD_MS);
-        assertThat(ids.contains(HOLD_MS - 1, "a")).isTrue();
-        assertThat(ids.contains(HOLD_MS - 1, "b")).isFalse();
-        assertThat(ids.contains(HOLD_MS, "a")).isFalse();
+        ids.add(0, "a", RETENTION_MS);
+        assertThat(ids.contains(RETENTION_MS - 1, "a")).isTrue();
+        assertThat(ids.contains(RETENTION_MS - 1, "b")).isFalse();
+        assertThat(ids.contains(RETENTION_MS, "a")).isFalse();
         assertThat(ids.size()).isZero();
     }
 
     @Example
-    void ofTooManyTheOldestIsForgotten() {
+    void theOldestIdIsEvictedAtTheLimit() {
         RecentRequestIds ids = new RecentRequestIds();
         for (int i = 0; i <= RecentRequestIds.MAX_IDS; i++) {
-            ids.add(0, "i" + i, HOLD_MS);
+            ids.add(0, "i" + i, RETENTION_MS);
         }
         assertThat(ids.size()).isEqualTo(RecentRequestIds.MAX_IDS);
         assertThat(ids.contains(0, "i0")).isFalse();
@@ -38,17 +38,18 @@
 
     /** Against a plain map of ends, with ids that come again once they are free. */
     @Property
-    void holdsWhatEndedWithinItsTime(@ForAll @Size(max = 200) List<@IntRange(min = 0, max = 19) Integer> requests) {
+    void remembersIdsWithinTheRetentionTime(
+            @ForAll @Size(max = 200) List<@IntRange(min = 0, max = 19) Integer> requests) {
         RecentRequestIds ids = new RecentRequestIds();
         Map<String, Double> endedMs = new HashMap<>();
         double now = 0;
         for (int request : requests) {
             now += 7;
             String id = "i" + request;
-            boolean held = endedMs.containsKey(id) && now < endedMs.get(id) + HOLD_MS;
-            assertThat(ids.contains(now, id)).isEqualTo(held);
-            if (!held) {
-                ids.add(now, id, HOLD_MS);
+            boolean remembered = endedMs.containsKey(id) && now < endedMs.get(id) + RETENTION_MS;
+            assertThat(ids.contains(now, id)).isEqualTo(remembered);
+            if (!remembered) {
+                ids.add(now, id, RETENTION_MS);
                 endedMs.put(id, now);
             }
         }
--- a/src/test/java/cacheproxy/metrics/FleetMetricsTest.java
+++ b/src/test/java/cacheproxy/metrics/FleetMetricsTest.java
@@ -26,7 +26,7 @@
     }
 
     @Property(seed = "1", tries = 200)
-    void aLineIsReadAsItWasWritten(@ForAll long pid, @ForAll long at, @ForAll long[] counts, @ForAll boolean avoided) {
+    void aLineIsParsedAsWritten(@ForAll long pid, @ForAll long at, @ForAll long[] counts, @ForAll boolean avoided) {
         Map<Metric, Long> all = new EnumMap<>(Metric.class);
         for (int i = 0; i < Math.min(counts.length, Metric.values().length); i++) {
             all.put(Metric.values()[i], counts[i]);
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void nodesThatRejectConnectionsAreSortedMostFirst() {
+    void rejectedConnectionsAreInDescendingOrder() {
         FleetMetrics metrics = new FleetMetrics();
         metrics.add(line("p0", 1, 1000, 0, new Node("a", 3, 2, false), new Node("b", 3, 1, false)));
         metrics.add(line("p1", 1, 1000, 0, new Node("b", 3, 4, true), new Node("c", 1, 0, true)));
--- a/src/test/java/cacheproxy/metrics/LogMessageTest.java
+++ b/src/test/java/cacheproxy/metrics/LogMessageTest.java
@@ -12,7 +12,7 @@
     }
 
     @Test
-    void aValueThatASpaceWouldSplitIsQuoted() {
+    void aValueWithASpaceOrQuoteIsQuoted() {
         assertThat(LogMessage.of("x")
                         .with("cause", "say \"no\" \\ twice")
                         .with("none", null)
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aValueDoesNotBeginAnotherLine() {
+    void lineBreaksInAValueAreReplaced() {
         assertThat(LogMessage.of("x").with("client", "a\r\nrule_violation: b").toString())
                 .isEqualTo("x client=\"a  rule_violation: b\"");
     }
--- a/src/test/java/cacheproxy/metrics/WireNamesTest.java
+++ b/src/test/java/cacheproxy/metrics/WireNamesTest.java
@@ -17,7 +17,7 @@
 
 /** Names that operators and tools read, whatever the constants are called in the code. */
 class WireNamesTest {
-    private static String pinned(String name) throws IOException {
+    private static String golden(String name) throws IOException {
         try (InputStream in = WireNamesTest.class.getResourceAsStream(name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
@@ -30,28 +30,29 @@
     }
 
     @Test
-    void kindsOfEventsInTheLog() throws IOException {
-        assertThat(table(EventKind.values(), EventKind::key)).isEqualTo(pinned("event-kinds.txt"));
+    void eventKindKeys() throws IOException {
+        assertThat(table(EventKind.values(), EventKind::key)).isEqualTo(golden("event-kinds.txt"));
     }
 
     @Test
-    void countersInLinesAndInTheTableOfFigures() throws IOException {
-        assertThat(table(Metric.values(), w -> w.key() + "\t" + w.label())).isEqualTo(pinned("counters.txt"));
+    void counterKeysAndLabels() throws IOException {
+        assertThat(table(Metric.values(), metric -> metric.key() + "\t" + metric.label()))
+                .isEqualTo(golden("counters.txt"));
     }
 
     @Test
-    void whatForbidsAnAttempt() throws IOException {
-        assertThat(table(Verdict.values(), Verdict::key)).isEqualTo(pinned("verdicts.txt"));
+    void verdictKeys() throws IOException {
+        assertThat(table(Verdict.values(), Verdict::key)).isEqualTo(golden("verdicts.txt"));
     }
 
     @Test
-    void kindsOfRuleViolations() throws IOException {
-        assertThat(table(RuleViolation.values(), RuleViolation::key)).isEqualTo(pinned("breaches.txt"));
+    void ruleViolationKeys() throws IOException {
+        assertThat(table(RuleViolation.values(), RuleViolation::key)).isEqualTo(golden("breaches.txt"));
     }
 
     /** As the command {@code figures} reads it, with each counter at a value of its own. */
     @Test
-    void aLineOfFigures() throws IOException {
+    void metricsLineFormat() throws IOException {
         Map<Metric, Long> counts = new EnumMap<>(Metric.class);
         for (Metric metric : Metric.values()) {
             counts.put(metric, 100L + metric.ordinal());
@@ -65,8 +66,8 @@
                 2500,
                 counts,
                 List.of(new MetricsLine.Node("1a", 5, 6, true), new MetricsLine.Node("ff", 0, 1, false)));
-        String pinned = pinned("figures-line.txt");
-        assertThat(line.text() + "\n").isEqualTo(pinned);
-        assertThat(MetricsLine.parse(pinned)).contains(line);
+        String golden = golden("figures-line.txt");
+        assertThat(line.text() + "\n").isEqualTo(golden);
+        assertThat(MetricsLine.parse(golden)).contains(line);
     }
 }
--- a/src/test/java/cacheproxy/simulator/RecordedSessionTest.java
+++ b/src/test/java/cacheproxy/simulator/RecordedSessionTest.java
@@ -16,7 +16,7 @@
  */
 class RecordedSessionTest {
     @Test
-    void theSameFramesComeBackByteForByte() throws IOException {
+    void repliesAreIdenticalByteForByte() throws IOException {
         ByteArrayOutputStream replies = new ByteArrayOutputStream();
         new SimulatorAdapter(new ByteArrayInputStream(recorded("session-in.bin.gz")), replies).run();
         assertThat(replies.toByteArray()).isEqualTo(recorded("session-out.bin.gz"));
--- a/src/test/java/cacheproxy/simulator/SettingsFormTest.java
+++ b/src/test/java/cacheproxy/simulator/SettingsFormatTest.java
@@ -19,23 +19,23 @@
 import org.junit.jupiter.api.Test;
 
 /** A settings file of the operators' form, and all that is read from it, value by value in the order of the fields. */
-class SettingsFormTest {
-    private static final Path FOLDER = Path.of("src/test/resources");
+class SettingsFormatTest {
+    private static final Path RESOURCES = Path.of("src/test/resources");
 
     @Test
     void allFieldsOfASettingsFileAreRead() throws Exception {
-        JsonElement file = JsonParser.parseString(Files.readString(FOLDER.resolve("config.json")));
+        JsonElement file = JsonParser.parseString(Files.readString(RESOURCES.resolve("config.json")));
         Map<String, String> values = new HashMap<>();
         flatten("", file.getAsJsonObject().get("settings"), values);
         List<String> lines = new ArrayList<>();
         print("", new SettingsParser(values).settings(), lines);
         assertThat(String.join("\n", lines) + "\n")
-                .isEqualTo(Files.readString(FOLDER.resolve("simulator/settings-values.txt")));
+                .isEqualTo(Files.readString(RESOURCES.resolve("simulator/settings-values.txt")));
     }
 
     /** The operators' words and codes; they stay, whatever the constants are called. */
     @Test
-    void theWordsOfTheWireAreTheOperators() {
+    void wireNamesAndCodesAreStable() {
         assertThat(List.of(Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT))
                 .extracting(Idempotency::wireName)
                 .containsExactly("retryable", "dedup", "fragile");
@@ -64,11 +64,11 @@
                 print(indent + "  ", each, lines);
             }
         } else {
-            lines.add(indent + word(value));
+            lines.add(indent + wireText(value));
         }
     }
 
-    private static String word(Object value) {
+    private static String wireText(Object value) {
         if (value instanceof Idempotency idempotency) {
             return idempotency.wireName();
         }
--- a/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
@@ -99,7 +99,7 @@
 
     /** The page's example: an empty batch with its reply. */
     @Test
-    void anEmptyBatchIsAnsweredAsOnThePage() throws IOException {
+    void anEmptyBatchIsAnsweredAsDocumented() throws IOException {
         HexFormat hex = HexFormat.of();
         byte[] reply = run(hex.parseHex("1400000000000000206ec0400000000001000000"));
         assertThat(hex.formatHex(reply)).isEqualTo("0c0000000000000001000000");
@@ -149,29 +149,29 @@
     }
 
     @Test
-    void badFramesAreNamed() {
+    void malformedFramesAreReported() {
         byte[] good = new Batch().start(SETTINGS).bytes();
         assertThatThrownBy(() -> run(java.util.Arrays.copyOf(good, good.length - 1)))
                 .hasMessageContaining("inside a frame");
         assertThatThrownBy(() -> run(new byte[] {5, 0, 0, 0, 0})).hasMessageContaining("frame of 5 bytes");
-        Batch unknown = new Batch().start(SETTINGS);
-        unknown.record(31, 3);
-        assertThatThrownBy(() -> run(unknown.bytes()))
+        Batch unknownCode = new Batch().start(SETTINGS);
+        unknownCode.record(31, 3);
+        assertThatThrownBy(() -> run(unknownCode.bytes()))
                 .isInstanceOf(MalformedInputException.class)
                 .hasMessage("batch 7, record 2: unknown event code 31");
-        Batch nobody = new Batch();
-        nobody.record(70, 4);
-        assertThatThrownBy(() -> run(nobody.bytes())).hasMessage("batch 7, record 0: unknown instance 4");
-        Batch outside = new Batch().start(SETTINGS);
-        outside.record(90, 3).putInt(7, 1 << 20).putInt(11, 4);
-        assertThatThrownBy(() -> run(outside.bytes())).hasMessageContaining("outside the tail");
-        byte[] many = new Batch().start(SETTINGS).bytes();
-        ByteBuffer.wrap(many).order(ByteOrder.LITTLE_ENDIAN).putInt(12, 100000);
-        assertThatThrownBy(() -> run(many)).hasMessageContaining("100000 records exceed the frame");
+        Batch unknownInstance = new Batch();
+        unknownInstance.record(70, 4);
+        assertThatThrownBy(() -> run(unknownInstance.bytes())).hasMessage("batch 7, record 0: unknown instance 4");
+        Batch outsideTail = new Batch().start(SETTINGS);
+        outsideTail.record(90, 3).putInt(7, 1 << 20).putInt(11, 4);
+        assertThatThrownBy(() -> run(outsideTail.bytes())).hasMessageContaining("outside the tail");
+        byte[] tooManyRecords = new Batch().start(SETTINGS).bytes();
+        ByteBuffer.wrap(tooManyRecords).order(ByteOrder.LITTLE_ENDIAN).putInt(12, 100000);
+        assertThatThrownBy(() -> run(tooManyRecords)).hasMessageContaining("100000 records exceed the frame");
     }
 
     @Test
-    void missingAndUnreadableSettingsAreNamed() {
+    void missingAndInvalidSettingsAreReported() {
         assertThatThrownBy(() -> SettingsParser.ofLines(SETTINGS.replace("caps.max-attempts=3", ""))
                         .settings())
                 .hasMessageContaining("caps.max-attempts");
--- a/src/test/java/cacheproxy/takeover/HandoverStateMachineTest.java
+++ b/src/test/java/cacheproxy/takeover/HandoverStateMachineTest.java
@@ -12,86 +12,86 @@
 
 class HandoverStateMachineTest {
     @Example
-    void aSuccessorGoesThroughAllOfItAndTakesTheClients() {
-        HandoverStateMachine h = new HandoverStateMachine();
-        assertThat(h.snapshotRequested(1)).isTrue();
-        assertThat(h.socketRequested(1)).isTrue();
-        assertThat(h.acceptsConnections()).isTrue();
-        assertThat(h.successorServes(1)).isTrue();
-        assertThat(h.acceptsConnections()).isFalse();
-        assertThat(h.passesClients()).isFalse();
-        h.terminationRequested();
-        assertThat(h.passesClients()).isTrue();
-        assertThat(h.completedHandovers()).isEqualTo(1);
+    void aSuccessorCompletesTheHandoverAndIsPassedTheClients() {
+        HandoverStateMachine handover = new HandoverStateMachine();
+        assertThat(handover.snapshotRequested(1)).isTrue();
+        assertThat(handover.socketRequested(1)).isTrue();
+        assertThat(handover.acceptsConnections()).isTrue();
+        assertThat(handover.successorServes(1)).isTrue();
+        assertThat(handover.acceptsConnections()).isFalse();
+        assertThat(handover.passesClients()).isFalse();
+        handover.terminationRequested();
+        assertThat(handover.passesClients()).isTrue();
+        assertThat(handover.completedHandovers()).isEqualTo(1);
     }
 
     @Example
-    void oneThatGoesBeforeTheEndGivesTheClientsBack() {
-        HandoverStateMachine h = new HandoverStateMachine();
-        h.snapshotRequested(1);
-        h.socketRequested(1);
-        h.successorServes(1);
-        h.connectionClosed(1);
-        assertThat(h.acceptsConnections()).isTrue();
-        assertThat(h.snapshotRequested(2)).isTrue();
+    void ifTheSuccessorDisconnectsThisProcessAcceptsAgain() {
+        HandoverStateMachine handover = new HandoverStateMachine();
+        handover.snapshotRequested(1);
+        handover.socketRequested(1);
+        handover.successorServes(1);
+        handover.connectionClosed(1);
+        assertThat(handover.acceptsConnections()).isTrue();
+        assertThat(handover.snapshotRequested(2)).isTrue();
     }
 
     @Example
-    void aNewerOneTakesThePlaceOfOneThatDoesNotServe() {
-        HandoverStateMachine h = new HandoverStateMachine();
-        h.snapshotRequested(1);
-        h.socketRequested(1);
-        assertThat(h.snapshotRequested(2)).isTrue();
-        assertThat(h.successorServes(1)).isFalse();
-        h.connectionClosed(1);
-        assertThat(h.phase()).isEqualTo(Phase.SNAPSHOT_SENT);
-        assertThat(h.socketRequested(2)).isTrue();
-        assertThat(h.successorServes(2)).isTrue();
-        assertThat(h.snapshotRequested(3)).isFalse();
+    void aNewerSuccessorReplacesOneThatIsNotServing() {
+        HandoverStateMachine handover = new HandoverStateMachine();
+        handover.snapshotRequested(1);
+        handover.socketRequested(1);
+        assertThat(handover.snapshotRequested(2)).isTrue();
+        assertThat(handover.successorServes(1)).isFalse();
+        handover.connectionClosed(1);
+        assertThat(handover.phase()).isEqualTo(Phase.SNAPSHOT_SENT);
+        assertThat(handover.socketRequested(2)).isTrue();
+        assertThat(handover.successorServes(2)).isTrue();
+        assertThat(handover.snapshotRequested(3)).isFalse();
     }
 
     @Example
-    void toldToEndWithNobodyThereItAcceptsAsLongAsItsPlanHasIt() {
-        HandoverStateMachine h = new HandoverStateMachine();
-        h.snapshotRequested(1);
-        h.terminationRequested();
-        assertThat(h.acceptsConnections()).isTrue();
-        assertThat(h.passesClients()).isFalse();
-        assertThat(h.successorServes(1)).isFalse();
-        assertThat(h.snapshotRequested(2)).isFalse();
+    void terminatingWithoutASuccessorItStillAccepts() {
+        HandoverStateMachine handover = new HandoverStateMachine();
+        handover.snapshotRequested(1);
+        handover.terminationRequested();
+        assertThat(handover.acceptsConnections()).isTrue();
+        assertThat(handover.passesClients()).isFalse();
+        assertThat(handover.successorServes(1)).isFalse();
+        assertThat(handover.snapshotRequested(2)).isFalse();
     }
 
     /** Every order of events that three links and the system can bring. */
     @Property(seed = "1", tries = 3000)
-    void thereIsAlwaysSomebodyWhoAccepts(@ForAll @Size(max = 14) List<@IntRange(min = 0, max = 12) Integer> events) {
-        HandoverStateMachine h = new HandoverStateMachine();
-        boolean[] alive = new boolean[4];
+    void someProcessAlwaysAccepts(@ForAll @Size(max = 14) List<@IntRange(min = 0, max = 12) Integer> events) {
+        HandoverStateMachine handover = new HandoverStateMachine();
+        boolean[] connected = new boolean[4];
         boolean[] serving = new boolean[4];
         boolean terminated = false;
-        for (int e : events) {
-            int link = 1 + e % 3;
-            switch (e / 3) {
-                case 0 -> alive[link] |= !serving[link] && h.snapshotRequested(link);
-                case 1 -> h.socketRequested(link);
-                case 2 -> serving[link] |= h.successorServes(link);
+        for (int event : events) {
+            int connection = 1 + event % 3;
+            switch (event / 3) {
+                case 0 -> connected[connection] |= !serving[connection] && handover.snapshotRequested(connection);
+                case 1 -> handover.socketRequested(connection);
+                case 2 -> serving[connection] |= handover.successorServes(connection);
                 case 3 -> {
-                    alive[link] = serving[link] = false;
-                    h.connectionClosed(link);
+                    connected[connection] = serving[connection] = false;
+                    handover.connectionClosed(connection);
                 }
                 default -> {
                     terminated = true;
-                    h.terminationRequested();
+                    handover.terminationRequested();
                 }
             }
-            int servers = 0;
-            for (int l = 1; l <= 3; l++) {
-                servers += serving[l] ? 1 : 0;
+            int servingSuccessors = 0;
+            for (int other = 1; other <= 3; other++) {
+                servingSuccessors += serving[other] ? 1 : 0;
             }
-            assertThat(servers).as("successors that serve").isLessThanOrEqualTo(1);
-            assertThat(h.acceptsConnections())
-                    .as("accepts, with " + servers + " that serve")
-                    .isEqualTo(servers == 0);
-            assertThat(h.passesClients()).isEqualTo(terminated && servers == 1);
+            assertThat(servingSuccessors).as("successors that serve").isLessThanOrEqualTo(1);
+            assertThat(handover.acceptsConnections())
+                    .as("accepts, with " + servingSuccessors + " that serve")
+                    .isEqualTo(servingSuccessors == 0);
+            assertThat(handover.passesClients()).isEqualTo(terminated && servingSuccessors == 1);
         }
     }
 }
