--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -16,9 +16,9 @@
 import java.nio.file.Path;
 
 /**
- * Command line: {@code serve} is one real proxy on sockets, {@code drill} speaks the simulator's wire on standard input
- * and output, {@code train} starts and ends a proxy so that the build can archive its classes. These three load nothing
- * of the tools; whatever else is asked goes to {@link Cli}.
+ * The entry point of the program. {@code serve} runs a proxy, {@code drill} runs the simulator protocol on standard
+ * input and output, and {@code train} starts and stops a proxy so that the build can archive its classes. These three
+ * load no classes of the tools; all other commands are handled by {@link Cli}.
  */
 public final class Main {
     private static final int EXIT_FAILURE = 1;
@@ -26,7 +26,7 @@
 
     private Main() {}
 
-    /** Runs until the input ends ({@code drill}), the process is told to end ({@code serve}) or a tool is done. */
+    /** Runs until the input ends ({@code drill}), the process is terminated ({@code serve}) or a tool completes. */
     public static void main(String[] args) {
         switch (args.length == 0 ? "" : args.length == 1 || args[0].equals("serve") ? args[0] : "") {
             case "serve" -> serve(args);
@@ -36,17 +36,17 @@
         }
     }
 
-    /** Loads the classes of a proxy that operators ask, so that the build can archive them. */
+    /** Loads the classes that serve operators' requests, so that the build can archive them. */
     private static void exerciseAdminPort(Proxy proxy) {
         try {
             AdminPort.exercise(proxy.loop(), ProxyControl.registry(proxy));
         } catch (Exception e) {
-            System.err.println("the admin port was not exercised: " + e);
+            System.err.println("could not exercise the admin port: " + e);
         }
     }
 
     private static void serve(String[] args) {
-        SighupHandler sighup = SighupHandler.install(); // first: until then the signal ends the process
+        SighupHandler sighup = SighupHandler.install(); // first, because an unhandled SIGHUP terminates the process
         ServeOptions options = ServeOptions.parse(args);
         if (options == null) {
             System.err.println(ServeOptions.USAGE);
@@ -55,7 +55,7 @@
         }
         Proxy proxy = start(options, sighup);
         if (options.controlSocket() == null && proxy.adminAddress() == null) {
-            return; // nobody asks, so nothing of it is loaded
+            return; // no control interface is configured, so its classes are not loaded
         }
         ControlRegistry registry = ProxyControl.registry(proxy);
         if (options.controlSocket() != null) {
@@ -86,16 +86,16 @@
             ControlServer server = new ControlServer(proxy.loop(), Path.of(path), registry);
             Runtime.getRuntime().addShutdownHook(new Thread(server::close));
         } catch (IOException | InvalidPathException e) {
-            System.err.println("no control socket: " + e.getMessage());
+            System.err.println("can't open the control socket: " + e.getMessage());
             System.exit(EXIT_FAILURE);
         }
     }
 
     private static void openAdminPort(Proxy proxy, ControlRegistry registry) {
         try {
-            new AdminPort(proxy.loop(), proxy.adminAddress(), registry); // as long as the process serves
+            new AdminPort(proxy.loop(), proxy.adminAddress(), registry); // stays open as long as the process runs
         } catch (Exception e) {
-            System.err.println("can't listen for operators on " + proxy.adminAddress() + ": " + e.getMessage());
+            System.err.println("can't open the admin port at " + proxy.adminAddress() + ": " + e.getMessage());
             System.exit(EXIT_FAILURE);
         }
     }
--- a/src/main/java/cacheproxy/ServeOptions.java
+++ b/src/main/java/cacheproxy/ServeOptions.java
@@ -3,8 +3,8 @@
 import cacheproxy.proxy.lifecycle.FleetFeatures;
 
 /**
- * The options of {@code serve}. Parsed by hand, so that a proxy's start loads no command line library. The flags stand
- * in operators' scripts:
+ * The options of {@code serve}. Parsed without a command line library, so that the start of a proxy does not have to
+ * load one. The flags are used in operators' scripts and must stay:
  *
  * <pre>
  * --edge FILE        {@link #routesFile}
@@ -35,7 +35,7 @@
 
     private ServeOptions() {}
 
-    /** Parses the command line, whose first word is {@code serve}; null if it is wrong. */
+    /** Parses the command line, whose first argument is {@code serve}; returns null if it is invalid. */
     static ServeOptions parse(String[] args) {
         ServeOptions options = new ServeOptions();
         for (int i = 1; i < args.length; i += 2) {
@@ -46,7 +46,9 @@
         return options;
     }
 
-    /** Sets one option; false if the flag is unknown, its value is wrong, or it may not be repeated. */
+    /**
+     * Sets one option; returns false if the flag is unknown, the value is invalid, or the flag must not be repeated.
+     */
     private boolean set(String flag, String value) {
         return switch (flag) {
             case "--edge" -> {
@@ -93,32 +95,32 @@
         return true;
     }
 
-    /** The file with the routes; null: none. */
+    /** Returns the file with the routes, or null if there is none. */
     String routesFile() {
         return routesFile;
     }
 
-    /** The path of the control socket; null: none. */
+    /** Returns the path of the control socket, or null if there is none. */
     String controlSocket() {
         return controlSocket;
     }
 
-    /** How often metrics are logged, in milliseconds; 0: never. */
+    /** Returns the interval at which metrics are logged, in milliseconds; 0 if they are not logged. */
     long metricsIntervalMs() {
         return metricsIntervalMs;
     }
 
-    /** What the instance does together with its fleet. */
+    /** Returns the fleet features that are enabled. */
     FleetFeatures features() {
         return new FleetFeatures(view, zones, recovery);
     }
 
-    /** The folder for what outlasts the process; null: none. */
+    /** Returns the folder for persistent state, or null if there is none. */
     String stateFolder() {
         return stateFolder;
     }
 
-    /** The name of the instance's fleet. */
+    /** Returns the name of the instance's fleet. */
     String fleetName() {
         return fleetName;
     }
--- a/src/main/java/cacheproxy/admission/RequestState.java
+++ b/src/main/java/cacheproxy/admission/RequestState.java
@@ -1,24 +1,24 @@
 package cacheproxy.admission;
 
 /**
- * The state of a request that was accepted.
+ * The state of an accepted request.
  *
  * <pre>
- * OPEN      -> STREAMING            a streamed answer begins
- * OPEN      -> ANSWERED             the final answer is given
- * OPEN      -> CLIENT_DISCONNECTED  its client has disconnected
- * STREAMING -> ANSWERED             the streamed answer has ended, or was aborted
- * STREAMING -> CLIENT_DISCONNECTED  its client has disconnected
+ * OPEN      -> STREAMING            a streamed response begins
+ * OPEN      -> ANSWERED             the final response is sent
+ * OPEN      -> CLIENT_DISCONNECTED  the client disconnects
+ * STREAMING -> ANSWERED             the streamed response ends or is aborted
+ * STREAMING -> CLIENT_DISCONNECTED  the client disconnects
  * </pre>
  */
 public enum RequestState {
-    /** It has had no final answer yet. */
+    /** No final response has been sent yet. */
     OPEN("OPEN"),
-    /** A streamed answer is being passed on; it is unanswered until that ends. */
+    /** A streamed response is being forwarded; the request counts as unanswered until the stream ends. */
     STREAMING("STREAMING"),
-    /** It has had its final answer. */
+    /** The final response has been sent. */
     ANSWERED("ANSWERED"),
-    /** Its client disconnected before it was answered; it gets no answer. */
+    /** The client disconnected before the final response; no response is sent. */
     CLIENT_DISCONNECTED("CLIENT_GONE");
 
     private final String key;
@@ -27,17 +27,17 @@
         this.key = key;
     }
 
-    /** Its name in logs; it stays, whatever the constant is called. */
+    /** The name in logs. It is stable, whatever the constant's name. */
     public String key() {
         return key;
     }
 
-    /** Whether it gets nothing more. */
+    /** Whether nothing more may be sent for the request. */
     public boolean isFinal() {
         return this == ANSWERED || this == CLIENT_DISCONNECTED;
     }
 
-    /** Whether this state may follow it. */
+    /** Whether a transition from this state to {@code next} is valid. */
     public boolean canBecome(RequestState next) {
         return switch (this) {
             case OPEN -> next != OPEN;
--- a/src/main/java/cacheproxy/admission/SafetyRules.java
+++ b/src/main/java/cacheproxy/admission/SafetyRules.java
@@ -8,42 +8,44 @@
 import java.util.List;
 
 /**
- * Says whether an attempt may begin, and whether a request may be rejected. Knows only the states that it is given:
- * whoever acts passes them as they are at the moment of the act, not as they were when it was planned. All times in
- * milliseconds on one clock.
+ * Decides whether an attempt may begin and whether a request may be rejected. Stateless: the caller passes the state at
+ * the moment of the action, not the state at the time it was planned. All times are milliseconds on one clock.
  */
 public final class SafetyRules {
     /**
-     * By how much the timeout that an endpoint is sent may exceed the time that its client has left; the same
-     * everywhere.
+     * How far the timeout sent to an endpoint may exceed the client's remaining time, in milliseconds. A fixed limit,
+     * the same in every deployment.
      */
     public static final double SENT_TIMEOUT_SLACK_MS = 150;
-    /** How late after its deadline a final answer still is one; the same in every deployment, whatever its settings. */
+    /**
+     * How long after its deadline a request may still get its final response, in milliseconds. A fixed limit, the same
+     * in every deployment and independent of the settings.
+     */
     public static final double FINAL_ANSWER_SLACK_MS = 500;
 
     private SafetyRules() {}
 
     /**
-     * An attempt of a request besides the one in question.
+     * Another attempt of the same request.
      *
-     * @param sentMs when it was sent
-     * @param location where it was sent
+     * @param sentMs when it was ordered, which is no later than when it was sent
+     * @param location the location of its endpoint
      * @param inFlight whether it has not ended
-     * @param mayHaveRun whether it has taken effect, may have, or may yet
+     * @param mayHaveRun whether it took effect, may have taken effect or may still take effect
      */
     public record EarlierAttempt(double sentMs, EndpointLocation location, boolean inFlight, boolean mayHaveRun) {}
 
     /**
      * An attempt that is about to begin.
      *
-     * @param requestState of its request
-     * @param serviceClass of its request
-     * @param remainingMs the time that its client has left; none if it is not over 0
-     * @param endpointReady whether the list has the endpoint take new requests
-     * @param location of the endpoint
-     * @param attemptIndex how many attempts of the request were made before it
-     * @param maxAttempts how many there may be in all
-     * @param hedgingAllowed whether it may be in flight beside another
+     * @param requestState the state of its request
+     * @param serviceClass the class of its request
+     * @param remainingMs the time until the deadline; expired unless above 0
+     * @param endpointReady whether the endpoint list marks the endpoint as ready for new requests
+     * @param location the location of the endpoint
+     * @param attemptIndex the number of earlier attempts of the request
+     * @param maxAttempts the maximum number of attempts of the request
+     * @param hedgingAllowed whether the attempt may be in flight concurrently with another
      * @param otherAttempts the request's other attempts
      */
     public record AttemptStart(
@@ -57,7 +59,7 @@
             boolean hedgingAllowed,
             List<EarlierAttempt> otherAttempts) {}
 
-    /** Whether the attempt may begin at this time; the first condition that forbids it, or ALLOWED. */
+    /** Returns the first condition that forbids the attempt to begin now, or {@link Verdict#ALLOWED}. */
     public static Verdict mayBegin(double nowMs, AttemptStart attempt) {
         if (attempt.requestState == RequestState.CLIENT_DISCONNECTED) {
             return Verdict.CLIENT_DISCONNECTED;
@@ -90,7 +92,7 @@
         if (!earlier.mayHaveRun) {
             return Verdict.ALLOWED;
         }
-        // For now, and not a connect timeout later as when it was planned: its connection is up, and it is written now.
+        // Without the connect timeout that routing adds: this is checked again right before the attempt is written.
         RepeatSafety safety =
                 RepeatSafety.of(attempt.serviceClass, earlier.sentMs, earlier.location, nowMs, attempt.location);
         return switch (safety) {
@@ -102,7 +104,7 @@
     }
 
     /**
-     * Whether a request may be rejected, which promises its client that a repeat does no harm.
+     * Whether a request may be rejected. A rejection tells the client that it can safely repeat the request.
      *
      * @param attempts all attempts of the request
      */
@@ -116,10 +118,10 @@
     }
 
     /**
-     * Whether the timeout that an endpoint is sent exceeds what its client has left by more than the slack.
+     * Whether the timeout sent to an endpoint exceeds the client's remaining time by more than the slack.
      *
      * @param sentMs the timeout sent with the request
-     * @param remainingMs what the client has left; negative if its deadline is over
+     * @param remainingMs the client's remaining time; negative once its deadline has passed
      */
     public static boolean isExcessiveTimeout(double sentMs, double remainingMs) {
         return sentMs > Math.max(remainingMs, 0) + SENT_TIMEOUT_SLACK_MS;
--- a/src/main/java/cacheproxy/admission/Verdict.java
+++ b/src/main/java/cacheproxy/admission/Verdict.java
@@ -1,27 +1,27 @@
 package cacheproxy.admission;
 
 /**
- * Whether an act is allowed now, or the condition that forbids it. The rules are numbered as in
- * {@code docs/GLOSSARY.md}. Logs and counters show the keys, which are stable.
+ * The result of a check by {@link SafetyRules}: allowed, or the condition that forbids the action. The rules are
+ * numbered as in {@code docs/GLOSSARY.md}. Logs and counters show the keys, which are stable.
  */
 public enum Verdict {
-    /** Nothing forbids it. */
+    /** No condition forbids the action. */
     ALLOWED("allowed"),
-    /** Rule 1: a request has one final answer, and nothing is sent for it after that. */
+    /** Rule 1: a request gets one final response, and no attempt begins once a response has begun. */
     REQUEST_ANSWERED("request_answered"),
-    /** Rule 1: nothing is sent for a request whose client has disconnected. */
+    /** Rule 1: no attempt begins for a request whose client has disconnected. */
     CLIENT_DISCONNECTED("client_gone"),
-    /** Rule 1: an endpoint is sent no longer timeout than its client has left; here none is left. */
+    /** Rule 1: the timeout sent to an endpoint is limited by the client's remaining time, and no time remains. */
     DEADLINE_EXCEEDED("no_time_left"),
-    /** Settings: a request has no more attempts than {@code caps.max-attempts}. */
+    /** Settings: a request has at most {@code caps.max-attempts} attempts. */
     ATTEMPTS_EXHAUSTED("attempts_spent"),
-    /** Rule 3: nothing new is sent to an endpoint that drains, or that the list no longer has. */
+    /** Rule 3: no new attempt is sent to an endpoint that is draining or has been removed from the list. */
     ENDPOINT_NOT_READY("server_not_ready"),
-    /** Rule 2: a request that isn't idempotent and may have taken effect is neither repeated nor rejected. */
+    /** Rule 2: a non-idempotent request that may have taken effect is neither repeated nor rejected. */
     MAYBE_EXECUTED("may_have_run"),
     /**
-     * Rule 2: a request with an idempotency key that may have taken effect is repeated only at endpoints that drop the
-     * repeat.
+     * Rule 2: a request with an idempotency key that may have taken effect is repeated only at endpoints that
+     * deduplicate the repeat.
      */
     OUTSIDE_DEDUPLICATION_SCOPE("other_group"),
     /**
@@ -29,7 +29,7 @@
      * window.
      */
     DEDUPLICATION_WINDOW_EXPIRED("window_over"),
-    /** Rule 2: where the settings forbid hedging, one attempt is in flight at a time. */
+    /** Rule 2: where the settings forbid hedging, a request has at most one attempt in flight. */
     HEDGING_NOT_ALLOWED("second_copy");
 
     private final String key;
@@ -38,12 +38,12 @@
         this.key = key;
     }
 
-    /** Whether the act may be done. */
+    /** Whether the action is allowed. */
     public boolean allowed() {
         return this == ALLOWED;
     }
 
-    /** Its name in logs and counters; it stays, whatever the constant is called. */
+    /** The name in logs and counters. It is stable, whatever the constant's name. */
     public String key() {
         return key;
     }
--- a/src/main/java/cacheproxy/backoff/ExponentialBackoff.java
+++ b/src/main/java/cacheproxy/backoff/ExponentialBackoff.java
@@ -1,21 +1,22 @@
 package cacheproxy.backoff;
 
 /**
- * A delay that doubles with each failure in a row, up to a cap. Has no jitter: who needs it multiplies.
+ * Exponential backoff: a delay that doubles with each consecutive failure, up to a cap. It adds no jitter; callers that
+ * need jitter multiply the delay.
  *
  * @param baseMs the delay after the first failure, in milliseconds
- * @param capMs the longest delay, in milliseconds
+ * @param capMs the maximum delay, in milliseconds
  */
 public record ExponentialBackoff(double baseMs, double capMs) {
-    /** More doublings than any cap needs; keeps the factor a whole number that a double holds exactly. */
+    /** Enough to reach any cap, and small enough that a {@code double} represents the factor exactly. */
     private static final int MAX_DOUBLINGS = 50;
 
-    /** A backoff that doubles so many times at most, 0 to 50. */
+    /** Returns a backoff whose cap is reached after {@code maxDoublings} doublings, 0 to 50. */
     public static ExponentialBackoff ofDoublings(double baseMs, int maxDoublings) {
         return new ExponentialBackoff(baseMs, baseMs * (1L << maxDoublings));
     }
 
-    /** The delay in milliseconds after so many earlier failures in a row, 0 or more. */
+    /** Returns the delay in milliseconds after this number of earlier consecutive failures, 0 or more. */
     public double delayMs(int earlierFailures) {
         return Math.min(capMs, baseMs * (1L << Math.min(earlierFailures, MAX_DOUBLINGS)));
     }
--- a/src/main/java/cacheproxy/backoff/FailureBackoff.java
+++ b/src/main/java/cacheproxy/backoff/FailureBackoff.java
@@ -1,31 +1,31 @@
 package cacheproxy.backoff;
 
-/** The backoff of one operation, with its count of failures in a row. Times in milliseconds. Not thread-safe. */
+/** The backoff of one operation, with its count of consecutive failures. Times in milliseconds. Not thread-safe. */
 public final class FailureBackoff {
     private final ExponentialBackoff backoff;
     private int failures;
 
-    /** Begins without a failure. */
+    /** Creates the state of an operation that has not failed yet. */
     public FailureBackoff(ExponentialBackoff backoff) {
         this.backoff = backoff;
     }
 
-    /** The operation has succeeded: the next failure is the first. */
+    /** Records a success, which resets the count of consecutive failures. */
     public void reset() {
         failures = 0;
     }
 
-    /** The operation has failed: the delay doubles unless it is the longest already. */
+    /** Records a failure, which doubles the delay up to the cap. */
     public void recordFailure() {
         failures++;
     }
 
-    /** The delay as it stands, after the failures recorded so far. */
+    /** Returns the current delay, after the failures recorded so far. */
     public double delayMs() {
         return backoff.delayMs(failures);
     }
 
-    /** The operation has failed; the delay until it may be tried again. */
+    /** Records a failure and returns the delay until the operation may be retried. */
     public double nextDelayMs() {
         double delayMs = delayMs();
         recordFailure();
--- a/src/main/java/cacheproxy/backoff/package-info.java
+++ b/src/main/java/cacheproxy/backoff/package-info.java
@@ -1,2 +1,2 @@
-/** How long to wait after failures in a row. Decisions without sockets, threads or clocks. */
+/** Retry delays after consecutive failures. Pure calculations without sockets, threads or clocks. */
 package cacheproxy.backoff;
--- a/src/main/java/cacheproxy/drain/DrainPlan.java
+++ b/src/main/java/cacheproxy/drain/DrainPlan.java
@@ -1,16 +1,17 @@
 package cacheproxy.drain;
 
 /**
- * The schedule of one drain. Times are milliseconds from its start.
+ * The schedule of one drain. Times are in milliseconds.
  *
- * @param listenMs how long new connections are accepted; infinite: until nothing is open
+ * @param listenMs how long new connections are accepted; if infinite, until nothing is open
  * @param idleGraceMs how long idle connections are left open
- * @param idleClosePeriodMs over which period after that they are closed, so that their clients do not all reconnect
- *     elsewhere at once
- * @param quietPeriodMs how long no request may have been open before an instance without connections counts as drained
- * @param timeoutMs when every open request gets its final answer and the process exits; above 0, at most an hour
- * @param unannounced whether clients that ask are still told that the instance serves
- * @param irrevocable whether it can't be cancelled
+ * @param idleClosePeriodMs the period after {@code idleGraceMs} over which idle connections are closed, so that their
+ *     clients do not all reconnect elsewhere at once
+ * @param quietPeriodMs the minimum time without requests after which an instance with nothing open counts as drained
+ * @param timeoutMs the time until all open requests get their final response and the process exits; above 0, at most an
+ *     hour
+ * @param unannounced whether clients that query the status ({@code mn}) are still told that the instance is serving
+ * @param irrevocable whether the drain cannot be cancelled
  */
 public record DrainPlan(
         double listenMs,
@@ -22,18 +23,22 @@
         boolean irrevocable) {
     private static final double MAX_DEADLINE_MS = 3_600_000;
     /**
-     * The platform sends SIGKILL 3.7 s after SIGTERM at the earliest, whatever the classes' deadlines: by then each
-     * open request must have its answer. The difference is for these answers to leave the machine.
+     * The platform sends SIGKILL no earlier than 3.7 s after SIGTERM, independently of the classes' deadlines. By then
+     * each open request must have its response; the margin is for the responses to leave the machine.
      */
     static final double MAX_ANSWER_MS = 3500;
 
     /**
-     * An operator's drain closes idle connections over this part of its time, as its inverse, and no longer than this.
+     * The inverse of the fraction of an operator's drain over which idle connections are closed, limited by
+     * {@link #MAX_IDLE_CLOSE_PERIOD_MS}.
      */
     private static final int IDLE_CLOSE_DIVISOR = 5;
 
     private static final double MAX_IDLE_CLOSE_PERIOD_MS = 5000;
-    /** It has ended once nothing was open for this part of its time, as its inverse, and no longer than this. */
+    /**
+     * The inverse of the fraction of an operator's drain that must pass without requests before it completes, limited
+     * by {@link #MAX_QUIET_PERIOD_MS}.
+     */
     private static final int QUIET_DIVISOR = 10;
 
     private static final double MAX_QUIET_PERIOD_MS = 1000;
@@ -44,13 +49,13 @@
             throw new IllegalArgumentException("a drain's deadline lies above 0 s and an hour away at most");
         }
         if (!(listenMs >= 0) || !(idleGraceMs >= 0) || !(idleClosePeriodMs >= 0) || !(quietPeriodMs >= 0)) {
-            throw new IllegalArgumentException("times of a drain are 0 or longer");
+            throw new IllegalArgumentException("drain times must not be negative");
         }
     }
 
     /**
-     * The plan of a drain that an operator requests: it goes on listening, as load balancers notice late, closes idle
-     * connections over the first fifth of the time, five seconds at most, and can be cancelled.
+     * Returns the plan of a drain requested by an operator. It can be cancelled. The instance keeps listening, because
+     * load balancers notice a drain late, and closes idle connections over the first fifth of the time, 5 s at most.
      */
     public static DrainPlan requested(double timeoutMs) {
         return new DrainPlan(
@@ -64,8 +69,8 @@
     }
 
     /**
-     * The plan after SIGTERM: no connection comes later than {@code listenMs}, and answers that would miss their
-     * deadline or come after SIGKILL are not waited for.
+     * Returns the plan after SIGTERM. No connections are accepted after {@code listenMs}, and responses that would miss
+     * their deadline or come after SIGKILL are not awaited.
      */
     public static DrainPlan onTermination(double listenMs, double longestDeadlineMs) {
         double timeoutMs = Math.min(MAX_ANSWER_MS, listenMs + longestDeadlineMs);
@@ -73,14 +78,14 @@
     }
 
     /**
-     * The plan after SIGTERM where a successor serves at the same socket: new connections are the successor's at once,
-     * open ones are passed to it as each falls idle.
+     * Returns the plan after SIGTERM if a successor serves at the same socket. New connections go to the successor
+     * immediately, and each open connection is passed to it when it becomes idle.
      */
     public static DrainPlan onTerminationWithSuccessor(double longestDeadlineMs) {
         return new DrainPlan(0, 0, 0, 0, Math.min(MAX_ANSWER_MS, longestDeadlineMs), true, true);
     }
 
-    /** This plan, with its deadline brought forward to this many milliseconds at the latest. */
+    /** Returns this plan with its timeout limited to {@code ms}, but at least 1 ms. */
     DrainPlan withDeadlineAtMost(double ms) {
         return new DrainPlan(
                 listenMs,
--- a/src/main/java/cacheproxy/drain/DrainStateMachine.java
+++ b/src/main/java/cacheproxy/drain/DrainStateMachine.java
@@ -1,9 +1,9 @@
 package cacheproxy.drain;
 
 /**
- * Decides how one instance drains: serving, draining, then drained or expired at its deadline; a cancel leads back to
- * serving. Pure: it is told the time and what is open, and returns what is to be done. Times are milliseconds of one
- * monotonic clock. Not thread-safe: all calls come from the event loop.
+ * Controls how one instance drains: from serving to draining, then to drained, or to expired at the deadline;
+ * cancelling returns to serving. Pure: its inputs are the time and the open work, its outputs the actions to perform.
+ * Times are milliseconds of one monotonic clock. Not thread-safe: all calls come from the event loop.
  */
 public final class DrainStateMachine {
     /** The state of the instance. */
@@ -12,9 +12,9 @@
         SERVING("serving"),
         /** Idle connections are being closed; requests are still accepted and answered. */
         DRAINING("draining"),
-        /** Nothing was open any more; the process exits. */
+        /** Nothing is open; the process exits. */
         DRAINED("drained"),
-        /** The deadline came first: every open request has its final answer, and the process exits. */
+        /** The deadline passed first: every open request gets its final response, and the process exits. */
         EXPIRED("expired");
 
         private final String statusName;
@@ -23,46 +23,46 @@
             this.statusName = statusName;
         }
 
-        /** The word for it in operators' status. */
+        /** The name in the operators' status output. */
         public String statusName() {
             return statusName;
         }
     }
 
     /**
-     * What the instance has open.
+     * The open work of the instance.
      *
-     * @param unanswered requests without a final answer
-     * @param connections all connections of clients
-     * @param idleConnections those of them that are between requests and can be closed now
+     * @param unanswered requests without a final response
+     * @param connections all client connections
+     * @param idleConnections the client connections that are between requests and can be closed now
      * @param answered requests answered since the process started
      */
     public record OpenWork(int unanswered, int connections, int idleConnections, long answered) {}
 
     /**
-     * What the caller does now.
+     * The actions that the caller has to perform now.
      *
-     * @param closeIdle how many idle connections to close
-     * @param listen whether new connections are accepted
-     * @param answerAll whether every open request gets its final answer now
-     * @param exit whether the process exits once that is done
+     * @param closeIdle the number of idle connections to close
+     * @param listen whether to accept new connections
+     * @param answerAll whether to send every open request its final response
+     * @param exit whether to exit once that is done
      */
     public record Actions(int closeIdle, boolean listen, boolean answerAll, boolean exit) {
         static final Actions NONE = new Actions(0, true, false, false);
     }
 
     /**
-     * How far a drain has come.
+     * The progress of a drain.
      *
-     * @param phase where the instance stands
-     * @param completedFraction of the connections and requests that were open, what is not any more: 0 to 1; it never
-     *     falls within one drain and is 1 only once nothing is open
-     * @param unanswered requests without a final answer
-     * @param connections all connections of clients
-     * @param remainingMs estimate of the time to the end; at most {@code deadlineRemainingMs}
-     * @param deadlineRemainingMs time to the deadline; 0 while serving and at the end
+     * @param phase the state of the instance
+     * @param completedFraction the completed fraction of the open connections and requests, 0 to 1; never decreases
+     *     within one drain and is 1 only once nothing is open
+     * @param unanswered requests without a final response
+     * @param connections all client connections
+     * @param remainingMs estimated time to the end; at most {@code deadlineRemainingMs}
+     * @param deadlineRemainingMs time to the deadline; 0 while serving and after the end
      * @param drainCount drains since the process started
-     * @param cancelCount those of them that were cancelled
+     * @param cancelCount cancelled drains since the process started
      */
     public record Progress(
             Phase phase,
@@ -77,8 +77,8 @@
     /**
      * The result of a request to drain.
      *
-     * @param alreadyDraining whether a drain was in progress; the shorter deadline holds
-     * @param deadlineRemainingMs time to the deadline that holds now; 0 once the process exits
+     * @param alreadyDraining whether a drain was already in progress; the earlier deadline applies
+     * @param deadlineRemainingMs time to the deadline that applies now; 0 once the process exits
      * @param message one line for the operator
      */
     public record StartResult(boolean alreadyDraining, double deadlineRemainingMs, String message) {}
@@ -104,20 +104,24 @@
         return phase != Phase.SERVING;
     }
 
-    /** Whether clients that ask ({@code mn}) are told of the drain. */
+    /** Whether clients that query the status ({@code mn}) are informed of the drain. */
     public boolean announced() {
         return draining() && !plan.unannounced();
     }
 
     /**
-     * Whether a connection in use is closed after its last outstanding answer. Only after the period in which idle
-     * connections are closed: earlier, all connections in use would close at their next answer, at about the same time.
+     * Whether a connection in use is closed after its last outstanding response. This applies only after the period in
+     * which idle connections are closed; earlier, all connections in use would close at their next response, at about
+     * the same time.
      */
     public boolean closesAfterAnswer(double now) {
         return draining() && now - startedMs >= plan.idleGraceMs() + plan.idleClosePeriodMs();
     }
 
-    /** Starts a drain or joins the one in progress: the shorter deadline holds, and an irrevocable plan wins. */
+    /**
+     * Starts a drain or joins the one in progress. The earlier deadline applies, and an irrevocable plan replaces a
+     * cancellable one.
+     */
     public StartResult startDrain(double now, DrainPlan requested) {
         if (!draining()) {
             drainCount++;
@@ -156,7 +160,7 @@
         closeCredit = 0;
     }
 
-    /** Cancels the drain; null if that was done, else the reason why it can't be. */
+    /** Cancels the drain; returns null on success, otherwise the reason why it cannot be cancelled. */
     public String cancel() {
         if (phase == Phase.SERVING) {
             return "no drain is under way";
@@ -172,7 +176,7 @@
         return null;
     }
 
-    /** Advances to this time, with what is open now; to be called every few tens of milliseconds. */
+    /** Advances to this time with the current open work; must be called every few tens of milliseconds. */
     public Actions tick(double now, OpenWork open) {
         openWork = open;
         if (phase == Phase.SERVING) {
@@ -184,7 +188,7 @@
         double elapsedMs = now - startedMs;
         boolean listen = elapsedMs < plan.listenMs();
         boolean empty = open.unanswered() == 0 && open.connections() == 0;
-        // Requests count, not connections: a front layer's health checks go on connecting.
+        // Only requests restart the quiet period: the front layer's health checks keep opening connections.
         if (open.unanswered() > 0 || open.answered() != answeredWhenQuiet) {
             quietSinceMs = now;
             answeredWhenQuiet = open.answered();
@@ -205,7 +209,7 @@
         return new Actions(closeIdle, listen, false, false);
     }
 
-    /** Spreads the closes evenly: of the idle ones the part that the elapsed time is of the remaining period. */
+    /** Spreads the closes evenly: closes the fraction of idle connections that the tick is of the remaining period. */
     private int idleToClose(double now, double elapsedMs, int idle) {
         double remainingMs = plan.idleGraceMs() + plan.idleClosePeriodMs() - elapsedMs;
         if (elapsedMs < plan.idleGraceMs()) {
@@ -221,14 +225,17 @@
         return count;
     }
 
-    /** What is closed of the peak of open work; requests answered in between do not count as progress. */
+    /**
+     * The fraction of the peak of open work that is closed. Requests that came and were answered during the drain do
+     * not count as progress.
+     */
     private double completed() {
         int stillOpen = openWork.connections() + openWork.unanswered();
         peakOpen = Math.max(peakOpen, stillOpen);
         return peakOpen == 0 ? 0 : Math.min(MAX_FRACTION_WHILE_OPEN, 1 - (double) stillOpen / peakOpen);
     }
 
-    /** How far it has come at this time. */
+    /** Returns the progress at this time. */
     public Progress progress(double now) {
         if (phase == Phase.SERVING) {
             return new Progress(phase, 0, openWork.unanswered(), openWork.connections(), 0, 0, drainCount, cancelCount);
--- a/src/main/java/cacheproxy/drain/package-info.java
+++ b/src/main/java/cacheproxy/drain/package-info.java
@@ -1,5 +1,5 @@
 /**
- * When and how an instance drains: a state machine that is told the time and what is still open, and returns what to
- * do. No sockets, threads or clocks; {@code proxy.lifecycle.DrainCoordinator} carries the orders out.
+ * Draining of an instance: a state machine whose inputs are the time and the open work and whose outputs are the
+ * actions to perform. No sockets, threads or clocks; {@code proxy.lifecycle.DrainCoordinator} performs the actions.
  */
 package cacheproxy.drain;
--- a/src/main/java/cacheproxy/flow/ArrivalTimes.java
+++ b/src/main/java/cacheproxy/flow/ArrivalTimes.java
@@ -3,42 +3,48 @@
 import java.util.ArrayDeque;
 
 /**
- * Records when the bytes of one connection arrived at this machine, for as long as they wait to be processed. Pure;
- * times are milliseconds of one monotonic clock, positions count the connection's bytes from its start.
+ * Records when the unprocessed bytes of one connection arrived at this machine. Pure; times are milliseconds of one
+ * monotonic clock, positions count the connection's bytes from its start.
  *
- * <p>Where a byte's time is unknown, because it waited in the kernel, the earliest possible one stands for it: a server
- * may be passed less time than its client has left, and never more.
+ * <p>If a byte may have waited in a kernel buffer, its arrival time is unknown and the earliest possible time is used.
+ * A server may therefore be sent a shorter timeout than its client has left, but never a longer one.
  */
 public final class ArrivalTimes {
-    /** Beyond this many segments two neighbours are merged, at the earlier's time. */
+    /** When this number is reached, a new segment is merged into the last one, which keeps the earlier time. */
     static final int MAX_SEGMENTS = 256;
 
     /**
-     * A sender whose bytes found no room in the kernel here sends on within one round trip once there is some: what
-     * arrives later than this after the backlog was drained had not been sent before.
+     * A sender that was blocked by a full receive buffer resumes within one round trip after the buffer has been
+     * drained. Bytes that arrive later than this after the drain were therefore not sent before it.
      */
     static final double REFILL_MS = 20;
-    /** The same where no request of this client is in flight, so that nothing slows its bytes down. */
+    /** The same limit when the client has no request in flight, so that nothing delays its bytes. */
     static final double IDLE_REFILL_MS = 2;
 
     /**
-     * What the kernels on both sides buffer of a connection that is not read. What arrives behind so much had no room
-     * to wait: its sender was still sending, as in the middle of a long value.
+     * The number of bytes that the kernels on both sides buffer for a connection that is not being read. Bytes beyond
+     * it cannot have waited in a buffer: the sender was still sending, for example in the middle of a long value.
      */
     static final int MAX_BACKLOG_BYTES = 1 << 20;
 
     private final ArrayDeque<Segment> segments = new ArrayDeque<>(2);
     private long received;
-    /** Since when bytes may have been waiting in the kernel or for room there; NaN: none may. */
+    /** Since when bytes may have been waiting in the kernel or for space in its buffer; NaN if none can be waiting. */
     private double backlogSinceMs = Double.NaN;
-    /** Bytes that have been read since then. */
+    /** The number of bytes read since then. */
     private long backlogBytes;
-    /** When all that the kernel held had been read; NaN: not since bytes may have been waiting. */
+    /**
+     * When the kernel's buffer had been read to its end; NaN if it has not been since the last bytes arrived or since
+     * bytes may have been waiting.
+     */
     private double backlogDrainedMs = Double.NaN;
 
     private record Segment(long endPosition, double atMs) {}
 
-    /** From this time on bytes may wait in the kernel, as reading is paused or has not reached the end of the input. */
+    /**
+     * Records that from this time on bytes may be waiting in the kernel, because reading is paused or has not reached
+     * the end of the input.
+     */
     public void backlogPossible(double sinceMs) {
         if (Double.isNaN(backlogSinceMs)) {
             backlogSinceMs = sinceMs;
@@ -47,7 +53,7 @@
         backlogDrainedMs = Double.NaN;
     }
 
-    /** The kernel holds nothing of this connection any more. */
+    /** Records that the kernel's buffer for this connection has been read to its end. */
     public void backlogDrained(double atMs) {
         if (Double.isNaN(backlogDrainedMs)) {
             backlogDrainedMs = atMs;
@@ -55,11 +61,11 @@
     }
 
     /**
-     * Bytes have been read.
+     * Records that bytes have been read.
      *
-     * @param bytes how many
-     * @param atMs when they arrived, as far as that is known, if none of them had to wait
-     * @param idle whether no request of this client was in flight before them
+     * @param bytes their number
+     * @param atMs the best known arrival time, valid if none of them had to wait in the kernel
+     * @param idle whether the client had no request in flight before them
      */
     public void received(int bytes, double atMs, boolean idle) {
         if (bytes <= 0) {
@@ -84,13 +90,14 @@
         }
     }
 
-    /** Bytes that have been read so far. */
+    /** Returns the number of bytes read so far. */
     public long received() {
         return received;
     }
 
     /**
-     * When the byte at this position arrived, the first being at 1. Positions must be asked for in ascending order.
+     * Returns when the byte at this position arrived. The first byte has position 1; calls must use ascending
+     * positions, because older times are discarded.
      *
      * @param position at most {@link #received()}
      */
--- a/src/main/java/cacheproxy/flow/ByteBudget.java
+++ b/src/main/java/cacheproxy/flow/ByteBudget.java
@@ -4,19 +4,19 @@
 import java.util.Iterator;
 
 /**
- * Limits the memory of values that are buffered whole. A value that finds no room waits in a queue, and reading from
- * its client is paused meanwhile. A quarter is reserved for small values, so that a few large ones that arrive slowly
- * do not hold up the many.
+ * Limits the memory of values that are buffered completely. A value that does not fit waits in a queue, and its client
+ * is not read meanwhile. A quarter of the budget is reserved for small values, so that a few large values that arrive
+ * slowly do not block all others.
  *
- * <p>Memory is reserved for the whole value before its first byte: reserved piece by piece, two half-received values
- * could wait for each other for ever.
+ * <p>Memory for the complete value is reserved before its first byte is read. With incremental reservations, two
+ * partially received values could deadlock waiting for each other.
  */
 public final class ByteBudget {
-    /** Values up to this size are small, in bytes. */
+    /** The maximum size of a small value, in bytes. */
     public static final int SMALL_VALUE_BYTES = 64 << 10;
-    /** One part of so many is for small values alone. */
+    /** The inverse of the fraction of the budget that is reserved for small values. */
     private static final int SMALL_VALUE_SHARE_DIVISOR = 4;
-    /** How many reservations may wait; the next one is rejected. */
+    /** The maximum number of waiting reservations; further ones are rejected. */
     static final int MAX_WAITING = 1024;
 
     private final long capacity;
@@ -26,16 +26,16 @@
     /**
      * Creates the budget.
      *
-     * @param capacity bytes in all, above 0
+     * @param capacity total number of bytes, above 0
      */
     public ByteBudget(long capacity) {
         if (capacity <= 0) {
-            throw new IllegalArgumentException("a budget of " + capacity + " bytes");
+            throw new IllegalArgumentException("byte budget must be above 0, not " + capacity + " bytes");
         }
         this.capacity = capacity;
     }
 
-    /** A reservation of memory: granted, waiting, or released. */
+    /** A memory reservation: granted, waiting or released. */
     public final class Reservation {
         private final int bytes;
         private final Runnable onGranted;
@@ -47,12 +47,12 @@
             this.onGranted = onGranted;
         }
 
-        /** Whether the memory is its own now. */
+        /** Whether the memory has been granted. */
         public boolean granted() {
             return granted;
         }
 
-        /** Returns the memory or leaves the queue; further calls do nothing. */
+        /** Returns the memory or cancels the wait; further calls have no effect. */
         public void release() {
             if (released) {
                 return;
@@ -70,9 +70,9 @@
     /**
      * Reserves memory.
      *
-     * @param bytes how many
-     * @param onGranted run once if the reservation is granted later and not at once; not after its release
-     * @return null if it is rejected: it exceeds the whole budget, or too many wait
+     * @param bytes the number of bytes
+     * @param onGranted run once if the reservation has to wait and is granted later; never run after a release
+     * @return the reservation; null if it is rejected because it can never fit or too many reservations are waiting
      */
     public Reservation reserve(int bytes, Runnable onGranted) {
         if (bytes < 0 || bytes > limit(bytes)) {
@@ -89,12 +89,12 @@
         return reservation;
     }
 
-    /** Bytes that are reserved now. */
+    /** Returns the number of bytes currently reserved. */
     public long reserved() {
         return reserved;
     }
 
-    /** Reservations that wait. */
+    /** Returns the number of waiting reservations. */
     public int waiting() {
         return waiting.size();
     }
@@ -112,7 +112,7 @@
         reserved += reservation.bytes;
     }
 
-    /** In the order in which they came, but small ones are not held up by a large one before them. */
+    /** Grants waiting reservations in order of arrival; a waiting large one does not block small ones behind it. */
     private void grantWaiting() {
         ArrayDeque<Reservation> granted = new ArrayDeque<>();
         boolean largeWaits = false;
--- a/src/main/java/cacheproxy/flow/ReadAheadBudget.java
+++ b/src/main/java/cacheproxy/flow/ReadAheadBudget.java
@@ -1,14 +1,14 @@
 package cacheproxy.flow;
 
 /**
- * Limits the bytes that are read from clients before the proxy can process them. Reading ahead shows when bytes arrived
- * and that a client has closed its connection behind them; what is read takes memory. Each connection may read ahead
- * {@link #OWN_BYTES_PER_CONNECTION}, and more out of a budget that all connections share.
+ * Limits the bytes that are read from clients before the proxy can process them. Reading ahead makes the arrival times
+ * of bytes known and detects that a client has closed its connection, but it takes memory. Each connection may read
+ * {@link #OWN_BYTES_PER_CONNECTION} ahead, and more from a budget shared by all connections.
  */
 public final class ReadAheadBudget {
-    /** What each connection may read ahead beside the shared budget, in bytes. */
+    /** The read-ahead of each connection that does not count against the shared budget, in bytes. */
     public static final int OWN_BYTES_PER_CONNECTION = 32 << 10;
-    /** The most that one connection may read ahead, in bytes: thousands of commands. */
+    /** The maximum read-ahead of one connection, in bytes; enough for thousands of commands. */
     public static final int MAX_BYTES_PER_CONNECTION = 512 << 10;
 
     private final long sharedBytes;
@@ -17,27 +17,28 @@
     /**
      * Creates the budget.
      *
-     * @param sharedBytes what all connections share; 0 or more
+     * @param sharedBytes the budget shared by all connections, in bytes; 0 or more
      */
     public ReadAheadBudget(long sharedBytes) {
         if (sharedBytes < 0) {
-            throw new IllegalArgumentException("a read-ahead budget of " + sharedBytes + " bytes");
+            throw new IllegalArgumentException(
+                    "read-ahead budget must not be negative, but is " + sharedBytes + " bytes");
         }
         this.sharedBytes = sharedBytes;
     }
 
-    /** One connection's part of the budget. */
+    /** One connection's share of the budget. */
     public final class Reservation {
         private long reservedBytes;
 
         /**
-         * Adapts the reservation to the bytes that wait to be processed.
+         * Resizes the reservation to the number of unprocessed bytes.
          *
-         * @return whether the connection may go on reading
+         * @return whether the connection may continue reading
          */
         public boolean tryReserve(int waitingBytes) {
             long wanted = Math.max(0, waitingBytes - OWN_BYTES_PER_CONNECTION);
-            resize(Math.min(wanted, reservedBytes)); // less of it is needed than before
+            resize(Math.min(wanted, reservedBytes)); // first return what is no longer needed
             if (waitingBytes >= MAX_BYTES_PER_CONNECTION || totalReservedBytes - reservedBytes + wanted > sharedBytes) {
                 return waitingBytes < OWN_BYTES_PER_CONNECTION;
             }
@@ -45,7 +46,7 @@
             return wanted < sharedBytes || waitingBytes < OWN_BYTES_PER_CONNECTION;
         }
 
-        /** Returns all of it: nothing waits to be processed any more. */
+        /** Returns the whole reservation; called when no bytes are waiting to be processed. */
         public void release() {
             resize(0);
         }
@@ -56,12 +57,12 @@
         }
     }
 
-    /** The reservation of one more connection, empty at first. */
+    /** Creates the reservation of a new connection, initially empty. */
     public Reservation newReservation() {
         return new Reservation();
     }
 
-    /** Bytes of the shared budget that are reserved. */
+    /** Returns the reserved bytes of the shared budget. */
     public long reserved() {
         return totalReservedBytes;
     }
--- a/src/main/java/cacheproxy/flow/ReadTimeout.java
+++ b/src/main/java/cacheproxy/flow/ReadTimeout.java
@@ -1,33 +1,34 @@
 package cacheproxy.flow;
 
 /**
- * Decides how long a client may take to send its first command and the rest of a command that it has begun. Pure: each
- * event brings its time, in milliseconds of one monotonic clock.
+ * Limits the time that a client may take to send its first command and to complete a command that it has begun. Pure:
+ * each event carries its time, in milliseconds of one monotonic clock.
  *
- * <p>A span starts when the connection is accepted, at the first byte of a command, or at the last byte of a command
- * line that a value follows; it ends with the command's last byte. Bytes do not renew it, or a client that sends one
- * now and then would never time out. Only a value earns time by what has arrived of it, and must not pause for longer
- * than a line may take as a whole. Time in which the proxy itself has paused reading does not count.
+ * <p>A period starts when the connection is accepted, at the first byte of a command, or at the last byte of a command
+ * line that is followed by a value; it ends with the command's last byte. Received bytes do not restart it, otherwise a
+ * client that sends a byte now and then would never time out. A value extends its period in proportion to the bytes
+ * received, but a pause within it must not exceed the timeout of a whole line. Time during which the proxy has paused
+ * reading does not count.
  */
 public final class ReadTimeout {
     /**
-     * Timeout of a command line, of a pause within a value and of a connection's first command, in milliseconds.
-     * Clients that stop are owed an error or a close within 3 s of connecting; the difference is for a busy machine and
-     * the network.
+     * The timeout for a command line, for a pause within a value and for a connection's first command, in milliseconds.
+     * A client that stops sending must get an error or a close within 3 s of connecting; the margin allows for a busy
+     * machine and the network.
      */
     public static final double TIMEOUT_MS = 2400;
-    /** A value earns time at this rate, far below what any sound client sends. */
+    /** The rate at which received bytes of a value extend its period; far below that of any healthy client. */
     static final double MIN_VALUE_BYTES_PER_MS = 4;
 
-    /** What the client is in the middle of. */
+    /** What the client is currently sending. */
     private enum Phase {
-        /** It has connected and has sent no complete command yet. */
+        /** No complete command has been received yet. */
         FIRST_COMMAND,
-        /** Between commands: no time runs. */
+        /** Between commands; no timeout applies. */
         IDLE,
-        /** A command line has started. */
+        /** A command line has been received in part. */
         LINE,
-        /** A command line is complete, and its value is not. */
+        /** A command line is complete, its value is not. */
         VALUE
     }
 
@@ -35,7 +36,7 @@
     private double sinceMs;
     private double lastByteMs;
     private long valueBytes;
-    /** When the proxy paused reading; NaN: it has not. */
+    /** When the proxy paused reading; NaN while it is not paused. */
     private double pausedSinceMs = Double.NaN;
 
     private ReadTimeout(Phase phase, double sinceMs) {
@@ -44,41 +45,41 @@
         lastByteMs = sinceMs;
     }
 
-    /** The timeout of a connection that was accepted at this time. */
+    /** Creates the timeout of a connection that was accepted at this time. */
     public static ReadTimeout forNewConnection(double atMs) {
         return new ReadTimeout(Phase.FIRST_COMMAND, atMs);
     }
 
-    /** The timeout of a connection that another process has served before: no first command is waited for. */
+    /** Creates the timeout of a connection passed on by another process; no first command is required of it. */
     public static ReadTimeout forAdoptedConnection(double atMs) {
         return new ReadTimeout(Phase.IDLE, atMs);
     }
 
-    /** Part of a command line is there, whose first byte arrived at this time. */
+    /** Records a partial command line whose first byte arrived at this time; only has an effect between commands. */
     public void lineStarted(double atMs) {
         if (phase == Phase.IDLE) {
             start(Phase.LINE, atMs);
         }
     }
 
-    /** A command line was completed at this time; its value follows. */
+    /** Records that a command line was completed at this time and its value follows. */
     public void valueStarted(double atMs) {
         start(Phase.VALUE, atMs);
         valueBytes = 0;
     }
 
-    /** So many further bytes of the value have arrived. */
+    /** Records that this number of further bytes of the value has arrived. */
     public void valueReceived(long bytes, double atMs) {
         valueBytes += bytes;
         lastByteMs = Math.max(lastByteMs, atMs);
     }
 
-    /** The command is complete. */
+    /** Records that the command is complete. */
     public void commandCompleted() {
         phase = Phase.IDLE;
     }
 
-    /** The proxy pauses reading or processing this client's input from this time on, or resumes it. */
+    /** Records that the proxy pauses or resumes reading and processing this client's input at this time. */
     public void setPaused(boolean pause, double atMs) {
         if (pause == paused()) {
             return;
@@ -97,7 +98,7 @@
         return !Double.isNaN(pausedSinceMs);
     }
 
-    /** When the client times out if nothing more arrives; infinite while no span runs. */
+    /** Returns when the client times out if no more bytes arrive; infinite while no timeout applies. */
     public double expiresAtMs() {
         if (paused()) {
             return Double.POSITIVE_INFINITY;
@@ -118,7 +119,7 @@
         }
     }
 
-    /** What the client is in the middle of, as the log names it. */
+    /** Describes what the client is currently sending, in the form used by the log. */
     @Override
     public String toString() {
         return switch (phase) {
--- a/src/main/java/cacheproxy/flow/RecentRequestIds.java
+++ b/src/main/java/cacheproxy/flow/RecentRequestIds.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 
 /**
- * Remembers the ids of requests that have ended recently. Every request has a new id, so a repeated one names another
- * client's request: served, that request would have two answers, and servers that still work on the first would take
- * the two for one. Bounded in time and number; the oldest are evicted first.
+ * Remembers the ids of recently ended requests, to detect reuse of an id. Every request must have a new id. If a
+ * request with a reused id were accepted, there would be two responses to one id, and servers still working on the
+ * first request would treat the second as a repeat of it. Bounded in time and number; the oldest ids are evicted first.
  */
 public final class RecentRequestIds {
-    /** Two thousand requests a second for eight seconds, in about two megabytes. */
+    /** Covers 2000 requests per second for 8 seconds, in about 2 MB. */
     static final int MAX_IDS = 16_384;
 
     private final ArrayDeque<Entry> oldestFirst = new ArrayDeque<>();
@@ -18,7 +18,7 @@
 
     private record Entry(String id, double expiresAtMs) {}
 
-    /** The request of this id has ended; the id is remembered for {@code retentionMs}. */
+    /** Records that the request with this id has ended and remembers the id for {@code retentionMs}. */
     public void add(double now, String id, double retentionMs) {
         evictExpired(now);
         if (oldestFirst.size() >= MAX_IDS) {
@@ -29,13 +29,13 @@
         }
     }
 
-    /** Whether a request of this id has ended recently. */
+    /** Whether a request with this id ended recently. */
     public boolean contains(double now, String id) {
         evictExpired(now);
         return ids.contains(id);
     }
 
-    /** How many ids are remembered. */
+    /** Returns the number of remembered ids. */
     public int size() {
         return oldestFirst.size();
     }
--- a/src/main/java/cacheproxy/flow/package-info.java
+++ b/src/main/java/cacheproxy/flow/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Flow control: what bounds the bytes that the proxy buffers and how long a client may take. No sockets, threads or
- * clocks.
+ * Flow control on client connections: limits on buffered bytes and on the time that a client may take to send a
+ * command. No sockets, threads or clocks.
  */
 package cacheproxy.flow;
--- a/src/main/java/cacheproxy/metrics/EventKind.java
+++ b/src/main/java/cacheproxy/metrics/EventKind.java
@@ -1,34 +1,34 @@
 package cacheproxy.metrics;
 
-/** The kinds of logged events. Their keys are stable: operators and tools search for them. */
+/** The kinds of log events. The keys are stable, because operators and tools search for them. */
 public enum EventKind {
-    /** A client was disconnected because it stopped within a request, or sent none. */
+    /** A client was disconnected because it stopped sending within a request or sent no request. */
     CLIENT_TIMEOUT("client_timeout"),
-    /** A client's connection could not be accepted. */
+    /** A client connection could not be accepted. */
     ACCEPT_FAILED("accept_failed"),
-    /** A client violated its protocol; its connection is closed. */
+    /** A client violated the protocol; its connection is closed. */
     CLIENT_PROTOCOL_ERROR("client_protocol_error"),
     /** A request was rejected because it is invalid. */
     REQUEST_INVALID("request_invalid"),
-    /** A request was completed because its deadline or that of a drain had passed. */
+    /** A request was completed because its deadline or the deadline of a drain had passed. */
     REQUEST_ABORTED("request_aborted"),
-    /** The load balancer ordered an attempt that the rules do not permit; it was not sent. */
+    /** The load balancer ordered an attempt that the safety rules forbid; it was not sent. */
     ATTEMPT_FORBIDDEN("attempt_forbidden"),
     /** A safety rule was violated. None is expected. */
     RULE_VIOLATION("rule_violation"),
-    /** A server violated its protocol; its connection is closed. */
+    /** A server violated the protocol; its connection is closed. */
     SERVER_PROTOCOL_ERROR("server_protocol_error"),
     /** The endpoint list has changed. */
     ENDPOINT_LIST_CHANGED("endpoint_list_changed"),
     /** A poll of the endpoint list has failed. */
     ENDPOINT_LIST_POLL_FAILED("endpoint_list_poll_failed"),
-    /** An entry of the endpoint list is unusable and was skipped. */
+    /** An entry of the endpoint list is invalid and was skipped. */
     ENDPOINT_LIST_ENTRY_INVALID("endpoint_list_entry_invalid"),
-    /** The event loop was blocked for longer than deadlines allow for. */
+    /** The event loop was blocked for longer than the margin that deadlines include. */
     EVENT_LOOP_STALLED("event_loop_stalled"),
-    /** A bug of this program. None is expected. */
+    /** A bug in this program. None is expected. */
     INTERNAL_ERROR("internal_error"),
-    /** Anything else that operators may want to know. */
+    /** Any other information for operators. */
     INFO("info");
 
     private final String key;
@@ -37,7 +37,7 @@
         this.key = key;
     }
 
-    /** Its name in the log. */
+    /** The name in the log. */
     public String key() {
         return key;
     }
--- a/src/main/java/cacheproxy/metrics/FleetMetrics.java
+++ b/src/main/java/cacheproxy/metrics/FleetMetrics.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 
 /**
- * Aggregates the metrics lines of all processes of a fleet. A proxy that was restarted is two processes, and both
- * count. Lines may come in any order; the latest line of a process holds.
+ * Aggregates the metrics lines of all processes of a fleet. A restarted proxy counts as two processes. Lines may be
+ * added in any order; the latest line of each process is used.
  */
 public final class FleetMetrics {
     /** The process that wrote a line. */
@@ -24,16 +24,16 @@
     private int truncatedLines;
 
     /**
-     * How the ejection of a node spread over the fleet. Its resolution is the interval between lines.
+     * The spread of a node's ejection over the fleet. Its resolution is the interval between lines.
      *
-     * @param node its id
-     * @param fromMs when the first process was seen to eject it, in milliseconds since the Unix epoch
-     * @param spreadMs until the last process joined while others still ejected it, in milliseconds
-     * @param proxies how many processes ejected it at some time in between
+     * @param node the node's id
+     * @param fromMs when the first process reported the ejection, in milliseconds since the Unix epoch
+     * @param spreadMs milliseconds until the last process ejected the node as well while others still ejected it
+     * @param proxies the number of processes that ejected the node at some time in this span
      */
     public record Ejection(String node, long fromMs, long spreadMs, int proxies) {}
 
-    /** A span of time in which at least one process ejects a node. */
+    /** A time span during which at least one process ejects a node. */
     private static final class EjectionSpan {
         private final String node;
         private final long fromMs;
@@ -53,7 +53,7 @@
             }
         }
 
-        /** Whether this was the last process to eject it. */
+        /** Records that this process no longer ejects the node; returns whether it was the last one to do so. */
         boolean recordReturn(ProcessId process) {
             return stillEjectedBy.remove(process) && stillEjectedBy.isEmpty();
         }
@@ -63,12 +63,12 @@
         }
     }
 
-    /** The latest line of each process. */
+    /** Returns the latest line of each process. */
     public Collection<MetricsLine> processes() {
         return latest.values();
     }
 
-    /** Adds one line of a log; lines other than those of metrics are skipped. */
+    /** Adds a line of a log; lines without metrics are skipped. */
     public void add(String line) {
         MetricsLine.parse(line).ifPresentOrElse(this::add, () -> {
             if (line.startsWith(MetricsLine.PREFIX)) {
@@ -77,7 +77,7 @@
         });
     }
 
-    /** Adds one line. */
+    /** Adds a metrics line. */
     public void add(MetricsLine line) {
         lines.add(line);
         latest.merge(
@@ -86,17 +86,17 @@
                 (known, added) -> added.atMs() >= known.atMs() ? added : known);
     }
 
-    /** How many metrics lines were truncated. */
+    /** Returns the number of truncated metrics lines. */
     public int truncatedLines() {
         return truncatedLines;
     }
 
-    /** The sum of this metric over all processes. */
+    /** Returns the sum of this metric over all processes. */
     public long total(Metric metric) {
         return latest.values().stream().mapToLong(line -> line.count(metric)).sum();
     }
 
-    /** Milliseconds from the start of the first process to the last line. */
+    /** Returns the milliseconds from the start of the first process to the last line. */
     public long spanMs() {
         long from = latest.values().stream()
                 .mapToLong(line -> line.atMs() - line.upMs())
@@ -105,7 +105,7 @@
         return latest.values().stream().mapToLong(MetricsLine::atMs).max().orElse(0) - from;
     }
 
-    /** Connections rejected by nodes at their connection limit, by node, the most first. */
+    /** Returns the connections rejected by nodes at their connection limit, by node in descending order. */
     public List<Map.Entry<String, Long>> rejectedConnections() {
         Map<String, Long> sums = new TreeMap<>();
         latest.values()
@@ -117,7 +117,7 @@
                 .toList();
     }
 
-    /** Every ejection of a node by at least one process, in order of time. */
+    /** Returns each ejection of a node by at least one process, in order of time. */
     public List<Ejection> ejections() {
         List<Ejection> ejections = new ArrayList<>();
         Map<String, EjectionSpan> open = new HashMap<>();
--- a/src/main/java/cacheproxy/metrics/LogMessage.java
+++ b/src/main/java/cacheproxy/metrics/LogMessage.java
@@ -1,8 +1,8 @@
 package cacheproxy.metrics;
 
 /**
- * The text of a logged event: a fixed phrase, then ids and figures as {@code key=value}. A value with a space, a quote
- * or a control character is quoted, so that a line can be split at its spaces.
+ * The text of a log event: a fixed phrase followed by fields as {@code key=value}. Values that are empty or contain a
+ * space, a quote or a control character are quoted, so that tools can split a line into its fields.
  */
 public final class LogMessage {
     private static final char QUOTE = '"';
@@ -13,12 +13,12 @@
         text = new StringBuilder(phrase);
     }
 
-    /** A message that says what happened, in a phrase that is the same for every event of the kind. */
+    /** Creates a message with a phrase that describes the event and is the same for each occurrence. */
     public static LogMessage of(String phrase) {
         return new LogMessage(phrase);
     }
 
-    /** Adds a field. */
+    /** Adds a field and returns this message. */
     public LogMessage with(String key, Object value) {
         text.append(' ').append(key).append('=');
         String plain = String.valueOf(value);
--- a/src/main/java/cacheproxy/metrics/LogRateLimiter.java
+++ b/src/main/java/cacheproxy/metrics/LogRateLimiter.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * Limits the rate of log lines by a token bucket for each kind of event, so that one kind can't crowd out another.
- * Suppressed lines are counted and reported with the next line of the kind.
+ * Limits the rate of log lines with a token bucket per kind of event, so that frequent events of one kind do not
+ * suppress others. Suppressed lines are counted and reported with the next line of the same kind.
  */
 public final class LogRateLimiter {
-    /** Lines of one kind that may be logged at once. */
+    /** The maximum burst of lines of one kind. */
     static final double BURST = 20;
-    /** Lines of one kind a second in the long run. */
+    /** The sustained rate of lines of one kind, per second. */
     static final double PER_SECOND = 1;
 
     private final Map<EventKind, TokenBucket> buckets = new EnumMap<>(EventKind.class);
@@ -22,11 +22,11 @@
     }
 
     /**
-     * Whether an event of this kind may be logged now.
+     * Decides whether an event of this kind may be logged now.
      *
-     * @param nowMs a monotonic clock, in milliseconds
-     * @return how many events of the kind were suppressed since the last that was logged; negative: this one is
-     *     suppressed as well
+     * @param nowMs the time of a monotonic clock, in milliseconds
+     * @return the number of events of this kind suppressed since the last logged one, or a negative number if this
+     *     event is suppressed as well
      */
     public long admit(double nowMs, EventKind kind) {
         TokenBucket bucket = buckets.computeIfAbsent(kind, k -> new TokenBucket());
--- a/src/main/java/cacheproxy/metrics/Metric.java
+++ b/src/main/java/cacheproxy/metrics/Metric.java
@@ -1,15 +1,15 @@
 package cacheproxy.metrics;
 
 /**
- * A counter of the load that one proxy puts on what it shares with the rest of the fleet, and of what became of its
+ * The counters of one proxy: the load that it puts on resources shared with the fleet, and the outcomes of its
  * requests. Incremented where the event happens.
  */
 public enum Metric {
-    /** Polls for the endpoint list, including watches that were started again. */
+    /** Polls for the endpoint list, including restarted watches. */
     ENDPOINT_LIST_POLLS("list_calls", "calls for the list"),
     /** Polls that returned nothing usable. */
     ENDPOINT_LIST_POLL_FAILURES("list_failures", "of these failed"),
-    /** Connections to nodes and origin that were begun. */
+    /** Connections to nodes and the origin that were begun. */
     CONNECTIONS_OPENED("connections", "connections opened"),
     /** Connections that were never established. */
     CONNECTIONS_FAILED("connections_failed", "of these refused or silent"),
@@ -17,29 +17,29 @@
     CONNECTIONS_REJECTED("no_place", "of these without a place"),
     /** Attempts, including the first of each request. */
     ATTEMPTS("attempts", "attempts"),
-    /** Attempts begun after another of the same request had ended. */
+    /** Attempts begun after an earlier attempt of the same request, while none was in flight. */
     RETRIES("retries", "of these retries"),
-    /** Attempts begun while another of the same request was in flight. */
+    /** Attempts begun while another attempt of the same request was in flight. */
     HEDGES("second_copies", "of these second copies"),
     /** Attempts at ejected endpoints and health checks. */
     PROBES("trials", "trials of avoided servers"),
     /** Reads sent to the origin. */
     ORIGIN_FETCHES("fetches", "fetches at the origin"),
-    /** Messages sent to peers; one to all peers counts once. */
+    /** Messages sent to peers; a message to all peers counts once. */
     PEER_MESSAGES_SENT("messages_sent", "messages sent"),
     /** Messages received from peers. */
     PEER_MESSAGES_RECEIVED("messages_heard", "messages heard"),
     /** Requests answered with a server's response. */
     REQUESTS_SUCCEEDED("served", "requests served"),
-    /** Requests rejected with a promise that a repeat is harmless. */
+    /** Requests rejected such that the client can safely repeat them. */
     REQUESTS_REJECTED("refused", "requests refused"),
     /** Requests that failed. */
     REQUESTS_FAILED("failed", "requests failed"),
-    /** Clients disconnected because they stopped within a request, or sent none. */
+    /** Clients disconnected because they stopped sending within a request or sent no request. */
     CLIENT_TIMEOUTS("clients_timed_out", "clients timed out"),
-    /** Times the event loop was blocked for longer than deadlines allow for. */
+    /** How often the event loop was blocked for longer than the margin that deadlines include. */
     EVENT_LOOP_STALLS("held_ups", "held up"),
-    /** Connections of clients that the operating system could not accept. */
+    /** Client connections that the operating system could not accept. */
     ACCEPT_FAILURES("accepts_failed", "accepts failed");
 
     private final String key;
@@ -50,12 +50,12 @@
         this.label = label;
     }
 
-    /** The field that holds it in a {@link MetricsLine}. */
+    /** The name of its field in a {@link MetricsLine}. */
     public String key() {
         return key;
     }
 
-    /** The heading of its row in the table that the command {@code figures} prints. */
+    /** The label of its row in the table printed by the {@code figures} command. */
     public String label() {
         return label;
     }
--- a/src/main/java/cacheproxy/metrics/MetricsLine.java
+++ b/src/main/java/cacheproxy/metrics/MetricsLine.java
@@ -11,8 +11,9 @@
 import java.util.Optional;
 
 /**
- * The metrics of one process since its start, as one line of its log. Each line is cumulative, so the latest line of a
- * process is enough and a lost line costs nothing but its own moment.
+ * The metrics of one process since its start, as one line of its log. Lines are cumulative: the latest line of a
+ * process is sufficient, and a lost line only loses the values at its time. The fields whose name differs from the
+ * component:
  *
  * <pre>
  * field of the line      component
@@ -22,14 +23,14 @@
  * avoided                Node.ejected
  * </pre>
  *
- * The others have the component's name, and counters their {@link Metric#key}.
+ * Other fields have the component's name in snake case; counters are named by {@link Metric#key}.
  *
  * @param proxy the proxy's name
- * @param pid tells processes of the same name apart
+ * @param pid the process id, which distinguishes processes of the same name
  * @param atMs when the line was written, in milliseconds since the Unix epoch
  * @param upMs milliseconds since the process started
- * @param firstServedMs milliseconds from start to the first request served; negative: none yet
- * @param cpuMs processor time in milliseconds; negative where the system does not report it
+ * @param firstServedMs milliseconds from start to the first request served; negative if there is none yet
+ * @param cpuMs CPU time in milliseconds; negative if the system does not report it
  * @param counts the value of each counter
  * @param nodes cache nodes that are ejected or have rejected connections, {@value #MAX_NODES} at most
  */
@@ -42,33 +43,33 @@
         long cpuMs,
         Map<Metric, Long> counts,
         List<Node> nodes) {
-    /** The first characters of every such line, and of no other line in the log. */
+    /** The prefix of every metrics line and of no other line of the log. */
     public static final String PREFIX = "figures ";
-    /** Limits a line to some 250 KB; the largest fleets have fewer nodes. */
+    /** Limits a line to about 250 KB. The largest fleets have fewer nodes. */
     public static final int MAX_NODES = 4096;
 
     /**
-     * One cache node.
+     * The metrics of one cache node.
      *
      * @param id its id in the endpoint list, in hexadecimal
      * @param openedConnections connections begun
-     * @param rejectedConnections those that it rejected because it was at its connection limit
-     * @param ejected whether it is sent no ordinary request now
+     * @param rejectedConnections connections that it rejected because it was at its connection limit
+     * @param ejected whether it currently gets no regular requests
      */
     public record Node(String id, long openedConnections, long rejectedConnections, boolean ejected) {}
 
-    /** Copies the collections. */
+    /** Copies the collections and drops nodes beyond {@link #MAX_NODES}. */
     public MetricsLine {
         counts = counts.isEmpty() ? Map.of() : new EnumMap<>(counts);
         nodes = List.copyOf(nodes.subList(0, Math.min(MAX_NODES, nodes.size())));
     }
 
-    /** The value of this metric, 0 if the line has none. */
+    /** Returns the value of this metric; 0 if the line does not contain it. */
     public long count(Metric metric) {
         return counts.getOrDefault(metric, 0L);
     }
 
-    /** The line, without its line end. */
+    /** Returns the line without a line terminator. */
     public String text() {
         JsonObject json = new JsonObject();
         json.addProperty("proxy", proxy);
@@ -93,9 +94,9 @@
         return json;
     }
 
-    /** Reads a line of a log; empty if it is another kind of line, or truncated. */
+    /** Parses a line of a log; empty if it is not a metrics line or is truncated. */
     public static Optional<MetricsLine> parse(String line) {
-        int at = line.indexOf(PREFIX + "{"); // a log collector may have put something before it
+        int at = line.indexOf(PREFIX + "{"); // a log collector may have added a prefix
         if (at < 0) {
             return Optional.empty();
         }
@@ -103,7 +104,7 @@
             return Optional.of(fromJson(
                     JsonParser.parseString(line.substring(at + PREFIX.length())).getAsJsonObject()));
         } catch (RuntimeException e) {
-            return Optional.empty(); // a process that is killed leaves half a line
+            return Optional.empty(); // a killed process may leave a truncated line
         }
     }
 
--- a/src/main/java/cacheproxy/simulator/EventBatch.java
+++ b/src/main/java/cacheproxy/simulator/EventBatch.java
@@ -8,11 +8,11 @@
 import java.nio.ByteOrder;
 
 /**
- * One batch of events as it stands on the wire: a header with the frame's length, the time, the count of records and
- * the number of the batch; records of one length; then a tail with the bytes that records refer to. Little-endian. Its
- * memory is used again for the next batch.
+ * Reads batches of events in their wire format: a header with the frame length, the time, the number of records and the
+ * batch number; records of fixed length; then a tail with variable-length data that records refer to. Little-endian.
+ * The buffer is reused for the next batch.
  */
-@SuppressWarnings("ByteBufferBackingArray") // all buffers come from allocate: offset 0
+@SuppressWarnings("ByteBufferBackingArray") // all buffers come from allocate, so their array offset is 0
 final class EventBatch {
     private static final int HEADER_BYTES = 20;
     private static final int RECORD_BYTES = 48;
@@ -39,8 +39,8 @@
     /**
      * Reads the next batch.
      *
-     * @return whether there was one; false at the end of the input
-     * @throws MalformedInputException if the frame is cut off, or its records exceed it
+     * @return false at the end of the input
+     * @throws MalformedInputException if the frame is truncated or its records exceed it
      */
     boolean readNext() throws IOException {
         int firstByte = in.read();
@@ -69,7 +69,7 @@
         int length = frame.getInt(0);
         if (length < HEADER_BYTES) {
             throw new MalformedInputException(
-                    "after batch " + number + ": frame of " + length + " bytes, under its header");
+                    "after batch " + number + ": frame of " + length + " bytes is shorter than its header");
         }
         if (length > frame.capacity()) {
             ByteBuffer larger = allocate(Math.max(length, length * 3 / 2));
@@ -80,7 +80,7 @@
         frame.limit(length);
     }
 
-    /** The time of all its events, in milliseconds. */
+    /** Returns the time of all events of the batch, in milliseconds. */
     double timeMs() {
         return timeMs;
     }
@@ -93,7 +93,7 @@
         return (tailStart - HEADER_BYTES) / RECORD_BYTES;
     }
 
-    /** Where a record begins in the frame. */
+    /** Returns the offset of a record in the frame. */
     int recordStart(int index) {
         return HEADER_BYTES + index * RECORD_BYTES;
     }
@@ -122,7 +122,7 @@
         return frame.getDouble(at);
     }
 
-    /** The bytes of the tail that the offset and length at this place name. */
+    /** Returns the tail bytes that the offset and length fields at this offset refer to. */
     byte[] tailBytes(int at) {
         int start = tailSpan(at, 1);
         byte[] bytes = new byte[tailLength(at)];
@@ -130,16 +130,16 @@
         return bytes;
     }
 
-    /** The length that stands at this place, beside an offset. */
+    /** Returns the length field that follows the offset field at this offset. */
     int tailLength(int at) {
         return frame.getInt(at + Integer.BYTES);
     }
 
     /**
-     * Where the bytes begin that the offset and length at this place name.
+     * Returns the start in the frame of the tail data that the offset and length fields at this offset refer to.
      *
-     * @param unitBytes of each unit that the length counts
-     * @throws MalformedInputException if they don't lie inside the tail
+     * @param unitBytes the size of the units in which the length is given
+     * @throws MalformedInputException if the data is outside the tail
      */
     int tailSpan(int at, int unitBytes) {
         long offset = frame.getInt(at) & 0xFFFFFFFFL;
@@ -148,7 +148,7 @@
             return tailStart;
         }
         if (tailStart + offset + length > frame.limit()) {
-            throw new MalformedInputException("offset " + offset + " with " + length + " bytes lies outside the tail");
+            throw new MalformedInputException("offset " + offset + " with " + length + " bytes is outside the tail");
         }
         return (int) (tailStart + offset);
     }
--- a/src/main/java/cacheproxy/simulator/EventDecoder.java
+++ b/src/main/java/cacheproxy/simulator/EventDecoder.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * Turns the records of a batch into the events of a {@link LoadBalancer}. A {@link MalformedInputException} names what
- * is unknown. Words of the wire whose term in code differs:
+ * Decodes the records of a batch into events of a {@link LoadBalancer}. A {@link MalformedInputException} names the
+ * unknown value. Wire names that differ from the names in the code:
  *
  * <pre>
  * code  on the wire                event
@@ -46,7 +46,7 @@
     private static final int HEALTH_CHECK_RESULT = 80;
     private static final int PEER_MESSAGE = 90;
 
-    /** All records begin with their code and instance; most go on with an id. */
+    /** All records begin with their code and instance; in most, an id follows. */
     private static final int CODE = 0;
 
     private static final int INSTANCE = 1;
@@ -83,7 +83,7 @@
 
     private static final int MESSAGE = 7;
 
-    /** An entry of the endpoint list, and the places of its fields. */
+    /** The size of an entry of the endpoint list; the offsets of its fields follow. */
     private static final int ENTRY_BYTES = 22;
 
     private static final int ENTRY_ZONE = 4;
@@ -109,17 +109,17 @@
         return batch.unsignedShort(record + INSTANCE);
     }
 
-    /** The seed of an instance that starts. */
+    /** Returns the seed of an instance that starts. */
     long seed(int record) {
         return batch.longAt(record + SEED);
     }
 
-    /** The settings of an instance that starts, as the bytes of their lines. */
+    /** Returns the settings of an instance that starts, as encoded lines. */
     byte[] settings(int record) {
         return batch.tailBytes(record + SETTINGS);
     }
 
-    /** Hands the event of a record to its instance. */
+    /** Delivers the event of a record to its instance. */
     void dispatch(int record, LoadBalancer target, RoutingActions out) {
         double nowMs = batch.timeMs();
         int id = batch.intAt(record + ID);
@@ -154,7 +154,7 @@
             case 1 -> EndpointUpdateKind.DELTA;
             case 2 -> EndpointUpdateKind.CACHED;
             case 3 -> EndpointUpdateKind.FAILED;
-            default -> throw new MalformedInputException("unknown list form " + form);
+            default -> throw new MalformedInputException("unknown endpoint list form " + form);
         };
     }
 
@@ -191,7 +191,7 @@
         for (int e = start; e < start + count * ENTRY_BYTES; e += ENTRY_BYTES) {
             int phase = batch.unsignedByte(e + ENTRY_STATE);
             EndpointState state = EndpointState.ofWireCode(phase)
-                    .orElseThrow(() -> new MalformedInputException("unknown phase " + phase));
+                    .orElseThrow(() -> new MalformedInputException("unknown endpoint phase " + phase));
             endpoints.add(new Endpoint(
                     batch.intAt(e),
                     batch.unsignedShort(e + ENTRY_ZONE),
@@ -204,11 +204,11 @@
         return endpoints;
     }
 
-    /** The values of a load report: their count, then as many floats; null if there are none. */
+    /** Decodes a load report, a count followed by that many floats; null if it is empty. */
     private float[] loadReport(int at) {
         int count = batch.unsignedByte(at);
         if (count > MAX_REPORT_VALUES) {
-            throw new MalformedInputException("load report of " + count + " values");
+            throw new MalformedInputException("load report has " + count + " values, which is too many");
         }
         if (count == 0) {
             return null;
@@ -232,7 +232,7 @@
             case 305 -> AttemptOutcome.RESET;
             case 306 -> AttemptOutcome.CANCELLED;
             case 307 -> AttemptOutcome.NOT_SENT;
-            default -> throw new MalformedInputException("unknown status " + status);
+            default -> throw new MalformedInputException("unknown attempt status " + status);
         };
     }
 }
--- a/src/main/java/cacheproxy/simulator/ReplyFrame.java
+++ b/src/main/java/cacheproxy/simulator/ReplyFrame.java
@@ -9,12 +9,12 @@
 import java.util.Arrays;
 
 /**
- * The reply to one batch: the orders of its instances as the simulator's records. A header with the frame's length, the
- * count of records and the number of the batch; records of one length; then a tail with the bytes that records refer
- * to. Little-endian; what a record doesn't use is zero.
+ * The reply to one batch: the actions of its instances as records of the simulator's wire format. A header with the
+ * frame length, the number of records and the batch number; records of fixed length; then a tail with variable-length
+ * data that records refer to. Little-endian; unused bytes of a record are zero.
  *
  * <pre>
- * code  on the wire    order
+ * code  on the wire    action
  * 10    place          send
  * 20    deny           reject
  * 30    finish_error   fail
@@ -29,7 +29,7 @@
  * 120   reload         fetchEndpointList
  * </pre>
  */
-@SuppressWarnings("ByteBufferBackingArray") // all buffers come from allocate: offset 0
+@SuppressWarnings("ByteBufferBackingArray") // all buffers come from allocate, so their array offset is 0
 final class ReplyFrame implements RoutingActions {
     private static final int HEADER_BYTES = 12;
     private static final int RECORD_BYTES = 24;
@@ -69,7 +69,7 @@
         return buffer(Math.max(2 * b.capacity(), b.limit() + need)).put(b);
     }
 
-    /** Starts the reply to a batch, empty. */
+    /** Starts an empty reply to a batch. */
     void begin() {
         records.clear();
         tail.clear();
@@ -77,12 +77,12 @@
         count = 0;
     }
 
-    /** The instance whose orders follow. */
+    /** Sets the instance whose actions follow. */
     void setInstance(int index) {
         instance = index;
     }
 
-    /** Writes the reply, whole. */
+    /** Writes the complete reply. */
     void write(OutputStream out, int batch) throws IOException {
         records.putInt(LENGTH_OFFSET, records.position() + tail.position());
         records.putInt(COUNT_OFFSET, count);
@@ -165,7 +165,7 @@
         appendTail(line.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The decision module of the instance has failed. */
+    /** Reports that the instance's decision module has thrown an exception. */
     void fault(String cause) {
         beginRecord(FAULT);
         appendTail(cause.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -16,12 +16,12 @@
 import java.util.stream.Stream;
 
 /**
- * Reads an instance's settings from their paths and values, in the words of the operators' settings pages; unknown
- * paths are skipped. A {@link MalformedInputException} names the path of what is missing or wrong. Words whose term in
- * code differs:
+ * Parses an instance's settings from pairs of path and value, with the names of the operators' settings pages. Unknown
+ * paths are ignored. A {@link MalformedInputException} names the path of a missing or invalid setting. Settings whose
+ * name differs in the code:
  *
  * <pre>
- * path                         word                        in code
+ * path                         value                       in code
  * me, balancers, locality      numbers                     instanceIndex, instanceCount, zone
  * discovery                    push, ask                   pollsDiscovery false, true
  * value-by                     request, work               priorityByWork false, true
@@ -31,11 +31,11 @@
  * caps.peers, second-copies    false, true                 peerMessagesAllowed, hedgingAllowed
  * guarantees.grace-to-answer   milliseconds                finalAnswerGraceMs
  * guarantees.start-capacity    0 to 1                      initialCapacity
- * guarantees.tip-multiple      multiple of what it can do  overloadMultiple
+ * guarantees.tip-multiple      multiple of the capacity    overloadMultiple
  * guarantees.fall              milliseconds                overloadWindowMs
  * guarantees.ask-within        milliseconds                pollIntervalMs
  * extra.mode                   through, aside              cacheAside false, true
- * extra.origin-fall-multiple   multiple of what it can do  originOverloadMultiple
+ * extra.origin-fall-multiple   multiple of the capacity    originOverloadMultiple
  * extra.origin-fall            milliseconds                originOverloadWindowMs
  * classes.N.idempotency        retryable, dedup, fragile   Idempotency IDEMPOTENT, KEYED, NON_IDEMPOTENT
  * classes.N.group, window      all, zone, cell; ms         DeduplicationScope ALL, ZONE, CELL; deduplicationWindowMs
@@ -50,15 +50,15 @@
     private final Map<String, String> values;
 
     /**
-     * A parser of settings.
+     * Creates a parser.
      *
-     * @param values by path, as the real proxy's configuration has them once flattened
+     * @param values the values by path, in the form of the proxy's flattened configuration
      */
     public SettingsParser(Map<String, String> values) {
         this.values = values;
     }
 
-    /** A parser of path=value lines, as the simulator sends them. */
+    /** Creates a parser of {@code path=value} lines, as sent by the simulator. */
     static SettingsParser ofLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -73,9 +73,9 @@
     }
 
     /**
-     * All settings.
+     * Returns all settings.
      *
-     * @throws MalformedInputException if one is missing or wrong, with its path
+     * @throws MalformedInputException if a setting is missing or invalid; the message contains its path
      */
     public RoutingSettings settings() {
         List<String> zones = list("zones");
@@ -116,7 +116,7 @@
 
     private List<ServiceClass> classes() {
         if (integer("classes.count") < 1) {
-            throw new MalformedInputException("settings name no class");
+            throw new MalformedInputException("settings contain no class");
         }
         List<ServiceClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
@@ -124,7 +124,7 @@
             String path = "classes." + i + ".";
             String name = text(path + "name");
             if (name.isEmpty() || !names.add(name)) {
-                throw new MalformedInputException("setting '" + path + "name' is empty or another class's: " + name);
+                throw new MalformedInputException("setting '" + path + "name' is empty or not unique: " + name);
             }
             classes.add(serviceClass(path, name));
         }
@@ -133,7 +133,7 @@
 
     private ServiceClass serviceClass(String path, String name) {
         Idempotency idempotency = oneOf(path + "idempotency", Idempotency.values(), Idempotency::wireName);
-        boolean keyed = idempotency == Idempotency.KEYED; // others have no group and window, whatever the settings say
+        boolean keyed = idempotency == Idempotency.KEYED; // group and window of other classes are ignored
         return new ServiceClass(
                 name,
                 idempotency,
@@ -172,26 +172,27 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // reported below, with the key
+            // reported below with the key
         }
-        throw new MalformedInputException("setting '" + key + "' is not a number: " + values.get(key));
+        throw new MalformedInputException("setting '" + key + "' is not a finite number: " + values.get(key));
     }
 
     /**
-     * A number.
+     * Returns a number.
      *
-     * @param defaultValue what stands for it where the key is absent
-     * @throws MalformedInputException if it is no finite number
+     * @param defaultValue the value to return if the key is absent
+     * @throws MalformedInputException if the value is not a finite number
      */
     public double number(String key, double defaultValue) {
         return values.containsKey(key) ? number(key) : defaultValue;
     }
 
-    /** A number over 0, and no less than this. */
+    /** Returns a number above 0 that is at least {@code minimum}. */
     private double positive(String key, double minimum) {
         double value = number(key);
         if (!(value > 0 && value >= minimum)) {
-            throw new MalformedInputException("setting '" + key + "' is not over 0: " + values.get(key));
+            throw new MalformedInputException(
+                    "setting '" + key + "' is not above 0 or is too small: " + values.get(key));
         }
         return value;
     }
@@ -204,7 +205,7 @@
         return oneOf(key, "false", "true") == 1;
     }
 
-    /** A list of plain values; empty where the key is absent. */
+    /** Returns a list of plain values; empty if the key is absent. */
     public List<String> list(String key) {
         String value = values.getOrDefault(key, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
@@ -218,7 +219,7 @@
         int index = List.of(allowed).indexOf(text(key));
         if (index < 0) {
             throw new MalformedInputException(
-                    "setting '" + key + "' is none of " + String.join(", ", allowed) + ": " + text(key));
+                    "setting '" + key + "' is not one of " + String.join(", ", allowed) + ": " + text(key));
         }
         return index;
     }
--- a/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
+++ b/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
@@ -11,9 +11,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Lets the operators' simulator drive the decision module: reads batches of events, hands each event to its instance
- * and writes the instances' orders. Decides nothing. Frames: {@link EventBatch}, {@link EventDecoder} and
- * {@link ReplyFrame}.
+ * Connects the decision module to the operators' simulator: reads batches of events, delivers each event to its
+ * instance and writes the instances' actions. Makes no decisions. The frames are defined by {@link EventBatch},
+ * {@link EventDecoder} and {@link ReplyFrame}.
  */
 public final class SimulatorAdapter {
     private static final int MAX_INSTANCES = 1 << 16;
@@ -31,7 +31,7 @@
         this.out = out;
     }
 
-    /** Speaks on standard input and output until the input ends; the process's exit code. */
+    /** Runs on standard input and output until the input ends; returns the exit code of the process. */
     public static int main() {
         InputStream in = new BufferedInputStream(System.in, INPUT_BUFFER_BYTES);
         try {
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Answers batches until the input ends.
+     * Replies to batches until the input ends.
      *
-     * @throws MalformedInputException if the input is not the simulator's; names the batch and the record
+     * @throws MalformedInputException if the input is malformed; the message names the batch and the record
      */
     void run() throws IOException {
         while (batch.readNext()) {
@@ -66,7 +66,7 @@
             dispatch(record, instance);
         } catch (MalformedInputException e) {
             throw new MalformedInputException("batch " + batch.number() + ", record " + index + ": " + e.getMessage());
-        } catch (RuntimeException e) { // a fault of the module: the simulator ends the day with this text
+        } catch (RuntimeException e) { // a decision module's fault, which ends the simulator's run
             StackTraceElement[] trace = e.getStackTrace();
             reply.fault("instance " + instance + ": " + e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
--- a/src/main/java/cacheproxy/takeover/HandoverStateMachine.java
+++ b/src/main/java/cacheproxy/takeover/HandoverStateMachine.java
@@ -1,24 +1,24 @@
 package cacheproxy.takeover;
 
 /**
- * The serving process's side of a takeover. It accepts connections until a successor reports that it serves, and again
- * if that successor goes before this process is told to terminate: at every moment some process accepts. Pure; all
- * calls come from the event loop.
+ * The serving process's side of a takeover. The process accepts connections until a successor reports that it is
+ * serving, and accepts them again if that successor disconnects before this process is told to terminate, so that some
+ * process accepts connections at every moment. Pure; all calls come from the event loop.
  */
 public final class HandoverStateMachine {
-    /** How far the handover has come. */
+    /** The phase of the handover. */
     public enum Phase {
         /** No successor has connected. */
         NO_SUCCESSOR("alone"),
-        /** One has asked for the snapshot and was sent it. */
+        /** A successor has requested the snapshot and was sent it. */
         SNAPSHOT_SENT("offered"),
-        /** It was sent the listening socket and does not serve yet. */
+        /** The successor was sent the listening socket and is not serving yet. */
         SOCKET_PASSED("taken"),
-        /** It serves; this process accepts no connections any more. */
+        /** The successor is serving; this process no longer accepts connections. */
         SUCCESSOR_SERVES("served"),
-        /** This process is to terminate and passes its idle clients to the successor. */
+        /** This process is terminating and passes its idle clients to the successor. */
         PASSING_CLIENTS("retiring"),
-        /** This process is to terminate and has no successor. */
+        /** This process is terminating without a successor. */
         TERMINATING("ending");
 
         private final String statusName;
@@ -27,7 +27,7 @@
             this.statusName = statusName;
         }
 
-        /** The word for it in operators' status and in the answer to {@code handover}. */
+        /** The name in the operators' status output and in the response to {@code handover}. */
         public String statusName() {
             return statusName;
         }
@@ -37,12 +37,12 @@
     private long successorConnection;
     private int completedHandovers;
 
-    /** The current phase. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** How many successors have come to serve since the start. */
+    /** Returns how many successors have reported that they serve since this process started. */
     public int completedHandovers() {
         return completedHandovers;
     }
@@ -58,10 +58,11 @@
     }
 
     /**
-     * A process requests the snapshot. It displaces one that requested before and does not serve yet, which may hang.
+     * Handles a process's request for the snapshot. The process replaces an earlier one that is not serving yet,
+     * because that one may hang.
      *
      * @param connection the unique number of its connection, above 0
-     * @return whether it is sent the snapshot; if not, its connection is to be closed
+     * @return whether to send the snapshot; if not, the connection must be closed
      */
     public boolean snapshotRequested(long connection) {
         if (phase.compareTo(Phase.SUCCESSOR_SERVES) >= 0) {
@@ -72,7 +73,7 @@
         return true;
     }
 
-    /** A process requests the listening socket; whether it is sent it. */
+    /** Handles a process's request for the listening socket; returns whether to send it. */
     public boolean socketRequested(long connection) {
         if (connection != successorConnection || phase != Phase.SNAPSHOT_SENT) {
             return false;
@@ -81,7 +82,7 @@
         return true;
     }
 
-    /** A process reports that it serves; whether it may: only the one that was sent the socket. */
+    /** Handles a process's report that it serves; returns false unless this process was sent the socket. */
     public boolean successorServes(long connection) {
         if (connection != successorConnection || phase != Phase.SOCKET_PASSED) {
             return false;
@@ -92,8 +93,8 @@
     }
 
     /**
-     * A connection has closed. Returns whether it was that of a serving successor, so that this process has to take the
-     * takeover socket's name back.
+     * Handles the close of a connection. Returns whether it belonged to a serving successor, in which case this process
+     * must reclaim the name of the takeover socket.
      */
     public boolean connectionClosed(long connection) {
         if (connection != successorConnection) {
@@ -107,7 +108,7 @@
         return served;
     }
 
-    /** This process is to terminate (SIGTERM). A successor that does not serve yet gets nothing further. */
+    /** Handles SIGTERM. A successor that is not serving yet is sent nothing further. */
     public void terminationRequested() {
         if (phase == Phase.SUCCESSOR_SERVES) {
             phase = Phase.PASSING_CLIENTS;
--- a/src/main/java/cacheproxy/takeover/TakeoverStateMachine.java
+++ b/src/main/java/cacheproxy/takeover/TakeoverStateMachine.java
@@ -1,40 +1,40 @@
 package cacheproxy.takeover;
 
 /**
- * The starting process's side of a takeover. Whatever fails on the way, the process comes to serve: at the old
- * process's listening socket if that arrives in time, else at a socket of its own beside it. Times are milliseconds of
- * one monotonic clock.
+ * The starting process's side of a takeover. Whatever fails, the process ends up serving: at the old process's
+ * listening socket if it arrives in time, otherwise at a second socket of its own. Times are milliseconds of one
+ * monotonic clock.
  */
 public final class TakeoverStateMachine {
-    /** Timeout of each answer, in milliseconds: the old process may run on a small part of a core. */
+    /** The timeout of each response, in milliseconds; allows for an old process that runs on a fraction of a core. */
     public static final double ANSWER_TIMEOUT_MS = 1500;
 
-    /** How far the takeover has come. */
+    /** The phase of the takeover. */
     public enum Phase {
         /** The snapshot has been requested. */
         AWAITING_SNAPSHOT,
-        /** It has been received, and the listening socket has been requested. */
+        /** The snapshot has been received and the listening socket has been requested. */
         AWAITING_SOCKET,
-        /** This process serves at the old one's socket and accepts the clients that it is passed. */
+        /** This process serves at the old process's socket and accepts the clients passed by it. */
         TAKEN_OVER,
-        /** This process serves at a socket of its own. */
+        /** This process serves at its own socket. */
         INDEPENDENT
     }
 
     private Phase phase = Phase.AWAITING_SNAPSHOT;
     private double requestedMs;
 
-    /** The snapshot is requested at this time. */
+    /** Creates the state machine when the snapshot is requested. */
     public TakeoverStateMachine(double now) {
         requestedMs = now;
     }
 
-    /** The current phase. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** A snapshot has been received; whether the socket is to be requested. An unreadable one counts as none. */
+    /** Handles a received snapshot; returns whether to request the socket. An unreadable one ends the takeover. */
     public boolean snapshotReceived(double now, boolean readable) {
         if (phase != Phase.AWAITING_SNAPSHOT) {
             return false;
@@ -44,7 +44,7 @@
         return readable;
     }
 
-    /** A descriptor has been received; whether it is the listening socket, as the first one is. */
+    /** Handles a received descriptor; returns whether it is the listening socket, which is sent first. */
     public boolean descriptorReceived() {
         if (phase != Phase.AWAITING_SOCKET) {
             return false;
@@ -53,14 +53,14 @@
         return true;
     }
 
-    /** The connection has closed, or could not be made. */
+    /** Handles that the connection has closed or could not be established. */
     public void connectionClosed() {
         if (phase != Phase.TAKEN_OVER) {
             phase = Phase.INDEPENDENT;
         }
     }
 
-    /** Whether the answer is overdue at this time; this process then serves independently. */
+    /** Returns whether the response is overdue at this time; if so, this process serves independently. */
     public boolean checkTimeout(double now) {
         if ((phase == Phase.AWAITING_SNAPSHOT || phase == Phase.AWAITING_SOCKET)
                 && now - requestedMs >= ANSWER_TIMEOUT_MS) {
--- a/src/main/java/cacheproxy/takeover/package-info.java
+++ b/src/main/java/cacheproxy/takeover/package-info.java
@@ -1,6 +1,6 @@
 /**
- * How a new process takes over from the one that serves: a state machine for each of the two, which is told of events
- * and returns what to do. No sockets, threads or clocks; {@code proxy.lifecycle.HandoverServer} and
- * {@code proxy.lifecycle.TakeoverClient} carry it out.
+ * Takeover of a serving process by a new process: a state machine for each of the two, which handles events and returns
+ * the actions to perform. No sockets, threads or clocks; {@code proxy.lifecycle.HandoverServer} and
+ * {@code proxy.lifecycle.TakeoverClient} perform the I/O.
  */
 package cacheproxy.takeover;
