--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Who may know whom, and where no I/O may be. */
+/** Checks the dependencies between packages and which packages must not perform I/O. */
 class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -27,7 +27,7 @@
         "io.netty..", "java.net..", "java.nio..", "java.io..", "sun..", "java.util.concurrent.."
     };
 
-    /** A rule on a package that was renamed would hold without checking anything. */
+    /** After a package is renamed, a rule with its old name would pass without checking anything. */
     @Test
     void everyPackageNamedHereHasClasses() throws Exception {
         String source = Files.readString(Path.of("src/test/java/cacheproxy/ArchitectureTest.java"));
@@ -41,7 +41,7 @@
         assertThat(named).hasSizeGreaterThan(20).isSubsetOf(packages);
     }
 
-    /** As above, for the classes that rules name one by one. */
+    /** The same check for classes that are named individually in rules. */
     @Test
     void everyClassNamedHereExists() throws Exception {
         String source = Files.readString(Path.of("src/test/java/cacheproxy/ArchitectureTest.java"));
@@ -83,7 +83,7 @@
                 .check(ALL);
     }
 
-    /** Bytes in memory are not input or output. */
+    /** Buffers in memory are allowed, because they are not I/O. */
     @Test
     void fleetCoordinationUsesNoSocketsOrClocks() {
         noClasses()
@@ -116,7 +116,7 @@
                 .check(ALL);
     }
 
-    /** Only what owns the folder touches it, and what decides of it reads no clock. */
+    /** Only the owner of the state folder accesses files, and the decisions about stored state read no clock. */
     @Test
     void onlyTheStateFolderAccessesFiles() {
         noClasses()
@@ -204,7 +204,7 @@
                 .check(ALL);
     }
 
-    /** The same seed gives the same run on any machine. */
+    /** The same seed must give the same run on any machine. */
     @Test
     void theFleetModelDoesNoInputOrOutputAndReadsNoClock() {
         noClasses()
@@ -285,7 +285,7 @@
                 .check(ALL);
     }
 
-    /** What hears of servers knows nothing of requests. */
+    /** Discovery provides the endpoint list and must not depend on request handling. */
     @Test
     void discoveryDoesNotDependOnTheCore() {
         noClasses()
@@ -297,7 +297,7 @@
                 .check(ALL);
     }
 
-    /** The I/O around the core meets it by interfaces of its own. */
+    /** The I/O packages around the core declare their own interfaces, which the core implements. */
     @Test
     void upstreamProtocolAndPeersDoNotDependOnTheCore() {
         noClasses()
@@ -310,7 +310,7 @@
                 .check(ALL);
     }
 
-    /** Start and end stand above everything else of the proxy. */
+    /** Startup and shutdown depend on the rest of the proxy, not the other way round. */
     @Test
     void coreClientsAndDiscoveryDoNotDependOnTheLifecycle() {
         noClasses()
--- a/src/test/java/cacheproxy/Await.java
+++ b/src/test/java/cacheproxy/Await.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Waits for a condition; a test that waits in vain fails with what it waited for, and does not hang. */
+/** Waits for a condition. After a timeout the test fails with a description of the condition and does not hang. */
 public final class Await {
     private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(40);
 
-    /** What is waited for; what it throws counts as not yet. */
+    /** A condition to wait for. An exception counts as not met. */
     public interface Condition {
-        /** Whether it has come to pass. */
+        /** Whether the condition is met. */
         boolean isMet() throws Exception;
     }
 
@@ -29,6 +29,6 @@
             }
             LockSupport.parkNanos(1_000_000);
         }
-        throw new AssertionError("waited in vain: " + description, lastFailure);
+        throw new AssertionError("timed out waiting for: " + description, lastFailure);
     }
 }
--- a/src/test/java/cacheproxy/GoldenFile.java
+++ b/src/test/java/cacheproxy/GoldenFile.java
@@ -12,7 +12,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A file under src/test/resources that holds what the program wrote when the file was made, for comparison. */
+/** Golden files under src/test/resources: recorded output of the program for comparison. */
 public final class GoldenFile {
     private static final Path ROOT = Path.of("src/test/resources");
     private static final Gson PRETTY = new GsonBuilder()
@@ -23,12 +23,12 @@
 
     private GoldenFile() {}
 
-    /** Where a file or folder of this name lies. */
+    /** Returns the path of the file or folder with this name. */
     public static Path path(String name) {
         return ROOT.resolve(name);
     }
 
-    /** All bytes of the file. */
+    /** Returns all bytes of the file. */
     public static byte[] bytes(String name) {
         try {
             return Files.readAllBytes(path(name));
@@ -37,22 +37,22 @@
         }
     }
 
-    /** The file as text. */
+    /** Returns the file as text. */
     public static String text(String name) {
         return new String(bytes(name), StandardCharsets.UTF_8);
     }
 
-    /** The file as JSON. */
+    /** Returns the file as JSON. */
     public static JsonElement json(String name) {
         return JsonParser.parseString(text(name));
     }
 
-    /** Fails unless the file holds exactly this text. */
+    /** Asserts that the file contains exactly this text. */
     public static void assertText(String name, String actual) {
         assertThat(actual).as(name).isEqualTo(text(name));
     }
 
-    /** Fails unless the file holds exactly this JSON, its fields in this order. */
+    /** Asserts that the file contains exactly this JSON, with its fields in this order. */
     public static void assertJson(String name, JsonElement actual) {
         assertText(name, PRETTY.toJson(actual) + "\n");
     }
--- a/src/test/java/cacheproxy/JarIT.java
+++ b/src/test/java/cacheproxy/JarIT.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The packaged program, started as in service. */
+/** Runs the packaged program as in production. */
 @Timeout(120)
 class JarIT {
     @TempDir
@@ -57,15 +57,18 @@
                 return new Socket(InetAddress.getByName("127.0.0.1"), port);
             } catch (IOException e) {
                 if (!process.isAlive()) {
-                    throw new AssertionError(
-                            "ended: " + new String(process.getErrorStream().readAllBytes(), UTF_8));
+                    throw new AssertionError("process exited: "
+                            + new String(process.getErrorStream().readAllBytes(), UTF_8));
                 }
                 Thread.onSpinWait();
             }
         }
     }
 
-    /** Asks {@code mn} at once, as the proxy closes a client that stays silent; its answer is still to be read. */
+    /**
+     * Connects and immediately sends {@code mn}, because the proxy disconnects clients that send nothing. The caller
+     * reads the response.
+     */
     private static Socket connectAndAsk(int port, Process process) throws IOException {
         Socket client = connect(port, process);
         client.getOutputStream().write("mn\r\n".getBytes(UTF_8));
@@ -153,8 +156,8 @@
     }
 
     /**
-     * Also through a SIGHUP in its middle; the commands' own ends and the socket's file are looked at. A request that
-     * is owed its answer holds the drain up.
+     * Drains by operator commands, with a SIGHUP during the drain. Also checks the exit codes of the commands and that
+     * the control socket's file is deleted. An unanswered request keeps the drain from completing.
      */
     @Test
     void aDrainIsStartedMonitoredCancelledAndCompleted() throws Exception {
@@ -193,7 +196,7 @@
             BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream(), UTF_8));
             client.getOutputStream().write("mn\r\nmg 7f3a v O1 Pc=seg-text,d=60000\r\n".getBytes(UTF_8));
             assertThat(in.readLine()).isEqualTo("MN");
-            Await.until("the socket is there", () -> Files.exists(control));
+            Await.until("the control socket to exist", () -> Files.exists(control));
             assertThat(runCommand(0, "status", at)).contains("clients=1", "phase=serving");
             assertThat(runCommand(0, "drain", at[0], at[1], "--deadline", "60s"))
                     .startsWith("draining; ")
@@ -225,7 +228,7 @@
         }
     }
 
-    /** As nohup starts it: the signal is ignored for good, and the file is looked at in its place. */
+    /** Under nohup SIGHUP stays ignored; the proxy checks the configuration file for changes instead. */
     @Test
     void theConfigurationIsReloadedIfSighupIsIgnored() throws Exception {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
@@ -269,7 +272,7 @@
         }
     }
 
-    /** The settings may come while the process warms up; before, it ended by the signal. */
+    /** New settings may arrive while the process warms up. SIGHUP used to terminate the process during startup. */
     @Test
     void aSighupDuringStartupDoesNotEndTheProcess() throws Exception {
         int port = freePort();
@@ -280,9 +283,9 @@
                         .replace("127.0.0.1:0", "127.0.0.1:" + port));
         Process process = start("serve", config.toString());
         try {
-            // The start of the program, well before it serves, is when its JVM has come to load the archive's classes.
+            // The process maps a file of Netty early in its start, well before it serves.
             Await.until(
-                    "it runs",
+                    "the program to start",
                     () -> Files.readString(Path.of("/proc/" + process.pid() + "/maps"))
                             .contains("netty"));
             assertThat(process.isAlive()).isTrue();
@@ -308,7 +311,7 @@
         return output;
     }
 
-    /** The newcomer's second command, through a fault that the rules stand, and a Ctrl-C in the middle. */
+    /** Runs the demo with faults that must not violate the rules, then interrupts a second run with Ctrl-C. */
     @Test
     void theDemoKeepsTheRulesAndCleansUp() throws Exception {
         Path script = folder.resolve("x.faults");
@@ -326,7 +329,7 @@
         process = start("demo", null, arguments.toArray(String[]::new));
         BufferedReader lines = process.inputReader();
         while (!lines.readLine().contains("sent ")) {
-            // the proxies start
+            // the proxies are starting
         }
         List<ProcessHandle> proxies = process.descendants().toList();
         assertThat(proxies).hasSize(2);
@@ -338,7 +341,7 @@
         }
     }
 
-    /** Routes, a fallback from a pool that has no server, and reloads in the middle, one of a file of no use. */
+    /** Uses routes, a fallback from a pool without servers, and reloads under load, one of them of an invalid file. */
     @Test
     void routesAreReloadedUnderLoadAndTheRulesHold() throws Exception {
         Path edge = folder.resolve("edge.conf");
@@ -386,7 +389,7 @@
         assertThat(output).contains("held   LOST", "held   RAN_TWICE").doesNotContain("BROKEN");
     }
 
-    /** Each proxy gives way to a new process while it serves, one of them twice; nobody is turned back unheard. */
+    /** Each proxy is replaced by a new process under load, one of them twice; no request stays unanswered. */
     @Test
     void upgradesUnderLoadLoseNoRequest() throws Exception {
         Path script = folder.resolve("x.faults");
@@ -415,8 +418,8 @@
     }
 
     /**
-     * A new process is killed at whatever moment of its start and takeover, and then the old one at whatever moment of
-     * its end: there is always somebody who answers on a connection that is opened afresh.
+     * Kills new processes at different moments of their start and takeover, then old processes at different moments of
+     * their shutdown. A new connection must always be served.
      */
     @Test
     void serviceContinuesWhicheverProcessIsKilled() throws Exception {
@@ -443,9 +446,9 @@
                 BufferedReader log = next.errorReader();
                 String line = log.readLine();
                 while (line != null && !line.contains("takeover completed: duration_ms=")) {
-                    line = log.readLine(); // it may have called discovery before, which is not there
+                    line = log.readLine(); // errors of discovery, which is not running, may be logged first
                 }
-                assertThat(line).as("what the new one says").isNotNull();
+                assertThat(line).as("takeover line of the new process").isNotNull();
                 if (step > 0) {
                     serving.destroy();
                     serving.waitFor(20L * (step - 1), TimeUnit.MILLISECONDS);
@@ -468,7 +471,7 @@
         }
     }
 
-    /** Values of up to 4 MiB, a process that takes over every second, settings that change and a file of no use. */
+    /** Runs the demo with values of up to 4 MiB, upgrades every 2.5 s, configuration changes and an invalid file. */
     @Test
     void theDemoHandlesLargeValuesUpgradesAndConfigChanges() throws Exception {
         Path script = folder.resolve("x.faults");
@@ -502,7 +505,7 @@
                 .doesNotContain("BROKEN");
     }
 
-    /** A target that never answers needs a connection for each request, and there are not as many descriptors. */
+    /** The target never responds, so each request needs a connection, and the limit of file descriptors is lower. */
     @Test
     void theLoadGeneratorContinuesWhenShortOfDescriptors() throws Exception {
         Path json = folder.resolve("short.json");
@@ -539,7 +542,7 @@
                 start("fleet", null, "--nodes", "2", "--proxies", "1", "--held", "1", "--json", json.toString());
         BufferedReader lines = process.inputReader();
         while (!lines.readLine().contains("interrupt it to end")) {
-            // it starts
+            // the fleet is starting
         }
         JsonObject addresses = JsonParser.parseString(Files.readString(json)).getAsJsonObject();
         JsonObject proxy = addresses.getAsJsonArray("proxies").get(0).getAsJsonObject();
--- a/src/test/java/cacheproxy/KnownRed.java
+++ b/src/test/java/cacheproxy/KnownRed.java
@@ -10,9 +10,9 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Lets the build pass over the tests that {@code KNOWN-RED.txt} lists, and over no others. A listed test runs all the
- * same: its failure is printed and ends it as aborted, and its success fails the build, so that the list can't outlive
- * its reason.
+ * Ignores failures of the tests listed in {@code KNOWN-RED.txt}, and of no others. A listed test still runs: its
+ * failure is printed and reported as aborted, and its success fails the build, so that entries are removed once they
+ * are obsolete.
  *
  * <p>A line of the file is {@code SimpleClass.method: cause: issue}.
  */
@@ -34,7 +34,7 @@
     public void afterTestExecution(ExtensionContext context) {
         String line = line(context);
         if (line != null && context.getExecutionException().isEmpty()) {
-            throw new AssertionError("is listed in " + LIST + " and passes; take it off the list: " + line);
+            throw new AssertionError("listed in " + LIST + " but passes; remove it from the list: " + line);
         }
     }
 
@@ -44,7 +44,7 @@
         return lines().stream().filter(l -> l.startsWith(name)).findFirst().orElse(null);
     }
 
-    /** The list's lines; none where there is no such file. */
+    /** Returns the lines of the list; empty if the file does not exist. */
     static List<String> lines() {
         if (!Files.exists(LIST)) {
             return List.of();
--- a/src/test/java/cacheproxy/KnownRedTest.java
+++ b/src/test/java/cacheproxy/KnownRedTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The list of known failures stays short, and each line says what it stands for. */
+/** Checks that the list of known failures is short and that each line names its test, cause and issue. */
 class KnownRedTest {
     @Test
     void theListHoldsFewLinesEachWithTestCauseAndIssue() {
--- a/src/test/java/cacheproxy/LabIT.java
+++ b/src/test/java/cacheproxy/LabIT.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The lab as people run it: several processes of the packaged program, and faults between them. */
+/** Runs the lab command of the packaged program: several processes with faults between them. */
 @Timeout(180)
 class LabIT {
     private static final int EXIT_TOO_BUSY_TO_JUDGE = 3;
@@ -53,7 +53,7 @@
         return sum;
     }
 
-    /** Three seeds beside one another, as one after another would take too long for each change. */
+    /** Runs three seeds in parallel, because a sequential run takes too long for every change. */
     @Test
     void shortSoaksOfThreeSeedsKeepTheRules() throws Exception {
         List<Process> soaks = new ArrayList<>();
@@ -110,7 +110,7 @@
         assertThat(folder.resolve("logs")).isDirectoryRecursivelyContaining("glob:**/proxy-3.log");
     }
 
-    /** Real processes leave a zone whose nodes say nothing, within a moment of each other, and return to it. */
+    /** All proxies leave a zone whose nodes do not respond, within a short time of each other, and return to it. */
     @Test
     void allProxiesLeaveAFailedZoneAndReturn() throws Exception {
         Path logs = folder.resolve("logs");
@@ -120,7 +120,7 @@
         assertThat(printed).contains("held   left").contains("held   whole").contains("held   leaves     1 ");
     }
 
-    /** All proxies die at once; each comes back with what it had stored, and its life goes on beyond the last. */
+    /** All proxies are killed at once. Each restarts with its stored state and a higher incarnation than before. */
     @Test
     void allProxiesRestoreTheirStateAfterBeingKilled() throws Exception {
         Path logs = folder.resolve("logs");
@@ -138,7 +138,7 @@
         }
     }
 
-    /** What can't hold is told as broken, so a verdict of "held" says something. */
+    /** An expectation that cannot be met is reported as broken, which shows that "held" is meaningful. */
     @Test
     void anUnmetExpectationIsReportedAsBroken() throws Exception {
         Path file = Files.writeString(folder.resolve("dead.conf"), """
--- a/src/test/java/cacheproxy/ServeOptionsTest.java
+++ b/src/test/java/cacheproxy/ServeOptionsTest.java
@@ -5,7 +5,7 @@
 import cacheproxy.proxy.lifecycle.FleetFeatures;
 import org.junit.jupiter.api.Test;
 
-/** What the command line of {@code serve} accepts. */
+/** Tests the command line of {@code serve}. */
 class ServeOptionsTest {
     private static ServeOptions parse(String line) {
         return ServeOptions.parse(line.split(" ", -1));
--- a/src/test/java/cacheproxy/SizeLimitsTest.java
+++ b/src/test/java/cacheproxy/SizeLimitsTest.java
@@ -10,10 +10,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Checkstyle limits the length of files and methods; the lists of what is over a limit still may only shrink. */
+/** Checkstyle limits the length of files and methods. Its lists of exceptions may only shrink. */
 class SizeLimitsTest {
     private static final int MAX_FILE_LINES = 400;
-    /** Entries that are left; lower them with the lists. */
+    /** The number of remaining exceptions; lower it whenever an entry is removed. */
     private static final int MAX_LONG_FILES = 4;
 
     private static final int MAX_FILES_WITH_LONG_METHODS = 16;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** The decision files that the deploy file names are held to the same limits and exist. */
+    /** Checks that the policy files named by the deploy file exist. */
     @Test
     void thePolicyFilesOfTheDeployFileExist() throws IOException {
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
@@ -64,7 +64,7 @@
                 .toList();
         long entries =
                 Pattern.compile("\"" + check + "\"").matcher(list).results().count();
-        assertThat(names).as("entries of one file each").hasSize((int) entries);
+        assertThat(names).as("each entry names one file").hasSize((int) entries);
         return names;
     }
 
--- a/src/test/java/cacheproxy/WireSamples.java
+++ b/src/test/java/cacheproxy/WireSamples.java
@@ -8,11 +8,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Recorded forms of messages under {@code src/test/resources}. */
+/** Recorded messages under {@code src/test/resources}. */
 public final class WireSamples {
     private WireSamples() {}
 
-    /** The text of a resource, named from the root of the class path. */
+    /** Returns the text of a resource, named from the root of the class path. */
     public static String text(String resource) {
         try (InputStream in = WireSamples.class.getResourceAsStream("/" + resource)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -21,7 +21,7 @@
         }
     }
 
-    /** The samples of a resource by name, in its order: a line holds a name, a space and the bytes in hex. */
+    /** Returns the samples of a resource by name, in file order. A line is a name, a space and the bytes in hex. */
     public static Map<String, byte[]> bytes(String resource) {
         Map<String, byte[]> samples = new LinkedHashMap<>();
         text(resource).lines().filter(line -> !line.startsWith("#")).forEach(line -> {
@@ -31,7 +31,7 @@
         return samples;
     }
 
-    /** Samples as the lines of such a resource. */
+    /** Formats samples as the lines of such a resource. */
     public static String lines(Map<String, byte[]> samples) {
         StringBuilder lines = new StringBuilder();
         samples.forEach((name, bytes) -> lines.append(name)
--- a/src/test/java/cacheproxy/admission/SafetyRulesTest.java
+++ b/src/test/java/cacheproxy/admission/SafetyRulesTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What may be sent and rejected, condition by condition. */
+/** Tests each condition that forbids an attempt or a rejection. */
 class SafetyRulesTest {
     private static final double NOW_MS = 10_000;
     private static final double WINDOW_MS = 1500;
@@ -94,7 +94,9 @@
                 .isEqualTo(Verdict.ALLOWED);
     }
 
-    /** Routing plans with the time a connection may take; at the moment of the act the window is used up to its end. */
+    /**
+     * Routing adds the connect timeout when it plans; the check before sending allows repeats until the window ends.
+     */
     @Test
     void aRepeatIsCheckedAtTheTimeItBegins() {
         ServiceClass keyed = serviceClass(Idempotency.KEYED, DeduplicationScope.ALL);
@@ -114,7 +116,7 @@
                 .isEqualTo(Verdict.ALLOWED);
     }
 
-    /** A rejection promises that a repeat does no harm. */
+    /** A rejection tells the client that a repeat is safe. */
     @Property(tries = 100)
     void aRequestMayBeRejectedIfARepeatIsSafe(
             @ForAll Idempotency idempotency, @ForAll DeduplicationScope scope, @ForAll boolean mayHaveRun) {
--- a/src/test/java/cacheproxy/admission/StableNamesTest.java
+++ b/src/test/java/cacheproxy/admission/StableNamesTest.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Names that stand in logs and counters; alerts rest on them, so they stay whatever the constants are called. */
+/** Pins the names in logs and counters: alerts depend on them, so they stay when a constant is renamed. */
 class StableNamesTest {
     @Test
     void verdictKeys() {
--- a/src/test/java/cacheproxy/drain/DrainStateMachineTest.java
+++ b/src/test/java/cacheproxy/drain/DrainStateMachineTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The state machine in virtual time. */
+/** Tests the state machine with simulated time. */
 class DrainStateMachineTest {
     private final DrainStateMachine drain = new DrainStateMachine();
 
@@ -64,7 +64,7 @@
         drain.startDrain(0, DrainPlan.requested(10_000));
         drain.tick(20, open(0, 50, 50));
         assertThat(drain.progress(20).completedFraction()).isEqualTo(0.5);
-        drain.tick(40, open(0, 80, 80)); // others came
+        drain.tick(40, open(0, 80, 80)); // more connections were opened
         assertThat(drain.progress(40).completedFraction()).isEqualTo(0.5);
         drain.tick(60, open(0, 25, 25));
         assertThat(drain.progress(60).completedFraction()).isEqualTo(0.75);
@@ -76,9 +76,9 @@
     void drainedAfterAQuietPeriodWithNothingOpen() {
         drain.startDrain(0, DrainPlan.requested(30_000));
         assertThat(drain.tick(100, open(0, 0, 0)).exit()).isFalse();
-        assertThat(drain.tick(900, open(1, 1, 0)).exit()).isFalse(); // one came after all
+        assertThat(drain.tick(900, open(1, 1, 0)).exit()).isFalse(); // another request arrived
         assertThat(drain.tick(1000, open(0, 0, 0)).exit()).isFalse();
-        assertThat(drain.tick(1500, open(0, 1, 0)).exit()).isFalse(); // one that asks for nothing is none
+        assertThat(drain.tick(1500, open(0, 1, 0)).exit()).isFalse(); // without a request, the quiet period continues
         assertThat(drain.tick(1899, open(0, 0, 0)).exit()).isFalse();
         assertThat(drain.progress(1899).completedFraction()).isLessThan(1);
         assertThat(drain.tick(1900, open(0, 0, 0))).isEqualTo(new Actions(0, false, false, true));
@@ -147,7 +147,7 @@
         assertThatThrownBy(() -> DrainPlan.requested(1e9)).hasMessageContaining("hour");
     }
 
-    /** The platform's kill does not wait for a class that does. */
+    /** The platform sends SIGKILL at a fixed time, however long a class's deadline is. */
     @Test
     void afterSigtermAllRequestsAreAnsweredBeforeSigkill() {
         assertThat(DrainPlan.onTermination(500, 30_000).timeoutMs()).isEqualTo(DrainPlan.MAX_ANSWER_MS);
@@ -157,7 +157,7 @@
 
     // ---- any interleaving
 
-    /** What can happen at one step of 20 ms. */
+    /** The event of one step of 20 ms. */
     enum Step {
         NOTHING,
         CONNECT,
@@ -188,9 +188,9 @@
     }
 
     /**
-     * A model of the proxy carries the orders out: connections with at most one request each. Whatever happens when:
-     * progress never falls within a drain, the deadline is kept to a step, nothing is taken once it does not listen,
-     * every request is answered once, and after the end nothing is open.
+     * Runs the state machine against a model of the proxy that accepts connections only while told to listen and has at
+     * most one request on each. For every sequence of events: progress never decreases within a drain, the deadline is
+     * kept within two steps, a serving instance listens, every request is answered once, and none is open at the end.
      */
     @Property(tries = 500, seed = "21")
     void everyInterleavingKeepsTheInvariants(
--- a/src/test/java/cacheproxy/flow/ArrivalTimesTest.java
+++ b/src/test/java/cacheproxy/flow/ArrivalTimesTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** When bytes came that wait to be looked at. */
+/** Tests the arrival times of unprocessed bytes. */
 class ArrivalTimesTest {
     @Test
     void eachByteHasTheTimeOfItsRead() {
@@ -34,7 +34,7 @@
         assertThat(times.arrivedAtMs(10)).isEqualTo(100);
     }
 
-    /** Its sender had no room for it, and sends it as soon as there is some. */
+    /** The sender was blocked by the full buffer and resumes as soon as there is space. */
     @Test
     void bytesRightAfterABacklogCountAsPartOfIt() {
         ArrivalTimes times = new ArrivalTimes();
@@ -48,7 +48,7 @@
         assertThat(times.arrivedAtMs(21)).isEqualTo(901 + ArrivalTimes.REFILL_MS + 1);
     }
 
-    /** The rest of a long value that had to wait for room is sent once there is some. */
+    /** The kernels buffer no more than the maximum backlog; the rest of a long value is sent only after the drain. */
     @Test
     void bytesBeyondTheMaximumBacklogHaveNotWaited() {
         ArrivalTimes times = new ArrivalTimes();
@@ -70,7 +70,7 @@
         assertThat(times.arrivedAtMs(11)).isEqualTo(903);
     }
 
-    /** The number of pieces is bounded, at the price of times that are too early and never too late. */
+    /** The number of segments is bounded; merging may make an arrival time too early, but never too late. */
     @Property(tries = 100)
     void noArrivalTimeIsTooLate(@ForAll @Size(min = 1, max = 600) List<@IntRange(min = 1, max = 50) Integer> reads) {
         ArrivalTimes times = new ArrivalTimes();
--- a/src/test/java/cacheproxy/flow/ByteBudgetTest.java
+++ b/src/test/java/cacheproxy/flow/ByteBudgetTest.java
@@ -27,7 +27,9 @@
         Reservation c = reserveNamed(budget, MB, "c");
         assertThat(a.granted()).isTrue();
         assertThat(b.granted()).isFalse();
-        assertThat(c.granted()).as("would fit, but came behind a large one").isFalse();
+        assertThat(c.granted())
+                .as("would fit, but waits behind another large one")
+                .isFalse();
         assertThat(reserveNamed(budget, ByteBudget.SMALL_VALUE_BYTES, "small").granted())
                 .isTrue();
         a.release();
@@ -74,7 +76,10 @@
         assertThat(budget.reserved()).isZero();
     }
 
-    /** Claims and releases in any order: never over the bound, everybody gets room in the end, nothing is left over. */
+    /**
+     * Reservations and releases in any order: the budget is never exceeded, every reservation is granted eventually,
+     * and nothing stays reserved.
+     */
     @Property(seed = "1", tries = 1000)
     void theLimitHoldsAndEveryReservationIsGranted(
             @ForAll @Size(max = 60) List<@IntRange(min = 1, max = 3 * MB) Integer> sizes,
@@ -96,7 +101,7 @@
                     .filter(Reservation::granted)
                     .findFirst()
                     .orElse(null);
-            assertThat(next).as("somebody has room while any wait").isNotNull();
+            assertThat(next).as("a granted reservation while others wait").isNotNull();
             reservations.remove(next);
             next.release();
         }
--- a/src/test/java/cacheproxy/flow/ReadAheadBudgetTest.java
+++ b/src/test/java/cacheproxy/flow/ReadAheadBudgetTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What clients' connections may have read ahead, each and together. */
+/** Tests the read-ahead limits of each connection and of all connections together. */
 class ReadAheadBudgetTest {
     private static final int SHARED = 100_000;
 
--- a/src/test/java/cacheproxy/flow/ReadTimeoutTest.java
+++ b/src/test/java/cacheproxy/flow/ReadTimeoutTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** How long a client may take over a request that it has begun. */
+/** Tests the time limits for sending a command. */
 class ReadTimeoutTest {
     private static final double PERIOD_MS = ReadTimeout.TIMEOUT_MS;
 
@@ -45,7 +45,7 @@
         assertThat(timeout.expiresAtMs()).isEqualTo(5000 + PERIOD_MS);
     }
 
-    /** However its bytes are spread, a value of so many has ended by what they earn. */
+    /** The deadline of a value is limited by its number of bytes, whatever their distribution in time. */
     @Property(tries = 200)
     void aSlowValueTimesOutAfterTheTimeForItsBytes(
             @ForAll @IntRange(min = 1, max = 1000) int bytes,
--- a/src/test/java/cacheproxy/flow/RecentRequestIdsTest.java
+++ b/src/test/java/cacheproxy/flow/RecentRequestIdsTest.java
@@ -36,7 +36,7 @@
         assertThat(ids.contains(0, "i" + RecentRequestIds.MAX_IDS)).isTrue();
     }
 
-    /** Against a plain map of ends, with ids that come again once they are free. */
+    /** Compares with a plain map of end times; ids are reused once they have expired. */
     @Property
     void remembersIdsWithinTheRetentionTime(
             @ForAll @Size(max = 200) List<@IntRange(min = 0, max = 19) Integer> requests) {
--- a/src/test/java/cacheproxy/metrics/FleetMetricsTest.java
+++ b/src/test/java/cacheproxy/metrics/FleetMetricsTest.java
@@ -35,7 +35,7 @@
         assertThat(MetricsLine.parse("2026-12-01 p1: " + line.text())).contains(line);
     }
 
-    /** A process that is killed leaves half a line; every part of one is skipped and counted. */
+    /** A killed process may leave a truncated line, which is skipped and counted wherever it ends. */
     @Test
     void aTruncatedLineIsCountedAndSkipped() {
         String text = line("p0", 1, 5000, 7, ejected("1")).text();
@@ -60,7 +60,7 @@
         for (int p = 0; p < proxies; p++) {
             for (int t = 1; t <= times; t++) {
                 lines.add(line("p" + p, 1, t * 1000L, 10L * t));
-                lines.add(line("p" + p, 2, (times + t) * 1000L, t)); // started again
+                lines.add(line("p" + p, 2, (times + t) * 1000L, t)); // after a restart
             }
         }
         Collections.shuffle(lines, new Random(seed));
@@ -80,11 +80,11 @@
         metrics.add(line("p1", 1, 4500, 0, ejected("a"), ejected("b")));
         metrics.add(line("p0", 1, 5000, 0));
         metrics.add(line("p1", 1, 6500, 0, ejected("b")));
-        metrics.add(line("p0", 1, 9000, 0, ejected("a"))); // another time
+        metrics.add(line("p0", 1, 9000, 0, ejected("a"))); // a second ejection
         assertThat(metrics.ejections())
                 .containsExactly(
                         new Ejection("a", 2000, 2500, 2), new Ejection("b", 4500, 0, 1), new Ejection("a", 9000, 0, 1));
-        assertThat(metrics.ejections()).as("asked again").hasSize(3);
+        assertThat(metrics.ejections()).as("second call").hasSize(3);
     }
 
     @Test
--- a/src/test/java/cacheproxy/metrics/LogRateLimiterTest.java
+++ b/src/test/java/cacheproxy/metrics/LogRateLimiterTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many lines of each kind are logged. */
+/** Tests how many lines of each kind are logged. */
 class LogRateLimiterTest {
     private static final double START_MS = 1e12;
 
@@ -21,7 +21,7 @@
                 .isEqualTo(2);
     }
 
-    /** An incident a week later has its lines, however many there were before. */
+    /** An incident a week later is logged, however many events were suppressed before. */
     @Test
     void eventsOverAProcesssLifetimeDoNotSuppressALaterOne() {
         LogRateLimiter budget = new LogRateLimiter();
--- a/src/test/java/cacheproxy/metrics/WireNamesTest.java
+++ b/src/test/java/cacheproxy/metrics/WireNamesTest.java
@@ -15,7 +15,7 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 
-/** Names that operators and tools read, whatever the constants are called in the code. */
+/** Pins the names that operators and tools read, which stay when a constant is renamed. */
 class WireNamesTest {
     private static String golden(String name) throws IOException {
         try (InputStream in = WireNamesTest.class.getResourceAsStream(name)) {
@@ -50,7 +50,7 @@
         assertThat(table(RuleViolation.values(), RuleViolation::key)).isEqualTo(golden("breaches.txt"));
     }
 
-    /** As the command {@code figures} reads it, with each counter at a value of its own. */
+    /** The line as the {@code figures} command reads it, with a distinct value for each counter. */
     @Test
     void metricsLineFormat() throws IOException {
         Map<Metric, Long> counts = new EnumMap<>(Metric.class);
--- a/src/test/java/cacheproxy/simulator/RecordedSessionTest.java
+++ b/src/test/java/cacheproxy/simulator/RecordedSessionTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The frames of a recorded session of three instances, 15 s with faults of endpoints, zones and the origin, of
- * discovery and clients that leave: the same input gives the same bytes, so neither the wire nor a decision has
- * changed.
+ * Replays a recorded session of three instances over 15 s, with faults of endpoints, zones, the origin and discovery
+ * and with clients that disconnect. The replies must be identical byte for byte, which detects any change of the wire
+ * format or of a decision.
  */
 class RecordedSessionTest {
     @Test
--- a/src/test/java/cacheproxy/simulator/SettingsFormatTest.java
+++ b/src/test/java/cacheproxy/simulator/SettingsFormatTest.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A settings file of the operators' form, and all that is read from it, value by value in the order of the fields. */
+/** Pins all values that are read from a settings file in the operators' format, in the order of the fields. */
 class SettingsFormatTest {
     private static final Path RESOURCES = Path.of("src/test/resources");
 
@@ -33,7 +33,7 @@
                 .isEqualTo(Files.readString(RESOURCES.resolve("simulator/settings-values.txt")));
     }
 
-    /** The operators' words and codes; they stay, whatever the constants are called. */
+    /** Pins the operators' names and codes, which stay when a constant is renamed. */
     @Test
     void wireNamesAndCodesAreStable() {
         assertThat(List.of(Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT))
@@ -51,7 +51,7 @@
         assertThat(EndpointState.ofWireCode(3)).isEmpty();
     }
 
-    /** One value a line, without the names of fields: these may change, the values may not. */
+    /** Prints one value per line, without field names: names may change, values must not. */
     private static void print(String indent, Object value, List<String> lines) throws ReflectiveOperationException {
         if (value instanceof Record) {
             lines.add(indent + "record");
@@ -78,7 +78,10 @@
         return value instanceof LoadReportSource source ? source.wireName() : String.valueOf(value);
     }
 
-    /** As the proxy reads its file: paths with dots, lists of plain values with commas, the length at their count. */
+    /**
+     * Flattens a file as the proxy does: dots in paths, lists of plain values separated by commas, and the length of a
+     * list under {@code .count}.
+     */
     private static void flatten(String path, JsonElement value, Map<String, String> values) throws IOException {
         if (value.isJsonObject()) {
             for (Map.Entry<String, JsonElement> field : value.getAsJsonObject().entrySet()) {
--- a/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
@@ -47,7 +47,7 @@
             "classes.0.deadline=1000.0",
             "classes.0.stream=false");
 
-    /** Builds one batch; records are written with their fields at the stated places. */
+    /** Builds one batch; tests write the fields of a record at explicit offsets. */
     private static final class Batch {
         final ByteBuffer records =
                 ByteBuffer.allocate(4096).order(ByteOrder.LITTLE_ENDIAN).position(20);
@@ -97,7 +97,7 @@
         return out.toByteArray();
     }
 
-    /** The page's example: an empty batch with its reply. */
+    /** The example of the simulator's documentation: an empty batch with its reply. */
     @Test
     void anEmptyBatchIsAnsweredAsDocumented() throws IOException {
         HexFormat hex = HexFormat.of();
--- a/src/test/java/cacheproxy/takeover/HandoverStateMachineTest.java
+++ b/src/test/java/cacheproxy/takeover/HandoverStateMachineTest.java
@@ -61,7 +61,7 @@
         assertThat(handover.snapshotRequested(2)).isFalse();
     }
 
-    /** Every order of events that three links and the system can bring. */
+    /** Random sequences of the events of three connections and of SIGTERM. */
     @Property(seed = "1", tries = 3000)
     void someProcessAlwaysAccepts(@ForAll @Size(max = 14) List<@IntRange(min = 0, max = 12) Integer> events) {
         HandoverStateMachine handover = new HandoverStateMachine();
@@ -87,9 +87,9 @@
             for (int other = 1; other <= 3; other++) {
                 servingSuccessors += serving[other] ? 1 : 0;
             }
-            assertThat(servingSuccessors).as("successors that serve").isLessThanOrEqualTo(1);
+            assertThat(servingSuccessors).as("serving successors").isLessThanOrEqualTo(1);
             assertThat(handover.acceptsConnections())
-                    .as("accepts, with " + servingSuccessors + " that serve")
+                    .as("accepts connections, with " + servingSuccessors + " serving successors")
                     .isEqualTo(servingSuccessors == 0);
             assertThat(handover.passesClients()).isEqualTo(terminated && servingSuccessors == 1);
         }
--- a/src/test/java/cacheproxy/takeover/TakeoverStateMachineTest.java
+++ b/src/test/java/cacheproxy/takeover/TakeoverStateMachineTest.java
@@ -17,7 +17,7 @@
         assertThat(takeover.snapshotReceived(10, true)).isTrue();
         assertThat(takeover.descriptorReceived()).isTrue();
         assertThat(takeover.phase()).isEqualTo(Phase.TAKEN_OVER);
-        takeover.connectionClosed(); // the old process has ended, as it should
+        takeover.connectionClosed(); // the old process has exited as expected
         assertThat(takeover.phase()).isEqualTo(Phase.TAKEN_OVER);
     }
 
@@ -40,11 +40,11 @@
         assertThat(takeover.checkTimeout(2 * TakeoverStateMachine.ANSWER_TIMEOUT_MS - 1))
                 .isTrue();
         assertThat(takeover.descriptorReceived())
-                .as("a socket that comes too late")
+                .as("a socket that arrives after the timeout")
                 .isFalse();
     }
 
-    /** Whatever happens in whatever order: it serves within twice its patience, by one socket. */
+    /** For every sequence of events the process ends up serving, within the timeout of each response, at one socket. */
     @Property(seed = "1", tries = 2000)
     void everySequenceOfEventsEndsInService(@ForAll @Size(max = 10) List<@IntRange(min = 0, max = 4) Integer> events) {
         TakeoverStateMachine takeover = new TakeoverStateMachine(0);
@@ -63,7 +63,7 @@
             assertThat(sockets).isLessThanOrEqualTo(1);
             assertThat(takeover.phase() == Phase.TAKEN_OVER).isEqualTo(sockets == 1);
             assertThat(independent && takeover.phase() != Phase.INDEPENDENT)
-                    .as("goes back")
+                    .as("left the independent phase")
                     .isFalse();
             independent = takeover.phase() == Phase.INDEPENDENT;
         }
