--- a/src/main/java/cacheproxy/failover/FailoverPlan.java
+++ b/src/main/java/cacheproxy/failover/FailoverPlan.java
@@ -61,7 +61,7 @@
     }
 
     /** Whether the minimum of all zones together would stay open if a zone had only so many parts open. */
-    public boolean allowsOpenParts(int zone, int parts) {
+    public boolean allowsTrafficParts(int zone, int parts) {
         return zones.stream().mapToInt(ZoneState::trafficParts).sum()
                         - zones.get(zone).trafficParts()
                         + parts
@@ -72,10 +72,10 @@
      * The state of a zone with so many parts open, or as many more as the minimum of all zones asks for; null if it has
      * no more open now.
      */
-    public ZoneState lowered(int zone, int parts, int leaves) {
+    public ZoneState reducedState(int zone, int parts, int leaves) {
         ZoneState s = zones.get(zone);
         for (int open = parts; open < s.trafficParts(); open++) {
-            if (allowsOpenParts(zone, open)) {
+            if (allowsTrafficParts(zone, open)) {
                 return s.next(open, ZoneState.Cause.EVIDENCE, leaves);
             }
         }
--- a/src/main/java/cacheproxy/failover/ZoneDecision.java
+++ b/src/main/java/cacheproxy/failover/ZoneDecision.java
@@ -74,7 +74,7 @@
     private ZoneState byEvidence() {
         boolean open = state.trafficParts() == ZoneState.ALL_PARTS;
         return switch (tracker.verdict) {
-            case UNREACHABLE -> plan.lowered(zone, 0, state.leaveCount() + 1);
+            case UNREACHABLE -> plan.reducedState(zone, 0, state.leaveCount() + 1);
             case DEGRADED -> whenDegraded(open);
             case HEALTHY -> open ? withFewerLeaves() : whenHealthyAgain();
             case UNCERTAIN -> open ? withFewerLeaves() : whenUncertain();
@@ -107,7 +107,7 @@
     }
 
     private ZoneState drainStep(int leaveCount) {
-        return plan.lowered(zone, Math.max(0, state.trafficParts() - RecoveryRamp.DRAIN_STEP_PARTS), leaveCount);
+        return plan.reducedState(zone, Math.max(0, state.trafficParts() - RecoveryRamp.DRAIN_STEP_PARTS), leaveCount);
     }
 
     /**
--- a/src/main/java/cacheproxy/failover/ZoneFailover.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -25,9 +25,9 @@
     /** The longest time between two ticks. */
     public static final double TICK_MS = 100;
     /** The number of the view's note that holds the plan. */
-    public static final int PLAN_NOTE = 0;
+    public static final int PLAN_METADATA = 0;
     /** The number of the view's note that holds the zones' health. */
-    public static final int HEALTH_NOTE = 1;
+    public static final int HEALTH_METADATA = 1;
     /** The longest time over which an operator may have a zone left. */
     public static final double MAX_LEAVE_DURATION_MS = 75_000;
     /** The next in rank decides so much later: the decision of the one before should have come by then. */
@@ -138,7 +138,7 @@
             throw new IllegalArgumentException(
                     "a zone is left over 0 to " + Math.round(MAX_LEAVE_DURATION_MS / 1000) + " s");
         }
-        if (!plan().allowsOpenParts(zone, 0)) {
+        if (!plan().allowsTrafficParts(zone, 0)) {
             throw new IllegalArgumentException(
                     "without this zone less than a third of all would be open; return to another first");
         }
@@ -188,7 +188,7 @@
         return new ZoneLeaveCost(
                 monitor.attemptsPerSecond(nowMs, zone),
                 all > its ? all / (all - its) : Double.POSITIVE_INFINITY,
-                plan().allowsOpenParts(zone, 0));
+                plan().allowsTrafficParts(zone, 0));
     }
 
     private double capacity(int zone) {
@@ -244,10 +244,10 @@
     private ZoneHealthReport decoded(Member entry) {
         DecodedEntry known = decodedEntries.get(entry.id());
         if (known == null || known.entry() != entry) {
-            byte[] health = entry.note(HEALTH_NOTE);
-            byte[] planNote = entry.note(PLAN_NOTE);
+            byte[] health = entry.note(HEALTH_METADATA);
+            byte[] planMetadata = entry.note(PLAN_METADATA);
             known = new DecodedEntry(
-                    entry, ZoneHealthReport.decode(entry.id(), entry.zone(), health, planNote, trackers.size()));
+                    entry, ZoneHealthReport.decode(entry.id(), entry.zone(), health, planMetadata, trackers.size()));
             decodedEntries.put(entry.id(), known);
         }
         return known.report();
@@ -327,13 +327,13 @@
 
     // ---- what is decided
 
-    /** The plan as far as this instance is to publish it, for the note {@link #PLAN_NOTE}. */
-    public byte[] planNote() {
+    /** The plan as far as this instance is to publish it, for the note {@link #PLAN_METADATA}. */
+    public byte[] planMetadata() {
         return planState.publishedPlan().encode();
     }
 
-    /** The zones' health as far as this instance is to publish it, for the note {@link #HEALTH_NOTE}. */
-    public byte[] healthNote() {
+    /** The zones' health as far as this instance is to publish it, for the note {@link #HEALTH_METADATA}. */
+    public byte[] healthMetadata() {
         return publisher.note();
     }
 
--- a/src/main/java/cacheproxy/failover/ZoneHealthReport.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthReport.java
@@ -61,7 +61,7 @@
     }
 
     /** The report in an instance's notes; a note of another length reports nothing. */
-    static ZoneHealthReport decode(int instance, int homeZone, byte[] note, byte[] planNote, int zones) {
+    static ZoneHealthReport decode(int instance, int homeZone, byte[] note, byte[] planMetadata, int zones) {
         List<ZoneHealth> health = new ArrayList<>();
         Set<Integer> coldZones = new HashSet<>();
         int bits = note.length == NOTE_BYTES ? (note[0] & 0xff) << 16 | (note[1] & 0xff) << 8 | (note[2] & 0xff) : 0;
@@ -72,6 +72,6 @@
             }
         }
         return new ZoneHealthReport(
-                instance, homeZone, health, coldZones, (bits & 1) != 0, FailoverPlan.decode(planNote, zones));
+                instance, homeZone, health, coldZones, (bits & 1) != 0, FailoverPlan.decode(planMetadata, zones));
     }
 }
--- a/src/main/java/cacheproxy/model/FleetPart.java
+++ b/src/main/java/cacheproxy/model/FleetPart.java
@@ -86,14 +86,14 @@
         if (!orders.isEmpty()) {
             order.accept(orders);
         }
-        byte[] nextPlan = zones.planNote();
-        byte[] nextSight = zones.healthNote();
+        byte[] nextPlan = zones.planMetadata();
+        byte[] nextSight = zones.healthMetadata();
         boolean changed = !Arrays.equals(nextPlan, plan) || !Arrays.equals(nextSight, sight);
         if (changed) {
             plan = nextPlan;
             sight = nextSight;
-            members.note(ZoneFailover.PLAN_NOTE, plan);
-            members.note(ZoneFailover.HEALTH_NOTE, sight);
+            members.note(ZoneFailover.PLAN_METADATA, plan);
+            members.note(ZoneFailover.HEALTH_METADATA, sight);
         }
         return changed;
     }
--- a/src/main/java/cacheproxy/model/ZonePlay.java
+++ b/src/main/java/cacheproxy/model/ZonePlay.java
@@ -247,13 +247,13 @@
             i.open[o.zone()] = o.trafficFraction();
             i.tries[o.zone()] |= o.probeAllowed();
         }
-        byte[] plan = i.zones.planNote();
-        byte[] sight = i.zones.healthNote();
+        byte[] plan = i.zones.planMetadata();
+        byte[] sight = i.zones.healthMetadata();
         if (!Arrays.equals(plan, i.plan) || !Arrays.equals(sight, i.sight)) {
             i.plan = plan;
             i.sight = sight;
-            i.members.note(ZoneFailover.PLAN_NOTE, plan);
-            i.members.note(ZoneFailover.HEALTH_NOTE, sight);
+            i.members.note(ZoneFailover.PLAN_METADATA, plan);
+            i.members.note(ZoneFailover.HEALTH_METADATA, sight);
             view.poke(i.id);
         }
     }
--- a/src/main/java/cacheproxy/model/check/ZoneProtocol.java
+++ b/src/main/java/cacheproxy/model/check/ZoneProtocol.java
@@ -104,7 +104,7 @@
         FailoverPlan p = f.plans().get(i);
         ZoneState s = p.stateOf(z);
         if (s.cause() == Cause.EVIDENCE) {
-            decided(f, i, z, p.lowered(z, 0, s.leaveCount() + 1), "finds " + z + " lost", moves);
+            decided(f, i, z, p.reducedState(z, 0, s.leaveCount() + 1), "finds " + z + " lost", moves);
             if (s.trafficParts() < ZoneState.ALL_PARTS) {
                 decided(
                         f,
@@ -115,7 +115,7 @@
                         moves);
             }
         }
-        if (p.allowsOpenParts(z, 0)) {
+        if (p.allowsTrafficParts(z, 0)) {
             decided(f, i, z, s.next(0, Cause.LEAVE, s.leaveCount()), "is told to leave " + z, moves);
         }
         decided(f, i, z, s.next(s.trafficParts(), Cause.HOLD, s.leaveCount()), "is told to hold " + z, moves);
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
@@ -116,13 +116,13 @@
     }
 
     private void publishNotes() {
-        byte[] nextPlanNote = failover.planNote();
-        byte[] nextHealthNote = failover.healthNote();
+        byte[] nextPlanNote = failover.planMetadata();
+        byte[] nextHealthNote = failover.healthMetadata();
         if (!Arrays.equals(nextPlanNote, planNote) || !Arrays.equals(nextHealthNote, healthNote)) {
             planNote = nextPlanNote;
             healthNote = nextHealthNote;
-            members.note(ZoneFailover.PLAN_NOTE, planNote);
-            members.note(ZoneFailover.HEALTH_NOTE, healthNote);
+            members.note(ZoneFailover.PLAN_METADATA, planNote);
+            members.note(ZoneFailover.HEALTH_METADATA, healthNote);
         }
     }
 
--- a/src/test/java/cacheproxy/failover/FailoverPlanTest.java
+++ b/src/test/java/cacheproxy/failover/FailoverPlanTest.java
@@ -87,8 +87,8 @@
         assertThat(new FailoverPlan(List.of(closed)).trafficParts(0)).isPositive();
         FailoverPlan two = new FailoverPlan(List.of(closed, ZoneState.INITIAL));
         assertThat(two.trafficParts(0)).isZero();
-        assertThat(two.allowsOpenParts(1, 0)).isFalse();
-        assertThat(FailoverPlan.initial(2).allowsOpenParts(1, 0)).isTrue();
+        assertThat(two.allowsTrafficParts(1, 0)).isFalse();
+        assertThat(FailoverPlan.initial(2).allowsTrafficParts(1, 0)).isTrue();
     }
 
     @Test
--- a/src/test/java/cacheproxy/failover/RestoredZoneStatesTest.java
+++ b/src/test/java/cacheproxy/failover/RestoredZoneStatesTest.java
@@ -43,7 +43,7 @@
         zones.restore(0, Map.of(2, new StoredZoneState(CLOSED, 9)), false);
         tick(100);
         assertThat(zones.plan().stateOf(2)).isEqualTo(ZoneState.INITIAL);
-        assertThat(zones.planNote()).isEmpty();
+        assertThat(zones.planMetadata()).isEmpty();
         assertThat(zones.statesToStore()).containsExactly(Map.entry(2, new StoredZoneState(ZoneState.INITIAL, 9)));
         zones.leaveZone(200, 2, 0);
         assertThat(zones.plan().stateOf(2)).isEqualTo(new ZoneState(10, 0, Cause.LEAVE, 0));
