--- a/src/jmh/java/cacheproxy/MembershipBenchmark.java
+++ b/src/jmh/java/cacheproxy/MembershipBenchmark.java
@@ -26,14 +26,14 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class MembershipBenchmark {
-    private static final Membership.Allowance ALL = new Membership.Allowance() {
+    private static final Membership.MessageBudget ALL = new Membership.MessageBudget() {
         @Override
-        public boolean take(double nowMs, int bytes, Urgency urgency) {
+        public boolean tryAcquire(double nowMs, int bytes, Urgency urgency) {
             return true;
         }
 
         @Override
-        public int spareBytes(double nowMs) {
+        public int availableBytes(double nowMs) {
             return Membership.MAX_MESSAGE_BYTES;
         }
     };
@@ -54,7 +54,7 @@
             if (i > 0) {
                 all[i].tick(now);
                 int from = i;
-                all[i].outgoing().forEach(s -> all[0].messageReceived(now, from, s.body()));
+                all[i].takeOutgoing().forEach(s -> all[0].messageReceived(now, from, s.body()));
             }
         }
         for (int i = 0; i < 2000; i++) {
@@ -67,16 +67,16 @@
     public int round() {
         now += 250;
         all[0].tick(now);
-        List<OutgoingMessage> asked = all[0].outgoing();
+        List<OutgoingMessage> asked = all[0].takeOutgoing();
         for (OutgoingMessage s : asked) {
             all[s.to()].messageReceived(now, 0, s.body());
-            for (OutgoingMessage back : all[s.to()].outgoing()) {
+            for (OutgoingMessage back : all[s.to()].takeOutgoing()) {
                 if (back.to() == 0) {
                     all[0].messageReceived(now, s.to(), back.body());
                 }
             }
         }
-        all[0].outgoing();
+        all[0].takeOutgoing();
         return asked.size();
     }
 }
--- a/src/main/java/cacheproxy/failover/ZoneFailover.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -244,8 +244,8 @@
     private ZoneHealthReport decoded(Member entry) {
         DecodedEntry known = decodedEntries.get(entry.id());
         if (known == null || known.entry() != entry) {
-            byte[] health = entry.note(HEALTH_NOTE);
-            byte[] planNote = entry.note(PLAN_NOTE);
+            byte[] health = entry.metadata(HEALTH_NOTE);
+            byte[] planNote = entry.metadata(PLAN_NOTE);
             known = new DecodedEntry(
                     entry, ZoneHealthReport.decode(entry.id(), entry.zone(), health, planNote, trackers.size()));
             decodedEntries.put(entry.id(), known);
--- a/src/main/java/cacheproxy/gossip/AntiEntropy.java
+++ b/src/main/java/cacheproxy/gossip/AntiEntropy.java
@@ -8,7 +8,8 @@
  *
  * <ul>
  *   <li>while discovery has not answered for {@link #STALE_AFTER_MS}, again and again ({@link #onTimer});
- *   <li>when a poll has failed, or a peer holds a version that discovery has not brought in time ({@link #onFault}),
+ *   <li>when a poll has failed, or a peer holds a version that discovery has not brought in time
+ *       ({@link #tryStartQuery}),
  * </ul>
  *
  * <p>but never within {@link #MIN_QUERY_INTERVAL_MS} of the query before. An instance whose watch works queries nobody,
@@ -53,7 +54,7 @@
      *
      * @return whether to query a peer now; counts as done then
      */
-    public boolean onFault(double nowMs) {
+    public boolean tryStartQuery(double nowMs) {
         if (nowMs - lastQueryMs < MIN_QUERY_INTERVAL_MS) {
             return false;
         }
@@ -72,6 +73,6 @@
      * @return whether to query a peer now; counts as done then
      */
     public boolean onTimer(double nowMs) {
-        return nowMs >= nextTimerMs() && onFault(nowMs);
+        return nowMs >= nextTimerMs() && tryStartQuery(nowMs);
     }
 }
--- a/src/main/java/cacheproxy/gossip/MembershipBudget.java
+++ b/src/main/java/cacheproxy/gossip/MembershipBudget.java
@@ -8,9 +8,9 @@
  *
  * @param budget that of this instance, shared with other senders
  */
-public record MembershipBudget(SendBudget budget) implements Membership.Allowance {
+public record MembershipBudget(SendBudget budget) implements Membership.MessageBudget {
     @Override
-    public boolean take(double nowMs, int bytes, Urgency urgency) {
+    public boolean tryAcquire(double nowMs, int bytes, Urgency urgency) {
         return budget.tryAcquire(nowMs, Envelope.datagramBytes(bytes), priority(urgency));
     }
 
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public int spareBytes(double nowMs) {
+    public int availableBytes(double nowMs) {
         return budget.availableForLowPriority(nowMs);
     }
 }
--- a/src/main/java/cacheproxy/membership/FleetState.java
+++ b/src/main/java/cacheproxy/membership/FleetState.java
@@ -15,7 +15,7 @@
 final class FleetState {
     private final MembershipSettings settings;
     private final int self;
-    private final Knowledge knowledge;
+    private final MembershipReplica knowledge;
     private final MemberTable table;
     private final GossipQueue gossip = new GossipQueue();
     private final Map<Integer, Double> lastReceivedMs = new HashMap<>();
@@ -27,7 +27,7 @@
     FleetState(MembershipSettings settings, Member self) {
         this.settings = settings;
         this.self = self.id();
-        knowledge = new Knowledge(self, settings.capacity());
+        knowledge = new MembershipReplica(self, settings.capacity());
         table = knowledge.table();
         gossip.changed(self.id());
     }
@@ -77,7 +77,7 @@
      * @return whether it was wrong, and is refuted by a higher incarnation
      */
     boolean refuteIfWrong(double nowMs, Member said) {
-        boolean refuted = knowledge.merge(nowMs, said) == Knowledge.MergeResult.REFUTED;
+        boolean refuted = knowledge.merge(nowMs, said) == MembershipReplica.MergeResult.REFUTED;
         if (refuted) {
             gossip.changed(self);
         }
--- a/src/main/java/cacheproxy/membership/LocalMember.java
+++ b/src/main/java/cacheproxy/membership/LocalMember.java
@@ -76,16 +76,16 @@
     }
 
     /** The phase of the service from now on. */
-    void phase(ServicePhase phase) {
+    void setPhase(ServicePhase phase) {
         if (member.phase() != phase) {
-            member = member.withPhaseAndNotes(phase, member.notes());
+            member = member.withPhaseAndMetadata(phase, member.metadata());
         }
     }
 
     /** Replaces a part's note; an empty one is removed. */
-    void note(int part, byte[] bytes) {
-        if (!Arrays.equals(member.note(part), bytes)) {
-            member = member.withNote(part, bytes);
+    void setMetadata(int part, byte[] bytes) {
+        if (!Arrays.equals(member.metadata(part), bytes)) {
+            member = member.withMetadata(part, bytes);
         }
     }
 }
--- a/src/main/java/cacheproxy/membership/Member.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -23,10 +23,10 @@
  * @param state what others have found
  * @param confirmers of a suspicion, the members whose probes of it have failed, {@link #MAX_CONFIRMERS} at most
  * @param zone its zone, 0 to {@link #MAX_ZONE}
- * @param version of what it says of itself: phase and notes
+ * @param version of what it says of itself: phase and metadata
  * @param phase of its service
- * @param notes what other parts of the program publish by it, by a number 0 to 7, {@link #MAX_NOTE_BYTES} bytes each at
- *     most and {@link #MAX_NOTES_BYTES} together, so that three entries fit in any message
+ * @param metadata what other parts of the program publish by it, by a number 0 to 7, {@link #MAX_METADATA_VALUE_BYTES}
+ *     bytes each at most and {@link #MAX_METADATA_BYTES} together, so that three entries fit in any message
  * @param address where it is reached, 6 bytes; empty where the settings name it
  */
 public record Member(
@@ -38,7 +38,7 @@
         int zone,
         int version,
         ServicePhase phase,
-        Map<Integer, byte[]> notes,
+        Map<Integer, byte[]> metadata,
         byte[] address) {
     /** The highest number of an instance. */
     public static final int MAX_ID = 65_534;
@@ -49,11 +49,11 @@
     /** How many confirmers a suspicion names at most; beyond it the lowest numbers. */
     public static final int MAX_CONFIRMERS = 4;
     /** What one part may publish, in bytes. */
-    public static final int MAX_NOTE_BYTES = 24;
+    public static final int MAX_METADATA_VALUE_BYTES = 24;
     /** What all parts may publish together, in bytes. */
-    public static final int MAX_NOTES_BYTES = 32;
+    public static final int MAX_METADATA_BYTES = 32;
     /** How many parts may publish. */
-    public static final int MAX_NOTES = 8;
+    public static final int MAX_METADATA_KEYS = 8;
 
     private static final byte[] NONE = {};
 
@@ -73,11 +73,13 @@
         }
         if (confirmers.size() > MAX_CONFIRMERS
                 || (address.length != 0 && address.length != 6)
-                || notes.entrySet().stream()
-                        .anyMatch(
-                                n -> n.getKey() < 0 || n.getKey() >= MAX_NOTES || n.getValue().length > MAX_NOTE_BYTES)
-                || notes.values().stream().mapToInt(n -> n.length).sum() > MAX_NOTES_BYTES) {
-            throw new IllegalArgumentException("instance " + id + " has confirmers, notes or an address out of range");
+                || metadata.entrySet().stream()
+                        .anyMatch(n -> n.getKey() < 0
+                                || n.getKey() >= MAX_METADATA_KEYS
+                                || n.getValue().length > MAX_METADATA_VALUE_BYTES)
+                || metadata.values().stream().mapToInt(n -> n.length).sum() > MAX_METADATA_BYTES) {
+            throw new IllegalArgumentException(
+                    "instance " + id + " has confirmers, metadata or an address out of range");
         }
     }
 
@@ -124,7 +126,7 @@
                 said.zone,
                 said.version,
                 said.phase,
-                said.notes,
+                said.metadata,
                 said.address);
     }
 
@@ -147,7 +149,8 @@
 
     /** This entry in another state. */
     Member withState(MemberState later) {
-        return new Member(id, incarnation, processNonce, later, new TreeSet<>(), zone, version, phase, notes, address);
+        return new Member(
+                id, incarnation, processNonce, later, new TreeSet<>(), zone, version, phase, metadata, address);
     }
 
     /** This entry, suspected by one more member. */
@@ -155,35 +158,44 @@
         TreeSet<Integer> all = new TreeSet<>(confirmers);
         all.add(instance);
         return new Member(
-                id, incarnation, processNonce, MemberState.SUSPECT, lowest(all), zone, version, phase, notes, address);
+                id,
+                incarnation,
+                processNonce,
+                MemberState.SUSPECT,
+                lowest(all),
+                zone,
+                version,
+                phase,
+                metadata,
+                address);
     }
 
     /** This entry, alive in another incarnation. */
     Member withIncarnation(long higher) {
         return new Member(
-                id, higher, processNonce, MemberState.ALIVE, new TreeSet<>(), zone, version, phase, notes, address);
+                id, higher, processNonce, MemberState.ALIVE, new TreeSet<>(), zone, version, phase, metadata, address);
     }
 
-    /** This entry with another phase and other notes, in the next version. */
-    Member withPhaseAndNotes(ServicePhase now, Map<Integer, byte[]> all) {
+    /** This entry with another phase and other metadata, in the next version. */
+    Member withPhaseAndMetadata(ServicePhase now, Map<Integer, byte[]> all) {
         return new Member(
                 id, incarnation, processNonce, state, confirmers, zone, version + 1, now, Map.copyOf(all), address);
     }
 
     /** This entry with one part's note replaced; an empty one is removed. */
-    Member withNote(int part, byte[] bytes) {
-        Map<Integer, byte[]> all = new HashMap<>(notes);
+    Member withMetadata(int part, byte[] bytes) {
+        Map<Integer, byte[]> all = new HashMap<>(metadata);
         if (bytes.length == 0) {
             all.remove(part);
         } else {
             all.put(part, bytes.clone());
         }
-        return withPhaseAndNotes(phase, all);
+        return withPhaseAndMetadata(phase, all);
     }
 
     /** A part's note, empty if it has none. */
-    public byte[] note(int part) {
-        return notes.getOrDefault(part, NONE).clone();
+    public byte[] metadata(int part) {
+        return metadata.getOrDefault(part, NONE).clone();
     }
 
     /**
@@ -215,8 +227,8 @@
                 && version == e.version
                 && phase == e.phase
                 && Arrays.equals(address, e.address)
-                && notes.keySet().equals(e.notes.keySet())
-                && notes.keySet().stream().allMatch(k -> Arrays.equals(notes.get(k), e.notes.get(k)));
+                && metadata.keySet().equals(e.metadata.keySet())
+                && metadata.keySet().stream().allMatch(k -> Arrays.equals(metadata.get(k), e.metadata.get(k)));
     }
 
     @Override
--- a/src/main/java/cacheproxy/membership/Membership.java
+++ b/src/main/java/cacheproxy/membership/Membership.java
@@ -9,8 +9,8 @@
 /**
  * One instance's part in the membership protocol of the fleet: SWIM with the refinements of Lifeguard. Takes times and
  * messages, gives messages: whoever owns the sockets calls {@link #tick} when {@link #dueMs} has come,
- * {@link #messageReceived} for each message, and sends what {@link #outgoing} hands out. Messages may be lost, late,
- * duplicated, out of order, or wrong. Not thread-safe.
+ * {@link #messageReceived} for each message, and sends what {@link #takeOutgoing} hands out. Messages may be lost,
+ * late, duplicated, out of order, or wrong. Not thread-safe.
  *
  * <p>Every second round probes the next member on a ring of all live ones, so that each is watched by somebody; the
  * other rounds go through all in a shuffled order, as in SWIM. Every fourth also probes one that is gone, so that a
@@ -22,16 +22,16 @@
     public static final int MAX_MESSAGE_BYTES = 250;
 
     /** The budget for messages; one for all parts of the program, which somebody else keeps. */
-    public interface Allowance {
+    public interface MessageBudget {
         /**
          * Takes a message's bytes out of the budget.
          *
          * @return whether there was room for it; if not, it must not be sent
          */
-        boolean take(double nowMs, int bytes, Urgency urgency);
+        boolean tryAcquire(double nowMs, int bytes, Urgency urgency);
 
         /** How many bytes may be added to a message for what could as well go later; 0 or less for none. */
-        int spareBytes(double nowMs);
+        int availableBytes(double nowMs);
     }
 
     /** A call that comes so much later than it was due means that this process has stalled. */
@@ -62,7 +62,7 @@
     private double nextRoundMs;
     private double gossipMs = Double.POSITIVE_INFINITY;
     private int round;
-    private long unreadable;
+    private long rejectedMessages;
     private long deathsRefuted;
 
     /**
@@ -82,7 +82,7 @@
             byte[] address,
             long lastIncarnation,
             long seed,
-            Allowance allowance) {
+            MessageBudget allowance) {
         this.settings = settings;
         random = new SplittableRandom(seed);
         int processNonce = random.nextInt(NUMBERS);
@@ -96,14 +96,14 @@
     // ---- this instance
 
     /** The phase of its service that this instance tells from now on. */
-    public void phase(ServicePhase phase) {
-        fleet.localMember().phase(phase);
+    public void setPhase(ServicePhase phase) {
+        fleet.localMember().setPhase(phase);
         fleet.localMemberChanged();
     }
 
     /** What one part of the program, 0 to 7, publishes by this instance; empty for nothing. */
-    public void note(int part, byte[] bytes) {
-        fleet.localMember().note(part, bytes);
+    public void setMetadata(int part, byte[] bytes) {
+        fleet.localMember().setMetadata(part, bytes);
         fleet.localMemberChanged();
     }
 
@@ -122,7 +122,7 @@
         checkForStall(nowMs);
         MembershipMessage message = MembershipMessage.decode(body);
         if (message == null || !isPlausibleSender(message.sender().id(), from)) {
-            unreadable++;
+            rejectedMessages++;
             return;
         }
         Member sender = message.sender();
@@ -193,7 +193,7 @@
     }
 
     /** The messages to be sent now, in the order in which they were decided; each is handed out once. */
-    public List<OutgoingMessage> outgoing() {
+    public List<OutgoingMessage> takeOutgoing() {
         return transmitter.takeQueue();
     }
 
@@ -312,7 +312,7 @@
     }
 
     /** Messages that could not be read, or came under another's name. */
-    public long unreadable() {
-        return unreadable;
+    public long rejectedMessages() {
+        return rejectedMessages;
     }
 }
--- a/src/main/java/cacheproxy/membership/MembershipMessage.java
+++ b/src/main/java/cacheproxy/membership/MembershipMessage.java
@@ -86,9 +86,9 @@
         if (!e.confirmers().isEmpty()) {
             n += 1 + 2 * e.confirmers().size();
         }
-        if (!e.notes().isEmpty()) {
+        if (!e.metadata().isEmpty()) {
             n++;
-            for (byte[] note : e.notes().values()) {
+            for (byte[] note : e.metadata().values()) {
                 n += 1 + note.length;
             }
         }
@@ -118,7 +118,7 @@
         out.put((byte) (e.state().code()
                 | e.phase().code() << 2
                 | (e.address().length > 0 ? ADDRESS : 0)
-                | (e.notes().isEmpty() ? 0 : NOTES)
+                | (e.metadata().isEmpty() ? 0 : NOTES)
                 | (e.confirmers().isEmpty() ? 0 : CONFIRMERS)));
         out.putShort((short) e.id());
         putVarint(out, e.zone());
@@ -130,9 +130,9 @@
             out.put((byte) e.confirmers().size());
             e.confirmers().forEach(c -> out.putShort(c.shortValue()));
         }
-        if (!e.notes().isEmpty()) {
-            out.put((byte) e.notes().size());
-            e.notes()
+        if (!e.metadata().isEmpty()) {
+            out.put((byte) e.metadata().size());
+            e.metadata()
                     .forEach((part, bytes) ->
                             out.put((byte) (part << 5 | bytes.length)).put(bytes));
         }
--- a/src/main/java/cacheproxy/membership/Knowledge.java
+++ b/src/main/java/cacheproxy/membership/MembershipReplica.java
@@ -7,7 +7,7 @@
  * the convergence of instances, without times, probes and messages. {@link Membership} decides when a member is
  * suspected or declared dead; the model checker ({@code model check}) lets both happen at any time.
  */
-public class Knowledge {
+public class MembershipReplica {
     /** The outcome of merging what is said of a member. */
     public enum MergeResult {
         /** It was known already. */
@@ -23,7 +23,7 @@
     private final LocalMember localMember;
 
     /** Begins with this instance alone, and room for so many members. */
-    public Knowledge(Member self, int capacity) {
+    public MembershipReplica(Member self, int capacity) {
         this.capacity = capacity;
         table = new MemberTable(capacity, this::mergeMembers);
         localMember = new LocalMember(self, this::refute);
@@ -31,7 +31,7 @@
     }
 
     /** A copy that changes independently. */
-    protected Knowledge(Knowledge of) {
+    protected MembershipReplica(MembershipReplica of) {
         capacity = of.capacity;
         table = new MemberTable(capacity, this::mergeMembers);
         of.table.all().forEach(table::merge);
--- a/src/main/java/cacheproxy/membership/Transmitter.java
+++ b/src/main/java/cacheproxy/membership/Transmitter.java
@@ -15,13 +15,13 @@
     private static final int[] NO_DIGESTS = {};
 
     private final FleetState fleet;
-    private final Membership.Allowance allowance;
+    private final Membership.MessageBudget allowance;
     /** Members that don't know what is known of them here. */
     private final Set<Integer> unaware = new HashSet<>();
 
     private final List<OutgoingMessage> queue = new ArrayList<>();
 
-    Transmitter(FleetState fleet, Membership.Allowance allowance) {
+    Transmitter(FleetState fleet, Membership.MessageBudget allowance) {
         this.fleet = fleet;
         this.allowance = allowance;
     }
@@ -60,7 +60,7 @@
     private List<Member> gossip(double nowMs, Kind kind, List<Member> members) {
         int bytes = MembershipMessage.headBytes(kind)
                 + members.stream().mapToInt(MembershipMessage::bytes).sum();
-        int spareBytes = kind == Kind.GOSSIP ? Membership.MAX_MESSAGE_BYTES : allowance.spareBytes(nowMs);
+        int spareBytes = kind == Kind.GOSSIP ? Membership.MAX_MESSAGE_BYTES : allowance.availableBytes(nowMs);
         int maxBytes = Math.min(Membership.MAX_MESSAGE_BYTES - bytes, spareBytes);
         List<Member> gossip = fleet.gossip().take(fleet.table(), maxBytes, fleet.self());
         gossip.removeIf(g -> members.stream().anyMatch(m -> m.id() == g.id()));
@@ -92,7 +92,7 @@
 
     private boolean post(double nowMs, int to, MembershipMessage message, Urgency urgency) {
         byte[] body = message.encode();
-        boolean permitted = allowance.take(nowMs, body.length, urgency);
+        boolean permitted = allowance.tryAcquire(nowMs, body.length, urgency);
         if (permitted) {
             queue.add(new OutgoingMessage(to, body, urgency));
         }
--- a/src/main/java/cacheproxy/model/FleetPart.java
+++ b/src/main/java/cacheproxy/model/FleetPart.java
@@ -47,7 +47,7 @@
                 0,
                 seed,
                 new MembershipBudget(new SendBudget(ViewPlay.BYTES_PER_SECOND, ViewPlay.BURST)));
-        members.phase(ServicePhase.SERVING);
+        members.setPhase(ServicePhase.SERVING);
         zones = new ZoneFailover(new ZoneFailoverSettings(
                 settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs()));
     }
@@ -55,7 +55,7 @@
     /** Does what is due of the view; when to call again. */
     double view() {
         members.tick(time.now());
-        members.outgoing().forEach(s -> post.accept(s.to(), s.body()));
+        members.takeOutgoing().forEach(s -> post.accept(s.to(), s.body()));
         return members.dueMs();
     }
 
@@ -92,8 +92,8 @@
         if (changed) {
             plan = nextPlan;
             sight = nextSight;
-            members.note(ZoneFailover.PLAN_NOTE, plan);
-            members.note(ZoneFailover.HEALTH_NOTE, sight);
+            members.setMetadata(ZoneFailover.PLAN_NOTE, plan);
+            members.setMetadata(ZoneFailover.HEALTH_NOTE, sight);
         }
         return changed;
     }
--- a/src/main/java/cacheproxy/model/InstanceModel.java
+++ b/src/main/java/cacheproxy/model/InstanceModel.java
@@ -573,7 +573,7 @@
 
     /** Asks some peer what it was told that is not known here. */
     private void alert() {
-        if (settings.instanceCount() < 2 || !antiEntropy.onFault(time.now())) {
+        if (settings.instanceCount() < 2 || !antiEntropy.tryStartQuery(time.now())) {
             return;
         }
         long known = membership.knownVersion();
--- a/src/main/java/cacheproxy/model/NewsPlay.java
+++ b/src/main/java/cacheproxy/model/NewsPlay.java
@@ -324,7 +324,7 @@
         }
 
         private void alert() {
-            if (antiEntropy.onFault(time.now())) {
+            if (antiEntropy.tryStartQuery(time.now())) {
                 query();
             }
         }
--- a/src/main/java/cacheproxy/model/ViewPlay.java
+++ b/src/main/java/cacheproxy/model/ViewPlay.java
@@ -49,14 +49,14 @@
             outbox = new SendBudget(BYTES_PER_SECOND, BURST);
             members = new Membership(
                     settings, id, id % ZONES, new byte[0], remembered, random.nextLong(), new MembershipBudget(outbox));
-            members.phase(ServicePhase.SERVING);
+            members.setPhase(ServicePhase.SERVING);
             go();
         }
 
         void go() {
             long mine = ++waits;
             members.tick(time.now());
-            for (OutgoingMessage s : members.outgoing()) {
+            for (OutgoingMessage s : members.takeOutgoing()) {
                 bytes += Envelope.datagramBytes(s.body().length);
                 post(id, s.to(), s.body());
             }
--- a/src/main/java/cacheproxy/model/ZonePlay.java
+++ b/src/main/java/cacheproxy/model/ZonePlay.java
@@ -252,8 +252,8 @@
         if (!Arrays.equals(plan, i.plan) || !Arrays.equals(sight, i.sight)) {
             i.plan = plan;
             i.sight = sight;
-            i.members.note(ZoneFailover.PLAN_NOTE, plan);
-            i.members.note(ZoneFailover.HEALTH_NOTE, sight);
+            i.members.setMetadata(ZoneFailover.PLAN_NOTE, plan);
+            i.members.setMetadata(ZoneFailover.HEALTH_NOTE, sight);
             view.poke(i.id);
         }
     }
--- a/src/main/java/cacheproxy/model/check/MemberProtocol.java
+++ b/src/main/java/cacheproxy/model/check/MemberProtocol.java
@@ -1,8 +1,8 @@
 package cacheproxy.model.check;
 
-import cacheproxy.membership.Knowledge;
 import cacheproxy.membership.Member;
 import cacheproxy.membership.MemberState;
+import cacheproxy.membership.MembershipReplica;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -11,11 +11,11 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Three instances that tell each other what they know, over the real {@link Knowledge}. A message is lost, doubled, or
- * overtakes others; each instance suspects and gives up others at any time; it dies, and starts again with or without
- * its incarnation. Holds that an entry's incarnation never goes back at anybody, that nothing is taken back but by the
- * next one, and that those who live, once they exchange without loss, all come to hold the same and hold each other for
- * alive.
+ * Three instances that tell each other what they know, over the real {@link MembershipReplica}. A message is lost,
+ * doubled, or overtakes others; each instance suspects and gives up others at any time; it dies, and starts again with
+ * or without its incarnation. Holds that an entry's incarnation never goes back at anybody, that nothing is taken back
+ * but by the next one, and that those who live, once they exchange without loss, all come to hold the same and hold
+ * each other for alive.
  */
 public final class MemberProtocol implements Protocol<MemberProtocol.Fleet> {
     /** How many take part. */
@@ -39,18 +39,19 @@
 
     /** One state of all. A process that is dead has no knowledge; what it remembers is its last incarnation. */
     public record Fleet(
-            List<Knowledge> alive, long[] remembered, List<Mail> mail, int suspicions, int deaths, int lives) {
-        private Knowledge of(int id) {
+            List<MembershipReplica> alive, long[] remembered, List<Mail> mail, int suspicions, int deaths, int lives) {
+        private MembershipReplica of(int id) {
             return alive.get(id);
         }
     }
 
     private final Bounds bounds;
-    private final Function<Member, Knowledge> begin;
-    private final UnaryOperator<Knowledge> copy;
+    private final Function<Member, MembershipReplica> begin;
+    private final UnaryOperator<MembershipReplica> copy;
 
     /** {@code begin} and {@code copy}: the knowledge to explore. */
-    public MemberProtocol(Bounds bounds, Function<Member, Knowledge> begin, UnaryOperator<Knowledge> copy) {
+    public MemberProtocol(
+            Bounds bounds, Function<Member, MembershipReplica> begin, UnaryOperator<MembershipReplica> copy) {
         this.bounds = bounds;
         this.begin = begin;
         this.copy = copy;
@@ -61,27 +62,27 @@
         return new MemberProtocol(bounds, e -> new Real(e), k -> new Real(k));
     }
 
-    private static final class Real extends Knowledge {
+    private static final class Real extends MembershipReplica {
         Real(Member self) {
             super(self, INSTANCES);
         }
 
-        Real(Knowledge of) {
+        Real(MembershipReplica of) {
             super(of);
         }
     }
 
-    private Knowledge life(int id, long remembered, int life) {
+    private MembershipReplica life(int id, long remembered, int life) {
         return begin.apply(Member.start(id, remembered + 1, life, 0, new byte[0]));
     }
 
     @Override
     public Fleet initial() {
-        List<Knowledge> all = new ArrayList<>();
+        List<MembershipReplica> all = new ArrayList<>();
         for (int i = 0; i < INSTANCES; i++) {
             all.add(life(i, 0, 1));
         }
-        for (Knowledge k : all) {
+        for (MembershipReplica k : all) {
             all.forEach(other -> k.merge(0, other.self()));
         }
         return new Fleet(all, new long[INSTANCES], List.of(), 0, 0, 1);
@@ -117,8 +118,15 @@
     }
 
     private static Fleet with(
-            Fleet f, int id, Knowledge k, List<Mail> mail, int suspicions, int deaths, int lives, long[] remembered) {
-        List<Knowledge> alive = new ArrayList<>(f.alive());
+            Fleet f,
+            int id,
+            MembershipReplica k,
+            List<Mail> mail,
+            int suspicions,
+            int deaths,
+            int lives,
+            long[] remembered) {
+        List<MembershipReplica> alive = new ArrayList<>(f.alive());
         alive.set(id, k);
         return new Fleet(alive, remembered, mail, suspicions, deaths, lives);
     }
@@ -137,7 +145,7 @@
     private void doubt(Fleet f, int i, int j, List<Move<Fleet>> moves) {
         Member e = f.of(i).get(j);
         if (e != null && e.state() == MemberState.ALIVE && f.suspicions() < bounds.suspicions()) {
-            Knowledge k = copy.apply(f.of(i));
+            MembershipReplica k = copy.apply(f.of(i));
             k.suspect(j);
             moves.add(new Move<>(
                     i + " suspects " + j,
@@ -145,7 +153,7 @@
                     null));
         }
         if (e != null && e.state() == MemberState.SUSPECT) {
-            Knowledge k = copy.apply(f.of(i));
+            MembershipReplica k = copy.apply(f.of(i));
             k.declareDead(j);
             moves.add(new Move<>(
                     i + " gives " + j + " up",
@@ -163,7 +171,7 @@
 
     private Move<Fleet> start(Fleet f, int id, boolean remembers) {
         int life = f.lives() + 1;
-        Knowledge k = life(id, remembers ? f.remembered()[id] : 0, life);
+        MembershipReplica k = life(id, remembers ? f.remembered()[id] : 0, life);
         return new Move<>(
                 id + " starts again " + (remembers ? "with" : "without") + " its incarnation",
                 with(f, id, k, f.mail(), f.suspicions(), f.deaths(), life, f.remembered()),
@@ -181,7 +189,7 @@
         if (f.of(mail.to()) == null) {
             return;
         }
-        Knowledge k = copy.apply(f.of(mail.to()));
+        MembershipReplica k = copy.apply(f.of(mail.to()));
         String broken = tell(k, mail.entries());
         moves.add(new Move<>(
                 mail.to() + " hears " + mail.entries(),
@@ -194,7 +202,7 @@
     }
 
     /** What is broken by it: an entry that goes back. */
-    private static String tell(Knowledge k, List<Member> entries) {
+    private static String tell(MembershipReplica k, List<Member> entries) {
         for (Member said : entries) {
             Member before = k.get(said.id());
             k.merge(0, said);
@@ -216,13 +224,13 @@
 
     @Override
     public String broken(Fleet f) {
-        List<Knowledge> all = new ArrayList<>();
+        List<MembershipReplica> all = new ArrayList<>();
         f.alive().stream().filter(k -> k != null).forEach(k -> all.add(copy.apply(k)));
         boolean changed = true;
         for (int round = 0; round < ROUNDS && changed; round++) {
             changed = false;
-            for (Knowledge from : all) {
-                for (Knowledge to : all) {
+            for (MembershipReplica from : all) {
+                for (MembershipReplica to : all) {
                     List<Member> before = List.copyOf(to.all());
                     if (from != to) {
                         tell(to, List.copyOf(from.all()));
@@ -234,8 +242,8 @@
         if (changed) {
             return "after " + ROUNDS + " rounds without loss it is not settled";
         }
-        for (Knowledge a : all) {
-            for (Knowledge b : all) {
+        for (MembershipReplica a : all) {
+            for (MembershipReplica b : all) {
                 Member held = a.get(b.self().id());
                 if (a.digest() != b.digest()) {
                     return a.self().id() + " and " + b.self().id() + " exchange without loss and hold " + a.all()
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryLink.java
@@ -179,7 +179,7 @@
         List<Double> rates = new ArrayList<>();
         for (Member member : view.members()) {
             if (member.id() != view.self() && member.state().isLive() && member.phase() == ServicePhase.SERVING) {
-                byte[] load = member.note(LOAD_NOTE);
+                byte[] load = member.metadata(LOAD_NOTE);
                 rates.add(load.length == 1 ? RequestRateCode.decode(load[0]) : 0);
             }
         }
--- a/src/main/java/cacheproxy/proxy/peer/EndpointGossipLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/EndpointGossipLink.java
@@ -139,7 +139,7 @@
     }
 
     private void queryPeerUnlessRecent() {
-        if (antiEntropy.onFault(scheduler.nowMs())) {
+        if (antiEntropy.tryStartQuery(scheduler.nowMs())) {
             queryPeer();
         }
     }
--- a/src/main/java/cacheproxy/proxy/peer/MembershipLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/MembershipLink.java
@@ -46,7 +46,7 @@
                 lastIncarnation,
                 settings.instanceSeed(seed),
                 new MembershipBudget(peers.budget()));
-        membership.phase(phase);
+        membership.setPhase(phase);
         run();
     }
 
@@ -63,13 +63,13 @@
 
     /** Publishes a part's note with this instance's entry; empty removes it. */
     public void note(int part, byte[] bytes) {
-        membership.note(part, bytes);
+        membership.setMetadata(part, bytes);
         run();
     }
 
     /** Announces the phase of this instance's service. */
     public void phase(ServicePhase phase) {
-        membership.phase(phase);
+        membership.setPhase(phase);
         run();
     }
 
@@ -96,7 +96,7 @@
 
     /** Messages that could not be read. */
     public long unreadable() {
-        return membership.unreadable();
+        return membership.rejectedMessages();
     }
 
     private static double nowMs() {
@@ -106,7 +106,7 @@
     private void run() {
         long timer = ++timerGeneration;
         membership.tick(nowMs());
-        membership.outgoing().forEach(s -> peers.sendWithinBudget(s.to(), PeerMessageKind.MEMBERSHIP, s.body()));
+        membership.takeOutgoing().forEach(s -> peers.sendWithinBudget(s.to(), PeerMessageKind.MEMBERSHIP, s.body()));
         LiveMembers nowLive = membership.liveMembers();
         if (!nowLive.equals(liveMembers)) {
             liveMembers = nowLive;
--- a/src/test/java/cacheproxy/gossip/AntiEntropyTest.java
+++ b/src/test/java/cacheproxy/gossip/AntiEntropyTest.java
@@ -30,9 +30,9 @@
 
     @Test
     void failuresInARowLeadToOneQuery() {
-        assertThat(antiEntropy.onFault(100)).isTrue();
-        assertThat(antiEntropy.onFault(200)).isFalse();
-        assertThat(antiEntropy.onFault(600)).isTrue();
+        assertThat(antiEntropy.tryStartQuery(100)).isTrue();
+        assertThat(antiEntropy.tryStartQuery(200)).isFalse();
+        assertThat(antiEntropy.tryStartQuery(600)).isTrue();
         assertThat(antiEntropy.nextTimerMs()).isEqualTo(AntiEntropy.STALE_AFTER_MS);
     }
 
--- a/src/test/java/cacheproxy/membership/MembershipTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTest.java
@@ -122,14 +122,14 @@
 
     // ---- one instance alone
 
-    private static final Membership.Allowance ALL = new Membership.Allowance() {
+    private static final Membership.MessageBudget ALL = new Membership.MessageBudget() {
         @Override
-        public boolean take(double nowMs, int bytes, Urgency urgency) {
+        public boolean tryAcquire(double nowMs, int bytes, Urgency urgency) {
             return true;
         }
 
         @Override
-        public int spareBytes(double nowMs) {
+        public int availableBytes(double nowMs) {
             return Membership.MAX_MESSAGE_BYTES;
         }
     };
@@ -141,7 +141,7 @@
     /** Passes what goes from one to the other. */
     private static void pass(Membership from, int me, Membership to, double now) {
         from.tick(now);
-        from.outgoing().forEach(s -> to.messageReceived(now, me, s.body()));
+        from.takeOutgoing().forEach(s -> to.messageReceived(now, me, s.body()));
     }
 
     @Test
@@ -154,7 +154,7 @@
             pass(twin, 0, other, now);
             List<OutgoingMessage> back = new ArrayList<>();
             other.tick(now);
-            back.addAll(other.outgoing());
+            back.addAll(other.takeOutgoing());
             for (OutgoingMessage s : back) {
                 one.messageReceived(now, 1, s.body());
                 twin.messageReceived(now, 1, s.body());
@@ -177,9 +177,9 @@
             one.messageReceived(i, 1, noise);
         }
         other.tick(30_000);
-        other.outgoing().forEach(s -> one.messageReceived(30_000, 2, s.body()));
+        other.takeOutgoing().forEach(s -> one.messageReceived(30_000, 2, s.body()));
         assertThat(one.digest()).isEqualTo(digest);
-        assertThat(one.unreadable()).isGreaterThan(20_000);
+        assertThat(one.rejectedMessages()).isGreaterThan(20_000);
     }
 
     @Test
@@ -187,16 +187,16 @@
         Membership one = alone(0, 0, 1);
         Membership other = alone(1, 0, 3);
         other.tick(0);
-        List<OutgoingMessage> old = other.outgoing();
+        List<OutgoingMessage> old = other.takeOutgoing();
         old.forEach(s -> one.messageReceived(0, 1, s.body()));
-        other.note(2, new byte[] {9});
+        other.setMetadata(2, new byte[] {9});
         other.tick(100);
-        other.outgoing().forEach(s -> one.messageReceived(100, 1, s.body()));
+        other.takeOutgoing().forEach(s -> one.messageReceived(100, 1, s.body()));
         for (int i = 0; i < 3; i++) {
             old.forEach(s -> one.messageReceived(200, 1, s.body()));
         }
         pass(other, 1, one, 60_000);
-        assertThat(one.member(1).note(2)).containsExactly(9);
+        assertThat(one.member(1).metadata(2)).containsExactly(9);
     }
 
     @Test
@@ -227,7 +227,7 @@
             for (int i = 0; i < many; i++) {
                 if (!gone[i]) {
                     all.get(i).tick(now);
-                    for (OutgoingMessage s : all.get(i).outgoing()) {
+                    for (OutgoingMessage s : all.get(i).takeOutgoing()) {
                         if (!gone[s.to()]) {
                             all.get(s.to()).messageReceived(now, -1, s.body());
                         }
@@ -249,24 +249,24 @@
     void nobodyIsSuspectedWithoutBudget() {
         boolean[] room = {true};
         Membership one = new Membership(
-                MembershipSettings.forConfigured(3), 0, 0, new byte[0], 0, 1, new Membership.Allowance() {
+                MembershipSettings.forConfigured(3), 0, 0, new byte[0], 0, 1, new Membership.MessageBudget() {
                     @Override
-                    public boolean take(double nowMs, int bytes, Urgency urgency) {
+                    public boolean tryAcquire(double nowMs, int bytes, Urgency urgency) {
                         return room[0];
                     }
 
                     @Override
-                    public int spareBytes(double nowMs) {
+                    public int availableBytes(double nowMs) {
                         return 0;
                     }
                 });
         pass(alone(1, 0, 3), 1, one, 0);
-        one.outgoing();
+        one.takeOutgoing();
         room[0] = false;
         for (double now = 0; now < 10_000; now += 20) {
             one.tick(now);
         }
         assertThat(one.member(1).state()).isEqualTo(MemberState.ALIVE);
-        assertThat(one.outgoing()).isEmpty();
+        assertThat(one.takeOutgoing()).isEmpty();
     }
 }
--- a/src/test/java/cacheproxy/membership/MembershipTraceTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTraceTest.java
@@ -46,14 +46,14 @@
                     ? MembershipSettings.forSeeds(List.of(0, 1), 40)
                     : MembershipSettings.forConfigured(INSTANCES);
             byte[] address = bySeeds ? new byte[] {10, 0, 0, (byte) id, 31, (byte) id} : new byte[0];
-            return new Membership(settings, id, id % 3, address, remembered, seed, new Membership.Allowance() {
+            return new Membership(settings, id, id % 3, address, remembered, seed, new Membership.MessageBudget() {
                 @Override
-                public boolean take(double nowMs, int size, Urgency urgency) {
+                public boolean tryAcquire(double nowMs, int size, Urgency urgency) {
                     return urgency != Urgency.BACKGROUND || (long) nowMs % 7 != 0;
                 }
 
                 @Override
-                public int spareBytes(double nowMs) {
+                public int availableBytes(double nowMs) {
                     return (int) (nowMs % 400) - 100;
                 }
             });
@@ -66,9 +66,9 @@
 
         private void events(double nowMs) {
             if (nowMs == 1000) {
-                members.forEach(m -> m.phase(ServicePhase.SERVING));
+                members.forEach(m -> m.setPhase(ServicePhase.SERVING));
             } else if (nowMs == 3000) {
-                members.get(2).note(1, new byte[] {1, 2, 3});
+                members.get(2).setMetadata(1, new byte[] {1, 2, 3});
             } else if (nowMs == 5000) {
                 down[3] = true;
             } else if (nowMs == 26_000) {
@@ -85,7 +85,7 @@
         }
 
         private void collect(double nowMs, int from) {
-            for (OutgoingMessage s : members.get(from).outgoing()) {
+            for (OutgoingMessage s : members.get(from).takeOutgoing()) {
                 messages++;
                 bytes += s.body().length;
                 trace.update(
@@ -132,7 +132,7 @@
                         .append(view.liveMembers().count())
                         .append('/')
                         .append(m.incarnation());
-                refuted += m.deathsRefuted() + m.unreadable();
+                refuted += m.deathsRefuted() + m.rejectedMessages();
             }
             return String.format(
                     Locale.ROOT,
--- a/src/test/java/cacheproxy/model/check/ExplorerTest.java
+++ b/src/test/java/cacheproxy/model/check/ExplorerTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.membership.Knowledge;
 import cacheproxy.membership.Member;
 import cacheproxy.membership.MemberState;
+import cacheproxy.membership.MembershipReplica;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -12,7 +12,7 @@
 class ExplorerTest {
     private static final MemberProtocol.Bounds BOUNDS = new MemberProtocol.Bounds(1, 2, 1);
 
-    /** Knowledge with one line of it wrong. */
+    /** A {@link MembershipReplica} with one line of it wrong. */
     private enum Mutant {
         /** Whoever lives is believed in its own incarnation, so a death is forgotten and comes back. */
         BELIEVES_THE_LIVING {
@@ -43,7 +43,7 @@
                         self.zone(),
                         self.version(),
                         self.phase(),
-                        self.notes(),
+                        self.metadata(),
                         self.address());
             }
         },
@@ -68,14 +68,14 @@
         }
     }
 
-    private static final class Wrong extends Knowledge {
+    private static final class Wrong extends MembershipReplica {
         private static final ThreadLocal<Mutant> MUTANT = new ThreadLocal<>();
 
         Wrong(Member self) {
             super(self, MemberProtocol.INSTANCES);
         }
 
-        Wrong(Knowledge of) {
+        Wrong(MembershipReplica of) {
             super(of);
         }
 
--- a/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
@@ -35,18 +35,24 @@
         List<Member> entries = new ArrayList<>();
         for (int i = 0; i < all; i++) {
             Membership m = new Membership(
-                    MembershipSettings.forConfigured(all), i, i % ZONES, new byte[0], 0, i, new Membership.Allowance() {
+                    MembershipSettings.forConfigured(all),
+                    i,
+                    i % ZONES,
+                    new byte[0],
+                    0,
+                    i,
+                    new Membership.MessageBudget() {
                         @Override
-                        public boolean take(double nowMs, int bytes, OutgoingMessage.Urgency urgency) {
+                        public boolean tryAcquire(double nowMs, int bytes, OutgoingMessage.Urgency urgency) {
                             return true;
                         }
 
                         @Override
-                        public int spareBytes(double nowMs) {
+                        public int availableBytes(double nowMs) {
                             return 0;
                         }
                     });
-            m.phase(i < serving ? ServicePhase.SERVING : ServicePhase.RECOVERING);
+            m.setPhase(i < serving ? ServicePhase.SERVING : ServicePhase.RECOVERING);
             entries.add(m.member(i));
         }
         return new MembershipView(me, 0, entries, 0, new ConfiguredMembers(all), false);
