--- a/src/main/java/cacheproxy/control/ControlServer.java
+++ b/src/main/java/cacheproxy/control/ControlServer.java
@@ -53,7 +53,7 @@
         file = SocketFile.prepare(path);
         server = new ServerBootstrap()
                 .group(loop, loop)
-                .channel(Transport.BEST.localServer())
+                .channel(Transport.BEST.domainServer())
                 .childOption(
                         ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(32 << 10, MAX_UNREAD_BYTES))
                 .childHandler(new ChannelInitializer<>() {
@@ -62,7 +62,7 @@
                         accepted(channel);
                     }
                 })
-                .bind(Transport.BEST.local(file.temporary()))
+                .bind(Transport.BEST.domainSocketAddress(file.temporary()))
                 .syncUninterruptibly()
                 .channel();
         file.publish();
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -42,14 +42,14 @@
  * @param sockets limit of open sockets
  * @param peerListen where peers' datagrams arrive; null: nowhere
  * @param peers addresses of all instances, in the order of their numbers
- * @param peersAll reaches all instances at once; null: none
- * @param known the endpoint list to start with; null: none
+ * @param peersBroadcast reaches all instances at once; null: none
+ * @param initialEndpointList the endpoint list to start with; null: none
  * @param settings of routing
  * @param zones names by number
  * @param kinds names of the kinds of endpoints, by number
  * @param idleCloseMs after which servers close an idle connection
  * @param streamsPerConnection how many requests a server takes on one connection at a time
- * @param operator the admin port's address; null: none
+ * @param adminAddress the admin port's address; null: none
  * @param source the file as it was read
  */
 public record Config(
@@ -62,14 +62,14 @@
         int sockets,
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
-        InetSocketAddress peersAll,
-        JsonObject known,
+        InetSocketAddress peersBroadcast,
+        JsonObject initialEndpointList,
         RoutingSettings settings,
         List<String> zones,
         List<String> kinds,
         double idleCloseMs,
         int streamsPerConnection,
-        InetSocketAddress operator,
+        InetSocketAddress adminAddress,
         JsonObject source) {
 
     /** The names that routes may refer to. */
@@ -94,7 +94,7 @@
     /** Where the proxies of the tier exchange datagrams; without an address of its own where the settings forbid it. */
     public PeerAddresses peerAddresses() {
         return new PeerAddresses(
-                settings.peerMessagesAllowed() ? peerListen : null, peers, peersAll, settings.instanceIndex());
+                settings.peerMessagesAllowed() ? peerListen : null, peers, peersBroadcast, settings.instanceIndex());
     }
 
     /** How discovery is called. */
--- a/src/main/java/cacheproxy/proxy/ConfiguredEndpoints.java
+++ b/src/main/java/cacheproxy/proxy/ConfiguredEndpoints.java
@@ -22,8 +22,9 @@
 
     private ConfiguredEndpoints(Config config) {
         this.config = config;
-        endpoints =
-                config.known() == null ? List.of() : config.endpointListCodec().decodeAll(config.known());
+        endpoints = config.initialEndpointList() == null
+                ? List.of()
+                : config.endpointListCodec().decodeAll(config.initialEndpointList());
     }
 
     /**
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -32,7 +32,7 @@
  * <ul>
  *   <li>{@link RequestLifecycle}, {@link RequestTable}, {@link RequestCompletion}: clients' requests
  *   <li>{@link AttemptStarter}, {@link AttemptLifecycle}, {@link ResponseStreaming}: their attempts at servers
- *   <li>{@link SerialLoadBalancer}, {@link RoutingOrders}: events to the load balancer, and its orders
+ *   <li>{@link SerialLoadBalancer}, {@link DispatcherRoutingActions}: events to the load balancer, and its orders
  *   <li>{@link EndpointListEvents}, {@link PeerLinks}: events from discovery and from other proxies
  *   <li>{@link BufferLimits}, {@link DrainState}, {@link RequestMetrics}: limits, state and metrics of the process
  * </ul>
@@ -67,7 +67,7 @@
     private final PeerLinks peerLinks;
     private final EndpointListEvents endpointListEvents;
 
-    private RoutingOrders orders;
+    private DispatcherRoutingActions routingActions;
     private Future<?> sweeper;
 
     /** {@code upstream}: the kind of channel for connections to servers. */
@@ -119,7 +119,7 @@
      * @param routing the routes; null: a single pool under the settings' own policy
      */
     public void start(EndpointListSource discovery, PeerDatagramSocket peers, Routing routing) {
-        orders = new RoutingOrders(
+        routingActions = new DispatcherRoutingActions(
                 requests,
                 lifecycle,
                 attemptStarter,
@@ -132,7 +132,7 @@
                 peerLinks,
                 discovery,
                 peers);
-        loadBalancer.start(settings.routing(), settings.config().seed(), routing, orders);
+        loadBalancer.start(settings.routing(), settings.config().seed(), routing, routingActions);
         sweeper = loop.scheduleWithFixedDelay(servers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -224,8 +224,8 @@
     // ---- load balancer
 
     /** Carries out the load balancer's orders; null before {@link #start}. */
-    RoutingActions orders() {
-        return orders;
+    RoutingActions routingActions() {
+        return routingActions;
     }
 
     /** Whether the load balancer sends this server no ordinary request now. */
--- a/src/main/java/cacheproxy/proxy/DispatcherPeerPorts.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherPeerContext.java
@@ -11,14 +11,14 @@
 import java.util.OptionalInt;
 
 /** What the links to peers use of the core: its clock, its timers, the cache nodes of its list and learned state. */
-public final class DispatcherPeerPorts implements EventScheduler, CacheNodes, LearnedStateAccess {
+public final class DispatcherPeerContext implements EventScheduler, CacheNodes, LearnedStateAccess {
     /** The pool of all endpoints. */
     private static final String ALL_ENDPOINTS = "";
 
     private final Dispatcher dispatcher;
 
     /** Offers this core's. */
-    public DispatcherPeerPorts(Dispatcher dispatcher) {
+    public DispatcherPeerContext(Dispatcher dispatcher) {
         this.dispatcher = dispatcher;
     }
 
--- a/src/main/java/cacheproxy/proxy/RoutingOrders.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherRoutingActions.java
@@ -14,7 +14,7 @@
  * Carries out what the load balancer orders. Orders for requests that are completed by now have no effect. Event loop
  * only.
  */
-final class RoutingOrders implements RoutingActions {
+final class DispatcherRoutingActions implements RoutingActions {
     private final RequestTable requests;
     private final RequestLifecycle lifecycle;
     private final AttemptStarter starter;
@@ -28,7 +28,7 @@
     private final EndpointListSource discovery;
     private final PeerDatagramSocket peers;
 
-    RoutingOrders(
+    DispatcherRoutingActions(
             RequestTable requests,
             RequestLifecycle lifecycle,
             AttemptStarter starter,
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -17,7 +17,7 @@
     private EndpointGossipLink endpointListGossip;
     private MembershipLink membership;
     private OutlierGossipLink outlierGossip;
-    private ZoneFailoverLink zoneFailover;
+    private ZoneFailoverCoordinator zoneFailover;
     private StateQueryLink stateQueries;
 
     PeerLinks(SerialLoadBalancer loadBalancer) {
@@ -41,7 +41,7 @@
     }
 
     /** Sets the link that fails over zones together with the fleet. */
-    public void setZoneFailover(ZoneFailoverLink link) {
+    public void setZoneFailover(ZoneFailoverCoordinator link) {
         zoneFailover = link;
     }
 
--- a/src/main/java/cacheproxy/proxy/RecoveryLink.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryCoordinator.java
@@ -21,7 +21,7 @@
  * Carries out what package recovery decides: tells the fleet this instance's stage and load, and closes client
  * connections where it carries more than its share. Event loop only.
  */
-public final class RecoveryLink {
+public final class RecoveryCoordinator {
     /** The note in the membership view that holds an instance's load, one byte of {@link RequestRateCode} or none. */
     static final int LOAD_NOTE = 2;
 
@@ -55,7 +55,7 @@
      * @param listConfirmed whether the endpoint list came from the process that this one took over from
      * @param discardEndpointList replaces a stored endpoint list that has expired by the configured one
      */
-    public RecoveryLink(
+    public RecoveryCoordinator(
             Dispatcher dispatcher,
             MembershipLink members,
             ClientAcceptor acceptor,
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -41,7 +41,7 @@
     private Dispatcher dispatcher;
     private DiscoveryClient discovery;
     private LongSupplier incarnation = () -> 0;
-    private ZoneFailoverLink zones;
+    private ZoneFailoverCoordinator zones;
     private boolean closed;
 
     /** Reads the folder; blocks on the disk, so it is not to be called on the event loop. Never fails. */
@@ -98,7 +98,7 @@
      * @param incarnation this instance's incarnation number; 0 for none yet
      * @param zones null where this proxy decides nothing of zones
      */
-    public void persistFleetState(LongSupplier incarnation, ZoneFailoverLink zones) {
+    public void persistFleetState(LongSupplier incarnation, ZoneFailoverCoordinator zones) {
         this.incarnation = incarnation;
         this.zones = zones;
         fleetStateChanged();
--- a/src/main/java/cacheproxy/proxy/Transport.java
+++ b/src/main/java/cacheproxy/proxy/Transport.java
@@ -32,8 +32,8 @@
         Class<? extends ServerChannel> server,
         Class<? extends Channel> socket,
         Class<? extends Channel> datagram,
-        Class<? extends ServerChannel> localServer,
-        Class<? extends Channel> localSocket) {
+        Class<? extends ServerChannel> domainServer,
+        Class<? extends Channel> domainSocket) {
 
     /** The best kind that this machine has. */
     public static final Transport BEST = Epoll.isAvailable()
@@ -63,7 +63,7 @@
     }
 
     /** A local socket's address. */
-    public SocketAddress local(Path path) {
+    public SocketAddress domainSocketAddress(Path path) {
         return socket == EpollSocketChannel.class
                 ? new DomainSocketAddress(path.toFile())
                 : UnixDomainSocketAddress.of(path);
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverLink.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverCoordinator.java
@@ -20,7 +20,7 @@
  * Carries out what {@link ZoneFailover} decides: tells it what attempts met and what the endpoint list holds, passes
  * its directives on to the load balancer, and publishes its notes by the fleet's view. On the event loop only.
  */
-public final class ZoneFailoverLink {
+public final class ZoneFailoverCoordinator {
     private final Dispatcher dispatcher;
     private final MembershipLink members;
     private final ZoneFailoverSettings settings;
@@ -46,7 +46,7 @@
      * @param states zone states as the fleet had decided them
      * @param orders of operators
      */
-    public ZoneFailoverLink(
+    public ZoneFailoverCoordinator(
             Dispatcher dispatcher,
             MembershipLink members,
             RoutingSettings settings,
--- a/src/main/java/cacheproxy/proxy/ZoneOperations.java
+++ b/src/main/java/cacheproxy/proxy/ZoneOperations.java
@@ -9,10 +9,10 @@
  * loop only.
  */
 public final class ZoneOperations {
-    private final ZoneFailoverLink link;
+    private final ZoneFailoverCoordinator link;
 
     /** Shows the decisions that this link takes part in. */
-    public ZoneOperations(ZoneFailoverLink link) {
+    public ZoneOperations(ZoneFailoverCoordinator link) {
         this.link = link;
     }
 
--- a/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
@@ -5,10 +5,10 @@
 import cacheproxy.membership.ServicePhase;
 import cacheproxy.proxy.Config;
 import cacheproxy.proxy.Dispatcher;
-import cacheproxy.proxy.DispatcherPeerPorts;
-import cacheproxy.proxy.RecoveryLink;
+import cacheproxy.proxy.DispatcherPeerContext;
+import cacheproxy.proxy.RecoveryCoordinator;
 import cacheproxy.proxy.StatePersistence;
-import cacheproxy.proxy.ZoneFailoverLink;
+import cacheproxy.proxy.ZoneFailoverCoordinator;
 import cacheproxy.proxy.ZoneOperations;
 import cacheproxy.proxy.ZoneStateCodec;
 import cacheproxy.proxy.client.ClientAcceptor;
@@ -49,9 +49,9 @@
     /** Null where this instance takes no part in the membership view. */
     private MembershipLink members;
     /** Null where it takes no part in zone decisions. */
-    private ZoneFailoverLink zones;
+    private ZoneFailoverCoordinator zones;
     /** Null where it does not coordinate its recovery. */
-    private RecoveryLink recovery;
+    private RecoveryCoordinator recovery;
 
     /**
      * Creates the participation of an instance that has not joined.
@@ -87,7 +87,7 @@
                 new ListVersionGossip(settings.instanceCount(), settings.instanceSeed(config.seed()));
         gossip.start(discovery.version());
         EndpointGossipLink link = new EndpointGossipLink(
-                new DispatcherPeerPorts(dispatcher),
+                new DispatcherPeerContext(dispatcher),
                 peers,
                 discovery,
                 list,
@@ -105,7 +105,7 @@
         if (features.recovery() && members != null) {
             ProvenanceTracker.Entry learned = dispatcher.provenance().entry(ProvenanceTracker.Subject.LEARNED_STATE);
             boolean nothingLearned = learned.provenance() == Provenance.NONE;
-            DispatcherPeerPorts ports = new DispatcherPeerPorts(dispatcher);
+            DispatcherPeerContext ports = new DispatcherPeerContext(dispatcher);
             dispatcher
                     .peerLinks()
                     .setStateQueries(new StateQueryLink(
@@ -118,14 +118,14 @@
                             nothingLearned));
         }
         if (features.recovery()) {
-            recovery = new RecoveryLink(dispatcher, members, acceptor, tookOver, this::restartDiscovery);
+            recovery = new RecoveryCoordinator(dispatcher, members, acceptor, tookOver, this::restartDiscovery);
         }
     }
 
     private void joinMembership(FleetFeatures features) {
         Config current = config.get();
         members = new MembershipLink(
-                new DispatcherPeerPorts(dispatcher),
+                new DispatcherPeerContext(dispatcher),
                 peers,
                 current.settings(),
                 restored.incarnation(),
@@ -134,7 +134,7 @@
                 dispatcher.peerLinks()::liveMembersChanged);
         dispatcher.peerLinks().setMembership(members, outlierGossip());
         if (features.zones()) {
-            zones = new ZoneFailoverLink(
+            zones = new ZoneFailoverCoordinator(
                     dispatcher,
                     members,
                     current.settings(),
@@ -153,14 +153,14 @@
         return new OutlierGossipLink(
                 dispatcher::now,
                 peers,
-                new DispatcherPeerPorts(dispatcher),
+                new DispatcherPeerContext(dispatcher),
                 members::view,
                 (peer, message) ->
                         dispatcher.peerLinks().messageReceived(peer, PeerMessageKind.LOAD_BALANCER, message));
     }
 
     private void restartDiscovery() {
-        discovery.start(config.get().known());
+        discovery.start(config.get().initialEndpointList());
     }
 
     /** Tells the fleet that this instance drains. */
--- a/src/main/java/cacheproxy/proxy/lifecycle/HandoverServer.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/HandoverServer.java
@@ -98,14 +98,14 @@
         Files.deleteIfExists(ownSocket);
         new ServerBootstrap()
                 .group(loop)
-                .channel(Transport.BEST.localServer())
+                .channel(Transport.BEST.domainServer())
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         accepted(channel);
                     }
                 })
-                .bind(Transport.BEST.local(ownSocket))
+                .bind(Transport.BEST.domainSocketAddress(ownSocket))
                 .sync();
         publish();
     }
--- a/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
@@ -135,7 +135,7 @@
     private void startSubsystems(EndpointListPublisher list, Routing routing) {
         Config config = config();
         dispatcher.start(discovery, peers, routing);
-        discovery.start(restored.endpointList(config.known()));
+        discovery.start(restored.endpointList(config.initialEndpointList()));
         if (config.settings().peerMessagesAllowed()) {
             fleet.startListGossip(list);
         }
@@ -300,7 +300,7 @@
 
     /** The admin port's address; null if none is configured. On any thread. */
     public InetSocketAddress adminAddress() {
-        InetSocketAddress configured = config().operator();
+        InetSocketAddress configured = config().adminAddress();
         String environment = System.getenv("BALANCER_OPERATOR");
         return configured != null || environment == null || environment.isEmpty()
                 ? configured
--- a/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -3,7 +3,7 @@
 import cacheproxy.failover.StoredZoneState;
 import cacheproxy.membership.Member;
 import cacheproxy.proxy.LearnedStateCodec;
-import cacheproxy.proxy.ZoneFailoverLink;
+import cacheproxy.proxy.ZoneFailoverCoordinator;
 import cacheproxy.proxy.ZoneStateCodec;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
@@ -183,10 +183,10 @@
     }
 
     /** The restored zone decisions of one kind, by the zones' present numbers. */
-    ZoneFailoverLink.RestoredDecisions zoneDecisions(RecordKind kind, List<String> names) {
+    ZoneFailoverCoordinator.RestoredDecisions zoneDecisions(RecordKind kind, List<String> names) {
         StoredRecord record = records.get(kind);
         if (record == null) {
-            return new ZoneFailoverLink.RestoredDecisions(Map.of(), false);
+            return new ZoneFailoverCoordinator.RestoredDecisions(Map.of(), false);
         }
         boolean valid = validity(kind) == Validity.VALID;
         try {
@@ -194,10 +194,10 @@
             if (!decisions.isEmpty()) {
                 recordUse(kind);
             }
-            return new ZoneFailoverLink.RestoredDecisions(decisions, valid);
+            return new ZoneFailoverCoordinator.RestoredDecisions(decisions, valid);
         } catch (RuntimeException e) {
             provenance.rejected(Subject.ZONE_STATES);
-            return new ZoneFailoverLink.RestoredDecisions(Map.of(), valid);
+            return new ZoneFailoverCoordinator.RestoredDecisions(Map.of(), valid);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/lifecycle/TakeoverClient.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/TakeoverClient.java
@@ -63,9 +63,9 @@
     private void connect(Path path) {
         channel = new Bootstrap()
                 .group(loop)
-                .channel(Transport.BEST.localSocket())
+                .channel(Transport.BEST.domainSocket())
                 .handler(new HandlerInitializer(new LineBasedFrameDecoder(MAX_SNAPSHOT_BYTES), new AnswerHandler()))
-                .connect(Transport.BEST.local(path))
+                .connect(Transport.BEST.domainSocketAddress(path))
                 .addListener(f -> {
                     if (f.isSuccess()) {
                         send(HandoverServer.SNAPSHOT_REQUEST);
--- a/src/main/java/cacheproxy/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/WarmUp.java
@@ -119,7 +119,7 @@
 
     /** Netty throws a socket's IOException undeclared. */
     private void run() throws IOException, InterruptedException {
-        Dispatcher dispatcher = new Dispatcher(loop, new LoopClock(), config, Transport.BEST.localSocket());
+        Dispatcher dispatcher = new Dispatcher(loop, new LoopClock(), config, Transport.BEST.domainSocket());
         SocketAddress node = listen(NODE_SOCKET, Node::new);
         SocketAddress origin = listen(ORIGIN_SOCKET, Origin::new);
         SocketAddress proxy = listen(PROXY_SOCKET, () -> new ClientConnection(dispatcher, NO_LISTENER, false));
@@ -134,7 +134,7 @@
                 .sync();
         new Bootstrap()
                 .group(loop)
-                .channel(Transport.BEST.localSocket())
+                .channel(Transport.BEST.domainSocket())
                 .handler(new HandlerInitializer(new Client()))
                 .connect(proxy)
                 .sync();
@@ -146,10 +146,10 @@
     }
 
     private SocketAddress listen(String name, Supplier<ChannelHandler> handler) throws InterruptedException {
-        SocketAddress address = Transport.BEST.local(folder.resolve(name));
+        SocketAddress address = Transport.BEST.domainSocketAddress(folder.resolve(name));
         new ServerBootstrap()
                 .group(loop)
-                .channel(Transport.BEST.localServer())
+                .channel(Transport.BEST.domainServer())
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -291,7 +291,9 @@
                 Dispatcher core = fleet.proxy.dispatcher();
                 long before = core.counters().count(Metric.PEER_MESSAGES_SENT)
                         + fleet.proxy.fleetView().droppedDatagrams();
-                core.servers().cacheNodes().forEach(u -> core.orders().report(u.id, EndpointSignal.UNRESPONSIVE));
+                core.servers()
+                        .cacheNodes()
+                        .forEach(u -> core.routingActions().report(u.id, EndpointSignal.UNRESPONSIVE));
                 assertThat(core.counters().count(Metric.PEER_MESSAGES_SENT)
                                 + fleet.proxy.fleetView().droppedDatagrams()
                                 - before)
@@ -319,7 +321,7 @@
             Counters counters = fleet.proxy.dispatcher().counters();
             Await.until("the message", () -> fleet.on(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
             fleet.on(() -> {
-                fleet.proxy.dispatcher().orders().sendToPeer(PEERS - 1, new byte[] {0});
+                fleet.proxy.dispatcher().routingActions().sendToPeer(PEERS - 1, new byte[] {0});
                 return null;
             });
             last.setSoTimeout(20_000);
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -171,13 +171,13 @@
         values.put("limits.sockets", c.sockets());
         values.put("peer_listen", String.valueOf(c.peerListen()));
         values.put("peers", c.peers());
-        values.put("peers_all", String.valueOf(c.peersAll()));
-        values.put("known", String.valueOf(c.known()));
+        values.put("peers_all", String.valueOf(c.peersBroadcast()));
+        values.put("known", String.valueOf(c.initialEndpointList()));
         values.put("settings.zones", c.zones());
         values.put("settings.kinds", c.kinds());
         values.put("settings.caps.idle-close", c.idleCloseMs());
         values.put("settings.caps.streams-per-conn", c.streamsPerConnection());
-        values.put("operator", String.valueOf(c.operator()));
+        values.put("operator", String.valueOf(c.adminAddress()));
         StringBuilder text = new StringBuilder();
         values.forEach(
                 (key, value) -> text.append(key).append(" = ").append(value).append('\n'));
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -51,7 +51,7 @@
                 }
                 fleet.proxy
                         .dispatcher()
-                        .orders()
+                        .routingActions()
                         .send(1, server, 0); // as a timer of the module would, before the end is read
             });
             stands.await();
@@ -137,7 +137,7 @@
             client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             origin.next();
             fleet.on(() -> {
-                fleet.proxy.dispatcher().orders().reject(1, 0);
+                fleet.proxy.dispatcher().routingActions().reject(1, 0);
                 return null;
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
@@ -157,7 +157,7 @@
             client.read("1");
             node.next();
             fleet.on(() -> {
-                fleet.proxy.dispatcher().orders().send(1, 12345, 0);
+                fleet.proxy.dispatcher().routingActions().send(1, 12345, 0);
                 return null;
             });
             assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().forbidden()))
