--- a/src/main/java/cacheproxy/admission/SafetyRules.java
+++ b/src/main/java/cacheproxy/admission/SafetyRules.java
@@ -3,7 +3,7 @@
 import cacheproxy.routing.DeduplicationScope;
 import cacheproxy.routing.EndpointLocation;
 import cacheproxy.routing.Idempotency;
-import cacheproxy.routing.RepeatSafety;
+import cacheproxy.routing.RetrySafety;
 import cacheproxy.routing.ServiceClass;
 import java.util.List;
 
@@ -91,8 +91,8 @@
             return Verdict.ALLOWED;
         }
         // For now, and not a connect timeout later as when it was planned: its connection is up, and it is written now.
-        RepeatSafety safety =
-                RepeatSafety.of(attempt.serviceClass, earlier.sentMs, earlier.location, nowMs, attempt.location);
+        RetrySafety safety =
+                RetrySafety.of(attempt.serviceClass, earlier.sentMs, earlier.location, nowMs, attempt.location);
         return switch (safety) {
             case SAFE -> Verdict.ALLOWED;
             case NOT_IDEMPOTENT -> Verdict.MAYBE_EXECUTED;
--- a/src/main/java/cacheproxy/model/InstanceModel.java
+++ b/src/main/java/cacheproxy/model/InstanceModel.java
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void report(int server, EndpointSignal what) {
+    public void reportSignal(int server, EndpointSignal what) {
         if (part != null) {
             boolean origin = server == FleetDraw.ORIGIN;
             int zone = origin ? 0 : play.zoneOf(server);
--- a/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
@@ -50,9 +50,9 @@
                 FIGURES,
                 array(
                         state.originFetchMs(),
-                        state.usualLatencyMs(),
+                        state.meanLatencyMs(),
                         state.latencyDeviationMs(),
-                        state.usualCostMs(),
+                        state.meanCostMs(),
                         state.originLoad().requested(),
                         state.originLoad().completedInTime(),
                         state.endpointLoad().requested(),
@@ -63,8 +63,8 @@
         json.add(HOT_KEYS, hotKeys);
         JsonArray endpoints = new JsonArray();
         state.endpoints()
-                .forEach(e -> endpoints.add(
-                        array(e.id(), e.startTimeMs(), e.failures(), e.ejectedUntilMs(), e.slowResponses())));
+                .forEach(e -> endpoints.add(array(
+                        e.id(), e.startTimeMs(), e.consecutiveFailures(), e.ejectedUntilMs(), e.slowResponses())));
         json.add(ENDPOINTS, endpoints);
         return json;
     }
--- a/src/main/java/cacheproxy/proxy/RoutingOrders.java
+++ b/src/main/java/cacheproxy/proxy/RoutingOrders.java
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void report(int server, EndpointSignal signal) {
+    public void reportSignal(int server, EndpointSignal signal) {
         peerLinks.endpointSignaled(server, signal);
     }
 
--- a/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
+++ b/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
@@ -63,7 +63,7 @@
 
     /** Continues with what another process, or an earlier one, has learned; after the first endpoint list. */
     void resume(Map<String, LearnedState> learned) {
-        executor.runSerially(() -> loadBalancer.resume(clock.now(), learned));
+        executor.runSerially(() -> loadBalancer.restore(clock.now(), learned));
     }
 
     void settingsChanged(RoutingSettings settings) {
--- a/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -152,14 +152,14 @@
      */
     private static LearnedState suspectsOnly(LearnedState learned) {
         List<EndpointHealthRecord> suspects = learned.endpoints().stream()
-                .filter(s -> s.failures() > 0)
+                .filter(s -> s.consecutiveFailures() > 0)
                 .map(s -> new EndpointHealthRecord(s.id(), s.startTimeMs(), 1, 0, 0))
                 .toList();
         return new LearnedState(
                 learned.originFetchMs(),
-                learned.usualLatencyMs(),
+                learned.meanLatencyMs(),
                 learned.latencyDeviationMs(),
-                learned.usualCostMs(),
+                learned.meanCostMs(),
                 new LoadCount(0, 0),
                 new LoadCount(0, 0),
                 0,
--- a/src/main/java/cacheproxy/proxy/peer/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/StateQueryLink.java
@@ -81,15 +81,16 @@
 
     private PeerStateSummary summary(LearnedState learned) {
         List<Integer> avoidedNodes = learned.endpoints().stream()
-                .filter(e -> e.failures() > 0 && state.isAvoided(e.id()))
-                .sorted(Comparator.comparingInt(EndpointHealthRecord::failures).reversed())
+                .filter(e -> e.consecutiveFailures() > 0 && state.isAvoided(e.id()))
+                .sorted(Comparator.comparingInt(EndpointHealthRecord::consecutiveFailures)
+                        .reversed())
                 .limit(PeerStateSummary.MAX_AVOIDED_NODES)
                 .map(EndpointHealthRecord::id)
                 .toList();
         return new PeerStateSummary(
                 Math.max(0, discovery.version()),
                 (float) learned.originFetchMs(),
-                (float) learned.usualLatencyMs(),
+                (float) learned.meanLatencyMs(),
                 inTimeRatio(learned.originLoad()),
                 avoidedNodes);
     }
--- a/src/main/java/cacheproxy/route/PoolActions.java
+++ b/src/main/java/cacheproxy/route/PoolActions.java
@@ -126,8 +126,8 @@
     }
 
     @Override
-    public void report(int endpointId, EndpointSignal signal) {
-        out.report(endpointId, signal);
+    public void reportSignal(int endpointId, EndpointSignal signal) {
+        out.reportSignal(endpointId, signal);
     }
 
     @Override
--- a/src/main/java/cacheproxy/route/PoolBalancer.java
+++ b/src/main/java/cacheproxy/route/PoolBalancer.java
@@ -118,7 +118,7 @@
     }
 
     void resume(double nowMs, LearnedState learned) {
-        loadBalancer.resume(nowMs, Map.of(ONLY_POOL, learned));
+        loadBalancer.restore(nowMs, Map.of(ONLY_POOL, learned));
     }
 
     boolean isAvoided(double nowMs, int endpointId) {
--- a/src/main/java/cacheproxy/route/Router.java
+++ b/src/main/java/cacheproxy/route/Router.java
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void resume(double nowMs, Map<String, LearnedState> states) {
+    public void restore(double nowMs, Map<String, LearnedState> states) {
         pools.resume(nowMs, states);
     }
 
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void resume(double nowMs, Map<String, LearnedState> states) {
+    public void restore(double nowMs, Map<String, LearnedState> states) {
         LearnedState ofAll = states.get(ONLY_POOL);
         if (ofAll != null) {
             learned.resume(nowMs, ofAll);
@@ -371,7 +371,7 @@
         if (!request.isInFlight(attempt) || endpoints.isOrigin(endpoint)) {
             return;
         }
-        out.report(endpoint.id(), EndpointSignal.UNRESPONSIVE);
+        out.reportSignal(endpoint.id(), EndpointSignal.UNRESPONSIVE);
         boolean hedgingAllowed = settings.hedgingAllowed();
         outliers.onOverdue(nowMs, endpoint, hedgingAllowed);
         if (!hedging.spend(nowMs, request)) {
--- a/src/main/java/cacheproxy/routing/EndpointHealth.java
+++ b/src/main/java/cacheproxy/routing/EndpointHealth.java
@@ -130,7 +130,7 @@
     }
 
     void resume(EndpointHealthRecord learned) {
-        consecutiveFailures = learned.failures();
+        consecutiveFailures = learned.consecutiveFailures();
         ejectedUntilMs = learned.ejectedUntilMs();
         slowResponses = learned.slowResponses();
     }
--- a/src/main/java/cacheproxy/routing/LatencyEstimates.java
+++ b/src/main/java/cacheproxy/routing/LatencyEstimates.java
@@ -18,7 +18,7 @@
     private double originFetchMs;
     private double endpointMs;
     private double endpointDeviationMs;
-    private double usualCostMs;
+    private double meanCostMs;
 
     /** Estimates before any answer, from the shortest latency objective of all classes. */
     LatencyEstimates(double shortestObjectiveMs) {
@@ -30,13 +30,13 @@
     /** A request's cost hint; not over 0 or NaN where it has none. */
     void recordCostHint(double costMs) {
         if (costMs > 0) {
-            usualCostMs += (costMs - usualCostMs) / (usualCostMs > 0 ? COST_SAMPLES : 1);
+            meanCostMs += (costMs - meanCostMs) / (meanCostMs > 0 ? COST_SAMPLES : 1);
         }
     }
 
     /** The work that a request's cost hint promises, in units of the usual; 1 where there is no hint. */
     double relativeWork(Request request) {
-        return request.costMs() > 0 && usualCostMs > 0 ? request.costMs() / usualCostMs : 1;
+        return request.costMs() > 0 && meanCostMs > 0 ? request.costMs() / meanCostMs : 1;
     }
 
     /** An endpoint's answer to a request of this much work, in units of the usual. */
@@ -62,14 +62,14 @@
         return endpointDeviationMs;
     }
 
-    double usualCostMs() {
-        return usualCostMs;
+    double meanCostMs() {
+        return meanCostMs;
     }
 
     void resume(LearnedState learned) {
         originFetchMs = learned.originFetchMs();
-        endpointMs = learned.usualLatencyMs();
+        endpointMs = learned.meanLatencyMs();
         endpointDeviationMs = learned.latencyDeviationMs();
-        usualCostMs = learned.usualCostMs();
+        meanCostMs = learned.meanCostMs();
     }
 }
--- a/src/main/java/cacheproxy/routing/LearnedStateTransfer.java
+++ b/src/main/java/cacheproxy/routing/LearnedStateTransfer.java
@@ -36,7 +36,7 @@
                 latency.originFetchMs(),
                 latency.endpointMs(),
                 latency.endpointDeviationMs(),
-                latency.usualCostMs(),
+                latency.meanCostMs(),
                 originThrottle.load(nowMs),
                 endpointThrottle.load(nowMs),
                 hotKeys.total(),
--- a/src/main/java/cacheproxy/routing/LoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/LoadBalancer.java
@@ -41,7 +41,7 @@
      *
      * @param states as from {@link #learnedState}; pools that this instance doesn't have are passed over
      */
-    void resume(double nowMs, Map<String, LearnedState> states);
+    void restore(double nowMs, Map<String, LearnedState> states);
 
     /**
      * Entries of the endpoint list, or a failed call for it.
--- a/src/main/java/cacheproxy/routing/OutcomeRecorder.java
+++ b/src/main/java/cacheproxy/routing/OutcomeRecorder.java
@@ -81,7 +81,7 @@
         } else {
             zones.recordResponse(endpoint.zone());
             boolean missed = end.outcome() == AttemptOutcome.MISS;
-            out.report(endpoint.id(), missed ? EndpointSignal.CACHE_MISS : EndpointSignal.RESPONDED);
+            out.reportSignal(endpoint.id(), missed ? EndpointSignal.CACHE_MISS : EndpointSignal.RESPONDED);
             if (end.outcome() == AttemptOutcome.REJECTED && end.attemptIndex() > 0) {
                 endpointThrottle.recordRequest(nowMs);
             }
@@ -105,7 +105,7 @@
     private static void reportOrigin(
             double nowMs, PendingRequest request, EndpointEntry origin, AttemptEnd end, RoutingActions out) {
         boolean inTime = end.outcome() == AttemptOutcome.OK && nowMs <= request.objectiveEndMs();
-        out.report(origin.id(), inTime ? EndpointSignal.RESPONDED : EndpointSignal.UNRESPONSIVE);
+        out.reportSignal(origin.id(), inTime ? EndpointSignal.RESPONDED : EndpointSignal.UNRESPONSIVE);
     }
 
     /** A cache endpoint has served the request. */
@@ -136,7 +136,7 @@
             endpointThrottle.recordRequest(nowMs);
         }
         if (!timedOut) { // a timeout was reported when it was overdue
-            out.report(endpoint.id(), EndpointSignal.UNRESPONSIVE);
+            out.reportSignal(endpoint.id(), EndpointSignal.UNRESPONSIVE);
         }
         if (cause == AttemptOutcome.RESET) {
             outliers.onReset(nowMs, endpoint);
--- a/src/main/java/cacheproxy/routing/RetryPolicy.java
+++ b/src/main/java/cacheproxy/routing/RetryPolicy.java
@@ -91,13 +91,13 @@
         // SafetyRules}
         // is asked again when the attempt is written; planned later than this, it could only be forbidden then.
         double arrivalMs = nowMs + settings.get().connectTimeoutMs();
-        RepeatSafety safety = RepeatSafety.of(
+        RetrySafety safety = RetrySafety.of(
                 request.serviceClass(),
                 request.firstMaybeExecutedSentMs(),
                 request.firstMaybeExecutedEndpoint().endpoint().location(),
                 arrivalMs,
                 endpoint.endpoint().location());
-        return safety == RepeatSafety.SAFE;
+        return safety == RetrySafety.SAFE;
     }
 
     /**
--- a/src/main/java/cacheproxy/routing/RepeatSafety.java
+++ b/src/main/java/cacheproxy/routing/RetrySafety.java
@@ -8,7 +8,7 @@
  * at which it can reach its endpoint at the latest; {@code SafetyRules} of admission asks for the moment at which the
  * attempt is written, when that moment is known.
  */
-public enum RepeatSafety {
+public enum RetrySafety {
     /** It takes effect no more often than its class allows. */
     SAFE,
     /** Nothing drops a repeat. */
@@ -27,7 +27,7 @@
      * @param repeatMs the moment for which this is asked, in milliseconds on the same clock
      * @param repeatAt where the repeat goes
      */
-    public static RepeatSafety of(
+    public static RetrySafety of(
             ServiceClass serviceClass,
             double earlierSentMs,
             EndpointLocation earlierAt,
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -291,7 +291,7 @@
                 Dispatcher core = fleet.proxy.dispatcher();
                 long before = core.counters().count(Metric.PEER_MESSAGES_SENT)
                         + fleet.proxy.fleetView().droppedDatagrams();
-                core.servers().cacheNodes().forEach(u -> core.orders().report(u.id, EndpointSignal.UNRESPONSIVE));
+                core.servers().cacheNodes().forEach(u -> core.orders().reportSignal(u.id, EndpointSignal.UNRESPONSIVE));
                 assertThat(core.counters().count(Metric.PEER_MESSAGES_SENT)
                                 + fleet.proxy.fleetView().droppedDatagrams()
                                 - before)
--- a/src/test/java/cacheproxy/routing/LearnedStateTransferTest.java
+++ b/src/test/java/cacheproxy/routing/LearnedStateTransferTest.java
@@ -17,7 +17,7 @@
         old.end(old.last(), AttemptOutcome.CONNECT_FAILED);
         int successorOfTop = old.last().server();
         LoadBalancerHarness next = LoadBalancerHarness.cacheAside().fleet(12);
-        next.loadBalancer.resume(next.now, old.loadBalancer.learnedState(old.now));
+        next.loadBalancer.restore(next.now, old.loadBalancer.learnedState(old.now));
         next.read(1, 77);
         assertThat(next.last().server()).isEqualTo(successorOfTop);
         assertThat(next.loadBalancer.isAvoided(next.now, top)).isTrue();
@@ -36,7 +36,7 @@
         old.end(old.last(), AttemptOutcome.CONNECT_FAILED);
         LoadBalancerHarness next = LoadBalancerHarness.cacheAside().fleet(12);
         next.change(LoadBalancerHarness.endpoint(top, EndpointState.READY, -20_000));
-        next.loadBalancer.resume(next.now, old.loadBalancer.learnedState(old.now));
+        next.loadBalancer.restore(next.now, old.loadBalancer.learnedState(old.now));
         next.read(1, 77);
         assertThat(next.last().server()).isEqualTo(top);
     }
@@ -49,7 +49,7 @@
             old.read(i, i % 2 == 0 ? 77 : 1000 + i);
         }
         LoadBalancerHarness next = LoadBalancerHarness.cacheAside().fleet(12);
-        next.loadBalancer.resume(next.now, old.loadBalancer.learnedState(old.now));
+        next.loadBalancer.restore(next.now, old.loadBalancer.learnedState(old.now));
         Set<Integer> servers = new HashSet<>();
         for (int i = 1; i <= 5; i++) { // fewer than make a key hot to one that knows nothing of it
             next.read(i, 77);
--- a/src/test/java/cacheproxy/routing/RepeatSafetyTest.java
+++ b/src/test/java/cacheproxy/routing/RetrySafetyTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The condition under which an attempt that may have taken effect is repeated. */
-class RepeatSafetyTest {
+class RetrySafetyTest {
     private static final double SENT_MS = 1000;
     private static final double WINDOW_MS = 400;
 
@@ -16,9 +16,9 @@
         return new ServiceClass("any", idempotency, scope, WINDOW_MS, 100, 500, 1, 0, false);
     }
 
-    private static RepeatSafety keyed(
+    private static RetrySafety keyed(
             DeduplicationScope scope, EndpointLocation first, double repeatMs, EndpointLocation repeat) {
-        return RepeatSafety.of(serviceClass(Idempotency.KEYED, scope), SENT_MS, first, repeatMs, repeat);
+        return RetrySafety.of(serviceClass(Idempotency.KEYED, scope), SENT_MS, first, repeatMs, repeat);
     }
 
     @Test
@@ -26,9 +26,9 @@
         EndpointLocation here = new EndpointLocation(0, 0);
         double endMs = SENT_MS + WINDOW_MS;
         assertThat(keyed(DeduplicationScope.ALL, here, Math.nextDown(endMs), here))
-                .isEqualTo(RepeatSafety.SAFE);
+                .isEqualTo(RetrySafety.SAFE);
         assertThat(keyed(DeduplicationScope.ALL, here, endMs, here))
-                .isEqualTo(RepeatSafety.DEDUPLICATION_WINDOW_EXPIRED);
+                .isEqualTo(RetrySafety.DEDUPLICATION_WINDOW_EXPIRED);
     }
 
     @Property
@@ -44,7 +44,7 @@
         EndpointLocation first = new EndpointLocation(zone, cell);
         EndpointLocation repeat = new EndpointLocation(otherZone, otherCell);
         assertThat(keyed(scope, first, SENT_MS, repeat))
-                .isEqualTo(inside ? RepeatSafety.SAFE : RepeatSafety.OUTSIDE_DEDUPLICATION_SCOPE);
+                .isEqualTo(inside ? RetrySafety.SAFE : RetrySafety.OUTSIDE_DEDUPLICATION_SCOPE);
     }
 
     @Test
@@ -53,8 +53,8 @@
         EndpointLocation elsewhere = new EndpointLocation(1, 1);
         ServiceClass idempotent = serviceClass(Idempotency.IDEMPOTENT, DeduplicationScope.CELL);
         ServiceClass other = serviceClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
-        assertThat(RepeatSafety.of(idempotent, SENT_MS, here, SENT_MS + 2 * WINDOW_MS, elsewhere))
-                .isEqualTo(RepeatSafety.SAFE);
-        assertThat(RepeatSafety.of(other, SENT_MS, here, SENT_MS, here)).isEqualTo(RepeatSafety.NOT_IDEMPOTENT);
+        assertThat(RetrySafety.of(idempotent, SENT_MS, here, SENT_MS + 2 * WINDOW_MS, elsewhere))
+                .isEqualTo(RetrySafety.SAFE);
+        assertThat(RetrySafety.of(other, SENT_MS, here, SENT_MS, here)).isEqualTo(RetrySafety.NOT_IDEMPOTENT);
     }
 }
