--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -293,7 +293,7 @@
                         + fleet.proxy.fleetView().droppedDatagrams();
                 core.servers()
                         .cacheNodes()
-                        .forEach(u -> core.routingActions().report(u.id, EndpointSignal.UNRESPONSIVE));
+                        .forEach(u -> core.routingActions().reportSignal(u.id, EndpointSignal.UNRESPONSIVE));
                 assertThat(core.counters().count(Metric.PEER_MESSAGES_SENT)
                                 + fleet.proxy.fleetView().droppedDatagrams()
                                 - before)
