--- a/src/main/java/cacheproxy/admission/SafetyRules.java
+++ b/src/main/java/cacheproxy/admission/SafetyRules.java
@@ -3,7 +3,7 @@
 import cacheproxy.routing.DeduplicationScope;
 import cacheproxy.routing.EndpointLocation;
 import cacheproxy.routing.Idempotency;
-import cacheproxy.routing.RepeatSafety;
+import cacheproxy.routing.RetrySafety;
 import cacheproxy.routing.ServiceClass;
 import java.util.List;
 
@@ -93,8 +93,8 @@
             return Verdict.ALLOWED;
         }
         // Without the connect timeout that routing adds: this is checked again right before the attempt is written.
-        RepeatSafety safety =
-                RepeatSafety.of(attempt.serviceClass, earlier.sentMs, earlier.location, nowMs, attempt.location);
+        RetrySafety safety =
+                RetrySafety.of(attempt.serviceClass, earlier.sentMs, earlier.location, nowMs, attempt.location);
         return switch (safety) {
             case SAFE -> Verdict.ALLOWED;
             case NOT_IDEMPOTENT -> Verdict.MAYBE_EXECUTED;
