--- a/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
+++ b/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
@@ -45,7 +45,7 @@
     }
 
     private final SplittableRandom random;
-    private final PollKindSelector kinds;
+    private final PollKindSelector kindSelector;
     /** Grows with each poll in a row that was cancelled. */
     private final FailureBackoff cancelAfter = new FailureBackoff(
             ExponentialBackoff.ofDoublings(PollTimeouts.CANCEL_AFTER_MS, PollTimeouts.MAX_CANCEL_DOUBLINGS));
@@ -69,7 +69,7 @@
      */
     public EndpointListPoller(PollerSettings settings, long seed) {
         random = new SplittableRandom(seed);
-        kinds = new PollKindSelector(random);
+        kindSelector = new PollKindSelector(random);
         updateSettings(settings);
     }
 
@@ -83,7 +83,7 @@
     public List<PollAction> start(double nowMs) {
         List<PollAction> actions = stop();
         running = true;
-        kinds.onStart();
+        kindSelector.onStart();
         nextPollMs = nowMs;
         actions.addAll(onTimer(nowMs));
         return actions;
@@ -122,7 +122,7 @@
         }
         backoff.reset();
         cancelAfter.reset();
-        kinds.onResponse(answered.kind());
+        kindSelector.onResponse(answered.kind());
         if (answered.kind() != PollKind.SNAPSHOT) {
             continuesWatch = true;
             cancelAll(actions); // what is newer comes by the next watch
@@ -146,7 +146,7 @@
             return List.of();
         }
         continuesWatch = false;
-        kinds.onFailure(failure);
+        kindSelector.onFailure(failure);
         delayAfter(nowMs, failed);
         return onTimer(nowMs);
     }
@@ -208,12 +208,12 @@
             return actions;
         }
         if (pending.isEmpty()) {
-            send(nowMs, kinds.next(settings), actions);
+            send(nowMs, kindSelector.next(settings), actions);
         } else if (newest().overdueMs() <= nowMs) {
-            kinds.onOverdue();
+            kindSelector.onOverdue();
             continuesWatch = false;
             cancelSecondOldestIfFull(actions);
-            send(nowMs, kinds.besideOverdue(settings), actions);
+            send(nowMs, kindSelector.besideOverdue(settings), actions);
         }
         return actions;
     }
@@ -247,7 +247,7 @@
         double overdueMs = nowMs + PollTimeouts.overdueAfterMs(settings, kind, waitMs, othersPending, continuesWatch);
         PendingPoll poll = new PendingPoll(++lastId, kind, nowMs, waitMs, overdueMs);
         pending.add(poll);
-        kinds.onPollSent(kind);
+        kindSelector.onPollSent(kind);
         nextPollMs = nowMs;
         actions.add(new StartPoll(poll.id(), kind, waitMs, othersPending));
     }
--- a/src/main/java/cacheproxy/endpoints/PollTimeouts.java
+++ b/src/main/java/cacheproxy/endpoints/PollTimeouts.java
@@ -34,7 +34,7 @@
 
     static final int MAX_CANCEL_DOUBLINGS = 3;
     /** The polls of so many instances make no long queue at discovery. */
-    private static final int SMALL_TIER = 10;
+    private static final int SMALL_FLEET = 10;
 
     private PollTimeouts() {}
 
@@ -70,6 +70,6 @@
      * instances make the queue long, peers bring a change sooner than a further poll would, and it does wait.
      */
     private static double besideOverdueResponseMs(PollerSettings settings) {
-        return settings.instanceCount() <= SMALL_TIER ? RESPONSE_MS : 2 * RESPONSE_MS;
+        return settings.instanceCount() <= SMALL_FLEET ? RESPONSE_MS : 2 * RESPONSE_MS;
     }
 }
--- a/src/main/java/cacheproxy/gossip/ListVersionGossip.java
+++ b/src/main/java/cacheproxy/gossip/ListVersionGossip.java
@@ -29,11 +29,11 @@
      * The span within which an instance polls or announces, for each instance: discovery takes polls in turn, and a
      * message takes less, so that most hear of an announcement before their own turn.
      */
-    static final double TURN_PER_INSTANCE_MS = 50;
+    static final double DELAY_RANGE_PER_INSTANCE_MS = 50;
     /** The longest such span, so that news that few have gets around soon in a large fleet. */
-    static final double MAX_TURN_MS = 1500;
+    static final double MAX_DELAY_RANGE_MS = 1500;
     /** So many announcements of peers are held; who holds one of these versions has nothing to announce. */
-    private static final int ANNOUNCEMENTS = 16;
+    private static final int MAX_ANNOUNCEMENTS = 16;
 
     /** What the caller has to do. */
     public enum Action {
@@ -50,7 +50,7 @@
     private final SplittableRandom random;
     private int instanceCount;
     /** The versions that peers have announced last; a ring. */
-    private final long[] announcedVersions = new long[ANNOUNCEMENTS];
+    private final long[] announcedVersions = new long[MAX_ANNOUNCEMENTS];
 
     private int announcementCount;
     /** By discovery. */
@@ -79,8 +79,8 @@
     }
 
     /** So many instances live: spans are for them, and nobody waits for those that are gone. */
-    public void setLiveMembers(LiveMembers living) {
-        instanceCount = living.count();
+    public void setLiveMembers(LiveMembers liveMembers) {
+        instanceCount = liveMembers.count();
     }
 
     /** The instance starts with a list of this version; that is news to nobody. */
@@ -100,24 +100,24 @@
         if (claimedVersion <= heldVersion) {
             pollAtMs = Double.POSITIVE_INFINITY;
         }
-        if (announceAtMs != Double.POSITIVE_INFINITY || isAnnounced() || instanceCount == 1) {
+        if (announceAtMs != Double.POSITIVE_INFINITY || isAnnouncedByPeer() || instanceCount == 1) {
             return Action.NONE;
         }
-        announceAtMs = nowMs + randomTurnMs();
+        announceAtMs = nowMs + randomDelayMs();
         return Action.WAIT;
     }
 
-    private boolean isAnnounced() {
+    private boolean isAnnouncedByPeer() {
         return Arrays.stream(announcedVersions).anyMatch(v -> v == heldVersion);
     }
 
-    private double randomTurnMs() {
-        return random.nextDouble() * Math.min(MAX_TURN_MS, TURN_PER_INSTANCE_MS * instanceCount);
+    private double randomDelayMs() {
+        return random.nextDouble() * Math.min(MAX_DELAY_RANGE_MS, DELAY_RANGE_PER_INSTANCE_MS * instanceCount);
     }
 
     /** A peer announces this version. */
     public Action onPeerVersion(double nowMs, long version) {
-        announcedVersions[announcementCount++ % ANNOUNCEMENTS] = version;
+        announcedVersions[announcementCount++ % MAX_ANNOUNCEMENTS] = version;
         if (version <= heldVersion || version <= claimedVersion) {
             return Action.NONE;
         }
@@ -125,7 +125,7 @@
         if (pollAtMs != Double.POSITIVE_INFINITY) {
             return Action.NONE;
         }
-        pollAtMs = nowMs + pollDelayMs + randomTurnMs();
+        pollAtMs = nowMs + pollDelayMs + randomDelayMs();
         return Action.WAIT;
     }
 
@@ -138,7 +138,7 @@
     public Action onTimer(double nowMs) {
         if (nowMs >= announceAtMs) {
             announceAtMs = Double.POSITIVE_INFINITY;
-            if (!isAnnounced()) {
+            if (!isAnnouncedByPeer()) {
                 return Action.ANNOUNCE;
             }
         }
--- a/src/main/java/cacheproxy/gossip/LocalStartTimes.java
+++ b/src/main/java/cacheproxy/gossip/LocalStartTimes.java
@@ -14,7 +14,7 @@
  */
 public final class LocalStartTimes {
     /** A start is on a list after this time at most; one that is older when it appears is by another clock. */
-    static final double MAX_NOTICE_DELAY_MS = 10_000;
+    static final double MAX_LIST_DELAY_MS = 10_000;
     /** Endpoints whose start is held, removed ones included; the oldest start is dropped first. */
     static final int MAX_ENDPOINTS = 8192;
 
@@ -55,7 +55,7 @@
             return known.localStartTimeMs();
         }
         boolean byAnotherClock =
-                endpoint.startTimeMs() > nowMs || endpoint.startTimeMs() < lastUpdateMs - MAX_NOTICE_DELAY_MS;
+                endpoint.startTimeMs() > nowMs || endpoint.startTimeMs() < lastUpdateMs - MAX_LIST_DELAY_MS;
         double localMs = byAnotherClock ? nowMs : endpoint.startTimeMs();
         starts.remove(endpoint.id()); // so that it goes to the end
         starts.put(endpoint.id(), new Start(endpoint.startTimeMs(), localMs));
--- a/src/main/java/cacheproxy/gossip/MembershipBudget.java
+++ b/src/main/java/cacheproxy/gossip/MembershipBudget.java
@@ -16,7 +16,7 @@
 
     private static SendBudget.Priority priority(Urgency urgency) {
         return switch (urgency) {
-            case ANSWER -> SendBudget.Priority.HIGH;
+            case RESPONSE -> SendBudget.Priority.HIGH;
             case MEMBERSHIP_CHANGE -> SendBudget.Priority.NORMAL;
             case BACKGROUND -> SendBudget.Priority.LOW;
         };
--- a/src/main/java/cacheproxy/gossip/OutlierGossip.java
+++ b/src/main/java/cacheproxy/gossip/OutlierGossip.java
@@ -85,9 +85,9 @@
     }
 
     private boolean mayBecomeOutlier(ReportedNode node) {
-        boolean already = outliers.stream().anyMatch(o -> o.id() == node.id());
+        boolean isOutlier = outliers.stream().anyMatch(o -> o.id() == node.id());
         long inZone = outliers.stream().filter(o -> o.zone() == node.zone()).count();
-        return !already && inZone < Math.max(1, node.nodesInZone() / ZONE_FRACTION);
+        return !isOutlier && inZone < Math.max(1, node.nodesInZone() / ZONE_FRACTION);
     }
 
     /**
--- a/src/main/java/cacheproxy/gossip/ProvisionalEndpoints.java
+++ b/src/main/java/cacheproxy/gossip/ProvisionalEndpoints.java
@@ -39,7 +39,7 @@
     private final Map<Integer, Endpoint> discovered = new LinkedHashMap<>();
 
     private final Map<Integer, Restriction> restrictions = new LinkedHashMap<>();
-    private final ChangeLog log = new ChangeLog();
+    private final ChangeLog changeLog = new ChangeLog();
     private final RelayedDeltas relayed = new RelayedDeltas();
     /** The versions that were held before the present one; a ring. */
     private final long[] previousVersions = new long[RECENT_VERSIONS];
@@ -70,7 +70,7 @@
     private void restartVersions(long listVersion) {
         version = listVersion;
         knownVersion = listVersion;
-        log.clear(listVersion);
+        changeLog.clear(listVersion);
         relayed.clear();
         versionCount = 0;
     }
@@ -110,7 +110,7 @@
             if (older.state() != EndpointState.READY) {
                 continue;
             }
-            EndpointChange lastChange = log.last(older.id());
+            EndpointChange lastChange = changeLog.last(older.id());
             Endpoint newer = discovered.get(older.id());
             boolean drained = newer != null ? newer.state() != EndpointState.READY : lastChange != null;
             double startTimeMs =
@@ -123,40 +123,40 @@
     }
 
     private void store(long listVersion, boolean snapshot, List<Endpoint> endpoints) {
-        Set<Integer> named = new HashSet<>();
+        Set<Integer> listed = new HashSet<>();
         for (Endpoint e : endpoints) {
-            named.add(e.id());
+            listed.add(e.id());
             Endpoint before =
                     e.state() == EndpointState.REMOVED ? discovered.remove(e.id()) : discovered.put(e.id(), e);
             if (before == null || before.state() != e.state() || before.startTimeMs() != e.startTimeMs()) {
-                log.add(new EndpointChange(listVersion, e.id(), e.state(), e.startTimeMs()));
+                changeLog.add(new EndpointChange(listVersion, e.id(), e.state(), e.startTimeMs()));
             }
         }
         if (snapshot) {
-            removeAllBut(named, listVersion);
+            removeUnlisted(listed, listVersion);
         }
     }
 
-    private void removeAllBut(Set<Integer> named, long listVersion) {
+    private void removeUnlisted(Set<Integer> listed, long listVersion) {
         for (Endpoint e : List.copyOf(discovered.values())) {
-            if (!named.contains(e.id())) {
+            if (!listed.contains(e.id())) {
                 discovered.remove(e.id());
-                log.add(new EndpointChange(listVersion, e.id(), EndpointState.REMOVED, e.startTimeMs()));
+                changeLog.add(new EndpointChange(listVersion, e.id(), EndpointState.REMOVED, e.startTimeMs()));
             }
         }
     }
 
     private List<Endpoint> restricted(double nowMs, List<Endpoint> endpoints) {
-        Map<Integer, Endpoint> used = new LinkedHashMap<>();
-        endpoints.forEach(e -> used.put(e.id(), e));
+        Map<Integer, Endpoint> effective = new LinkedHashMap<>();
+        endpoints.forEach(e -> effective.put(e.id(), e));
         for (int id : endedRestrictions(nowMs)) {
             restrictions.remove(id);
             if (discovered.containsKey(id)) {
-                used.putIfAbsent(id, discovered.get(id));
+                effective.putIfAbsent(id, discovered.get(id));
             }
         }
-        restrictions.forEach((id, restriction) -> used.computeIfPresent(id, (i, e) -> restriction.appliedTo(e)));
-        return List.copyOf(used.values());
+        restrictions.forEach((id, restriction) -> effective.computeIfPresent(id, (i, e) -> restriction.appliedTo(e)));
+        return List.copyOf(effective.values());
     }
 
     private List<Integer> endedRestrictions(double nowMs) {
@@ -242,11 +242,12 @@
 
     /** What peers are sent of discovery's last versions, as one message: as many of the newest changes as it holds. */
     public EndpointListDelta recentChanges() {
-        long back = oldestRecentVersion();
-        List<EndpointChange> changes = log.after(back);
+        long sinceVersion = oldestRecentVersion();
+        List<EndpointChange> changes = changeLog.after(sinceVersion);
         int dropped = Math.max(0, changes.size() - EndpointListDelta.MAX_CHANGES);
-        long afterVersion =
-                dropped == 0 ? completeAfter(back) : changes.get(dropped - 1).version();
+        long afterVersion = dropped == 0
+                ? completeAfter(sinceVersion)
+                : changes.get(dropped - 1).version();
         List<EndpointChange> newest = changes.subList(dropped, changes.size());
         return new EndpointListDelta(afterVersion, version, PEER_UPDATE_TTL_MS, newest);
     }
@@ -261,7 +262,7 @@
     /** What a peer that holds this version has missed, as messages, by discovery and then by peers. */
     public List<EndpointListDelta> changesSince(double nowMs, long heldVersion) {
         List<EndpointListDelta> deltas = new ArrayList<>();
-        List<EndpointChange> changes = log.after(heldVersion);
+        List<EndpointChange> changes = changeLog.after(heldVersion);
         for (int from = 0; from < changes.size(); from += EndpointListDelta.MAX_CHANGES) {
             int to = Math.min(changes.size(), from + EndpointListDelta.MAX_CHANGES);
             // Only the last message says that nothing is missing before it.
@@ -273,6 +274,6 @@
     }
 
     private long completeAfter(long heldVersion) {
-        return Math.min(version, Math.max(heldVersion, log.completeAfter()));
+        return Math.min(version, Math.max(heldVersion, changeLog.completeAfter()));
     }
 }
--- a/src/main/java/cacheproxy/membership/DeathClaims.java
+++ b/src/main/java/cacheproxy/membership/DeathClaims.java
@@ -12,34 +12,34 @@
  */
 final class DeathClaims {
     /** The time that a member has to refute a claim. */
-    private static final double REFUTE_MS = 800;
+    private static final double REFUTATION_TIMEOUT_MS = 800;
 
-    private record Claim(Member said, double dueMs) {}
+    private record Claim(Member reported, double dueMs) {}
 
     private final Map<Integer, Claim> claims = new LinkedHashMap<>();
 
-    /** Whether what is said is a claim that has to wait, with what is known of the member; null for nothing. */
-    static boolean isClaim(Member known, Member said) {
-        return said.state() == MemberState.DEAD
+    /** Whether what is reported is a claim that has to wait, with what is known of the member; null for nothing. */
+    static boolean isClaim(Member known, Member reported) {
+        return reported.state() == MemberState.DEAD
                 && known != null
                 && known.state() == MemberState.ALIVE
-                && known.compareIncarnation(said) == 0;
+                && known.compareIncarnation(reported) == 0;
     }
 
     /** Adds a claim; whether it is the first of this member. */
-    boolean add(double nowMs, Member said) {
-        return claims.putIfAbsent(said.id(), new Claim(said, nowMs + REFUTE_MS)) == null;
+    boolean add(double nowMs, Member reported) {
+        return claims.putIfAbsent(reported.id(), new Claim(reported, nowMs + REFUTATION_TIMEOUT_MS)) == null;
     }
 
     /** The claims whose time is over; they are removed. */
     List<Member> takeDue(double nowMs) {
         List<Member> due = new ArrayList<>();
         claims.values().removeIf(claim -> {
-            boolean over = claim.dueMs() <= nowMs;
-            if (over) {
-                due.add(claim.said());
+            boolean expired = claim.dueMs() <= nowMs;
+            if (expired) {
+                due.add(claim.reported());
             }
-            return over;
+            return expired;
         });
         return due;
     }
@@ -51,6 +51,6 @@
 
     /** This process has stalled for so long: all times move. */
     void postpone(double byMs) {
-        claims.replaceAll((id, claim) -> new Claim(claim.said(), claim.dueMs() + byMs));
+        claims.replaceAll((id, claim) -> new Claim(claim.reported(), claim.dueMs() + byMs));
     }
 }
--- a/src/main/java/cacheproxy/membership/DigestExchange.java
+++ b/src/main/java/cacheproxy/membership/DigestExchange.java
@@ -14,7 +14,7 @@
     /** Digests are exchanged no more often than this. */
     private static final double MIN_INTERVAL_MS = 150;
     /** While gossip is under way digests differ for that alone; then no more often than this. */
-    private static final double BUSY_INTERVAL_MS = 600;
+    private static final double MIN_INTERVAL_WHILE_GOSSIPING_MS = 600;
     /** How many messages with members answer one with digests. */
     private static final int MAX_MEMBER_MESSAGES = 3;
     /** The number in a message of digests that asks for the other's, and in one that answers it. */
@@ -37,7 +37,7 @@
     /** A member that lives has told its digest. */
     void digestReceived(double nowMs, int sender, int digest) {
         if (digest != fleet.table().digest() && nowMs >= nextRequestMs) {
-            nextRequestMs = nowMs + (fleet.gossip().isEmpty() ? MIN_INTERVAL_MS : BUSY_INTERVAL_MS);
+            nextRequestMs = nowMs + (fleet.gossip().isEmpty() ? MIN_INTERVAL_MS : MIN_INTERVAL_WHILE_GOSSIPING_MS);
             sendDigests(nowMs, sender, REQUEST);
         }
     }
@@ -72,29 +72,29 @@
     }
 
     private void sendSlices(double nowMs, int to, List<Integer> slices) {
-        List<Member> unsent = new ArrayList<>();
-        slices.forEach(slice -> unsent.addAll(fleet.table().inSlice(slice)));
-        unsent.removeIf(m -> m.id() == fleet.self());
-        for (int i = 0; i < MAX_MEMBER_MESSAGES && (i == 0 || !unsent.isEmpty()); i++) {
-            List<Member> members = takeOneMessageful(unsent);
+        List<Member> remaining = new ArrayList<>();
+        slices.forEach(slice -> remaining.addAll(fleet.table().inSlice(slice)));
+        remaining.removeIf(m -> m.id() == fleet.self());
+        for (int i = 0; i < MAX_MEMBER_MESSAGES && (i == 0 || !remaining.isEmpty()); i++) {
+            List<Member> members = takeForOneMessage(remaining);
             transmitter.sendMembers(nowMs, Kind.MEMBERS, to, members, Urgency.BACKGROUND);
         }
     }
 
-    /** Random members of those that are unsent, until one doesn't fit. */
-    private List<Member> takeOneMessageful(List<Member> unsent) {
+    /** Random members of those that are remaining, until one doesn't fit. */
+    private List<Member> takeForOneMessage(List<Member> remaining) {
         List<Member> taken = new ArrayList<>();
         int freeBytes = Membership.MAX_MESSAGE_BYTES
-                - MembershipMessage.headBytes(Kind.MEMBERS)
-                - MembershipMessage.bytes(fleet.localMember().member());
-        while (!unsent.isEmpty()) {
-            int at = random.nextInt(unsent.size());
-            int bytes = MembershipMessage.bytes(unsent.get(at));
+                - MembershipMessage.headerBytes(Kind.MEMBERS)
+                - MembershipMessage.memberBytes(fleet.localMember().member());
+        while (!remaining.isEmpty()) {
+            int at = random.nextInt(remaining.size());
+            int bytes = MembershipMessage.memberBytes(remaining.get(at));
             if (bytes > freeBytes) {
                 break;
             }
             freeBytes -= bytes;
-            taken.add(unsent.remove(at));
+            taken.add(remaining.remove(at));
         }
         return taken;
     }
--- a/src/main/java/cacheproxy/membership/FailureDetector.java
+++ b/src/main/java/cacheproxy/membership/FailureDetector.java
@@ -21,7 +21,7 @@
     /** A failed probe of this instance's own that is older is no evidence. */
     private static final double EVIDENCE_MS = 1500;
     /** An instance that neither suspects nor confirms waits so much longer for those that do. */
-    private static final double BYSTANDER_WAIT_MS = 3000;
+    private static final double NON_CONFIRMER_WAIT_MS = 3000;
     /** Whether to confirm a suspicion is looked at again so often, as others become suspected. */
     private static final double CONFIRM_INTERVAL_MS = 600;
 
@@ -66,16 +66,16 @@
         return suspicions.contains(id);
     }
 
-    /** Takes in what is said of another member, with what follows for its probes and suspicions. */
-    void apply(double nowMs, Member said) {
-        Member now = fleet.merge(nowMs, said);
-        if (now == null) {
+    /** Takes in what is reported of another member, with what follows for its probes and suspicions. */
+    void apply(double nowMs, Member reported) {
+        Member updated = fleet.merge(nowMs, reported);
+        if (updated == null) {
             return;
         }
-        if (!now.state().isLive()) {
-            probes.values().removeIf(p -> p.target == now.id() && p.purpose != Purpose.REJOIN);
+        if (!updated.state().isLive()) {
+            probes.values().removeIf(p -> p.target == updated.id() && p.purpose != Purpose.REJOIN);
         }
-        suspicions.memberChanged(nowMs, now);
+        suspicions.memberChanged(nowMs, updated);
     }
 
     /** Ends all probes and suspicions: this instance leaves. */
@@ -95,7 +95,7 @@
     /** Probes a member, unless it is probed for this purpose already. */
     void probe(double nowMs, int target, Purpose purpose) {
         if (!isProbing(target, purpose)) {
-            begin(nowMs, new Probe(nextNumber(), target, purpose, MembershipMessage.NO_MEMBER, 0, nowMs));
+            startProbe(nowMs, new Probe(nextNumber(), target, purpose, MembershipMessage.NO_MEMBER, 0, nowMs));
         }
     }
 
@@ -121,7 +121,7 @@
         return lastNumber;
     }
 
-    private void begin(double nowMs, Probe probe) {
+    private void startProbe(double nowMs, Probe probe) {
         if (probes.size() < MAX_PROBES && ping(nowMs, probe)) {
             probes.put(probe.number, probe);
         }
@@ -176,7 +176,7 @@
     void pingRequested(double nowMs, MembershipMessage message, int requester) {
         int target = message.target();
         if (target != fleet.self() && fleet.get(target) != null) {
-            begin(nowMs, new Probe(nextNumber(), target, Purpose.FOR_PEER, requester, message.number(), nowMs));
+            startProbe(nowMs, new Probe(nextNumber(), target, Purpose.FOR_PEER, requester, message.number(), nowMs));
         }
     }
 
@@ -193,7 +193,7 @@
         probes.remove(probe.number);
         health.probeAnswered(probe.pings);
         if (probe.purpose == Purpose.FOR_PEER) {
-            transmitter.send(nowMs, Kind.ACK, probe.requester, probe.requesterNumber, probe.target, Urgency.ANSWER);
+            transmitter.send(nowMs, Kind.ACK, probe.requester, probe.requesterNumber, probe.target, Urgency.RESPONSE);
         }
         Suspicion suspicion = suspicions.get(probe.target);
         if (suspicion != null) {
@@ -262,7 +262,7 @@
                 }
             }
             if (endMs(id, suspicion) <= nowMs) {
-                end(nowMs, id, suspicion);
+                endSuspicion(nowMs, id, suspicion);
             }
         }
     }
@@ -277,7 +277,7 @@
 
     private double endMs(int id, Suspicion suspicion) {
         Member member = fleet.get(id);
-        double endMs = suspicion.endMs(settings, member.confirmers().size(), suspicions.confirmationsWanted());
+        double endMs = suspicion.endMs(settings, member.confirmers().size(), suspicions.requiredConfirmations());
         double slowedEndMs =
                 suspicion.startedMs + (endMs - suspicion.startedMs) * health.intervalFactor() * health.lossFactor();
         boolean involved = member.confirmers().contains(fleet.self()) || suspicion.hasOwnFailure();
@@ -286,11 +286,11 @@
                 .mapToDouble(p -> p.nextMs)
                 .findFirst()
                 .orElse(Double.NEGATIVE_INFINITY);
-        return Math.max(lastProbeMs, slowedEndMs + (involved ? 0 : BYSTANDER_WAIT_MS));
+        return Math.max(lastProbeMs, slowedEndMs + (involved ? 0 : NON_CONFIRMER_WAIT_MS));
     }
 
     /** Declares a member dead if there is evidence of this instance's own, or else probes it a last time. */
-    private void end(double nowMs, int id, Suspicion suspicion) {
+    private void endSuspicion(double nowMs, int id, Suspicion suspicion) {
         if (hasEvidence(nowMs, suspicion)) {
             apply(nowMs, fleet.get(id).withState(MemberState.DEAD));
         } else if (!isProbing(id, Purpose.BEFORE_DEATH)) {
--- a/src/main/java/cacheproxy/membership/FleetState.java
+++ b/src/main/java/cacheproxy/membership/FleetState.java
@@ -15,7 +15,7 @@
 final class FleetState {
     private final MembershipSettings settings;
     private final int self;
-    private final MembershipReplica knowledge;
+    private final MembershipReplica replica;
     private final MemberTable table;
     private final GossipQueue gossip = new GossipQueue();
     private final Map<Integer, Double> lastReceivedMs = new HashMap<>();
@@ -27,8 +27,8 @@
     FleetState(MembershipSettings settings, Member self) {
         this.settings = settings;
         this.self = self.id();
-        knowledge = new MembershipReplica(self, settings.capacity());
-        table = knowledge.table();
+        replica = new MembershipReplica(self, settings.capacity());
+        table = replica.table();
         gossip.changed(self.id());
     }
 
@@ -39,7 +39,7 @@
 
     /** This instance's own entry. */
     LocalMember localMember() {
-        return knowledge.localMember();
+        return replica.localMember();
     }
 
     /** Whether this instance has left for good. */
@@ -76,8 +76,8 @@
      *
      * @return whether it was wrong, and is refuted by a higher incarnation
      */
-    boolean refuteIfWrong(double nowMs, Member said) {
-        boolean refuted = knowledge.merge(nowMs, said) == MembershipReplica.MergeResult.REFUTED;
+    boolean refuteIfWrong(double nowMs, Member reported) {
+        boolean refuted = replica.merge(nowMs, reported) == MembershipReplica.MergeResult.REFUTED;
         if (refuted) {
             gossip.changed(self);
         }
@@ -85,27 +85,27 @@
     }
 
     /**
-     * Takes in what is said of another member.
+     * Takes in what is reported of another member.
      *
      * @return the member as it is known now; null if that has changed nothing
      */
-    Member merge(double nowMs, Member said) {
-        Member before = table.get(said.id());
-        Member now = table.merge(said);
-        if (now == null) {
+    Member merge(double nowMs, Member reported) {
+        Member before = table.get(reported.id());
+        Member updated = table.merge(reported);
+        if (updated == null) {
             return null;
         }
-        gossip.changed(now.id());
+        gossip.changed(updated.id());
         boolean wasLive = before != null && before.state().isLive();
-        if (wasLive != now.state().isLive()) {
+        if (wasLive != updated.state().isLive()) {
             liveOthers = null;
         }
-        if (now.state().isLive()) {
-            absentSinceMs.remove(now.id());
+        if (updated.state().isLive()) {
+            absentSinceMs.remove(updated.id());
         } else {
-            absentSinceMs.putIfAbsent(now.id(), nowMs);
+            absentSinceMs.putIfAbsent(updated.id(), nowMs);
         }
-        return now;
+        return updated;
     }
 
     /** A message of a member has been received. */
@@ -119,16 +119,16 @@
     }
 
     /** Forgets members that have been absent for long and that the settings don't name. */
-    void forgetLongAbsent(double nowMs) {
+    void removeLongAbsent(double nowMs) {
         absentSinceMs.entrySet().removeIf(entry -> {
             int id = entry.getKey();
-            boolean forget = !settings.isConfigured(id) && nowMs - entry.getValue() > settings.forgetMs();
-            if (forget) {
+            boolean expired = !settings.isConfigured(id) && nowMs - entry.getValue() > settings.absentRetentionMs();
+            if (expired) {
                 table.remove(id);
                 lastReceivedMs.remove(id);
                 gossip.remove(id);
             }
-            return forget;
+            return expired;
         });
     }
 
@@ -149,7 +149,7 @@
     /** Members that the settings or the past name and that aren't live as far as is known, by number. */
     List<Integer> absentMembers() {
         Set<Integer> absent = new HashSet<>(settings.seeds());
-        for (int i = 0; i < settings.configured(); i++) {
+        for (int i = 0; i < settings.configuredCount(); i++) {
             absent.add(i);
         }
         absent.addAll(absentSinceMs.keySet());
--- a/src/main/java/cacheproxy/membership/GossipQueue.java
+++ b/src/main/java/cacheproxy/membership/GossipQueue.java
@@ -13,45 +13,45 @@
 final class GossipQueue {
     private static final int MAX_MEMBERS = 4096;
 
-    private final Map<Integer, Integer> timesSent = new LinkedHashMap<>();
+    private final Map<Integer, Integer> sendCounts = new LinkedHashMap<>();
     private boolean changedSinceTaken;
 
     /** A member has changed. */
     void changed(int id) {
-        timesSent.remove(id);
-        timesSent.put(id, 0);
+        sendCounts.remove(id);
+        sendCounts.put(id, 0);
         changedSinceTaken = true;
-        if (timesSent.size() > MAX_MEMBERS) {
-            timesSent.remove(timesSent.keySet().iterator().next());
+        if (sendCounts.size() > MAX_MEMBERS) {
+            sendCounts.remove(sendCounts.keySet().iterator().next());
         }
     }
 
     /** Whether anything has changed since the last call. */
     boolean takeChanged() {
-        boolean was = changedSinceTaken;
+        boolean changed = changedSinceTaken;
         changedSinceTaken = false;
-        return was;
+        return changed;
     }
 
     /** A member is no longer gossiped. */
     void remove(int id) {
-        timesSent.remove(id);
+        sendCounts.remove(id);
     }
 
     /** Whether there is nothing to gossip. */
     boolean isEmpty() {
-        return timesSent.isEmpty();
+        return sendCounts.isEmpty();
     }
 
     /**
      * Takes members to send in a message, and counts them as sent.
      *
      * @param maxBytes how many bytes they may take
-     * @param without a member that the message holds already
+     * @param excludedId a member that the message holds already
      */
-    List<Member> take(MemberTable table, int maxBytes, int without) {
-        int maxTimes = 32 - Integer.numberOfLeadingZeros(table.size() + 1);
-        List<Map.Entry<Integer, Integer>> leastSentFirst = new ArrayList<>(timesSent.entrySet());
+    List<Member> take(MemberTable table, int maxBytes, int excludedId) {
+        int maxSends = 32 - Integer.numberOfLeadingZeros(table.size() + 1);
+        List<Map.Entry<Integer, Integer>> leastSentFirst = new ArrayList<>(sendCounts.entrySet());
         leastSentFirst.sort(Comparator.comparingInt(Map.Entry::getValue));
         List<Member> taken = new ArrayList<>();
         if (maxBytes <= 0) {
@@ -59,17 +59,17 @@
         }
         int bytesLeft = maxBytes;
         for (Map.Entry<Integer, Integer> e : leastSentFirst) {
-            Member entry = table.get(e.getKey());
-            int bytes = entry == null ? 0 : MembershipMessage.bytes(entry);
-            if (entry == null) {
-                timesSent.remove(e.getKey());
-            } else if (e.getKey() != without && bytes <= bytesLeft) {
+            Member member = table.get(e.getKey());
+            int bytes = member == null ? 0 : MembershipMessage.memberBytes(member);
+            if (member == null) {
+                sendCounts.remove(e.getKey());
+            } else if (e.getKey() != excludedId && bytes <= bytesLeft) {
                 bytesLeft -= bytes;
-                taken.add(entry);
-                if (e.getValue() + 1 >= maxTimes) {
-                    timesSent.remove(e.getKey());
+                taken.add(member);
+                if (e.getValue() + 1 >= maxSends) {
+                    sendCounts.remove(e.getKey());
                 } else {
-                    timesSent.put(e.getKey(), e.getValue() + 1);
+                    sendCounts.put(e.getKey(), e.getValue() + 1);
                 }
             }
         }
--- a/src/main/java/cacheproxy/membership/LocalHealth.java
+++ b/src/main/java/cacheproxy/membership/LocalHealth.java
@@ -12,7 +12,7 @@
     private static final int STALL_SCORE = 3;
 
     /** The part of probes of live members that may fail, as messages get lost. */
-    private static final double MAX_FALSE_FAILURES = 0.03;
+    private static final double MAX_FALSE_FAILURE_RATIO = 0.03;
 
     private static final double PINGS_PER_PROBE = 3;
     private static final double MAX_LOSS_FACTOR = 5;
@@ -29,7 +29,7 @@
 
     /**
      * The factor of probes and suspicions by the loss of messages: so long that all pings of a probe get lost in no
-     * more than {@link #MAX_FALSE_FAILURES} of them. 1 to {@link #MAX_LOSS_FACTOR}.
+     * more than {@link #MAX_FALSE_FAILURE_RATIO} of them. 1 to {@link #MAX_LOSS_FACTOR}.
      */
     double lossFactor() {
         return lossRatio <= 0
@@ -38,7 +38,9 @@
                         1,
                         Math.min(
                                 MAX_LOSS_FACTOR,
-                                Math.log(MAX_FALSE_FAILURES) / Math.log(Math.min(0.95, lossRatio)) / PINGS_PER_PROBE));
+                                Math.log(MAX_FALSE_FAILURE_RATIO)
+                                        / Math.log(Math.min(0.95, lossRatio))
+                                        / PINGS_PER_PROBE));
     }
 
     /** A probe was answered after so many pings. */
--- a/src/main/java/cacheproxy/membership/LocalMember.java
+++ b/src/main/java/cacheproxy/membership/LocalMember.java
@@ -20,7 +20,7 @@
     private double refutedMs = Double.NEGATIVE_INFINITY;
     private boolean leaving;
 
-    /** {@code refutation}: the entry that refutes, of the own one and what is said of it. */
+    /** {@code refutation}: the entry that refutes, of the own one and what is reported of it. */
     LocalMember(Member member, BinaryOperator<Member> refutation) {
         this.member = member;
         this.refutation = refutation;
@@ -41,13 +41,13 @@
     }
 
     /** Another says this of this instance; whether it is wrong, and the own entry now refutes it. */
-    boolean refuteIfContradicted(Member said, double nowMs) {
-        int order = said.compareIncarnation(member);
-        boolean anotherProcess = said.processNonce() != member.processNonce();
-        if (order < 0 || (order == 0 && (said.state().compareTo(member.state()) <= 0 || leaving))) {
+    boolean refuteIfContradicted(Member reported, double nowMs) {
+        int order = reported.compareIncarnation(member);
+        boolean anotherProcess = reported.processNonce() != member.processNonce();
+        if (order < 0 || (order == 0 && (reported.state().compareTo(member.state()) <= 0 || leaving))) {
             return false;
         }
-        if (said.incarnation() > Member.MAX_INCARNATION - MemberTable.MAX_INCARNATION_STEP) {
+        if (reported.incarnation() > Member.MAX_INCARNATION - MemberTable.MAX_INCARNATION_STEP) {
             return false; // no incarnation of ours is that high
         }
         if (anotherProcess
@@ -57,7 +57,7 @@
         }
         refutedMs = nowMs;
         MemberState state = member.state();
-        member = refutation.apply(member, said);
+        member = refutation.apply(member, reported);
         if (leaving) {
             member = member.withState(state);
         }
@@ -83,9 +83,9 @@
     }
 
     /** Replaces a part's note; an empty one is removed. */
-    void setMetadata(int part, byte[] bytes) {
-        if (!Arrays.equals(member.metadata(part), bytes)) {
-            member = member.withMetadata(part, bytes);
+    void setMetadata(int key, byte[] value) {
+        if (!Arrays.equals(member.metadata(key), value)) {
+            member = member.withMetadata(key, value);
         }
     }
 }
--- a/src/main/java/cacheproxy/membership/Member.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -55,7 +55,7 @@
     /** How many parts may publish. */
     public static final int MAX_METADATA_KEYS = 8;
 
-    private static final byte[] NONE = {};
+    private static final byte[] NO_METADATA = {};
 
     /** Checks the ranges. */
     public Member {
@@ -84,11 +84,11 @@
     }
 
     /** The entry of a process that starts. */
-    public static Member start(int id, long incarnation, int life, int zone, byte[] address) {
+    public static Member start(int id, long incarnation, int processNonce, int zone, byte[] address) {
         return new Member(
                 id,
                 incarnation,
-                life,
+                processNonce,
                 MemberState.ALIVE,
                 new TreeSet<>(),
                 zone,
@@ -100,40 +100,40 @@
 
     /** Compares incarnation and process: positive if this entry holds, 0 for the same process in one incarnation. */
     public int compareIncarnation(Member other) {
-        int by = Long.compare(incarnation, other.incarnation);
-        return by != 0 ? by : Integer.compare(processNonce, other.processNonce);
+        int order = Long.compare(incarnation, other.incarnation);
+        return order != 0 ? order : Integer.compare(processNonce, other.processNonce);
     }
 
     /** Both entries in one; this itself if the other adds nothing. */
     @SuppressWarnings("ReferenceEquality") // this itself is what is returned
     public Member merge(Member other) {
-        int by = compareIncarnation(other);
-        if (by != 0) {
-            return by > 0 ? this : other;
+        int order = compareIncarnation(other);
+        if (order != 0) {
+            return order > 0 ? this : other;
         }
-        MemberState both = state.compareTo(other.state) >= 0 ? state : other.state;
-        TreeSet<Integer> confirming = mergeConfirmers(both, other);
-        Member said = version >= other.version ? this : other;
-        if (both == state && said == this && confirming.equals(confirmers)) {
+        MemberState mergedState = state.compareTo(other.state) >= 0 ? state : other.state;
+        TreeSet<Integer> mergedConfirmers = mergeConfirmers(mergedState, other);
+        Member newer = version >= other.version ? this : other;
+        if (mergedState == state && newer == this && mergedConfirmers.equals(confirmers)) {
             return this;
         }
         return new Member(
                 id,
                 incarnation,
                 processNonce,
-                both,
-                confirming,
-                said.zone,
-                said.version,
-                said.phase,
-                said.metadata,
-                said.address);
+                mergedState,
+                mergedConfirmers,
+                newer.zone,
+                newer.version,
+                newer.phase,
+                newer.metadata,
+                newer.address);
     }
 
     /** The lowest numbers of all confirmers; a dead member needs none. */
-    private TreeSet<Integer> mergeConfirmers(MemberState both, Member other) {
+    private TreeSet<Integer> mergeConfirmers(MemberState mergedState, Member other) {
         TreeSet<Integer> all = new TreeSet<>();
-        if (both == MemberState.SUSPECT) {
+        if (mergedState == MemberState.SUSPECT) {
             all.addAll(confirmers);
             all.addAll(other.confirmers);
         }
@@ -148,9 +148,9 @@
     }
 
     /** This entry in another state. */
-    Member withState(MemberState later) {
+    Member withState(MemberState newState) {
         return new Member(
-                id, incarnation, processNonce, later, new TreeSet<>(), zone, version, phase, metadata, address);
+                id, incarnation, processNonce, newState, new TreeSet<>(), zone, version, phase, metadata, address);
     }
 
     /** This entry, suspected by one more member. */
@@ -177,25 +177,34 @@
     }
 
     /** This entry with another phase and other metadata, in the next version. */
-    Member withPhaseAndMetadata(ServicePhase now, Map<Integer, byte[]> all) {
+    Member withPhaseAndMetadata(ServicePhase newPhase, Map<Integer, byte[]> newMetadata) {
         return new Member(
-                id, incarnation, processNonce, state, confirmers, zone, version + 1, now, Map.copyOf(all), address);
+                id,
+                incarnation,
+                processNonce,
+                state,
+                confirmers,
+                zone,
+                version + 1,
+                newPhase,
+                Map.copyOf(newMetadata),
+                address);
     }
 
     /** This entry with one part's note replaced; an empty one is removed. */
-    Member withMetadata(int part, byte[] bytes) {
+    Member withMetadata(int key, byte[] value) {
         Map<Integer, byte[]> all = new HashMap<>(metadata);
-        if (bytes.length == 0) {
-            all.remove(part);
+        if (value.length == 0) {
+            all.remove(key);
         } else {
-            all.put(part, bytes.clone());
+            all.put(key, value.clone());
         }
         return withPhaseAndMetadata(phase, all);
     }
 
     /** A part's note, empty if it has none. */
-    public byte[] metadata(int part) {
-        return metadata.getOrDefault(part, NONE).clone();
+    public byte[] metadata(int key) {
+        return metadata.getOrDefault(key, NO_METADATA).clone();
     }
 
     /**
--- a/src/main/java/cacheproxy/membership/MemberTable.java
+++ b/src/main/java/cacheproxy/membership/MemberTable.java
@@ -22,18 +22,18 @@
     private final long[] slices = new long[SLICES];
 
     /** For so many members at most, the dead among them. */
-    public MemberTable(int most) {
-        this(most, Member::merge);
+    public MemberTable(int capacity) {
+        this(capacity, Member::merge);
     }
 
     /** {@code merger}: merges two entries of one member, the known one first. */
-    MemberTable(int most, BinaryOperator<Member> joining) {
-        this.merger = joining;
-        if (most < 1 || most > Member.MAX_ID + 1) {
+    MemberTable(int capacity, BinaryOperator<Member> merger) {
+        this.merger = merger;
+        if (capacity < 1 || capacity > Member.MAX_ID + 1) {
             throw new IllegalArgumentException(
-                    "a table for " + most + " instances; it takes 1 to " + (Member.MAX_ID + 1));
+                    "a table for " + capacity + " instances; it takes 1 to " + (Member.MAX_ID + 1));
         }
-        this.capacity = most;
+        this.capacity = capacity;
     }
 
     /** What is known of a member; null for nothing. */
@@ -52,24 +52,24 @@
     }
 
     /**
-     * Merges what is said of a member.
+     * Merges what is reported of a member.
      *
      * @return the new entry; null if nothing has changed, as it is known, implausible, or there is no room
      */
     @SuppressWarnings("ReferenceEquality") // cheap first: a merge returns the known entry where nothing is new
-    public Member merge(Member said) {
-        Member known = entries.get(said.id());
+    public Member merge(Member reported) {
+        Member known = entries.get(reported.id());
         if (known == null) {
             if (entries.size() >= capacity && !evictDead()) {
                 return null;
             }
-            put(said);
-            return said;
+            put(reported);
+            return reported;
         }
-        if (said.incarnation() > known.incarnation() + MAX_INCARNATION_STEP) {
+        if (reported.incarnation() > known.incarnation() + MAX_INCARNATION_STEP) {
             return null;
         }
-        Member merged = merger.apply(known, said);
+        Member merged = merger.apply(known, reported);
         if (merged == known || merged.equals(known)) {
             return null;
         }
@@ -95,9 +95,9 @@
 
     /** Removes a member. */
     void remove(int id) {
-        Member gone = entries.remove(id);
-        if (gone != null) {
-            slices[slice(id)] -= gone.hash();
+        Member removed = entries.remove(id);
+        if (removed != null) {
+            slices[slice(id)] -= removed.hash();
         }
     }
 
--- a/src/main/java/cacheproxy/membership/Membership.java
+++ b/src/main/java/cacheproxy/membership/Membership.java
@@ -43,11 +43,11 @@
     /** How many members an instance that knows no live one probes in a round. */
     private static final int JOIN_PROBES = 3;
     /** The least length of a round and the range above it, by the settings' length: rounds of instances drift apart. */
-    private static final double MIN_ROUND_PART = 0.9;
+    private static final double MIN_ROUND_FACTOR = 0.9;
 
     private static final double ROUND_JITTER = 0.2;
     /** A random number of 16 bits is below this. */
-    private static final int NUMBERS = 0x10000;
+    private static final int RANDOM_16_BIT_BOUND = 0x10000;
 
     private final MembershipSettings settings;
     private final SplittableRandom random;
@@ -73,7 +73,7 @@
      * @param address where it is reached, 6 bytes; empty where the settings name it
      * @param lastIncarnation the incarnation of its last process; 0 if that is unknown
      * @param seed new at each start
-     * @param allowance what may be sent
+     * @param budget what may be sent
      */
     public Membership(
             MembershipSettings settings,
@@ -82,15 +82,16 @@
             byte[] address,
             long lastIncarnation,
             long seed,
-            MessageBudget allowance) {
+            MessageBudget budget) {
         this.settings = settings;
         random = new SplittableRandom(seed);
-        int processNonce = random.nextInt(NUMBERS);
+        int processNonce = random.nextInt(RANDOM_16_BIT_BOUND);
         fleet = new FleetState(settings, Member.start(self, lastIncarnation + 1, processNonce, zone, address));
-        transmitter = new Transmitter(fleet, allowance);
+        transmitter = new Transmitter(fleet, budget);
         selector = new PeerSelector(fleet, random);
         digests = new DigestExchange(fleet, transmitter, random);
-        detector = new FailureDetector(settings, fleet, selector, transmitter, health, random.nextInt(NUMBERS));
+        detector = new FailureDetector(
+                settings, fleet, selector, transmitter, health, random.nextInt(RANDOM_16_BIT_BOUND));
     }
 
     // ---- this instance
@@ -102,8 +103,8 @@
     }
 
     /** What one part of the program, 0 to 7, publishes by this instance; empty for nothing. */
-    public void setMetadata(int part, byte[] bytes) {
-        fleet.localMember().setMetadata(part, bytes);
+    public void setMetadata(int key, byte[] value) {
+        fleet.localMember().setMetadata(key, value);
         fleet.localMemberChanged();
     }
 
@@ -112,7 +113,7 @@
         fleet.localMember().leave();
         fleet.localMemberChanged();
         detector.stop();
-        gossip(nowMs, 2 * settings.fanout());
+        sendGossip(nowMs, 2 * settings.fanout());
     }
 
     // ---- messages
@@ -133,7 +134,7 @@
         }
         fleet.received(sender.id(), nowMs);
         if (known.compareIncarnation(sender) != 0 || known.state() != sender.state()) {
-            transmitter.markUnaware(sender.id());
+            transmitter.markOutdated(sender.id());
         }
         handle(nowMs, message, sender.id());
     }
@@ -146,7 +147,7 @@
         switch (message.kind()) {
             case PING ->
                 transmitter.send(
-                        nowMs, Kind.ACK, sender, message.number(), MembershipMessage.NO_MEMBER, Urgency.ANSWER);
+                        nowMs, Kind.ACK, sender, message.number(), MembershipMessage.NO_MEMBER, Urgency.RESPONSE);
             case ACK -> {
                 detector.ackReceived(nowMs, message, sender);
                 digests.digestReceived(nowMs, sender, message.digest());
@@ -157,37 +158,38 @@
         }
     }
 
-    /** Takes in what is said of a member. */
-    private void memberReceived(double nowMs, Member said) {
-        if (said.id() == fleet.self()) {
-            selfReceived(nowMs, said);
+    /** Takes in what is reported of a member. */
+    private void memberReceived(double nowMs, Member reported) {
+        if (reported.id() == fleet.self()) {
+            ownEntryReceived(nowMs, reported);
             return;
         }
-        boolean configured = settings.isConfigured(said.id());
+        boolean configured = settings.isConfigured(reported.id());
         boolean reachable =
-                configured || said.address().length > 0 || settings.seeds().contains(said.id());
-        boolean forgotten = fleet.get(said.id()) == null && !said.state().isLive() && !configured;
-        if (reachable && !forgotten && !deferDeath(nowMs, said)) {
-            detector.apply(nowMs, said);
+                configured || reported.address().length > 0 || settings.seeds().contains(reported.id());
+        boolean forgotten =
+                fleet.get(reported.id()) == null && !reported.state().isLive() && !configured;
+        if (reachable && !forgotten && !deferDeath(nowMs, reported)) {
+            detector.apply(nowMs, reported);
         }
     }
 
-    private void selfReceived(double nowMs, Member said) {
+    private void ownEntryReceived(double nowMs, Member reported) {
         boolean ofThisProcess =
-                said.processNonce() == fleet.localMember().member().processNonce();
-        if (fleet.refuteIfWrong(nowMs, said) && ofThisProcess) {
+                reported.processNonce() == fleet.localMember().member().processNonce();
+        if (fleet.refuteIfWrong(nowMs, reported) && ofThisProcess) {
             health.suspected();
-            deathsRefuted += said.state() == MemberState.DEAD ? 1 : 0;
+            deathsRefuted += reported.state() == MemberState.DEAD ? 1 : 0;
         }
     }
 
-    /** Whether what is said is a death that has to wait; the member is told, so that it may refute it. */
-    private boolean deferDeath(double nowMs, Member said) {
-        if (!DeathClaims.isClaim(fleet.get(said.id()), said)) {
+    /** Whether what is reported is a death that has to wait; the member is told, so that it may refute it. */
+    private boolean deferDeath(double nowMs, Member reported) {
+        if (!DeathClaims.isClaim(fleet.get(reported.id()), reported)) {
             return false;
         }
-        if (deathClaims.add(nowMs, said)) {
-            transmitter.sendMembers(nowMs, Kind.GOSSIP, said.id(), List.of(said), Urgency.MEMBERSHIP_CHANGE);
+        if (deathClaims.add(nowMs, reported)) {
+            transmitter.sendMembers(nowMs, Kind.GOSSIP, reported.id(), List.of(reported), Urgency.MEMBERSHIP_CHANGE);
         }
         return true;
     }
@@ -212,7 +214,7 @@
             gossipMs = nowMs + GOSSIP_DELAY_MS;
         }
         if (nowMs >= gossipMs) {
-            gossip(nowMs, settings.fanout());
+            sendGossip(nowMs, settings.fanout());
         }
     }
 
@@ -239,10 +241,10 @@
     }
 
     private void beginRound(double nowMs) {
-        double jitter = MIN_ROUND_PART + ROUND_JITTER * random.nextDouble();
+        double jitter = MIN_ROUND_FACTOR + ROUND_JITTER * random.nextDouble();
         nextRoundMs = nowMs + settings.roundMs() * health.intervalFactor() * jitter;
         round++;
-        fleet.forgetLongAbsent(nowMs);
+        fleet.removeLongAbsent(nowMs);
         boolean alone = fleet.liveOthers().isEmpty();
         if (alone || round % REJOIN_ROUNDS == 0) {
             probeAbsentMembers(nowMs, alone ? JOIN_PROBES : 1);
@@ -264,7 +266,7 @@
         }
     }
 
-    private void gossip(double nowMs, int receivers) {
+    private void sendGossip(double nowMs, int receivers) {
         gossipMs = Double.POSITIVE_INFINITY;
         if (fleet.gossip().isEmpty()) {
             return;
@@ -282,7 +284,7 @@
                 nowMs,
                 List.copyOf(fleet.table().all()),
                 fleet.table().digest(),
-                settings.configured() == 0 ? null : new ConfiguredMembers(settings.configured()),
+                settings.configuredCount() == 0 ? null : new ConfiguredMembers(settings.configuredCount()),
                 fleet.localMember().disputed());
     }
 
--- a/src/main/java/cacheproxy/membership/MembershipMessage.java
+++ b/src/main/java/cacheproxy/membership/MembershipMessage.java
@@ -24,11 +24,11 @@
     /** The number of no member. */
     public static final int NO_MEMBER = 0xffff;
 
-    private static final int HEAD_BYTES = 1 + 1 + 2 + 2 + 4;
+    private static final int HEADER_BYTES = 1 + 1 + 2 + 2 + 4;
     private static final int SLICE_BYTES = 2 * MemberTable.SLICES;
-    private static final int ADDRESS = 0x10;
-    private static final int NOTES = 0x20;
-    private static final int CONFIRMERS = 0x40;
+    private static final int ADDRESS_FLAG = 0x10;
+    private static final int METADATA_FLAG = 0x20;
+    private static final int CONFIRMERS_FLAG = 0x40;
 
     /** The kinds. */
     public enum Kind {
@@ -75,21 +75,21 @@
     // ---- to bytes
 
     /** The bytes of a message without members. */
-    static int headBytes(Kind kind) {
-        return HEAD_BYTES + (kind == Kind.DIGESTS ? SLICE_BYTES : 0);
+    static int headerBytes(Kind kind) {
+        return HEADER_BYTES + (kind == Kind.DIGESTS ? SLICE_BYTES : 0);
     }
 
     /** The bytes of a member. */
-    static int bytes(Member e) {
-        int n = 1 + 2 + varint(e.zone()) + varint(e.incarnation()) + 2 + varint(e.version());
+    static int memberBytes(Member e) {
+        int n = 1 + 2 + varintBytes(e.zone()) + varintBytes(e.incarnation()) + 2 + varintBytes(e.version());
         n += e.address().length;
         if (!e.confirmers().isEmpty()) {
             n += 1 + 2 * e.confirmers().size();
         }
         if (!e.metadata().isEmpty()) {
             n++;
-            for (byte[] note : e.metadata().values()) {
-                n += 1 + note.length;
+            for (byte[] value : e.metadata().values()) {
+                n += 1 + value.length;
             }
         }
         return n;
@@ -97,8 +97,8 @@
 
     /** The bytes of this message. */
     public byte[] encode() {
-        int size = headBytes(kind)
-                + members.stream().mapToInt(MembershipMessage::bytes).sum();
+        int size = headerBytes(kind)
+                + members.stream().mapToInt(MembershipMessage::memberBytes).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
         out.put((byte) kind.code())
                 .put((byte) members.size())
@@ -117,9 +117,9 @@
     private static void encode(Member e, ByteBuffer out) {
         out.put((byte) (e.state().code()
                 | e.phase().code() << 2
-                | (e.address().length > 0 ? ADDRESS : 0)
-                | (e.metadata().isEmpty() ? 0 : NOTES)
-                | (e.confirmers().isEmpty() ? 0 : CONFIRMERS)));
+                | (e.address().length > 0 ? ADDRESS_FLAG : 0)
+                | (e.metadata().isEmpty() ? 0 : METADATA_FLAG)
+                | (e.confirmers().isEmpty() ? 0 : CONFIRMERS_FLAG)));
         out.putShort((short) e.id());
         putVarint(out, e.zone());
         putVarint(out, e.incarnation());
@@ -133,12 +133,12 @@
         if (!e.metadata().isEmpty()) {
             out.put((byte) e.metadata().size());
             e.metadata()
-                    .forEach((part, bytes) ->
-                            out.put((byte) (part << 5 | bytes.length)).put(bytes));
+                    .forEach((key, value) ->
+                            out.put((byte) (key << 5 | value.length)).put(value));
         }
     }
 
-    private static int varint(long value) {
+    private static int varintBytes(long value) {
         int n = 1;
         for (long v = value >>> 7; v != 0; v >>>= 7) {
             n++;
@@ -160,12 +160,12 @@
     /** The message of these bytes; null if they are none, cut short, or longer than they say. */
     public static MembershipMessage decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        if (bytes.length < HEAD_BYTES) {
+        if (bytes.length < HEADER_BYTES) {
             return null;
         }
         Kind kind = Kind.of(in.get());
-        int many = in.get() & 0xff;
-        if (kind == null || bytes.length < headBytes(kind)) {
+        int count = in.get() & 0xff;
+        if (kind == null || bytes.length < headerBytes(kind)) {
             return null;
         }
         int number = in.getShort() & 0xffff;
@@ -175,38 +175,38 @@
         for (int i = 0; i < slices.length; i++) {
             slices[i] = in.getShort() & 0xffff;
         }
-        List<Member> entries = new ArrayList<>(many);
+        List<Member> decoded = new ArrayList<>(count);
         try {
-            for (int i = 0; i < many; i++) {
-                entries.add(entry(in));
+            for (int i = 0; i < count; i++) {
+                decoded.add(decodeMember(in));
             }
         } catch (BufferUnderflowException | IllegalArgumentException e) {
             return null;
         }
-        return in.hasRemaining() || many == 0
+        return in.hasRemaining() || count == 0
                 ? null
-                : new MembershipMessage(kind, number, target, digest, slices, entries);
+                : new MembershipMessage(kind, number, target, digest, slices, decoded);
     }
 
-    private static Member entry(ByteBuffer in) {
+    private static Member decodeMember(ByteBuffer in) {
         int flags = in.get();
         int id = in.getShort() & 0xffff;
         long zone = getVarint(in);
         long incarnation = getVarint(in);
-        int life = in.getShort() & 0xffff;
+        int processNonce = in.getShort() & 0xffff;
         long version = getVarint(in);
-        byte[] address = new byte[(flags & ADDRESS) != 0 ? 6 : 0];
+        byte[] address = new byte[(flags & ADDRESS_FLAG) != 0 ? 6 : 0];
         in.get(address);
         TreeSet<Integer> confirmers = new TreeSet<>();
-        for (int n = (flags & CONFIRMERS) != 0 ? in.get() & 0xff : 0; n > 0; n--) {
+        for (int n = (flags & CONFIRMERS_FLAG) != 0 ? in.get() & 0xff : 0; n > 0; n--) {
             confirmers.add(in.getShort() & 0xffff);
         }
-        Map<Integer, byte[]> notes = new HashMap<>();
-        for (int n = (flags & NOTES) != 0 ? in.get() & 0xff : 0; n > 0; n--) {
-            int head = in.get() & 0xff;
-            byte[] note = new byte[head & 0x1f];
-            in.get(note);
-            notes.put(head >> 5, note);
+        Map<Integer, byte[]> metadata = new HashMap<>();
+        for (int n = (flags & METADATA_FLAG) != 0 ? in.get() & 0xff : 0; n > 0; n--) {
+            int header = in.get() & 0xff;
+            byte[] value = new byte[header & 0x1f];
+            in.get(value);
+            metadata.put(header >> 5, value);
         }
         if (flags < 0 || zone > Member.MAX_ZONE || version > Integer.MAX_VALUE) {
             throw new IllegalArgumentException("a member with unknown flags, or values out of range");
@@ -214,13 +214,13 @@
         return new Member(
                 id,
                 incarnation,
-                life,
+                processNonce,
                 MemberState.of(flags & 3),
                 confirmers,
                 (int) zone,
                 (int) version,
                 ServicePhase.of(flags >> 2 & 3),
-                Map.copyOf(notes),
+                Map.copyOf(metadata),
                 address);
     }
 
--- a/src/main/java/cacheproxy/membership/MembershipReplica.java
+++ b/src/main/java/cacheproxy/membership/MembershipReplica.java
@@ -8,7 +8,7 @@
  * suspected or declared dead; the model checker ({@code model check}) lets both happen at any time.
  */
 public class MembershipReplica {
-    /** The outcome of merging what is said of a member. */
+    /** The outcome of merging what is reported of a member. */
     public enum MergeResult {
         /** It was known already. */
         UNCHANGED,
@@ -38,22 +38,22 @@
         localMember = of.localMember.copy(this::refute);
     }
 
-    /** The entry that follows from what is known and what is said of a member. */
-    protected Member mergeMembers(Member held, Member said) {
-        return held.merge(said);
+    /** The entry that follows from what is known and what is reported of a member. */
+    protected Member mergeMembers(Member held, Member reported) {
+        return held.merge(reported);
     }
 
-    /** The own entry that refutes what is said of this instance. */
-    protected Member refute(Member self, Member said) {
-        return self.withIncarnation(Math.max(said.incarnation(), self.incarnation()) + 1);
+    /** The own entry that refutes what is reported of this instance. */
+    protected Member refute(Member self, Member reported) {
+        return self.withIncarnation(Math.max(reported.incarnation(), self.incarnation()) + 1);
     }
 
     /** Merges what another says of a member. */
-    public MergeResult merge(double nowMs, Member said) {
-        if (said.id() != self().id()) {
-            return table.merge(said) == null ? MergeResult.UNCHANGED : MergeResult.CHANGED;
+    public MergeResult merge(double nowMs, Member reported) {
+        if (reported.id() != self().id()) {
+            return table.merge(reported) == null ? MergeResult.UNCHANGED : MergeResult.CHANGED;
         }
-        if (!localMember.refuteIfContradicted(said, nowMs)) {
+        if (!localMember.refuteIfContradicted(reported, nowMs)) {
             return MergeResult.UNCHANGED;
         }
         table.merge(self());
--- a/src/main/java/cacheproxy/membership/MembershipSettings.java
+++ b/src/main/java/cacheproxy/membership/MembershipSettings.java
@@ -5,7 +5,7 @@
 /**
  * The settings of the membership protocol. Times in milliseconds.
  *
- * @param configured how many instances the configuration names, by numbers from 0; 0 where there are only seeds
+ * @param configuredCount how many instances the configuration names, by numbers from 0; 0 where there are only seeds
  * @param seeds numbers of the members to join by; none where members are configured
  * @param capacity how many members are known at most, the dead among them
  * @param roundMs between two rounds, each of which probes a member
@@ -16,10 +16,10 @@
  * @param minSuspicionMs how long a suspicion lasts when all of them confirm it
  * @param maxSuspicionMs how long it lasts when none does
  * @param fanout to how many members a change is gossiped at once
- * @param forgetMs after which an absent member that is not configured is forgotten
+ * @param absentRetentionMs after which an absent member that is not configured is forgotten
  */
 public record MembershipSettings(
-        int configured,
+        int configuredCount,
         List<Integer> seeds,
         int capacity,
         double roundMs,
@@ -30,7 +30,7 @@
         double minSuspicionMs,
         double maxSuspicionMs,
         int fanout,
-        double forgetMs) {
+        double absentRetentionMs) {
     private static final double ROUND_MS = 200;
     private static final double PING_TIMEOUT_MS = 100;
     private static final double PROBE_TIMEOUT_MS = 300;
@@ -39,16 +39,16 @@
     private static final double MIN_SUSPICION_MS = 500;
     private static final double MAX_SUSPICION_MS = 6000;
     private static final int FANOUT = 3;
-    private static final double FORGET_MS = 600_000;
+    private static final double ABSENT_RETENTION_MS = 600_000;
 
     /** Checks the ranges. */
     public MembershipSettings {
         seeds = List.copyOf(seeds);
-        if (configured < 0
-                || capacity < Math.max(1, configured)
+        if (configuredCount < 0
+                || capacity < Math.max(1, configuredCount)
                 || capacity > Member.MAX_ID
-                || (configured == 0 && seeds.isEmpty())) {
-            throw new IllegalArgumentException(configured + " configured instances, " + seeds.size()
+                || (configuredCount == 0 && seeds.isEmpty())) {
+            throw new IllegalArgumentException(configuredCount + " configured instances, " + seeds.size()
                     + " seeds and room for " + capacity + "; it takes one of the former, and room for all of them");
         }
         if (!(roundMs >= 10
@@ -56,7 +56,7 @@
                 && probeTimeoutMs > pingTimeoutMs
                 && minSuspicionMs > 0
                 && maxSuspicionMs >= minSuspicionMs
-                && forgetMs > 0)) {
+                && absentRetentionMs > 0)) {
             throw new IllegalArgumentException(
                     "rounds of " + roundMs + " ms with answers after " + pingTimeoutMs + " and " + probeTimeoutMs
                             + " ms, suspicions of " + minSuspicionMs + " to " + maxSuspicionMs + " ms make no sense");
@@ -73,8 +73,8 @@
     }
 
     /** For so many configured instances; the figures are measured in {@code docs/design/members.md}. */
-    public static MembershipSettings forConfigured(int configured) {
-        return withDefaults(configured, List.of(), Math.max(1, configured));
+    public static MembershipSettings forConfigured(int configuredCount) {
+        return withDefaults(configuredCount, List.of(), Math.max(1, configuredCount));
     }
 
     /** For a fleet whose members join by seeds. */
@@ -82,9 +82,9 @@
         return withDefaults(0, seeds, capacity);
     }
 
-    private static MembershipSettings withDefaults(int configured, List<Integer> seeds, int capacity) {
+    private static MembershipSettings withDefaults(int configuredCount, List<Integer> seeds, int capacity) {
         return new MembershipSettings(
-                configured,
+                configuredCount,
                 seeds,
                 capacity,
                 ROUND_MS,
@@ -95,11 +95,11 @@
                 MIN_SUSPICION_MS,
                 MAX_SUSPICION_MS,
                 FANOUT,
-                FORGET_MS);
+                ABSENT_RETENTION_MS);
     }
 
     /** Whether the configuration names a member of this number. */
     boolean isConfigured(int id) {
-        return id < configured;
+        return id < configuredCount;
     }
 }
--- a/src/main/java/cacheproxy/membership/MembershipView.java
+++ b/src/main/java/cacheproxy/membership/MembershipView.java
@@ -58,9 +58,9 @@
             c[0] += e.state() == MemberState.ALIVE ? 1 : 0;
             c[1]++;
         }
-        Map<Integer, Reachability> by = new TreeMap<>();
-        counts.forEach((zone, c) ->
-                by.put(zone, c[0] == 0 ? Reachability.ALONE : Reachability.of(c[0] == 1 && c[1] > 1 ? 2 : c[0], c[1])));
-        return by;
+        Map<Integer, Reachability> reachabilities = new TreeMap<>();
+        counts.forEach((zone, c) -> reachabilities.put(
+                zone, c[0] == 0 ? Reachability.ALONE : Reachability.of(c[0] == 1 && c[1] > 1 ? 2 : c[0], c[1])));
+        return reachabilities;
     }
 }
--- a/src/main/java/cacheproxy/membership/OutgoingMessage.java
+++ b/src/main/java/cacheproxy/membership/OutgoingMessage.java
@@ -11,7 +11,7 @@
     /** The most urgent first. */
     public enum Urgency {
         /** A peer waits for it, or it refutes a wrong state. */
-        ANSWER,
+        RESPONSE,
         /** It tells of a change, or looks for one. */
         MEMBERSHIP_CHANGE,
         /** What may as well be sent later. */
--- a/src/main/java/cacheproxy/membership/PeerSelector.java
+++ b/src/main/java/cacheproxy/membership/PeerSelector.java
@@ -22,9 +22,9 @@
     /** The first live member behind this instance on the ring that meets a condition; negative if there is none. */
     int nextOnRing(IntPredicate condition) {
         List<Integer> ring = fleet.liveOthers();
-        long ownPlace = Member.mix(fleet.self());
+        long ownPosition = Member.mix(fleet.self());
         int start = 0;
-        while (start < ring.size() && Member.mix(ring.get(start)) < ownPlace) {
+        while (start < ring.size() && Member.mix(ring.get(start)) < ownPosition) {
             start++;
         }
         for (int i = 0; i < ring.size(); i++) {
--- a/src/main/java/cacheproxy/membership/Suspicion.java
+++ b/src/main/java/cacheproxy/membership/Suspicion.java
@@ -32,10 +32,10 @@
     }
 
     /** When it ends with so many confirmers, of so many that are wanted. */
-    double endMs(MembershipSettings settings, int confirmers, int wanted) {
-        double part = wanted <= 0 ? 1 : Math.min(1, Math.log(Math.max(1, confirmers)) / Math.log(wanted + 1));
-        double shortestMs = settings.minSuspicionMs();
-        double longestMs = settings.maxSuspicionMs();
-        return startedMs + Math.max(shortestMs, longestMs - (longestMs - shortestMs) * part);
+    double endMs(MembershipSettings settings, int confirmers, int required) {
+        double ratio = required <= 0 ? 1 : Math.min(1, Math.log(Math.max(1, confirmers)) / Math.log(required + 1));
+        double minMs = settings.minSuspicionMs();
+        double maxMs = settings.maxSuspicionMs();
+        return startedMs + Math.max(minMs, maxMs - (maxMs - minMs) * ratio);
     }
 }
--- a/src/main/java/cacheproxy/membership/SuspicionTable.java
+++ b/src/main/java/cacheproxy/membership/SuspicionTable.java
@@ -100,7 +100,7 @@
     }
 
     /** How many confirmations end a suspicion at the least time. */
-    int confirmationsWanted() {
+    int requiredConfirmations() {
         return Math.min(
                 isPartitionLikely() ? 1 : settings.confirmers(),
                 fleet.liveOthers().size() - suspicions.size());
--- a/src/main/java/cacheproxy/membership/Transmitter.java
+++ b/src/main/java/cacheproxy/membership/Transmitter.java
@@ -15,20 +15,20 @@
     private static final int[] NO_DIGESTS = {};
 
     private final FleetState fleet;
-    private final Membership.MessageBudget allowance;
+    private final Membership.MessageBudget budget;
     /** Members that don't know what is known of them here. */
-    private final Set<Integer> unaware = new HashSet<>();
+    private final Set<Integer> outdatedReceivers = new HashSet<>();
 
     private final List<OutgoingMessage> queue = new ArrayList<>();
 
-    Transmitter(FleetState fleet, Membership.MessageBudget allowance) {
+    Transmitter(FleetState fleet, Membership.MessageBudget budget) {
         this.fleet = fleet;
-        this.allowance = allowance;
+        this.budget = budget;
     }
 
     /** A member has said of itself something other than what is known of it here; the next message tells it. */
-    void markUnaware(int id) {
-        unaware.add(id);
+    void markOutdated(int id) {
+        outdatedReceivers.add(id);
     }
 
     /**
@@ -42,14 +42,14 @@
     boolean send(double nowMs, Kind kind, int to, int probe, int target, Urgency urgency) {
         List<Member> members = new ArrayList<>(List.of(self()));
         Member receiver = fleet.get(to);
-        if (receiver != null && (unaware.remove(to) || receiver.state() != MemberState.ALIVE)) {
+        if (receiver != null && (outdatedReceivers.remove(to) || receiver.state() != MemberState.ALIVE)) {
             members.add(receiver);
         }
         if (target != MembershipMessage.NO_MEMBER && target != to && fleet.get(target) != null) {
             members.add(fleet.get(target));
         }
         members.addAll(gossip(nowMs, kind, members));
-        return post(
+        return enqueue(
                 nowMs,
                 to,
                 new MembershipMessage(kind, probe, target, fleet.table().digest(), NO_DIGESTS, members),
@@ -58,10 +58,10 @@
 
     /** Gossip for a message of this kind that holds these members. */
     private List<Member> gossip(double nowMs, Kind kind, List<Member> members) {
-        int bytes = MembershipMessage.headBytes(kind)
-                + members.stream().mapToInt(MembershipMessage::bytes).sum();
-        int spareBytes = kind == Kind.GOSSIP ? Membership.MAX_MESSAGE_BYTES : allowance.availableBytes(nowMs);
-        int maxBytes = Math.min(Membership.MAX_MESSAGE_BYTES - bytes, spareBytes);
+        int bytes = MembershipMessage.headerBytes(kind)
+                + members.stream().mapToInt(MembershipMessage::memberBytes).sum();
+        int availableBytes = kind == Kind.GOSSIP ? Membership.MAX_MESSAGE_BYTES : budget.availableBytes(nowMs);
+        int maxBytes = Math.min(Membership.MAX_MESSAGE_BYTES - bytes, availableBytes);
         List<Member> gossip = fleet.gossip().take(fleet.table(), maxBytes, fleet.self());
         gossip.removeIf(g -> members.stream().anyMatch(m -> m.id() == g.id()));
         return gossip;
@@ -82,7 +82,7 @@
             double nowMs, Kind kind, int to, int number, int[] digests, List<Member> members, Urgency urgency) {
         List<Member> all = new ArrayList<>(List.of(self()));
         all.addAll(members);
-        post(
+        enqueue(
                 nowMs,
                 to,
                 new MembershipMessage(
@@ -90,9 +90,9 @@
                 urgency);
     }
 
-    private boolean post(double nowMs, int to, MembershipMessage message, Urgency urgency) {
+    private boolean enqueue(double nowMs, int to, MembershipMessage message, Urgency urgency) {
         byte[] body = message.encode();
-        boolean permitted = allowance.tryAcquire(nowMs, body.length, urgency);
+        boolean permitted = budget.tryAcquire(nowMs, body.length, urgency);
         if (permitted) {
             queue.add(new OutgoingMessage(to, body, urgency));
         }
--- a/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
+++ b/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
@@ -108,7 +108,8 @@
         }
         for (int change = 0; change < 8; change++) {
             tier.change();
-            tier.pass(3 * ListVersionGossip.MIN_POLL_DELAY_MS + 3 * ListVersionGossip.TURN_PER_INSTANCE_MS * instances);
+            tier.pass(3 * ListVersionGossip.MIN_POLL_DELAY_MS
+                    + 3 * ListVersionGossip.DELAY_RANGE_PER_INSTANCE_MS * instances);
         }
         assertThat(tier.holds).containsOnly(8);
         assertThat(Arrays.stream(tier.asked).max().orElseThrow()).isLessThanOrEqualTo(3);
@@ -125,7 +126,7 @@
         int versions = 12;
         for (int change = 0; change < versions; change++) {
             tier.change();
-            tier.pass(2 * ListVersionGossip.TURN_PER_INSTANCE_MS * instances + 100);
+            tier.pass(2 * ListVersionGossip.DELAY_RANGE_PER_INSTANCE_MS * instances + 100);
         }
         assertThat(tier.messages / (double) (instances - 1) / versions)
                 .as("who tell one version")
--- a/src/test/java/cacheproxy/membership/EntryTest.java
+++ b/src/test/java/cacheproxy/membership/EntryTest.java
@@ -96,7 +96,8 @@
                     .encode();
             assertThat(MembershipMessage.decode(bytes).members()).containsExactly(e);
             assertThat(bytes)
-                    .hasSize(MembershipMessage.headBytes(MembershipMessage.Kind.GOSSIP) + MembershipMessage.bytes(e));
+                    .hasSize(MembershipMessage.headerBytes(MembershipMessage.Kind.GOSSIP)
+                            + MembershipMessage.memberBytes(e));
             assertThat(bytes.length).isEqualTo(zone < 128 ? 18 : 19);
         }
     }
@@ -107,7 +108,7 @@
         byte[] bytes = new MembershipMessage(
                         MembershipMessage.Kind.GOSSIP, 0, MembershipMessage.NO_MEMBER, 0, new int[0], List.of(e))
                 .encode();
-        int zone = MembershipMessage.headBytes(MembershipMessage.Kind.GOSSIP) + 3;
+        int zone = MembershipMessage.headerBytes(MembershipMessage.Kind.GOSSIP) + 3;
         assertThat(bytes[zone + 1]).isEqualTo((byte) 0x7f);
         byte[] beyond = new byte[bytes.length + 1];
         System.arraycopy(bytes, 0, beyond, 0, zone + 1);
