--- a/src/main/java/cacheproxy/endpoints/CancelPoll.java
+++ b/src/main/java/cacheproxy/endpoints/CancelPoll.java
@@ -1,8 +1,8 @@
 package cacheproxy.endpoints;
 
 /**
- * End a poll without waiting for its response; nothing is reported of it any more.
+ * Cancel a pending poll; no response or failure is reported for it afterwards.
  *
- * @param id of the {@link StartPoll} that began it
+ * @param id the id of the {@link StartPoll} that started it
  */
 public record CancelPoll(int id) implements PollAction {}
--- a/src/main/java/cacheproxy/endpoints/EndpointListFreshness.java
+++ b/src/main/java/cacheproxy/endpoints/EndpointListFreshness.java
@@ -1,10 +1,12 @@
 package cacheproxy.endpoints;
 
-/** How old the endpoint list may become; what polling, its timeouts and its backoff are dimensioned by. */
+/**
+ * The maximum staleness of the endpoint list, from which the intervals, timeouts and backoff of polling are derived.
+ */
 public final class EndpointListFreshness {
     /**
-     * A change has to be in use this long after discovery had it and could be polled, in milliseconds, whatever failed
-     * before. From then on a request that the change forbids is a violation (rule 3 of the operators' terms).
+     * The time in milliseconds within which a change has to be in use once discovery has it and can be polled, whatever
+     * failed before. Afterwards, a request that the change forbids is a violation (rule 3 of the operators' terms).
      */
     public static final double MAX_STALENESS_MS = 6000;
 
--- a/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
+++ b/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
@@ -8,34 +8,35 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when discovery is polled for the endpoint list, with which kind of poll, and when a poll is cancelled, so
- * that a change is known within {@link EndpointListFreshness#MAX_STALENESS_MS} whatever has failed before. The rules,
- * and where each stands:
+ * Decides when to poll discovery for the endpoint list, with which kind of poll, and when to cancel a poll, so that a
+ * change is known within {@link EndpointListFreshness#MAX_STALENESS_MS} regardless of earlier failures. The rules, and
+ * the classes that implement them:
  *
  * <ul>
- *   <li>A poll that is overdue stays pending, and another is sent beside it on a new connection: cancelling it would
- *       lose a response just before it comes, for ever where responses take longer than the timeout. The first response
- *       counts. Times: {@link PollTimeouts}.
- *   <li>A kind of poll that has failed is followed by another: {@link PollKindSelector}.
- *   <li>After a failure that came at once the next poll is delayed: {@link PollBackoff}.
- *   <li>A response without news that did not wait is followed by a poll no sooner than {@link #MIN_POLL_INTERVAL_MS}
- *       after its own start.
+ *   <li>An overdue poll stays pending, and another is sent in parallel on a new connection. Cancelling the first could
+ *       lose a response that is about to arrive, and would lose every response if responses take longer than the
+ *       timeout. The first response is used. Timeouts: {@link PollTimeouts}.
+ *   <li>After a kind of poll has failed, another kind is used: {@link PollKindSelector}.
+ *   <li>After a poll that failed quickly, the next poll is delayed: {@link PollBackoff}.
+ *   <li>After an immediate response without a new version, the next poll starts no earlier than
+ *       {@link #MIN_POLL_INTERVAL_MS} after the start of the answered one.
  * </ul>
  *
- * <p>Pure: takes events with their times, in milliseconds of one monotonic clock, and returns what to do. Not
- * thread-safe.
+ * <p>Pure decision logic: takes events with their times, in milliseconds of one monotonic clock, and returns the
+ * actions to execute. Not thread-safe.
  */
 public final class EndpointListPoller {
-    /** So many polls are pending at most, each on a connection of its own. */
+    /** The maximum number of pending polls, each of which uses a connection of its own. */
     static final int MAX_PENDING_POLLS = 3;
 
-    /** Polls that are answered at once begin no closer to each other than this. */
+    /** The minimum time between the starts of two polls if the first was answered immediately without a new version. */
     static final double MIN_POLL_INTERVAL_MS = 100;
     /**
-     * No delay after a failure is longer at a shared discovery: a poll that is rejected may follow one left unanswered.
+     * The maximum delay after a failure at a shared discovery service; limited because a rejected poll may follow one
+     * that was left unanswered.
      */
     static final double MAX_RETRY_DELAY_MS = 2000;
-    /** The delay after a failure at an agent, which no other instance polls. */
+    /** The delay after a failure at an agent, which serves no other instance. */
     static final double AGENT_RETRY_DELAY_MS = 250;
 
     private record PendingPoll(int id, PollKind kind, double sentMs, double waitMs, double overdueMs) {
@@ -46,26 +47,26 @@
 
     private final SplittableRandom random;
     private final PollKindSelector kindSelector;
-    /** Grows with each poll in a row that was cancelled. */
+    /** The time beyond its wait after which a poll is cancelled; grows with each consecutive cancelled poll. */
     private final FailureBackoff cancelAfter = new FailureBackoff(
             ExponentialBackoff.ofDoublings(PollTimeouts.CANCEL_AFTER_MS, PollTimeouts.MAX_CANCEL_DOUBLINGS));
-    /** The oldest first. */
+    /** Oldest first. */
     private final List<PendingPoll> pending = new ArrayList<>();
 
     private PollerSettings settings;
     private PollBackoff backoff;
     private boolean running;
-    /** Whether the next watch follows an answer to a watch or a delta. */
+    /** Whether the next watch directly follows an answered watch or delta. */
     private boolean continuesWatch;
 
     private int lastId;
-    /** No poll is sent earlier, unless a peer is ahead. */
+    /** The earliest time of the next poll, except for polls sent because a peer is ahead. */
     private double nextPollMs = Double.POSITIVE_INFINITY;
 
     /**
-     * Sends nothing yet.
+     * Creates a poller that sends nothing before {@link #start}.
      *
-     * @param seed other than that of any other instance, so that they do not poll together
+     * @param seed different for each instance, so that instances do not poll at the same time
      */
     public EndpointListPoller(PollerSettings settings, long seed) {
         random = new SplittableRandom(seed);
@@ -73,13 +74,13 @@
         updateSettings(settings);
     }
 
-    /** Takes other settings for polls to come; the backoff begins anew. */
+    /** Uses these settings for later polls and resets the backoff. */
     public void updateSettings(PollerSettings next) {
         settings = next;
         backoff = new PollBackoff(next.maxPollIntervalMs());
     }
 
-    /** Begins to follow the list; polls that are pending are cancelled. */
+    /** Starts following the list; pending polls are cancelled. */
     public List<PollAction> start(double nowMs) {
         List<PollAction> actions = stop();
         running = true;
@@ -89,7 +90,7 @@
         return actions;
     }
 
-    /** Ends to follow the list; polls that are pending are cancelled. */
+    /** Stops following the list; pending polls are cancelled. */
     public List<PollAction> stop() {
         List<PollAction> actions = new ArrayList<>();
         cancelAll(actions);
@@ -104,15 +105,15 @@
         pending.clear();
     }
 
-    /** Whether the list is followed. */
+    /** Whether the poller has been started and not stopped. */
     public boolean isRunning() {
         return running;
     }
 
     /**
-     * A poll was answered, and its response is in use. Ignored for a poll that is not pending.
+     * A poll was answered and its response is in use. Ignored if the poll is not pending.
      *
-     * @param newVersion whether its version is higher than all before
+     * @param newVersion whether the response has a higher version than all before it
      */
     public List<PollAction> onResponse(double nowMs, int id, boolean newVersion) {
         PendingPoll answered = remove(id);
@@ -125,21 +126,21 @@
         kindSelector.onResponse(answered.kind());
         if (answered.kind() != PollKind.SNAPSHOT) {
             continuesWatch = true;
-            cancelAll(actions); // what is newer comes by the next watch
+            cancelAll(actions); // the next watch returns anything newer
         }
         nextPollMs = newVersion ? nowMs : Math.max(nowMs, answered.sentMs() + MIN_POLL_INTERVAL_MS);
         actions.addAll(onTimer(nowMs));
         return actions;
     }
 
-    /** The response to a poll has begun to arrive: the poll queues at discovery no more. */
+    /** The response to a poll has started to arrive, so the poll no longer waits in discovery's queue. */
     public List<PollAction> onResponseStarted(double nowMs, int id) {
         double completeMs = nowMs + PollTimeouts.BODY_MS;
         pending.replaceAll(poll -> poll.id() == id ? poll.overdueAt(Math.min(poll.overdueMs(), completeMs)) : poll);
         return List.of();
     }
 
-    /** A poll has ended without a response that can be used. Ignored for a poll that is not pending. */
+    /** A poll ended without a usable response. Ignored if the poll is not pending. */
     public List<PollAction> onFailure(double nowMs, int id, PollFailure failure) {
         PendingPoll failed = remove(id);
         if (failed == null) {
@@ -158,9 +159,9 @@
         nextPollMs = nowMs + delayMs;
     }
 
-    /** A peer holds a version that this instance does not: a further poll may bring it. */
+    /** A peer holds a newer version than this instance; an additional poll may fetch it. */
     public List<PollAction> onPeerAhead(double nowMs) {
-        // A shared discovery would be overloaded by the polls of all instances that hear of one version.
+        // Polls by all instances that learn of the same version would overload a shared discovery service.
         if (!running || settings.sharedDiscovery() || pending.isEmpty()) {
             return List.of();
         }
@@ -171,7 +172,7 @@
         return actions;
     }
 
-    /** Null if it is not pending. */
+    /** Removes a pending poll; returns null if it is not pending. */
     private PendingPoll remove(int id) {
         for (Iterator<PendingPoll> i = pending.iterator(); i.hasNext(); ) {
             PendingPoll poll = i.next();
@@ -183,7 +184,7 @@
         return null;
     }
 
-    /** When to call {@link #onTimer} next, in milliseconds; infinite for never. */
+    /** Returns when to call {@link #onTimer} next, in milliseconds; infinite if it need not be called. */
     public double nextTimerMs() {
         double timerMs = Double.POSITIVE_INFINITY;
         for (PendingPoll poll : pending) {
@@ -200,7 +201,7 @@
         return pending.get(pending.size() - 1);
     }
 
-    /** {@link #nextTimerMs} may have come; does nothing before it. */
+    /** Cancels and sends the polls that are due; does nothing before {@link #nextTimerMs}. */
     public List<PollAction> onTimer(double nowMs) {
         List<PollAction> actions = new ArrayList<>();
         cancelExpired(nowMs, actions);
@@ -223,18 +224,21 @@
             if (cancelMs(poll) <= nowMs) {
                 pending.remove(poll);
                 actions.add(new CancelPoll(poll.id()));
-                cancelAfter.recordFailure(); // the others may stay longer now
+                cancelAfter.recordFailure(); // the remaining polls get a longer timeout
                 delayAfter(nowMs, poll);
             }
         }
     }
 
-    /** When a poll is cancelled. */
+    /** Returns the time at which a poll is cancelled. */
     private double cancelMs(PendingPoll poll) {
         return poll.sentMs() + poll.waitMs() + cancelAfter.delayMs();
     }
 
-    /** Cancels the second oldest: the oldest is nearest to a late response and keeps all of its time. */
+    /**
+     * Cancels the second-oldest poll if the maximum is reached: the oldest is the closest to a late response and keeps
+     * its full timeout.
+     */
     private void cancelSecondOldestIfFull(List<PollAction> actions) {
         if (pending.size() >= MAX_PENDING_POLLS) {
             actions.add(new CancelPoll(pending.remove(1).id()));
--- a/src/main/java/cacheproxy/endpoints/PollAction.java
+++ b/src/main/java/cacheproxy/endpoints/PollAction.java
@@ -1,4 +1,6 @@
 package cacheproxy.endpoints;
 
-/** What the caller of {@link EndpointListPoller} has to do, in the order in which it was returned. */
+/**
+ * An action for the caller of {@link EndpointListPoller}; actions are executed in the order in which they are returned.
+ */
 public sealed interface PollAction permits StartPoll, CancelPoll {}
--- a/src/main/java/cacheproxy/endpoints/PollFailure.java
+++ b/src/main/java/cacheproxy/endpoints/PollFailure.java
@@ -1,9 +1,9 @@
 package cacheproxy.endpoints;
 
-/** Why a poll ended without a response that can be used. */
+/** Why a poll ended without a usable response. */
 public enum PollFailure {
-    /** No connection, or an error status: a poll of any other kind would have failed as well. */
+    /** No connection, or an error status; a poll of another kind would have failed as well. */
     REJECTED,
-    /** The connection ended early, or the response can't be used: a poll of another kind may succeed. */
+    /** The connection was closed early or the response was unusable; a poll of another kind may succeed. */
     BROKEN
 }
--- a/src/main/java/cacheproxy/endpoints/PollKind.java
+++ b/src/main/java/cacheproxy/endpoints/PollKind.java
@@ -2,11 +2,11 @@
 
 /** The kinds of poll for the endpoint list. */
 public enum PollKind {
-    /** A long poll: answered once there is a version newer than the one held, or when its timeout is over. */
+    /** A long poll: answered when there is a version newer than the one held, or when its wait has elapsed. */
     WATCH("watch"),
-    /** Asks for the changes since the version held; answered at once. */
+    /** Requests the changes since the version held; answered immediately. */
     DELTA("delta"),
-    /** Asks for the complete list; answered at once. */
+    /** Requests the complete list; answered immediately. */
     SNAPSHOT("snapshot");
 
     private final String logName;
@@ -15,7 +15,7 @@
         this.logName = logName;
     }
 
-    /** Its name in the log. */
+    /** The name in log lines. */
     public String logName() {
         return logName;
     }
--- a/src/main/java/cacheproxy/endpoints/PollKindSelector.java
+++ b/src/main/java/cacheproxy/endpoints/PollKindSelector.java
@@ -3,36 +3,41 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects the kind of the next poll: a kind that has failed is followed by another.
+ * Selects the kind of the next poll: after a kind has failed, another is used.
  *
  * <pre>
- * previous poll                                   next
- * a watch or a snapshot, answered                 WATCH
- * a watch, failed                                 DELTA; SNAPSHOT once two polls in a row were of no use
- * a delta                                         WATCH; SNAPSHOT once two polls in a row were of no use
- * a snapshot, failed                              WATCH
- * a watch or a delta that is overdue, beside it   SNAPSHOT
- * a snapshot that is overdue, beside it           WATCH
+ * previous poll                             next poll
+ * watch or snapshot, answered               WATCH
+ * watch, failed                             DELTA; SNAPSHOT if one is due
+ * delta                                     WATCH; SNAPSHOT if one is due
+ * snapshot, failed                          WATCH
+ * watch or delta, overdue (in parallel)     SNAPSHOT
+ * snapshot, overdue (in parallel)           WATCH
  * </pre>
  *
- * <p>A snapshot costs a shared discovery as much as many deltas. Where instances pass changes on to each other, only
- * some {@value #SNAPSHOT_INSTANCES} of them ask for one, at random; the others send a DELTA or a WATCH in its place.
+ * <p>A snapshot is due after two polls that broke or became overdue since a watch or delta was last answered. It costs
+ * a shared discovery service as much as many deltas. If instances pass changes on to each other, only about
+ * {@value #SNAPSHOT_INSTANCES} of them, selected at random, request a snapshot; the others send a DELTA or a WATCH
+ * instead.
  */
 final class PollKindSelector {
     private static final double SNAPSHOT_INSTANCES = 2;
 
     private final SplittableRandom random;
     private PollKind last = PollKind.SNAPSHOT;
-    /** Polls that broke or were overdue since a watch or a delta was answered; another kind may have succeeded. */
+    /**
+     * The number of polls that broke or became overdue since a watch or delta was last answered; another kind of poll
+     * might have succeeded.
+     */
     private int unansweredPolls;
-    /** Whether a poll has failed since one was answered. */
+    /** Whether a poll has failed since the last answered one. */
     private boolean failedSinceResponse;
 
     PollKindSelector(SplittableRandom random) {
         this.random = random;
     }
 
-    /** Polling begins anew. */
+    /** Polling was restarted. */
     void onStart() {
         unansweredPolls = 0;
     }
@@ -58,12 +63,12 @@
         }
     }
 
-    /** The newest poll is overdue. */
+    /** The newest poll has become overdue. */
     void onOverdue() {
         unansweredPolls++;
     }
 
-    /** The kind of a poll while no other is pending. */
+    /** Returns the kind of the next poll if no other is pending. */
     PollKind next(PollerSettings settings) {
         if (last == PollKind.WATCH && failedSinceResponse) {
             return snapshotIsDue(settings) ? PollKind.SNAPSHOT : PollKind.DELTA;
@@ -75,7 +80,7 @@
         return unansweredPolls > 1 && maySendSnapshot(settings);
     }
 
-    /** The kind of a poll beside one that is overdue. */
+    /** Returns the kind of the poll to send in parallel with an overdue one. */
     PollKind besideOverdue(PollerSettings settings) {
         if (last == PollKind.SNAPSHOT) {
             return PollKind.WATCH;
--- a/src/main/java/cacheproxy/endpoints/PollerSettings.java
+++ b/src/main/java/cacheproxy/endpoints/PollerSettings.java
@@ -1,13 +1,13 @@
 package cacheproxy.endpoints;
 
 /**
- * What the settings say of polling discovery.
+ * The settings for polling discovery.
  *
- * @param sharedDiscovery whether one discovery service answers all instances; otherwise an agent on this machine
- *     answers this instance alone
- * @param maxPollIntervalMs within which an instance without a watch has to poll, in milliseconds
- * @param instanceCount instances of this tier, at least 1
- * @param gossipEnabled whether instances pass on to each other what discovery has told them
+ * @param sharedDiscovery whether one discovery service serves all instances; otherwise an agent on this machine serves
+ *     this instance alone
+ * @param maxPollIntervalMs the time within which an instance without a watch has to poll, in milliseconds
+ * @param instanceCount the number of instances in the fleet, at least 1
+ * @param gossipEnabled whether instances pass on to each other what they received from discovery
  */
 public record PollerSettings(
         boolean sharedDiscovery, double maxPollIntervalMs, int instanceCount, boolean gossipEnabled) {}
--- a/src/main/java/cacheproxy/endpoints/package-info.java
+++ b/src/main/java/cacheproxy/endpoints/package-info.java
@@ -1,6 +1,6 @@
 /**
- * How fresh the endpoint list is: when discovery is polled for it, with which kind of poll, and when a poll is
- * cancelled. Pure decisions: events with their times in, {@link cacheproxy.endpoints.PollAction}s out.
- * {@link cacheproxy.endpoints.EndpointListPoller} is where to begin.
+ * Keeps the endpoint list fresh: decides when to poll discovery, with which kind of poll, and when to cancel a poll.
+ * Pure decision logic that takes events with their times and returns {@link cacheproxy.endpoints.PollAction}s. The
+ * entry point is {@link cacheproxy.endpoints.EndpointListPoller}.
  */
 package cacheproxy.endpoints;
