--- a/src/main/java/cacheproxy/gossip/AntiEntropy.java
+++ b/src/main/java/cacheproxy/gossip/AntiEntropy.java
@@ -3,38 +3,41 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when some peer is queried for changes of the endpoint list. Announcements of peers may have been lost while
- * discovery was of no help, so a peer is queried
+ * Decides when to query a peer for changes of the endpoint list. Announcements of peers may have been lost while
+ * discovery was unavailable, so a peer is queried
  *
  * <ul>
- *   <li>while discovery has not answered for {@link #STALE_AFTER_MS}, again and again ({@link #onTimer});
- *   <li>when a poll has failed, or a peer holds a version that discovery has not brought in time
+ *   <li>repeatedly while discovery has not answered for {@link #STALE_AFTER_MS} ({@link #onTimer});
+ *   <li>when a poll has failed, or a peer holds a version that discovery has not returned in time
  *       ({@link #tryStartQuery}),
  * </ul>
  *
- * <p>but never within {@link #MIN_QUERY_INTERVAL_MS} of the query before. An instance whose watch works queries nobody,
- * so the messages of a healthy fleet do not grow with time. Times in milliseconds of one clock.
+ * <p>but at most once per {@link #MIN_QUERY_INTERVAL_MS}. An instance whose watch works sends no queries, so the number
+ * of messages in a healthy fleet does not grow over time. Times in milliseconds of one clock.
  */
 public final class AntiEntropy {
-    /** Longer than a watch that works is left unanswered: its wait is 1.8 s at most. */
+    /**
+     * The time without an answer from discovery after which peers are queried. Longer than a working watch is left
+     * unanswered: its wait is at most 1.8 s.
+     */
     static final double STALE_AFTER_MS = 2000;
-    /** Between two queries, each of which may go to another peer. */
+    /** The minimum time between two queries, which may go to different peers. */
     static final double MIN_QUERY_INTERVAL_MS = 500;
 
     private double lastResponseMs;
     private double lastQueryMs = Double.NEGATIVE_INFINITY;
 
-    /** {@code nowMs}: discovery counts as having answered then. */
+    /** Creates an instance for which discovery counts as having answered at {@code nowMs}. */
     public AntiEntropy(double nowMs) {
         lastResponseMs = nowMs;
     }
 
     /**
-     * Draws a peer, each as likely.
+     * Selects a peer with uniform probability.
      *
-     * @param random one number is drawn of it unless there is no peer
+     * @param random one number is drawn from it, unless there is no peer
      * @param self the number of this instance, 0 to {@code instanceCount - 1}
-     * @return the number of some other instance; negative if this is the only one
+     * @return the number of another instance; negative if this is the only one
      */
     public static int randomPeer(SplittableRandom random, int self, int instanceCount) {
         if (instanceCount < 2) {
@@ -44,7 +47,7 @@
         return other < self ? other : other + 1;
     }
 
-    /** Discovery has answered, with or without news. */
+    /** Discovery has answered, with or without a new version. */
     public void onDiscoveryResponse(double nowMs) {
         lastResponseMs = nowMs;
     }
@@ -52,7 +55,7 @@
     /**
      * A poll has failed, or a peer holds a version that is not known here.
      *
-     * @return whether to query a peer now; counts as done then
+     * @return whether to query a peer now; if so, the query counts as sent
      */
     public boolean tryStartQuery(double nowMs) {
         if (nowMs - lastQueryMs < MIN_QUERY_INTERVAL_MS) {
@@ -62,15 +65,15 @@
         return true;
     }
 
-    /** When to call {@link #onTimer} next, in milliseconds. */
+    /** Returns when to call {@link #onTimer} next, in milliseconds. */
     public double nextTimerMs() {
         return Math.max(lastResponseMs + STALE_AFTER_MS, lastQueryMs + MIN_QUERY_INTERVAL_MS);
     }
 
     /**
-     * {@link #nextTimerMs} may have come.
+     * Starts a query if {@link #nextTimerMs} has come.
      *
-     * @return whether to query a peer now; counts as done then
+     * @return whether to query a peer now; if so, the query counts as sent
      */
     public boolean onTimer(double nowMs) {
         return nowMs >= nextTimerMs() && tryStartQuery(nowMs);
--- a/src/main/java/cacheproxy/gossip/ChangeLog.java
+++ b/src/main/java/cacheproxy/gossip/ChangeLog.java
@@ -7,25 +7,25 @@
 import java.util.Map;
 
 /**
- * The last change of each endpoint that discovery has sent, in the order of versions, for peers that have missed them.
- * Bounded: where it had no room, {@link #completeAfter} says from which version on nothing is missing.
+ * The last change of each endpoint received from discovery, in the order of versions, for peers that missed some of
+ * them. Bounded: if entries had to be dropped, {@link #completeAfter} is the version after which no change is missing.
  */
 final class ChangeLog {
-    /** Endpoints whose last change is held: four times the largest fleet that is planned for. */
+    /** The maximum number of endpoints: four times the largest planned fleet. */
     static final int CAPACITY = 4096;
 
     private final Map<Integer, EndpointChange> byEndpoint = new LinkedHashMap<>();
     private long completeAfter;
 
-    /** Drops all changes; those after this version will be added. */
+    /** Removes all changes; only changes after this version will be added. */
     void clear(long version) {
         byEndpoint.clear();
         completeAfter = version;
     }
 
-    /** Adds a change whose version is not lower than that of any before. */
+    /** Adds a change. Its version must not be lower than that of any change added before. */
     void add(EndpointChange change) {
-        byEndpoint.remove(change.endpointId()); // so that it goes to the end
+        byEndpoint.remove(change.endpointId()); // re-inserted at the end
         byEndpoint.put(change.endpointId(), change);
         if (byEndpoint.size() > CAPACITY) {
             Iterator<EndpointChange> eldest = byEndpoint.values().iterator();
@@ -34,17 +34,17 @@
         }
     }
 
-    /** The last change of an endpoint; null if none is known. */
+    /** Returns the last change of an endpoint; null if none is known. */
     EndpointChange last(int endpointId) {
         return byEndpoint.get(endpointId);
     }
 
-    /** Changes of this version and older ones may be missing; none of a later one is. */
+    /** Returns the version up to which, inclusive, changes may be missing; no later change is missing. */
     long completeAfter() {
         return completeAfter;
     }
 
-    /** The changes of versions after this one, the newest last. */
+    /** Returns the changes of versions after this one, newest last. */
     List<EndpointChange> after(long version) {
         List<EndpointChange> changes = new ArrayList<>();
         for (EndpointChange change : byEndpoint.values()) {
--- a/src/main/java/cacheproxy/gossip/EndpointListDelta.java
+++ b/src/main/java/cacheproxy/gossip/EndpointListDelta.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * A message between proxies: the endpoints that have changed after one version of discovery's list up to another, as
- * they stand in the latter. On the wire, big-endian ({@code docs/design/members-wire.md}):
+ * A message between proxies with the endpoints that changed between two versions of discovery's list, in their state as
+ * of the later version. The format, big-endian ({@code docs/design/members-wire.md}):
  *
  * <pre>
  * 1   'C'
@@ -20,21 +20,21 @@
  * 8   startTimeMs, IEEE 754
  * </pre>
  *
- * @param afterVersion changes of this version and older ones are not in it
- * @param version in which the endpoints stand so
- * @param ttlMs how long it may be used without confirmation by discovery, in milliseconds, 0 to 65,535. A peer that
- *     relays what it had from a peer sends what is left of that time, so that a mistake expires
- * @param changes {@link #MAX_CHANGES} at most; their own versions are not sent, so those read are {@code version}
+ * @param afterVersion the delta does not contain changes of this version or earlier ones
+ * @param version the version of which the delta gives the state of the endpoints
+ * @param ttlMs how long the delta may be used without confirmation by discovery, in milliseconds, 0 to 65,535. A peer
+ *     that relays a delta received from a peer sends the remaining time, so that an error expires
+ * @param changes at most {@link #MAX_CHANGES}; their own versions are not sent, so decoded changes have {@code version}
  */
 public record EndpointListDelta(long afterVersion, long version, int ttlMs, List<EndpointChange> changes) {
     private static final byte TYPE = 'C';
     private static final int MAX_TTL_MS = 0xffff;
     private static final int HEADER_BYTES = 1 + 2 * Long.BYTES + Short.BYTES;
     private static final int CHANGE_BYTES = Integer.BYTES + 1 + Double.BYTES;
-    /** The most changes that one message holds. */
+    /** The maximum number of changes in one message. */
     public static final int MAX_CHANGES = (Envelope.MAX_BODY_BYTES - HEADER_BYTES) / CHANGE_BYTES;
 
-    /** Copies the changes; an IllegalArgumentException if they are too many, or the time is out of range. */
+    /** Copies the changes; throws an IllegalArgumentException if there are too many, or if the TTL is out of range. */
     public EndpointListDelta {
         changes = List.copyOf(changes);
         if (changes.size() > MAX_CHANGES || ttlMs < 0 || ttlMs > MAX_TTL_MS) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** The bytes of the message. */
+    /** Encodes the message. */
     public byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + CHANGE_BYTES * changes.size());
         out.put(TYPE).putLong(afterVersion).putLong(version).putShort((short) ttlMs);
@@ -61,7 +61,7 @@
         };
     }
 
-    /** Null if no state has this code. */
+    /** Returns the state with this code; null if there is none. */
     private static EndpointState state(byte code) {
         return switch (code) {
             case 0 -> EndpointState.REMOVED;
@@ -71,7 +71,7 @@
         };
     }
 
-    /** Reads a message; null if it is of another type, or can't be read. */
+    /** Decodes a message; returns null if it is of another type or malformed. */
     public static EndpointListDelta decode(byte[] message) {
         int changeBytes = message.length - HEADER_BYTES;
         if (changeBytes < 0
--- a/src/main/java/cacheproxy/gossip/Envelope.java
+++ b/src/main/java/cacheproxy/gossip/Envelope.java
@@ -7,7 +7,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * The codec of datagrams between proxies ({@code docs/design/members-wire.md}):
+ * The codec of the datagrams between proxies ({@code docs/design/members-wire.md}):
  *
  * <pre>
  * 1        0xE1
@@ -16,33 +16,33 @@
  * 1        length of the body
  * length   body
  * then:
- * 2        checksum: CRC-32C of all before it, its upper half folded onto the lower by exclusive or
+ * 2        checksum: CRC-32C of all preceding bytes, its upper half XORed with its lower half
  * </pre>
  *
- * <p>A receiver skips items of a kind or version that it does not know.
+ * <p>A receiver skips items of unknown kinds and versions.
  */
 public final class Envelope {
-    /** What the protocol allows a datagram, in bytes. */
+    /** The maximum size of a datagram in this protocol, in bytes. */
     public static final int MAX_DATAGRAM_BYTES = 256;
 
     private static final byte MAGIC = (byte) 0xe1;
     private static final int CHECKSUM_BYTES = 2;
     private static final int VERSIONS = 8;
     private static final int KINDS = 32;
-    /** What an item takes beside its body. */
+    /** The size of an item without its body, in bytes. */
     public static final int ITEM_HEADER_BYTES = 2;
-    /** The longest body, in a datagram of one item. */
+    /** The maximum size of a body, in a datagram with one item. */
     public static final int MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - 1 - CHECKSUM_BYTES - ITEM_HEADER_BYTES;
 
     /**
-     * One item.
+     * One item of a datagram.
      *
      * @param kind 1 to 31
-     * @param version of the body's form, 0 to 7
-     * @param body {@link #MAX_BODY_BYTES} bytes at most
+     * @param version the version of the body's format, 0 to 7
+     * @param body at most {@link #MAX_BODY_BYTES} bytes
      */
     public record Item(int kind, int version, byte[] body) {
-        /** Checks the ranges; an IllegalArgumentException says which does not hold. */
+        /** Checks the ranges; throws an IllegalArgumentException if one is violated. */
         public Item {
             if (kind < 1 || kind >= KINDS || version < 0 || version >= VERSIONS || body.length > MAX_BODY_BYTES) {
                 throw new IllegalArgumentException("an item of kind " + kind + ", version " + version + " and "
@@ -51,7 +51,7 @@
             }
         }
 
-        /** What it takes in a datagram, in bytes. */
+        /** Returns the size of the item in a datagram, in bytes. */
         public int size() {
             return ITEM_HEADER_BYTES + body.length;
         }
@@ -59,12 +59,12 @@
 
     private Envelope() {}
 
-    /** The size of a datagram that holds one item with a body of this length, in bytes. */
+    /** Returns the size of a datagram that contains one item with a body of this length, in bytes. */
     public static int datagramBytes(int bodyLength) {
         return 1 + ITEM_HEADER_BYTES + bodyLength + CHECKSUM_BYTES;
     }
 
-    /** The datagram of these items; an IllegalArgumentException if they do not fit into one. */
+    /** Encodes items as a datagram; throws an IllegalArgumentException if they do not fit into one. */
     public static byte[] encode(List<Item> items) {
         int size = 1 + CHECKSUM_BYTES + items.stream().mapToInt(Item::size).sum();
         if (size > MAX_DATAGRAM_BYTES) {
@@ -80,7 +80,7 @@
         return out.putShort(checksum(out.array(), size - CHECKSUM_BYTES)).array();
     }
 
-    /** The items of a datagram; none if it is of another form, cut short or changed on its way. */
+    /** Decodes a datagram; returns no items if its format is unknown, or if it is truncated or corrupted. */
     public static List<Item> decode(byte[] datagram) {
         int end = datagram.length - CHECKSUM_BYTES;
         if (end < 1
--- a/src/main/java/cacheproxy/gossip/ListVersionGossip.java
+++ b/src/main/java/cacheproxy/gossip/ListVersionGossip.java
@@ -6,40 +6,48 @@
 
 /**
  * Decides when an instance announces its version of the endpoint list to its peers, and when it polls discovery because
- * peers hold a newer one. A watch that has fallen silent looks like one without news; alone, an instance notices only
- * when the watch's wait is over. Of many instances some get the news in time and announce it.
+ * peers hold a newer one. A watch that no longer delivers changes looks like one without changes; by itself, an
+ * instance notices the failure only when the watch's wait is over. Of many instances, some receive the change in time
+ * and announce it.
  *
  * <ul>
- *   <li>A new version is announced after a random part of a span that grows with the number of instances, unless a peer
- *       has announced it by then: discovery answers all at one moment, and one or two announcements are enough.
- *   <li>A version that a peer has announced, and that discovery does not bring here within {@link #MIN_POLL_DELAY_MS}
- *       and such a random part, makes this instance poll. An announcement may be wrong: each such poll doubles the
- *       delay of the next, until discovery has confirmed a version that was announced.
+ *   <li>A new version is announced after a random delay, whose range grows with the number of instances, unless a peer
+ *       has announced it by then: discovery answers all instances at the same moment, and one or two announcements are
+ *       enough.
+ *   <li>If a peer has announced a version that discovery does not deliver here within {@link #MIN_POLL_DELAY_MS} plus
+ *       such a random delay, this instance polls. An announcement may be wrong: each of these polls doubles the delay
+ *       of the next, until discovery has confirmed an announced version.
  * </ul>
  *
- * <p>An announcement changes nothing of the list itself. Whoever carries out {@link Action#POLL_DISCOVERY} must not
- * cancel a poll that queues at a shared discovery. Times in milliseconds of one clock; not thread-safe.
+ * <p>An announcement does not change the list itself. The caller that executes {@link Action#POLL_DISCOVERY} must not
+ * cancel a poll that is queued at a shared discovery service. Times in milliseconds of one clock; not thread-safe.
  */
 public final class ListVersionGossip {
-    /** A watch that works brings a version this long after another has had it, at most; some responses' time. */
+    /**
+     * The maximum time by which a working watch delivers a version later than another instance receives it; a few
+     * response times.
+     */
     static final double MIN_POLL_DELAY_MS = 500;
-    /** The longest delay before a poll on account of peers. */
+    /** The maximum delay before a poll that was caused by an announcement. */
     static final double MAX_POLL_DELAY_MS = 60_000;
     /**
-     * The span within which an instance polls or announces, for each instance: discovery takes polls in turn, and a
-     * message takes less, so that most hear of an announcement before their own turn.
+     * The range of the random delay of a poll or announcement, per instance. Discovery processes polls one at a time,
+     * and a message takes less time than this, so most instances receive an announcement before their own delay is
+     * over.
      */
     static final double DELAY_RANGE_PER_INSTANCE_MS = 50;
-    /** The longest such span, so that news that few have gets around soon in a large fleet. */
+    /**
+     * The maximum range of the random delay, so that in a large fleet a version held by few instances spreads quickly.
+     */
     static final double MAX_DELAY_RANGE_MS = 1500;
-    /** So many announcements of peers are held; who holds one of these versions has nothing to announce. */
+    /** The number of peer announcements that are stored; an instance does not announce a version that is among them. */
     private static final int MAX_ANNOUNCEMENTS = 16;
 
-    /** What the caller has to do. */
+    /** The action for the caller to execute. */
     public enum Action {
-        /** Nothing. */
+        /** No action. */
         NONE,
-        /** Announce the version that is held to all peers, and call {@link #onTimer} at {@link #nextTimerMs}. */
+        /** Announce the current version to all peers, and call {@link #onTimer} at {@link #nextTimerMs}. */
         ANNOUNCE,
         /** Call {@link #onTimer} at {@link #nextTimerMs}. */
         WAIT,
@@ -49,26 +57,29 @@
 
     private final SplittableRandom random;
     private int instanceCount;
-    /** The versions that peers have announced last; a ring. */
+    /** The versions that peers announced last; a ring buffer. */
     private final long[] announcedVersions = new long[MAX_ANNOUNCEMENTS];
 
     private int announcementCount;
-    /** By discovery. */
+    /** The current version, as delivered by discovery. */
     private long heldVersion;
-    /** The highest that peers have announced and discovery has not brought; otherwise not above the held one. */
+    /**
+     * The highest version that peers have announced and discovery has not delivered; otherwise not higher than the held
+     * one.
+     */
     private long claimedVersion;
-    /** Infinite: nothing to announce. */
+    /** When to announce the held version; infinite if there is nothing to announce. */
     private double announceAtMs = Double.POSITIVE_INFINITY;
-    /** Infinite: no reason to poll. */
+    /** When to poll; infinite if there is no reason to poll. */
     private double pollAtMs = Double.POSITIVE_INFINITY;
 
     private double pollDelayMs = MIN_POLL_DELAY_MS;
 
     /**
-     * Holds version 0.
+     * Starts with version 0.
      *
-     * @param instanceCount instances of the tier, at least 1
-     * @param seed other than that of any other instance, so that they do not act together
+     * @param instanceCount the number of instances in the fleet, at least 1
+     * @param seed different for each instance, so that instances do not act at the same time
      */
     public ListVersionGossip(int instanceCount, long seed) {
         if (instanceCount < 1) {
@@ -78,23 +89,26 @@
         random = new SplittableRandom(seed);
     }
 
-    /** So many instances live: spans are for them, and nobody waits for those that are gone. */
+    /**
+     * Sets the number of live instances, which determines the range of the random delays; instances that are gone do
+     * not lengthen them.
+     */
     public void setLiveMembers(LiveMembers liveMembers) {
         instanceCount = liveMembers.count();
     }
 
-    /** The instance starts with a list of this version; that is news to nobody. */
+    /** The instance starts with a list of this version, which is not announced. */
     public void start(long version) {
         heldVersion = Math.max(heldVersion, version);
     }
 
-    /** A list of this version, by discovery, is in use. */
+    /** A list of this version was delivered by discovery and is in use. */
     public Action onVersionApplied(double nowMs, long version) {
         if (version <= heldVersion) {
             return Action.NONE;
         }
         if (claimedVersion > heldVersion) {
-            pollDelayMs = MIN_POLL_DELAY_MS; // the announcement was right
+            pollDelayMs = MIN_POLL_DELAY_MS; // the announcement was correct
         }
         heldVersion = version;
         if (claimedVersion <= heldVersion) {
@@ -115,7 +129,7 @@
         return random.nextDouble() * Math.min(MAX_DELAY_RANGE_MS, DELAY_RANGE_PER_INSTANCE_MS * instanceCount);
     }
 
-    /** A peer announces this version. */
+    /** A peer has announced this version. */
     public Action onPeerVersion(double nowMs, long version) {
         announcedVersions[announcementCount++ % MAX_ANNOUNCEMENTS] = version;
         if (version <= heldVersion || version <= claimedVersion) {
@@ -129,12 +143,12 @@
         return Action.WAIT;
     }
 
-    /** When to call {@link #onTimer}, in milliseconds; infinite for never. */
+    /** Returns when to call {@link #onTimer}, in milliseconds; infinite if it need not be called. */
     public double nextTimerMs() {
         return Math.min(announceAtMs, pollAtMs);
     }
 
-    /** {@link #nextTimerMs} may have come. What is returned is the first action; another may be due at once. */
+    /** Returns the first action that is due; another may be due immediately afterwards. */
     public Action onTimer(double nowMs) {
         if (nowMs >= announceAtMs) {
             announceAtMs = Double.POSITIVE_INFINITY;
@@ -144,7 +158,7 @@
         }
         if (nowMs >= pollAtMs) {
             pollAtMs = Double.POSITIVE_INFINITY;
-            claimedVersion = heldVersion; // the poll shows whether the announcement was right
+            claimedVersion = heldVersion; // the poll shows whether the announcement was correct
             pollDelayMs = Math.min(MAX_POLL_DELAY_MS, pollDelayMs * 2);
             return Action.POLL_DISCOVERY;
         }
--- a/src/main/java/cacheproxy/gossip/MembershipBudget.java
+++ b/src/main/java/cacheproxy/gossip/MembershipBudget.java
@@ -4,9 +4,9 @@
 import cacheproxy.membership.OutgoingMessage.Urgency;
 
 /**
- * The {@link SendBudget} as membership uses it: each of its messages is a datagram of its own.
+ * Applies the {@link SendBudget} to membership messages, each of which is a datagram of its own.
  *
- * @param budget that of this instance, shared with other senders
+ * @param budget the budget of this instance, shared with other senders
  */
 public record MembershipBudget(SendBudget budget) implements Membership.MessageBudget {
     @Override
--- a/src/main/java/cacheproxy/gossip/OutlierGossip.java
+++ b/src/main/java/cacheproxy/gossip/OutlierGossip.java
@@ -10,36 +10,42 @@
 import java.util.Set;
 
 /**
- * Decides which cache nodes count as outliers on the reports of peers, so that not each proxy of a fleet has to lose a
- * request to a node that does not respond.
+ * Decides from reports of peers which cache nodes are outliers, so that not every proxy of a fleet has to lose a
+ * request to an unresponsive node.
  *
- * <p>Reports may be wrong. An outlier takes reports of {@link #MIN_REPORTERS} peers from two zones, and of a zone no
- * more than one node in {@link #ZONE_FRACTION} is an outlier at once. The load balancer still sends some requests to an
- * outlier, so a wrong decision costs one node part of its traffic for {@link #REPORT_TTL_MS}. Times in milliseconds of
- * one clock.
+ * <p>Reports may be wrong. A node becomes an outlier only by reports of {@link #MIN_REPORTERS} peers from two zones,
+ * and at most one node in {@link #ZONE_FRACTION} of a zone is an outlier at the same time. The load balancer still
+ * sends some requests to an outlier, so a wrong decision costs one node part of its traffic for {@link #REPORT_TTL_MS}.
+ * Times in milliseconds of one clock.
  */
 public final class OutlierGossip {
-    /** A report, and the decision that rests on it, hold for so long. */
+    /** The validity of a report, and of a decision based on it. */
     public static final double REPORT_TTL_MS = 5000;
-    /** So many peers have to report a node, or all live ones if they are fewer. */
+    /** The number of peers that have to report a node; all live peers if there are fewer. */
     static final int MIN_REPORTERS = 3;
-    /** They have to stand in so many zones, or in all that have live peers. */
+    /** The number of zones the reporting peers have to be in; all zones with live peers if there are fewer. */
     private static final int MIN_REPORTER_ZONES = 2;
-    /** Of a zone's nodes, one in so many may be an outlier at once, one at least. */
+    /** One in this many nodes of a zone may be an outlier at the same time, but always at least one. */
     static final int ZONE_FRACTION = 4;
-    /** More than are needed, as some stand in one zone and some messages get lost. */
+    /**
+     * The number of reporters after which more reports add nothing. More than required, since several may be in one
+     * zone and some messages get lost.
+     */
     static final int SUFFICIENT_REPORTERS = 2 * MIN_REPORTERS;
-    /** Of one node; the oldest is dropped first. */
+    /** The maximum number of reports per node; the oldest is dropped first. */
     private static final int MAX_REPORTS = 8;
-    /** A report counts as recent for so long, so that the next arrives before it expires. */
+    /**
+     * The time for which a report counts as recent; shorter than its validity, so that the next arrives before it
+     * expires.
+     */
     private static final double RECENT_MS = REPORT_TTL_MS / 2;
 
     /**
      * A cache node of the endpoint list.
      *
      * @param id its endpoint id
-     * @param zone where it stands
-     * @param nodesInZone cache nodes of that zone on the list, itself among them
+     * @param zone its zone
+     * @param nodesInZone the number of cache nodes of that zone on the list, including this one
      */
     public record ReportedNode(int id, int zone, int nodesInZone) {}
 
@@ -47,7 +53,7 @@
 
     private record Outlier(int id, int zone, double untilMs) {}
 
-    /** By endpoint id; bounded, as only nodes of the list are reported. */
+    /** The reports by endpoint id; bounded, because only nodes on the list are reported. */
     private final Map<Integer, ArrayDeque<Report>> reportsByNode = new HashMap<>();
 
     private final List<Outlier> outliers = new ArrayList<>();
@@ -55,11 +61,11 @@
     /**
      * A peer reports that a node did not respond.
      *
-     * @param peer its number
-     * @param peerZone where it stands
-     * @param livePeers other instances that live, 1 or more
-     * @param zonesOfPeers zones in which they stand, 1 or more
-     * @return whether the node has become an outlier by this report
+     * @param peer the number of the peer
+     * @param peerZone the zone of the peer
+     * @param livePeers the number of other live instances, at least 1
+     * @param zonesOfPeers the number of zones they are in, at least 1
+     * @return whether this report made the node an outlier
      */
     public boolean onReport(double nowMs, int peer, int peerZone, ReportedNode node, int livePeers, int zonesOfPeers) {
         expire(nowMs);
@@ -91,9 +97,9 @@
     }
 
     /**
-     * Whether so many peers have reported a node recently that one more report adds nothing. All peers receive all
-     * reports: if each reported what it found, a fault of many nodes would cost the square of the fleet in messages for
-     * each of them.
+     * Whether enough peers have recently reported a node that one more report adds nothing. All peers receive all
+     * reports: if each instance reported its own observations, a fault of many nodes would cause, for each of them, a
+     * number of messages that grows with the square of the fleet size.
      */
     public boolean isWidelyReported(double nowMs, int nodeId) {
         List<Report> recent = reportsByNode.getOrDefault(nodeId, new ArrayDeque<>()).stream()
--- a/src/main/java/cacheproxy/gossip/PeerMessage.java
+++ b/src/main/java/cacheproxy/gossip/PeerMessage.java
@@ -3,14 +3,14 @@
 import java.nio.ByteBuffer;
 
 /**
- * The short messages between proxies: a byte for the type, then one number, big-endian
- * ({@code docs/design/members-wire.md}). {@link EndpointListDelta} is the long one.
+ * The short messages between proxies: one byte for the type, then one number, big-endian
+ * ({@code docs/design/members-wire.md}). {@link EndpointListDelta} is the long message.
  *
  * <pre>
- * 'L'   8   version of the endpoint list    the sender holds it, by discovery
- * 'Q'   8   version of the endpoint list    the sender queries for changes after it
- * 'F'   4   endpoint id                     the sender found no capacity for a connection there
- * 'B'   4   endpoint id                     the sender got no response from there
+ * 'L'   8   version of the endpoint list    the sender holds this version, delivered by discovery
+ * 'Q'   8   version of the endpoint list    the sender requests the changes after this version
+ * 'F'   4   endpoint id                     the sender found no capacity for a connection at this endpoint
+ * 'B'   4   endpoint id                     the sender got no response from this endpoint
  * </pre>
  */
 public final class PeerMessage {
@@ -23,12 +23,12 @@
 
     private PeerMessage() {}
 
-    /** The sender holds this version of the endpoint list, by discovery. */
+    /** Encodes that the sender holds this version of the endpoint list, delivered by discovery. */
     public static byte[] listVersionAnnouncement(long version) {
         return ofVersion(LIST_VERSION, version);
     }
 
-    /** The sender queries for what has changed after this version of the endpoint list. */
+    /** Encodes a query for the changes after this version of the endpoint list. */
     public static byte[] listQuery(long version) {
         return ofVersion(LIST_QUERY, version);
     }
@@ -40,12 +40,12 @@
                 .array();
     }
 
-    /** The version that an announcement names; negative if the message is of another type, or can't be read. */
+    /** Returns the version of an announcement; negative if the message is of another type or malformed. */
     public static long readListVersion(byte[] message) {
         return readVersion(LIST_VERSION, message);
     }
 
-    /** The version that a query names; negative if the message is of another type, or can't be read. */
+    /** Returns the version of a query; negative if the message is of another type or malformed. */
     public static long readListQuery(byte[] message) {
         return readVersion(LIST_QUERY, message);
     }
@@ -56,12 +56,12 @@
                 : -1;
     }
 
-    /** The sender found no capacity for a connection at this endpoint. */
+    /** Encodes that the sender found no capacity for a connection at this endpoint. */
     public static byte[] endpointFull(int endpointId) {
         return ofEndpoint(ENDPOINT_FULL, endpointId);
     }
 
-    /** The sender got no response from this endpoint. */
+    /** Encodes that the sender got no response from this endpoint. */
     public static byte[] endpointUnresponsive(int endpointId) {
         return ofEndpoint(ENDPOINT_UNRESPONSIVE, endpointId);
     }
@@ -73,12 +73,12 @@
                 .array();
     }
 
-    /** The endpoint that is full; null if the message is of another type, or can't be read. */
+    /** Returns the endpoint that is full; null if the message is of another type or malformed. */
     public static Integer readEndpointFull(byte[] message) {
         return readEndpoint(ENDPOINT_FULL, message);
     }
 
-    /** The endpoint that did not respond; null if the message is of another type, or can't be read. */
+    /** Returns the endpoint that did not respond; null if the message is of another type or malformed. */
     public static Integer readEndpointUnresponsive(byte[] message) {
         return readEndpoint(ENDPOINT_UNRESPONSIVE, message);
     }
--- a/src/main/java/cacheproxy/gossip/ProvisionalEndpoints.java
+++ b/src/main/java/cacheproxy/gossip/ProvisionalEndpoints.java
@@ -11,55 +11,66 @@
 import java.util.Set;
 
 /**
- * The endpoint list as this instance should use it: discovery's, restricted by newer changes that peers have passed on.
- * Discovery takes few polls a second, and a fleet that has to poll it anew needs many seconds until the last instance
- * is answered; one answer, passed on, serves all.
+ * The endpoint list that this instance should use: discovery's list, restricted by newer changes that peers have passed
+ * on. Discovery answers only a few polls per second, so when a fleet has to poll again, it takes many seconds until the
+ * last instance is answered; with gossip, one answer serves all instances.
  *
- * <p>An endpoint gets requests only as discovery's own list allows; all else restricts. A peer can have a ready
- * endpoint drained, or slow-started as one that has started later. It can add none, as peers may reach it at another
- * address, nor undo what discovery or a peer has restricted, nor, with others, drain more than half of the endpoints.
- * An older list of discovery's, out of turn, does not lift what a newer one has restricted.
+ * <p>An endpoint receives requests only as far as discovery's own list allows; all other information can only restrict
+ * it. A peer can cause a ready endpoint to be drained, or to be slow-started because it has restarted. It cannot add an
+ * endpoint, as peers may reach it at another address, nor lift a restriction by discovery or another peer, nor,
+ * together with others, drain more than half of the endpoints. An older list from discovery that arrives out of order
+ * does not lift the restrictions of a newer one.
  *
- * <p>A {@link Restriction} ends with a list of discovery's of its version or a later one. As versions of two numberings
- * can't be compared, and a peer may be wrong, it also ends once it is old and discovery answers; never while discovery
- * is silent, as the change counts as known then. Times in milliseconds of one clock; not thread-safe.
+ * <p>A {@link Restriction} ends with a list from discovery of its version or a later one. Because versions of two
+ * numberings cannot be compared, and a peer may be wrong, it also ends with an answer from discovery after a time
+ * limit. It never ends while discovery does not answer, because the change counts as known during that time. Times in
+ * milliseconds of one clock; not thread-safe.
  */
 public final class ProvisionalEndpoints {
-    /** What peers pass on ends with discovery's first answer after this time: some turns of its queue, however full. */
+    /**
+     * The time after which discovery's next answer ends a restriction by peers; several rounds of discovery's queue,
+     * even if it is full.
+     */
     static final int PEER_UPDATE_TTL_MS = 15_000;
-    /** What an older list lifts is lifted once that list has stood for so long: longer than a list may be late. */
+    /**
+     * The time for which an older list has to be in effect before it lifts restrictions; longer than a list may be
+     * delayed.
+     */
     static final int OLDER_LIST_DELAY_MS = 10_000;
-    /** A start time further ahead than this is a mistake, and not a clock that differs. */
+    /** The maximum time by which clocks may differ; a start time further in the future is an error. */
     static final double MAX_START_AHEAD_MS = 10_000;
-    /** Peers are sent the changes of so many versions of discovery's: some have missed the message before. */
+    /**
+     * The number of discovery's last versions whose changes are sent to peers, some of which have missed the previous
+     * message.
+     */
     private static final int RECENT_VERSIONS = 4;
 
     private final int originKind;
-    /** Discovery's list, by endpoint id. */
+    /** Discovery's list by endpoint id. */
     private final Map<Integer, Endpoint> discovered = new LinkedHashMap<>();
 
     private final Map<Integer, Restriction> restrictions = new LinkedHashMap<>();
     private final ChangeLog changeLog = new ChangeLog();
     private final RelayedDeltas relayed = new RelayedDeltas();
-    /** The versions that were held before the present one; a ring. */
+    /** The versions held before the current one; a ring buffer. */
     private final long[] previousVersions = new long[RECENT_VERSIONS];
 
     private int versionCount;
-    /** Of discovery's list. */
+    /** The version of discovery's list. */
     private long version;
 
     private long knownVersion;
 
     /**
-     * Without an endpoint yet.
+     * Starts without endpoints.
      *
-     * @param originKind the kind of endpoint that peers can't restrict; negative for none
+     * @param originKind the kind of endpoint that peers cannot restrict; negative for none
      */
     public ProvisionalEndpoints(int originKind) {
         this.originKind = originKind;
     }
 
-    /** Takes a list from before the start in place of all that is held. */
+    /** Replaces all state by a list from before the start of this process. */
     public void reset(long listVersion, List<Endpoint> endpoints) {
         discovered.clear();
         restrictions.clear();
@@ -75,7 +86,7 @@
         versionCount = 0;
     }
 
-    /** The version up to which all changes are known here, by discovery or by peers. */
+    /** Returns the version up to which all changes are known here, from discovery or from peers. */
     public long knownVersion() {
         return knownVersion;
     }
@@ -86,11 +97,12 @@
      * Discovery has sent its list, or changes of it.
      *
      * @param snapshot whether the list is complete
-     * @return what to use in its place: as complete, restricted, and with the endpoints whose restrictions have ended
+     * @return the endpoints to use instead: the list as complete as it was, restricted, together with the endpoints
+     *     whose restrictions have ended
      */
     public List<Endpoint> onDiscoveryUpdate(
             double nowMs, long listVersion, boolean snapshot, List<Endpoint> endpoints) {
-        if (listVersion < version) { // out of turn, or discovery numbers anew
+        if (listVersion < version) { // out of order, or discovery has restarted its numbering
             restrictByNewerList(nowMs, endpoints);
             restartVersions(listVersion);
         }
@@ -104,7 +116,7 @@
         return restricted(nowMs, endpoints);
     }
 
-    /** Keeps drained what the list that is held has drained or removed, and an older list has ready. */
+    /** Keeps endpoints drained that the held list has drained or removed and an older list has as ready. */
     private void restrictByNewerList(double nowMs, List<Endpoint> olderList) {
         for (Endpoint older : olderList) {
             if (older.state() != EndpointState.READY) {
@@ -115,7 +127,7 @@
             boolean drained = newer != null ? newer.state() != EndpointState.READY : lastChange != null;
             double startTimeMs =
                     newer != null ? newer.startTimeMs() : lastChange != null ? lastChange.startTimeMs() : 0;
-            if (drained && older.startTimeMs() <= startTimeMs) { // else it has started since then
+            if (drained && older.startTimeMs() <= startTimeMs) { // otherwise it has restarted since then
                 double untilMs = nowMs + OLDER_LIST_DELAY_MS;
                 restrictions.put(older.id(), new Restriction(Source.NEWER_LIST, true, startTimeMs, version, untilMs));
             }
@@ -173,7 +185,7 @@
     // ---- from peers
 
     /**
-     * A peer passes on what it had of discovery, or of another peer.
+     * A peer passes on changes that it received from discovery or from another peer.
      *
      * @return the endpoints that are to be used differently from now on
      */
@@ -201,7 +213,10 @@
         return changed;
     }
 
-    /** The restriction that a peer's change brings; null if it brings none, or none beyond the one before. */
+    /**
+     * Returns the restriction that follows from a peer's change; null if there is none, or none beyond the previous
+     * one.
+     */
     private Restriction restriction(
             double nowMs, double untilMs, Endpoint endpoint, Restriction before, EndpointChange change) {
         if (endpoint.kind() == originKind
@@ -217,7 +232,7 @@
         if (drains && !drainedBefore && !mayDrainOneMore()) {
             return null;
         }
-        if (!(drains || change.startTimeMs() > startTimeMs)) { // also for one that is not a number
+        if (!(drains || change.startTimeMs() > startTimeMs)) { // also true if the start time is NaN
             return null;
         }
         return new Restriction(
@@ -228,7 +243,7 @@
                 untilMs);
     }
 
-    /** At most half of the endpoints that discovery has ready. */
+    /** Whether one more endpoint may be drained: at most half of the endpoints that discovery has as ready. */
     private boolean mayDrainOneMore() {
         long ready = discovered.values().stream()
                 .filter(e -> e.state() == EndpointState.READY && e.kind() != originKind)
@@ -240,7 +255,9 @@
 
     // ---- to peers
 
-    /** What peers are sent of discovery's last versions, as one message: as many of the newest changes as it holds. */
+    /**
+     * Returns the changes of discovery's last versions as one message for peers; if they do not all fit, the newest.
+     */
     public EndpointListDelta recentChanges() {
         long sinceVersion = oldestRecentVersion();
         List<EndpointChange> changes = changeLog.after(sinceVersion);
@@ -259,13 +276,16 @@
         return previousVersions[versionCount < RECENT_VERSIONS ? 0 : versionCount % RECENT_VERSIONS];
     }
 
-    /** What a peer that holds this version has missed, as messages, by discovery and then by peers. */
+    /**
+     * Returns the changes that a peer with this version has missed, as messages: first those from discovery, then those
+     * from peers.
+     */
     public List<EndpointListDelta> changesSince(double nowMs, long heldVersion) {
         List<EndpointListDelta> deltas = new ArrayList<>();
         List<EndpointChange> changes = changeLog.after(heldVersion);
         for (int from = 0; from < changes.size(); from += EndpointListDelta.MAX_CHANGES) {
             int to = Math.min(changes.size(), from + EndpointListDelta.MAX_CHANGES);
-            // Only the last message says that nothing is missing before it.
+            // Only the last message claims that no earlier change is missing.
             long afterVersion = to == changes.size() ? completeAfter(heldVersion) : version;
             deltas.add(new EndpointListDelta(afterVersion, version, PEER_UPDATE_TTL_MS, changes.subList(from, to)));
         }
--- a/src/main/java/cacheproxy/gossip/RelayedDeltas.java
+++ b/src/main/java/cacheproxy/gossip/RelayedDeltas.java
@@ -6,7 +6,8 @@
 import java.util.List;
 
 /**
- * What peers have sent, held for other peers that have missed it; the oldest is dropped first. Times in milliseconds.
+ * The deltas received from peers, stored for other peers that missed them; the oldest is dropped first. Times in
+ * milliseconds.
  */
 final class RelayedDeltas {
     private static final int CAPACITY = 8;
@@ -25,7 +26,10 @@
         deltas.clear();
     }
 
-    /** Holds a delta until then, unless one of its version does as well: they differ little. */
+    /**
+     * Stores a delta until this time, unless a stored one of the same version covers it: deltas of one version differ
+     * little.
+     */
     void add(EndpointListDelta delta, double untilMs) {
         if (deltas.stream().anyMatch(r -> r.covers(delta, untilMs))) {
             return;
@@ -36,12 +40,12 @@
         }
     }
 
-    /** Discovery's list is of this version: deltas up to it are of no use. */
+    /** Removes the deltas up to this version of discovery's list, which are no longer of use. */
     void removeUpTo(long version) {
         deltas.removeIf(r -> r.delta().version() <= version);
     }
 
-    /** Those beyond a version that have not expired, each with what is left of its time. */
+    /** Returns the unexpired deltas beyond a version, each with its remaining time. */
     List<EndpointListDelta> after(long version, double nowMs) {
         List<EndpointListDelta> remaining = new ArrayList<>();
         for (Relayed r : deltas) {
--- a/src/main/java/cacheproxy/gossip/Restriction.java
+++ b/src/main/java/cacheproxy/gossip/Restriction.java
@@ -4,24 +4,24 @@
 import cacheproxy.routing.EndpointState;
 
 /**
- * How an endpoint is to be used with more care than discovery's last list says.
+ * A restriction on the use of an endpoint beyond discovery's last list.
  *
- * @param source why
- * @param draining whether it gets no new requests; otherwise only its start time differs
- * @param startTimeMs when it last started, Unix time in milliseconds by the list's clock
- * @param version a list of discovery's of this version or a later one ends the restriction
- * @param untilMs from then on any list of discovery's ends it, in milliseconds
+ * @param source why the endpoint is restricted
+ * @param draining whether the endpoint receives no new requests; otherwise only its start time differs
+ * @param startTimeMs when the endpoint last started, Unix time in milliseconds by the list's clock
+ * @param version a list from discovery of this version or a later one ends the restriction
+ * @param untilMs from this time on, any list from discovery ends the restriction, in milliseconds
  */
 record Restriction(Source source, boolean draining, double startTimeMs, long version, double untilMs) {
     /** Why an endpoint is restricted. */
     enum Source {
-        /** A peer, to which discovery has sent a newer version. */
+        /** A peer that has received a newer version from discovery. */
         PEER,
-        /** Discovery, by a list that was newer than its last one. */
+        /** An earlier list from discovery that was newer than its last one. */
         NEWER_LIST
     }
 
-    /** The endpoint as it is to be used, given discovery's. */
+    /** Applies the restriction to an endpoint of discovery's list. */
     Endpoint appliedTo(Endpoint endpoint) {
         return new Endpoint(
                 endpoint.id(),
@@ -33,7 +33,7 @@
                 Math.max(startTimeMs, endpoint.startTimeMs()));
     }
 
-    /** Whether a list of discovery's, of this version and with the endpoint like this, ends the restriction. */
+    /** Whether a list from discovery, of this version and with this endpoint, ends the restriction. */
     boolean isEndedBy(double nowMs, long listVersion, Endpoint endpoint) {
         boolean startedSince = source == Source.NEWER_LIST && endpoint.startTimeMs() > startTimeMs;
         return version <= listVersion || untilMs <= nowMs || endpoint.state() != EndpointState.READY || startedSince;
--- a/src/main/java/cacheproxy/gossip/SendBudget.java
+++ b/src/main/java/cacheproxy/gossip/SendBudget.java
@@ -1,22 +1,22 @@
 package cacheproxy.gossip;
 
 /**
- * Limits what an instance sends to its peers, whatever the size of the fleet: a token bucket in bytes, shared by all
- * senders of the program. The lower the priority of a datagram, the more it has to leave in the bucket for others. What
- * finds no room is not sent: messages between peers may be lost anyway, and are repeated. Times in milliseconds of one
- * clock; not thread-safe.
+ * Limits what an instance sends to its peers, regardless of the fleet size: a token bucket in bytes, shared by all
+ * senders of the process. The lower the priority of a datagram, the more bytes it has to leave in the bucket for
+ * others. Datagrams that exceed the budget are not sent: messages between peers may be lost anyway, and are repeated.
+ * Times in milliseconds of one clock; not thread-safe.
  */
 public final class SendBudget {
     /** The priority of a datagram. */
     public enum Priority {
-        /** Somebody waits for it, or it refutes something wrong. */
+        /** A peer waits for the datagram, or it refutes wrong information. */
         HIGH(0),
-        /** Something has changed. */
+        /** The datagram reports a change. */
         NORMAL(0.25),
-        /** The rest. */
+        /** All other datagrams. */
         LOW(0.5);
 
-        /** The part of the bucket that it leaves to higher priorities. */
+        /** The fraction of the bucket that is reserved for higher priorities. */
         private final double reservedFraction;
 
         Priority(double reservedFraction) {
@@ -30,16 +30,16 @@
     private final double bytesPerMs;
     private final double capacityBytes;
     private double availableBytes;
-    /** NaN before the first use. */
+    /** When the bucket was last refilled; NaN before the first use. */
     private double lastRefillMs = Double.NaN;
 
     private long droppedDatagrams;
 
     /**
-     * A full bucket.
+     * Creates a full bucket.
      *
-     * @param bytesPerSecond at which it fills, 100 to 1,000,000
-     * @param burstBytes what it holds; a datagram at least
+     * @param bytesPerSecond the refill rate, 100 to 1,000,000
+     * @param burstBytes the capacity, at least one datagram
      */
     public SendBudget(double bytesPerSecond, double burstBytes) {
         if (!(bytesPerSecond >= MIN_BYTES_PER_SECOND
@@ -53,7 +53,7 @@
         availableBytes = burstBytes;
     }
 
-    /** Whether a datagram of so many bytes may be sent now; they are taken from the bucket then. */
+    /** Whether a datagram of this size may be sent now; if so, its bytes are taken from the bucket. */
     public boolean tryAcquire(double nowMs, int bytes, Priority priority) {
         refill(nowMs);
         if (availableBytes - bytes < capacityBytes * priority.reservedFraction) {
@@ -64,7 +64,10 @@
         return true;
     }
 
-    /** The bytes that {@link Priority#LOW} may take now; negative if higher priorities have used some of their part. */
+    /**
+     * Returns the number of bytes available to {@link Priority#LOW} now; negative if higher priorities have used some
+     * of their reserved bytes.
+     */
     public int availableForLowPriority(double nowMs) {
         refill(nowMs);
         return (int) (availableBytes - capacityBytes * Priority.LOW.reservedFraction);
@@ -78,7 +81,7 @@
         lastRefillMs = Double.isNaN(lastRefillMs) ? nowMs : Math.max(lastRefillMs, nowMs);
     }
 
-    /** Datagrams that found no room since the start. */
+    /** Returns the number of datagrams that exceeded the budget since the start. */
     public long droppedDatagrams() {
         return droppedDatagrams;
     }
