--- a/src/main/java/cacheproxy/membership/ConfiguredMembers.java
+++ b/src/main/java/cacheproxy/membership/ConfiguredMembers.java
@@ -1,8 +1,8 @@
 package cacheproxy.membership;
 
 /**
- * How many instances the settings name, at least 1. What a safety rule rests on counts all of them for as long as one
- * that isn't seen may be alive beyond a partition: slow-start budgets, capacities of nodes, quotas.
+ * The number of configured instances, at least 1. Safety rules count all of them, because an instance that is not seen
+ * may be alive on the other side of a partition: slow-start budgets, capacities of nodes, quotas.
  */
 public record ConfiguredMembers(int count) {
     /** Checks the range. */
--- a/src/main/java/cacheproxy/membership/DeathClaims.java
+++ b/src/main/java/cacheproxy/membership/DeathClaims.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /**
- * Deaths that others claim of members of which no suspicion was known here. Such a claim comes from beyond a partition,
- * or late; it is believed after a delay in which the member may refute it. Otherwise, when a partition heals, each side
- * would declare its own neighbours dead for a moment.
+ * Claims by other instances that a member is dead although no suspicion of it was known here. Such a claim is late or
+ * comes from the other side of a partition; it is accepted after a delay in which the member may refute it. Otherwise,
+ * when a partition heals, each side would briefly declare its own neighbors dead.
  */
 final class DeathClaims {
-    /** The time that a member has to refute a claim. */
+    /** The time a member has to refute a claim. */
     private static final double REFUTATION_TIMEOUT_MS = 800;
 
     private record Claim(Member reported, double dueMs) {}
 
     private final Map<Integer, Claim> claims = new LinkedHashMap<>();
 
-    /** Whether what is reported is a claim that has to wait, with what is known of the member; null for nothing. */
+    /** Whether a report is a claim that has to wait. {@code known}: what is known of the member; null if nothing is. */
     static boolean isClaim(Member known, Member reported) {
         return reported.state() == MemberState.DEAD
                 && known != null
@@ -26,12 +26,12 @@
                 && known.compareIncarnation(reported) == 0;
     }
 
-    /** Adds a claim; whether it is the first of this member. */
+    /** Adds a claim; returns whether it is the first about this member. */
     boolean add(double nowMs, Member reported) {
         return claims.putIfAbsent(reported.id(), new Claim(reported, nowMs + REFUTATION_TIMEOUT_MS)) == null;
     }
 
-    /** The claims whose time is over; they are removed. */
+    /** Removes and returns the claims whose time is over. */
     List<Member> takeDue(double nowMs) {
         List<Member> due = new ArrayList<>();
         claims.values().removeIf(claim -> {
@@ -44,12 +44,12 @@
         return due;
     }
 
-    /** When the time of the next claim is over; infinite for none. */
+    /** Returns when the time of the next claim is over; infinite if there is no claim. */
     double dueMs() {
         return claims.values().stream().mapToDouble(Claim::dueMs).min().orElse(Double.POSITIVE_INFINITY);
     }
 
-    /** This process has stalled for so long: all times move. */
+    /** This process has stalled for this time; moves all deadlines. */
     void postpone(double byMs) {
         claims.replaceAll((id, claim) -> new Claim(claim.reported(), claim.dueMs() + byMs));
     }
--- a/src/main/java/cacheproxy/membership/DigestExchange.java
+++ b/src/main/java/cacheproxy/membership/DigestExchange.java
@@ -8,16 +8,16 @@
 
 /**
  * Anti-entropy: two instances whose digests differ exchange digests of the slices of their tables, and then the members
- * of the slices that differ. Finds what gossip has missed.
+ * of the slices that differ. This finds changes that gossip has missed.
  */
 final class DigestExchange {
-    /** Digests are exchanged no more often than this. */
+    /** The minimum time between two exchanges. */
     private static final double MIN_INTERVAL_MS = 150;
-    /** While gossip is under way digests differ for that alone; then no more often than this. */
+    /** The minimum time between two exchanges while gossip is pending, which makes digests differ by itself. */
     private static final double MIN_INTERVAL_WHILE_GOSSIPING_MS = 600;
-    /** How many messages with members answer one with digests. */
+    /** The maximum number of messages with members that are sent in reply to a message with digests. */
     private static final int MAX_MEMBER_MESSAGES = 3;
-    /** The number in a message of digests that asks for the other's, and in one that answers it. */
+    /** The number in a digests message that requests the receiver's digests, and in one that responds to it. */
     private static final int REQUEST = 0;
 
     private static final int RESPONSE = 1;
@@ -34,7 +34,7 @@
         this.random = random;
     }
 
-    /** A member that lives has told its digest. */
+    /** A live member has sent its digest. */
     void digestReceived(double nowMs, int sender, int digest) {
         if (digest != fleet.table().digest() && nowMs >= nextRequestMs) {
             nextRequestMs = nowMs + (fleet.gossip().isEmpty() ? MIN_INTERVAL_MS : MIN_INTERVAL_WHILE_GOSSIPING_MS);
@@ -55,7 +55,7 @@
         }
         if (message.number() == REQUEST) {
             if (nowMs < respondedMs + MIN_INTERVAL_MS) {
-                return; // many find at once that this instance lags behind; one of them is enough
+                return; // many members notice at the same time that this instance lags behind; one exchange is enough
             }
             respondedMs = nowMs;
             sendDigests(nowMs, sender, RESPONSE);
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Random members of those that are remaining, until one doesn't fit. */
+    /** Removes and returns randomly selected members until one does not fit into the message. */
     private List<Member> takeForOneMessage(List<Member> remaining) {
         List<Member> taken = new ArrayList<>();
         int freeBytes = Membership.MAX_MESSAGE_BYTES
--- a/src/main/java/cacheproxy/membership/FailureDetector.java
+++ b/src/main/java/cacheproxy/membership/FailureDetector.java
@@ -9,20 +9,23 @@
 import java.util.Map;
 
 /**
- * SWIM's failure detector: probes members by pings and by helpers, suspects one that doesn't answer, and declares it
- * dead when its suspicion ends. An instance declares another dead only if its own probe of it has failed. Times in
- * milliseconds.
+ * SWIM's failure detector: probes members by direct pings and through helpers, suspects a member that does not answer,
+ * and declares it dead when the suspicion times out. An instance declares another dead only if its own probe of it has
+ * failed. Times in milliseconds.
  */
 final class FailureDetector {
-    /** Probes under way; one more isn't begun. */
+    /** The maximum number of concurrent probes; no further probe is started. */
     private static final int MAX_PROBES = 64;
-    /** How many neighbours on the ring are probed at once after one that failed. */
+    /** The number of neighbors on the ring that are probed immediately after a failed probe. */
     private static final int NEIGHBOR_PROBES = 2;
-    /** A failed probe of this instance's own that is older is no evidence. */
+    /** The time for which a failed probe by this instance counts as evidence. */
     private static final double EVIDENCE_MS = 1500;
-    /** An instance that neither suspects nor confirms waits so much longer for those that do. */
+    /** The additional time for which an instance that neither suspects nor confirms waits for those that do. */
     private static final double NON_CONFIRMER_WAIT_MS = 3000;
-    /** Whether to confirm a suspicion is looked at again so often, as others become suspected. */
+    /**
+     * The interval at which an instance checks again whether it has to confirm a suspicion, since others may have
+     * become suspected.
+     */
     private static final double CONFIRM_INTERVAL_MS = 600;
 
     private final MembershipSettings settings;
@@ -44,7 +47,9 @@
 
     private int lastNumber;
 
-    /** {@code firstNumber}: random, so that probes of an earlier process aren't taken for this one's. */
+    /**
+     * {@code firstNumber}: random, so that answers to probes of an earlier process are not attributed to this one's.
+     */
     FailureDetector(
             MembershipSettings settings,
             FleetState fleet,
@@ -66,7 +71,7 @@
         return suspicions.contains(id);
     }
 
-    /** Takes in what is reported of another member, with what follows for its probes and suspicions. */
+    /** Merges what is reported of another member, and updates its probes and suspicions. */
     void apply(double nowMs, Member reported) {
         Member updated = fleet.merge(nowMs, reported);
         if (updated == null) {
@@ -78,13 +83,13 @@
         suspicions.memberChanged(nowMs, updated);
     }
 
-    /** Ends all probes and suspicions: this instance leaves. */
+    /** Ends all probes and suspicions because this instance leaves. */
     void stop() {
         probes.clear();
         suspicions.clear();
     }
 
-    /** This process has stalled for so long: what wasn't answered meanwhile is no evidence. */
+    /** This process has stalled for this time; probes that were not answered meanwhile are no evidence. */
     void stalled(double byMs) {
         probes.clear();
         suspicions.postpone(byMs);
@@ -92,7 +97,7 @@
 
     // ---- probes
 
-    /** Probes a member, unless it is probed for this purpose already. */
+    /** Probes a member, unless it is being probed for this purpose. */
     void probe(double nowMs, int target, Purpose purpose) {
         if (!isProbing(target, purpose)) {
             startProbe(nowMs, new Probe(nextNumber(), target, purpose, MembershipMessage.NO_MEMBER, 0, nowMs));
@@ -103,7 +108,9 @@
         return probes.values().stream().anyMatch(p -> p.target == target && p.purpose == purpose);
     }
 
-    /** Probes the next member on the ring that is neither probed already nor failed to answer. */
+    /**
+     * Probes the next member on the ring that is not being probed and whose last probe by this instance did not fail.
+     */
     void probeNextOnRing(double nowMs) {
         int target = selector.nextOnRing(id -> {
             Suspicion suspicion = suspicions.get(id);
@@ -127,7 +134,7 @@
         }
     }
 
-    /** Whether the ping may be sent; a member that wasn't pinged has not failed to answer. */
+    /** Sends a ping; returns whether the budget permitted it. A member that was not pinged has not failed to answer. */
     private boolean ping(double nowMs, Probe probe) {
         probe.nextMs = nowMs + settings.pingTimeoutMs() * health.intervalFactor();
         boolean sent = transmitter.send(
@@ -141,7 +148,7 @@
         return sent;
     }
 
-    /** Pings again where an answer is overdue, or ends the probe. */
+    /** Pings again if an answer is overdue, or ends the probe. */
     void tickProbes(double nowMs) {
         for (Probe probe : List.copyOf(probes.values())) {
             if (probe.nextMs <= nowMs && probes.get(probe.number) == probe) {
@@ -157,7 +164,7 @@
             probeFailed(nowMs, probe);
             return;
         }
-        // Those that confirm a suspicion are helpers themselves; at a partition there is no way round it.
+        // Confirming members act as helpers themselves, and helpers cannot bypass a partition.
         boolean useHelpers = probe.purpose == Purpose.ROUND || probe.purpose == Purpose.BEFORE_DEATH;
         if (probe.pings == 1 && !suspicions.isPartitionLikely() && useHelpers) {
             sendPingRequests(nowMs, probe);
@@ -172,7 +179,7 @@
                         nowMs, Kind.PING_REQUEST, helper, probe.number, probe.target, Urgency.MEMBERSHIP_CHANGE));
     }
 
-    /** A peer asks this instance to probe a member for it. */
+    /** A peer requests that this instance probes a member for it. */
     void pingRequested(double nowMs, MembershipMessage message, int requester) {
         int target = message.target();
         if (target != fleet.self() && fleet.get(target) != null) {
@@ -180,7 +187,7 @@
         }
     }
 
-    /** A member has answered a ping, or a helper says that one has. */
+    /** A member has answered a ping, or a helper reports that one has. */
     void ackReceived(double nowMs, MembershipMessage message, int sender) {
         Probe probe = probes.get(message.number());
         boolean direct = message.target() == MembershipMessage.NO_MEMBER;
@@ -197,7 +204,7 @@
         }
         Suspicion suspicion = suspicions.get(probe.target);
         if (suspicion != null) {
-            // It knows of the suspicion by now, and refutes it itself.
+            // The member knows of the suspicion by now and refutes it itself.
             suspicion.ownProbeFailedMs = Double.NEGATIVE_INFINITY;
         }
     }
@@ -219,7 +226,7 @@
         }
         suspect(nowMs, target);
         if (probe.purpose == Purpose.ROUND) {
-            // Where one is gone there may be more: its neighbours on the ring are probed at once.
+            // If one instance is gone, others may be too: its neighbors on the ring are probed immediately.
             for (int i = 0; i < NEIGHBOR_PROBES; i++) {
                 probeNextOnRing(nowMs);
             }
@@ -236,7 +243,7 @@
         }
     }
 
-    /** Asks those that have to confirm a new suspicion, or tells those that have confirmed an older one. */
+    /** Informs the members that have to confirm a new suspicion, or those that have confirmed an older one. */
     private void notifyConfirmers(double nowMs, Member target, boolean newSuspicion) {
         Collection<Integer> confirmers = newSuspicion
                 ? suspicions.confirmersOf(nowMs, target)
@@ -248,7 +255,7 @@
 
     // ---- suspicions
 
-    /** Confirms suspicions and ends them, where it is time. */
+    /** Confirms and ends the suspicions that are due. */
     void tickSuspicions(double nowMs) {
         for (int id : suspicions.ids()) {
             Suspicion suspicion = suspicions.get(id);
@@ -289,7 +296,7 @@
         return Math.max(lastProbeMs, slowedEndMs + (involved ? 0 : NON_CONFIRMER_WAIT_MS));
     }
 
-    /** Declares a member dead if there is evidence of this instance's own, or else probes it a last time. */
+    /** Declares a member dead if this instance has evidence of its own; otherwise probes it one last time. */
     private void endSuspicion(double nowMs, int id, Suspicion suspicion) {
         if (hasEvidence(nowMs, suspicion)) {
             apply(nowMs, fleet.get(id).withState(MemberState.DEAD));
@@ -297,12 +304,12 @@
             suspicion.ownProbeFailedMs = Double.NEGATIVE_INFINITY;
             probe(nowMs, id, Purpose.BEFORE_DEATH);
             if (!isProbing(id, Purpose.BEFORE_DEATH)) {
-                suspicion.startedMs = nowMs; // there was no room for the probe; later
+                suspicion.startedMs = nowMs; // the budget or the probe limit did not permit the probe; try again later
             }
         }
     }
 
-    /** When the next probe or suspicion is due; infinite for none. */
+    /** Returns when the next probe or suspicion is due; infinite if there is none. */
     double dueMs() {
         double dueMs = Double.POSITIVE_INFINITY;
         for (Probe probe : probes.values()) {
--- a/src/main/java/cacheproxy/membership/FleetState.java
+++ b/src/main/java/cacheproxy/membership/FleetState.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * What one instance knows of the fleet: the members with their states, when a message of each was received last, which
- * are absent since when, and which changes are still to be gossiped.
+ * What one instance knows of the fleet: the members with their states, when a message from each was last received,
+ * since when members have been absent, and which changes still have to be gossiped.
  */
 final class FleetState {
     private final MembershipSettings settings;
@@ -20,10 +20,10 @@
     private final GossipQueue gossip = new GossipQueue();
     private final Map<Integer, Double> lastReceivedMs = new HashMap<>();
     private final Map<Integer, Double> absentSinceMs = new HashMap<>();
-    /** Live members but this one, by their place on the ring; null when they have changed. */
+    /** The other live members in ring order; null if they have changed since. */
     private List<Integer> liveOthers;
 
-    /** Begins with this instance alone. */
+    /** Starts with this instance alone. */
     FleetState(MembershipSettings settings, Member self) {
         this.settings = settings;
         this.self = self.id();
@@ -32,32 +32,32 @@
         gossip.changed(self.id());
     }
 
-    /** This instance's number. */
+    /** Returns the number of this instance. */
     int self() {
         return self;
     }
 
-    /** This instance's own entry. */
+    /** Returns the entry of this instance. */
     LocalMember localMember() {
         return replica.localMember();
     }
 
-    /** Whether this instance has left for good. */
+    /** Whether this instance has left permanently. */
     boolean hasLeft() {
         return localMember().member().state() == MemberState.LEFT;
     }
 
-    /** The members by number, with digests. */
+    /** Returns the table of members, with digests. */
     MemberTable table() {
         return table;
     }
 
-    /** What is known of a member; null for nothing. */
+    /** Returns what is known of a member; null if nothing is. */
     Member get(int id) {
         return table.get(id);
     }
 
-    /** The changes that are still to be gossiped. */
+    /** Returns the changes that still have to be gossiped. */
     GossipQueue gossip() {
         return gossip;
     }
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Takes in what another says of this instance.
+     * Processes what another instance reports of this one.
      *
-     * @return whether it was wrong, and is refuted by a higher incarnation
+     * @return whether the report was wrong and is refuted by a higher incarnation
      */
     boolean refuteIfWrong(double nowMs, Member reported) {
         boolean refuted = replica.merge(nowMs, reported) == MembershipReplica.MergeResult.REFUTED;
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Takes in what is reported of another member.
+     * Merges what is reported of another member.
      *
-     * @return the member as it is known now; null if that has changed nothing
+     * @return the updated member; null if nothing has changed
      */
     Member merge(double nowMs, Member reported) {
         Member before = table.get(reported.id());
@@ -108,17 +108,17 @@
         return updated;
     }
 
-    /** A message of a member has been received. */
+    /** A message from a member has been received. */
     void received(int id, double nowMs) {
         lastReceivedMs.put(id, nowMs);
     }
 
-    /** When a message of a member was received last; negative infinity for never. */
+    /** Returns when a message from a member was last received; negative infinity for never. */
     double lastReceivedMs(int id) {
         return lastReceivedMs.getOrDefault(id, Double.NEGATIVE_INFINITY);
     }
 
-    /** Forgets members that have been absent for long and that the settings don't name. */
+    /** Removes members that have been absent for a long time and are not configured. */
     void removeLongAbsent(double nowMs) {
         absentSinceMs.entrySet().removeIf(entry -> {
             int id = entry.getKey();
@@ -134,7 +134,7 @@
 
     // ---- who is there
 
-    /** The numbers of the live members but this one, in the order of the ring, which is the same at all. */
+    /** Returns the numbers of the other live members in ring order, which is the same at all instances. */
     List<Integer> liveOthers() {
         if (liveOthers == null) {
             liveOthers = table.all().stream()
@@ -146,7 +146,7 @@
         return liveOthers;
     }
 
-    /** Members that the settings or the past name and that aren't live as far as is known, by number. */
+    /** Returns the members that are configured or were seen before and are not known to be live, by number. */
     List<Integer> absentMembers() {
         Set<Integer> absent = new HashSet<>(settings.seeds());
         for (int i = 0; i < settings.configuredCount(); i++) {
--- a/src/main/java/cacheproxy/membership/GossipQueue.java
+++ b/src/main/java/cacheproxy/membership/GossipQueue.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The members whose changes are still to be gossiped with whatever is sent: those first that were sent least often,
- * each as often as the logarithm of the fleet's size (SWIM, section 4.1).
+ * The members whose changes still have to be piggybacked on outgoing messages: those sent least often first, each for a
+ * number of times logarithmic in the fleet size (SWIM, section 4.1).
  */
 final class GossipQueue {
     private static final int MAX_MEMBERS = 4096;
@@ -26,14 +26,14 @@
         }
     }
 
-    /** Whether anything has changed since the last call. */
+    /** Returns whether anything has changed since the last call. */
     boolean takeChanged() {
         boolean changed = changedSinceTaken;
         changedSinceTaken = false;
         return changed;
     }
 
-    /** A member is no longer gossiped. */
+    /** Stops gossiping a member. */
     void remove(int id) {
         sendCounts.remove(id);
     }
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Takes members to send in a message, and counts them as sent.
+     * Selects members to send in a message, and counts them as sent.
      *
-     * @param maxBytes how many bytes they may take
-     * @param excludedId a member that the message holds already
+     * @param maxBytes the maximum size of the members in total
+     * @param excludedId a member that the message already contains
      */
     List<Member> take(MemberTable table, int maxBytes, int excludedId) {
         int maxSends = 32 - Integer.numberOfLeadingZeros(table.size() + 1);
--- a/src/main/java/cacheproxy/membership/LiveMembers.java
+++ b/src/main/java/cacheproxy/membership/LiveMembers.java
@@ -1,8 +1,8 @@
 package cacheproxy.membership;
 
 /**
- * How many instances are live as far as this one knows, itself among them; at least 1. It is advice, for what may save
- * work: turns, probes, and who polls. What a safety rule rests on takes {@link ConfiguredMembers}.
+ * The number of instances that are live as far as this one knows, including itself; at least 1. It is advisory, for
+ * what may save work: delays, probes, and which instances poll. Safety rules use {@link ConfiguredMembers}.
  */
 public record LiveMembers(int count) {
     /** Checks the range. */
--- a/src/main/java/cacheproxy/membership/LocalMember.java
+++ b/src/main/java/cacheproxy/membership/LocalMember.java
@@ -4,14 +4,15 @@
 import java.util.function.BinaryOperator;
 
 /**
- * This instance's own entry. It refutes what contradicts it by a higher incarnation: a suspicion or death of this
- * process, or an earlier process under its number that others remember. Each that remembers an earlier process tells so
- * once; when contradictions go on, another process runs under the same number, and that is reported as a dispute.
+ * The entry of this instance. Contradictions are refuted by a higher incarnation: a suspicion or death of this process,
+ * or an earlier process with the same number that others remember. Each instance that remembers an earlier process
+ * reports it once; if contradictions continue, another process runs under the same number, which is reported as a
+ * dispute.
  */
 final class LocalMember {
-    /** So many contradictions by another process mean that it is running. */
+    /** The number of contradictions by another process from which that process is taken to be running. */
     static final int DISPUTE_CONTRADICTIONS = 4;
-    /** From then on it is refuted no more often than this. */
+    /** The minimum time between two refutations of that process. */
     static final double DISPUTE_REFUTE_INTERVAL_MS = 2000;
 
     private final BinaryOperator<Member> refutation;
@@ -20,13 +21,13 @@
     private double refutedMs = Double.NEGATIVE_INFINITY;
     private boolean leaving;
 
-    /** {@code refutation}: the entry that refutes, of the own one and what is reported of it. */
+    /** {@code refutation}: computes the refuting entry from the own entry and the reported one. */
     LocalMember(Member member, BinaryOperator<Member> refutation) {
         this.member = member;
         this.refutation = refutation;
     }
 
-    /** A copy that changes independently. */
+    /** Creates an independent copy. */
     LocalMember copy(BinaryOperator<Member> otherRefutation) {
         LocalMember copy = new LocalMember(member, otherRefutation);
         copy.contradictions = contradictions;
@@ -35,12 +36,14 @@
         return copy;
     }
 
-    /** The entry as it is now. */
+    /** Returns the current entry. */
     Member member() {
         return member;
     }
 
-    /** Another says this of this instance; whether it is wrong, and the own entry now refutes it. */
+    /**
+     * Processes another instance's report of this one; returns whether it is wrong and the own entry now refutes it.
+     */
     boolean refuteIfContradicted(Member reported, double nowMs) {
         int order = reported.compareIncarnation(member);
         boolean anotherProcess = reported.processNonce() != member.processNonce();
@@ -48,7 +51,7 @@
             return false;
         }
         if (reported.incarnation() > Member.MAX_INCARNATION - MemberTable.MAX_INCARNATION_STEP) {
-            return false; // no incarnation of ours is that high
+            return false; // this instance never reaches an incarnation that high
         }
         if (anotherProcess
                 && ++contradictions >= DISPUTE_CONTRADICTIONS
@@ -64,25 +67,25 @@
         return true;
     }
 
-    /** Whether another process seems to run under this number. */
+    /** Whether another process appears to run under this number. */
     boolean disputed() {
         return contradictions >= DISPUTE_CONTRADICTIONS;
     }
 
-    /** The instance leaves for good. */
+    /** The instance leaves permanently. */
     void leave() {
         leaving = true;
         member = member.withState(MemberState.LEFT);
     }
 
-    /** The phase of the service from now on. */
+    /** Sets the phase of the service. */
     void setPhase(ServicePhase phase) {
         if (member.phase() != phase) {
             member = member.withPhaseAndMetadata(phase, member.metadata());
         }
     }
 
-    /** Replaces a part's note; an empty one is removed. */
+    /** Sets the metadata value of a key; an empty value removes it. */
     void setMetadata(int key, byte[] value) {
         if (!Arrays.equals(member.metadata(key), value)) {
             member = member.withMetadata(key, value);
--- a/src/main/java/cacheproxy/membership/Member.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -7,27 +7,31 @@
 
 /**
  * What is known of one instance. Entries of the same instance form a join semilattice: {@link #merge} is associative,
- * commutative and idempotent, so instances that have received the same know the same, in whatever order and however
- * often they received it.
+ * commutative and idempotent, so instances that have received the same entries know the same, in whatever order and
+ * however often they received them.
  *
  * <ol>
- *   <li>The higher incarnation holds; an instance raises its own alone.
- *   <li>In one incarnation the higher process nonce holds: two processes run under one number, and one has to raise its
- *       incarnation.
- *   <li>In one process the later {@link MemberState} holds, and of what the instance says of itself the higher version.
+ *   <li>The higher incarnation takes precedence; only the instance itself raises its own.
+ *   <li>Within an incarnation, the higher process nonce takes precedence: two processes run under one number, and one
+ *       of them has to raise its incarnation.
+ *   <li>Within a process, the later {@link MemberState} takes precedence, and the higher version of what the instance
+ *       publishes about itself.
  * </ol>
  *
- * @param id its number, 0 to {@link #MAX_ID}
+ * @param id the number of the instance, 0 to {@link #MAX_ID}
  * @param incarnation 1 to {@link #MAX_INCARNATION}, raised at each start and each refutation
- * @param processNonce drawn by the process at its start, 0 to 65,535: tells two processes of one number apart
- * @param state what others have found
- * @param confirmers of a suspicion, the members whose probes of it have failed, {@link #MAX_CONFIRMERS} at most
- * @param zone its zone, 0 to {@link #MAX_ZONE}
- * @param version of what it says of itself: phase and metadata
- * @param phase of its service
- * @param metadata what other parts of the program publish by it, by a number 0 to 7, {@link #MAX_METADATA_VALUE_BYTES}
- *     bytes each at most and {@link #MAX_METADATA_BYTES} together, so that three entries fit in any message
- * @param address where it is reached, 6 bytes; empty where the settings name it
+ * @param processNonce a random number, 0 to 65,535, that the process generates at its start; distinguishes two
+ *     processes of one instance
+ * @param state the state found by other instances
+ * @param confirmers the members whose probes have failed and thereby confirm a suspicion, at most
+ *     {@link #MAX_CONFIRMERS}
+ * @param zone the zone of the instance, 0 to {@link #MAX_ZONE}
+ * @param version the version of what the instance publishes about itself: phase and metadata
+ * @param phase the phase of its service
+ * @param metadata the values that other parts of the program publish through the entry, by a key of 0 to 7; at most
+ *     {@link #MAX_METADATA_VALUE_BYTES} bytes each and {@link #MAX_METADATA_BYTES} in total, so that three entries fit
+ *     into any message
+ * @param address the address of the instance, 6 bytes; empty if it is configured
  */
 public record Member(
         int id,
@@ -42,17 +46,17 @@
         byte[] address) {
     /** The highest number of an instance. */
     public static final int MAX_ID = 65_534;
-    /** The highest number of a zone: what two bytes of a message hold. */
+    /** The highest number of a zone: the maximum that fits into two bytes of a message. */
     public static final int MAX_ZONE = 0x3fff;
-    /** The highest incarnation; at one a second it lasts 136 years. */
+    /** The highest incarnation; with one incarnation per second it is reached after 136 years. */
     public static final long MAX_INCARNATION = 0xffff_ffffL;
-    /** How many confirmers a suspicion names at most; beyond it the lowest numbers. */
+    /** The maximum number of confirmers of a suspicion; if there are more, those with the lowest numbers. */
     public static final int MAX_CONFIRMERS = 4;
-    /** What one part may publish, in bytes. */
+    /** The maximum size of a metadata value, in bytes. */
     public static final int MAX_METADATA_VALUE_BYTES = 24;
-    /** What all parts may publish together, in bytes. */
+    /** The maximum size of all metadata values, in bytes. */
     public static final int MAX_METADATA_BYTES = 32;
-    /** How many parts may publish. */
+    /** The number of metadata keys. */
     public static final int MAX_METADATA_KEYS = 8;
 
     private static final byte[] NO_METADATA = {};
@@ -83,7 +87,7 @@
         }
     }
 
-    /** The entry of a process that starts. */
+    /** Creates the entry of a process that starts. */
     public static Member start(int id, long incarnation, int processNonce, int zone, byte[] address) {
         return new Member(
                 id,
@@ -98,14 +102,17 @@
                 address);
     }
 
-    /** Compares incarnation and process: positive if this entry holds, 0 for the same process in one incarnation. */
+    /**
+     * Compares incarnation and process nonce: positive if this entry takes precedence, 0 if both describe the same
+     * process in one incarnation.
+     */
     public int compareIncarnation(Member other) {
         int order = Long.compare(incarnation, other.incarnation);
         return order != 0 ? order : Integer.compare(processNonce, other.processNonce);
     }
 
-    /** Both entries in one; this itself if the other adds nothing. */
-    @SuppressWarnings("ReferenceEquality") // this itself is what is returned
+    /** Merges two entries; returns this object if the other adds nothing. */
+    @SuppressWarnings("ReferenceEquality") // returns this object if nothing is new
     public Member merge(Member other) {
         int order = compareIncarnation(other);
         if (order != 0) {
@@ -130,7 +137,7 @@
                 newer.address);
     }
 
-    /** The lowest numbers of all confirmers; a dead member needs none. */
+    /** Returns the lowest numbers of all confirmers; a dead member needs none. */
     private TreeSet<Integer> mergeConfirmers(MemberState mergedState, Member other) {
         TreeSet<Integer> all = new TreeSet<>();
         if (mergedState == MemberState.SUSPECT) {
@@ -147,13 +154,13 @@
         return all;
     }
 
-    /** This entry in another state. */
+    /** Returns this entry in another state. */
     Member withState(MemberState newState) {
         return new Member(
                 id, incarnation, processNonce, newState, new TreeSet<>(), zone, version, phase, metadata, address);
     }
 
-    /** This entry, suspected by one more member. */
+    /** Returns this entry, suspected by one more member. */
     Member suspectedBy(int instance) {
         TreeSet<Integer> all = new TreeSet<>(confirmers);
         all.add(instance);
@@ -170,13 +177,13 @@
                 address);
     }
 
-    /** This entry, alive in another incarnation. */
+    /** Returns this entry, alive in another incarnation. */
     Member withIncarnation(long higher) {
         return new Member(
                 id, higher, processNonce, MemberState.ALIVE, new TreeSet<>(), zone, version, phase, metadata, address);
     }
 
-    /** This entry with another phase and other metadata, in the next version. */
+    /** Returns this entry with another phase and other metadata, in the next version. */
     Member withPhaseAndMetadata(ServicePhase newPhase, Map<Integer, byte[]> newMetadata) {
         return new Member(
                 id,
@@ -191,7 +198,7 @@
                 address);
     }
 
-    /** This entry with one part's note replaced; an empty one is removed. */
+    /** Returns this entry with one metadata value replaced; an empty value removes it. */
     Member withMetadata(int key, byte[] value) {
         Map<Integer, byte[]> all = new HashMap<>(metadata);
         if (value.length == 0) {
@@ -202,14 +209,15 @@
         return withPhaseAndMetadata(phase, all);
     }
 
-    /** A part's note, empty if it has none. */
+    /** Returns the metadata value of a key; empty if there is none. */
     public byte[] metadata(int key) {
         return metadata.getOrDefault(key, NO_METADATA).clone();
     }
 
     /**
-     * Its part in a digest: nothing for one that is dead or has left, as one instance may have forgotten it and another
-     * not yet. Suspicions don't count: they pass, and while messages get lost there is always one somewhere.
+     * Returns the contribution of this entry to a digest: 0 for a member that is dead or has left, because one instance
+     * may have removed it already and another not yet. Suspicions are not included: they are temporary, and while
+     * messages get lost there is almost always one.
      */
     long hash() {
         return state.isLive()
@@ -217,7 +225,7 @@
                 : 0;
     }
 
-    /** A mix of 64 bits (Stafford's variant 13), by which all instances derive the same orders. */
+    /** A 64-bit mixing function (Stafford's variant 13), from which all instances derive the same orders. */
     public static long mix(long x) {
         long z = (x ^ x >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
--- a/src/main/java/cacheproxy/membership/MemberState.java
+++ b/src/main/java/cacheproxy/membership/MemberState.java
@@ -1,14 +1,14 @@
 package cacheproxy.membership;
 
-/** The state of a member; of two states in the same incarnation and process the later one here holds. */
+/** The state of a member. Of two states in the same incarnation and process, the later constant takes precedence. */
 public enum MemberState {
-    /** It answers probes, or nobody has found otherwise. */
+    /** The member answers probes, or no instance has found otherwise. */
     ALIVE(0),
-    /** A probe of it has failed. It may still refute that, by its next incarnation. */
+    /** A probe of the member has failed. The member may still refute this by its next incarnation. */
     SUSPECT(1),
-    /** It was declared dead. Only its own next incarnation revives it. */
+    /** The member was declared dead. Only its own next incarnation revives it. */
     DEAD(2),
-    /** It has announced that it leaves. */
+    /** The member has announced that it leaves. */
     LEFT(3);
 
     private final int code;
@@ -17,12 +17,12 @@
         this.code = code;
     }
 
-    /** Its code on the wire, in two bits. */
+    /** Returns the code on the wire, two bits. */
     int code() {
         return code;
     }
 
-    /** The state of that code, 0 to 3. */
+    /** Returns the state with this code, 0 to 3. */
     static MemberState of(int code) {
         return switch (code) {
             case 0 -> ALIVE;
@@ -33,7 +33,7 @@
         };
     }
 
-    /** Whether it counts among the live members. */
+    /** Whether a member in this state counts as live. */
     public boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/src/main/java/cacheproxy/membership/MemberTable.java
+++ b/src/main/java/cacheproxy/membership/MemberTable.java
@@ -7,13 +7,14 @@
 import java.util.function.BinaryOperator;
 
 /**
- * The members by their numbers. An entry only goes up in the order of {@link Member#merge}. Digests are maintained as
- * entries change: one of all, and one of each of {@link #SLICES} slices, by which two instances find where they differ.
+ * The members by number. An entry only increases in the order of {@link Member#merge}. Digests are maintained as
+ * entries change: one of all members, and one of each of {@link #SLICES} slices, by which two instances find where
+ * their tables differ.
  */
 public final class MemberTable {
-    /** The number of slices; a member belongs to one by its number. */
+    /** The number of slices; the number of a member determines its slice. */
     public static final int SLICES = 32;
-    /** No member raises its incarnation so far between two messages; what claims more is ignored. */
+    /** The maximum increase of an incarnation between two messages; entries with a larger increase are ignored. */
     static final long MAX_INCARNATION_STEP = 1 << 20;
 
     private final int capacity;
@@ -21,12 +22,12 @@
     private final TreeMap<Integer, Member> entries = new TreeMap<>();
     private final long[] slices = new long[SLICES];
 
-    /** For so many members at most, the dead among them. */
+    /** Creates a table for at most {@code capacity} members, including dead ones. */
     public MemberTable(int capacity) {
         this(capacity, Member::merge);
     }
 
-    /** {@code merger}: merges two entries of one member, the known one first. */
+    /** {@code merger}: merges two entries of one member, of which the first is the known one. */
     MemberTable(int capacity, BinaryOperator<Member> merger) {
         this.merger = merger;
         if (capacity < 1 || capacity > Member.MAX_ID + 1) {
@@ -36,17 +37,17 @@
         this.capacity = capacity;
     }
 
-    /** What is known of a member; null for nothing. */
+    /** Returns what is known of a member; null if nothing is. */
     public Member get(int id) {
         return entries.get(id);
     }
 
-    /** All members, by number. */
+    /** Returns all members, by number. */
     public Collection<Member> all() {
         return entries.values();
     }
 
-    /** How many members are known. */
+    /** Returns the number of known members. */
     public int size() {
         return entries.size();
     }
@@ -54,9 +55,10 @@
     /**
      * Merges what is reported of a member.
      *
-     * @return the new entry; null if nothing has changed, as it is known, implausible, or there is no room
+     * @return the new entry; null if nothing has changed because the report is known or implausible, or there is no
+     *     room
      */
-    @SuppressWarnings("ReferenceEquality") // cheap first: a merge returns the known entry where nothing is new
+    @SuppressWarnings("ReferenceEquality") // cheap check first: merge returns the known entry if nothing is new
     public Member merge(Member reported) {
         Member known = entries.get(reported.id());
         if (known == null) {
@@ -82,7 +84,7 @@
         slices[slice(entry.id())] += entry.hash() - (before == null ? 0 : before.hash());
     }
 
-    /** Removes one that is dead or has left; whether there was any. */
+    /** Removes a member that is dead or has left; returns whether there was one. */
     private boolean evictDead() {
         for (Member e : entries.values()) {
             if (!e.state().isLive()) {
@@ -101,12 +103,12 @@
         }
     }
 
-    /** The slice of a member's number. */
+    /** Returns the slice of a member's number. */
     public static int slice(int id) {
         return id % SLICES;
     }
 
-    /** The digest of all members; equal for tables that hold the same. */
+    /** Returns the digest of all members; equal for tables with the same members. */
     public int digest() {
         long all = 0;
         for (long s : slices) {
@@ -115,7 +117,7 @@
         return fold(all);
     }
 
-    /** The digest of one slice, 16 bits. */
+    /** Returns the digest of one slice, 16 bits. */
     public int digest(int slice) {
         int d = fold(slices[slice]);
         return (d ^ d >>> 16) & 0xffff;
@@ -126,7 +128,7 @@
         return (int) (h ^ h >>> 32);
     }
 
-    /** The members of a slice, by number. */
+    /** Returns the members of a slice, by number. */
     public List<Member> inSlice(int slice) {
         List<Member> some = new ArrayList<>();
         entries.values().forEach(e -> {
--- a/src/main/java/cacheproxy/membership/Membership.java
+++ b/src/main/java/cacheproxy/membership/Membership.java
@@ -7,46 +7,52 @@
 import java.util.SplittableRandom;
 
 /**
- * One instance's part in the membership protocol of the fleet: SWIM with the refinements of Lifeguard. Takes times and
- * messages, gives messages: whoever owns the sockets calls {@link #tick} when {@link #dueMs} has come,
- * {@link #messageReceived} for each message, and sends what {@link #takeOutgoing} hands out. Messages may be lost,
- * late, duplicated, out of order, or wrong. Not thread-safe.
+ * One instance's participation in the membership protocol of the fleet: SWIM with the refinements of Lifeguard. Takes
+ * times and messages, and returns messages: the owner of the sockets calls {@link #tick} when {@link #dueMs} has come
+ * and {@link #messageReceived} for each message, and sends the messages that {@link #takeOutgoing} returns. Messages
+ * may be lost, late, duplicated, out of order, or wrong. Not thread-safe.
  *
- * <p>Every second round probes the next member on a ring of all live ones, so that each is watched by somebody; the
- * other rounds go through all in a shuffled order, as in SWIM. Every fourth also probes one that is gone, so that a
- * healed partition is found from both sides. {@link FailureDetector} decides what follows from an answer that doesn't
- * come, {@link DigestExchange} repairs what gossip has missed.
+ * <p>Every second round probes the next member on a ring of all live ones, so that each member is monitored by another;
+ * the other rounds probe all members in a shuffled order, as in SWIM. Every fourth round also probes an absent member,
+ * so that a healed partition is detected from both sides. {@link FailureDetector} decides what follows from a missing
+ * answer, {@link DigestExchange} repairs what gossip has missed.
  */
 public final class Membership {
-    /** The longest message, in bytes. */
+    /** The maximum size of a message, in bytes. */
     public static final int MAX_MESSAGE_BYTES = 250;
 
-    /** The budget for messages; one for all parts of the program, which somebody else keeps. */
+    /** The budget for messages, shared by all parts of the program and maintained by the caller. */
     public interface MessageBudget {
         /**
-         * Takes a message's bytes out of the budget.
+         * Takes the bytes of a message from the budget.
          *
-         * @return whether there was room for it; if not, it must not be sent
+         * @return whether the budget was sufficient; if not, the message must not be sent
          */
         boolean tryAcquire(double nowMs, int bytes, Urgency urgency);
 
-        /** How many bytes may be added to a message for what could as well go later; 0 or less for none. */
+        /**
+         * Returns the number of bytes that may be added to a message for content that can be sent later; 0 or less for
+         * none.
+         */
         int availableBytes(double nowMs);
     }
 
-    /** A call that comes so much later than it was due means that this process has stalled. */
+    /** If a call comes this much later than it was due, this process has stalled. */
     static final double STALL_MS = 500;
-    /** Changes wait so long for more of them before they are gossiped. */
+    /** The time for which changes are collected before they are gossiped. */
     private static final double GOSSIP_DELAY_MS = 40;
-    /** Every so many rounds a member that is gone is probed as well. */
+    /** In every round of this many, an absent member is probed as well. */
     private static final int REJOIN_ROUNDS = 4;
-    /** How many members an instance that knows no live one probes in a round. */
+    /** The number of members that an instance without a live peer probes in a round. */
     private static final int JOIN_PROBES = 3;
-    /** The least length of a round and the range above it, by the settings' length: rounds of instances drift apart. */
+    /**
+     * The minimum length of a round and the range above it, relative to the configured length, so that the rounds of
+     * instances drift apart.
+     */
     private static final double MIN_ROUND_FACTOR = 0.9;
 
     private static final double ROUND_JITTER = 0.2;
-    /** A random number of 16 bits is below this. */
+    /** The exclusive upper bound of a random number of 16 bits. */
     private static final int RANDOM_16_BIT_BOUND = 0x10000;
 
     private final MembershipSettings settings;
@@ -66,14 +72,14 @@
     private long deathsRefuted;
 
     /**
-     * Begins an incarnation. Nothing is sent before the first {@link #tick}.
+     * Starts an incarnation. No message is sent before the first {@link #tick}.
      *
-     * @param self this instance's number
+     * @param self the number of this instance
      * @param zone its zone, 0 to {@link Member#MAX_ZONE}
-     * @param address where it is reached, 6 bytes; empty where the settings name it
-     * @param lastIncarnation the incarnation of its last process; 0 if that is unknown
+     * @param address its address, 6 bytes; empty if it is configured
+     * @param lastIncarnation the last known incarnation of this instance's previous process; 0 if unknown
      * @param seed new at each start
-     * @param budget what may be sent
+     * @param budget limits what is sent
      */
     public Membership(
             MembershipSettings settings,
@@ -96,19 +102,19 @@
 
     // ---- this instance
 
-    /** The phase of its service that this instance tells from now on. */
+    /** Sets the phase of its service that this instance announces. */
     public void setPhase(ServicePhase phase) {
         fleet.localMember().setPhase(phase);
         fleet.localMemberChanged();
     }
 
-    /** What one part of the program, 0 to 7, publishes by this instance; empty for nothing. */
+    /** Publishes a metadata value with the entry of this instance, under a key of 0 to 7; an empty value removes it. */
     public void setMetadata(int key, byte[] value) {
         fleet.localMember().setMetadata(key, value);
         fleet.localMemberChanged();
     }
 
-    /** This instance leaves for good; to be followed by a {@link #tick} whose messages are still sent. */
+    /** This instance leaves permanently. Call {@link #tick} afterwards and send the resulting messages. */
     public void leave(double nowMs) {
         fleet.localMember().leave();
         fleet.localMemberChanged();
@@ -118,7 +124,10 @@
 
     // ---- messages
 
-    /** A message has been received. {@code from}: whose address it came from, negative if addresses tell nothing. */
+    /**
+     * A message has been received. {@code from}: the instance whose address the message came from, negative if
+     * addresses do not identify instances.
+     */
     public void messageReceived(double nowMs, int from, byte[] body) {
         checkForStall(nowMs);
         MembershipMessage message = MembershipMessage.decode(body);
@@ -130,7 +139,7 @@
         message.members().forEach(m -> memberReceived(nowMs, m));
         Member known = fleet.get(sender.id());
         if (known == null) {
-            return; // there was no room for it
+            return; // the sender was not accepted, for example for lack of room
         }
         fleet.received(sender.id(), nowMs);
         if (known.compareIncarnation(sender) != 0 || known.state() != sender.state()) {
@@ -158,7 +167,7 @@
         }
     }
 
-    /** Takes in what is reported of a member. */
+    /** Processes what is reported of a member. */
     private void memberReceived(double nowMs, Member reported) {
         if (reported.id() == fleet.self()) {
             ownEntryReceived(nowMs, reported);
@@ -183,7 +192,10 @@
         }
     }
 
-    /** Whether what is reported is a death that has to wait; the member is told, so that it may refute it. */
+    /**
+     * Defers a reported death if it has to wait, and informs the member so that it may refute it; returns whether it
+     * was deferred.
+     */
     private boolean deferDeath(double nowMs, Member reported) {
         if (!DeathClaims.isClaim(fleet.get(reported.id()), reported)) {
             return false;
@@ -194,14 +206,14 @@
         return true;
     }
 
-    /** The messages to be sent now, in the order in which they were decided; each is handed out once. */
+    /** Returns the messages to be sent now, in the order in which they were decided; each is returned once. */
     public List<OutgoingMessage> takeOutgoing() {
         return transmitter.takeQueue();
     }
 
     // ---- time
 
-    /** Does what is due. */
+    /** Executes what is due. */
     public void tick(double nowMs) {
         checkForStall(nowMs);
         detector.tickProbes(nowMs);
@@ -218,7 +230,9 @@
         }
     }
 
-    /** When {@link #tick} is to be called next, in milliseconds; after any other event at once. */
+    /**
+     * Returns when to call {@link #tick} next, in milliseconds. After any other event it has to be called immediately.
+     */
     public double dueMs() {
         double dueMs = fleet.hasLeft() ? Double.POSITIVE_INFINITY : nextRoundMs;
         dueMs = Math.min(dueMs, detector.dueMs());
@@ -226,7 +240,10 @@
         return Math.min(dueMs, gossipMs);
     }
 
-    /** A process that has stalled knows nothing of the others, and must not hold its own silence against them. */
+    /**
+     * A process that has stalled has no information about the others, and must not count its own pause as their
+     * silence.
+     */
     private void checkForStall(double nowMs) {
         if (!Double.isNaN(lastCallMs)) {
             double lateMs = nowMs - Math.max(lastCallMs, dueMs());
@@ -277,7 +294,7 @@
 
     // ---- what is known
 
-    /** The fleet as this instance sees it now. */
+    /** Returns the fleet as this instance sees it now. */
     public MembershipView view(double nowMs) {
         return new MembershipView(
                 fleet.self(),
@@ -288,32 +305,32 @@
                 fleet.localMember().disputed());
     }
 
-    /** How many members are live, as in {@link MembershipView#liveMembers}. */
+    /** Returns the number of live members, as in {@link MembershipView#liveMembers}. */
     public LiveMembers liveMembers() {
         return new LiveMembers(fleet.liveOthers().size() + 1);
     }
 
-    /** How often this process has refuted that it was dead. */
+    /** Returns how often this process has refuted its death. */
     public long deathsRefuted() {
         return deathsRefuted;
     }
 
-    /** Equal for instances that know the same. */
+    /** Returns a digest that is equal for instances that know the same. */
     public int digest() {
         return fleet.table().digest();
     }
 
-    /** What is known of a member; null for nothing. */
+    /** Returns what is known of a member; null if nothing is. */
     public Member member(int id) {
         return fleet.get(id);
     }
 
-    /** This instance's incarnation, which its next process has to know. */
+    /** Returns the incarnation of this instance, which its next process has to know. */
     public long incarnation() {
         return fleet.localMember().member().incarnation();
     }
 
-    /** Messages that could not be read, or came under another's name. */
+    /** Returns the number of messages that were malformed or sent under the number of another instance. */
     public long rejectedMessages() {
         return rejectedMessages;
     }
--- a/src/main/java/cacheproxy/membership/MembershipMessage.java
+++ b/src/main/java/cacheproxy/membership/MembershipMessage.java
@@ -9,19 +9,19 @@
 import java.util.TreeSet;
 
 /**
- * A message of the membership protocol, as {@code docs/design/members-wire.md} lays it out. Whatever its kind, it holds
- * the sender's own entry and as many others as there is room for.
+ * A message of the membership protocol, in the format of {@code docs/design/members-wire.md}. A message of any kind
+ * contains the sender's own entry and as many others as fit.
  *
- * @param kind what it is
- * @param number of the probe that it belongs to, 0 to 65,535
- * @param target the member that a helper is to ping, or that has answered it; {@link #NO_MEMBER} otherwise
- * @param digest of all members that the sender knows
- * @param sliceDigests digests of the sender's slices in a {@link Kind#DIGESTS}; empty otherwise
- * @param members the sender's own first
+ * @param kind the kind of message
+ * @param number the number of the probe it belongs to, 0 to 65,535
+ * @param target the member that a helper has to ping, or that has answered the helper; {@link #NO_MEMBER} otherwise
+ * @param digest the digest of all members that the sender knows
+ * @param sliceDigests the digests of the sender's slices in a {@link Kind#DIGESTS}; empty otherwise
+ * @param members the sender's own entry first
  */
 public record MembershipMessage(
         Kind kind, int number, int target, int digest, int[] sliceDigests, List<Member> members) {
-    /** The number of no member. */
+    /** The number that stands for no member. */
     public static final int NO_MEMBER = 0xffff;
 
     private static final int HEADER_BYTES = 1 + 1 + 2 + 2 + 4;
@@ -30,19 +30,19 @@
     private static final int METADATA_FLAG = 0x20;
     private static final int CONFIRMERS_FLAG = 0x40;
 
-    /** The kinds. */
+    /** The kinds of message. */
     public enum Kind {
-        /** Asks for an {@link #ACK}. */
+        /** Requests an {@link #ACK}. */
         PING(0),
         /** The sender is alive, or its probe of {@code target} was answered. */
         ACK(1),
-        /** Asks the receiver to ping {@code target} for the sender. */
+        /** Requests that the receiver pings {@code target} for the sender. */
         PING_REQUEST(2),
-        /** Changes; needs no answer. */
+        /** Contains changes; needs no answer. */
         GOSSIP(3),
-        /** The sender's digests by slice; asks for the members of slices that differ. */
+        /** Contains the sender's digests by slice; requests the members of slices that differ. */
         DIGESTS(4),
-        /** Members of slices that differ; needs no answer. */
+        /** Contains members of slices that differ; needs no answer. */
         MEMBERS(5);
 
         private final int code;
@@ -51,12 +51,12 @@
             this.code = code;
         }
 
-        /** Its code on the wire. */
+        /** Returns the code on the wire. */
         int code() {
             return code;
         }
 
-        /** The kind of that code; null if it is unknown. */
+        /** Returns the kind with this code; null if it is unknown. */
         static Kind of(int code) {
             for (Kind kind : values()) {
                 if (kind.code == code) {
@@ -67,19 +67,19 @@
         }
     }
 
-    /** The sender's own entry. */
+    /** Returns the sender's own entry. */
     Member sender() {
         return members.get(0);
     }
 
-    // ---- to bytes
+    // ---- encoding
 
-    /** The bytes of a message without members. */
+    /** Returns the size of a message without members, in bytes. */
     static int headerBytes(Kind kind) {
         return HEADER_BYTES + (kind == Kind.DIGESTS ? SLICE_BYTES : 0);
     }
 
-    /** The bytes of a member. */
+    /** Returns the size of an encoded member, in bytes. */
     static int memberBytes(Member e) {
         int n = 1 + 2 + varintBytes(e.zone()) + varintBytes(e.incarnation()) + 2 + varintBytes(e.version());
         n += e.address().length;
@@ -95,7 +95,7 @@
         return n;
     }
 
-    /** The bytes of this message. */
+    /** Encodes this message. */
     public byte[] encode() {
         int size = headerBytes(kind)
                 + members.stream().mapToInt(MembershipMessage::memberBytes).sum();
@@ -155,9 +155,9 @@
         out.put((byte) v);
     }
 
-    // ---- from bytes
+    // ---- decoding
 
-    /** The message of these bytes; null if they are none, cut short, or longer than they say. */
+    /** Decodes a message; returns null if it is malformed, truncated, or followed by further bytes. */
     public static MembershipMessage decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < HEADER_BYTES) {
--- a/src/main/java/cacheproxy/membership/MembershipReplica.java
+++ b/src/main/java/cacheproxy/membership/MembershipReplica.java
@@ -3,18 +3,18 @@
 import java.util.Collection;
 
 /**
- * What one instance knows of the members, and how that changes by what it receives and detects: all that matters for
- * the convergence of instances, without times, probes and messages. {@link Membership} decides when a member is
+ * What one instance knows of the members, and how that changes by what it receives and detects: everything that matters
+ * for the convergence of instances, without timing, probes and messages. {@link Membership} decides when a member is
  * suspected or declared dead; the model checker ({@code model check}) lets both happen at any time.
  */
 public class MembershipReplica {
     /** The outcome of merging what is reported of a member. */
     public enum MergeResult {
-        /** It was known already. */
+        /** The report contained nothing new. */
         UNCHANGED,
-        /** It has changed what is known. */
+        /** The report changed what is known. */
         CHANGED,
-        /** It contradicted this instance, which now refutes it. */
+        /** The report contradicted this instance, which now refutes it. */
         REFUTED
     }
 
@@ -22,7 +22,7 @@
     private final MemberTable table;
     private final LocalMember localMember;
 
-    /** Begins with this instance alone, and room for so many members. */
+    /** Starts with this instance alone, and room for {@code capacity} members. */
     public MembershipReplica(Member self, int capacity) {
         this.capacity = capacity;
         table = new MemberTable(capacity, this::mergeMembers);
@@ -30,7 +30,7 @@
         table.merge(self);
     }
 
-    /** A copy that changes independently. */
+    /** Creates an independent copy. */
     protected MembershipReplica(MembershipReplica of) {
         capacity = of.capacity;
         table = new MemberTable(capacity, this::mergeMembers);
@@ -38,17 +38,17 @@
         localMember = of.localMember.copy(this::refute);
     }
 
-    /** The entry that follows from what is known and what is reported of a member. */
+    /** Returns the entry that results from merging what is known and what is reported of a member. */
     protected Member mergeMembers(Member held, Member reported) {
         return held.merge(reported);
     }
 
-    /** The own entry that refutes what is reported of this instance. */
+    /** Returns the entry of this instance that refutes a report about it. */
     protected Member refute(Member self, Member reported) {
         return self.withIncarnation(Math.max(reported.incarnation(), self.incarnation()) + 1);
     }
 
-    /** Merges what another says of a member. */
+    /** Merges what another instance reports of a member. */
     public MergeResult merge(double nowMs, Member reported) {
         if (reported.id() != self().id()) {
             return table.merge(reported) == null ? MergeResult.UNCHANGED : MergeResult.CHANGED;
@@ -60,7 +60,7 @@
         return MergeResult.REFUTED;
     }
 
-    /** Suspects a member; no effect unless it is live. */
+    /** Suspects a member; has no effect unless the member is live. */
     public void suspect(int id) {
         Member e = table.get(id);
         if (e != null && e.state().isLive()) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Declares a suspected member dead; no effect unless it is suspected. */
+    /** Declares a suspected member dead; has no effect unless it is suspected. */
     public void declareDead(int id) {
         Member e = table.get(id);
         if (e != null && e.state() == MemberState.SUSPECT) {
@@ -76,22 +76,22 @@
         }
     }
 
-    /** This instance's own entry. */
+    /** Returns the entry of this instance. */
     public final Member self() {
         return localMember.member();
     }
 
-    /** What is known of a member; null for nothing. */
+    /** Returns what is known of a member; null if nothing is. */
     public final Member get(int id) {
         return table.get(id);
     }
 
-    /** All members, by number. */
+    /** Returns all members, by number. */
     public final Collection<Member> all() {
         return table.all();
     }
 
-    /** Equal for instances that know the same. */
+    /** Returns a digest that is equal for instances that know the same. */
     public final int digest() {
         return table.digest();
     }
--- a/src/main/java/cacheproxy/membership/MembershipSettings.java
+++ b/src/main/java/cacheproxy/membership/MembershipSettings.java
@@ -5,18 +5,19 @@
 /**
  * The settings of the membership protocol. Times in milliseconds.
  *
- * @param configuredCount how many instances the configuration names, by numbers from 0; 0 where there are only seeds
- * @param seeds numbers of the members to join by; none where members are configured
- * @param capacity how many members are known at most, the dead among them
- * @param roundMs between two rounds, each of which probes a member
- * @param pingTimeoutMs after which a member is pinged again, and by helpers
- * @param probeTimeoutMs after which a probe has failed
- * @param helpers how many members are asked to ping one that does not answer
- * @param confirmers how many members probe a suspected one at once, beside the one that suspects it
- * @param minSuspicionMs how long a suspicion lasts when all of them confirm it
- * @param maxSuspicionMs how long it lasts when none does
- * @param fanout to how many members a change is gossiped at once
- * @param absentRetentionMs after which an absent member that is not configured is forgotten
+ * @param configuredCount the number of configured instances, numbered from 0; 0 if there are only seeds
+ * @param seeds the numbers of the members through which to join; empty if members are configured
+ * @param capacity the maximum number of known members, including dead ones
+ * @param roundMs the time between two rounds, each of which probes a member
+ * @param pingTimeoutMs the time after which a member is pinged again, also through helpers
+ * @param probeTimeoutMs the time after which a probe has failed
+ * @param helpers the number of members that are requested to ping a member that does not answer
+ * @param confirmers the number of members that probe a suspected one immediately, in addition to the one that suspects
+ *     it
+ * @param minSuspicionMs the duration of a suspicion that all of them confirm
+ * @param maxSuspicionMs the duration of a suspicion that none of them confirms
+ * @param fanout the number of members to which a change is gossiped at once
+ * @param absentRetentionMs the time after which an absent member that is not configured is removed
  */
 public record MembershipSettings(
         int configuredCount,
@@ -72,12 +73,15 @@
         }
     }
 
-    /** For so many configured instances; the figures are measured in {@code docs/design/members.md}. */
+    /**
+     * Returns the settings for a number of configured instances; the values were measured in
+     * {@code docs/design/members.md}.
+     */
     public static MembershipSettings forConfigured(int configuredCount) {
         return withDefaults(configuredCount, List.of(), Math.max(1, configuredCount));
     }
 
-    /** For a fleet whose members join by seeds. */
+    /** Returns the settings for a fleet whose members join through seeds. */
     public static MembershipSettings forSeeds(List<Integer> seeds, int capacity) {
         return withDefaults(0, seeds, capacity);
     }
@@ -98,7 +102,7 @@
                 ABSENT_RETENTION_MS);
     }
 
-    /** Whether the configuration names a member of this number. */
+    /** Whether a member of this number is configured. */
     boolean isConfigured(int id) {
         return id < configuredCount;
     }
--- a/src/main/java/cacheproxy/membership/MembershipView.java
+++ b/src/main/java/cacheproxy/membership/MembershipView.java
@@ -5,16 +5,16 @@
 import java.util.TreeMap;
 
 /**
- * What one instance knows of the fleet at a moment; immutable. It is advice: instances that reach each other soon know
- * the same, but not until then, and not across a partition. So there are two types of counts that can't be confused:
- * {@link #liveMembers()} for what may save work, {@link #configuredMembers()} for what a safety rule rests on.
+ * What one instance knows of the fleet at one point in time; immutable. It is advisory: instances that reach each other
+ * soon know the same, but not before that, and not across a partition. For this reason there are two distinct types of
+ * counts: {@link #liveMembers()} for what may save work, {@link #configuredMembers()} for safety rules.
  *
- * @param self the number of the instance whose view it is
- * @param atMs when it was taken, by the instance's own clock, in milliseconds
+ * @param self the number of the instance whose view this is
+ * @param atMs when the view was taken, by the instance's own clock, in milliseconds
  * @param members all known members, by number
  * @param digest equal for instances that know the same
- * @param configuredMembers how many members are configured; null where they join by seeds
- * @param disputed whether another process seems to run under the instance's number
+ * @param configuredMembers the number of configured members; null if they join through seeds
+ * @param disputed whether another process appears to run under the instance's number
  */
 public record MembershipView(
         int self,
@@ -23,7 +23,7 @@
         int digest,
         ConfiguredMembers configuredMembers,
         boolean disputed) {
-    /** Checks that the instance itself is in it. */
+    /** Checks that the view contains the instance itself. */
     public MembershipView {
         members = List.copyOf(members);
         if (members.stream().noneMatch(e -> e.id() == self)) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** How many members are live, itself among them. */
+    /** Returns the number of live members, including the instance itself. */
     public LiveMembers liveMembers() {
         return new LiveMembers(1
                 + (int) members.stream()
@@ -39,7 +39,9 @@
                         .count());
     }
 
-    /** Which part of the configured fleet it reaches; of all known members where they join by seeds. */
+    /**
+     * Returns which part of the configured fleet the instance reaches; of all known members if they join through seeds.
+     */
     public Reachability reachability() {
         int all = configuredMembers == null ? members.size() : configuredMembers.count();
         return Reachability.of(
@@ -50,7 +52,7 @@
                 all);
     }
 
-    /** The same for each zone that members have announced. */
+    /** Returns the reachability of each zone that members have announced. */
     public Map<Integer, Reachability> reachabilityByZone() {
         Map<Integer, int[]> counts = new TreeMap<>();
         for (Member e : members) {
--- a/src/main/java/cacheproxy/membership/OutgoingMessage.java
+++ b/src/main/java/cacheproxy/membership/OutgoingMessage.java
@@ -3,18 +3,18 @@
 /**
  * A message to be sent.
  *
- * @param to the receiver's number
- * @param body as {@link MembershipMessage#decode} reads it
- * @param urgency which messages are sent first where the budget is short
+ * @param to the number of the receiver
+ * @param body decoded by {@link MembershipMessage#decode}
+ * @param urgency determines which messages are sent first if the budget is short
  */
 public record OutgoingMessage(int to, byte[] body, Urgency urgency) {
-    /** The most urgent first. */
+    /** How urgent a message is; the most urgent first. */
     public enum Urgency {
-        /** A peer waits for it, or it refutes a wrong state. */
+        /** A peer waits for the message, or it refutes a wrong state. */
         RESPONSE,
-        /** It tells of a change, or looks for one. */
+        /** The message reports a change, or checks for one. */
         MEMBERSHIP_CHANGE,
-        /** What may as well be sent later. */
+        /** The message can be sent later. */
         BACKGROUND
     }
 }
--- a/src/main/java/cacheproxy/membership/PeerSelector.java
+++ b/src/main/java/cacheproxy/membership/PeerSelector.java
@@ -5,13 +5,13 @@
 import java.util.SplittableRandom;
 import java.util.function.IntPredicate;
 
-/** Chooses live members: the next on the ring, all in a shuffled order as in SWIM, or a random sample. */
+/** Selects live members: the next on the ring, all in a shuffled order as in SWIM, or a random sample. */
 final class PeerSelector {
     private static final int NONE = -1;
 
     private final FleetState fleet;
     private final SplittableRandom random;
-    /** What is left of the shuffled order; taken from its end. */
+    /** The rest of the shuffled order; members are taken from the end. */
     private final List<Integer> shuffled = new ArrayList<>();
 
     PeerSelector(FleetState fleet, SplittableRandom random) {
@@ -19,7 +19,9 @@
         this.random = random;
     }
 
-    /** The first live member behind this instance on the ring that meets a condition; negative if there is none. */
+    /**
+     * Returns the first live member after this instance on the ring that meets a condition; negative if there is none.
+     */
     int nextOnRing(IntPredicate condition) {
         List<Integer> ring = fleet.liveOthers();
         long ownPosition = Member.mix(fleet.self());
@@ -36,7 +38,7 @@
         return NONE;
     }
 
-    /** The next live member in a shuffled order of all; there has to be one. */
+    /** Returns the next live member in a shuffled order of all; there has to be at least one. */
     int nextShuffled() {
         while (true) {
             if (shuffled.isEmpty()) {
@@ -60,7 +62,7 @@
         }
     }
 
-    /** Up to so many random live members that meet a condition. */
+    /** Returns up to {@code count} random live members that meet a condition. */
     List<Integer> sample(int count, IntPredicate condition) {
         List<Integer> candidates = new ArrayList<>(fleet.liveOthers());
         List<Integer> chosen = new ArrayList<>();
--- a/src/main/java/cacheproxy/membership/Probe.java
+++ b/src/main/java/cacheproxy/membership/Probe.java
@@ -1,27 +1,27 @@
 package cacheproxy.membership;
 
 /**
- * A probe under way: a member has been pinged, perhaps several times, and has not answered yet. Times in milliseconds.
+ * A pending probe: a member has been pinged, possibly several times, and has not answered yet. Times in milliseconds.
  */
 final class Probe {
     /** Why a member is probed. */
     enum Purpose {
-        /** It is its turn. */
+        /** The member is next in the current round. */
         ROUND,
-        /** Another suspects it. */
+        /** Another instance suspects the member. */
         CONFIRM_SUSPICION,
-        /** Before it is declared dead. */
+        /** The last probe before the member is declared dead. */
         BEFORE_DEATH,
-        /** A peer has asked for it, as its own pings weren't answered. */
+        /** A peer has requested the probe because its own pings were not answered. */
         FOR_PEER,
-        /** It is gone or was never heard of: whether it is there again. */
+        /** The member is absent or was never seen; the probe checks whether it is available again. */
         REJOIN
     }
 
     final int number;
     final int target;
     final Purpose purpose;
-    /** The peer that has asked for it, and the number of that peer's probe. */
+    /** The peer that requested the probe, and the number of that peer's probe. */
     final int requester;
 
     final int requesterNumber;
--- a/src/main/java/cacheproxy/membership/Reachability.java
+++ b/src/main/java/cacheproxy/membership/Reachability.java
@@ -1,17 +1,17 @@
 package cacheproxy.membership;
 
-/** Which part of the configured fleet an instance can reach, itself among it. */
+/** Which part of the configured fleet an instance can reach, including itself. */
 public enum Reachability {
-    /** No other, though there are others. */
+    /** None of the other instances, although there are some. */
     ALONE,
-    /** At most half. */
+    /** At most half of the fleet. */
     MINORITY,
-    /** More than half. */
+    /** More than half of the fleet, but not all. */
     MAJORITY,
-    /** All. */
+    /** The whole fleet. */
     ALL;
 
-    /** Of so many members that are reached, of all. */
+    /** Returns the reachability for a number of reached members out of all. */
     static Reachability of(int reached, int all) {
         if (reached >= all) {
             return ALL;
--- a/src/main/java/cacheproxy/membership/ServicePhase.java
+++ b/src/main/java/cacheproxy/membership/ServicePhase.java
@@ -2,13 +2,13 @@
 
 /** The phase of its service that an instance announces. */
 public enum ServicePhase {
-    /** It accepts no requests yet. */
+    /** The instance accepts no requests yet. */
     STARTING(0),
-    /** It serves what it can, and collects state. */
+    /** The instance serves what it can, and collects state. */
     RECOVERING(1),
-    /** Full service. */
+    /** The instance is in full service. */
     SERVING(2),
-    /** It accepts no new clients. */
+    /** The instance accepts no new clients. */
     DRAINING(3);
 
     private final int code;
@@ -17,12 +17,12 @@
         this.code = code;
     }
 
-    /** Its code on the wire, in two bits. */
+    /** Returns the code on the wire, two bits. */
     int code() {
         return code;
     }
 
-    /** The phase of that code, 0 to 3. */
+    /** Returns the phase with this code, 0 to 3. */
     static ServicePhase of(int code) {
         return switch (code) {
             case 0 -> STARTING;
--- a/src/main/java/cacheproxy/membership/Suspicion.java
+++ b/src/main/java/cacheproxy/membership/Suspicion.java
@@ -1,15 +1,18 @@
 package cacheproxy.membership;
 
 /**
- * A suspicion under way. The fewer members confirm it, the longer it lasts: from the longest time with one that
- * suspects down to the least with all that were asked to confirm (Lifeguard, section IV.B). Times in milliseconds.
+ * An ongoing suspicion. The fewer members confirm it, the longer it lasts: from the maximum duration with a single
+ * suspecting member down to the minimum with all members that were requested to confirm it (Lifeguard, section IV.B).
+ * Times in milliseconds.
  */
 final class Suspicion {
-    /** When it began. */
+    /** When the suspicion started. */
     double startedMs;
-    /** When this instance looks next whether it has to confirm the suspicion. */
+    /** When this instance checks next whether it has to confirm the suspicion. */
     double confirmAtMs;
-    /** When this instance's own probe failed last; negative infinity if it has not tried or was answered. */
+    /**
+     * When this instance's own last probe of the member failed; negative infinity if there was none or it was answered.
+     */
     double ownProbeFailedMs = Double.NEGATIVE_INFINITY;
 
     private final long incarnation;
@@ -21,7 +24,7 @@
         startedMs = nowMs;
     }
 
-    /** Whether it is of this incarnation of the member. */
+    /** Whether the suspicion concerns this incarnation and process of the member. */
     boolean concerns(Member member) {
         return incarnation == member.incarnation() && processNonce == member.processNonce();
     }
@@ -31,7 +34,7 @@
         return ownProbeFailedMs != Double.NEGATIVE_INFINITY;
     }
 
-    /** When it ends with so many confirmers, of so many that are wanted. */
+    /** Returns when the suspicion ends with this number of confirmers, out of the required number. */
     double endMs(MembershipSettings settings, int confirmers, int required) {
         double ratio = required <= 0 ? 1 : Math.min(1, Math.log(Math.max(1, confirmers)) / Math.log(required + 1));
         double minMs = settings.minSuspicionMs();
--- a/src/main/java/cacheproxy/membership/SuspicionTable.java
+++ b/src/main/java/cacheproxy/membership/SuspicionTable.java
@@ -6,13 +6,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** The suspicions under way, and who has to confirm each. */
+/** The ongoing suspicions, and which members have to confirm each of them. */
 final class SuspicionTable {
-    /** More suspicions than this, and than one in {@link #PARTITION_DIVISOR} live members: a partition is likely. */
+    /**
+     * A partition is likely if there are more suspicions than this and more than one per {@link #PARTITION_DIVISOR}
+     * live members.
+     */
     private static final int MIN_PARTITION_SUSPICIONS = 3;
 
     private static final int PARTITION_DIVISOR = 12;
-    /** A member of which a message was received within this time stands on this side of a partition. */
+    /** A member from which a message was received within this time is on the same side of a partition. */
     private static final double RECENTLY_RECEIVED_MS = 1500;
 
     private final MembershipSettings settings;
@@ -24,7 +27,7 @@
         this.fleet = fleet;
     }
 
-    /** The suspicion of a member; null if there is none. */
+    /** Returns the suspicion of a member; null if there is none. */
     Suspicion get(int id) {
         return suspicions.get(id);
     }
@@ -34,17 +37,17 @@
         return suspicions.containsKey(id);
     }
 
-    /** The suspected members. */
+    /** Returns the numbers of the suspected members. */
     List<Integer> ids() {
         return List.copyOf(suspicions.keySet());
     }
 
-    /** How many are suspected. */
+    /** Returns the number of suspected members. */
     int size() {
         return suspicions.size();
     }
 
-    /** What is known of a member has changed: begins or ends a suspicion of it. */
+    /** What is known of a member has changed; starts or ends a suspicion of it. */
     void memberChanged(double nowMs, Member member) {
         Suspicion suspicion = suspicions.get(member.id());
         boolean suspected = member.state() == MemberState.SUSPECT;
@@ -53,7 +56,7 @@
             suspicion = null;
         }
         if (suspected && suspicion == null && !fleet.hasLeft()) {
-            suspicions.put(member.id(), new Suspicion(member, nowMs)); // the next tick looks whether to confirm it
+            suspicions.put(member.id(), new Suspicion(member, nowMs)); // the next tick checks whether to confirm it
         }
     }
 
@@ -62,7 +65,7 @@
         suspicions.clear();
     }
 
-    /** This process has stalled for so long: all times move, and its own failed probes say nothing. */
+    /** This process has stalled for this time: moves all deadlines, and discards its own failed probes. */
     void postpone(double byMs) {
         suspicions.values().forEach(s -> {
             s.startedMs += byMs;
@@ -71,9 +74,9 @@
     }
 
     /**
-     * Whether so many are suspected at once that the network is partitioned rather than that they died one by one.
-     * Those who would have to confirm then stand beyond the partition for the most part, so only recently heard members
-     * are chosen, and one confirmation is enough.
+     * Whether so many members are suspected at once that the network is probably partitioned, rather than the members
+     * having died one by one. In that case most of the members that would have to confirm a suspicion are on the other
+     * side, so only members from which a message was received recently are selected, and one confirmation is enough.
      */
     boolean isPartitionLikely() {
         return suspicions.size()
@@ -81,9 +84,9 @@
     }
 
     /**
-     * The members that probe a suspected one at once to confirm the suspicion; the same at all instances that know the
-     * same. A suspected member confirms nothing: at a partition those on this side soon take the place of those on the
-     * other.
+     * Returns the members that probe a suspected one immediately to confirm the suspicion; the same at all instances
+     * that know the same. Suspected members are not selected: in a partition, members on this side soon replace those
+     * on the other.
      */
     List<Integer> confirmersOf(double nowMs, Member suspect) {
         long salt = Member.mix(suspect.id() * 31L + suspect.incarnation());
@@ -99,7 +102,7 @@
         return candidates.subList(0, Math.min(settings.confirmers(), candidates.size()));
     }
 
-    /** How many confirmations end a suspicion at the least time. */
+    /** Returns the number of confirmations with which a suspicion has its minimum duration. */
     int requiredConfirmations() {
         return Math.min(
                 isPartitionLikely() ? 1 : settings.confirmers(),
--- a/src/main/java/cacheproxy/membership/Transmitter.java
+++ b/src/main/java/cacheproxy/membership/Transmitter.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 
 /**
- * Composes messages and queues them, as far as the allowance permits. Each carries this instance's own entry, what the
- * receiver has to know, and as much gossip as there is room for.
+ * Composes messages and queues them as far as the budget permits. Each contains this instance's own entry, the entries
+ * that the receiver has to know, and as much gossip as fits.
  */
 final class Transmitter {
     private static final int[] NO_DIGESTS = {};
 
     private final FleetState fleet;
     private final Membership.MessageBudget budget;
-    /** Members that don't know what is known of them here. */
+    /** Members whose own entry differs from what is known of them here. */
     private final Set<Integer> outdatedReceivers = new HashSet<>();
 
     private final List<OutgoingMessage> queue = new ArrayList<>();
@@ -26,7 +26,10 @@
         this.budget = budget;
     }
 
-    /** A member has said of itself something other than what is known of it here; the next message tells it. */
+    /**
+     * A member has sent an entry of itself that differs from what is known of it here; the next message to it contains
+     * the known entry.
+     */
     void markOutdated(int id) {
         outdatedReceivers.add(id);
     }
@@ -34,10 +37,10 @@
     /**
      * Queues a message with gossip.
      *
-     * @param probe the number of the probe that it belongs to; 0 for none
-     * @param target whom the probe is to reach or has reached for another; {@link MembershipMessage#NO_MEMBER}
+     * @param probe the number of the probe it belongs to; 0 for none
+     * @param target the member that a helper has to reach, or has reached; {@link MembershipMessage#NO_MEMBER}
      *     otherwise
-     * @return whether the allowance permitted it
+     * @return whether the budget permitted the message
      */
     boolean send(double nowMs, Kind kind, int to, int probe, int target, Urgency urgency) {
         List<Member> members = new ArrayList<>(List.of(self()));
@@ -56,7 +59,7 @@
                 urgency);
     }
 
-    /** Gossip for a message of this kind that holds these members. */
+    /** Returns gossip that fits into a message of this kind with these members. */
     private List<Member> gossip(double nowMs, Kind kind, List<Member> members) {
         int bytes = MembershipMessage.headerBytes(kind)
                 + members.stream().mapToInt(MembershipMessage::memberBytes).sum();
@@ -67,17 +70,17 @@
         return gossip;
     }
 
-    /** Queues gossip for a member. */
+    /** Queues a gossip message to a member. */
     void sendGossip(double nowMs, int to, Urgency urgency) {
         send(nowMs, Kind.GOSSIP, to, 0, MembershipMessage.NO_MEMBER, urgency);
     }
 
-    /** Queues a message with exactly these members, this instance's own entry before them. */
+    /** Queues a message with exactly these members, after this instance's own entry. */
     void sendMembers(double nowMs, Kind kind, int to, List<Member> members, Urgency urgency) {
         sendDigests(nowMs, kind, to, 0, NO_DIGESTS, members, urgency);
     }
 
-    /** Queues a message with digests of slices; {@code number}: what it carries in place of a probe's. */
+    /** Queues a message with digests of slices. {@code number}: sent in place of a probe number. */
     void sendDigests(
             double nowMs, Kind kind, int to, int number, int[] digests, List<Member> members, Urgency urgency) {
         List<Member> all = new ArrayList<>(List.of(self()));
@@ -103,7 +106,7 @@
         return fleet.localMember().member();
     }
 
-    /** The queued messages in their order; empties the queue. */
+    /** Removes and returns the queued messages in their order. */
     List<OutgoingMessage> takeQueue() {
         List<OutgoingMessage> all = List.copyOf(queue);
         queue.clear();
