--- a/src/main/java/cacheproxy/gossip/EndpointListDelta.java
+++ b/src/main/java/cacheproxy/gossip/EndpointListDelta.java
@@ -38,8 +38,8 @@
     public EndpointListDelta {
         changes = List.copyOf(changes);
         if (changes.size() > MAX_CHANGES || ttlMs < 0 || ttlMs > MAX_TTL_MS) {
-            throw new IllegalArgumentException(changes.size() + " changes with a TTL of " + ttlMs
-                    + " ms; expected at most " + MAX_CHANGES + ", 0 to " + MAX_TTL_MS);
+            throw new IllegalArgumentException(changes.size() + " changes, TTL " + ttlMs + " ms; expected at most "
+                    + MAX_CHANGES + " changes and a TTL of 0 to " + MAX_TTL_MS);
         }
     }
 
--- a/src/main/java/cacheproxy/gossip/Envelope.java
+++ b/src/main/java/cacheproxy/gossip/Envelope.java
@@ -45,7 +45,7 @@
         /** Checks the ranges; throws an IllegalArgumentException if one is violated. */
         public Item {
             if (kind < 1 || kind >= KINDS || version < 0 || version >= VERSIONS || body.length > MAX_BODY_BYTES) {
-                throw new IllegalArgumentException("an item of kind " + kind + ", version " + version + " and "
+                throw new IllegalArgumentException("item of kind " + kind + ", version " + version + " and "
                         + body.length + " bytes; expected kind 1 to " + (KINDS - 1) + ", version 0 to "
                         + (VERSIONS - 1) + ", at most " + MAX_BODY_BYTES + " bytes");
             }
@@ -69,7 +69,7 @@
         int size = 1 + CHECKSUM_BYTES + items.stream().mapToInt(Item::size).sum();
         if (size > MAX_DATAGRAM_BYTES) {
             throw new IllegalArgumentException(
-                    "a datagram of " + size + " bytes; expected at most " + MAX_DATAGRAM_BYTES);
+                    "datagram of " + size + " bytes; expected at most " + MAX_DATAGRAM_BYTES);
         }
         ByteBuffer out = ByteBuffer.allocate(size).put(MAGIC);
         for (Item item : items) {
--- a/src/main/java/cacheproxy/gossip/SendBudget.java
+++ b/src/main/java/cacheproxy/gossip/SendBudget.java
@@ -45,8 +45,9 @@
         if (!(bytesPerSecond >= MIN_BYTES_PER_SECOND
                 && bytesPerSecond <= MAX_BYTES_PER_SECOND
                 && burstBytes >= Envelope.MAX_DATAGRAM_BYTES)) {
-            throw new IllegalArgumentException("a budget of " + bytesPerSecond + " bytes a second, " + burstBytes
-                    + " at once; expected 100 to 1,000,000, and a datagram at least");
+            throw new IllegalArgumentException(
+                    "send budget of " + bytesPerSecond + " bytes per second with a burst of " + burstBytes
+                            + " bytes; expected 100 to 1,000,000 bytes per second and a burst of at least one datagram");
         }
         bytesPerMs = bytesPerSecond / 1000;
         capacityBytes = burstBytes;
--- a/src/main/java/cacheproxy/membership/ConfiguredMembers.java
+++ b/src/main/java/cacheproxy/membership/ConfiguredMembers.java
@@ -8,7 +8,7 @@
     /** Checks the range. */
     public ConfiguredMembers {
         if (count < 1) {
-            throw new IllegalArgumentException(count + " configured instances");
+            throw new IllegalArgumentException(count + " configured instances, expected at least 1");
         }
     }
 }
--- a/src/main/java/cacheproxy/membership/LiveMembers.java
+++ b/src/main/java/cacheproxy/membership/LiveMembers.java
@@ -8,7 +8,7 @@
     /** Checks the range. */
     public LiveMembers {
         if (count < 1) {
-            throw new IllegalArgumentException(count + " live instances; at least this one is");
+            throw new IllegalArgumentException(count + " live instances, expected at least 1");
         }
     }
 }
--- a/src/main/java/cacheproxy/membership/Member.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -72,7 +72,7 @@
                 || zone < 0
                 || zone > MAX_ZONE
                 || version < 0) {
-            throw new IllegalArgumentException("instance " + id + " in incarnation " + incarnation + ", life "
+            throw new IllegalArgumentException("instance " + id + " in incarnation " + incarnation + ", process nonce "
                     + processNonce + ", zone " + zone + ", version " + version + " is out of range");
         }
         if (confirmers.size() > MAX_CONFIRMERS
--- a/src/main/java/cacheproxy/membership/MemberState.java
+++ b/src/main/java/cacheproxy/membership/MemberState.java
@@ -29,7 +29,7 @@
             case 1 -> SUSPECT;
             case 2 -> DEAD;
             case 3 -> LEFT;
-            default -> throw new IllegalArgumentException("state " + code + ", expected 0 to 3");
+            default -> throw new IllegalArgumentException("member state code " + code + ", expected 0 to 3");
         };
     }
 
--- a/src/main/java/cacheproxy/membership/MemberTable.java
+++ b/src/main/java/cacheproxy/membership/MemberTable.java
@@ -32,7 +32,7 @@
         this.merger = merger;
         if (capacity < 1 || capacity > Member.MAX_ID + 1) {
             throw new IllegalArgumentException(
-                    "a table for " + capacity + " instances; it takes 1 to " + (Member.MAX_ID + 1));
+                    "member table capacity " + capacity + ", expected 1 to " + (Member.MAX_ID + 1));
         }
         this.capacity = capacity;
     }
--- a/src/main/java/cacheproxy/membership/MembershipMessage.java
+++ b/src/main/java/cacheproxy/membership/MembershipMessage.java
@@ -209,7 +209,7 @@
             metadata.put(header >> 5, value);
         }
         if (flags < 0 || zone > Member.MAX_ZONE || version > Integer.MAX_VALUE) {
-            throw new IllegalArgumentException("a member with unknown flags, or values out of range");
+            throw new IllegalArgumentException("member entry has unknown flags or values out of range");
         }
         return new Member(
                 id,
@@ -233,6 +233,6 @@
                 return value;
             }
         }
-        throw new IllegalArgumentException("a number of more than nine bytes");
+        throw new IllegalArgumentException("varint is longer than nine bytes");
     }
 }
--- a/src/main/java/cacheproxy/membership/MembershipSettings.java
+++ b/src/main/java/cacheproxy/membership/MembershipSettings.java
@@ -49,8 +49,9 @@
                 || capacity < Math.max(1, configuredCount)
                 || capacity > Member.MAX_ID
                 || (configuredCount == 0 && seeds.isEmpty())) {
-            throw new IllegalArgumentException(configuredCount + " configured instances, " + seeds.size()
-                    + " seeds and room for " + capacity + "; it takes one of the former, and room for all of them");
+            throw new IllegalArgumentException(
+                    configuredCount + " configured instances, " + seeds.size() + " seeds and a capacity of " + capacity
+                            + "; expected configured instances or seeds, and a capacity for all of them");
         }
         if (!(roundMs >= 10
                 && pingTimeoutMs >= 1
@@ -59,8 +60,10 @@
                 && maxSuspicionMs >= minSuspicionMs
                 && absentRetentionMs > 0)) {
             throw new IllegalArgumentException(
-                    "rounds of " + roundMs + " ms with answers after " + pingTimeoutMs + " and " + probeTimeoutMs
-                            + " ms, suspicions of " + minSuspicionMs + " to " + maxSuspicionMs + " ms make no sense");
+                    "rounds of " + roundMs + " ms, ping timeout " + pingTimeoutMs + " ms, probe timeout "
+                            + probeTimeoutMs + " ms, suspicions of " + minSuspicionMs + " to " + maxSuspicionMs
+                            + " ms; expected rounds of at least 10 ms, a ping timeout from 1 ms, a longer probe timeout, "
+                            + "a minimum suspicion above 0 up to the maximum, and a retention above 0");
         }
         if (helpers < 0
                 || helpers > 16
@@ -69,7 +72,8 @@
                 || fanout < 1
                 || fanout > 16) {
             throw new IllegalArgumentException(helpers + " helpers, " + confirmers + " confirmers and a fanout of "
-                    + fanout + "; it takes up to 16, up to " + (Member.MAX_CONFIRMERS - 1) + ", and 1 to 16");
+                    + fanout + "; expected 0 to 16 helpers, 0 to " + (Member.MAX_CONFIRMERS - 1)
+                    + " confirmers, and a fanout of 1 to 16");
         }
     }
 
--- a/src/main/java/cacheproxy/membership/MembershipView.java
+++ b/src/main/java/cacheproxy/membership/MembershipView.java
@@ -27,7 +27,7 @@
     public MembershipView {
         members = List.copyOf(members);
         if (members.stream().noneMatch(e -> e.id() == self)) {
-            throw new IllegalArgumentException("the view lacks its own instance");
+            throw new IllegalArgumentException("view does not contain its own instance");
         }
     }
 
--- a/src/main/java/cacheproxy/membership/ServicePhase.java
+++ b/src/main/java/cacheproxy/membership/ServicePhase.java
@@ -29,7 +29,7 @@
             case 1 -> RECOVERING;
             case 2 -> SERVING;
             case 3 -> DRAINING;
-            default -> throw new IllegalArgumentException("phase " + code + ", expected 0 to 3");
+            default -> throw new IllegalArgumentException("service phase code " + code + ", expected 0 to 3");
         };
     }
 }
