--- a/src/jmh/java/cacheproxy/MembershipBenchmark.java
+++ b/src/jmh/java/cacheproxy/MembershipBenchmark.java
@@ -26,7 +26,7 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class MembershipBenchmark {
-    private static final Membership.MessageBudget ALL = new Membership.MessageBudget() {
+    private static final Membership.MessageBudget UNLIMITED = new Membership.MessageBudget() {
         @Override
         public boolean tryAcquire(double nowMs, int bytes, Urgency urgency) {
             return true;
@@ -43,18 +43,18 @@
     public int members;
 
     private Membership[] all;
-    private double now;
+    private double nowMs;
 
     /** The first has heard of all, and has nothing more to tell. */
     @Setup
     public void setUp() {
         all = new Membership[members];
         for (int i = 0; i < members; i++) {
-            all[i] = new Membership(MembershipSettings.forConfigured(members), i, 0, new byte[0], 0, i, ALL);
+            all[i] = new Membership(MembershipSettings.forConfigured(members), i, 0, new byte[0], 0, i, UNLIMITED);
             if (i > 0) {
-                all[i].tick(now);
+                all[i].tick(nowMs);
                 int from = i;
-                all[i].takeOutgoing().forEach(s -> all[0].messageReceived(now, from, s.body()));
+                all[i].takeOutgoing().forEach(s -> all[0].messageReceived(nowMs, from, s.body()));
             }
         }
         for (int i = 0; i < 2000; i++) {
@@ -65,18 +65,18 @@
     /** One round of the first instance, with the answers of whom it asks. */
     @Benchmark
     public int round() {
-        now += 250;
-        all[0].tick(now);
-        List<OutgoingMessage> asked = all[0].takeOutgoing();
-        for (OutgoingMessage s : asked) {
-            all[s.to()].messageReceived(now, 0, s.body());
-            for (OutgoingMessage back : all[s.to()].takeOutgoing()) {
-                if (back.to() == 0) {
-                    all[0].messageReceived(now, s.to(), back.body());
+        nowMs += 250;
+        all[0].tick(nowMs);
+        List<OutgoingMessage> sent = all[0].takeOutgoing();
+        for (OutgoingMessage s : sent) {
+            all[s.to()].messageReceived(nowMs, 0, s.body());
+            for (OutgoingMessage reply : all[s.to()].takeOutgoing()) {
+                if (reply.to() == 0) {
+                    all[0].messageReceived(nowMs, s.to(), reply.body());
                 }
             }
         }
         all[0].takeOutgoing();
-        return asked.size();
+        return sent.size();
     }
 }
--- a/src/test/java/cacheproxy/endpoints/PollBackoffTest.java
+++ b/src/test/java/cacheproxy/endpoints/PollBackoffTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void delaysAreThoseOfReleasedPrograms() {
+    void delaysMatchReleasedVersions() {
         PollBackoff backoff = new PollBackoff(10_000);
         SplittableRandom random = new SplittableRandom(7);
         double[] delaysMs = new double[3];
--- a/src/test/java/cacheproxy/gossip/AntiEntropyTest.java
+++ b/src/test/java/cacheproxy/gossip/AntiEntropyTest.java
@@ -21,11 +21,11 @@
 
     @Test
     void anInstanceThatDiscoveryDoesNotAnswerQueriesRepeatedly() {
-        int asked = 0;
+        int queries = 0;
         for (double now = 0; now <= 4000; now += 10) {
-            asked += antiEntropy.onTimer(now) ? 1 : 0;
+            queries += antiEntropy.onTimer(now) ? 1 : 0;
         }
-        assertThat(asked).as("at 2, 2.5, 3, 3.5 and 4 s").isEqualTo(5);
+        assertThat(queries).as("at 2, 2.5, 3, 3.5 and 4 s").isEqualTo(5);
     }
 
     @Test
@@ -39,11 +39,11 @@
     @Test
     void aRandomPeerIsAnyOtherInstance() {
         SplittableRandom random = new SplittableRandom(1);
-        Set<Integer> asked = new TreeSet<>();
+        Set<Integer> peers = new TreeSet<>();
         for (int i = 0; i < 200; i++) {
-            asked.add(AntiEntropy.randomPeer(random, 2, 5));
+            peers.add(AntiEntropy.randomPeer(random, 2, 5));
         }
-        assertThat(asked).containsExactly(0, 1, 3, 4);
+        assertThat(peers).containsExactly(0, 1, 3, 4);
         assertThat(AntiEntropy.randomPeer(random, 0, 1)).isNegative();
     }
 }
--- a/src/test/java/cacheproxy/gossip/EnvelopeTest.java
+++ b/src/test/java/cacheproxy/gossip/EnvelopeTest.java
@@ -18,7 +18,7 @@
 
     /** The form on the wire; the test vector of the wire page. */
     @Test
-    void theFormatIsThatOfTheWirePage() {
+    void theFormatMatchesTheWireSpecification() {
         assertThat(HexFormat.of().formatHex(TWO_ITEMS))
                 .startsWith("e108080000000000000029ff00")
                 .hasSize(30);
@@ -32,9 +32,9 @@
     void aTruncatedOrCorruptedDatagramHasNoItems() {
         for (int i = 0; i < TWO_ITEMS.length; i++) {
             assertThat(Envelope.decode(Arrays.copyOf(TWO_ITEMS, i))).isEmpty();
-            byte[] changed = TWO_ITEMS.clone();
-            changed[i] ^= 4;
-            assertThat(Envelope.decode(changed)).isEmpty();
+            byte[] corrupted = TWO_ITEMS.clone();
+            corrupted[i] ^= 4;
+            assertThat(Envelope.decode(corrupted)).isEmpty();
         }
         assertThatThrownBy(() -> Envelope.encode(List.of(new Item(1, 0, new byte[200]), new Item(1, 0, new byte[60]))))
                 .isInstanceOf(IllegalArgumentException.class);
@@ -43,25 +43,25 @@
     }
 
     @Property(seed = "45", tries = 20_000)
-    void randomBytesAreDropped(@ForAll byte[] noise) {
-        Envelope.decode(noise);
+    void randomBytesAreDropped(@ForAll byte[] bytes) {
+        Envelope.decode(bytes);
     }
 
     @Test
     void lowerPrioritiesReserveCapacityForHigherOnes() {
-        SendBudget box = new SendBudget(1000, 1000);
-        assertThat(box.availableForLowPriority(0)).isEqualTo(500);
-        assertThat(box.tryAcquire(0, 400, Priority.LOW)).isTrue();
-        assertThat(box.tryAcquire(0, 200, Priority.LOW)).isFalse();
-        assertThat(box.tryAcquire(0, 200, Priority.NORMAL)).isTrue();
-        assertThat(box.tryAcquire(0, 200, Priority.NORMAL)).isFalse();
-        assertThat(box.tryAcquire(0, 400, Priority.HIGH)).isTrue();
-        assertThat(box.tryAcquire(0, 1, Priority.HIGH)).isFalse();
-        assertThat(box.droppedDatagrams()).isEqualTo(3);
-        assertThat(box.tryAcquire(600, 100, Priority.LOW))
+        SendBudget budget = new SendBudget(1000, 1000);
+        assertThat(budget.availableForLowPriority(0)).isEqualTo(500);
+        assertThat(budget.tryAcquire(0, 400, Priority.LOW)).isTrue();
+        assertThat(budget.tryAcquire(0, 200, Priority.LOW)).isFalse();
+        assertThat(budget.tryAcquire(0, 200, Priority.NORMAL)).isTrue();
+        assertThat(budget.tryAcquire(0, 200, Priority.NORMAL)).isFalse();
+        assertThat(budget.tryAcquire(0, 400, Priority.HIGH)).isTrue();
+        assertThat(budget.tryAcquire(0, 1, Priority.HIGH)).isFalse();
+        assertThat(budget.droppedDatagrams()).isEqualTo(3);
+        assertThat(budget.tryAcquire(600, 100, Priority.LOW))
                 .as("a second fills it")
                 .isTrue();
-        assertThat(box.tryAcquire(100_000, 501, Priority.LOW))
+        assertThat(budget.tryAcquire(100_000, 501, Priority.LOW))
                 .as("and no more than it holds")
                 .isFalse();
     }
--- a/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
+++ b/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
@@ -14,28 +14,28 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** A tier of proxies before one discovery, in virtual time. */
+/** A fleet of proxies before one discovery, in virtual time. */
 class ListVersionGossipTest {
     private static final double STEP_MS = 10;
 
     /** Proxies of which some hear nothing on their watch until they ask anew. */
-    private static final class Tier {
+    private static final class Fleet {
         final ListVersionGossip[] proxies;
-        final long[] holds;
+        final long[] heldVersions;
         final boolean[] silent;
-        final int[] asked;
+        final int[] polls;
         final SplittableRandom random;
         final double loss;
-        long discovery;
-        double now;
-        int messages;
-        final List<Told> underWay = new ArrayList<>();
+        long discoveryVersion;
+        double nowMs;
+        int messagesSent;
+        final List<Message> inFlight = new ArrayList<>();
 
-        Tier(int instances, double loss, long seed) {
+        Fleet(int instances, double loss, long seed) {
             proxies = new ListVersionGossip[instances];
-            holds = new long[instances];
+            heldVersions = new long[instances];
             silent = new boolean[instances];
-            asked = new int[instances];
+            polls = new int[instances];
             random = new SplittableRandom(seed);
             this.loss = loss;
             for (int i = 0; i < instances; i++) {
@@ -44,47 +44,48 @@
         }
 
         void change() {
-            discovery++;
+            discoveryVersion++;
             for (int i = 0; i < proxies.length; i++) {
                 if (!silent[i]) {
-                    told(i);
+                    deliver(i);
                 }
             }
         }
 
-        void told(int i) {
-            holds[i] = discovery;
-            proxies[i].onVersionApplied(now, discovery);
+        void deliver(int i) {
+            heldVersions[i] = discoveryVersion;
+            proxies[i].onVersionApplied(nowMs, discoveryVersion);
         }
 
-        void tell(int i) {
+        void announce(int i) {
             for (int to = 0; to < proxies.length; to++) {
                 if (to != i) {
-                    messages++;
+                    messagesSent++;
                     if (random.nextDouble() >= loss) {
-                        underWay.add(new Told(now + 5 + 25 * random.nextDouble(), to, holds[i]));
+                        inFlight.add(new Message(nowMs + 5 + 25 * random.nextDouble(), to, heldVersions[i]));
                     }
                 }
             }
         }
 
-        void claim(int to, long version) {
-            proxies[to].onPeerVersion(now, version);
+        void receiveAnnouncement(int to, long version) {
+            proxies[to].onPeerVersion(nowMs, version);
         }
 
-        void pass(double ms) {
-            for (double end = now + ms; now < end; now += STEP_MS) {
-                underWay.stream().filter(t -> t.at <= now).toList().forEach(t -> {
-                    underWay.remove(t);
-                    claim(t.to, PeerMessage.readListVersion(PeerMessage.listVersionAnnouncement(t.version)));
+        void advance(double ms) {
+            for (double endMs = nowMs + ms; nowMs < endMs; nowMs += STEP_MS) {
+                inFlight.stream().filter(m -> m.atMs <= nowMs).toList().forEach(m -> {
+                    inFlight.remove(m);
+                    receiveAnnouncement(
+                            m.to, PeerMessage.readListVersion(PeerMessage.listVersionAnnouncement(m.version)));
                 });
                 for (int i = 0; i < proxies.length; i++) {
-                    switch (proxies[i].onTimer(now)) {
-                        case ANNOUNCE -> tell(i);
+                    switch (proxies[i].onTimer(nowMs)) {
+                        case ANNOUNCE -> announce(i);
                         case POLL_DISCOVERY -> {
-                            asked[i]++;
+                            polls[i]++;
                             silent[i] = false;
-                            told(i);
+                            deliver(i);
                         }
                         case NONE, WAIT -> {}
                     }
@@ -94,7 +95,7 @@
     }
 
     /** A message that is on its way. */
-    private record Told(double at, int to, long version) {}
+    private record Message(double atMs, int to, long version) {}
 
     /** Guards against a fleet that goes on with a list of which every second proxy could have told. */
     @Property(seed = "1", tries = 60)
@@ -102,17 +103,17 @@
             @ForAll @IntRange(min = 2, max = 72) int instances,
             @ForAll @DoubleRange(min = 0, max = 0.5) double loss,
             @ForAll long seed) {
-        Tier tier = new Tier(instances, loss, seed);
+        Fleet fleet = new Fleet(instances, loss, seed);
         for (int i = 0; i < instances; i++) {
-            tier.silent[i] = i % 2 == 1;
+            fleet.silent[i] = i % 2 == 1;
         }
         for (int change = 0; change < 8; change++) {
-            tier.change();
-            tier.pass(3 * ListVersionGossip.MIN_POLL_DELAY_MS
+            fleet.change();
+            fleet.advance(3 * ListVersionGossip.MIN_POLL_DELAY_MS
                     + 3 * ListVersionGossip.DELAY_RANGE_PER_INSTANCE_MS * instances);
         }
-        assertThat(tier.holds).containsOnly(8);
-        assertThat(Arrays.stream(tier.asked).max().orElseThrow()).isLessThanOrEqualTo(3);
+        assertThat(fleet.heldVersions).containsOnly(8);
+        assertThat(Arrays.stream(fleet.polls).max().orElseThrow()).isLessThanOrEqualTo(3);
     }
 
     /**
@@ -122,16 +123,16 @@
     @Property(seed = "1", tries = 60)
     void fewAnnounceAVersionAndNobodyPollsWhenAllHoldIt(
             @ForAll @IntRange(min = 2, max = 72) int instances, @ForAll long seed) {
-        Tier tier = new Tier(instances, 0, seed);
+        Fleet fleet = new Fleet(instances, 0, seed);
         int versions = 12;
         for (int change = 0; change < versions; change++) {
-            tier.change();
-            tier.pass(2 * ListVersionGossip.DELAY_RANGE_PER_INSTANCE_MS * instances + 100);
+            fleet.change();
+            fleet.advance(2 * ListVersionGossip.DELAY_RANGE_PER_INSTANCE_MS * instances + 100);
         }
-        assertThat(tier.messages / (double) (instances - 1) / versions)
+        assertThat(fleet.messagesSent / (double) (instances - 1) / versions)
                 .as("who tell one version")
                 .isBetween(1.0, 3.0);
-        assertThat(tier.asked).containsOnly(0);
+        assertThat(fleet.polls).containsOnly(0);
     }
 
     @Test
@@ -144,18 +145,18 @@
     /** Guards against a peer that makes all the others call, or keeps them from telling. */
     @Test
     void falseAnnouncementsCostFewPollsAndHideNoNews() {
-        Tier tier = new Tier(8, 0, 1);
-        for (int s = 0; s < 600; s++) {
+        Fleet fleet = new Fleet(8, 0, 1);
+        for (int step = 0; step < 600; step++) {
             for (int i = 0; i < 8; i++) {
-                tier.claim(i, 1L << 40 | s);
+                fleet.receiveAnnouncement(i, 1L << 40 | step);
             }
-            tier.pass(100);
+            fleet.advance(100);
         }
-        assertThat(Arrays.stream(tier.asked).max().orElseThrow()).isLessThanOrEqualTo(7);
-        tier.silent[3] = true;
-        tier.change();
-        tier.pass(ListVersionGossip.MAX_POLL_DELAY_MS);
-        assertThat(tier.holds).containsOnly(1);
+        assertThat(Arrays.stream(fleet.polls).max().orElseThrow()).isLessThanOrEqualTo(7);
+        fleet.silent[3] = true;
+        fleet.change();
+        fleet.advance(ListVersionGossip.MAX_POLL_DELAY_MS);
+        assertThat(fleet.heldVersions).containsOnly(1);
     }
 
     @Test
--- a/src/test/java/cacheproxy/gossip/LocalStartTimesTest.java
+++ b/src/test/java/cacheproxy/gossip/LocalStartTimesTest.java
@@ -12,22 +12,22 @@
     private static final double NOW_MS = 1.8e12;
     private static final double HOUR_MS = 3_600_000;
 
-    private static Endpoint member(int id, double bornMs) {
-        return new Endpoint(id, 0, 0, 0, EndpointState.READY, 1, bornMs);
+    private static Endpoint endpoint(int id, double startTimeMs) {
+        return new Endpoint(id, 0, 0, 0, EndpointState.READY, 1, startTimeMs);
     }
 
-    private static double started(List<Endpoint> members) {
-        return members.get(0).localStartTimeMs();
+    private static double localStartTimeMs(List<Endpoint> endpoints) {
+        return endpoints.get(0).localStartTimeMs();
     }
 
     @Test
     void aPlausibleStartTimeIsUsedAsItIs() {
         LocalStartTimes times = new LocalStartTimes();
-        times.reset(NOW_MS, List.of(member(1, 0)));
+        times.reset(NOW_MS, List.of(endpoint(1, 0)));
         times.onUpdate(NOW_MS + 100, List.of());
-        assertThat(started(times.onUpdate(NOW_MS + 5000, List.of(member(2, NOW_MS + 3000)))))
+        assertThat(localStartTimeMs(times.onUpdate(NOW_MS + 5000, List.of(endpoint(2, NOW_MS + 3000)))))
                 .isEqualTo(NOW_MS + 3000);
-        assertThat(started(times.onUpdate(NOW_MS + 6000, List.of(member(1, 0)))))
+        assertThat(localStartTimeMs(times.onUpdate(NOW_MS + 6000, List.of(endpoint(1, 0)))))
                 .isZero();
     }
 
@@ -36,8 +36,8 @@
     void aNewStartTimeIsNotAnHourOld() {
         LocalStartTimes times = new LocalStartTimes();
         times.reset(NOW_MS, List.of());
-        times.onUpdate(NOW_MS + 100, List.of(member(1, 0)));
-        assertThat(started(times.onUpdate(NOW_MS + 5000, List.of(member(2, NOW_MS - HOUR_MS)))))
+        times.onUpdate(NOW_MS + 100, List.of(endpoint(1, 0)));
+        assertThat(localStartTimeMs(times.onUpdate(NOW_MS + 5000, List.of(endpoint(2, NOW_MS - HOUR_MS)))))
                 .isEqualTo(NOW_MS + 5000);
     }
 
@@ -45,9 +45,9 @@
     @Test
     void aStartTimeIsNotInTheFuture() {
         LocalStartTimes times = new LocalStartTimes();
-        assertThat(started(times.reset(NOW_MS, List.of(member(1, NOW_MS + HOUR_MS)))))
+        assertThat(localStartTimeMs(times.reset(NOW_MS, List.of(endpoint(1, NOW_MS + HOUR_MS)))))
                 .isEqualTo(NOW_MS);
-        assertThat(started(times.withLocalStartTimes(NOW_MS + 50, List.of(member(2, NOW_MS + HOUR_MS)))))
+        assertThat(localStartTimeMs(times.withLocalStartTimes(NOW_MS + 50, List.of(endpoint(2, NOW_MS + HOUR_MS)))))
                 .isEqualTo(NOW_MS + 50);
     }
 
@@ -56,10 +56,10 @@
         LocalStartTimes times = new LocalStartTimes();
         times.reset(NOW_MS, List.of());
         times.onUpdate(NOW_MS, List.of());
-        times.onUpdate(NOW_MS + 5000, List.of(member(2, NOW_MS - HOUR_MS)));
-        assertThat(started(times.onUpdate(NOW_MS + 90_000, List.of(member(2, NOW_MS - HOUR_MS)))))
+        times.onUpdate(NOW_MS + 5000, List.of(endpoint(2, NOW_MS - HOUR_MS)));
+        assertThat(localStartTimeMs(times.onUpdate(NOW_MS + 90_000, List.of(endpoint(2, NOW_MS - HOUR_MS)))))
                 .isEqualTo(NOW_MS + 5000);
-        assertThat(started(times.onUpdate(NOW_MS + 95_000, List.of(member(2, NOW_MS + 94_000)))))
+        assertThat(localStartTimeMs(times.onUpdate(NOW_MS + 95_000, List.of(endpoint(2, NOW_MS + 94_000)))))
                 .isEqualTo(NOW_MS + 94_000);
     }
 
@@ -68,7 +68,7 @@
     void theFirstListMayHoldStartTimesOfAnyAge() {
         LocalStartTimes times = new LocalStartTimes();
         times.reset(NOW_MS, List.of());
-        assertThat(started(times.onUpdate(NOW_MS + 100, List.of(member(2, NOW_MS - HOUR_MS)))))
+        assertThat(localStartTimeMs(times.onUpdate(NOW_MS + 100, List.of(endpoint(2, NOW_MS - HOUR_MS)))))
                 .isEqualTo(NOW_MS - HOUR_MS);
     }
 
@@ -77,7 +77,7 @@
         LocalStartTimes times = new LocalStartTimes();
         times.reset(NOW_MS, List.of());
         times.onUpdate(NOW_MS, List.of());
-        assertThat(started(times.onUpdate(NOW_MS + 600_000, List.of(member(2, NOW_MS + 10_000)))))
+        assertThat(localStartTimeMs(times.onUpdate(NOW_MS + 600_000, List.of(endpoint(2, NOW_MS + 10_000)))))
                 .isEqualTo(NOW_MS + 10_000);
     }
 }
--- a/src/test/java/cacheproxy/gossip/OutlierGossipTest.java
+++ b/src/test/java/cacheproxy/gossip/OutlierGossipTest.java
@@ -57,28 +57,28 @@
     /** Two liars are not three, and three take out a quarter of a zone at most. */
     @Test
     void noReportsMakeMoreThanAFractionOfAZoneOutliers() {
-        int out = 0;
+        int outliers = 0;
         for (int id = 0; id < 8; id++) {
-            for (int liar = 1; liar <= 3; liar++) {
-                out += gossip.onReport(id, liar, liar, node(id), 11, 4) ? 1 : 0;
+            for (int peer = 1; peer <= 3; peer++) {
+                outliers += gossip.onReport(id, peer, peer, node(id), 11, 4) ? 1 : 0;
             }
         }
-        assertThat(out).isEqualTo(8 / OutlierGossip.ZONE_FRACTION);
+        assertThat(outliers).isEqualTo(8 / OutlierGossip.ZONE_FRACTION);
         assertThat(gossip.onReport(9, 1, 1, new ReportedNode(99, 1, 8), 11, 4)).isFalse();
         assertThat(gossip.onReport(9, 2, 2, new ReportedNode(99, 1, 8), 11, 4)).isFalse();
     }
 
     @Test
     void eachOf1100ReportedNodesIsAnOutlier() {
-        int doubted = 0;
+        int outliers = 0;
         for (int id = 0; id < 1100; id++) {
             for (int peer = 0; peer < OutlierGossip.MIN_REPORTERS; peer++) {
-                doubted += gossip.onReport(
+                outliers += gossip.onReport(
                                 0, peer, peer, new ReportedNode(id, 0, 1100 * OutlierGossip.ZONE_FRACTION), 1024, 4)
                         ? 1
                         : 0;
             }
         }
-        assertThat(doubted).isEqualTo(1100);
+        assertThat(outliers).isEqualTo(1100);
     }
 }
--- a/src/test/java/cacheproxy/gossip/PeerMessageFormatTest.java
+++ b/src/test/java/cacheproxy/gossip/PeerMessageFormatTest.java
@@ -14,7 +14,7 @@
 class PeerMessageFormatTest {
     private static final String SAMPLES = "wire/peer-messages.txt";
 
-    private static final EndpointListDelta UPDATE = new EndpointListDelta(
+    private static final EndpointListDelta DELTA = new EndpointListDelta(
             41,
             43,
             15_000,
@@ -22,15 +22,15 @@
                     new EndpointChange(43, 0x5be2a07c, EndpointState.REMOVED, 0),
                     new EndpointChange(43, 0xf2ffffff, EndpointState.DRAINING, 1_764_000_000_123.0),
                     new EndpointChange(43, 7, EndpointState.READY, 1e12)));
-    private static final EndpointListDelta EMPTY_UPDATE = new EndpointListDelta(0, 1L << 53, 0xffff, List.of());
+    private static final EndpointListDelta EMPTY_DELTA = new EndpointListDelta(0, 1L << 53, 0xffff, List.of());
 
     /** Every kind of message, by the name of its sample. */
     static Map<String, byte[]> messages() {
         Map<String, byte[]> messages = new LinkedHashMap<>();
         messages.put("list-version", PeerMessage.listVersionAnnouncement(43));
         messages.put("list-query", PeerMessage.listQuery(1L << 53));
-        messages.put("list-update", UPDATE.encode());
-        messages.put("list-update-without-servers", EMPTY_UPDATE.encode());
+        messages.put("list-update", DELTA.encode());
+        messages.put("list-update-without-servers", EMPTY_DELTA.encode());
         messages.put("server-full", PeerMessage.endpointFull(0x5be2a07c));
         messages.put("server-unresponsive", PeerMessage.endpointUnresponsive(0xf2ffffff));
         messages.put(
@@ -38,7 +38,7 @@
         messages.put(
                 "datagram-of-four",
                 Envelope.encode(List.of(
-                        new Item(1, 0, UPDATE.encode()),
+                        new Item(1, 0, DELTA.encode()),
                         new Item(4, 0, PeerMessage.endpointUnresponsive(0xf2ffffff)),
                         new Item(31, 7, new byte[0]),
                         new Item(2, 0, PeerMessage.endpointFull(7)))));
@@ -55,9 +55,9 @@
         Map<String, byte[]> samples = WireSamples.bytes(SAMPLES);
         assertThat(PeerMessage.readListVersion(samples.get("list-version"))).isEqualTo(43);
         assertThat(PeerMessage.readListQuery(samples.get("list-query"))).isEqualTo(1L << 53);
-        assertThat(EndpointListDelta.decode(samples.get("list-update"))).isEqualTo(UPDATE);
+        assertThat(EndpointListDelta.decode(samples.get("list-update"))).isEqualTo(DELTA);
         assertThat(EndpointListDelta.decode(samples.get("list-update-without-servers")))
-                .isEqualTo(EMPTY_UPDATE);
+                .isEqualTo(EMPTY_DELTA);
         assertThat(PeerMessage.readEndpointFull(samples.get("server-full"))).isEqualTo(0x5be2a07c);
         assertThat(PeerMessage.readEndpointUnresponsive(samples.get("server-unresponsive")))
                 .isEqualTo(0xf2ffffff);
@@ -79,12 +79,12 @@
     /** A state that no released program knows makes a message one that can't be read. */
     @Test
     void anUnknownStateIsNotRead() {
-        byte[] update = WireSamples.bytes(SAMPLES).get("list-update");
+        byte[] delta = WireSamples.bytes(SAMPLES).get("list-update");
         int state = 1 + 8 + 8 + 2 + 4;
-        assertThat(update[state]).isZero();
+        assertThat(delta[state]).isZero();
         for (int code : new int[] {3, 127, -1}) {
-            update[state] = (byte) code;
-            assertThat(EndpointListDelta.decode(update)).as("state %d", code).isNull();
+            delta[state] = (byte) code;
+            assertThat(EndpointListDelta.decode(delta)).as("state %d", code).isNull();
         }
     }
 }
--- a/src/test/java/cacheproxy/gossip/ProvisionalEndpointsTest.java
+++ b/src/test/java/cacheproxy/gossip/ProvisionalEndpointsTest.java
@@ -17,104 +17,112 @@
 /** What peers tell of the list: used until discovery's word comes, and for no longer than that may take. */
 class ProvisionalEndpointsTest {
     private static final int ORIGIN_KIND = 1;
-    private static final double NOW = 1e12;
+    private static final double NOW_MS = 1e12;
 
     private final ProvisionalEndpoints provisional = new ProvisionalEndpoints(ORIGIN_KIND);
 
-    private static Endpoint member(int id, EndpointState state, double bornMs) {
-        return new Endpoint(id, 0, 0, 0, state, 1, bornMs);
+    private static Endpoint endpoint(int id, EndpointState state, double startTimeMs) {
+        return new Endpoint(id, 0, 0, 0, state, 1, startTimeMs);
     }
 
-    private static EndpointChange change(long version, int server, EndpointState state, double bornMs) {
-        return new EndpointChange(version, server, state, bornMs);
+    private static EndpointChange change(long version, int endpointId, EndpointState state, double startTimeMs) {
+        return new EndpointChange(version, endpointId, state, startTimeMs);
     }
 
-    private static EndpointListDelta update(long after, long version, EndpointChange... changes) {
+    private static EndpointListDelta delta(long after, long version, EndpointChange... changes) {
         return new EndpointListDelta(after, version, ProvisionalEndpoints.PEER_UPDATE_TTL_MS, List.of(changes));
     }
 
     /** Servers 1 to {@code n} and the origin, in version 41. */
-    private void begin(int n) {
-        List<Endpoint> members = new ArrayList<>(IntStream.rangeClosed(1, n)
-                .mapToObj(i -> member(i, EndpointState.READY, 0))
+    private void startWith(int n) {
+        List<Endpoint> endpoints = new ArrayList<>(IntStream.rangeClosed(1, n)
+                .mapToObj(i -> endpoint(i, EndpointState.READY, 0))
                 .toList());
-        members.add(new Endpoint(100, 0, ORIGIN_KIND, 0, EndpointState.READY, 1, 0));
-        provisional.reset(41, members);
+        endpoints.add(new Endpoint(100, 0, ORIGIN_KIND, 0, EndpointState.READY, 1, 0));
+        provisional.reset(41, endpoints);
     }
 
     @Test
     void anEndpointThatAPeerHasDrainingOrRemovedIsDrained() {
-        begin(5);
+        startWith(5);
         assertThat(provisional.onPeerUpdate(
-                        NOW,
-                        update(
+                        NOW_MS,
+                        delta(
                                 41,
                                 43,
                                 change(43, 1, EndpointState.DRAINING, 0),
                                 change(43, 2, EndpointState.REMOVED, 0))))
-                .containsExactly(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.DRAINING, 0));
+                .containsExactly(endpoint(1, EndpointState.DRAINING, 0), endpoint(2, EndpointState.DRAINING, 0));
         assertThat(provisional.knownVersion()).isEqualTo(43);
     }
 
     @Test
     void anEndpointThatAPeerHasRestartedTakesTheNewStartTime() {
-        begin(2);
-        assertThat(provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.READY, NOW - 10))))
-                .containsExactly(member(1, EndpointState.READY, NOW - 10));
+        startWith(2);
+        assertThat(provisional.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.READY, NOW_MS - 10))))
+                .containsExactly(endpoint(1, EndpointState.READY, NOW_MS - 10));
     }
 
     @Test
     void peersAddNoEndpointAndChangeNoOriginAndNoStartIsInTheFuture() {
-        begin(5);
+        startWith(5);
         assertThat(provisional.onPeerUpdate(
-                        NOW,
-                        update(
+                        NOW_MS,
+                        delta(
                                 41,
                                 43,
                                 change(43, 6, EndpointState.READY, 0),
                                 change(43, 100, EndpointState.REMOVED, 0),
-                                change(43, 1, EndpointState.READY, NOW + 2 * ProvisionalEndpoints.MAX_START_AHEAD_MS))))
+                                change(
+                                        43,
+                                        1,
+                                        EndpointState.READY,
+                                        NOW_MS + 2 * ProvisionalEndpoints.MAX_START_AHEAD_MS))))
                 .isEmpty();
     }
 
     @Test
     void peersDrainNoMoreThanHalfOfTheEndpoints() {
-        begin(5);
+        startWith(5);
         EndpointChange[] all = IntStream.rangeClosed(1, 5)
                 .mapToObj(i -> change(43, i, EndpointState.REMOVED, 0))
                 .toArray(EndpointChange[]::new);
-        assertThat(provisional.onPeerUpdate(NOW, update(41, 43, all))).hasSize(2);
-        ProvisionalEndpoints one = new ProvisionalEndpoints(ORIGIN_KIND);
-        one.reset(41, List.of(member(1, EndpointState.READY, 0)));
-        assertThat(one.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
+        assertThat(provisional.onPeerUpdate(NOW_MS, delta(41, 43, all))).hasSize(2);
+        ProvisionalEndpoints single = new ProvisionalEndpoints(ORIGIN_KIND);
+        single.reset(41, List.of(endpoint(1, EndpointState.READY, 0)));
+        assertThat(single.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
                 .isEmpty();
     }
 
     @Test
     void discoverysVersionPrecedesPeersChangesOfIt() {
-        begin(5);
-        provisional.onDiscoveryUpdate(NOW, 43, false, List.of());
-        assertThat(provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
+        startWith(5);
+        provisional.onDiscoveryUpdate(NOW_MS, 43, false, List.of());
+        assertThat(provisional.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.REMOVED, 0))))
                 .isEmpty();
     }
 
     @Test
     void discoverysOlderVersionLeavesPeersChangesOfALaterOne() {
-        begin(3);
-        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        startWith(3);
+        provisional.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
         assertThat(provisional.onDiscoveryUpdate(
-                        NOW, 42, true, List.of(member(1, EndpointState.READY, 0), member(2, EndpointState.READY, 0))))
-                .containsExactly(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.READY, 0));
+                        NOW_MS,
+                        42,
+                        true,
+                        List.of(endpoint(1, EndpointState.READY, 0), endpoint(2, EndpointState.READY, 0))))
+                .containsExactly(endpoint(1, EndpointState.DRAINING, 0), endpoint(2, EndpointState.READY, 0));
     }
 
     @Test
     void discoverysListOfTheSameVersionEndsARestriction() {
-        begin(3);
-        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(provisional.onDiscoveryUpdate(NOW, 43, false, List.of(member(2, EndpointState.DRAINING, 0))))
+        startWith(3);
+        provisional.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(provisional.onDiscoveryUpdate(NOW_MS, 43, false, List.of(endpoint(2, EndpointState.DRAINING, 0))))
                 .as("a wrong word is undone by changes that do not name the server")
-                .containsExactlyInAnyOrder(member(2, EndpointState.DRAINING, 0), member(1, EndpointState.READY, 0));
-        assertThat(provisional.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 44, false, List.of()))
+                .containsExactlyInAnyOrder(endpoint(2, EndpointState.DRAINING, 0), endpoint(1, EndpointState.READY, 0));
+        assertThat(provisional.onDiscoveryUpdate(
+                        NOW_MS + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 44, false, List.of()))
                 .as("nothing is left to end")
                 .isEmpty();
     }
@@ -122,38 +130,43 @@
     /** While discovery is silent, a drain that peers told counts as told: nothing but discovery's word may end it. */
     @Test
     void anUnconfirmedRestrictionEndsWithTheFirstAnswerAfterItsTtl() {
-        begin(3);
-        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
+        startWith(3);
+        provisional.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
         assertThat(provisional.onDiscoveryUpdate(
-                        NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 1, 42, false, List.of()))
+                        NOW_MS + ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 1, 42, false, List.of()))
                 .isEmpty();
-        assertThat(provisional.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 42, false, List.of()))
-                .containsExactly(member(1, EndpointState.READY, 0));
+        assertThat(provisional.onDiscoveryUpdate(
+                        NOW_MS + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 42, false, List.of()))
+                .containsExactly(endpoint(1, EndpointState.READY, 0));
     }
 
     @Test
     void noPeerLiftsADrainByDiscovery() {
-        begin(5);
+        startWith(5);
         provisional.onDiscoveryUpdate(
-                NOW,
+                NOW_MS,
                 42,
                 false,
-                List.of(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.READY, NOW - 10)));
+                List.of(endpoint(1, EndpointState.DRAINING, 0), endpoint(2, EndpointState.READY, NOW_MS - 10)));
         assertThat(provisional.onPeerUpdate(
-                        NOW,
-                        update(42, 43, change(43, 1, EndpointState.READY, NOW), change(43, 2, EndpointState.READY, 0))))
+                        NOW_MS,
+                        delta(
+                                42,
+                                43,
+                                change(43, 1, EndpointState.READY, NOW_MS),
+                                change(43, 2, EndpointState.READY, 0))))
                 .isEmpty();
     }
 
     @Test
     void noPeerLiftsADrainByAnotherPeer() {
-        begin(5);
-        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(provisional.onPeerUpdate(NOW, update(43, 44, change(44, 1, EndpointState.READY, NOW))))
+        startWith(5);
+        provisional.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(provisional.onPeerUpdate(NOW_MS, delta(43, 44, change(44, 1, EndpointState.READY, NOW_MS))))
                 .as("left alone all the same, but cold as soon as it is used")
-                .containsExactly(member(1, EndpointState.DRAINING, NOW));
-        assertThat(provisional.onDiscoveryUpdate(NOW, 44, false, List.of(member(1, EndpointState.READY, NOW))))
-                .containsExactly(member(1, EndpointState.READY, NOW));
+                .containsExactly(endpoint(1, EndpointState.DRAINING, NOW_MS));
+        assertThat(provisional.onDiscoveryUpdate(NOW_MS, 44, false, List.of(endpoint(1, EndpointState.READY, NOW_MS))))
+                .containsExactly(endpoint(1, EndpointState.READY, NOW_MS));
     }
 
     /**
@@ -161,84 +174,95 @@
      */
     @Test
     void anOlderListLiftsNoDrainBeforeItsDelay() {
-        begin(3);
+        startWith(3);
         provisional.onDiscoveryUpdate(
-                NOW, 44, false, List.of(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.REMOVED, 0)));
+                NOW_MS,
+                44,
+                false,
+                List.of(endpoint(1, EndpointState.DRAINING, 0), endpoint(2, EndpointState.REMOVED, 0)));
         List<Endpoint> older = List.of(
-                member(1, EndpointState.READY, 0),
-                member(2, EndpointState.READY, 0),
-                member(3, EndpointState.READY, 0));
-        assertThat(provisional.onDiscoveryUpdate(NOW, 42, true, older))
+                endpoint(1, EndpointState.READY, 0),
+                endpoint(2, EndpointState.READY, 0),
+                endpoint(3, EndpointState.READY, 0));
+        assertThat(provisional.onDiscoveryUpdate(NOW_MS, 42, true, older))
                 .containsExactly(
-                        member(1, EndpointState.DRAINING, 0),
-                        member(2, EndpointState.DRAINING, 0),
-                        member(3, EndpointState.READY, 0));
+                        endpoint(1, EndpointState.DRAINING, 0),
+                        endpoint(2, EndpointState.DRAINING, 0),
+                        endpoint(3, EndpointState.READY, 0));
         assertThat(provisional.onDiscoveryUpdate(
-                        NOW + ProvisionalEndpoints.OLDER_LIST_DELAY_MS - 1, 43, false, List.of()))
+                        NOW_MS + ProvisionalEndpoints.OLDER_LIST_DELAY_MS - 1, 43, false, List.of()))
                 .isEmpty();
-        assertThat(provisional.onDiscoveryUpdate(NOW + ProvisionalEndpoints.OLDER_LIST_DELAY_MS, 43, false, List.of()))
-                .containsExactly(member(1, EndpointState.READY, 0), member(2, EndpointState.READY, 0));
+        assertThat(provisional.onDiscoveryUpdate(
+                        NOW_MS + ProvisionalEndpoints.OLDER_LIST_DELAY_MS, 43, false, List.of()))
+                .containsExactly(endpoint(1, EndpointState.READY, 0), endpoint(2, EndpointState.READY, 0));
     }
 
     @Test
     void anOlderListLiftsTheDrainOfEndpointsStartedSince() {
-        begin(3);
+        startWith(3);
         provisional.onDiscoveryUpdate(
-                NOW, 44, false, List.of(member(1, EndpointState.DRAINING, 0), member(2, EndpointState.DRAINING, 0)));
-        List<Endpoint> older = List.of(member(1, EndpointState.READY, NOW - 10), member(2, EndpointState.READY, 0));
-        assertThat(provisional.onDiscoveryUpdate(NOW, 2, true, older))
-                .containsExactly(member(1, EndpointState.READY, NOW - 10), member(2, EndpointState.DRAINING, 0));
-        assertThat(provisional.onDiscoveryUpdate(NOW, 3, false, List.of(member(2, EndpointState.READY, NOW))))
-                .containsExactly(member(2, EndpointState.READY, NOW));
+                NOW_MS,
+                44,
+                false,
+                List.of(endpoint(1, EndpointState.DRAINING, 0), endpoint(2, EndpointState.DRAINING, 0)));
+        List<Endpoint> older =
+                List.of(endpoint(1, EndpointState.READY, NOW_MS - 10), endpoint(2, EndpointState.READY, 0));
+        assertThat(provisional.onDiscoveryUpdate(NOW_MS, 2, true, older))
+                .containsExactly(endpoint(1, EndpointState.READY, NOW_MS - 10), endpoint(2, EndpointState.DRAINING, 0));
+        assertThat(provisional.onDiscoveryUpdate(NOW_MS, 3, false, List.of(endpoint(2, EndpointState.READY, NOW_MS))))
+                .containsExactly(endpoint(2, EndpointState.READY, NOW_MS));
     }
 
     @Test
     void anOlderListLeavesPeersChangesUntilTheirTtl() {
-        begin(3);
-        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
-        assertThat(provisional.onDiscoveryUpdate(NOW, 2, false, List.of())).isEmpty();
+        startWith(3);
+        provisional.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
+        assertThat(provisional.onDiscoveryUpdate(NOW_MS, 2, false, List.of())).isEmpty();
         assertThat(provisional.knownVersion()).isEqualTo(2);
-        assertThat(provisional.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 2, false, List.of()))
-                .containsExactly(member(1, EndpointState.READY, 0));
+        assertThat(provisional.onDiscoveryUpdate(NOW_MS + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 2, false, List.of()))
+                .containsExactly(endpoint(1, EndpointState.READY, 0));
     }
 
     @Test
     void aPeerThatMissedSeveralVersionsIsSentAllOfThem() {
-        begin(3);
-        provisional.onDiscoveryUpdate(NOW, 42, false, List.of(member(1, EndpointState.DRAINING, 0)));
+        startWith(3);
+        provisional.onDiscoveryUpdate(NOW_MS, 42, false, List.of(endpoint(1, EndpointState.DRAINING, 0)));
         provisional.onDiscoveryUpdate(
-                NOW, 43, false, List.of(member(1, EndpointState.REMOVED, 0), member(2, EndpointState.DRAINING, 0)));
-        assertThat(provisional.changesSince(NOW, 41))
-                .containsExactly(update(
+                NOW_MS,
+                43,
+                false,
+                List.of(endpoint(1, EndpointState.REMOVED, 0), endpoint(2, EndpointState.DRAINING, 0)));
+        assertThat(provisional.changesSince(NOW_MS, 41))
+                .containsExactly(delta(
                         41, 43, change(43, 1, EndpointState.REMOVED, 0), change(43, 2, EndpointState.DRAINING, 0)));
-        assertThat(provisional.changesSince(NOW, 43)).isEmpty();
+        assertThat(provisional.changesSince(NOW_MS, 43)).isEmpty();
         assertThat(provisional.recentChanges().afterVersion()).isEqualTo(41);
     }
 
     /** Of a message that was lost any peer that heard it can tell, but nobody can make it last longer than it does. */
     @Test
     void aPeersDeltaIsRelayedWithItsRemainingTtl() {
-        begin(5);
-        provisional.onPeerUpdate(NOW, update(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
-        List<EndpointListDelta> passedOn = provisional.changesSince(NOW + 5000, 41);
-        assertThat(passedOn)
+        startWith(5);
+        provisional.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.REMOVED, 0)));
+        List<EndpointListDelta> relayed = provisional.changesSince(NOW_MS + 5000, 41);
+        assertThat(relayed)
                 .containsExactly(new EndpointListDelta(
                         41,
                         43,
                         ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 5000,
                         List.of(change(43, 1, EndpointState.REMOVED, 0))));
-        assertThat(provisional.changesSince(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 41))
+        assertThat(provisional.changesSince(NOW_MS + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 41))
                 .isEmpty();
         ProvisionalEndpoints other = new ProvisionalEndpoints(ORIGIN_KIND);
-        other.reset(41, List.of(member(1, EndpointState.READY, 0), member(2, EndpointState.READY, 0)));
-        other.onPeerUpdate(NOW + 5000, passedOn.get(0));
-        assertThat(other.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 1, 42, false, List.of()))
+        other.reset(41, List.of(endpoint(1, EndpointState.READY, 0), endpoint(2, EndpointState.READY, 0)));
+        other.onPeerUpdate(NOW_MS + 5000, relayed.get(0));
+        assertThat(other.onDiscoveryUpdate(NOW_MS + ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 1, 42, false, List.of()))
                 .isEmpty();
-        assertThat(other.onDiscoveryUpdate(NOW + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 42, false, List.of()))
+        assertThat(other.onDiscoveryUpdate(NOW_MS + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 42, false, List.of()))
                 .as("ends when it would have ended where it was heard first")
-                .containsExactly(member(1, EndpointState.READY, 0));
-        other.onDiscoveryUpdate(NOW + 5000, 43, false, List.of());
-        assertThat(other.changesSince(NOW + 5000, 41))
+                .containsExactly(endpoint(1, EndpointState.READY, 0));
+        other.onDiscoveryUpdate(NOW_MS + 5000, 43, false, List.of());
+        assertThat(other.changesSince(NOW_MS + 5000, 41))
                 .as("discovery's word goes before")
                 .isEmpty();
     }
@@ -246,28 +270,28 @@
     /** Whole lists name no change by itself. */
     @Test
     void anEndpointMissingFromASnapshotIsSentAsRemoved() {
-        begin(2);
-        provisional.onDiscoveryUpdate(NOW, 42, true, List.of(member(1, EndpointState.READY, 0)));
-        assertThat(provisional.changesSince(NOW, 41))
-                .containsExactly(update(
+        startWith(2);
+        provisional.onDiscoveryUpdate(NOW_MS, 42, true, List.of(endpoint(1, EndpointState.READY, 0)));
+        assertThat(provisional.changesSince(NOW_MS, 41))
+                .containsExactly(delta(
                         41, 42, change(42, 2, EndpointState.REMOVED, 0), change(42, 100, EndpointState.REMOVED, 0)));
     }
 
     @Test
     void manyChangesNeedSeveralMessagesAndTheNewestFitIntoOne() {
-        int servers = 3 * EndpointListDelta.MAX_CHANGES;
-        begin(servers);
-        for (int i = 1; i <= servers; i++) {
-            provisional.onDiscoveryUpdate(NOW, 41 + i, false, List.of(member(i, EndpointState.DRAINING, 0)));
+        int count = 3 * EndpointListDelta.MAX_CHANGES;
+        startWith(count);
+        for (int i = 1; i <= count; i++) {
+            provisional.onDiscoveryUpdate(NOW_MS, 41 + i, false, List.of(endpoint(i, EndpointState.DRAINING, 0)));
         }
-        assertThat(provisional.changesSince(NOW, 41)).hasSize(3);
-        assertThat(provisional.changesSince(NOW, 41).stream()
+        assertThat(provisional.changesSince(NOW_MS, 41)).hasSize(3);
+        assertThat(provisional.changesSince(NOW_MS, 41).stream()
                         .flatMap(u -> u.changes().stream())
                         .map(EndpointChange::endpointId)
                         .distinct()
                         .count())
-                .isEqualTo(servers);
-        provisional.onDiscoveryUpdate(NOW, 1000, true, List.of(member(1, EndpointState.READY, 0)));
+                .isEqualTo(count);
+        provisional.onDiscoveryUpdate(NOW_MS, 1000, true, List.of(endpoint(1, EndpointState.READY, 0)));
         assertThat(provisional.recentChanges().changes()).hasSize(EndpointListDelta.MAX_CHANGES);
         assertThat(provisional.recentChanges().afterVersion())
                 .as("what was dropped is not claimed")
@@ -278,58 +302,58 @@
     @Property(seed = "1", tries = 300)
     void discoverysListPrevailsInTheEnd(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        begin(8);
+        startWith(8);
         Map<Integer, Endpoint> used = new HashMap<>();
-        Map<Integer, Endpoint> truth = new HashMap<>();
-        IntStream.rangeClosed(1, 8).forEach(i -> truth.put(i, member(i, EndpointState.READY, 0)));
-        used.putAll(truth);
+        Map<Integer, Endpoint> discovered = new HashMap<>();
+        IntStream.rangeClosed(1, 8).forEach(i -> discovered.put(i, endpoint(i, EndpointState.READY, 0)));
+        used.putAll(discovered);
         for (long version = 42; version < 60; version++) {
-            Endpoint next =
-                    member(1 + random.nextInt(8), EndpointState.values()[random.nextInt(3)], random.nextInt(3) * 1000);
+            Endpoint next = endpoint(
+                    1 + random.nextInt(8), EndpointState.values()[random.nextInt(3)], random.nextInt(3) * 1000);
             if (random.nextBoolean()) {
                 provisional
                         .onPeerUpdate(
-                                NOW,
-                                update(
+                                NOW_MS,
+                                delta(
                                         41,
                                         version + random.nextInt(5),
                                         change(version, next.id(), next.state(), next.startTimeMs())))
                         .forEach(m -> used.put(m.id(), m));
             } else {
-                truth.put(next.id(), next);
+                discovered.put(next.id(), next);
                 provisional
-                        .onDiscoveryUpdate(NOW, version, false, List.of(next))
+                        .onDiscoveryUpdate(NOW_MS, version, false, List.of(next))
                         .forEach(m -> used.put(m.id(), m));
             }
-            used.forEach((id, member) -> {
-                Endpoint own = truth.get(id);
-                assertThat(member.state() != EndpointState.READY || own.state() == EndpointState.READY)
+            used.forEach((id, endpoint) -> {
+                Endpoint listed = discovered.get(id);
+                assertThat(endpoint.state() != EndpointState.READY || listed.state() == EndpointState.READY)
                         .as("a server is ready only by discovery's own word")
                         .isTrue();
-                assertThat(member.startTimeMs())
+                assertThat(endpoint.startTimeMs())
                         .as("none counts as warmer than by that word")
-                        .isGreaterThanOrEqualTo(own.startTimeMs());
+                        .isGreaterThanOrEqualTo(listed.startTimeMs());
             });
         }
-        provisional.onDiscoveryUpdate(NOW, 100, false, List.of()).forEach(m -> used.put(m.id(), m));
-        assertThat(used).isEqualTo(truth);
+        provisional.onDiscoveryUpdate(NOW_MS, 100, false, List.of()).forEach(m -> used.put(m.id(), m));
+        assertThat(used).isEqualTo(discovered);
     }
 
     @Property(seed = "1", tries = 2000)
     void randomBytesAreNoDelta(@ForAll byte[] bytes) {
-        EndpointListDelta update = EndpointListDelta.decode(bytes);
-        assertThat(update == null || update.encode().length == bytes.length).isTrue();
+        EndpointListDelta delta = EndpointListDelta.decode(bytes);
+        assertThat(delta == null || delta.encode().length == bytes.length).isTrue();
     }
 
     @Test
     void aDeltaIsDecodedAsItWasEncoded() {
-        EndpointListDelta update =
-                update(41, 43, change(43, -5, EndpointState.REMOVED, 0), change(43, 7, EndpointState.READY, NOW));
-        assertThat(EndpointListDelta.decode(update.encode())).isEqualTo(update);
-        byte[] bytes = update.encode();
+        EndpointListDelta delta =
+                delta(41, 43, change(43, -5, EndpointState.REMOVED, 0), change(43, 7, EndpointState.READY, NOW_MS));
+        assertThat(EndpointListDelta.decode(delta.encode())).isEqualTo(delta);
+        byte[] bytes = delta.encode();
         bytes[1 + 2 * Long.BYTES + Short.BYTES + Integer.BYTES] = 9;
         assertThat(EndpointListDelta.decode(bytes)).as("no such state").isNull();
-        assertThat(EndpointListDelta.decode(update(43, 41).encode()))
+        assertThat(EndpointListDelta.decode(delta(43, 41).encode()))
                 .as("backwards")
                 .isNull();
     }
--- a/src/test/java/cacheproxy/membership/EntryTest.java
+++ b/src/test/java/cacheproxy/membership/MemberTest.java
@@ -14,22 +14,22 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-class EntryTest {
+class MemberTest {
     /** What an instance says of itself hangs on its life, incarnation and version alone, as nobody else writes it. */
     @Provide
-    static Arbitrary<Member> entries() {
+    static Arbitrary<Member> members() {
         return Combinators.combine(
                         Arbitraries.longs().between(1, 3),
                         Arbitraries.integers().between(0, 2),
                         Arbitraries.of(MemberState.class),
                         Arbitraries.integers().between(0, 9).set().ofMaxSize(4),
                         Arbitraries.integers().between(0, 2))
-                .as((incarnation, life, state, by, version) -> new Member(
+                .as((incarnation, processNonce, state, confirmers, version) -> new Member(
                         7,
                         incarnation,
-                        life,
+                        processNonce,
                         state,
-                        new TreeSet<>(state == MemberState.SUSPECT ? by : List.of()),
+                        new TreeSet<>(state == MemberState.SUSPECT ? confirmers : List.of()),
                         1,
                         version,
                         ServicePhase.values()[version],
@@ -38,7 +38,8 @@
     }
 
     @Property(seed = "41", tries = 2000)
-    void entriesAreASemilattice(@ForAll("entries") Member a, @ForAll("entries") Member b, @ForAll("entries") Member c) {
+    void membersFormASemilattice(
+            @ForAll("members") Member a, @ForAll("members") Member b, @ForAll("members") Member c) {
         assertThat(a.merge(a)).isEqualTo(a);
         assertThat(a.merge(b)).isEqualTo(b.merge(a));
         assertThat(a.merge(b).merge(c)).isEqualTo(a.merge(b.merge(c)));
@@ -48,7 +49,7 @@
 
     @Property(seed = "42", tries = 500)
     void tablesWithTheSameMembersHaveTheSameDigest(
-            @ForAll("entries") Member a, @ForAll("entries") Member b, @ForAll("entries") Member c) {
+            @ForAll("members") Member a, @ForAll("members") Member b, @ForAll("members") Member c) {
         MemberTable one = new MemberTable(10);
         MemberTable other = new MemberTable(10);
         List.of(a, b, c).forEach(one::merge);
@@ -59,7 +60,7 @@
 
     @Property(seed = "43", tries = 1000)
     void messagesRoundTrip(
-            @ForAll("entries") Member a, @ForAll("entries") Member b, @ForAll MembershipMessage.Kind kind) {
+            @ForAll("members") Member a, @ForAll("members") Member b, @ForAll MembershipMessage.Kind kind) {
         MembershipMessage m = new MembershipMessage(
                 kind,
                 65_535,
@@ -82,13 +83,13 @@
 
     /** Whatever comes in is read or dropped, and nothing is thrown. */
     @Property(seed = "44", tries = 20_000)
-    void noiseIsDropped(@ForAll byte[] noise) {
-        MembershipMessage.decode(noise);
+    void randomBytesAreDropped(@ForAll byte[] bytes) {
+        MembershipMessage.decode(bytes);
     }
 
     /** Zones under 128 take the one byte that they always took. */
     @Test
-    void aZoneOf1024IsReadAsItWasWritten() {
+    void zonesOfOneAndTwoBytesRoundTrip() {
         for (int zone : new int[] {0, 127, 128, 255, 256, 1023, Member.MAX_ZONE}) {
             Member e = Member.start(1023, 1, 7, zone, new byte[0]);
             byte[] bytes = new MembershipMessage(
@@ -108,13 +109,13 @@
         byte[] bytes = new MembershipMessage(
                         MembershipMessage.Kind.GOSSIP, 0, MembershipMessage.NO_MEMBER, 0, new int[0], List.of(e))
                 .encode();
-        int zone = MembershipMessage.headerBytes(MembershipMessage.Kind.GOSSIP) + 3;
-        assertThat(bytes[zone + 1]).isEqualTo((byte) 0x7f);
+        int zoneAt = MembershipMessage.headerBytes(MembershipMessage.Kind.GOSSIP) + 3;
+        assertThat(bytes[zoneAt + 1]).isEqualTo((byte) 0x7f);
         byte[] beyond = new byte[bytes.length + 1];
-        System.arraycopy(bytes, 0, beyond, 0, zone + 1);
-        beyond[zone + 1] = (byte) 0x80;
-        beyond[zone + 2] = 1;
-        System.arraycopy(bytes, zone + 2, beyond, zone + 3, bytes.length - zone - 2);
+        System.arraycopy(bytes, 0, beyond, 0, zoneAt + 1);
+        beyond[zoneAt + 1] = (byte) 0x80;
+        beyond[zoneAt + 2] = 1;
+        System.arraycopy(bytes, zoneAt + 2, beyond, zoneAt + 3, bytes.length - zoneAt - 2);
         assertThat(MembershipMessage.decode(beyond)).isNull();
     }
 }
--- a/src/test/java/cacheproxy/membership/MessageFormatTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipMessageFormatTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The bytes of membership's messages, as released programs send them. */
-class MessageFormatTest {
+class MembershipMessageFormatTest {
     private static final String SAMPLES = "wire/membership-messages.txt";
     private static final byte[] NO_ADDRESS = {};
 
-    private static final List<Member> ENTRIES = List.of(
+    private static final List<Member> MEMBERS = List.of(
             new Member(
                     3,
                     1,
@@ -69,7 +69,7 @@
                 ? IntStream.range(0, MemberTable.SLICES).map(i -> 0xff00 + i).toArray()
                 : new int[0];
         return new MembershipMessage(
-                kind, 0xabcd, kind == Kind.PING_REQUEST ? 9 : MembershipMessage.NO_MEMBER, 0x89abcdef, slices, ENTRIES);
+                kind, 0xabcd, kind == Kind.PING_REQUEST ? 9 : MembershipMessage.NO_MEMBER, 0x89abcdef, slices, MEMBERS);
     }
 
     static Map<String, byte[]> messages() {
@@ -90,7 +90,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void recordedMessagesAreRead(Kind kind) {
+    void recordedMessagesAreDecoded(Kind kind) {
         int code = List.of(Kind.PING, Kind.ACK, Kind.PING_REQUEST, Kind.GOSSIP, Kind.DIGESTS, Kind.MEMBERS)
                 .indexOf(kind);
         byte[] sample = List.copyOf(WireSamples.bytes(SAMPLES).values()).get(code);
--- a/src/test/java/cacheproxy/membership/MembershipTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTest.java
@@ -122,7 +122,7 @@
 
     // ---- one instance alone
 
-    private static final Membership.MessageBudget ALL = new Membership.MessageBudget() {
+    private static final Membership.MessageBudget UNLIMITED = new Membership.MessageBudget() {
         @Override
         public boolean tryAcquire(double nowMs, int bytes, Urgency urgency) {
             return true;
@@ -134,30 +134,31 @@
         }
     };
 
-    private static Membership alone(int me, long remembered, long seed) {
-        return new Membership(MembershipSettings.forConfigured(3), me, 0, new byte[0], remembered, seed, ALL);
+    private static Membership instance(int id, long lastIncarnation, long seed) {
+        return new Membership(
+                MembershipSettings.forConfigured(3), id, 0, new byte[0], lastIncarnation, seed, UNLIMITED);
     }
 
     /** Passes what goes from one to the other. */
-    private static void pass(Membership from, int me, Membership to, double now) {
+    private static void deliver(Membership from, int fromId, Membership to, double now) {
         from.tick(now);
-        from.takeOutgoing().forEach(s -> to.messageReceived(now, me, s.body()));
+        from.takeOutgoing().forEach(s -> to.messageReceived(now, fromId, s.body()));
     }
 
     @Test
     void twoProcessesUnderOneNumberAreReported() {
-        Membership one = alone(0, 0, 1);
-        Membership twin = alone(0, 0, 2);
-        Membership other = alone(1, 0, 3);
+        Membership one = instance(0, 0, 1);
+        Membership duplicate = instance(0, 0, 2);
+        Membership other = instance(1, 0, 3);
         for (double now = 0; now < 20_000; now += 50) {
-            pass(one, 0, other, now);
-            pass(twin, 0, other, now);
-            List<OutgoingMessage> back = new ArrayList<>();
+            deliver(one, 0, other, now);
+            deliver(duplicate, 0, other, now);
+            List<OutgoingMessage> replies = new ArrayList<>();
             other.tick(now);
-            back.addAll(other.takeOutgoing());
-            for (OutgoingMessage s : back) {
+            replies.addAll(other.takeOutgoing());
+            for (OutgoingMessage s : replies) {
                 one.messageReceived(now, 1, s.body());
-                twin.messageReceived(now, 1, s.body());
+                duplicate.messageReceived(now, 1, s.body());
             }
         }
         assertThat(one.view(20_000).disputed()).isTrue();
@@ -166,15 +167,15 @@
 
     @Test
     void malformedOrForgedMessagesChangeNothing() {
-        Membership one = alone(0, 0, 1);
-        Membership other = alone(1, 0, 3);
-        pass(other, 1, one, 0);
+        Membership one = instance(0, 0, 1);
+        Membership other = instance(1, 0, 3);
+        deliver(other, 1, one, 0);
         int digest = one.digest();
         SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 20_000; i++) {
-            byte[] noise = new byte[random.nextInt(250)];
-            random.nextBytes(noise);
-            one.messageReceived(i, 1, noise);
+            byte[] bytes = new byte[random.nextInt(250)];
+            random.nextBytes(bytes);
+            one.messageReceived(i, 1, bytes);
         }
         other.tick(30_000);
         other.takeOutgoing().forEach(s -> one.messageReceived(30_000, 2, s.body()));
@@ -184,29 +185,29 @@
 
     @Test
     void outdatedMessagesChangeNothing() {
-        Membership one = alone(0, 0, 1);
-        Membership other = alone(1, 0, 3);
+        Membership one = instance(0, 0, 1);
+        Membership other = instance(1, 0, 3);
         other.tick(0);
-        List<OutgoingMessage> old = other.takeOutgoing();
-        old.forEach(s -> one.messageReceived(0, 1, s.body()));
+        List<OutgoingMessage> outdated = other.takeOutgoing();
+        outdated.forEach(s -> one.messageReceived(0, 1, s.body()));
         other.setMetadata(2, new byte[] {9});
         other.tick(100);
         other.takeOutgoing().forEach(s -> one.messageReceived(100, 1, s.body()));
         for (int i = 0; i < 3; i++) {
-            old.forEach(s -> one.messageReceived(200, 1, s.body()));
+            outdated.forEach(s -> one.messageReceived(200, 1, s.body()));
         }
-        pass(other, 1, one, 60_000);
+        deliver(other, 1, one, 60_000);
         assertThat(one.member(1).metadata(2)).containsExactly(9);
     }
 
     @Test
     void viewShowsReachabilityAndConfiguredMembers() {
-        Membership one = alone(0, 0, 1);
+        Membership one = instance(0, 0, 1);
         MembershipView v = one.view(0);
         assertThat(v.reachability()).isEqualTo(Reachability.ALONE);
         assertThat(v.liveMembers().count()).isEqualTo(1);
         assertThat(v.configuredMembers().count()).isEqualTo(3);
-        pass(alone(1, 0, 3), 1, one, 1);
+        deliver(instance(1, 0, 3), 1, one, 1);
         assertThat(one.view(1).reachability()).isEqualTo(Reachability.MAJORITY);
         assertThat(one.view(1).reachabilityByZone()).containsEntry(0, Reachability.ALL);
     }
@@ -214,17 +215,17 @@
     /** Instances that no settings name, which know one seed each and are told of one another with their addresses. */
     @Test
     void seededFleetConvergesAndForgetsAbsentMembers() {
-        int many = 6;
+        int instances = 6;
         MembershipSettings settings = MembershipSettings.forSeeds(List.of(0), 100);
         List<Membership> all = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
-            all.add(new Membership(settings, i, 0, new byte[] {127, 0, 0, 1, 0, (byte) i}, 0, i, ALL));
+        for (int i = 0; i < instances; i++) {
+            all.add(new Membership(settings, i, 0, new byte[] {127, 0, 0, 1, 0, (byte) i}, 0, i, UNLIMITED));
         }
-        boolean[] gone = new boolean[many];
+        boolean[] gone = new boolean[instances];
         int digest = 0;
         for (double now = 0; now < 700_000; now += 50) {
             gone[5] = now > 5000;
-            for (int i = 0; i < many; i++) {
+            for (int i = 0; i < instances; i++) {
                 if (!gone[i]) {
                     all.get(i).tick(now);
                     for (OutgoingMessage s : all.get(i).takeOutgoing()) {
@@ -247,12 +248,12 @@
     /** A probe that found no room to be sent says nothing of whom it was meant for. */
     @Test
     void nobodyIsSuspectedWithoutBudget() {
-        boolean[] room = {true};
+        boolean[] hasBudget = {true};
         Membership one = new Membership(
                 MembershipSettings.forConfigured(3), 0, 0, new byte[0], 0, 1, new Membership.MessageBudget() {
                     @Override
                     public boolean tryAcquire(double nowMs, int bytes, Urgency urgency) {
-                        return room[0];
+                        return hasBudget[0];
                     }
 
                     @Override
@@ -260,9 +261,9 @@
                         return 0;
                     }
                 });
-        pass(alone(1, 0, 3), 1, one, 0);
+        deliver(instance(1, 0, 3), 1, one, 0);
         one.takeOutgoing();
-        room[0] = false;
+        hasBudget[0] = false;
         for (double now = 0; now < 10_000; now += 20) {
             one.tick(now);
         }
--- a/src/test/java/cacheproxy/membership/MembershipTraceTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTraceTest.java
@@ -41,12 +41,12 @@
             }
         }
 
-        private Membership start(int id, long remembered, long seed) {
+        private Membership start(int id, long lastIncarnation, long seed) {
             MembershipSettings settings = bySeeds
                     ? MembershipSettings.forSeeds(List.of(0, 1), 40)
                     : MembershipSettings.forConfigured(INSTANCES);
             byte[] address = bySeeds ? new byte[] {10, 0, 0, (byte) id, 31, (byte) id} : new byte[0];
-            return new Membership(settings, id, id % 3, address, remembered, seed, new Membership.MessageBudget() {
+            return new Membership(settings, id, id % 3, address, lastIncarnation, seed, new Membership.MessageBudget() {
                 @Override
                 public boolean tryAcquire(double nowMs, int size, Urgency urgency) {
                     return urgency != Urgency.BACKGROUND || (long) nowMs % 7 != 0;
@@ -59,7 +59,7 @@
             });
         }
 
-        private boolean passes(double nowMs, int from, int to) {
+        private boolean isDelivered(double nowMs, int from, int to) {
             boolean cut = nowMs >= 14_000 && nowMs < 22_000 && (from < 5) != (to < 5);
             return !cut && !down[to] && network.nextDouble() >= 0.08;
         }
@@ -80,7 +80,7 @@
         }
 
         /** Instance 6 stands still for two seconds. */
-        private boolean runs(double nowMs, int id) {
+        private boolean isRunning(double nowMs, int id) {
             return !down[id] && !(id == 6 && nowMs >= 9000 && nowMs < 11_000);
         }
 
@@ -92,26 +92,26 @@
                         (nowMs + " " + from + " " + s.to() + " " + s.urgency().ordinal())
                                 .getBytes(StandardCharsets.US_ASCII));
                 trace.update(s.body());
-                if (passes(nowMs, from, s.to())) {
-                    double at = nowMs + 1 + network.nextInt(60);
-                    deliveries.add(new Delivery(at, messages, from, s.to(), s.body()));
+                if (isDelivered(nowMs, from, s.to())) {
+                    double atMs = nowMs + 1 + network.nextInt(60);
+                    deliveries.add(new Delivery(atMs, messages, from, s.to(), s.body()));
                 }
             }
         }
 
-        String play() {
+        String run() {
             StringBuilder lines = new StringBuilder();
             for (double nowMs = 0; nowMs <= END_MS; nowMs++) {
                 events(nowMs);
                 while (!deliveries.isEmpty() && deliveries.peek().atMs() <= nowMs) {
                     Delivery d = deliveries.poll();
-                    if (runs(nowMs, d.to())) {
+                    if (isRunning(nowMs, d.to())) {
                         members.get(d.to()).messageReceived(nowMs, d.from(), d.body());
                         collect(nowMs, d.to());
                     }
                 }
                 for (int i = 0; i < INSTANCES; i++) {
-                    if (runs(nowMs, i) && members.get(i).dueMs() <= nowMs) {
+                    if (isRunning(nowMs, i) && members.get(i).dueMs() <= nowMs) {
                         members.get(i).tick(nowMs);
                         collect(nowMs, i);
                     }
@@ -124,11 +124,12 @@
         }
 
         private String line(double nowMs) {
-            StringBuilder living = new StringBuilder();
+            StringBuilder liveCounts = new StringBuilder();
             long refuted = 0;
             for (Membership m : members) {
                 MembershipView view = m.view(nowMs);
-                living.append(' ')
+                liveCounts
+                        .append(' ')
                         .append(view.liveMembers().count())
                         .append('/')
                         .append(m.incarnation());
@@ -142,17 +143,17 @@
                     bytes,
                     trace.getValue(),
                     refuted,
-                    living);
+                    liveCounts);
         }
     }
 
     @Test
     void configuredFleetSendsAsPinned() {
-        GoldenFile.assertText("membership/trace-configured.txt", new Fleet(false).play());
+        GoldenFile.assertText("membership/trace-configured.txt", new Fleet(false).run());
     }
 
     @Test
     void seededFleetSendsAsPinned() {
-        GoldenFile.assertText("membership/trace-seeds.txt", new Fleet(true).play());
+        GoldenFile.assertText("membership/trace-seeds.txt", new Fleet(true).run());
     }
 }
