--- a/src/jmh/java/cacheproxy/MembershipBenchmark.java
+++ b/src/jmh/java/cacheproxy/MembershipBenchmark.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What one probe round of the view costs: a tick that asks, and the answer that comes. */
+/** The cost of one probe round: a tick that sends a probe, and the answer that is received. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -38,14 +38,14 @@
         }
     };
 
-    /** In the fleet. */
+    /** The number of members in the fleet. */
     @Param({"10", "100", "1000"})
     public int members;
 
     private Membership[] all;
     private double nowMs;
 
-    /** The first has heard of all, and has nothing more to tell. */
+    /** Starts with a first instance that knows all others and has nothing left to gossip. */
     @Setup
     public void setUp() {
         all = new Membership[members];
@@ -62,7 +62,7 @@
         }
     }
 
-    /** One round of the first instance, with the answers of whom it asks. */
+    /** One round of the first instance, with the answers of the members that it probes. */
     @Benchmark
     public int round() {
         nowMs += 250;
--- a/src/test/java/cacheproxy/endpoints/EndpointListPollerPropertyTest.java
+++ b/src/test/java/cacheproxy/endpoints/EndpointListPollerPropertyTest.java
@@ -11,11 +11,14 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Whatever has failed before and whatever kind of poll still fails: what another kind brings is known in time. */
+/**
+ * Whatever failed before, and even if one kind of poll still fails, a change that the other kinds return is known
+ * within the maximum staleness.
+ */
 class EndpointListPollerPropertyTest {
     private static final double MAX_STALENESS_MS = 6000;
 
-    /** What discovery does, in virtual time. */
+    /** A simulated discovery service in virtual time. */
     private static final class Discovery {
         private record Event(double atMs, int id, PollFailure failure) {}
 
@@ -44,7 +47,7 @@
                 }
             }
             assertThat(pending).hasSizeLessThanOrEqualTo(EndpointListPoller.MAX_PENDING_POLLS);
-            assertThat(poller.nextTimerMs()).as("something is always to come").isLessThan(nowMs + 60_000);
+            assertThat(poller.nextTimerMs()).as("a timer is always set").isLessThan(nowMs + 60_000);
         }
 
         private void answer(StartPoll start) {
@@ -53,7 +56,7 @@
                 return;
             }
             switch (random.nextInt(3)) {
-                case 0 -> {} // silent
+                case 0 -> {} // never answered
                 case 1 -> events.add(new Event(nowMs + random.nextInt(300), start.id(), PollFailure.BROKEN));
                 default -> events.add(new Event(nowMs + random.nextInt(20), start.id(), PollFailure.REJECTED));
             }
@@ -104,7 +107,7 @@
         assertThat(timeToResponse(seed, sharedDiscovery, broken, 5)).isLessThan(MAX_STALENESS_MS);
     }
 
-    /** A wait that is shorter than what answers take must not be renewed for ever. */
+    /** Guards against a timeout shorter than discovery's response time that cancels every poll before its response. */
     @Property(seed = "1", tries = 300)
     void slowResponsesAreEventuallyReceived(@ForAll long seed, @ForAll boolean sharedDiscovery) {
         assertThat(timeToResponse(seed, sharedDiscovery, null, 15_000)).isLessThan(60_000);
--- a/src/test/java/cacheproxy/endpoints/PollBackoffTest.java
+++ b/src/test/java/cacheproxy/endpoints/PollBackoffTest.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Delays after failed polls: base, factor, limit, jitter, and the time that the poll took. */
+/** Delays after failed polls: base, factor, limit, jitter, and deduction of the time that the poll took. */
 class PollBackoffTest {
     private static final double BASE_MS = 6000.0 / 32;
 
--- a/src/test/java/cacheproxy/gossip/AntiEntropyTest.java
+++ b/src/test/java/cacheproxy/gossip/AntiEntropyTest.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Peers are asked while discovery does not answer, and then not too often. */
+/** Peers are queried while discovery does not answer, at a limited rate. */
 class AntiEntropyTest {
     private final AntiEntropy antiEntropy = new AntiEntropy(0);
 
--- a/src/test/java/cacheproxy/gossip/EnvelopeTest.java
+++ b/src/test/java/cacheproxy/gossip/EnvelopeTest.java
@@ -16,7 +16,7 @@
     private static final byte[] TWO_ITEMS = Envelope.encode(
             List.of(new Item(1, 0, new byte[] {0, 0, 0, 0, 0, 0, 0, 41}), new Item(31, 7, new byte[0])));
 
-    /** The form on the wire; the test vector of the wire page. */
+    /** The test vector of the wire format. */
     @Test
     void theFormatMatchesTheWireSpecification() {
         assertThat(HexFormat.of().formatHex(TWO_ITEMS))
@@ -59,10 +59,10 @@
         assertThat(budget.tryAcquire(0, 1, Priority.HIGH)).isFalse();
         assertThat(budget.droppedDatagrams()).isEqualTo(3);
         assertThat(budget.tryAcquire(600, 100, Priority.LOW))
-                .as("a second fills it")
+                .as("refilled after a second")
                 .isTrue();
         assertThat(budget.tryAcquire(100_000, 501, Priority.LOW))
-                .as("and no more than it holds")
+                .as("refilled up to the capacity only")
                 .isFalse();
     }
 }
--- a/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
+++ b/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
@@ -14,11 +14,11 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** A fleet of proxies before one discovery, in virtual time. */
+/** A fleet of proxies at one discovery service, in virtual time. */
 class ListVersionGossipTest {
     private static final double STEP_MS = 10;
 
-    /** Proxies of which some hear nothing on their watch until they ask anew. */
+    /** Proxies of which some receive nothing through their watch until they poll again. */
     private static final class Fleet {
         final ListVersionGossip[] proxies;
         final long[] heldVersions;
@@ -94,10 +94,10 @@
         }
     }
 
-    /** A message that is on its way. */
+    /** A message in flight. */
     private record Message(double atMs, int to, long version) {}
 
-    /** Guards against a fleet that goes on with a list of which every second proxy could have told. */
+    /** Guards against instances that keep an outdated list although every second instance has the new version. */
     @Property(seed = "1", tries = 60)
     void anInstanceWithoutNewsPollsSoonAfterOthersAnnounceIt(
             @ForAll @IntRange(min = 2, max = 72) int instances,
@@ -117,8 +117,8 @@
     }
 
     /**
-     * What is told grows with what there is to tell. Seen: discovery tells all at once, and a message takes 5 to 30 ms,
-     * so all of them told all others, 72 times 71 messages for a version.
+     * Guards against announcements by all instances: discovery answers all of them at the same time and a message takes
+     * 5 to 30 ms, so all instances announced a version to all others, 72 times 71 messages per version.
      */
     @Property(seed = "1", tries = 60)
     void fewAnnounceAVersionAndNobodyPollsWhenAllHoldIt(
@@ -130,7 +130,7 @@
             fleet.advance(2 * ListVersionGossip.DELAY_RANGE_PER_INSTANCE_MS * instances + 100);
         }
         assertThat(fleet.messagesSent / (double) (instances - 1) / versions)
-                .as("who tell one version")
+                .as("announcing instances per version")
                 .isBetween(1.0, 3.0);
         assertThat(fleet.polls).containsOnly(0);
     }
@@ -142,7 +142,7 @@
         assertThat(alone.nextTimerMs()).isInfinite();
     }
 
-    /** Guards against a peer that makes all the others call, or keeps them from telling. */
+    /** Guards against a peer whose wrong announcements make all others poll, or keep them from announcing. */
     @Test
     void falseAnnouncementsCostFewPollsAndHideNoNews() {
         Fleet fleet = new Fleet(8, 0, 1);
--- a/src/test/java/cacheproxy/gossip/LocalStartTimesTest.java
+++ b/src/test/java/cacheproxy/gossip/LocalStartTimesTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When servers started, by a clock that others' clocks may differ from. */
+/** Start times of endpoints if the local clock differs from the clock of the list. */
 class LocalStartTimesTest {
     private static final double NOW_MS = 1.8e12;
     private static final double HOUR_MS = 3_600_000;
@@ -63,7 +63,7 @@
                 .isEqualTo(NOW_MS + 94_000);
     }
 
-    /** What a process starts with may be older than the first list by any time. */
+    /** Endpoints may have started any time before the first list. */
     @Test
     void theFirstListMayHoldStartTimesOfAnyAge() {
         LocalStartTimes times = new LocalStartTimes();
--- a/src/test/java/cacheproxy/gossip/OutlierGossipTest.java
+++ b/src/test/java/cacheproxy/gossip/OutlierGossipTest.java
@@ -16,15 +16,15 @@
     void reportsOfThreePeersInTwoZonesMakeAnOutlier() {
         assertThat(gossip.onReport(0, 1, 1, node(7), 11, 4)).isFalse();
         assertThat(gossip.onReport(10, 1, 1, node(7), 11, 4))
-                .as("the same once more")
+                .as("second report of the same peer")
                 .isFalse();
         assertThat(gossip.onReport(20, 5, 1, node(7), 11, 4)).isFalse();
         assertThat(gossip.onReport(30, 9, 1, node(7), 11, 4))
-                .as("all of one zone")
+                .as("all reports from one zone")
                 .isFalse();
         assertThat(gossip.onReport(40, 2, 2, node(7), 11, 4)).isTrue();
         assertThat(gossip.onReport(50, 3, 3, node(7), 11, 4))
-                .as("once is enough")
+                .as("already an outlier")
                 .isFalse();
     }
 
@@ -36,7 +36,10 @@
                 .isFalse();
     }
 
-    /** Of a hundred that find a node bad some tell it, and the others have nothing to add while that is fresh. */
+    /**
+     * If a hundred peers observe an unresponsive node, some report it, and the others add nothing while those reports
+     * are recent.
+     */
     @Test
     void aWidelyReportedNodeNeedsNoFurtherReport() {
         for (int peer = 0; peer < OutlierGossip.SUFFICIENT_REPORTERS; peer++) {
@@ -46,15 +49,17 @@
         assertThat(gossip.isWidelyReported(100, 7)).isTrue();
         assertThat(gossip.isWidelyReported(100, 8)).isFalse();
         assertThat(gossip.isWidelyReported(OutlierGossip.REPORT_TTL_MS / 2 + 100, 7))
-                .as("it has to be said anew while it lasts")
+                .as("reports have to be repeated while the fault lasts")
                 .isFalse();
         for (int peer = 0; peer < OutlierGossip.SUFFICIENT_REPORTERS; peer++) {
             gossip.onReport(0, peer, 1, node(9), 99, 4);
         }
-        assertThat(gossip.isWidelyReported(1, 9)).as("by one zone alone").isFalse();
+        assertThat(gossip.isWidelyReported(1, 9))
+                .as("reports from one zone only")
+                .isFalse();
     }
 
-    /** Two liars are not three, and three take out a quarter of a zone at most. */
+    /** Wrong reports by three peers make at most a quarter of a zone outliers. */
     @Test
     void noReportsMakeMoreThanAFractionOfAZoneOutliers() {
         int outliers = 0;
--- a/src/test/java/cacheproxy/gossip/PeerMessageFormatTest.java
+++ b/src/test/java/cacheproxy/gossip/PeerMessageFormatTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of messages between proxies, as released programs send them. */
+/** The bytes of messages between proxies, as released versions send them. */
 class PeerMessageFormatTest {
     private static final String SAMPLES = "wire/peer-messages.txt";
 
@@ -24,7 +24,7 @@
                     new EndpointChange(43, 7, EndpointState.READY, 1e12)));
     private static final EndpointListDelta EMPTY_DELTA = new EndpointListDelta(0, 1L << 53, 0xffff, List.of());
 
-    /** Every kind of message, by the name of its sample. */
+    /** All kinds of messages, by the names of their samples. */
     static Map<String, byte[]> messages() {
         Map<String, byte[]> messages = new LinkedHashMap<>();
         messages.put("list-version", PeerMessage.listVersionAnnouncement(43));
@@ -76,7 +76,7 @@
         assertThat(four.get(1).body()).isEqualTo(samples.get("server-unresponsive"));
     }
 
-    /** A state that no released program knows makes a message one that can't be read. */
+    /** A message with a state that no released version knows is malformed. */
     @Test
     void anUnknownStateIsNotRead() {
         byte[] delta = WireSamples.bytes(SAMPLES).get("list-update");
--- a/src/test/java/cacheproxy/gossip/ProvisionalEndpointsTest.java
+++ b/src/test/java/cacheproxy/gossip/ProvisionalEndpointsTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What peers tell of the list: used until discovery's word comes, and for no longer than that may take. */
+/** Changes received from peers are used until discovery confirms or replaces them, and for a limited time. */
 class ProvisionalEndpointsTest {
     private static final int ORIGIN_KIND = 1;
     private static final double NOW_MS = 1e12;
@@ -33,7 +33,7 @@
         return new EndpointListDelta(after, version, ProvisionalEndpoints.PEER_UPDATE_TTL_MS, List.of(changes));
     }
 
-    /** Servers 1 to {@code n} and the origin, in version 41. */
+    /** Starts with endpoints 1 to {@code n} and the origin, in version 41. */
     private void startWith(int n) {
         List<Endpoint> endpoints = new ArrayList<>(IntStream.rangeClosed(1, n)
                 .mapToObj(i -> endpoint(i, EndpointState.READY, 0))
@@ -119,15 +119,18 @@
         startWith(3);
         provisional.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
         assertThat(provisional.onDiscoveryUpdate(NOW_MS, 43, false, List.of(endpoint(2, EndpointState.DRAINING, 0))))
-                .as("a wrong word is undone by changes that do not name the server")
+                .as("a wrong restriction ends by changes that do not contain the endpoint")
                 .containsExactlyInAnyOrder(endpoint(2, EndpointState.DRAINING, 0), endpoint(1, EndpointState.READY, 0));
         assertThat(provisional.onDiscoveryUpdate(
                         NOW_MS + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 44, false, List.of()))
-                .as("nothing is left to end")
+                .as("no restriction is left to end")
                 .isEmpty();
     }
 
-    /** While discovery is silent, a drain that peers told counts as told: nothing but discovery's word may end it. */
+    /**
+     * While discovery does not answer, a drain received from peers counts as known: only an answer from discovery may
+     * end it.
+     */
     @Test
     void anUnconfirmedRestrictionEndsWithTheFirstAnswerAfterItsTtl() {
         startWith(3);
@@ -163,14 +166,15 @@
         startWith(5);
         provisional.onPeerUpdate(NOW_MS, delta(41, 43, change(43, 1, EndpointState.DRAINING, 0)));
         assertThat(provisional.onPeerUpdate(NOW_MS, delta(43, 44, change(44, 1, EndpointState.READY, NOW_MS))))
-                .as("left alone all the same, but cold as soon as it is used")
+                .as("still draining, but slow-started once it is used")
                 .containsExactly(endpoint(1, EndpointState.DRAINING, NOW_MS));
         assertThat(provisional.onDiscoveryUpdate(NOW_MS, 44, false, List.of(endpoint(1, EndpointState.READY, NOW_MS))))
                 .containsExactly(endpoint(1, EndpointState.READY, NOW_MS));
     }
 
     /**
-     * A list that comes out of turn, or of a replica that is behind, permits nothing that a newer one has forbidden.
+     * Guards against a list that arrives out of order, or from a replica that lags behind, and lifts restrictions of a
+     * newer list.
      */
     @Test
     void anOlderListLiftsNoDrainBeforeItsDelay() {
@@ -239,7 +243,7 @@
         assertThat(provisional.recentChanges().afterVersion()).isEqualTo(41);
     }
 
-    /** Of a message that was lost any peer that heard it can tell, but nobody can make it last longer than it does. */
+    /** Any peer that received a message can relay it to those that missed it, but no relay extends its lifetime. */
     @Test
     void aPeersDeltaIsRelayedWithItsRemainingTtl() {
         startWith(5);
@@ -259,15 +263,15 @@
         assertThat(other.onDiscoveryUpdate(NOW_MS + ProvisionalEndpoints.PEER_UPDATE_TTL_MS - 1, 42, false, List.of()))
                 .isEmpty();
         assertThat(other.onDiscoveryUpdate(NOW_MS + ProvisionalEndpoints.PEER_UPDATE_TTL_MS, 42, false, List.of()))
-                .as("ends when it would have ended where it was heard first")
+                .as("ends when it would have ended at the first receiver")
                 .containsExactly(endpoint(1, EndpointState.READY, 0));
         other.onDiscoveryUpdate(NOW_MS + 5000, 43, false, List.of());
         assertThat(other.changesSince(NOW_MS + 5000, 41))
-                .as("discovery's word goes before")
+                .as("discovery's own version replaces it")
                 .isEmpty();
     }
 
-    /** Whole lists name no change by itself. */
+    /** Snapshots do not list changes. */
     @Test
     void anEndpointMissingFromASnapshotIsSentAsRemoved() {
         startWith(2);
@@ -294,11 +298,11 @@
         provisional.onDiscoveryUpdate(NOW_MS, 1000, true, List.of(endpoint(1, EndpointState.READY, 0)));
         assertThat(provisional.recentChanges().changes()).hasSize(EndpointListDelta.MAX_CHANGES);
         assertThat(provisional.recentChanges().afterVersion())
-                .as("what was dropped is not claimed")
+                .as("does not claim to contain the dropped changes")
                 .isEqualTo(1000);
     }
 
-    /** Whatever peers tell and lose, all that discovery has told of a version in the end is what it says. */
+    /** Whatever peers send and lose, in the end the list is the one that discovery has sent. */
     @Property(seed = "1", tries = 300)
     void discoverysListPrevailsInTheEnd(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -328,10 +332,10 @@
             used.forEach((id, endpoint) -> {
                 Endpoint listed = discovered.get(id);
                 assertThat(endpoint.state() != EndpointState.READY || listed.state() == EndpointState.READY)
-                        .as("a server is ready only by discovery's own word")
+                        .as("an endpoint is ready only if discovery has it as ready")
                         .isTrue();
                 assertThat(endpoint.startTimeMs())
-                        .as("none counts as warmer than by that word")
+                        .as("no start time is earlier than discovery's")
                         .isGreaterThanOrEqualTo(listed.startTimeMs());
             });
         }
@@ -354,7 +358,7 @@
         bytes[1 + 2 * Long.BYTES + Short.BYTES + Integer.BYTES] = 9;
         assertThat(EndpointListDelta.decode(bytes)).as("no such state").isNull();
         assertThat(EndpointListDelta.decode(delta(43, 41).encode()))
-                .as("backwards")
+                .as("versions in reverse order")
                 .isNull();
     }
 }
--- a/src/test/java/cacheproxy/membership/MemberTest.java
+++ b/src/test/java/cacheproxy/membership/MemberTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Test;
 
 class MemberTest {
-    /** What an instance says of itself hangs on its life, incarnation and version alone, as nobody else writes it. */
+    /**
+     * What an instance publishes about itself depends only on its process, incarnation and version, as no other
+     * instance writes it.
+     */
     @Provide
     static Arbitrary<Member> members() {
         return Combinators.combine(
@@ -81,13 +84,13 @@
         }
     }
 
-    /** Whatever comes in is read or dropped, and nothing is thrown. */
+    /** Any received bytes are decoded or dropped, and nothing is thrown. */
     @Property(seed = "44", tries = 20_000)
     void randomBytesAreDropped(@ForAll byte[] bytes) {
         MembershipMessage.decode(bytes);
     }
 
-    /** Zones under 128 take the one byte that they always took. */
+    /** Zones below 128 take one byte, as in released versions. */
     @Test
     void zonesOfOneAndTwoBytesRoundTrip() {
         for (int zone : new int[] {0, 127, 128, 255, 256, 1023, Member.MAX_ZONE}) {
--- a/src/test/java/cacheproxy/membership/MembershipMessageFormatTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipMessageFormatTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The bytes of membership's messages, as released programs send them. */
+/** The bytes of membership messages, as released versions send them. */
 class MembershipMessageFormatTest {
     private static final String SAMPLES = "wire/membership-messages.txt";
     private static final byte[] NO_ADDRESS = {};
--- a/src/test/java/cacheproxy/membership/MembershipTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Instances that keep a view of each other, in virtual time. */
+/** Instances with a view of each other, in virtual time. */
 class MembershipTest {
     private static ViewPlay settled(int many, double loss, long seed) {
         ViewPlay p = new ViewPlay(many, loss, 0.05, seed);
@@ -51,7 +51,9 @@
         ViewPlay p = settled(12, 0, 7);
         p.stop(4, 8000);
         p.pass(7900);
-        assertThat(p.allHold(4, false)).as("the others gave it up").isFalse(); // it holds itself for alive
+        assertThat(p.allHold(4, false))
+                .as("others declared it dead")
+                .isFalse(); // the stalled instance considers itself alive
         assertThat(p.of(0).member(4).state()).isEqualTo(MemberState.DEAD);
         p.pass(200);
         for (int i = 0; i < 40; i++) {
@@ -139,7 +141,7 @@
                 MembershipSettings.forConfigured(3), id, 0, new byte[0], lastIncarnation, seed, UNLIMITED);
     }
 
-    /** Passes what goes from one to the other. */
+    /** Delivers the messages of one instance to another. */
     private static void deliver(Membership from, int fromId, Membership to, double now) {
         from.tick(now);
         from.takeOutgoing().forEach(s -> to.messageReceived(now, fromId, s.body()));
@@ -162,7 +164,7 @@
             }
         }
         assertThat(one.view(20_000).disputed()).isTrue();
-        assertThat(one.incarnation()).as("the dispute is no race").isLessThan(60);
+        assertThat(one.incarnation()).as("the incarnations do not race").isLessThan(60);
     }
 
     @Test
@@ -212,7 +214,7 @@
         assertThat(one.view(1).reachabilityByZone()).containsEntry(0, Reachability.ALL);
     }
 
-    /** Instances that no settings name, which know one seed each and are told of one another with their addresses. */
+    /** Instances that are not configured: each knows one seed, and they learn of each other with their addresses. */
     @Test
     void seededFleetConvergesAndForgetsAbsentMembers() {
         int instances = 6;
@@ -237,7 +239,7 @@
             }
             digest = now == 4000 ? all.get(0).digest() : digest;
         }
-        assertThat(all.get(5).digest()).as("before it went").isEqualTo(digest);
+        assertThat(all.get(5).digest()).as("before instance 5 stopped").isEqualTo(digest);
         assertThat(all.get(5).member(3).address()).containsExactly(127, 0, 0, 1, 0, 3);
         assertThat(all.subList(0, 5)).allSatisfy(m -> {
             assertThat(m.member(5)).isNull();
@@ -245,7 +247,7 @@
         });
     }
 
-    /** A probe that found no room to be sent says nothing of whom it was meant for. */
+    /** Guards against suspicions after probes that the budget did not permit to be sent. */
     @Test
     void nobodyIsSuspectedWithoutBudget() {
         boolean[] hasBudget = {true};
--- a/src/test/java/cacheproxy/membership/MembershipTraceTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTraceTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A fleet in virtual time, through loss, a crash, a cut, a stand-still, a return and a leave: every message, its time,
- * its order and its bytes are the same as ever. Finds a changed order of random draws that no property would.
+ * A fleet in virtual time with message loss, a crash, a partition, a stall, a restart and a leave: every message, its
+ * time, order and bytes match the recorded trace. Detects a changed order of random draws, which no property test
+ * would.
  */
 class MembershipTraceTest {
     private static final int INSTANCES = 14;
@@ -22,7 +23,7 @@
 
     private record Delivery(double atMs, long order, int from, int to, byte[] body) {}
 
-    /** A play of one fleet; the same at each run. */
+    /** A deterministic simulation of one fleet. */
     private static final class Fleet {
         private final SplittableRandom network = new SplittableRandom(11);
         private final PriorityQueue<Delivery> deliveries =
@@ -79,7 +80,7 @@
             }
         }
 
-        /** Instance 6 stands still for two seconds. */
+        /** Instance 6 stalls for two seconds. */
         private boolean isRunning(double nowMs, int id) {
             return !down[id] && !(id == 6 && nowMs >= 9000 && nowMs < 11_000);
         }
