--- a/src/test/java/cacheproxy/endpoints/EndpointListPollerPropertyTest.java
+++ b/src/test/java/cacheproxy/endpoints/EndpointListPollerPropertyTest.java
@@ -102,7 +102,7 @@
     }
 
     @Property(seed = "1", tries = 3000)
-    void aChangeThatOneKindOfPollBringsIsKnownInTime(
+    void aChangeIsKnownInTimeWhileOneKindOfPollFails(
             @ForAll long seed, @ForAll boolean sharedDiscovery, @ForAll PollKind broken) {
         assertThat(timeToResponse(seed, sharedDiscovery, broken, 5)).isLessThan(MAX_STALENESS_MS);
     }
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void ofAThousandInstancesFewRequestASnapshotWhenWatchesAreUnanswered() {
+    void fewOfAThousandInstancesRequestASnapshotWhenWatchesAreUnanswered() {
         int snapshots = 0;
         for (int instance = 0; instance < 1000; instance++) {
             EndpointListPoller poller = new EndpointListPoller(new PollerSettings(true, 10_000, 1000, true), instance);
--- a/src/test/java/cacheproxy/endpoints/PollBackoffTest.java
+++ b/src/test/java/cacheproxy/endpoints/PollBackoffTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void whatThePollTookIsPartOfTheDelayButForTheShortest() {
+    void pollDurationIsDeductedDownToTheBaseDelay() {
         PollBackoff backoff = new PollBackoff(10_000);
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 10; i++) {
--- a/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
+++ b/src/test/java/cacheproxy/gossip/ListVersionGossipTest.java
@@ -99,7 +99,7 @@
 
     /** Guards against instances that keep an outdated list although every second instance has the new version. */
     @Property(seed = "1", tries = 60)
-    void anInstanceWithoutNewsPollsSoonAfterOthersAnnounceIt(
+    void anInstanceWithoutTheVersionPollsSoonAfterOthersAnnounceIt(
             @ForAll @IntRange(min = 2, max = 72) int instances,
             @ForAll @DoubleRange(min = 0, max = 0.5) double loss,
             @ForAll long seed) {
@@ -121,7 +121,7 @@
      * 5 to 30 ms, so all instances announced a version to all others, 72 times 71 messages per version.
      */
     @Property(seed = "1", tries = 60)
-    void fewAnnounceAVersionAndNobodyPollsWhenAllHoldIt(
+    void fewInstancesAnnounceAVersionAndNonePollsWhenAllHoldIt(
             @ForAll @IntRange(min = 2, max = 72) int instances, @ForAll long seed) {
         Fleet fleet = new Fleet(instances, 0, seed);
         int versions = 12;
@@ -144,7 +144,7 @@
 
     /** Guards against a peer whose wrong announcements make all others poll, or keep them from announcing. */
     @Test
-    void falseAnnouncementsCostFewPollsAndHideNoNews() {
+    void falseAnnouncementsCauseFewPollsAndHideNoNewVersion() {
         Fleet fleet = new Fleet(8, 0, 1);
         for (int step = 0; step < 600; step++) {
             for (int i = 0; i < 8; i++) {
--- a/src/test/java/cacheproxy/membership/MembershipTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void crashIsKnownToAHundredWithinThreeSeconds() {
+    void crashIsKnownToAHundredInstancesWithinThreeSeconds() {
         ViewPlay p = settled(100, 0, 5);
         p.kill(17);
         assertThat(p.until(() -> p.allHold(17, false), 10_000)).isLessThan(3000);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void stalledInstanceSuspectsNobodyForIt() {
+    void stalledInstanceDeclaresNoOtherDead() {
         ViewPlay p = settled(12, 0, 7);
         p.stop(4, 8000);
         p.pass(7900);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void flappingMemberHarmsNoOther() {
+    void flappingMemberCausesNoFalseDeath() {
         ViewPlay p = settled(12, 0, 15);
         for (int i = 0; i < 20; i++) {
             p.kill(3);
@@ -216,7 +216,7 @@
 
     /** Instances that are not configured: each knows one seed, and they learn of each other with their addresses. */
     @Test
-    void seededFleetConvergesAndForgetsAbsentMembers() {
+    void seededFleetConvergesAndRemovesAbsentMembers() {
         int instances = 6;
         MembershipSettings settings = MembershipSettings.forSeeds(List.of(0), 100);
         List<Membership> all = new ArrayList<>();
@@ -249,7 +249,7 @@
 
     /** Guards against suspicions after probes that the budget did not permit to be sent. */
     @Test
-    void nobodyIsSuspectedWithoutBudget() {
+    void noMemberIsSuspectedWithoutBudget() {
         boolean[] hasBudget = {true};
         Membership one = new Membership(
                 MembershipSettings.forConfigured(3), 0, 0, new byte[0], 0, 1, new Membership.MessageBudget() {
--- a/src/test/java/cacheproxy/membership/MembershipTraceTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTraceTest.java
@@ -149,12 +149,12 @@
     }
 
     @Test
-    void configuredFleetSendsAsPinned() {
+    void configuredFleetMatchesRecordedTrace() {
         GoldenFile.assertText("membership/trace-configured.txt", new Fleet(false).run());
     }
 
     @Test
-    void seededFleetSendsAsPinned() {
+    void seededFleetMatchesRecordedTrace() {
         GoldenFile.assertText("membership/trace-seeds.txt", new Fleet(true).run());
     }
 }
