--- a/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
+++ b/src/main/java/cacheproxy/endpoints/EndpointListPoller.java
@@ -26,7 +26,7 @@
  * actions to execute. Not thread-safe.
  */
 public final class EndpointListPoller {
-    /** The maximum number of pending polls, each of which uses a connection of its own. */
+    /** The maximum number of pending polls, each of which uses a separate connection. */
     static final int MAX_PENDING_POLLS = 3;
 
     /** The minimum time between the starts of two polls if the first was answered immediately without a new version. */
--- a/src/main/java/cacheproxy/gossip/ListVersionGossip.java
+++ b/src/main/java/cacheproxy/gossip/ListVersionGossip.java
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Sets the number of live instances, which determines the range of the random delays; instances that are gone do
-     * not lengthen them.
+     * Sets the number of live instances, which determines the range of the random delays; absent instances do not
+     * lengthen them.
      */
     public void setLiveMembers(LiveMembers liveMembers) {
         instanceCount = liveMembers.count();
--- a/src/main/java/cacheproxy/membership/FailureDetector.java
+++ b/src/main/java/cacheproxy/membership/FailureDetector.java
@@ -226,7 +226,7 @@
         }
         suspect(nowMs, target);
         if (probe.purpose == Purpose.ROUND) {
-            // If one instance is gone, others may be too: its neighbors on the ring are probed immediately.
+            // If one instance has failed, others may have failed too: its neighbors on the ring are probed immediately.
             for (int i = 0; i < NEIGHBOR_PROBES; i++) {
                 probeNextOnRing(nowMs);
             }
