--- a/src/main/java/cacheproxy/membership/GossipQueue.java
+++ b/src/main/java/cacheproxy/membership/GossipQueue.java
@@ -7,51 +7,51 @@
 import java.util.Map;
 
 /**
- * The members whose changes are still to be gossiped with whatever is sent: those first that were sent least often,
- * each as often as the logarithm of the fleet's size (SWIM, section 4.1).
+ * The members whose changes still have to be piggybacked on outgoing messages: those sent least often first, each for a
+ * number of times logarithmic in the fleet size (SWIM, section 4.1).
  */
 final class GossipQueue {
     private static final int MAX_MEMBERS = 4096;
 
-    private final Map<Integer, Integer> timesSent = new LinkedHashMap<>();
+    private final Map<Integer, Integer> sendCounts = new LinkedHashMap<>();
     private boolean changedSinceTaken;
 
     /** A member has changed. */
     void changed(int id) {
-        timesSent.remove(id);
-        timesSent.put(id, 0);
+        sendCounts.remove(id);
+        sendCounts.put(id, 0);
         changedSinceTaken = true;
-        if (timesSent.size() > MAX_MEMBERS) {
-            timesSent.remove(timesSent.keySet().iterator().next());
+        if (sendCounts.size() > MAX_MEMBERS) {
+            sendCounts.remove(sendCounts.keySet().iterator().next());
         }
     }
 
-    /** Whether anything has changed since the last call. */
+    /** Returns whether anything has changed since the last call. */
     boolean takeChanged() {
-        boolean was = changedSinceTaken;
+        boolean changed = changedSinceTaken;
         changedSinceTaken = false;
-        return was;
+        return changed;
     }
 
-    /** A member is no longer gossiped. */
+    /** Stops gossiping a member. */
     void remove(int id) {
-        timesSent.remove(id);
+        sendCounts.remove(id);
     }
 
     /** Whether there is nothing to gossip. */
     boolean isEmpty() {
-        return timesSent.isEmpty();
+        return sendCounts.isEmpty();
     }
 
     /**
-     * Takes members to send in a message, and counts them as sent.
+     * Selects members to send in a message, and counts them as sent.
      *
-     * @param maxBytes how many bytes they may take
-     * @param without a member that the message holds already
+     * @param maxBytes the maximum size of the members in total
+     * @param excludedId a member that the message already contains
      */
-    List<Member> take(MemberTable table, int maxBytes, int without) {
-        int maxTimes = 32 - Integer.numberOfLeadingZeros(table.size() + 1);
-        List<Map.Entry<Integer, Integer>> leastSentFirst = new ArrayList<>(timesSent.entrySet());
+    List<Member> take(MemberTable table, int maxBytes, int excludedId) {
+        int maxSends = 32 - Integer.numberOfLeadingZeros(table.size() + 1);
+        List<Map.Entry<Integer, Integer>> leastSentFirst = new ArrayList<>(sendCounts.entrySet());
         leastSentFirst.sort(Comparator.comparingInt(Map.Entry::getValue));
         List<Member> taken = new ArrayList<>();
         if (maxBytes <= 0) {
@@ -59,17 +59,17 @@
         }
         int bytesLeft = maxBytes;
         for (Map.Entry<Integer, Integer> e : leastSentFirst) {
-            Member entry = table.get(e.getKey());
-            int bytes = entry == null ? 0 : MembershipMessage.bytes(entry);
-            if (entry == null) {
-                timesSent.remove(e.getKey());
-            } else if (e.getKey() != without && bytes <= bytesLeft) {
+            Member member = table.get(e.getKey());
+            int bytes = member == null ? 0 : MembershipMessage.memberBytes(member);
+            if (member == null) {
+                sendCounts.remove(e.getKey());
+            } else if (e.getKey() != excludedId && bytes <= bytesLeft) {
                 bytesLeft -= bytes;
-                taken.add(entry);
-                if (e.getValue() + 1 >= maxTimes) {
-                    timesSent.remove(e.getKey());
+                taken.add(member);
+                if (e.getValue() + 1 >= maxSends) {
+                    sendCounts.remove(e.getKey());
                 } else {
-                    timesSent.put(e.getKey(), e.getValue() + 1);
+                    sendCounts.put(e.getKey(), e.getValue() + 1);
                 }
             }
         }
--- a/src/main/java/cacheproxy/membership/MembershipMessage.java
+++ b/src/main/java/cacheproxy/membership/MembershipMessage.java
@@ -9,40 +9,40 @@
 import java.util.TreeSet;
 
 /**
- * A message of the membership protocol, as {@code docs/design/members-wire.md} lays it out. Whatever its kind, it holds
- * the sender's own entry and as many others as there is room for.
+ * A message of the membership protocol, in the format of {@code docs/design/members-wire.md}. A message of any kind
+ * contains the sender's own entry and as many others as fit.
  *
- * @param kind what it is
- * @param number of the probe that it belongs to, 0 to 65,535
- * @param target the member that a helper is to ping, or that has answered it; {@link #NO_MEMBER} otherwise
- * @param digest of all members that the sender knows
- * @param sliceDigests digests of the sender's slices in a {@link Kind#DIGESTS}; empty otherwise
- * @param members the sender's own first
+ * @param kind the kind of message
+ * @param number the number of the probe it belongs to, 0 to 65,535
+ * @param target the member that a helper has to ping, or that has answered the helper; {@link #NO_MEMBER} otherwise
+ * @param digest the digest of all members that the sender knows
+ * @param sliceDigests the digests of the sender's slices in a {@link Kind#DIGESTS}; empty otherwise
+ * @param members the sender's own entry first
  */
 public record MembershipMessage(
         Kind kind, int number, int target, int digest, int[] sliceDigests, List<Member> members) {
-    /** The number of no member. */
+    /** The number that stands for no member. */
     public static final int NO_MEMBER = 0xffff;
 
-    private static final int HEAD_BYTES = 1 + 1 + 2 + 2 + 4;
+    private static final int HEADER_BYTES = 1 + 1 + 2 + 2 + 4;
     private static final int SLICE_BYTES = 2 * MemberTable.SLICES;
-    private static final int ADDRESS = 0x10;
-    private static final int NOTES = 0x20;
-    private static final int CONFIRMERS = 0x40;
+    private static final int ADDRESS_FLAG = 0x10;
+    private static final int METADATA_FLAG = 0x20;
+    private static final int CONFIRMERS_FLAG = 0x40;
 
-    /** The kinds. */
+    /** The kinds of message. */
     public enum Kind {
-        /** Asks for an {@link #ACK}. */
+        /** Requests an {@link #ACK}. */
         PING(0),
         /** The sender is alive, or its probe of {@code target} was answered. */
         ACK(1),
-        /** Asks the receiver to ping {@code target} for the sender. */
+        /** Requests that the receiver pings {@code target} for the sender. */
         PING_REQUEST(2),
-        /** Changes; needs no answer. */
+        /** Contains changes; needs no answer. */
         GOSSIP(3),
-        /** The sender's digests by slice; asks for the members of slices that differ. */
+        /** Contains the sender's digests by slice; requests the members of slices that differ. */
         DIGESTS(4),
-        /** Members of slices that differ; needs no answer. */
+        /** Contains members of slices that differ; needs no answer. */
         MEMBERS(5);
 
         private final int code;
@@ -51,12 +51,12 @@
             this.code = code;
         }
 
-        /** Its code on the wire. */
+        /** Returns the code on the wire. */
         int code() {
             return code;
         }
 
-        /** The kind of that code; null if it is unknown. */
+        /** Returns the kind with this code; null if it is unknown. */
         static Kind of(int code) {
             for (Kind kind : values()) {
                 if (kind.code == code) {
@@ -67,38 +67,38 @@
         }
     }
 
-    /** The sender's own entry. */
+    /** Returns the sender's own entry. */
     Member sender() {
         return members.get(0);
     }
 
-    // ---- to bytes
+    // ---- encoding
 
-    /** The bytes of a message without members. */
-    static int headBytes(Kind kind) {
-        return HEAD_BYTES + (kind == Kind.DIGESTS ? SLICE_BYTES : 0);
+    /** Returns the size of a message without members, in bytes. */
+    static int headerBytes(Kind kind) {
+        return HEADER_BYTES + (kind == Kind.DIGESTS ? SLICE_BYTES : 0);
     }
 
-    /** The bytes of a member. */
-    static int bytes(Member e) {
-        int n = 1 + 2 + varint(e.zone()) + varint(e.incarnation()) + 2 + varint(e.version());
+    /** Returns the size of an encoded member, in bytes. */
+    static int memberBytes(Member e) {
+        int n = 1 + 2 + varintBytes(e.zone()) + varintBytes(e.incarnation()) + 2 + varintBytes(e.version());
         n += e.address().length;
         if (!e.confirmers().isEmpty()) {
             n += 1 + 2 * e.confirmers().size();
         }
         if (!e.metadata().isEmpty()) {
             n++;
-            for (byte[] note : e.metadata().values()) {
-                n += 1 + note.length;
+            for (byte[] value : e.metadata().values()) {
+                n += 1 + value.length;
             }
         }
         return n;
     }
 
-    /** The bytes of this message. */
+    /** Encodes this message. */
     public byte[] encode() {
-        int size = headBytes(kind)
-                + members.stream().mapToInt(MembershipMessage::bytes).sum();
+        int size = headerBytes(kind)
+                + members.stream().mapToInt(MembershipMessage::memberBytes).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
         out.put((byte) kind.code())
                 .put((byte) members.size())
@@ -117,9 +117,9 @@
     private static void encode(Member e, ByteBuffer out) {
         out.put((byte) (e.state().code()
                 | e.phase().code() << 2
-                | (e.address().length > 0 ? ADDRESS : 0)
-                | (e.metadata().isEmpty() ? 0 : NOTES)
-                | (e.confirmers().isEmpty() ? 0 : CONFIRMERS)));
+                | (e.address().length > 0 ? ADDRESS_FLAG : 0)
+                | (e.metadata().isEmpty() ? 0 : METADATA_FLAG)
+                | (e.confirmers().isEmpty() ? 0 : CONFIRMERS_FLAG)));
         out.putShort((short) e.id());
         putVarint(out, e.zone());
         putVarint(out, e.incarnation());
@@ -133,12 +133,12 @@
         if (!e.metadata().isEmpty()) {
             out.put((byte) e.metadata().size());
             e.metadata()
-                    .forEach((part, bytes) ->
-                            out.put((byte) (part << 5 | bytes.length)).put(bytes));
+                    .forEach((key, value) ->
+                            out.put((byte) (key << 5 | value.length)).put(value));
         }
     }
 
-    private static int varint(long value) {
+    private static int varintBytes(long value) {
         int n = 1;
         for (long v = value >>> 7; v != 0; v >>>= 7) {
             n++;
@@ -155,17 +155,17 @@
         out.put((byte) v);
     }
 
-    // ---- from bytes
+    // ---- decoding
 
-    /** The message of these bytes; null if they are none, cut short, or longer than they say. */
+    /** Decodes a message; returns null if it is malformed, truncated, or followed by further bytes. */
     public static MembershipMessage decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        if (bytes.length < HEAD_BYTES) {
+        if (bytes.length < HEADER_BYTES) {
             return null;
         }
         Kind kind = Kind.of(in.get());
-        int many = in.get() & 0xff;
-        if (kind == null || bytes.length < headBytes(kind)) {
+        int count = in.get() & 0xff;
+        if (kind == null || bytes.length < headerBytes(kind)) {
             return null;
         }
         int number = in.getShort() & 0xffff;
@@ -175,52 +175,52 @@
         for (int i = 0; i < slices.length; i++) {
             slices[i] = in.getShort() & 0xffff;
         }
-        List<Member> entries = new ArrayList<>(many);
+        List<Member> decoded = new ArrayList<>(count);
         try {
-            for (int i = 0; i < many; i++) {
-                entries.add(entry(in));
+            for (int i = 0; i < count; i++) {
+                decoded.add(decodeMember(in));
             }
         } catch (BufferUnderflowException | IllegalArgumentException e) {
             return null;
         }
-        return in.hasRemaining() || many == 0
+        return in.hasRemaining() || count == 0
                 ? null
-                : new MembershipMessage(kind, number, target, digest, slices, entries);
+                : new MembershipMessage(kind, number, target, digest, slices, decoded);
     }
 
-    private static Member entry(ByteBuffer in) {
+    private static Member decodeMember(ByteBuffer in) {
         int flags = in.get();
         int id = in.getShort() & 0xffff;
         long zone = getVarint(in);
         long incarnation = getVarint(in);
-        int life = in.getShort() & 0xffff;
+        int processNonce = in.getShort() & 0xffff;
         long version = getVarint(in);
-        byte[] address = new byte[(flags & ADDRESS) != 0 ? 6 : 0];
+        byte[] address = new byte[(flags & ADDRESS_FLAG) != 0 ? 6 : 0];
         in.get(address);
         TreeSet<Integer> confirmers = new TreeSet<>();
-        for (int n = (flags & CONFIRMERS) != 0 ? in.get() & 0xff : 0; n > 0; n--) {
+        for (int n = (flags & CONFIRMERS_FLAG) != 0 ? in.get() & 0xff : 0; n > 0; n--) {
             confirmers.add(in.getShort() & 0xffff);
         }
-        Map<Integer, byte[]> notes = new HashMap<>();
-        for (int n = (flags & NOTES) != 0 ? in.get() & 0xff : 0; n > 0; n--) {
-            int head = in.get() & 0xff;
-            byte[] note = new byte[head & 0x1f];
-            in.get(note);
-            notes.put(head >> 5, note);
+        Map<Integer, byte[]> metadata = new HashMap<>();
+        for (int n = (flags & METADATA_FLAG) != 0 ? in.get() & 0xff : 0; n > 0; n--) {
+            int header = in.get() & 0xff;
+            byte[] value = new byte[header & 0x1f];
+            in.get(value);
+            metadata.put(header >> 5, value);
         }
         if (flags < 0 || zone > Member.MAX_ZONE || version > Integer.MAX_VALUE) {
-            throw new IllegalArgumentException("a member with unknown flags, or values out of range");
+            throw new IllegalArgumentException("member entry has unknown flags or values out of range");
         }
         return new Member(
                 id,
                 incarnation,
-                life,
+                processNonce,
                 MemberState.of(flags & 3),
                 confirmers,
                 (int) zone,
                 (int) version,
                 ServicePhase.of(flags >> 2 & 3),
-                Map.copyOf(notes),
+                Map.copyOf(metadata),
                 address);
     }
 
@@ -233,6 +233,6 @@
                 return value;
             }
         }
-        throw new IllegalArgumentException("a number of more than nine bytes");
+        throw new IllegalArgumentException("varint is longer than nine bytes");
     }
 }
--- a/src/main/java/cacheproxy/membership/MembershipSettings.java
+++ b/src/main/java/cacheproxy/membership/MembershipSettings.java
@@ -5,21 +5,22 @@
 /**
  * The settings of the membership protocol. Times in milliseconds.
  *
- * @param configured how many instances the configuration names, by numbers from 0; 0 where there are only seeds
- * @param seeds numbers of the members to join by; none where members are configured
- * @param capacity how many members are known at most, the dead among them
- * @param roundMs between two rounds, each of which probes a member
- * @param pingTimeoutMs after which a member is pinged again, and by helpers
- * @param probeTimeoutMs after which a probe has failed
- * @param helpers how many members are asked to ping one that does not answer
- * @param confirmers how many members probe a suspected one at once, beside the one that suspects it
- * @param minSuspicionMs how long a suspicion lasts when all of them confirm it
- * @param maxSuspicionMs how long it lasts when none does
- * @param fanout to how many members a change is gossiped at once
- * @param forgetMs after which an absent member that is not configured is forgotten
+ * @param configuredCount the number of configured instances, numbered from 0; 0 if there are only seeds
+ * @param seeds the numbers of the members through which to join; empty if members are configured
+ * @param capacity the maximum number of known members, including dead ones
+ * @param roundMs the time between two rounds, each of which probes a member
+ * @param pingTimeoutMs the time after which a member is pinged again, also through helpers
+ * @param probeTimeoutMs the time after which a probe has failed
+ * @param helpers the number of members that are requested to ping a member that does not answer
+ * @param confirmers the number of members that probe a suspected one immediately, in addition to the one that suspects
+ *     it
+ * @param minSuspicionMs the duration of a suspicion that all of them confirm
+ * @param maxSuspicionMs the duration of a suspicion that none of them confirms
+ * @param fanout the number of members to which a change is gossiped at once
+ * @param absentRetentionMs the time after which an absent member that is not configured is removed
  */
 public record MembershipSettings(
-        int configured,
+        int configuredCount,
         List<Integer> seeds,
         int capacity,
         double roundMs,
@@ -30,7 +31,7 @@
         double minSuspicionMs,
         double maxSuspicionMs,
         int fanout,
-        double forgetMs) {
+        double absentRetentionMs) {
     private static final double ROUND_MS = 200;
     private static final double PING_TIMEOUT_MS = 100;
     private static final double PROBE_TIMEOUT_MS = 300;
@@ -39,27 +40,30 @@
     private static final double MIN_SUSPICION_MS = 500;
     private static final double MAX_SUSPICION_MS = 6000;
     private static final int FANOUT = 3;
-    private static final double FORGET_MS = 600_000;
+    private static final double ABSENT_RETENTION_MS = 600_000;
 
     /** Checks the ranges. */
     public MembershipSettings {
         seeds = List.copyOf(seeds);
-        if (configured < 0
-                || capacity < Math.max(1, configured)
+        if (configuredCount < 0
+                || capacity < Math.max(1, configuredCount)
                 || capacity > Member.MAX_ID
-                || (configured == 0 && seeds.isEmpty())) {
-            throw new IllegalArgumentException(configured + " configured instances, " + seeds.size()
-                    + " seeds and room for " + capacity + "; it takes one of the former, and room for all of them");
+                || (configuredCount == 0 && seeds.isEmpty())) {
+            throw new IllegalArgumentException(
+                    configuredCount + " configured instances, " + seeds.size() + " seeds and a capacity of " + capacity
+                            + "; expected configured instances or seeds, and a capacity for all of them");
         }
         if (!(roundMs >= 10
                 && pingTimeoutMs >= 1
                 && probeTimeoutMs > pingTimeoutMs
                 && minSuspicionMs > 0
                 && maxSuspicionMs >= minSuspicionMs
-                && forgetMs > 0)) {
+                && absentRetentionMs > 0)) {
             throw new IllegalArgumentException(
-                    "rounds of " + roundMs + " ms with answers after " + pingTimeoutMs + " and " + probeTimeoutMs
-                            + " ms, suspicions of " + minSuspicionMs + " to " + maxSuspicionMs + " ms make no sense");
+                    "rounds of " + roundMs + " ms, ping timeout " + pingTimeoutMs + " ms, probe timeout "
+                            + probeTimeoutMs + " ms, suspicions of " + minSuspicionMs + " to " + maxSuspicionMs
+                            + " ms; expected rounds of at least 10 ms, a ping timeout from 1 ms, a longer probe timeout, "
+                            + "a minimum suspicion above 0 up to the maximum, and a retention above 0");
         }
         if (helpers < 0
                 || helpers > 16
@@ -68,23 +72,27 @@
                 || fanout < 1
                 || fanout > 16) {
             throw new IllegalArgumentException(helpers + " helpers, " + confirmers + " confirmers and a fanout of "
-                    + fanout + "; it takes up to 16, up to " + (Member.MAX_CONFIRMERS - 1) + ", and 1 to 16");
+                    + fanout + "; expected 0 to 16 helpers, 0 to " + (Member.MAX_CONFIRMERS - 1)
+                    + " confirmers, and a fanout of 1 to 16");
         }
     }
 
-    /** For so many configured instances; the figures are measured in {@code docs/design/members.md}. */
-    public static MembershipSettings forConfigured(int configured) {
-        return withDefaults(configured, List.of(), Math.max(1, configured));
+    /**
+     * Returns the settings for a number of configured instances; the values were measured in
+     * {@code docs/design/members.md}.
+     */
+    public static MembershipSettings forConfigured(int configuredCount) {
+        return withDefaults(configuredCount, List.of(), Math.max(1, configuredCount));
     }
 
-    /** For a fleet whose members join by seeds. */
+    /** Returns the settings for a fleet whose members join through seeds. */
     public static MembershipSettings forSeeds(List<Integer> seeds, int capacity) {
         return withDefaults(0, seeds, capacity);
     }
 
-    private static MembershipSettings withDefaults(int configured, List<Integer> seeds, int capacity) {
+    private static MembershipSettings withDefaults(int configuredCount, List<Integer> seeds, int capacity) {
         return new MembershipSettings(
-                configured,
+                configuredCount,
                 seeds,
                 capacity,
                 ROUND_MS,
@@ -95,11 +103,11 @@
                 MIN_SUSPICION_MS,
                 MAX_SUSPICION_MS,
                 FANOUT,
-                FORGET_MS);
+                ABSENT_RETENTION_MS);
     }
 
-    /** Whether the configuration names a member of this number. */
+    /** Whether a member of this number is configured. */
     boolean isConfigured(int id) {
-        return id < configured;
+        return id < configuredCount;
     }
 }
--- a/src/test/java/cacheproxy/endpoints/PollBackoffTest.java
+++ b/src/test/java/cacheproxy/endpoints/PollBackoffTest.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Delays after failed polls: base, factor, limit, jitter, and the time that the poll took. */
+/** Delays after failed polls: base, factor, limit, jitter, and deduction of the time that the poll took. */
 class PollBackoffTest {
     private static final double BASE_MS = 6000.0 / 32;
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void whatThePollTookIsPartOfTheDelayButForTheShortest() {
+    void pollDurationIsDeductedDownToTheBaseDelay() {
         PollBackoff backoff = new PollBackoff(10_000);
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 10; i++) {
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void delaysAreThoseOfReleasedPrograms() {
+    void delaysMatchReleasedVersions() {
         PollBackoff backoff = new PollBackoff(10_000);
         SplittableRandom random = new SplittableRandom(7);
         double[] delaysMs = new double[3];
--- a/src/test/java/cacheproxy/membership/MembershipTest.java
+++ b/src/test/java/cacheproxy/membership/MembershipTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Instances that keep a view of each other, in virtual time. */
+/** Instances with a view of each other, in virtual time. */
 class MembershipTest {
     private static ViewPlay settled(int many, double loss, long seed) {
         ViewPlay p = new ViewPlay(many, loss, 0.05, seed);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void crashIsKnownToAHundredWithinThreeSeconds() {
+    void crashIsKnownToAHundredInstancesWithinThreeSeconds() {
         ViewPlay p = settled(100, 0, 5);
         p.kill(17);
         assertThat(p.until(() -> p.allHold(17, false), 10_000)).isLessThan(3000);
@@ -47,11 +47,13 @@
     }
 
     @Test
-    void stalledInstanceSuspectsNobodyForIt() {
+    void stalledInstanceDeclaresNoOtherDead() {
         ViewPlay p = settled(12, 0, 7);
         p.stop(4, 8000);
         p.pass(7900);
-        assertThat(p.allHold(4, false)).as("the others gave it up").isFalse(); // it holds itself for alive
+        assertThat(p.allHold(4, false))
+                .as("others declared it dead")
+                .isFalse(); // the stalled instance considers itself alive
         assertThat(p.of(0).member(4).state()).isEqualTo(MemberState.DEAD);
         p.pass(200);
         for (int i = 0; i < 40; i++) {
@@ -100,7 +102,7 @@
     }
 
     @Test
-    void flappingMemberHarmsNoOther() {
+    void flappingMemberCausesNoFalseDeath() {
         ViewPlay p = settled(12, 0, 15);
         for (int i = 0; i < 20; i++) {
             p.kill(3);
@@ -122,7 +124,7 @@
 
     // ---- one instance alone
 
-    private static final Membership.MessageBudget ALL = new Membership.MessageBudget() {
+    private static final Membership.MessageBudget UNLIMITED = new Membership.MessageBudget() {
         @Override
         public boolean tryAcquire(double nowMs, int bytes, Urgency urgency) {
             return true;
@@ -134,47 +136,48 @@
         }
     };
 
-    private static Membership alone(int me, long remembered, long seed) {
-        return new Membership(MembershipSettings.forConfigured(3), me, 0, new byte[0], remembered, seed, ALL);
+    private static Membership instance(int id, long lastIncarnation, long seed) {
+        return new Membership(
+                MembershipSettings.forConfigured(3), id, 0, new byte[0], lastIncarnation, seed, UNLIMITED);
     }
 
-    /** Passes what goes from one to the other. */
-    private static void pass(Membership from, int me, Membership to, double now) {
+    /** Delivers the messages of one instance to another. */
+    private static void deliver(Membership from, int fromId, Membership to, double now) {
         from.tick(now);
-        from.takeOutgoing().forEach(s -> to.messageReceived(now, me, s.body()));
+        from.takeOutgoing().forEach(s -> to.messageReceived(now, fromId, s.body()));
     }
 
     @Test
     void twoProcessesUnderOneNumberAreReported() {
-        Membership one = alone(0, 0, 1);
-        Membership twin = alone(0, 0, 2);
-        Membership other = alone(1, 0, 3);
+        Membership one = instance(0, 0, 1);
+        Membership duplicate = instance(0, 0, 2);
+        Membership other = instance(1, 0, 3);
         for (double now = 0; now < 20_000; now += 50) {
-            pass(one, 0, other, now);
-            pass(twin, 0, other, now);
-            List<OutgoingMessage> back = new ArrayList<>();
+            deliver(one, 0, other, now);
+            deliver(duplicate, 0, other, now);
+            List<OutgoingMessage> replies = new ArrayList<>();
             other.tick(now);
-            back.addAll(other.takeOutgoing());
-            for (OutgoingMessage s : back) {
+            replies.addAll(other.takeOutgoing());
+            for (OutgoingMessage s : replies) {
                 one.messageReceived(now, 1, s.body());
-                twin.messageReceived(now, 1, s.body());
+                duplicate.messageReceived(now, 1, s.body());
             }
         }
         assertThat(one.view(20_000).disputed()).isTrue();
-        assertThat(one.incarnation()).as("the dispute is no race").isLessThan(60);
+        assertThat(one.incarnation()).as("the incarnations do not race").isLessThan(60);
     }
 
     @Test
     void malformedOrForgedMessagesChangeNothing() {
-        Membership one = alone(0, 0, 1);
-        Membership other = alone(1, 0, 3);
-        pass(other, 1, one, 0);
+        Membership one = instance(0, 0, 1);
+        Membership other = instance(1, 0, 3);
+        deliver(other, 1, one, 0);
         int digest = one.digest();
         SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 20_000; i++) {
-            byte[] noise = new byte[random.nextInt(250)];
-            random.nextBytes(noise);
-            one.messageReceived(i, 1, noise);
+            byte[] bytes = new byte[random.nextInt(250)];
+            random.nextBytes(bytes);
+            one.messageReceived(i, 1, bytes);
         }
         other.tick(30_000);
         other.takeOutgoing().forEach(s -> one.messageReceived(30_000, 2, s.body()));
@@ -184,47 +187,47 @@
 
     @Test
     void outdatedMessagesChangeNothing() {
-        Membership one = alone(0, 0, 1);
-        Membership other = alone(1, 0, 3);
+        Membership one = instance(0, 0, 1);
+        Membership other = instance(1, 0, 3);
         other.tick(0);
-        List<OutgoingMessage> old = other.takeOutgoing();
-        old.forEach(s -> one.messageReceived(0, 1, s.body()));
+        List<OutgoingMessage> outdated = other.takeOutgoing();
+        outdated.forEach(s -> one.messageReceived(0, 1, s.body()));
         other.setMetadata(2, new byte[] {9});
         other.tick(100);
         other.takeOutgoing().forEach(s -> one.messageReceived(100, 1, s.body()));
         for (int i = 0; i < 3; i++) {
-            old.forEach(s -> one.messageReceived(200, 1, s.body()));
+            outdated.forEach(s -> one.messageReceived(200, 1, s.body()));
         }
-        pass(other, 1, one, 60_000);
+        deliver(other, 1, one, 60_000);
         assertThat(one.member(1).metadata(2)).containsExactly(9);
     }
 
     @Test
     void viewShowsReachabilityAndConfiguredMembers() {
-        Membership one = alone(0, 0, 1);
+        Membership one = instance(0, 0, 1);
         MembershipView v = one.view(0);
         assertThat(v.reachability()).isEqualTo(Reachability.ALONE);
         assertThat(v.liveMembers().count()).isEqualTo(1);
         assertThat(v.configuredMembers().count()).isEqualTo(3);
-        pass(alone(1, 0, 3), 1, one, 1);
+        deliver(instance(1, 0, 3), 1, one, 1);
         assertThat(one.view(1).reachability()).isEqualTo(Reachability.MAJORITY);
         assertThat(one.view(1).reachabilityByZone()).containsEntry(0, Reachability.ALL);
     }
 
-    /** Instances that no settings name, which know one seed each and are told of one another with their addresses. */
+    /** Instances that are not configured: each knows one seed, and they learn of each other with their addresses. */
     @Test
-    void seededFleetConvergesAndForgetsAbsentMembers() {
-        int many = 6;
+    void seededFleetConvergesAndRemovesAbsentMembers() {
+        int instances = 6;
         MembershipSettings settings = MembershipSettings.forSeeds(List.of(0), 100);
         List<Membership> all = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
-            all.add(new Membership(settings, i, 0, new byte[] {127, 0, 0, 1, 0, (byte) i}, 0, i, ALL));
+        for (int i = 0; i < instances; i++) {
+            all.add(new Membership(settings, i, 0, new byte[] {127, 0, 0, 1, 0, (byte) i}, 0, i, UNLIMITED));
         }
-        boolean[] gone = new boolean[many];
+        boolean[] gone = new boolean[instances];
         int digest = 0;
         for (double now = 0; now < 700_000; now += 50) {
             gone[5] = now > 5000;
-            for (int i = 0; i < many; i++) {
+            for (int i = 0; i < instances; i++) {
                 if (!gone[i]) {
                     all.get(i).tick(now);
                     for (OutgoingMessage s : all.get(i).takeOutgoing()) {
@@ -236,7 +239,7 @@
             }
             digest = now == 4000 ? all.get(0).digest() : digest;
         }
-        assertThat(all.get(5).digest()).as("before it went").isEqualTo(digest);
+        assertThat(all.get(5).digest()).as("before instance 5 stopped").isEqualTo(digest);
         assertThat(all.get(5).member(3).address()).containsExactly(127, 0, 0, 1, 0, 3);
         assertThat(all.subList(0, 5)).allSatisfy(m -> {
             assertThat(m.member(5)).isNull();
@@ -244,15 +247,15 @@
         });
     }
 
-    /** A probe that found no room to be sent says nothing of whom it was meant for. */
+    /** Guards against suspicions after probes that the budget did not permit to be sent. */
     @Test
-    void nobodyIsSuspectedWithoutBudget() {
-        boolean[] room = {true};
+    void noMemberIsSuspectedWithoutBudget() {
+        boolean[] hasBudget = {true};
         Membership one = new Membership(
                 MembershipSettings.forConfigured(3), 0, 0, new byte[0], 0, 1, new Membership.MessageBudget() {
                     @Override
                     public boolean tryAcquire(double nowMs, int bytes, Urgency urgency) {
-                        return room[0];
+                        return hasBudget[0];
                     }
 
                     @Override
@@ -260,9 +263,9 @@
                         return 0;
                     }
                 });
-        pass(alone(1, 0, 3), 1, one, 0);
+        deliver(instance(1, 0, 3), 1, one, 0);
         one.takeOutgoing();
-        room[0] = false;
+        hasBudget[0] = false;
         for (double now = 0; now < 10_000; now += 20) {
             one.tick(now);
         }
