--- a/src/main/java/cacheproxy/failover/FailoverPlan.java
+++ b/src/main/java/cacheproxy/failover/FailoverPlan.java
@@ -121,11 +121,11 @@
     }
 
     /** The plan in a note, of so many zones; nothing is decided if the note has another length. */
-    static FailoverPlan decode(byte[] note, int zones) {
-        if (note.length != ZONE_BYTES * zones) {
+    static FailoverPlan decode(byte[] metadata, int zones) {
+        if (metadata.length != ZONE_BYTES * zones) {
             return initial(zones);
         }
-        ByteBuffer in = ByteBuffer.wrap(note);
+        ByteBuffer in = ByteBuffer.wrap(metadata);
         List<ZoneState> all = new ArrayList<>();
         for (int z = 0; z < zones; z++) {
             all.add(ZoneState.decode(in.getInt()));
--- a/src/main/java/cacheproxy/failover/ZoneDecision.java
+++ b/src/main/java/cacheproxy/failover/ZoneDecision.java
@@ -56,7 +56,7 @@
                 state.trafficParts() == ZoneState.ALL_PARTS
                         ? state.next(state.trafficParts(), Cause.EVIDENCE, 0)
                         : recoveryStep();
-            case EVIDENCE -> quorum ? byEvidence() : null;
+            case EVIDENCE -> quorum ? decideByEvidence() : null;
         };
     }
 
@@ -71,13 +71,13 @@
                 : null;
     }
 
-    private ZoneState byEvidence() {
+    private ZoneState decideByEvidence() {
         boolean open = state.trafficParts() == ZoneState.ALL_PARTS;
         return switch (tracker.verdict) {
             case UNREACHABLE -> plan.reducedState(zone, 0, state.leaveCount() + 1);
             case DEGRADED -> whenDegraded(open);
-            case HEALTHY -> open ? withFewerLeaves() : whenHealthyAgain();
-            case UNCERTAIN -> open ? withFewerLeaves() : whenUncertain();
+            case HEALTHY -> open ? withDecayedLeaveCount() : whenHealthyAgain();
+            case UNCERTAIN -> open ? withDecayedLeaveCount() : whenUncertain();
         };
     }
 
@@ -123,7 +123,7 @@
         return true;
     }
 
-    private ZoneState withFewerLeaves() {
+    private ZoneState withDecayedLeaveCount() {
         return state.leaveCount() > 0 && sinceChangeMs() >= RecoveryRamp.LEAVE_COUNT_DECAY_MS
                 ? state.next(state.trafficParts(), Cause.EVIDENCE, state.leaveCount() - 1)
                 : null;
--- a/src/main/java/cacheproxy/failover/ZoneFailover.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -133,7 +133,7 @@
      * @throws IllegalArgumentException if the time is out of range, or too little would stay open
      */
     public void leaveZone(double nowMs, int zone, double durationMs) {
-        check(zone);
+        requireDecidedZone(zone);
         if (!(durationMs >= 0 && durationMs <= MAX_LEAVE_DURATION_MS)) {
             throw new IllegalArgumentException(
                     "a zone is left over 0 to " + Math.round(MAX_LEAVE_DURATION_MS / 1000) + " s");
@@ -155,23 +155,23 @@
 
     /** Keeps a zone as it is on an operator's order, whatever its health, until it is released. */
     public void holdZone(double nowMs, int zone) {
-        check(zone);
+        requireDecidedZone(zone);
         order(nowMs, zone, Cause.HOLD, plan().stateOf(zone).leaveCount());
     }
 
     /** Takes operators' orders back: the zone's health decides again. */
     public void releaseZone(double nowMs, int zone) {
-        check(zone);
+        requireDecidedZone(zone);
         order(nowMs, zone, Cause.EVIDENCE, plan().stateOf(zone).leaveCount());
     }
 
     private void order(double nowMs, int zone, Cause cause, int leaveCount) {
-        check(zone);
+        requireDecidedZone(zone);
         ZoneState state = plan().stateOf(zone);
         planState.decide(nowMs, zone, state.next(state.trafficParts(), cause, leaveCount), OPERATOR_ORDER);
     }
 
-    private void check(int zone) {
+    private void requireDecidedZone(int zone) {
         if (zone < 0 || zone >= trackers.size()) {
             throw new IllegalArgumentException("zone " + zone + " takes no part; the first " + trackers.size() + " do");
         }
@@ -179,15 +179,15 @@
 
     /** What leaving a zone would cost. */
     public ZoneLeaveCost leaveCost(double nowMs, int zone) {
-        check(zone);
+        requireDecidedZone(zone);
         double all = 0;
         for (int z = 0; z < trackers.size(); z++) {
             all += capacity(z);
         }
-        double its = capacity(zone);
+        double zoneCapacity = capacity(zone);
         return new ZoneLeaveCost(
                 monitor.attemptsPerSecond(nowMs, zone),
-                all > its ? all / (all - its) : Double.POSITIVE_INFINITY,
+                all > zoneCapacity ? all / (all - zoneCapacity) : Double.POSITIVE_INFINITY,
                 plan().allowsTrafficParts(zone, 0));
     }
 
@@ -207,7 +207,7 @@
         homeZones.add(settings.homeZone());
         ZoneFaultDetector detector = new ZoneFaultDetector(reports, homeZones);
         boolean hadQuorum = quorum;
-        quorum = detector.hasQuorum() && hasMetMost(view);
+        quorum = detector.hasQuorum() && knowsMostMembers(view);
         for (int z = 0; z < trackers.size(); z++) {
             decideIfDue(nowMs, z, detector, reports);
         }
@@ -268,7 +268,7 @@
     }
 
     /** An instance that has just started has met too few to know how the fleet stands. */
-    private static boolean hasMetMost(MembershipView view) {
+    private static boolean knowsMostMembers(MembershipView view) {
         return view.configuredMembers() == null
                 || 2 * view.members().size() > view.configuredMembers().count();
     }
@@ -334,7 +334,7 @@
 
     /** The zones' health as far as this instance is to publish it, for the note {@link #HEALTH_METADATA}. */
     public byte[] healthMetadata() {
-        return publisher.note();
+        return publisher.metadata();
     }
 
     /** The transitions since the last call, the first 64 of them. */
--- a/src/main/java/cacheproxy/failover/ZoneFaultDetector.java
+++ b/src/main/java/cacheproxy/failover/ZoneFaultDetector.java
@@ -76,17 +76,17 @@
 
     /** The verdict on a zone. */
     ZoneCondition verdict(int zone) {
-        if (isReportedBy(zone, ZoneHealth.UNREACHABLE)) {
+        if (isReportedAtLeast(zone, ZoneHealth.UNREACHABLE)) {
             return ZoneCondition.UNREACHABLE;
         }
-        if (isReportedBy(zone, ZoneHealth.DEGRADED) && otherZonesAreHealthy(zone)) {
+        if (isReportedAtLeast(zone, ZoneHealth.DEGRADED) && otherZonesAreHealthy(zone)) {
             return ZoneCondition.DEGRADED;
         }
         return isHealthy(zone) ? ZoneCondition.HEALTHY : ZoneCondition.UNCERTAIN;
     }
 
     /** Whether enough observers, in enough zones, see a zone at least that bad. */
-    private boolean isReportedBy(int zone, ZoneHealth threshold) {
+    private boolean isReportedAtLeast(int zone, ZoneHealth threshold) {
         Map<Integer, Integer> majorities = new HashMap<>();
         Map<Integer, Integer> faultyByZone = new HashMap<>();
         int observers = 0;
--- a/src/main/java/cacheproxy/failover/ZoneHealthMonitor.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthMonitor.java
@@ -39,7 +39,7 @@
         int responses;
         int misses;
         int timeouts;
-        final Set<Integer> silentNodes = new HashSet<>();
+        final Set<Integer> unresponsiveNodes = new HashSet<>();
 
         /** Begins anew if it was of another part of the window. */
         void use(long currentNumber) {
@@ -48,7 +48,7 @@
                 responses = 0;
                 misses = 0;
                 timeouts = 0;
-                silentNodes.clear();
+                unresponsiveNodes.clear();
             }
         }
     }
@@ -58,7 +58,7 @@
         int responses;
         int misses;
         int timeouts;
-        final Set<Integer> silentNodes = new HashSet<>();
+        final Set<Integer> unresponsiveNodes = new HashSet<>();
 
         int attempts() {
             return responses + timeouts;
@@ -69,9 +69,9 @@
     private static final class Window {
         final Slot[] slots = new Slot[SLOTS];
         /** Nodes without a response since one of the zone last responded. */
-        final Set<Integer> silentInRow = new HashSet<>();
+        final Set<Integer> consecutiveUnresponsive = new HashSet<>();
 
-        double rowStartedMs;
+        double unresponsiveSinceMs;
         double lastTimeoutMs = Double.NEGATIVE_INFINITY;
         int readyNodes = UNREACHABLE_NODES;
 
@@ -96,7 +96,7 @@
                     totals.responses += slot.responses;
                     totals.misses += slot.misses;
                     totals.timeouts += slot.timeouts;
-                    totals.silentNodes.addAll(slot.silentNodes);
+                    totals.unresponsiveNodes.addAll(slot.unresponsiveNodes);
                 }
             }
             return totals;
@@ -114,8 +114,8 @@
         }
 
         boolean isUnreachable(double nowMs) {
-            return silentInRow.size() >= severalNodes()
-                    && nowMs - rowStartedMs >= UNREACHABLE_AFTER_MS
+            return consecutiveUnresponsive.size() >= severalNodes()
+                    && nowMs - unresponsiveSinceMs >= UNREACHABLE_AFTER_MS
                     && nowMs - lastTimeoutMs <= WINDOW_MS;
         }
     }
@@ -144,7 +144,7 @@
         Slot slot = window.slot(nowMs);
         slot.responses++;
         slot.misses += hit ? 0 : 1;
-        window.silentInRow.clear();
+        window.consecutiveUnresponsive.clear();
     }
 
     /** A node of a zone has not responded in time, or closed the connection instead. */
@@ -152,16 +152,16 @@
         Window window = zones.get(zone);
         Slot slot = window.slot(nowMs);
         slot.timeouts++;
-        if (slot.silentNodes.size() < FailoverPlan.MAX_ZONES * UNREACHABLE_NODES) {
-            slot.silentNodes.add(endpointId);
+        if (slot.unresponsiveNodes.size() < FailoverPlan.MAX_ZONES * UNREACHABLE_NODES) {
+            slot.unresponsiveNodes.add(endpointId);
         }
         if (nowMs - window.lastTimeoutMs > WINDOW_MS) {
-            window.silentInRow.clear(); // these have not been tried since
+            window.consecutiveUnresponsive.clear(); // these have not been tried since
         }
         window.lastTimeoutMs = nowMs;
-        window.rowStartedMs = window.silentInRow.isEmpty() ? nowMs : window.rowStartedMs;
-        if (window.silentInRow.size() < UNREACHABLE_NODES) {
-            window.silentInRow.add(endpointId);
+        window.unresponsiveSinceMs = window.consecutiveUnresponsive.isEmpty() ? nowMs : window.unresponsiveSinceMs;
+        if (window.consecutiveUnresponsive.size() < UNREACHABLE_NODES) {
+            window.consecutiveUnresponsive.add(endpointId);
         }
     }
 
@@ -191,7 +191,7 @@
         int attempts = totals.attempts();
         if (attempts >= MIN_DEGRADED_ATTEMPTS
                 && totals.timeouts >= DEGRADED_FRACTION * attempts
-                && totals.silentNodes.size() >= window.severalNodes()) {
+                && totals.unresponsiveNodes.size() >= window.severalNodes()) {
             return ZoneHealth.DEGRADED;
         }
         return totals.responses >= MIN_HEALTHY_RESPONSES && totals.timeouts < DEGRADED_FRACTION * attempts
--- a/src/main/java/cacheproxy/failover/ZoneHealthPublisher.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthPublisher.java
@@ -19,12 +19,12 @@
     /** Between two notes, unless a zone is unreachable. */
     private static final double MIN_INTERVAL_MS = 400;
 
-    private byte[] note = {};
+    private byte[] metadata = {};
     private double publishedMs = Double.NEGATIVE_INFINITY;
 
     /** The note as it is to be published now. */
-    byte[] note() {
-        return note.clone();
+    byte[] metadata() {
+        return metadata.clone();
     }
 
     /**
@@ -39,7 +39,7 @@
             List<ZoneHealthReport> reports,
             FailoverPlan plan,
             List<ZoneTracker> trackers) {
-        boolean alarm = reports.stream().anyMatch(r -> r.health().stream().anyMatch(ZoneHealth::isFaulty));
+        boolean anyFaulty = reports.stream().anyMatch(r -> r.health().stream().anyMatch(ZoneHealth::isFaulty));
         boolean isFirst = InstanceRanking.rank(0, own.instance(), reports) < FIRST_REPORTERS;
         List<ZoneHealth> published = new ArrayList<>();
         Set<Integer> coldZones = new HashSet<>();
@@ -53,7 +53,8 @@
             boolean isPublished = health.isFaulty()
                     ? isFirst || (nowMs - tracker.faultySinceMs >= OTHERS_DELAY_MS && plan.trafficParts(z) > 0)
                     : health == ZoneHealth.HEALTHY
-                            && ((alarm && isFirst) || (left && InstanceRanking.isProber(z, own.instance(), reports)));
+                            && ((anyFaulty && isFirst)
+                                    || (left && InstanceRanking.isProber(z, own.instance(), reports)));
             published.add(isPublished ? health : ZoneHealth.UNKNOWN);
             unreachable |= isPublished && health == ZoneHealth.UNREACHABLE;
             anyLeft |= left;
@@ -62,8 +63,8 @@
             }
         }
         byte[] next = ZoneHealthReport.encode(published, coldZones, anyLeft && own.originSaturated());
-        if (!Arrays.equals(next, note) && (unreachable || nowMs - publishedMs >= MIN_INTERVAL_MS)) {
-            note = next;
+        if (!Arrays.equals(next, metadata) && (unreachable || nowMs - publishedMs >= MIN_INTERVAL_MS)) {
+            metadata = next;
             publishedMs = nowMs;
         }
     }
--- a/src/main/java/cacheproxy/failover/ZoneHealthReport.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthReport.java
@@ -23,7 +23,7 @@
         Set<Integer> coldZones,
         boolean originSaturated,
         FailoverPlan plan) {
-    private static final int NOTE_BYTES = 3;
+    private static final int METADATA_BYTES = 3;
 
     /** Copies what is passed. */
     public ZoneHealthReport {
@@ -61,10 +61,12 @@
     }
 
     /** The report in an instance's notes; a note of another length reports nothing. */
-    static ZoneHealthReport decode(int instance, int homeZone, byte[] note, byte[] planMetadata, int zones) {
+    static ZoneHealthReport decode(int instance, int homeZone, byte[] metadata, byte[] planMetadata, int zones) {
         List<ZoneHealth> health = new ArrayList<>();
         Set<Integer> coldZones = new HashSet<>();
-        int bits = note.length == NOTE_BYTES ? (note[0] & 0xff) << 16 | (note[1] & 0xff) << 8 | (note[2] & 0xff) : 0;
+        int bits = metadata.length == METADATA_BYTES
+                ? (metadata[0] & 0xff) << 16 | (metadata[1] & 0xff) << 8 | (metadata[2] & 0xff)
+                : 0;
         for (int z = 0; z < zones; z++) {
             health.add(ZoneHealth.of(bits >> (3 * z + 2)));
             if ((bits >> (3 * z + 1) & 1) != 0) {
--- a/src/main/java/cacheproxy/failover/ZoneState.java
+++ b/src/main/java/cacheproxy/failover/ZoneState.java
@@ -83,18 +83,22 @@
     }
 
     /** The part of its keys that goes there, 0 to 1. */
-    public double openFraction() {
+    public double trafficFraction() {
         return (double) trafficParts / ALL_PARTS;
     }
 
     /** The next decision; this itself at the highest epoch, as epochs never begin anew. */
-    public ZoneState next(int parts, Cause by, int lately) {
-        return epoch == MAX_EPOCH ? this : new ZoneState(epoch + 1, parts, by, Math.min(MAX_LEAVE_COUNT, lately));
+    public ZoneState next(int nextParts, Cause nextCause, int nextLeaveCount) {
+        return epoch == MAX_EPOCH
+                ? this
+                : new ZoneState(epoch + 1, nextParts, nextCause, Math.min(MAX_LEAVE_COUNT, nextLeaveCount));
     }
 
     /** The same decision in an epoch above one that has been in use. */
-    ZoneState withEpochAbove(int floor) {
-        return epoch > floor ? this : new ZoneState(Math.min(MAX_EPOCH, floor + 1), trafficParts, cause, leaveCount);
+    ZoneState withEpochAbove(int usedEpoch) {
+        return epoch > usedEpoch
+                ? this
+                : new ZoneState(Math.min(MAX_EPOCH, usedEpoch + 1), trafficParts, cause, leaveCount);
     }
 
     /**
--- a/src/main/java/cacheproxy/state/RecordKind.java
+++ b/src/main/java/cacheproxy/state/RecordKind.java
@@ -28,7 +28,7 @@
      * What the load balancer has learned of endpoints and the origin. An endpoint that failed a minute ago is
      * suspected, not avoided; that an endpoint was healthy or warm is never taken from here.
      */
-    LEARNED_STATE("learnt", Authority.OBSERVED, Limits.MINUTE_MS / 2, 10 * Limits.MINUTE_MS, Limits.GATHER_DELAY_MS),
+    LEARNED_STATE("learnt", Authority.OBSERVED, Limits.MINUTE_MS / 2, 10 * Limits.MINUTE_MS, Limits.BATCH_DELAY_MS),
     /**
      * Zone states decided on evidence. Whether a zone is open is a matter of the moment, but its epoch never goes back,
      * so it stays a hint at any age.
@@ -45,7 +45,7 @@
         /** A change that may wait no longer than this is written however much was written before it. */
         static final double URGENT_DELAY_MS = 100;
         /** Learned state changes with each request; losing some seconds of it costs little. */
-        static final double GATHER_DELAY_MS = 5000;
+        static final double BATCH_DELAY_MS = 5000;
     }
 
     private final String wireName;
@@ -80,7 +80,7 @@
     }
 
     /** Whether decisions may rest on it at any age, so that its age need not be kept up to date. */
-    boolean ageless() {
+    boolean validAtAnyAge() {
         return validForMs == Limits.ANY_AGE;
     }
 
@@ -100,7 +100,7 @@
      */
     public Validity validity(double ageMs) {
         boolean ageKnown = ageMs >= 0;
-        if (ageless() || (ageKnown && ageMs <= validForMs)) {
+        if (validAtAnyAge() || (ageKnown && ageMs <= validForMs)) {
             return Validity.VALID;
         }
         if (hintForMs == Limits.ANY_AGE || (ageKnown && ageMs <= hintForMs)) {
--- a/src/main/java/cacheproxy/state/RecordStore.java
+++ b/src/main/java/cacheproxy/state/RecordStore.java
@@ -65,7 +65,7 @@
         RecordKind kind = record.kind();
         StoredRecord before = records.get(kind);
         JsonElement body = record.body();
-        if (before != null && before.body().equals(body) && kind.ageless()) {
+        if (before != null && before.body().equals(body) && kind.validAtAnyAge()) {
             return; // neither its content nor its age has changed
         }
         if (body.toString().length() > MAX_RECORD_BYTES) {
