--- a/src/main/java/cacheproxy/failover/FailoverPlan.java
+++ b/src/main/java/cacheproxy/failover/FailoverPlan.java
@@ -6,48 +6,51 @@
 import java.util.List;
 
 /**
- * What is decided of all zones; immutable. Plans form a join semilattice, zone by zone: instances that have heard the
- * same hold the same plan, in whatever order they heard it, so a healed partition merges to one plan. What two sides of
- * a partition decided may together close more than either would have; so what holds is not a zone's own state but
- * {@link #trafficParts}, which keeps a minimum of all zones together open. In a note of the view, 4 bytes for each zone
- * ({@link ZoneState#encode}).
+ * The decisions on all zones; immutable. Plans form a join semilattice, zone by zone: instances that have received the
+ * same plans hold the same plan, in whatever order they received them, so a healed partition converges to one plan. The
+ * decisions of the two sides of a partition may together close more zones than either side would have closed alone. The
+ * effective traffic of a zone is therefore not read from its own state but from {@link #trafficParts}, which keeps a
+ * minimum of all zones together open. Encoded as member metadata with 4 bytes for each zone ({@link ZoneState#encode}).
  *
- * @param zones their states, by zone
+ * @param zones the zones' states, by zone
  */
 public record FailoverPlan(List<ZoneState> zones) {
-    /** The zones that fit into a note. */
+    /** The number of zones that fit into one metadata value. */
     public static final int MAX_ZONES = 6;
-    /** Of all zones together, one part in so many stays open whatever was decided. */
+    /** The part of all zones together that stays open, whatever was decided, is one divided by this number. */
     private static final int MIN_OPEN_DIVISOR = 3;
 
     private static final int ZONE_BYTES = 4;
 
-    /** Checks the number. */
+    /** Checks the number of zones. */
     public FailoverPlan {
         zones = List.copyOf(zones);
         if (zones.isEmpty() || zones.size() > MAX_ZONES) {
-            throw new IllegalArgumentException("a plan of " + zones.size() + " zones, expected 1 to " + MAX_ZONES);
+            throw new IllegalArgumentException("zone count " + zones.size() + ", expected 1 to " + MAX_ZONES);
         }
     }
 
-    /** The plan of so many zones of which nothing is decided. */
+    /** The plan of this many zones before any decision. */
     public static FailoverPlan initial(int zones) {
         return new FailoverPlan(Collections.nCopies(zones, ZoneState.INITIAL));
     }
 
-    /** The state of a zone, as decided. */
+    /** The decided state of a zone. */
     public ZoneState stateOf(int zone) {
         return zones.get(zone);
     }
 
-    /** This plan with another state of one zone. */
+    /** This plan with the state of one zone replaced. */
     public FailoverPlan with(int zone, ZoneState state) {
         List<ZoneState> all = new ArrayList<>(zones);
         all.set(zone, state);
         return new FailoverPlan(all);
     }
 
-    /** The join of both; this itself if the other adds nothing. Zones that only the other has are left out. */
+    /**
+     * The join of both plans; this plan itself if the other adds nothing. Zones that only the other plan has are
+     * ignored.
+     */
     public FailoverPlan join(FailoverPlan other) {
         List<ZoneState> all = new ArrayList<>(zones);
         boolean more = false;
@@ -60,7 +63,7 @@
         return more ? new FailoverPlan(all) : this;
     }
 
-    /** Whether the minimum of all zones together would stay open if a zone had only so many parts open. */
+    /** Whether the minimum of all zones together would still be open if a zone had only this many parts open. */
     public boolean allowsTrafficParts(int zone, int parts) {
         return zones.stream().mapToInt(ZoneState::trafficParts).sum()
                         - zones.get(zone).trafficParts()
@@ -69,8 +72,8 @@
     }
 
     /**
-     * The state of a zone with so many parts open, or as many more as the minimum of all zones asks for; null if it has
-     * no more open now.
+     * The next state of a zone with this many parts open, or with as many more as the minimum of all zones requires;
+     * null if that does not reduce the parts that are open.
      */
     public ZoneState reducedState(int zone, int parts, int leaves) {
         ZoneState s = zones.get(zone);
@@ -87,9 +90,9 @@
     }
 
     /**
-     * How far a zone is open, in parts of {@link ZoneState#ALL_PARTS}: as decided, but that a third of all zones
-     * together stays open. Where less would, zones are opened in the order of their numbers, the same at all that hold
-     * the plan, until it does; so the last zone is never left.
+     * How far a zone is open, in parts of {@link ZoneState#ALL_PARTS}: as decided, except that a third of all zones
+     * together stays open. Where less would be open, zones are opened in the order of their numbers until it is a
+     * third. That order is the same at all instances that hold the plan. As a result, the last zone is never closed.
      */
     public int trafficParts(int zone) {
         int missing = minTrafficParts()
@@ -105,12 +108,12 @@
         return zones.get(zone).trafficParts();
     }
 
-    /** Whether anything was ever decided. */
+    /** Whether any decision was ever made. */
     public boolean hasDecisions() {
         return zones.stream().anyMatch(s -> s.epoch() > 0);
     }
 
-    /** The note; no bytes if nothing was ever decided. */
+    /** The plan as metadata; empty if no decision was ever made. */
     byte[] encode() {
         if (!hasDecisions()) {
             return new byte[0];
@@ -120,7 +123,7 @@
         return out.array();
     }
 
-    /** The plan in a note, of so many zones; nothing is decided if the note has another length. */
+    /** Decodes the metadata of a plan of this many zones; the plan before any decision if the length does not match. */
     static FailoverPlan decode(byte[] metadata, int zones) {
         if (metadata.length != ZONE_BYTES * zones) {
             return initial(zones);
--- a/src/main/java/cacheproxy/failover/FailoverPlanState.java
+++ b/src/main/java/cacheproxy/failover/FailoverPlanState.java
@@ -6,8 +6,9 @@
 import java.util.TreeMap;
 
 /**
- * The plan that an instance holds: its changes by own decisions, by other instances' plans and from the store, and what
- * the instance publishes of it. Mutable; owned by {@link ZoneFailover}. Times in milliseconds.
+ * The plan held by one instance: it changes by the instance's own decisions, by other instances' plans and by stored
+ * states. Also determines which part of the plan the instance publishes. Mutable; owned by {@link ZoneFailover}. Times
+ * in milliseconds.
  */
 final class FailoverPlanState {
     private static final int MAX_TRANSITIONS = 64;
@@ -15,12 +16,12 @@
     private final List<ZoneTracker> trackers;
     private final List<ZoneTransition> transitions = new ArrayList<>();
     private FailoverPlan plan;
-    /** What this instance publishes: at least what it has decided itself. */
+    /** The plan as published: at least the decisions that this instance has made itself. */
     private FailoverPlan publishedPlan;
 
     private long decisionCount;
 
-    /** Nothing is decided. {@code trackers}: by zone; told of each change. */
+    /** Begins without a decision. {@code trackers}: by zone; notified of each change. */
     FailoverPlanState(List<ZoneTracker> trackers) {
         this.trackers = trackers;
         plan = FailoverPlan.initial(trackers.size());
@@ -35,17 +36,17 @@
         return publishedPlan;
     }
 
-    /** Publishes the plan as it stands, others' decisions included. */
+    /** Publishes the whole plan, including other instances' decisions. */
     void publishAll() {
         publishedPlan = plan;
     }
 
-    /** Decisions that this instance was the first to make. */
+    /** The number of decisions that this instance was the first to make. */
     long decisionCount() {
         return decisionCount;
     }
 
-    /** Decides a zone's next state; nothing if it is the present one. */
+    /** Makes a decision on a zone; does nothing if it equals the present state. */
     void decide(double nowMs, int zone, ZoneState decision, String reason) {
         ZoneState before = plan.stateOf(zone);
         if (decision.equals(before)) {
@@ -58,8 +59,8 @@
         transition(nowMs, zone, before, next, reason);
     }
 
-    /** Takes what is newer in another instance's plan. */
-    @SuppressWarnings("ReferenceEquality") // a join gives back the same plan where nothing is new
+    /** Adopts what is newer in another instance's plan. */
+    @SuppressWarnings("ReferenceEquality") // a join returns the same plan if nothing is new
     void adopt(double nowMs, ZoneHealthReport report) {
         FailoverPlan joined = plan.join(report.plan());
         if (joined == plan) {
@@ -74,7 +75,7 @@
         plan = joined;
     }
 
-    /** Takes stored states, as {@link ZoneFailover#restore} says. */
+    /** Adopts stored states, as described at {@link ZoneFailover#restore}. */
     void restore(double nowMs, Map<Integer, StoredZoneState> stored, boolean stillHold) {
         stored.forEach((zone, last) -> {
             if (zone >= 0 && zone < trackers.size()) {
@@ -89,7 +90,7 @@
         });
     }
 
-    /** What to store of each zone of which anything was ever decided. */
+    /** The states to store, of each zone on which any decision was ever made. */
     Map<Integer, StoredZoneState> statesToStore() {
         Map<Integer, StoredZoneState> states = new TreeMap<>();
         for (int z = 0; z < trackers.size(); z++) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /** The transitions since the last call, the first {@value #MAX_TRANSITIONS} of them. */
+    /** The transitions since the last call, at most the first {@value #MAX_TRANSITIONS}. */
     List<ZoneTransition> takeTransitions() {
         List<ZoneTransition> taken = List.copyOf(transitions);
         transitions.clear();
--- a/src/main/java/cacheproxy/failover/InstanceRanking.java
+++ b/src/main/java/cacheproxy/failover/InstanceRanking.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * In which order live instances act for a zone: the same at all of them, and another for each zone. Takes the place of
- * a leader, so that there is none to fail.
+ * The order in which live instances act for a zone: the same at all instances, and a different one for each zone. It
+ * replaces a leader, so there is no leader that could fail.
  */
 final class InstanceRanking {
-    /** So many instances probe a zone that is not open. */
+    /** The number of instances that probe a zone that is not fully open. */
     private static final int PROBERS = 3;
-    /** Spreads the zones' numbers over all bits: 2 to the power of 64 over the golden ratio. */
+    /** Spreads the zones' numbers over all bits: 2 to the power of 64 divided by the golden ratio. */
     private static final long ZONE_FACTOR = 0x9e37_79b9_7f4a_7c15L;
 
     private InstanceRanking() {}
@@ -23,7 +23,7 @@
         return Member.mix(instance ^ zone * ZONE_FACTOR);
     }
 
-    /** How many of those that report come before an instance. */
+    /** How many of the reporting instances rank before an instance. */
     static int rank(int zone, int instance, List<ZoneHealthReport> reports) {
         long own = key(zone, instance);
         int before = 0;
@@ -33,7 +33,10 @@
         return before;
     }
 
-    /** Whether an instance is one of the probers of a zone: from as many zones as can be, from that one last. */
+    /**
+     * Whether an instance is one of a zone's probers. The probers come from as many zones as possible; instances in the
+     * probed zone itself are chosen last.
+     */
     static boolean isProber(int zone, int instance, List<ZoneHealthReport> reports) {
         List<ZoneHealthReport> ranked = new ArrayList<>(reports);
         ranked.sort(Comparator.comparingLong(r -> key(zone, r.instance())));
--- a/src/main/java/cacheproxy/failover/RecoveryRamp.java
+++ b/src/main/java/cacheproxy/failover/RecoveryRamp.java
@@ -1,33 +1,40 @@
 package cacheproxy.failover;
 
 /**
- * How soon a zone may be opened or drained by another step, and by how much. Nodes that stayed warm get their keys back
- * in three steps; at cold nodes each key misses once, so theirs come back part by part over the time of their warm-up.
+ * The pace and size of the steps by which a zone is opened or drained. Nodes that stayed warm get their keys back in
+ * three steps. At cold nodes each key misses once, so their keys come back part by part over the nodes' warm-up time.
  * Times in milliseconds.
  */
 final class RecoveryRamp {
-    /** Between two steps of warm nodes: a decision takes some 0.3 s to all, and its effect has to be observed. */
+    /**
+     * The time between two steps for warm nodes: a decision takes about 0.3 s to reach all instances, and its effect
+     * has to be observed.
+     */
     static final double STEP_MS = 600;
-    /** Parts of the keys that come back by a step where nodes are warm. */
+    /** The parts of the keys that a step returns to warm nodes. */
     private static final int WARM_STEP_PARTS = ZoneState.ALL_PARTS / 3;
-    /** Parts by which a degraded zone is drained by a step. */
+    /** The parts of the keys that a step moves away from a degraded zone. */
     static final int DRAIN_STEP_PARTS = ZoneState.ALL_PARTS / 3;
-    /** How long a zone has to be degraded before it is drained by a step. */
+    /** How long a zone has to be degraded before a drain step. */
     static final double DEGRADED_BEFORE_DRAIN_MS = 1500;
-    /** How long a zone has to be healthy before it is opened, if it was left once lately. */
+    /** How long a zone has to be healthy before it is opened, after one recent leave. */
     private static final double BASE_REQUIRED_HEALTHY_MS = 400;
-    /** Each further leave multiplies that time. */
+    /** The factor by which each further leave extends that time. */
     private static final double REQUIRED_HEALTHY_FACTOR = 50;
-    /** The least such time after a zone was degraded: it responds now and then anyway. */
+    /**
+     * The minimum of that time for a zone that was left as degraded: such a zone responds from time to time in any
+     * case.
+     */
     private static final double MIN_HEALTHY_AFTER_DEGRADED_MS = 6000;
-    /** The longest such time. */
+    /** The maximum of that time. */
     static final double MAX_REQUIRED_HEALTHY_MS = 60_000;
-    /** A zone that was open for so long has one leave fewer against it. */
+    /** After a zone has been open for this long, its leave count is reduced by one. */
     static final double LEAVE_COUNT_DECAY_MS = 120_000;
 
     /**
-     * A step waits for a saturated origin, but no longer than so many steps take: a recovery then takes at most so many
-     * times the warm-up of its nodes. A closed zone keeps the origin busy itself.
+     * A step waits while the origin is saturated, but for no longer than this many step times, so a recovery takes at
+     * most this many times the warm-up of the zone's nodes. The wait is bounded because a closed zone itself keeps the
+     * origin busy: its keys miss at the other zones' nodes.
      */
     static final double MAX_SATURATED_STEPS = 1.5;
 
@@ -36,8 +43,8 @@
     /**
      * How long a zone has to be healthy before it is opened, in milliseconds.
      *
-     * @param leaveCount how often it was left lately
-     * @param leftDegraded whether it was left though it responded
+     * @param leaveCount how many recent leaves are counted
+     * @param leftDegraded whether it was left while it still responded
      */
     static double requiredHealthyMs(int leaveCount, boolean leftDegraded) {
         double byLeavesMs = BASE_REQUIRED_HEALTHY_MS * Math.pow(REQUIRED_HEALTHY_FACTOR, Math.max(0, leaveCount - 1));
@@ -45,12 +52,12 @@
                 leftDegraded ? MIN_HEALTHY_AFTER_DEGRADED_MS : 0, Math.min(MAX_REQUIRED_HEALTHY_MS, byLeavesMs));
     }
 
-    /** Between two steps of a recovery, in milliseconds. */
+    /** The time between two steps of a recovery, in milliseconds. */
     static double stepMs(boolean cold, double warmUpMs) {
         return cold ? Math.max(STEP_MS, warmUpMs / ZoneState.ALL_PARTS) : STEP_MS;
     }
 
-    /** The parts that come back by a step. */
+    /** The parts that a step returns. */
     static int stepParts(boolean cold) {
         return cold ? 1 : WARM_STEP_PARTS;
     }
--- a/src/main/java/cacheproxy/failover/ZoneDecision.java
+++ b/src/main/java/cacheproxy/failover/ZoneDecision.java
@@ -3,23 +3,26 @@
 import cacheproxy.failover.ZoneState.Cause;
 
 /**
- * What should be decided of one zone at one moment; the same at all instances that hold the same plan and reports.
+ * The decision that is due on one zone at one moment; the same at all instances that hold the same plan and reports.
  *
  * <pre>
  * cause      verdict        decision
  * HOLD       any            none
- * LEAVE      any            one part less, after the time of a step
+ * LEAVE      any            one part less after each step time
  * RETURN     any            a step of the recovery ramp; once open, EVIDENCE
  * EVIDENCE   UNREACHABLE    closed at once
- *            DEGRADED       a drain step, if it lasts and no other zone is left
- *            HEALTHY        a step of the recovery ramp, if it lasts; once open, one leave fewer after a while
- *            UNCERTAIN      a drain step, if it was being drained as degraded; once open as HEALTHY
+ *            DEGRADED       a drain step, if the verdict persists and all other zones are open
+ *            HEALTHY        a step of the recovery ramp, if the verdict persists; once open, the leave count decays
+ *            UNCERTAIN      a drain step, if the zone was being drained as degraded; once open, as HEALTHY
  * </pre>
  *
- * <p>On EVIDENCE only with a quorum. Times in milliseconds.
+ * <p>Decisions on EVIDENCE require a quorum. Times in milliseconds.
  */
 final class ZoneDecision {
-    /** An instance that finds that nobody goes on with an operator's order to leave does so after this time. */
+    /**
+     * The step time of an operator's order to leave at the instances that did not receive it: they continue the order
+     * if no step was made for this long.
+     */
     private static final double TAKE_OVER_MS = 6000;
 
     private final double nowMs;
@@ -47,7 +50,7 @@
         state = plan.stateOf(zone);
     }
 
-    /** The next state; null for none. {@code quorum}: whether enough of the fleet is heard. */
+    /** The next state; null if no decision is due. {@code quorum}: whether this instance hears enough of the fleet. */
     ZoneState next(boolean quorum) {
         return switch (state.cause()) {
             case HOLD -> null;
@@ -95,7 +98,10 @@
         return !tracker.opening && nowMs - tracker.healthySinceMs < requiredMs ? null : recoveryStep();
     }
 
-    /** The fewer of its keys are left, the less is seen of it: a drain goes on unless the zone is found healthy. */
+    /**
+     * As a zone is drained, fewer of its keys are left and less of it is observed, so a drain continues unless the zone
+     * is found healthy.
+     */
     private ZoneState whenUncertain() {
         return state.trafficParts() > 0
                         && tracker.leftDegraded
@@ -111,8 +117,8 @@
     }
 
     /**
-     * Whether no other zone is left. While one is, the rest have its keys beside their own and may be slow for that: to
-     * leave a second zone as well would be to leave one after another.
+     * Whether all other zones are open. While one is not, the rest serve its keys beside their own and may be slow for
+     * that reason; leaving a second zone as well could cascade through all zones.
      */
     private boolean otherZonesAreOpen() {
         for (int z = 0; z < plan.zones().size(); z++) {
@@ -133,7 +139,8 @@
         boolean cold = nowMs < tracker.coldUntilMs || detector.isCold(zone);
         double stepMs = RecoveryRamp.stepMs(cold, warmUpMs);
         double waitedMs = nowMs - Math.max(tracker.changedMs, tracker.healthySinceMs);
-        // A saturated origin delays the ramp and does not stop it: while a zone is left, others' nodes miss as well.
+        // A saturated origin delays the ramp but does not stop it: while a zone is left, the other zones' nodes miss,
+        // too.
         boolean waitsForOrigin = detector.isOriginSaturated() && waitedMs < RecoveryRamp.MAX_SATURATED_STEPS * stepMs;
         if (sinceChangeMs() < stepMs || waitsForOrigin) {
             return null;
--- a/src/main/java/cacheproxy/failover/ZoneFailover.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -13,35 +13,39 @@
 import java.util.Set;
 
 /**
- * One instance's part in leaving faulty zones and returning to them. Takes what its attempts met, the endpoint list and
- * the fleet's view; gives directives for the load balancer and notes for the view. Its owner calls {@link #tick} at
- * least each {@link #TICK_MS}. Times in milliseconds of one clock; not thread-safe.
+ * One instance's part in leaving faulty zones and returning to them. Its inputs are the outcomes of its own attempts,
+ * the endpoint list and the fleet's view; its outputs are directives for the load balancer and metadata for the view.
+ * Its owner calls {@link #tick} at least every {@link #TICK_MS}. Times in milliseconds of one clock; not thread-safe.
  *
- * <p>All instances judge by the same reports and would decide the same ({@link ZoneDecision}). They take turns
- * ({@link InstanceRanking}): the first raises the epoch, the others adopt its decision. Without a quorum what was
- * decided on evidence does not hold, and each instance keeps to its own evidence.
+ * <p>All instances judge by the same reports and would make the same decision ({@link ZoneDecision}). They act in the
+ * order of their rank ({@link InstanceRanking}): the first one raises the epoch, and the others adopt its decision.
+ * Without a quorum, decisions on evidence do not apply and each instance relies on its own observations.
  */
 public final class ZoneFailover {
     /** The longest time between two ticks. */
     public static final double TICK_MS = 100;
-    /** The number of the view's note that holds the plan. */
+    /** The key of the member metadata that holds the plan. */
     public static final int PLAN_METADATA = 0;
-    /** The number of the view's note that holds the zones' health. */
+    /** The key of the member metadata that holds the zones' health. */
     public static final int HEALTH_METADATA = 1;
-    /** The longest time over which an operator may have a zone left. */
+    /** The longest duration over which an operator may have a zone left. */
     public static final double MAX_LEAVE_DURATION_MS = 75_000;
-    /** The next in rank decides so much later: the decision of the one before should have come by then. */
+    /** The delay by which each rank decides later than the one before, whose decision should have arrived by then. */
     private static final double TURN_MS = 80;
 
     private static final int TURNS = 8;
     /**
-     * All others decide only so late. Each decision is news for all: where the first takes longer than the turns to get
-     * around, as it does when there is much news, a hundred more would make it take longer still.
+     * The delay of all instances ranked after the first {@link #TURNS}. Each decision is gossiped to the whole fleet.
+     * If the first decision takes longer than the turns to spread, as it does under a high gossip load, a hundred
+     * further decisions would slow it down even more.
      */
     private static final double OTHERS_TURN_MS = 2500;
-    /** Between two probes of a zone by one instance. */
+    /** The time between two probes of a zone by one instance. */
     private static final double PROBE_INTERVAL_MS = 800;
-    /** So many publish others' decisions in their own entries: if all did, each step would be news of all. */
+    /**
+     * The number of instances that publish others' decisions in their own entries; if all did, each step would change
+     * every instance's entry.
+     */
     private static final int PLAN_CARRIERS = 5;
 
     private static final String OPERATOR_ORDER = "an operator's order here";
@@ -51,7 +55,7 @@
     private final ZoneFailoverSettings settings;
     private final ZoneHealthMonitor monitor;
     private final ZoneHealthPublisher publisher = new ZoneHealthPublisher();
-    /** The reports in others' entries, by instance. */
+    /** The decoded reports of the other instances' entries, by instance. */
     private final Map<Integer, DecodedEntry> decodedEntries = new HashMap<>();
 
     private final List<ZoneTracker> trackers = new ArrayList<>();
@@ -59,7 +63,7 @@
     private boolean quorum;
     private boolean everHadQuorum;
 
-    /** Without a decision yet. */
+    /** Begins without a decision. */
     public ZoneFailover(ZoneFailoverSettings settings) {
         this.settings = settings;
         monitor = new ZoneHealthMonitor(settings.decidedZoneCount());
@@ -69,33 +73,34 @@
         planState = new FailoverPlanState(trackers);
     }
 
-    // ---- evidence
+    // ---- observations
 
-    /** A cache node of a zone has answered an attempt; {@code hit}: it had what was requested. */
+    /** A cache node of a zone has answered an attempt; {@code hit}: whether it had the requested value. */
     public void onResponse(double nowMs, int zone, boolean hit) {
         if (zone < trackers.size()) {
             monitor.onResponse(nowMs, zone, hit);
-            trackers.get(zone).probedMs = Double.NEGATIVE_INFINITY; // the next probe follows at once: two are needed
+            trackers.get(zone).probedMs =
+                    Double.NEGATIVE_INFINITY; // allows the next probe at once: two responses are needed
         }
     }
 
-    /** A cache node of a zone is overdue, did not answer or closed the connection instead. */
+    /** An attempt at a cache node of a zone is overdue, was not answered, or ended with a closed connection. */
     public void onNoResponse(double nowMs, int zone, int endpointId) {
         if (zone < trackers.size()) {
             monitor.onNoResponse(nowMs, zone, endpointId);
         }
     }
 
-    /** A fetch at the origin has ended, in time or not. */
+    /** A fetch from the origin has ended, in time or not. */
     public void onOriginFetch(double nowMs, boolean inTime) {
         monitor.onOriginFetch(nowMs, inTime);
     }
 
     /**
-     * What the endpoint list says of a zone.
+     * Updates a zone from the endpoint list.
      *
-     * @param readyNodes its cache nodes that may be sent requests
-     * @param coldUntilMs when half of them or more will have warmed up; any time in the past if they have
+     * @param readyNodes the number of its cache nodes that may receive requests
+     * @param coldUntilMs when at least half of them will have warmed up; any time in the past if they have
      */
     public void onEndpoints(int zone, int readyNodes, double coldUntilMs) {
         if (zone < trackers.size()) {
@@ -108,18 +113,18 @@
     // ---- stored states
 
     /**
-     * Goes on where this instance ended when it last ran. Its states count like any other instance's, so a later
-     * decision goes before them; of those that are too old only the epochs count, as the least that a decision goes
-     * beyond.
+     * Resumes from what this instance stored when it last ran. Restored states merge like those of any other instance,
+     * so later decisions override them. Of states that are too old only the epochs count, as a lower bound for the
+     * epochs of later decisions.
      *
-     * @param stored by zone; other zones are left alone
-     * @param stillHold whether the states may still hold, by their age
+     * @param stored by zone; other zones are left unchanged
+     * @param stillHold whether the states may still be valid, by their age
      */
     public void restore(double nowMs, Map<Integer, StoredZoneState> stored, boolean stillHold) {
         planState.restore(nowMs, stored, stillHold);
     }
 
-    /** What to store of each zone of which anything was ever decided. */
+    /** The states to store, of each zone on which any decision was ever made. */
     public Map<Integer, StoredZoneState> statesToStore() {
         return planState.statesToStore();
     }
@@ -127,10 +132,10 @@
     // ---- operators
 
     /**
-     * Leaves a zone on an operator's order, until it is returned to or released.
+     * Leaves a zone on an operator's order, until the operator returns to it or releases it.
      *
-     * @param durationMs over which it is left, 0 to {@link #MAX_LEAVE_DURATION_MS}; 0 for at once
-     * @throws IllegalArgumentException if the time is out of range, or too little would stay open
+     * @param durationMs the duration over which it is left, 0 to {@link #MAX_LEAVE_DURATION_MS}; 0 leaves it at once
+     * @throws IllegalArgumentException if the duration is out of range, or too little would stay open
      */
     public void leaveZone(double nowMs, int zone, double durationMs) {
         requireDecidedZone(zone);
@@ -148,18 +153,18 @@
         planState.decide(nowMs, zone, state.next(openParts, Cause.LEAVE, state.leaveCount()), OPERATOR_ORDER);
     }
 
-    /** Opens a zone step by step on an operator's order, whatever its health, and forgets that it was left. */
+    /** Opens a zone step by step on an operator's order, whatever its health, and resets its leave count. */
     public void returnToZone(double nowMs, int zone) {
         order(nowMs, zone, Cause.RETURN, 0);
     }
 
-    /** Keeps a zone as it is on an operator's order, whatever its health, until it is released. */
+    /** Keeps a zone in its present state on an operator's order, whatever its health, until it is released. */
     public void holdZone(double nowMs, int zone) {
         requireDecidedZone(zone);
         order(nowMs, zone, Cause.HOLD, plan().stateOf(zone).leaveCount());
     }
 
-    /** Takes operators' orders back: the zone's health decides again. */
+    /** Revokes operators' orders on a zone: its health decides again. */
     public void releaseZone(double nowMs, int zone) {
         requireDecidedZone(zone);
         order(nowMs, zone, Cause.EVIDENCE, plan().stateOf(zone).leaveCount());
@@ -177,7 +182,7 @@
         }
     }
 
-    /** What leaving a zone would cost. */
+    /** The expected cost of leaving a zone. */
     public ZoneLeaveCost leaveCost(double nowMs, int zone) {
         requireDecidedZone(zone);
         double all = 0;
@@ -195,9 +200,9 @@
         return trackers.get(zone).readyNodes * (double) plan().trafficParts(zone);
     }
 
-    // ---- time
+    // ---- decisions
 
-    /** Takes the fleet's view, decides what is due, and returns what has changed for the load balancer. */
+    /** Processes the fleet's view, makes the decisions that are due, and returns the directives that have changed. */
     public List<ZoneDirective> tick(double nowMs, MembershipView view) {
         List<ZoneHealthReport> reports = new ArrayList<>();
         Set<Integer> homeZones = new HashSet<>();
@@ -220,11 +225,11 @@
         return directives(nowMs, reports, quorumRegained);
     }
 
-    /** Adopts the plans of all others, and adds the reports of those that live. */
+    /** Adopts the plans of all other instances, and collects the reports of the live ones. */
     private void takeReports(
             double nowMs, MembershipView view, List<ZoneHealthReport> reports, Set<Integer> homeZones) {
         if (decodedEntries.size() > 2 * view.members().size()) {
-            decodedEntries.clear(); // most of them are of instances that are gone
+            decodedEntries.clear(); // most of them belong to instances that have left
         }
         for (Member entry : view.members()) {
             homeZones.add(entry.zone());
@@ -239,8 +244,8 @@
         }
     }
 
-    /** Decodes an entry anew only where it has changed. */
-    @SuppressWarnings("ReferenceEquality") // immutable: the same entry says the same
+    /** Decodes an entry only if it has changed. */
+    @SuppressWarnings("ReferenceEquality") // immutable: the same object has the same content
     private ZoneHealthReport decoded(Member entry) {
         DecodedEntry known = decodedEntries.get(entry.id());
         if (known == null || known.entry() != entry) {
@@ -267,7 +272,10 @@
                 settings.instanceId(), settings.homeZone(), health, coldZones, originSaturated, plan());
     }
 
-    /** An instance that has just started has met too few to know how the fleet stands. */
+    /**
+     * Whether this instance knows more than half of the configured members. One that has just started knows too few to
+     * judge the state of the fleet.
+     */
     private static boolean knowsMostMembers(MembershipView view) {
         return view.configuredMembers() == null
                 || 2 * view.members().size() > view.configuredMembers().count();
@@ -318,46 +326,46 @@
         return (double) openParts / ZoneState.ALL_PARTS;
     }
 
-    /** What was decided on evidence holds only with a quorum, which could take it back. */
+    /** The parts that are open. Decisions on evidence apply only with a quorum, which could also revoke them. */
     private int effectiveParts(int zone) {
         return quorum || plan().stateOf(zone).cause() != Cause.EVIDENCE
                 ? plan().trafficParts(zone)
                 : ZoneState.ALL_PARTS;
     }
 
-    // ---- what is decided
+    // ---- results
 
-    /** The plan as far as this instance is to publish it, for the note {@link #PLAN_METADATA}. */
+    /** The plan as this instance publishes it, for the key {@link #PLAN_METADATA}. */
     public byte[] planMetadata() {
         return planState.publishedPlan().encode();
     }
 
-    /** The zones' health as far as this instance is to publish it, for the note {@link #HEALTH_METADATA}. */
+    /** The zones' health as this instance publishes it, for the key {@link #HEALTH_METADATA}. */
     public byte[] healthMetadata() {
         return publisher.metadata();
     }
 
-    /** The transitions since the last call, the first 64 of them. */
+    /** The transitions since the last call, at most the first 64. */
     public List<ZoneTransition> takeTransitions() {
         return planState.takeTransitions();
     }
 
-    /** What is decided of all zones. */
+    /** The decisions on all zones. */
     public FailoverPlan plan() {
         return planState.plan();
     }
 
-    /** Whether enough of the fleet is heard to decide for it. */
+    /** Whether this instance hears enough of the fleet to decide for it. */
     public boolean hasQuorum() {
         return quorum;
     }
 
-    /** Decisions that this instance was the first to make. */
+    /** The number of decisions that this instance was the first to make. */
     public long decisionCount() {
         return planState.decisionCount();
     }
 
-    /** How each zone stands. */
+    /** The status of each zone. */
     public List<ZoneStatus> status(double nowMs) {
         List<ZoneStatus> status = new ArrayList<>();
         for (int z = 0; z < trackers.size(); z++) {
--- a/src/main/java/cacheproxy/failover/ZoneFailoverSettings.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailoverSettings.java
@@ -4,13 +4,13 @@
  * The settings of zone failover.
  *
  * @param instanceId this instance's number, 0 or more
- * @param homeZone the zone in which it stands, 0 to {@code zoneCount} less one
- * @param zoneCount of cache nodes, 1 or more; those beyond the first {@link #MAX_ZONES} are left to each instance's own
- *     evidence
+ * @param homeZone this instance's zone, 0 to {@code zoneCount} less one
+ * @param zoneCount the number of zones of cache nodes, 1 or more; for zones beyond the first {@link #MAX_ZONES} each
+ *     instance relies on its own observations
  * @param warmUpMs how long a node that has just started is cold, in milliseconds, 0 or more
  */
 public record ZoneFailoverSettings(int instanceId, int homeZone, int zoneCount, double warmUpMs) {
-    /** So many zones take part: the plan has to fit into a note of the view. */
+    /** The number of zones that take part: the plan has to fit into one metadata value. */
     public static final int MAX_ZONES = FailoverPlan.MAX_ZONES;
 
     /** Checks the ranges. */
@@ -21,7 +21,7 @@
                 || homeZone >= zoneCount
                 || !(warmUpMs >= 0 && warmUpMs < 1e9)) {
             throw new IllegalArgumentException("instance " + instanceId + " in zone " + homeZone + " of " + zoneCount
-                    + " with a warm-up of " + warmUpMs + " ms");
+                    + " with a warm-up of " + warmUpMs + " ms is out of range");
         }
     }
 
--- a/src/main/java/cacheproxy/failover/ZoneFaultDetector.java
+++ b/src/main/java/cacheproxy/failover/ZoneFaultDetector.java
@@ -7,38 +7,39 @@
 import java.util.Set;
 
 /**
- * Comes to a verdict on each zone by the reports of all live instances. A verdict against a zone takes observers in
- * more than half of the zones in which the fleet has instances, each of these zones counting by the majority of those
- * in it that have observed anything, and {@link #MIN_OBSERVERS} observers in all. So
+ * Reaches a verdict on each zone from the reports of all live instances. A verdict against a zone requires observers in
+ * more than half of the zones in which the fleet has instances, and {@link #MIN_OBSERVERS} observers in total. Each of
+ * these zones counts by the majority of its instances that have observed the faulty zone. As a result,
  *
  * <ul>
- *   <li>a path cut between two zones is reported by the observers of one zone of several: nothing follows, and each of
- *       them keeps to its own evidence;
- *   <li>observers in a zone that is cut off hear no others and have too few zones; when they are heard again, a report
- *       without a healthy zone but their own does not count;
- *   <li>one or two bad nodes do not speak against their zone ({@link ZoneHealthMonitor});
- *   <li>where all nodes are slow, or the origin is, no zone is {@link ZoneCondition#DEGRADED}: that takes others that
- *       are healthy;
- *   <li>one or two instances that report wrongly are not the majority of any zone of three, and not three.
+ *   <li>a cut path between two zones is reported by the observers of only one of several zones: no verdict follows, and
+ *       each of these observers relies on its own observations;
+ *   <li>observers in a zone that is cut off hear no other instances and have too few zones; when they are heard again,
+ *       a report that finds no healthy zone except its own does not count;
+ *   <li>one or two faulty nodes are no evidence against their zone ({@link ZoneHealthMonitor});
+ *   <li>if all nodes are slow, or the origin is, no zone is {@link ZoneCondition#DEGRADED}: that requires other zones
+ *       to be healthy;
+ *   <li>one or two instances that report wrongly are not the majority of a zone of three instances, and fewer than
+ *       three observers.
  * </ul>
  *
- * <p>Immutable; for one moment.
+ * <p>Immutable; evaluates one moment.
  */
 final class ZoneFaultDetector {
-    /** A verdict takes so many observers, or all live instances if they are fewer. */
+    /** The number of observers that a verdict against a zone requires; all live instances if they are fewer. */
     static final int MIN_OBSERVERS = 3;
-    /** A zone is healthy again when so many of its probers say so. */
+    /** The number of probers that have to find a zone healthy before it counts as healthy again. */
     static final int MIN_HEALTHY_OBSERVERS = 2;
 
-    /** What all live instances together say of a zone. */
+    /** The verdict of all live instances together on a zone. */
     enum ZoneCondition {
-        /** Too few report it, or they do not agree. */
+        /** Too few instances report on it, or their reports disagree. */
         UNCERTAIN("unsure"),
-        /** Those that observe it get responses. */
+        /** Its observers receive responses. */
         HEALTHY("sound"),
-        /** Observers in most zones see a good part of it fail, while other zones are healthy. */
+        /** Observers in most zones see a considerable part of attempts fail, while other zones are healthy. */
         DEGRADED("poor"),
-        /** Observers in most zones get no response from it. */
+        /** Observers in most zones receive no response from it. */
         UNREACHABLE("lost");
 
         private final String displayName;
@@ -47,7 +48,7 @@
             this.displayName = displayName;
         }
 
-        /** Its name in operators' answers and the log. */
+        /** Its name in answers to operators and in the log. */
         String displayName() {
             return displayName;
         }
@@ -57,9 +58,9 @@
     private final Set<Integer> homeZones;
 
     /**
-     * By the reports of those that live.
+     * Evaluates the reports of all live instances.
      *
-     * @param homeZones the zones in which the fleet has instances, whether they live or not
+     * @param homeZones the zones in which the fleet has instances, live or not
      */
     ZoneFaultDetector(List<ZoneHealthReport> reports, Set<Integer> homeZones) {
         this.reports = reports;
@@ -85,7 +86,7 @@
         return isHealthy(zone) ? ZoneCondition.HEALTHY : ZoneCondition.UNCERTAIN;
     }
 
-    /** Whether enough observers, in enough zones, see a zone at least that bad. */
+    /** Whether enough observers in enough zones report a health at least as bad as the threshold. */
     private boolean isReportedAtLeast(int zone, ZoneHealth threshold) {
         Map<Integer, Integer> majorities = new HashMap<>();
         Map<Integer, Integer> faultyByZone = new HashMap<>();
@@ -109,7 +110,7 @@
         return 2 * zonesAgainst > homeZones.size() && observers >= Math.min(MIN_OBSERVERS, reports.size());
     }
 
-    /** Whether reports of other zones find them healthy more than twice as often as at fault. */
+    /** Whether reports on other zones find them healthy more than twice as often as faulty. */
     private boolean otherZonesAreHealthy(int zone) {
         int healthy = 0;
         int faulty = 0;
@@ -124,7 +125,10 @@
         return healthy > 2 * faulty;
     }
 
-    /** By observers elsewhere, if there are any: from within the zone its nodes may be reached all the while. */
+    /**
+     * Judged by observers in other zones, if there are any: from within the zone its nodes may have been reachable
+     * throughout the fault.
+     */
     private boolean isHealthy(int zone) {
         int healthy = 0;
         int faulty = 0;
@@ -139,12 +143,12 @@
         return healthy >= Math.max(1, Math.min(MIN_HEALTHY_OBSERVERS, observers)) && healthy > 2 * faulty;
     }
 
-    /** Whether an observer that gets responses from a zone finds that its nodes have lost their caches. */
+    /** Whether an observer that receives responses from a zone finds that its nodes have lost their caches. */
     boolean isCold(int zone) {
         return reports.stream().anyMatch(r -> r.coldZones().contains(zone) && r.healthOf(zone) == ZoneHealth.HEALTHY);
     }
 
-    /** Whether a quarter of the live instances find the origin saturated. */
+    /** Whether at least a quarter of the live instances find the origin saturated. */
     boolean isOriginSaturated() {
         return 4 * reports.stream().filter(ZoneHealthReport::originSaturated).count() >= Math.max(1, reports.size());
     }
--- a/src/main/java/cacheproxy/failover/ZoneHealth.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealth.java
@@ -1,14 +1,14 @@
 package cacheproxy.failover;
 
-/** The health of a zone's cache nodes, as one instance observes it; ordered from good to bad. */
+/** The health of a zone's cache nodes as observed by one instance; ordered from good to bad. */
 public enum ZoneHealth {
-    /** Too few attempts went there lately to tell. */
+    /** Too few recent attempts to tell. */
     UNKNOWN(0),
-    /** Attempts get responses. */
+    /** Attempts receive responses. */
     HEALTHY(1),
-    /** A good part of attempts, at several nodes, gets no response in time. */
+    /** A considerable part of attempts, at several nodes, receives no response in time. */
     DEGRADED(2),
-    /** Several nodes in a row did not respond, and none has responded since. */
+    /** Several nodes in a row did not respond, and no node has responded since. */
     UNREACHABLE(3);
 
     private final int code;
@@ -22,7 +22,7 @@
         return code;
     }
 
-    /** The one whose code stands in the lowest two bits. */
+    /** The constant of the code in the lowest two bits. */
     static ZoneHealth of(int bits) {
         return switch (bits & 3) {
             case 0 -> UNKNOWN;
@@ -32,7 +32,7 @@
         };
     }
 
-    /** Whether it speaks against the zone. */
+    /** Whether it is evidence against the zone. */
     boolean isFaulty() {
         return this == DEGRADED || this == UNREACHABLE;
     }
--- a/src/main/java/cacheproxy/failover/ZoneHealthMonitor.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthMonitor.java
@@ -6,32 +6,35 @@
 import java.util.Set;
 
 /**
- * What this instance's own attempts say of each zone, over the last {@link #WINDOW_MS}. A node that does not respond
- * counts as one, however many attempts went there; only several nodes speak against their zone. Times in milliseconds
- * of one clock; not thread-safe.
+ * The health of each zone by this instance's own attempts over the last {@link #WINDOW_MS}. A node that does not
+ * respond counts as one node, however many attempts it received; only several such nodes are evidence against their
+ * zone. Times in milliseconds of one clock; not thread-safe.
  */
 final class ZoneHealthMonitor {
-    /** How far back attempts count. */
+    /** The length of the observation window. */
     static final double WINDOW_MS = 2500;
 
     private static final int SLOTS = 10;
     private static final double SLOT_MS = WINDOW_MS / SLOTS;
-    /** So many nodes in a row that do not respond, and no other that does, make a zone unreachable. */
+    /** A zone is unreachable if this many different nodes in a row do not respond and no other node does. */
     static final int UNREACHABLE_NODES = 3;
-    /** For so long at least: nodes that all stall for a moment are not unreachable. */
+    /** The minimum duration of that: nodes that all stall for a moment are not unreachable. */
     private static final double UNREACHABLE_AFTER_MS = 300;
-    /** So large a part of attempts without a response makes a zone degraded; one bad node of six would exceed it. */
+    /**
+     * The part of attempts without a response that makes a zone degraded. One bad node of six would exceed it, so
+     * several nodes have to be affected as well.
+     */
     private static final double DEGRADED_FRACTION = 0.15;
 
     private static final int MIN_DEGRADED_ATTEMPTS = 8;
-    /** So many responses, and nothing against them, make a zone healthy. */
+    /** The number of responses that make a zone healthy, if too few attempts fail to make it degraded. */
     private static final int MIN_HEALTHY_RESPONSES = 2;
-    /** The origin is saturated when so large a part of fetches came late or not at all. */
+    /** The origin is saturated if more than this part of fetches ended late or failed. */
     private static final double SATURATED_FRACTION = 0.2;
 
     private static final int MIN_SATURATED_FETCHES = 5;
 
-    /** What was observed in one part of the window. */
+    /** The observations in one slot of the window. */
     private static final class Slot {
         private static final long UNUSED = -1;
 
@@ -41,7 +44,7 @@
         int timeouts;
         final Set<Integer> unresponsiveNodes = new HashSet<>();
 
-        /** Begins anew if it was of another part of the window. */
+        /** Clears the slot if it holds an earlier part of the window. */
         void use(long currentNumber) {
             if (number != currentNumber) {
                 number = currentNumber;
@@ -53,7 +56,7 @@
         }
     }
 
-    /** What the window holds in all. */
+    /** The sums over the window. */
     private static final class Totals {
         int responses;
         int misses;
@@ -68,7 +71,7 @@
     /** The window of one zone, or of the origin. */
     private static final class Window {
         final Slot[] slots = new Slot[SLOTS];
-        /** Nodes without a response since one of the zone last responded. */
+        /** Nodes that have not responded since any node of the zone last did. */
         final Set<Integer> consecutiveUnresponsive = new HashSet<>();
 
         double unresponsiveSinceMs;
@@ -108,7 +111,7 @@
             }
         }
 
-        /** How many nodes are several, in a zone that may have fewer. */
+        /** The number of nodes that counts as several, in a zone that may have fewer. */
         int severalNodes() {
             return Math.min(UNREACHABLE_NODES, readyNodes);
         }
@@ -123,23 +126,23 @@
     private final List<Window> zones = new ArrayList<>();
     private final Window origin = new Window();
 
-    /** Of so many zones, without an observation yet. */
+    /** Begins without observations of any zone. */
     ZoneHealthMonitor(int zoneCount) {
         for (int z = 0; z < zoneCount; z++) {
             zones.add(new Window());
         }
     }
 
-    /** So many nodes of a zone may be sent requests. */
+    /** Sets the number of a zone's nodes that may receive requests. */
     void setReadyNodes(int zone, int readyNodes) {
         zones.get(zone).readyNodes = Math.max(1, readyNodes);
     }
 
-    /** A node of a zone has responded; {@code hit}: it had what was requested. */
+    /** A node of a zone has responded; {@code hit}: whether it had the requested value. */
     void onResponse(double nowMs, int zone, boolean hit) {
         Window window = zones.get(zone);
         if (window.isUnreachable(nowMs)) {
-            window.clear(); // or the time while it was unreachable would count for a whole window
+            window.clear(); // otherwise the unreachable time would count for a whole window
         }
         Slot slot = window.slot(nowMs);
         slot.responses++;
@@ -147,7 +150,7 @@
         window.consecutiveUnresponsive.clear();
     }
 
-    /** A node of a zone has not responded in time, or closed the connection instead. */
+    /** A node of a zone has not responded in time, or has closed the connection instead. */
     void onNoResponse(double nowMs, int zone, int endpointId) {
         Window window = zones.get(zone);
         Slot slot = window.slot(nowMs);
@@ -156,7 +159,7 @@
             slot.unresponsiveNodes.add(endpointId);
         }
         if (nowMs - window.lastTimeoutMs > WINDOW_MS) {
-            window.consecutiveUnresponsive.clear(); // these have not been tried since
+            window.consecutiveUnresponsive.clear(); // these nodes have not been tried since
         }
         window.lastTimeoutMs = nowMs;
         window.unresponsiveSinceMs = window.consecutiveUnresponsive.isEmpty() ? nowMs : window.unresponsiveSinceMs;
@@ -165,7 +168,7 @@
         }
     }
 
-    /** A fetch at the origin has ended, in time or not. */
+    /** A fetch from the origin has ended, in time or not. */
     void onOriginFetch(double nowMs, boolean inTime) {
         Slot slot = origin.slot(nowMs);
         if (inTime) {
@@ -181,7 +184,7 @@
         return totals.timeouts >= MIN_SATURATED_FETCHES && totals.timeouts > SATURATED_FRACTION * totals.attempts();
     }
 
-    /** The health of a zone as this instance sees it now. */
+    /** The health of a zone as this instance observes it now. */
     ZoneHealth health(double nowMs, int zone) {
         Window window = zones.get(zone);
         if (window.isUnreachable(nowMs)) {
@@ -199,13 +202,13 @@
                 : ZoneHealth.UNKNOWN;
     }
 
-    /** Whether a zone's nodes respond and lack most of what is requested: they have lost their caches. */
+    /** Whether a zone's nodes respond but miss at least half of the requests: they have lost their caches. */
     boolean isCold(double nowMs, int zone) {
         Totals totals = zones.get(zone).totals(nowMs);
         return totals.responses >= MIN_HEALTHY_RESPONSES && 2 * totals.misses >= totals.responses;
     }
 
-    /** Attempts at a zone that ended within the window, a second. */
+    /** The attempts per second at a zone that ended within the window. */
     double attemptsPerSecond(double nowMs, int zone) {
         return zones.get(zone).totals(nowMs).attempts() * 1000 / WINDOW_MS;
     }
--- a/src/main/java/cacheproxy/failover/ZoneHealthPublisher.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthPublisher.java
@@ -7,30 +7,33 @@
 import java.util.Set;
 
 /**
- * Decides what an instance publishes of the zones' health: nothing while all are healthy. Where one is at fault, each
- * says what speaks against a zone, some say also what speaks for it, and of a zone that is left its probers do. Times
- * in milliseconds.
+ * Decides which health of the zones an instance publishes: nothing while all zones are healthy. If a zone is faulty,
+ * each instance reports evidence against zones, some instances also report healthy zones, and the probers of a zone
+ * that is left report on that zone. Times in milliseconds.
  */
 final class ZoneHealthPublisher {
-    /** So many publish what they see at once; the others only if nothing has come of that after some time. */
+    /**
+     * The number of instances that publish a fault at once; the others do so only if the zone is still open after
+     * {@link #OTHERS_DELAY_MS}.
+     */
     private static final int FIRST_REPORTERS = 12;
 
     private static final double OTHERS_DELAY_MS = 1200;
-    /** Between two notes, unless a zone is unreachable. */
+    /** The least time between two reports, unless a zone is unreachable. */
     private static final double MIN_INTERVAL_MS = 400;
 
     private byte[] metadata = {};
     private double publishedMs = Double.NEGATIVE_INFINITY;
 
-    /** The note as it is to be published now. */
+    /** The metadata to publish now. */
     byte[] metadata() {
         return metadata.clone();
     }
 
     /**
-     * Takes what is seen now.
+     * Updates the report from the present observations.
      *
-     * @param own this instance's report, with all that it sees
+     * @param own this instance's report with all its observations
      * @param reports of all live instances, its own included
      */
     void update(
--- a/src/main/java/cacheproxy/failover/ZoneHealthReport.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthReport.java
@@ -6,15 +6,16 @@
 import java.util.Set;
 
 /**
- * What one live instance reports of the zones. In a note of the view, 3 bytes: bit 0 the origin is saturated, then for
- * each zone 3 bits: its nodes are cold (1), its {@link ZoneHealth} (2); no bytes where there is nothing to report.
+ * What one live instance reports on the zones. Encoded as member metadata in 3 bytes: bit 0 is set if the origin is
+ * saturated, followed by 3 bits for each zone: whether its nodes are cold (1), and its {@link ZoneHealth} (2). Empty if
+ * there is nothing to report.
  *
- * @param instance its number
- * @param homeZone the zone in which it stands
+ * @param instance the instance's number
+ * @param homeZone the instance's zone
  * @param health of the zones, by number
- * @param coldZones zones whose nodes respond to it and lack most of what is requested
- * @param originSaturated whether the origin responds to it late or rejects its fetches
- * @param plan that it holds
+ * @param coldZones zones whose nodes respond to the instance but miss at least half of its requests
+ * @param originSaturated whether the origin responds late to the instance or rejects its fetches
+ * @param plan the plan that the instance holds
  */
 public record ZoneHealthReport(
         int instance,
@@ -25,20 +26,21 @@
         FailoverPlan plan) {
     private static final int METADATA_BYTES = 3;
 
-    /** Copies what is passed. */
+    /** Copies the collections. */
     public ZoneHealthReport {
         health = List.copyOf(health);
         coldZones = Set.copyOf(coldZones);
     }
 
-    /** What it sees of a zone. */
+    /** The health of a zone as reported. */
     ZoneHealth healthOf(int zone) {
         return zone < health.size() ? health.get(zone) : ZoneHealth.UNKNOWN;
     }
 
     /**
-     * Whether it sees no healthy zone but, perhaps, its own: it is cut off itself then, or lies, and does not count for
-     * other zones.
+     * Whether it finds another zone faulty and none healthy except, perhaps, its own: the instance is then cut off
+     * itself, or reports wrongly, and its report does not count for other zones. Never true with fewer than three
+     * zones.
      */
     boolean isPartitioned() {
         boolean faulty = false;
@@ -51,7 +53,7 @@
         return faulty && health.size() > 2;
     }
 
-    /** The note. */
+    /** Encodes a report as metadata. */
     static byte[] encode(List<ZoneHealth> health, Set<Integer> coldZones, boolean originSaturated) {
         int bits = originSaturated ? 1 : 0;
         for (int z = 0; z < health.size(); z++) {
@@ -60,7 +62,7 @@
         return bits == 0 ? new byte[0] : new byte[] {(byte) (bits >> 16), (byte) (bits >> 8), (byte) bits};
     }
 
-    /** The report in an instance's notes; a note of another length reports nothing. */
+    /** Decodes the report in an instance's metadata; metadata of another length reports nothing. */
     static ZoneHealthReport decode(int instance, int homeZone, byte[] metadata, byte[] planMetadata, int zones) {
         List<ZoneHealth> health = new ArrayList<>();
         Set<Integer> coldZones = new HashSet<>();
--- a/src/main/java/cacheproxy/failover/ZoneLeaveCost.java
+++ b/src/main/java/cacheproxy/failover/ZoneLeaveCost.java
@@ -1,11 +1,11 @@
 package cacheproxy.failover;
 
 /**
- * What leaving a zone would cost, by what this instance sees now.
+ * The expected cost of leaving a zone, by what this instance observes now.
  *
- * @param movedPerSecond requests of this instance a second that would go elsewhere; each key misses once there
- * @param otherZonesLoadFactor by how much the load of the other zones' nodes would grow, 1 for not at all; infinite if
- *     there are none
+ * @param movedPerSecond requests of this instance per second that would go to other zones; each key misses once there
+ * @param otherZonesLoadFactor the factor by which the load of the other zones' nodes would grow; 1 if it would not,
+ *     infinite if there are no other nodes
  * @param allowed whether enough of all zones together would stay open
  */
 public record ZoneLeaveCost(double movedPerSecond, double otherZonesLoadFactor, boolean allowed) {}
--- a/src/main/java/cacheproxy/failover/ZoneState.java
+++ b/src/main/java/cacheproxy/failover/ZoneState.java
@@ -1,33 +1,34 @@
 package cacheproxy.failover;
 
 /**
- * What is decided of one zone. On the wire, 32 bits: epoch (24), open parts (4), leave count (2), cause (2).
+ * The decision on one zone. On the wire, 32 bits: epoch (24), open parts (4), leave count (2), cause (2).
  *
- * @param epoch 0 if nothing was ever decided, up to {@link #MAX_EPOCH}; each decision raises it, so that it never goes
- *     back
- * @param trafficParts for so many of {@link #ALL_PARTS} parts of its keys, 0 to {@link #ALL_PARTS}
- * @param cause why it is so
- * @param leaveCount how often it was left lately, 0 to {@link #MAX_LEAVE_COUNT}; delays a return
+ * @param epoch 0 if no decision was ever made, up to {@link #MAX_EPOCH}; each decision raises it, and it never
+ *     decreases
+ * @param trafficParts how many of the {@link #ALL_PARTS} parts of the zone's keys are sent there, 0 to
+ *     {@link #ALL_PARTS}
+ * @param cause why it was decided
+ * @param leaveCount how many recent leaves are counted, 0 to {@link #MAX_LEAVE_COUNT}; delays a return
  */
 public record ZoneState(int epoch, int trafficParts, Cause cause, int leaveCount) implements Comparable<ZoneState> {
-    /** All of its keys. One part of a zone of four then moves some 2% of all requests. */
+    /** All parts of a zone's keys. With four zones, one part of a zone is some 2% of all requests. */
     public static final int ALL_PARTS = 15;
-    /** The highest epoch; a decision every half second would take 97 days to get there. */
+    /** The highest epoch; with a decision every half second it would be reached after 97 days. */
     public static final int MAX_EPOCH = 0xff_ffff;
-    /** More leaves are not counted. */
+    /** The highest leave count; further leaves are not counted. */
     public static final int MAX_LEAVE_COUNT = 3;
-    /** Nothing was ever decided: open. */
+    /** The state before any decision: open. */
     static final ZoneState INITIAL = new ZoneState(0, ALL_PARTS, Cause.EVIDENCE, 0);
 
-    /** Why a state holds; of decisions in one epoch that with the later of these holds. */
+    /** Why a state was decided; of two decisions in one epoch the one with the later of these causes prevails. */
     public enum Cause {
-        /** The zone's health, as the fleet observes it. */
+        /** The zone's health as observed by the fleet. */
         EVIDENCE(0, "evidence"),
-        /** An operator returns to it step by step; once it is open, its health decides again. */
+        /** An operator's order to return to it step by step; once it is open, its health decides again. */
         RETURN(1, "return"),
-        /** An operator keeps it as it is. */
+        /** An operator's order to keep it in its present state. */
         HOLD(2, "hold"),
-        /** An operator leaves it, and keeps it left. */
+        /** An operator's order to leave it, and to keep it left. */
         LEAVE(3, "leave");
 
         private final int code;
@@ -38,12 +39,12 @@
             this.storedName = storedName;
         }
 
-        /** Its name in stored records, operators' answers and the log. */
+        /** Its name in stored records, in answers to operators and in the log. */
         public String storedName() {
             return storedName;
         }
 
-        /** The cause of that name; null if there is none. */
+        /** The cause of this name; null if there is none. */
         public static Cause ofStoredName(String name) {
             for (Cause cause : values()) {
                 if (cause.storedName.equals(name)) {
@@ -58,7 +59,7 @@
             return code;
         }
 
-        /** The one whose code stands in the lowest two bits. */
+        /** The cause of the code in the lowest two bits. */
         static Cause of(int bits) {
             return switch (bits & 3) {
                 case 0 -> EVIDENCE;
@@ -77,17 +78,17 @@
                 || trafficParts > ALL_PARTS
                 || leaveCount < 0
                 || leaveCount > MAX_LEAVE_COUNT) {
-            throw new IllegalArgumentException(
-                    "epoch " + epoch + ", " + trafficParts + " parts open, left " + leaveCount + " times");
+            throw new IllegalArgumentException("epoch " + epoch + ", " + trafficParts + " parts open, leave count "
+                    + leaveCount + " is out of range");
         }
     }
 
-    /** The part of its keys that goes there, 0 to 1. */
+    /** The fraction of its keys that is sent there, 0 to 1. */
     public double trafficFraction() {
         return (double) trafficParts / ALL_PARTS;
     }
 
-    /** The next decision; this itself at the highest epoch, as epochs never begin anew. */
+    /** The next decision; this state itself at the highest epoch, as epochs never restart. */
     public ZoneState next(int nextParts, Cause nextCause, int nextLeaveCount) {
         return epoch == MAX_EPOCH
                 ? this
@@ -102,8 +103,9 @@
     }
 
     /**
-     * Which of two holds: the higher epoch; in one epoch an operator's order over evidence, then the one with more
-     * parts open, so that two who decide at once leave no more than either would; then the higher leave count.
+     * Orders states by precedence: the higher epoch; in one epoch an operator's order over evidence, then the state
+     * with more parts open, so that two concurrent decisions close no more than either of them would; then the higher
+     * leave count.
      */
     @Override
     public int compareTo(ZoneState other) {
--- a/src/main/java/cacheproxy/failover/ZoneStatus.java
+++ b/src/main/java/cacheproxy/failover/ZoneStatus.java
@@ -1,14 +1,15 @@
 package cacheproxy.failover;
 
 /**
- * How a zone stands, for operators.
+ * The status of a zone, for operators.
  *
  * @param zone its number
- * @param trafficFraction the part of its keys that goes there, 0 to 1, as this instance's load balancer is told
- * @param state as decided
- * @param ownHealth as this instance sees it
- * @param fleetVerdict of those that are heard, by its name in operators' answers
- * @param unchangedMs how long the state has not changed, in milliseconds; infinite if it never did
+ * @param trafficFraction the fraction of its keys that is sent there, 0 to 1, as directed to this instance's load
+ *     balancer
+ * @param state the decided state
+ * @param ownHealth the health that this instance observes
+ * @param fleetVerdict the verdict of the instances that are heard, by its name in answers to operators
+ * @param unchangedMs the time since the state last changed, in milliseconds; infinite if it never did
  * @param reason of the last change; for people
  */
 public record ZoneStatus(
--- a/src/main/java/cacheproxy/failover/ZoneTracker.java
+++ b/src/main/java/cacheproxy/failover/ZoneTracker.java
@@ -4,23 +4,23 @@
 import cacheproxy.failover.ZoneState.Cause;
 
 /**
- * What one instance holds of a zone beside what is decided of it. Mutable; owned by {@link ZoneFailover}. Times in
- * milliseconds of one clock, minus infinity for never.
+ * What one instance tracks of a zone beside its decided state. Mutable; owned by {@link ZoneFailover}. Times in
+ * milliseconds of one clock, negative infinity for never.
  */
 final class ZoneTracker {
-    /** A zone that is not found healthy, or degraded, for so long has to be found so anew. */
+    /** A verdict of healthy or degraded that is missing for longer than this has to persist anew. */
     static final double VERDICT_GAP_MS = 2000;
 
-    /** The next decision has an epoch beyond this one. */
+    /** The epoch that the next decision has to exceed. */
     int minEpoch;
-    /** Its cache nodes on the list that may be sent requests. */
+    /** The number of its cache nodes on the endpoint list that may receive requests. */
     int readyNodes = 1;
     /** When half of its nodes will have warmed up. */
     double coldUntilMs = Double.NEGATIVE_INFINITY;
 
     /** Whether the last step opened it further. */
     boolean opening;
-    /** Whether it was left though it responded: what speaks for it has to do so for longer. */
+    /** Whether it was left while it still responded: it then has to be healthy for longer before it is opened. */
     boolean leftDegraded;
     /** When the decision changed last, and why. */
     double changedMs = Double.NEGATIVE_INFINITY;
@@ -28,28 +28,28 @@
     String changeReason = "never left";
 
     ZoneCondition verdict = ZoneCondition.UNCERTAIN;
-    /** Since when it was found degraded, or healthy, without a gap; and when it was last. */
+    /** Since when it has been found degraded, or healthy, without a gap; and when it last was. */
     double degradedSinceMs = Double.NEGATIVE_INFINITY;
 
     double lastDegradedMs = Double.NEGATIVE_INFINITY;
     double healthySinceMs = Double.NEGATIVE_INFINITY;
     double lastHealthyMs = Double.NEGATIVE_INFINITY;
 
-    /** What should be decided now, and since when; null for nothing. */
+    /** The decision that is due, and since when; null for none. */
     ZoneState proposal;
 
     double proposedMs;
-    /** Between two steps of an order to leave that was given to this instance; 0 if none was. */
+    /** The time between two steps of an order to leave that this instance received; 0 if it received none. */
     double leaveStepMs;
 
-    /** How far the load balancer was last told that the zone is open. */
+    /** The open parts that the load balancer was last directed to use. */
     int directedParts = ZoneState.ALL_PARTS;
     /** When this instance last probed it. */
     double probedMs = Double.NEGATIVE_INFINITY;
-    /** Since when this instance itself sees it at fault; NaN while it does not. */
+    /** Since when this instance itself has observed a fault of the zone; NaN while it observes none. */
     double faultySinceMs = Double.NaN;
 
-    /** All live instances together come to this verdict now. */
+    /** Records the present verdict of all live instances together. */
     void onVerdict(double nowMs, ZoneCondition now) {
         verdict = now;
         if (now == ZoneCondition.DEGRADED) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Something should be decided; null for nothing. */
+    /** Records the decision that is due; null for none. */
     void onProposal(double nowMs, ZoneState next) {
         if (next != null && !next.equals(proposal)) {
             proposedMs = nowMs;
@@ -71,7 +71,7 @@
         proposal = next;
     }
 
-    /** The decision has changed. */
+    /** Records a changed decision. */
     void onChange(double nowMs, ZoneState before, ZoneState after, String reason) {
         opening = after.trafficParts() > before.trafficParts();
         leftDegraded =
@@ -84,7 +84,7 @@
         }
     }
 
-    /** How this instance itself sees the zone. */
+    /** Records the health that this instance itself observes. */
     void onOwnHealth(double nowMs, ZoneHealth health) {
         if (!health.isFaulty()) {
             faultySinceMs = Double.NaN;
