--- a/src/main/java/cacheproxy/recovery/ConnectionRebalancer.java
+++ b/src/main/java/cacheproxy/recovery/ConnectionRebalancer.java
@@ -6,27 +6,31 @@
 
 /**
  * Decides whether this instance carries more than its share of the load, and how many client connections it should
- * close between requests so that clients reconnect elsewhere. After a restart of all instances the first one back gets
- * all clients and keeps them, as their connections last; whoever distributes connections can't be asked to move some,
- * but a connection that is closed is distributed anew, now that other instances are there.
+ * close between requests so that clients reconnect elsewhere. After a restart of all instances, the first one to be
+ * back receives all clients and keeps them, as their connections are long-lived. Whatever distributes the connections
+ * cannot be asked to move them, but a closed connection is distributed again once other instances are available.
  *
- * <p>It closes few at a time and evaluates the effect: where clients come back to this instance (they sit beside it, or
- * one client sends a tenth of all requests), closing more helps nobody, and it backs off.
+ * <p>It closes a few connections at a time and evaluates the effect. If the clients reconnect to this instance (they
+ * run beside it, or one client sends a tenth of all requests), closing more connections does not help, and it backs
+ * off.
  *
- * <p>Times are milliseconds of one clock, rates requests a second. Not thread-safe.
+ * <p>Times are milliseconds of one clock, rates are requests per second. Not thread-safe.
  */
 public final class ConnectionRebalancer {
-    /** It begins to close connections above this ratio of its own rate to the mean. */
+    /** The ratio of its own rate to the mean above which it begins to close connections. */
     public static final double OVERLOAD_RATIO = 1.3;
-    /** Once begun, it goes on down to this ratio. */
+    /** The ratio down to which it continues to close them. */
     public static final double TARGET_RATIO = 1.1;
-    /** Requests a second above the mean that are worth closing a connection. */
+    /** The requests per second above the mean that justify closing a connection. */
     static final double MIN_EXCESS_PER_SECOND = 3;
-    /** How long the overload has to last first; others' rates are up to so old. */
+    /** How long the overload has to persist first; the rates of other instances are up to this old. */
     static final double MIN_OVERLOAD_MS = 1000;
-    /** The part of the excess connections to close in a second: from 60 times the mean to 1.5 in ten seconds. */
+    /**
+     * The part of the excess connections that is closed per second; it brings an instance from 60 times the mean down
+     * to 1.5 times within ten seconds.
+     */
     static final double CLOSE_SHARE_PER_SECOND = 0.6;
-    /** After so long the effect is evaluated. */
+    /** The time after which the effect is evaluated. */
     static final double EVALUATION_MS = 4000;
     /** The part of the excess that has to be gone by then. */
     static final double MIN_IMPROVEMENT = 0.2;
@@ -38,7 +42,7 @@
             new FailureBackoff(new ExponentialBackoff(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS));
     private double overloadedSinceMs = Double.NaN;
     private double lastUpdateMs = Double.NaN;
-    /** Connections that may be closed; the fraction is carried over. */
+    /** The number of connections that may be closed; the fraction carries over to the next call. */
     private double closeCredit;
 
     private double evaluationStartMs = Double.NaN;
@@ -49,12 +53,12 @@
     private double loadRatio = 1;
 
     /**
-     * How many connections to close now; to be called some times a second.
+     * The number of connections to close now; to be called several times a second.
      *
-     * @param ownRate requests a second that this instance receives
-     * @param otherRates those of the other serving instances; empty where there is none
+     * @param ownRate requests per second that this instance receives
+     * @param otherRates those of the other serving instances; empty if there are none
      * @param open client connections
-     * @param idle of these, between requests
+     * @param idle open connections without a request in progress
      */
     public int connectionsToClose(double nowMs, double ownRate, Collection<Double> otherRates, int open, int idle) {
         double elapsedMs = elapsedMs(nowMs);
@@ -75,7 +79,7 @@
         return close(elapsedMs, open, idle);
     }
 
-    /** Time since the last call; a longer gap than rates are old counts as that. */
+    /** The time since the last call, limited to the highest age of other instances' rates. */
     private double elapsedMs(double nowMs) {
         double elapsedMs =
                 Double.isNaN(lastUpdateMs) ? 0 : Math.max(0, Math.min(MIN_OVERLOAD_MS, nowMs - lastUpdateMs));
@@ -95,12 +99,12 @@
         overloadedSinceMs = Double.NaN;
         closeCredit = 0;
         if (isClosing() && loadRatio <= TARGET_RATIO) {
-            backoff.reset(); // closing has helped
+            backoff.reset(); // closing connections has helped
             startEvaluation(nowMs);
         }
     }
 
-    /** Evaluates the effect when it is time; false if there was too little, and it backs off. */
+    /** Evaluates the effect when it is due; false if it was too small, so that the rebalancer backs off. */
     private boolean closingHelps(double nowMs) {
         if (!isClosing()) {
             startEvaluation(nowMs);
@@ -126,24 +130,27 @@
     private int close(double elapsedMs, int open, int idle) {
         closeCredit += open * (1 - 1 / loadRatio) * CLOSE_SHARE_PER_SECOND * elapsedMs / 1000;
         int closed = (int) Math.min(idle, closeCredit);
-        // Credit that found no idle connection is not made up for at once.
+        // Bounds the credit that found no idle connections, so that it is not spent at once later.
         closeCredit = Math.min(closeCredit - closed, Math.max(1, open * CLOSE_SHARE_PER_SECOND));
         closedSinceEvaluation += closed;
         connectionsClosed += closed;
         return closed;
     }
 
-    /** The rate of this instance by the mean of those that serve, as of the last call; 1 while nothing is known. */
+    /**
+     * The rate of this instance divided by the mean of the serving instances, as of the last call; 1 while no rate is
+     * known.
+     */
     public double loadRatio() {
         return loadRatio;
     }
 
-    /** Connections that it has said to close. */
+    /** The number of connections that it has returned to be closed. */
     public long connectionsClosed() {
         return connectionsClosed;
     }
 
-    /** Whether it closes none for a while, as closing them did not help. */
+    /** Whether it closes no connections for a while because closing them did not help. */
     public boolean isBackingOff(double nowMs) {
         return nowMs < backoffUntilMs;
     }
--- a/src/main/java/cacheproxy/recovery/PeerStateQuery.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateQuery.java
@@ -14,50 +14,50 @@
 
 /**
  * The state query of an instance that starts without state: it asks {@value #ANSWERS_WANTED} serving peers for a
- * summary, from as many zones as there are. Each instance ranks the peers in its own order, so that not all that
- * restart ask the same one. When an answer does not come, the next peer is asked. Where no peer serves, all have
- * restarted and none has state, which is assumed after a short time.
+ * summary, from as many zones as possible. Each instance ranks the peers in an order of its own, so that restarted
+ * instances do not all query the same peer. If an answer does not arrive, the next peer is queried. If no peer serves,
+ * the whole fleet has restarted and no instance has state; this is assumed after a short time.
  *
- * <p>Answers only make decisions more careful: a node is suspected when two answers name it, or the only one that there
- * is; of a zone's nodes never more than one in {@value #MAX_SUSPECTED_DIVISOR}.
+ * <p>Answers only make decisions more cautious. A node is suspected if two answers name it, or the only answer there
+ * is. Of a zone's nodes at most one in {@value #MAX_SUSPECTED_DIVISOR} is suspected.
  *
  * <p>Times are milliseconds of one clock. Not thread-safe.
  */
 public final class PeerStateQuery {
-    /** How many answers are enough. */
+    /** The number of answers that are enough. */
     public static final int ANSWERS_WANTED = 3;
-    /** After so long without an answer the next peer is asked. */
+    /** The time after which the next peer is queried if an answer has not arrived. */
     static final double ANSWER_TIMEOUT_MS = 500;
-    /** Where no peer has been serving for so long since the start, none has state. */
+    /** If no peer has been serving for this long since the start, no instance has state. */
     static final double NO_PEER_TIMEOUT_MS = 3000;
-    /** The query ends after so long: what this instance has observed itself is newer by then. */
+    /** The query ends after this time at the latest: what this instance has observed itself is newer by then. */
     static final double QUERY_TIMEOUT_MS = 6000;
-    /** Of a zone's nodes one in so many may be suspected, and one in any case. */
+    /** One in this many of a zone's nodes may be suspected, and one node in any case. */
     static final int MAX_SUSPECTED_DIVISOR = 4;
-    /** How many answers have to name a node, where there are as many. */
+    /** The number of answers that have to name a node; all answers if there are fewer. */
     private static final int MIN_VOTES = 2;
 
     /** The progress of the query. */
     public enum State {
-        /** It waits for answers, or for a peer to ask. */
+        /** It waits for answers, or for a serving peer. */
         QUERYING,
-        /** There were answers. */
+        /** At least one peer has answered. */
         ANSWERED,
-        /** No peer serves, so none has state. */
+        /** No peer serves, so no instance has state. */
         NO_SERVING_PEER,
-        /** Peers serve, and no answer came in time. */
+        /** Peers serve, but no answer arrived in time. */
         UNANSWERED
     }
 
     /**
-     * The answers in one.
+     * The combined answers.
      *
-     * @param answers how many there were
-     * @param listVersion the highest endpoint list version that any of them has
-     * @param originFetchMs the median of theirs, in milliseconds
-     * @param nodeLatencyMs the median of theirs, in milliseconds
-     * @param originInTimeRatio the least of theirs, 0 to 1
-     * @param suspectedNodes nodes to suspect, those that most of them avoid first
+     * @param answers the number of answers
+     * @param listVersion the highest endpoint list version among them
+     * @param originFetchMs the median of their origin fetch times, in milliseconds
+     * @param nodeLatencyMs the median of their node latencies, in milliseconds
+     * @param originInTimeRatio the lowest of their in-time ratios, 0 to 1
+     * @param suspectedNodes the nodes to suspect, those avoided by most peers first
      */
     public record Result(
             int answers,
@@ -69,20 +69,20 @@
 
     private final int instance;
     private final double startedMs;
-    /** When each peer was asked. */
+    /** When each peer was queried. */
     private final Map<Integer, Double> queriedAtMs = new LinkedHashMap<>();
 
     private final Map<Integer, PeerStateSummary> answers = new LinkedHashMap<>();
     private double servingPeerSeenMs = Double.NaN;
     private State state = State.QUERYING;
 
-    /** Begins at a time. {@code instance}: this instance's number, from which the order of peers is derived. */
+    /** Begins at a time. {@code instance}: this instance's number, which determines the order of its peers. */
     public PeerStateQuery(int instance, double startedMs) {
         this.instance = instance;
         this.startedMs = startedMs;
     }
 
-    /** The peers to ask now; to be called some times a second. */
+    /** The peers to query now; to be called several times a second. */
     public List<Integer> peersToQuery(double nowMs, MembershipView view) {
         if (state != State.QUERYING) {
             return List.of();
@@ -116,7 +116,7 @@
         return noPeerSeen && nowMs - startedMs >= NO_PEER_TIMEOUT_MS ? State.NO_SERVING_PEER : State.QUERYING;
     }
 
-    /** Peers of zones that none was asked of first, then any. */
+    /** Chooses peers of zones in which no peer was queried first, then any. */
     private List<Integer> choosePeers(double nowMs, List<Member> serving) {
         long awaited = queriedAtMs.entrySet().stream()
                 .filter(e -> !answers.containsKey(e.getKey()) && nowMs - e.getValue() < ANSWER_TIMEOUT_MS)
@@ -138,7 +138,7 @@
         return chosen;
     }
 
-    /** An answer has come; one that was not asked for, or comes twice, is ignored. */
+    /** A peer has answered; an answer that was not requested, or a second one of a peer, is ignored. */
     public void answerReceived(int peer, PeerStateSummary summary) {
         if (state == State.QUERYING && queriedAtMs.containsKey(peer)) {
             answers.putIfAbsent(peer, summary);
@@ -151,10 +151,10 @@
     }
 
     /**
-     * The answers in one, once there are any.
+     * The combined answers, once there are any.
      *
-     * @param zoneOf the zone of each node; other nodes are left out
-     * @param nodesInZone how many nodes each zone has
+     * @param zoneOf the zone of each node; other nodes are ignored
+     * @param nodesInZone the number of nodes in each zone
      */
     public Result result(Map<Integer, Integer> zoneOf, Map<Integer, Integer> nodesInZone) {
         if (answers.isEmpty()) {
--- a/src/main/java/cacheproxy/recovery/PeerStateSummary.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateSummary.java
@@ -5,21 +5,22 @@
 import java.util.List;
 
 /**
- * The answer to a state query: what a serving instance tells one that has started without state. Holds what is worth
- * most in few bytes, so that it fits in one datagram.
+ * The answer to a state query: what a serving instance reports to one that has started without state. Holds only the
+ * most useful values, so that it fits in one datagram.
  *
  * <table>
- * <caption>Messages of kind RECALL, integers and floats big-endian</caption>
+ * <caption>Messages of kind STATE_QUERY, integers and floats big-endian</caption>
  * <tr><td>query</td><td>{@code 'Q'}</td></tr>
- * <tr><td>answer</td><td>{@code 'M'}, list version (8 bytes), origin fetch, node latency, origin in-time ratio (4 bytes
- * each), number of nodes (1 byte), nodes (4 bytes each)</td></tr>
+ * <tr><td>answer</td><td>{@code 'M'}, list version (8 bytes), origin fetch, node latency, origin in-time ratio (4 bytes each), number of nodes (1 byte), nodes (4 bytes each)</td></tr>
  * </table>
  *
- * @param listVersion the version of the endpoint list that it has, 0 or more; a claim, as only discovery makes a list
- * @param originFetchMs how long a fetch from the origin takes, milliseconds
- * @param nodeLatencyMs how long a response of a cache node takes, milliseconds
+ * @param listVersion the version of the endpoint list that the instance has, 0 or more; only a claim, as endpoint lists
+ *     come from discovery alone
+ * @param originFetchMs how long a fetch from the origin takes, in milliseconds
+ * @param nodeLatencyMs how long a response of a cache node takes, in milliseconds
  * @param originInTimeRatio the part of its recent origin fetches that completed in time, 0 to 1
- * @param avoidedNodes nodes that it avoids, those with most failures first, {@link #MAX_AVOIDED_NODES} at most
+ * @param avoidedNodes the nodes that the instance avoids, those with most failures first, at most
+ *     {@link #MAX_AVOIDED_NODES}
  */
 public record PeerStateSummary(
         long listVersion,
@@ -27,7 +28,7 @@
         float nodeLatencyMs,
         float originInTimeRatio,
         List<Integer> avoidedNodes) {
-    /** How many nodes are named at most. */
+    /** The highest number of nodes in a summary. */
     public static final int MAX_AVOIDED_NODES = 48;
 
     private static final byte QUERY_TYPE = 'Q';
@@ -49,17 +50,17 @@
         }
     }
 
-    /** The message that asks for a summary. */
+    /** The message that requests a summary. */
     public static byte[] query() {
         return new byte[] {QUERY_TYPE};
     }
 
-    /** Whether a message asks for a summary. */
+    /** Whether a message requests a summary. */
     public static boolean isQuery(byte[] message) {
         return message.length == 1 && message[0] == QUERY_TYPE;
     }
 
-    /** The message that holds this summary. */
+    /** The message that carries this summary. */
     public byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + Integer.BYTES * avoidedNodes.size())
                 .put(ANSWER_TYPE)
@@ -72,7 +73,7 @@
         return out.array();
     }
 
-    /** The summary in a message; null for a message that holds none or has values out of range. */
+    /** Decodes a summary; null if the message holds none or has values out of range. */
     public static PeerStateSummary decode(byte[] message) {
         if (message.length < HEADER_BYTES || message[0] != ANSWER_TYPE) {
             return null;
--- a/src/main/java/cacheproxy/recovery/Provenance.java
+++ b/src/main/java/cacheproxy/recovery/Provenance.java
@@ -1,18 +1,18 @@
 package cacheproxy.recovery;
 
-/** Where something that an instance works with came from. */
+/** The source of the state that an instance uses. */
 public enum Provenance {
-    /** It has none. */
+    /** There is no such state. */
     NONE("none"),
-    /** The configuration, of unknown age. */
+    /** The configuration, whose age is unknown. */
     CONFIGURED("configured"),
     /** This instance's own state folder. */
     STORED("stored"),
-    /** Peers, in answer to a state query. */
+    /** Peers that answered a state query. */
     PEERS("peers"),
-    /** The process that this one took over from, which served until now. */
+    /** The process from which this one took over, and which served until then. */
     PREDECESSOR("predecessor"),
-    /** Discovery, or this process's own observation of the servers. */
+    /** Discovery, or this process's own observation of servers. */
     FIRST_HAND("first hand");
 
     private final String wireName;
--- a/src/main/java/cacheproxy/recovery/ProvenanceTracker.java
+++ b/src/main/java/cacheproxy/recovery/ProvenanceTracker.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * Tracks where the state came from that this process works with and has not observed itself, and until when it may be
- * used. What is observed at first hand replaces it. A decision that rests on expired state is counted as a stale one;
- * the owner of the state has to discard it when {@link #expired} says so, so that there are none.
+ * Tracks the source of state that this process uses but has not observed itself, and until when it may be used.
+ * First-hand observations replace it. A decision that relies on expired state is counted as stale; the owner of the
+ * state discards it when {@link #expired} returns true, so the count stays 0.
  *
  * <p>Times are Unix times in milliseconds. Not thread-safe.
  */
 public final class ProvenanceTracker {
-    /** Kinds of state that may come from elsewhere. */
+    /** The kinds of state that may come from other sources. */
     public enum Subject {
         /** The endpoint list. */
         ENDPOINT_LIST("list"),
-        /** What the load balancer has learned of endpoints and the origin. */
+        /** What the load balancer has learned about endpoints and the origin. */
         LEARNED_STATE("learnt"),
         /** How far zones are open. */
         ZONE_STATES("zones"),
@@ -35,12 +35,12 @@
     }
 
     /**
-     * Where the state of one subject came from.
+     * The source of one subject's state.
      *
      * @param provenance its source
-     * @param ageMs how old it was when it was adopted; NaN where that is unknown
-     * @param usableUntilMs until when it may be used; infinite: without a bound
-     * @param hint whether it only makes decisions more careful
+     * @param ageMs how old it was when it was adopted; NaN if unknown
+     * @param usableUntilMs until when it may be used; infinite if it does not expire
+     * @param hint whether it only makes decisions more cautious
      */
     public record Entry(Provenance provenance, double ageMs, double usableUntilMs, boolean hint) {}
 
@@ -51,11 +51,11 @@
     private long staleDecisions;
 
     /**
-     * State was adopted from elsewhere.
+     * Records that state was adopted from another source.
      *
-     * @param ageMs how old it is now; NaN where that is unknown, and then it doesn't expire
+     * @param ageMs how old it is now; NaN if unknown, in which case it does not expire
      * @param maxAgeMs the age up to which it may be used
-     * @param hint whether it only makes decisions more careful
+     * @param hint whether it only makes decisions more cautious
      */
     public void adopted(
             double nowMs, Subject subject, Provenance provenance, double ageMs, double maxAgeMs, boolean hint) {
@@ -63,44 +63,44 @@
         entries.put(subject, new Entry(provenance, ageMs, usableUntilMs, hint));
     }
 
-    /** A record was found and not adopted, as it is too old or malformed. */
+    /** Records that a record was found but not adopted, because it is too old or malformed. */
     public void rejected(Subject subject) {
         rejectedRecords++;
     }
 
-    /** The subject has been observed at first hand. */
+    /** Records that the subject has been observed at first hand. */
     public void confirmed(Subject subject) {
         entries.put(subject, new Entry(Provenance.FIRST_HAND, 0, Double.POSITIVE_INFINITY, false));
     }
 
-    /** What was adopted is no longer used. */
+    /** Records that the adopted state is no longer used. */
     public void discarded(Subject subject) {
         entries.remove(subject);
     }
 
-    /** Where the state of a subject came from; of provenance {@link Provenance#NONE} where there is none. */
+    /** The source of a subject's state; of provenance {@link Provenance#NONE} if there is none. */
     public Entry entry(Subject subject) {
         return entries.getOrDefault(subject, NO_ENTRY);
     }
 
-    /** Whether what was adopted may no longer be used, and is to be discarded. */
+    /** Whether the adopted state may no longer be used and has to be discarded. */
     public boolean expired(double nowMs, Subject subject) {
         return nowMs > entry(subject).usableUntilMs();
     }
 
-    /** A decision rests on the state of this subject now. */
+    /** Records that a decision relies on the state of this subject now. */
     public void usedForDecision(double nowMs, Subject subject) {
         if (expired(nowMs, subject)) {
             staleDecisions++;
         }
     }
 
-    /** Records that were found and not adopted. */
+    /** The number of records that were found but not adopted. */
     public long rejectedRecords() {
         return rejectedRecords;
     }
 
-    /** Decisions that rested on expired state; stays 0. */
+    /** The number of decisions that relied on expired state; stays 0. */
     public long staleDecisions() {
         return staleDecisions;
     }
--- a/src/main/java/cacheproxy/recovery/RecoveryProgress.java
+++ b/src/main/java/cacheproxy/recovery/RecoveryProgress.java
@@ -4,24 +4,24 @@
 import java.util.Deque;
 
 /**
- * The stage of one instance between its start and full service, by evidence: it is starting until it has an endpoint
- * list, recovering until it serves the requests that it receives, and serving from then on.
+ * The stage of one instance between its start and full service, determined from evidence: it is starting until it has
+ * an endpoint list, recovering until it serves the requests that it receives, and serving from then on.
  *
- * <p>While discovery sends nothing newer, a watch without events says nothing of the list's age; that requests are
- * served by the list is then all the evidence there is. An instance that receives few requests waits a little for such
- * an event. The clock alone ends recovery after {@link #MAX_RECOVERY_MS}: waiting gains nothing by then, and what
- * others do for a recovering instance has to end.
+ * <p>As long as discovery sends nothing newer, a watch without events does not show how old the list is. Requests that
+ * are served by the list are then the only evidence. An instance that receives few requests waits a short time for an
+ * event from discovery. {@link #MAX_RECOVERY_MS} ends recovery without evidence: waiting longer gains nothing, and the
+ * support by other instances for a recovering one has to end.
  *
  * <p>Times are milliseconds of one clock. Not thread-safe.
  */
 public final class RecoveryProgress {
-    /** Stages in their order; only the loss of the list leads back. */
+    /** The stages in their order; only the loss of the endpoint list leads back. */
     public enum Stage {
         /** There is no endpoint list. */
         STARTING("starting"),
-        /** There is one, and it isn't known yet whether requests are served by it. */
+        /** There is a list, but it is not known yet whether requests are served by it. */
         RECOVERING("recovering"),
-        /** Full service; there is no way back. */
+        /** Full service; this stage is final. */
         SERVING("serving");
 
         private final String wireName;
@@ -36,17 +36,17 @@
         }
     }
 
-    /** Recovery ends this long after the process's start at the latest, once there is an endpoint list. */
+    /** Recovery ends at the latest this long after the start of the process, once there is an endpoint list. */
     public static final double MAX_RECOVERY_MS = 30_000;
-    /** The window over which requests are judged. */
+    /** The window over which requests are evaluated. */
     static final double WINDOW_MS = 2000;
-    /** Fewer requests in the window are no evidence. */
+    /** Fewer received requests in the window are no evidence. */
     static final long MIN_REQUESTS = 10;
-    /** The part of the requests ended in the window that has to have been served. */
+    /** The part of the requests completed in the window that has to be served. */
     static final double MIN_SERVED_RATIO = 0.95;
-    /** With few requests: the wait after the list was confirmed. */
+    /** With few requests: how long to wait after the list was confirmed. */
     static final double IDLE_WAIT_MS = 1000;
-    /** With few requests: the wait after there was a list that nobody has confirmed. */
+    /** With few requests: how long to wait after an unconfirmed list became available. */
     static final double UNCONFIRMED_LIST_WAIT_MS = 3000;
 
     private record Reading(double atMs, RequestCounts counts) {}
@@ -59,15 +59,15 @@
     private double servingMs = Double.NaN;
     private boolean endedByTimeout;
 
-    /** Begins at the start of the instance, without a list. */
+    /** Begins at the start of the process, without an endpoint list. */
     public RecoveryProgress(double startedMs) {
         this.startedMs = startedMs;
     }
 
     /**
-     * There is an endpoint list.
+     * An endpoint list is available.
      *
-     * @param confirmed whether it comes from discovery or from the process that was taken over from
+     * @param confirmed whether it comes from discovery or from the process that this one took over from
      */
     public void listAvailable(double nowMs, boolean confirmed) {
         if (Double.isNaN(listMs)) {
@@ -78,14 +78,14 @@
         }
     }
 
-    /** The list had to be discarded. */
+    /** The endpoint list was discarded. */
     public void listLost() {
         if (stage != Stage.SERVING) {
             listMs = Double.NaN;
         }
     }
 
-    /** To be called some times a second with the counts since the start; the stage from now on. */
+    /** Updates the stage by the counts since the start, and returns it; to be called several times a second. */
     public Stage update(double nowMs, RequestCounts counts) {
         if (stage == Stage.SERVING) {
             return stage;
@@ -107,7 +107,7 @@
     private boolean isServing(double nowMs, RequestCounts counts) {
         RequestCounts recent = counts.since(window.peekFirst().counts());
         if (recent.received() >= MIN_REQUESTS) {
-            // Pending requests are received and not served yet; they don't count against the instance.
+            // Requests in progress are received but neither served nor rejected; they do not count against it.
             return recent.served() >= MIN_SERVED_RATIO * (recent.served() + recent.rejected())
                     && recent.served() >= MIN_REQUESTS / 2;
         }
@@ -125,7 +125,7 @@
         return stage;
     }
 
-    /** Milliseconds from the start until there was a list; NaN while there is none. */
+    /** Milliseconds from the start until a list was available; NaN while there is none. */
     public double listAfterMs() {
         return listMs - startedMs;
     }
@@ -140,7 +140,7 @@
         return servingMs - startedMs;
     }
 
-    /** Whether only {@link #MAX_RECOVERY_MS} ended it. */
+    /** Whether recovery ended only because of {@link #MAX_RECOVERY_MS}. */
     public boolean endedByTimeout() {
         return endedByTimeout;
     }
--- a/src/main/java/cacheproxy/recovery/RequestCounts.java
+++ b/src/main/java/cacheproxy/recovery/RequestCounts.java
@@ -1,14 +1,14 @@
 package cacheproxy.recovery;
 
 /**
- * Requests of an instance since its start.
+ * Counts of an instance's requests since its start.
  *
- * @param received requests that were taken
- * @param served of these, answered as asked
- * @param rejected of these, rejected
+ * @param received accepted requests
+ * @param served those answered successfully
+ * @param rejected those rejected
  */
 public record RequestCounts(long received, long served, long rejected) {
-    /** What was counted since an earlier reading. */
+    /** The counts since an earlier reading. */
     RequestCounts since(RequestCounts earlier) {
         return new RequestCounts(received - earlier.received, served - earlier.served, rejected - earlier.rejected);
     }
--- a/src/main/java/cacheproxy/recovery/package-info.java
+++ b/src/main/java/cacheproxy/recovery/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Recovery after a restart: how one instance goes from its start to full service while others of the fleet do the same,
- * and how those that serve make room for them. Decisions without I/O; times are arguments, in milliseconds.
+ * Recovery after a restart: how one instance gets from its start to full service while other instances of the fleet do
+ * the same, and how serving instances pass load on to them. Decisions without I/O; times are arguments, in
+ * milliseconds.
  */
 package cacheproxy.recovery;
