--- a/src/main/java/cacheproxy/state/Authority.java
+++ b/src/main/java/cacheproxy/state/Authority.java
@@ -1,6 +1,6 @@
 package cacheproxy.state;
 
-/** Who vouches for a stored record. */
+/** The authority behind a stored record. */
 public enum Authority {
     /** This instance observed it itself. */
     OBSERVED("seen"),
@@ -10,7 +10,7 @@
     OPERATOR("operator"),
     /** Discovery sent it. */
     DISCOVERY("discovery"),
-    /** It is this instance's own number, which nobody else knows better. */
+    /** This instance itself: it is its own number, which no one else knows better. */
     SELF("self");
 
     private final String wireName;
--- a/src/main/java/cacheproxy/state/Finding.java
+++ b/src/main/java/cacheproxy/state/Finding.java
@@ -1,21 +1,21 @@
 package cacheproxy.state;
 
 /**
- * A problem that was found when a state folder was read.
+ * A problem found while reading a state folder.
  *
  * @param file the file's name in the folder
- * @param line its line, from 1; 0 for the file as a whole
- * @param problem what is wrong, to stand behind the file's name
- * @param severity what is lost by it
+ * @param line the line number, from 1; 0 for the file as a whole
+ * @param problem what is wrong, as a phrase that follows the file's name
+ * @param severity how much is lost
  */
 public record Finding(String file, int line, String problem, Severity severity) {
-    /** What is lost by a problem. */
+    /** How much is lost by a problem. */
     public enum Severity {
-        /** Nothing: it is usual after a crash. */
+        /** Nothing: the problem is normal after a crash. */
         HARMLESS("none"),
         /** Some records; the others are intact. */
         RECORDS_LOST("some"),
-        /** All: nothing of the folder can be used. */
+        /** Everything: nothing in the folder can be used. */
         UNUSABLE("all");
 
         private final String wireName;
--- a/src/main/java/cacheproxy/state/MalformedRecordException.java
+++ b/src/main/java/cacheproxy/state/MalformedRecordException.java
@@ -1,6 +1,6 @@
 package cacheproxy.state;
 
-/** JSON that should be a stored record and isn't one. */
+/** Thrown for JSON that is not a valid stored record. */
 public final class MalformedRecordException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/cacheproxy/state/OpenedState.java
+++ b/src/main/java/cacheproxy/state/OpenedState.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * The content of a state folder as far as it is intact, with the problems that were found.
+ * The intact content of a state folder, and the problems found in it.
  *
  * @param header the latest header; null if none could be read or the folder can't be used
  * @param records the intact records of this instance
--- a/src/main/java/cacheproxy/state/RecordStore.java
+++ b/src/main/java/cacheproxy/state/RecordStore.java
@@ -10,23 +10,24 @@
 import java.util.Set;
 
 /**
- * The records of one instance in memory, and the decision what of them is written when. Changed records are appended to
- * the journal, one write at a time and no more often than their kinds ask for; when the journal has grown, all records
- * become a snapshot. After a failed write the next one is a snapshot, as the content of the files is unknown then, and
- * each further failure doubles the delay.
+ * The records of one instance in memory, and the decision when they are written. Changed records are appended to the
+ * journal, one write at a time and no more often than their kinds require. When the journal has grown too long, all
+ * records are written as a snapshot. A failed write leaves the content of the files unknown, so the next write is a
+ * snapshot, and each further failure doubles the delay.
  *
- * <p>Does no I/O: whoever owns the folder carries out {@link #nextWrite} and says how it went by
+ * <p>Does no I/O: the owner of the folder carries out {@link #nextWrite} and reports the outcome by
  * {@link #writeSucceeded} or {@link #writeFailed}. Times are of the monotonic clock, in milliseconds. Not thread-safe.
  *
- * <p>Bounded: one record of each kind, none longer than {@value #MAX_RECORD_BYTES} bytes, a journal of some
- * {@value #MAX_JOURNAL_BYTES} bytes, and over any minute {@value #MAX_BYTES_PER_MINUTE} bytes beside what is urgent.
+ * <p>Bounded: one record of each kind, none longer than {@value #MAX_RECORD_BYTES} bytes, a journal of about
+ * {@value #MAX_JOURNAL_BYTES} bytes, and {@value #MAX_BYTES_PER_MINUTE} bytes in any minute, not counting urgent
+ * writes.
  */
 public final class RecordStore {
-    /** The longest record that is kept; counted as characters of its JSON. */
+    /** The longest record that is kept, in characters of its JSON. */
     public static final int MAX_RECORD_BYTES = 512 << 10;
-    /** A longer journal becomes a snapshot. */
+    /** A journal longer than this is replaced by a snapshot. */
     public static final int MAX_JOURNAL_BYTES = 512 << 10;
-    /** Once so much was written in a minute, only what is urgent is. */
+    /** After this many bytes in a minute, only urgent changes are written. */
     public static final int MAX_BYTES_PER_MINUTE = 4 << 20;
 
     private static final double INITIAL_BACKOFF_MS = 1000;
@@ -48,8 +49,8 @@
     private long oversizedRecords;
 
     /**
-     * Continues from what was read. The first write is a snapshot: it begins a new start with the records that were
-     * intact.
+     * Continues from the state that was read. The first write is a snapshot with the intact records, and counts as a
+     * new start.
      *
      * @param instance the name of the instance that writes
      * @param fleet the name of its fleet
@@ -60,13 +61,13 @@
         records.putAll(opened.records());
     }
 
-    /** Keeps a record in place of the last of its kind. One that is too long is not kept, and counted. */
+    /** Replaces the record of its kind. A record that is too long is not kept, but counted. */
     public void put(double nowMs, StoredRecord record) {
         RecordKind kind = record.kind();
         StoredRecord before = records.get(kind);
         JsonElement body = record.body();
         if (before != null && before.body().equals(body) && kind.validAtAnyAge()) {
-            return; // neither its content nor its age has changed
+            return; // its content is the same, and its age does not matter
         }
         if (body.toString().length() > MAX_RECORD_BYTES) {
             oversizedRecords++;
@@ -78,7 +79,10 @@
         }
     }
 
-    /** Another process wrote to the folder until now: the next write is of a later generation than all of its. */
+    /**
+     * Another process has written to the folder until now: the next write has a later generation than all of that
+     * process's writes.
+     */
     public void continueAfter(StateFileHeader other) {
         if (other != null && other.generation() >= header.generation()) {
             header = new StateFileHeader(
@@ -90,7 +94,7 @@
         }
     }
 
-    /** What is to be written now, or null. There is no further write until it is said how this one went. */
+    /** The write that is due now, or null. There is no further write until the outcome of this one is reported. */
     public StateWrite nextWrite(double nowMs) {
         if (pendingWrite != null || nowMs < nextWriteAtMs()) {
             return null;
@@ -116,8 +120,8 @@
     }
 
     /**
-     * All records as a snapshot, whatever write is under way; it is to be carried out after that one. For the end of
-     * the process, which waits for nothing else.
+     * All records as a snapshot, even if a write is in progress; to be carried out after that one. For the end of the
+     * process, which waits for no other write.
      */
     public StateWrite finalWrite() {
         header = header.nextGeneration();
@@ -133,7 +137,7 @@
         return new StateWrite.Replace(snapshot, head);
     }
 
-    /** When {@link #nextWrite} may have something to write; infinite: not before a record changes. */
+    /** When {@link #nextWrite} may have something to write; infinite if not before a record changes. */
     public double nextWriteAtMs() {
         if (pendingWrite != null) {
             return Double.POSITIVE_INFINITY;
@@ -150,7 +154,7 @@
         return Math.max(due, backoffUntilMs);
     }
 
-    /** The pending write was carried out and forced to the disk. */
+    /** The pending write has been carried out and forced to the disk. */
     public void writeSucceeded(double nowMs) {
         budget.written(nowMs, pendingWrite.length());
         bytesWritten += pendingWrite.length();
@@ -159,7 +163,7 @@
         pendingWrite = null;
     }
 
-    /** The pending write failed, or its outcome is unknown. */
+    /** The pending write has failed, or its outcome is unknown. */
     public void writeFailed(double nowMs) {
         failedWrites++;
         snapshotNeeded = true;
@@ -172,27 +176,27 @@
         return records.get(kind);
     }
 
-    /** Whether there is something that no file holds yet. */
+    /** Whether there are changes that no file holds yet. */
     public boolean hasUnwrittenRecords() {
         return pendingWrite != null || snapshotNeeded || !dirty.isEmpty();
     }
 
-    /** Bytes written since the start. */
+    /** The number of bytes written since the start. */
     public long bytesWritten() {
         return bytesWritten;
     }
 
-    /** Writes that failed since the start. */
+    /** The number of writes that failed since the start. */
     public long failedWrites() {
         return failedWrites;
     }
 
-    /** Records that were too long to keep. */
+    /** The number of records that were too long to keep. */
     public long oversizedRecords() {
         return oversizedRecords;
     }
 
-    /** The header of the files that were ordered last. */
+    /** The header of the latest write. */
     public StateFileHeader header() {
         return header;
     }
--- a/src/main/java/cacheproxy/state/StateFileFormat.java
+++ b/src/main/java/cacheproxy/state/StateFileFormat.java
@@ -13,9 +13,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * The format of the state files: lines of {@code CHECKSUM JSON}, the first of them the header. The checksum is CRC-32C
- * of the JSON's bytes in eight hexadecimal digits; it detects any change within 32 bits, so a changed byte or a line
- * that was cut short is found wherever it is. JSON on one line holds no line feed, so a damaged line damages no other.
+ * The format of the state files: lines of {@code CHECKSUM JSON}, the first of which is the header. The checksum is the
+ * CRC-32C of the JSON's bytes in eight hexadecimal digits. It detects any change within 32 bits, so a changed byte or a
+ * truncated line is detected wherever it is. JSON on one line contains no line feed, so a damaged line does not affect
+ * any other line.
  *
  * <table>
  * <caption>Stored names</caption>
@@ -31,7 +32,7 @@
     static final int MAX_LINE_BYTES = 1 << 20;
 
     private static final int CHECKSUM_DIGITS = 8;
-    /** Unix times are below this, in milliseconds: some 31,000 years. */
+    /** The upper bound of Unix times, in milliseconds: some 31,000 years. */
     private static final double MAX_TIME_MS = 1e15;
 
     private StateFileFormat() {}
@@ -39,8 +40,8 @@
     /**
      * A line of a file.
      *
-     * @param number from 1
-     * @param json what it holds; empty where the checksum does not match
+     * @param number the line number, from 1
+     * @param json its content; empty if the checksum does not match
      */
     record Line(int number, Optional<JsonElement> json) {}
 
@@ -57,7 +58,7 @@
         return line(o);
     }
 
-    /** A line for each record, one behind the other. */
+    /** The lines of several records, concatenated. */
     static byte[] recordLines(Collection<StoredRecord> records) {
         List<byte[]> lines = records.stream().map(r -> line(toJson(r))).toList();
         byte[] all = new byte[lines.stream().mapToInt(l -> l.length).sum()];
@@ -97,7 +98,7 @@
 
     // ---- reading
 
-    /** All lines of a file; bytes behind the last line feed were cut short and count as a damaged line. */
+    /** All lines of a file; bytes after the last line feed were truncated and count as a damaged line. */
     static List<Line> lines(byte[] file) {
         List<Line> lines = new ArrayList<>();
         int from = 0;
@@ -125,11 +126,11 @@
         try {
             return Optional.of(JsonParser.parseString(new String(file, start, to - start, StandardCharsets.UTF_8)));
         } catch (JsonParseException | IllegalStateException e) {
-            return Optional.empty(); // another program wrote it, with a checksum that matches
+            return Optional.empty(); // another program wrote it with a matching checksum
         }
     }
 
-    /** The version that a header's line names. */
+    /** The version given in a header's line. */
     static int version(JsonElement headerLine) {
         try {
             return headerLine.getAsJsonObject().get("state").getAsInt();
@@ -141,7 +142,7 @@
         }
     }
 
-    /** The header of a line of this version. */
+    /** The header in a line of this version. */
     static StateFileHeader header(JsonElement headerLine) {
         try {
             JsonObject o = headerLine.getAsJsonObject();
@@ -158,14 +159,14 @@
         }
     }
 
-    /** A record from its stored form; empty for a kind that this version does not know. */
+    /** Parses the stored form of a record; empty for a kind that this version does not know. */
     static Optional<StoredRecord> fromJson(JsonElement json) {
         try {
             JsonObject o = json.getAsJsonObject();
             double recordedAtMs = o.get("told_ms").getAsDouble();
             JsonElement body = o.get("body");
             if (!(recordedAtMs >= 0 && recordedAtMs < MAX_TIME_MS) || body == null) {
-                throw new MalformedRecordException("'told_ms' from 0 to 1e15 and a 'body' are expected");
+                throw new MalformedRecordException("expected 'told_ms' from 0 to 1e15 and a 'body'");
             }
             return RecordKind.fromWireName(o.get("kind").getAsString())
                     .map(kind -> new StoredRecord(kind, recordedAtMs, body));
--- a/src/main/java/cacheproxy/state/StateFileHeader.java
+++ b/src/main/java/cacheproxy/state/StateFileHeader.java
@@ -1,22 +1,22 @@
 package cacheproxy.state;
 
 /**
- * The first line of each state file: which instance it belongs to and which generation it is.
+ * The first line of each state file: the instance to which the file belongs, and its generation.
  *
  * @param instance the instance's name in its configuration, not empty
- * @param fleet the name of the fleet that it belongs to
- * @param generation goes up with each snapshot, 0 or more; a journal belongs to the snapshot of its generation
- * @param starts how often a process has opened the folder to write, 0 or more
+ * @param fleet the name of the instance's fleet
+ * @param generation increases with each snapshot, 0 or more; a journal belongs to the snapshot of the same generation
+ * @param starts how often a process has opened the folder for writing, 0 or more
  */
 public record StateFileHeader(String instance, String fleet, long generation, long starts) {
-    /** The version of the file format; a process reads no other. */
+    /** The version of the file format; a process reads no other version. */
     public static final int VERSION = 1;
 
     /** Checks the ranges. */
     public StateFileHeader {
         if (instance.isEmpty() || generation < 0 || starts < 0) {
-            throw new IllegalArgumentException(
-                    "a header of '" + instance + "', generation " + generation + ", " + starts + " starts");
+            throw new IllegalArgumentException("header of instance '" + instance + "', generation " + generation + ", "
+                    + starts + " starts: out of range");
         }
     }
 
--- a/src/main/java/cacheproxy/state/StateFolder.java
+++ b/src/main/java/cacheproxy/state/StateFolder.java
@@ -15,14 +15,14 @@
 import java.util.List;
 
 /**
- * The state folder of one instance: the files {@code snapshot} and {@code journal}, and a lock file that keeps a second
- * process from writing. What a call has written survives a crash of the machine once the call has returned. Used by one
- * thread at a time; each call may block on the disk.
+ * The state folder of one instance: the files {@code snapshot} and {@code journal}, and a lock file that prevents a
+ * second process from writing. Written data survives a crash of the machine once the call that wrote it has returned.
+ * Used by one thread at a time; each call may block on the disk.
  */
 public final class StateFolder implements AutoCloseable {
     private static final String LOCK_FILE = "lock";
     private static final String NEW_SUFFIX = ".new";
-    /** Unusable files are kept under their names with this suffix, the last of each. */
+    /** Suffix under which unusable files are kept; only the latest one of each name. */
     private static final String ASIDE_SUFFIX = ".aside";
 
     private static final long MAX_FILE_BYTES = 16 << 20;
@@ -32,7 +32,7 @@
     private FileLock lock;
     private FileChannel journal;
 
-    /** Touches no file yet. */
+    /** Does not access the folder yet. */
     public StateFolder(Path folder) {
         this.folder = folder;
     }
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Reads the folder; empty where there is none. Never fails: each problem is a finding.
+     * Reads the folder; the result is empty if the folder does not exist. Never fails: each problem is a finding.
      *
-     * @param instance whose folder it should be; null to read any instance's
-     * @param fleet the fleet that it should belong to
+     * @param instance the instance to which the folder should belong; null accepts any instance
+     * @param fleet the fleet to which it should belong
      */
     public OpenedState read(String instance, String fleet) {
         List<Finding> findings = new ArrayList<>();
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Takes the lock, without waiting for it; creates the folder where there is none.
+     * Acquires the lock if it is free, and creates the folder if it does not exist.
      *
-     * @return whether this process alone may write from now on, until it closes this or ends
+     * @return whether only this process may write from now on, until it closes this folder or ends
      */
     public boolean tryLock() throws IOException {
         if (lock != null) {
@@ -90,12 +90,12 @@
         try {
             lock = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            return false; // another part of this process has it
+            return false; // another part of this process holds it
         }
         return lock != null;
     }
 
-    /** Renames unusable files, so that the next snapshot destroys nothing that somebody may want. */
+    /** Renames unusable files, so that the next snapshot does not overwrite data that may still be needed. */
     public void setAside() throws IOException {
         for (String name : List.of(StateReader.SNAPSHOT, StateReader.JOURNAL)) {
             Path file = folder.resolve(name);
@@ -108,7 +108,7 @@
     /**
      * Carries out a write and forces it to the disk.
      *
-     * @throws IOException if it failed; the content of the files is unknown then, and the next write has to be a
+     * @throws IOException if it failed; the content of the files is then unknown, and the next write has to be a
      *     snapshot
      */
     public void write(StateWrite write) throws IOException {
@@ -134,14 +134,17 @@
 
     private void replace(StateWrite.Replace files) throws IOException {
         closeJournal();
-        Files.createDirectories(folder); // it may have been deleted meanwhile
+        Files.createDirectories(folder); // it may have been deleted in the meantime
         replaceFile(StateReader.SNAPSHOT, files.snapshot());
         replaceFile(StateReader.JOURNAL, files.journal());
         journal = FileChannel.open(
                 folder.resolve(StateReader.JOURNAL), StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     }
 
-    /** At any time and after any crash the name stands for the old file or the new one, complete. */
+    /**
+     * Replaces a file atomically: at any time and after any crash, the name refers to the complete old or the complete
+     * new file.
+     */
     private void replaceFile(String name, byte[] bytes) throws IOException {
         Path next = folder.resolve(name + NEW_SUFFIX);
         try (FileChannel file = FileChannel.open(
@@ -151,7 +154,7 @@
         }
         Files.move(next, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
-            directory.force(true); // or the new name may be lost in a crash of the machine
+            directory.force(true); // otherwise a crash of the machine may lose the new name
         }
     }
 
--- a/src/main/java/cacheproxy/state/StateReader.java
+++ b/src/main/java/cacheproxy/state/StateReader.java
@@ -9,16 +9,16 @@
 import java.util.Optional;
 
 /**
- * Reads the snapshot and the journal of a state folder from their bytes and merges them. Does no I/O, and throws for no
- * bytes whatever: each problem is a {@link Finding}.
+ * Reads the snapshot and the journal of a state folder from their bytes and merges them. Does no I/O and never throws,
+ * whatever the bytes are: each problem is a {@link Finding}.
  */
 public final class StateReader {
-    /** The file that holds all records, as of some time. */
+    /** The file that holds all records as of its generation. */
     public static final String SNAPSHOT = "snapshot";
-    /** The file that holds the records that have changed since. */
+    /** The file that holds the records changed since then. */
     public static final String JOURNAL = "journal";
 
-    /** What could be read of one file. */
+    /** The readable content of one file. */
     private record FileContent(StateFileHeader header, Map<RecordKind, StoredRecord> records) {}
 
     private final String instance;
@@ -33,10 +33,10 @@
     /**
      * Reads both files.
      *
-     * @param snapshot null where there is none
-     * @param journal null where there is none
-     * @param instance whose folder it should be; null to read any instance's
-     * @param fleet the fleet that it should belong to
+     * @param snapshot null if there is none
+     * @param journal null if there is none
+     * @param instance the instance to which the folder should belong; null accepts any instance
+     * @param fleet the fleet to which it should belong
      */
     public static OpenedState read(byte[] snapshot, byte[] journal, String instance, String fleet) {
         return new StateReader(instance, fleet).read(snapshot, journal);
@@ -46,7 +46,7 @@
         FileContent base = readFile(SNAPSHOT, snapshot);
         FileContent changes = readFile(JOURNAL, journal);
         if (findings.stream().anyMatch(f -> f.severity() == Severity.UNUSABLE)) {
-            // Another instance's or version's folder is used as a whole or not at all.
+            // A folder with a file of another instance or version is not used at all.
             return new OpenedState(null, Map.of(), List.copyOf(findings));
         }
         return merge(base, changes);
@@ -76,7 +76,7 @@
             return true;
         }
         if (journal.generation() < snapshot.generation()) {
-            // The process died between the two steps of a snapshot, which holds all that the journal says.
+            // The process died between the two steps of a snapshot; the snapshot holds all records of the journal.
             findings.add(new Finding(JOURNAL, 0, "is of the snapshot before", Severity.HARMLESS));
             return false;
         }
@@ -86,7 +86,7 @@
         return true;
     }
 
-    /** Null where there is no file, or none that can be used. */
+    /** The content of a file; null if there is no file, or it can't be used. */
     private FileContent readFile(String file, byte[] bytes) {
         if (bytes == null) {
             return null;
@@ -154,7 +154,7 @@
         return records;
     }
 
-    /** A crash can damage only the last line of the journal: the other writes were forced to the disk. */
+    /** A crash can damage only the last line of the journal: all other writes were forced to the disk. */
     private static Finding damagedLine(String file, int line, boolean last) {
         return last && file.equals(JOURNAL)
                 ? new Finding(file, line, "ends within a record: the process died in a write", Severity.HARMLESS)
--- a/src/main/java/cacheproxy/state/StateReport.java
+++ b/src/main/java/cacheproxy/state/StateReport.java
@@ -8,17 +8,16 @@
 import java.util.stream.Collectors;
 
 /**
- * A report on a state folder for people and scripts: each record with its age and how far a process that starts now
- * would use it, and the problems that were found. The fields of the JSON and the layout of the text are read by
- * scripts.
+ * A report on a state folder for people and scripts: each record with its age and how a process that starts now would
+ * use it, and the problems found. Scripts parse the fields of the JSON and the layout of the text.
  *
- * @param state what was read
- * @param nowMs the time by which records are judged, Unix time in milliseconds
+ * @param state the state that was read
+ * @param nowMs the time at which records are evaluated, Unix time in milliseconds
  */
 public record StateReport(OpenedState state, double nowMs) {
     private static final double MS_PER_SECOND = 1000;
 
-    /** Whether nothing is lost: a process would start from the folder as it was left. */
+    /** Whether nothing is lost: a process would start with the complete state. */
     public boolean isIntact() {
         return state.findings().stream().allMatch(f -> f.severity() == Severity.HARMLESS);
     }
@@ -69,7 +68,7 @@
 
     // ---- text
 
-    /** The report as a few lines of text. */
+    /** The report as text of a few lines. */
     public String toText() {
         StringBuilder text = new StringBuilder();
         text.append(headline());
--- a/src/main/java/cacheproxy/state/StateWrite.java
+++ b/src/main/java/cacheproxy/state/StateWrite.java
@@ -2,7 +2,7 @@
 
 /** One write to the state folder, to be carried out by {@link StateFolder}. */
 public sealed interface StateWrite {
-    /** How many bytes it writes. */
+    /** The number of bytes that it writes. */
     long length();
 
     /** Appends to the journal. */
--- a/src/main/java/cacheproxy/state/StoredRecord.java
+++ b/src/main/java/cacheproxy/state/StoredRecord.java
@@ -7,26 +7,26 @@
 /**
  * One stored record. There is at most one of each kind; a later one replaces it.
  *
- * @param kind what it is
- * @param recordedAtMs when its content was known to be so, Unix time in milliseconds
+ * @param kind its kind
+ * @param recordedAtMs when its content was last known to be true, Unix time in milliseconds
  * @param body its content, in the form of its kind
  */
 public record StoredRecord(RecordKind kind, double recordedAtMs, JsonElement body) {
-    /** Its form in state files and in the state that a process hands to its successor. */
+    /** Its form in state files and in the state that a process hands over to its successor. */
     public JsonObject toJson() {
         return StateFileFormat.toJson(this);
     }
 
     /**
-     * Reads that form; empty for a kind that this version does not know.
+     * Parses that form; empty for a kind that this version does not know.
      *
-     * @throws MalformedRecordException if it is no record
+     * @throws MalformedRecordException if the JSON is not a valid record
      */
     public static Optional<StoredRecord> fromJson(JsonElement json) {
         return StateFileFormat.fromJson(json);
     }
 
-    /** How far it may be used at this time, Unix time in milliseconds. */
+    /** How it may be used at this time, Unix time in milliseconds. */
     public Validity validity(double nowMs) {
         return kind.validity(nowMs - recordedAtMs);
     }
--- a/src/main/java/cacheproxy/state/WriteBudget.java
+++ b/src/main/java/cacheproxy/state/WriteBudget.java
@@ -1,8 +1,9 @@
 package cacheproxy.state;
 
 /**
- * Counts the bytes written in each minute, so that what is not urgent can wait for the next one when the disk has taken
- * enough. A minute begins with the first write after the last one has ended. Times are of the monotonic clock.
+ * Counts the bytes written in each minute, so that changes that are not urgent wait for the next minute once the limit
+ * is reached. A minute begins with the first write after the previous minute has ended. Times are of the monotonic
+ * clock.
  */
 final class WriteBudget {
     private static final double MINUTE_MS = 60_000;
@@ -15,7 +16,7 @@
         this.maxBytesPerMinute = maxBytesPerMinute;
     }
 
-    /** So many bytes have been written. */
+    /** Records that this many bytes have been written. */
     void written(double nowMs, long bytes) {
         if (nowMs - minuteStartMs >= MINUTE_MS) {
             minuteStartMs = nowMs;
@@ -24,7 +25,7 @@
         bytesThisMinute += bytes;
     }
 
-    /** From when on something that is not urgent may be written; in the past where it may be now. */
+    /** When a change that is not urgent may be written; in the past if it may be written now. */
     double availableAtMs() {
         return bytesThisMinute >= maxBytesPerMinute ? minuteStartMs + MINUTE_MS : Double.NEGATIVE_INFINITY;
     }
