--- a/src/main/java/cacheproxy/failover/ZoneDecision.java
+++ b/src/main/java/cacheproxy/failover/ZoneDecision.java
@@ -23,7 +23,7 @@
      * The step time of an operator's order to leave at the instances that did not receive it: they continue the order
      * if no step was made for this long.
      */
-    private static final double TAKE_OVER_MS = 6000;
+    private static final double CONTINUE_ORDER_AFTER_MS = 6000;
 
     private final double nowMs;
     private final int zone;
@@ -68,7 +68,7 @@
     }
 
     private ZoneState leaveStep() {
-        double stepMs = tracker.leaveStepMs > 0 ? tracker.leaveStepMs : TAKE_OVER_MS;
+        double stepMs = tracker.leaveStepMs > 0 ? tracker.leaveStepMs : CONTINUE_ORDER_AFTER_MS;
         return state.trafficParts() > 0 && sinceChangeMs() >= stepMs
                 ? state.next(state.trafficParts() - 1, Cause.LEAVE, state.leaveCount())
                 : null;
--- a/src/main/java/cacheproxy/failover/ZoneFailover.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -31,22 +31,22 @@
     /** The longest duration over which an operator may have a zone left. */
     public static final double MAX_LEAVE_DURATION_MS = 75_000;
     /** The delay by which each rank decides later than the one before, whose decision should have arrived by then. */
-    private static final double TURN_MS = 80;
+    private static final double RANK_DELAY_MS = 80;
 
-    private static final int TURNS = 8;
+    private static final int DELAYED_RANKS = 8;
     /**
-     * The delay of all instances ranked after the first {@link #TURNS}. Each decision is gossiped to the whole fleet.
-     * If the first decision takes longer than the turns to spread, as it does under a high gossip load, a hundred
-     * further decisions would slow it down even more.
+     * The delay of all instances ranked after the first {@link #DELAYED_RANKS}. Each decision is gossiped to the whole
+     * fleet. If the first decision takes longer than the turns to spread, as it does under a high gossip load, a
+     * hundred further decisions would slow it down even more.
      */
-    private static final double OTHERS_TURN_MS = 2500;
+    private static final double LAST_RANKS_DELAY_MS = 2500;
     /** The time between two probes of a zone by one instance. */
     private static final double PROBE_INTERVAL_MS = 800;
     /**
      * The number of instances that publish others' decisions in their own entries; if all did, each step would change
      * every instance's entry.
      */
-    private static final int PLAN_CARRIERS = 5;
+    private static final int PLAN_PUBLISHERS = 5;
 
     private static final String OPERATOR_ORDER = "an operator's order here";
 
@@ -216,7 +216,7 @@
         for (int z = 0; z < trackers.size(); z++) {
             decideIfDue(nowMs, z, detector, reports);
         }
-        if (InstanceRanking.rank(0, settings.instanceId(), reports) < PLAN_CARRIERS) {
+        if (InstanceRanking.rank(0, settings.instanceId(), reports) < PLAN_PUBLISHERS) {
             planState.publishAll();
         }
         publisher.update(nowMs, own, reports, plan(), trackers);
@@ -292,7 +292,7 @@
             return;
         }
         int rank = InstanceRanking.rank(zone, settings.instanceId(), reports);
-        if (nowMs - tracker.proposedMs >= (rank < TURNS ? rank * TURN_MS : OTHERS_TURN_MS)) {
+        if (nowMs - tracker.proposedMs >= (rank < DELAYED_RANKS ? rank * RANK_DELAY_MS : LAST_RANKS_DELAY_MS)) {
             String reason = plan().stateOf(zone).cause() == Cause.EVIDENCE
                     ? "found " + verdict.displayName() + " by " + reports.size() + " instances"
                     : "going on with an operator's order";
--- a/src/test/java/cacheproxy/failover/FailoverPlanTest.java
+++ b/src/test/java/cacheproxy/failover/FailoverPlanTest.java
@@ -93,14 +93,14 @@
 
     @Test
     void anOrderPrevailsOverEvidenceOfItsEpochAndNotOfALaterOne() {
-        ZoneState seen = new ZoneState(3, 15, Cause.EVIDENCE, 0);
-        ZoneState told = new ZoneState(3, 0, Cause.LEAVE, 0);
-        assertThat(new FailoverPlan(List.of(seen))
-                        .join(new FailoverPlan(List.of(told)))
+        ZoneState evidence = new ZoneState(3, 15, Cause.EVIDENCE, 0);
+        ZoneState order = new ZoneState(3, 0, Cause.LEAVE, 0);
+        assertThat(new FailoverPlan(List.of(evidence))
+                        .join(new FailoverPlan(List.of(order)))
                         .stateOf(0))
-                .isEqualTo(told);
+                .isEqualTo(order);
         ZoneState later = new ZoneState(4, 15, Cause.EVIDENCE, 0);
-        assertThat(new FailoverPlan(List.of(told))
+        assertThat(new FailoverPlan(List.of(order))
                         .join(new FailoverPlan(List.of(later)))
                         .stateOf(0))
                 .isEqualTo(later);
--- a/src/test/java/cacheproxy/failover/RestoredZoneStatesTest.java
+++ b/src/test/java/cacheproxy/failover/RestoredZoneStatesTest.java
@@ -71,17 +71,17 @@
      */
     @Test
     void anUnreachableZoneThatRespondsIsSoonHealthy() {
-        ZoneHealthMonitor o = new ZoneHealthMonitor(1);
-        o.setReadyNodes(0, 6);
+        ZoneHealthMonitor monitor = new ZoneHealthMonitor(1);
+        monitor.setReadyNodes(0, 6);
         for (int server = 0; server < 6; server++) {
-            o.onNoResponse(1000 + 100 * server, 0, server);
+            monitor.onNoResponse(1000 + 100 * server, 0, server);
         }
-        assertThat(o.health(1600, 0)).isEqualTo(ZoneHealth.UNREACHABLE);
-        o.onResponse(1700, 0, false);
-        o.onResponse(1800, 0, false);
-        assertThat(o.health(1800, 0)).isEqualTo(ZoneHealth.HEALTHY);
-        assertThat(o.isCold(1800, 0)).isTrue();
-        o.onNoResponse(1900, 0, 3);
-        assertThat(o.health(1900, 0)).as("a third of what was sent since").isEqualTo(ZoneHealth.UNKNOWN);
+        assertThat(monitor.health(1600, 0)).isEqualTo(ZoneHealth.UNREACHABLE);
+        monitor.onResponse(1700, 0, false);
+        monitor.onResponse(1800, 0, false);
+        assertThat(monitor.health(1800, 0)).isEqualTo(ZoneHealth.HEALTHY);
+        assertThat(monitor.isCold(1800, 0)).isTrue();
+        monitor.onNoResponse(1900, 0, 3);
+        assertThat(monitor.health(1900, 0)).as("a third of what was sent since").isEqualTo(ZoneHealth.UNKNOWN);
     }
 }
--- a/src/test/java/cacheproxy/failover/ZoneFailoverTest.java
+++ b/src/test/java/cacheproxy/failover/ZoneFailoverTest.java
@@ -17,15 +17,15 @@
         return new ZonePlay(12, 24, 30, seed);
     }
 
-    private static double until(ZonePlay p, BooleanSupplier what, double limitMs) {
-        double began = p.now();
-        while (!what.getAsBoolean() && p.now() - began < limitMs) {
+    private static double timeUntil(ZonePlay p, BooleanSupplier condition, double limitMs) {
+        double startedMs = p.now();
+        while (!condition.getAsBoolean() && p.now() - startedMs < limitMs) {
             p.pass(50);
         }
-        return p.now() - began;
+        return p.now() - startedMs;
     }
 
-    private static boolean whole(ZonePlay p) {
+    private static boolean allZonesOpen(ZonePlay p) {
         for (int z = 0; z < ZonePlay.ZONES; z++) {
             if (!p.all(h -> true, z, 1)) {
                 return false;
@@ -39,14 +39,14 @@
     void aZoneWhoseNodesFailIsClosedByAllAndRecovers(long seed) {
         ZonePlay p = fleet(seed);
         p.nodesDie(0);
-        double first = until(p, () -> p.any(0, 0), 5000);
+        double first = timeUntil(p, () -> p.any(0, 0), 5000);
         assertThat(first).isLessThan(1500);
-        assertThat(until(p, () -> p.all(h -> true, 0, 0), 5000)).isLessThan(1000);
+        assertThat(timeUntil(p, () -> p.all(h -> true, 0, 0), 5000)).isLessThan(1000);
         double sent = p.sent(0);
         p.pass(10_000);
         assertThat(p.sent(0) - sent).as("trials of all in 10 s").isLessThan(45);
         p.nodesReturn(0, true);
-        assertThat(until(p, () -> whole(p), 30_000)).isBetween(9000.0, 16_000.0);
+        assertThat(timeUntil(p, () -> allZonesOpen(p), 30_000)).isBetween(9000.0, 16_000.0);
         assertThat(p.of(3).plan().stateOf(0).leaveCount()).isEqualTo(1);
     }
 
@@ -57,7 +57,7 @@
         p.pass(6000);
         assertThat(p.all(h -> true, 1, 0)).isTrue();
         p.nodesReturn(1, false);
-        assertThat(until(p, () -> whole(p), 30_000)).isLessThan(6000);
+        assertThat(timeUntil(p, () -> allZonesOpen(p), 30_000)).isLessThan(6000);
     }
 
     /** The far side must not have the fleet leave three zones; when it is heard again, what most decided holds. */
@@ -66,7 +66,7 @@
     void aPartitionedZoneIsClosedByTheOthersAndDecidesNothing(long seed) {
         ZonePlay p = fleet(seed);
         p.cutOff(z -> z == 0);
-        assertThat(until(p, () -> p.all(h -> h != 0, 0, 0), 8000)).isLessThan(4000);
+        assertThat(timeUntil(p, () -> p.all(h -> h != 0, 0, 0), 8000)).isLessThan(4000);
         p.pass(5000);
         for (int z = 0; z < ZonePlay.ZONES; z++) {
             assertThat(p.all(h -> h == 0, z, 1)).as("open to those in it").isTrue();
@@ -74,9 +74,9 @@
         assertThat(p.of(0).plan().hasDecisions()).isFalse();
         assertThat(p.of(0).hasQuorum()).isFalse();
         p.heal();
-        assertThat(until(
+        assertThat(timeUntil(
                         p,
-                        () -> whole(p)
+                        () -> allZonesOpen(p)
                                 && p.of(0).hasQuorum()
                                 && p.of(4).plan().equals(p.of(1).plan()),
                         20_000))
@@ -136,9 +136,9 @@
     void aDegradedZoneIsDrainedWhileOthersAreHealthy() {
         ZonePlay p = fleet(11);
         p.lose(2, 0.3);
-        assertThat(until(p, () -> p.all(h -> true, 2, 0), 30_000)).isLessThan(15_000);
+        assertThat(timeUntil(p, () -> p.all(h -> true, 2, 0), 30_000)).isLessThan(15_000);
         p.lose(2, 0);
-        assertThat(until(p, () -> whole(p), 60_000)).isLessThan(30_000);
+        assertThat(timeUntil(p, () -> allZonesOpen(p), 60_000)).isLessThan(30_000);
     }
 
     /** Seen in the model: the others had its keys too, were slow for that, and were left one after another. */
@@ -192,7 +192,7 @@
         p.nodesReturn(1, false);
         p.nodesReturn(2, false);
         p.nodesReturn(3, false);
-        assertThat(until(p, () -> whole(p), 120_000)).isLessThan(90_000);
+        assertThat(timeUntil(p, () -> allZonesOpen(p), 120_000)).isLessThan(90_000);
     }
 
     @Test
@@ -226,7 +226,8 @@
         p.pass(5000);
         assertThat(p.open(2, 1)).isZero();
         p.of(5).returnToZone(p.now(), 1);
-        assertThat(until(p, () -> whole(p) && p.of(0).plan().stateOf(1).cause() == Cause.EVIDENCE, 30_000))
+        assertThat(timeUntil(
+                        p, () -> allZonesOpen(p) && p.of(0).plan().stateOf(1).cause() == Cause.EVIDENCE, 30_000))
                 .isLessThan(8000);
     }
 
@@ -239,7 +240,7 @@
         p.kill(2);
         p.pass(3000);
         double then = p.open(7, 1);
-        assertThat(until(p, () -> p.all(h -> true, 1, 0), 120_000)).isLessThan(110_000);
+        assertThat(timeUntil(p, () -> p.all(h -> true, 1, 0), 120_000)).isLessThan(110_000);
         assertThat(then).isPositive();
     }
 
--- a/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
+++ b/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
@@ -15,7 +15,7 @@
 /** Who carries more than its part lets clients go, at a pace, and only while that does any good. */
 class ConnectionRebalancerTest {
     private static final double TICK_MS = 250;
-    private static final double CLIENTS_RATE = 4;
+    private static final double CONNECTION_RATE = 4;
 
     /**
      * A fleet that serves a number of connections, each with the same load; what ends is dealt to the one with the
@@ -24,31 +24,32 @@
     private static final class Fleet {
         final int[] open;
         final List<ConnectionRebalancer> rebalancers = new ArrayList<>();
-        final int[] ended;
+        final int[] closed;
         double now;
 
         Fleet(int... open) {
             this.open = open;
-            ended = new int[open.length];
+            closed = new int[open.length];
             Arrays.stream(open).forEach(n -> rebalancers.add(new ConnectionRebalancer()));
         }
 
-        /** {@code stays}: what is ended comes back to where it was. */
-        void tick(boolean stays) {
+        /** {@code clientsReturn}: what is ended comes back to where it was. */
+        void tick(boolean clientsReturn) {
             now += TICK_MS;
             int[] before = open.clone();
             for (int i = 0; i < open.length; i++) {
                 List<Double> others = new ArrayList<>();
                 for (int j = 0; j < open.length; j++) {
                     if (j != i) {
-                        others.add(RequestRateCode.decode(RequestRateCode.encode(before[j] * CLIENTS_RATE)));
+                        others.add(RequestRateCode.decode(RequestRateCode.encode(before[j] * CONNECTION_RATE)));
                     }
                 }
-                int many =
-                        rebalancers.get(i).connectionsToClose(now, before[i] * CLIENTS_RATE, others, open[i], open[i]);
-                assertThat(many).isBetween(0, open[i]);
-                ended[i] += many;
-                for (int c = 0; c < many && !stays; c++) {
+                int count = rebalancers
+                        .get(i)
+                        .connectionsToClose(now, before[i] * CONNECTION_RATE, others, open[i], open[i]);
+                assertThat(count).isBetween(0, open[i]);
+                closed[i] += count;
+                for (int c = 0; c < count && !clientsReturn; c++) {
                     open[i]--;
                     int least = 0;
                     for (int j = 0; j < open.length; j++) {
@@ -59,7 +60,7 @@
             }
         }
 
-        double busiest() {
+        double highestLoadRatio() {
             return Arrays.stream(open).max().orElse(0)
                     * (double) open.length
                     / Arrays.stream(open).sum();
@@ -76,7 +77,7 @@
         while (fleet.now < 10_000) {
             fleet.tick(false);
         }
-        assertThat(fleet.busiest()).isLessThanOrEqualTo(1.5);
+        assertThat(fleet.highestLoadRatio()).isLessThanOrEqualTo(1.5);
     }
 
     /** Whatever the rebalancer, it comes to rest: no connection is ended for ever. */
@@ -87,11 +88,11 @@
         while (fleet.now < 30_000) {
             fleet.tick(false);
         }
-        int[] then = fleet.ended.clone();
+        int[] closedBefore = fleet.closed.clone();
         while (fleet.now < 60_000) {
             fleet.tick(false);
         }
-        assertThat(fleet.ended).isEqualTo(then);
+        assertThat(fleet.closed).isEqualTo(closedBefore);
     }
 
     /** Clients that sit beside their proxy come back to it: they are troubled less and less. */
@@ -102,8 +103,8 @@
             fleet.tick(true);
         }
         assertThat(fleet.rebalancers.get(0).isBackingOff(fleet.now)).isTrue();
-        assertThat(fleet.ended[0]).isLessThan(6 * 4 * 120);
-        assertThat(fleet.ended[1]).isZero();
+        assertThat(fleet.closed[0]).isLessThan(6 * 4 * 120);
+        assertThat(fleet.closed[1]).isZero();
     }
 
     @Example
@@ -126,8 +127,8 @@
 
     @Property(seed = "9")
     void rateCodeIsAccurateToAnEighth(@ForAll @IntRange(min = 1, max = 1_000_000) int perSecond) {
-        double told = RequestRateCode.decode(RequestRateCode.encode(perSecond));
-        assertThat(told).isBetween(perSecond / 1.13, perSecond * 1.13);
+        double decoded = RequestRateCode.decode(RequestRateCode.encode(perSecond));
+        assertThat(decoded).isBetween(perSecond / 1.13, perSecond * 1.13);
         assertThat(RequestRateCode.differs(RequestRateCode.encode(perSecond), perSecond))
                 .isFalse();
         assertThat(RequestRateCode.differs(RequestRateCode.encode(perSecond), perSecond * 1.6 + 2))
--- a/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
@@ -31,7 +31,7 @@
     private static final int ZONES = 4;
 
     /** What one instance of so many holds, of which the first so many serve. */
-    private static MembershipView view(int me, int all, int serving) {
+    private static MembershipView view(int self, int all, int serving) {
         List<Member> entries = new ArrayList<>();
         for (int i = 0; i < all; i++) {
             Membership m = new Membership(
@@ -49,7 +49,7 @@
             m.phase(i < serving ? ServicePhase.SERVING : ServicePhase.RECOVERING);
             entries.add(m.member(i));
         }
-        return new MembershipView(me, 0, entries, 0, new ConfiguredMembers(all), false);
+        return new MembershipView(self, 0, entries, 0, new ConfiguredMembers(all), false);
     }
 
     private static PeerStateSummary summary(long version, Integer... bad) {
@@ -58,14 +58,14 @@
 
     @Example
     void threePeersOfThreeZonesAreQueriedByEachInstanceOthers() {
-        Set<Integer> asked = new HashSet<>();
-        for (int me = 20; me < 60; me++) {
-            List<Integer> mine = new PeerStateQuery(me, 0).peersToQuery(0, view(me, 60, 20));
-            assertThat(mine).hasSize(3).doesNotHaveDuplicates();
-            assertThat(mine.stream().map(i -> i % ZONES).distinct()).hasSize(3);
-            asked.addAll(mine);
+        Set<Integer> queried = new HashSet<>();
+        for (int self = 20; self < 60; self++) {
+            List<Integer> chosen = new PeerStateQuery(self, 0).peersToQuery(0, view(self, 60, 20));
+            assertThat(chosen).hasSize(3).doesNotHaveDuplicates();
+            assertThat(chosen.stream().map(i -> i % ZONES).distinct()).hasSize(3);
+            queried.addAll(chosen);
         }
-        assertThat(asked.size()).as("of twenty that serve").isGreaterThan(15);
+        assertThat(queried.size()).as("of twenty that serve").isGreaterThan(15);
     }
 
     @Example
@@ -102,11 +102,11 @@
     void queryEndsWithoutAnswers() {
         PeerStateQuery query = new PeerStateQuery(9, 0);
         MembershipView view = view(9, 10, 6);
-        Set<Integer> asked = new HashSet<>();
+        Set<Integer> queried = new HashSet<>();
         for (int t = 0; t <= PeerStateQuery.QUERY_TIMEOUT_MS; t += 100) {
-            query.peersToQuery(t, view).forEach(p -> assertThat(asked.add(p)).isTrue());
+            query.peersToQuery(t, view).forEach(p -> assertThat(queried.add(p)).isTrue());
         }
-        assertThat(asked).hasSize(6);
+        assertThat(queried).hasSize(6);
         assertThat(query.state()).isEqualTo(State.UNANSWERED);
     }
 
@@ -115,10 +115,11 @@
      * alone names.
      */
     @Property(seed = "3", tries = 500)
-    void suspectedNodesAreBoundedByZone(@ForAll @Size(3) List<@Size(max = 40) List<@IntRange(max = 60) Integer>> said) {
+    void suspectedNodesAreBoundedByZone(
+            @ForAll @Size(3) List<@Size(max = 40) List<@IntRange(max = 60) Integer>> named) {
         PeerStateQuery query = new PeerStateQuery(9, 0);
         MembershipView view = view(9, 10, 3);
-        List<Integer> asked = query.peersToQuery(0, view);
+        List<Integer> queried = query.peersToQuery(0, view);
         Map<Integer, Integer> zoneOf = new HashMap<>();
         Map<Integer, Integer> inZone = new HashMap<>();
         for (int n = 0; n < 48; n++) {
@@ -126,7 +127,7 @@
             inZone.merge(n % ZONES, 1, Integer::sum);
         }
         for (int i = 0; i < 3; i++) {
-            query.answerReceived(asked.get(i), summary(1, said.get(i).toArray(new Integer[0])));
+            query.answerReceived(queried.get(i), summary(1, named.get(i).toArray(new Integer[0])));
         }
         Result r = query.result(zoneOf, inZone);
         for (int z = 0; z < ZONES; z++) {
@@ -137,19 +138,19 @@
         assertThat(r.suspectedNodes())
                 .doesNotHaveDuplicates()
                 .allMatch(n -> zoneOf.containsKey(n)
-                        && said.stream().filter(s -> s.contains(n)).count() >= 2);
+                        && named.stream().filter(s -> s.contains(n)).count() >= 2);
     }
 
     @Property(seed = "4", tries = 500)
     void summariesRoundTripAndOtherBytesAreRejected(@ForAll @Size(max = 48) List<Integer> bad, @ForAll byte[] bytes) {
-        PeerStateSummary told = new PeerStateSummary(7, 1.5f, 0, 0.25f, bad);
-        assertThat(PeerStateSummary.decode(told.encode())).isEqualTo(told);
-        assertThat(told.encode()).hasSizeLessThanOrEqualTo(250);
+        PeerStateSummary summary = new PeerStateSummary(7, 1.5f, 0, 0.25f, bad);
+        assertThat(PeerStateSummary.decode(summary.encode())).isEqualTo(summary);
+        assertThat(summary.encode()).hasSizeLessThanOrEqualTo(250);
         PeerStateSummary read = PeerStateSummary.decode(bytes);
         if (read != null) {
             assertThat(read.encode()).isEqualTo(bytes);
         }
-        byte[] cut = Arrays.copyOf(told.encode(), told.encode().length - 1);
+        byte[] cut = Arrays.copyOf(summary.encode(), summary.encode().length - 1);
         assertThat(PeerStateSummary.decode(cut)).isNull();
     }
 }
--- a/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
+++ b/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
@@ -9,14 +9,14 @@
 class RecoveryProgressTest {
     private final RecoveryProgress progress = new RecoveryProgress(0);
 
-    private static RequestCounts sample(long asked, long served, long refused) {
-        return new RequestCounts(asked, served, refused);
+    private static RequestCounts counts(long received, long served, long rejected) {
+        return new RequestCounts(received, served, rejected);
     }
 
     @Test
     void startingLastsWhileThereIsNoList() {
         for (int t = 0; t <= 100_000; t += 250) {
-            assertThat(progress.update(t, sample(t, 0, t))).isEqualTo(Stage.STARTING);
+            assertThat(progress.update(t, counts(t, 0, t))).isEqualTo(Stage.STARTING);
         }
     }
 
@@ -25,9 +25,9 @@
     void timeoutEndsRecoveryWithoutEvidence() {
         progress.listAvailable(100, false);
         for (int t = 250; t < RecoveryProgress.MAX_RECOVERY_MS; t += 250) {
-            assertThat(progress.update(t, sample(t / 250, t / 500, t / 500))).isEqualTo(Stage.RECOVERING);
+            assertThat(progress.update(t, counts(t / 250, t / 500, t / 500))).isEqualTo(Stage.RECOVERING);
         }
-        assertThat(progress.update(RecoveryProgress.MAX_RECOVERY_MS, sample(130, 65, 65)))
+        assertThat(progress.update(RecoveryProgress.MAX_RECOVERY_MS, counts(130, 65, 65)))
                 .isEqualTo(Stage.SERVING);
         assertThat(progress.endedByTimeout()).isTrue();
     }
@@ -36,20 +36,20 @@
     @Test
     void unconfirmedListSufficesIfItServesOrThereAreNoRequests() {
         progress.listAvailable(0, false);
-        assertThat(progress.update(2900, sample(0, 0, 0))).isEqualTo(Stage.RECOVERING);
-        assertThat(progress.update(3000, sample(0, 0, 0))).isEqualTo(Stage.SERVING);
-        RecoveryProgress asked = new RecoveryProgress(0);
-        asked.listAvailable(0, false);
-        asked.update(250, sample(0, 0, 0));
-        assertThat(asked.update(500, sample(40, 39, 0))).isEqualTo(Stage.SERVING);
+        assertThat(progress.update(2900, counts(0, 0, 0))).isEqualTo(Stage.RECOVERING);
+        assertThat(progress.update(3000, counts(0, 0, 0))).isEqualTo(Stage.SERVING);
+        RecoveryProgress underLoad = new RecoveryProgress(0);
+        underLoad.listAvailable(0, false);
+        underLoad.update(250, counts(0, 0, 0));
+        assertThat(underLoad.update(500, counts(40, 39, 0))).isEqualTo(Stage.SERVING);
     }
 
     @Test
     void servedRequestsEndRecovery() {
         progress.listAvailable(0, true);
-        assertThat(progress.update(250, sample(4, 4, 0))).isEqualTo(Stage.RECOVERING);
-        assertThat(progress.update(500, sample(8, 8, 0))).isEqualTo(Stage.RECOVERING);
-        assertThat(progress.update(750, sample(20, 18, 0))).isEqualTo(Stage.SERVING);
+        assertThat(progress.update(250, counts(4, 4, 0))).isEqualTo(Stage.RECOVERING);
+        assertThat(progress.update(500, counts(8, 8, 0))).isEqualTo(Stage.RECOVERING);
+        assertThat(progress.update(750, counts(20, 18, 0))).isEqualTo(Stage.SERVING);
         assertThat(progress.servingAfterMs()).isEqualTo(750);
         assertThat(progress.endedByTimeout()).isFalse();
     }
@@ -58,11 +58,11 @@
     void rejectionsProlongRecovery() {
         progress.listAvailable(0, true);
         for (int t = 250; t < 20_000; t += 250) {
-            assertThat(progress.update(t, sample(t, t - t / 10, t / 10))).isEqualTo(Stage.RECOVERING);
+            assertThat(progress.update(t, counts(t, t - t / 10, t / 10))).isEqualTo(Stage.RECOVERING);
         }
         // It is looked at over the last two seconds alone.
         for (int t = 20_000; t <= 22_250; t += 250) {
-            progress.update(t, sample(t, t - 2000, 2000));
+            progress.update(t, counts(t, t - 2000, 2000));
         }
         assertThat(progress.stage()).isEqualTo(Stage.SERVING);
     }
@@ -70,16 +70,16 @@
     @Test
     void idleInstanceServesAfterASecond() {
         progress.listAvailable(2000, true);
-        assertThat(progress.update(2900, sample(0, 0, 0))).isEqualTo(Stage.RECOVERING);
-        assertThat(progress.update(3000, sample(0, 0, 0))).isEqualTo(Stage.SERVING);
+        assertThat(progress.update(2900, counts(0, 0, 0))).isEqualTo(Stage.RECOVERING);
+        assertThat(progress.update(3000, counts(0, 0, 0))).isEqualTo(Stage.SERVING);
     }
 
     @Test
     void lostListLeadsBackToStarting() {
         progress.listAvailable(0, false);
-        progress.update(250, sample(0, 0, 0));
+        progress.update(250, counts(0, 0, 0));
         progress.listLost();
-        assertThat(progress.update(500, sample(0, 0, 0))).isEqualTo(Stage.STARTING);
+        assertThat(progress.update(500, counts(0, 0, 0))).isEqualTo(Stage.STARTING);
     }
 
     /** What may be used until when, and that a decision beyond that is counted. */
--- a/src/test/java/cacheproxy/state/CrashTest.java
+++ b/src/test/java/cacheproxy/state/CrashTest.java
@@ -18,7 +18,7 @@
  * lost that was done.
  */
 class CrashTest {
-    private static final String ME = "proxy-3";
+    private static final String INSTANCE = "proxy-3";
     private static final String FLEET = "edge";
 
     /** The two files, each as it stands on a disk; a file is replaced whole, and an append may end anywhere. */
@@ -33,7 +33,7 @@
             return d;
         }
 
-        void whole(StateWrite w) {
+        void apply(StateWrite w) {
             if (w instanceof StateWrite.Append a) {
                 append(a.bytes(), a.bytes().length);
             } else if (w instanceof StateWrite.Replace r) {
@@ -42,15 +42,15 @@
             }
         }
 
-        void append(byte[] bytes, int many) {
+        void append(byte[] bytes, int count) {
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             all.writeBytes(journal);
-            all.write(bytes, 0, many);
+            all.write(bytes, 0, count);
             journal = all.toByteArray();
         }
 
         /** As it is after the process has died in this write, at its every step. */
-        List<Disk> deaths(StateWrite w) {
+        List<Disk> crashStates(StateWrite w) {
             List<Disk> all = new ArrayList<>(List.of(copy()));
             if (w instanceof StateWrite.Append a) {
                 for (int n = 1; n <= a.bytes().length; n++) {
@@ -63,14 +63,14 @@
                 first.snapshot = r.snapshot();
                 all.add(first);
                 Disk both = copy();
-                both.whole(w);
+                both.apply(w);
                 all.add(both);
             }
             return all;
         }
 
         OpenedState open() {
-            return StateReader.read(snapshot, journal, ME, FLEET);
+            return StateReader.read(snapshot, journal, INSTANCE, FLEET);
         }
     }
 
@@ -88,59 +88,59 @@
     /** 200 lives, each ended in the middle of a write at its every step: some 20,000 deaths. */
     @Test
     void crashAtAnyStepLosesNoCompletedWrite() {
-        long deaths = 0;
+        long crashes = 0;
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Disk disk = new Disk();
-            Map<RecordKind, Integer> done = new EnumMap<>(RecordKind.class);
-            Map<RecordKind, Integer> put = new EnumMap<>(RecordKind.class);
+            Map<RecordKind, Integer> completed = new EnumMap<>(RecordKind.class);
+            Map<RecordKind, Integer> submitted = new EnumMap<>(RecordKind.class);
             int next = 0;
-            for (int life = 0; life < 3; life++) {
-                RecordStore store = new RecordStore(disk.open(), ME, FLEET);
-                double now = life * 1e6;
+            for (int process = 0; process < 3; process++) {
+                RecordStore store = new RecordStore(disk.open(), INSTANCE, FLEET);
+                double now = process * 1e6;
                 int writes = random.nextInt(1, 5);
                 for (int w = 0; w < writes; w++) {
                     for (int i = random.nextInt(3); i >= 0; i--) {
                         RecordKind kind = RecordKind.values()[random.nextInt(RecordKind.values().length)];
-                        put.put(kind, ++next);
+                        submitted.put(kind, ++next);
                         store.put(now, record(kind, next));
                     }
                     now += 10_000;
                     StateWrite write = store.nextWrite(now);
                     assertThat(write).isNotNull();
-                    for (Disk dead : disk.deaths(write)) {
-                        deaths++;
-                        OpenedState opened = dead.open();
+                    for (Disk crashed : disk.crashStates(write)) {
+                        crashes++;
+                        OpenedState opened = crashed.open();
                         assertThat(opened.findings()).allMatch(f -> f.severity() == Severity.HARMLESS);
                         for (RecordKind kind : RecordKind.values()) {
                             assertThat(number(opened.records().get(kind)))
-                                    .isBetween(done.getOrDefault(kind, 0), put.getOrDefault(kind, 0));
+                                    .isBetween(completed.getOrDefault(kind, 0), submitted.getOrDefault(kind, 0));
                         }
                     }
-                    disk.whole(write);
+                    disk.apply(write);
                     store.writeSucceeded(now);
-                    done.putAll(put);
+                    completed.putAll(submitted);
                 }
                 // The life ends in one more write, somewhere.
                 store.put(now, record(RecordKind.ENDPOINT_LIST, ++next));
-                put.put(RecordKind.ENDPOINT_LIST, next);
-                List<Disk> ends = disk.deaths(store.nextWrite(now + 10_000));
-                disk = ends.get(random.nextInt(ends.size()));
-                disk.open().records().forEach((kind, r) -> done.put(kind, number(r)));
-                put.clear(); // what went down with it is known to nobody
-                put.putAll(done);
+                submitted.put(RecordKind.ENDPOINT_LIST, next);
+                List<Disk> outcomes = disk.crashStates(store.nextWrite(now + 10_000));
+                disk = outcomes.get(random.nextInt(outcomes.size()));
+                disk.open().records().forEach((kind, r) -> completed.put(kind, number(r)));
+                submitted.clear(); // what went down with it is known to nobody
+                submitted.putAll(completed);
             }
         }
-        assertThat(deaths).isGreaterThan(10_000);
+        assertThat(crashes).isGreaterThan(10_000);
     }
 
     private static Disk filled() {
         Disk disk = new Disk();
-        RecordStore store = new RecordStore(OpenedState.EMPTY, ME, FLEET);
+        RecordStore store = new RecordStore(OpenedState.EMPTY, INSTANCE, FLEET);
         for (int i = 0; i < 4; i++) {
             store.put(i, record(RecordKind.values()[i], 10 + i));
             StateWrite w = store.nextWrite(i + 10_000);
-            disk.whole(w);
+            disk.apply(w);
             store.writeSucceeded(i + 10_000);
         }
         return disk;
@@ -150,10 +150,10 @@
     @Test
     void changedOrMissingBytesNeverYieldAWrongRecord() {
         Disk disk = filled();
-        OpenedState sound = disk.open();
-        assertThat(sound.records()).hasSize(4);
-        assertThat(sound.findings()).isEmpty();
-        int seen = 0;
+        OpenedState intact = disk.open();
+        assertThat(intact.records()).hasSize(4);
+        assertThat(intact.findings()).isEmpty();
+        int detected = 0;
         for (boolean snapshot : new boolean[] {true, false}) {
             byte[] file = snapshot ? disk.snapshot : disk.journal;
             for (int at = 0; at < file.length; at++) {
@@ -163,23 +163,23 @@
                         other[at] ^= (byte) mask;
                     }
                     OpenedState opened = snapshot
-                            ? StateReader.read(other, disk.journal, ME, FLEET)
-                            : StateReader.read(disk.snapshot, other, ME, FLEET);
+                            ? StateReader.read(other, disk.journal, INSTANCE, FLEET)
+                            : StateReader.read(disk.snapshot, other, INSTANCE, FLEET);
                     opened.records()
                             .forEach((kind, r) ->
-                                    assertThat(r).isEqualTo(sound.records().get(kind)));
+                                    assertThat(r).isEqualTo(intact.records().get(kind)));
                     // A file that was cut between two lines looks like one that was never longer.
                     boolean between = mask < 0 && (at == 0 || file[at - 1] == '\n');
                     if (!between) {
                         assertThat(opened.findings())
                                 .as("byte %d, mask %d", at, mask)
                                 .isNotEmpty();
-                        seen++;
+                        detected++;
                     }
                 }
             }
         }
-        assertThat(seen).isGreaterThan(1000);
+        assertThat(detected).isGreaterThan(1000);
     }
 
     /**
@@ -188,7 +188,7 @@
     @Test
     void arbitraryBytesNeverThrow() {
         Disk disk = filled();
-        OpenedState sound = disk.open();
+        OpenedState intact = disk.open();
         for (long seed = 1; seed <= 3000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             byte[] file = new byte[random.nextInt(600)];
@@ -198,15 +198,15 @@
                     file[i++] = (byte) random.nextInt(256);
                 } else {
                     int start = random.nextInt(from.length);
-                    int many = Math.min(Math.min(random.nextInt(1, 200), from.length - start), file.length - i);
-                    System.arraycopy(from, start, file, i, many);
-                    i += many;
+                    int length = Math.min(Math.min(random.nextInt(1, 200), from.length - start), file.length - i);
+                    System.arraycopy(from, start, file, i, length);
+                    i += length;
                 }
             }
-            OpenedState opened = StateReader.read(random.nextBoolean() ? file : disk.snapshot, file, ME, FLEET);
+            OpenedState opened = StateReader.read(random.nextBoolean() ? file : disk.snapshot, file, INSTANCE, FLEET);
             opened.records()
-                    .forEach(
-                            (kind, r) -> assertThat(r).isEqualTo(sound.records().get(kind)));
+                    .forEach((kind, r) ->
+                            assertThat(r).isEqualTo(intact.records().get(kind)));
         }
     }
 }
--- a/src/test/java/cacheproxy/state/RecordStoreTest.java
+++ b/src/test/java/cacheproxy/state/RecordStoreTest.java
@@ -17,7 +17,7 @@
         return new StoredRecord(kind, 5000, new JsonPrimitive(text));
     }
 
-    private static RecordStore begun() {
+    private static RecordStore storeAfterSnapshot() {
         RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
         assertThat(store.nextWrite(0)).isInstanceOf(StateWrite.Replace.class);
         store.writeSucceeded(0);
@@ -26,7 +26,7 @@
 
     @Test
     void urgentRecordsAreWrittenSoonAndLearnedStateIsDelayed() {
-        RecordStore store = begun();
+        RecordStore store = storeAfterSnapshot();
         assertThat(store.nextWriteAtMs()).isInfinite();
         store.put(1000, record(RecordKind.LEARNED_STATE, "a"));
         assertThat(store.nextWrite(1000)).isNull();
@@ -44,7 +44,7 @@
 
     @Test
     void failedWriteIsFollowedBySnapshotWithExponentialBackoff() {
-        RecordStore store = begun();
+        RecordStore store = storeAfterSnapshot();
         store.put(0, record(RecordKind.ENDPOINT_LIST, "b"));
         assertThat(store.nextWrite(100)).isInstanceOf(StateWrite.Append.class);
         store.writeFailed(100);
@@ -61,7 +61,7 @@
 
     @Test
     void longJournalBecomesSnapshotAndBytesPerMinuteAreBounded() {
-        RecordStore store = begun();
+        RecordStore store = storeAfterSnapshot();
         String big = "x".repeat(100_000);
         int replaced = 0;
         long urgent = 0;
@@ -85,7 +85,7 @@
 
     @Test
     void oversizedRecordIsNotKept() {
-        RecordStore store = begun();
+        RecordStore store = storeAfterSnapshot();
         store.put(0, record(RecordKind.ENDPOINT_LIST, "x".repeat(RecordStore.MAX_RECORD_BYTES + 1)));
         assertThat(store.get(RecordKind.ENDPOINT_LIST)).isNull();
         assertThat(store.oversizedRecords()).isEqualTo(1);
@@ -128,9 +128,9 @@
         assertThat(kind.validity(seconds * 1000)).isEqualTo(use);
     }
 
-    private static OpenedState open(String head, String instance) {
+    private static OpenedState open(String header, String instance) {
         StateWrite.Replace w = (StateWrite.Replace) new RecordStore(OpenedState.EMPTY, "p", "f").nextWrite(0);
-        byte[] snapshot = head == null ? w.snapshot() : head.getBytes(StandardCharsets.UTF_8);
+        byte[] snapshot = header == null ? w.snapshot() : header.getBytes(StandardCharsets.UTF_8);
         return StateReader.read(snapshot, null, instance, "f");
     }
 
--- a/src/test/java/cacheproxy/state/StateFolderTest.java
+++ b/src/test/java/cacheproxy/state/StateFolderTest.java
@@ -45,13 +45,13 @@
 
     @Test
     void writtenRecordsAreReadByTheNextProcess() throws IOException {
-        Path there = path.resolve("not/yet");
-        try (StateFolder folder = new StateFolder(there)) {
+        Path folderPath = path.resolve("not/yet");
+        try (StateFolder folder = new StateFolder(folderPath)) {
             assertThat(folder.read("p", "f").findings()).isEmpty();
             assertThat(folder.tryLock()).isTrue();
             write(folder, 1, 2, 3);
         }
-        OpenedState opened = new StateFolder(there).read("p", "f");
+        OpenedState opened = new StateFolder(folderPath).read("p", "f");
         assertThat(number(opened)).isEqualTo(3);
         assertThat(opened.header().starts()).isEqualTo(1);
         assertThat(opened.findings()).isEmpty();
@@ -73,7 +73,7 @@
     void failedWriteKeepsTheOldFiles() throws IOException {
         try (StateFolder folder = new StateFolder(path)) {
             RecordStore store = write(folder, 1);
-            Path inTheWay = Files.createDirectory(path.resolve("snapshot.new"));
+            Path obstacle = Files.createDirectory(path.resolve("snapshot.new"));
             store.put(2, record(2));
             folder.write(store.nextWrite(1e7)); // an append needs no new file
             store.writeFailed(1e7);
@@ -82,7 +82,7 @@
             assertThatThrownBy(() -> folder.write(third)).isInstanceOf(IOException.class);
             store.writeFailed(2e7);
             assertThat(number(folder.read("p", "f"))).isEqualTo(2);
-            Files.delete(inTheWay);
+            Files.delete(obstacle);
             folder.write(store.nextWrite(3e7));
             store.writeSucceeded(3e7);
             assertThat(number(folder.read("p", "f"))).isEqualTo(3);
@@ -91,10 +91,10 @@
 
     @Test
     void deletedFolderIsRecreated() throws IOException {
-        Path there = path.resolve("gone");
-        try (StateFolder folder = new StateFolder(there)) {
+        Path folderPath = path.resolve("gone");
+        try (StateFolder folder = new StateFolder(folderPath)) {
             RecordStore store = write(folder, 1);
-            for (Path file : List.of(there.resolve("snapshot"), there.resolve("journal"), there)) {
+            for (Path file : List.of(folderPath.resolve("snapshot"), folderPath.resolve("journal"), folderPath)) {
                 Files.delete(file);
             }
             store.put(2, record(2));
@@ -129,11 +129,11 @@
 
     /** A process of its own that writes one number after another, and says each that is done. */
     static final class Writer {
-        public static void main(String[] words) throws IOException {
-            try (StateFolder folder = new StateFolder(Path.of(words[0]))) {
+        public static void main(String[] args) throws IOException {
+            try (StateFolder folder = new StateFolder(Path.of(args[0]))) {
                 folder.tryLock();
                 RecordStore store = new RecordStore(folder.read("p", "f"), "p", "f");
-                for (int n = Integer.parseInt(words[1]); ; n++) {
+                for (int n = Integer.parseInt(args[1]); ; n++) {
                     store.put(n, record(n));
                     folder.write(store.nextWrite(n + 1e6));
                     store.writeSucceeded(n);
@@ -159,23 +159,25 @@
                             String.valueOf(done + 1))
                     .redirectErrorStream(true)
                     .start();
-            List<String> said = new ArrayList<>();
+            List<String> reported = new ArrayList<>();
             try (BufferedReader lines = process.inputReader()) {
-                int wanted = 1 + kill * 7 % 23;
-                for (String line; said.size() < wanted && (line = lines.readLine()) != null; ) {
-                    said.add(line);
+                int expected = 1 + kill * 7 % 23;
+                for (String line; reported.size() < expected && (line = lines.readLine()) != null; ) {
+                    reported.add(line);
                 }
                 // Not by the process's handle, which would close what it has said and is not read yet.
                 new ProcessBuilder("kill", "-9", String.valueOf(process.pid()))
                         .start()
                         .waitFor();
-                lines.lines().forEach(said::add);
+                lines.lines().forEach(reported::add);
             }
             assertThat(process.waitFor(10, TimeUnit.SECONDS)).isTrue();
             int last = Integer.parseInt(
-                    said.get(said.size() - 1).matches("\\d+") ? said.get(said.size() - 1) : said.get(said.size() - 2));
+                    reported.get(reported.size() - 1).matches("\\d+")
+                            ? reported.get(reported.size() - 1)
+                            : reported.get(reported.size() - 2));
             OpenedState opened = new StateFolder(path).read("p", "f");
-            assertThat(number(opened)).as("%s", said).isBetween(last, last + 1);
+            assertThat(number(opened)).as("%s", reported).isBetween(last, last + 1);
             assertThat(opened.findings()).allMatch(f -> f.severity() == Severity.HARMLESS);
             assertThat(opened.header().starts()).isEqualTo(kill);
             done = number(opened);
--- a/src/test/java/cacheproxy/state/StoredFormTest.java
+++ b/src/test/java/cacheproxy/state/StoredFormTest.java
@@ -15,14 +15,14 @@
 
 /** The stored form: folders of earlier processes, sound and damaged, are written and read as they were. */
 class StoredFormTest {
-    private static final String ME = "proxy-3";
+    private static final String INSTANCE = "proxy-3";
     private static final String FLEET = "edge";
-    private static final double TOLD_MS = 1_700_000_000_000.0;
-    private static final double NOW_MS = TOLD_MS + 45_000;
+    private static final double RECORDED_MS = 1_700_000_000_000.0;
+    private static final double NOW_MS = RECORDED_MS + 45_000;
 
-    private static StoredRecord record(RecordKind kind, double toldMs, String body) {
+    private static StoredRecord record(RecordKind kind, double recordedAtMs, String body) {
         JsonElement json = JsonParser.parseString(body);
-        return new StoredRecord(kind, toldMs, json);
+        return new StoredRecord(kind, recordedAtMs, json);
     }
 
     private static String host(String name, String health) {
@@ -32,34 +32,35 @@
 
     /** The two files after a snapshot of all kinds and a journal of two. */
     private static byte[][] written() {
-        RecordStore store = new RecordStore(OpenedState.EMPTY, ME, FLEET);
-        store.put(0, record(RecordKind.INCARNATION, TOLD_MS, "17"));
+        RecordStore store = new RecordStore(OpenedState.EMPTY, INSTANCE, FLEET);
+        store.put(0, record(RecordKind.INCARNATION, RECORDED_MS, "17"));
         store.put(
                 0,
                 record(
                         RecordKind.ENDPOINT_LIST,
-                        TOLD_MS + 1,
+                        RECORDED_MS + 1,
                         "{\"seq\":43,\"whole\":true,\"hosts\":[" + host("s-0000beef", "up") + ","
                                 + host("s-0000bef0", "draining") + "]}"));
-        store.put(0, record(RecordKind.LEARNED_STATE, TOLD_MS + 2, PinnedFile.text("proxy/learned-state.json")));
+        store.put(0, record(RecordKind.LEARNED_STATE, RECORDED_MS + 2, PinnedFile.text("proxy/learned-state.json")));
         store.put(
                 0,
                 record(
                         RecordKind.ZONE_STATES,
-                        TOLD_MS + 3,
+                        RECORDED_MS + 3,
                         "{\"east\":{\"epoch\":4,\"open\":15,\"cause\":\"evidence\",\"leaves\":1,\"floor\":4}}"));
         store.put(
                 0,
                 record(
                         RecordKind.OPERATOR_ORDERS,
-                        TOLD_MS + 4,
+                        RECORDED_MS + 4,
                         "{\"west\":{\"epoch\":9,\"open\":0,\"cause\":\"leave\",\"leaves\":2,\"floor\":9}}"));
         StateWrite.Replace first = (StateWrite.Replace) store.nextWrite(0);
         store.writeSucceeded(0);
         ByteArrayOutputStream journal = new ByteArrayOutputStream();
         journal.writeBytes(first.journal());
-        store.put(1, record(RecordKind.LEARNED_STATE, TOLD_MS + 40_000.5, "{}"));
-        store.put(1, record(RecordKind.ENDPOINT_LIST, TOLD_MS + 40_001, "{\"seq\":44,\"whole\":true,\"hosts\":[]}"));
+        store.put(1, record(RecordKind.LEARNED_STATE, RECORDED_MS + 40_000.5, "{}"));
+        store.put(
+                1, record(RecordKind.ENDPOINT_LIST, RECORDED_MS + 40_001, "{\"seq\":44,\"whole\":true,\"hosts\":[]}"));
         journal.writeBytes(((StateWrite.Append) store.nextWrite(10_000)).bytes());
         return new byte[][] {first.snapshot(), journal.toByteArray()};
     }
@@ -96,10 +97,10 @@
                 "empty-files"
             })
     void folderIsReadAsPinned(String folder) {
-        OpenedState opened = new StateFolder(PinnedFile.path("state/" + folder)).read(ME, FLEET);
-        StateReport inspection = new StateReport(opened, NOW_MS);
-        PinnedFile.assertJson("state/" + folder + "/inspection.json", inspection.toJson());
-        PinnedFile.assertText("state/" + folder + "/inspection.txt", inspection.toText());
+        OpenedState opened = new StateFolder(PinnedFile.path("state/" + folder)).read(INSTANCE, FLEET);
+        StateReport report = new StateReport(opened, NOW_MS);
+        PinnedFile.assertJson("state/" + folder + "/inspection.json", report.toJson());
+        PinnedFile.assertText("state/" + folder + "/inspection.txt", report.toText());
     }
 
     /** How far each kind may be used over its age: what a process that starts decides by. */
@@ -113,7 +114,8 @@
             table.append(kind.wireName()).append(':');
             for (double age : agesMs) {
                 StoredRecord r = new StoredRecord(kind, 0, JsonParser.parseString("1"));
-                OpenedState opened = new OpenedState(new StateFileHeader(ME, FLEET, 1, 1), Map.of(kind, r), List.of());
+                OpenedState opened =
+                        new OpenedState(new StateFileHeader(INSTANCE, FLEET, 1, 1), Map.of(kind, r), List.of());
                 String use = new StateReport(opened, age)
                         .toJson()
                         .getAsJsonArray("records")
