--- a/src/test/java/cacheproxy/failover/FailoverPlanTest.java
+++ b/src/test/java/cacheproxy/failover/FailoverPlanTest.java
@@ -59,7 +59,7 @@
         assertThat(FailoverPlan.decode(new byte[5], 4)).isEqualTo(FailoverPlan.initial(4));
     }
 
-    /** The vectors of docs/design/members-wire.md. */
+    /** The test vectors of docs/design/members-wire.md. */
     @Test
     void notesAreEncodedAsOnTheWirePage() {
         HexFormat hex = HexFormat.of();
--- a/src/test/java/cacheproxy/failover/RestoredZoneStatesTest.java
+++ b/src/test/java/cacheproxy/failover/RestoredZoneStatesTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a process makes of what its last life held: an epoch never goes back, and what is too old closes and opens
- * nothing.
+ * Restoring the zone states that an earlier process stored: epochs never decrease, and states that are too old neither
+ * close nor open a zone.
  */
 class RestoredZoneStatesTest {
     private static final ZoneState CLOSED = new ZoneState(5, 0, Cause.EVIDENCE, 1);
@@ -36,7 +36,8 @@
     }
 
     /**
-     * It is not told to others either: in one epoch the wider open share would hold, and open what they have closed.
+     * The expired state is not published either: in the same epoch the state with more parts open prevails, so it could
+     * open a zone that other instances have closed.
      */
     @Test
     void ofAnExpiredStateOnlyTheEpochCounts() {
@@ -67,7 +68,8 @@
     }
 
     /**
-     * A zone that was lost and answers again is good by its answers since, not after a whole window without silence.
+     * A zone that was unreachable and responds again is healthy by its responses since then; it does not have to wait
+     * for a whole window without timeouts.
      */
     @Test
     void anUnreachableZoneThatRespondsIsSoonHealthy() {
@@ -82,6 +84,8 @@
         assertThat(monitor.health(1800, 0)).isEqualTo(ZoneHealth.HEALTHY);
         assertThat(monitor.isCold(1800, 0)).isTrue();
         monitor.onNoResponse(1900, 0, 3);
-        assertThat(monitor.health(1900, 0)).as("a third of what was sent since").isEqualTo(ZoneHealth.UNKNOWN);
+        assertThat(monitor.health(1900, 0))
+                .as("a third of the attempts since then")
+                .isEqualTo(ZoneHealth.UNKNOWN);
     }
 }
--- a/src/test/java/cacheproxy/failover/ZoneFailoverTest.java
+++ b/src/test/java/cacheproxy/failover/ZoneFailoverTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A fleet of twelve in four zones, in virtual time. */
+/** Simulates a fleet of twelve instances in four zones, in virtual time. */
 class ZoneFailoverTest {
     private static ZonePlay fleet(long seed) {
         return new ZonePlay(12, 24, 30, seed);
@@ -44,7 +44,7 @@
         assertThat(timeUntil(p, () -> p.all(h -> true, 0, 0), 5000)).isLessThan(1000);
         double sent = p.sent(0);
         p.pass(10_000);
-        assertThat(p.sent(0) - sent).as("trials of all in 10 s").isLessThan(45);
+        assertThat(p.sent(0) - sent).as("probes by all instances in 10 s").isLessThan(45);
         p.nodesReturn(0, true);
         assertThat(timeUntil(p, () -> allZonesOpen(p), 30_000)).isBetween(9000.0, 16_000.0);
         assertThat(p.of(3).plan().stateOf(0).leaveCount()).isEqualTo(1);
@@ -60,7 +60,10 @@
         assertThat(timeUntil(p, () -> allZonesOpen(p), 30_000)).isLessThan(6000);
     }
 
-    /** The far side must not have the fleet leave three zones; when it is heard again, what most decided holds. */
+    /**
+     * A partitioned zone must not make the fleet leave the three other zones. After the partition heals, the decisions
+     * of the majority hold.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aPartitionedZoneIsClosedByTheOthersAndDecidesNothing(long seed) {
@@ -69,7 +72,7 @@
         assertThat(timeUntil(p, () -> p.all(h -> h != 0, 0, 0), 8000)).isLessThan(4000);
         p.pass(5000);
         for (int z = 0; z < ZonePlay.ZONES; z++) {
-            assertThat(p.all(h -> h == 0, z, 1)).as("open to those in it").isTrue();
+            assertThat(p.all(h -> h == 0, z, 1)).as("open to its own instances").isTrue();
         }
         assertThat(p.of(0).plan().hasDecisions()).isFalse();
         assertThat(p.of(0).hasQuorum()).isFalse();
@@ -82,7 +85,9 @@
                         20_000))
                 .isLessThan(8000);
         for (int z = 1; z < ZonePlay.ZONES; z++) {
-            assertThat(p.of(0).plan().stateOf(z).epoch()).as("never decided").isZero();
+            assertThat(p.of(0).plan().stateOf(z).epoch())
+                    .as("without any decision")
+                    .isZero();
         }
     }
 
@@ -141,7 +146,10 @@
         assertThat(timeUntil(p, () -> allZonesOpen(p), 60_000)).isLessThan(30_000);
     }
 
-    /** Seen in the model: the others had its keys too, were slow for that, and were left one after another. */
+    /**
+     * Guards against cascading leaves, which the model showed: the remaining zones served the closed zone's keys as
+     * well, became slow for that reason, and were left one after another.
+     */
     @Test
     void aSlowZoneIsNotDrainedWhileAnotherIsClosed() {
         ZonePlay p = fleet(18);
@@ -221,7 +229,7 @@
         assertThat(p.all(h -> true, 1, 0)).isTrue();
         p.kill(2);
         p.pass(30_000);
-        assertThat(p.all(h -> true, 1, 0)).as("though it is sound").isTrue();
+        assertThat(p.all(h -> true, 1, 0)).as("although it is healthy").isTrue();
         p.start(2);
         p.pass(5000);
         assertThat(p.open(2, 1)).isZero();
@@ -244,7 +252,9 @@
         assertThat(then).isPositive();
     }
 
-    /** An order on each side of a cut: after it one holds everywhere. */
+    /**
+     * Two contradictory orders, one on each side of a partition: after it heals, the same one holds at all instances.
+     */
     @Test
     void contradictoryOrdersMergeToOne() {
         ZonePlay p = fleet(17);
--- a/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
+++ b/src/test/java/cacheproxy/recovery/ConnectionRebalancerTest.java
@@ -12,14 +12,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Who carries more than its part lets clients go, at a pace, and only while that does any good. */
+/** An overloaded instance closes client connections at a limited rate, and only while closing them reduces its load. */
 class ConnectionRebalancerTest {
     private static final double TICK_MS = 250;
     private static final double CONNECTION_RATE = 4;
 
     /**
-     * A fleet that serves a number of connections, each with the same load; what ends is dealt to the one with the
-     * fewest.
+     * A fleet that serves a number of connections with the same load each; a closed connection reconnects to the
+     * instance with the fewest connections.
      */
     private static final class Fleet {
         final int[] open;
@@ -33,7 +33,7 @@
             Arrays.stream(open).forEach(n -> rebalancers.add(new ConnectionRebalancer()));
         }
 
-        /** {@code clientsReturn}: what is ended comes back to where it was. */
+        /** {@code clientsReturn}: whether closed connections reconnect to the same instance. */
         void tick(boolean clientsReturn) {
             now += TICK_MS;
             int[] before = open.clone();
@@ -67,7 +67,9 @@
         }
     }
 
-    /** The first one back has all clients. Within ten seconds nobody has more than one and a half times the mean. */
+    /**
+     * The first instance to restart has all clients. Within ten seconds no instance has more than 1.5 times the mean.
+     */
     @Property(seed = "7", tries = 200)
     void clientsOfOneInstanceAreRebalanced(
             @ForAll @IntRange(min = 2, max = 60) int proxies, @ForAll @IntRange(min = 4, max = 40) int each) {
@@ -80,7 +82,7 @@
         assertThat(fleet.highestLoadRatio()).isLessThanOrEqualTo(1.5);
     }
 
-    /** Whatever the rebalancer, it comes to rest: no connection is ended for ever. */
+    /** From any initial distribution, rebalancing stops: connections are not closed forever. */
     @Property(seed = "8", tries = 200)
     void rebalancingEnds(@ForAll @IntRange(min = 2, max = 20) int proxies, @ForAll long seed) {
         int[] open = new Random(seed).ints(proxies, 5, 100).toArray();
@@ -95,7 +97,9 @@
         assertThat(fleet.closed).isEqualTo(closedBefore);
     }
 
-    /** Clients that sit beside their proxy come back to it: they are troubled less and less. */
+    /**
+     * Clients that run beside their proxy reconnect to it; the rebalancer closes their connections less and less often.
+     */
     @Example
     void rebalancingBacksOffWhereClientsComeBack() {
         Fleet fleet = new Fleet(120, 20, 20, 20);
--- a/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateMessageTest.java
@@ -11,7 +11,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The messages of the state query and the byte of an instance's load, as instances of other versions read them. */
+/**
+ * The messages of the state query and the byte of an instance's load have the form that instances of other versions
+ * read.
+ */
 class PeerStateMessageTest {
     private static final String FILE = "recovery/messages.txt";
 
--- a/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
+++ b/src/test/java/cacheproxy/recovery/PeerStateQueryTest.java
@@ -25,12 +25,13 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Who has forgotten asks some of those who serve, not all the same, and their word makes it careful and nothing else.
+ * An instance without state queries some of the serving peers, and different instances query different peers. The
+ * answers only make it more cautious.
  */
 class PeerStateQueryTest {
     private static final int ZONES = 4;
 
-    /** What one instance of so many holds, of which the first so many serve. */
+    /** The view of one of {@code all} instances, of which the first {@code serving} are serving. */
     private static MembershipView view(int self, int all, int serving) {
         List<Member> entries = new ArrayList<>();
         for (int i = 0; i < all; i++) {
@@ -65,7 +66,7 @@
             assertThat(chosen.stream().map(i -> i % ZONES).distinct()).hasSize(3);
             queried.addAll(chosen);
         }
-        assertThat(queried.size()).as("of twenty that serve").isGreaterThan(15);
+        assertThat(queried.size()).as("of twenty serving peers").isGreaterThan(15);
     }
 
     @Example
@@ -111,8 +112,8 @@
     }
 
     /**
-     * Whatever three say, and be it that all nodes are bad: never more than a quarter of a zone, and none that one
-     * alone names.
+     * Whatever the three answers name, even all nodes: no more than a quarter of a zone is suspected, and no node that
+     * only one answer names.
      */
     @Property(seed = "3", tries = 500)
     void suspectedNodesAreBoundedByZone(
--- a/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
+++ b/src/test/java/cacheproxy/recovery/RecoveryProgressTest.java
@@ -5,7 +5,7 @@
 import cacheproxy.recovery.RecoveryProgress.Stage;
 import org.junit.jupiter.api.Test;
 
-/** The way back goes by evidence, and by the clock only at its end. */
+/** Recovery ends by evidence; the timeout only ends it where there is no evidence. */
 class RecoveryProgressTest {
     private final RecoveryProgress progress = new RecoveryProgress(0);
 
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Who is asked a little at a time and refuses some of it has only the clock. */
+    /** An instance that receives few requests and rejects some of them leaves recovery only by the timeout. */
     @Test
     void timeoutEndsRecoveryWithoutEvidence() {
         progress.listAvailable(100, false);
@@ -32,7 +32,10 @@
         assertThat(progress.endedByTimeout()).isTrue();
     }
 
-    /** A watch that has no news says nothing: a list of any age that serves is good. */
+    /**
+     * A watch without events is no evidence about the list's age, so an unconfirmed list of any age suffices if
+     * requests are served by it.
+     */
     @Test
     void unconfirmedListSufficesIfItServesOrThereAreNoRequests() {
         progress.listAvailable(0, false);
@@ -60,7 +63,7 @@
         for (int t = 250; t < 20_000; t += 250) {
             assertThat(progress.update(t, counts(t, t - t / 10, t / 10))).isEqualTo(Stage.RECOVERING);
         }
-        // It is looked at over the last two seconds alone.
+        // Only the last two seconds are evaluated.
         for (int t = 20_000; t <= 22_250; t += 250) {
             progress.update(t, counts(t, t - 2000, 2000));
         }
@@ -82,7 +85,7 @@
         assertThat(progress.update(500, counts(0, 0, 0))).isEqualTo(Stage.STARTING);
     }
 
-    /** What may be used until when, and that a decision beyond that is counted. */
+    /** State may be used until it expires, and a decision that relies on it later is counted. */
     @Test
     void decisionsByExpiredStateAreCounted() {
         ProvenanceTracker tracker = new ProvenanceTracker();
--- a/src/test/java/cacheproxy/state/CrashTest.java
+++ b/src/test/java/cacheproxy/state/CrashTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Kills at every step of a write, and damage to every byte: what is opened afterwards was written once, and nothing is
- * lost that was done.
+ * Simulates a crash at every step of a write, and damage to every byte. Opening the files afterwards yields only
+ * records that were written, and no completed write is lost.
  */
 class CrashTest {
     private static final String INSTANCE = "proxy-3";
     private static final String FLEET = "edge";
 
-    /** The two files, each as it stands on a disk; a file is replaced whole, and an append may end anywhere. */
+    /** The two files as they are on disk. A file is replaced atomically, but an append may end after any byte. */
     private static final class Disk {
         byte[] snapshot;
         byte[] journal;
@@ -49,7 +49,7 @@
             journal = all.toByteArray();
         }
 
-        /** As it is after the process has died in this write, at its every step. */
+        /** The possible states of the disk after the process has crashed in this write, one for each step. */
         List<Disk> crashStates(StateWrite w) {
             List<Disk> all = new ArrayList<>(List.of(copy()));
             if (w instanceof StateWrite.Append a) {
@@ -85,7 +85,10 @@
         return r == null ? 0 : r.body().getAsJsonObject().get("number").getAsInt();
     }
 
-    /** 200 lives, each ended in the middle of a write at its every step: some 20,000 deaths. */
+    /**
+     * Runs 200 sequences of three processes, each of which crashes in a write; all steps of each write are checked,
+     * some 20,000 crashes.
+     */
     @Test
     void crashAtAnyStepLosesNoCompletedWrite() {
         long crashes = 0;
@@ -121,13 +124,13 @@
                     store.writeSucceeded(now);
                     completed.putAll(submitted);
                 }
-                // The life ends in one more write, somewhere.
+                // The process crashes at a random step of one more write.
                 store.put(now, record(RecordKind.ENDPOINT_LIST, ++next));
                 submitted.put(RecordKind.ENDPOINT_LIST, next);
                 List<Disk> outcomes = disk.crashStates(store.nextWrite(now + 10_000));
                 disk = outcomes.get(random.nextInt(outcomes.size()));
                 disk.open().records().forEach((kind, r) -> completed.put(kind, number(r)));
-                submitted.clear(); // what went down with it is known to nobody
+                submitted.clear(); // records that were not written are lost with the process
                 submitted.putAll(completed);
             }
         }
@@ -146,7 +149,7 @@
         return disk;
     }
 
-    /** Each byte of both files changed in three ways, and each file cut at each byte. */
+    /** Changes each byte of both files in three ways, and truncates each file at each byte. */
     @Test
     void changedOrMissingBytesNeverYieldAWrongRecord() {
         Disk disk = filled();
@@ -168,7 +171,7 @@
                     opened.records()
                             .forEach((kind, r) ->
                                     assertThat(r).isEqualTo(intact.records().get(kind)));
-                    // A file that was cut between two lines looks like one that was never longer.
+                    // A file truncated between two lines is indistinguishable from one that was never longer.
                     boolean between = mask < 0 && (at == 0 || file[at - 1] == '\n');
                     if (!between) {
                         assertThat(opened.findings())
@@ -183,7 +186,8 @@
     }
 
     /**
-     * Random bytes, and pieces of sound files in any order: never an exception, never a record that was not written.
+     * Random bytes and pieces of intact files in any order never cause an exception or yield a record that was not
+     * written.
      */
     @Test
     void arbitraryBytesNeverThrow() {
--- a/src/test/java/cacheproxy/state/RecordStoreTest.java
+++ b/src/test/java/cacheproxy/state/RecordStoreTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is written when, and how far what was kept is used. */
+/** When records are written, and how stored records may be used by their age. */
 class RecordStoreTest {
     private static StoredRecord record(RecordKind kind, String text) {
         return new StoredRecord(kind, 5000, new JsonPrimitive(text));
@@ -37,7 +37,7 @@
         assertThat(new String(((StateWrite.Append) w).bytes(), StandardCharsets.UTF_8))
                 .contains("learnt", "list");
         store.put(1601, record(RecordKind.ENDPOINT_LIST, "c"));
-        assertThat(store.nextWrite(9000)).as("one is under way").isNull();
+        assertThat(store.nextWrite(9000)).as("a write is in progress").isNull();
         store.writeSucceeded(9000);
         assertThat(store.nextWrite(9000)).isNotNull();
     }
@@ -76,7 +76,7 @@
         assertThat(store.bytesWritten()).isGreaterThan(RecordStore.MAX_BYTES_PER_MINUTE);
         store.put(12_200, record(RecordKind.LEARNED_STATE, "lazy"));
         assertThat(store.nextWriteAtMs())
-                .as("what is not urgent waits for the next minute")
+                .as("changes that are not urgent wait for the next minute")
                 .isGreaterThan(40_000);
         store.put(12_200, record(RecordKind.OPERATOR_ORDERS, "urgent"));
         assertThat(store.nextWriteAtMs()).isEqualTo(12_300);
@@ -91,7 +91,7 @@
         assertThat(store.oversizedRecords()).isEqualTo(1);
     }
 
-    /** An epoch of the files never goes back, whoever wrote last. */
+    /** The generation of the files never decreases, whichever process wrote last. */
     @Test
     void generationContinuesAfterAnotherProcess() {
         RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
@@ -103,7 +103,7 @@
         assertThat(h.starts()).isEqualTo(5);
     }
 
-    /** Ages in seconds; -300 is a clock that was set back by five minutes. */
+    /** Ages in seconds; -300 means that the clock was set back by five minutes. */
     @ParameterizedTest
     @CsvSource({
         "INCARNATION,-300,VALID",
@@ -134,7 +134,7 @@
         return StateReader.read(snapshot, null, instance, "f");
     }
 
-    /** Of another's folder or a later version's nothing is used, and it is told. */
+    /** Nothing of another instance's folder or of a later version's is used, and a finding reports it. */
     @Test
     void filesOfAnotherInstanceOrVersionAreUnusable() {
         assertThat(open(null, "p").findings()).isEmpty();
@@ -149,7 +149,10 @@
                 .isEqualTo(List.of("is of version 2, and this program reads 1"));
     }
 
-    /** The two steps of a snapshot: a journal that is behind says nothing new, one that is ahead does. */
+    /**
+     * Guards against a crash between the two steps of a snapshot: a journal of an older generation adds nothing to the
+     * snapshot, a journal of a newer generation does.
+     */
     @Test
     void journalOfAnotherGenerationAppliesOnlyIfNewer() {
         RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
--- a/src/test/java/cacheproxy/state/StateFolderTest.java
+++ b/src/test/java/cacheproxy/state/StateFolderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The folder on a real disk, and processes that are killed while they write. */
+/** The state folder on a real file system, and processes that are killed while they write. */
 @Timeout(60)
 class StateFolderTest {
     private static final int KILLS = Integer.getInteger("state.kills", 8);
@@ -68,14 +68,14 @@
         }
     }
 
-    /** What can't be written fails for itself: what was there stays, and the next whole write mends it. */
+    /** A failed write affects only itself: the old files stay, and the next successful snapshot repairs the folder. */
     @Test
     void failedWriteKeepsTheOldFiles() throws IOException {
         try (StateFolder folder = new StateFolder(path)) {
             RecordStore store = write(folder, 1);
             Path obstacle = Files.createDirectory(path.resolve("snapshot.new"));
             store.put(2, record(2));
-            folder.write(store.nextWrite(1e7)); // an append needs no new file
+            folder.write(store.nextWrite(1e7)); // an append creates no new file
             store.writeFailed(1e7);
             store.put(3, record(3));
             StateWrite third = store.nextWrite(2e7);
@@ -98,7 +98,7 @@
                 Files.delete(file);
             }
             store.put(2, record(2));
-            folder.write(store.nextWrite(1e7)); // into a file that has no name any more
+            folder.write(store.nextWrite(1e7)); // writes to a deleted file
             store.writeFailed(1e7);
             folder.write(store.nextWrite(2e7));
             assertThat(number(folder.read("p", "f"))).isEqualTo(2);
@@ -127,7 +127,7 @@
         assertThat(path.resolve("snapshot")).doesNotExist();
     }
 
-    /** A process of its own that writes one number after another, and says each that is done. */
+    /** A separate process that writes increasing numbers and prints each one after its write has completed. */
     static final class Writer {
         public static void main(String[] args) throws IOException {
             try (StateFolder folder = new StateFolder(Path.of(args[0]))) {
@@ -143,7 +143,10 @@
         }
     }
 
-    /** Killed at some moment of a write; what it had said is there, and what comes after goes on from it. */
+    /**
+     * A process is killed during a write: all numbers that it has printed are stored, and the next process continues
+     * from them.
+     */
     @Test
     void completedWritesSurviveAKill() throws Exception {
         int done = 0;
@@ -165,7 +168,7 @@
                 for (String line; reported.size() < expected && (line = lines.readLine()) != null; ) {
                     reported.add(line);
                 }
-                // Not by the process's handle, which would close what it has said and is not read yet.
+                // Process.destroyForcibly would close the output that has not been read yet.
                 new ProcessBuilder("kill", "-9", String.valueOf(process.pid()))
                         .start()
                         .waitFor();
--- a/src/test/java/cacheproxy/state/StoredFormTest.java
+++ b/src/test/java/cacheproxy/state/StoredFormTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The stored form: folders of earlier processes, sound and damaged, are written and read as they were. */
+/** The stored form: state folders of earlier processes, intact and damaged, are written and read in the pinned form. */
 class StoredFormTest {
     private static final String INSTANCE = "proxy-3";
     private static final String FLEET = "edge";
@@ -30,7 +30,7 @@
                 + "\"block\":0,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
-    /** The two files after a snapshot of all kinds and a journal of two. */
+    /** The two files after a snapshot of all kinds and a journal of two records. */
     private static byte[][] written() {
         RecordStore store = new RecordStore(OpenedState.EMPTY, INSTANCE, FLEET);
         store.put(0, record(RecordKind.INCARNATION, RECORDED_MS, "17"));
@@ -103,7 +103,7 @@
         PinnedFile.assertText("state/" + folder + "/inspection.txt", report.toText());
     }
 
-    /** How far each kind may be used over its age: what a process that starts decides by. */
+    /** How each kind may be used by its age, which decides what a starting process uses. */
     @Test
     void validityByAgeIsAsPinned() {
         StringBuilder table = new StringBuilder();
