--- a/src/main/java/cacheproxy/failover/ZoneFailover.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -249,8 +249,8 @@
     private ZoneHealthReport decoded(Member entry) {
         DecodedEntry known = decodedEntries.get(entry.id());
         if (known == null || known.entry() != entry) {
-            byte[] health = entry.note(HEALTH_METADATA);
-            byte[] planMetadata = entry.note(PLAN_METADATA);
+            byte[] health = entry.metadata(HEALTH_METADATA);
+            byte[] planMetadata = entry.metadata(PLAN_METADATA);
             known = new DecodedEntry(
                     entry, ZoneHealthReport.decode(entry.id(), entry.zone(), health, planMetadata, trackers.size()));
             decodedEntries.put(entry.id(), known);
--- a/src/main/java/cacheproxy/model/InstanceModel.java
+++ b/src/main/java/cacheproxy/model/InstanceModel.java
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void report(int server, EndpointSignal what) {
+    public void reportSignal(int server, EndpointSignal what) {
         if (part != null) {
             boolean origin = server == FleetDraw.ORIGIN;
             int zone = origin ? 0 : play.zoneOf(server);
@@ -573,7 +573,7 @@
 
     /** Asks some peer what it was told that is not known here. */
     private void alert() {
-        if (settings.instanceCount() < 2 || !antiEntropy.onFault(time.now())) {
+        if (settings.instanceCount() < 2 || !antiEntropy.tryStartQuery(time.now())) {
             return;
         }
         long known = membership.knownVersion();
--- a/src/main/java/cacheproxy/model/ZonePlay.java
+++ b/src/main/java/cacheproxy/model/ZonePlay.java
@@ -252,8 +252,8 @@
         if (!Arrays.equals(plan, i.plan) || !Arrays.equals(sight, i.sight)) {
             i.plan = plan;
             i.sight = sight;
-            i.members.note(ZoneFailover.PLAN_METADATA, plan);
-            i.members.note(ZoneFailover.HEALTH_METADATA, sight);
+            i.members.setMetadata(ZoneFailover.PLAN_METADATA, plan);
+            i.members.setMetadata(ZoneFailover.HEALTH_METADATA, sight);
             view.poke(i.id);
         }
     }
--- a/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -3,7 +3,7 @@
 import cacheproxy.failover.StoredZoneState;
 import cacheproxy.membership.Member;
 import cacheproxy.proxy.LearnedStateCodec;
-import cacheproxy.proxy.ZoneFailoverLink;
+import cacheproxy.proxy.ZoneFailoverCoordinator;
 import cacheproxy.proxy.ZoneStateCodec;
 import cacheproxy.recovery.Provenance;
 import cacheproxy.recovery.ProvenanceTracker;
@@ -152,14 +152,14 @@
      */
     private static LearnedState suspectsOnly(LearnedState learned) {
         List<EndpointHealthRecord> suspects = learned.endpoints().stream()
-                .filter(s -> s.failures() > 0)
+                .filter(s -> s.consecutiveFailures() > 0)
                 .map(s -> new EndpointHealthRecord(s.id(), s.startTimeMs(), 1, 0, 0))
                 .toList();
         return new LearnedState(
                 learned.originFetchMs(),
-                learned.usualLatencyMs(),
+                learned.meanLatencyMs(),
                 learned.latencyDeviationMs(),
-                learned.usualCostMs(),
+                learned.meanCostMs(),
                 new LoadCount(0, 0),
                 new LoadCount(0, 0),
                 0,
@@ -183,10 +183,10 @@
     }
 
     /** The restored zone decisions of one kind, by the zones' present numbers. */
-    ZoneFailoverLink.RestoredDecisions zoneDecisions(RecordKind kind, List<String> names) {
+    ZoneFailoverCoordinator.RestoredDecisions zoneDecisions(RecordKind kind, List<String> names) {
         StoredRecord record = records.get(kind);
         if (record == null) {
-            return new ZoneFailoverLink.RestoredDecisions(Map.of(), false);
+            return new ZoneFailoverCoordinator.RestoredDecisions(Map.of(), false);
         }
         boolean valid = validity(kind) == Validity.VALID;
         try {
@@ -194,10 +194,10 @@
             if (!decisions.isEmpty()) {
                 recordUse(kind);
             }
-            return new ZoneFailoverLink.RestoredDecisions(decisions, valid);
+            return new ZoneFailoverCoordinator.RestoredDecisions(decisions, valid);
         } catch (RuntimeException e) {
             provenance.rejected(Subject.ZONE_STATES);
-            return new ZoneFailoverLink.RestoredDecisions(Map.of(), valid);
+            return new ZoneFailoverCoordinator.RestoredDecisions(Map.of(), valid);
         }
     }
 }
--- a/src/test/java/cacheproxy/state/StoredFormTest.java
+++ b/src/test/java/cacheproxy/state/StoredFormTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.PinnedFile;
+import cacheproxy.GoldenFile;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonParser;
 import java.io.ByteArrayOutputStream;
@@ -41,7 +41,7 @@
                         RECORDED_MS + 1,
                         "{\"seq\":43,\"whole\":true,\"hosts\":[" + host("s-0000beef", "up") + ","
                                 + host("s-0000bef0", "draining") + "]}"));
-        store.put(0, record(RecordKind.LEARNED_STATE, RECORDED_MS + 2, PinnedFile.text("proxy/learned-state.json")));
+        store.put(0, record(RecordKind.LEARNED_STATE, RECORDED_MS + 2, GoldenFile.text("proxy/learned-state.json")));
         store.put(
                 0,
                 record(
@@ -68,8 +68,8 @@
     @Test
     void filesAreWrittenAsPinned() {
         byte[][] files = written();
-        PinnedFile.assertText("state/sound/snapshot", new String(files[0], StandardCharsets.UTF_8));
-        PinnedFile.assertText("state/sound/journal", new String(files[1], StandardCharsets.UTF_8));
+        GoldenFile.assertText("state/sound/snapshot", new String(files[0], StandardCharsets.UTF_8));
+        GoldenFile.assertText("state/sound/journal", new String(files[1], StandardCharsets.UTF_8));
     }
 
     @ParameterizedTest
@@ -97,10 +97,10 @@
                 "empty-files"
             })
     void folderIsReadAsPinned(String folder) {
-        OpenedState opened = new StateFolder(PinnedFile.path("state/" + folder)).read(INSTANCE, FLEET);
+        OpenedState opened = new StateFolder(GoldenFile.path("state/" + folder)).read(INSTANCE, FLEET);
         StateReport report = new StateReport(opened, NOW_MS);
-        PinnedFile.assertJson("state/" + folder + "/inspection.json", report.toJson());
-        PinnedFile.assertText("state/" + folder + "/inspection.txt", report.toText());
+        GoldenFile.assertJson("state/" + folder + "/inspection.json", report.toJson());
+        GoldenFile.assertText("state/" + folder + "/inspection.txt", report.toText());
     }
 
     /** How each kind may be used by its age, which decides what a starting process uses. */
@@ -128,6 +128,6 @@
             table.append('\n');
         }
         assertThat(table).isNotEmpty();
-        PinnedFile.assertText("state/use-by-age.txt", table.toString());
+        GoldenFile.assertText("state/use-by-age.txt", table.toString());
     }
 }
