--- a/src/main/java/cacheproxy/failover/ZoneFailover.java
+++ b/src/main/java/cacheproxy/failover/ZoneFailover.java
@@ -36,7 +36,7 @@
     private static final int DELAYED_RANKS = 8;
     /**
      * The delay of all instances ranked after the first {@link #DELAYED_RANKS}. Each decision is gossiped to the whole
-     * fleet. If the first decision takes longer than the turns to spread, as it does under a high gossip load, a
+     * fleet. If the first decision takes longer than these delays to spread, as it does under a high gossip load, a
      * hundred further decisions would slow it down even more.
      */
     private static final double LAST_RANKS_DELAY_MS = 2500;
@@ -79,8 +79,8 @@
     public void onResponse(double nowMs, int zone, boolean hit) {
         if (zone < trackers.size()) {
             monitor.onResponse(nowMs, zone, hit);
-            trackers.get(zone).probedMs =
-                    Double.NEGATIVE_INFINITY; // allows the next probe at once: two responses are needed
+            // Allows the next probe at once, as a healthy zone takes two responses.
+            trackers.get(zone).probedMs = Double.NEGATIVE_INFINITY;
         }
     }
 
--- a/src/main/java/cacheproxy/recovery/PeerStateSummary.java
+++ b/src/main/java/cacheproxy/recovery/PeerStateSummary.java
@@ -11,7 +11,8 @@
  * <table>
  * <caption>Messages of kind STATE_QUERY, integers and floats big-endian</caption>
  * <tr><td>query</td><td>{@code 'Q'}</td></tr>
- * <tr><td>answer</td><td>{@code 'M'}, list version (8 bytes), origin fetch, node latency, origin in-time ratio (4 bytes each), number of nodes (1 byte), nodes (4 bytes each)</td></tr>
+ * <tr><td>answer</td><td>{@code 'M'}, list version (8 bytes), origin fetch, node latency, origin in-time ratio (4 bytes
+ * each), number of nodes (1 byte), nodes (4 bytes each)</td></tr>
  * </table>
  *
  * @param listVersion the version of the endpoint list that the instance has, 0 or more; only a claim, as endpoint lists
--- a/src/test/java/cacheproxy/failover/FailoverPlanTest.java
+++ b/src/test/java/cacheproxy/failover/FailoverPlanTest.java
@@ -52,16 +52,16 @@
     }
 
     @Property(seed = "3")
-    void aNoteEncodesTheWholePlan(@ForAll("plans") FailoverPlan a) {
-        byte[] note = a.encode();
-        assertThat(note.length).isLessThanOrEqualTo(24);
-        assertThat(FailoverPlan.decode(note, 4)).isEqualTo(a.hasDecisions() ? a : FailoverPlan.initial(4));
+    void metadataEncodesTheWholePlan(@ForAll("plans") FailoverPlan a) {
+        byte[] metadata = a.encode();
+        assertThat(metadata.length).isLessThanOrEqualTo(24);
+        assertThat(FailoverPlan.decode(metadata, 4)).isEqualTo(a.hasDecisions() ? a : FailoverPlan.initial(4));
         assertThat(FailoverPlan.decode(new byte[5], 4)).isEqualTo(FailoverPlan.initial(4));
     }
 
     /** The test vectors of docs/design/members-wire.md. */
     @Test
-    void notesAreEncodedAsOnTheWirePage() {
+    void metadataIsEncodedAsOnTheWirePage() {
         HexFormat hex = HexFormat.of();
         FailoverPlan plan = FailoverPlan.initial(2).with(0, ZoneState.INITIAL.next(0, Cause.EVIDENCE, 1));
         assertThat(hex.formatHex(plan.encode())).isEqualTo("00000104000000f0");
