--- a/src/main/java/cacheproxy/recovery/Provenance.java
+++ b/src/main/java/cacheproxy/recovery/Provenance.java
@@ -12,7 +12,7 @@
     PEERS("peers"),
     /** The process from which this one took over, and which served until then. */
     PREDECESSOR("predecessor"),
-    /** Discovery, or this process's own observation of servers. */
+    /** Discovery, or this process's own observation of endpoints. */
     FIRST_HAND("first hand");
 
     private final String wireName;
