--- a/src/main/java/cacheproxy/failover/ZoneHealthMonitor.java
+++ b/src/main/java/cacheproxy/failover/ZoneHealthMonitor.java
@@ -6,32 +6,35 @@
 import java.util.Set;
 
 /**
- * What this instance's own attempts say of each zone, over the last {@link #WINDOW_MS}. A node that does not respond
- * counts as one, however many attempts went there; only several nodes speak against their zone. Times in milliseconds
- * of one clock; not thread-safe.
+ * The health of each zone by this instance's own attempts over the last {@link #WINDOW_MS}. A node that does not
+ * respond counts as one node, however many attempts it received; only several such nodes are evidence against their
+ * zone. Times in milliseconds of one clock; not thread-safe.
  */
 final class ZoneHealthMonitor {
-    /** How far back attempts count. */
+    /** The length of the observation window. */
     static final double WINDOW_MS = 2500;
 
     private static final int SLOTS = 10;
     private static final double SLOT_MS = WINDOW_MS / SLOTS;
-    /** So many nodes in a row that do not respond, and no other that does, make a zone unreachable. */
+    /** A zone is unreachable if this many different nodes in a row do not respond and no other node does. */
     static final int UNREACHABLE_NODES = 3;
-    /** For so long at least: nodes that all stall for a moment are not unreachable. */
+    /** The minimum duration of that: nodes that all stall for a moment are not unreachable. */
     private static final double UNREACHABLE_AFTER_MS = 300;
-    /** So large a part of attempts without a response makes a zone degraded; one bad node of six would exceed it. */
+    /**
+     * The part of attempts without a response that makes a zone degraded. One bad node of six would exceed it, so
+     * several nodes have to be affected as well.
+     */
     private static final double DEGRADED_FRACTION = 0.15;
 
     private static final int MIN_DEGRADED_ATTEMPTS = 8;
-    /** So many responses, and nothing against them, make a zone healthy. */
+    /** The number of responses that make a zone healthy, if too few attempts fail to make it degraded. */
     private static final int MIN_HEALTHY_RESPONSES = 2;
-    /** The origin is saturated when so large a part of fetches came late or not at all. */
+    /** The origin is saturated if more than this part of fetches ended late or failed. */
     private static final double SATURATED_FRACTION = 0.2;
 
     private static final int MIN_SATURATED_FETCHES = 5;
 
-    /** What was observed in one part of the window. */
+    /** The observations in one slot of the window. */
     private static final class Slot {
         private static final long UNUSED = -1;
 
@@ -39,26 +42,26 @@
         int responses;
         int misses;
         int timeouts;
-        final Set<Integer> silentNodes = new HashSet<>();
+        final Set<Integer> unresponsiveNodes = new HashSet<>();
 
-        /** Begins anew if it was of another part of the window. */
+        /** Clears the slot if it holds an earlier part of the window. */
         void use(long currentNumber) {
             if (number != currentNumber) {
                 number = currentNumber;
                 responses = 0;
                 misses = 0;
                 timeouts = 0;
-                silentNodes.clear();
+                unresponsiveNodes.clear();
             }
         }
     }
 
-    /** What the window holds in all. */
+    /** The sums over the window. */
     private static final class Totals {
         int responses;
         int misses;
         int timeouts;
-        final Set<Integer> silentNodes = new HashSet<>();
+        final Set<Integer> unresponsiveNodes = new HashSet<>();
 
         int attempts() {
             return responses + timeouts;
@@ -68,10 +71,10 @@
     /** The window of one zone, or of the origin. */
     private static final class Window {
         final Slot[] slots = new Slot[SLOTS];
-        /** Nodes without a response since one of the zone last responded. */
-        final Set<Integer> silentInRow = new HashSet<>();
+        /** Nodes that have not responded since any node of the zone last did. */
+        final Set<Integer> consecutiveUnresponsive = new HashSet<>();
 
-        double rowStartedMs;
+        double unresponsiveSinceMs;
         double lastTimeoutMs = Double.NEGATIVE_INFINITY;
         int readyNodes = UNREACHABLE_NODES;
 
@@ -96,7 +99,7 @@
                     totals.responses += slot.responses;
                     totals.misses += slot.misses;
                     totals.timeouts += slot.timeouts;
-                    totals.silentNodes.addAll(slot.silentNodes);
+                    totals.unresponsiveNodes.addAll(slot.unresponsiveNodes);
                 }
             }
             return totals;
@@ -108,14 +111,14 @@
             }
         }
 
-        /** How many nodes are several, in a zone that may have fewer. */
+        /** The number of nodes that counts as several, in a zone that may have fewer. */
         int severalNodes() {
             return Math.min(UNREACHABLE_NODES, readyNodes);
         }
 
         boolean isUnreachable(double nowMs) {
-            return silentInRow.size() >= severalNodes()
-                    && nowMs - rowStartedMs >= UNREACHABLE_AFTER_MS
+            return consecutiveUnresponsive.size() >= severalNodes()
+                    && nowMs - unresponsiveSinceMs >= UNREACHABLE_AFTER_MS
                     && nowMs - lastTimeoutMs <= WINDOW_MS;
         }
     }
@@ -123,49 +126,49 @@
     private final List<Window> zones = new ArrayList<>();
     private final Window origin = new Window();
 
-    /** Of so many zones, without an observation yet. */
+    /** Begins without observations of any zone. */
     ZoneHealthMonitor(int zoneCount) {
         for (int z = 0; z < zoneCount; z++) {
             zones.add(new Window());
         }
     }
 
-    /** So many nodes of a zone may be sent requests. */
+    /** Sets the number of a zone's nodes that may receive requests. */
     void setReadyNodes(int zone, int readyNodes) {
         zones.get(zone).readyNodes = Math.max(1, readyNodes);
     }
 
-    /** A node of a zone has responded; {@code hit}: it had what was requested. */
+    /** A node of a zone has responded; {@code hit}: whether it had the requested value. */
     void onResponse(double nowMs, int zone, boolean hit) {
         Window window = zones.get(zone);
         if (window.isUnreachable(nowMs)) {
-            window.clear(); // or the time while it was unreachable would count for a whole window
+            window.clear(); // otherwise the unreachable time would count for a whole window
         }
         Slot slot = window.slot(nowMs);
         slot.responses++;
         slot.misses += hit ? 0 : 1;
-        window.silentInRow.clear();
+        window.consecutiveUnresponsive.clear();
     }
 
-    /** A node of a zone has not responded in time, or closed the connection instead. */
+    /** A node of a zone has not responded in time, or has closed the connection instead. */
     void onNoResponse(double nowMs, int zone, int endpointId) {
         Window window = zones.get(zone);
         Slot slot = window.slot(nowMs);
         slot.timeouts++;
-        if (slot.silentNodes.size() < FailoverPlan.MAX_ZONES * UNREACHABLE_NODES) {
-            slot.silentNodes.add(endpointId);
+        if (slot.unresponsiveNodes.size() < FailoverPlan.MAX_ZONES * UNREACHABLE_NODES) {
+            slot.unresponsiveNodes.add(endpointId);
         }
         if (nowMs - window.lastTimeoutMs > WINDOW_MS) {
-            window.silentInRow.clear(); // these have not been tried since
+            window.consecutiveUnresponsive.clear(); // these nodes have not been tried since
         }
         window.lastTimeoutMs = nowMs;
-        window.rowStartedMs = window.silentInRow.isEmpty() ? nowMs : window.rowStartedMs;
-        if (window.silentInRow.size() < UNREACHABLE_NODES) {
-            window.silentInRow.add(endpointId);
+        window.unresponsiveSinceMs = window.consecutiveUnresponsive.isEmpty() ? nowMs : window.unresponsiveSinceMs;
+        if (window.consecutiveUnresponsive.size() < UNREACHABLE_NODES) {
+            window.consecutiveUnresponsive.add(endpointId);
         }
     }
 
-    /** A fetch at the origin has ended, in time or not. */
+    /** A fetch from the origin has ended, in time or not. */
     void onOriginFetch(double nowMs, boolean inTime) {
         Slot slot = origin.slot(nowMs);
         if (inTime) {
@@ -181,7 +184,7 @@
         return totals.timeouts >= MIN_SATURATED_FETCHES && totals.timeouts > SATURATED_FRACTION * totals.attempts();
     }
 
-    /** The health of a zone as this instance sees it now. */
+    /** The health of a zone as this instance observes it now. */
     ZoneHealth health(double nowMs, int zone) {
         Window window = zones.get(zone);
         if (window.isUnreachable(nowMs)) {
@@ -191,7 +194,7 @@
         int attempts = totals.attempts();
         if (attempts >= MIN_DEGRADED_ATTEMPTS
                 && totals.timeouts >= DEGRADED_FRACTION * attempts
-                && totals.silentNodes.size() >= window.severalNodes()) {
+                && totals.unresponsiveNodes.size() >= window.severalNodes()) {
             return ZoneHealth.DEGRADED;
         }
         return totals.responses >= MIN_HEALTHY_RESPONSES && totals.timeouts < DEGRADED_FRACTION * attempts
@@ -199,13 +202,13 @@
                 : ZoneHealth.UNKNOWN;
     }
 
-    /** Whether a zone's nodes respond and lack most of what is requested: they have lost their caches. */
+    /** Whether a zone's nodes respond but miss at least half of the requests: they have lost their caches. */
     boolean isCold(double nowMs, int zone) {
         Totals totals = zones.get(zone).totals(nowMs);
         return totals.responses >= MIN_HEALTHY_RESPONSES && 2 * totals.misses >= totals.responses;
     }
 
-    /** Attempts at a zone that ended within the window, a second. */
+    /** The attempts per second at a zone that ended within the window. */
     double attemptsPerSecond(double nowMs, int zone) {
         return zones.get(zone).totals(nowMs).attempts() * 1000 / WINDOW_MS;
     }
--- a/src/test/java/cacheproxy/state/RecordStoreTest.java
+++ b/src/test/java/cacheproxy/state/RecordStoreTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is written when, and how far what was kept is used. */
+/** When records are written, and how stored records may be used by their age. */
 class RecordStoreTest {
     private static StoredRecord record(RecordKind kind, String text) {
         return new StoredRecord(kind, 5000, new JsonPrimitive(text));
     }
 
-    private static RecordStore begun() {
+    private static RecordStore storeAfterSnapshot() {
         RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
         assertThat(store.nextWrite(0)).isInstanceOf(StateWrite.Replace.class);
         store.writeSucceeded(0);
@@ -26,7 +26,7 @@
 
     @Test
     void urgentRecordsAreWrittenSoonAndLearnedStateIsDelayed() {
-        RecordStore store = begun();
+        RecordStore store = storeAfterSnapshot();
         assertThat(store.nextWriteAtMs()).isInfinite();
         store.put(1000, record(RecordKind.LEARNED_STATE, "a"));
         assertThat(store.nextWrite(1000)).isNull();
@@ -37,14 +37,14 @@
         assertThat(new String(((StateWrite.Append) w).bytes(), StandardCharsets.UTF_8))
                 .contains("learnt", "list");
         store.put(1601, record(RecordKind.ENDPOINT_LIST, "c"));
-        assertThat(store.nextWrite(9000)).as("one is under way").isNull();
+        assertThat(store.nextWrite(9000)).as("a write is in progress").isNull();
         store.writeSucceeded(9000);
         assertThat(store.nextWrite(9000)).isNotNull();
     }
 
     @Test
     void failedWriteIsFollowedBySnapshotWithExponentialBackoff() {
-        RecordStore store = begun();
+        RecordStore store = storeAfterSnapshot();
         store.put(0, record(RecordKind.ENDPOINT_LIST, "b"));
         assertThat(store.nextWrite(100)).isInstanceOf(StateWrite.Append.class);
         store.writeFailed(100);
@@ -61,7 +61,7 @@
 
     @Test
     void longJournalBecomesSnapshotAndBytesPerMinuteAreBounded() {
-        RecordStore store = begun();
+        RecordStore store = storeAfterSnapshot();
         String big = "x".repeat(100_000);
         int replaced = 0;
         long urgent = 0;
@@ -76,7 +76,7 @@
         assertThat(store.bytesWritten()).isGreaterThan(RecordStore.MAX_BYTES_PER_MINUTE);
         store.put(12_200, record(RecordKind.LEARNED_STATE, "lazy"));
         assertThat(store.nextWriteAtMs())
-                .as("what is not urgent waits for the next minute")
+                .as("changes that are not urgent wait for the next minute")
                 .isGreaterThan(40_000);
         store.put(12_200, record(RecordKind.OPERATOR_ORDERS, "urgent"));
         assertThat(store.nextWriteAtMs()).isEqualTo(12_300);
@@ -85,13 +85,13 @@
 
     @Test
     void oversizedRecordIsNotKept() {
-        RecordStore store = begun();
+        RecordStore store = storeAfterSnapshot();
         store.put(0, record(RecordKind.ENDPOINT_LIST, "x".repeat(RecordStore.MAX_RECORD_BYTES + 1)));
         assertThat(store.get(RecordKind.ENDPOINT_LIST)).isNull();
         assertThat(store.oversizedRecords()).isEqualTo(1);
     }
 
-    /** An epoch of the files never goes back, whoever wrote last. */
+    /** The generation of the files never decreases, whichever process wrote last. */
     @Test
     void generationContinuesAfterAnotherProcess() {
         RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
@@ -103,7 +103,7 @@
         assertThat(h.starts()).isEqualTo(5);
     }
 
-    /** Ages in seconds; -300 is a clock that was set back by five minutes. */
+    /** Ages in seconds; -300 means that the clock was set back by five minutes. */
     @ParameterizedTest
     @CsvSource({
         "INCARNATION,-300,VALID",
@@ -128,13 +128,13 @@
         assertThat(kind.validity(seconds * 1000)).isEqualTo(use);
     }
 
-    private static OpenedState open(String head, String instance) {
+    private static OpenedState open(String header, String instance) {
         StateWrite.Replace w = (StateWrite.Replace) new RecordStore(OpenedState.EMPTY, "p", "f").nextWrite(0);
-        byte[] snapshot = head == null ? w.snapshot() : head.getBytes(StandardCharsets.UTF_8);
+        byte[] snapshot = header == null ? w.snapshot() : header.getBytes(StandardCharsets.UTF_8);
         return StateReader.read(snapshot, null, instance, "f");
     }
 
-    /** Of another's folder or a later version's nothing is used, and it is told. */
+    /** Nothing of another instance's folder or of a later version's is used, and a finding reports it. */
     @Test
     void filesOfAnotherInstanceOrVersionAreUnusable() {
         assertThat(open(null, "p").findings()).isEmpty();
@@ -149,7 +149,10 @@
                 .isEqualTo(List.of("is of version 2, and this program reads 1"));
     }
 
-    /** The two steps of a snapshot: a journal that is behind says nothing new, one that is ahead does. */
+    /**
+     * Guards against a crash between the two steps of a snapshot: a journal of an older generation adds nothing to the
+     * snapshot, a journal of a newer generation does.
+     */
     @Test
     void journalOfAnotherGenerationAppliesOnlyIfNewer() {
         RecordStore store = new RecordStore(OpenedState.EMPTY, "p", "f");
--- a/src/test/java/cacheproxy/state/StateFolderTest.java
+++ b/src/test/java/cacheproxy/state/StateFolderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The folder on a real disk, and processes that are killed while they write. */
+/** The state folder on a real file system, and processes that are killed while they write. */
 @Timeout(60)
 class StateFolderTest {
     private static final int KILLS = Integer.getInteger("state.kills", 8);
@@ -45,13 +45,13 @@
 
     @Test
     void writtenRecordsAreReadByTheNextProcess() throws IOException {
-        Path there = path.resolve("not/yet");
-        try (StateFolder folder = new StateFolder(there)) {
+        Path folderPath = path.resolve("not/yet");
+        try (StateFolder folder = new StateFolder(folderPath)) {
             assertThat(folder.read("p", "f").findings()).isEmpty();
             assertThat(folder.tryLock()).isTrue();
             write(folder, 1, 2, 3);
         }
-        OpenedState opened = new StateFolder(there).read("p", "f");
+        OpenedState opened = new StateFolder(folderPath).read("p", "f");
         assertThat(number(opened)).isEqualTo(3);
         assertThat(opened.header().starts()).isEqualTo(1);
         assertThat(opened.findings()).isEmpty();
@@ -68,21 +68,21 @@
         }
     }
 
-    /** What can't be written fails for itself: what was there stays, and the next whole write mends it. */
+    /** A failed write affects only itself: the old files stay, and the next successful snapshot repairs the folder. */
     @Test
     void failedWriteKeepsTheOldFiles() throws IOException {
         try (StateFolder folder = new StateFolder(path)) {
             RecordStore store = write(folder, 1);
-            Path inTheWay = Files.createDirectory(path.resolve("snapshot.new"));
+            Path obstacle = Files.createDirectory(path.resolve("snapshot.new"));
             store.put(2, record(2));
-            folder.write(store.nextWrite(1e7)); // an append needs no new file
+            folder.write(store.nextWrite(1e7)); // an append creates no new file
             store.writeFailed(1e7);
             store.put(3, record(3));
             StateWrite third = store.nextWrite(2e7);
             assertThatThrownBy(() -> folder.write(third)).isInstanceOf(IOException.class);
             store.writeFailed(2e7);
             assertThat(number(folder.read("p", "f"))).isEqualTo(2);
-            Files.delete(inTheWay);
+            Files.delete(obstacle);
             folder.write(store.nextWrite(3e7));
             store.writeSucceeded(3e7);
             assertThat(number(folder.read("p", "f"))).isEqualTo(3);
@@ -91,14 +91,14 @@
 
     @Test
     void deletedFolderIsRecreated() throws IOException {
-        Path there = path.resolve("gone");
-        try (StateFolder folder = new StateFolder(there)) {
+        Path folderPath = path.resolve("gone");
+        try (StateFolder folder = new StateFolder(folderPath)) {
             RecordStore store = write(folder, 1);
-            for (Path file : List.of(there.resolve("snapshot"), there.resolve("journal"), there)) {
+            for (Path file : List.of(folderPath.resolve("snapshot"), folderPath.resolve("journal"), folderPath)) {
                 Files.delete(file);
             }
             store.put(2, record(2));
-            folder.write(store.nextWrite(1e7)); // into a file that has no name any more
+            folder.write(store.nextWrite(1e7)); // writes to a deleted file
             store.writeFailed(1e7);
             folder.write(store.nextWrite(2e7));
             assertThat(number(folder.read("p", "f"))).isEqualTo(2);
@@ -127,13 +127,13 @@
         assertThat(path.resolve("snapshot")).doesNotExist();
     }
 
-    /** A process of its own that writes one number after another, and says each that is done. */
+    /** A separate process that writes increasing numbers and prints each one after its write has completed. */
     static final class Writer {
-        public static void main(String[] words) throws IOException {
-            try (StateFolder folder = new StateFolder(Path.of(words[0]))) {
+        public static void main(String[] args) throws IOException {
+            try (StateFolder folder = new StateFolder(Path.of(args[0]))) {
                 folder.tryLock();
                 RecordStore store = new RecordStore(folder.read("p", "f"), "p", "f");
-                for (int n = Integer.parseInt(words[1]); ; n++) {
+                for (int n = Integer.parseInt(args[1]); ; n++) {
                     store.put(n, record(n));
                     folder.write(store.nextWrite(n + 1e6));
                     store.writeSucceeded(n);
@@ -143,7 +143,10 @@
         }
     }
 
-    /** Killed at some moment of a write; what it had said is there, and what comes after goes on from it. */
+    /**
+     * A process is killed during a write: all numbers that it has printed are stored, and the next process continues
+     * from them.
+     */
     @Test
     void completedWritesSurviveAKill() throws Exception {
         int done = 0;
@@ -159,23 +162,25 @@
                             String.valueOf(done + 1))
                     .redirectErrorStream(true)
                     .start();
-            List<String> said = new ArrayList<>();
+            List<String> reported = new ArrayList<>();
             try (BufferedReader lines = process.inputReader()) {
-                int wanted = 1 + kill * 7 % 23;
-                for (String line; said.size() < wanted && (line = lines.readLine()) != null; ) {
-                    said.add(line);
+                int expected = 1 + kill * 7 % 23;
+                for (String line; reported.size() < expected && (line = lines.readLine()) != null; ) {
+                    reported.add(line);
                 }
-                // Not by the process's handle, which would close what it has said and is not read yet.
+                // Process.destroyForcibly would close the output that has not been read yet.
                 new ProcessBuilder("kill", "-9", String.valueOf(process.pid()))
                         .start()
                         .waitFor();
-                lines.lines().forEach(said::add);
+                lines.lines().forEach(reported::add);
             }
             assertThat(process.waitFor(10, TimeUnit.SECONDS)).isTrue();
             int last = Integer.parseInt(
-                    said.get(said.size() - 1).matches("\\d+") ? said.get(said.size() - 1) : said.get(said.size() - 2));
+                    reported.get(reported.size() - 1).matches("\\d+")
+                            ? reported.get(reported.size() - 1)
+                            : reported.get(reported.size() - 2));
             OpenedState opened = new StateFolder(path).read("p", "f");
-            assertThat(number(opened)).as("%s", said).isBetween(last, last + 1);
+            assertThat(number(opened)).as("%s", reported).isBetween(last, last + 1);
             assertThat(opened.findings()).allMatch(f -> f.severity() == Severity.HARMLESS);
             assertThat(opened.header().starts()).isEqualTo(kill);
             done = number(opened);
