--- a/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
@@ -127,7 +127,7 @@
         UpstreamConnection connection = attempt.connection;
         boolean mustEndAlone =
                 !attempt.request.isCompleted() && !settings.routing().hedgingAllowed();
-        if (mustEndAlone && connection != null && !connection.isAlone()) {
+        if (mustEndAlone && connection != null && !connection.canCancelAttempt()) {
             return;
         }
         if (connection != null) {
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -133,7 +133,7 @@
                 discovery,
                 peers);
         loadBalancer.start(settings.routing(), settings.config().seed(), routing, routingActions);
-        sweeper = loop.scheduleWithFixedDelay(servers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweeper = loop.scheduleWithFixedDelay(servers::closeIdleAndStalled, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Applies other settings to requests to come; those that are open keep the ones they were accepted with. */
--- a/src/main/java/cacheproxy/proxy/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/RequestLifecycle.java
@@ -6,7 +6,7 @@
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.LogMessage;
 import cacheproxy.proxy.protocol.RequestCommand;
-import cacheproxy.proxy.protocol.RequestTerms;
+import cacheproxy.proxy.protocol.RequestParameters;
 import cacheproxy.recovery.ProvenanceTracker;
 import cacheproxy.routing.Request;
 
@@ -62,11 +62,11 @@
     /** Accepts a request that has been received completely, or rejects it as invalid. */
     void accept(ClientRequest request) {
         RequestCommand command = request.command;
-        RequestTerms terms = command.terms;
+        RequestParameters parameters = command.parameters;
         double now = clock.now();
-        Integer classIndex = settings.classIndex(terms.className());
-        Integer tenantIndex = settings.tenantIndex(terms.tenant());
-        if (classIndex == null || tenantIndex == null || !isDeadline(terms.timeoutMs())) {
+        Integer classIndex = settings.classIndex(parameters.className());
+        Integer tenantIndex = settings.tenantIndex(parameters.tenant());
+        if (classIndex == null || tenantIndex == null || !isDeadline(parameters.timeoutMs())) {
             rejectInvalid(request, "unknown class, tenant or deadline");
             return;
         }
@@ -77,7 +77,7 @@
         requests.add(request);
         request.serviceClass = settings.routing().classes().get(classIndex);
         request.maxAttempts = settings.routing().maxAttempts();
-        request.deadlineMs = request.receivedMs + terms.timeoutMs();
+        request.deadlineMs = request.receivedMs + parameters.timeoutMs();
         provenance.usedForDecision(now, ProvenanceTracker.Subject.ENDPOINT_LIST);
         // Before the load balancer's own timer for the same time, so that a silent server's attempt ends as a timeout.
         request.deadlineTimer = timers.after(request.deadlineMs - now, () -> deadlineExceeded(request));
@@ -96,17 +96,17 @@
 
     private static Request routingRequest(ClientRequest request, int classIndex, int tenantIndex) {
         RequestCommand command = request.command;
-        RequestTerms terms = command.terms;
+        RequestParameters parameters = command.parameters;
         return new Request(
                 request.id,
                 classIndex,
                 tenantIndex,
                 ConfiguredEndpoints.routingKey(command.key),
                 request.deadlineMs,
-                terms.workMicros() / MICROS_PER_MILLI,
-                terms.valueBytes(),
+                parameters.workMicros() / MICROS_PER_MILLI,
+                parameters.valueBytes(),
                 command.write,
-                terms.repeated());
+                parameters.repeated());
     }
 
     private void rejectInvalid(ClientRequest request, String reason) {
--- a/src/main/java/cacheproxy/proxy/RequestMetrics.java
+++ b/src/main/java/cacheproxy/proxy/RequestMetrics.java
@@ -27,7 +27,7 @@
 
     /** Counts a request that was invalid and so not accepted. */
     void recordInvalid(ClientRequest request) {
-        counters.recordOutcome(request.command.terms.className(), RequestOutcome.FAILED);
+        counters.recordOutcome(request.command.parameters.className(), RequestOutcome.FAILED);
     }
 
     /** When the dispatcher was created, on the clock of {@link ProxyClock#now}. */
--- a/src/main/java/cacheproxy/proxy/client/ClientAcceptor.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientAcceptor.java
@@ -64,7 +64,7 @@
     }
 
     /** Sets how an idle connection ends during a drain, where it is not just closed. */
-    public void closeIdleBy(Consumer<ClientConnection> closer) {
+    public void setIdleCloser(Consumer<ClientConnection> closer) {
         idleCloser = closer;
     }
 
--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -241,7 +241,7 @@
      *
      * @param successor passes a channel on and reports whether that succeeded
      */
-    public void passTo(BiConsumer<Channel, Consumer<Boolean>> successor) {
+    public void handOverTo(BiConsumer<Channel, Consumer<Boolean>> successor) {
         if (passing || finished) {
             return;
         }
--- a/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
@@ -3,7 +3,7 @@
 import cacheproxy.flow.ReadTimeout;
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.RequestOutcome;
-import cacheproxy.proxy.protocol.DeadlineText;
+import cacheproxy.proxy.protocol.DeadlineTemplate;
 import cacheproxy.proxy.protocol.MetaCodec;
 import cacheproxy.proxy.protocol.RequestCommand;
 import cacheproxy.proxy.protocol.ValueBuffer;
@@ -23,8 +23,8 @@
 
     private static final String BAD_FORMAT = "CLIENT_ERROR bad command line format\r\n";
     /** Stands for a write that makes no request; its value is read and dropped. */
-    private static final RequestCommand NO_REQUEST =
-            new RequestCommand(Routing.META_FRONT, "", null, true, null, DeadlineText.EMPTY, DeadlineText.EMPTY);
+    private static final RequestCommand NO_REQUEST = new RequestCommand(
+            Routing.META_FRONT, "", null, true, null, DeadlineTemplate.EMPTY, DeadlineTemplate.EMPTY);
 
     private final ClientConnection connection;
     private final ClientResponseQueue responses;
@@ -213,7 +213,7 @@
             responses.respond(BAD_FORMAT);
             return;
         }
-        dispatcher.counters().recordOutcome(command.terms.className(), RequestOutcome.REJECTED);
+        dispatcher.counters().recordOutcome(command.parameters.className(), RequestOutcome.REJECTED);
         responses.respond(MetaCodec.BUSY + "\r\n");
     }
 
--- a/src/main/java/cacheproxy/proxy/client/ClientResponseQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientResponseQueue.java
@@ -152,7 +152,7 @@
 
         /** In one buffer: costs a copy and saves the system call two further buffers. */
         private ByteBuf encode(ByteBuf value) {
-            String head = MetaCodec.valueHead(value.readableBytes(), id);
+            String head = MetaCodec.valueHeader(value.readableBytes(), id);
             ByteBuf out = context().alloc().buffer(head.length() + value.readableBytes() + MetaCodec.LINE_END_BYTES);
             out.writeCharSequence(head, StandardCharsets.ISO_8859_1);
             out.writeBytes(value).writeByte('\r').writeByte('\n');
@@ -181,7 +181,7 @@
         @Override
         public void beginValue(int length, FlowControl flowControl) {
             source = flowControl;
-            writePart(MetaCodec.encode(context().alloc(), MetaCodec.valueHead(length, id)));
+            writePart(MetaCodec.encode(context().alloc(), MetaCodec.valueHeader(length, id)));
         }
 
         @Override
--- a/src/main/java/cacheproxy/proxy/client/MetaCommand.java
+++ b/src/main/java/cacheproxy/proxy/client/MetaCommand.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy.client;
 
-import cacheproxy.proxy.protocol.DeadlineText;
+import cacheproxy.proxy.protocol.DeadlineTemplate;
 import cacheproxy.proxy.protocol.MetaCodec;
 import cacheproxy.proxy.protocol.RequestCommand;
-import cacheproxy.proxy.protocol.RequestTerms;
+import cacheproxy.proxy.protocol.RequestParameters;
 import cacheproxy.route.Routing;
 
 /**
@@ -82,9 +82,9 @@
                 key,
                 id,
                 write,
-                terms(extras),
-                DeadlineText.of(extras, deadline),
-                DeadlineText.of(line, deadlineInLine));
+                parameters(extras),
+                DeadlineTemplate.of(extras, deadline),
+                DeadlineTemplate.of(line, deadlineInLine));
     }
 
     /**
@@ -95,8 +95,8 @@
         return line.chars().allMatch(c -> c >= ' ' && c <= '~');
     }
 
-    private static RequestTerms terms(String extras) {
-        return new RequestTerms(
+    private static RequestParameters parameters(String extras) {
+        return new RequestParameters(
                 MetaCodec.parameter(extras, "c"),
                 MetaCodec.parameter(extras, "t"),
                 number(extras, "d", Double.NaN),
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryConnection.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryConnection.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.proxy.transport.Connecting;
+import cacheproxy.proxy.transport.ConnectFutures;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -95,9 +95,9 @@
     private void connectAndWrite(String uri, ResponseHandler responseHandler) {
         state = State.CONNECTING;
         ChannelFuture connecting = bootstrap.clone().handler(new Initializer()).connect(address);
-        Channel opened = Connecting.channel(connecting);
+        Channel opened = ConnectFutures.channel(connecting);
         channel = opened;
-        Connecting.whenDone(loop, connecting, () -> {
+        ConnectFutures.whenDone(loop, connecting, () -> {
             if (handler != responseHandler || channel != opened) {
                 return; // closed meanwhile
             }
--- a/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
@@ -94,7 +94,7 @@
         discovery = discoveryClient(config, list);
         reloader = new ConfigReloader(config, routes, loop, dispatcher, discovery);
         handoverServer = new HandoverServer(loop, takeoverFolder, handover, acceptor, this::takeoverSnapshot);
-        acceptor.closeIdleBy(this::retire);
+        acceptor.setIdleCloser(this::retire);
         // As late as possible, so that the snapshot shows the old process's present state.
         TakeoverClient predecessor = TakeoverClient.connect(loop, takeoverFolder);
         TakeoverSnapshot snapshot = predecessor == null ? null : predecessor.snapshot();
@@ -255,7 +255,7 @@
         if (!handover.passesClients()) {
             client.closeGracefully();
         } else if (client.served()) {
-            client.passTo(handoverServer::passClient);
+            client.handOverTo(handoverServer::passClient);
         } // else its first command is awaited here: the successor does not know since when
     }
 
--- a/src/main/java/cacheproxy/proxy/protocol/DeadlineText.java
+++ b/src/main/java/cacheproxy/proxy/protocol/DeadlineTemplate.java
@@ -7,22 +7,22 @@
  * @param before the text before the number
  * @param after the text behind the number
  */
-public record DeadlineText(String before, String after) {
+public record DeadlineTemplate(String before, String after) {
     /** Contains the timeout and nothing else. */
-    public static final DeadlineText EMPTY = new DeadlineText("", "");
+    public static final DeadlineTemplate EMPTY = new DeadlineTemplate("", "");
 
     /**
      * Splits a text around the number that begins at {@code index} and ends before the next comma or space.
      *
      * @param index where the number begins; negative if the text has none: it then gets one at its end
      */
-    public static DeadlineText of(String text, int index) {
+    public static DeadlineTemplate of(String text, int index) {
         int begin = index < 0 ? text.length() : index;
         int end = begin;
         while (end < text.length() && text.charAt(end) != ',' && text.charAt(end) != ' ') {
             end++;
         }
-        return new DeadlineText(text.substring(0, begin), text.substring(end));
+        return new DeadlineTemplate(text.substring(0, begin), text.substring(end));
     }
 
     /** The text with this timeout, in milliseconds. */
--- a/src/main/java/cacheproxy/proxy/protocol/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/protocol/MetaCodec.java
@@ -130,7 +130,7 @@
     }
 
     /** The first line of a response with a value. */
-    public static String valueHead(int length, String id) {
+    public static String valueHeader(int length, String id) {
         return "VA " + length + " O" + id + "\r\n";
     }
 
--- a/src/main/java/cacheproxy/proxy/protocol/RequestCommand.java
+++ b/src/main/java/cacheproxy/proxy/protocol/RequestCommand.java
@@ -16,11 +16,11 @@
     public final String id;
 
     public final boolean write;
-    public final RequestTerms terms;
+    public final RequestParameters parameters;
     /** The list of named parameters for the origin, in the syntax of the meta protocol. */
-    public final DeadlineText originParameters;
+    public final DeadlineTemplate originParameters;
     /** The command line for a cache node, without its line end. */
-    public final DeadlineText commandLine;
+    public final DeadlineTemplate commandLine;
     /** The value with its line end, kept for further attempts until the request is completed; null for reads. */
     public ByteBuf value;
     /** The part of the value budget that the value takes; null for reads. */
@@ -32,14 +32,14 @@
             String key,
             String id,
             boolean write,
-            RequestTerms terms,
-            DeadlineText originParameters,
-            DeadlineText commandLine) {
+            RequestParameters parameters,
+            DeadlineTemplate originParameters,
+            DeadlineTemplate commandLine) {
         this.front = front;
         this.key = key;
         this.id = id;
         this.write = write;
-        this.terms = terms;
+        this.parameters = parameters;
         this.originParameters = originParameters;
         this.commandLine = commandLine;
     }
--- a/src/main/java/cacheproxy/proxy/protocol/RequestTerms.java
+++ b/src/main/java/cacheproxy/proxy/protocol/RequestParameters.java
@@ -10,5 +10,5 @@
  * @param valueBytes the length of the value in bytes; 0 if the client does not say
  * @param repeated whether the client has sent the request before
  */
-public record RequestTerms(
+public record RequestParameters(
         String className, String tenant, double timeoutMs, double workMicros, float valueBytes, boolean repeated) {}
--- a/src/main/java/cacheproxy/proxy/transport/Connecting.java
+++ b/src/main/java/cacheproxy/proxy/transport/ConnectFutures.java
@@ -9,8 +9,8 @@
  * Netty hands out a channel that belongs to no event loop, tells of it on a thread of its own, and throws where that
  * channel is closed. Whoever connects learns of that here, as of any other connection that does not come up.
  */
-public final class Connecting {
-    private Connecting() {}
+public final class ConnectFutures {
+    private ConnectFutures() {}
 
     /** The channel of a connection that is being made; null if there could be none. */
     public static Channel channel(ChannelFuture connecting) {
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -5,7 +5,7 @@
 import cacheproxy.metrics.Metric;
 import cacheproxy.proxy.protocol.FlowControl;
 import cacheproxy.proxy.protocol.ServerResponse;
-import cacheproxy.proxy.transport.Connecting;
+import cacheproxy.proxy.transport.ConnectFutures;
 import cacheproxy.routing.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -73,9 +73,9 @@
 
     /** The connection to this address is being opened. */
     void connecting(ChannelFuture future, SocketAddress toAddress) {
-        channel = Connecting.channel(future);
+        channel = ConnectFutures.channel(future);
         address = toAddress;
-        Connecting.whenDone(context.loop(), future, () -> {
+        ConnectFutures.whenDone(context.loop(), future, () -> {
             if (future.isSuccess()) {
                 channelOpened();
             } else {
@@ -208,7 +208,7 @@
      * Whether abandoning an attempt ends it. What has gone out can be ended only with the connection, and that would
      * end the others that are waited for as well.
      */
-    public boolean isAlone() {
+    public boolean canCancelAttempt() {
         return !connected || attempts.size() - abandoned == 1;
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamServers.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamServers.java
@@ -132,7 +132,7 @@
     }
 
     /** Closes connections that have been idle too long, or whose response has stopped in its middle. */
-    public void sweep() {
+    public void closeIdleAndStalled() {
         double now = context.now();
         for (UpstreamServer server : servers.values()) {
             server.pool.closeIdle(limits.idleBeforeMs(now));
--- a/src/test/java/cacheproxy/proxy/EventLogTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLogTest.java
@@ -7,9 +7,9 @@
 import cacheproxy.admission.Verdict;
 import cacheproxy.metrics.EventKind;
 import cacheproxy.metrics.LogMessage;
-import cacheproxy.proxy.protocol.DeadlineText;
+import cacheproxy.proxy.protocol.DeadlineTemplate;
 import cacheproxy.proxy.protocol.RequestCommand;
-import cacheproxy.proxy.protocol.RequestTerms;
+import cacheproxy.proxy.protocol.RequestParameters;
 import cacheproxy.routing.EndpointLocation;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -30,9 +30,9 @@
     }
 
     private static ClientRequest request() {
-        RequestTerms terms = new RequestTerms("text", null, 100, Double.NaN, 0, false);
+        RequestParameters parameters = new RequestParameters("text", null, 100, Double.NaN, 0, false);
         RequestCommand command =
-                new RequestCommand(0, "key", "r7", false, terms, DeadlineText.EMPTY, DeadlineText.EMPTY);
+                new RequestCommand(0, "key", "r7", false, parameters, DeadlineTemplate.EMPTY, DeadlineTemplate.EMPTY);
         ClientRequest request = new ClientRequest(null, command, 0);
         request.maxAttempts = 3;
         return request;
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.proxy.protocol.DeadlineText;
+import cacheproxy.proxy.protocol.DeadlineTemplate;
 import cacheproxy.proxy.protocol.FlowControl;
 import cacheproxy.proxy.protocol.MetaCodec;
 import cacheproxy.proxy.protocol.RequestCommand;
-import cacheproxy.proxy.protocol.RequestTerms;
+import cacheproxy.proxy.protocol.RequestParameters;
 import cacheproxy.proxy.protocol.ServerResponse;
 import cacheproxy.route.Routing;
 import io.netty.buffer.ByteBuf;
@@ -151,9 +151,9 @@
                         "7f3a",
                         "" + i,
                         false,
-                        new RequestTerms("text", null, 20_000, Double.NaN, 0, false),
-                        new DeadlineText("c=text,d=", ""),
-                        new DeadlineText("mg 7f3a v O" + i + " Pc=text,d=", ""));
+                        new RequestParameters("text", null, 20_000, Double.NaN, 0, false),
+                        new DeadlineTemplate("c=text,d=", ""),
+                        new DeadlineTemplate("mg 7f3a v O" + i + " Pc=text,d=", ""));
                 fleet.on(() -> {
                     fleet.proxy
                             .dispatcher()
