--- a/src/jmh/java/cacheproxy/routing/DecisionBenchmark.java
+++ b/src/jmh/java/cacheproxy/routing/DecisionBenchmark.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What the decision module costs for one read that is served at its first attempt: decision and outcome. */
+/** What the decision loadBalancer costs for one read that is served at its first attempt: decision and outcome. */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 @Warmup(iterations = 3, time = 1)
@@ -35,15 +35,15 @@
     public int servers;
 
     private final SplittableRandom random = new SplittableRandom(1);
-    private final Orders orders = new Orders();
-    private CarpLoadBalancer module;
+    private final RecordingActions actions = new RecordingActions();
+    private CarpLoadBalancer loadBalancer;
     private double now = 1e12;
     private int id;
 
     private record Timer(double atMs, int token) {}
 
-    /** Remembers where the module sends a request and which timers it wants, and drops all else. */
-    private static final class Orders implements RoutingActions {
+    /** Remembers where the loadBalancer sends a request and which timers it wants, and drops all else. */
+    private static final class RecordingActions implements RoutingActions {
         private int server;
         private double now;
         private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparingDouble(Timer::atMs));
@@ -127,32 +127,32 @@
                 3000,
                 List.of(read),
                 List.of());
-        module = new CarpLoadBalancer(settings, 1);
+        loadBalancer = new CarpLoadBalancer(settings, 1);
         List<Endpoint> members = new ArrayList<>();
         for (int i = 1; i <= servers; i++) {
             members.add(new Endpoint(i * 7919, i % 4, i % 2, i % 5, EndpointState.READY, 1, 0));
         }
         members.add(new Endpoint(3, 0, 2, 0, EndpointState.READY, 1, 0));
-        module.onEndpointUpdate(now, EndpointUpdateKind.SNAPSHOT, members, orders);
+        loadBalancer.onEndpointUpdate(now, EndpointUpdateKind.SNAPSHOT, members, actions);
     }
 
     /** One request from its coming to its end, at ten a second for each server, with the timers that come due. */
     @Benchmark
     public int served() {
         now += 100.0 / servers;
-        orders.now = now;
-        for (Timer t; (t = orders.timers.peek()) != null && t.atMs() <= now; ) {
-            orders.timers.poll();
-            module.onTimer(now, t.token(), orders);
+        actions.now = now;
+        for (Timer t; (t = actions.timers.peek()) != null && t.atMs() <= now; ) {
+            actions.timers.poll();
+            loadBalancer.onTimer(now, t.token(), actions);
         }
         int request = ++id;
         long key = random.nextInt(KEYS) * 0x9e3779b97f4a7c15L;
-        orders.server = 0;
-        module.onRequest(now, new Request(request, 0, 0, key, now + 1000, Double.NaN, 0, false, false), orders);
-        int server = orders.server;
+        actions.server = 0;
+        loadBalancer.onRequest(now, new Request(request, 0, 0, key, now + 1000, Double.NaN, 0, false, false), actions);
+        int server = actions.server;
         if (server != 0) {
-            module.onAttemptEnd(
-                    now + 0.5, new AttemptEnd(request, 0, server, AttemptOutcome.OK, 0.5, true, 1, null), orders);
+            loadBalancer.onAttemptEnd(
+                    now + 0.5, new AttemptEnd(request, 0, server, AttemptOutcome.OK, 0.5, true, 1, null), actions);
         }
         return server;
     }
--- a/src/main/java/cacheproxy/routing/AdaptiveThrottle.java
+++ b/src/main/java/cacheproxy/routing/AdaptiveThrottle.java
@@ -24,14 +24,14 @@
     }
 
     /** How often a request is sent for each that completes in time; 1 or more. */
-    double pressure(double nowMs) {
+    double overloadRatio(double nowMs) {
         decay(nowMs);
         return Math.max(1, (requested.value() + 1) / (completedInTime.value() + 1));
     }
 
     /** Whether so little completes in time that slowness of one endpoint says nothing of that endpoint. */
     boolean isOverloaded(double nowMs) {
-        return pressure(nowMs) > HEADROOM;
+        return overloadRatio(nowMs) > HEADROOM;
     }
 
     void recordRequest(double nowMs) {
@@ -50,14 +50,14 @@
         requested.decrement();
     }
 
-    LoadCount load(double nowMs) {
+    LoadCount counts(double nowMs) {
         decay(nowMs);
         return new LoadCount(requested.value(), completedInTime.value());
     }
 
-    void resume(double nowMs, LoadCount load) {
-        requested.resume(nowMs, load.requested());
-        completedInTime.resume(nowMs, load.completedInTime());
+    void restore(double nowMs, LoadCount load) {
+        requested.restore(nowMs, load.requested());
+        completedInTime.restore(nowMs, load.completedInTime());
     }
 
     private void decay(double nowMs) {
--- a/src/main/java/cacheproxy/routing/CarpHash.java
+++ b/src/main/java/cacheproxy/routing/CarpHash.java
@@ -29,7 +29,7 @@
 
     /** The hash of a member's id (section 3.1), over its text form: 8 lower-case hexadecimal digits. */
     public static int endpointHash(int id) {
-        return spread(textHash(Integer.toUnsignedLong(id), ID_DIGITS));
+        return mix(textHash(Integer.toUnsignedLong(id), ID_DIGITS));
     }
 
     private static int textHash(long value, int digits) {
@@ -40,7 +40,7 @@
         return h;
     }
 
-    private static int spread(int h) {
+    private static int mix(int h) {
         return Integer.rotateLeft(h + h * MULTIPLIER, ROTATION);
     }
 
@@ -50,7 +50,7 @@
      * members one gets 2.2 times its share; a second pass spreads them as evenly as chance.
      */
     public static int combine(int keyHash, int memberHash) {
-        return spread(spread(keyHash ^ memberHash));
+        return mix(mix(keyHash ^ memberHash));
     }
 
     /**
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -31,7 +31,7 @@
  */
 public final class CarpLoadBalancer implements LoadBalancer {
     /** All endpoints together, the one pool there is. */
-    private static final String ONLY_POOL = "";
+    private static final String DEFAULT_POOL = "";
 
     private final EndpointTable endpoints = new EndpointTable();
     private final ZoneCircuitBreaker zones = new ZoneCircuitBreaker();
@@ -50,10 +50,10 @@
     private final EndpointSelector selector;
     private final RetryPolicy retries;
     private final HedgingPolicy hedging;
-    private final OverloadProtection admission;
+    private final OverloadProtection overloadProtection;
     private final OutcomeRecorder outcomes;
-    private final RequestTermination completion;
-    private final LearnedStateTransfer learned;
+    private final RequestTermination termination;
+    private final LearnedStateTransfer stateTransfer;
     private RoutingSettings settings;
 
     /**
@@ -75,12 +75,12 @@
         selector = new EndpointSelector(this::settings, random, endpoints, zones, outliers, slowStart);
         retries = new RetryPolicy(this::settings, random, latency);
         hedging = new HedgingPolicy(this::settings, latency);
-        admission =
+        overloadProtection =
                 new OverloadProtection(this::settings, latency, shedding, endpointThrottle, originThrottle, fetches);
         outcomes = new OutcomeRecorder(
-                hedging, admission, endpointThrottle, originThrottle, latency, zones, outliers, capacity);
-        completion = new RequestTermination(this::settings, pending, retries, fetches);
-        learned = new LearnedStateTransfer(endpoints, latency, originThrottle, endpointThrottle, hotKeys);
+                hedging, overloadProtection, endpointThrottle, originThrottle, latency, zones, outliers, capacity);
+        termination = new RequestTermination(this::settings, pending, retries, fetches);
+        stateTransfer = new LearnedStateTransfer(endpoints, latency, originThrottle, endpointThrottle, hotKeys);
         listWatch.onSettings(initial);
         shedding.onSettings(null, initial);
         rank(0);
@@ -103,7 +103,7 @@
         return settings;
     }
 
-    // ---- settings, and learned state
+    // ---- settings and learned state
 
     @Override
     public void onSettings(double nowMs, RoutingSettings next, RoutingActions out) {
@@ -129,14 +129,14 @@
 
     @Override
     public Map<String, LearnedState> learnedState(double nowMs) {
-        return Map.of(ONLY_POOL, learned.save(nowMs));
+        return Map.of(DEFAULT_POOL, stateTransfer.capture(nowMs));
     }
 
     @Override
     public void restore(double nowMs, Map<String, LearnedState> states) {
-        LearnedState ofAll = states.get(ONLY_POOL);
-        if (ofAll != null) {
-            learned.resume(nowMs, ofAll);
+        LearnedState defaultPoolState = states.get(DEFAULT_POOL);
+        if (defaultPoolState != null) {
+            stateTransfer.restore(nowMs, defaultPoolState);
         }
     }
 
@@ -171,13 +171,13 @@
 
     @Override
     public void onPeerMessage(double nowMs, int peerIndex, byte[] message, RoutingActions out) {
-        EndpointEntry silent = endpoints.get(PeerMessage.readEndpointUnresponsive(message));
-        if (silent != null && !endpoints.isOrigin(silent)) {
-            outliers.onPeerReport(nowMs, silent);
+        EndpointEntry unresponsive = endpoints.get(PeerMessage.readEndpointUnresponsive(message));
+        if (unresponsive != null && !endpoints.isOrigin(unresponsive)) {
+            outliers.onPeerReport(nowMs, unresponsive);
         }
-        EndpointEntry full = endpoints.get(PeerMessage.readEndpointFull(message));
-        if (full != null && !endpoints.isOrigin(full)) {
-            capacity.onPeerReport(nowMs, full);
+        EndpointEntry atLimit = endpoints.get(PeerMessage.readEndpointFull(message));
+        if (atLimit != null && !endpoints.isOrigin(atLimit)) {
+            capacity.onPeerReport(nowMs, atLimit);
         }
     }
 
@@ -203,17 +203,17 @@
         latency.recordCostHint(request.costMs());
         shedding.recordRequest(nowMs, request.tenant());
         outliers.onRequest();
-        PendingRequest arrived = new PendingRequest(request, settings, shedding.shares(), nowMs);
-        pending.put(request.id(), arrived);
-        timers.set(Math.max(0, request.deadlineMs() - nowMs), Kind.DEADLINE, arrived, out);
+        PendingRequest pendingRequest = new PendingRequest(request, settings, shedding.shares(), nowMs);
+        pending.put(request.id(), pendingRequest);
+        timers.set(Math.max(0, request.deadlineMs() - nowMs), Kind.DEADLINE, pendingRequest, out);
         if (settings.cacheAside() && request.write()) {
-            arrived.sendToOrigin();
+            pendingRequest.targetOrigin();
         } else if (request.key() != 0) {
             slowStart.recordRead(nowMs, endpoints.rankedCount());
             int count = hotKeys.record(nowMs, request.key());
-            arrived.setHotness(hotKeys.replicas(count, endpoints.rankedCount()), count);
+            pendingRequest.setHotness(hotKeys.replicas(count, endpoints.rankedCount()), count);
         }
-        advance(nowMs, arrived, out);
+        advance(nowMs, pendingRequest, out);
     }
 
     private void check(Request request) {
@@ -234,15 +234,15 @@
         }
         EndpointEntry target = retries.isAttemptUseful(nowMs, request) ? selector.select(nowMs, request, out) : null;
         if (target == null || !retries.isSafe(nowMs, request, target)) {
-            completion.giveUp(request, out);
+            termination.giveUp(request, out);
             return;
         }
         OverloadProtection.Decision decision = endpoints.isOrigin(target)
-                ? admission.admitToOrigin(nowMs, request)
-                : admission.admitToEndpoint(nowMs, request);
+                ? overloadProtection.admitToOrigin(nowMs, request)
+                : overloadProtection.admitToEndpoint(nowMs, request);
         switch (decision) {
             case SEND -> send(nowMs, request, target, out);
-            case GIVE_UP -> completion.giveUp(request, out);
+            case GIVE_UP -> termination.giveUp(request, out);
             case WAIT -> {}
         }
     }
@@ -250,8 +250,8 @@
     private void send(double nowMs, PendingRequest request, EndpointEntry target, RoutingActions out) {
         request.addAttempt(nowMs, target);
         boolean atOrigin = endpoints.isOrigin(target);
-        boolean untilObjective = !atOrigin && request.isValuelessWhenLate();
-        out.send(request.id(), target.id(), untilObjective ? Math.max(1, request.objectiveEndMs() - nowMs) : 0);
+        boolean timesOutAtObjective = !atOrigin && request.hasNoLateValue();
+        out.send(request.id(), target.id(), timesOutAtObjective ? Math.max(1, request.objectiveEndMs() - nowMs) : 0);
         if (!atOrigin && hedging.applies(request)) {
             timers.set(hedging.delayMs(nowMs, request), Kind.HEDGE, request, out);
         }
@@ -261,7 +261,7 @@
     public void onClientDisconnected(double nowMs, int requestId, RoutingActions out) {
         PendingRequest abandoned = pending.get(requestId);
         if (abandoned != null && !abandoned.isDone()) {
-            completion.abandon(abandoned, out);
+            termination.abandon(abandoned, out);
         }
     }
 
@@ -290,13 +290,13 @@
         }
         boolean wasDone = request.isDone();
         if (end.requestCompleted() || wasDone) {
-            completion.finish(request);
+            termination.finish(request);
         }
-        if (atOrigin && fetches.leads(request)) {
+        if (atOrigin && fetches.isLeader(request)) {
             endFetch(nowMs, request, end.outcome() == AttemptOutcome.OK, out);
         }
         if (!wasDone && end.requestCompleted()) {
-            completion.cancelAttempts(request, out);
+            termination.cancelAttempts(request, out);
         } else if (!request.isDone()) {
             retryOrGiveUp(nowMs, request, endpoint, end, out);
         }
@@ -304,14 +304,14 @@
 
     /** Who waited for a fetch finds its object where it was missed; where the fetch failed, one of them tries. */
     private void endFetch(double nowMs, PendingRequest leader, boolean stored, RoutingActions out) {
-        for (PendingRequest waiter : fetches.end(leader)) {
+        for (PendingRequest waiter : fetches.complete(leader)) {
             if (!waiter.isWaiting()) {
                 continue;
             }
             if (stored && retries.hasAttemptsLeft(waiter, 2)) { // the second for the origin, if it was evicted
-                waiter.sendToEndpoints();
+                waiter.targetEndpoints();
             } else {
-                waiter.sendToOrigin();
+                waiter.targetOrigin();
             }
             advance(nowMs, waiter, out);
         }
@@ -322,9 +322,9 @@
         if (end.outcome() == AttemptOutcome.MISS) {
             request.recordMiss(endpoint);
             if (retries.isFetchInFlight(request, end)) {
-                request.sendToEndpoints();
+                request.targetEndpoints();
             } else {
-                request.sendToOrigin();
+                request.targetOrigin();
             }
         }
         RetryPolicy.NextStep next = retries.next(request, end, endpoints.isOrigin(endpoint));
@@ -332,7 +332,7 @@
             request.startWaiting();
             timers.set(retry.delayMs(), Kind.RETRY, request, out);
         } else if (next instanceof RetryPolicy.GiveUp) {
-            completion.giveUp(request, out);
+            termination.giveUp(request, out);
         } else if (next instanceof RetryPolicy.RetryNow) {
             advance(nowMs, request, out);
         }
@@ -355,8 +355,8 @@
 
     private void onRequestTimer(double nowMs, Kind kind, PendingRequest request, RoutingActions out) {
         if (kind == Kind.DEADLINE && request.isUnanswered()) {
-            completion.answer(request, out);
-            completion.abandon(request, out);
+            termination.answer(request, out);
+            termination.abandon(request, out);
         } else if (kind == Kind.HEDGE && request.isUnanswered()) {
             onOverdue(nowMs, request, out);
         } else if (kind == Kind.RETRY && request.isWaiting()) {
@@ -374,7 +374,7 @@
         out.reportSignal(endpoint.id(), EndpointSignal.UNRESPONSIVE);
         boolean hedgingAllowed = settings.hedgingAllowed();
         outliers.onOverdue(nowMs, endpoint, hedgingAllowed);
-        if (!hedging.spend(nowMs, request)) {
+        if (!hedging.tryAcquire(nowMs, request)) {
             return;
         }
         request.markHedged();
--- a/src/main/java/cacheproxy/routing/ConnectionCapacity.java
+++ b/src/main/java/cacheproxy/routing/ConnectionCapacity.java
@@ -21,7 +21,7 @@
      * An instance that was answered within so many connect timeouts, 20 s where these are 100 ms, still has its
      * connection.
      */
-    private static final int CONNECTION_LIFE_CONNECT_TIMEOUTS = 200;
+    private static final int CONNECTION_LIFETIME_CONNECT_TIMEOUTS = 200;
 
     private final Supplier<RoutingSettings> settings;
     private final SplittableRandom random;
@@ -33,9 +33,10 @@
 
     /** A new connection was turned down. Peers are notified, who would else find out at the cost of an attempt each. */
     void onConnectionLimit(double nowMs, EndpointEntry endpoint, RoutingActions out) {
-        boolean notifiedMeanwhile = endpoint.health().isFull(nowMs); // by a peer, while the attempt was in flight
-        backOff(nowMs, endpoint, endpoint.health().recordCapacityRejection());
-        if (settings.get().peerMessagesAllowed() && !notifiedMeanwhile) {
+        boolean alreadyNotified =
+                endpoint.health().isAtConnectionLimit(nowMs); // by a peer, while the attempt was in flight
+        backOff(nowMs, endpoint, endpoint.health().recordConnectionRejection());
+        if (settings.get().peerMessagesAllowed() && !alreadyNotified) {
             out.sendToPeer(ALL_PEERS, PeerMessage.endpointFull(endpoint.id()));
         }
     }
@@ -45,9 +46,9 @@
      * until the time is over, the successor has what had no connection here anyway.
      */
     void onPeerReport(double nowMs, EndpointEntry endpoint) {
-        double connectionLifeMs =
-                CONNECTION_LIFE_CONNECT_TIMEOUTS * settings.get().connectTimeoutMs();
-        if (endpoint.health().isUnansweredFor(nowMs, connectionLifeMs)) {
+        double connectionLifetimeMs =
+                CONNECTION_LIFETIME_CONNECT_TIMEOUTS * settings.get().connectTimeoutMs();
+        if (endpoint.health().hasNoResponseFor(nowMs, connectionLifetimeMs)) {
             backOff(nowMs, endpoint, 0);
         }
     }
@@ -62,6 +63,6 @@
         double baseMs = Math.max(minMs, settings.get().instanceCount() * connectTimeoutMs);
         double capMs = minMs * (1 << MAX_DOUBLINGS);
         double delayMs = new ExponentialBackoff(baseMs, capMs).delayMs(earlierRejections);
-        endpoint.health().markFull(nowMs + delayMs * (0.5 + random.nextDouble()));
+        endpoint.health().markAtConnectionLimit(nowMs + delayMs * (0.5 + random.nextDouble()));
     }
 }
--- a/src/main/java/cacheproxy/routing/DecayingCounter.java
+++ b/src/main/java/cacheproxy/routing/DecayingCounter.java
@@ -9,13 +9,13 @@
     private double decayedAtMs;
 
     /** The part of a count, 0 to 1, that is left after this time, in milliseconds. */
-    static double remaining(double elapsedMs, double halfLifeMs) {
+    static double decayFactor(double elapsedMs, double halfLifeMs) {
         return Math.pow(0.5, elapsedMs / halfLifeMs);
     }
 
     /** Brings the count to this time, in milliseconds. */
     void decay(double nowMs, double halfLifeMs) {
-        value *= remaining(nowMs - decayedAtMs, halfLifeMs);
+        value *= decayFactor(nowMs - decayedAtMs, halfLifeMs);
         decayedAtMs = nowMs;
     }
 
@@ -28,12 +28,12 @@
         value = Math.max(0, value - 1);
     }
 
-    void raiseTo(double least) {
-        value = Math.max(least, value);
+    void raiseTo(double minimum) {
+        value = Math.max(minimum, value);
     }
 
     /** Goes on from a count that was taken elsewhere. */
-    void resume(double nowMs, double count) {
+    void restore(double nowMs, double count) {
         value = count;
         decayedAtMs = nowMs;
     }
--- a/src/main/java/cacheproxy/routing/EndpointHealth.java
+++ b/src/main/java/cacheproxy/routing/EndpointHealth.java
@@ -20,9 +20,9 @@
     private int slowResponses;
     private boolean probeInFlight;
     private boolean healthCheckPassed;
-    private int capacityRejections;
-    private double fullUntilMs;
-    private double lastAnsweredMs = Double.NEGATIVE_INFINITY;
+    private int connectionRejections;
+    private double connectionLimitUntilMs;
+    private double lastResponseMs = Double.NEGATIVE_INFINITY;
 
     /** Whether it gets ordinary requests, as far as its own failures are concerned. */
     boolean isInService() {
@@ -62,16 +62,16 @@
     }
 
     /** It answered, late or not: it can be contacted and has capacity. */
-    void recordAnswer(double nowMs) {
-        lastAnsweredMs = nowMs;
-        fullUntilMs = 0;
+    void recordResponse(double nowMs) {
+        lastResponseMs = nowMs;
+        connectionLimitUntilMs = 0;
     }
 
     /** It answered in time: the counts of failures, slow responses and rejected connections start at 0 again. */
     void clearFailures() {
         consecutiveFailures = 0;
         slowResponses = 0;
-        capacityRejections = 0;
+        connectionRejections = 0;
     }
 
     /**
@@ -80,10 +80,10 @@
      */
     void onRestart() {
         consecutiveFailures = 0;
-        capacityRejections = 0;
+        connectionRejections = 0;
         ejectedUntilMs = 0;
-        fullUntilMs = 0;
-        lastAnsweredMs = Double.NEGATIVE_INFINITY;
+        connectionLimitUntilMs = 0;
+        lastResponseMs = Double.NEGATIVE_INFINITY;
     }
 
     /**
@@ -102,25 +102,25 @@
     }
 
     /** Whether it last answered longer ago than this. */
-    boolean isUnansweredFor(double nowMs, double spanMs) {
-        return nowMs - lastAnsweredMs > spanMs;
+    boolean hasNoResponseFor(double nowMs, double spanMs) {
+        return nowMs - lastResponseMs > spanMs;
     }
 
     /** Whether it has no capacity for another connection, as far as known. */
-    boolean isFull(double nowMs) {
-        return nowMs < fullUntilMs;
+    boolean isAtConnectionLimit(double nowMs) {
+        return nowMs < connectionLimitUntilMs;
     }
 
-    void markFull(double untilMs) {
-        fullUntilMs = Math.max(fullUntilMs, untilMs);
+    void markAtConnectionLimit(double untilMs) {
+        connectionLimitUntilMs = Math.max(connectionLimitUntilMs, untilMs);
     }
 
     /** One more rejection for lack of capacity; how many there were before it since it last answered in time. */
-    int recordCapacityRejection() {
-        return capacityRejections++;
+    int recordConnectionRejection() {
+        return connectionRejections++;
     }
 
-    boolean hasFindings() {
+    boolean hasRecordedFailures() {
         return consecutiveFailures > 0 || slowResponses > 0;
     }
 
@@ -129,7 +129,7 @@
                 endpoint.id(), endpoint.startTimeMs(), consecutiveFailures, ejectedUntilMs, slowResponses);
     }
 
-    void resume(EndpointHealthRecord learned) {
+    void restore(EndpointHealthRecord learned) {
         consecutiveFailures = learned.consecutiveFailures();
         ejectedUntilMs = learned.ejectedUntilMs();
         slowResponses = learned.slowResponses();
--- a/src/main/java/cacheproxy/routing/EndpointSelector.java
+++ b/src/main/java/cacheproxy/routing/EndpointSelector.java
@@ -10,7 +10,7 @@
  */
 final class EndpointSelector {
     /** Ranks that are looked at besides those that a hot key is spread over. */
-    private static final int SUCCESSORS = 8;
+    private static final int MAX_SUCCESSORS = 8;
 
     private final Supplier<RoutingSettings> settings;
     private final SplittableRandom random;
@@ -39,19 +39,20 @@
     EndpointEntry select(double nowMs, PendingRequest request, RoutingActions out) {
         boolean mayFetch = settings.get().cacheAside() && request.isIdempotent();
         boolean endpointsSpent = request.attemptCount() >= RetryPolicy.MAX_ENDPOINT_ATTEMPTS && !request.hasMissed();
-        if (request.isForOrigin() || (mayFetch && endpointsSpent)) {
-            return orOrigin(endpoints.origin(), mayFetch);
+        if (request.targetsOrigin() || (mayFetch && endpointsSpent)) {
+            return orElseOrigin(endpoints.origin(), mayFetch);
         }
-        return orOrigin(selectEndpoint(nowMs, request, out), mayFetch);
+        return orElseOrigin(selectEndpoint(nowMs, request, out), mayFetch);
     }
 
-    private EndpointEntry orOrigin(EndpointEntry selected, boolean mayFetch) {
+    private EndpointEntry orElseOrigin(EndpointEntry selected, boolean mayFetch) {
         return selected == null && mayFetch ? endpoints.origin() : selected;
     }
 
     private EndpointEntry selectEndpoint(double nowMs, PendingRequest request, RoutingActions out) {
         int replicas = request.replicas();
-        ranking.rank(endpoints.ranked(), request.keyHash(), Math.min(endpoints.rankedCount(), replicas + SUCCESSORS));
+        ranking.rank(
+                endpoints.ranked(), request.keyHash(), Math.min(endpoints.rankedCount(), replicas + MAX_SUCCESSORS));
         // A hot key starts at any of its replicas, so that they share it.
         int offset = replicas > 1 ? random.nextInt(replicas) : 0;
         EndpointEntry fallback = null;
@@ -76,7 +77,7 @@
         boolean expendable = request.isIdempotent() && request.attemptCount() == 0;
         if (!zones.isProbeAllowed(endpoint.zone())
                 || !expendable
-                || endpoint.health().isFull(nowMs)
+                || endpoint.health().isAtConnectionLimit(nowMs)
                 || !slowStart.admits(nowMs, request, endpoint)) {
             return false;
         }
@@ -85,7 +86,7 @@
     }
 
     private boolean mayUse(double nowMs, PendingRequest request, EndpointEntry endpoint, RoutingActions out) {
-        if (endpoint.health().isFull(nowMs)) {
+        if (endpoint.health().isAtConnectionLimit(nowMs)) {
             return false;
         }
         boolean available = endpoint.health().isInService()
--- a/src/main/java/cacheproxy/routing/EndpointTable.java
+++ b/src/main/java/cacheproxy/routing/EndpointTable.java
@@ -21,14 +21,14 @@
     /**
      * Takes what the list says of endpoints and ranks anew.
      *
-     * @throws IllegalArgumentException if an endpoint is named twice, or has a weight, zone or kind that can't be
+     * @throws IllegalArgumentException if an endpoint is listed twice, or has a weight, zone or kind that can't be
      */
     void update(EndpointUpdateKind kind, List<Endpoint> endpoints, RoutingSettings settings) {
         check(endpoints, settings);
         if (kind.isSnapshot()) {
-            Set<Integer> named = new HashSet<>();
-            endpoints.forEach(endpoint -> named.add(endpoint.id()));
-            entries.values().removeIf(entry -> !named.contains(entry.id()));
+            Set<Integer> listed = new HashSet<>();
+            endpoints.forEach(endpoint -> listed.add(endpoint.id()));
+            entries.values().removeIf(entry -> !listed.contains(entry.id()));
         }
         for (Endpoint endpoint : endpoints) {
             if (endpoint.state() == EndpointState.REMOVED) {
@@ -51,9 +51,9 @@
             if (!(e.weight() >= 0) || Float.isInfinite(e.weight())) {
                 throw new IllegalArgumentException("member " + id + " has weight " + e.weight());
             }
-            boolean zoneExists = e.zone() >= 0 && e.zone() < settings.zoneCount();
-            boolean kindExists = e.kind() >= 0 && e.kind() < settings.kindCount();
-            if (!zoneExists || !kindExists) {
+            boolean validZone = e.zone() >= 0 && e.zone() < settings.zoneCount();
+            boolean validKind = e.kind() >= 0 && e.kind() < settings.kindCount();
+            if (!validZone || !validKind) {
                 throw new IllegalArgumentException("member " + id + ": zone " + e.zone() + ", kind " + e.kind());
             }
         }
@@ -75,10 +75,10 @@
         }
         ready.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
         ranked = ready.toArray(new EndpointEntry[0]);
-        weigh();
+        updateLoadFactors();
     }
 
-    private void weigh() {
+    private void updateLoadFactors() {
         float[] weights = new float[ranked.length];
         double sum = 0;
         for (int i = 0; i < ranked.length; i++) {
--- a/src/main/java/cacheproxy/routing/FairShares.java
+++ b/src/main/java/cacheproxy/routing/FairShares.java
@@ -24,10 +24,10 @@
 
     /** A request of a tenant, by its index in the settings. */
     void recordRequest(double nowMs, int tenant) {
-        double remaining = DecayingCounter.remaining(nowMs - decayedAtMs, AdaptiveThrottle.HALF_LIFE_MS);
+        double decayFactor = DecayingCounter.decayFactor(nowMs - decayedAtMs, AdaptiveThrottle.HALF_LIFE_MS);
         decayedAtMs = nowMs;
         for (int t = 0; t < requested.length; t++) {
-            requested[t] *= remaining;
+            requested[t] *= decayFactor;
         }
         requested[tenant]++;
     }
@@ -38,16 +38,16 @@
      * @param excess over 0, to 1
      * @return 0 to 1
      */
-    double rejectedPart(int tenant, double excess) {
-        return 1 - granted(tenant, fairMultiple(excess)) / requested[tenant];
+    double rejectedFraction(int tenant, double excess) {
+        return 1 - admitted(tenant, fairQuotaMultiple(excess)) / requested[tenant];
     }
 
     /** The multiple of its quota that each tenant may use, so that together they use the rest after the excess. */
-    private double fairMultiple(double excess) {
-        double goal = 0;
+    private double fairQuotaMultiple(double excess) {
+        double target = 0;
         double high = 0;
         for (int t = 0; t < requested.length; t++) {
-            goal += requested[t] * (1 - excess);
+            target += requested[t] * (1 - excess);
             high = Math.max(
                     high,
                     requested[t] / Math.max(MIN_QUOTA_PER_SECOND, tenants.get(t).quotaPerSecond()));
@@ -55,7 +55,7 @@
         double low = 0;
         for (int step = 0; step < BISECTION_STEPS; step++) {
             double middle = (low + high) / 2;
-            if (grantedToAll(middle) < goal) {
+            if (totalAdmitted(middle) < target) {
                 low = middle;
             } else {
                 high = middle;
@@ -64,15 +64,15 @@
         return high;
     }
 
-    private double grantedToAll(double multiple) {
+    private double totalAdmitted(double multiple) {
         double sum = 0;
         for (int t = 0; t < requested.length; t++) {
-            sum += granted(t, multiple);
+            sum += admitted(t, multiple);
         }
         return sum;
     }
 
-    private double granted(int tenant, double multiple) {
+    private double admitted(int tenant, double multiple) {
         return Math.min(requested[tenant], multiple * tenants.get(tenant).quotaPerSecond());
     }
 }
--- a/src/main/java/cacheproxy/routing/FetchCoalescer.java
+++ b/src/main/java/cacheproxy/routing/FetchCoalescer.java
@@ -29,21 +29,22 @@
     }
 
     /** This request fetches its object. There must be no other fetch of it. */
-    void lead(PendingRequest request) {
+    void start(PendingRequest request) {
         fetches.put(request.request().key(), new Fetch(request, new ArrayDeque<>()));
     }
 
-    boolean leads(PendingRequest request) {
+    boolean isLeader(PendingRequest request) {
         Fetch fetch = fetches.get(request.request().key());
         return fetch != null && fetch.leader() == request;
     }
 
     boolean hasWaiters(PendingRequest leader) {
-        return leads(leader) && !fetches.get(leader.request().key()).waiters().isEmpty();
+        return isLeader(leader)
+                && !fetches.get(leader.request().key()).waiters().isEmpty();
     }
 
     /** The fetch of this leader is over; who has joined it. Some may have been answered meanwhile. */
-    Queue<PendingRequest> end(PendingRequest leader) {
+    Queue<PendingRequest> complete(PendingRequest leader) {
         return fetches.remove(leader.request().key()).waiters();
     }
 }
--- a/src/main/java/cacheproxy/routing/HedgingPolicy.java
+++ b/src/main/java/cacheproxy/routing/HedgingPolicy.java
@@ -9,7 +9,7 @@
  */
 final class HedgingPolicy {
     /** Hedged requests earned by each answer of an endpoint: hedging adds at most a twentieth of load. */
-    private static final double HEDGES_PER_ANSWER = 0.05;
+    private static final double HEDGES_PER_RESPONSE = 0.05;
     /** Hedged requests that may be saved up for a burst of overdue attempts. */
     private static final double MAX_BUDGET = 5;
     /** Over the usual time: sound answers later than that are rare. */
@@ -38,15 +38,16 @@
      * its successor and the origin can still answer within the latency objective.
      */
     double delayMs(double nowMs, PendingRequest request) {
-        double usualMs = (latency.endpointMs() + DEVIATIONS * latency.endpointDeviationMs())
-                * latency.relativeWork(request.request());
+        double expectedMs = (latency.endpointMs() + DEVIATIONS * latency.endpointDeviationMs())
+                * latency.relativeCost(request.request());
         double remainingMs = Math.min(
                 request.serviceClass().latencyObjectiveMs(), request.request().deadlineMs() - nowMs);
-        return Math.max(remainingMs / MIN_DELAY_DIVISOR, Math.min(usualMs, remainingMs - 2 * latency.originFetchMs()));
+        return Math.max(
+                remainingMs / MIN_DELAY_DIVISOR, Math.min(expectedMs, remainingMs - 2 * latency.originFetchMs()));
     }
 
     /** Whether a hedge may follow now, which takes it off the budget. */
-    boolean spend(double nowMs, PendingRequest request) {
+    boolean tryAcquire(double nowMs, PendingRequest request) {
         boolean tooLate = request.request().deadlineMs() - nowMs < latency.originFetchMs();
         boolean allowed = settings.get().hedgingAllowed() || settings.get().cancellationAllowed();
         if (budget < 1 || tooLate || !allowed) {
@@ -57,12 +58,12 @@
     }
 
     /** A cache endpoint has answered: the budget grows. */
-    void recordAnswer() {
-        budget = Math.min(MAX_BUDGET, budget + HEDGES_PER_ANSWER);
+    void recordResponse() {
+        budget = Math.min(MAX_BUDGET, budget + HEDGES_PER_RESPONSE);
     }
 
     /** A hedge was answered, so it was worth its while: its part of the budget comes back. */
-    void recordSuccess() {
+    void recordSuccessfulHedge() {
         budget++;
     }
 }
--- a/src/main/java/cacheproxy/routing/HotKeys.java
+++ b/src/main/java/cacheproxy/routing/HotKeys.java
@@ -16,7 +16,7 @@
     /** Below this count a key isn't hot: chance alone brings a few requests together. */
     private static final int MIN_COUNT = 6;
     /** As many keys as can be hot at a time, with room. */
-    private static final int MAX_SHARED = 256;
+    private static final int MAX_TRANSFERRED = 256;
 
     private final Map<Long, int[]> counts = new HashMap<>();
     private double total;
@@ -56,13 +56,13 @@
         return counts.entrySet().stream()
                 .filter(entry -> entry.getValue()[0] >= MIN_COUNT)
                 .sorted((a, b) -> b.getValue()[0] - a.getValue()[0])
-                .limit(MAX_SHARED)
+                .limit(MAX_TRANSFERRED)
                 .map(entry -> new HotKey(entry.getKey(), entry.getValue()[0]))
                 .toList();
     }
 
     /** As if this had been seen here: not more than that, since the other may go on for a while. */
-    void resume(double nowMs, double requests, List<HotKey> hottest) {
+    void restore(double nowMs, double requests, List<HotKey> hottest) {
         total = requests;
         halvedAtMs = nowMs;
         hottest.forEach(hot -> counts.put(hot.key(), new int[] {hot.count()}));
--- a/src/main/java/cacheproxy/routing/LatencyEstimates.java
+++ b/src/main/java/cacheproxy/routing/LatencyEstimates.java
@@ -35,18 +35,18 @@
     }
 
     /** The work that a request's cost hint promises, in units of the usual; 1 where there is no hint. */
-    double relativeWork(Request request) {
+    double relativeCost(Request request) {
         return request.costMs() > 0 && meanCostMs > 0 ? request.costMs() / meanCostMs : 1;
     }
 
     /** An endpoint's answer to a request of this much work, in units of the usual. */
-    void recordEndpointAnswer(double elapsedMs, double relativeWork) {
-        double sampleMs = elapsedMs / relativeWork;
+    void recordEndpointResponse(double elapsedMs, double relativeCost) {
+        double sampleMs = elapsedMs / relativeCost;
         endpointDeviationMs += (Math.abs(sampleMs - endpointMs) - endpointDeviationMs) / ENDPOINT_SAMPLES;
         endpointMs += (sampleMs - endpointMs) / ENDPOINT_SAMPLES;
     }
 
-    void recordOriginAnswer(double elapsedMs) {
+    void recordOriginResponse(double elapsedMs) {
         originFetchMs += (elapsedMs - originFetchMs) / ORIGIN_SAMPLES;
     }
 
@@ -66,7 +66,7 @@
         return meanCostMs;
     }
 
-    void resume(LearnedState learned) {
+    void restore(LearnedState learned) {
         originFetchMs = learned.originFetchMs();
         endpointMs = learned.meanLatencyMs();
         endpointDeviationMs = learned.latencyDeviationMs();
--- a/src/main/java/cacheproxy/routing/LearnedStateTransfer.java
+++ b/src/main/java/cacheproxy/routing/LearnedStateTransfer.java
@@ -27,9 +27,9 @@
     }
 
     /** All of it, as of this time in milliseconds. */
-    LearnedState save(double nowMs) {
+    LearnedState capture(double nowMs) {
         List<EndpointHealthRecord> health = endpoints.all().stream()
-                .filter(entry -> entry.health().hasFindings())
+                .filter(entry -> entry.health().hasRecordedFailures())
                 .map(entry -> entry.health().toRecord(entry.endpoint()))
                 .toList();
         return new LearnedState(
@@ -37,23 +37,23 @@
                 latency.endpointMs(),
                 latency.endpointDeviationMs(),
                 latency.meanCostMs(),
-                originThrottle.load(nowMs),
-                endpointThrottle.load(nowMs),
+                originThrottle.counts(nowMs),
+                endpointThrottle.counts(nowMs),
                 hotKeys.total(),
                 hotKeys.hottest(),
                 health);
     }
 
     /** Goes on from it. Of endpoints that are not in the list, or have started since, nothing is taken. */
-    void resume(double nowMs, LearnedState learned) {
-        latency.resume(learned);
-        originThrottle.resume(nowMs, learned.originLoad());
-        endpointThrottle.resume(nowMs, learned.endpointLoad());
-        hotKeys.resume(nowMs, learned.keyRequestCount(), learned.hotKeys());
+    void restore(double nowMs, LearnedState learned) {
+        latency.restore(learned);
+        originThrottle.restore(nowMs, learned.originLoad());
+        endpointThrottle.restore(nowMs, learned.endpointLoad());
+        hotKeys.restore(nowMs, learned.keyRequestCount(), learned.hotKeys());
         for (EndpointHealthRecord health : learned.endpoints()) {
             EndpointEntry entry = endpoints.get(health.id());
             if (entry != null && entry.endpoint().startTimeMs() == health.startTimeMs()) {
-                entry.health().resume(health);
+                entry.health().restore(health);
             }
         }
     }
--- a/src/main/java/cacheproxy/routing/LoadShedding.java
+++ b/src/main/java/cacheproxy/routing/LoadShedding.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Which requests are rejected where a part of all must be: at random, or by the fair shares of their tenants where
+ * Which requests are rejected where a fraction of all must be: at random, or by the fair shares of their tenants where
  * requests over quota are worth less. A request stays charged to the shares that held when it arrived.
  */
 final class LoadShedding {
@@ -40,13 +40,13 @@
     /**
      * Whether to reject this request.
      *
-     * @param excess the part of all requests to reject; none where it is not over 0
+     * @param excess the fraction of all requests to reject; none where it is not over 0
      */
-    boolean rejects(PendingRequest request, double excess) {
+    boolean shouldReject(PendingRequest request, double excess) {
         FairShares charged = request.shares();
-        double part = charged == null || excess <= 0
+        double fraction = charged == null || excess <= 0
                 ? excess
-                : charged.rejectedPart(request.request().tenant(), excess);
-        return part > 0 && random.nextDouble() < part;
+                : charged.rejectedFraction(request.request().tenant(), excess);
+        return fraction > 0 && random.nextDouble() < fraction;
     }
 }
--- a/src/main/java/cacheproxy/routing/OutcomeRecorder.java
+++ b/src/main/java/cacheproxy/routing/OutcomeRecorder.java
@@ -6,7 +6,7 @@
  */
 final class OutcomeRecorder {
     private final HedgingPolicy hedging;
-    private final OverloadProtection admission;
+    private final OverloadProtection overloadProtection;
     private final AdaptiveThrottle endpointThrottle;
     private final AdaptiveThrottle originThrottle;
     private final LatencyEstimates latency;
@@ -16,7 +16,7 @@
 
     OutcomeRecorder(
             HedgingPolicy hedging,
-            OverloadProtection admission,
+            OverloadProtection overloadProtection,
             AdaptiveThrottle endpointThrottle,
             AdaptiveThrottle originThrottle,
             LatencyEstimates latency,
@@ -24,7 +24,7 @@
             OutlierDetection outliers,
             ConnectionCapacity capacity) {
         this.hedging = hedging;
-        this.admission = admission;
+        this.overloadProtection = overloadProtection;
         this.endpointThrottle = endpointThrottle;
         this.originThrottle = originThrottle;
         this.latency = latency;
@@ -48,13 +48,13 @@
             AttemptEnd end,
             RoutingActions out) {
         if (request.isHedged() && end.attemptIndex() > 0 && end.outcome() == AttemptOutcome.OK) {
-            hedging.recordSuccess();
+            hedging.recordSuccessfulHedge();
         }
         if (atOrigin) {
-            admission.recordOriginOutcome(nowMs, end.outcome());
+            overloadProtection.recordOriginOutcome(nowMs, end.outcome());
         }
         switch (end.outcome()) {
-            case OK, MISS, REJECTED -> recordAnswer(nowMs, request, endpoint, atOrigin, end, out);
+            case OK, MISS, REJECTED -> recordResponse(nowMs, request, endpoint, atOrigin, end, out);
             case CONNECTION_LIMIT -> {
                 endpoint.health().probeEnded();
                 capacity.onConnectionLimit(nowMs, endpoint, out);
@@ -68,14 +68,14 @@
         }
     }
 
-    private void recordAnswer(
+    private void recordResponse(
             double nowMs,
             PendingRequest request,
             EndpointEntry endpoint,
             boolean atOrigin,
             AttemptEnd end,
             RoutingActions out) {
-        endpoint.health().recordAnswer(nowMs);
+        endpoint.health().recordResponse(nowMs);
         if (atOrigin) {
             reportOrigin(nowMs, request, endpoint, end, out);
         } else {
@@ -115,8 +115,8 @@
         if (end.elapsedMs() <= objectiveMs - latency.originFetchMs()) { // a miss would have been answered in time too
             endpointThrottle.recordCompletedInTime(nowMs);
         }
-        latency.recordEndpointAnswer(end.elapsedMs(), latency.relativeWork(request.request()));
-        hedging.recordAnswer();
+        latency.recordEndpointResponse(end.elapsedMs(), latency.relativeCost(request.request()));
+        hedging.recordResponse();
     }
 
     /** The origin has served the request. */
@@ -124,7 +124,7 @@
         if (nowMs <= request.objectiveEndMs()) {
             originThrottle.recordCompletedInTime(nowMs);
         }
-        latency.recordOriginAnswer(end.elapsedMs());
+        latency.recordOriginResponse(end.elapsedMs());
     }
 
     /** A cache endpoint has not answered, for this of the three causes. */
--- a/src/main/java/cacheproxy/routing/OutlierDetection.java
+++ b/src/main/java/cacheproxy/routing/OutlierDetection.java
@@ -71,7 +71,7 @@
     /** It can't be contacted, or didn't answer at all. */
     void onNoResponse(double nowMs, EndpointEntry endpoint) {
         if (endpoint.health().consecutiveFailures() == 0) { // one endpoint counts once, with however many attempts
-            zones.recordSilence(nowMs, endpoint.zone(), ejectionMs());
+            zones.recordUnresponsiveEndpoint(nowMs, endpoint.zone(), ejectionMs());
         }
         eject(nowMs, endpoint);
     }
@@ -97,7 +97,7 @@
     /** Several peers have found it silent: it is ejected here too, unless it has answered just now. */
     void onPeerReport(double nowMs, EndpointEntry endpoint) {
         EndpointHealth health = endpoint.health();
-        if (health.consecutiveFailures() == 0 && health.isUnansweredFor(nowMs, ejectionMs())) {
+        if (health.consecutiveFailures() == 0 && health.hasNoResponseFor(nowMs, ejectionMs())) {
             eject(nowMs, endpoint);
         }
     }
--- a/src/main/java/cacheproxy/routing/OverloadProtection.java
+++ b/src/main/java/cacheproxy/routing/OverloadProtection.java
@@ -45,7 +45,7 @@
     /** Whether an attempt at a cache endpoint is made; only first attempts that are harmless to repeat are shed. */
     Decision admitToEndpoint(double nowMs, PendingRequest request) {
         boolean sheddable = request.attemptCount() == 0 && request.isIdempotent();
-        return sheddable && shedding.rejects(request, endpointThrottle.excess(nowMs))
+        return sheddable && shedding.shouldReject(request, endpointThrottle.excess(nowMs))
                 ? Decision.GIVE_UP
                 : Decision.SEND;
     }
@@ -71,10 +71,10 @@
         if (!tooLate) { // what is rejected as too late doesn't count, or the throttle stays shut
             originThrottle.recordRequest(nowMs);
         }
-        if (tooLate || shedding.rejects(request, excess)) {
+        if (tooLate || shedding.shouldReject(request, excess)) {
             return Decision.GIVE_UP;
         }
-        fetches.lead(request);
+        fetches.start(request);
         return Decision.SEND;
     }
 
--- a/src/main/java/cacheproxy/routing/PendingRequest.java
+++ b/src/main/java/cacheproxy/routing/PendingRequest.java
@@ -107,7 +107,7 @@
     }
 
     /** Whether a late answer is worth nothing to its client, and a repeat does no harm. */
-    boolean isValuelessWhenLate() {
+    boolean hasNoLateValue() {
         return isIdempotent() && serviceClass.lateValueShare() == 0;
     }
 
@@ -227,26 +227,26 @@
     }
 
     /** When the first attempt that may have taken effect was sent, in milliseconds; there must be one. */
-    double firstMaybeExecutedSentMs() {
+    double firstPossibleExecutionSentMs() {
         return possibleExecution.sentMs();
     }
 
     /** Where that attempt was sent. */
-    EndpointEntry firstMaybeExecutedEndpoint() {
+    EndpointEntry firstPossibleExecutionEndpoint() {
         return possibleExecution.endpoint();
     }
 
     // ---- where it goes
 
-    void sendToOrigin() {
+    void targetOrigin() {
         target = Target.ORIGIN;
     }
 
-    void sendToEndpoints() {
+    void targetEndpoints() {
         target = Target.ENDPOINT;
     }
 
-    boolean isForOrigin() {
+    boolean targetsOrigin() {
         return target == Target.ORIGIN;
     }
 
--- a/src/main/java/cacheproxy/routing/RetryPolicy.java
+++ b/src/main/java/cacheproxy/routing/RetryPolicy.java
@@ -34,7 +34,7 @@
     record GiveUp() implements NextStep {}
 
     /** The attempts that are in flight decide. */
-    record AwaitOthers() implements NextStep {}
+    record AwaitInFlight() implements NextStep {}
 
     /**
      * What follows the end of an attempt.
@@ -55,7 +55,7 @@
             return new GiveUp();
         }
         boolean mayHedge = request.isIdempotent() && settings.get().hedgingAllowed();
-        return !request.hasInFlight() || mayHedge ? new RetryNow() : new AwaitOthers();
+        return !request.hasInFlight() || mayHedge ? new RetryNow() : new AwaitInFlight();
     }
 
     /**
@@ -72,8 +72,8 @@
 
     /** Whether anyone gains from another attempt, and one is left. What nobody gains from is answered at once. */
     boolean isAttemptUseful(double nowMs, PendingRequest request) {
-        boolean valueless = request.isValuelessWhenLate() && nowMs > request.objectiveEndMs();
-        return !valueless
+        boolean worthless = request.hasNoLateValue() && nowMs > request.objectiveEndMs();
+        return !worthless
                 && hasAttemptsLeft(request, 1)
                 && nowMs < request.request().deadlineMs();
     }
@@ -93,8 +93,8 @@
         double arrivalMs = nowMs + settings.get().connectTimeoutMs();
         RetrySafety safety = RetrySafety.of(
                 request.serviceClass(),
-                request.firstMaybeExecutedSentMs(),
-                request.firstMaybeExecutedEndpoint().endpoint().location(),
+                request.firstPossibleExecutionSentMs(),
+                request.firstPossibleExecutionEndpoint().endpoint().location(),
                 arrivalMs,
                 endpoint.endpoint().location());
         return safety == RetrySafety.SAFE;
--- a/src/main/java/cacheproxy/routing/RetrySafety.java
+++ b/src/main/java/cacheproxy/routing/RetrySafety.java
@@ -23,24 +23,24 @@
      *
      * @param serviceClass of the request
      * @param earlierSentMs when the earlier attempt was sent, in milliseconds
-     * @param earlierAt where it was sent
-     * @param repeatMs the moment for which this is asked, in milliseconds on the same clock
-     * @param repeatAt where the repeat goes
+     * @param earlierLocation where it was sent
+     * @param retryMs the moment for which this is asked, in milliseconds on the same clock
+     * @param retryLocation where the repeat goes
      */
     public static RetrySafety of(
             ServiceClass serviceClass,
             double earlierSentMs,
-            EndpointLocation earlierAt,
-            double repeatMs,
-            EndpointLocation repeatAt) {
+            EndpointLocation earlierLocation,
+            double retryMs,
+            EndpointLocation retryLocation) {
         return switch (serviceClass.idempotency()) {
             case IDEMPOTENT -> SAFE;
             case NON_IDEMPOTENT -> NOT_IDEMPOTENT;
             case KEYED -> {
-                if (!isSameScope(serviceClass.deduplicationScope(), earlierAt, repeatAt)) {
+                if (!isSameScope(serviceClass.deduplicationScope(), earlierLocation, retryLocation)) {
                     yield OUTSIDE_DEDUPLICATION_SCOPE;
                 }
-                yield repeatMs < earlierSentMs + serviceClass.deduplicationWindowMs()
+                yield retryMs < earlierSentMs + serviceClass.deduplicationWindowMs()
                         ? SAFE
                         : DEDUPLICATION_WINDOW_EXPIRED;
             }
--- a/src/main/java/cacheproxy/routing/RoutingActions.java
+++ b/src/main/java/cacheproxy/routing/RoutingActions.java
@@ -61,5 +61,5 @@
      * What an attempt has shown of an endpoint, for those who judge zones and nodes by it. Of the origin: RESPONDED if
      * it answered within the latency objective, UNRESPONSIVE otherwise.
      */
-    default void reportSignal(int endpointId, EndpointSignal what) {}
+    default void reportSignal(int endpointId, EndpointSignal signal) {}
 }
--- a/src/main/java/cacheproxy/routing/SlowStart.java
+++ b/src/main/java/cacheproxy/routing/SlowStart.java
@@ -22,9 +22,9 @@
      * A cold endpoint gets at most this part of the load that would overload it, while clients' repeats add to an
      * overload.
      */
-    private static final double OVERLOAD_PART = 0.5;
+    private static final double OVERLOAD_FRACTION = 0.5;
     /** In so many warm-ups a fleet that has shrunk counts as the usual one by half. */
-    private static final double USUAL_WEIGHT_HALF_LIFE_WARM_UPS = 4;
+    private static final double BASELINE_WEIGHT_HALF_LIFE_WARM_UPS = 4;
 
     private final Supplier<RoutingSettings> settings;
     private final SplittableRandom random;
@@ -34,7 +34,7 @@
     /** Reads, halving in the time over which the overload of a cold endpoint is counted. */
     private final DecayingCounter reads = new DecayingCounter();
 
-    private final DecayingCounter usualWeight = new DecayingCounter();
+    private final DecayingCounter baselineWeight = new DecayingCounter();
     private double weight;
     /** The estimate of {@link #recordRead}. */
     private double offeredLoad;
@@ -55,10 +55,10 @@
     /** The endpoints have been ranked anew; their weights together. The usual weight decays to a lower one. */
     void onRanked(double nowMs, double totalWeight) {
         weight = totalWeight;
-        usualWeight.decay(
+        baselineWeight.decay(
                 nowMs,
-                Math.max(1, USUAL_WEIGHT_HALF_LIFE_WARM_UPS * settings.get().warmUpMs()));
-        usualWeight.raiseTo(totalWeight);
+                Math.max(1, BASELINE_WEIGHT_HALF_LIFE_WARM_UPS * settings.get().warmUpMs()));
+        baselineWeight.raiseTo(totalWeight);
     }
 
     /**
@@ -91,23 +91,25 @@
         if (repeated || request.replicas() > 1) {
             return false;
         }
-        double ramp = ramp(nowMs, endpoint.endpoint());
-        return isWithinFairPart(request, endpoint) && CarpHash.keyFraction(request.keyHash(), endpoint.hash()) < ramp;
+        double admittedFraction = admittedFraction(nowMs, endpoint.endpoint());
+        return isWithinFairShare(request, endpoint)
+                && CarpHash.keyFraction(request.keyHash(), endpoint.hash()) < admittedFraction;
     }
 
     /** Which part of its keys it takes now. */
-    private double ramp(double nowMs, Endpoint endpoint) {
+    private double admittedFraction(double nowMs, Endpoint endpoint) {
         RoutingSettings now = settings.get();
         double ageMs = nowMs - endpoint.localStartTimeMs();
         double linear = now.initialCapacity() + (1 - now.initialCapacity()) * Math.max(0, ageMs) / now.warmUpMs();
         // How it warms up is not known: it must also stand what it gets if it stays at its initial capacity for long.
         double capacity = Math.min(linear, now.overloadMultiple() * now.initialCapacity() / offeredLoad);
-        double underPressure = Math.min(1, now.overloadMultiple() * OVERLOAD_PART / endpointThrottle.pressure(nowMs));
-        double presentPart = usualWeight.value() > 0 ? weight / usualWeight.value() : 1;
-        return capacity * presentPart * underPressure;
+        double overloadFactor =
+                Math.min(1, now.overloadMultiple() * OVERLOAD_FRACTION / endpointThrottle.overloadRatio(nowMs));
+        double presentFraction = baselineWeight.value() > 0 ? weight / baselineWeight.value() : 1;
+        return capacity * presentFraction * overloadFactor;
     }
 
-    private boolean isWithinFairPart(PendingRequest request, EndpointEntry endpoint) {
+    private boolean isWithinFairShare(PendingRequest request, EndpointEntry endpoint) {
         return request.keyCount() <= 1 || random.nextDouble() * request.keyCount() < hotKeys.total() * endpoint.share();
     }
 }
--- a/src/main/java/cacheproxy/routing/ZoneCircuitBreaker.java
+++ b/src/main/java/cacheproxy/routing/ZoneCircuitBreaker.java
@@ -63,7 +63,7 @@
      *
      * @param ejectionMs for how long one endpoint is ejected at first, in milliseconds; the zone is for as long
      */
-    void recordSilence(double nowMs, int zone, double ejectionMs) {
+    void recordUnresponsiveEndpoint(double nowMs, int zone, double ejectionMs) {
         zone(zone).breaker.recordFailure(nowMs, ExponentialBackoff.ofDoublings(ejectionMs, MAX_DOUBLINGS));
     }
 
--- a/src/test/java/cacheproxy/routing/AdaptiveThrottleTest.java
+++ b/src/test/java/cacheproxy/routing/AdaptiveThrottleTest.java
@@ -30,7 +30,7 @@
             throttle.recordCompletedInTime(0);
         }
         assertThat(throttle.excess(0)).isEqualTo((99 - 1.2 * 50 - 1) / 100, within(EXACT));
-        assertThat(throttle.pressure(0)).isEqualTo(100 / 51.0, within(EXACT));
+        assertThat(throttle.overloadRatio(0)).isEqualTo(100 / 51.0, within(EXACT));
         assertThat(throttle.isOverloaded(0)).isTrue();
         assertThat(throttle.excess(60_000)).as("a minute without requests").isNegative();
     }
@@ -42,11 +42,11 @@
             throttle.recordRequest(0);
         }
         throttle.withdrawRequest(0);
-        LoadCount load = throttle.load(AdaptiveThrottle.HALF_LIFE_MS);
+        LoadCount load = throttle.counts(AdaptiveThrottle.HALF_LIFE_MS);
         assertThat(load.requested()).isEqualTo(3.5, within(EXACT));
         AdaptiveThrottle successor = new AdaptiveThrottle();
-        successor.resume(0, load);
-        assertThat(successor.load(0)).isEqualTo(load);
+        successor.restore(0, load);
+        assertThat(successor.counts(0)).isEqualTo(load);
     }
 
     /** Max-min fairness: a tenant within its quota keeps all, the rest is shared. */
@@ -59,7 +59,7 @@
                 shares.recordRequest(0, 1);
             }
         }
-        assertThat(shares.rejectedPart(1, 0.5)).as("10 of 55 admitted").isEqualTo(0, within(1e-6));
-        assertThat(shares.rejectedPart(0, 0.5)).as("45 of 100 admitted").isEqualTo(0.55, within(1e-6));
+        assertThat(shares.rejectedFraction(1, 0.5)).as("10 of 55 admitted").isEqualTo(0, within(1e-6));
+        assertThat(shares.rejectedFraction(0, 0.5)).as("45 of 100 admitted").isEqualTo(0.55, within(1e-6));
     }
 }
--- a/src/test/java/cacheproxy/routing/RequestAdmissionTest.java
+++ b/src/test/java/cacheproxy/routing/OverloadProtectionTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** What is shed under overload of the origin or of the endpoints, and whose requests. */
-class RequestAdmissionTest {
+class OverloadProtectionTest {
     /** An origin that answers nothing in time is sent less and less, and more again once it answers. */
     @Test
     void anOverloadedOriginIsLeftToRecover() {
--- a/src/test/java/cacheproxy/routing/RandomRulesTest.java
+++ b/src/test/java/cacheproxy/routing/RandomRulesTest.java
@@ -23,19 +23,19 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7})
     void everyOrderKeepsTheRules(int n) {
-        World world = new World(settings(n), n);
-        world.play(6000);
-        assertThat(world.answered).isGreaterThan(200);
-        assertThat(world.sent).isGreaterThan(500);
+        Simulation simulation = new Simulation(settings(n), n);
+        simulation.run(6000);
+        assertThat(simulation.answered).isGreaterThan(200);
+        assertThat(simulation.sent).isGreaterThan(500);
     }
 
     @Test
     void theSameEventsGiveTheSameOrders() {
         for (int n = 0; n < 8; n++) {
-            World one = new World(settings(n), n);
-            World two = new World(settings(n), n);
-            one.play(1500);
-            two.play(1500);
+            Simulation one = new Simulation(settings(n), n);
+            Simulation two = new Simulation(settings(n), n);
+            one.run(1500);
+            two.run(1500);
             assertThat(two.orders).isEqualTo(one.orders);
         }
     }
@@ -64,7 +64,7 @@
         }
     }
 
-    private static final class World implements RoutingActions {
+    private static final class Simulation implements RoutingActions {
         final RoutingSettings cfg;
         final Random random;
         final CarpLoadBalancer loadBalancer;
@@ -79,7 +79,7 @@
         int answered;
         int sent;
 
-        World(RoutingSettings cfg, long seed) {
+        Simulation(RoutingSettings cfg, long seed) {
             this.cfg = cfg;
             random = new Random(seed);
             loadBalancer = new CarpLoadBalancer(cfg, seed);
@@ -104,7 +104,7 @@
             loadBalancer.onEndpointUpdate(now, kind, members, this);
         }
 
-        void play(int steps) {
+        void run(int steps) {
             for (int i = 0; i < steps; i++) {
                 now += random.nextInt(8);
                 fireTimers();
--- a/src/test/java/cacheproxy/routing/RetrySafetyTest.java
+++ b/src/test/java/cacheproxy/routing/RetrySafetyTest.java
@@ -17,8 +17,8 @@
     }
 
     private static RetrySafety keyed(
-            DeduplicationScope scope, EndpointLocation first, double repeatMs, EndpointLocation repeat) {
-        return RetrySafety.of(serviceClass(Idempotency.KEYED, scope), SENT_MS, first, repeatMs, repeat);
+            DeduplicationScope scope, EndpointLocation first, double retryMs, EndpointLocation repeat) {
+        return RetrySafety.of(serviceClass(Idempotency.KEYED, scope), SENT_MS, first, retryMs, repeat);
     }
 
     @Test
--- a/src/test/java/cacheproxy/routing/HerdTest.java
+++ b/src/test/java/cacheproxy/routing/ThunderingHerdTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A thundering herd: 48 instances that a release starts in one moment, with one seed, before a small discovery. */
-class HerdTest {
+class ThunderingHerdTest {
     private static final int INSTANCES = 48;
     private static final double STEP_MS = 10;
 
@@ -21,7 +21,7 @@
 
     private final int[] answered = new int[INSTANCES];
 
-    HerdTest() {
+    ThunderingHerdTest() {
         RoutingSettings settings = LoadBalancerHarness.settings(true, true, false, DeduplicationScope.ALL);
         for (int me = 0; me < INSTANCES; me++) {
             LoadBalancerHarness harness =
