--- a/src/main/java/cacheproxy/routing/CarpHash.java
+++ b/src/main/java/cacheproxy/routing/CarpHash.java
@@ -3,16 +3,16 @@
 import java.util.Arrays;
 
 /**
- * The hash functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4). All instances compute the same from
- * the same keys, ids and weights. Hashes are unsigned, in the bits of an int.
+ * The hash functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4). All instances compute the same results
+ * from the same keys, ids and weights. A hash is an unsigned 32-bit value in an int.
  */
 public final class CarpHash {
-    /** The draft's constant, sections 3.1 and 3.2. */
+    /** The multiplier of the draft, sections 3.1 and 3.2. */
     private static final int MULTIPLIER = 0x62531965;
 
     private static final int ROTATION = 21;
     private static final double UNSIGNED_RANGE = 4294967296.0;
-    /** The finalizer of MurmurHash3, over a multiplicative hash by the golden ratio. */
+    /** The finalizer of MurmurHash3, applied to a multiplicative hash with the golden ratio. */
     private static final int MURMUR_FINALIZER_1 = 0x85EBCA6B;
 
     private static final int MURMUR_FINALIZER_2 = 0xC2B2AE35;
@@ -45,9 +45,9 @@
     }
 
     /**
-     * The combination of both hashes (section 3.2). Departs from the draft: its two steps run once more. After one pass
-     * the top ten bits depend on ten bits of the XOR alone, so keys fall into 1,024 groups, and in a fleet of 120 equal
-     * members one gets 2.2 times its share; a second pass spreads them as evenly as chance.
+     * The combination of both hashes (section 3.2). Deviates from the draft by applying its two steps twice. After one
+     * pass the top ten bits depend on only ten bits of the XOR, so keys fall into 1,024 groups, and in a fleet of 120
+     * equal members one gets 2.2 times its share; after a second pass the distribution is as even as a random one.
      */
     public static int combine(int keyHash, int memberHash) {
         return mix(mix(keyHash ^ memberHash));
@@ -63,10 +63,10 @@
     }
 
     /**
-     * The load factor multipliers of members (section 3.3). The running product is kept as a logarithm, so that
-     * hundreds of members don't underflow; rounding below zero is clamped.
+     * The load factor multipliers of members (section 3.3). The running product is kept as a logarithm, as it would
+     * underflow for hundreds of members; negative rounding errors are clamped to 0.
      *
-     * @param weights 0 or more, finite; all equal if their sum is 0
+     * @param weights 0 or more, finite; treated as equal if their sum is 0
      * @return the multipliers, in the order of the weights
      */
     public static float[] multipliers(float[] weights) {
@@ -95,7 +95,7 @@
         return multipliers;
     }
 
-    /** The indices of the weights, lightest first. */
+    /** The indices of the weights in ascending order of weight. */
     private static Integer[] ascending(float[] weights) {
         Integer[] order = new Integer[weights.length];
         for (int i = 0; i < order.length; i++) {
@@ -106,8 +106,8 @@
     }
 
     /**
-     * A number from key and member, 0 or more and under 1, independent of their score and the same at all instances:
-     * which part of the keys takes part in what holds for a fraction of them.
+     * A pseudo-random number of key and member, 0 or more and below 1, independent of their score and the same at all
+     * instances. Used to select a fixed fraction of the keys.
      */
     public static double keyFraction(int keyHash, int memberHash) {
         int h = keyHash * GOLDEN_RATIO + memberHash;
--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -8,29 +8,30 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one proxy instance: takes the events of {@link LoadBalancer}, asks the class that owns each
- * decision, and gives the orders of {@link RoutingActions}. Requests are routed by CARP v1.0 (draft-vinod-carp-v1-03).
+ * The load balancer of one proxy instance. Passes each event to the class that owns the decision and issues the
+ * resulting {@link RoutingActions}. Requests are routed by CARP v1.0 (draft-vinod-carp-v1-03).
  *
  * <pre>
- * which endpoint              EndpointSelector, over EndpointTable, CarpRanking and CarpHash
- * ejected endpoints           OutlierDetection, with the state in EndpointHealth
- * zones that are cut off      ZoneCircuitBreaker
- * endpoints without capacity  ConnectionCapacity
- * endpoints that warm up      SlowStart
- * keys that are hot           HotKeys
- * another attempt, or not     RetryPolicy
- * a hedged request            HedgingPolicy
- * shed, coalesced, sent       RequestAdmission, with AdaptiveThrottle, LoadShedding, FairShares and FetchCoalescer
- * the final answer            RequestCompletion
- * what an outcome tells       OutcomeRecorder, LatencyEstimates
- * calls for the list          EndpointListWatch
- * handing over                LearnedStateTransfer
+ * endpoint selection         EndpointSelector, using EndpointTable, CarpRanking and CarpHash
+ * ejected endpoints          OutlierDetection, with the state in EndpointHealth
+ * unreachable zones          ZoneCircuitBreaker
+ * connection limits          ConnectionCapacity
+ * slow start                 SlowStart
+ * hot keys                   HotKeys
+ * retries                    RetryPolicy
+ * hedged requests            HedgingPolicy
+ * overload, coalescing       OverloadProtection, using AdaptiveThrottle, LoadShedding, FairShares and FetchCoalescer
+ * final answers              RequestTermination
+ * attempt outcomes           OutcomeRecorder, LatencyEstimates
+ * endpoint list polling      EndpointListWatch
+ * state transfer             LearnedStateTransfer
  * </pre>
  *
- * <p>Not thread-safe: events come one at a time. The same settings, seed and events give the same orders.
+ * <p>Not thread-safe: events must be delivered one at a time. Deterministic: the same settings, seed and events produce
+ * the same actions.
  */
 public final class CarpLoadBalancer implements LoadBalancer {
-    /** All endpoints together, the one pool there is. */
+    /** The name of the only pool, which holds all endpoints. */
     private static final String DEFAULT_POOL = "";
 
     private final EndpointTable endpoints = new EndpointTable();
@@ -57,10 +58,10 @@
     private RoutingSettings settings;
 
     /**
-     * A fresh instance that knows nothing yet.
+     * Creates a load balancer without endpoints or learned state.
      *
-     * @param seed of all random choices; the instance's index is mixed in
-     * @throws IllegalArgumentException if the settings have no class or allow no attempt
+     * @param seed the seed of all random choices; the instance's index is mixed in
+     * @throws IllegalArgumentException if the settings have no service class or allow no attempt
      */
     public CarpLoadBalancer(RoutingSettings initial, long seed) {
         check(initial);
@@ -221,13 +222,14 @@
         if (request.serviceClass() < 0 || request.serviceClass() >= classes) {
             throw new IllegalArgumentException("class " + request.serviceClass() + " is not in the settings");
         }
-        int tenants = Math.max(1, settings.tenants().size()); // tenant 0 stands for all where none are named
+        int tenants =
+                Math.max(1, settings.tenants().size()); // without configured tenants all requests belong to tenant 0
         if (request.tenant() < 0 || request.tenant() >= tenants) {
             throw new IllegalArgumentException("tenant " + request.tenant() + " is not in the settings");
         }
     }
 
-    /** Makes the next attempt of a request, has it wait, or gives it up. */
+    /** Sends the next attempt of a request, leaves it waiting for another request's fetch, or gives it up. */
     private void advance(double nowMs, PendingRequest request, RoutingActions out) {
         if (!request.resume()) {
             return;
@@ -302,13 +304,19 @@
         }
     }
 
-    /** Who waited for a fetch finds its object where it was missed; where the fetch failed, one of them tries. */
+    /**
+     * Resumes the requests that waited for a fetch. After a successful fetch they read the object from the endpoint
+     * that missed it, if two attempts are left. Otherwise they go to the origin, where the first one admitted leads a
+     * new fetch.
+     */
     private void endFetch(double nowMs, PendingRequest leader, boolean stored, RoutingActions out) {
         for (PendingRequest waiter : fetches.complete(leader)) {
             if (!waiter.isWaiting()) {
                 continue;
             }
-            if (stored && retries.hasAttemptsLeft(waiter, 2)) { // the second for the origin, if it was evicted
+            if (stored
+                    && retries.hasAttemptsLeft(
+                            waiter, 2)) { // the second is for the origin, in case the object was evicted
                 waiter.targetEndpoints();
             } else {
                 waiter.targetOrigin();
@@ -364,7 +372,7 @@
         }
     }
 
-    /** The last attempt of a request takes longer than usual. */
+    /** The latest attempt of a request has exceeded its hedging delay. */
     private void onOverdue(double nowMs, PendingRequest request, RoutingActions out) {
         int attempt = request.attemptCount() - 1;
         EndpointEntry endpoint = request.endpointOf(attempt);
--- a/src/main/java/cacheproxy/routing/CarpRanking.java
+++ b/src/main/java/cacheproxy/routing/CarpRanking.java
@@ -1,8 +1,8 @@
 package cacheproxy.routing;
 
 /**
- * The endpoints with the highest scores for a key, best first (CARP draft, section 3.4: the draft takes the first;
- * section 3.5: the next is its successor when it can't be contacted). Its arrays are used again for each key.
+ * The endpoints with the highest scores for a key, in descending order. The CARP draft selects the first (section 3.4),
+ * or its successor if it can't be contacted (section 3.5). The arrays are reused for each key.
  */
 final class CarpRanking {
     private static final int INITIAL_CAPACITY = 8;
@@ -11,7 +11,7 @@
     private double[] topScores = new double[INITIAL_CAPACITY];
     private int count;
 
-    /** Ranks for a key, as deep as is wanted; of two equal scores the earlier in {@code endpoints} is first. */
+    /** Ranks endpoints for a key, up to the given depth; ties keep the order of {@code endpoints}. */
     void rank(EndpointEntry[] endpoints, int keyHash, int depth) {
         if (top.length < depth) {
             top = new EndpointEntry[depth];
@@ -32,7 +32,7 @@
         }
     }
 
-    /** By bisection: a hot key of a large fleet has hundreds of ranks. */
+    /** The first rank with a lower score; a binary search, as a hot key in a large fleet has hundreds of ranks. */
     private int firstLowerRank(double score, int ranks) {
         int low = 0;
         int high = ranks;
@@ -47,12 +47,12 @@
         return low;
     }
 
-    /** How many are ranked: the depth, or all endpoints where these are fewer. */
+    /** The number of ranks: the depth, or the number of endpoints if that is lower. */
     int count() {
         return count;
     }
 
-    /** The endpoint at this rank, 0 for the best. */
+    /** The endpoint at this rank; rank 0 has the highest score. */
     EndpointEntry at(int rank) {
         return top[rank];
     }
--- a/src/main/java/cacheproxy/routing/ConnectionCapacity.java
+++ b/src/main/java/cacheproxy/routing/ConnectionCapacity.java
@@ -6,20 +6,20 @@
 import java.util.function.Supplier;
 
 /**
- * How long an endpoint is left alone that takes no further connection, as others hold all it accepts. It is not at
- * fault: it counts as a member that can't be contacted (CARP draft, section 3.5), and its successors in the ranking
- * have its keys until a connection may have come free. Times in milliseconds.
+ * Backs off from endpoints that accept no further connection because other clients hold all of them. This is no failure
+ * of the endpoint: it is treated as a member that can't be contacted (CARP draft, section 3.5), and its successors in
+ * the ranking serve its keys until a connection may be available again. Times in milliseconds.
  */
 final class ConnectionCapacity {
     private static final int ALL_PEERS = -1;
     /** The shortest delay, in connect timeouts. */
     private static final int MIN_CONNECT_TIMEOUTS = 10;
 
-    /** The longest delay, in doublings of the shortest. */
+    /** The longest delay, as the number of doublings of the shortest. */
     private static final int MAX_DOUBLINGS = 4;
     /**
-     * An instance that was answered within so many connect timeouts, 20 s where these are 100 ms, still has its
-     * connection.
+     * An instance that got a response within this many connect timeouts (20 s for a timeout of 100 ms) is assumed to
+     * still have its connection.
      */
     private static final int CONNECTION_LIFETIME_CONNECT_TIMEOUTS = 200;
 
@@ -31,7 +31,7 @@
         this.random = random;
     }
 
-    /** A new connection was turned down. Peers are notified, who would else find out at the cost of an attempt each. */
+    /** A new connection was refused. Notifies the peers, each of which would otherwise need an attempt to find out. */
     void onConnectionLimit(double nowMs, EndpointEntry endpoint, RoutingActions out) {
         boolean alreadyNotified =
                 endpoint.health().isAtConnectionLimit(nowMs); // by a peer, while the attempt was in flight
@@ -42,8 +42,8 @@
     }
 
     /**
-     * A peer was turned down. Who has a connection there keeps to it, so a peer that is wrong costs no more than that:
-     * until the time is over, the successor has what had no connection here anyway.
+     * A peer reports that a connection was refused. Ignored by an instance that has a connection, so a false report
+     * only makes instances without one use the successor until the delay is over.
      */
     void onPeerReport(double nowMs, EndpointEntry endpoint) {
         double connectionLifetimeMs =
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Each instance tries again at a time of its own, and the later the more instances there are, as it is all together
-     * that ask.
+     * Marks the endpoint as at its connection limit. The delay has jitter for each instance and grows with the number
+     * of instances, because all of them retry.
      */
     private void backOff(double nowMs, EndpointEntry endpoint, int earlierRejections) {
         double connectTimeoutMs = settings.get().connectTimeoutMs();
--- a/src/main/java/cacheproxy/routing/EndpointEntry.java
+++ b/src/main/java/cacheproxy/routing/EndpointEntry.java
@@ -1,6 +1,9 @@
 package cacheproxy.routing;
 
-/** One endpoint of the list with its part in the ranking and its health. Lives on in requests after it is removed. */
+/**
+ * One endpoint of the list with its ranking data and health. Pending requests may refer to it after it has been removed
+ * from the list.
+ */
 final class EndpointEntry {
     private final int id;
     private final int hash;
@@ -15,7 +18,7 @@
         this.endpoint = endpoint;
     }
 
-    /** What the list says of it now. */
+    /** Replaces the list's data on the endpoint; a new start time resets its health. */
     void update(Endpoint next) {
         if (endpoint.startTimeMs() != next.startTimeMs()) {
             health.onRestart();
@@ -24,17 +27,17 @@
     }
 
     /**
-     * Its part in the ranking.
+     * Sets the ranking data.
      *
-     * @param newLoadFactor its load factor multiplier (CARP draft, section 3.3)
-     * @param newShare its part of all weights, 0 to 1
+     * @param newLoadFactor the load factor multiplier (CARP draft, section 3.3)
+     * @param newShare the fraction of the total weight, 0 to 1
      */
     void rank(float newLoadFactor, double newShare) {
         loadFactor = newLoadFactor;
         share = newShare;
     }
 
-    /** Its score for a key (CARP draft, section 3.4). */
+    /** The score for a key (CARP draft, section 3.4). */
     double score(int keyHash) {
         return CarpHash.score(keyHash, hash, loadFactor);
     }
--- a/src/main/java/cacheproxy/routing/EndpointHealth.java
+++ b/src/main/java/cacheproxy/routing/EndpointHealth.java
@@ -3,15 +3,15 @@
 import cacheproxy.backoff.ExponentialBackoff;
 
 /**
- * What this instance has seen of one endpoint: failures in a row and the ejection that follows from them, and whether
- * it had capacity for a connection. {@link OutlierDetection} and {@link ConnectionCapacity} decide on it; here each
- * change of state stands once. Times in milliseconds.
+ * The health of one endpoint as seen by this instance: consecutive failures with the resulting ejection, and whether
+ * the endpoint is at its connection limit. {@link OutlierDetection} and {@link ConnectionCapacity} decide when to
+ * change the state; this class holds the transitions. Times in milliseconds.
  *
  * <pre>
- * in service -> ejected     failed, or slow twice in a row
- * ejected    -> half-open   its ejection is over and a probe is under way
- * half-open  -> in service  the probe, or any attempt, has been answered
- * half-open  -> ejected     the probe has failed: for longer
+ * in service -> ejected     it has failed, or was slow twice in a row
+ * ejected    -> half-open   the ejection has expired and a probe is in flight
+ * half-open  -> in service  the probe, or any attempt, got a response
+ * half-open  -> ejected     the probe has failed; the ejection is longer
  * </pre>
  */
 final class EndpointHealth {
@@ -24,12 +24,12 @@
     private double connectionLimitUntilMs;
     private double lastResponseMs = Double.NEGATIVE_INFINITY;
 
-    /** Whether it gets ordinary requests, as far as its own failures are concerned. */
+    /** Whether the endpoint's own failures allow ordinary requests. */
     boolean isInService() {
         return consecutiveFailures == 0 || (healthCheckPassed && !probeInFlight);
     }
 
-    /** Whether its ejection is over and it has no probe yet. Holds in service as well, where nobody asks. */
+    /** Whether the ejection has expired and no probe is in flight. Meaningful only while the endpoint is ejected. */
     boolean isProbeDue(double nowMs) {
         return nowMs >= ejectedUntilMs && !probeInFlight;
     }
@@ -38,7 +38,7 @@
         probeInFlight = true;
     }
 
-    /** The attempt that was the probe is over, whatever it has shown. */
+    /** An attempt has ended, which ends the probe whatever the outcome. */
     void probeEnded() {
         probeInFlight = false;
     }
@@ -48,7 +48,7 @@
         healthCheckPassed = true;
     }
 
-    /** Ejects it, for the longer the more failures came before. */
+    /** Ejects the endpoint, for a time that grows with the number of consecutive failures. */
     void eject(double nowMs, ExponentialBackoff backoff) {
         probeInFlight = false;
         healthCheckPassed = false;
@@ -56,18 +56,18 @@
         consecutiveFailures++;
     }
 
-    /** One more slow response; how many there were since it last answered in time. */
+    /** Counts a slow response. Returns the number of them since the last timely response. */
     int recordSlowResponse() {
         return ++slowResponses;
     }
 
-    /** It answered, late or not: it can be contacted and has capacity. */
+    /** Records a response, timely or not: the endpoint can be contacted and is not at its connection limit. */
     void recordResponse(double nowMs) {
         lastResponseMs = nowMs;
         connectionLimitUntilMs = 0;
     }
 
-    /** It answered in time: the counts of failures, slow responses and rejected connections start at 0 again. */
+    /** Resets the counts of failures, slow responses and rejected connections after a timely response. */
     void clearFailures() {
         consecutiveFailures = 0;
         slowResponses = 0;
@@ -75,8 +75,8 @@
     }
 
     /**
-     * It has started anew: failures, ejection and capacity are of its earlier incarnation. A probe in flight and the
-     * count of slow responses stay.
+     * The endpoint has restarted: discards failures, ejection and connection limit, which belong to the earlier
+     * incarnation. Keeps the state of a probe in flight and the count of slow responses.
      */
     void onRestart() {
         consecutiveFailures = 0;
@@ -87,8 +87,8 @@
     }
 
     /**
-     * The fleet finds its zone healthy again: failures, slow responses, ejection and probe end; capacity stays as
-     * known.
+     * The fleet considers the endpoint's zone healthy again: discards failures, slow responses, ejection and probe.
+     * Keeps the connection limit.
      */
     void reset() {
         consecutiveFailures = 0;
@@ -101,12 +101,12 @@
         return consecutiveFailures;
     }
 
-    /** Whether it last answered longer ago than this. */
+    /** Whether the last response was longer ago than this. */
     boolean hasNoResponseFor(double nowMs, double spanMs) {
         return nowMs - lastResponseMs > spanMs;
     }
 
-    /** Whether it has no capacity for another connection, as far as known. */
+    /** Whether the endpoint is assumed to accept no further connection. */
     boolean isAtConnectionLimit(double nowMs) {
         return nowMs < connectionLimitUntilMs;
     }
@@ -115,7 +115,7 @@
         connectionLimitUntilMs = Math.max(connectionLimitUntilMs, untilMs);
     }
 
-    /** One more rejection for lack of capacity; how many there were before it since it last answered in time. */
+    /** Counts a rejected connection. Returns the number of earlier ones since the last timely response. */
     int recordConnectionRejection() {
         return connectionRejections++;
     }
--- a/src/main/java/cacheproxy/routing/EndpointSelector.java
+++ b/src/main/java/cacheproxy/routing/EndpointSelector.java
@@ -4,12 +4,12 @@
 import java.util.function.Supplier;
 
 /**
- * Which endpoint gets the next attempt of a request: the first in the key's CARP ranking that can be contacted, or the
- * origin. The CARP draft takes the top score (section 3.4), or the next where that member can't be contacted (3.5);
- * what departs from it says why at its place.
+ * Selects the endpoint for the next attempt of a request: the first in the key's CARP ranking that can be contacted, or
+ * the origin. The CARP draft selects the member with the highest score (section 3.4), or the next one if that member
+ * can't be contacted (section 3.5). Deviations from the draft are explained in the code that makes them.
  */
 final class EndpointSelector {
-    /** Ranks that are looked at besides those that a hot key is spread over. */
+    /** The number of ranks considered after the replicas of a key. */
     private static final int MAX_SUCCESSORS = 8;
 
     private final Supplier<RoutingSettings> settings;
@@ -35,7 +35,7 @@
         this.slowStart = slowStart;
     }
 
-    /** The endpoint or the origin for the next attempt; null if there is none. May order a health check. */
+    /** The endpoint or the origin for the next attempt; null if there is none. May start a health check. */
     EndpointEntry select(double nowMs, PendingRequest request, RoutingActions out) {
         boolean mayFetch = settings.get().cacheAside() && request.isIdempotent();
         boolean endpointsSpent = request.attemptCount() >= RetryPolicy.MAX_ENDPOINT_ATTEMPTS && !request.hasMissed();
@@ -53,7 +53,7 @@
         int replicas = request.replicas();
         ranking.rank(
                 endpoints.ranked(), request.keyHash(), Math.min(endpoints.rankedCount(), replicas + MAX_SUCCESSORS));
-        // A hot key starts at any of its replicas, so that they share it.
+        // Starts at a random replica of a hot key, so that the replicas share its load.
         int offset = replicas > 1 ? random.nextInt(replicas) : 0;
         EndpointEntry fallback = null;
         for (int i = 0; i < ranking.count(); i++) {
@@ -69,7 +69,7 @@
                 return endpoint;
             }
         }
-        // Where all are to be avoided, the first that was not tried is no worse than no attempt.
+        // If every endpoint is unavailable, an attempt at the first untried one is better than no attempt.
         return fallback;
     }
 
--- a/src/main/java/cacheproxy/routing/EndpointTable.java
+++ b/src/main/java/cacheproxy/routing/EndpointTable.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * The endpoints of the list, and of these the ones that are ranked: ready, in the unsigned order of their ids, with the
- * load factors of the CARP draft, section 3.3. In a cache-aside deployment the origin is kept apart from them.
+ * The endpoints of the list. Ranked endpoints are those that are ready, in unsigned order of their ids, with the load
+ * factors of the CARP draft, section 3.3. In a cache-aside deployment the origin is not ranked but kept separately.
  */
 final class EndpointTable {
     private final Map<Integer, EndpointEntry> entries = new HashMap<>();
@@ -19,9 +19,9 @@
     private double totalWeight;
 
     /**
-     * Takes what the list says of endpoints and ranks anew.
+     * Applies an update of the list and updates the ranked endpoints.
      *
-     * @throws IllegalArgumentException if an endpoint is listed twice, or has a weight, zone or kind that can't be
+     * @throws IllegalArgumentException if an endpoint is listed twice, or has an invalid weight, zone or kind
      */
     void update(EndpointUpdateKind kind, List<Endpoint> endpoints, RoutingSettings settings) {
         check(endpoints, settings);
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Ranks anew, after other settings or entries. */
+    /** Updates the ranked endpoints after a change of settings or entries. */
     void rank(RoutingSettings settings) {
         origin = null;
         List<EndpointEntry> ready = new ArrayList<>();
@@ -92,22 +92,22 @@
         }
     }
 
-    /** The endpoint of this id, ready or not; null if the list has none, or the id is null. */
+    /** The endpoint with this id in any state; null if the list has none, or the id is null. */
     EndpointEntry get(Integer id) {
         return entries.get(id);
     }
 
-    /** All of the list, whatever their state. */
+    /** All endpoints of the list, in any state. */
     Collection<EndpointEntry> all() {
         return entries.values();
     }
 
-    /** The ranked ones; the array is the table's own and is not to be written. */
+    /** The ranked endpoints; the array is not a copy and must not be modified. */
     EndpointEntry[] ranked() {
         return ranked;
     }
 
-    /** How many are ranked. */
+    /** The number of ranked endpoints. */
     int rankedCount() {
         return ranked.length;
     }
@@ -121,7 +121,7 @@
         return entry == origin;
     }
 
-    /** The weights of the ranked ones together. */
+    /** The total weight of the ranked endpoints. */
     double totalWeight() {
         return totalWeight;
     }
--- a/src/main/java/cacheproxy/routing/HedgingPolicy.java
+++ b/src/main/java/cacheproxy/routing/HedgingPolicy.java
@@ -3,18 +3,18 @@
 import java.util.function.Supplier;
 
 /**
- * When an attempt at a cache endpoint is overdue, and whether a hedged request (a second attempt beside or in place of
- * it) may follow. Guards against silent and hung endpoints. A budget bounds hedges to a part of all answers, so that a
- * slow fleet isn't slowed further by them. Times in milliseconds.
+ * Decides when an attempt at a cache endpoint is overdue, and whether a hedge (a second attempt beside it or in its
+ * place) may follow. Protects requests from unresponsive and hung endpoints. A budget limits hedges to a fraction of
+ * all responses, so that they don't slow down an already slow fleet. Times in milliseconds.
  */
 final class HedgingPolicy {
-    /** Hedged requests earned by each answer of an endpoint: hedging adds at most a twentieth of load. */
+    /** Hedges earned by each response of an endpoint; hedging adds at most a twentieth of the load. */
     private static final double HEDGES_PER_RESPONSE = 0.05;
-    /** Hedged requests that may be saved up for a burst of overdue attempts. */
+    /** The most hedges that may accumulate for a burst of overdue attempts. */
     private static final double MAX_BUDGET = 5;
-    /** Over the usual time: sound answers later than that are rare. */
+    /** Deviations above the mean latency after which responses of a healthy endpoint are rare. */
     private static final int DEVIATIONS = 3;
-    /** The part of the time left, as its inverse, that an endpoint has at least. */
+    /** An endpoint gets at least the remaining time divided by this. */
     private static final int MIN_DELAY_DIVISOR = 4;
 
     private final Supplier<RoutingSettings> settings;
@@ -26,7 +26,7 @@
         this.latency = latency;
     }
 
-    /** Whether the attempt at a cache endpoint that has just begun is watched. */
+    /** Whether the attempt at a cache endpoint that has just been sent may be hedged. */
     boolean applies(PendingRequest request) {
         return request.isIdempotent()
                 && request.attemptCount() < request.maxAttempts(settings.get())
@@ -34,8 +34,8 @@
     }
 
     /**
-     * How long an endpoint may take: three deviations over the usual time for the work hinted at, but early enough that
-     * its successor and the origin can still answer within the latency objective.
+     * The time after which an attempt is overdue: the mean latency plus three deviations, scaled by the request's cost
+     * hint, but early enough that the successor and the origin can still respond within the latency objective.
      */
     double delayMs(double nowMs, PendingRequest request) {
         double expectedMs = (latency.endpointMs() + DEVIATIONS * latency.endpointDeviationMs())
@@ -46,7 +46,7 @@
                 remainingMs / MIN_DELAY_DIVISOR, Math.min(expectedMs, remainingMs - 2 * latency.originFetchMs()));
     }
 
-    /** Whether a hedge may follow now, which takes it off the budget. */
+    /** Whether a hedge may be sent now; if so, it is deducted from the budget. */
     boolean tryAcquire(double nowMs, PendingRequest request) {
         boolean tooLate = request.request().deadlineMs() - nowMs < latency.originFetchMs();
         boolean allowed = settings.get().hedgingAllowed() || settings.get().cancellationAllowed();
@@ -57,12 +57,12 @@
         return true;
     }
 
-    /** A cache endpoint has answered: the budget grows. */
+    /** A cache endpoint has responded, which adds to the budget. */
     void recordResponse() {
         budget = Math.min(MAX_BUDGET, budget + HEDGES_PER_RESPONSE);
     }
 
-    /** A hedge was answered, so it was worth its while: its part of the budget comes back. */
+    /** A hedge got the response, which refunds its budget. */
     void recordSuccessfulHedge() {
         budget++;
     }
--- a/src/main/java/cacheproxy/routing/OutcomeRecorder.java
+++ b/src/main/java/cacheproxy/routing/OutcomeRecorder.java
@@ -1,8 +1,8 @@
 package cacheproxy.routing;
 
 /**
- * What the end of an attempt tells: of the endpoint's health, of the load on endpoints and origin, of the usual
- * latencies, and for those who judge zones and nodes by it. Gives the outcome to each decision that rests on it.
+ * Records the outcome of each attempt in the endpoint's health, the load on endpoints and origin, and the latency
+ * estimates, and reports it as an {@link EndpointSignal} to the detection of unhealthy zones and nodes.
  */
 final class OutcomeRecorder {
     private final HedgingPolicy hedging;
@@ -34,11 +34,11 @@
     }
 
     /**
-     * The end of an attempt.
+     * Records the end of an attempt.
      *
      * @param nowMs the time of the event, in milliseconds
-     * @param endpoint where it was sent
-     * @param atOrigin whether that is the origin
+     * @param endpoint the endpoint that the attempt was sent to
+     * @param atOrigin whether that endpoint is the origin
      */
     void record(
             double nowMs,
@@ -86,7 +86,8 @@
                 endpointThrottle.recordRequest(nowMs);
             }
         }
-        // Under overload slowness is nobody's own fault. Asked of the origin too, as the throttle decays when asked.
+        // Under overload a slow response is not the endpoint's own fault. Evaluated for the origin too, because
+        // isOverloaded decays the throttle's counts.
         boolean inTime =
                 end.elapsedMs() <= request.serviceClass().latencyObjectiveMs() || endpointThrottle.isOverloaded(nowMs);
         if (atOrigin || inTime) {
@@ -108,18 +109,18 @@
         out.reportSignal(origin.id(), inTime ? EndpointSignal.RESPONDED : EndpointSignal.UNRESPONSIVE);
     }
 
-    /** A cache endpoint has served the request. */
+    /** Records that a cache endpoint has served the request. */
     private void recordServed(double nowMs, PendingRequest request, AttemptEnd end) {
         endpointThrottle.recordRequest(nowMs);
         double objectiveMs = request.serviceClass().latencyObjectiveMs();
-        if (end.elapsedMs() <= objectiveMs - latency.originFetchMs()) { // a miss would have been answered in time too
+        if (end.elapsedMs() <= objectiveMs - latency.originFetchMs()) { // in time even if it had been a miss
             endpointThrottle.recordCompletedInTime(nowMs);
         }
         latency.recordEndpointResponse(end.elapsedMs(), latency.relativeCost(request.request()));
         hedging.recordResponse();
     }
 
-    /** The origin has served the request. */
+    /** Records that the origin has served the request. */
     private void recordFetched(double nowMs, PendingRequest request, AttemptEnd end) {
         if (nowMs <= request.objectiveEndMs()) {
             originThrottle.recordCompletedInTime(nowMs);
@@ -127,15 +128,16 @@
         latency.recordOriginResponse(end.elapsedMs());
     }
 
-    /** A cache endpoint has not answered, for this of the three causes. */
+    /** Records that a cache endpoint did not respond; the cause is CONNECT_FAILED, RESET or TIMEOUT. */
     private void recordFailure(double nowMs, EndpointEntry endpoint, AttemptOutcome cause, RoutingActions out) {
         boolean timedOut = cause == AttemptOutcome.TIMEOUT;
         int expectedFailures = endpointThrottle.isOverloaded(nowMs) ? 1 : 0;
-        // A timeout counts as load only if the endpoint was not failing already: one that is down says nothing of load.
+        // A timeout counts as load only if the endpoint was not failing already: one that is down is no sign of
+        // overload.
         if (timedOut && endpoint.health().consecutiveFailures() <= expectedFailures) {
             endpointThrottle.recordRequest(nowMs);
         }
-        if (!timedOut) { // a timeout was reported when it was overdue
+        if (!timedOut) { // a timeout was reported when the attempt became overdue
             out.reportSignal(endpoint.id(), EndpointSignal.UNRESPONSIVE);
         }
         if (cause == AttemptOutcome.RESET) {
--- a/src/main/java/cacheproxy/routing/OutlierDetection.java
+++ b/src/main/java/cacheproxy/routing/OutlierDetection.java
@@ -4,25 +4,28 @@
 import java.util.function.Supplier;
 
 /**
- * Which endpoints are ejected for their own failures, for how long, and how they come back. Inputs: ends of attempts,
- * attempts that are overdue, results of health checks, and outliers that peers report. All spans are multiples of the
- * connect timeout, as that is how long a request may wait for an endpoint that is gone; in milliseconds.
+ * Ejects endpoints for their own failures, decides for how long, and returns them to service. The decision depends on
+ * attempt outcomes, overdue attempts, health check results, and outliers reported by peers. All durations are multiples
+ * of the connect timeout, which is how long a request may wait for an endpoint that is gone. Times in milliseconds.
  *
- * <p>An ejected endpoint comes back half-open: one health check, or one idempotent request where none are allowed. A
- * budget bounds what probes may cost.
+ * <p>When its ejection expires, an endpoint is half-open and gets one probe: a health check, or one idempotent request
+ * if health checks are not allowed. A budget limits the number of probes.
  */
 final class OutlierDetection {
-    /** The first ejection in connect timeouts; it doubles with each failure that follows. */
+    /** The first ejection time, in connect timeouts; it doubles with each further failure. */
     private static final int EJECTION_CONNECT_TIMEOUTS = 10;
 
-    /** So the longest ejection is 80 connect timeouts: a server that restarts is probed again within seconds. */
+    /** Limits an ejection to 80 connect timeouts, so that a restarted endpoint is probed again within seconds. */
     private static final int MAX_EJECTION_DOUBLINGS = 3;
-    /** Slow responses or resets in a row that eject: one is no evidence, and ejection moves keys to the origin. */
+    /**
+     * Slow responses or resets in a row that eject an endpoint. A single one is no evidence, and an ejection moves keys
+     * to the origin.
+     */
     private static final int SLOW_RESPONSE_LIMIT = 2;
-    /** Probes for each request: a probe may cost the request that is used for it. */
+    /** Probes earned by each request; kept low because a probe may fail the request that is used for it. */
     private static final double PROBES_PER_REQUEST = 0.05;
 
-    /** Probes that may be saved up. */
+    /** The most probes that may accumulate. */
     private static final double MAX_PROBE_BUDGET = 1;
 
     private final Supplier<RoutingSettings> settings;
@@ -34,14 +37,14 @@
         this.zones = zones;
     }
 
-    /** A request has arrived: the budget for probes grows. */
+    /** A request has arrived, which adds to the probe budget. */
     void onRequest() {
         probeBudget = Math.min(MAX_PROBE_BUDGET, probeBudget + PROBES_PER_REQUEST);
     }
 
     /**
-     * Whether this request may probe an ejected endpoint, which counts as a probe under way. Where health checks are
-     * allowed one is ordered instead, and the request goes elsewhere.
+     * Starts a probe of an ejected endpoint if one is due and the budget allows it. Returns whether this request is the
+     * probe; if health checks are allowed, one is started instead and the request must go elsewhere.
      */
     boolean startProbe(double nowMs, PendingRequest request, EndpointEntry endpoint, RoutingActions out) {
         boolean expendable = request.isIdempotent() && request.attemptCount() == 0;
@@ -68,17 +71,18 @@
         }
     }
 
-    /** It can't be contacted, or didn't answer at all. */
+    /** The endpoint can't be contacted or did not respond. */
     void onNoResponse(double nowMs, EndpointEntry endpoint) {
-        if (endpoint.health().consecutiveFailures() == 0) { // one endpoint counts once, with however many attempts
+        if (endpoint.health().consecutiveFailures() == 0) { // counts each endpoint once, however many attempts fail
             zones.recordUnresponsiveEndpoint(nowMs, endpoint.zone(), ejectionMs());
         }
         eject(nowMs, endpoint);
     }
 
     /**
-     * An attempt takes longer than it should. Where it stays in flight, its answer will clear the endpoint, which is
-     * ejected at once; where it is cancelled nothing would, and only the second in a row ejects.
+     * An attempt has exceeded its hedging delay. If it stays in flight, the endpoint is ejected at once, because a
+     * response would clear the ejection. If it is cancelled, no response can do so, and only the second overdue attempt
+     * in a row ejects.
      */
     void onOverdue(double nowMs, EndpointEntry endpoint, boolean staysInFlight) {
         if (staysInFlight || endpoint.health().recordSlowResponse() >= SLOW_RESPONSE_LIMIT) {
@@ -86,7 +90,7 @@
         }
     }
 
-    /** It closed a connection under way. No word on its zone: there is a path to it. */
+    /** The endpoint closed a connection during an attempt. Its zone is not suspected, as it can be reached. */
     void onReset(double nowMs, EndpointEntry endpoint) {
         if (endpoint.health().consecutiveFailures() > 0
                 || endpoint.health().recordSlowResponse() >= SLOW_RESPONSE_LIMIT) {
@@ -94,7 +98,7 @@
         }
     }
 
-    /** Several peers have found it silent: it is ejected here too, unless it has answered just now. */
+    /** Several peers report the endpoint as unresponsive: ejects it here too, unless it responded recently. */
     void onPeerReport(double nowMs, EndpointEntry endpoint) {
         EndpointHealth health = endpoint.health();
         if (health.consecutiveFailures() == 0 && health.hasNoResponseFor(nowMs, ejectionMs())) {
--- a/src/main/java/cacheproxy/routing/OverloadProtection.java
+++ b/src/main/java/cacheproxy/routing/OverloadProtection.java
@@ -4,11 +4,11 @@
 import java.util.function.Supplier;
 
 /**
- * Whether an attempt that is otherwise possible is made now: sheds load from overloaded endpoints and from the origin,
- * and has one request at a time fetch an object. Times in milliseconds.
+ * Decides whether an attempt that is otherwise possible is sent now: sheds load of overloaded endpoints and of the
+ * origin, and lets only one request at a time fetch an object. Times in milliseconds.
  */
 final class OverloadProtection {
-    /** Half of an endpoint's first ejection, in connect timeouts: there is no other origin to go to. */
+    /** The open time in connect timeouts; half of an endpoint's first ejection, as there is no other origin. */
     private static final int ORIGIN_BREAKER_CONNECT_TIMEOUTS = 5;
 
     private final Supplier<RoutingSettings> settings;
@@ -34,15 +34,15 @@
         this.fetches = fetches;
     }
 
-    /** What becomes of an attempt. */
+    /** The decision on an attempt. */
     enum Decision {
         SEND,
-        /** The request waits for another's fetch of its object. */
+        /** The request waits for another request's fetch of the object. */
         WAIT,
         GIVE_UP
     }
 
-    /** Whether an attempt at a cache endpoint is made; only first attempts that are harmless to repeat are shed. */
+    /** Decides on an attempt at a cache endpoint; only first attempts of idempotent requests are shed. */
     Decision admitToEndpoint(double nowMs, PendingRequest request) {
         boolean sheddable = request.attemptCount() == 0 && request.isIdempotent();
         return sheddable && shedding.shouldReject(request, endpointThrottle.excess(nowMs))
@@ -50,9 +50,9 @@
                 : Decision.SEND;
     }
 
-    /** Whether an attempt at the origin is made. */
+    /** Decides on an attempt at the origin. */
     Decision admitToOrigin(double nowMs, PendingRequest request) {
-        if (originBreaker.isOpen(nowMs)) { // the next attempt would wait for nothing, and its client learn of it late
+        if (originBreaker.isOpen(nowMs)) { // another attempt would only delay the answer to the client
             return Decision.GIVE_UP;
         }
         if (request.request().write() || request.request().key() == 0) {
@@ -68,7 +68,7 @@
         }
         double excess = originThrottle.excess(nowMs);
         boolean tooLate = excess > 0 && nowMs + latency.originFetchMs() > request.objectiveEndMs();
-        if (!tooLate) { // what is rejected as too late doesn't count, or the throttle stays shut
+        if (!tooLate) { // counting requests rejected as too late would keep the throttle active
             originThrottle.recordRequest(nowMs);
         }
         if (tooLate || shedding.shouldReject(request, excess)) {
@@ -78,7 +78,7 @@
         return Decision.SEND;
     }
 
-    /** An attempt at the origin has ended, which tells of the path there. */
+    /** Records the end of an attempt at the origin in its throttle and circuit breaker. */
     void recordOriginOutcome(double nowMs, AttemptOutcome outcome) {
         switch (outcome) {
             case CONNECT_FAILED, RESET, NOT_SENT -> originThrottle.withdrawRequest(nowMs);
@@ -89,7 +89,7 @@
                 double openMs = ORIGIN_BREAKER_CONNECT_TIMEOUTS * settings.get().connectTimeoutMs();
                 originBreaker.recordFailure(nowMs, ExponentialBackoff.ofDoublings(openMs, 0));
             }
-            case TIMEOUT, CANCELLED -> {} // no word on the path, either way
+            case TIMEOUT, CANCELLED -> {} // tells nothing about whether the origin can be reached
             default -> originBreaker.recordSuccess();
         }
     }
--- a/src/main/java/cacheproxy/routing/PendingRequest.java
+++ b/src/main/java/cacheproxy/routing/PendingRequest.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's request from its arrival until its final answer is given and its last attempt has ended. */
+/** A client's request, from its arrival until its final answer is given and its last attempt has ended. */
 final class PendingRequest {
     /**
-     * What has become of it.
+     * The state of the request.
      *
      * <pre>
-     * ACTIVE    -> WAITING    it waits for a retry's delay or another request's fetch
+     * ACTIVE    -> WAITING    it waits for a retry delay or for another request's fetch
      * WAITING   -> ACTIVE     that wait is over
-     * ACTIVE, WAITING -> STREAMING  the first byte of a streamed answer has come
-     * any       -> DONE       it has had its final answer, or its client has left
+     * ACTIVE, WAITING -> STREAMING  the first byte of a streamed response has arrived
+     * any       -> DONE       it has its final answer, or its client has disconnected
      * </pre>
      */
     private enum State {
@@ -22,13 +22,13 @@
         DONE
     }
 
-    /** Where its next attempt goes. */
+    /** Where the next attempt goes. */
     private enum Target {
         ENDPOINT,
         ORIGIN
     }
 
-    /** One attempt, by its index the one that orders and events name. */
+    /** One attempt; actions and events refer to it by its index in the list of attempts. */
     private static final class Attempt {
         final EndpointEntry endpoint;
         final double sentMs;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** The first attempt that may have taken effect, as far as is known. */
+    /** The first attempt known to have possibly been executed. */
     private record PossibleExecution(double sentMs, EndpointEntry endpoint) {}
 
     private final Request request;
@@ -60,10 +60,10 @@
     private int keyCount = 1;
 
     /**
-     * A request as it arrives.
+     * Creates the state of a request that has just arrived.
      *
-     * @param shares the tenants' shares that it is charged to; null where none are kept
-     * @param nowMs the time of its arrival, in milliseconds
+     * @param shares the fair shares that the request is charged to; null if there are none
+     * @param nowMs the time of arrival, in milliseconds
      */
     PendingRequest(Request request, RoutingSettings settings, FairShares shares, double nowMs) {
         this.request = request;
@@ -74,7 +74,7 @@
         maxAttemptsAtArrival = settings.maxAttempts();
     }
 
-    // ---- what it is
+    // ---- properties
 
     Request request() {
         return request;
@@ -96,22 +96,22 @@
         return serviceClass.idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** The hash of its key, or of its id where it has none. */
+    /** The hash of the key, or of the request id if there is no key. */
     int keyHash() {
         return keyHash;
     }
 
-    /** The end of its latency objective, in milliseconds on the clock of events. */
+    /** The time at which the latency objective ends, in milliseconds on the clock of events. */
     double objectiveEndMs() {
         return arrivedMs + serviceClass.latencyObjectiveMs();
     }
 
-    /** Whether a late answer is worth nothing to its client, and a repeat does no harm. */
+    /** Whether a response after the latency objective has no value, and the request is idempotent. */
     boolean hasNoLateValue() {
         return isIdempotent() && serviceClass.lateValueShare() == 0;
     }
 
-    /** How hot its key is: over how many endpoints it is spread, and its count here; 1 and 1 until then. */
+    /** Sets over how many endpoints the key is spread, and the key's request count; both are 1 before. */
     void setHotness(int newReplicas, int newKeyCount) {
         replicas = newReplicas;
         keyCount = newKeyCount;
@@ -125,9 +125,9 @@
         return keyCount;
     }
 
-    // ---- its state
+    // ---- state
 
-    /** Goes on after a wait, if it waits. Whether another attempt may be made for it now. */
+    /** Ends a wait, if there is one. Returns whether another attempt may be made now. */
     boolean resume() {
         if (state == State.WAITING) {
             state = State.ACTIVE;
@@ -135,7 +135,7 @@
         return state == State.ACTIVE;
     }
 
-    /** Waits; no effect once an answer streams or has been given. */
+    /** Starts a wait; no effect once a response is streaming or the request is done. */
     void startWaiting() {
         if (state == State.ACTIVE) {
             state = State.WAITING;
@@ -164,14 +164,14 @@
         return state == State.DONE;
     }
 
-    /** Whether it is unanswered and no streamed answer has begun. */
+    /** Whether the request has no final answer and no streamed response has begun. */
     boolean isUnanswered() {
         return state == State.ACTIVE || state == State.WAITING;
     }
 
-    // ---- its attempts
+    // ---- attempts
 
-    /** As many as the settings allowed at its arrival, or fewer where they have become stricter since. */
+    /** The limit in the settings at arrival, or the present one if that is lower. */
     int maxAttempts(RoutingSettings settings) {
         return Math.min(maxAttemptsAtArrival, settings.maxAttempts());
     }
@@ -185,7 +185,7 @@
         inFlight++;
     }
 
-    /** Whether there is such an attempt, and it is in flight. */
+    /** Whether the attempt exists and is in flight. */
     boolean isInFlight(int attempt) {
         return attempt < attempts.size() && !attempts.get(attempt).ended;
     }
@@ -198,7 +198,7 @@
         return attempts.get(attempt).endpoint;
     }
 
-    /** An attempt in flight has ended. */
+    /** Marks an attempt in flight as ended. */
     void endAttempt(int attempt) {
         attempts.get(attempt).ended = true;
         inFlight--;
@@ -213,7 +213,10 @@
         return false;
     }
 
-    /** This attempt may have taken effect, or may yet. Only the first such one counts: its window ends first. */
+    /**
+     * Records that this attempt may have been executed, or may still be. Only the first one recorded counts, as its
+     * deduplication window ends first.
+     */
     void recordPossibleExecution(int attempt) {
         if (possibleExecution == null) {
             Attempt executed = attempts.get(attempt);
@@ -221,22 +224,22 @@
         }
     }
 
-    /** Whether an attempt that has ended may have taken effect. */
+    /** Whether an attempt that has ended may have been executed. */
     boolean mayHaveExecuted() {
         return possibleExecution != null;
     }
 
-    /** When the first attempt that may have taken effect was sent, in milliseconds; there must be one. */
+    /** When the first attempt that may have been executed was sent, in milliseconds; there must be one. */
     double firstPossibleExecutionSentMs() {
         return possibleExecution.sentMs();
     }
 
-    /** Where that attempt was sent. */
+    /** The endpoint of the first attempt that may have been executed; there must be one. */
     EndpointEntry firstPossibleExecutionEndpoint() {
         return possibleExecution.endpoint();
     }
 
-    // ---- where it goes
+    // ---- target
 
     void targetOrigin() {
         target = Target.ORIGIN;
@@ -250,7 +253,7 @@
         return target == Target.ORIGIN;
     }
 
-    /** An endpoint lacks its object. */
+    /** Records that this endpoint does not have the object. */
     void recordMiss(EndpointEntry endpoint) {
         missedAt = endpoint;
     }
@@ -259,7 +262,7 @@
         return missedAt != null;
     }
 
-    /** Whether this is the endpoint that lacked its object last, and so will have it after a fetch. */
+    /** Whether this endpoint reported the latest miss, so that it will have the object after a fetch. */
     boolean hasMissedAt(EndpointEntry endpoint) {
         return missedAt == endpoint;
     }
--- a/src/main/java/cacheproxy/routing/RequestTermination.java
+++ b/src/main/java/cacheproxy/routing/RequestTermination.java
@@ -4,8 +4,8 @@
 import java.util.function.Supplier;
 
 /**
- * How a request ends: its one final answer, and what becomes of attempts that are still in flight then. Forgets it once
- * it is answered and all its attempts have ended.
+ * Ends requests: gives the one final answer and cancels attempts that are still in flight. Removes a request once it is
+ * answered and all its attempts have ended.
  */
 final class RequestTermination {
     private final Supplier<RoutingSettings> settings;
@@ -24,7 +24,10 @@
         this.fetches = fetches;
     }
 
-    /** Answers a request that gets no further attempt, unless one that is in flight may still answer it. */
+    /**
+     * Answers a request that gets no further attempt. An idempotent request with an attempt in flight is left to that
+     * attempt.
+     */
     void giveUp(PendingRequest request, RoutingActions out) {
         if (request.hasInFlight() && request.isIdempotent()) {
             return;
@@ -33,7 +36,7 @@
         finish(request);
     }
 
-    /** Orders the final answer of a request that has had none. */
+    /** Gives the final answer of a request that has none yet. */
     void answer(PendingRequest request, RoutingActions out) {
         if (retries.willReject(request)) {
             out.reject(request.id(), retries.retryAfterMs());
@@ -42,7 +45,7 @@
         }
     }
 
-    /** It gets nothing more. */
+    /** Marks the request as done, and removes it if nothing is in flight. */
     void finish(PendingRequest request) {
         request.finish();
         if (!request.hasInFlight()) {
@@ -50,7 +53,7 @@
         }
     }
 
-    /** Stops all work for a request, but for an answer that streams and a fetch that others wait for. */
+    /** Stops all work for a request, except a streaming response and a fetch that other requests wait for. */
     void abandon(PendingRequest request, RoutingActions out) {
         boolean streaming = request.isStreaming();
         finish(request);
@@ -59,7 +62,7 @@
         }
     }
 
-    /** Cancels what is in flight, where the settings allow it. */
+    /** Cancels the attempts in flight if the settings allow it. */
     void cancelAttempts(PendingRequest request, RoutingActions out) {
         if (!settings.get().cancellationAllowed()) {
             return;
--- a/src/main/java/cacheproxy/routing/RetryPolicy.java
+++ b/src/main/java/cacheproxy/routing/RetryPolicy.java
@@ -4,11 +4,12 @@
 import java.util.function.Supplier;
 
 /**
- * Whether a request gets another attempt, when, and how it is answered if it gets none. Inputs: the class of the
- * request and its attempts so far, the settings' limits, and how long a fetch usually takes. Times in milliseconds.
+ * Decides whether and when a request gets another attempt, and how it is answered if it gets none. The decision depends
+ * on the request's service class and attempts so far, the limits in the settings, and the mean duration of an origin
+ * fetch. Times in milliseconds.
  */
 final class RetryPolicy {
-    /** Attempts at cache endpoints, before one that has had no answer goes to the origin. */
+    /** Attempts at cache endpoints before a request without a response goes to the origin. */
     static final int MAX_ENDPOINT_ATTEMPTS = 2;
 
     private final Supplier<RoutingSettings> settings;
@@ -21,25 +22,25 @@
         this.latency = latency;
     }
 
-    /** What follows the end of an attempt of a request that is owed its answer still. */
+    /** The next step for a request that has no final answer yet when one of its attempts ends. */
     sealed interface NextStep {}
 
-    /** Another attempt now, if one may be made. */
+    /** Make another attempt now, if one is allowed. */
     record RetryNow() implements NextStep {}
 
-    /** Another attempt after this delay, in milliseconds. */
+    /** Make another attempt after this delay, in milliseconds. */
     record RetryAfter(double delayMs) implements NextStep {}
 
-    /** No further attempt. */
+    /** Make no further attempt. */
     record GiveUp() implements NextStep {}
 
-    /** The attempts that are in flight decide. */
+    /** Wait for the attempts that are still in flight. */
     record AwaitInFlight() implements NextStep {}
 
     /**
-     * What follows the end of an attempt.
+     * The next step after the end of an attempt.
      *
-     * @param atOrigin whether that is the origin
+     * @param atOrigin whether the attempt was sent to the origin
      */
     NextStep next(PendingRequest request, AttemptEnd end, boolean atOrigin) {
         boolean write = request.request().write();
@@ -48,7 +49,7 @@
                 return new RetryAfter(latency.originFetchMs());
             }
         } else if (atOrigin && write && end.outcome() == AttemptOutcome.REJECTED && hasAttemptsLeft(request, 1)) {
-            // Writes that were rejected together must not come again together.
+            // Jitter keeps writes that were rejected together from being retried together.
             return new RetryAfter(latency.originFetchMs() * (0.5 + random.nextDouble()));
         }
         if (atOrigin && !write) {
@@ -59,8 +60,8 @@
     }
 
     /**
-     * Whether the endpoint that lacks the object says that another proxy fetches it, so that it will be there soon. One
-     * attempt must be left for the endpoint, and one for the origin if that fetch fails.
+     * Whether the endpoint reported with a miss that another proxy is already fetching the object, and two attempts are
+     * left: one to read the object from the endpoint, and one for the origin if that fetch fails.
      */
     boolean isFetchInFlight(PendingRequest request, AttemptEnd end) {
         return end.note() == LoadBalancer.NOTE_FETCH_IN_FLIGHT && hasAttemptsLeft(request, 2);
@@ -70,7 +71,10 @@
         return request.attemptCount() + count <= request.maxAttempts(settings.get());
     }
 
-    /** Whether anyone gains from another attempt, and one is left. What nobody gains from is answered at once. */
+    /**
+     * Whether another attempt is left, the deadline has not passed, and a response would still have value to the
+     * client. Otherwise the request is answered at once.
+     */
     boolean isAttemptUseful(double nowMs, PendingRequest request) {
         boolean worthless = request.hasNoLateValue() && nowMs > request.objectiveEndMs();
         return !worthless
@@ -78,7 +82,7 @@
                 && nowMs < request.request().deadlineMs();
     }
 
-    /** Whether an attempt at this endpoint can't make the request take effect more often than its class allows. */
+    /** Whether an attempt at this endpoint can't execute the request more often than its service class allows. */
     boolean isSafe(double nowMs, PendingRequest request, EndpointEntry endpoint) {
         boolean mayHedge = request.isIdempotent() && settings.get().hedgingAllowed();
         if (request.hasInFlight() && !mayHedge) {
@@ -87,9 +91,11 @@
         if (!request.mayHaveExecuted() || request.isIdempotent()) {
             return true;
         }
-        // A connection for it may take its time to come up, and endpoints go by when the repeat reaches them. {@code
-        // SafetyRules}
-        // is asked again when the attempt is written; planned later than this, it could only be forbidden then.
+        // Endpoints check the deduplication window when the retry reaches them, which may take up to the connect
+        // timeout
+        // if a new connection is needed. SafetyRules repeats this check when the attempt is written; a retry planned
+        // for
+        // a later arrival would only be forbidden then.
         double arrivalMs = nowMs + settings.get().connectTimeoutMs();
         RetrySafety safety = RetrySafety.of(
                 request.serviceClass(),
@@ -101,16 +107,17 @@
     }
 
     /**
-     * Whether it is rejected, which promises its client that a repeat does no harm; it fails otherwise. Stricter than
-     * {@code SafetyRules.mayReject}: a keyed request that may have run is failed.
+     * Whether the final answer is a rejection, which guarantees the client a safe retry, instead of a failure. Stricter
+     * than {@code SafetyRules.mayReject}: a keyed request that may have been executed is failed.
      */
     boolean willReject(PendingRequest request) {
         return request.isIdempotent() || (!request.mayHaveExecuted() && !request.hasInFlight());
     }
 
     /**
-     * When a rejected client should come back: an endpoint's present work is half done on average, and then it has
-     * capacity again. Guards against clients that repeat at once and keep up the overload they were rejected for.
+     * The delay after which a rejected client should retry: half the mean endpoint latency, the average time until an
+     * endpoint completes its present work and has capacity again. Keeps clients from retrying at once and sustaining
+     * the overload for which they were rejected.
      */
     double retryAfterMs() {
         return Math.min(settings.get().maxRetryAfterMs(), latency.endpointMs() / 2);
--- a/src/main/java/cacheproxy/routing/RoutingActions.java
+++ b/src/main/java/cacheproxy/routing/RoutingActions.java
@@ -1,60 +1,58 @@
 package cacheproxy.routing;
 
 /**
- * Takes the orders of a {@link LoadBalancer}, to carry them out in their order at the time of the event. Times in
- * milliseconds.
+ * The actions of a {@link LoadBalancer}. Implementations carry them out in call order, at the time of the event. Times
+ * in milliseconds.
  */
 public interface RoutingActions {
     /**
-     * Sends a request to an endpoint: its next attempt.
+     * Sends the next attempt of a request to an endpoint.
      *
      * @param timeoutMs after which the attempt ends with {@link AttemptOutcome#TIMEOUT}; 0 for the request's deadline
      */
     void send(int requestId, int endpointId, double timeoutMs);
 
     /**
-     * The final answer: rejected, which promises that a repeat does no harm.
+     * Rejects a request as its final answer, which guarantees that the client may safely retry it.
      *
-     * @param retryAfterMs after which the client should repeat it; 0 for no advice
+     * @param retryAfterMs the delay after which the client should retry; 0 for no advice
      */
     void reject(int requestId, double retryAfterMs);
 
-    /** The final answer: failed, which promises nothing. */
+    /** Fails a request as its final answer: the request may have taken effect, so a retry may not be safe. */
     void fail(int requestId);
 
-    /** Stops waiting for an attempt, which ends with {@link AttemptOutcome#CANCELLED}. */
+    /** Cancels an attempt, which then ends with {@link AttemptOutcome#CANCELLED}. */
     void cancel(int requestId, int attempt);
 
     /**
-     * Asks for {@link LoadBalancer#onTimer}.
+     * Schedules a call of {@link LoadBalancer#onTimer}.
      *
-     * @param afterMs 0 or more, from the time of the event
-     * @param token comes back with the timer, unchanged
+     * @param afterMs the delay from the time of the event, 0 or more
+     * @param token passed back unchanged when the timer expires
      */
     void setTimer(double afterMs, int token);
 
-    /** Checks the health of an endpoint, which ends in {@link LoadBalancer#onHealthCheckResult}. */
+    /** Starts a health check of an endpoint, whose result goes to {@link LoadBalancer#onHealthCheckResult}. */
     void checkHealth(int endpointId);
 
-    /**
-     * Closes those connections to an endpoint on which nothing is in flight. {@link CarpLoadBalancer} never orders it.
-     */
+    /** Closes the idle connections to an endpoint. {@link CarpLoadBalancer} never calls this. */
     void closeIdle(int endpointId);
 
     /**
-     * Sends bytes to another instance.
+     * Sends a message to another instance.
      *
-     * @param peerIndex its index in the fleet, or -1 for all
+     * @param peerIndex the recipient's index in the fleet, or -1 for all instances
      */
     void sendToPeer(int peerIndex, byte[] message);
 
-    /** Subscribes to changes of the endpoint list, or ends the subscription. */
+    /** Subscribes to changes of the endpoint list, or cancels the subscription. */
     void setWatch(boolean on);
 
-    /** Asks for a snapshot of the endpoint list once. {@link CarpLoadBalancer} never orders it. */
+    /** Requests one snapshot of the endpoint list. {@link CarpLoadBalancer} never calls this. */
     void fetchEndpointList();
 
-    /** A line for the operators. */
+    /** Writes a line to the log. */
     void log(String line);
 
     /**
--- a/src/main/java/cacheproxy/routing/SlowStart.java
+++ b/src/main/java/cacheproxy/routing/SlowStart.java
@@ -4,26 +4,26 @@
 import java.util.function.Supplier;
 
 /**
- * Which requests an endpoint gets while it warms up after its start, so that it isn't overloaded. The CARP draft knows
- * no cold member.
+ * Limits the requests that an endpoint gets while it warms up after its start, so that it isn't overloaded. Not part of
+ * the CARP draft, which doesn't consider cold members.
  *
- * <p>Two limits. Of one key an endpoint takes no more than its fair part of what this instance sees. And it takes only
- * keys whose {@link CarpHash#keyFraction}, a fixed pseudo-random number per key and endpoint that is the same at all
- * instances, lies below the admitted fraction (the ramp); the others go to their successors in the ranking. The
- * admitted fraction is the capacity that the endpoint has by now, less where endpoints are missing and each has the
- * keys of others, and less where clients' repeats add to an overload. If it were lower, all instances alike would send
- * the keys of a replaced endpoint to warm ones, and overload these. Hot keys, retries and clients' repeats are not
- * admitted: they come in bursts.
+ * <p>Two limits apply. For any one key, an endpoint gets no more than its fair share of the requests this instance
+ * sees. And it gets only keys whose {@link CarpHash#keyFraction}, a fixed pseudo-random number per key and endpoint
+ * that is the same at all instances, is below the admitted fraction; other keys go to their successors in the ranking.
+ * The admitted fraction is the present capacity of the endpoint, reduced when endpoints are missing, because the others
+ * then also serve their keys, and reduced when client retries add to an overload. A lower fraction would make all
+ * instances send the keys of a replaced endpoint to warm endpoints and overload these. Requests for hot keys, retries
+ * and client retries are not admitted, because they come in bursts.
  *
- * <p>Times in milliseconds, fractions 0 to 1, loads in units of what a warm endpoint can do.
+ * <p>Times in milliseconds, fractions 0 to 1, loads relative to the capacity of a warm endpoint.
  */
 final class SlowStart {
     /**
-     * A cold endpoint gets at most this part of the load that would overload it, while clients' repeats add to an
-     * overload.
+     * While client retries add to an overload, a cold endpoint gets at most this fraction of the load that would
+     * overload it.
      */
     private static final double OVERLOAD_FRACTION = 0.5;
-    /** In so many warm-ups a fleet that has shrunk counts as the usual one by half. */
+    /** The half-life of the baseline weight, in warm-up times; after a fleet shrinks, its baseline follows slowly. */
     private static final double BASELINE_WEIGHT_HALF_LIFE_WARM_UPS = 4;
 
     private final Supplier<RoutingSettings> settings;
@@ -31,7 +31,7 @@
     private final HotKeys hotKeys;
     private final LatencyEstimates latency;
     private final AdaptiveThrottle endpointThrottle;
-    /** Reads, halving in the time over which the overload of a cold endpoint is counted. */
+    /** Reads, decaying with the overload window ({@link RoutingSettings#overloadWindowMs}) as half-life. */
     private final DecayingCounter reads = new DecayingCounter();
 
     private final DecayingCounter baselineWeight = new DecayingCounter();
@@ -52,7 +52,9 @@
         this.endpointThrottle = endpointThrottle;
     }
 
-    /** The endpoints have been ranked anew; their weights together. The usual weight decays to a lower one. */
+    /**
+     * The ranked endpoints have changed. The baseline weight follows a higher total at once and decays to a lower one.
+     */
     void onRanked(double nowMs, double totalWeight) {
         weight = totalWeight;
         baselineWeight.decay(
@@ -62,11 +64,11 @@
     }
 
     /**
-     * One more read: estimates the fleet's offered load per endpoint, in reads in progress (Little's law):
-     * {@code instances * readsPerMs * latencyMs / endpoints}. {@code readsPerMs} is the decayed count times {@code ln 2
-     * / halfLifeMs}. Each instance assumes that the others receive as much as it does itself, so those that receive
-     * more send a cold endpoint less. An endpoint can serve several reads at once, so the estimate is high where there
-     * is an overload, which is the safe side.
+     * Counts a read and updates the estimate of the fleet's offered load per endpoint, in concurrent reads (Little's
+     * law): {@code instances * readsPerMs * latencyMs / endpoints}, where {@code readsPerMs} is the decayed count times
+     * {@code ln 2 / halfLifeMs}. Each instance assumes that the others receive as many reads as it does, so instances
+     * with more reads send a cold endpoint less. An endpoint can serve several reads at once, so the estimate is too
+     * high under overload, which is the safe side.
      */
     void recordRead(double nowMs, int endpoints) {
         double halfLifeMs = Math.max(1, settings.get().overloadWindowMs());
@@ -82,7 +84,7 @@
                 && nowMs - endpoint.localStartTimeMs() < settings.get().warmUpMs();
     }
 
-    /** Whether an endpoint may have this request; always where it has warmed up. */
+    /** Whether an endpoint may get this request; always true for one that is not warming up. */
     boolean admits(double nowMs, PendingRequest request, EndpointEntry endpoint) {
         if (!isWarmingUp(nowMs, endpoint)) {
             return true;
@@ -96,12 +98,12 @@
                 && CarpHash.keyFraction(request.keyHash(), endpoint.hash()) < admittedFraction;
     }
 
-    /** Which part of its keys it takes now. */
+    /** The fraction of its keys that the endpoint gets now. */
     private double admittedFraction(double nowMs, Endpoint endpoint) {
         RoutingSettings now = settings.get();
         double ageMs = nowMs - endpoint.localStartTimeMs();
         double linear = now.initialCapacity() + (1 - now.initialCapacity()) * Math.max(0, ageMs) / now.warmUpMs();
-        // How it warms up is not known: it must also stand what it gets if it stays at its initial capacity for long.
+        // The real warm-up curve is unknown: the load must also be safe if the endpoint stays at its initial capacity.
         double capacity = Math.min(linear, now.overloadMultiple() * now.initialCapacity() / offeredLoad);
         double overloadFactor =
                 Math.min(1, now.overloadMultiple() * OVERLOAD_FRACTION / endpointThrottle.overloadRatio(nowMs));
--- a/src/main/java/cacheproxy/routing/ZoneCircuitBreaker.java
+++ b/src/main/java/cacheproxy/routing/ZoneCircuitBreaker.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 
 /**
- * Whether endpoints of a zone may be used as far as the path to the zone is concerned. Two inputs: this instance's own
- * attempts, and the directives of the fleet's failover.
+ * Decides whether endpoints of a zone may be used, given the network path to the zone. The decision depends on this
+ * instance's own attempts and on the directives of the fleet's failover.
  *
- * <p>Own attempts: a fault between zones would else be found endpoint by endpoint, each at the cost of a request that
- * waits. Where several endpoints of a zone in a row fall silent and none answers, the whole zone is ejected as one
- * endpoint would be.
+ * <p>Own attempts: without a breaker per zone, a fault between zones would be detected one endpoint at a time, each at
+ * the cost of a waiting request. If several endpoints of a zone become unresponsive in a row and none responds, the
+ * whole zone is ejected in the same way as an endpoint.
  *
- * <p>Directives: the draft's member that can't be contacted (CARP draft, section 3.5). Where the fleet has moved a part
- * of a zone's keys away, the same keys at all instances, these go to the next endpoint of their ranking; no other key
- * moves.
+ * <p>Directives: endpoints of a zone that has traffic diverted are treated as members that can't be contacted (CARP
+ * draft, section 3.5). The diverted keys, the same at all instances, go to the next endpoint of their ranking; no other
+ * key moves.
  */
 final class ZoneCircuitBreaker {
-    /** How often the time for which a zone stays open (nothing is sent) doubles with each further failure. */
+    /** How many times the open time of the breaker may double with further failures. */
     private static final int MAX_DOUBLINGS = 3;
 
     private final Map<Integer, Zone> zones = new HashMap<>();
@@ -28,7 +28,7 @@
         boolean probeAllowed;
     }
 
-    /** The fleet's word on a zone, which goes before what this instance has seen there. */
+    /** Applies a directive of the fleet, which takes precedence over this instance's own observations. */
     void apply(ZoneDirective directive) {
         Zone zone = zone(directive.zone());
         zone.trafficFraction = directive.trafficFraction();
@@ -38,18 +38,21 @@
         }
     }
 
-    /** Whether the fleet sends this key to other zones, whatever the rank of the zone's endpoints. */
+    /** Whether the fleet diverts this key to other zones, regardless of the rank of this zone's endpoints. */
     boolean isDiverted(int zone, int keyHash) {
         double fraction = zone(zone).trafficFraction;
         return fraction < 1 && CarpHash.keyFraction(keyHash, CarpHash.endpointHash(zone)) >= fraction;
     }
 
-    /** Whether this instance may send one probe request to a zone that is left; few may, as all would else at once. */
+    /**
+     * Whether this instance may send one probe request to a zone with diverted traffic. Only few instances are allowed
+     * to, as otherwise all would probe at once.
+     */
     boolean isProbeAllowed(int zone) {
         return zone(zone).probeAllowed;
     }
 
-    /** The one probe request is under way. */
+    /** The one probe request has been sent. */
     void probeSent(int zone) {
         zone(zone).probeAllowed = false;
     }
@@ -59,15 +62,15 @@
     }
 
     /**
-     * An endpoint of the zone that was healthy has fallen silent.
+     * A healthy endpoint of the zone has become unresponsive.
      *
-     * @param ejectionMs for how long one endpoint is ejected at first, in milliseconds; the zone is for as long
+     * @param ejectionMs the first open time, in milliseconds; the same as the first ejection of an endpoint
      */
     void recordUnresponsiveEndpoint(double nowMs, int zone, double ejectionMs) {
         zone(zone).breaker.recordFailure(nowMs, ExponentialBackoff.ofDoublings(ejectionMs, MAX_DOUBLINGS));
     }
 
-    /** An endpoint of the zone has answered, so there is a path. */
+    /** An endpoint of the zone has responded, so the zone can be reached. */
     void recordResponse(int zone) {
         zone(zone).breaker.recordSuccess();
     }
