--- a/src/main/java/cacheproxy/routing/AdaptiveThrottle.java
+++ b/src/main/java/cacheproxy/routing/AdaptiveThrottle.java
@@ -1,35 +1,35 @@
 package cacheproxy.routing;
 
 /**
- * Client-side throttling: which part of the requests for one backend (the origin, or all cache endpoints together)
- * should not be sent, from what was sent and what came back in time of that. Guards against the overload in which late
- * and rejected requests are repeated and the backend works for nobody.
+ * Client-side throttling for one backend (the origin, or all cache endpoints together): computes the fraction of
+ * requests that should not be sent, from the counts of requests sent and of those completed in time. Prevents the
+ * overload in which late and rejected requests are retried and the backend does no useful work.
  *
- * <p>Times in milliseconds, fractions 0 to 1. After "Handling Overload" in Site Reliability Engineering: the rejected
- * part is (requests - K x accepts) / (requests + 1), with {@link #HEADROOM} as K.
+ * <p>Times in milliseconds, fractions 0 to 1. Based on "Handling Overload" in Site Reliability Engineering: the
+ * rejected fraction is (requests - K x accepts) / (requests + 1), with {@link #HEADROOM} as K.
  */
 final class AdaptiveThrottle {
-    /** Some ten fetches at a proxy with a few a second. */
+    /** Covers about ten fetches at a proxy with a few fetches per second. */
     static final double HALF_LIFE_MS = 4000;
-    /** More than what comes back in time is sent, or nobody would see that the backend can do more again. */
+    /** Requests sent per request completed in time; above 1, so that a recovery of the backend is noticed. */
     private static final double HEADROOM = 1.2;
 
     private final DecayingCounter requested = new DecayingCounter();
     private final DecayingCounter completedInTime = new DecayingCounter();
 
-    /** The part of what is wanted that should not be sent; none where it is not over 0. */
+    /** The fraction of requests that should not be sent; none if it is not positive. */
     double excess(double nowMs) {
         decay(nowMs);
         return (requested.value() - HEADROOM * completedInTime.value() - 1) / (requested.value() + 1);
     }
 
-    /** How often a request is sent for each that completes in time; 1 or more. */
+    /** The number of requests sent per request completed in time; 1 or more. */
     double overloadRatio(double nowMs) {
         decay(nowMs);
         return Math.max(1, (requested.value() + 1) / (completedInTime.value() + 1));
     }
 
-    /** Whether so little completes in time that slowness of one endpoint says nothing of that endpoint. */
+    /** Whether so few requests complete in time that a slow response is no evidence against one endpoint. */
     boolean isOverloaded(double nowMs) {
         return overloadRatio(nowMs) > HEADROOM;
     }
@@ -44,7 +44,10 @@
         completedInTime.increment();
     }
 
-    /** A request never got there: no evidence of load. Counted, it would keep the throttle shut for seconds after. */
+    /**
+     * Removes a request that never reached the backend and so is no evidence of load. Counting it would keep the
+     * throttle active for seconds afterwards.
+     */
     void withdrawRequest(double nowMs) {
         decay(nowMs);
         requested.decrement();
--- a/src/main/java/cacheproxy/routing/AttemptOutcome.java
+++ b/src/main/java/cacheproxy/routing/AttemptOutcome.java
@@ -1,29 +1,32 @@
 package cacheproxy.routing;
 
-/** How an attempt ended, and whether the request may have taken effect by it. */
+/** How an attempt ended, and whether it may have executed the request. */
 public enum AttemptOutcome {
-    /** The endpoint served it. */
+    /** The endpoint served the request. */
     OK(true),
-    /** The endpoint lacks the object. */
+    /** The endpoint does not have the object. */
     MISS(false),
-    /** The endpoint reports an error. */
+    /** The endpoint reported an error. */
     ERROR(true),
-    /** The endpoint rejected it. */
+    /** The endpoint rejected the request. */
     REJECTED(false),
-    /** No answer within its timeout. */
+    /** No response within the attempt's timeout. */
     TIMEOUT(true),
     /**
-     * No connection could be made: refused, timed out, or still coming up when the attempt ended; of a health check
-     * also that the endpoint takes no requests.
+     * No connection could be established: refused, timed out, or still pending when the attempt ended. For a health
+     * check also that the endpoint accepts no requests.
      */
     CONNECT_FAILED(false),
-    /** The connection broke while it was in flight. */
+    /** The connection was closed while the attempt was in flight. */
     RESET(true),
-    /** It was cancelled from this side. */
+    /** This instance cancelled the attempt. */
     CANCELLED(true),
-    /** It was not written. */
+    /** The request was not written. */
     NOT_SENT(false),
-    /** The endpoint holds as many connections as it accepts, none of them ours, and closed a new one unread. */
+    /**
+     * The endpoint has reached its connection limit without a connection of this instance, and closed a new one before
+     * reading from it.
+     */
     CONNECTION_LIMIT(false);
 
     private final boolean mayHaveRun;
@@ -32,7 +35,7 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /** Whether the request may have taken effect, or may yet. */
+    /** Whether the request may have been executed, or may still be. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
--- a/src/main/java/cacheproxy/routing/CircuitBreaker.java
+++ b/src/main/java/cacheproxy/routing/CircuitBreaker.java
@@ -3,21 +3,21 @@
 import cacheproxy.backoff.ExponentialBackoff;
 
 /**
- * Stops all traffic on one path after some failures in a row, for a time that grows while they go on. Any success
- * closes it. Open means that nothing is sent.
+ * Stops all traffic on one path after several consecutive failures, for a time that grows with further failures. Any
+ * success closes the breaker. While it is open, nothing is sent.
  */
 final class CircuitBreaker {
-    /** Failures in a row that open it: two may be a coincidence, and each further one costs a request that waits. */
+    /** Consecutive failures that open it: two may be a coincidence, and each further one delays another request. */
     private static final int FAILURE_THRESHOLD = 3;
 
     private int consecutiveFailures;
     private double openUntilMs;
 
     /**
-     * One more failure.
+     * Records a failure.
      *
      * @param nowMs the time of the event, in milliseconds
-     * @param backoff how long it stays open, from the failure that opens it on
+     * @param backoff the open times, starting with the failure that opens the breaker
      */
     void recordFailure(double nowMs, ExponentialBackoff backoff) {
         consecutiveFailures++;
--- a/src/main/java/cacheproxy/routing/DecayingCounter.java
+++ b/src/main/java/cacheproxy/routing/DecayingCounter.java
@@ -1,19 +1,19 @@
 package cacheproxy.routing;
 
 /**
- * A count that loses half of its value in each half-life, so that it weighs what was counted lately. The owner says
- * when it decays, as results depend in their last digits on the moments at which they are taken.
+ * A count with exponential decay, which gives recent events more weight. The owner calls {@link #decay} explicitly,
+ * because the last digits of a result depend on when decay is applied, and results must be reproducible.
  */
 final class DecayingCounter {
     private double value;
     private double decayedAtMs;
 
-    /** The part of a count, 0 to 1, that is left after this time, in milliseconds. */
+    /** The fraction of a count, 0 to 1, that remains after this time, in milliseconds. */
     static double decayFactor(double elapsedMs, double halfLifeMs) {
         return Math.pow(0.5, elapsedMs / halfLifeMs);
     }
 
-    /** Brings the count to this time, in milliseconds. */
+    /** Applies the decay up to this time, in milliseconds. */
     void decay(double nowMs, double halfLifeMs) {
         value *= decayFactor(nowMs - decayedAtMs, halfLifeMs);
         decayedAtMs = nowMs;
@@ -23,7 +23,7 @@
         value++;
     }
 
-    /** Takes one back, down to zero. */
+    /** Subtracts one, but not below zero. */
     void decrement() {
         value = Math.max(0, value - 1);
     }
@@ -32,7 +32,7 @@
         value = Math.max(minimum, value);
     }
 
-    /** Goes on from a count that was taken elsewhere. */
+    /** Restores a count that was captured elsewhere. */
     void restore(double nowMs, double count) {
         value = count;
         decayedAtMs = nowMs;
--- a/src/main/java/cacheproxy/routing/DeduplicationScope.java
+++ b/src/main/java/cacheproxy/routing/DeduplicationScope.java
@@ -1,12 +1,12 @@
 package cacheproxy.routing;
 
-/** The endpoints that drop a repeat of a request with an idempotency key. */
+/** The endpoints that drop duplicates of a request with an idempotency key. */
 public enum DeduplicationScope {
     /** All endpoints of the list. */
     ALL("all"),
-    /** Those of the zone of the first attempt. */
+    /** The endpoints in the zone of the first attempt. */
     ZONE("zone"),
-    /** Those of the cell of the first attempt. */
+    /** The endpoints in the cell of the first attempt. */
     CELL("cell");
 
     private final String wireName;
@@ -15,7 +15,7 @@
         this.wireName = wireName;
     }
 
-    /** Its word in settings ({@code classes.N.group}). */
+    /** The value in settings ({@code classes.N.group}). */
     public String wireName() {
         return wireName;
     }
--- a/src/main/java/cacheproxy/routing/EndpointListWatch.java
+++ b/src/main/java/cacheproxy/routing/EndpointListWatch.java
@@ -5,12 +5,12 @@
 import java.util.SplittableRandom;
 
 /**
- * When this instance subscribes to changes of the endpoint list, in deployments in which it has to ask discovery for
- * them. The delay after failed calls is that of {@link PollBackoff}. Times in milliseconds.
+ * Decides when this instance subscribes to changes of the endpoint list, in deployments in which it has to poll
+ * discovery. The delay after failed calls is that of {@link PollBackoff}. Times in milliseconds.
  *
  * <pre>
  * IDLE        -> SUBSCRIBING  a delay has ended
- * SUBSCRIBING -> SUBSCRIBED   discovery has answered with entries
+ * SUBSCRIBING -> SUBSCRIBED   discovery has responded with entries
  * any         -> IDLE         the call or the subscription has failed
  * </pre>
  */
@@ -39,8 +39,8 @@
     }
 
     /**
-     * The delay until the first call, after a start with a cached list: discovery is small, and all instances of a
-     * fleet that starts must not call at once.
+     * The random delay until the first call after a start with a cached list. Discovery has little capacity, so the
+     * instances of a fleet that starts together must not all call at once.
      */
     double firstPollDelayMs(RoutingSettings settings) {
         double limitMs = Math.min(settings.pollIntervalMs(), EndpointListFreshness.MAX_STALENESS_MS);
@@ -48,7 +48,7 @@
         return random.nextDouble() * spanMs;
     }
 
-    /** The list has come, or changes of it, by a call of this instance. */
+    /** Discovery has responded to a call of this instance with the list or with changes. */
     void onEntries() {
         if (state == State.SUBSCRIBING) {
             state = State.SUBSCRIBED;
@@ -56,13 +56,13 @@
         }
     }
 
-    /** A call or the subscription has failed; the delay until the next. */
+    /** A call or the subscription has failed. Returns the delay until the next call. */
     double onFailure(double nowMs) {
         state = State.IDLE;
         return backoff.nextDelayMs(nowMs - subscribedAtMs, random);
     }
 
-    /** A delay has ended: whether to subscribe now, which counts as done. */
+    /** A delay has ended. Returns whether to subscribe now; if so, the state is SUBSCRIBING. */
     boolean subscribe(double nowMs) {
         if (state != State.IDLE) {
             return false;
--- a/src/main/java/cacheproxy/routing/EndpointLocation.java
+++ b/src/main/java/cacheproxy/routing/EndpointLocation.java
@@ -1,4 +1,4 @@
 package cacheproxy.routing;
 
-/** Where an endpoint stands, as far as the scope of deduplication asks: its zone, and the cell within the list. */
+/** The location of an endpoint for {@link DeduplicationScope}: its zone and its cell. */
 public record EndpointLocation(int zone, int cell) {}
--- a/src/main/java/cacheproxy/routing/EndpointSignal.java
+++ b/src/main/java/cacheproxy/routing/EndpointSignal.java
@@ -1,11 +1,11 @@
 package cacheproxy.routing;
 
-/** What an attempt has shown of an endpoint. */
+/** What an attempt reveals about an endpoint. */
 public enum EndpointSignal {
-    /** It answered. */
+    /** It responded. */
     RESPONDED,
-    /** It answered that it lacks the object. */
+    /** It responded that it does not have the object. */
     CACHE_MISS,
-    /** It gave no answer in time. */
+    /** It did not respond in time. */
     UNRESPONSIVE
 }
--- a/src/main/java/cacheproxy/routing/EndpointState.java
+++ b/src/main/java/cacheproxy/routing/EndpointState.java
@@ -2,13 +2,13 @@
 
 import java.util.Optional;
 
-/** What the endpoint list says of an endpoint. */
+/** The state of an endpoint in the endpoint list. */
 public enum EndpointState {
-    /** It is gone from the list: nothing is sent to it. */
+    /** It has been removed from the list; nothing is sent to it. */
     REMOVED(0),
-    /** It finishes what it has; nothing new is sent to it. */
+    /** It completes its requests; no new ones are sent to it. */
     DRAINING(1),
-    /** It takes requests. */
+    /** It accepts requests. */
     READY(2);
 
     private final int wireCode;
@@ -17,12 +17,12 @@
         this.wireCode = wireCode;
     }
 
-    /** Its code in binary messages. */
+    /** The code in binary messages. */
     public int wireCode() {
         return wireCode;
     }
 
-    /** The state of a code in a binary message; empty where the code has none. */
+    /** The state for a code in a binary message; empty if the code is unknown. */
     public static Optional<EndpointState> ofWireCode(int code) {
         for (EndpointState state : values()) {
             if (state.wireCode == code) {
--- a/src/main/java/cacheproxy/routing/EndpointUpdateKind.java
+++ b/src/main/java/cacheproxy/routing/EndpointUpdateKind.java
@@ -1,19 +1,19 @@
 package cacheproxy.routing;
 
-/** What an update of the endpoint list carries. */
+/** What an update of the endpoint list contains. */
 public enum EndpointUpdateKind {
     /** The complete list, from discovery. */
     SNAPSHOT,
-    /** Changes of it, from discovery. */
+    /** Changes of the list, from discovery. */
     DELTA,
-    /** The complete list as it was cached before a start. */
+    /** The complete list, from a cache that was written before this process started. */
     CACHED,
-    /** A call for the list failed; no entries. */
+    /** A discovery call failed; there are no entries. */
     FAILED,
-    /** Changes that peers were notified of, or that are undone again; no answer to a call. */
+    /** Changes from peers, or the reversal of such changes; not a response to a discovery call. */
     PROVISIONAL;
 
-    /** Whether it names all endpoints, so that others are gone. */
+    /** Whether it lists all endpoints, so that unlisted ones are removed. */
     public boolean isSnapshot() {
         return this == SNAPSHOT || this == CACHED;
     }
--- a/src/main/java/cacheproxy/routing/FairShares.java
+++ b/src/main/java/cacheproxy/routing/FairShares.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * From which tenants load is shed: what must be rejected comes off those that ask most over their quotas (max-min
- * fairness), as requests over quota are worth little. Counts what each tenant asks of this instance, decaying. Clients'
- * repeats swell all tenants alike.
+ * Distributes load shedding among tenants: rejections go to the tenants that exceed their quotas the most (max-min
+ * fairness), as requests over quota have little value. Uses decaying counts of each tenant's requests at this instance.
+ * Client retries are counted as well and increase the counts of all tenants alike.
  */
 final class FairShares {
-    /** Halvings of the searched interval: down to under one part in ten million. */
+    /** Halves the search interval to less than one ten-millionth of its size. */
     private static final int BISECTION_STEPS = 24;
 
     private static final double MIN_QUOTA_PER_SECOND = 1e-9;
@@ -22,7 +22,7 @@
         requested = new double[tenants.size()];
     }
 
-    /** A request of a tenant, by its index in the settings. */
+    /** Counts a request of a tenant, given by its index in the settings. */
     void recordRequest(double nowMs, int tenant) {
         double decayFactor = DecayingCounter.decayFactor(nowMs - decayedAtMs, AdaptiveThrottle.HALF_LIFE_MS);
         decayedAtMs = nowMs;
@@ -33,16 +33,16 @@
     }
 
     /**
-     * The part of one tenant's requests to reject, so that of all tenants' the part {@code excess} is rejected.
+     * The fraction of one tenant's requests to reject, so that the fraction {@code excess} of all requests is rejected.
      *
-     * @param excess over 0, to 1
+     * @param excess above 0, at most 1
      * @return 0 to 1
      */
     double rejectedFraction(int tenant, double excess) {
         return 1 - admitted(tenant, fairQuotaMultiple(excess)) / requested[tenant];
     }
 
-    /** The multiple of its quota that each tenant may use, so that together they use the rest after the excess. */
+    /** The multiple of its quota that each tenant may use, so that all tenants together use what the excess leaves. */
     private double fairQuotaMultiple(double excess) {
         double target = 0;
         double high = 0;
--- a/src/main/java/cacheproxy/routing/FetchCoalescer.java
+++ b/src/main/java/cacheproxy/routing/FetchCoalescer.java
@@ -6,16 +6,20 @@
 import java.util.Queue;
 
 /**
- * Coalesces fetches of one object from the origin: the first request for a key leads, those that come while it fetches
- * wait and find the object at the endpoint that lacked it. Keys are those of requests; 0, no key, has no fetch here.
+ * Coalesces fetches of one object from the origin: the first request for a key leads the fetch; requests that arrive
+ * during the fetch wait, and then read the object from the endpoint that missed it. Requests without a key (key 0) are
+ * never coalesced.
  */
 final class FetchCoalescer {
-    /** A fetch in flight and who waits for it, in the order of their arrival. */
+    /** A fetch in flight with the requests that wait for it, in order of arrival. */
     private record Fetch(PendingRequest leader, Queue<PendingRequest> waiters) {}
 
     private final Map<Long, Fetch> fetches = new HashMap<>();
 
-    /** Has a request wait for the fetch of its object, if it isn't the leader itself. Whether there is such a fetch. */
+    /**
+     * Makes a request wait for the fetch of its object, unless it leads that fetch. Returns whether there is such a
+     * fetch.
+     */
     boolean join(PendingRequest request) {
         Fetch fetch = fetches.get(request.request().key());
         if (fetch == null) {
@@ -28,7 +32,7 @@
         return true;
     }
 
-    /** This request fetches its object. There must be no other fetch of it. */
+    /** Starts a fetch led by this request. There must be no other fetch of the object. */
     void start(PendingRequest request) {
         fetches.put(request.request().key(), new Fetch(request, new ArrayDeque<>()));
     }
@@ -43,7 +47,7 @@
                 && !fetches.get(leader.request().key()).waiters().isEmpty();
     }
 
-    /** The fetch of this leader is over; who has joined it. Some may have been answered meanwhile. */
+    /** Ends the fetch of this leader. Returns the requests that joined it, some of which may have been answered. */
     Queue<PendingRequest> complete(PendingRequest leader) {
         return fetches.remove(leader.request().key()).waiters();
     }
--- a/src/main/java/cacheproxy/routing/HotKey.java
+++ b/src/main/java/cacheproxy/routing/HotKey.java
@@ -1,8 +1,8 @@
 package cacheproxy.routing;
 
 /**
- * A key that is asked for often.
+ * A frequently requested key.
  *
- * @param count of its requests, decaying
+ * @param count the decaying count of its requests
  */
 public record HotKey(long key, int count) {}
--- a/src/main/java/cacheproxy/routing/HotKeys.java
+++ b/src/main/java/cacheproxy/routing/HotKeys.java
@@ -5,24 +5,25 @@
 import java.util.Map;
 
 /**
- * Which keys this instance is asked for so often that one endpoint must not serve all of it, and over how many they are
- * spread. Counts halve every {@link #HALF_LIFE_MS}, in whole steps, and keys whose count reaches zero are dropped.
+ * Detects keys that are requested so often that one endpoint should not serve all their requests, and computes over how
+ * many endpoints to spread them. Counts are halved every {@link #HALF_LIFE_MS}, and keys whose count reaches zero are
+ * dropped.
  *
- * <p>Departure from the CARP draft (section 3.4), which sends all requests for a key to its top-ranked member.
+ * <p>Deviates from the CARP draft (section 3.4), which sends all requests for a key to its top-ranked member.
  */
 final class HotKeys {
-    /** Long enough for a hot key to show at a proxy with a few requests a second. */
+    /** Long enough to detect a hot key at a proxy with a few requests per second. */
     private static final double HALF_LIFE_MS = 4000;
-    /** Below this count a key isn't hot: chance alone brings a few requests together. */
+    /** The lowest count of a hot key; lower counts also occur by chance. */
     private static final int MIN_COUNT = 6;
-    /** As many keys as can be hot at a time, with room. */
+    /** The most hot keys to transfer to a successor; more than can be hot at a time. */
     private static final int MAX_TRANSFERRED = 256;
 
     private final Map<Long, int[]> counts = new HashMap<>();
     private double total;
     private double halvedAtMs;
 
-    /** One more request for a key; the count of requests for it, this one included. */
+    /** Counts a request for a key. Returns the key's count, including this request. */
     int record(double nowMs, long key) {
         while (nowMs - halvedAtMs > HALF_LIFE_MS) {
             halvedAtMs = counts.isEmpty() ? nowMs : halvedAtMs + HALF_LIFE_MS;
@@ -34,24 +35,25 @@
     }
 
     /**
-     * Over how many of its top-ranked endpoints the requests for a key are spread: a key that exceeds one endpoint's
-     * equal part of all requests seen here, over as many as bring each under that. All instances see much the same.
+     * The number of top-ranked endpoints over which the requests for a key are spread. A key that exceeds one
+     * endpoint's equal share of all requests at this instance is spread over enough endpoints to bring each below that
+     * share. All instances get similar results, as they see similar traffic.
      *
-     * @param count of the key's requests, from {@link #record}
-     * @param endpoints how many there are in all
-     * @return 1 or more, at most the number of endpoints where there are any
+     * @param count the key's count, from {@link #record}
+     * @param endpoints the number of endpoints
+     * @return 1 or more, and at most the number of endpoints if there are any
      */
     int replicas(int count, int endpoints) {
         int replicas = count < MIN_COUNT ? 1 : (int) Math.ceil(count / total * endpoints);
         return Math.max(1, Math.min(replicas, endpoints));
     }
 
-    /** Requests for all keys, with what has faded taken off. */
+    /** The decaying count of requests for all keys. */
     double total() {
         return total;
     }
 
-    /** The hot keys with their counts, hottest first. */
+    /** The hot keys, in descending order of their counts. */
     List<HotKey> hottest() {
         return counts.entrySet().stream()
                 .filter(entry -> entry.getValue()[0] >= MIN_COUNT)
@@ -61,7 +63,10 @@
                 .toList();
     }
 
-    /** As if this had been seen here: not more than that, since the other may go on for a while. */
+    /**
+     * Replaces the counts with those of another instance. Does not add to what this instance has seen, as the other may
+     * remain in service for a while.
+     */
     void restore(double nowMs, double requests, List<HotKey> hottest) {
         total = requests;
         halvedAtMs = nowMs;
--- a/src/main/java/cacheproxy/routing/Idempotency.java
+++ b/src/main/java/cacheproxy/routing/Idempotency.java
@@ -1,12 +1,14 @@
 package cacheproxy.routing;
 
-/** How often a request may take effect, and so whether it may be sent once more when an attempt may have run. */
+/**
+ * How often a request may be executed, and so whether it may be retried after an attempt that may have been executed.
+ */
 public enum Idempotency {
-    /** Any number of times: a repeat does no harm. */
+    /** Any number of times: a retry is safe. */
     IDEMPOTENT("retryable"),
-    /** Once: it carries an idempotency key, by which a group of endpoints drops repeats within a window. */
+    /** Once; it carries an idempotency key, by which a group of endpoints drops duplicates within a time window. */
     KEYED("dedup"),
-    /** Once, and nothing drops a repeat. */
+    /** Once, and duplicates are not dropped. */
     NON_IDEMPOTENT("fragile");
 
     private final String wireName;
@@ -15,7 +17,7 @@
         this.wireName = wireName;
     }
 
-    /** Its word in settings ({@code classes.N.idempotency}). */
+    /** The value in settings ({@code classes.N.idempotency}). */
     public String wireName() {
         return wireName;
     }
--- a/src/main/java/cacheproxy/routing/LatencyEstimates.java
+++ b/src/main/java/cacheproxy/routing/LatencyEstimates.java
@@ -1,16 +1,16 @@
 package cacheproxy.routing;
 
 /**
- * How long answers usually take at the cache endpoints and at the origin, as moving averages over this instance's own
- * attempts, and how much work a request usually is. Times in milliseconds.
+ * Mean latencies of the cache endpoints and the origin, as exponential moving averages over this instance's own
+ * attempts, and the mean cost hint of requests. Times in milliseconds.
  */
 final class LatencyEstimates {
-    /** A sample has this weight in the moving average, as its inverse. */
+    /** The inverse of a sample's weight in the moving average. */
     private static final int ENDPOINT_SAMPLES = 16;
 
     private static final int ORIGIN_SAMPLES = 8;
     private static final int COST_SAMPLES = 32;
-    /** Before the first answers, relative to the shortest latency objective of all classes. */
+    /** The initial estimate is the shortest latency objective of all service classes divided by this. */
     private static final int INITIAL_ORIGIN_DIVISOR = 4;
 
     private static final int INITIAL_ENDPOINT_DIVISOR = 8;
@@ -20,26 +20,26 @@
     private double endpointDeviationMs;
     private double meanCostMs;
 
-    /** Estimates before any answer, from the shortest latency objective of all classes. */
+    /** Creates initial estimates from the shortest latency objective of all service classes. */
     LatencyEstimates(double shortestObjectiveMs) {
         originFetchMs = shortestObjectiveMs / INITIAL_ORIGIN_DIVISOR;
         endpointMs = shortestObjectiveMs / INITIAL_ENDPOINT_DIVISOR;
         endpointDeviationMs = endpointMs;
     }
 
-    /** A request's cost hint; not over 0 or NaN where it has none. */
+    /** Records the cost hint of a request; 0 or NaN if it has none, which is ignored. */
     void recordCostHint(double costMs) {
         if (costMs > 0) {
             meanCostMs += (costMs - meanCostMs) / (meanCostMs > 0 ? COST_SAMPLES : 1);
         }
     }
 
-    /** The work that a request's cost hint promises, in units of the usual; 1 where there is no hint. */
+    /** The request's cost hint relative to the mean; 1 if there is no hint. */
     double relativeCost(Request request) {
         return request.costMs() > 0 && meanCostMs > 0 ? request.costMs() / meanCostMs : 1;
     }
 
-    /** An endpoint's answer to a request of this much work, in units of the usual. */
+    /** Records the response of a cache endpoint to a request with this relative cost. */
     void recordEndpointResponse(double elapsedMs, double relativeCost) {
         double sampleMs = elapsedMs / relativeCost;
         endpointDeviationMs += (Math.abs(sampleMs - endpointMs) - endpointDeviationMs) / ENDPOINT_SAMPLES;
--- a/src/main/java/cacheproxy/routing/LearnedState.java
+++ b/src/main/java/cacheproxy/routing/LearnedState.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What an instance has learned in service, for another that goes on in its place.
+ * The state that an instance has learned in service, for transfer to its successor.
  *
- * @param originFetchMs how long a fetch from the origin usually takes, in milliseconds
- * @param meanLatencyMs how long a cache endpoint usually takes for usual work, in milliseconds
- * @param latencyDeviationMs the mean deviation from that, in milliseconds
- * @param meanCostMs the usual cost hint of requests, in milliseconds; 0 if there were none
- * @param originLoad what the origin was asked
- * @param endpointLoad what all cache endpoints together were asked
- * @param keyRequestCount requests for all keys, decaying
- * @param hotKeys the keys asked for most, hottest first
- * @param endpoints those of which anything is held
+ * @param originFetchMs the mean duration of a fetch from the origin, in milliseconds
+ * @param meanLatencyMs the mean latency of a cache endpoint for a request of mean cost, in milliseconds
+ * @param latencyDeviationMs the mean deviation from that latency, in milliseconds
+ * @param meanCostMs the mean cost hint of requests, in milliseconds; 0 if there were none
+ * @param originLoad the load on the origin
+ * @param endpointLoad the load on all cache endpoints together
+ * @param keyRequestCount the decaying count of requests for all keys
+ * @param hotKeys the most requested keys, in descending order of their counts
+ * @param endpoints the endpoints with recorded failures or slow responses
  */
 public record LearnedState(
         double originFetchMs,
--- a/src/main/java/cacheproxy/routing/LearnedStateTransfer.java
+++ b/src/main/java/cacheproxy/routing/LearnedStateTransfer.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Hands what one instance has learned over to its successor. Guards against a successor that sends to endpoints known
- * to be silent, and floods a cold origin.
+ * Transfers the learned state of one instance to its successor. Without it, the successor would send requests to
+ * endpoints known to be unresponsive, and would flood a cold origin.
  */
 final class LearnedStateTransfer {
     private final EndpointTable endpoints;
@@ -26,7 +26,7 @@
         this.hotKeys = hotKeys;
     }
 
-    /** All of it, as of this time in milliseconds. */
+    /** Captures the state as of this time, in milliseconds. */
     LearnedState capture(double nowMs) {
         List<EndpointHealthRecord> health = endpoints.all().stream()
                 .filter(entry -> entry.health().hasRecordedFailures())
@@ -44,7 +44,7 @@
                 health);
     }
 
-    /** Goes on from it. Of endpoints that are not in the list, or have started since, nothing is taken. */
+    /** Restores the state, except for endpoints that are not in the list or have restarted since. */
     void restore(double nowMs, LearnedState learned) {
         latency.restore(learned);
         originThrottle.restore(nowMs, learned.originLoad());
--- a/src/main/java/cacheproxy/routing/LoadCount.java
+++ b/src/main/java/cacheproxy/routing/LoadCount.java
@@ -1,9 +1,9 @@
 package cacheproxy.routing;
 
 /**
- * Load on a backend, both counts decaying.
+ * The load on a backend, as decaying counts.
  *
- * @param requested requests sent to it
- * @param completedInTime those of them that were answered within their latency objective
+ * @param requested the requests sent to it
+ * @param completedInTime those that were completed within their latency objective
  */
 public record LoadCount(double requested, double completedInTime) {}
--- a/src/main/java/cacheproxy/routing/LoadReportSource.java
+++ b/src/main/java/cacheproxy/routing/LoadReportSource.java
@@ -1,12 +1,12 @@
 package cacheproxy.routing;
 
-/** Where load reports of endpoints come from. */
+/** How endpoints deliver load reports. */
 public enum LoadReportSource {
-    /** There are none. */
+    /** No load reports. */
     NONE("silent"),
-    /** They come with responses. */
+    /** With responses. */
     WITH_RESPONSES("piggyback"),
-    /** They come with the results of health checks. */
+    /** With health check results. */
     BY_HEALTH_CHECK("pull");
 
     private final String wireName;
@@ -15,7 +15,7 @@
         this.wireName = wireName;
     }
 
-    /** Its word in settings ({@code report.how}). */
+    /** The value in settings ({@code report.how}). */
     public String wireName() {
         return wireName;
     }
--- a/src/main/java/cacheproxy/routing/LoadShedding.java
+++ b/src/main/java/cacheproxy/routing/LoadShedding.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Which requests are rejected where a fraction of all must be: at random, or by the fair shares of their tenants where
- * requests over quota are worth less. A request stays charged to the shares that held when it arrived.
+ * Selects the requests to reject when a fraction of all must be rejected: at random, or by the fair shares of tenants
+ * if requests over quota have less value. A request remains charged to the shares in effect when it arrived.
  */
 final class LoadShedding {
     private final SplittableRandom random;
@@ -14,7 +14,7 @@
         this.random = random;
     }
 
-    /** @param previous the settings until now; null at the start */
+    /** @param previous the settings until now; null for the first settings */
     void onSettings(RoutingSettings previous, RoutingSettings next) {
         boolean unchanged = previous != null
                 && previous.tenants().equals(next.tenants())
@@ -32,7 +32,7 @@
         }
     }
 
-    /** The shares that hold now; null where none are kept. */
+    /** The present fair shares; null if requests are rejected at random. */
     FairShares shares() {
         return shares;
     }
@@ -40,7 +40,7 @@
     /**
      * Whether to reject this request.
      *
-     * @param excess the fraction of all requests to reject; none where it is not over 0
+     * @param excess the fraction of all requests to reject; none if it is not positive
      */
     boolean shouldReject(PendingRequest request, double excess) {
         FairShares charged = request.shares();
--- a/src/main/java/cacheproxy/routing/RequestTimers.java
+++ b/src/main/java/cacheproxy/routing/RequestTimers.java
@@ -3,20 +3,20 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The timers that were ordered, by their tokens: a running number with the kind in its two lowest bits. */
+/** The scheduled timers by token: a sequence number, with the kind in the two lowest bits. */
 final class RequestTimers {
     private static final int KIND_BITS = 2;
     private static final int KIND_MASK = (1 << KIND_BITS) - 1;
 
-    /** What a timer is for. */
+    /** The purpose of a timer. */
     enum Kind {
-        /** The client's deadline. */
+        /** The deadline of a request. */
         DEADLINE(0),
-        /** An attempt takes longer than usual: a hedged request may follow. */
+        /** The hedging delay of an attempt: if it is still in flight, a hedge may follow. */
         HEDGE(1),
-        /** The delay of a retry is over. */
+        /** The delay before a retry. */
         RETRY(2),
-        /** The delay before the next call for the endpoint list is over; belongs to no request. */
+        /** The delay before the next discovery call; belongs to no request. */
         LIST_POLL(3);
 
         private final int code;
@@ -36,23 +36,23 @@
     }
 
     /**
-     * A timer that has come due.
+     * An expired timer.
      *
-     * @param request the request it was set for; null if it was set for none, or has come due before
+     * @param request the request it was set for; null if it was set for none, or has expired before
      */
     record Due(Kind kind, PendingRequest request) {}
 
     private final Map<Integer, PendingRequest> requests = new HashMap<>();
     private int nextNumber;
 
-    /** Orders a timer for a request. */
+    /** Schedules a timer for a request. */
     void set(double delayMs, Kind kind, PendingRequest request, RoutingActions out) {
         int token = nextToken(kind);
         requests.put(token, request);
         out.setTimer(delayMs, token);
     }
 
-    /** Orders a timer that belongs to no request. */
+    /** Schedules a timer that belongs to no request. */
     void set(double delayMs, Kind kind, RoutingActions out) {
         out.setTimer(delayMs, nextToken(kind));
     }
--- a/src/main/java/cacheproxy/routing/RetrySafety.java
+++ b/src/main/java/cacheproxy/routing/RetrySafety.java
@@ -1,31 +1,32 @@
 package cacheproxy.routing;
 
 /**
- * Whether one more attempt of a request, an earlier attempt of which may have taken effect, keeps to what the request's
- * class allows (rule 2 of the protocol page). The one place that knows idempotency, deduplication scope and window.
+ * Whether another attempt of a request is safe when an earlier attempt may have been executed, given the request's
+ * service class (rule 2 of the protocol page). The only code that evaluates idempotency, deduplication scope and
+ * window.
  *
- * <p>It is asked at two moments, for two reasons: {@link RetryPolicy} asks when an attempt is planned, for the moment
- * at which it can reach its endpoint at the latest; {@code SafetyRules} of admission asks for the moment at which the
- * attempt is written, when that moment is known.
+ * <p>Evaluated twice: {@link RetryPolicy} evaluates it when an attempt is planned, for the latest time at which the
+ * attempt can reach its endpoint; {@code SafetyRules} of package admission evaluates it when the attempt is written,
+ * for that time.
  */
 public enum RetrySafety {
-    /** It takes effect no more often than its class allows. */
+    /** The request is executed no more often than its service class allows. */
     SAFE,
-    /** Nothing drops a repeat. */
+    /** The request is not idempotent, and no endpoint drops duplicates. */
     NOT_IDEMPOTENT,
-    /** The endpoint isn't one of those that drop a repeat of the earlier attempt. */
+    /** The endpoint is not among those that drop duplicates of the earlier attempt. */
     OUTSIDE_DEDUPLICATION_SCOPE,
-    /** Repeats are no longer dropped. */
+    /** Duplicates of the earlier attempt are no longer dropped. */
     DEDUPLICATION_WINDOW_EXPIRED;
 
     /**
-     * Whether a repeat is safe.
+     * Whether another attempt is safe.
      *
-     * @param serviceClass of the request
+     * @param serviceClass the request's service class
      * @param earlierSentMs when the earlier attempt was sent, in milliseconds
-     * @param earlierLocation where it was sent
-     * @param retryMs the moment for which this is asked, in milliseconds on the same clock
-     * @param retryLocation where the repeat goes
+     * @param earlierLocation the location of the earlier attempt's endpoint
+     * @param retryMs the time to evaluate for, in milliseconds on the same clock
+     * @param retryLocation the location of the other attempt's endpoint
      */
     public static RetrySafety of(
             ServiceClass serviceClass,
--- a/src/main/java/cacheproxy/routing/Tenant.java
+++ b/src/main/java/cacheproxy/routing/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * A tenant.
  *
- * @param share its part of all requests, 0 to 1
- * @param quotaPerSecond the requests a second, over all instances, that are within its quota
+ * @param share its fraction of all requests, 0 to 1
+ * @param quotaPerSecond its quota of requests per second, over all instances
  */
 public record Tenant(String name, double share, double quotaPerSecond) {}
--- a/src/main/java/cacheproxy/routing/ZoneDirective.java
+++ b/src/main/java/cacheproxy/routing/ZoneDirective.java
@@ -1,11 +1,12 @@
 package cacheproxy.routing;
 
 /**
- * How much of its traffic the fleet sends to a zone from now on.
+ * How much of its traffic a zone receives from the fleet from now on.
  *
  * @param zone the zone's index in the settings
- * @param trafficFraction the part of keys, the same ones at all instances, that may go to the zone's endpoints, 0 to 1
- * @param probeAllowed whether this instance may send one request to the zone all the same
- * @param resetHealth whether what has been seen of the zone's endpoints is of the past
+ * @param trafficFraction the fraction of keys that may go to the zone's endpoints, 0 to 1; the same keys at all
+ *     instances
+ * @param probeAllowed whether this instance may send one probe request to the zone nevertheless
+ * @param resetHealth whether to discard the observed health of the zone's endpoints
  */
 public record ZoneDirective(int zone, double trafficFraction, boolean probeAllowed, boolean resetHealth) {}
