--- a/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
+++ b/src/main/java/cacheproxy/routing/CarpLoadBalancer.java
@@ -89,7 +89,9 @@
 
     private static void check(RoutingSettings settings) {
         if (settings.classes().isEmpty() || settings.maxAttempts() < 1) {
-            throw new IllegalArgumentException("no class, or max attempts " + settings.maxAttempts());
+            throw new IllegalArgumentException(
+                    "settings have " + settings.classes().size() + " service classes and max attempts "
+                            + settings.maxAttempts() + "; both must be at least 1");
         }
     }
 
@@ -220,7 +222,7 @@
     private void check(Request request) {
         int classes = settings.classes().size();
         if (request.serviceClass() < 0 || request.serviceClass() >= classes) {
-            throw new IllegalArgumentException("class " + request.serviceClass() + " is not in the settings");
+            throw new IllegalArgumentException("service class " + request.serviceClass() + " is not in the settings");
         }
         int tenants =
                 Math.max(1, settings.tenants().size()); // without configured tenants all requests belong to tenant 0
--- a/src/main/java/cacheproxy/routing/EndpointTable.java
+++ b/src/main/java/cacheproxy/routing/EndpointTable.java
@@ -46,15 +46,17 @@
         for (Endpoint e : endpoints) {
             String id = Integer.toUnsignedString(e.id());
             if (!seen.add(e.id())) {
-                throw new IllegalArgumentException("member " + id + " is listed twice");
+                throw new IllegalArgumentException("endpoint " + id + " is listed twice");
             }
             if (!(e.weight() >= 0) || Float.isInfinite(e.weight())) {
-                throw new IllegalArgumentException("member " + id + " has weight " + e.weight());
+                throw new IllegalArgumentException("endpoint " + id + " has invalid weight " + e.weight());
             }
             boolean validZone = e.zone() >= 0 && e.zone() < settings.zoneCount();
             boolean validKind = e.kind() >= 0 && e.kind() < settings.kindCount();
             if (!validZone || !validKind) {
-                throw new IllegalArgumentException("member " + id + ": zone " + e.zone() + ", kind " + e.kind());
+                throw new IllegalArgumentException(
+                        "endpoint " + id + " has zone " + e.zone() + " and kind " + e.kind() + " but the settings have "
+                                + settings.zoneCount() + " zones and " + settings.kindCount() + " kinds");
             }
         }
     }
--- a/src/test/java/cacheproxy/routing/CarpLoadBalancerTest.java
+++ b/src/test/java/cacheproxy/routing/CarpLoadBalancerTest.java
@@ -323,14 +323,14 @@
         assertThatThrownBy(() -> harness.change(
                         LoadBalancerHarness.endpoint(1, EndpointState.READY, 0),
                         LoadBalancerHarness.endpoint(1, EndpointState.READY, 0)))
-                .hasMessageContaining("member 1 is listed twice");
+                .hasMessageContaining("endpoint 1 is listed twice");
         assertThatThrownBy(() -> harness.change(new Endpoint(8, 0, 0, 0, EndpointState.READY, Float.NaN, 0)))
-                .hasMessageContaining("member 8 has weight NaN");
+                .hasMessageContaining("endpoint 8 has invalid weight NaN");
         assertThatThrownBy(() -> harness.change(new Endpoint(8, 5, 0, 0, EndpointState.READY, 1, 0)))
-                .hasMessageContaining("zone 5");
+                .hasMessageContaining("endpoint 8 has zone 5");
         assertThatThrownBy(() -> harness.loadBalancer.onRequest(
                         harness.now, new Request(1, 9, 0, 1, harness.now + 10, 1, 0, false, false), harness))
-                .hasMessageContaining("class 9");
+                .hasMessageContaining("service class 9");
         assertThatThrownBy(() -> harness.loadBalancer.onRequest(
                         harness.now, new Request(1, 0, 3, 1, harness.now + 10, 1, 0, false, false), harness))
                 .hasMessageContaining("tenant 3");
