--- a/src/jmh/java/cacheproxy/routing/DecisionBenchmark.java
+++ b/src/jmh/java/cacheproxy/routing/DecisionBenchmark.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What the decision loadBalancer costs for one read that is served at its first attempt: decision and outcome. */
+/** The time the load balancer takes for one read that the first attempt serves: the decision and the outcome. */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 @Warmup(iterations = 3, time = 1)
@@ -30,7 +30,7 @@
 public class DecisionBenchmark {
     private static final int KEYS = 20_000;
 
-    /** Servers on the list, the origin not counted. */
+    /** The number of endpoints in the list, without the origin. */
     @Param({"12", "140", "1000"})
     public int servers;
 
@@ -42,7 +42,7 @@
 
     private record Timer(double atMs, int token) {}
 
-    /** Remembers where the loadBalancer sends a request and which timers it wants, and drops all else. */
+    /** Records the endpoint a request is sent to and the timers; ignores all other actions. */
     private static final class RecordingActions implements RoutingActions {
         private int server;
         private double now;
@@ -90,7 +90,7 @@
         public void log(String line) {}
     }
 
-    /** A fleet that is warm. */
+    /** Adds the endpoints, all warm. */
     @Setup
     public void start() {
         ServiceClass read =
@@ -136,7 +136,7 @@
         loadBalancer.onEndpointUpdate(now, EndpointUpdateKind.SNAPSHOT, members, actions);
     }
 
-    /** One request from its coming to its end, at ten a second for each server, with the timers that come due. */
+    /** One request from arrival to end, at a rate of ten per second per endpoint, with the timers that expire. */
     @Benchmark
     public int served() {
         now += 100.0 / servers;
--- a/src/test/java/cacheproxy/routing/AdaptiveThrottleTest.java
+++ b/src/test/java/cacheproxy/routing/AdaptiveThrottleTest.java
@@ -49,7 +49,7 @@
         assertThat(successor.counts(0)).isEqualTo(load);
     }
 
-    /** Max-min fairness: a tenant within its quota keeps all, the rest is shared. */
+    /** Max-min fairness: all requests of a tenant within its quota are admitted; the rest go to the other tenant. */
     @Test
     void fairSharesTakeTheExcessFromTheTenantOverItsQuota() {
         FairShares shares = new FairShares(List.of(new Tenant("a", 0.5, 10), new Tenant("b", 0.5, 10)));
--- a/src/test/java/cacheproxy/routing/CarpHashTest.java
+++ b/src/test/java/cacheproxy/routing/CarpHashTest.java
@@ -15,7 +15,7 @@
         }
     }
 
-    /** Two members with shares 0.4 and 0.6: X1 = sqrt(0.8), X2 = 0.2/X1 + X1, by hand. */
+    /** Two members with shares 0.4 and 0.6: X1 = sqrt(0.8), X2 = 0.2/X1 + X1, calculated by hand. */
     @Test
     void multipliersOfTwo() {
         float[] x = CarpHash.multipliers(new float[] {6, 4});
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Text forms and both hashes of a key and an id, worked out apart from this code. */
+    /** Hashes of the text forms of a key and an id and their combination, calculated independently of this code. */
     @Test
     void hashesAreThoseOfTheDraft() {
         assertThat(CarpHash.keyHash(0xCAFEL)).isEqualTo(0x37D7FBC8);
@@ -47,7 +47,7 @@
         assertThat(CarpHash.combine(0x12345678, 0x9ABCDEF0)).isEqualTo(0xF3C285C6);
     }
 
-    /** Shares follow unequal weights: within five standard deviations of a fair draw and 15% for the ranking itself. */
+    /** Shares match unequal weights within five standard deviations of a random draw, plus 15% for the hash itself. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 12, 60, 300})
     void sharesFollowWeights(int n) {
@@ -113,9 +113,9 @@
     }
 
     /**
-     * The shares that the multipliers give, worked out backwards in double: between two multipliers in a row, all
-     * members from the greater on win alike, and each has what was won up to its own. No product is formed that could
-     * leave a float's range.
+     * The shares that result from the multipliers, calculated in double with logarithms, as the products would exceed
+     * the range of a float. In the interval between two consecutive multipliers, all members from the greater one
+     * upwards win equally; a member's share is the sum over the intervals up to its own multiplier.
      */
     private static double[] shares(float[] x) {
         int n = x.length;
--- a/src/test/java/cacheproxy/routing/CarpLoadBalancerTest.java
+++ b/src/test/java/cacheproxy/routing/CarpLoadBalancerTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** CARP's path, the rules of one final answer, of effects and of drains, and bad input. */
+/** CARP routing, the rules of final answers, duplicate execution and drains, hot keys, and invalid arguments. */
 class CarpLoadBalancerTest {
-    // ---- CARP's path
+    // ---- CARP routing
 
     @Test
     void aKeyGoesToTheTopScoreAndAMissToTheOrigin() {
@@ -58,14 +58,14 @@
         harness.read(2, 77);
         if (outcome == AttemptOutcome.RESET) {
             assertThat(harness.last().server())
-                    .as("one broken connection is no evidence")
+                    .as("one reset connection does not eject the endpoint")
                     .isEqualTo(top);
             harness.end(harness.last(), outcome);
             assertThat(harness.last().server()).isEqualTo(successor);
             harness.read(3, 77);
         }
         assertThat(harness.last().server())
-                .as("the key stays with the successor while its endpoint is ejected")
+                .as("the successor serves the key while its endpoint is ejected")
                 .isEqualTo(successor);
     }
 
@@ -96,7 +96,7 @@
         assertThat(used).hasSizeGreaterThan(8);
     }
 
-    // ---- rule 1: one final answer in time
+    // ---- rule 1: one final answer, by the deadline
 
     @ParameterizedTest
     @ValueSource(ints = {LoadBalancerHarness.IDEMPOTENT, LoadBalancerHarness.KEYED, LoadBalancerHarness.NON_IDEMPOTENT})
@@ -167,7 +167,7 @@
         assertThat(used).containsExactlyInAnyOrder(1, 2);
     }
 
-    // ---- rule 2: no effect twice
+    // ---- rule 2: no duplicate execution
 
     @ParameterizedTest
     @EnumSource(
@@ -195,7 +195,7 @@
         assertThat(harness.sent).hasSize(2);
     }
 
-    /** By the time the retry reaches an endpoint, for which a connection may have to be made first. */
+    /** The window must still be open when the retry reaches an endpoint, which may need a new connection first. */
     @Test
     void aKeyedRequestIsRetriedOnlyInsideItsDeduplicationWindow() {
         RoutingSettings settings = LoadBalancerHarness.settings(false, false, false, DeduplicationScope.ALL);
@@ -273,7 +273,9 @@
 
     // ---- hot keys and coalesced fetches
 
-    /** A key that draws much of the traffic is spread over several ranks; cool again it has one endpoint. */
+    /**
+     * A key with much of the traffic is spread over several ranks; once it is no longer hot, one endpoint serves it.
+     */
     @Test
     void aHotKeyIsSpreadAndComesBack() {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(20);
@@ -298,7 +300,9 @@
         assertThat(calm).containsExactly(LoadBalancerHarness.topRank(7, 20));
     }
 
-    /** Of many misses for one key one goes to the origin; the others find the object where it was missed. */
+    /**
+     * Of concurrent misses for one key only one goes to the origin; the others then read the object from its endpoint.
+     */
     @Test
     void oneFetchPerKey() {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(5);
@@ -315,7 +319,7 @@
         assertThat(harness.last().server()).isEqualTo(LoadBalancerHarness.topRank(7, 5));
     }
 
-    // ---- bad input
+    // ---- invalid arguments
 
     @Test
     void invalidArgumentsAreNamed() {
--- a/src/test/java/cacheproxy/routing/CircuitBreakerTest.java
+++ b/src/test/java/cacheproxy/routing/CircuitBreakerTest.java
@@ -25,7 +25,9 @@
         breaker.recordSuccess();
         assertThat(breaker.isOpen(1100)).isFalse();
         breaker.recordFailure(1100, BACKOFF);
-        assertThat(breaker.isOpen(1100)).as("counts anew").isFalse();
+        assertThat(breaker.isOpen(1100))
+                .as("the count of failures starts at 0 again")
+                .isFalse();
     }
 
     @Property
--- a/src/test/java/cacheproxy/routing/ConnectionCapacityTest.java
+++ b/src/test/java/cacheproxy/routing/ConnectionCapacityTest.java
@@ -5,9 +5,12 @@
 import cacheproxy.gossip.PeerMessage;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that take no further connection, and what peers are notified of. */
+/** Endpoints at their connection limit, and the notification of peers. */
 class ConnectionCapacityTest {
-    /** Fewer connections than proxies: an instance without one uses the successor, and tries again later and later. */
+    /**
+     * An endpoint accepts fewer connections than there are proxies: an instance without one uses the successor and
+     * retries with backoff.
+     */
     @Test
     void anEndpointAtItsConnectionLimitIsNoFailureAndIsUsedAgainLater() {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(6);
@@ -30,7 +33,8 @@
     }
 
     /**
-     * What one instance finds out costs an attempt; the others are notified, and leave the endpoint alone without one.
+     * One instance detects the connection limit at the cost of an attempt; notified peers avoid the endpoint without
+     * one.
      */
     @Test
     void peersAreNotifiedOfAnEndpointAtItsConnectionLimitAndUseItsSuccessor() {
@@ -45,7 +49,7 @@
         other.read(1, 77);
         assertThat(other.last().server()).isNotEqualTo(top);
         other.end(other.last(), AttemptOutcome.OK);
-        other.pass(4900); // half of what 100 instances wait at least
+        other.pass(4900); // the shortest delay with 100 instances is 5000 ms
         other.read(2, 77);
         assertThat(other.last().server()).isNotEqualTo(top);
         other.end(other.last(), AttemptOutcome.OK);
@@ -56,7 +60,7 @@
         assertThat(other.peerMessages).hasSize(1);
     }
 
-    /** A peer that is wrong, or lies, costs nobody a connection; nor does a message that can't be read. */
+    /** False reports of a peer and malformed messages don't affect an instance that has a connection. */
     @Test
     void anInstanceWithAConnectionKeepsItWhateverPeersReport() {
         LoadBalancerHarness harness = LoadBalancerHarness.withPeers(1, 100).fleet(6);
@@ -75,7 +79,7 @@
         assertThat(harness.last().server()).isEqualTo(LoadBalancerHarness.ORIGIN);
     }
 
-    /** Two that find it out at once notify once: the one that was notified meanwhile sends nothing. */
+    /** If two instances detect the limit at the same time, the one notified during its attempt sends no message. */
     @Test
     void anInstanceNotifiedMeanwhileNotifiesNobody() {
         LoadBalancerHarness harness = LoadBalancerHarness.withPeers(1, 100).fleet(6);
--- a/src/test/java/cacheproxy/routing/EndpointListWatchTest.java
+++ b/src/test/java/cacheproxy/routing/EndpointListWatchTest.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When discovery is called for the endpoint list. */
+/** The times of discovery calls for the endpoint list. */
 class EndpointListWatchTest {
-    /** The instances of a fleet must not call discovery, which is small, together, nor at once after a failure. */
+    /** Discovery has little capacity: a fleet must not call it all at once, nor immediately after a failure. */
     @Test
     void theListIsCalledForOnceWithDelay() {
         LoadBalancerHarness harness = new LoadBalancerHarness(
@@ -25,7 +25,10 @@
         assertThat(harness.watches).isEqualTo(2);
     }
 
-    /** A change counts as known 6 s after discovery had it and could be reached; a silent call takes 3.4 s of that. */
+    /**
+     * A change must be in use 6 s after discovery had it and could be reached; a call without a response takes 3.4 s of
+     * that.
+     */
     @Test
     void howeverOftenCallsFailTheNextIsMadeWithinHalfOfTheTime() {
         LoadBalancerHarness harness = new LoadBalancerHarness(
--- a/src/test/java/cacheproxy/routing/LearnedStateTransferTest.java
+++ b/src/test/java/cacheproxy/routing/LearnedStateTransferTest.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What a successor takes over from its predecessor. */
+/** The learned state that a successor restores from its predecessor. */
 class LearnedStateTransferTest {
-    /** A successor keeps off an endpoint that its predecessor has ejected, and checks it when that one would have. */
+    /** A successor avoids an endpoint that its predecessor ejected, and probes it when that ejection expires. */
     @Test
     void aSuccessorKnowsWhichEndpointsHaveFailed() {
         LoadBalancerHarness old = LoadBalancerHarness.cacheAside().fleet(12);
@@ -23,9 +23,7 @@
         assertThat(next.loadBalancer.isAvoided(next.now, top)).isTrue();
         next.pass(20_000);
         next.read(2, 77);
-        assertThat(next.healthChecked)
-                .as("its time has come as it would have at the other")
-                .contains(top);
+        assertThat(next.healthChecked).as("the restored ejection has expired").contains(top);
     }
 
     @Test
@@ -41,7 +39,7 @@
         assertThat(next.last().server()).isEqualTo(top);
     }
 
-    /** Hot keys are spread from the start, and the throttle of the origin is as far shut. */
+    /** A successor spreads hot keys from the start, and throttles the origin as its predecessor did. */
     @Test
     void aSuccessorKnowsHotKeysAndTheOriginsLoad() {
         LoadBalancerHarness old = LoadBalancerHarness.cacheAside().fleet(12);
@@ -51,7 +49,7 @@
         LoadBalancerHarness next = LoadBalancerHarness.cacheAside().fleet(12);
         next.loadBalancer.restore(next.now, old.loadBalancer.learnedState(old.now));
         Set<Integer> servers = new HashSet<>();
-        for (int i = 1; i <= 5; i++) { // fewer than make a key hot to one that knows nothing of it
+        for (int i = 1; i <= 5; i++) { // fewer requests than make a key hot without restored state
             next.read(i, 77);
             servers.add(next.last().server());
         }
--- a/src/test/java/cacheproxy/routing/LoadBalancerHarness.java
+++ b/src/test/java/cacheproxy/routing/LoadBalancerHarness.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** One instance with its orders written down; time is a field the tests move. */
+/** A load balancer with a manual clock, which records the actions it issues. */
 final class LoadBalancerHarness implements RoutingActions {
     static final int ORIGIN = 9000;
     static final int IDEMPOTENT = 0;
     static final int KEYED = 1;
     static final int NON_IDEMPOTENT = 2;
 
-    /** A send order. */
+    /** A call of {@link #send}. */
     record SentAttempt(int request, int attempt, int server, double timeoutMs) {}
 
-    /** A timer order. */
+    /** A call of {@link #setTimer}. */
     record Timer(double at, int token) {}
 
     final List<SentAttempt> sent = new ArrayList<>();
@@ -39,7 +39,7 @@
         return settings(cacheAside, polls, hedging, group, List.of(new Tenant("a", 1, 100)));
     }
 
-    /** Two tenants with these quotas; requests over them have a tenth of the value. */
+    /** Two tenants with these quotas; a request over quota has a tenth of the value. */
     static RoutingSettings tenants(double first, double second) {
         return settings(
                 true,
@@ -49,17 +49,17 @@
                 List.of(new Tenant("a", 0.5, first), new Tenant("b", 0.5, second)));
     }
 
-    /** The same, where requests over a quota have this part of the value. */
+    /** The same settings, with this fraction of the value for a request over quota. */
     static RoutingSettings withOverQuotaWeight(RoutingSettings s, double overQuotaWeight) {
         return with(s, s.instanceIndex(), s.instanceCount(), overQuotaWeight);
     }
 
-    /** The same at one of so many instances. */
+    /** The same settings for the instance with this index, in a fleet of this size. */
     static RoutingSettings atInstance(RoutingSettings s, int index, int instances) {
         return with(s, index, instances, s.overQuotaPriorityWeight());
     }
 
-    /** One of so many instances that may send each other messages. */
+    /** The instance with this index, in a fleet of this size whose instances may send each other messages. */
     static LoadBalancerHarness withPeers(int index, int instances) {
         return new LoadBalancerHarness(
                 with(settings(true, false, false, DeduplicationScope.ALL), index, instances, 0.1, true));
@@ -146,7 +146,7 @@
                 tenants);
     }
 
-    /** Cache-aside, list pushed, no hedging: the ordinary case. */
+    /** A cache-aside deployment with a pushed endpoint list and without hedging. */
     static LoadBalancerHarness cacheAside() {
         return new LoadBalancerHarness(settings(true, false, false, DeduplicationScope.ALL));
     }
@@ -155,7 +155,7 @@
         return new Endpoint(id, id % 2, id == ORIGIN ? 1 : 0, id / 4, state, 1, startTimeMs);
     }
 
-    /** Endpoints 1 to n, and the origin, all ready for long. */
+    /** Adds the endpoints 1 to n and the origin, all ready and warm. */
     LoadBalancerHarness fleet(int n) {
         List<Endpoint> list = new ArrayList<>();
         list.add(endpoint(ORIGIN, EndpointState.READY, 0));
@@ -166,7 +166,7 @@
         return this;
     }
 
-    /** The endpoint, of 1 to n of equal weight, with the highest score for a key. */
+    /** The endpoint with the highest score for a key, among the endpoints 1 to n with equal weights. */
     static int topRank(long key, int n) {
         int best = 0;
         double bestScore = -1;
@@ -188,7 +188,7 @@
         loadBalancer.onRequest(now, new Request(id, IDEMPOTENT, 0, key, now + 1000, Double.NaN, 0, false, false), this);
     }
 
-    /** A client repeats a read, and says so. */
+    /** A read that the client marks as a retry. */
     void clientRetry(int id, long key) {
         loadBalancer.onRequest(now, new Request(id, IDEMPOTENT, 0, key, now + 1000, Double.NaN, 0, false, true), this);
     }
@@ -212,13 +212,13 @@
                 this);
     }
 
-    /** Ends an attempt with its final answer after so long. */
+    /** Ends an attempt after this time, with the request's final answer. */
     void endAfter(SentAttempt p, AttemptOutcome outcome, double elapsedMs) {
         loadBalancer.onAttemptEnd(
                 now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, elapsedMs, true, 0, null), this);
     }
 
-    /** Moves time on, firing the timers that come due, in order. */
+    /** Advances the clock and fires the timers that expire, in order. */
     void pass(double ms) {
         double until = now + ms;
         while (true) {
--- a/src/test/java/cacheproxy/routing/OutlierDetectionTest.java
+++ b/src/test/java/cacheproxy/routing/OutlierDetectionTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Endpoints that are slow, hung or gone, and zones in which all are. */
+/** Ejection of slow, hung and unreachable endpoints, and of zones in which all endpoints are unresponsive. */
 class OutlierDetectionTest {
     /**
-     * An endpoint that accepts requests and answers none: its successor gets a hedge while the origin can still answer
+     * An endpoint accepts requests but does not respond: the successor gets a hedge while the origin can still respond
      * within the latency objective.
      */
     @Test
@@ -27,7 +27,7 @@
         assertThat(harness.last().server()).isNotIn(hung.server(), LoadBalancerHarness.ORIGIN);
     }
 
-    /** Hedges have a budget: when all endpoints slow down together, few requests are hedged. */
+    /** Guards against hedges that add to an overload: when all endpoints are slow, the budget allows few hedges. */
     @Test
     void aSharedSlowdownIsNotHedgedIntoAnOverload() {
         LoadBalancerHarness harness = new LoadBalancerHarness(
@@ -42,8 +42,8 @@
     }
 
     /**
-     * A zone that is cut off is known by three of its endpoints that fall silent, not by each of them at the cost of a
-     * read; one that answers again closes the breaker.
+     * Three unresponsive endpoints open the breaker of their zone, so that not every endpoint of an unreachable zone
+     * costs a read. A response from one of them closes it.
      */
     @Test
     void aZoneWhoseEndpointsAllFallSilentIsEjected() {
@@ -64,7 +64,7 @@
             harness.end(harness.last(), AttemptOutcome.OK);
         }
         assertThat(atCut).as("reads that went to the zone within 0.3 s").isEqualTo(3);
-        assertThat(asked).as("servers of the zone that a read was spent on").hasSize(3);
+        assertThat(asked).as("endpoints of the zone that got a read").hasSize(3);
         harness.pass(1100);
         int again = 0;
         for (int id = 100; id <= 160; id++) {
@@ -73,10 +73,14 @@
             again += harness.last().server() % 2;
             harness.end(harness.last(), AttemptOutcome.OK);
         }
-        assertThat(again).as("once its time is over and one answers").isGreaterThan(10);
+        assertThat(again)
+                .as("reads at the zone after the open time and a response")
+                .isGreaterThan(10);
     }
 
-    /** Attempts that one endpoint ends together, or answers that can't be read, are no evidence against its zone. */
+    /**
+     * Several attempts failed by one endpoint, or reset after malformed responses, are no evidence against its zone.
+     */
     @ParameterizedTest
     @EnumSource(names = {"CONNECT_FAILED", "RESET"})
     void manyFailuresOfOneEndpointDoNotEjectItsZone(AttemptOutcome outcome) {
@@ -98,7 +102,7 @@
         assertThat(there).as("reads at the zone's other endpoints").isGreaterThan(15);
     }
 
-    /** Four outliers of a zone in which others answer are four outliers. */
+    /** Four failing endpoints do not open the breaker of a zone in which other endpoints respond. */
     @Test
     void aZoneInWhichOthersAnswerIsNotEjected() {
         LoadBalancerHarness harness = new LoadBalancerHarness(
@@ -119,7 +123,7 @@
         assertThat(sound).as("reads at the zone's other endpoints").isGreaterThan(40);
     }
 
-    /** An ejected endpoint comes back by a health check, not at the cost of a client's request. */
+    /** An ejected endpoint returns to service by a health check, not at the cost of a client's request. */
     @Test
     void anEjectedEndpointIsCheckedBeforeItGetsRequests() {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(3);
--- a/src/test/java/cacheproxy/routing/OverloadProtectionTest.java
+++ b/src/test/java/cacheproxy/routing/OverloadProtectionTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What is shed under overload of the origin or of the endpoints, and whose requests. */
+/** Load shedding under overload of the origin or of the endpoints, and its distribution among tenants. */
 class OverloadProtectionTest {
-    /** An origin that answers nothing in time is sent less and less, and more again once it answers. */
+    /** An origin that rejects every fetch gets fewer and fewer fetches. */
     @Test
     void anOverloadedOriginIsLeftToRecover() {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(5);
@@ -28,7 +28,7 @@
         assertThat(harness.rejected).hasSize(100);
     }
 
-    /** A throttled origin gets no fetch that could not answer in time, and is used again after a while without any. */
+    /** A throttled origin gets no fetch that would be late, and is used again after a period without fetches. */
     @Test
     void aThrottleDoesNotStayShut() {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(5);
@@ -51,8 +51,8 @@
     }
 
     /**
-     * An origin that can't be reached for a while, or whose connections break, wasn't overloaded: once it can be
-     * reached, each miss is fetched.
+     * An origin that is unreachable or resets connections is not overloaded: once it can be reached, every miss is
+     * fetched.
      */
     @ParameterizedTest
     @EnumSource(names = {"CONNECT_FAILED", "RESET", "NOT_SENT"})
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Where the origin is known to be unreachable, a read that needs it is rejected at once, and not after a connect
+     * While the origin is known to be unreachable, a read that needs it is rejected at once instead of after a connect
      * timeout.
      */
     @Test
@@ -93,16 +93,18 @@
                 tried++;
                 harness.end(harness.last(), AttemptOutcome.CONNECT_FAILED);
             }
-            assertThat(harness.rejected).as("answered within the same moment").hasSize(id);
+            assertThat(harness.rejected).as("answered without delay").hasSize(id);
         }
-        assertThat(tried).as("three, and one each half a second").isBetween(5, 8);
+        assertThat(tried).as("three attempts, and one every half second").isBetween(5, 8);
         harness.write(1000, LoadBalancerHarness.NON_IDEMPOTENT);
         assertThat(harness.rejected)
                 .as("a write has not run, so it is rejected")
                 .contains(1000);
     }
 
-    /** Under overload the tenant far over its quota is rejected, the one inside its quota hardly. */
+    /**
+     * Under overload most rejections go to the tenant far over its quota, and hardly any to the one within its quota.
+     */
     @Test
     void rejectionsComeOffTheTenantOverItsQuota() {
         int[] rejected =
@@ -111,7 +113,7 @@
         assertThat(rejected[1]).isLessThan(10);
     }
 
-    /** Where requests over a quota have the same value as the rest, all are rejected alike, also after a reload. */
+    /** If requests over quota have full value, all tenants are rejected alike, also when a reload makes it so. */
     @Test
     void otherSettingsMayEndTheFairShares() {
         LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.tenants(100, 100)).fleet(12);
@@ -152,7 +154,7 @@
         return rejected;
     }
 
-    /** Late answers shed reads; timely ones admit all again. */
+    /** Late responses cause reads to be shed; with timely responses all reads are admitted again. */
     @Test
     void overloadOfEndpointsShedsReadsAndEnds() {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(12);
@@ -175,7 +177,7 @@
         assertThat(harness.rejected).isEmpty();
     }
 
-    /** A few hung endpoints are no overload: their timeouts shed no other requests. */
+    /** A few hung endpoints are no overload: their timeouts must not cause other requests to be shed. */
     @Test
     void hungEndpointsDoNotShedTheOthers() {
         LoadBalancerHarness harness = new LoadBalancerHarness(
--- a/src/test/java/cacheproxy/routing/RandomRulesTest.java
+++ b/src/test/java/cacheproxy/routing/RandomRulesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long random legal event sequences, every order checked against the rules and the wire's faults. */
+/** Long random sequences of valid events, with each action checked against the rules of the protocol. */
 class RandomRulesTest {
     private static RoutingSettings settings(int n) {
         return LoadBalancerHarness.settings(
@@ -40,7 +40,7 @@
         }
     }
 
-    /** What is known of a request from outside: the rules are judged by this, not by the module's own state. */
+    /** The observable history of a request; the rules are checked against it, not against the load balancer's state. */
     private static final class Tracked {
         Request request;
         ServiceClass kind;
@@ -53,7 +53,7 @@
             return outcomes.stream().filter(o -> o == null).count();
         }
 
-        /** First attempt that may have run, or -1. */
+        /** The first attempt that may have been executed, or -1. */
         int firstPossibleExecution() {
             for (int a = 0; a < outcomes.size(); a++) {
                 if (outcomes.get(a) == null || outcomes.get(a).mayHaveRun()) {
@@ -150,7 +150,7 @@
             live.removeIf(h -> h.finished && h.inFlight() == 0);
             for (Tracked h : live) {
                 assertThat(h.finished || now <= h.request.deadlineMs() + cfg.finalAnswerGraceMs())
-                        .as("request %d answered by its due time", h.request.id())
+                        .as("request %d answered by its deadline and grace period", h.request.id())
                         .isTrue();
             }
         }
@@ -236,18 +236,20 @@
         public void send(int request, int server, double timeoutMs) {
             Tracked h = tracked.get(request);
             String what = "request " + request + " to " + server;
-            assertThat(h.finished).as(what + " after its end").isFalse();
+            assertThat(h.finished).as(what + " after its final answer").isFalse();
             assertThat(everListed).as(what + " was listed").contains(server);
             assertThat(list.get(server)).as(what + " is on the list").isNotNull();
             assertThat(list.get(server).state()).as(what).isEqualTo(EndpointState.READY);
             assertThat(h.servers.size()).as(what + ": attempts").isLessThan(cfg.maxAttempts());
             assertThat(timeoutMs).as(what).isNotNegative();
             assertThat(h.inFlight() == 0 || cfg.hedgingAllowed())
-                    .as(what + " together with another")
+                    .as(what + " while another attempt is in flight")
                     .isTrue();
             int maybe = h.firstPossibleExecution();
             if (maybe >= 0) {
-                assertThat(h.kind.idempotency()).as(what + " again").isNotEqualTo(Idempotency.NON_IDEMPOTENT);
+                assertThat(h.kind.idempotency())
+                        .as(what + " after a possible execution")
+                        .isNotEqualTo(Idempotency.NON_IDEMPOTENT);
                 if (h.kind.idempotency() == Idempotency.KEYED) {
                     assertThat(now).as(what).isLessThan(h.sentAt.get(maybe) + h.kind.deduplicationWindowMs());
                     int first = h.servers.get(maybe);
--- a/src/test/java/cacheproxy/routing/RequestTimersTest.java
+++ b/src/test/java/cacheproxy/routing/RequestTimersTest.java
@@ -15,7 +15,7 @@
         return new PendingRequest(new Request(1, 0, 0, 7, 2000, 0, 0, false, false), settings, null, 1000);
     }
 
-    /** Tokens go over the wire: a running number, and the kind in the two lowest bits. */
+    /** Tokens are sent over the wire: a sequence number, with the kind in the two lowest bits. */
     @Test
     void tokensKeepTheirNumbering() {
         PendingRequest request = request();
--- a/src/test/java/cacheproxy/routing/RetrySafetyTest.java
+++ b/src/test/java/cacheproxy/routing/RetrySafetyTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The condition under which an attempt that may have taken effect is repeated. */
+/** The conditions under which a request may be retried after an attempt that may have been executed. */
 class RetrySafetyTest {
     private static final double SENT_MS = 1000;
     private static final double WINDOW_MS = 400;
--- a/src/test/java/cacheproxy/routing/SlowStartTest.java
+++ b/src/test/java/cacheproxy/routing/SlowStartTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Cold endpoints: none gets more than it can do while it warms up. */
+/** An endpoint in warm-up gets no more load than its present capacity. */
 class SlowStartTest {
-    /** At its start it takes 0.3 of its keys, at half its warm-up 0.65, and all once warm. */
+    /** An endpoint gets 0.3 of its keys at its start, 0.65 after half of its warm-up, and all keys afterwards. */
     @Test
     void aColdEndpointTakesNoMoreThanItsRamp() {
         assertThat(taken(0, AttemptOutcome.OK)).isBetween(0.23, 0.37);
@@ -14,7 +14,7 @@
         assertThat(taken(8000, AttemptOutcome.OK)).isEqualTo(1.0);
     }
 
-    /** The part of its own keys that endpoint 5 gets this long after its start. */
+    /** The fraction of its own keys that endpoint 5 gets at this age. */
     private static double taken(double age, AttemptOutcome outcome) {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(12);
         harness.now = 100000;
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Guards the warm endpoints of a fleet that has mostly been replaced: with half its ramp each new one left them too
-     * much.
+     * Guards against overload of the remaining warm endpoints when most of a fleet is replaced, which occurred when new
+     * endpoints were given only half of their admitted fraction.
      */
     @Test
     void coldEndpointsTakeTheirCapacityAndLessWhereOthersAreMissing() {
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Twelve of twenty endpoints are removed, and new ones join up to this number in all: the part that the new ones
-     * get.
+     * The fraction of requests that new endpoints get when twelve of twenty endpoints are removed and new ones join, up
+     * to this number of endpoints in all.
      */
     private static double partAtColdEndpoints(int inAll) {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(20);
@@ -64,7 +64,7 @@
         return cold / 2000.0;
     }
 
-    /** A retry must not land on a cold endpoint: a lost zone came back and was overloaded by retries. */
+    /** Guards against overload by retries of a zone whose endpoints return from a failure without warm caches. */
     @Test
     void retriesKeepOffAColdEndpoint() {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(3);
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Under overload clients repeat requests at other instances: taken as new, these overloaded cold endpoints. */
+    /** Guards against overload of cold endpoints by clients that retry at other instances under overload. */
     @Test
     void clientRetriesKeepOffAColdEndpoint() {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(3);
@@ -97,25 +97,25 @@
             } else {
                 harness.clientRetry(id, id);
                 assertThat(harness.last().server())
-                        .as("request %d, which a client asks again", id)
+                        .as("request %d, a client retry", id)
                         .isEqualTo(1);
             }
             harness.end(harness.last(), AttemptOutcome.OK);
         }
-        assertThat(cold).as("first tries at the cold ones").isBetween(50, 110);
+        assertThat(cold).as("first attempts at cold endpoints").isBetween(50, 110);
     }
 
-    /** At half its warm-up an endpoint takes 0.65, but less where the fleet is offered more than it can do. */
+    /** After half of its warm-up an endpoint gets 0.65 of its keys, but less if the fleet is overloaded. */
     @Test
     void aColdEndpointTakesLessOfAnOverloadedFleet() {
         assertThat(takenAt(0.3)).isBetween(0.57, 0.73);
         assertThat(takenAt(1.0)).isBetween(0.5, 0.73);
         assertThat(takenAt(2.5))
-                .as("three times 0.3 of what it can do warm, of 2.5 times that")
+                .as("overload multiple 3 x initial capacity 0.3 / offered load 2.5")
                 .isBetween(0.28, 0.44);
     }
 
-    /** The part of its own keys that endpoint 5 gets at half its warm-up, at this load on the fleet. */
+    /** The fraction of its own keys that endpoint 5 gets after half of its warm-up, at this load on the fleet. */
     private static double takenAt(double load) {
         int servers = 12;
         int instances = 4;
--- a/src/test/java/cacheproxy/routing/ThunderingHerdTest.java
+++ b/src/test/java/cacheproxy/routing/ThunderingHerdTest.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A thundering herd: 48 instances that a release starts in one moment, with one seed, before a small discovery. */
+/**
+ * A thundering herd: 48 instances with the same seed that a release starts at once, and a discovery of low capacity.
+ */
 class ThunderingHerdTest {
     private static final int INSTANCES = 48;
     private static final double STEP_MS = 10;
@@ -16,7 +18,7 @@
             LoadBalancerHarness.endpoint(LoadBalancerHarness.ORIGIN, EndpointState.READY, 0),
             LoadBalancerHarness.endpoint(1, EndpointState.READY, 0),
             LoadBalancerHarness.endpoint(2, EndpointState.READY, 0));
-    /** Calls of all instances, step by step. */
+    /** The number of discovery calls of all instances in each step. */
     private final List<Integer> calls = new ArrayList<>();
 
     private final int[] answered = new int[INSTANCES];
@@ -31,7 +33,7 @@
         }
     }
 
-    /** Lets time pass; discovery answers so many calls a second and rejects the others. */
+    /** Advances the clocks; discovery serves this many calls per second and rejects the others. */
     private void pass(double ms, double perSecond) {
         double tokens = 0;
         for (double at = 0; at < ms; at += STEP_MS) {
@@ -69,14 +71,16 @@
     @Test
     void theFirstCallsAreSpread() {
         pass(6000, 1000);
-        assertThat(calls.stream().mapToInt(c -> c).sum()).as("one each").isEqualTo(INSTANCES);
+        assertThat(calls.stream().mapToInt(c -> c).sum())
+                .as("one call per instance")
+                .isEqualTo(INSTANCES);
         assertThat(most(1)).as("in 10 ms").isLessThanOrEqualTo(6);
         assertThat(most(20)).as("in 200 ms").isLessThanOrEqualTo(INSTANCES / 4);
     }
 
     /**
-     * Rejected ones come back later and later (in step it would be all 48 at once), apart from one another, and serve
-     * by the list they have.
+     * Instances whose calls are rejected back off with jitter (without it all 48 would call at once), and serve
+     * requests with the cached list meanwhile.
      */
     @Test
     void rejectedCallsBackOffAndNotInStep() {
@@ -86,7 +90,7 @@
         calls.clear();
         pass(30_000, 0);
         int late = calls.stream().mapToInt(c -> c).sum();
-        assertThat(late / 30.0).as("calls a second of all").isBetween(1.0, early / 3.0);
+        assertThat(late / 30.0).as("calls per second, all instances").isBetween(1.0, early / 3.0);
         assertThat(most(20)).as("in 200 ms, of " + late + " in half a minute").isLessThanOrEqualTo(INSTANCES / 4);
         for (LoadBalancerHarness harness : harnesses) {
             harness.read(1, 77);
@@ -94,7 +98,7 @@
         }
         pass(30_000, 2);
         assertThat(answered)
-                .as("all have the list once discovery takes two calls a second")
+                .as("calls served per instance once discovery serves two calls per second")
                 .doesNotContain(0);
     }
 }
--- a/src/test/java/cacheproxy/routing/ZoneDirectivesTest.java
+++ b/src/test/java/cacheproxy/routing/ZoneDirectivesTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Zone directives of the fleet. Endpoints stand in zone 0 or 1 by their numbers. */
+/** Zone directives of the fleet. Endpoints with even ids are in zone 0, those with odd ids in zone 1. */
 class ZoneDirectivesTest {
     private static final int KEYS = 400;
     private int id;
@@ -81,10 +81,12 @@
         direct(harness, 1, 0, true, false);
         direct(harness, 1, 1, false, false);
         direct(harness, 1, 0, false, false);
-        assertThat(placement(harness).values()).as("what was not used is void").noneMatch(s -> s % 2 == 1);
+        assertThat(placement(harness).values())
+                .as("an unused probe permission expires")
+                .noneMatch(s -> s % 2 == 1);
     }
 
-    /** Its endpoints were silent when its traffic was diverted; that is past when the traffic returns. */
+    /** Failures from before the diversion of a zone's traffic must not affect it when the traffic returns. */
     @Test
     void resetHealthForgetsWhatWasSeenOfTheZonesEndpoints() {
         LoadBalancerHarness harness = LoadBalancerHarness.cacheAside().fleet(12);
@@ -112,7 +114,7 @@
         harness.end(first, AttemptOutcome.OK);
         harness.loadBalancer.onPeerMessage(harness.now, 0, PeerMessage.endpointUnresponsive(first.server()), harness);
         harness.read(++id, 77);
-        assertThat(harness.last().server()).as("it has just answered").isEqualTo(first.server());
+        assertThat(harness.last().server()).as("it responded recently").isEqualTo(first.server());
         harness.end(harness.last(), AttemptOutcome.OK);
         harness.pass(2000);
         harness.loadBalancer.onPeerMessage(harness.now, 0, PeerMessage.endpointUnresponsive(first.server()), harness);
