--- a/src/test/java/cacheproxy/routing/RandomRulesTest.java
+++ b/src/test/java/cacheproxy/routing/RandomRulesTest.java
@@ -41,9 +41,9 @@
     }
 
     /** The observable history of a request; the rules are checked against it, not against the load balancer's state. */
-    private static final class Tracked {
+    private static final class TrackedRequest {
         Request request;
-        ServiceClass kind;
+        ServiceClass serviceClass;
         boolean finished;
         final List<Integer> servers = new ArrayList<>();
         final List<Double> sentAt = new ArrayList<>();
@@ -65,11 +65,11 @@
     }
 
     private static final class Simulation implements RoutingActions {
-        final RoutingSettings cfg;
+        final RoutingSettings settings;
         final Random random;
         final CarpLoadBalancer loadBalancer;
-        final Map<Integer, Tracked> tracked = new HashMap<>();
-        final List<Tracked> live = new ArrayList<>();
+        final Map<Integer, TrackedRequest> tracked = new HashMap<>();
+        final List<TrackedRequest> pending = new ArrayList<>();
         final Map<Integer, Endpoint> list = new HashMap<>();
         final Set<Integer> everListed = new HashSet<>();
         final List<double[]> timers = new ArrayList<>();
@@ -79,15 +79,15 @@
         int answered;
         int sent;
 
-        Simulation(RoutingSettings cfg, long seed) {
-            this.cfg = cfg;
+        Simulation(RoutingSettings settings, long seed) {
+            this.settings = settings;
             random = new Random(seed);
-            loadBalancer = new CarpLoadBalancer(cfg, seed);
+            loadBalancer = new CarpLoadBalancer(settings, seed);
             List<Endpoint> first = new ArrayList<>();
             for (int id = 1; id <= 10; id++) {
                 first.add(LoadBalancerHarness.endpoint(id, EndpointState.READY, 0));
             }
-            if (cfg.cacheAside()) {
+            if (settings.cacheAside()) {
                 first.add(LoadBalancerHarness.endpoint(LoadBalancerHarness.ORIGIN, EndpointState.READY, 0));
             }
             send(EndpointUpdateKind.CACHED, first);
@@ -135,7 +135,7 @@
                 now += 5;
                 fireTimers();
             }
-            live.forEach(h -> assertThat(h.finished)
+            pending.forEach(h -> assertThat(h.finished)
                     .as("request %d was answered", h.request.id())
                     .isTrue());
         }
@@ -147,16 +147,16 @@
                     loadBalancer.onTimer(now, (int) t[1], this);
                 }
             }
-            live.removeIf(h -> h.finished && h.inFlight() == 0);
-            for (Tracked h : live) {
-                assertThat(h.finished || now <= h.request.deadlineMs() + cfg.finalAnswerGraceMs())
+            pending.removeIf(h -> h.finished && h.inFlight() == 0);
+            for (TrackedRequest h : pending) {
+                assertThat(h.finished || now <= h.request.deadlineMs() + settings.finalAnswerGraceMs())
                         .as("request %d answered by its deadline and grace period", h.request.id())
                         .isTrue();
             }
         }
 
         private void arrive() {
-            Tracked h = new Tracked();
+            TrackedRequest h = new TrackedRequest();
             int c = random.nextInt(3);
             h.request = new Request(
                     nextId++,
@@ -168,16 +168,16 @@
                     0,
                     c != LoadBalancerHarness.IDEMPOTENT,
                     false);
-            h.kind = cfg.classes().get(c);
+            h.serviceClass = settings.classes().get(c);
             tracked.put(h.request.id(), h);
-            live.add(h);
+            pending.add(h);
             loadBalancer.onRequest(now, h.request, this);
         }
 
         private void updateList() {
             int id = 1 + random.nextInt(12);
             int roll = random.nextInt(6);
-            if (roll == 0 && cfg.pollsDiscovery()) {
+            if (roll == 0 && settings.pollsDiscovery()) {
                 loadBalancer.onEndpointUpdate(now, EndpointUpdateKind.FAILED, List.of(), this);
             } else if (roll == 1) {
                 send(
@@ -189,22 +189,22 @@
                 send(
                         EndpointUpdateKind.DELTA,
                         List.of(LoadBalancerHarness.endpoint(
-                                cfg.cacheAside() && roll == 2 ? LoadBalancerHarness.ORIGIN : id,
+                                settings.cacheAside() && roll == 2 ? LoadBalancerHarness.ORIGIN : id,
                                 EndpointState.values()[random.nextInt(3)],
                                 random.nextBoolean() ? 0 : now)));
             }
         }
 
         private void disconnect() {
-            if (!live.isEmpty()) {
-                Tracked h = live.get(random.nextInt(live.size()));
+            if (!pending.isEmpty()) {
+                TrackedRequest h = pending.get(random.nextInt(pending.size()));
                 h.finished = true;
                 loadBalancer.onClientDisconnected(now, h.request.id(), this);
             }
         }
 
         private void endSome() {
-            for (Tracked h : List.copyOf(live)) {
+            for (TrackedRequest h : List.copyOf(pending)) {
                 for (int a = 0; a < h.outcomes.size(); a++) {
                     if (h.outcomes.get(a) == null && random.nextInt(12) == 0) {
                         end(h, a, AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)]);
@@ -213,7 +213,7 @@
             }
         }
 
-        private void end(Tracked h, int a, AttemptOutcome outcome) {
+        private void end(TrackedRequest h, int a, AttemptOutcome outcome) {
             h.outcomes.set(a, outcome);
             if (outcome == AttemptOutcome.OK) {
                 h.finished = true;
@@ -234,26 +234,26 @@
 
         @Override
         public void send(int request, int server, double timeoutMs) {
-            Tracked h = tracked.get(request);
+            TrackedRequest h = tracked.get(request);
             String what = "request " + request + " to " + server;
             assertThat(h.finished).as(what + " after its final answer").isFalse();
             assertThat(everListed).as(what + " was listed").contains(server);
             assertThat(list.get(server)).as(what + " is on the list").isNotNull();
             assertThat(list.get(server).state()).as(what).isEqualTo(EndpointState.READY);
-            assertThat(h.servers.size()).as(what + ": attempts").isLessThan(cfg.maxAttempts());
+            assertThat(h.servers.size()).as(what + ": attempts").isLessThan(settings.maxAttempts());
             assertThat(timeoutMs).as(what).isNotNegative();
-            assertThat(h.inFlight() == 0 || cfg.hedgingAllowed())
+            assertThat(h.inFlight() == 0 || settings.hedgingAllowed())
                     .as(what + " while another attempt is in flight")
                     .isTrue();
             int maybe = h.firstPossibleExecution();
             if (maybe >= 0) {
-                assertThat(h.kind.idempotency())
+                assertThat(h.serviceClass.idempotency())
                         .as(what + " after a possible execution")
                         .isNotEqualTo(Idempotency.NON_IDEMPOTENT);
-                if (h.kind.idempotency() == Idempotency.KEYED) {
-                    assertThat(now).as(what).isLessThan(h.sentAt.get(maybe) + h.kind.deduplicationWindowMs());
+                if (h.serviceClass.idempotency() == Idempotency.KEYED) {
+                    assertThat(now).as(what).isLessThan(h.sentAt.get(maybe) + h.serviceClass.deduplicationWindowMs());
                     int first = h.servers.get(maybe);
-                    boolean same = switch (h.kind.deduplicationScope()) {
+                    boolean same = switch (h.serviceClass.deduplicationScope()) {
                         case ALL -> true;
                         case ZONE -> first % 2 == server % 2;
                         case CELL -> first / 4 == server / 4;
@@ -281,9 +281,11 @@
 
         @Override
         public void reject(int request, double retryAfterMs) {
-            Tracked h = tracked.get(request);
+            TrackedRequest h = tracked.get(request);
             if (h.firstPossibleExecution() >= 0) {
-                assertThat(h.kind.idempotency()).as("rejection of %d", request).isEqualTo(Idempotency.IDEMPOTENT);
+                assertThat(h.serviceClass.idempotency())
+                        .as("rejection of %d", request)
+                        .isEqualTo(Idempotency.IDEMPOTENT);
             }
             answer(request);
             orders.add("reject " + request);
@@ -309,7 +311,7 @@
 
         @Override
         public void checkHealth(int server) {
-            assertThat(cfg.healthChecksAllowed()).isTrue();
+            assertThat(settings.healthChecksAllowed()).isTrue();
             assertThat(everListed).contains(server);
             orders.add("check " + server);
         }
@@ -321,7 +323,7 @@
 
         @Override
         public void sendToPeer(int peer, byte[] message) {
-            assertThat(cfg.peerMessagesAllowed()).isTrue();
+            assertThat(settings.peerMessagesAllowed()).isTrue();
         }
 
         @Override
