--- a/src/main/java/cacheproxy/routing/EndpointTable.java
+++ b/src/main/java/cacheproxy/routing/EndpointTable.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * The endpoints of the list, and of these the ones that are ranked: ready, in the unsigned order of their ids, with the
- * load factors of the CARP draft, section 3.3. In a cache-aside deployment the origin is kept apart from them.
+ * The endpoints of the list. Ranked endpoints are those that are ready, in unsigned order of their ids, with the load
+ * factors of the CARP draft, section 3.3. In a cache-aside deployment the origin is not ranked but kept separately.
  */
 final class EndpointTable {
     private final Map<Integer, EndpointEntry> entries = new HashMap<>();
@@ -19,16 +19,16 @@
     private double totalWeight;
 
     /**
-     * Takes what the list says of endpoints and ranks anew.
+     * Applies an update of the list and updates the ranked endpoints.
      *
-     * @throws IllegalArgumentException if an endpoint is named twice, or has a weight, zone or kind that can't be
+     * @throws IllegalArgumentException if an endpoint is listed twice, or has an invalid weight, zone or kind
      */
     void update(EndpointUpdateKind kind, List<Endpoint> endpoints, RoutingSettings settings) {
         check(endpoints, settings);
         if (kind.isSnapshot()) {
-            Set<Integer> named = new HashSet<>();
-            endpoints.forEach(endpoint -> named.add(endpoint.id()));
-            entries.values().removeIf(entry -> !named.contains(entry.id()));
+            Set<Integer> listed = new HashSet<>();
+            endpoints.forEach(endpoint -> listed.add(endpoint.id()));
+            entries.values().removeIf(entry -> !listed.contains(entry.id()));
         }
         for (Endpoint endpoint : endpoints) {
             if (endpoint.state() == EndpointState.REMOVED) {
@@ -46,20 +46,22 @@
         for (Endpoint e : endpoints) {
             String id = Integer.toUnsignedString(e.id());
             if (!seen.add(e.id())) {
-                throw new IllegalArgumentException("member " + id + " is listed twice");
+                throw new IllegalArgumentException("endpoint " + id + " is listed twice");
             }
             if (!(e.weight() >= 0) || Float.isInfinite(e.weight())) {
-                throw new IllegalArgumentException("member " + id + " has weight " + e.weight());
+                throw new IllegalArgumentException("endpoint " + id + " has invalid weight " + e.weight());
             }
-            boolean zoneExists = e.zone() >= 0 && e.zone() < settings.zoneCount();
-            boolean kindExists = e.kind() >= 0 && e.kind() < settings.kindCount();
-            if (!zoneExists || !kindExists) {
-                throw new IllegalArgumentException("member " + id + ": zone " + e.zone() + ", kind " + e.kind());
+            boolean validZone = e.zone() >= 0 && e.zone() < settings.zoneCount();
+            boolean validKind = e.kind() >= 0 && e.kind() < settings.kindCount();
+            if (!validZone || !validKind) {
+                throw new IllegalArgumentException(
+                        "endpoint " + id + " has zone " + e.zone() + " and kind " + e.kind() + " but the settings have "
+                                + settings.zoneCount() + " zones and " + settings.kindCount() + " kinds");
             }
         }
     }
 
-    /** Ranks anew, after other settings or entries. */
+    /** Updates the ranked endpoints after a change of settings or entries. */
     void rank(RoutingSettings settings) {
         origin = null;
         List<EndpointEntry> ready = new ArrayList<>();
@@ -75,10 +77,10 @@
         }
         ready.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
         ranked = ready.toArray(new EndpointEntry[0]);
-        weigh();
+        updateLoadFactors();
     }
 
-    private void weigh() {
+    private void updateLoadFactors() {
         float[] weights = new float[ranked.length];
         double sum = 0;
         for (int i = 0; i < ranked.length; i++) {
@@ -92,22 +94,22 @@
         }
     }
 
-    /** The endpoint of this id, ready or not; null if the list has none, or the id is null. */
+    /** The endpoint with this id in any state; null if the list has none, or the id is null. */
     EndpointEntry get(Integer id) {
         return entries.get(id);
     }
 
-    /** All of the list, whatever their state. */
+    /** All endpoints of the list, in any state. */
     Collection<EndpointEntry> all() {
         return entries.values();
     }
 
-    /** The ranked ones; the array is the table's own and is not to be written. */
+    /** The ranked endpoints; the array is not a copy and must not be modified. */
     EndpointEntry[] ranked() {
         return ranked;
     }
 
-    /** How many are ranked. */
+    /** The number of ranked endpoints. */
     int rankedCount() {
         return ranked.length;
     }
@@ -121,7 +123,7 @@
         return entry == origin;
     }
 
-    /** The weights of the ranked ones together. */
+    /** The total weight of the ranked endpoints. */
     double totalWeight() {
         return totalWeight;
     }
