--- a/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Ends attempts, each exactly once: on its result, its timeout, a cancellation or the completion of its request. The
- * first response to a request is passed to its client; later ones are discarded. Event loop only.
+ * Ends attempts, each once: by its result, its timeout, a cancellation or the completion of its request. The first
+ * response of a request goes to its client, any further one is dropped. Event loop only.
  */
 final class AttemptLifecycle {
     private static final int NO_NOTE = 0;
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Ends an attempt. If it has already ended, only the response is released.
+     * Ends an attempt, if it has not ended.
      *
-     * @param note the code that the server sent with the response, as in {@link AttemptEnd}; 0 for none
+     * @param note what the server says of the response, as in {@link AttemptEnd}
      * @param report the server's load report; null if it sent none
-     * @param response the server's response, which this method releases or passes on; null if there is none
+     * @param response its response, which this method releases or passes on; null if it has none
      */
     void end(RequestAttempt attempt, AttemptOutcome outcome, int note, float[] report, ServerResponse response) {
         if (attempt.ended) {
@@ -49,31 +49,31 @@
         attempt.mayHaveRun = outcome.mayHaveRun();
         Timers.cancel(attempt.timer);
         double endMs = attempt.isStreaming() ? attempt.firstByteMs : clock.now();
-        double elapsedMs = endMs - attempt.startedMs;
+        double elapsedMs = endMs - attempt.orderedMs;
         if (attempt.isHealthCheck()) {
             loadBalancer.healthCheckEnded(attempt.server, outcome, elapsedMs, report);
             return;
         }
         ClientRequest request = attempt.request;
         request.attemptsInFlight--;
-        deliverResponse(attempt, response);
+        passOn(attempt, response);
         AttemptEnd end = new AttemptEnd(
                 request.id, attempt.index, attempt.server, outcome, elapsedMs, request.isCompleted(), note, report);
         loadBalancer.attemptEnded(end, () -> completion.fail(request));
         completion.release(request);
     }
 
-    /** Ends an attempt without a response. */
+    /** Ends an attempt that has no response. */
     void end(RequestAttempt attempt, AttemptOutcome outcome) {
         end(attempt, outcome, NO_NOTE, null, null);
     }
 
-    /** Ends an attempt without a response, after the running call of the load balancer has returned. */
+    /** Ends an attempt that has no response, once the running call of the load balancer has returned. */
     void endSerially(RequestAttempt attempt, AttemptOutcome outcome) {
         executor.runSerially(() -> end(attempt, outcome));
     }
 
-    private void deliverResponse(RequestAttempt attempt, ServerResponse response) {
+    private void passOn(RequestAttempt attempt, ServerResponse response) {
         ClientRequest request = attempt.request;
         if (request.isCompleted()) {
             release(response);
@@ -85,10 +85,9 @@
         }
     }
 
-    private void endStream(ClientRequest request, boolean complete) {
-        completion.complete(
-                request, RequestState.ANSWERED, complete ? RequestOutcome.SUCCEEDED : RequestOutcome.FAILED);
-        if (complete) {
+    private void endStream(ClientRequest request, boolean whole) {
+        completion.complete(request, RequestState.ANSWERED, whole ? RequestOutcome.SUCCEEDED : RequestOutcome.FAILED);
+        if (whole) {
             request.responseWriter.endValue();
         } else {
             request.responseWriter.abort();
@@ -102,9 +101,8 @@
     }
 
     /**
-     * Ends an attempt whose timeout has expired. Unless none of it was sent, it ends as {@code TIMEOUT}, as the server
-     * may have executed it or may still do so. If it ended as a failed connection, which counts as not executed, a
-     * write could be rejected as safe to repeat or be retried, and take effect twice.
+     * Ends an attempt whose time is up. What has gone out may have been executed or may yet: reported as a failed
+     * connection, a write would be rejected or sent again, and have its effect twice.
      */
     void expire(RequestAttempt attempt) {
         if (attempt.ended) {
@@ -119,18 +117,17 @@
     }
 
     /**
-     * Cancels an attempt whose response is not being streamed yet. While the request is open, another attempt may
-     * follow it. Where hedging is not allowed, an attempt then stays in flight if it can't be stopped, because other
-     * attempts are in flight on its connection.
+     * Cancels an attempt whose response has not begun. Another attempt may follow, so where hedging is not allowed one
+     * whose cancellation can't end it stays in flight.
      */
     void cancel(RequestAttempt attempt) {
         if (attempt.ended || attempt.isStreaming()) {
             return;
         }
         UpstreamConnection connection = attempt.connection;
-        boolean mustNotOverlap =
+        boolean mustEndAlone =
                 !attempt.request.isCompleted() && !settings.routing().hedgingAllowed();
-        if (mustNotOverlap && connection != null && !connection.isAlone()) {
+        if (mustEndAlone && connection != null && !connection.isAlone()) {
             return;
         }
         if (connection != null) {
@@ -139,7 +136,7 @@
         endSerially(attempt, AttemptOutcome.CANCELLED);
     }
 
-    /** Cancels the attempts of a request whose responses are being streamed, as the client has disconnected. */
+    /** Cancels those attempts of a request whose response is being streamed: nobody is left to read the rest. */
     void cancelStreams(ClientRequest request) {
         for (RequestAttempt attempt : request.attempts) {
             if (attempt.isStreaming() && !attempt.ended) {
@@ -154,7 +151,7 @@
         List.copyOf(request.attempts).forEach(this::expire);
     }
 
-    /** Ends the attempts of a request that have not begun to be sent. */
+    /** Ends those attempts of a request of which nothing has gone out. */
     void endUnsent(ClientRequest request) {
         for (RequestAttempt attempt : request.attempts) {
             if (!attempt.ended && (attempt.connection == null || attempt.connection.removeUnsent(attempt))) {
--- a/src/main/java/cacheproxy/proxy/BufferLimits.java
+++ b/src/main/java/cacheproxy/proxy/BufferLimits.java
@@ -4,33 +4,33 @@
 import cacheproxy.flow.ReadAheadBudget;
 import io.netty.util.internal.PlatformDependent;
 
-/** Limits the direct memory for buffered values and for client input that is read ahead. Event loop only. */
+/** Limits the direct memory that values and input read ahead of clients may take. Event loop only. */
 public final class BufferLimits {
-    /** Divides the direct memory: one part for values buffered whole, the rest for data that passes through. */
-    private static final int VALUES_DIVISOR = 2;
-    /** Divides the direct memory: one part for input read ahead, beside the allowance of each connection. */
-    private static final int READ_AHEAD_DIVISOR = 16;
-    /** The part of the configured memory that values buffered whole may take, as a right shift: an eighth. */
-    private static final int CONFIGURED_MEMORY_SHIFT = 3;
+    /** Complete values may take one part in so many of the direct memory; the rest is for what passes through. */
+    private static final int VALUES_PART = 2;
+    /** Input read ahead may take one part in so many, beside what each connection has of its own. */
+    private static final int READ_AHEAD_PART = 16;
+    /** Complete values may take one part in so many of the configured memory, as a shift. */
+    private static final int CONFIGURED_PART_SHIFT = 3;
 
-    private static final int MEBIBYTE_SHIFT = 20;
+    private static final int MEGABYTE_SHIFT = 20;
 
     private final ByteBudget values;
     private final ReadAheadBudget readAhead =
-            new ReadAheadBudget(PlatformDependent.maxDirectMemory() / READ_AHEAD_DIVISOR);
+            new ReadAheadBudget(PlatformDependent.maxDirectMemory() / READ_AHEAD_PART);
 
     /** {@code memoryMb}: the memory configured for the process, in mebibytes. */
     BufferLimits(int memoryMb) {
-        long configured = (long) memoryMb << MEBIBYTE_SHIFT >> CONFIGURED_MEMORY_SHIFT;
-        values = new ByteBudget(Math.min(configured, PlatformDependent.maxDirectMemory() / VALUES_DIVISOR));
+        long configured = (long) memoryMb << MEGABYTE_SHIFT >> CONFIGURED_PART_SHIFT;
+        values = new ByteBudget(Math.min(configured, PlatformDependent.maxDirectMemory() / VALUES_PART));
     }
 
-    /** The budget for values that are buffered whole. */
+    /** The budget for values that are held completely. */
     public ByteBudget values() {
         return values;
     }
 
-    /** The budget for client input that is read before it can be decoded. */
+    /** The limit of what may be read of clients before it can be decoded. */
     public ReadAheadBudget readAhead() {
         return readAhead;
     }
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -27,28 +27,30 @@
 import java.util.Map;
 
 /**
- * The configuration of one instance, read from the JSON file that {@code BALANCER_CONFIG} names. Routing settings are
- * parsed by the simulator adapter's parser, from the same paths. Addresses are literal; no names are resolved.
+ * The configuration of one instance, read from the file that {@code BALANCER_CONFIG} names. Settings are parsed as the
+ * simulator's adapter does, from the same paths; addresses are literal, as there is no DNS. Keys of the file and
+ * components have the same names, but for {@code limits.cores}, {@code limits.memory_mb}, {@code limits.sockets},
+ * {@code settings.zones}, {@code settings.kinds}, {@code settings.caps.idle-close} and
+ * {@code settings.caps.streams-per-conn}.
  *
- * @param name the instance's name, {@code name}; {@code proxy} if the file has none
- * @param listen the address at which clients connect, {@code listen}
- * @param discovery the address of discovery, {@code discovery}
- * @param seed the seed of all random numbers, {@code seed}
- * @param cores the number of CPU cores that the process may use, {@code limits.cores}
- * @param memoryMb the memory limit in mebibytes, {@code limits.memory_mb}
- * @param sockets the limit of open sockets, {@code limits.sockets}
- * @param peerListen the address at which peers' datagrams arrive, {@code peer_listen}; null for none
- * @param peers the addresses of all instances by index, {@code peers}
- * @param peersBroadcast the address that reaches all instances at once, {@code peers_all}; null for none
- * @param initialEndpointList the endpoint list to start with, {@code known}; null for none
- * @param settings the settings of routing
- * @param zones the names of the zones by index, {@code settings.zones}
- * @param kinds the names of the kinds of endpoints by index, {@code settings.kinds}
- * @param idleCloseMs after how long servers close an idle connection, {@code settings.caps.idle-close}
- * @param streamsPerConnection how many requests a server accepts on one connection at a time,
- *     {@code settings.caps.streams-per-conn}
- * @param adminAddress the admin port's address, {@code operator}; null for none
- * @param source the content of the file
+ * @param name of the instance; {@code proxy} if the file has none
+ * @param listen where clients connect
+ * @param discovery where discovery is called
+ * @param seed of all random draws
+ * @param cores that the process may use
+ * @param memoryMb memory limit in megabytes
+ * @param sockets limit of open sockets
+ * @param peerListen where peers' datagrams arrive; null: nowhere
+ * @param peers addresses of all instances, in the order of their numbers
+ * @param peersBroadcast reaches all instances at once; null: none
+ * @param initialEndpointList the endpoint list to start with; null: none
+ * @param settings of routing
+ * @param zones names by number
+ * @param kinds names of the kinds of endpoints, by number
+ * @param idleCloseMs after which servers close an idle connection
+ * @param streamsPerConnection how many requests a server takes on one connection at a time
+ * @param adminAddress the admin port's address; null: none
+ * @param source the file as it was read
  */
 public record Config(
         String name,
@@ -79,23 +81,23 @@
                 kinds);
     }
 
-    /** The codec for discovery's list, with the configured zones and kinds. */
+    /** What discovery's list may name. */
     EndpointListCodec endpointListCodec() {
         return new EndpointListCodec(zones, kinds);
     }
 
-    /** The limit of connections to servers: a third of the process's sockets. */
+    /** How many of the process's sockets connections to servers may take: a third. */
     public int upstreamSockets() {
         return sockets / 3;
     }
 
-    /** The addresses for datagrams between proxies; without one to listen at if the settings forbid peer messages. */
+    /** Where the proxies of the tier exchange datagrams; without an address of its own where the settings forbid it. */
     public PeerAddresses peerAddresses() {
         return new PeerAddresses(
                 settings.peerMessagesAllowed() ? peerListen : null, peers, peersBroadcast, settings.instanceIndex());
     }
 
-    /** The settings for polling discovery. */
+    /** How discovery is called. */
     public DiscoveryClient.Settings discoverySettings() {
         return new DiscoveryClient.Settings(
                 discovery,
@@ -109,9 +111,9 @@
     }
 
     /**
-     * Reads a configuration file.
+     * Reads the file.
      *
-     * @throws ConfigurationException if it can't be read or is invalid
+     * @throws ConfigurationException if it is unusable
      */
     public static Config read(String path) {
         if (path == null || path.isEmpty()) {
@@ -128,10 +130,10 @@
     }
 
     /**
-     * Reads the file again for a reload. A file that lacks a key of this configuration is rejected: it was truncated,
-     * or edited by hand, and the value intended for the missing key is unknown.
+     * Reads the file again while the instance serves. One that lacks a key which it had before is rejected: it was cut
+     * off, or edited by hand, and nobody can say what the missing key should mean.
      *
-     * @throws ConfigurationException if it can't be read or is invalid
+     * @throws ConfigurationException if it is unusable
      */
     public Config reread(String path) {
         Config next = read(path);
@@ -153,17 +155,17 @@
     }
 
     /**
-     * The path of the first key in {@code before} that {@code now} lacks; null if there is none. Each entry of a list
-     * must have the keys that all entries of the earlier list have. What is below a key {@code known} is not compared.
+     * The first key of {@code before} that {@code now} lacks, with its path; of lists, the keys that all entries of
+     * {@code before} have.
      */
     private static String firstMissingKey(String path, JsonElement before, JsonElement now) {
         if (before.isJsonObject()) {
             for (Map.Entry<String, JsonElement> e : before.getAsJsonObject().entrySet()) {
-                String keyPath = path.isEmpty() ? e.getKey() : path + "." + e.getKey();
-                JsonElement value = now.isJsonObject() ? now.getAsJsonObject().get(e.getKey()) : null;
-                String missing = value == null
-                        ? keyPath
-                        : e.getKey().equals("known") ? null : firstMissingKey(keyPath, e.getValue(), value);
+                String at = path.isEmpty() ? e.getKey() : path + "." + e.getKey();
+                JsonElement there = now.isJsonObject() ? now.getAsJsonObject().get(e.getKey()) : null;
+                String missing = there == null
+                        ? at
+                        : e.getKey().equals("known") ? null : firstMissingKey(at, e.getValue(), there);
                 if (missing != null) {
                     return missing;
                 }
@@ -233,8 +235,8 @@
         return value;
     }
 
-    private static double number(JsonObject json, String key, double defaultValue) {
-        return json.has(key) ? json.get(key).getAsDouble() : defaultValue;
+    private static double number(JsonObject json, String key, double absent) {
+        return json.has(key) ? json.get(key).getAsDouble() : absent;
     }
 
     private static InetSocketAddress optionalAddress(JsonObject json, String key) {
--- a/src/main/java/cacheproxy/proxy/Counters.java
+++ b/src/main/java/cacheproxy/proxy/Counters.java
@@ -7,30 +7,29 @@
 
 /**
  * Counts outcomes of requests and attempts since the start of the process. Each is counted once, where it is decided. A
- * service class that was removed from the settings keeps its counts, since a counter must never decrease. Event loop
- * only.
+ * class that the settings no longer name keeps its counts, since a counter must never go down. Event loop only.
  */
 public final class Counters {
-    /** How many classes that were removed from the settings are kept; those removed first are evicted first. */
+    /** How many classes that the settings no longer name are kept; those removed first are dropped first. */
     static final int MAX_REMOVED_CLASSES = 256;
 
-    /** Outcomes of the requests of one service class. */
+    /** Outcomes of the requests of one class. */
     public static final class ClassCounts {
         private long succeeded;
         private long rejected;
         private long failed;
 
-        /** Requests answered with a server's response. */
+        /** Answered with a server's response. */
         public long succeeded() {
             return succeeded;
         }
 
-        /** Requests rejected, with a promise that a repeat is harmless. */
+        /** Refused; a repeat was harmless. */
         public long rejected() {
             return rejected;
         }
 
-        /** Requests that ended without a server's response and may have been executed, and invalid ones. */
+        /** Ended without a response though they may have run. */
         public long failed() {
             return failed;
         }
@@ -42,56 +41,56 @@
     private long reloadsApplied;
     private long reloadsRejected;
 
-    /** Sets the service classes in the settings; they are reported from now on, with 0 before any request. */
+    /** Sets the classes that the settings name now; they are reported from here on, at 0 before any request. */
     void retainClasses(Set<String> names) {
         for (String name : names) {
             ClassCounts existing = classes.remove(name);
-            classes.put(name, existing == null ? new ClassCounts() : existing); // now behind the removed classes
+            classes.put(name, existing == null ? new ClassCounts() : existing); // behind those that were removed
         }
         while (classes.size() - names.size() > MAX_REMOVED_CLASSES) {
             classes.remove(classes.keySet().iterator().next());
         }
     }
 
-    /** Counts a completed request of a service class; one of an unknown class is not counted. */
+    /** Counts a completed request of this class; one of an unknown class is not counted. */
     public void recordOutcome(String className, RequestOutcome outcome) {
-        ClassCounts classCounts = classes.get(className);
-        if (classCounts == null) {
+        ClassCounts ofClass = classes.get(className);
+        if (ofClass == null) {
             return;
         }
         switch (outcome) {
             case SUCCEEDED -> {
-                classCounts.succeeded++;
+                ofClass.succeeded++;
                 increment(Metric.REQUESTS_SUCCEEDED);
             }
             case REJECTED -> {
-                classCounts.rejected++;
+                ofClass.rejected++;
                 increment(Metric.REQUESTS_REJECTED);
             }
             case FAILED -> {
-                classCounts.failed++;
+                ofClass.failed++;
                 increment(Metric.REQUESTS_FAILED);
             }
             case CLIENT_DISCONNECTED -> {}
         }
     }
 
-    /** Increments a metric. */
+    /** Adds one to this metric. */
     public void increment(Metric metric) {
         counts[metric.ordinal()]++;
     }
 
-    /** The value of a metric. */
+    /** The value of this metric. */
     long count(Metric metric) {
         return counts[metric.ordinal()];
     }
 
-    /** Counts an attempt that was written completely to a cache node or the origin. */
+    /** Counts an attempt that was written completely to a cache node, or to the origin in its place. */
     void recordForward() {
         forwards++;
     }
 
-    /** Counts a configuration reload, applied or rejected. */
+    /** Counts a settings file read at SIGHUP, applied or rejected. */
     public void recordReload(boolean applied) {
         if (applied) {
             reloadsApplied++;
@@ -100,12 +99,12 @@
         }
     }
 
-    /** The outcomes by the name of the service class. */
+    /** The outcomes by class name. */
     public Map<String, ClassCounts> classes() {
         return classes;
     }
 
-    /** Attempts written completely to cache nodes or the origin. */
+    /** Attempts fully written to cache nodes or the origin. */
     public long forwards() {
         return forwards;
     }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -26,21 +26,21 @@
 import java.util.function.Consumer;
 
 /**
- * The core of a proxy, between clients, the load balancer and servers. Creates the classes that do the work, each with
- * one responsibility, and delegates to them:
+ * The core of a proxy: connects clients, the load balancer and servers. Creates the parts that do the work, each with
+ * one job, and passes calls on to them:
  *
  * <ul>
  *   <li>{@link RequestLifecycle}, {@link RequestTable}, {@link RequestCompletion}: clients' requests
  *   <li>{@link AttemptStarter}, {@link AttemptLifecycle}, {@link ResponseStreaming}: their attempts at servers
- *   <li>{@link SerialLoadBalancer}, {@link DispatcherRoutingActions}: events for the load balancer, and its actions
+ *   <li>{@link SerialLoadBalancer}, {@link DispatcherRoutingActions}: events to the load balancer, and its orders
  *   <li>{@link EndpointListEvents}, {@link PeerLinks}: events from discovery and from other proxies
  *   <li>{@link BufferLimits}, {@link DrainState}, {@link RequestMetrics}: limits, state and metrics of the process
  * </ul>
  *
- * Each request gets one response, and each attempt ends once. Event loop only, except for {@link #now}.
+ * A request has one response and an attempt one end. Event loop only, except for {@link #now}.
  */
 public final class Dispatcher {
-    private static final long SWEEP_INTERVAL_MS = 1000;
+    private static final long SWEEP_MS = 1000;
 
     private final EventLoop loop;
     private final ProxyClock clock;
@@ -54,7 +54,7 @@
     private final BufferLimits bufferLimits;
     private final DrainState drain = new DrainState();
     private final ConnectionFailures failures;
-    /** The provenance and age of state in use that this process has not observed itself. */
+    /** Provenance and age of what is in use that was not observed by this process. */
     private final ProvenanceTracker provenance = new ProvenanceTracker();
 
     private final UpstreamServers servers;
@@ -70,7 +70,7 @@
     private DispatcherRoutingActions routingActions;
     private Future<?> sweeper;
 
-    /** {@code upstream}: the type of channel for connections to servers. */
+    /** {@code upstream}: the kind of channel for connections to servers. */
     public Dispatcher(EventLoop loop, LoopClock loopClock, Config config, Class<? extends Channel> upstream) {
         this.loop = loop;
         clock = new ProxyClock(loopClock);
@@ -114,9 +114,9 @@
     // ---- start, settings, stop
 
     /**
-     * Starts the load balancer, which uses discovery and peers from then on.
+     * Starts the load balancer. Discovery and peers are used from here on.
      *
-     * @param routing the routes; null for a single pool with the policy of the settings
+     * @param routing the routes; null: a single pool under the settings' own policy
      */
     public void start(EndpointListSource discovery, PeerDatagramSocket peers, Routing routing) {
         routingActions = new DispatcherRoutingActions(
@@ -133,25 +133,22 @@
                 discovery,
                 peers);
         loadBalancer.start(settings.routing(), settings.config().seed(), routing, routingActions);
-        sweeper = loop.scheduleWithFixedDelay(
-                servers::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        sweeper = loop.scheduleWithFixedDelay(servers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
-    /**
-     * Applies new settings to requests accepted from now on; open requests keep the settings they were accepted with.
-     */
+    /** Applies other settings to requests to come; those that are open keep the ones they were accepted with. */
     public void applySettings(Config next) {
         settings.apply(next);
         counters.retainClasses(settings.classNames());
         loadBalancer.settingsChanged(next.settings());
     }
 
-    /** Replaces the routes; only if it was started with routes. */
+    /** Replaces the routes; only where there are any. */
     public void replaceRoutes(Routing routing) {
         loadBalancer.routesChanged(routing);
     }
 
-    /** Closes all connections to servers and stops calling the load balancer. */
+    /** Closes all connections to servers; the load balancer is not called any more. */
     public void stop() {
         executor.stop();
         sweeper.cancel(false);
@@ -160,54 +157,54 @@
 
     // ---- clients: requests
 
-    /** Accepts a request that was received completely; its {@link ResponseWriter} gets one response. */
+    /** Accepts a request that has been received completely; its {@link ResponseWriter} gets one response. */
     public void accept(ClientRequest request) {
         lifecycle.accept(request);
     }
 
-    /** A client's connection has ended; {@code closedByProxy}: this proxy closed it, and not gracefully. */
-    public void clientDisconnected(ClientRequest request, boolean closedByProxy) {
-        lifecycle.clientDisconnected(request, closedByProxy);
+    /** A client's connection has ended; {@code closedHere}: by this side, and not in order. */
+    public void clientDisconnected(ClientRequest request, boolean closedHere) {
+        lifecycle.clientDisconnected(request, closedHere);
     }
 
-    /** Completes all open requests now, because the deadline of a drain has passed. */
+    /** Completes every open request now, because a drain's deadline has passed. */
     public void completeAll() {
         lifecycle.completeAll();
     }
 
-    /** The number of open requests. */
+    /** How many requests are open. */
     public int openRequests() {
         return requests.openCount();
     }
 
-    /** The number of requests accepted since the start. */
+    /** How many requests were accepted since the start. */
     long acceptedRequests() {
         return requests.acceptedCount();
     }
 
-    /** The number of accepted requests that are completed, including those whose clients disconnected. */
+    /** How many accepted requests are completed, including those whose clients disconnected. */
     public long completedRequests() {
         return metrics.completed();
     }
 
-    /** The longest timeout of any service class in the settings or of an open request, in milliseconds. */
+    /** The longest deadline of any request that is open or to come, in milliseconds. */
     public double longestDeadlineMs() {
         return Math.max(settings.longestDeadlineMs(), requests.longestDeadlineMs());
     }
 
     // ---- clients: connections
 
-    /** Counts and logs connection failures. */
+    /** Counts and logs what goes wrong with connections. */
     public ConnectionFailures failures() {
         return failures;
     }
 
-    /** The memory limits for buffered values and client input. */
+    /** The limits of memory for values and input. */
     public BufferLimits bufferLimits() {
         return bufferLimits;
     }
 
-    /** How client connections are to behave while this process drains. */
+    /** Whether this process drains. */
     public DrainState drain() {
         return drain;
     }
@@ -226,44 +223,44 @@
 
     // ---- load balancer
 
-    /** Carries out the load balancer's actions; null before {@link #start}. */
+    /** Carries out the load balancer's orders; null before {@link #start}. */
     RoutingActions routingActions() {
         return routingActions;
     }
 
-    /** Whether the load balancer currently sends this server no ordinary requests. */
+    /** Whether the load balancer sends this server no ordinary request now. */
     boolean isAvoided(int server) {
         return loadBalancer.isAvoided(server);
     }
 
-    /** What the load balancer has learned, by pool, for storing it or passing it to a successor. */
+    /** What the load balancer has learned, by pool, for a process that takes over. */
     public Map<String, LearnedState> learnedState() {
         return loadBalancer.learnedState();
     }
 
-    /** Adopts what another process has learned; to be called after the endpoint list is applied. */
+    /** Continues with what another process has learned; after the endpoint list that it used. */
     public void resume(Map<String, LearnedState> learned) {
         loadBalancer.resume(learned);
     }
 
-    /** The router; null if there are no routes. */
+    /** The routes, or null where there are none. */
     public Router router() {
         return loadBalancer.router();
     }
 
-    /** The routing settings in force. */
+    /** The settings of routing in force. */
     public RoutingSettings settings() {
         return settings.routing();
     }
 
     // ---- endpoint list and peers
 
-    /** Receives the updates of the endpoint list. */
+    /** Takes updates of the endpoint list. */
     public EndpointListPublisher.Subscriber endpointList() {
         return endpointListEvents;
     }
 
-    /** Adds a listener that receives the kind of each update of the endpoint list after it was applied. */
+    /** Adds a listener that is told the kind of each update of the endpoint list once it is in use. */
     void addEndpointListListener(Consumer<EndpointUpdateKind> listener) {
         endpointListEvents.addListener(listener);
     }
@@ -273,12 +270,12 @@
         return peerLinks;
     }
 
-    /** Applies the fleet's decisions on zones. */
+    /** Applies what the fleet has decided on zones. */
     void applyZoneDirectives(List<ZoneDirective> directives) {
         loadBalancer.zoneDirectivesIssued(directives);
     }
 
-    /** The provenance and age of state in use that this process has not observed itself. */
+    /** Provenance and age of what is in use that was not observed by this process. */
     public ProvenanceTracker provenance() {
         return provenance;
     }
@@ -289,17 +286,17 @@
         return loop;
     }
 
-    /** The time of {@link ProxyClock}, by which all durations are measured, in milliseconds. Any thread. */
+    /** The time of {@link ProxyClock}, which every span is measured by, in milliseconds. Any thread. */
     public double now() {
         return clock.now();
     }
 
-    /** When the input that is being read from this connection arrived, on the clock of {@link #now}. */
+    /** When input that is being read from this connection arrived, on the clock of {@link #now}. */
     public double inputReceivedMs(Channel channel) {
         return clock.inputReceivedMs(channel);
     }
 
-    /** Runs a task after this delay in milliseconds, or up to one slot of {@link Timers} later. */
+    /** Runs a task after this time, in milliseconds, or up to a slot of {@link Timers} later. */
     public Timer after(double ms, Runnable task) {
         return timers.after(ms, task);
     }
@@ -319,22 +316,22 @@
         log.log(EventKind.INFO, text);
     }
 
-    /** Counts requests, connections and configuration reloads. */
+    /** What is counted of requests, connections and reloads. */
     public Counters counters() {
         return counters;
     }
 
-    /** When this dispatcher was created, on the clock of {@link #now}. */
+    /** When this was created, on the clock of {@link #now}. */
     double startedMs() {
         return metrics.startedMs();
     }
 
-    /** Milliseconds from {@link #startedMs} to the first successful request; negative if there was none yet. */
+    /** Milliseconds from then to the first request that succeeded; negative: none yet. */
     long firstServedMs() {
         return metrics.firstServedMs();
     }
 
-    /** Counts the attempts that the safety rules forbade, and violations of the rules. */
+    /** What the rules forbade and what violated them. */
     public RuleMonitor rules() {
         return rules;
     }
--- a/src/main/java/cacheproxy/proxy/DispatcherPeerContext.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherPeerContext.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.OptionalInt;
 
-/** Gives the links to peers what they use of the {@link Dispatcher}: clock, timers, cache nodes and learned state. */
+/** What the links to peers use of the core: its clock, its timers, the cache nodes of its list and learned state. */
 public final class DispatcherPeerContext implements EventScheduler, CacheNodes, LearnedStateAccess {
-    /** The name of the pool of all endpoints. */
+    /** The pool of all endpoints. */
     private static final String ALL_ENDPOINTS = "";
 
     private final Dispatcher dispatcher;
 
-    /** Creates the context of this dispatcher. */
+    /** Offers this core's. */
     public DispatcherPeerContext(Dispatcher dispatcher) {
         this.dispatcher = dispatcher;
     }
--- a/src/main/java/cacheproxy/proxy/DrainState.java
+++ b/src/main/java/cacheproxy/proxy/DrainState.java
@@ -1,22 +1,22 @@
 package cacheproxy.proxy;
 
-/** How client connections are to behave while this process drains. Event loop only. */
+/** Whether this process drains, as clients' connections are to act on it. Event loop only. */
 public final class DrainState {
     private boolean closing;
     private boolean announced;
 
-    /** Sets the values of {@link #closing} and {@link #announced}. */
+    /** Sets both, as {@link #closing} and {@link #announced} tell them. */
     public void set(boolean nowClosing, boolean nowAnnounced) {
         closing = nowClosing;
         announced = nowAnnounced;
     }
 
-    /** Whether client connections close after their last outstanding response. */
+    /** Whether connections close after the last response that they are owed. */
     public boolean closing() {
         return closing;
     }
 
-    /** Whether clients that query the state of the process are informed that it drains. */
+    /** Whether clients that ask are told that the process drains. */
     public boolean announced() {
         return announced;
     }
--- a/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * Codec of what the load balancer has learned, for state files and for the state that a process passes to its
- * successor: a JSON object with a field for each pool, under the pool's name ({@code ""} for all endpoints).
+ * The JSON form of what the load balancer has learned, in state files and in the state that a process hands to its
+ * successor: an object with a field for each pool, named by the pool ({@code ""}: all endpoints).
  *
  * <table>
  * <caption>Fields of a pool, arrays by position</caption>
@@ -26,18 +26,18 @@
  * </table>
  */
 public final class LearnedStateCodec {
-    private static final String SCALARS = "figures";
+    private static final String FIGURES = "figures";
     private static final String HOT_KEYS = "hot";
     private static final String ENDPOINTS = "servers";
 
     private static final int MAX_ENTRIES = 10_000;
-    private static final double MAX_NUMBER = 1e15;
+    private static final double MAX_FIGURE = 1e15;
 
     private LearnedStateCodec() {}
 
     // ---- writing
 
-    /** Encodes learned states, by pool name. */
+    /** The JSON form of what was learned, by the pools' names. */
     public static JsonObject toJson(Map<String, LearnedState> learnedStates) {
         JsonObject pools = new JsonObject();
         learnedStates.forEach((pool, state) -> pools.add(pool, toJson(state)));
@@ -47,7 +47,7 @@
     private static JsonObject toJson(LearnedState state) {
         JsonObject json = new JsonObject();
         json.add(
-                SCALARS,
+                FIGURES,
                 array(
                         state.originFetchMs(),
                         state.usualLatencyMs(),
@@ -80,9 +80,9 @@
     // ---- reading
 
     /**
-     * Decodes learned states, by pool name.
+     * Reads that form, by the pools' names.
      *
-     * @throws MalformedStateException or another unchecked exception if the JSON is not in the expected format
+     * @throws MalformedStateException or another unchecked exception if it can't be used
      */
     public static Map<String, LearnedState> fromJson(JsonObject pools) {
         Map<String, LearnedState> learnedStates = new HashMap<>();
@@ -93,34 +93,34 @@
     }
 
     private static LearnedState learnedState(JsonObject json) {
-        List<Double> scalars = new ArrayList<>();
-        json.getAsJsonArray(SCALARS).forEach(f -> scalars.add(number(f)));
+        List<Double> figures = new ArrayList<>();
+        json.getAsJsonArray(FIGURES).forEach(f -> figures.add(figure(f)));
         List<HotKey> hotKeys = new ArrayList<>();
         entries(json, HOT_KEYS).forEach(k -> hotKeys.add(hotKey(k.getAsJsonArray())));
         List<EndpointHealthRecord> endpoints = new ArrayList<>();
         entries(json, ENDPOINTS).forEach(e -> endpoints.add(endpoint(e.getAsJsonArray())));
         return new LearnedState(
-                scalars.get(0),
-                scalars.get(1),
-                scalars.get(2),
-                scalars.get(3),
-                new LoadCount(scalars.get(4), scalars.get(5)),
-                new LoadCount(scalars.get(6), scalars.get(7)),
-                scalars.get(8),
+                figures.get(0),
+                figures.get(1),
+                figures.get(2),
+                figures.get(3),
+                new LoadCount(figures.get(4), figures.get(5)),
+                new LoadCount(figures.get(6), figures.get(7)),
+                figures.get(8),
                 hotKeys,
                 endpoints);
     }
 
     private static HotKey hotKey(JsonArray entry) {
-        return new HotKey(entry.get(0).getAsLong(), (int) number(entry.get(1)));
+        return new HotKey(entry.get(0).getAsLong(), (int) figure(entry.get(1)));
     }
 
     private static EndpointHealthRecord endpoint(JsonArray entry) {
         int id = entry.get(0).getAsInt();
-        double startTimeMs = number(entry.get(1));
-        int failures = (int) number(entry.get(2));
-        double ejectedUntilMs = number(entry.get(3));
-        int slowResponses = (int) number(entry.get(4));
+        double startTimeMs = figure(entry.get(1));
+        int failures = (int) figure(entry.get(2));
+        double ejectedUntilMs = figure(entry.get(3));
+        int slowResponses = (int) figure(entry.get(4));
         return new EndpointHealthRecord(id, startTimeMs, failures, ejectedUntilMs, slowResponses);
     }
 
@@ -133,12 +133,12 @@
         return entries;
     }
 
-    /** Reads a time or a count. */
-    private static double number(JsonElement json) {
-        double value = json.getAsDouble();
-        if (!(value >= 0 && value <= MAX_NUMBER)) {
+    /** A time or a count. */
+    private static double figure(JsonElement json) {
+        double figure = json.getAsDouble();
+        if (!(figure >= 0 && figure <= MAX_FIGURE)) {
             throw new MalformedStateException("a figure from 0 to 1e15 is expected, not " + json);
         }
-        return value;
+        return figure;
     }
 }
--- a/src/main/java/cacheproxy/proxy/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/RequestAttempt.java
@@ -13,28 +13,28 @@
 final class RequestAttempt implements UpstreamAttempt {
     /** Null for a health check. */
     final ClientRequest request;
-    /** Its index among the attempts of the request, from 0. */
+    /** How many attempts of the request were made before it. */
     final int index;
 
     final int server;
     /**
-     * When it was started, on the clock of {@link Dispatcher#now}. Its bytes are written later, so a deduplication
-     * window that is counted from here ends too early, never too late.
+     * When it was ordered, on the clock of {@link Dispatcher#now}. Its bytes are written later, so a deduplication
+     * window counted from here ends early, never late.
      */
-    final double startedMs;
+    final double orderedMs;
     /** The location of its server. */
     final EndpointLocation location;
 
     /** The connection it was assigned to; null before. */
     UpstreamConnection connection;
-    /** Whether it has ended; an attempt has exactly one outcome. */
+    /** Whether it has had its one outcome. */
     boolean ended;
-    /** After its end: whether the server may have executed it or may still do so. */
+    /** Once ended: whether the server may have executed it, or may yet. */
     boolean mayHaveRun;
-    /** When the first bytes of a streamed response arrived; 0 before. */
+    /** When the first bytes of a streamed response came; 0 before. */
     double firstByteMs;
 
-    /** Expires the attempt; null if the request's deadline does so. */
+    /** Expires the attempt; null where the request's own deadline does. */
     Timer timer;
 
     private final AttemptOperations operations;
@@ -47,14 +47,14 @@
             int index,
             int server,
             EndpointLocation location,
-            double startedMs,
+            double sentMs,
             double expiresMs) {
         this.operations = operations;
         this.request = request;
         this.index = index;
         this.server = server;
         this.location = location;
-        this.startedMs = startedMs;
+        this.orderedMs = sentMs;
         this.expiresMs = expiresMs;
     }
 
--- a/src/main/java/cacheproxy/proxy/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/RequestLifecycle.java
@@ -11,13 +11,13 @@
 import cacheproxy.routing.Request;
 
 /**
- * Accepts requests and completes those that end without a server's response: invalid ones, and those whose deadline has
- * passed, whose client has disconnected, that the load balancer rejects, or that a drain ends. Event loop only.
+ * Accepts requests and completes those that no server's response does: invalid ones, those whose deadline has passed,
+ * whose client has disconnected, which the load balancer rejects or fails, or which a drain ends. Event loop only.
  */
 final class RequestLifecycle {
-    /** How long after its deadline a request waits for the load balancer to complete it, in milliseconds. */
+    /** How long after its deadline, in milliseconds, a request waits for the load balancer to complete it. */
     private static final double COMPLETION_GRACE_MS = 10;
-    /** The longest valid timeout: a day. */
+    /** A day; a longer timeout is no deadline. */
     private static final double MAX_TIMEOUT_MS = 86_400_000;
 
     private static final double MICROS_PER_MILLI = 1000;
@@ -59,14 +59,14 @@
         this.attempts = attempts;
     }
 
-    /** Accepts a request that was received completely, or rejects it as invalid. */
+    /** Accepts a request that has been received completely, or rejects it as invalid. */
     void accept(ClientRequest request) {
         RequestCommand command = request.command;
         RequestTerms terms = command.terms;
         double now = clock.now();
         Integer classIndex = settings.classIndex(terms.className());
         Integer tenantIndex = settings.tenantIndex(terms.tenant());
-        if (classIndex == null || tenantIndex == null || !isValidTimeout(terms.timeoutMs())) {
+        if (classIndex == null || tenantIndex == null || !isDeadline(terms.timeoutMs())) {
             rejectInvalid(request, "unknown class, tenant or deadline");
             return;
         }
@@ -79,8 +79,7 @@
         request.maxAttempts = settings.routing().maxAttempts();
         request.deadlineMs = request.receivedMs + terms.timeoutMs();
         provenance.usedForDecision(now, ProvenanceTracker.Subject.ENDPOINT_LIST);
-        // Set before the load balancer sets its timer for the same time, so that attempts without a response end as
-        // timeouts.
+        // Before the load balancer's own timer for the same time, so that a silent server's attempt ends as a timeout.
         request.deadlineTimer = timers.after(request.deadlineMs - now, () -> deadlineExceeded(request));
         loadBalancer.requestAccepted(
                 now,
@@ -90,8 +89,8 @@
                 () -> completion.fail(request));
     }
 
-    /** Whether a timeout is valid. It is sent to servers, so there is no default; NaN, for none, is invalid. */
-    private static boolean isValidTimeout(double timeoutMs) {
+    /** Servers are told of the timeout, so there is no default; NaN is none either. */
+    private static boolean isDeadline(double timeoutMs) {
         return timeoutMs > 0 && timeoutMs <= MAX_TIMEOUT_MS;
     }
 
@@ -124,21 +123,18 @@
         }
         request.deadlineTimer = timers.after(COMPLETION_GRACE_MS, () -> {
             if (request.isOpen()) {
-                log(
-                        EventKind.REQUEST_ABORTED,
-                        "the load balancer did not complete the request by its deadline",
-                        request);
+                log(EventKind.REQUEST_ABORTED, "the load balancer did not complete it by its deadline", request);
                 completion.fail(request);
             }
         });
     }
 
-    /** A client's connection has ended; {@code closedByProxy}: this proxy closed it, and not gracefully. */
-    void clientDisconnected(ClientRequest request, boolean closedByProxy) {
+    /** A client's connection has ended; {@code closedHere}: by this side, and not in order. */
+    void clientDisconnected(ClientRequest request, boolean closedHere) {
         if (request.isCompleted()) {
             return;
         }
-        if (closedByProxy) {
+        if (closedHere) {
             rules.recordViolation(RuleViolation.CLOSED_BEFORE_ANSWER, request);
         }
         completion.complete(request, RequestState.CLIENT_DISCONNECTED, RequestOutcome.CLIENT_DISCONNECTED);
@@ -147,7 +143,7 @@
         completion.release(request);
     }
 
-    /** Rejects an open request if a repeat is harmless; otherwise fails it, and records a violation of the rules. */
+    /** Rejects an open request, where a repeat does no harm; else fails it, which is counted as a violation. */
     void reject(ClientRequest request, double retryAfterMs) {
         if (request.isOpen() && !isRejectable(request)) {
             rules.recordViolation(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, request);
@@ -163,19 +159,18 @@
                 .allowed();
     }
 
-    /** Completes all open requests now, because the deadline of a drain has passed. */
+    /** Completes every open request now, because a drain's deadline has passed. */
     void completeAll() {
         requests.openRequests().forEach(this::completeForDrain);
     }
 
     private void completeForDrain(ClientRequest request) {
         boolean wasStreaming = request.isStreaming();
-        request.transitionTo(
-                RequestState.ANSWERED); // before its attempts end, so that the load balancer doesn't respond
-        boolean rejected = !wasStreaming && expireAndCheckRejectable(request);
+        request.transitionTo(RequestState.ANSWERED); // before its attempts end, or the load balancer would respond
+        boolean rejected = !wasStreaming && rejectableOnceExpired(request);
         completion.recordOutcome(request, rejected ? RequestOutcome.REJECTED : RequestOutcome.FAILED);
-        log(EventKind.REQUEST_ABORTED, "the deadline of the drain has passed", request);
-        loadBalancer.clientDisconnected(request); // so that it requests no further actions for it
+        log(EventKind.REQUEST_ABORTED, "the drain's deadline has passed", request);
+        loadBalancer.clientDisconnected(request); // it gives no more orders for it, as after a disconnect
         if (wasStreaming) {
             request.responseWriter.abort();
         } else if (rejected) {
@@ -186,12 +181,12 @@
         completion.release(request);
     }
 
-    private boolean expireAndCheckRejectable(ClientRequest request) {
+    private boolean rejectableOnceExpired(ClientRequest request) {
         attempts.expireAll(request);
         return isRejectable(request);
     }
 
-    private void log(EventKind kind, String text, ClientRequest request) {
-        log.log(kind, LogMessage.of(text).with("request", request.command.id));
+    private void log(EventKind kind, String phrase, ClientRequest request) {
+        log.log(kind, LogMessage.of(phrase).with("request", request.command.id));
     }
 }
--- a/src/main/java/cacheproxy/proxy/RuleMonitor.java
+++ b/src/main/java/cacheproxy/proxy/RuleMonitor.java
@@ -11,8 +11,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Counts and logs attempts that {@link SafetyRules} forbade, and violations of the rules that occurred nevertheless.
- * Event loop only.
+ * Counts and logs what {@link SafetyRules} forbade, and violations of the rules that happened all the same. Event loop
+ * only.
  */
 public final class RuleMonitor {
     private final EventLog log;
@@ -23,7 +23,7 @@
         this.log = log;
     }
 
-    /** Records an attempt that was not sent because of this verdict. */
+    /** An attempt was ordered and, by this verdict, not sent. */
     void recordForbidden(RequestAttempt attempt, Verdict verdict) {
         forbidden.merge(verdict, 1L, Long::sum);
         ClientRequest request = attempt.request;
@@ -35,34 +35,34 @@
                         .with("server", Integer.toHexString(attempt.server)));
     }
 
-    /** Records a violation of a rule. */
+    /** A rule was violated. */
     void recordViolation(RuleViolation violation, ClientRequest request) {
         recordViolation(violation, request, message -> message);
     }
 
-    /** Records a violation of a rule; {@code addDetails} adds details to the logged message. */
+    /** A rule was violated; {@code addDetails} adds to the logged message how. */
     void recordViolation(RuleViolation violation, ClientRequest request, UnaryOperator<LogMessage> addDetails) {
         violations.merge(violation, 1L, Long::sum);
         log.log(EventKind.RULE_VIOLATION, addDetails.apply(requestMessage(violation.key(), request)));
     }
 
-    private static LogMessage requestMessage(String text, ClientRequest request) {
-        return LogMessage.of(text)
+    private static LogMessage requestMessage(String phrase, ClientRequest request) {
+        return LogMessage.of(phrase)
                 .with("request", request.command.id)
                 .with("state", request.state().key());
     }
 
-    /** The number of attempts that were not sent, by verdict. */
+    /** How many attempts were not sent, by the verdict. */
     Map<Verdict, Long> forbidden() {
         return forbidden;
     }
 
-    /** The number of violations, by kind. */
+    /** How many violations there were, by kind. */
     Map<RuleViolation, Long> violations() {
         return violations;
     }
 
-    /** Both counts, by the keys of verdicts and violations. */
+    /** Both counts by their stable names. */
     public RuleCounts counts() {
         Map<String, Long> forbiddenByKey = new TreeMap<>();
         forbidden.forEach((verdict, count) -> forbiddenByKey.put(verdict.key(), count));
--- a/src/main/java/cacheproxy/proxy/Transport.java
+++ b/src/main/java/cacheproxy/proxy/Transport.java
@@ -24,8 +24,8 @@
 import java.nio.file.Path;
 
 /**
- * The types of channels in use: those of Netty's native epoll transport, which has less overhead per event, or those of
- * the JDK's NIO where the native library can't be loaded.
+ * The kinds of channel in use: Linux's epoll by Netty's native library, which costs less for each event, or the JDK's
+ * own where that can't be loaded.
  */
 public record Transport(
         IoHandlerFactory io,
@@ -35,7 +35,7 @@
         Class<? extends ServerChannel> domainServer,
         Class<? extends Channel> domainSocket) {
 
-    /** The best transport that is available on this machine. */
+    /** The best kind that this machine has. */
     public static final Transport BEST = Epoll.isAvailable()
             ? new Transport(
                     EpollIoHandler.newFactory(),
@@ -52,19 +52,17 @@
                     NioServerDomainSocketChannel.class,
                     NioDomainSocketChannel.class);
 
-    /** Whether it can pass file descriptors of sockets to another process. */
+    /** Whether sockets can be passed to another process. */
     public boolean passesDescriptors() {
         return socket == EpollSocketChannel.class;
     }
 
-    /**
-     * The file descriptor of a channel's socket, to be passed to another process; only if {@link #passesDescriptors}.
-     */
+    /** What stands for a channel's socket in another process's hands; only where sockets can be passed. */
     public static FileDescriptor descriptor(Channel channel) {
         return new FileDescriptor(((UnixChannel) channel).fd().intValue());
     }
 
-    /** The address of the Unix domain socket at this path. */
+    /** A local socket's address. */
     public SocketAddress domainSocketAddress(Path path) {
         return socket == EpollSocketChannel.class
                 ? new DomainSocketAddress(path.toFile())
--- a/src/main/java/cacheproxy/proxy/ZoneOperations.java
+++ b/src/main/java/cacheproxy/proxy/ZoneOperations.java
@@ -5,68 +5,68 @@
 import java.util.List;
 
 /**
- * Operators' commands on zones, given to this instance. Methods that take a zone's name throw an
- * IllegalArgumentException if there is no such zone. Event loop only.
+ * The operators' commands on zones, by way of one proxy. A zone that there is not is an IllegalArgumentException. Event
+ * loop only.
  */
 public final class ZoneOperations {
-    private final ZoneFailoverCoordinator coordinator;
+    private final ZoneFailoverCoordinator link;
 
-    /** Creates the commands for the decisions of this coordinator. */
-    public ZoneOperations(ZoneFailoverCoordinator coordinator) {
-        this.coordinator = coordinator;
+    /** Shows the decisions that this link takes part in. */
+    public ZoneOperations(ZoneFailoverCoordinator link) {
+        this.link = link;
     }
 
-    /** The status of each zone. */
+    /** How each zone stands. */
     public List<ZoneStatus> status() {
-        return coordinator.failover().status(coordinator.nowMs());
+        return link.failover().status(link.nowMs());
     }
 
-    /** A zone's name; its index as text if it has none. */
+    /** A zone's name by its number. */
     public String zoneName(int zone) {
-        return coordinator.zoneName(zone);
+        return link.zoneName(zone);
     }
 
-    /** Whether this instance has contact with enough of the fleet to make decisions for it. */
+    /** Whether this proxy hears enough of the fleet to decide for it. */
     public boolean hasQuorum() {
-        return coordinator.failover().hasQuorum();
+        return link.failover().hasQuorum();
     }
 
-    /** The number of decisions that this instance was the first to make. */
+    /** Decisions that this proxy was the first to make. */
     public long decisionCount() {
-        return coordinator.failover().decisionCount();
+        return link.failover().decisionCount();
     }
 
     /** What leaving a zone would cost. */
     public ZoneLeaveCost leaveCost(String zone) {
-        return coordinator.failover().leaveCost(coordinator.nowMs(), coordinator.zoneIndex(zone));
+        return link.failover().leaveCost(link.nowMs(), link.zoneNumber(zone));
     }
 
     /**
-     * Moves traffic out of a zone, until the zone is returned to or released.
+     * Leaves a zone, until it is returned to or released.
      *
-     * @param durationMs the time over which traffic is moved, in milliseconds; 0 for at once
-     * @throws IllegalArgumentException if that is too long, or if too few zones would stay open
+     * @param durationMs over which it is left, in milliseconds; 0 for at once
+     * @throws IllegalArgumentException if that is too long, or too little would stay open
      */
     public void leave(String zone, double durationMs) {
-        coordinator.failover().leaveZone(coordinator.nowMs(), coordinator.zoneIndex(zone), durationMs);
-        coordinator.tick();
+        link.failover().leaveZone(link.nowMs(), link.zoneNumber(zone), durationMs);
+        link.tick();
     }
 
-    /** Opens a zone step by step, regardless of its health. */
+    /** Opens a zone step by step, whatever its health. */
     public void returnTo(String zone) {
-        coordinator.failover().returnToZone(coordinator.nowMs(), coordinator.zoneIndex(zone));
-        coordinator.tick();
+        link.failover().returnToZone(link.nowMs(), link.zoneNumber(zone));
+        link.tick();
     }
 
-    /** Keeps a zone in its current state until it is released. */
+    /** Keeps a zone as it is, until it is released. */
     public void hold(String zone) {
-        coordinator.failover().holdZone(coordinator.nowMs(), coordinator.zoneIndex(zone));
-        coordinator.tick();
+        link.failover().holdZone(link.nowMs(), link.zoneNumber(zone));
+        link.tick();
     }
 
-    /** Revokes orders for a zone; its health decides again. */
+    /** Takes orders for a zone back: its health decides again. */
     public void release(String zone) {
-        coordinator.failover().releaseZone(coordinator.nowMs(), coordinator.zoneIndex(zone));
-        coordinator.tick();
+        link.failover().releaseZone(link.nowMs(), link.zoneNumber(zone));
+        link.tick();
     }
 }
