--- a/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
@@ -49,14 +49,14 @@
         attempt.mayHaveRun = outcome.mayHaveRun();
         Timers.cancel(attempt.timer);
         double endMs = attempt.isStreaming() ? attempt.firstByteMs : clock.now();
-        double elapsedMs = endMs - attempt.orderedMs;
+        double elapsedMs = endMs - attempt.startedMs;
         if (attempt.isHealthCheck()) {
             loadBalancer.healthCheckEnded(attempt.server, outcome, elapsedMs, report);
             return;
         }
         ClientRequest request = attempt.request;
         request.attemptsInFlight--;
-        passOn(attempt, response);
+        deliverResponse(attempt, response);
         AttemptEnd end = new AttemptEnd(
                 request.id, attempt.index, attempt.server, outcome, elapsedMs, request.isCompleted(), note, report);
         loadBalancer.attemptEnded(end, () -> completion.fail(request));
@@ -73,7 +73,7 @@
         executor.runSerially(() -> end(attempt, outcome));
     }
 
-    private void passOn(RequestAttempt attempt, ServerResponse response) {
+    private void deliverResponse(RequestAttempt attempt, ServerResponse response) {
         ClientRequest request = attempt.request;
         if (request.isCompleted()) {
             release(response);
@@ -85,9 +85,10 @@
         }
     }
 
-    private void endStream(ClientRequest request, boolean whole) {
-        completion.complete(request, RequestState.ANSWERED, whole ? RequestOutcome.SUCCEEDED : RequestOutcome.FAILED);
-        if (whole) {
+    private void endStream(ClientRequest request, boolean complete) {
+        completion.complete(
+                request, RequestState.ANSWERED, complete ? RequestOutcome.SUCCEEDED : RequestOutcome.FAILED);
+        if (complete) {
             request.responseWriter.endValue();
         } else {
             request.responseWriter.abort();
@@ -125,9 +126,9 @@
             return;
         }
         UpstreamConnection connection = attempt.connection;
-        boolean mustEndAlone =
+        boolean mustNotOverlap =
                 !attempt.request.isCompleted() && !settings.routing().hedgingAllowed();
-        if (mustEndAlone && connection != null && !connection.isAlone()) {
+        if (mustNotOverlap && connection != null && !connection.isAlone()) {
             return;
         }
         if (connection != null) {
--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -73,7 +73,7 @@
         EndpointLocation location = upstream == null ? UNKNOWN_LOCATION : upstream.location;
         RequestAttempt attempt =
                 new RequestAttempt(operations, request, request.attempts.size(), server, location, now, now + waitMs);
-        count(request, upstream);
+        countAttempt(request, upstream);
         request.attempts.add(attempt);
         request.attemptsInFlight++;
         if (waitMs > 0 && waitMs < remainingMs) {
@@ -140,7 +140,7 @@
         }
     }
 
-    private void count(ClientRequest request, UpstreamServer upstream) {
+    private void countAttempt(ClientRequest request, UpstreamServer upstream) {
         counters.increment(Metric.ATTEMPTS);
         if (!request.attempts.isEmpty()) {
             counters.increment(request.attemptsInFlight > 0 ? Metric.HEDGES : Metric.RETRIES);
--- a/src/main/java/cacheproxy/proxy/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/ClientRequest.java
@@ -72,7 +72,7 @@
             if (attempt != excluded) {
                 boolean inFlight = !attempt.ended;
                 others.add(new SafetyRules.EarlierAttempt(
-                        attempt.orderedMs, attempt.location, inFlight, inFlight || attempt.mayHaveRun));
+                        attempt.startedMs, attempt.location, inFlight, inFlight || attempt.mayHaveRun));
             }
         }
         return others;
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -161,11 +161,11 @@
     private static String firstMissingKey(String path, JsonElement before, JsonElement now) {
         if (before.isJsonObject()) {
             for (Map.Entry<String, JsonElement> e : before.getAsJsonObject().entrySet()) {
-                String at = path.isEmpty() ? e.getKey() : path + "." + e.getKey();
-                JsonElement there = now.isJsonObject() ? now.getAsJsonObject().get(e.getKey()) : null;
-                String missing = there == null
-                        ? at
-                        : e.getKey().equals("known") ? null : firstMissingKey(at, e.getValue(), there);
+                String keyPath = path.isEmpty() ? e.getKey() : path + "." + e.getKey();
+                JsonElement value = now.isJsonObject() ? now.getAsJsonObject().get(e.getKey()) : null;
+                String missing = value == null
+                        ? keyPath
+                        : e.getKey().equals("known") ? null : firstMissingKey(keyPath, e.getValue(), value);
                 if (missing != null) {
                     return missing;
                 }
@@ -235,8 +235,8 @@
         return value;
     }
 
-    private static double number(JsonObject json, String key, double absent) {
-        return json.has(key) ? json.get(key).getAsDouble() : absent;
+    private static double number(JsonObject json, String key, double defaultValue) {
+        return json.has(key) ? json.get(key).getAsDouble() : defaultValue;
     }
 
     private static InetSocketAddress optionalAddress(JsonObject json, String key) {
--- a/src/main/java/cacheproxy/proxy/Counters.java
+++ b/src/main/java/cacheproxy/proxy/Counters.java
@@ -54,21 +54,21 @@
 
     /** Counts a completed request of this class; one of an unknown class is not counted. */
     public void recordOutcome(String className, RequestOutcome outcome) {
-        ClassCounts ofClass = classes.get(className);
-        if (ofClass == null) {
+        ClassCounts classCounts = classes.get(className);
+        if (classCounts == null) {
             return;
         }
         switch (outcome) {
             case SUCCEEDED -> {
-                ofClass.succeeded++;
+                classCounts.succeeded++;
                 increment(Metric.REQUESTS_SUCCEEDED);
             }
             case REJECTED -> {
-                ofClass.rejected++;
+                classCounts.rejected++;
                 increment(Metric.REQUESTS_REJECTED);
             }
             case FAILED -> {
-                ofClass.failed++;
+                classCounts.failed++;
                 increment(Metric.REQUESTS_FAILED);
             }
             case CLIENT_DISCONNECTED -> {}
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -40,7 +40,7 @@
  * A request has one response and an attempt one end. Event loop only, except for {@link #now}.
  */
 public final class Dispatcher {
-    private static final long SWEEP_MS = 1000;
+    private static final long SWEEP_INTERVAL_MS = 1000;
 
     private final EventLoop loop;
     private final ProxyClock clock;
@@ -133,7 +133,8 @@
                 discovery,
                 peers);
         loadBalancer.start(settings.routing(), settings.config().seed(), routing, routingActions);
-        sweeper = loop.scheduleWithFixedDelay(servers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweeper = loop.scheduleWithFixedDelay(
+                servers::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Applies other settings to requests to come; those that are open keep the ones they were accepted with. */
--- a/src/main/java/cacheproxy/proxy/EndpointListEvents.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListEvents.java
@@ -87,6 +87,6 @@
     @Override
     public void onListApplied(long version) {
         provenance.confirmed(ProvenanceTracker.Subject.ENDPOINT_LIST);
-        peerLinks.endpointListInUse(version);
+        peerLinks.endpointListApplied(version);
     }
 }
--- a/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
@@ -26,12 +26,12 @@
  * </table>
  */
 public final class LearnedStateCodec {
-    private static final String FIGURES = "figures";
+    private static final String SCALARS = "figures";
     private static final String HOT_KEYS = "hot";
     private static final String ENDPOINTS = "servers";
 
     private static final int MAX_ENTRIES = 10_000;
-    private static final double MAX_FIGURE = 1e15;
+    private static final double MAX_NUMBER = 1e15;
 
     private LearnedStateCodec() {}
 
@@ -47,7 +47,7 @@
     private static JsonObject toJson(LearnedState state) {
         JsonObject json = new JsonObject();
         json.add(
-                FIGURES,
+                SCALARS,
                 array(
                         state.originFetchMs(),
                         state.usualLatencyMs(),
@@ -93,34 +93,34 @@
     }
 
     private static LearnedState learnedState(JsonObject json) {
-        List<Double> figures = new ArrayList<>();
-        json.getAsJsonArray(FIGURES).forEach(f -> figures.add(figure(f)));
+        List<Double> scalars = new ArrayList<>();
+        json.getAsJsonArray(SCALARS).forEach(f -> scalars.add(number(f)));
         List<HotKey> hotKeys = new ArrayList<>();
         entries(json, HOT_KEYS).forEach(k -> hotKeys.add(hotKey(k.getAsJsonArray())));
         List<EndpointHealthRecord> endpoints = new ArrayList<>();
         entries(json, ENDPOINTS).forEach(e -> endpoints.add(endpoint(e.getAsJsonArray())));
         return new LearnedState(
-                figures.get(0),
-                figures.get(1),
-                figures.get(2),
-                figures.get(3),
-                new LoadCount(figures.get(4), figures.get(5)),
-                new LoadCount(figures.get(6), figures.get(7)),
-                figures.get(8),
+                scalars.get(0),
+                scalars.get(1),
+                scalars.get(2),
+                scalars.get(3),
+                new LoadCount(scalars.get(4), scalars.get(5)),
+                new LoadCount(scalars.get(6), scalars.get(7)),
+                scalars.get(8),
                 hotKeys,
                 endpoints);
     }
 
     private static HotKey hotKey(JsonArray entry) {
-        return new HotKey(entry.get(0).getAsLong(), (int) figure(entry.get(1)));
+        return new HotKey(entry.get(0).getAsLong(), (int) number(entry.get(1)));
     }
 
     private static EndpointHealthRecord endpoint(JsonArray entry) {
         int id = entry.get(0).getAsInt();
-        double startTimeMs = figure(entry.get(1));
-        int failures = (int) figure(entry.get(2));
-        double ejectedUntilMs = figure(entry.get(3));
-        int slowResponses = (int) figure(entry.get(4));
+        double startTimeMs = number(entry.get(1));
+        int failures = (int) number(entry.get(2));
+        double ejectedUntilMs = number(entry.get(3));
+        int slowResponses = (int) number(entry.get(4));
         return new EndpointHealthRecord(id, startTimeMs, failures, ejectedUntilMs, slowResponses);
     }
 
@@ -134,11 +134,11 @@
     }
 
     /** A time or a count. */
-    private static double figure(JsonElement json) {
-        double figure = json.getAsDouble();
-        if (!(figure >= 0 && figure <= MAX_FIGURE)) {
+    private static double number(JsonElement json) {
+        double value = json.getAsDouble();
+        if (!(value >= 0 && value <= MAX_NUMBER)) {
             throw new MalformedStateException("a figure from 0 to 1e15 is expected, not " + json);
         }
-        return figure;
+        return value;
     }
 }
--- a/src/main/java/cacheproxy/proxy/LoopClock.java
+++ b/src/main/java/cacheproxy/proxy/LoopClock.java
@@ -25,7 +25,7 @@
     /** A round of the loop that takes no longer has not delayed input; servers are told as much less time. */
     private static final long TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(TOLERANCE_MS);
     /** A poll that returns later than it should by more than this was itself delayed. */
-    private static final long OVERSLEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final long MAX_OVERSLEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
     /** Deadlines allow for a process that is blocked for so long between reading its clock and writing. */
     private static final long STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
@@ -54,7 +54,7 @@
         if (handler == null) {
             return 0;
         }
-        notePollEnd();
+        recordPollEnd();
         return (System.nanoTime() - pollEndedNanos) / NANOS_PER_MILLI;
     }
 
@@ -83,16 +83,16 @@
         if (handler == null) {
             return System.nanoTime(); // decorates no loop
         }
-        notePollEnd();
+        recordPollEnd();
         long waitedNanos = pollEndedNanos - pollBeganNanos;
         if (waitedNanos < MIN_WAIT_NANOS) {
             boolean wasBusy = pollBeganNanos - previousPollEndedNanos > TOLERANCE_NANOS;
             return wasBusy ? previousPollEndedNanos : pollEndedNanos;
         }
-        return waitedNanos > maxWaitNanos + OVERSLEPT_NANOS ? pollBeganNanos : pollEndedNanos;
+        return waitedNanos > maxWaitNanos + MAX_OVERSLEEP_NANOS ? pollBeganNanos : pollEndedNanos;
     }
 
-    private void notePollEnd() {
+    private void recordPollEnd() {
         if (!pollEnded) {
             pollEnded = true;
             previousPollEndedNanos = pollEndedNanos;
@@ -111,7 +111,7 @@
         try {
             return handler.run(context);
         } finally {
-            notePollEnd();
+            recordPollEnd();
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -87,7 +87,7 @@
     }
 
     /** This version of the endpoint list is in use. */
-    void endpointListInUse(long version) {
+    void endpointListApplied(long version) {
         if (endpointListGossip != null) {
             endpointListGossip.onVersionApplied(version);
         }
--- a/src/main/java/cacheproxy/proxy/ProxyClock.java
+++ b/src/main/java/cacheproxy/proxy/ProxyClock.java
@@ -24,7 +24,7 @@
     private final EpollTcpInfo tcpInfo = Epoll.isAvailable() ? new EpollTcpInfo() : null;
 
     /** Whether the operating system has been seen to report a time other than now. */
-    private boolean systemReports;
+    private boolean systemReportsInputAge;
 
     ProxyClock(LoopClock loopClock) {
         this.loopClock = loopClock;
@@ -44,9 +44,9 @@
         double now = now();
         double inputAgeMs = inputAgeMs(channel);
         if (inputAgeMs > 0) {
-            systemReports = true;
+            systemReportsInputAge = true;
         }
-        return systemReports && inputAgeMs >= 0
+        return systemReportsInputAge && inputAgeMs >= 0
                 ? now - inputAgeMs
                 : now - (System.nanoTime() - loopClock.inputReceivedNanos()) / NANOS_PER_MILLI;
     }
--- a/src/main/java/cacheproxy/proxy/RecoveryCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryCoordinator.java
@@ -160,7 +160,7 @@
         int excess = rebalancer.connectionsToClose(
                 nowMs,
                 requestsPerSecond,
-                ratesOfOthers(members.view()),
+                otherServingRates(members.view()),
                 acceptor.openConnections(),
                 acceptor.idleConnections());
         if (excess > 0) {
@@ -175,7 +175,7 @@
         }
     }
 
-    private static List<Double> ratesOfOthers(MembershipView view) {
+    private static List<Double> otherServingRates(MembershipView view) {
         List<Double> rates = new ArrayList<>();
         for (Member member : view.members()) {
             if (member.id() != view.self() && member.state().isLive() && member.phase() == ServicePhase.SERVING) {
--- a/src/main/java/cacheproxy/proxy/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/RequestAttempt.java
@@ -21,7 +21,7 @@
      * When it was ordered, on the clock of {@link Dispatcher#now}. Its bytes are written later, so a deduplication
      * window counted from here ends early, never late.
      */
-    final double orderedMs;
+    final double startedMs;
     /** The location of its server. */
     final EndpointLocation location;
 
@@ -47,14 +47,14 @@
             int index,
             int server,
             EndpointLocation location,
-            double sentMs,
+            double startedMs,
             double expiresMs) {
         this.operations = operations;
         this.request = request;
         this.index = index;
         this.server = server;
         this.location = location;
-        this.orderedMs = sentMs;
+        this.startedMs = startedMs;
         this.expiresMs = expiresMs;
     }
 
--- a/src/main/java/cacheproxy/proxy/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/RequestLifecycle.java
@@ -66,7 +66,7 @@
         double now = clock.now();
         Integer classIndex = settings.classIndex(terms.className());
         Integer tenantIndex = settings.tenantIndex(terms.tenant());
-        if (classIndex == null || tenantIndex == null || !isDeadline(terms.timeoutMs())) {
+        if (classIndex == null || tenantIndex == null || !isValidTimeout(terms.timeoutMs())) {
             rejectInvalid(request, "unknown class, tenant or deadline");
             return;
         }
@@ -90,7 +90,7 @@
     }
 
     /** Servers are told of the timeout, so there is no default; NaN is none either. */
-    private static boolean isDeadline(double timeoutMs) {
+    private static boolean isValidTimeout(double timeoutMs) {
         return timeoutMs > 0 && timeoutMs <= MAX_TIMEOUT_MS;
     }
 
@@ -167,7 +167,7 @@
     private void completeForDrain(ClientRequest request) {
         boolean wasStreaming = request.isStreaming();
         request.transitionTo(RequestState.ANSWERED); // before its attempts end, or the load balancer would respond
-        boolean rejected = !wasStreaming && rejectableOnceExpired(request);
+        boolean rejected = !wasStreaming && expireAndCheckRejectable(request);
         completion.recordOutcome(request, rejected ? RequestOutcome.REJECTED : RequestOutcome.FAILED);
         log(EventKind.REQUEST_ABORTED, "the drain's deadline has passed", request);
         loadBalancer.clientDisconnected(request); // it gives no more orders for it, as after a disconnect
@@ -181,7 +181,7 @@
         completion.release(request);
     }
 
-    private boolean rejectableOnceExpired(ClientRequest request) {
+    private boolean expireAndCheckRejectable(ClientRequest request) {
         attempts.expireAll(request);
         return isRejectable(request);
     }
--- a/src/main/java/cacheproxy/proxy/StateFolderWriter.java
+++ b/src/main/java/cacheproxy/proxy/StateFolderWriter.java
@@ -24,7 +24,7 @@
     /** While another process has the lock, it is tried again after so long. */
     private static final double LOCK_RETRY_MS = 300;
     /** How long the end of the process waits for the final write. */
-    private static final long FINAL_WRITE_MS = 300;
+    private static final long FINAL_WRITE_TIMEOUT_MS = 300;
 
     private static final double NANOS_PER_MS = 1e6;
 
@@ -138,7 +138,7 @@
         lockPending = true;
         thread.execute(() -> {
             LockOutcome outcome = tryLock();
-            dispatcher.loop().execute(() -> lockTried(outcome));
+            dispatcher.loop().execute(() -> lockAttemptEnded(outcome));
         });
     }
 
@@ -158,7 +158,7 @@
         }
     }
 
-    private void lockTried(LockOutcome outcome) {
+    private void lockAttemptEnded(LockOutcome outcome) {
         lockPending = false;
         if (outcome.held()) {
             hasLock = true;
@@ -199,7 +199,7 @@
     /** Waits for the final write within bounds; not to be called on the event loop. */
     void awaitClosed() {
         try {
-            thread.awaitTermination(FINAL_WRITE_MS, TimeUnit.MILLISECONDS);
+            thread.awaitTermination(FINAL_WRITE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverCoordinator.java
@@ -172,7 +172,7 @@
     }
 
     /** The number of the zone of this name; an IllegalArgumentException names those that there are. */
-    int zoneNumber(String name) {
+    int zoneIndex(String name) {
         int zone = zoneNames.indexOf(name);
         if (zone < 0) {
             throw new IllegalArgumentException("no zone '" + name + "'; there are: " + String.join(", ", zoneNames));
--- a/src/main/java/cacheproxy/proxy/ZoneOperations.java
+++ b/src/main/java/cacheproxy/proxy/ZoneOperations.java
@@ -9,36 +9,36 @@
  * loop only.
  */
 public final class ZoneOperations {
-    private final ZoneFailoverCoordinator link;
+    private final ZoneFailoverCoordinator coordinator;
 
     /** Shows the decisions that this link takes part in. */
-    public ZoneOperations(ZoneFailoverCoordinator link) {
-        this.link = link;
+    public ZoneOperations(ZoneFailoverCoordinator coordinator) {
+        this.coordinator = coordinator;
     }
 
     /** How each zone stands. */
     public List<ZoneStatus> status() {
-        return link.failover().status(link.nowMs());
+        return coordinator.failover().status(coordinator.nowMs());
     }
 
     /** A zone's name by its number. */
     public String zoneName(int zone) {
-        return link.zoneName(zone);
+        return coordinator.zoneName(zone);
     }
 
     /** Whether this proxy hears enough of the fleet to decide for it. */
     public boolean hasQuorum() {
-        return link.failover().hasQuorum();
+        return coordinator.failover().hasQuorum();
     }
 
     /** Decisions that this proxy was the first to make. */
     public long decisionCount() {
-        return link.failover().decisionCount();
+        return coordinator.failover().decisionCount();
     }
 
     /** What leaving a zone would cost. */
     public ZoneLeaveCost leaveCost(String zone) {
-        return link.failover().leaveCost(link.nowMs(), link.zoneNumber(zone));
+        return coordinator.failover().leaveCost(coordinator.nowMs(), coordinator.zoneIndex(zone));
     }
 
     /**
@@ -48,25 +48,25 @@
      * @throws IllegalArgumentException if that is too long, or too little would stay open
      */
     public void leave(String zone, double durationMs) {
-        link.failover().leaveZone(link.nowMs(), link.zoneNumber(zone), durationMs);
-        link.tick();
+        coordinator.failover().leaveZone(coordinator.nowMs(), coordinator.zoneIndex(zone), durationMs);
+        coordinator.tick();
     }
 
     /** Opens a zone step by step, whatever its health. */
     public void returnTo(String zone) {
-        link.failover().returnToZone(link.nowMs(), link.zoneNumber(zone));
-        link.tick();
+        coordinator.failover().returnToZone(coordinator.nowMs(), coordinator.zoneIndex(zone));
+        coordinator.tick();
     }
 
     /** Keeps a zone as it is, until it is released. */
     public void hold(String zone) {
-        link.failover().holdZone(link.nowMs(), link.zoneNumber(zone));
-        link.tick();
+        coordinator.failover().holdZone(coordinator.nowMs(), coordinator.zoneIndex(zone));
+        coordinator.tick();
     }
 
     /** Takes orders for a zone back: its health decides again. */
     public void release(String zone) {
-        link.failover().releaseZone(link.nowMs(), link.zoneNumber(zone));
-        link.tick();
+        coordinator.failover().releaseZone(coordinator.nowMs(), coordinator.zoneIndex(zone));
+        coordinator.tick();
     }
 }
