--- a/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/AttemptLifecycle.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Ends attempts, each once: by its result, its timeout, a cancellation or the completion of its request. The first
- * response of a request goes to its client, any further one is dropped. Event loop only.
+ * Ends attempts, each exactly once: on its result, its timeout, a cancellation or the completion of its request. The
+ * first response to a request is passed to its client; later ones are discarded. Event loop only.
  */
 final class AttemptLifecycle {
     private static final int NO_NOTE = 0;
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Ends an attempt, if it has not ended.
+     * Ends an attempt. If it has already ended, only the response is released.
      *
-     * @param note what the server says of the response, as in {@link AttemptEnd}
+     * @param note the code that the server sent with the response, as in {@link AttemptEnd}; 0 for none
      * @param report the server's load report; null if it sent none
-     * @param response its response, which this method releases or passes on; null if it has none
+     * @param response the server's response, which this method releases or passes on; null if there is none
      */
     void end(RequestAttempt attempt, AttemptOutcome outcome, int note, float[] report, ServerResponse response) {
         if (attempt.ended) {
@@ -63,12 +63,12 @@
         completion.release(request);
     }
 
-    /** Ends an attempt that has no response. */
+    /** Ends an attempt without a response. */
     void end(RequestAttempt attempt, AttemptOutcome outcome) {
         end(attempt, outcome, NO_NOTE, null, null);
     }
 
-    /** Ends an attempt that has no response, once the running call of the load balancer has returned. */
+    /** Ends an attempt without a response, after the running call of the load balancer has returned. */
     void endSerially(RequestAttempt attempt, AttemptOutcome outcome) {
         executor.runSerially(() -> end(attempt, outcome));
     }
@@ -102,8 +102,9 @@
     }
 
     /**
-     * Ends an attempt whose time is up. What has gone out may have been executed or may yet: reported as a failed
-     * connection, a write would be rejected or sent again, and have its effect twice.
+     * Ends an attempt whose timeout has expired. Unless none of it was sent, it ends as {@code TIMEOUT}, as the server
+     * may have executed it or may still do so. If it ended as a failed connection, which counts as not executed, a
+     * write could be rejected as safe to repeat or be retried, and take effect twice.
      */
     void expire(RequestAttempt attempt) {
         if (attempt.ended) {
@@ -118,8 +119,9 @@
     }
 
     /**
-     * Cancels an attempt whose response has not begun. Another attempt may follow, so where hedging is not allowed one
-     * whose cancellation can't end it stays in flight.
+     * Cancels an attempt whose response is not being streamed yet. While the request is open, another attempt may
+     * follow it. Where hedging is not allowed, an attempt then stays in flight if it can't be stopped, because other
+     * attempts are in flight on its connection.
      */
     void cancel(RequestAttempt attempt) {
         if (attempt.ended || attempt.isStreaming()) {
@@ -137,7 +139,7 @@
         endSerially(attempt, AttemptOutcome.CANCELLED);
     }
 
-    /** Cancels those attempts of a request whose response is being streamed: nobody is left to read the rest. */
+    /** Cancels the attempts of a request whose responses are being streamed, as the client has disconnected. */
     void cancelStreams(ClientRequest request) {
         for (RequestAttempt attempt : request.attempts) {
             if (attempt.isStreaming() && !attempt.ended) {
@@ -152,7 +154,7 @@
         List.copyOf(request.attempts).forEach(this::expire);
     }
 
-    /** Ends those attempts of a request of which nothing has gone out. */
+    /** Ends the attempts of a request that have not begun to be sent. */
     void endUnsent(ClientRequest request) {
         for (RequestAttempt attempt : request.attempts) {
             if (!attempt.ended && (attempt.connection == null || attempt.connection.removeUnsent(attempt))) {
--- a/src/main/java/cacheproxy/proxy/AttemptOperations.java
+++ b/src/main/java/cacheproxy/proxy/AttemptOperations.java
@@ -4,7 +4,7 @@
 import cacheproxy.routing.AttemptOutcome;
 import io.netty.buffer.ByteBuf;
 
-/** Passes what happens to an attempt on to the part of the core whose job it is. Event loop only. */
+/** Forwards the events of an attempt to the classes of the core that handle them. Event loop only. */
 final class AttemptOperations {
     private final AttemptStarter starter;
     private final AttemptLifecycle lifecycle;
--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -12,15 +12,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Starts attempts and health checks that the load balancer orders, where the rules permit it at that moment. Event loop
- * only.
+ * Starts the attempts and health checks that the load balancer requests, if the safety rules permit them at that
+ * moment. Event loop only.
  */
 final class AttemptStarter {
-    /** If the event loop has not polled its sockets for so long, in milliseconds, an attempt waits until it has. */
+    /** If the event loop's last poll of its sockets is longer ago, an attempt is deferred until after the next poll. */
     private static final double MAX_POLL_AGE_MS = 50;
 
     private static final double HEALTH_CHECK_TIMEOUT_MS = 250;
-    /** Of a server that is not in the endpoint list. */
+    /** The location of a server that is not in the endpoint list. */
     private static final EndpointLocation UNKNOWN_LOCATION = new EndpointLocation(-1, -1);
 
     private final EventLoop loop;
@@ -63,7 +63,7 @@
     /**
      * Starts an attempt of a request that is not completed.
      *
-     * @param timeoutMs how long to wait for it, in milliseconds; 0: until the request's deadline
+     * @param timeoutMs its timeout in milliseconds, unless the request's deadline is earlier; 0 for the deadline alone
      */
     void start(ClientRequest request, int server, double timeoutMs) {
         double now = clock.now();
@@ -80,7 +80,7 @@
             attempt.timer = timers.after(waitMs, () -> attempts.expire(attempt));
         }
         if (loopClock.sinceLastPollMs() > MAX_POLL_AGE_MS) {
-            // The client's disconnect or news of the server may be there unread, and is read first.
+            // Unread input may hold the client's disconnect or a response of the server; it is processed first.
             loop.schedule(() -> send(attempt), 0, TimeUnit.MILLISECONDS);
         } else {
             send(attempt);
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Whether the rules permit an attempt to begin now. To be asked right before its bytes go out, and again where it
-     * had to wait in between.
+     * Whether the safety rules permit an attempt to begin now. Must be checked right before its bytes are written, so
+     * again if it had to wait since the last check.
      */
     boolean mayBegin(RequestAttempt attempt) {
         ClientRequest request = attempt.request;
@@ -128,7 +128,7 @@
         return verdict.allowed();
     }
 
-    /** Checks the time that a server is about to be told of; {@code remainingMs} in milliseconds. */
+    /** Checks the timeout in milliseconds that is about to be sent to a server against the time left to the client. */
     void checkRemainingTime(RequestAttempt attempt, long remainingMs) {
         ClientRequest request = attempt.request;
         double leftMs = attempt.isHealthCheck() ? Double.POSITIVE_INFINITY : request.deadlineMs - clock.now();
@@ -156,7 +156,7 @@
         }
     }
 
-    /** Starts a health check of a server; its result goes to the load balancer. */
+    /** Starts a health check of a server and delivers its result to the load balancer. */
     void startHealthCheck(int server) {
         UpstreamServer upstream = servers.get(server);
         counters.increment(Metric.PROBES);
--- a/src/main/java/cacheproxy/proxy/BufferLimits.java
+++ b/src/main/java/cacheproxy/proxy/BufferLimits.java
@@ -4,13 +4,13 @@
 import cacheproxy.flow.ReadAheadBudget;
 import io.netty.util.internal.PlatformDependent;
 
-/** Limits the direct memory that values and input read ahead of clients may take. Event loop only. */
+/** Limits the direct memory for buffered values and for client input that is read ahead. Event loop only. */
 public final class BufferLimits {
-    /** Complete values may take one part in so many of the direct memory; the rest is for what passes through. */
+    /** The share of direct memory for values buffered whole, as a divisor; the rest is for data that passes through. */
     private static final int VALUES_DIVISOR = 2;
-    /** Input read ahead may take one part in so many, beside what each connection has of its own. */
+    /** The share of direct memory for input read ahead, as a divisor; each connection has its own allowance besides. */
     private static final int READ_AHEAD_DIVISOR = 16;
-    /** Complete values may take one part in so many of the configured memory, as a shift. */
+    /** The share of the configured memory for values buffered whole, as a right shift: an eighth. */
     private static final int CONFIGURED_MEMORY_SHIFT = 3;
 
     private static final int MEBIBYTE_SHIFT = 20;
@@ -25,12 +25,12 @@
         values = new ByteBudget(Math.min(configured, PlatformDependent.maxDirectMemory() / VALUES_DIVISOR));
     }
 
-    /** The budget for values that are held completely. */
+    /** The budget for values that are buffered whole. */
     public ByteBudget values() {
         return values;
     }
 
-    /** The limit of what may be read of clients before it can be decoded. */
+    /** The budget for client input that is read before it can be decoded. */
     public ReadAheadBudget readAhead() {
         return readAhead;
     }
--- a/src/main/java/cacheproxy/proxy/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/ClientRequest.java
@@ -8,25 +8,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's request that the proxy has accepted, its state and its attempts. Event loop only. */
+/** A request of a client, with its state and its attempts. Event loop only. */
 public final class ClientRequest {
     private static final int TYPICAL_ATTEMPTS = 3;
 
     final ResponseWriter responseWriter;
     final RequestCommand command;
-    /** When its last byte arrived, on the clock of {@link Dispatcher#now}; its timeout counts from then. */
+    /** When its last byte arrived, on the clock of {@link Dispatcher#now}; its timeout starts then. */
     final double receivedMs;
 
-    /** Its number in the request table; 0 for one that was invalid. */
+    /** Its number in the request table; 0 if it was invalid. */
     int id;
-    /** Its class as the settings had it when the request arrived; null for one that was invalid. */
+    /** Its service class by the settings in force when it was accepted; null if it was invalid. */
     ServiceClass serviceClass;
-    /** The maximum number of attempts by the settings of that time. */
+    /** Its limit of attempts by the same settings. */
     int maxAttempts;
 
-    /** When its client stops waiting, on the clock of {@link Dispatcher#now}. */
+    /** Its deadline, when the client stops waiting, on the clock of {@link Dispatcher#now}. */
     double deadlineMs;
-    /** Attempts that have not ended. */
+    /** The number of attempts that have not ended. */
     int attemptsInFlight;
 
     Timer deadlineTimer;
@@ -48,7 +48,7 @@
         return state == RequestState.OPEN;
     }
 
-    /** Whether it has had its final response or its client has disconnected: nothing more may be sent for it. */
+    /** Whether it is in a final state, answered or with its client disconnected; it allows no further attempt. */
     boolean isCompleted() {
         return state.isFinal();
     }
@@ -58,14 +58,14 @@
         return state == RequestState.STREAMING;
     }
 
-    /** Changes its state; false, without effect, where its present state does not allow that. */
+    /** Changes its state; returns false, and changes nothing, if its current state does not allow the transition. */
     boolean transitionTo(RequestState next) {
         boolean allowed = state.canBecome(next);
         state = allowed ? next : state;
         return allowed;
     }
 
-    /** Its attempts as they are now, except this one; null for all. */
+    /** Its attempts in their current state, without {@code excluded}; all of them if that is null. */
     List<SafetyRules.EarlierAttempt> attemptsExcept(RequestAttempt excluded) {
         List<SafetyRules.EarlierAttempt> others = new ArrayList<>(attempts.size());
         for (RequestAttempt attempt : attempts) {
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -27,30 +27,28 @@
 import java.util.Map;
 
 /**
- * The configuration of one instance, read from the file that {@code BALANCER_CONFIG} names. Settings are parsed as the
- * simulator's adapter does, from the same paths; addresses are literal, as there is no DNS. Keys of the file and
- * components have the same names, but for {@code limits.cores}, {@code limits.memory_mb}, {@code limits.sockets},
- * {@code settings.zones}, {@code settings.kinds}, {@code settings.caps.idle-close} and
- * {@code settings.caps.streams-per-conn}.
+ * The configuration of one instance, read from the JSON file that {@code BALANCER_CONFIG} names. Routing settings are
+ * parsed by the simulator adapter's parser, from the same paths. Addresses are literal; no names are resolved.
  *
- * @param name of the instance; {@code proxy} if the file has none
- * @param listen where clients connect
- * @param discovery where discovery is called
- * @param seed of all random draws
- * @param cores that the process may use
- * @param memoryMb memory limit in megabytes
- * @param sockets limit of open sockets
- * @param peerListen where peers' datagrams arrive; null: nowhere
- * @param peers addresses of all instances, in the order of their numbers
- * @param peersBroadcast reaches all instances at once; null: none
- * @param initialEndpointList the endpoint list to start with; null: none
- * @param settings of routing
- * @param zones names by number
- * @param kinds names of the kinds of endpoints, by number
- * @param idleCloseMs after which servers close an idle connection
- * @param streamsPerConnection how many requests a server takes on one connection at a time
- * @param adminAddress the admin port's address; null: none
- * @param source the file as it was read
+ * @param name the instance's name, {@code name}; {@code proxy} if the file has none
+ * @param listen the address at which clients connect, {@code listen}
+ * @param discovery the address of discovery, {@code discovery}
+ * @param seed the seed of all random numbers, {@code seed}
+ * @param cores the number of CPU cores that the process may use, {@code limits.cores}
+ * @param memoryMb the memory limit in mebibytes, {@code limits.memory_mb}
+ * @param sockets the limit of open sockets, {@code limits.sockets}
+ * @param peerListen the address at which peers' datagrams arrive, {@code peer_listen}; null for none
+ * @param peers the addresses of all instances by index, {@code peers}
+ * @param peersBroadcast the address that reaches all instances at once, {@code peers_all}; null for none
+ * @param initialEndpointList the endpoint list to start with, {@code known}; null for none
+ * @param settings the settings of routing
+ * @param zones the names of the zones by index, {@code settings.zones}
+ * @param kinds the names of the kinds of endpoints by index, {@code settings.kinds}
+ * @param idleCloseMs after how long servers close an idle connection, {@code settings.caps.idle-close}
+ * @param streamsPerConnection how many requests a server accepts on one connection at a time,
+ *     {@code settings.caps.streams-per-conn}
+ * @param adminAddress the admin port's address, {@code operator}; null for none
+ * @param source the content of the file
  */
 public record Config(
         String name,
@@ -81,23 +79,23 @@
                 kinds);
     }
 
-    /** What discovery's list may name. */
+    /** The codec for discovery's list, with the configured zones and kinds. */
     EndpointListCodec endpointListCodec() {
         return new EndpointListCodec(zones, kinds);
     }
 
-    /** How many of the process's sockets connections to servers may take: a third. */
+    /** The limit of connections to servers: a third of the process's sockets. */
     public int upstreamSockets() {
         return sockets / 3;
     }
 
-    /** Where the proxies of the tier exchange datagrams; without an address of its own where the settings forbid it. */
+    /** The addresses for datagrams between proxies; without one to listen at if the settings forbid peer messages. */
     public PeerAddresses peerAddresses() {
         return new PeerAddresses(
                 settings.peerMessagesAllowed() ? peerListen : null, peers, peersBroadcast, settings.instanceIndex());
     }
 
-    /** How discovery is called. */
+    /** The settings for polling discovery. */
     public DiscoveryClient.Settings discoverySettings() {
         return new DiscoveryClient.Settings(
                 discovery,
@@ -111,13 +109,13 @@
     }
 
     /**
-     * Reads the file.
+     * Reads a configuration file.
      *
-     * @throws ConfigurationException if it is unusable
+     * @throws ConfigurationException if it can't be read or is invalid
      */
     public static Config read(String path) {
         if (path == null || path.isEmpty()) {
-            throw new ConfigurationException("BALANCER_CONFIG names no file");
+            throw new ConfigurationException("BALANCER_CONFIG is not set to the path of a configuration file");
         }
         try {
             return parse(json(path));
@@ -130,10 +128,10 @@
     }
 
     /**
-     * Reads the file again while the instance serves. One that lacks a key which it had before is rejected: it was cut
-     * off, or edited by hand, and nobody can say what the missing key should mean.
+     * Reads the file again for a reload. A file that lacks a key of this configuration is rejected: it was truncated,
+     * or edited by hand, and the value intended for the missing key is unknown.
      *
-     * @throws ConfigurationException if it is unusable
+     * @throws ConfigurationException if it can't be read or is invalid
      */
     public Config reread(String path) {
         Config next = read(path);
@@ -149,14 +147,14 @@
         reader.setStrictness(Strictness.STRICT);
         JsonObject json = JsonParser.parseReader(reader).getAsJsonObject();
         if (reader.peek() != JsonToken.END_DOCUMENT) {
-            throw new IllegalArgumentException("more than one object");
+            throw new IllegalArgumentException("unexpected content after the JSON object");
         }
         return json;
     }
 
     /**
-     * The first key of {@code before} that {@code now} lacks, with its path; of lists, the keys that all entries of
-     * {@code before} have.
+     * The path of the first key in {@code before} that {@code now} lacks; null if there is none. Each entry of a list
+     * must have the keys that all entries of the earlier list have. What is below a key {@code known} is not compared.
      */
     private static String firstMissingKey(String path, JsonElement before, JsonElement now) {
         if (before.isJsonObject()) {
--- a/src/main/java/cacheproxy/proxy/ConfigurationException.java
+++ b/src/main/java/cacheproxy/proxy/ConfigurationException.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-/** An instance's configuration file is missing or unusable; the message names the file and says why in one line. */
+/** Thrown if an instance's configuration file is missing or invalid; its one-line message names file and reason. */
 public final class ConfigurationException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/cacheproxy/proxy/ConfiguredEndpoints.java
+++ b/src/main/java/cacheproxy/proxy/ConfiguredEndpoints.java
@@ -11,7 +11,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The endpoints and names in an instance's own configuration, for tools that inspect it without a proxy. */
+/** The endpoints and names in an instance's configuration, for tools that inspect it without starting a proxy. */
 public final class ConfiguredEndpoints {
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Reads the file that an instance is configured by.
+     * Reads an instance's configuration file.
      *
-     * @throws ConfigurationException if it is unusable
+     * @throws ConfigurationException if it can't be read or is invalid
      */
     public static ConfiguredEndpoints read(String path) {
         return new ConfiguredEndpoints(Config.read(path));
@@ -41,13 +41,13 @@
         return config.routableNames();
     }
 
-    /** The endpoints of the configured list, as pools select them. */
+    /** The attributes of the configured endpoints, by which pools select their members. */
     public List<EndpointAttributes> poolMembers() {
         return endpoints.stream().map(DiscoveredEndpoint::attributes).toList();
     }
 
     /**
-     * The hosts of a pool's endpoints by their CARP score for a key, the preferred one first. Those that drain and the
+     * The hosts of a pool's endpoints, ordered by descending CARP score for a key. Endpoints that are not ready and the
      * origin are left out.
      */
     public List<String> rank(Pool pool, String key) {
@@ -72,7 +72,7 @@
         return order.stream().map(i -> candidates.get(i).attributes().host()).toList();
     }
 
-    /** The pool's endpoints that take ordinary requests, by id. */
+    /** The pool's ready endpoints except the origin, ordered by id. */
     private List<DiscoveredEndpoint> candidates(Pool pool) {
         List<DiscoveredEndpoint> candidates = new ArrayList<>();
         for (DiscoveredEndpoint candidate : endpoints) {
@@ -88,8 +88,8 @@
     }
 
     /**
-     * The routing module's key: the value of up to 16 hexadecimal digits, else a 64-bit FNV-1a hash of the text, which
-     * is the same on every instance.
+     * The 64-bit key by which requests are routed: the value of a text of up to 16 hexadecimal digits, unless that is
+     * 0; else the FNV-1a hash of the text. It is the same on every instance.
      */
     static long routingKey(String text) {
         long hash = FNV_OFFSET_BASIS;
--- a/src/main/java/cacheproxy/proxy/ConnectionFailures.java
+++ b/src/main/java/cacheproxy/proxy/ConnectionFailures.java
@@ -6,7 +6,7 @@
 import cacheproxy.metrics.Metric;
 import java.io.IOException;
 
-/** Counts and logs what goes wrong with connections and the event loop. Event loop only. */
+/** Counts and logs connection failures and event loop stalls. Event loop only. */
 public final class ConnectionFailures {
     private final Counters counters;
     private final EventLog log;
@@ -24,7 +24,7 @@
                 LogMessage.of("connection not accepted").with("cause", cause.getMessage()));
     }
 
-    /** A client has stopped within a request, or has not sent one. */
+    /** A client stopped sending within a request, or has sent none. */
     public void clientTimedOut(Object client, ReadTimeout timeout) {
         counters.increment(Metric.CLIENT_TIMEOUTS);
         log.log(
@@ -32,14 +32,14 @@
                 LogMessage.of("client stopped sending").with("client", client).with("awaited", timeout));
     }
 
-    /** A connection fails. That its other side has closed it is ordinary; anything else is logged. */
+    /** A connection failed. I/O errors, such as a reset by the remote side, are expected; anything else is logged. */
     public void connectionFailed(Throwable cause) {
         if (!(cause instanceof IOException)) {
             log.log(EventKind.INTERNAL_ERROR, LogMessage.of("connection failed").with("cause", cause));
         }
     }
 
-    /** The event loop was blocked for so many milliseconds, which is longer than deadlines allow for. */
+    /** The event loop was blocked for {@code ms} milliseconds, longer than deadlines allow for. */
     void eventLoopStalled(double ms) {
         counters.increment(Metric.EVENT_LOOP_STALLS);
         log.log(
--- a/src/main/java/cacheproxy/proxy/Counters.java
+++ b/src/main/java/cacheproxy/proxy/Counters.java
@@ -7,29 +7,30 @@
 
 /**
  * Counts outcomes of requests and attempts since the start of the process. Each is counted once, where it is decided. A
- * class that the settings no longer name keeps its counts, since a counter must never go down. Event loop only.
+ * service class that was removed from the settings keeps its counts, since a counter must never decrease. Event loop
+ * only.
  */
 public final class Counters {
-    /** How many classes that the settings no longer name are kept; those removed first are dropped first. */
+    /** How many classes that were removed from the settings are kept; those removed first are evicted first. */
     static final int MAX_REMOVED_CLASSES = 256;
 
-    /** Outcomes of the requests of one class. */
+    /** Outcomes of the requests of one service class. */
     public static final class ClassCounts {
         private long succeeded;
         private long rejected;
         private long failed;
 
-        /** Answered with a server's response. */
+        /** Requests answered with a server's response. */
         public long succeeded() {
             return succeeded;
         }
 
-        /** Refused; a repeat was harmless. */
+        /** Requests rejected, with a promise that a repeat is harmless. */
         public long rejected() {
             return rejected;
         }
 
-        /** Ended without a response though they may have run. */
+        /** Requests that ended without a server's response and may have been executed, and invalid ones. */
         public long failed() {
             return failed;
         }
@@ -41,18 +42,18 @@
     private long reloadsApplied;
     private long reloadsRejected;
 
-    /** Sets the classes that the settings name now; they are reported from here on, at 0 before any request. */
+    /** Sets the service classes in the settings; they are reported from now on, with 0 before any request. */
     void retainClasses(Set<String> names) {
         for (String name : names) {
             ClassCounts existing = classes.remove(name);
-            classes.put(name, existing == null ? new ClassCounts() : existing); // behind those that were removed
+            classes.put(name, existing == null ? new ClassCounts() : existing); // now behind the removed classes
         }
         while (classes.size() - names.size() > MAX_REMOVED_CLASSES) {
             classes.remove(classes.keySet().iterator().next());
         }
     }
 
-    /** Counts a completed request of this class; one of an unknown class is not counted. */
+    /** Counts a completed request of a service class; one of an unknown class is not counted. */
     public void recordOutcome(String className, RequestOutcome outcome) {
         ClassCounts classCounts = classes.get(className);
         if (classCounts == null) {
@@ -75,22 +76,22 @@
         }
     }
 
-    /** Adds one to this metric. */
+    /** Increments a metric. */
     public void increment(Metric metric) {
         counts[metric.ordinal()]++;
     }
 
-    /** The value of this metric. */
+    /** The value of a metric. */
     long count(Metric metric) {
         return counts[metric.ordinal()];
     }
 
-    /** Counts an attempt that was written completely to a cache node, or to the origin in its place. */
+    /** Counts an attempt that was written completely to a cache node or the origin. */
     void recordForward() {
         forwards++;
     }
 
-    /** Counts a settings file read at SIGHUP, applied or rejected. */
+    /** Counts a configuration reload, applied or rejected. */
     public void recordReload(boolean applied) {
         if (applied) {
             reloadsApplied++;
@@ -99,12 +100,12 @@
         }
     }
 
-    /** The outcomes by class name. */
+    /** The outcomes by the name of the service class. */
     public Map<String, ClassCounts> classes() {
         return classes;
     }
 
-    /** Attempts fully written to cache nodes or the origin. */
+    /** Attempts written completely to cache nodes or the origin. */
     public long forwards() {
         return forwards;
     }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -26,18 +26,18 @@
 import java.util.function.Consumer;
 
 /**
- * The core of a proxy: connects clients, the load balancer and servers. Creates the parts that do the work, each with
- * one job, and passes calls on to them:
+ * The core of a proxy, between clients, the load balancer and servers. Creates the classes that do the work, each with
+ * one responsibility, and delegates to them:
  *
  * <ul>
  *   <li>{@link RequestLifecycle}, {@link RequestTable}, {@link RequestCompletion}: clients' requests
  *   <li>{@link AttemptStarter}, {@link AttemptLifecycle}, {@link ResponseStreaming}: their attempts at servers
- *   <li>{@link SerialLoadBalancer}, {@link DispatcherRoutingActions}: events to the load balancer, and its orders
+ *   <li>{@link SerialLoadBalancer}, {@link DispatcherRoutingActions}: events for the load balancer, and its actions
  *   <li>{@link EndpointListEvents}, {@link PeerLinks}: events from discovery and from other proxies
  *   <li>{@link BufferLimits}, {@link DrainState}, {@link RequestMetrics}: limits, state and metrics of the process
  * </ul>
  *
- * A request has one response and an attempt one end. Event loop only, except for {@link #now}.
+ * Each request gets one response, and each attempt ends once. Event loop only, except for {@link #now}.
  */
 public final class Dispatcher {
     private static final long SWEEP_INTERVAL_MS = 1000;
@@ -54,7 +54,7 @@
     private final BufferLimits bufferLimits;
     private final DrainState drain = new DrainState();
     private final ConnectionFailures failures;
-    /** Provenance and age of what is in use that was not observed by this process. */
+    /** The provenance and age of state in use that this process has not observed itself. */
     private final ProvenanceTracker provenance = new ProvenanceTracker();
 
     private final UpstreamServers servers;
@@ -70,7 +70,7 @@
     private DispatcherRoutingActions routingActions;
     private Future<?> sweeper;
 
-    /** {@code upstream}: the kind of channel for connections to servers. */
+    /** {@code upstream}: the type of channel for connections to servers. */
     public Dispatcher(EventLoop loop, LoopClock loopClock, Config config, Class<? extends Channel> upstream) {
         this.loop = loop;
         clock = new ProxyClock(loopClock);
@@ -114,9 +114,9 @@
     // ---- start, settings, stop
 
     /**
-     * Starts the load balancer. Discovery and peers are used from here on.
+     * Starts the load balancer, which uses discovery and peers from then on.
      *
-     * @param routing the routes; null: a single pool under the settings' own policy
+     * @param routing the routes; null for a single pool with the policy of the settings
      */
     public void start(EndpointListSource discovery, PeerDatagramSocket peers, Routing routing) {
         routingActions = new DispatcherRoutingActions(
@@ -137,19 +137,21 @@
                 servers::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Applies other settings to requests to come; those that are open keep the ones they were accepted with. */
+    /**
+     * Applies new settings to requests accepted from now on; open requests keep the settings they were accepted with.
+     */
     public void applySettings(Config next) {
         settings.apply(next);
         counters.retainClasses(settings.classNames());
         loadBalancer.settingsChanged(next.settings());
     }
 
-    /** Replaces the routes; only where there are any. */
+    /** Replaces the routes; only if it was started with routes. */
     public void replaceRoutes(Routing routing) {
         loadBalancer.routesChanged(routing);
     }
 
-    /** Closes all connections to servers; the load balancer is not called any more. */
+    /** Closes all connections to servers and stops calling the load balancer. */
     public void stop() {
         executor.stop();
         sweeper.cancel(false);
@@ -158,54 +160,54 @@
 
     // ---- clients: requests
 
-    /** Accepts a request that has been received completely; its {@link ResponseWriter} gets one response. */
+    /** Accepts a request that was received completely; its {@link ResponseWriter} gets one response. */
     public void accept(ClientRequest request) {
         lifecycle.accept(request);
     }
 
-    /** A client's connection has ended; {@code closedHere}: by this side, and not in order. */
-    public void clientDisconnected(ClientRequest request, boolean closedHere) {
-        lifecycle.clientDisconnected(request, closedHere);
+    /** A client's connection has ended; {@code closedByProxy}: this proxy closed it, and not gracefully. */
+    public void clientDisconnected(ClientRequest request, boolean closedByProxy) {
+        lifecycle.clientDisconnected(request, closedByProxy);
     }
 
-    /** Completes every open request now, because a drain's deadline has passed. */
+    /** Completes all open requests now, because the deadline of a drain has passed. */
     public void completeAll() {
         lifecycle.completeAll();
     }
 
-    /** How many requests are open. */
+    /** The number of open requests. */
     public int openRequests() {
         return requests.openCount();
     }
 
-    /** How many requests were accepted since the start. */
+    /** The number of requests accepted since the start. */
     long acceptedRequests() {
         return requests.acceptedCount();
     }
 
-    /** How many accepted requests are completed, including those whose clients disconnected. */
+    /** The number of accepted requests that are completed, including those whose clients disconnected. */
     public long completedRequests() {
         return metrics.completed();
     }
 
-    /** The longest deadline of any request that is open or to come, in milliseconds. */
+    /** The longest timeout of any service class in the settings or of an open request, in milliseconds. */
     public double longestDeadlineMs() {
         return Math.max(settings.longestDeadlineMs(), requests.longestDeadlineMs());
     }
 
     // ---- clients: connections
 
-    /** Counts and logs what goes wrong with connections. */
+    /** Counts and logs connection failures. */
     public ConnectionFailures failures() {
         return failures;
     }
 
-    /** The limits of memory for values and input. */
+    /** The memory limits for buffered values and client input. */
     public BufferLimits bufferLimits() {
         return bufferLimits;
     }
 
-    /** Whether this process drains. */
+    /** How client connections are to behave while this process drains. */
     public DrainState drain() {
         return drain;
     }
@@ -224,44 +226,44 @@
 
     // ---- load balancer
 
-    /** Carries out the load balancer's orders; null before {@link #start}. */
+    /** Carries out the load balancer's actions; null before {@link #start}. */
     RoutingActions routingActions() {
         return routingActions;
     }
 
-    /** Whether the load balancer sends this server no ordinary request now. */
+    /** Whether the load balancer currently sends this server no ordinary requests. */
     boolean isAvoided(int server) {
         return loadBalancer.isAvoided(server);
     }
 
-    /** What the load balancer has learned, by pool, for a process that takes over. */
+    /** What the load balancer has learned, by pool, for storing it or passing it to a successor. */
     public Map<String, LearnedState> learnedState() {
         return loadBalancer.learnedState();
     }
 
-    /** Continues with what another process has learned; after the endpoint list that it used. */
+    /** Adopts what another process has learned; to be called after the endpoint list is applied. */
     public void resume(Map<String, LearnedState> learned) {
         loadBalancer.resume(learned);
     }
 
-    /** The routes, or null where there are none. */
+    /** The router; null if there are no routes. */
     public Router router() {
         return loadBalancer.router();
     }
 
-    /** The settings of routing in force. */
+    /** The routing settings in force. */
     public RoutingSettings settings() {
         return settings.routing();
     }
 
     // ---- endpoint list and peers
 
-    /** Takes updates of the endpoint list. */
+    /** Receives the updates of the endpoint list. */
     public EndpointListPublisher.Subscriber endpointList() {
         return endpointListEvents;
     }
 
-    /** Adds a listener that is told the kind of each update of the endpoint list once it is in use. */
+    /** Adds a listener that receives the kind of each update of the endpoint list after it was applied. */
     void addEndpointListListener(Consumer<EndpointUpdateKind> listener) {
         endpointListEvents.addListener(listener);
     }
@@ -271,12 +273,12 @@
         return peerLinks;
     }
 
-    /** Applies what the fleet has decided on zones. */
+    /** Applies the fleet's decisions on zones. */
     void applyZoneDirectives(List<ZoneDirective> directives) {
         loadBalancer.zoneDirectivesIssued(directives);
     }
 
-    /** Provenance and age of what is in use that was not observed by this process. */
+    /** The provenance and age of state in use that this process has not observed itself. */
     public ProvenanceTracker provenance() {
         return provenance;
     }
@@ -287,17 +289,17 @@
         return loop;
     }
 
-    /** The time of {@link ProxyClock}, which every span is measured by, in milliseconds. Any thread. */
+    /** The time of {@link ProxyClock}, by which all durations are measured, in milliseconds. Any thread. */
     public double now() {
         return clock.now();
     }
 
-    /** When input that is being read from this connection arrived, on the clock of {@link #now}. */
+    /** When the input that is being read from this connection arrived, on the clock of {@link #now}. */
     public double inputReceivedMs(Channel channel) {
         return clock.inputReceivedMs(channel);
     }
 
-    /** Runs a task after this time, in milliseconds, or up to a slot of {@link Timers} later. */
+    /** Runs a task after this delay in milliseconds, or up to one slot of {@link Timers} later. */
     public Timer after(double ms, Runnable task) {
         return timers.after(ms, task);
     }
@@ -317,22 +319,22 @@
         log.log(EventKind.INFO, text);
     }
 
-    /** What is counted of requests, connections and reloads. */
+    /** Counts requests, connections and configuration reloads. */
     public Counters counters() {
         return counters;
     }
 
-    /** When this was created, on the clock of {@link #now}. */
+    /** When this dispatcher was created, on the clock of {@link #now}. */
     double startedMs() {
         return metrics.startedMs();
     }
 
-    /** Milliseconds from then to the first request that succeeded; negative: none yet. */
+    /** Milliseconds from {@link #startedMs} to the first successful request; negative if there was none yet. */
     long firstServedMs() {
         return metrics.firstServedMs();
     }
 
-    /** What the rules forbade and what violated them. */
+    /** Counts the attempts that the safety rules forbade, and violations of the rules. */
     public RuleMonitor rules() {
         return rules;
     }
--- a/src/main/java/cacheproxy/proxy/DispatcherPeerContext.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherPeerContext.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.OptionalInt;
 
-/** What the links to peers use of the core: its clock, its timers, the cache nodes of its list and learned state. */
+/** Gives the links to peers what they use of the {@link Dispatcher}: clock, timers, cache nodes and learned state. */
 public final class DispatcherPeerContext implements EventScheduler, CacheNodes, LearnedStateAccess {
-    /** The pool of all endpoints. */
+    /** The name of the pool of all endpoints. */
     private static final String ALL_ENDPOINTS = "";
 
     private final Dispatcher dispatcher;
 
-    /** Offers this core's. */
+    /** Creates the context of this dispatcher. */
     public DispatcherPeerContext(Dispatcher dispatcher) {
         this.dispatcher = dispatcher;
     }
--- a/src/main/java/cacheproxy/proxy/DispatcherRoutingActions.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherRoutingActions.java
@@ -11,8 +11,8 @@
 import cacheproxy.routing.RoutingActions;
 
 /**
- * Carries out what the load balancer orders. Orders for requests that are completed by now have no effect. Event loop
- * only.
+ * Carries out the actions that the load balancer requests. Actions on requests that are already completed have no
+ * effect. Event loop only.
  */
 final class DispatcherRoutingActions implements RoutingActions {
     private final RequestTable requests;
@@ -61,7 +61,7 @@
         if (request == null || request.isCompleted()) {
             log.log(
                     EventKind.INTERNAL_ERROR,
-                    LogMessage.of("attempt ordered for a completed request").with("number", requestId));
+                    LogMessage.of("attempt requested for a completed request").with("number", requestId));
             return;
         }
         starter.start(request, server, timeoutMs);
--- a/src/main/java/cacheproxy/proxy/DrainState.java
+++ b/src/main/java/cacheproxy/proxy/DrainState.java
@@ -1,22 +1,22 @@
 package cacheproxy.proxy;
 
-/** Whether this process drains, as clients' connections are to act on it. Event loop only. */
+/** How client connections are to behave while this process drains. Event loop only. */
 public final class DrainState {
     private boolean closing;
     private boolean announced;
 
-    /** Sets both, as {@link #closing} and {@link #announced} tell them. */
+    /** Sets the values of {@link #closing} and {@link #announced}. */
     public void set(boolean nowClosing, boolean nowAnnounced) {
         closing = nowClosing;
         announced = nowAnnounced;
     }
 
-    /** Whether connections close after the last response that they are owed. */
+    /** Whether client connections close after their last outstanding response. */
     public boolean closing() {
         return closing;
     }
 
-    /** Whether clients that ask are told that the process drains. */
+    /** Whether clients that query the state of the process are informed that it drains. */
     public boolean announced() {
         return announced;
     }
--- a/src/main/java/cacheproxy/proxy/EndpointListEvents.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListEvents.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * Puts updates of the endpoint list to use, in this order: connections, load balancer, listeners. Counts and logs what
- * became of polls. Event loop only.
+ * Applies updates of the endpoint list: to the connections, then to the load balancer, then to the listeners. Counts
+ * polls, and logs failed polls and changes of the list. Event loop only.
  */
 public final class EndpointListEvents implements EndpointListPublisher.Subscriber {
     private final RequestSettings settings;
@@ -46,7 +46,7 @@
         this.log = log;
     }
 
-    /** Adds a listener that is told the kind of each update once it is in use. */
+    /** Adds a listener that receives the kind of each update after it was applied. */
     void addListener(Consumer<EndpointUpdateKind> listener) {
         listeners.add(listener);
     }
--- a/src/main/java/cacheproxy/proxy/EndpointListRejectedException.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListRejectedException.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-/** The load balancer failed on an update of the endpoint list, which is therefore not in use. */
+/** Thrown if the load balancer failed on an update of the endpoint list, which therefore does not count as applied. */
 final class EndpointListRejectedException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/cacheproxy/proxy/EventLog.java
+++ b/src/main/java/cacheproxy/proxy/EventLog.java
@@ -8,11 +8,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Writes events to standard error, a line each: {@code kind: text key=value ...}. The rate of each kind is limited; how
- * many of a kind were suppressed stands as {@code suppressed=N} in its next line. Event loop only.
+ * Writes events to a stream, a line each: {@code kind: text key=value ...}. The rate of each kind is limited; the next
+ * line of a kind ends with the number of suppressed ones, {@code suppressed=N}. Event loop only.
  */
 final class EventLog {
-    /** A longer line is cut off. */
+    /** A line of more bytes is truncated to as many characters, before {@code suppressed=N}. */
     private static final int MAX_BYTES = 500;
 
     private final PrintStream out;
--- a/src/main/java/cacheproxy/proxy/InvalidZoneStateException.java
+++ b/src/main/java/cacheproxy/proxy/InvalidZoneStateException.java
@@ -1,10 +1,10 @@
 package cacheproxy.proxy;
 
-/** A stored state of a zone that can't be read. */
+/** Thrown if the stored state of a zone is invalid. */
 final class InvalidZoneStateException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    /** {@code message}: of which zone, what was found and what was expected. */
+    /** {@code message}: the zone, what was found and what was expected. */
     InvalidZoneStateException(String message) {
         super(message);
     }
--- a/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * The JSON form of what the load balancer has learned, in state files and in the state that a process hands to its
- * successor: an object with a field for each pool, named by the pool ({@code ""}: all endpoints).
+ * Codec of what the load balancer has learned, for state files and for the state that a process passes to its
+ * successor: a JSON object with a field for each pool, under the pool's name ({@code ""} for all endpoints).
  *
  * <table>
  * <caption>Fields of a pool, arrays by position</caption>
@@ -37,7 +37,7 @@
 
     // ---- writing
 
-    /** The JSON form of what was learned, by the pools' names. */
+    /** Encodes learned states, by pool name. */
     public static JsonObject toJson(Map<String, LearnedState> learnedStates) {
         JsonObject pools = new JsonObject();
         learnedStates.forEach((pool, state) -> pools.add(pool, toJson(state)));
@@ -80,9 +80,9 @@
     // ---- reading
 
     /**
-     * Reads that form, by the pools' names.
+     * Decodes learned states, by pool name.
      *
-     * @throws MalformedStateException or another unchecked exception if it can't be used
+     * @throws MalformedStateException or another unchecked exception if the JSON is not in the expected format
      */
     public static Map<String, LearnedState> fromJson(JsonObject pools) {
         Map<String, LearnedState> learnedStates = new HashMap<>();
@@ -128,16 +128,16 @@
         JsonArray entries = json.getAsJsonArray(name);
         if (entries.size() > MAX_ENTRIES) {
             throw new MalformedStateException(
-                    "'" + name + "' has " + entries.size() + " entries; " + MAX_ENTRIES + " at most are expected");
+                    "'" + name + "' has " + entries.size() + " entries; at most " + MAX_ENTRIES + " are expected");
         }
         return entries;
     }
 
-    /** A time or a count. */
+    /** Reads a time or a count. */
     private static double number(JsonElement json) {
         double value = json.getAsDouble();
         if (!(value >= 0 && value <= MAX_NUMBER)) {
-            throw new MalformedStateException("a figure from 0 to 1e15 is expected, not " + json);
+            throw new MalformedStateException("expected a number from 0 to 1e15, found " + json);
         }
         return value;
     }
--- a/src/main/java/cacheproxy/proxy/LoopClock.java
+++ b/src/main/java/cacheproxy/proxy/LoopClock.java
@@ -10,23 +10,25 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * Estimates when input that the event loop reads now arrived, from when the loop last polled its sockets. Input read
- * after a poll that had to wait has just arrived; input that is there without a wait, because the loop was busy, may
- * have arrived right after the poll before. Also reports when the loop was blocked for too long. Decorates the
+ * Estimates when the input that the event loop is reading arrived, from the times at which the loop polled its sockets.
+ * Input found by a poll that had to wait has just arrived; input found without a wait may, if the loop was busy, have
+ * arrived right after the previous poll. Also reports when the loop was blocked for too long. Decorates the
  * {@link IoHandler} of one event loop and is used on that loop only.
  */
 public final class LoopClock implements IoHandler {
-    /** By how many milliseconds input may have arrived earlier than estimated. */
+    /** How much earlier than estimated input may have arrived, in milliseconds. */
     static final int TOLERANCE_MS = 20;
 
     private static final double NANOS_PER_MILLI = 1e6;
-    /** A poll that returns sooner found input that had arrived before it. */
+    /** A poll that returns sooner found input that had arrived before the poll. */
     private static final long MIN_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
-    /** A round of the loop that takes no longer has not delayed input; servers are told as much less time. */
+    /**
+     * An iteration of the loop up to this long does not count as a delay; timeouts sent to servers are as much less.
+     */
     private static final long TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(TOLERANCE_MS);
-    /** A poll that returns later than it should by more than this was itself delayed. */
+    /** A poll that returns later than its timeout by more than this was itself delayed. */
     private static final long MAX_OVERSLEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
-    /** Deadlines allow for a process that is blocked for so long between reading its clock and writing. */
+    /** Deadlines allow for a process that is blocked up to this long between reading the clock and writing. */
     private static final long STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     /** Null until the event loop has been created. */
@@ -34,17 +36,17 @@
 
     private long pollBeganNanos;
     private long pollEndedNanos;
-    /** When the poll before that ended. */
+    /** When the poll before the last one ended. */
     private long previousPollEndedNanos;
 
-    /** How long the poll was allowed to wait. */
+    /** How long the last poll was allowed to wait. */
     private long maxWaitNanos;
-    /** Whether the end of the poll has been noted. */
+    /** Whether the end of the last poll has been recorded. */
     private boolean pollEnded;
 
     private DoubleConsumer stallListener = ms -> {};
 
-    /** Sets the listener that is told for how many milliseconds the loop did not poll, where that is too long. */
+    /** Sets the listener that receives how many milliseconds the loop did not poll, if that was too long. */
     void onStall(DoubleConsumer listener) {
         stallListener = listener;
     }
@@ -58,7 +60,7 @@
         return (System.nanoTime() - pollEndedNanos) / NANOS_PER_MILLI;
     }
 
-    /** Decorates the handlers of a factory; the clock is that of the handler made last. */
+    /** Decorates the handlers that a factory creates; this clock observes the handler created last. */
     public IoHandlerFactory wrap(IoHandlerFactory factory) {
         return new IoHandlerFactory() {
             @Override
@@ -78,10 +80,10 @@
         };
     }
 
-    /** The earliest time, by {@link System#nanoTime}, at which input that is being read now may have arrived. */
+    /** The estimated arrival time of the input that is being read, by {@link System#nanoTime}. */
     long inputReceivedNanos() {
         if (handler == null) {
-            return System.nanoTime(); // decorates no loop
+            return System.nanoTime(); // no event loop is decorated
         }
         recordPollEnd();
         long waitedNanos = pollEndedNanos - pollBeganNanos;
--- a/src/main/java/cacheproxy/proxy/MalformedStateException.java
+++ b/src/main/java/cacheproxy/proxy/MalformedStateException.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-/** State from a file or another process that doesn't have the expected form. */
+/** Thrown if state from a file or from another process is not in the expected format. */
 final class MalformedStateException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/cacheproxy/proxy/MetricsLog.java
+++ b/src/main/java/cacheproxy/proxy/MetricsLog.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes the metrics of this process as a line at a fixed interval, for the command {@code figures} to aggregate over
- * the fleet. Event loop only, as the counters are.
+ * Writes the metrics of this process as a line at a fixed interval; the command {@code figures} aggregates the lines of
+ * a fleet. Event loop only, as the counters are.
  */
 public final class MetricsLog {
     private static final long UNKNOWN = -1;
@@ -28,7 +28,7 @@
         this.out = out;
     }
 
-    /** Starts to write a line every so many milliseconds. */
+    /** Starts to write a line at this interval in milliseconds. */
     public void start(EventLoop loop, long intervalMs) {
         loop.scheduleAtFixedRate(() -> out.println(line().text()), intervalMs, intervalMs, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/cacheproxy/proxy/PeerLinks.java
+++ b/src/main/java/cacheproxy/proxy/PeerLinks.java
@@ -9,8 +9,8 @@
 import cacheproxy.routing.EndpointSignal;
 
 /**
- * Passes events on to the links to other proxies: messages from peers, by kind, and what happens here that the links
- * gossip. A link that is not set, because its feature is off or it starts later, gets nothing. Event loop only.
+ * Passes events to the links to other proxies: messages from peers, by kind, and local events that the links gossip. A
+ * link that is not set, because its feature is off or not started yet, gets no events. Event loop only.
  */
 public final class PeerLinks {
     private final SerialLoadBalancer loadBalancer;
@@ -29,7 +29,7 @@
         endpointListGossip = link;
     }
 
-    /** Sets the links for the fleet's membership and for gossip of outliers. */
+    /** Sets the links for membership of the fleet and for gossip about outliers. */
     public void setMembership(MembershipLink link, OutlierGossipLink outliers) {
         membership = link;
         outlierGossip = outliers;
@@ -73,9 +73,9 @@
     }
 
     /** The set of live members has changed. */
-    public void liveMembersChanged(LiveMembers living) {
+    public void liveMembersChanged(LiveMembers liveMembers) {
         if (endpointListGossip != null) {
-            endpointListGossip.setLiveMembers(living);
+            endpointListGossip.setLiveMembers(liveMembers);
         }
     }
 
@@ -86,14 +86,14 @@
         }
     }
 
-    /** This version of the endpoint list is in use. */
+    /** This version of the endpoint list was applied. */
     void endpointListApplied(long version) {
         if (endpointListGossip != null) {
             endpointListGossip.onVersionApplied(version);
         }
     }
 
-    /** The load balancer has seen a sign of a server's health. */
+    /** The load balancer has received a signal of a server's health. */
     void endpointSignaled(int server, EndpointSignal signal) {
         if (outlierGossip != null) {
             outlierGossip.onEndpointSignal(server, signal);
--- a/src/main/java/cacheproxy/proxy/ProxyClock.java
+++ b/src/main/java/cacheproxy/proxy/ProxyClock.java
@@ -7,13 +7,13 @@
 import io.netty.channel.epoll.EpollTcpInfo;
 
 /**
- * The clock of requests and of the endpoint list: milliseconds since the Unix epoch when it was created, monotonic from
- * there. So times of the endpoint list need no conversion, and steps of the wall clock are not seen. Also dates the
- * input of connections. Event loop only, except for {@link #now}.
+ * The clock of requests and of the endpoint list. It starts at the Unix time of its creation, in milliseconds, and is
+ * monotonic from then on: times in the endpoint list need no conversion, and steps of the wall clock have no effect.
+ * Also determines when input of connections arrived. Event loop only, except for {@link #now}.
  */
 final class ProxyClock {
     private static final double NANOS_PER_MILLI = 1e6;
-    /** If a connection's last input is older than this, the system's figure is no time. */
+    /** If the operating system reports a higher age of a connection's last input, the report is not a valid time. */
     private static final double MAX_INPUT_AGE_MS = 600_000;
 
     private static final double UNKNOWN = -1;
@@ -23,7 +23,7 @@
     private final LoopClock loopClock;
     private final EpollTcpInfo tcpInfo = Epoll.isAvailable() ? new EpollTcpInfo() : null;
 
-    /** Whether the operating system has been seen to report a time other than now. */
+    /** Whether the operating system has reported an age of input above 0, so that its reports are used. */
     private boolean systemReportsInputAge;
 
     ProxyClock(LoopClock loopClock) {
@@ -36,9 +36,10 @@
     }
 
     /**
-     * When input that is being read from this connection arrived, on the clock of {@link #now}. The operating system
-     * knows it to some milliseconds. Where it has not been seen to report it (another transport, or one that stands in
-     * for the system), the estimate of {@link LoopClock} holds, which is perhaps too early and never too late.
+     * When the input that is being read from this connection arrived, on the clock of {@link #now}. The operating
+     * system reports it to within a few milliseconds. Until it has reported an age of input above 0 (it never does with
+     * another transport, or where its network stack is emulated), the estimate of {@link LoopClock} is used, which may
+     * be too early, and too late by at most {@link LoopClock#TOLERANCE_MS}.
      */
     double inputReceivedMs(Channel channel) {
         double now = now();
@@ -51,7 +52,7 @@
                 : now - (System.nanoTime() - loopClock.inputReceivedNanos()) / NANOS_PER_MILLI;
     }
 
-    /** How long ago the connection's last input arrived; {@link #UNKNOWN} if the system does not report it. */
+    /** Milliseconds since the connection's last input arrived; {@link #UNKNOWN} if the system does not report it. */
     private double inputAgeMs(Channel channel) {
         if (channel instanceof EpollSocketChannel socket) {
             try {
--- a/src/main/java/cacheproxy/proxy/RecoveryCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryCoordinator.java
@@ -18,15 +18,15 @@
 import java.util.Locale;
 
 /**
- * Carries out what package recovery decides: tells the fleet this instance's stage and load, and closes client
- * connections where it carries more than its share. Event loop only.
+ * Carries out the decisions of package {@code recovery}: announces this instance's stage and load to the fleet, and
+ * closes client connections if it carries more than its share of the load. Event loop only.
  */
 public final class RecoveryCoordinator {
     /** The note in the membership view that holds an instance's load, one byte of {@link RequestRateCode} or none. */
     static final int LOAD_NOTE = 2;
 
     private static final double TICK_MS = 250;
-    /** The load is shared no more often than this. */
+    /** The minimum interval between two announcements of the load. */
     private static final double MIN_SHARE_INTERVAL_MS = 1500;
     /** The window over which the request rate is measured. */
     private static final double RATE_WINDOW_MS = 1500;
@@ -34,7 +34,7 @@
     private static final double MS_PER_SECOND = 1000.0;
 
     private final Dispatcher dispatcher;
-    /** Null where this proxy takes no part in the fleet's view. */
+    /** Null if this instance does not take part in the fleet's membership. */
     private final MembershipLink members;
 
     private final ClientAcceptor acceptor;
@@ -49,11 +49,11 @@
     private boolean backingOff;
 
     /**
-     * Begins at once.
+     * Starts at once.
      *
-     * @param members null where this proxy takes no part in the fleet's view, and tells nobody
-     * @param listConfirmed whether the endpoint list came from the process that this one took over from
-     * @param discardEndpointList replaces a stored endpoint list that has expired by the configured one
+     * @param members null if this instance does not take part in the fleet's membership, so announces nothing
+     * @param listConfirmed whether the endpoint list came from the predecessor in a takeover
+     * @param discardEndpointList replaces an expired stored endpoint list by the configured one
      */
     public RecoveryCoordinator(
             Dispatcher dispatcher,
@@ -93,7 +93,7 @@
         Stage stage = updateStage(nowMs);
         measureRate(nowMs);
         if (members != null && !dispatcher.drain().closing()) {
-            // A drain announces itself, and when it is cancelled the stage holds again.
+            // A drain announces its own phase; if it is cancelled, the stage is announced again.
             members.phase(phase(stage));
             shareLoad(nowMs);
             rebalance(nowMs);
@@ -103,7 +103,7 @@
     private void discardExpiredList(double nowMs) {
         if (dispatcher.provenance().expired(nowMs, Subject.ENDPOINT_LIST)) {
             dispatcher.provenance().discarded(Subject.ENDPOINT_LIST);
-            dispatcher.log("recovery: the stored endpoint list has expired, and discovery has not answered");
+            dispatcher.log("recovery: the stored endpoint list has expired before discovery answered; it is discarded");
             discardEndpointList.run();
         }
     }
@@ -128,7 +128,7 @@
                 "recovery: %s after_s=%.1f%s",
                 stage.wireName(),
                 (dispatcher.now() - dispatcher.startedMs()) / MS_PER_SECOND,
-                stage == Stage.SERVING && progress.endedByTimeout() ? ", by the clock alone" : ""));
+                stage == Stage.SERVING && progress.endedByTimeout() ? ", after the maximum recovery time" : ""));
     }
 
     private void measureRate(double nowMs) {
@@ -170,7 +170,7 @@
             backingOff = !backingOff;
             if (backingOff) {
                 dispatcher.log(
-                        "recovery: ending connections does not move clients elsewhere; none is ended for a while");
+                        "recovery: closing client connections does not move load to other instances; backing off");
             }
         }
     }
@@ -186,17 +186,17 @@
         return rates;
     }
 
-    /** The stage between the start and full service. */
+    /** The progress from the start to full service. */
     public RecoveryProgress progress() {
         return progress;
     }
 
-    /** The load of this instance by that of the others. */
+    /** Compares the load of this instance with that of the others, and decides on connections to close. */
     public ConnectionRebalancer rebalancer() {
         return rebalancer;
     }
 
-    /** Requests a second that this proxy receives. */
+    /** The rate at which this instance accepts requests, per second. */
     public double requestsPerSecond() {
         return requestsPerSecond;
     }
--- a/src/main/java/cacheproxy/proxy/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/RequestAttempt.java
@@ -13,13 +13,13 @@
 final class RequestAttempt implements UpstreamAttempt {
     /** Null for a health check. */
     final ClientRequest request;
-    /** How many attempts of the request were made before it. */
+    /** Its index among the attempts of the request, from 0. */
     final int index;
 
     final int server;
     /**
-     * When it was ordered, on the clock of {@link Dispatcher#now}. Its bytes are written later, so a deduplication
-     * window counted from here ends early, never late.
+     * When it was started, on the clock of {@link Dispatcher#now}. Its bytes are written later, so a deduplication
+     * window that is counted from here ends too early, never too late.
      */
     final double startedMs;
     /** The location of its server. */
@@ -27,14 +27,14 @@
 
     /** The connection it was assigned to; null before. */
     UpstreamConnection connection;
-    /** Whether it has had its one outcome. */
+    /** Whether it has ended; an attempt has exactly one outcome. */
     boolean ended;
-    /** Once ended: whether the server may have executed it, or may yet. */
+    /** After its end: whether the server may have executed it or may still do so. */
     boolean mayHaveRun;
-    /** When the first bytes of a streamed response came; 0 before. */
+    /** When the first bytes of a streamed response arrived; 0 before. */
     double firstByteMs;
 
-    /** Expires the attempt; null where the request's own deadline does. */
+    /** Expires the attempt; null if the request's deadline does so. */
     Timer timer;
 
     private final AttemptOperations operations;
--- a/src/main/java/cacheproxy/proxy/RequestCompletion.java
+++ b/src/main/java/cacheproxy/proxy/RequestCompletion.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Completes requests: records the one outcome of each, checks it against the rules and releases what the request holds.
- * Event loop only.
+ * Completes requests: records the one outcome of each, checks it against the safety rules and releases the resources of
+ * the request. Event loop only.
  */
 final class RequestCompletion {
     private final ProxyClock clock;
@@ -17,7 +17,7 @@
     private final RuleMonitor rules;
     private final Consumer<ClientRequest> endUnsentAttempts;
 
-    /** {@code endUnsentAttempts}: ends those attempts of a completed request of which nothing has gone out. */
+    /** {@code endUnsentAttempts}: ends the attempts of a completed request that have not begun to be sent. */
     RequestCompletion(
             ProxyClock clock,
             RequestSettings settings,
@@ -33,7 +33,7 @@
         this.endUnsentAttempts = endUnsentAttempts;
     }
 
-    /** Takes a request to a final state and records its outcome; the caller writes the response and releases it. */
+    /** Sets the final state of a request and records its outcome; the caller writes the response and calls release. */
     void complete(ClientRequest request, RequestState state, RequestOutcome outcome) {
         boolean wasStreaming = request.isStreaming();
         if (!request.transitionTo(state)) {
@@ -48,13 +48,13 @@
         recordOutcome(request, outcome);
     }
 
-    /** Records the outcome of a request that is in its final state. */
+    /** Records the outcome of a request that is already in a final state. */
     void recordOutcome(ClientRequest request, RequestOutcome outcome) {
         metrics.recordOutcome(request, outcome);
         Timers.cancel(request.deadlineTimer);
     }
 
-    /** Completes an open request with a response that is not a server's; no effect on one that is not open. */
+    /** Completes an open request with a response of the proxy's own; no effect on a request that is not open. */
     void respond(ClientRequest request, RequestOutcome outcome, Consumer<ResponseWriter> response) {
         if (!request.isOpen()) {
             return;
@@ -64,14 +64,15 @@
         release(request);
     }
 
-    /** Completes an open request as failed. */
+    /** Completes an open request as failed; no effect on a request that is not open. */
     void fail(ClientRequest request) {
         respond(request, RequestOutcome.FAILED, ResponseWriter::fail);
     }
 
     /**
-     * Releases what a completed request holds; no effect on one that is not completed. Nothing is sent for it any more,
-     * whatever the settings say of cancelling: attempts that still wait for a connection end as never sent.
+     * Releases the resources of a completed request; no effect on a request that is not completed. Attempts that still
+     * wait for a connection end as {@code NOT_SENT}, even if the settings forbid cancelling: nothing may be sent for a
+     * completed request.
      */
     void release(ClientRequest request) {
         if (!request.isCompleted()) {
--- a/src/main/java/cacheproxy/proxy/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/RequestLifecycle.java
@@ -11,13 +11,13 @@
 import cacheproxy.routing.Request;
 
 /**
- * Accepts requests and completes those that no server's response does: invalid ones, those whose deadline has passed,
- * whose client has disconnected, which the load balancer rejects or fails, or which a drain ends. Event loop only.
+ * Accepts requests and completes those that end without a server's response: invalid ones, and those whose deadline has
+ * passed, whose client has disconnected, that the load balancer rejects, or that a drain ends. Event loop only.
  */
 final class RequestLifecycle {
-    /** How long after its deadline, in milliseconds, a request waits for the load balancer to complete it. */
+    /** How long after its deadline a request waits for the load balancer to complete it, in milliseconds. */
     private static final double COMPLETION_GRACE_MS = 10;
-    /** A day; a longer timeout is no deadline. */
+    /** The longest valid timeout: a day. */
     private static final double MAX_TIMEOUT_MS = 86_400_000;
 
     private static final double MICROS_PER_MILLI = 1000;
@@ -59,7 +59,7 @@
         this.attempts = attempts;
     }
 
-    /** Accepts a request that has been received completely, or rejects it as invalid. */
+    /** Accepts a request that was received completely, or rejects it as invalid. */
     void accept(ClientRequest request) {
         RequestCommand command = request.command;
         RequestTerms terms = command.terms;
@@ -79,7 +79,8 @@
         request.maxAttempts = settings.routing().maxAttempts();
         request.deadlineMs = request.receivedMs + terms.timeoutMs();
         provenance.usedForDecision(now, ProvenanceTracker.Subject.ENDPOINT_LIST);
-        // Before the load balancer's own timer for the same time, so that a silent server's attempt ends as a timeout.
+        // Set before the load balancer sets its timer for the same time, so that attempts without a response end as
+        // timeouts.
         request.deadlineTimer = timers.after(request.deadlineMs - now, () -> deadlineExceeded(request));
         loadBalancer.requestAccepted(
                 now,
@@ -89,7 +90,7 @@
                 () -> completion.fail(request));
     }
 
-    /** Servers are told of the timeout, so there is no default; NaN is none either. */
+    /** Whether a timeout is valid. It is sent to servers, so there is no default; NaN, for none, is invalid. */
     private static boolean isValidTimeout(double timeoutMs) {
         return timeoutMs > 0 && timeoutMs <= MAX_TIMEOUT_MS;
     }
@@ -123,18 +124,21 @@
         }
         request.deadlineTimer = timers.after(COMPLETION_GRACE_MS, () -> {
             if (request.isOpen()) {
-                log(EventKind.REQUEST_ABORTED, "the load balancer did not complete it by its deadline", request);
+                log(
+                        EventKind.REQUEST_ABORTED,
+                        "the load balancer did not complete the request by its deadline",
+                        request);
                 completion.fail(request);
             }
         });
     }
 
-    /** A client's connection has ended; {@code closedHere}: by this side, and not in order. */
-    void clientDisconnected(ClientRequest request, boolean closedHere) {
+    /** A client's connection has ended; {@code closedByProxy}: this proxy closed it, and not gracefully. */
+    void clientDisconnected(ClientRequest request, boolean closedByProxy) {
         if (request.isCompleted()) {
             return;
         }
-        if (closedHere) {
+        if (closedByProxy) {
             rules.recordViolation(RuleViolation.CLOSED_BEFORE_ANSWER, request);
         }
         completion.complete(request, RequestState.CLIENT_DISCONNECTED, RequestOutcome.CLIENT_DISCONNECTED);
@@ -143,7 +147,7 @@
         completion.release(request);
     }
 
-    /** Rejects an open request, where a repeat does no harm; else fails it, which is counted as a violation. */
+    /** Rejects an open request if a repeat is harmless; otherwise fails it, and records a violation of the rules. */
     void reject(ClientRequest request, double retryAfterMs) {
         if (request.isOpen() && !isRejectable(request)) {
             rules.recordViolation(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, request);
@@ -159,18 +163,19 @@
                 .allowed();
     }
 
-    /** Completes every open request now, because a drain's deadline has passed. */
+    /** Completes all open requests now, because the deadline of a drain has passed. */
     void completeAll() {
         requests.openRequests().forEach(this::completeForDrain);
     }
 
     private void completeForDrain(ClientRequest request) {
         boolean wasStreaming = request.isStreaming();
-        request.transitionTo(RequestState.ANSWERED); // before its attempts end, or the load balancer would respond
+        // Before its attempts end, so that the load balancer doesn't respond.
+        request.transitionTo(RequestState.ANSWERED);
         boolean rejected = !wasStreaming && expireAndCheckRejectable(request);
         completion.recordOutcome(request, rejected ? RequestOutcome.REJECTED : RequestOutcome.FAILED);
-        log(EventKind.REQUEST_ABORTED, "the drain's deadline has passed", request);
-        loadBalancer.clientDisconnected(request); // it gives no more orders for it, as after a disconnect
+        log(EventKind.REQUEST_ABORTED, "the deadline of the drain has passed", request);
+        loadBalancer.clientDisconnected(request); // so that it requests no further actions for it
         if (wasStreaming) {
             request.responseWriter.abort();
         } else if (rejected) {
@@ -186,7 +191,7 @@
         return isRejectable(request);
     }
 
-    private void log(EventKind kind, String phrase, ClientRequest request) {
-        log.log(kind, LogMessage.of(phrase).with("request", request.command.id));
+    private void log(EventKind kind, String text, ClientRequest request) {
+        log.log(kind, LogMessage.of(text).with("request", request.command.id));
     }
 }
--- a/src/main/java/cacheproxy/proxy/RequestMetrics.java
+++ b/src/main/java/cacheproxy/proxy/RequestMetrics.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-/** Metrics of completed requests: how many, with which outcome, and when the first succeeded. Event loop only. */
+/** Metrics of completed requests: their number, outcomes, and the time of the first success. Event loop only. */
 final class RequestMetrics {
     private static final long NONE_YET = -1;
 
@@ -16,7 +16,7 @@
         startedMs = clock.now();
     }
 
-    /** Counts an accepted request that is completed. */
+    /** Records the outcome of an accepted request when it is completed. */
     void recordOutcome(ClientRequest request, RequestOutcome outcome) {
         completed++;
         if (outcome == RequestOutcome.SUCCEEDED && firstServedMs < 0) {
@@ -25,7 +25,7 @@
         counters.recordOutcome(request.serviceClass.name(), outcome);
     }
 
-    /** Counts a request that was invalid and so not accepted. */
+    /** Counts an invalid request, which was not accepted. */
     void recordInvalid(ClientRequest request) {
         counters.recordOutcome(request.command.terms.className(), RequestOutcome.FAILED);
     }
@@ -35,12 +35,12 @@
         return startedMs;
     }
 
-    /** Milliseconds from then to the first request that succeeded; negative: none yet. */
+    /** Milliseconds from {@link #startedMs} to the first successful request; negative if there was none yet. */
     long firstServedMs() {
         return firstServedMs;
     }
 
-    /** How many accepted requests are completed, including those whose clients disconnected. */
+    /** The number of accepted requests that are completed, including those whose clients disconnected. */
     long completed() {
         return completed;
     }
--- a/src/main/java/cacheproxy/proxy/RequestOutcome.java
+++ b/src/main/java/cacheproxy/proxy/RequestOutcome.java
@@ -6,8 +6,8 @@
     SUCCEEDED,
     /** Rejected with a promise that a repeat is harmless. */
     REJECTED,
-    /** Failed, or invalid: it is not known whether it ran, or it could not be carried out at all. */
+    /** Failed, so that it is unknown whether it was executed; or invalid, and not executed. */
     FAILED,
-    /** Its client disconnected before it was answered. Not counted. */
+    /** Its client disconnected before the response. Not counted by service class. */
     CLIENT_DISCONNECTED
 }
--- a/src/main/java/cacheproxy/proxy/RequestSettings.java
+++ b/src/main/java/cacheproxy/proxy/RequestSettings.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * The settings in force for requests to come, with service classes and tenants found by name. A reload replaces them;
- * requests that are open keep what they were accepted with. Event loop only.
+ * The settings in force for new requests, with an index of service classes and tenants by name. A reload replaces them;
+ * open requests keep the settings that they were accepted with. Event loop only.
  */
 final class RequestSettings {
     private static final int DEFAULT_TENANT = 0;
@@ -48,17 +48,17 @@
         return classIndexes.keySet();
     }
 
-    /** The index of a service class in the settings; null if there is none of the name. */
+    /** The index of a service class in the settings; null if no class has this name. */
     Integer classIndex(String name) {
         return classIndexes.get(String.valueOf(name));
     }
 
-    /** The index of a tenant; null if there is none of the name. Where none is configured or named, the first. */
+    /** The index of a tenant; null if no tenant has this name. If none are configured or {@code name} is null, 0. */
     Integer tenantIndex(String name) {
         return tenantIndexes.isEmpty() || name == null ? Integer.valueOf(DEFAULT_TENANT) : tenantIndexes.get(name);
     }
 
-    /** The longest deadline of any service class, in milliseconds. */
+    /** The longest timeout of any service class, in milliseconds. */
     double longestDeadlineMs() {
         return longestDeadlineMs;
     }
--- a/src/main/java/cacheproxy/proxy/RequestTable.java
+++ b/src/main/java/cacheproxy/proxy/RequestTable.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The accepted requests: open ones by their clients' ids, those with an attempt in flight by number, and the ids of
- * those that ended recently. Event loop only.
+ * The accepted requests: open ones by the ids that clients gave them, open ones and those with attempts in flight by
+ * number, and the ids of those that ended recently. Event loop only.
  */
 final class RequestTable {
     private final IntObjectHashMap<ClientRequest> byNumber = new IntObjectHashMap<>();
@@ -17,21 +17,22 @@
     private int lastNumber;
 
     /**
-     * Whether a client's id belongs to a request that is open or ended recently. A server would take a second request
-     * of the id for the first, and one that ended while the second was on its way would get two responses.
+     * Whether a client's id belongs to a request that is open or ended recently. A second request of the same id must
+     * not be accepted: a server would take it for the first one, and if the first one ended while the second was on its
+     * way, the id would get two responses.
      */
     boolean isIdInUse(double nowMs, String clientId) {
         return openByClientId.containsKey(clientId) || recentlyEnded.contains(nowMs, clientId);
     }
 
-    /** Adds a request, whose id is not in use, and gives it its number. */
+    /** Adds a request, whose id must not be in use, and assigns its number. */
     void add(ClientRequest request) {
         openByClientId.put(request.command.id, request);
         request.id = ++lastNumber;
         byNumber.put(request.id, request);
     }
 
-    /** The request of this number that is open or has attempts in flight; else null. */
+    /** The request of this number; null if it is neither open nor has attempts in flight. */
     ClientRequest get(int number) {
         return byNumber.get(number);
     }
@@ -42,9 +43,9 @@
     }
 
     /**
-     * Removes a completed request from the open ones, and altogether once no attempt of it is in flight. Idempotent.
+     * Removes a completed request from the open ones, and entirely once none of its attempts is in flight. Idempotent.
      *
-     * @param idRetentionMs for how long its id stays in use: so long may a server still execute it
+     * @param idRetentionMs how long its id stays in use: as long as a server may still execute it
      */
     void remove(double nowMs, ClientRequest request, double idRetentionMs) {
         if (openByClientId.remove(request.command.id, request)) {
@@ -55,7 +56,7 @@
         }
     }
 
-    /** The longest deadline of the classes of open requests, in milliseconds; 0 if none is open. */
+    /** The longest timeout of the service classes of open requests, in milliseconds; 0 if none is open. */
     double longestDeadlineMs() {
         return openByClientId.values().stream()
                 .mapToDouble(request -> request.serviceClass.timeoutMs())
@@ -63,12 +64,12 @@
                 .orElse(0);
     }
 
-    /** How many requests are open. */
+    /** The number of open requests. */
     int openCount() {
         return openByClientId.size();
     }
 
-    /** How many requests were added since the start. */
+    /** The number of requests added since the start. */
     long acceptedCount() {
         return lastNumber;
     }
--- a/src/main/java/cacheproxy/proxy/ResponseStreaming.java
+++ b/src/main/java/cacheproxy/proxy/ResponseStreaming.java
@@ -4,8 +4,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Passes long values on to clients while they arrive. The first attempt of a request to begin one has the client; the
- * others are cancelled. Event loop only.
+ * Streams long values to clients while they arrive. The first attempt of a request that begins a value provides the
+ * response; the others are cancelled. Event loop only.
  */
 final class ResponseStreaming {
     private final ProxyClock clock;
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Begins a value of {@code length} bytes. False if the request is completed or another value has begun: this one is
-     * to be dropped.
+     * Begins a value of {@code length} bytes. Returns false if the attempt has ended, the request is completed or
+     * another value has begun; the caller must discard the value then.
      */
     boolean begin(RequestAttempt attempt, int length) {
         ClientRequest request = attempt.request;
@@ -41,7 +41,9 @@
         return true;
     }
 
-    /** Passes a part on, or releases it if nobody waits for it. */
+    /**
+     * Passes a part of the value to the client, or releases it if the attempt has ended or the request is completed.
+     */
     void writePart(RequestAttempt attempt, ByteBuf part) {
         if (attempt.ended || attempt.request.isCompleted()) {
             part.release();
--- a/src/main/java/cacheproxy/proxy/ResponseWriter.java
+++ b/src/main/java/cacheproxy/proxy/ResponseWriter.java
@@ -15,25 +15,26 @@
     void writeResponse(ServerResponse response);
 
     /**
-     * Rejects the request; a repeat is harmless. {@code retryAfterMs}: when to retry, in milliseconds; 0: no advice.
+     * Rejects the request; a repeat is harmless. {@code retryAfterMs}: the advised delay of a retry in milliseconds; 0
+     * for no advice.
      */
     void reject(double retryAfterMs);
 
     /** Reports a failure; the request may have been executed. */
     void fail();
 
-    /** Rejects the request as invalid; nothing was done for it. */
+    /** Rejects the request as invalid; it was not executed. */
     void rejectInvalid(String reason);
 
-    /** Begins a value of {@code length} bytes, whose parts follow as they arrive from the server. */
+    /** Begins a value of {@code length} bytes; its parts follow as they arrive from the server. */
     void beginValue(int length, FlowControl flowControl);
 
     /** Writes the next part of the value and releases it. */
     void writePart(ByteBuf part);
 
-    /** Ends the value: all of it has been passed on. */
+    /** Ends the value; all of it has been written. */
     void endValue();
 
-    /** Aborts the value: the rest of it will not arrive. */
+    /** Aborts the value; the rest of it will not arrive. */
     void abort();
 }
--- a/src/main/java/cacheproxy/proxy/RuleCounts.java
+++ b/src/main/java/cacheproxy/proxy/RuleCounts.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 
 /**
- * What a proxy has seen of the safety rules since its start.
+ * Counts of what the safety rules forbade, and of violations of them, since the start of the process.
  *
- * @param forbidden attempts that were ordered and not sent, by the stable name of the verdict
- * @param violations violations of the rules, by the stable name of their kind
+ * @param forbidden attempts that the load balancer requested and that were not sent, by the key of the verdict
+ * @param violations violations of the rules, by the key of their kind
  */
 public record RuleCounts(Map<String, Long> forbidden, Map<String, Long> violations) {
     /** Copies the maps. */
--- a/src/main/java/cacheproxy/proxy/RuleMonitor.java
+++ b/src/main/java/cacheproxy/proxy/RuleMonitor.java
@@ -11,8 +11,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Counts and logs what {@link SafetyRules} forbade, and violations of the rules that happened all the same. Event loop
- * only.
+ * Counts and logs attempts that {@link SafetyRules} forbade, and violations of the rules that occurred nevertheless.
+ * Event loop only.
  */
 public final class RuleMonitor {
     private final EventLog log;
@@ -23,7 +23,7 @@
         this.log = log;
     }
 
-    /** An attempt was ordered and, by this verdict, not sent. */
+    /** Records an attempt that was not sent because of this verdict. */
     void recordForbidden(RequestAttempt attempt, Verdict verdict) {
         forbidden.merge(verdict, 1L, Long::sum);
         ClientRequest request = attempt.request;
@@ -35,34 +35,34 @@
                         .with("server", Integer.toHexString(attempt.server)));
     }
 
-    /** A rule was violated. */
+    /** Records a violation of a rule. */
     void recordViolation(RuleViolation violation, ClientRequest request) {
         recordViolation(violation, request, message -> message);
     }
 
-    /** A rule was violated; {@code addDetails} adds to the logged message how. */
+    /** Records a violation of a rule; {@code addDetails} adds details to the logged message. */
     void recordViolation(RuleViolation violation, ClientRequest request, UnaryOperator<LogMessage> addDetails) {
         violations.merge(violation, 1L, Long::sum);
         log.log(EventKind.RULE_VIOLATION, addDetails.apply(requestMessage(violation.key(), request)));
     }
 
-    private static LogMessage requestMessage(String phrase, ClientRequest request) {
-        return LogMessage.of(phrase)
+    private static LogMessage requestMessage(String text, ClientRequest request) {
+        return LogMessage.of(text)
                 .with("request", request.command.id)
                 .with("state", request.state().key());
     }
 
-    /** How many attempts were not sent, by the verdict. */
+    /** The number of attempts that were not sent, by verdict. */
     Map<Verdict, Long> forbidden() {
         return forbidden;
     }
 
-    /** How many violations there were, by kind. */
+    /** The number of violations, by kind. */
     Map<RuleViolation, Long> violations() {
         return violations;
     }
 
-    /** Both counts by their stable names. */
+    /** Both counts, by the keys of verdicts and violations. */
     public RuleCounts counts() {
         Map<String, Long> forbiddenByKey = new TreeMap<>();
         forbidden.forEach((verdict, count) -> forbiddenByKey.put(verdict.key(), count));
--- a/src/main/java/cacheproxy/proxy/SerialExecutor.java
+++ b/src/main/java/cacheproxy/proxy/SerialExecutor.java
@@ -5,9 +5,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Runs calls of the load balancer one at a time, in the order in which they are submitted. A call that is submitted
- * while another runs waits for it to return, so the load balancer is never entered twice. A call that throws is logged
- * and does not keep those behind it from running. Event loop only.
+ * Runs calls of the load balancer one at a time, in the order of their submission. A call that is submitted while
+ * another runs waits for it to return, so calls of the load balancer are never nested. An exception from a call is
+ * logged and does not prevent later calls. Event loop only.
  */
 final class SerialExecutor {
     private final EventLog log;
@@ -20,7 +20,7 @@
         this.log = log;
     }
 
-    /** Runs the call now, or after the one that is running and those in the queue. No effect once stopped. */
+    /** Runs the call now, or after the running call and those in the queue. No effect after {@link #stop}. */
     void runSerially(Runnable call) {
         if (stopped) {
             return;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** The same; {@code onFailure} runs right after the call if that throws. */
+    /** As above; {@code onFailure} runs right after the call if it throws. */
     void runSerially(Runnable call, Runnable onFailure) {
         runSerially(() -> runGuarded(call, onFailure));
     }
@@ -60,12 +60,12 @@
         log.log(EventKind.INTERNAL_ERROR, trace.length > 0 ? message.with("at", trace[0]) : message);
     }
 
-    /** How many calls have thrown. */
+    /** The number of calls that have thrown an exception. */
     long failures() {
         return failures;
     }
 
-    /** Runs nothing more from here on. */
+    /** Ignores all calls submitted from now on. */
     void stop() {
         stopped = true;
     }
--- a/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
+++ b/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
@@ -17,14 +17,14 @@
 import java.util.Map;
 
 /**
- * Delivers events to the load balancer, one at a time by a {@link SerialExecutor}, each with the time at which it is
- * delivered. Usable after {@link #start}. Event loop only.
+ * Delivers events to the load balancer, one at a time by a {@link SerialExecutor}. Each carries the time of its
+ * delivery, and a request the time at which it was accepted. Usable after {@link #start}. Event loop only.
  */
 final class SerialLoadBalancer {
     private final SerialExecutor executor;
     private final ProxyClock clock;
     private LoadBalancer loadBalancer;
-    /** The load balancer where routes are configured, else null. */
+    /** The load balancer if routes are configured; otherwise null. */
     private Router router;
 
     private RoutingActions actions;
@@ -37,8 +37,8 @@
     /**
      * Creates the load balancer.
      *
-     * @param routing the routes; null: a single pool under the settings' own policy
-     * @param actions carries out what the load balancer orders
+     * @param routing the routes; null for a single pool with the policy of the settings
+     * @param actions carries out the load balancer's actions
      */
     void start(RoutingSettings settings, long seed, Routing routing, RoutingActions actions) {
         this.actions = actions;
@@ -46,12 +46,12 @@
         loadBalancer = router != null ? router : new CarpLoadBalancer(settings, seed);
     }
 
-    /** The routes, or null where there are none. */
+    /** The router; null if there are no routes. */
     Router router() {
         return router;
     }
 
-    /** Whether the load balancer sends this server no ordinary request now. */
+    /** Whether the load balancer currently sends this server no ordinary requests. */
     boolean isAvoided(int server) {
         return loadBalancer.isAvoided(clock.now(), server);
     }
@@ -61,7 +61,7 @@
         return loadBalancer.learnedState(clock.now());
     }
 
-    /** Continues with what another process, or an earlier one, has learned; after the first endpoint list. */
+    /** Adopts what another process has learned; to be called after the first endpoint list. */
     void resume(Map<String, LearnedState> learned) {
         executor.runSerially(() -> loadBalancer.resume(clock.now(), learned));
     }
@@ -70,16 +70,16 @@
         executor.runSerially(() -> loadBalancer.onSettings(clock.now(), settings, actions));
     }
 
-    /** Replaces the routes; only where there are any. */
+    /** Replaces the routes; only if it was started with routes. */
     void routesChanged(Routing routing) {
         executor.runSerially(() -> router.replaceRoutes(clock.now(), routing, actions));
     }
 
-    /** Delivers news of the endpoint list; false if the load balancer failed on it. */
+    /** Delivers an update of the endpoint list; returns false if the load balancer failed on it. */
     boolean endpointsChanged(EndpointUpdateKind kind, List<DiscoveredEndpoint> endpoints) {
         long failuresBefore = executor.failures();
         executor.runSerially(() -> {
-            if (router != null) { // together with the event and not before: another update may wait in the queue
+            if (router != null) { // within the call, not before it: an earlier update may still be queued
                 endpoints.forEach(
                         endpoint -> router.updateAttributes(endpoint.endpoint().id(), endpoint.attributes()));
             }
@@ -96,7 +96,7 @@
      * Delivers a request.
      *
      * @param acceptedMs when it was accepted, on the clock of {@link ProxyClock#now}
-     * @param key its key, as routes match it
+     * @param key its key, as text, which routes match
      * @param front the index of its front protocol
      * @param onFailure runs if the load balancer fails on it
      */
--- a/src/main/java/cacheproxy/proxy/StateFolderWriter.java
+++ b/src/main/java/cacheproxy/proxy/StateFolderWriter.java
@@ -12,16 +12,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Carries out the writes of a {@link RecordStore} on a thread of its own, which may block on the disk. Waits until no
- * other process writes to the folder, such as the one that this process takes over from. A folder that can't be written
- * is logged once and costs no request.
+ * Performs the writes of a {@link RecordStore} on its own thread, which may block on the disk. Writes nothing while
+ * another process, such as the predecessor in a takeover, holds the folder's lock. When the folder becomes unusable,
+ * that is logged once; requests are not affected.
  *
- * <p>Event loop only, but for {@link #awaitClosed}.
+ * <p>Event loop only, except for {@link #awaitClosed}.
  */
 final class StateFolderWriter {
-    /** After the folder could not be used, it is tried again after so long. */
+    /** The delay before the next attempt when the folder could not be used. */
     private static final double FOLDER_RETRY_MS = 5000;
-    /** While another process has the lock, it is tried again after so long. */
+    /** The delay before the next attempt while another process holds the lock. */
     private static final double LOCK_RETRY_MS = 300;
     /** How long the end of the process waits for the final write. */
     private static final long FINAL_WRITE_TIMEOUT_MS = 300;
@@ -42,7 +42,7 @@
     private boolean lockPending;
     private boolean failureLogged;
     private boolean closed;
-    /** Counts the times that a timer was set or overtaken; an earlier timer does nothing. */
+    /** Incremented whenever a timer is set or becomes obsolete; a timer of an earlier generation does nothing. */
     private long timerGeneration;
 
     StateFolderWriter(StateFolder folder, String instance, String fleet, RecordStore store) {
@@ -52,7 +52,7 @@
         this.store = store;
     }
 
-    /** Sets the dispatcher whose event loop and log are used from here on. */
+    /** Sets the dispatcher whose event loop and log are used from now on. */
     void start(Dispatcher dispatcher) {
         this.dispatcher = dispatcher;
     }
@@ -62,7 +62,7 @@
         return System.nanoTime() / NANOS_PER_MS;
     }
 
-    /** Writes what is due, or sets a timer for when it will be. To be called when a record has changed. */
+    /** Starts the write that is due, or sets a timer for the next one. To be called when a record has changed. */
     void writeDue() {
         if (!hasLock) {
             acquireLock();
@@ -84,7 +84,7 @@
         }
     }
 
-    /** On the writer's thread. */
+    /** Runs on the writer's thread. */
     private void write(StateWrite write) {
         IOException failure = null;
         try {
@@ -104,11 +104,11 @@
             store.writeSucceeded(nowMs());
             if (failureLogged) {
                 failureLogged = false;
-                dispatcher.log("state: written again, folder=" + folder.path());
+                dispatcher.log("state: write succeeded again, folder=" + folder.path());
             }
         } else {
             store.writeFailed(nowMs());
-            logFailure("can't be written", failure);
+            logFailure("write failed", failure);
         }
         writeDue();
     }
@@ -116,18 +116,18 @@
     private void logFailure(String problem, Exception cause) {
         if (!failureLogged) {
             failureLogged = true;
-            dispatcher.log("state: " + problem + " and is retried, folder=" + folder.path() + " cause=" + cause);
+            dispatcher.log("state: " + problem + ", will be retried, folder=" + folder.path() + " cause=" + cause);
         }
     }
 
     // ---- the lock
 
     /**
-     * What a try for the lock came to.
+     * The result of an attempt to take the lock.
      *
-     * @param held whether this process has it
-     * @param header of the files that the process before has written; null where there are none
-     * @param failure null if the folder can be used
+     * @param held whether this process holds it now
+     * @param header the header of the existing files; null if there are none
+     * @param failure the reason why the folder can't be used; null if it can
      */
     private record LockOutcome(boolean held, StateFileHeader header, Exception failure) {}
 
@@ -142,7 +142,7 @@
         });
     }
 
-    /** On the writer's thread. */
+    /** Runs on the writer's thread. */
     private LockOutcome tryLock() {
         try {
             if (!folder.tryLock()) {
@@ -167,19 +167,19 @@
             return;
         }
         if (outcome.failure() != null) {
-            logFailure("can't be used", outcome.failure());
+            logFailure("folder can't be used", outcome.failure());
         }
         dispatcher.after(outcome.failure() != null ? FOLDER_RETRY_MS : LOCK_RETRY_MS, this::acquireLock);
     }
 
-    /** Whether this process alone writes to the folder. */
+    /** Whether this process holds the folder's lock, so that no other process writes to it. */
     boolean hasLock() {
         return hasLock;
     }
 
-    // ---- the end
+    // ---- close
 
-    /** Writes all records a last time and releases the folder; does not wait for that. */
+    /** Starts a final write of all records, which then releases the folder; does not wait for it. */
     void close() {
         closed = true;
         StateWrite last = hasLock ? store.finalWrite() : null;
@@ -190,13 +190,13 @@
                 }
                 folder.close();
             } catch (IOException | RuntimeException e) {
-                System.err.println("state: the final write failed, folder=" + folder.path() + " cause=" + e);
+                System.err.println("state: final write failed, folder=" + folder.path() + " cause=" + e);
             }
         });
         thread.shutdown();
     }
 
-    /** Waits for the final write within bounds; not to be called on the event loop. */
+    /** Waits for the final write, for a limited time; not to be called on the event loop. */
     void awaitClosed() {
         try {
             thread.awaitTermination(FINAL_WRITE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -20,16 +20,16 @@
 import java.util.stream.Collectors;
 
 /**
- * Stores what the next process of this instance is to know in its state folder: the endpoint list, what was learned,
- * the incarnation number and zone states, each when it changes or has to be confirmed. {@link RecordStore} decides when
- * they are written, {@link StateFolderWriter} writes them.
+ * Stores state for the next process of this instance in the state folder: the endpoint list, learned state, the
+ * incarnation number and zone states, each when it changes or its time has to be refreshed. {@link RecordStore} decides
+ * when they are written, and {@link StateFolderWriter} writes them.
  *
- * <p>Event loop only, but for the constructor and {@link #awaitClosed}.
+ * <p>Event loop only, except for the constructor and {@link #awaitClosed}.
  */
 public final class StatePersistence {
-    /** How often learned state is stored, and zone states are confirmed. */
+    /** The interval at which learned state is stored and zone states are refreshed. */
     private static final double REFRESH_MS = 5000;
-    /** An endpoint list that was confirmed without a change is stored again once the stored one is this old. */
+    /** An endpoint list that discovery confirms unchanged is stored again if the stored one is older than this. */
     private static final double LIST_REFRESH_MS = 20_000;
 
     private static final double MS_PER_SECOND = 1000;
@@ -44,7 +44,9 @@
     private ZoneFailoverCoordinator zones;
     private boolean closed;
 
-    /** Reads the folder; blocks on the disk, so it is not to be called on the event loop. Never fails. */
+    /**
+     * Reads the folder; blocks on the disk, so not to be called on the event loop. Problems are findings, not thrown.
+     */
     public StatePersistence(Path path, String instance, String fleet) {
         folder = new StateFolder(path);
         openedState = folder.read(instance, fleet);
@@ -52,12 +54,12 @@
         writer = new StateFolderWriter(folder, instance, fleet, recordStore);
     }
 
-    /** What the folder held at the start. */
+    /** The content of the folder at the start. */
     public OpenedState openedState() {
         return openedState;
     }
 
-    /** Begins to store what this proxy knows. */
+    /** Starts to store this instance's endpoint list and learned state. */
     public void start(Dispatcher dispatcher, DiscoveryClient discovery) {
         this.dispatcher = dispatcher;
         this.discovery = discovery;
@@ -93,10 +95,10 @@
     }
 
     /**
-     * Begins to store what this instance knows of the fleet as well.
+     * Starts to store the state of the fleet as well.
      *
-     * @param incarnation this instance's incarnation number; 0 for none yet
-     * @param zones null where this proxy decides nothing of zones
+     * @param incarnation supplies this instance's incarnation number; 0 for none yet
+     * @param zones null if this instance does not take part in zone failover
      */
     public void persistFleetState(LongSupplier incarnation, ZoneFailoverCoordinator zones) {
         this.incarnation = incarnation;
@@ -116,7 +118,7 @@
         }
     }
 
-    /** The view of the fleet or zone states may have changed. */
+    /** The membership view or zone states may have changed. */
     public void fleetStateChanged() {
         if (dispatcher == null || closed) {
             return;
@@ -150,7 +152,7 @@
         if (zones != null && zones.failover().hasQuorum()) {
             JsonElement held = ZoneStateCodec.encode(zones.failover().statesToStore(), false, zones.zoneNames());
             if (held.getAsJsonObject().size() > 0) {
-                put(RecordKind.ZONE_STATES, held); // confirmed: it is valid as of now
+                put(RecordKind.ZONE_STATES, held); // with a quorum they are confirmed as of now
             }
         }
         dispatcher.after(REFRESH_MS, this::refresh);
@@ -163,7 +165,7 @@
         }
     }
 
-    /** Stores all of it a last time and releases the folder; does not wait for that. */
+    /** Starts a final write of all state, which then releases the folder; does not wait for it. */
     public void close() {
         if (closed) {
             return;
@@ -174,17 +176,17 @@
         writer.close();
     }
 
-    /** Waits for the final write within bounds; not to be called on the event loop. */
+    /** Waits for the final write, for a limited time; not to be called on the event loop. */
     public void awaitClosed() {
         writer.awaitClosed();
     }
 
-    /** The records, for the status. */
+    /** The records, for reports of the status. */
     public RecordStore recordStore() {
         return recordStore;
     }
 
-    /** Whether this process alone writes to the folder. */
+    /** Whether this process holds the folder's lock, so that no other process writes to it. */
     public boolean hasLock() {
         return writer.hasLock();
     }
--- a/src/main/java/cacheproxy/proxy/Timers.java
+++ b/src/main/java/cacheproxy/proxy/Timers.java
@@ -7,20 +7,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A timer wheel for requests. Each request sets three or more timers, few of which still matter when they are due; a
- * wheel sets and cancels them in constant time, where the event loop's own queue would sort them all. Event loop only.
+ * A timer wheel for requests. Each request sets three or more timers, few of which are still needed when they are due.
+ * A wheel sets and cancels them in constant time, while the event loop's own queue would sort all of them. Event loop
+ * only.
  */
 final class Timers {
     private static final long SLOT_NANOS = 2_000_000;
     private static final double NANOS_PER_MILLI = 1e6;
-    /** A power of two. With the length of a slot it covers the longest usual deadline, some four seconds. */
+    /** A power of two. With slots of 2 ms the wheel covers about 4 s, the longest usual deadline. */
     private static final int SLOTS = 2048;
 
     private static final int SLOT_MASK = SLOTS - 1;
-    /** No slot: those in use are counted from 1. */
+    /** No slot; slots are numbered from 1. */
     private static final long NONE = 0;
 
-    /** A task to run once, which may be cancelled before. */
+    /** A task that runs once, unless it is cancelled before. */
     static final class Timer {
         private Runnable task;
 
@@ -28,7 +29,7 @@
             this.task = task;
         }
 
-        /** Keeps the task from running; no effect once it has run. */
+        /** Prevents the task from running; no effect once it has run. */
         void cancel() {
             task = null;
         }
@@ -46,12 +47,12 @@
     private final long startNanos = System.nanoTime();
     private final List<List<Timer>> wheel = new ArrayList<>(SLOTS);
     private final BitSet occupied = new BitSet(SLOTS);
-    /** The last slot, counted from the start, whose timers have run. */
+    /** The number of the last slot whose timers have run, counted from the start. */
     private long lastRunSlot;
-    /** The slot that the event loop will wake up for, or {@link #NONE}. */
+    /** The slot for which a wake-up is scheduled on the event loop, or {@link #NONE}. */
     private long scheduledSlot = NONE;
 
-    /** An empty list, swapped for that of a slot while its timers run. */
+    /** An empty list, which replaces the list of a slot while its timers run. */
     private List<Timer> spare = new ArrayList<>();
 
     Timers(EventLoop loop) {
@@ -69,8 +70,8 @@
     }
 
     /**
-     * Runs the task after {@code ms} milliseconds, never earlier and up to a slot later. Timers of one slot run in the
-     * order in which they were set.
+     * Runs the task after {@code ms} milliseconds, never earlier and up to one slot later. Timers of one slot run in
+     * the order in which they were set.
      */
     Timer after(double ms, Runnable task) {
         Timer timer = new Timer(task);
@@ -101,7 +102,7 @@
 
     private void wakeUp(long slot) {
         if (slot != scheduledSlot) {
-            return; // an earlier slot was scheduled meanwhile, and this one again after it
+            return; // an earlier slot was scheduled since, and its wake-up schedules this slot again
         }
         scheduledSlot = NONE;
         long lastDueSlot = (System.nanoTime() - startNanos) / SLOT_NANOS;
@@ -124,7 +125,7 @@
         spare = due;
     }
 
-    /** The first slot with timers after the last that has run; {@link #NONE} if none has any. */
+    /** The first slot with timers after the last slot that has run; {@link #NONE} if there are no timers. */
     private long nextSlot() {
         int from = indexOf(lastRunSlot + 1);
         int index = occupied.nextSetBit(from);
--- a/src/main/java/cacheproxy/proxy/Transport.java
+++ b/src/main/java/cacheproxy/proxy/Transport.java
@@ -24,8 +24,8 @@
 import java.nio.file.Path;
 
 /**
- * The kinds of channel in use: Linux's epoll by Netty's native library, which costs less for each event, or the JDK's
- * own where that can't be loaded.
+ * The types of channels in use: those of Netty's native epoll transport, which has less overhead per event, or those of
+ * the JDK's NIO where the native library can't be loaded.
  */
 public record Transport(
         IoHandlerFactory io,
@@ -35,7 +35,7 @@
         Class<? extends ServerChannel> domainServer,
         Class<? extends Channel> domainSocket) {
 
-    /** The best kind that this machine has. */
+    /** The best transport that is available on this machine. */
     public static final Transport BEST = Epoll.isAvailable()
             ? new Transport(
                     EpollIoHandler.newFactory(),
@@ -52,17 +52,19 @@
                     NioServerDomainSocketChannel.class,
                     NioDomainSocketChannel.class);
 
-    /** Whether sockets can be passed to another process. */
+    /** Whether it can pass file descriptors of sockets to another process. */
     public boolean passesDescriptors() {
         return socket == EpollSocketChannel.class;
     }
 
-    /** What stands for a channel's socket in another process's hands; only where sockets can be passed. */
+    /**
+     * The file descriptor of a channel's socket, to be passed to another process; only if {@link #passesDescriptors}.
+     */
     public static FileDescriptor descriptor(Channel channel) {
         return new FileDescriptor(((UnixChannel) channel).fd().intValue());
     }
 
-    /** A local socket's address. */
+    /** The address of the Unix domain socket at this path. */
     public SocketAddress domainSocketAddress(Path path) {
         return socket == EpollSocketChannel.class
                 ? new DomainSocketAddress(path.toFile())
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverCoordinator.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 
 /**
- * Carries out what {@link ZoneFailover} decides: tells it what attempts met and what the endpoint list holds, passes
- * its directives on to the load balancer, and publishes its notes by the fleet's view. On the event loop only.
+ * Carries out the decisions of {@link ZoneFailover}: reports signals of endpoints and updates of the endpoint list to
+ * it, passes its directives to the load balancer, and publishes its notes in the membership view. Event loop only.
  */
 public final class ZoneFailoverCoordinator {
     private final Dispatcher dispatcher;
@@ -26,25 +26,25 @@
     private final ZoneFailoverSettings settings;
     private final ZoneFailover failover;
     private final List<String> zoneNames;
-    /** The notes as they were published last. */
+    /** The plan note as last published. */
     private byte[] planNote = {};
 
     private byte[] healthNote = {};
 
     /**
-     * Zone decisions from before this process's start.
+     * Zone decisions that were made before the start of this process.
      *
-     * @param decisions by the zones' numbers
-     * @param valid whether they are recent enough to decide by
+     * @param decisions the decisions by zone index
+     * @param valid whether they are recent enough to rely on
      */
     public record RestoredDecisions(Map<Integer, StoredZoneState> decisions, boolean valid) {}
 
     /**
-     * Takes what the process before had stored, and begins to decide.
+     * Restores the stored decisions, and starts.
      *
-     * @param zoneNames by the zones' numbers
-     * @param states zone states as the fleet had decided them
-     * @param orders of operators
+     * @param zoneNames the names of the zones by index
+     * @param states zone states decided by the fleet
+     * @param orders zone states ordered by operators
      */
     public ZoneFailoverCoordinator(
             Dispatcher dispatcher,
@@ -70,7 +70,7 @@
         failover.restore(dispatcher.now(), restored.decisions(), restored.valid());
     }
 
-    /** The load balancer has observed this at an endpoint. */
+    /** The load balancer has received a signal of an endpoint. */
     void onEndpointSignal(int endpointId, EndpointSignal signal) {
         UpstreamServer server = dispatcher.servers().get(endpointId);
         if (server == null) {
@@ -95,7 +95,7 @@
         for (int z = 0; z < decidedZones; z++) {
             List<Double> warmedUpAtMs = dispatcher.servers().warmedUpAtMs(z, settings.warmUpMs());
             int nodes = warmedUpAtMs.size();
-            // Cold until half of them are warm: each key that moves to one of the others misses.
+            // A zone is cold until half of its nodes are warm: each key that moves to one of the other nodes misses.
             failover.onEndpoints(z, nodes, nodes == 0 ? now : warmedUpAtMs.get(nodes / 2));
         }
     }
@@ -105,7 +105,9 @@
         dispatcher.after(ZoneFailover.TICK_MS, this::tickRegularly);
     }
 
-    /** Decides what is due now; also called when the view has changed or an operator has given an order. */
+    /**
+     * Makes the decisions that are due; also called when the membership view has changed or an operator gave an order.
+     */
     void tick() {
         List<ZoneDirective> directives = failover.tick(dispatcher.now(), members.view());
         if (!directives.isEmpty()) {
@@ -126,7 +128,7 @@
         }
     }
 
-    /** Logs a transition, but for steps on the way: from partly open to partly open, by the same cause. */
+    /** Logs a transition, except for steps from one partly open state to another by the same cause. */
     private void log(ZoneTransition transition) {
         ZoneState before = transition.before();
         ZoneState after = transition.after();
@@ -152,12 +154,12 @@
         return state.trafficParts() + "/" + ZoneState.ALL_PARTS;
     }
 
-    /** The decisions. */
+    /** The decisions on zones. */
     public ZoneFailover failover() {
         return failover;
     }
 
-    /** The zones' names, by number. */
+    /** The names of the zones by index. */
     public List<String> zoneNames() {
         return zoneNames;
     }
@@ -166,12 +168,16 @@
         return dispatcher.now();
     }
 
-    /** A zone's name; its number if it has none. */
+    /** A zone's name; its index as text if it has none. */
     String zoneName(int zone) {
         return zone < zoneNames.size() ? zoneNames.get(zone) : String.valueOf(zone);
     }
 
-    /** The number of the zone of this name; an IllegalArgumentException names those that there are. */
+    /**
+     * The index of the zone of this name.
+     *
+     * @throws IllegalArgumentException if there is none; the message lists the names of all zones
+     */
     int zoneIndex(String name) {
         int zone = zoneNames.indexOf(name);
         if (zone < 0) {
--- a/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/ZoneStateCodec.java
@@ -11,12 +11,13 @@
 import java.util.TreeMap;
 
 /**
- * The codec of stored zone states, in JSON: an object with a field for each zone, by its name, as its number depends on
- * the settings. States by operators' orders and states on evidence are stored apart, as orders hold for longer.
+ * Codec of stored zone states: a JSON object with a field for each zone, under the zone's name, as its index depends on
+ * the settings. States ordered by operators and states based on evidence are stored separately, as orders are valid for
+ * longer.
  *
  * <pre>
  * epoch    epoch
- * open     openParts
+ * open     trafficParts
  * cause    cause: evidence, return, hold, leave
  * leaves   leaveCount
  * floor    minEpoch
@@ -26,11 +27,11 @@
     private ZoneStateCodec() {}
 
     /**
-     * Writes the states of zones whose cause is an order, or of those on evidence.
+     * Encodes the states that operators ordered, or those based on evidence.
      *
-     * @param states by zone
-     * @param ordered which of them
-     * @param names of the zones, by number; zones without a name are left out
+     * @param states all states by zone index
+     * @param ordered true for the states that operators ordered
+     * @param names the names of the zones by index; zones without a name are left out
      */
     public static JsonObject encode(Map<Integer, StoredZoneState> states, boolean ordered, List<String> names) {
         JsonObject all = new JsonObject();
@@ -58,7 +59,7 @@
     }
 
     /**
-     * Reads states, by zone; zones that have no name now are left out.
+     * Decodes states by zone index; zones whose name is no longer configured are left out.
      *
      * @throws RuntimeException if a field is missing, of another type or out of range
      */
