--- a/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
+++ b/src/main/java/cacheproxy/proxy/SerialLoadBalancer.java
@@ -63,7 +63,7 @@
 
     /** Adopts what another process has learned; to be called after the first endpoint list. */
     void resume(Map<String, LearnedState> learned) {
-        executor.runSerially(() -> loadBalancer.resume(clock.now(), learned));
+        executor.runSerially(() -> loadBalancer.restore(clock.now(), learned));
     }
 
     void settingsChanged(RoutingSettings settings) {
