--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -131,12 +131,13 @@
     /** Checks the timeout in milliseconds that is about to be sent to a server against the time left to the client. */
     void checkRemainingTime(RequestAttempt attempt, long remainingMs) {
         ClientRequest request = attempt.request;
-        double leftMs = attempt.isHealthCheck() ? Double.POSITIVE_INFINITY : request.deadlineMs - clock.now();
-        if (SafetyRules.isExcessiveTimeout((double) remainingMs, leftMs)) {
+        double clientRemainingMs =
+                attempt.isHealthCheck() ? Double.POSITIVE_INFINITY : request.deadlineMs - clock.now();
+        if (SafetyRules.isExcessiveTimeout((double) remainingMs, clientRemainingMs)) {
             rules.recordViolation(
                     RuleViolation.EXCESSIVE_TIMEOUT_SENT,
                     request,
-                    message -> message.with("sent_ms", remainingMs).with("left_ms", Math.round(leftMs)));
+                    message -> message.with("sent_ms", remainingMs).with("left_ms", Math.round(clientRemainingMs)));
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/RecoveryCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryCoordinator.java
@@ -23,7 +23,7 @@
  */
 public final class RecoveryCoordinator {
     /** The note in the membership view that holds an instance's load, one byte of {@link RequestRateCode} or none. */
-    static final int LOAD_NOTE = 2;
+    static final int LOAD_METADATA = 2;
 
     private static final double TICK_MS = 250;
     /** The minimum interval between two announcements of the load. */
@@ -152,7 +152,7 @@
         if (RequestRateCode.differs(sharedLoad, requestsPerSecond) && nowMs - sharedLoadMs >= MIN_SHARE_INTERVAL_MS) {
             sharedLoad = RequestRateCode.encode(requestsPerSecond);
             sharedLoadMs = nowMs;
-            members.note(LOAD_NOTE, sharedLoad == 0 ? new byte[0] : new byte[] {sharedLoad});
+            members.note(LOAD_METADATA, sharedLoad == 0 ? new byte[0] : new byte[] {sharedLoad});
         }
     }
 
@@ -179,7 +179,7 @@
         List<Double> rates = new ArrayList<>();
         for (Member member : view.members()) {
             if (member.id() != view.self() && member.state().isLive() && member.phase() == ServicePhase.SERVING) {
-                byte[] load = member.metadata(LOAD_NOTE);
+                byte[] load = member.metadata(LOAD_METADATA);
                 rates.add(load.length == 1 ? RequestRateCode.decode(load[0]) : 0);
             }
         }
--- a/src/main/java/cacheproxy/proxy/StateFolderWriter.java
+++ b/src/main/java/cacheproxy/proxy/StateFolderWriter.java
@@ -125,11 +125,11 @@
     /**
      * The result of an attempt to take the lock.
      *
-     * @param held whether this process holds it now
+     * @param locked whether this process holds it now
      * @param header the header of the existing files; null if there are none
      * @param failure the reason why the folder can't be used; null if it can
      */
-    private record LockOutcome(boolean held, StateFileHeader header, Exception failure) {}
+    private record LockOutcome(boolean locked, StateFileHeader header, Exception failure) {}
 
     private void acquireLock() {
         if (lockPending || closed) {
@@ -160,7 +160,7 @@
 
     private void lockAttemptEnded(LockOutcome outcome) {
         lockPending = false;
-        if (outcome.held()) {
+        if (outcome.locked()) {
             hasLock = true;
             store.continueAfter(outcome.header());
             writeDue();
--- a/src/main/java/cacheproxy/proxy/StatePersistence.java
+++ b/src/main/java/cacheproxy/proxy/StatePersistence.java
@@ -128,9 +128,9 @@
             put(RecordKind.INCARNATION, new JsonPrimitive(number));
         }
         if (zones != null) {
-            Map<Integer, StoredZoneState> held = zones.failover().statesToStore();
-            putIfChanged(RecordKind.ZONE_STATES, ZoneStateCodec.encode(held, false, zones.zoneNames()));
-            putIfChanged(RecordKind.OPERATOR_ORDERS, ZoneStateCodec.encode(held, true, zones.zoneNames()));
+            Map<Integer, StoredZoneState> states = zones.failover().statesToStore();
+            putIfChanged(RecordKind.ZONE_STATES, ZoneStateCodec.encode(states, false, zones.zoneNames()));
+            putIfChanged(RecordKind.OPERATOR_ORDERS, ZoneStateCodec.encode(states, true, zones.zoneNames()));
         }
     }
 
@@ -150,9 +150,9 @@
         }
         put(RecordKind.LEARNED_STATE, LearnedStateCodec.toJson(dispatcher.learnedState()));
         if (zones != null && zones.failover().hasQuorum()) {
-            JsonElement held = ZoneStateCodec.encode(zones.failover().statesToStore(), false, zones.zoneNames());
-            if (held.getAsJsonObject().size() > 0) {
-                put(RecordKind.ZONE_STATES, held); // with a quorum they are confirmed as of now
+            JsonElement states = ZoneStateCodec.encode(zones.failover().statesToStore(), false, zones.zoneNames());
+            if (states.getAsJsonObject().size() > 0) {
+                put(RecordKind.ZONE_STATES, states); // with a quorum they are confirmed as of now
             }
         }
         dispatcher.after(REFRESH_MS, this::refresh);
--- a/src/main/java/cacheproxy/proxy/Timers.java
+++ b/src/main/java/cacheproxy/proxy/Timers.java
@@ -53,7 +53,7 @@
     private long scheduledSlot = NONE;
 
     /** An empty list, which replaces the list of a slot while its timers run. */
-    private List<Timer> spare = new ArrayList<>();
+    private List<Timer> emptyList = new ArrayList<>();
 
     Timers(EventLoop loop) {
         this.loop = loop;
@@ -118,11 +118,11 @@
     }
 
     private void runSlot(int index) {
-        List<Timer> due = wheel.set(index, spare);
+        List<Timer> due = wheel.set(index, emptyList);
         occupied.clear(index);
         due.forEach(Timer::run);
         due.clear();
-        spare = due;
+        emptyList = due;
     }
 
     /** The first slot with timers after the last slot that has run; {@link #NONE} if there are no timers. */
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverCoordinator.java
@@ -27,9 +27,9 @@
     private final ZoneFailover failover;
     private final List<String> zoneNames;
     /** The plan note as last published. */
-    private byte[] planNote = {};
+    private byte[] planMetadata = {};
 
-    private byte[] healthNote = {};
+    private byte[] healthMetadata = {};
 
     /**
      * Zone decisions that were made before the start of this process.
@@ -114,17 +114,17 @@
             dispatcher.applyZoneDirectives(directives);
         }
         failover.takeTransitions().forEach(this::log);
-        publishNotes();
+        publishMetadata();
     }
 
-    private void publishNotes() {
-        byte[] nextPlanNote = failover.planMetadata();
-        byte[] nextHealthNote = failover.healthMetadata();
-        if (!Arrays.equals(nextPlanNote, planNote) || !Arrays.equals(nextHealthNote, healthNote)) {
-            planNote = nextPlanNote;
-            healthNote = nextHealthNote;
-            members.note(ZoneFailover.PLAN_METADATA, planNote);
-            members.note(ZoneFailover.HEALTH_METADATA, healthNote);
+    private void publishMetadata() {
+        byte[] nextPlanMetadata = failover.planMetadata();
+        byte[] nextHealthMetadata = failover.healthMetadata();
+        if (!Arrays.equals(nextPlanMetadata, planMetadata) || !Arrays.equals(nextHealthMetadata, healthMetadata)) {
+            planMetadata = nextPlanMetadata;
+            healthMetadata = nextHealthMetadata;
+            members.note(ZoneFailover.PLAN_METADATA, planMetadata);
+            members.note(ZoneFailover.HEALTH_METADATA, healthMetadata);
         }
     }
 
