--- a/src/main/java/cacheproxy/proxy/Counters.java
+++ b/src/main/java/cacheproxy/proxy/Counters.java
@@ -46,7 +46,8 @@
     void retainClasses(Set<String> names) {
         for (String name : names) {
             ClassCounts existing = classes.remove(name);
-            classes.put(name, existing == null ? new ClassCounts() : existing); // now behind the removed classes
+            classes.put(
+                    name, existing == null ? new ClassCounts() : existing); // re-inserted behind the removed classes
         }
         while (classes.size() - names.size() > MAX_REMOVED_CLASSES) {
             classes.remove(classes.keySet().iterator().next());
--- a/src/main/java/cacheproxy/proxy/DispatcherPeerContext.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherPeerContext.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.OptionalInt;
 
-/** Gives the links to peers what they use of the {@link Dispatcher}: clock, timers, cache nodes and learned state. */
+/** Offers the {@link Dispatcher}'s clock, timers, cache nodes and learned state to the links to peers. */
 public final class DispatcherPeerContext implements EventScheduler, CacheNodes, LearnedStateAccess {
     /** The name of the pool of all endpoints. */
     private static final String ALL_ENDPOINTS = "";
--- a/src/main/java/cacheproxy/proxy/DispatcherUpstreamContext.java
+++ b/src/main/java/cacheproxy/proxy/DispatcherUpstreamContext.java
@@ -8,7 +8,7 @@
 import cacheproxy.routing.RoutingSettings;
 import io.netty.channel.EventLoop;
 
-/** Gives the connections to servers what they use of the {@link Dispatcher}. Event loop only. */
+/** The context that the {@link Dispatcher} offers to the connections to servers. Event loop only. */
 final class DispatcherUpstreamContext implements UpstreamContext {
     private final Dispatcher dispatcher;
 
--- a/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
+++ b/src/main/java/cacheproxy/proxy/LearnedStateCodec.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 
 /**
- * Codec of what the load balancer has learned, for state files and for the state that a process passes to its
- * successor: a JSON object with a field for each pool, under the pool's name ({@code ""} for all endpoints).
+ * Codec of the load balancer's learned state, for state files and for the state that a process passes to its successor:
+ * a JSON object with a field for each pool, under the pool's name ({@code ""} for all endpoints).
  *
  * <table>
  * <caption>Fields of a pool, arrays by position</caption>
- * <tr><td>{@code figures}</td><td>origin fetch (ms), usual latency (ms), latency deviation (ms), usual cost (ms),
+ * <tr><td>{@code figures}</td><td>origin fetch (ms), mean latency (ms), latency deviation (ms), mean cost (ms),
  * origin requests, of these in time, endpoint requests, of these in time, keyed requests</td></tr>
  * <tr><td>{@code hot}</td><td>for each hot key: key, count</td></tr>
  * <tr><td>{@code servers}</td><td>for each endpoint: id, start time (Unix ms), failures, ejected until (Unix ms), slow
--- a/src/main/java/cacheproxy/proxy/LoopClock.java
+++ b/src/main/java/cacheproxy/proxy/LoopClock.java
@@ -22,9 +22,7 @@
     private static final double NANOS_PER_MILLI = 1e6;
     /** A poll that returns sooner found input that had arrived before the poll. */
     private static final long MIN_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
-    /**
-     * An iteration of the loop up to this long does not count as a delay; timeouts sent to servers are as much less.
-     */
+    /** An iteration of the loop up to this long does not count as a delay; sent timeouts are shorter by as much. */
     private static final long TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(TOLERANCE_MS);
     /** A poll that returns later than its timeout by more than this was itself delayed. */
     private static final long MAX_OVERSLEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
--- a/src/main/java/cacheproxy/proxy/RecoveryCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/RecoveryCoordinator.java
@@ -22,7 +22,7 @@
  * closes client connections if it carries more than its share of the load. Event loop only.
  */
 public final class RecoveryCoordinator {
-    /** The note in the membership view that holds an instance's load, one byte of {@link RequestRateCode} or none. */
+    /** The key of the membership metadata with an instance's load: one byte of {@link RequestRateCode}, or none. */
     static final int LOAD_METADATA = 2;
 
     private static final double TICK_MS = 250;
--- a/src/main/java/cacheproxy/proxy/StateFolderWriter.java
+++ b/src/main/java/cacheproxy/proxy/StateFolderWriter.java
@@ -125,7 +125,7 @@
     /**
      * The result of an attempt to take the lock.
      *
-     * @param locked whether this process holds it now
+     * @param locked whether this process holds the lock
      * @param header the header of the existing files; null if there are none
      * @param failure the reason why the folder can't be used; null if it can
      */
--- a/src/main/java/cacheproxy/proxy/ZoneFailoverCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/ZoneFailoverCoordinator.java
@@ -18,7 +18,7 @@
 
 /**
  * Carries out the decisions of {@link ZoneFailover}: reports signals of endpoints and updates of the endpoint list to
- * it, passes its directives to the load balancer, and publishes its notes in the membership view. Event loop only.
+ * it, passes its directives to the load balancer, and publishes its metadata in the membership view. Event loop only.
  */
 public final class ZoneFailoverCoordinator {
     private final Dispatcher dispatcher;
@@ -26,9 +26,10 @@
     private final ZoneFailoverSettings settings;
     private final ZoneFailover failover;
     private final List<String> zoneNames;
-    /** The plan note as last published. */
+    /** The plan as last published. */
     private byte[] planMetadata = {};
 
+    /** The health as last published. */
     private byte[] healthMetadata = {};
 
     /**
