--- a/src/main/java/cacheproxy/proxy/AttemptStarter.java
+++ b/src/main/java/cacheproxy/proxy/AttemptStarter.java
@@ -80,7 +80,7 @@
             attempt.timer = timers.after(waitMs, () -> attempts.expire(attempt));
         }
         if (loopClock.sinceLastPollMs() > MAX_POLL_AGE_MS) {
-            // Unread input may hold the client's disconnect or a response of the server; it is processed first.
+            // Unread input may hold the client's disconnect or news of the server, as a response: process it first.
             loop.schedule(() -> send(attempt), 0, TimeUnit.MILLISECONDS);
         } else {
             send(attempt);
--- a/src/main/java/cacheproxy/proxy/ConnectionFailures.java
+++ b/src/main/java/cacheproxy/proxy/ConnectionFailures.java
@@ -32,7 +32,7 @@
                 LogMessage.of("client stopped sending").with("client", client).with("awaited", timeout));
     }
 
-    /** A connection failed. I/O errors, such as a reset by the remote side, are expected; anything else is logged. */
+    /** A connection failed. I/O errors, as after a close by the remote side, are expected; others are logged. */
     public void connectionFailed(Throwable cause) {
         if (!(cause instanceof IOException)) {
             log.log(EventKind.INTERNAL_ERROR, LogMessage.of("connection failed").with("cause", cause));
--- a/src/main/java/cacheproxy/proxy/EndpointListEvents.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListEvents.java
@@ -14,7 +14,7 @@
 
 /**
  * Applies updates of the endpoint list: to the connections, then to the load balancer, then to the listeners. Counts
- * polls, and logs failed polls and changes of the list. Event loop only.
+ * polls and failed ones, and logs failed polls, rejected entries and changes of the list. Event loop only.
  */
 public final class EndpointListEvents implements EndpointListPublisher.Subscriber {
     private final RequestSettings settings;
