--- a/src/main/java/cacheproxy/proxy/client/ClientAcceptor.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientAcceptor.java
@@ -34,11 +34,11 @@
      */
     private static final int BACKLOG = 1024;
     /** Rounds of the event loop in which a full backlog is accepted, some connections at a time. */
-    private static final int MAX_ROUNDS = 128;
+    private static final int MAX_BACKLOG_ROUNDS = 128;
     /** A client sends its first request within this time of connecting, on a busy machine too. */
     private static final double FIRST_REQUEST_GRACE_MS = 300;
     /** How many connections beyond the limit may wait for their clients to close them. */
-    private static final int MAX_ENDING = 16;
+    private static final int MAX_CLOSING_CLIENTS = 16;
 
     /** Above the upper mark, in bytes, no further command of the client is decoded; below the lower one again. */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 << 10, 64 << 10);
@@ -135,11 +135,12 @@
         }
         listener.config()
                 .setAutoRead(!acceptedElsewhere
-                        && (clients.size() <= maxClients || clients.size() - endingConnections() <= maxClients));
+                        && (clients.size() <= maxClients || clients.size() - closingConnections() <= maxClients));
     }
 
-    private int endingConnections() {
-        return (int) clients.stream().filter(ClientConnection::ending).count();
+    private int closingConnections() {
+        return (int)
+                clients.stream().filter(ClientConnection::isClosingOrHandedOver).count();
     }
 
     /** The address that it listens at. */
@@ -157,14 +158,17 @@
         channel.pipeline().addLast(client);
         clients.add(client);
         acceptedCount++;
-        if (clients.size() - endingConnections() > maxClients) {
+        if (clients.size() - closingConnections() > maxClients) {
             idleClients()
                     .filter(c -> c != client)
                     .min(LONGEST_IDLE)
                     .ifPresentOrElse(ClientConnection::closeGracefully, this::updateAutoRead);
         }
-        if (clients.size() > maxClients + MAX_ENDING) {
-            clients.stream().filter(ClientConnection::ending).min(LONGEST_IDLE).ifPresent(ClientConnection::closeNow);
+        if (clients.size() > maxClients + MAX_CLOSING_CLIENTS) {
+            clients.stream()
+                    .filter(ClientConnection::isClosingOrHandedOver)
+                    .min(LONGEST_IDLE)
+                    .ifPresent(ClientConnection::closeNow);
         }
     }
 
@@ -195,7 +199,7 @@
      * them: until a round of the event loop brings none.
      */
     public void stopListening() {
-        closeOnceBacklogIsEmpty(acceptedCount, MAX_ROUNDS);
+        closeOnceBacklogIsEmpty(acceptedCount, MAX_BACKLOG_ROUNDS);
     }
 
     private void closeOnceBacklogIsEmpty(long before, int rounds) {
@@ -259,6 +263,6 @@
     }
 
     private Stream<ClientConnection> idleClients() {
-        return clients.stream().filter(c -> c.idle() && !c.ending());
+        return clients.stream().filter(c -> c.idle() && !c.isClosingOrHandedOver());
     }
 }
--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -50,7 +50,7 @@
     /** It was closed by the proxy, and not in order. */
     private boolean closedByProxy;
     /** It is on its way to another process. */
-    private boolean passing;
+    private boolean handingOver;
 
     private double lastActiveMs;
     private long lastUnwrittenBytes;
@@ -93,8 +93,8 @@
     }
 
     /** Whether its output is closed or it is on its way to another process. */
-    boolean ending() {
-        return finished || passing;
+    boolean isClosingOrHandedOver() {
+        return finished || handingOver;
     }
 
     boolean finished() {
@@ -106,7 +106,7 @@
     }
 
     boolean mayTimeOut() {
-        return !closing && !passing;
+        return !closing && !handingOver;
     }
 
     /** When the client last sent or took anything, on the clock of {@link Dispatcher#now}. */
@@ -221,7 +221,7 @@
         finished = true;
         receiver.input().release();
         super.channelInactive(ctx);
-        receiver.dropIncoming();
+        receiver.discardIncomingWrite();
         responses.drop(closedByProxy);
         listener.closed(this);
     }
@@ -242,34 +242,34 @@
      * @param successor passes a channel on and reports whether that succeeded
      */
     public void handOverTo(BiConsumer<Channel, Consumer<Boolean>> successor) {
-        if (passing || finished) {
+        if (handingOver || finished) {
             return;
         }
-        passing = true;
+        handingOver = true;
         context.channel().config().setAutoRead(false); // what arrives now is the successor's to read
         context.executor().execute(() -> {
             if (idle() && !finished) {
-                successor.accept(context.channel(), this::passed);
+                successor.accept(context.channel(), this::handoverCompleted);
             } else {
-                keep();
+                resumeServing();
             }
         });
     }
 
-    private void passed(boolean done) {
-        if (done) {
+    private void handoverCompleted(boolean succeeded) {
+        if (succeeded) {
             finished = true;
             context.close(); // this process's descriptor alone
         } else {
-            keep();
+            resumeServing();
             if (idle()) {
                 closeGracefully();
             }
         }
     }
 
-    private void keep() {
-        passing = false;
+    private void resumeServing() {
+        handingOver = false;
         context.channel().config().setAutoRead(true);
     }
 }
--- a/src/main/java/cacheproxy/proxy/client/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientInput.java
@@ -12,7 +12,7 @@
  */
 final class ClientInput {
     /** How much is read in search of a client's end behind it, in bytes. */
-    private static final int SEARCH_BYTES = 1 << 20;
+    private static final int CLOSE_DETECTION_BYTES = 1 << 20;
     /** Reads in one round of the event loop, after which more input may be waiting (Netty's default). */
     private static final int MAX_READS = 16;
 
@@ -52,24 +52,24 @@
         reads = 0;
         if (readWhilePaused) {
             readWhilePaused = false;
-            if (waitingBytes < SEARCH_BYTES) {
+            if (waitingBytes < CLOSE_DETECTION_BYTES) {
                 context.read();
             }
         }
     }
 
     /** Whether anything has arrived. */
-    boolean anyReceived() {
+    boolean hasReceivedInput() {
         return arrivals.received() > 0;
     }
 
     /** When the last byte arrived that has been decoded, so many being left. */
-    double lastTakenArrivedMs(int remainingBytes) {
+    double lastDecodedArrivalMs(int remainingBytes) {
         return arrivals.arrivedAtMs(arrivals.received() - remainingBytes);
     }
 
     /** When the first of the bytes arrived that are left. */
-    double nextArrivedMs(int remainingBytes) {
+    double nextByteArrivalMs(int remainingBytes) {
         return arrivals.arrivedAtMs(arrivals.received() - remainingBytes + 1);
     }
 
--- a/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
@@ -32,15 +32,15 @@
     private final ClientInput input;
 
     /** The write whose value is being received; null between commands. */
-    private RequestCommand incoming;
+    private RequestCommand incomingWrite;
     /** Its value; null if there is no memory for it. */
     private ValueBuffer value;
     /** Bytes of it, with its line end, that are still to arrive. */
-    private int missingBytes;
+    private int remainingBytes;
 
     private boolean awaitsReservation;
     /** Complete commands may be waiting in the decoder. */
-    private boolean stopped;
+    private boolean decodingPaused;
     /** When decoding was last resumed. */
     private double resumedMs = Double.NEGATIVE_INFINITY;
 
@@ -66,38 +66,38 @@
 
     /** Whether a command line has been decoded whose value has not arrived completely. */
     boolean receivesValue() {
-        return incoming != null;
+        return incomingWrite != null;
     }
 
     // ---- commands
 
     /** Decodes the next command, or as much of it as there is. */
     void decode(ByteBuf in) throws MetaCodec.SyntaxException {
-        if (mustStop()) {
-            stop();
+        if (mustPauseDecoding()) {
+            pauseDecoding();
             input.pauseIfFull(connection.context(), in.readableBytes());
-        } else if (incoming != null) {
+        } else if (incomingWrite != null) {
             receiveValue(in);
         } else {
             receiveLine(in);
         }
     }
 
-    private boolean mustStop() {
+    private boolean mustPauseDecoding() {
         return responses.size() >= MAX_PIPELINED
                 || !connection.context().channel().isWritable()
                 || awaitsReservation;
     }
 
-    private void stop() {
-        stopped = true;
+    private void pauseDecoding() {
+        decodingPaused = true;
         readTimeout.setPaused(true, dispatcher.now());
     }
 
-    /** Decodes on if that was stopped and need not be any more. */
+    /** Resumes decoding if it was paused and need not be any more. */
     void resumeIfPossible() {
-        if (stopped && !mustStop()) {
-            stopped = false;
+        if (decodingPaused && !mustPauseDecoding()) {
+            decodingPaused = false;
             resumedMs = dispatcher.now();
             readTimeout.setPaused(false, resumedMs);
             setTimer();
@@ -110,9 +110,9 @@
         String line = MetaCodec.readLine(in);
         if (line != null) {
             readTimeout.commandCompleted();
-            handle(line, input.lastTakenArrivedMs(in.readableBytes()));
+            handle(line, input.lastDecodedArrivalMs(in.readableBytes()));
         } else if (in.isReadable()) {
-            readTimeout.lineStarted(Math.max(input.nextArrivedMs(in.readableBytes()), resumedMs));
+            readTimeout.lineStarted(Math.max(input.nextByteArrivalMs(in.readableBytes()), resumedMs));
             setTimer();
         }
     }
@@ -135,29 +135,30 @@
 
     /** A value follows, whether the line makes a request or not. */
     private void startValue(MetaCommand write, double receivedMs) {
-        incoming = write.command() != null ? write.command() : NO_REQUEST;
-        missingBytes = write.valueLength() + MetaCodec.LINE_END_BYTES;
+        incomingWrite = write.command() != null ? write.command() : NO_REQUEST;
+        remainingBytes = write.valueLength() + MetaCodec.LINE_END_BYTES;
         readTimeout.valueStarted(Math.max(receivedMs, resumedMs));
         setTimer();
         if (write.command() != null) {
-            reserve(write.command());
+            reserveMemory(write.command());
         }
     }
 
     /** Reserves memory for the whole value, now or after a wait; without any the value is read and dropped. */
-    private void reserve(RequestCommand command) {
-        command.valueReservation = dispatcher.bufferLimits().values().reserve(missingBytes, () -> granted(command));
+    private void reserveMemory(RequestCommand command) {
+        command.valueReservation =
+                dispatcher.bufferLimits().values().reserve(remainingBytes, () -> reservationGranted(command));
         if (command.valueReservation != null && command.valueReservation.granted()) {
             value = newValueBuffer();
         } else if (command.valueReservation != null) {
             awaitsReservation = true;
-            stop();
+            pauseDecoding();
             dispatcher.after(RESERVATION_WAIT_MS, () -> reservationTimedOut(command));
         }
     }
 
-    private void granted(RequestCommand command) {
-        if (incoming == command) {
+    private void reservationGranted(RequestCommand command) {
+        if (incomingWrite == command) {
             awaitsReservation = false;
             value = newValueBuffer();
             connection.updateBackpressure();
@@ -165,7 +166,7 @@
     }
 
     private void reservationTimedOut(RequestCommand command) {
-        if (incoming == command && awaitsReservation) {
+        if (incomingWrite == command && awaitsReservation) {
             awaitsReservation = false;
             command.release();
             connection.updateBackpressure();
@@ -173,26 +174,26 @@
     }
 
     private ValueBuffer newValueBuffer() {
-        return new ValueBuffer(connection.context().alloc(), missingBytes);
+        return new ValueBuffer(connection.context().alloc(), remainingBytes);
     }
 
     private void receiveValue(ByteBuf in) throws MetaCodec.SyntaxException {
-        int bytes = Math.min(missingBytes, in.readableBytes());
-        missingBytes -= bytes;
+        int bytes = Math.min(remainingBytes, in.readableBytes());
+        remainingBytes -= bytes;
         readTimeout.valueReceived(bytes, dispatcher.now());
         if (value == null) {
             in.skipBytes(bytes);
         } else {
             value.add(in, bytes);
         }
-        if (missingBytes == 0) {
-            completeWrite(input.lastTakenArrivedMs(in.readableBytes()));
+        if (remainingBytes == 0) {
+            completeWrite(input.lastDecodedArrivalMs(in.readableBytes()));
         }
     }
 
     private void completeWrite(double receivedMs) throws MetaCodec.SyntaxException {
-        RequestCommand command = incoming;
-        incoming = null;
+        RequestCommand command = incomingWrite;
+        incomingWrite = null;
         readTimeout.commandCompleted();
         if (value == null) {
             rejectWithoutValue(command);
@@ -218,16 +219,16 @@
     }
 
     /** Releases what has been received of a write. */
-    void dropIncoming() {
-        if (incoming == null) {
+    void discardIncomingWrite() {
+        if (incomingWrite == null) {
             return;
         }
         if (value != null) {
             value.release();
             value = null;
         }
-        incoming.release();
-        incoming = null;
+        incomingWrite.release();
+        incomingWrite = null;
     }
 
     // ---- timeout
@@ -256,8 +257,8 @@
 
     private void timeOut() {
         dispatcher.failures().clientTimedOut(connection.context().channel().remoteAddress(), readTimeout);
-        dropIncoming();
-        if (input.anyReceived()) {
+        discardIncomingWrite();
+        if (input.hasReceivedInput()) {
             connection.respondAndClose("CLIENT_ERROR timed out\r\n");
         } else {
             connection.closeGracefully(); // a line would be taken for the response to a request that is on its way
--- a/src/main/java/cacheproxy/proxy/protocol/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/protocol/MetaCodec.java
@@ -52,22 +52,22 @@
     }
 
     /** Parses a value's decimal length, at most {@link #MAX_VALUE_BYTES}. */
-    public static int parseLength(String word) throws SyntaxException {
+    public static int parseLength(String token) throws SyntaxException {
         int n = 0;
-        for (int i = 0; i < word.length(); i++) {
-            int digit = word.charAt(i) - '0';
+        for (int i = 0; i < token.length(); i++) {
+            int digit = token.charAt(i) - '0';
             if (digit < 0 || digit > 9 || n > MAX_VALUE_BYTES) {
                 throw new SyntaxException("bad data length");
             }
             n = 10 * n + digit;
         }
-        if (word.isEmpty() || n > MAX_VALUE_BYTES) {
+        if (token.isEmpty() || n > MAX_VALUE_BYTES) {
             throw new SyntaxException("bad data length");
         }
         return n;
     }
 
-    /** The word that starts at this index; empty at the end of the line. */
+    /** The token that starts at this index; empty at the end of the line. */
     public static String tokenAt(String line, int start) {
         int end = line.indexOf(' ', start);
         return start >= line.length() ? "" : line.substring(start, end < 0 ? line.length() : end);
@@ -146,8 +146,8 @@
     }
 
     /** The text as bytes. */
-    public static ByteBuf encode(ByteBufAllocator alloc, String text) {
-        ByteBuf buf = alloc.buffer(text.length() + 2);
+    public static ByteBuf encode(ByteBufAllocator allocator, String text) {
+        ByteBuf buf = allocator.buffer(text.length() + 2);
         ByteBufUtil.writeAscii(buf, text);
         return buf;
     }
--- a/src/main/java/cacheproxy/proxy/protocol/ValueBuffer.java
+++ b/src/main/java/cacheproxy/proxy/protocol/ValueBuffer.java
@@ -12,15 +12,15 @@
 public final class ValueBuffer {
     private static final int PART_BYTES = 64 << 10;
 
-    private final ByteBufAllocator alloc;
+    private final ByteBufAllocator allocator;
     private final ArrayDeque<ByteBuf> parts = new ArrayDeque<>();
-    private int missingBytes;
+    private int remainingBytes;
     private int length;
 
     /** Creates a buffer for at most {@code length} bytes. */
-    public ValueBuffer(ByteBufAllocator alloc, int length) {
-        this.alloc = alloc;
-        missingBytes = length;
+    public ValueBuffer(ByteBufAllocator allocator, int length) {
+        this.allocator = allocator;
+        remainingBytes = length;
     }
 
     /** Takes so many bytes from the input, at most those that are missing. */
@@ -28,14 +28,14 @@
         for (int left = bytes; left > 0; ) {
             ByteBuf last = parts.peekLast();
             if (last == null || !last.isWritable()) {
-                int size = Math.min(missingBytes, PART_BYTES);
-                last = alloc.buffer(size, size);
+                int size = Math.min(remainingBytes, PART_BYTES);
+                last = allocator.buffer(size, size);
                 parts.add(last);
             }
             int n = Math.min(left, last.writableBytes());
             last.writeBytes(in, n);
             left -= n;
-            missingBytes -= n;
+            remainingBytes -= n;
         }
         length += bytes;
     }
@@ -50,7 +50,7 @@
         if (parts.size() == 1) {
             return parts.poll();
         }
-        CompositeByteBuf whole = alloc.compositeBuffer(Math.max(2, parts.size()));
+        CompositeByteBuf whole = allocator.compositeBuffer(Math.max(2, parts.size()));
         for (ByteBuf part; (part = parts.poll()) != null; ) {
             whole.addComponent(true, part);
         }
--- a/src/main/java/cacheproxy/proxy/transport/ConnectFutures.java
+++ b/src/main/java/cacheproxy/proxy/transport/ConnectFutures.java
@@ -13,19 +13,18 @@
     private ConnectFutures() {}
 
     /** The channel of a connection that is being made; null if there could be none. */
-    public static Channel channel(ChannelFuture connecting) {
-        boolean none = connecting.isDone()
-                && !connecting.isSuccess()
-                && !connecting.channel().isRegistered();
-        return none ? null : connecting.channel();
+    public static Channel channel(ChannelFuture future) {
+        boolean none =
+                future.isDone() && !future.isSuccess() && !future.channel().isRegistered();
+        return none ? null : future.channel();
     }
 
     /** Runs the task on the event loop once the connection is up or has failed; never within this call if it failed. */
-    public static void whenDone(EventLoop loop, ChannelFuture connecting, Runnable task) {
-        if (connecting.isDone() && !connecting.isSuccess()) {
+    public static void whenDone(EventLoop loop, ChannelFuture future, Runnable task) {
+        if (future.isDone() && !future.isSuccess()) {
             loop.execute(task);
         } else {
-            connecting.addListener(f -> {
+            future.addListener(f -> {
                 if (loop.inEventLoop()) {
                     task.run();
                 } else {
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -54,16 +54,16 @@
     private final UpstreamContext context;
     private final LoadReports loadReports;
     /** Bytes of the value and its line end still to arrive, or {@link #NO_VALUE}: a line is next. */
-    private int missing = NO_VALUE;
+    private int remainingBytes = NO_VALUE;
 
     private int length;
     private boolean streamed;
     /** Whether nobody waits for the streamed value. */
-    private boolean dropped;
+    private boolean discarded;
 
     private int note;
     private float[] report;
-    /** The figures of a health check's response so far, as a list such as {@code a=1,b=2,}. */
+    /** The report of a health check's response so far, as a list such as {@code a=1,b=2,}. */
     private String stats = "";
 
     CacheCodec(UpstreamConnection connection) {
@@ -106,7 +106,7 @@
             if (connection.currentAttempt() == null) { // complete or not: it would be taken for the next response
                 throw new MetaCodec.SyntaxException("answer to nothing");
             }
-            if (missing == NO_VALUE) {
+            if (remainingBytes == NO_VALUE) {
                 decodeLine(in);
             } else if (streamed) {
                 streamValue(in);
@@ -115,7 +115,7 @@
             }
         } catch (MetaCodec.SyntaxException e) {
             in.skipBytes(in.readableBytes());
-            missing = NO_VALUE;
+            remainingBytes = NO_VALUE;
             connection.protocolError(e.getMessage());
         }
     }
@@ -156,13 +156,13 @@
     }
 
     private void beginValue(String line, RequestCommand command) throws MetaCodec.SyntaxException {
-        String word = MetaCodec.tokenAt(line, VALUE.length());
-        length = MetaCodec.parseLength(word);
-        decodeFlags(line, VALUE.length() + word.length() + 1, command);
-        missing = length + LINE_END_BYTES;
+        String lengthToken = MetaCodec.tokenAt(line, VALUE.length());
+        length = MetaCodec.parseLength(lengthToken);
+        decodeFlags(line, VALUE.length() + lengthToken.length() + 1, command);
+        remainingBytes = length + LINE_END_BYTES;
         streamed = length > MetaCodec.MAX_WHOLE_VALUE_BYTES;
         if (streamed) {
-            dropped = !connection.beginValue(length);
+            discarded = !connection.beginValue(length);
         }
     }
 
@@ -191,34 +191,34 @@
     }
 
     private void decodeValue(ByteBuf in) throws MetaCodec.SyntaxException {
-        if (in.readableBytes() < missing) {
+        if (in.readableBytes() < remainingBytes) {
             connection.responseProgressed();
             return;
         }
         requireLineEnd(in, in.readerIndex() + length);
         ByteBuf value = in.readRetainedSlice(length);
         in.skipBytes(LINE_END_BYTES);
-        missing = NO_VALUE;
+        remainingBytes = NO_VALUE;
         connection.responseCompleted(AttemptOutcome.OK, note, report, new ServerResponse.Value(value));
     }
 
     /** Passes on what has arrived of the value, and its end only when its line end is seen to be one. */
     private void streamValue(ByteBuf in) throws MetaCodec.SyntaxException {
-        int available = Math.min(missing - LINE_END_BYTES, in.readableBytes());
+        int available = Math.min(remainingBytes - LINE_END_BYTES, in.readableBytes());
         if (available > 0) {
-            missing -= available;
-            if (dropped) {
+            remainingBytes -= available;
+            if (discarded) {
                 in.skipBytes(available);
             } else {
                 connection.writePart(in.readRetainedSlice(available));
             }
         }
-        if (missing == LINE_END_BYTES && in.readableBytes() >= LINE_END_BYTES) {
+        if (remainingBytes == LINE_END_BYTES && in.readableBytes() >= LINE_END_BYTES) {
             requireLineEnd(in, in.readerIndex());
             in.skipBytes(LINE_END_BYTES);
-            missing = NO_VALUE;
+            remainingBytes = NO_VALUE;
             connection.responseCompleted(
-                    AttemptOutcome.OK, note, report, dropped ? null : ServerResponse.EndOfValue.INSTANCE);
+                    AttemptOutcome.OK, note, report, discarded ? null : ServerResponse.EndOfValue.INSTANCE);
         }
     }
 
@@ -235,9 +235,9 @@
             return;
         }
         boolean healthy = line.equals(NO_OP_RESPONSE) || line.equals(STAT_END);
-        float[] figures = MetaCodec.loadReport(stats, loadReports.fields());
+        float[] report = MetaCodec.loadReport(stats, loadReports.fields());
         stats = "";
-        connection.responseCompleted(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, NOTE_NONE, figures, null);
+        connection.responseCompleted(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, NOTE_NONE, report, null);
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/upstream/ConnectionLimits.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ConnectionLimits.java
@@ -21,7 +21,7 @@
     /** HTTP/1.1 without pipelining. */
     private static final int ORIGIN_DEPTH = 1;
     /** An idle connection is closed after this part of the time after which its server closes it. */
-    private static final double IDLE_PART = 0.7;
+    private static final double IDLE_CLOSE_FRACTION = 0.7;
     /** For so long after a rejection connections count as scarce. */
     private static final double SCARCITY_MS = 60_000;
     /** Token bucket of connections closed because nobody waits for what is on them. */
@@ -107,12 +107,12 @@
     }
 
     /** Servers at their connection limit are too many: connections count as scarce from now on, for a while. */
-    void noteScarcity() {
+    void markConnectionsScarce() {
         scarceUntilMs = context.now() + SCARCITY_MS;
     }
 
     /** A server that rejected a connection since this time counts towards scarcity. */
-    double scarcitySinceMs() {
+    double scarcityWindowStartMs() {
         return context.now() - SCARCITY_MS;
     }
 
@@ -136,7 +136,7 @@
     }
 
     /** A connection that has been idle since this time is not used any more, because its server may close it. */
-    double idleBeforeMs(double now) {
-        return now - context.idleCloseMs() * IDLE_PART;
+    double idleCutoffMs(double now) {
+        return now - context.idleCloseMs() * IDLE_CLOSE_FRACTION;
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -72,7 +72,7 @@
 
     private boolean streamed;
     /** Whether what arrives is ignored, because the connection is being closed. */
-    private boolean failed;
+    private boolean ignoringInput;
 
     private OriginCodec(UpstreamConnection connection) {
         this.connection = connection;
@@ -155,7 +155,7 @@
     protected void channelRead0(ChannelHandlerContext channelContext, HttpObject message) {
         connection.setReading(true);
         // Once this side has closed the connection, the decoder completes a body without length.
-        if (failed || connection.closedLocally()) {
+        if (ignoringInput || connection.closedLocally()) {
             return;
         }
         if (message.decoderResult().isFailure()) {
@@ -167,7 +167,7 @@
         }
         if (response != null && message instanceof HttpContent content) {
             addContent(content);
-            if (!failed && content instanceof LastHttpContent) {
+            if (!ignoringInput && content instanceof LastHttpContent) {
                 complete();
             }
         }
@@ -328,14 +328,14 @@
     }
 
     private void fail(String reason) {
-        failed = true;
+        ignoringInput = true;
         releaseBody();
         connection.protocolError(reason);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext channelContext) {
-        failed = true;
+        ignoringInput = true;
         releaseBody();
         connection.channelClosed();
     }
@@ -344,7 +344,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext channelContext, Throwable cause) {
         context.connectionFailed(cause);
-        failed = true;
+        ignoringInput = true;
         releaseBody();
         channelContext.close();
     }
--- a/src/main/java/cacheproxy/proxy/upstream/ResponseWatchdog.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ResponseWatchdog.java
@@ -40,10 +40,10 @@
 
     private void scheduleCheck(double afterMs) {
         context.after(afterMs, () -> {
-            double leftMs = SHORT_STALL_MS - (context.now() - lastProgressMs);
-            checkScheduled = shortResponseBegun && !stopped && leftMs > 0;
+            double remainingMs = SHORT_STALL_MS - (context.now() - lastProgressMs);
+            checkScheduled = shortResponseBegun && !stopped && remainingMs > 0;
             if (checkScheduled) {
-                scheduleCheck(leftMs);
+                scheduleCheck(remainingMs);
             } else if (shortResponseBegun && !stopped) {
                 closeConnection.run();
             }
--- a/src/main/java/cacheproxy/proxy/upstream/ServerConnectionPool.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ServerConnectionPool.java
@@ -21,16 +21,16 @@
      * response, which arrives some milliseconds behind it, would be taken for that to an attempt sent in between; on a
      * connection at rest it is seen to belong to none. Cache nodes' responses name their requests.
      */
-    private static final double REST_MS = 25;
+    private static final double ORIGIN_QUIET_PERIOD_MS = 25;
 
     /**
      * How many connections a pool may have, and how many attempts they may take.
      *
-     * @param connections the limit of connections
-     * @param withStreaming the limit including those that pass streamed responses on
-     * @param depth the limit of attempts on one connection
+     * @param maxConnections the limit of connections
+     * @param maxWithStreaming the limit including those that pass streamed responses on
+     * @param maxDepth the limit of attempts on one connection
      */
-    record Limits(int connections, int withStreaming, int depth) {}
+    record Limits(int maxConnections, int maxWithStreaming, int maxDepth) {}
 
     private final UpstreamServer server;
     private final UpstreamContext context;
@@ -39,7 +39,7 @@
     private final Limits limits;
     private final Runnable onConnectionRejected;
     private final List<UpstreamConnection> connections = new ArrayList<>(TYPICAL_CONNECTIONS);
-    private double noNewUntilMs;
+    private double openingSuspendedUntilMs;
     private double lastSentMs = Double.NEGATIVE_INFINITY;
     private double lastRejectedMs = Double.NEGATIVE_INFINITY;
     private long rejectedConnections;
@@ -96,13 +96,13 @@
     }
 
     private Candidates findCandidates(double now) {
-        double idleBeforeMs = globalLimits.idleBeforeMs(now);
+        double idleCutoffMs = globalLimits.idleCutoffMs(now);
         Candidates found = new Candidates();
         for (int i = connections.size() - 1; i >= 0; i--) {
             UpstreamConnection connection = connections.get(i);
             found.notStreaming += connection.isRetired() || connection.isStreaming() ? 0 : 1;
             found.all += connection.isRetired() ? 0 : 1;
-            if (!connection.isUsable(limits.depth(), idleBeforeMs)) {
+            if (!connection.isUsable(limits.maxDepth(), idleCutoffMs)) {
                 continue;
             }
             if (!connection.isStreaming()) {
@@ -120,27 +120,29 @@
      */
     private boolean shouldOpen(Candidates candidates, double now) {
         UpstreamConnection best = candidates.best;
-        boolean wanted = best == null || ((best.depth() > 0 || isResting(best, now)) && now >= noNewUntilMs);
+        boolean wanted =
+                best == null || ((best.depth() > 0 || inQuietPeriod(best, now)) && now >= openingSuspendedUntilMs);
         if (!wanted) {
             return false;
         }
-        int maxConnections = best != null && !isOrigin() && globalLimits.connectionsScarce() ? 1 : limits.connections();
+        int maxConnections =
+                best != null && !isOrigin() && globalLimits.connectionsScarce() ? 1 : limits.maxConnections();
         return candidates.notStreaming < maxConnections
-                && candidates.all < limits.withStreaming()
+                && candidates.all < limits.maxWithStreaming()
                 && globalLimits.mayOpen(best == null && candidates.bestStreaming == null);
     }
 
-    private boolean isResting(UpstreamConnection connection, double now) {
-        return isOrigin() && !connection.hasRested(now, REST_MS);
+    private boolean inQuietPeriod(UpstreamConnection connection, double now) {
+        return isOrigin() && !connection.quietPeriodOver(now, ORIGIN_QUIET_PERIOD_MS);
     }
 
     private boolean isBetter(UpstreamConnection one, UpstreamConnection other, double now) {
-        boolean oneRests = isResting(one, now);
-        boolean otherRests = isResting(other, now);
-        if (oneRests && otherRests) {
+        boolean oneQuiet = inQuietPeriod(one, now);
+        boolean otherQuiet = inQuietPeriod(other, now);
+        if (oneQuiet && otherQuiet) {
             return one.idleSinceMs() < other.idleSinceMs();
         }
-        return oneRests == otherRests ? one.isPreferredTo(other) : otherRests;
+        return oneQuiet == otherQuiet ? one.isPreferredTo(other) : otherQuiet;
     }
 
     private UpstreamConnection open() {
@@ -156,7 +158,7 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
                         context.settings().connectTimeoutMs())
                 .connect(server.address);
-        connection.connecting(future, server.address);
+        connection.connectStarted(future, server.address);
         return connection;
     }
 
@@ -170,18 +172,18 @@
         if (best == null || !attempt.mayBegin()) {
             return false;
         }
-        noNewUntilMs = now + REJECTION_BACKOFF_MS;
+        openingSuspendedUntilMs = now + REJECTION_BACKOFF_MS;
         best.send(attempt);
         return true;
     }
 
     private UpstreamConnection bestConnected(double now) {
-        double idleBeforeMs = globalLimits.idleBeforeMs(now);
+        double idleCutoffMs = globalLimits.idleCutoffMs(now);
         UpstreamConnection best = null;
         for (UpstreamConnection connection : connections) {
             if (server.ready
                     && connection.isConnected()
-                    && connection.isUsable(limits.depth(), idleBeforeMs)
+                    && connection.isUsable(limits.maxDepth(), idleCutoffMs)
                     && (best == null || isBetter(connection, best, now))) {
                 best = connection;
             }
@@ -194,7 +196,7 @@
         lastRejectedMs = context.now();
         rejectedConnections++;
         onConnectionRejected.run();
-        noNewUntilMs = context.now() + REJECTION_BACKOFF_MS;
+        openingSuspendedUntilMs = context.now() + REJECTION_BACKOFF_MS;
         return connections.isEmpty();
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -52,7 +52,7 @@
     /** Whether a response has arrived on it. */
     private boolean hasResponded;
     /** The first attempt, if it was rejected and it is not yet known whether the server is at its connection limit. */
-    private UpstreamAttempt rejectedFirst;
+    private UpstreamAttempt rejectedFirstAttempt;
 
     UpstreamConnection(ServerConnectionPool pool, UpstreamContext context) {
         this.pool = pool;
@@ -72,7 +72,7 @@
     // ---- opening
 
     /** The connection to this address is being opened. */
-    void connecting(ChannelFuture future, SocketAddress toAddress) {
+    void connectStarted(ChannelFuture future, SocketAddress toAddress) {
         channel = ConnectFutures.channel(future);
         address = toAddress;
         ConnectFutures.whenDone(context.loop(), future, () -> {
@@ -138,23 +138,23 @@
 
     /** Whether nothing is in flight on it and nothing is being read from it. */
     boolean isIdle() {
-        return connected && !closed && !retired && !reading && rejectedFirst == null && attempts.isEmpty();
+        return connected && !closed && !retired && !reading && rejectedFirstAttempt == null && attempts.isEmpty();
     }
 
     /**
      * Whether it takes one more attempt. Not while input is being decoded: bytes right behind a response would be taken
-     * for the response to an attempt that was added in between. Nor if it has been idle since {@code idleBeforeMs}: its
+     * for the response to an attempt that was added in between. Nor if it has been idle since {@code idleCutoffMs}: its
      * server may be closing it.
      */
-    boolean isUsable(int maxDepth, double idleBeforeMs) {
-        boolean tooOld = connected && attempts.isEmpty() && idleSinceMs <= idleBeforeMs;
+    boolean isUsable(int maxDepth, double idleCutoffMs) {
+        boolean tooOld = connected && attempts.isEmpty() && idleSinceMs <= idleCutoffMs;
         boolean writable = !connected || (channel.isActive() && channel.isWritable());
         return !closed && !tooOld && !retired && !reading && attempts.size() < maxDepth && writable;
     }
 
-    /** For an idle connection: whether its last response, if any, arrived at least {@code restMs} ago. */
-    boolean hasRested(double now, double restMs) {
-        return !hasResponded || now - idleSinceMs >= restMs;
+    /** For an idle connection: whether its last response, if any, arrived at least {@code quietPeriodMs} ago. */
+    boolean quietPeriodOver(double now, double quietPeriodMs) {
+        return !hasResponded || now - idleSinceMs >= quietPeriodMs;
     }
 
     /** Whether it has fewer attempts than another, or as many and was used more recently. */
@@ -292,8 +292,8 @@
         boolean isFirst = !hasResponded;
         hasResponded = true;
         if (isFirst && outcome == AttemptOutcome.REJECTED && !pool.isOrigin()) {
-            rejectedFirst = attempt;
-            context.after(REJECTION_CLOSE_MS, () -> endRejectedFirst(AttemptOutcome.REJECTED));
+            rejectedFirstAttempt = attempt;
+            context.after(REJECTION_CLOSE_MS, () -> endRejectedFirstAttempt(AttemptOutcome.REJECTED));
         } else {
             attempt.end(outcome, note, report, response);
         }
@@ -308,10 +308,10 @@
      * Ends a first attempt that was rejected. Only a server that also closes the connection is at its connection limit;
      * that is an outcome of its own, so that proxies do not try again and again.
      */
-    private void endRejectedFirst(AttemptOutcome outcome) {
-        if (rejectedFirst != null) {
-            UpstreamAttempt attempt = rejectedFirst;
-            rejectedFirst = null;
+    private void endRejectedFirstAttempt(AttemptOutcome outcome) {
+        if (rejectedFirstAttempt != null) {
+            UpstreamAttempt attempt = rejectedFirstAttempt;
+            rejectedFirstAttempt = null;
             attempt.end(outcome);
         }
     }
@@ -350,10 +350,10 @@
         closed = true;
         watchdog.stop();
         pool.connectionClosed(this);
-        if (rejectedFirst != null) {
+        if (rejectedFirstAttempt != null) {
             // Where this side has closed it, because of what came behind the response, that says nothing of limits.
             boolean atLimit = !retired && pool.connectionRejected();
-            endRejectedFirst(atLimit ? AttemptOutcome.CONNECTION_LIMIT : AttemptOutcome.REJECTED);
+            endRejectedFirstAttempt(atLimit ? AttemptOutcome.CONNECTION_LIMIT : AttemptOutcome.REJECTED);
         }
         for (UpstreamAttempt attempt = attempts.poll(); attempt != null; attempt = attempts.poll()) {
             if (!connected && !attempt.hasEnded() && pool.resend(attempt)) {
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamServers.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamServers.java
@@ -21,7 +21,7 @@
     /** Connections are scarce if so many cache nodes reject them, and at least this part of them. */
     private static final int MIN_REJECTING_NODES = 2;
 
-    private static final double MIN_REJECTING_PART = 0.1;
+    private static final double MIN_REJECTING_FRACTION = 0.1;
 
     private final UpstreamContext context;
     private final Bootstrap bootstrap;
@@ -106,12 +106,12 @@
     /** A server was at its limit for a further connection; a single one may be so for reasons of its own. */
     private void connectionRejected() {
         context.increment(Metric.CONNECTIONS_REJECTED);
-        double since = limits.scarcitySinceMs();
+        double since = limits.scarcityWindowStartMs();
         long rejecting = cacheNodeStream()
                 .filter(server -> server.pool.lastRejectedMs() > since)
                 .count();
-        if (rejecting >= Math.max(MIN_REJECTING_NODES, cacheNodeCount() * MIN_REJECTING_PART)) {
-            limits.noteScarcity();
+        if (rejecting >= Math.max(MIN_REJECTING_NODES, cacheNodeCount() * MIN_REJECTING_FRACTION)) {
+            limits.markConnectionsScarce();
         }
     }
 
@@ -135,7 +135,7 @@
     public void closeIdleAndStalled() {
         double now = context.now();
         for (UpstreamServer server : servers.values()) {
-            server.pool.closeIdle(limits.idleBeforeMs(now));
+            server.pool.closeIdle(limits.idleCutoffMs(now));
             server.pool.closeStalled(now);
         }
     }
