--- a/src/main/java/cacheproxy/proxy/client/ClientAcceptor.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientAcceptor.java
@@ -24,23 +24,24 @@
 import java.util.stream.Stream;
 
 /**
- * Accepts the clients' connections and keeps them within a limit: listens, adopts connections that another process has
- * accepted, and closes idle ones to make room or during a drain. On the event loop but for {@link #listen}, which
- * waits.
+ * Accepts client connections and enforces a limit on them: listens, adopts connections that another process has
+ * accepted, and closes idle ones to make room or during a drain. To be called on the event loop, except
+ * {@link #listen}, which blocks.
  */
 public final class ClientAcceptor implements ClientConnection.Listener {
     /**
-     * As many clients as may connect at once while the event loop is busy; a further one would retry a second later.
+     * Length of the accept queue: how many clients can connect while the event loop is busy. A further client would
+     * retry after one second.
      */
     private static final int BACKLOG = 1024;
-    /** Rounds of the event loop in which a full backlog is accepted, some connections at a time. */
+    /** Event loop iterations that suffice to drain a full accept queue, a few connections at a time. */
     private static final int MAX_BACKLOG_ROUNDS = 128;
-    /** A client sends its first request within this time of connecting, on a busy machine too. */
+    /** A client sends its first request within this time of connecting, in milliseconds, even on a busy machine. */
     private static final double FIRST_REQUEST_GRACE_MS = 300;
     /** How many connections beyond the limit may wait for their clients to close them. */
     private static final int MAX_CLOSING_CLIENTS = 16;
 
-    /** Above the upper mark, in bytes, no further command of the client is decoded; below the lower one again. */
+    /** Decoding of a client's commands pauses above the high mark and resumes below the low mark, in bytes. */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 << 10, 64 << 10);
 
     private static final Comparator<ClientConnection> LONGEST_IDLE =
@@ -52,18 +53,18 @@
     private Channel listener;
     /** Connections accepted since the start. */
     private long acceptedCount;
-    /** New connections are accepted by another process. */
+    /** Whether new connections are accepted by another process. */
     private boolean acceptedElsewhere;
 
     private Consumer<ClientConnection> idleCloser = ClientConnection::closeGracefully;
 
-    /** Creates an acceptor of at most {@code maxClients} open connections. */
+    /** Creates an acceptor with a limit of {@code maxClients} open connections. */
     public ClientAcceptor(Dispatcher dispatcher, int maxClients) {
         this.dispatcher = dispatcher;
         this.maxClients = maxClients;
     }
 
-    /** Sets how an idle connection ends during a drain, where it is not just closed. */
+    /** Sets how idle connections are ended during a drain; by default they are closed gracefully. */
     public void setIdleCloser(Consumer<ClientConnection> closer) {
         idleCloser = closer;
     }
@@ -73,17 +74,19 @@
         idleCloser.accept(client);
     }
 
-    /** Listens at this address. Waits; not to be called on the event loop. */
+    /** Listens on this address. Blocks, so it must not be called on the event loop. */
     public void listen(EventLoopGroup group, InetSocketAddress address) throws InterruptedException {
         ServerBootstrap bootstrap = bootstrap(group).channel(Transport.BEST.server());
         if (Transport.BEST.passesDescriptors()) {
-            // So that another process can serve beside this one, should it not get this one's socket.
+            // Lets another process listen on the same address if it does not receive this one's socket.
             bootstrap.option(EpollChannelOption.SO_REUSEPORT, true);
         }
         listener = bootstrap.bind(address).sync().channel();
     }
 
-    /** Accepts at a socket that listens already. Waits; not to be called on the event loop. */
+    /**
+     * Accepts connections on a socket that is already listening. Blocks, so it must not be called on the event loop.
+     */
     public void listen(EventLoopGroup group, FileDescriptor socket) throws InterruptedException {
         listener = bootstrap(group)
                 .channelFactory(() -> new EpollServerSocketChannel(socket.intValue()))
@@ -91,7 +94,7 @@
                 .register()
                 .sync()
                 .channel();
-        listener.config().setAutoRead(true); // only now is there a handler for what it accepts
+        listener.config().setAutoRead(true); // the handler for accepted connections is in place only now
     }
 
     private ServerBootstrap bootstrap(EventLoopGroup group) {
@@ -110,7 +113,7 @@
                 });
     }
 
-    /** Serves a client's connection that another process has accepted. */
+    /** Serves a client connection that another process has accepted. */
     public void adopt(EventLoop loop, FileDescriptor client) {
         Channel channel = new EpollSocketChannel(client.intValue());
         channel.config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK);
@@ -131,7 +134,7 @@
 
     private void updateAutoRead() {
         if (listener == null) {
-            return; // the socket accepted before this process had its handler in place
+            return; // a connection was accepted before the listening channel was assigned
         }
         listener.config()
                 .setAutoRead(!acceptedElsewhere
@@ -143,15 +146,16 @@
                 clients.stream().filter(ClientConnection::isClosingOrHandedOver).count();
     }
 
-    /** The address that it listens at. */
+    /** The address that it listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
     /**
-     * Adds a connection. The kernel has accepted it, so where there are too many the one that has been idle longest
-     * makes room. It is closed gracefully, as a request may be on its way and a reset would destroy what the client is
-     * still to read; but the room for connections whose clients do not close them is limited too.
+     * Adds a connection. As the kernel has already accepted it, the connection that has been idle longest is closed if
+     * the limit is exceeded. It is closed gracefully, since a request may be in flight and a reset would discard data
+     * that the client has not read yet. The number of connections that wait for their clients to close them is limited,
+     * too.
      */
     private void add(Channel channel, boolean adopted) {
         ClientConnection client = new ClientConnection(dispatcher, this, adopted);
@@ -178,7 +182,7 @@
         updateAutoRead();
     }
 
-    /** Closes the connections of clients that have not taken their responses for too long. */
+    /** Closes the connections of clients that have not read their responses for too long. */
     public void closeStalled() {
         closeStalled(dispatcher.now());
     }
@@ -195,8 +199,8 @@
     // ---- drain
 
     /**
-     * Refuses new connections. Those that the kernel has accepted are accepted first, as closing the socket would reset
-     * them: until a round of the event loop brings none.
+     * Stops listening. Connections that are still in the accept queue are accepted first, since closing the socket
+     * would reset them. The queue counts as empty once an event loop iteration accepts none.
      */
     public void stopListening() {
         closeOnceBacklogIsEmpty(acceptedCount, MAX_BACKLOG_ROUNDS);
@@ -205,7 +209,7 @@
     private void closeOnceBacklogIsEmpty(long before, int rounds) {
         listener.eventLoop()
                 .schedule(
-                        () -> { // after the next round's input
+                        () -> { // runs after the input of the next iteration
                             if (acceptedCount == before || rounds == 0) {
                                 listener.close();
                             } else {
@@ -221,14 +225,14 @@
         return clients.size();
     }
 
-    /** How many connections are between requests and not ending. */
+    /** How many connections are between requests and neither closing nor being handed over. */
     public int idleConnections() {
         return (int) idleClients().count();
     }
 
     /**
-     * Closes so many idle connections, those first that have been idle longest; not one that has just connected, as a
-     * client whose new connection is closed without a response counts as rejected.
+     * Closes up to {@code many} idle connections, those idle longest first. Spares connections that were opened just
+     * now, since a client whose new connection is closed without a response counts as rejected.
      */
     public void closeIdle(int many) {
         closeIdle(many, dispatcher.now());
@@ -245,8 +249,8 @@
     }
 
     /**
-     * Closes so many idle connections, those first that were used last, as these carry most requests. Never one that
-     * has had no response yet: its first request is on its way.
+     * Closes up to {@code many} idle connections, the most recently used first, as these carry the most requests.
+     * Spares connections that have had no response yet: their first request is in flight.
      */
     public void closeMostRecentlyUsed(int many) {
         idleClients()
@@ -257,7 +261,7 @@
                 .forEach(ClientConnection::closeGracefully);
     }
 
-    /** Closes all connections gracefully, whatever is under way on them. */
+    /** Closes all connections gracefully, even with requests in flight. */
     public void closeAll() {
         List.copyOf(clients).forEach(ClientConnection::closeGracefully);
     }
--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -17,23 +17,23 @@
 import java.util.function.Consumer;
 
 /**
- * The connection of one client: its states from the start to the end, while {@link ClientRequestReceiver} decodes
- * requests and {@link ClientResponseQueue} writes their responses. Ends in order, by closing its output first, or is
- * passed to the process that takes over. On the event loop only.
+ * The connection of one client. Manages its lifecycle, while {@link ClientRequestReceiver} decodes requests and
+ * {@link ClientResponseQueue} writes their responses. Is closed gracefully, output first, or handed over to the
+ * successor process. Event loop only.
  */
 public final class ClientConnection extends PausableDecoder {
-    /** Is told of the connection's end. On the event loop only. */
+    /** Is notified of the connection's end. Event loop only. */
     public interface Listener {
-        /** The connection is closed. */
+        /** Called when the connection is closed. */
         void closed(ClientConnection client);
 
-        /** The instance drains, and the connection is between requests. */
+        /** Called when the instance drains and the connection is between requests. */
         void idleWhileDraining(ClientConnection client);
     }
 
-    /** How long a client has to close a connection whose output is closed, in milliseconds. */
+    /** How long a client has to close the connection after its output was closed, in milliseconds. */
     private static final long LINGER_MS = 300;
-    /** A client that has taken nothing of its responses for so long is disconnected, in milliseconds. */
+    /** A client that has read nothing of its pending responses for this time is disconnected, in milliseconds. */
     private static final double WRITE_STALL_MS = 10_000;
 
     private final Dispatcher dispatcher;
@@ -43,13 +43,13 @@
     private final ClientRequestReceiver receiver;
     private ChannelHandlerContext context;
 
-    /** No further command is decoded; it ends once its responses are written. */
+    /** Whether no further command is decoded; the connection is closed once its responses are written. */
     private boolean closing;
-    /** Its output is closed; no further response is written. */
+    /** Whether the output is closed, so that no further response is written. */
     private boolean finished;
-    /** It was closed by the proxy, and not in order. */
+    /** Whether the proxy forced it closed. */
     private boolean closedByProxy;
-    /** It is on its way to another process. */
+    /** Whether it is being handed over to another process. */
     private boolean handingOver;
 
     private double lastActiveMs;
@@ -77,22 +77,25 @@
 
     // ---- state
 
-    /** Between requests: no response outstanding, no command begun, and all responses in the kernel. */
+    /**
+     * Whether it is between requests: no response outstanding, no command begun, and all responses written to the
+     * kernel.
+     */
     boolean idle() {
         return responses.isEmpty() && responses.allWritten() && !receiver.receivesValue() && actualReadableBytes() == 0;
     }
 
-    /** Whether it has been sent a response here; a connection that has not has a request on its way. */
+    /** Whether this process has written a response to it; if not, its first request is assumed to be in flight. */
     boolean hasResponded() {
         return responses.hasWritten();
     }
 
-    /** Whether this or another process has served it, so that no first command is awaited. */
+    /** Whether this or another process has served it, so that no first command is expected. */
     public boolean served() {
         return adopted || hasResponded();
     }
 
-    /** Whether its output is closed or it is on its way to another process. */
+    /** Whether its output is closed or it is being handed over to another process. */
     boolean isClosingOrHandedOver() {
         return finished || handingOver;
     }
@@ -109,7 +112,7 @@
         return !closing && !handingOver;
     }
 
-    /** When the client last sent or took anything, on the clock of {@link Dispatcher#now}. */
+    /** When the client last sent or read anything, on the clock of {@link Dispatcher#now}. */
     double lastActiveMs() {
         return lastActiveMs;
     }
@@ -118,13 +121,13 @@
         lastActiveMs = dispatcher.now();
     }
 
-    /** Whether the client has taken nothing for too long of what can be sent to it. */
+    /** Whether the client has read none of its pending output for too long. */
     boolean stalled(double nowMs) {
         ChannelOutboundBuffer outbound = context.channel().unsafe().outboundBuffer();
         long unwrittenBytes = outbound == null ? 0 : outbound.totalPendingWriteBytes();
         if (unwrittenBytes != lastUnwrittenBytes) {
             lastUnwrittenBytes = unwrittenBytes;
-            lastActiveMs = nowMs; // it takes it, however slowly
+            lastActiveMs = nowMs; // the client is reading, however slowly
         }
         return (finished || !responses.allWritten()) && nowMs - lastActiveMs > WRITE_STALL_MS;
     }
@@ -153,18 +156,20 @@
         try {
             receiver.decode(in);
         } catch (MetaCodec.SyntaxException e) {
-            // Where the next command begins is unknown.
-            dispatcher.log(EventKind.CLIENT_PROTOCOL_ERROR, ctx.channel().remoteAddress() + " sends " + e.getMessage());
+            // The start of the next command is unknown, so the connection has to be closed.
+            dispatcher.log(
+                    EventKind.CLIENT_PROTOCOL_ERROR,
+                    ctx.channel().remoteAddress() + " sent an invalid command: " + e.getMessage());
             respondAndClose("CLIENT_ERROR " + e.getMessage() + "\r\n");
         }
     }
 
-    /** Has the decoder look at what it holds; it is not told otherwise that decoding goes on. */
+    /** Makes the decoder process its buffered input, which it otherwise does only when new input arrives. */
     void decodeBuffered() {
         context.executor().execute(() -> context.pipeline().fireChannelRead(Unpooled.EMPTY_BUFFER));
     }
 
-    /** Pauses and resumes servers and the client, by what can be written and decoded now. */
+    /** Pauses or resumes reading from servers and from the client, depending on what can be written and decoded now. */
     void updateBackpressure() {
         responses.updateFlowControl();
         receiver.resumeIfPossible();
@@ -176,16 +181,18 @@
         updateBackpressure();
     }
 
-    // ---- the end
+    // ---- closing
 
-    /** Sends a last line behind the outstanding responses, then ends the connection. */
+    /** Sends a last line after the outstanding responses, then closes the connection gracefully. */
     void respondAndClose(String text) {
         responses.respond(text);
         closing = true;
         responses.flush();
     }
 
-    /** Ends the connection if that is due and nothing is under way on it. */
+    /**
+     * Closes the connection if that is pending, or reports it as idle during a drain, once nothing is in flight on it.
+     */
     void closeIfDue() {
         if (closing && responses.isEmpty() && responses.allWritten()) {
             closeGracefully();
@@ -195,8 +202,8 @@
     }
 
     /**
-     * Closes the output and waits for the client to close the connection: closing with unread input would send a reset,
-     * which could overtake the last response.
+     * Closes the output and waits for the client to close the connection: closing a socket with unread input would send
+     * a reset, which could overtake the last response.
      */
     public void closeGracefully() {
         if (finished) {
@@ -209,7 +216,7 @@
         context.executor().schedule(this::closeNow, LINGER_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the connection at once, whatever is under way on it. */
+    /** Closes the connection immediately, even with requests in flight. */
     void closeNow() {
         closedByProxy = true;
         context.close();
@@ -233,20 +240,20 @@
         ctx.close();
     }
 
-    // ---- takeover
+    // ---- handover
 
     /**
-     * Passes the connection to the successor, and closes it here without a word to the client. In a task of its own:
-     * what is being read or written now is done then.
+     * Hands the connection over to the successor process and closes it here; the client is not notified. Runs as a
+     * separate task, after the reads and writes in progress, and only if the connection is idle then.
      *
-     * @param successor passes a channel on and reports whether that succeeded
+     * @param successor passes a channel to the successor and reports whether that succeeded
      */
     public void handOverTo(BiConsumer<Channel, Consumer<Boolean>> successor) {
         if (handingOver || finished) {
             return;
         }
         handingOver = true;
-        context.channel().config().setAutoRead(false); // what arrives now is the successor's to read
+        context.channel().config().setAutoRead(false); // input that arrives from now on is read by the successor
         context.executor().execute(() -> {
             if (idle() && !finished) {
                 successor.accept(context.channel(), this::handoverCompleted);
@@ -259,7 +266,7 @@
     private void handoverCompleted(boolean succeeded) {
         if (succeeded) {
             finished = true;
-            context.close(); // this process's descriptor alone
+            context.close(); // closes only this process's descriptor
         } else {
             resumeServing();
             if (idle()) {
--- a/src/main/java/cacheproxy/proxy/client/ClientInput.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientInput.java
@@ -7,13 +7,13 @@
 import io.netty.channel.ChannelHandlerContext;
 
 /**
- * The input of one client connection: when its bytes arrived, how far it is read ahead of what is decoded, and the
- * search for the client's end while reading is paused. On the event loop only.
+ * The input of one client connection: the arrival times of its bytes, how far reading may run ahead of decoding, and
+ * the detection of the client's close while reading is paused. Event loop only.
  */
 final class ClientInput {
-    /** How much is read in search of a client's end behind it, in bytes. */
+    /** How many bytes may be buffered by reading on to the end of stream that follows them. */
     private static final int CLOSE_DETECTION_BYTES = 1 << 20;
-    /** Reads in one round of the event loop, after which more input may be waiting (Netty's default). */
+    /** Reads per event loop iteration after which more input may be waiting in the kernel (Netty's default limit). */
     private static final int MAX_READS = 16;
 
     private final Dispatcher dispatcher;
@@ -28,13 +28,14 @@
         readAhead = dispatcher.bufferLimits().readAhead().newReservation();
     }
 
-    /** Bytes have been read; {@code idle}: nothing of the client was in flight before them. */
+    /** Called when bytes have been read; {@code idle}: nothing of the client was in flight before them. */
     void received(ChannelHandlerContext context, ByteBuf bytes, boolean idle) {
         if (!bytes.isReadable()) {
             return;
         }
         reads++;
-        // While reading is paused Netty reads only when the client has closed, and once: its end is behind these bytes.
+        // While reading is paused, Netty reads only if the client has closed, and only once: the end of stream is
+        // behind these bytes.
         readWhilePaused |= paused;
         arrivals.received(bytes.readableBytes(), dispatcher.inputReceivedMs(context.channel()), idle);
         if (bytes.isWritable()) {
@@ -42,7 +43,7 @@
         }
     }
 
-    /** A round of reading is over; so many bytes wait to be decoded. */
+    /** Called after a round of reads; {@code waitingBytes} are still to be decoded. */
     void readComplete(ChannelHandlerContext context, int waitingBytes) {
         if (!paused && reads < MAX_READS) {
             arrivals.backlogDrained(dispatcher.now());
@@ -58,22 +59,25 @@
         }
     }
 
-    /** Whether anything has arrived. */
+    /** Whether any input has arrived. */
     boolean hasReceivedInput() {
         return arrivals.received() > 0;
     }
 
-    /** When the last byte arrived that has been decoded, so many being left. */
+    /** When the last decoded byte arrived, if {@code remainingBytes} are not decoded yet. */
     double lastDecodedArrivalMs(int remainingBytes) {
         return arrivals.arrivedAtMs(arrivals.received() - remainingBytes);
     }
 
-    /** When the first of the bytes arrived that are left. */
+    /** When the first of the bytes that are not decoded yet arrived. */
     double nextByteArrivalMs(int remainingBytes) {
         return arrivals.arrivedAtMs(arrivals.received() - remainingBytes + 1);
     }
 
-    /** Nothing is decoded for now, and so many bytes wait: pauses reading where there is no budget to read ahead. */
+    /**
+     * Called while decoding is paused: pauses reading if the budget does not allow {@code waitingBytes} to be read
+     * ahead.
+     */
     void pauseIfFull(ChannelHandlerContext context, int waitingBytes) {
         if (!readAhead.tryReserve(waitingBytes) && !paused) {
             arrivals.backlogPossible(dispatcher.now());
@@ -82,7 +86,7 @@
         }
     }
 
-    /** Decoding goes on. */
+    /** Called when decoding resumes: returns the read-ahead budget and resumes reading. */
     void resume(ChannelHandlerContext context) {
         readAhead.release();
         if (paused) {
@@ -91,7 +95,7 @@
         }
     }
 
-    /** The connection has ended. */
+    /** Returns the read-ahead budget at the connection's end. */
     void release() {
         readAhead.release();
     }
--- a/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
@@ -12,17 +12,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decodes the commands of one client connection and hands their requests on. Stops where the client has too many
- * requests in flight, does not take its responses or waits for memory for a value, and times a client out that stops in
- * the middle of a command. On the event loop only.
+ * Decodes the commands of one client connection and passes on their requests. Pauses while the client has too many
+ * requests in flight, does not read its responses or waits for memory for a value. Times out a client that stops in the
+ * middle of a command. Event loop only.
  */
 final class ClientRequestReceiver {
     private static final int MAX_PIPELINED = 32;
-    /** How long a client waits for memory before it may send a value, in milliseconds; then its write is rejected. */
+    /** How long a client waits for memory before it may send a value, in milliseconds. Then its write is rejected. */
     private static final double RESERVATION_WAIT_MS = 2000;
 
     private static final String BAD_FORMAT = "CLIENT_ERROR bad command line format\r\n";
-    /** Stands for a write that makes no request; its value is read and dropped. */
+    /** Placeholder for a write whose line is not a valid request; its value is read and discarded. */
     private static final RequestCommand NO_REQUEST = new RequestCommand(
             Routing.META_FRONT, "", null, true, null, DeadlineTemplate.EMPTY, DeadlineTemplate.EMPTY);
 
@@ -33,13 +33,13 @@
 
     /** The write whose value is being received; null between commands. */
     private RequestCommand incomingWrite;
-    /** Its value; null if there is no memory for it. */
+    /** Its value; null while no memory is reserved for it. */
     private ValueBuffer value;
-    /** Bytes of it, with its line end, that are still to arrive. */
+    /** Bytes of the value and its line end that have not arrived yet. */
     private int remainingBytes;
 
     private boolean awaitsReservation;
-    /** Complete commands may be waiting in the decoder. */
+    /** Whether decoding is paused, so that complete commands may be waiting in the decoder. */
     private boolean decodingPaused;
     /** When decoding was last resumed. */
     private double resumedMs = Double.NEGATIVE_INFINITY;
@@ -54,7 +54,10 @@
         input = new ClientInput(dispatcher);
     }
 
-    /** The connection is open; {@code adopted}: another process has accepted it and may have served it. */
+    /**
+     * Starts the read timeout of a new connection; {@code adopted}: another process has accepted it and may have served
+     * it.
+     */
     void start(double nowMs, boolean adopted) {
         readTimeout = adopted ? ReadTimeout.forAdoptedConnection(nowMs) : ReadTimeout.forNewConnection(nowMs);
         setTimer();
@@ -133,7 +136,7 @@
         }
     }
 
-    /** A value follows, whether the line makes a request or not. */
+    /** Starts to receive a value, which follows even if the line is not a valid request. */
     private void startValue(MetaCommand write, double receivedMs) {
         incomingWrite = write.command() != null ? write.command() : NO_REQUEST;
         remainingBytes = write.valueLength() + MetaCodec.LINE_END_BYTES;
@@ -144,7 +147,10 @@
         }
     }
 
-    /** Reserves memory for the whole value, now or after a wait; without any the value is read and dropped. */
+    /**
+     * Reserves memory for the whole value, immediately or after a wait. If there is none, the value is read and
+     * discarded.
+     */
     private void reserveMemory(RequestCommand command) {
         command.valueReservation =
                 dispatcher.bufferLimits().values().reserve(remainingBytes, () -> reservationGranted(command));
@@ -208,7 +214,10 @@
         responses.accept(command, receivedMs);
     }
 
-    /** There was no memory for the value, or the line made no request; nothing was forwarded. */
+    /**
+     * Responds to a write that is not forwarded, because there was no memory for its value or its line is not a valid
+     * request.
+     */
     private void rejectWithoutValue(RequestCommand command) {
         if (command.id == null) {
             responses.respond(BAD_FORMAT);
@@ -218,7 +227,7 @@
         responses.respond(MetaCodec.BUSY + "\r\n");
     }
 
-    /** Releases what has been received of a write. */
+    /** Releases what has been received of an incomplete write. */
     void discardIncomingWrite() {
         if (incomingWrite == null) {
             return;
@@ -241,7 +250,10 @@
         }
     }
 
-    /** Decides after the event loop's next round of input: what arrived while the process was delayed is read first. */
+    /**
+     * Checks the timeout after the event loop's next round of reads, so that input which arrived while the process was
+     * delayed is read first.
+     */
     private void timerExpired() {
         connection.context().executor().schedule(this::checkTimeout, 0, TimeUnit.MILLISECONDS);
     }
@@ -261,7 +273,7 @@
         if (input.hasReceivedInput()) {
             connection.respondAndClose("CLIENT_ERROR timed out\r\n");
         } else {
-            connection.closeGracefully(); // a line would be taken for the response to a request that is on its way
+            connection.closeGracefully(); // a line would be taken for the response to a request in flight
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/client/ClientResponseQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientResponseQueue.java
@@ -15,11 +15,11 @@
 import java.util.ArrayDeque;
 
 /**
- * Writes the responses of one client connection in the order of their requests. Responses that are ready early wait
- * here; of streamed values only the one at the head is read from its server. On the event loop only.
+ * Writes the responses of one client connection in the order of their requests. Responses that are ready early wait in
+ * the queue; of streamed values, only the one at its head is read from its server. Event loop only.
  */
 final class ClientResponseQueue {
-    /** Parts that a composite buffer holds before it merges them. */
+    /** Number of components above which a composite buffer consolidates them. */
     private static final int MAX_COMPONENTS = 64;
 
     private final ClientConnection connection;
@@ -46,12 +46,12 @@
         return lastWrite != null;
     }
 
-    /** Whether all that was written is in the kernel: shutting the connection down drops what is not. */
+    /** Whether all that was written has reached the kernel; closing the output discards the rest. */
     boolean allWritten() {
         return lastWrite == null || lastWrite.isDone();
     }
 
-    /** Hands a request to the core; its response takes its place in the queue. */
+    /** Passes a request to the dispatcher and adds its pending response to the queue. */
     void accept(RequestCommand command, double receivedMs) {
         PendingResponse response = new PendingResponse(command.id);
         response.request = new ClientRequest(response, command, receivedMs);
@@ -59,7 +59,7 @@
         dispatcher.accept(response.request);
     }
 
-    /** Responds to a line without the core. */
+    /** Responds to a line without the dispatcher. */
     void respond(String text) {
         PendingResponse response = new PendingResponse(null);
         pending.add(response);
@@ -92,7 +92,7 @@
         connection.closeIfDue();
     }
 
-    /** Pauses the servers of streamed values that can't be written now, and resumes the others. */
+    /** Pauses reading of streamed values that can't be written now, and resumes the others. */
     void updateFlowControl() {
         for (PendingResponse response : pending) {
             if (response.source != null) {
@@ -102,7 +102,9 @@
         }
     }
 
-    /** The connection has ended: drops what is outstanding. {@code closedByProxy}: not by the client. */
+    /**
+     * Discards outstanding responses at the connection's end; {@code closedByProxy}: it was not closed by the client.
+     */
     void drop(boolean closedByProxy) {
         for (PendingResponse response; (response = pending.poll()) != null; ) {
             response.drop(closedByProxy);
@@ -113,12 +115,12 @@
         return connection.context();
     }
 
-    /** The response to one request, or to a line that is none. */
+    /** The response to one request, or to a line that is not a request. */
     private final class PendingResponse implements ResponseWriter {
         private final String id;
-        /** Null for a response without the core. */
+        /** Null for a response that does not come from the dispatcher. */
         private ClientRequest request;
-        /** What can be written, null once it has been handed on. */
+        /** Data that can be written; null once it has been passed to the channel. */
         private ByteBuf ready;
         /** Whether all of the response has arrived. */
         private boolean complete;
@@ -146,11 +148,11 @@
             } else if (response instanceof ServerResponse.Value v) {
                 complete(encode(v.value()));
             } else {
-                throw new IllegalStateException("the end of a value that has not begun");
+                throw new IllegalStateException("EndOfValue without a preceding beginValue");
             }
         }
 
-        /** In one buffer: costs a copy and saves the system call two further buffers. */
+        /** Encodes a value into one buffer: this costs a copy, but saves the write system call two more buffers. */
         private ByteBuf encode(ByteBuf value) {
             String head = MetaCodec.valueHeader(value.readableBytes(), id);
             ByteBuf out = context().alloc().buffer(head.length() + value.readableBytes() + MetaCodec.LINE_END_BYTES);
@@ -201,12 +203,12 @@
 
         @Override
         public void endValue() {
-            source = null; // first, or the write pauses the connection that the next response is to arrive on
+            source = null; // cleared first, or the write would pause the connection on which the next response arrives
             complete = true;
             writePart(MetaCodec.encode(context().alloc(), "\r\n"));
         }
 
-        /** Only the connection's end tells the client that the value is incomplete. */
+        /** Closes the connection: nothing else tells the client that the value is incomplete. */
         @Override
         public void abort() {
             source = null;
--- a/src/main/java/cacheproxy/proxy/client/MetaCommand.java
+++ b/src/main/java/cacheproxy/proxy/client/MetaCommand.java
@@ -7,7 +7,7 @@
 import cacheproxy.route.Routing;
 
 /**
- * One command line of a client. The words of the protocol:
+ * One command line of a client. The commands and flags of the protocol:
  *
  * <pre>
  * mn  {@link Kind#NOOP}     mg  {@link Kind#READ}     ms  {@link Kind#WRITE}
@@ -15,12 +15,12 @@
  * </pre>
  *
  * @param kind of command
- * @param command the request, without a write's value; null where the line makes none
+ * @param command the request, without a write's value; null if the line is not a valid request
  * @param valueLength bytes of a write's value without its line end; 0 for the others
  */
 record MetaCommand(Kind kind, RequestCommand command, int valueLength) {
     private static final int MAX_KEY_LENGTH = 250;
-    /** Length of {@code mg} and {@code ms} with the space behind. */
+    /** Length of {@code mg} and {@code ms} with the space that follows. */
     private static final int NAME_BYTES = 3;
 
     /** The commands. */
@@ -29,7 +29,7 @@
         NOOP,
         /** {@code mg}: reads a key. */
         READ,
-        /** {@code ms}: writes a key; a value follows, whether the line makes a request or not. */
+        /** {@code ms}: writes a key; a value follows, even if the line is not a valid request. */
         WRITE,
         /** Any other line. */
         UNKNOWN
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Protects the servers' connections: a server that can't parse a line closes its connection with all requests on
-     * it.
+     * Whether the line is printable ASCII. Protects the connections to servers: a server that can't parse a line closes
+     * its connection with all requests on it.
      */
     private static boolean printable(String line) {
         return line.chars().allMatch(c -> c >= ' ' && c <= '~');
