--- a/src/main/java/cacheproxy/proxy/protocol/DeadlineTemplate.java
+++ b/src/main/java/cacheproxy/proxy/protocol/DeadlineTemplate.java
@@ -1,11 +1,11 @@
 package cacheproxy.proxy.protocol;
 
 /**
- * A text of a request that contains its timeout, split around that number. Each attempt is sent the time that remains
- * when its bytes go out, which is less than what the client stated.
+ * A template of a request's text that contains its timeout, split around that number. Each attempt is sent the time
+ * that remains when its bytes are written, which is less than what the client stated.
  *
  * @param before the text before the number
- * @param after the text behind the number
+ * @param after the text after the number
  */
 public record DeadlineTemplate(String before, String after) {
     /** Contains the timeout and nothing else. */
--- a/src/main/java/cacheproxy/proxy/protocol/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/protocol/MetaCodec.java
@@ -26,7 +26,7 @@
     public static final class SyntaxException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** Says what is wrong, for the client and the log. */
+        /** {@code message}: what is wrong, for the client and the log. */
         public SyntaxException(String message) {
             super(message, null, false, false);
         }
--- a/src/main/java/cacheproxy/proxy/protocol/RequestCommand.java
+++ b/src/main/java/cacheproxy/proxy/protocol/RequestCommand.java
@@ -4,8 +4,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A command as a front protocol has decoded it: what is asked for, and its value in the case of a write. Owns the value
- * and the budget reserved for it. Event loop only.
+ * A command as decoded by a front protocol: what is requested, and the value of a write. Owns the value and the budget
+ * reserved for it. Event loop only.
  */
 public final class RequestCommand {
     /** The index of the front protocol in {@link cacheproxy.route.Routing#FRONTS}. */
@@ -23,7 +23,7 @@
     public final DeadlineTemplate commandLine;
     /** The value with its line end, kept for further attempts until the request is completed; null for reads. */
     public ByteBuf value;
-    /** The part of the value budget that the value takes; null for reads. */
+    /** The reservation of the value budget for the value; null for reads. */
     public ByteBudget.Reservation valueReservation;
 
     /** Creates a command without a value; the codec adds that of a write. */
@@ -44,7 +44,7 @@
         this.commandLine = commandLine;
     }
 
-    /** Releases the value and its part of the budget. Idempotent. */
+    /** Releases the value and its reservation. Idempotent. */
     public void release() {
         if (value != null) {
             value.release();
--- a/src/main/java/cacheproxy/proxy/protocol/RequestParameters.java
+++ b/src/main/java/cacheproxy/proxy/protocol/RequestParameters.java
@@ -1,10 +1,10 @@
 package cacheproxy.proxy.protocol;
 
 /**
- * The terms that a client states for its request.
+ * The parameters that a client sends with its request.
  *
  * @param className the name of its service class
- * @param tenant the tenant it is charged to; null if the client does not say
+ * @param tenant the tenant that the request is charged to; null if the client does not say
  * @param timeoutMs how long the client waits for the response, in milliseconds; NaN if it does not say
  * @param workMicros what the request costs a server, in microseconds; NaN if the client does not say
  * @param valueBytes the length of the value in bytes; 0 if the client does not say
--- a/src/main/java/cacheproxy/proxy/protocol/ValueBuffer.java
+++ b/src/main/java/cacheproxy/proxy/protocol/ValueBuffer.java
@@ -6,8 +6,8 @@
 import java.util.ArrayDeque;
 
 /**
- * A value while it is received, in parts of equal size: a single growing buffer exists twice while it grows, and slices
- * of the input would retain whole reads for a few bytes each.
+ * Collects a value while it is received, in parts of equal size. A single growing buffer would exist twice while it
+ * grows, and slices of the input would retain whole read buffers for a few bytes each.
  */
 public final class ValueBuffer {
     private static final int PART_BYTES = 64 << 10;
@@ -23,7 +23,7 @@
         remainingBytes = length;
     }
 
-    /** Takes so many bytes from the input, at most those that are missing. */
+    /** Takes this many bytes from the input; at most those that are still missing. */
     public void add(ByteBuf in, int bytes) {
         for (int left = bytes; left > 0; ) {
             ByteBuf last = parts.peekLast();
--- a/src/main/java/cacheproxy/proxy/transport/AcceptErrorHandler.java
+++ b/src/main/java/cacheproxy/proxy/transport/AcceptErrorHandler.java
@@ -6,12 +6,12 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps accepting connections after an error of accept. A client that disconnected before it was accepted
- * (ECONNABORTED) or an error of the network concerns one connection, and a lack of descriptors or buffers passes. Netty
- * by itself stops accepting for a second, which is as long as many requests may take. Event loop only.
+ * Keeps accepting connections after a failed accept call. A client that disconnected before it was accepted
+ * (ECONNABORTED) or a network error concerns one connection only, and a shortage of descriptors or buffers passes.
+ * Netty by default stops accepting for a second, which is as long as many requests may take. Event loop only.
  */
 public final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
-    /** Short compared with any deadline, and long enough that a lasting lack does not use up the processor. */
+    /** Short compared with any deadline, and long enough that a persistent shortage does not use up the CPU. */
     private static final long RETRY_DELAY_MS = 20;
 
     private final Runnable resumeAccepting;
--- a/src/main/java/cacheproxy/proxy/transport/ConnectFutures.java
+++ b/src/main/java/cacheproxy/proxy/transport/ConnectFutures.java
@@ -5,21 +5,23 @@
 import io.netty.channel.EventLoop;
 
 /**
- * What comes of a connection that is being made. Where the system has no socket to give (ENFILE, EMFILE, ENOBUFS),
- * Netty hands out a channel that belongs to no event loop, tells of it on a thread of its own, and throws where that
- * channel is closed. Whoever connects learns of that here, as of any other connection that does not come up.
+ * The results of connects. If the system can't provide a socket (ENFILE, EMFILE, ENOBUFS), Netty returns a channel that
+ * is registered with no event loop, notifies listeners on another thread, and throws when that channel is closed. These
+ * methods report this like any other failed connect.
  */
 public final class ConnectFutures {
     private ConnectFutures() {}
 
-    /** The channel of a connection that is being made; null if there could be none. */
+    /** The channel of a connect in progress; null if there is none because no socket could be created. */
     public static Channel channel(ChannelFuture future) {
         boolean none =
                 future.isDone() && !future.isSuccess() && !future.channel().isRegistered();
         return none ? null : future.channel();
     }
 
-    /** Runs the task on the event loop once the connection is up or has failed; never within this call if it failed. */
+    /**
+     * Runs the task on the event loop once the connect has succeeded or failed; never within this call if it failed.
+     */
     public static void whenDone(EventLoop loop, ChannelFuture future, Runnable task) {
         if (future.isDone() && !future.isSuccess()) {
             loop.execute(task);
--- a/src/main/java/cacheproxy/proxy/transport/package-info.java
+++ b/src/main/java/cacheproxy/proxy/transport/package-info.java
@@ -1,2 +1,2 @@
-/** What the sides of the proxy share of sockets: how connections are made and accepted while system calls fail. */
+/** Socket helpers that the client and server sides share: connecting and accepting while system calls fail. */
 package cacheproxy.proxy.transport;
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -14,7 +14,7 @@
 import java.util.List;
 
 /**
- * The meta text protocol towards a cache node. Event loop only.
+ * The client side of the meta text protocol, towards a cache node. Event loop only.
  *
  * <pre>
  * response line           outcome
@@ -53,17 +53,17 @@
     private final UpstreamConnection connection;
     private final UpstreamContext context;
     private final LoadReports loadReports;
-    /** Bytes of the value and its line end still to arrive, or {@link #NO_VALUE}: a line is next. */
+    /** Bytes of the value and its line end that have not arrived yet; {@link #NO_VALUE} if a line is next. */
     private int remainingBytes = NO_VALUE;
 
     private int length;
     private boolean streamed;
-    /** Whether nobody waits for the streamed value. */
+    /** Whether the streamed value is discarded, because nobody waits for it. */
     private boolean discarded;
 
     private int note;
     private float[] report;
-    /** The report of a health check's response so far, as a list such as {@code a=1,b=2,}. */
+    /** The load statistics of a health check's response so far, as a list such as {@code a=1,b=2,}. */
     private String stats = "";
 
     CacheCodec(UpstreamConnection connection) {
@@ -103,8 +103,8 @@
     @Override
     protected void decode(ChannelHandlerContext channelContext, ByteBuf in, List<Object> out) {
         try {
-            if (connection.currentAttempt() == null) { // complete or not: it would be taken for the next response
-                throw new MetaCodec.SyntaxException("answer to nothing");
+            if (connection.currentAttempt() == null) { // even a partial line would be taken for the next response
+                throw new MetaCodec.SyntaxException("response without a request");
             }
             if (remainingBytes == NO_VALUE) {
                 decodeLine(in);
@@ -144,14 +144,14 @@
             decodeFlags(line, STORED.length(), command);
             String receipt = MetaCodec.flag(line, STORED.length(), 'c');
             if (receipt == null) {
-                throw new MetaCodec.SyntaxException("no receipt");
+                throw new MetaCodec.SyntaxException("response to a write without a receipt");
             }
             connection.responseCompleted(AttemptOutcome.OK, note, report, new ServerResponse.Receipt(receipt));
         } else if (line.startsWith(MISS)) {
             decodeFlags(line, MISS.length() + 1, command);
             connection.responseCompleted(AttemptOutcome.MISS, note, report, null);
         } else {
-            throw new MetaCodec.SyntaxException("unknown line");
+            throw new MetaCodec.SyntaxException("unknown response line");
         }
     }
 
@@ -170,10 +170,12 @@
         return loadReports.parse(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
     }
 
-    /** Decodes the flags from this index on. The id must be the request's, or responses have lost their order. */
+    /**
+     * Decodes the flags from this index on. The id must be that of the request; otherwise responses are out of order.
+     */
     private void decodeFlags(String line, int from, RequestCommand command) throws MetaCodec.SyntaxException {
         if (!command.id.equals(MetaCodec.flag(line, from, 'O'))) {
-            throw new MetaCodec.SyntaxException("answer to another request");
+            throw new MetaCodec.SyntaxException("response to another request");
         }
         note = decodeNote(line, from);
         report = loadReports.parse(MetaCodec.flag(line, from, 'L'));
@@ -202,7 +204,10 @@
         connection.responseCompleted(AttemptOutcome.OK, note, report, new ServerResponse.Value(value));
     }
 
-    /** Passes on what has arrived of the value, and its end only when its line end is seen to be one. */
+    /**
+     * Passes on the part of the value that has arrived. Its end is passed on only once the line end after it is
+     * verified.
+     */
     private void streamValue(ByteBuf in) throws MetaCodec.SyntaxException {
         int available = Math.min(remainingBytes - LINE_END_BYTES, in.readableBytes());
         if (available > 0) {
@@ -224,7 +229,7 @@
 
     private static void requireLineEnd(ByteBuf in, int index) throws MetaCodec.SyntaxException {
         if (in.getByte(index) != '\r' || in.getByte(index + 1) != '\n') {
-            throw new MetaCodec.SyntaxException("value without end");
+            throw new MetaCodec.SyntaxException("value without a line end");
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/ConnectionLimits.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ConnectionLimits.java
@@ -4,27 +4,32 @@
 import cacheproxy.routing.RoutingSettings;
 import java.util.function.Supplier;
 
-/** Limits the connections to all servers together, and how they are shared with other proxies. Event loop only. */
+/**
+ * Limits the connections to all servers together, and this proxy's share of those that each server accepts. Event loop
+ * only.
+ */
 final class ConnectionLimits {
-    /** The usual limit of connections to one cache node, and the limit including those that stream responses. */
+    /**
+     * The usual limit of connections to one cache node; the next constant includes connections that stream responses.
+     */
     private static final int PER_CACHE_NODE = 4;
 
     private static final int PER_CACHE_NODE_WITH_STREAMING = 12;
-    /** What one cache node accepts from all proxies, some forty, less a reserve. */
+    /** Connections that one cache node accepts from all proxies, about 40, less a reserve. */
     private static final int CACHE_NODE_CAPACITY = 28;
 
     private static final int MIN_TO_ORIGIN = 4;
     private static final int MAX_TO_ORIGIN = 48;
-    /** What the origin accepts from all proxies, less a reserve. */
+    /** Connections that the origin accepts from all proxies, less a reserve. */
     private static final int ORIGIN_CAPACITY = 240;
 
-    /** HTTP/1.1 without pipelining. */
+    /** Attempts on one connection to the origin: HTTP/1.1 without pipelining. */
     private static final int ORIGIN_DEPTH = 1;
-    /** An idle connection is closed after this part of the time after which its server closes it. */
+    /** An idle connection is closed after this fraction of its server's idle timeout. */
     private static final double IDLE_CLOSE_FRACTION = 0.7;
-    /** For so long after a rejection connections count as scarce. */
+    /** How long connections count as scarce after rejections, in milliseconds. */
     private static final double SCARCITY_MS = 60_000;
-    /** Token bucket of connections closed because nobody waits for what is on them. */
+    /** Token bucket for closing connections because nobody waits for their responses. */
     private static final double ABANDONED_CLOSES_PER_SECOND = 10;
 
     private static final double ABANDONED_CLOSES_BURST = 10;
@@ -39,7 +44,7 @@
     private double tokensRefilledMs;
 
     /**
-     * Without connections.
+     * Creates limits with no connections yet.
      *
      * @param maxConnections the limit over all servers
      * @param longestIdle the connection that has been idle longest; null if none is idle
@@ -57,8 +62,9 @@
     }
 
     /**
-     * Where hedging is not allowed, an attempt can be abandoned for another server only if it has a connection of its
-     * own, so there may be as many as a server accepts.
+     * The limit for this proxy's share. Where hedging is not allowed, an attempt can be abandoned in favor of another
+     * server only if it has a connection of its own, so the limit includes streaming and does not depend on the number
+     * of instances.
      */
     private int perCacheNode(int max) {
         RoutingSettings settings = context.settings();
@@ -90,8 +96,8 @@
 
     /**
      * Whether one more connection may be opened. For the {@code first} one to a server, the connection that has been
-     * idle longest is closed if need be, so that no server is out of reach because of the others. Its descriptor is
-     * free then; it counts until the event loop has come round.
+     * idle longest is closed if necessary, so that connections to other servers never make a server unreachable. Its
+     * descriptor is free then, but it still counts until the next event loop iteration.
      */
     boolean mayOpen(boolean first) {
         return connections < maxConnections || (first && closeLongestIdle());
@@ -106,7 +112,7 @@
         return true;
     }
 
-    /** Servers at their connection limit are too many: connections count as scarce from now on, for a while. */
+    /** Marks connections as scarce for a while, because too many servers are at their connection limit. */
     void markConnectionsScarce() {
         scarceUntilMs = context.now() + SCARCITY_MS;
     }
@@ -116,12 +122,15 @@
         return context.now() - SCARCITY_MS;
     }
 
-    /** Whether servers accept too few connections for all proxies, so that each should have one of them only. */
+    /**
+     * Whether cache nodes accept too few connections for all proxies, so that each proxy should have only one per cache
+     * node.
+     */
     boolean connectionsScarce() {
         return context.now() < scarceUntilMs;
     }
 
-    /** Whether one more connection may be closed only because nobody waits for what is on it; counts as closed. */
+    /** Whether one more connection may be closed only because nobody waits for its responses; takes a token if so. */
     boolean mayCloseAbandoned() {
         double now = context.now();
         abandonedCloseTokens = Math.min(
--- a/src/main/java/cacheproxy/proxy/upstream/LoadReports.java
+++ b/src/main/java/cacheproxy/proxy/upstream/LoadReports.java
@@ -4,7 +4,7 @@
 import cacheproxy.routing.LoadReportSource;
 import java.util.List;
 
-/** Reads the load reports of servers, as the settings say where they come from. Event loop only. */
+/** Parses the load reports of servers, from the source that the settings name. Event loop only. */
 final class LoadReports {
     private final UpstreamContext context;
 
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -65,13 +65,16 @@
     private final UpstreamContext context;
     private final LoadReports loadReports;
     private HttpResponse response;
-    /** What has arrived of the body; null where it is streamed or dropped. */
+    /** The part of the body that has arrived; null if the body is streamed or discarded. */
     private ValueBuffer body;
-    /** Budget for a body of unknown length, reserved as it grows; a response that gets none is given up. */
+    /**
+     * Budget for a body that is held completely, beyond {@link MetaCodec#MAX_WHOLE_VALUE_BYTES}, reserved as it grows.
+     * A response that gets none fails.
+     */
     private final ArrayDeque<ByteBudget.Reservation> reservations = new ArrayDeque<>();
 
     private boolean streamed;
-    /** Whether what arrives is ignored, because the connection is being closed. */
+    /** Whether further input is ignored, because the connection is being closed. */
     private boolean ignoringInput;
 
     private OriginCodec(UpstreamConnection connection) {
@@ -88,7 +91,10 @@
         };
     }
 
-    /** Rejects input that arrives while no attempt is in flight: kept back, it would begin the next response. */
+    /**
+     * Rejects input that arrives while no attempt is in flight: if buffered, it would become the start of the next
+     * response.
+     */
     private static final class ResponseDecoder extends HttpResponseDecoder {
         private static final int MAX_HEADERS_BYTES = 8192;
         private static final int MAX_CHUNK_BYTES = 64 << 10;
@@ -106,11 +112,11 @@
                 super.decode(channelContext, in, out);
                 return;
             }
-            // Line ends alone begin no response.
+            // Line ends alone do not start a response.
             boolean lineEndsOnly = in.forEachByte(b -> b == '\r' || b == '\n') < 0;
             in.skipBytes(in.readableBytes());
             if (!lineEndsOnly) {
-                connection.protocolError("answer to nothing");
+                connection.protocolError("response without a request");
             }
         }
     }
@@ -154,12 +160,12 @@
     @Override
     protected void channelRead0(ChannelHandlerContext channelContext, HttpObject message) {
         connection.setReading(true);
-        // Once this side has closed the connection, the decoder completes a body without length.
+        // After a local close, the decoder reports a body without a length as complete.
         if (ignoringInput || connection.closedLocally()) {
             return;
         }
         if (message.decoderResult().isFailure()) {
-            fail("not HTTP");
+            fail("malformed HTTP response");
             return;
         }
         if (message instanceof HttpResponse head) {
@@ -187,7 +193,7 @@
         }
         body = null;
         boolean streamable = isStreamable(head, contentLength);
-        streamed = streamable && connection.beginValue((int) contentLength); // else nobody waits for it
+        streamed = streamable && connection.beginValue((int) contentLength); // if false, nobody waits for it
         if (!streamable) {
             int maxLength = contentLength < 0 ? MetaCodec.MAX_VALUE_BYTES : (int) contentLength;
             body = new ValueBuffer(channelContext.alloc(), maxLength);
@@ -198,14 +204,14 @@
     /** Why a response can't be used; null if it can. */
     private static String findError(HttpResponse head, long contentLength) {
         if (hasMalformedHeader(head.headers())) {
-            return "header line without colon";
+            return "header line without a colon or value";
         }
         if (contentLength > MetaCodec.MAX_VALUE_BYTES) {
-            return "too long";
+            return "response body too long";
         }
         boolean endUnknown =
                 contentLength < 0 && !HttpUtil.isTransferEncodingChunked(head) && HttpUtil.isKeepAlive(head);
-        return endUnknown ? "no length and no end" : null;
+        return endUnknown ? "response on a persistent connection without a length" : null;
     }
 
     private boolean isStreamable(HttpResponse head, long contentLength) {
@@ -221,8 +227,8 @@
     }
 
     /**
-     * Whether a line is no header: the decoder takes it for a name without a value. Only the load report may be useless
-     * in a response that is not.
+     * Whether a header line is malformed: the decoder turns a line without a colon into a name without a value. Only
+     * the load report may be empty in a response that is otherwise usable.
      */
     private static boolean hasMalformedHeader(HttpHeaders headers) {
         for (Map.Entry<String, String> header : headers) {
@@ -242,9 +248,9 @@
         } else if (body != null) {
             int length = body.length() + part.readableBytes();
             if (length > MetaCodec.MAX_VALUE_BYTES) {
-                fail("too long");
+                fail("response body too long");
             } else if (!reserve(length - MetaCodec.MAX_WHOLE_VALUE_BYTES)) {
-                fail("no room for it");
+                fail("no budget for the response body");
             } else {
                 body.add(part, part.readableBytes());
                 connection.responseProgressed();
@@ -252,7 +258,7 @@
         }
     }
 
-    /** Reserves budget for this many bytes in all; false if there is not enough now. */
+    /** Extends the reservation to this many bytes in total; false if there is not enough budget now. */
     private boolean reserve(int bytes) {
         while (reservations.size() * (long) MetaCodec.MAX_WHOLE_VALUE_BYTES < bytes) {
             ByteBudget.Reservation reservation =
@@ -316,7 +322,7 @@
         }
     }
 
-    /** Releases the body; what was streamed belongs to the client's side. */
+    /** Releases the body and its budget; the client side owns what was streamed. */
     private void releaseBody() {
         if (body != null) {
             body.release();
@@ -340,7 +346,10 @@
         connection.channelClosed();
     }
 
-    /** A body that the connection's end completes is complete if that end is an orderly one (RFC 9112, 6.3). */
+    /**
+     * Discards the body: one that ends with the connection is complete only if the connection was closed in order (RFC
+     * 9112, section 6.3).
+     */
     @Override
     public void exceptionCaught(ChannelHandlerContext channelContext, Throwable cause) {
         context.connectionFailed(cause);
--- a/src/main/java/cacheproxy/proxy/upstream/ResponseWatchdog.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ResponseWatchdog.java
@@ -1,13 +1,16 @@
 package cacheproxy.proxy.upstream;
 
 /**
- * Watches whether the response that a connection is receiving makes progress. A server pauses for 0.1 s at most within
- * a response. Event loop only.
+ * Checks that the response which a connection is receiving makes progress. A server pauses for at most 0.1 s within a
+ * response. Event loop only.
  */
 final class ResponseWatchdog {
-    /** A streamed response without progress for so long will not continue. */
+    /** A streamed response without progress for this time, in milliseconds, will not continue. */
     static final double STREAM_STALL_MS = 3000;
-    /** A short response without progress for so long, three times the longest pause, has been cut off. */
+    /**
+     * A short response without progress for this time, in milliseconds, has been cut off; three times the longest
+     * pause.
+     */
     private static final double SHORT_STALL_MS = 300;
 
     private final UpstreamContext context;
@@ -26,8 +29,8 @@
     }
 
     /**
-     * A part of a short response has arrived. One that is cut off on a connection that stays open would be waited for
-     * until the deadline of its request.
+     * Called when part of a short response has arrived. Without the check, a response that is cut off on a connection
+     * that stays open would be waited for until the deadline of its request.
      */
     void shortResponseProgressed() {
         shortResponseBegun = true;
@@ -50,25 +53,28 @@
         });
     }
 
-    /** A streamed response begins. Its first line may have arrived in parts; from here on the client may be slow. */
+    /**
+     * Called when a streamed response begins. Its first line may have arrived in parts; from now on, a slow client may
+     * delay it.
+     */
     void streamBegan() {
         streaming = true;
         shortResponseBegun = false;
         noteProgress();
     }
 
-    /** A part of a streamed response has arrived. */
+    /** Called when part of a streamed response has arrived. */
     void streamProgressed() {
         noteProgress();
     }
 
-    /** The response has arrived completely. */
+    /** Called when the response has arrived completely. */
     void responseCompleted() {
         streaming = false;
         shortResponseBegun = false;
     }
 
-    /** Reading is paused for a slow client, or resumed; false if it was so before. */
+    /** Records that reading is paused for a slow client, or resumed; false if nothing changes. */
     boolean setPaused(boolean nowPaused) {
         if (paused == nowPaused) {
             return false;
@@ -78,7 +84,7 @@
         return true;
     }
 
-    /** The connection has ended: nothing is watched any more. */
+    /** Ends the checks, as the connection has ended. */
     void stop() {
         stopped = true;
     }
@@ -88,7 +94,7 @@
         return streaming;
     }
 
-    /** Whether a streamed response has stopped in its middle, and not because its client is slow. */
+    /** Whether a streamed response has stalled, and not because its client is slow. */
     boolean isStreamStalled(double nowMs) {
         return streaming && !paused && nowMs - lastProgressMs > STREAM_STALL_MS;
     }
--- a/src/main/java/cacheproxy/proxy/upstream/ServerConnectionPool.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ServerConnectionPool.java
@@ -9,17 +9,18 @@
 import java.util.List;
 
 /**
- * The connections to one server. An attempt takes the idle connection that was used last, so that the rest can age and
- * be closed; else a new one, up to a limit; else the one with the fewest attempts. Event loop only.
+ * The connections to one server. An attempt takes the most recently used idle connection, so that the others can reach
+ * their idle timeout; else a new one, up to a limit; else the one with the fewest attempts. Event loop only.
  */
 public final class ServerConnectionPool {
     private static final int TYPICAL_CONNECTIONS = 2;
-    /** After the server has not taken a further connection, none is opened beside others for so long. */
+    /** How long no connection is opened beside others after the server has refused a further one, in milliseconds. */
     private static final double REJECTION_BACKOFF_MS = 5000;
     /**
-     * A connection to the origin rests for so long after a response. HTTP names no request, so a duplicate of a
-     * response, which arrives some milliseconds behind it, would be taken for that to an attempt sent in between; on a
-     * connection at rest it is seen to belong to none. Cache nodes' responses name their requests.
+     * How long a connection to the origin is left unused after a response where possible, in milliseconds. HTTP
+     * responses carry no request id, so a duplicate response, which arrives some milliseconds after the original, would
+     * be taken for the response to an attempt sent in between. On an unused connection it is recognized as belonging to
+     * no attempt. Responses of cache nodes carry the id of the request.
      */
     private static final double ORIGIN_QUIET_PERIOD_MS = 25;
 
@@ -27,7 +28,7 @@
      * How many connections a pool may have, and how many attempts they may take.
      *
      * @param maxConnections the limit of connections
-     * @param maxWithStreaming the limit including those that pass streamed responses on
+     * @param maxWithStreaming the limit including connections that stream responses
      * @param maxDepth the limit of attempts on one connection
      */
     record Limits(int maxConnections, int maxWithStreaming, int maxDepth) {}
@@ -65,7 +66,7 @@
         return server.origin;
     }
 
-    /** What an attempt may be sent on, as found by one pass over the connections. */
+    /** The connections that an attempt may be sent on, found in one pass. */
     private static final class Candidates {
         /** The best usable connection that does not stream; null if there is none. */
         private UpstreamConnection best;
@@ -77,8 +78,9 @@
     }
 
     /**
-     * Sends an attempt; false if no connection can take it. What is sent behind a streamed response waits as long as
-     * its client takes to read it, so a streaming connection is the last resort, and does not count against the limit.
+     * Sends an attempt; false if no connection can take it. An attempt that is sent behind a streamed response waits
+     * until the client has read that response, so a streaming connection is the last resort and does not count against
+     * the usual limit.
      */
     public boolean send(UpstreamAttempt attempt) {
         double now = context.now();
@@ -115,8 +117,8 @@
     }
 
     /**
-     * Whether to open a connection: there is none to use, or the best has attempts on it or should rest. Where no more
-     * may be opened, the one that has rested longest is used.
+     * Whether to open a connection: none is usable, or the best one has attempts on it or is in its quiet period. Where
+     * no more may be opened, the one that has been quiet longest is used.
      */
     private boolean shouldOpen(Candidates candidates, double now) {
         UpstreamConnection best = candidates.best;
@@ -163,8 +165,8 @@
     }
 
     /**
-     * Sends an attempt on another connection because its own was not opened; false if there is none. While others are
-     * open, the server has as many as it accepts, which says nothing against it.
+     * Sends an attempt on another connection because its own could not be opened; false if there is none. While others
+     * are open, the failure means that the server is at its connection limit, not that it is unhealthy.
      */
     boolean resend(UpstreamAttempt attempt) {
         double now = context.now();
@@ -191,7 +193,10 @@
         return best;
     }
 
-    /** The server has rejected a new connection as it is at its limit; whether there is no other connection to it. */
+    /**
+     * Records that the server rejected a new connection because it is at its limit. Returns whether there is no other
+     * connection to it.
+     */
     boolean connectionRejected() {
         lastRejectedMs = context.now();
         rejectedConnections++;
@@ -200,12 +205,12 @@
         return connections.isEmpty();
     }
 
-    /** Whether one more connection may be closed only because nobody waits for what is on it. */
+    /** Whether one more connection may be closed only because nobody waits for its responses. */
     boolean mayCloseAbandoned() {
         return globalLimits.mayCloseAbandoned();
     }
 
-    /** A connection has ended, or was never opened. */
+    /** Removes a connection that has ended or was never opened. */
     void connectionClosed(UpstreamConnection connection) {
         if (connections.remove(connection)) {
             globalLimits.connectionClosed();
@@ -233,16 +238,16 @@
     }
 
     /**
-     * Closes the present connections: idle ones now, the others after their last response. For a server that is no
-     * longer at its address, or no longer in the list.
+     * Closes the current connections: idle ones immediately, the others after their last response. For a server whose
+     * address or process has changed, or that is no longer in the list.
      */
     void retire() {
         List.copyOf(connections).forEach(UpstreamConnection::retire);
     }
 
     /**
-     * Ends attempts that wait for a connection to a server that takes nothing new, or is no longer where the connection
-     * leads. Else they would reach the server whenever that connection opens.
+     * Ends attempts that wait for a connection to open, if the server takes no new requests or is no longer at the
+     * connection's address. Otherwise they would be sent whenever that connection opens.
      */
     void endUnsent() {
         for (UpstreamConnection connection : List.copyOf(connections)) {
@@ -257,7 +262,7 @@
         List.copyOf(connections).forEach(UpstreamConnection::close);
     }
 
-    /** Closes connections whose response has stopped in its middle. */
+    /** Closes connections whose response has stalled. */
     void closeStalled(double now) {
         for (UpstreamConnection connection : List.copyOf(connections)) {
             connection.closeIfStalled(now);
@@ -279,7 +284,7 @@
         return rejectedConnections;
     }
 
-    /** How many connections were begun. */
+    /** How many connections were opened, including those that failed to open. */
     public long openedConnections() {
         return openedConnections;
     }
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamAttempt.java
@@ -6,8 +6,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * An attempt as the connection that carries it sees it: what to send, until when, and where its events go. Event loop
- * only.
+ * An attempt as seen by the connection that carries it: what to send, how long to wait, and where to report events.
+ * Event loop only.
  */
 public interface UpstreamAttempt {
     /** The command to send; null for a health check. */
@@ -22,26 +22,26 @@
     double expiresMs();
 
     /**
-     * How long the proxy still waits for it, in whole milliseconds. Rounded down, since a server must not be told of
-     * time that its client does not have; at least 1, since servers take 0 for no deadline.
+     * How long the proxy still waits for it, in whole milliseconds. Rounded down, so that a server is never given more
+     * time than its client has; at least 1, since servers take 0 for no deadline.
      */
     default long remainingMs(double nowMs) {
         return Math.max(1, (long) Math.floor(expiresMs() - nowMs));
     }
 
-    /** Whether it has had its one end; nobody waits for its response then. */
+    /** Whether it has ended, which happens once; then nobody waits for its response any more. */
     boolean hasEnded();
 
-    /** Whether the rules permit it to begin now; to be asked right before its bytes go out. */
+    /** Whether the rules permit it to begin now; to be checked right before its bytes are written. */
     boolean mayBegin();
 
-    /** It is about to go out, and its server to be told of this timeout in milliseconds. */
+    /** Called right before it is written; {@code timeoutMs}: the timeout that its server is told, in milliseconds. */
     void sending(long timeoutMs);
 
-    /** It is assigned to this connection. */
+    /** Called when it is assigned to this connection. */
     void assignedTo(UpstreamConnection connection);
 
-    /** Its last byte was written. */
+    /** Called when its last byte was written. */
     void written();
 
     /** Whether its last byte was written: from then on the server may execute it. */
@@ -50,7 +50,7 @@
     /**
      * Ends it, if it has not ended.
      *
-     * @param note what the server says of the response, as in {@link cacheproxy.routing.AttemptEnd}
+     * @param note what the server says about the response, as in {@link cacheproxy.routing.AttemptEnd}
      * @param report the server's load report; null if it sent none
      * @param response its response, which is released or passed on; null if it has none
      */
@@ -59,12 +59,12 @@
     /** Ends it without a response, if it has not ended. */
     void end(AttemptOutcome outcome);
 
-    /** Ends it because its time is up, if it has not ended. */
+    /** Ends it because its time has run out, if it has not ended. */
     void expire();
 
-    /** A streamed response of {@code length} bytes begins; false if it is to be dropped. */
+    /** Begins a streamed response of {@code length} bytes; false if it is to be discarded. */
     boolean beginValue(int length);
 
-    /** Passes on part of a streamed response, which is released there. */
+    /** Passes on part of a streamed response; the receiver releases it. */
     void writePart(ByteBuf part);
 }
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -19,14 +19,14 @@
  * ends, an attempt whose last byte was written may have been executed, any other has not. Event loop only.
  */
 public final class UpstreamConnection implements FlowControl {
-    /** Encodes attempts in the server's protocol, and decodes its responses into calls of this connection. */
+    /** Encodes attempts in the server's protocol, and decodes its responses into method calls on the connection. */
     interface Codec {
-        /** Writes an attempt; {@code remainingMs}: how long, as the server is told, its response is waited for. */
+        /** Writes an attempt; {@code remainingMs}: how long its response is waited for, as told to the server. */
         ChannelFuture write(Channel channel, UpstreamAttempt attempt, long remainingMs, SocketAddress address);
     }
 
     private static final int TYPICAL_DEPTH = 4;
-    /** A server at its connection limit closes the connection within this time of its response. */
+    /** A server at its connection limit closes the connection within this time of its response, in milliseconds. */
     private static final double REJECTION_CLOSE_MS = 5;
 
     private final ServerConnectionPool pool;
@@ -38,14 +38,14 @@
     private SocketAddress address;
     private boolean connected;
     private boolean closed;
-    /** Takes no further attempts. */
+    /** Whether it takes no further attempts. */
     private boolean retired;
-    /** Whether this side has closed it, whatever was still to arrive. */
+    /** Whether the proxy has closed it, regardless of what was still to arrive. */
     private boolean closedLocally;
 
     /** Whether input is being decoded. */
     private boolean reading;
-    /** How many attempts on it nobody waits for any more. */
+    /** Number of attempts on it that nobody waits for any more. */
     private int abandoned;
 
     private double idleSinceMs;
@@ -71,7 +71,7 @@
 
     // ---- opening
 
-    /** The connection to this address is being opened. */
+    /** Called when the connection to this address is being opened. */
     void connectStarted(ChannelFuture future, SocketAddress toAddress) {
         channel = ConnectFutures.channel(future);
         address = toAddress;
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Expires attempts whose time ran out while the connection was opening: nothing may go out for them. */
+    /** Expires attempts whose time ran out while the connection was opening: nothing may be sent for them. */
     private void expireWaiting() {
         double now = context.now();
         List.copyOf(attempts).stream()
@@ -112,7 +112,7 @@
                 .forEach(UpstreamAttempt::expire);
     }
 
-    // ---- state, as the pool chooses by it
+    // ---- state, by which the pool chooses
 
     /** Whether a streamed response is being received. */
     boolean isStreaming() {
@@ -142,7 +142,7 @@
     }
 
     /**
-     * Whether it takes one more attempt. Not while input is being decoded: bytes right behind a response would be taken
+     * Whether it takes one more attempt. Not while input is being decoded: bytes right after a response would be taken
      * for the response to an attempt that was added in between. Nor if it has been idle since {@code idleCutoffMs}: its
      * server may be closing it.
      */
@@ -174,7 +174,7 @@
     }
 
     private void write(UpstreamAttempt attempt) {
-        // Less by the tolerance, since the request may have arrived earlier than estimated.
+        // Reduced by the tolerance, since the request may have arrived earlier than estimated.
         long remainingMs = attempt.remainingMs(context.now() + context.arrivalToleranceMs());
         attempt.sending(remainingMs);
         codec.write(channel, attempt, remainingMs, address).addListener(future -> {
@@ -187,12 +187,12 @@
         });
     }
 
-    /** Removes an attempt that waits for the connection to open; false if it may have begun to go out. */
+    /** Removes an attempt that waits for the connection to open; false if part of it may have been sent. */
     public boolean removeUnsent(UpstreamAttempt attempt) {
         return !connected && attempts.remove(attempt);
     }
 
-    /** Ends all attempts that wait for the connection to open, and with them the connection. */
+    /** Ends all attempts that wait for the connection to open, and closes the connection. */
     void endUnsent() {
         if (connected) {
             return;
@@ -205,14 +205,14 @@
     }
 
     /**
-     * Whether abandoning an attempt ends it. What has gone out can be ended only with the connection, and that would
-     * end the others that are waited for as well.
+     * Whether an attempt can be cancelled without ending others. One that has been sent can be cancelled only by
+     * closing the connection, which would also end the other attempts that are waited for.
      */
     public boolean canCancelAttempt() {
         return !connected || attempts.size() - abandoned == 1;
     }
 
-    /** Nobody waits for an attempt any more. True if nothing of it has gone out or will. */
+    /** Called when nobody waits for an attempt any more. True if no part of it has been sent or will be. */
     public boolean abandon(UpstreamAttempt attempt) {
         if (!connected) {
             return removeUnsent(attempt);
@@ -237,7 +237,7 @@
         }
     }
 
-    /** Closes the connection if a response on it has stopped in its middle, or an expired one still blocks it. */
+    /** Closes the connection if the response on it has stalled, or an expired attempt still blocks it. */
     void closeIfStalled(double now) {
         UpstreamAttempt current = attempts.peek();
         boolean blocked = connected
@@ -249,7 +249,7 @@
         }
     }
 
-    /** Whether this side has closed it: what the decoder still brings out is no complete response. */
+    /** Whether the proxy has closed it, so that what the decoder still emits is no complete response. */
     boolean closedLocally() {
         return closedLocally;
     }
@@ -264,7 +264,7 @@
 
     // ---- called by the codec
 
-    /** Input has arrived and is being decoded, or all of it has been. */
+    /** Called when input has arrived and is being decoded, and when all of it has been. */
     void setReading(boolean nowReading) {
         reading = nowReading;
     }
@@ -274,12 +274,15 @@
         return attempts.peek();
     }
 
-    /** Part of a response that is not streamed has arrived. */
+    /** Called when part of a response that is not streamed has arrived. */
     void responseProgressed() {
         watchdog.shortResponseProgressed();
     }
 
-    /** The response to the current attempt has arrived completely; arguments as of {@link UpstreamAttempt#end}. */
+    /**
+     * Called when the response to the current attempt has arrived completely; arguments as of
+     * {@link UpstreamAttempt#end}.
+     */
     void responseCompleted(AttemptOutcome outcome, int note, float[] report, ServerResponse response) {
         UpstreamAttempt attempt = attempts.poll();
         watchdog.responseCompleted();
@@ -297,7 +300,8 @@
         } else {
             attempt.end(outcome, note, report, response);
         }
-        // After the end, which may have paused it for a slow client: between two responses nobody would resume it.
+        // After the attempt's end, which may have paused reading for a slow client: nothing would resume it between
+        // responses.
         setPaused(false);
         if (attempts.isEmpty() && retired) {
             close();
@@ -306,7 +310,7 @@
 
     /**
      * Ends a first attempt that was rejected. Only a server that also closes the connection is at its connection limit;
-     * that is an outcome of its own, so that proxies do not try again and again.
+     * that has an outcome of its own, so that proxies do not retry again and again.
      */
     private void endRejectedFirstAttempt(AttemptOutcome outcome) {
         if (rejectedFirstAttempt != null) {
@@ -316,13 +320,13 @@
         }
     }
 
-    /** A streamed response of {@code length} bytes begins; false if it is to be dropped. */
+    /** Begins a streamed response of {@code length} bytes; false if it is to be discarded. */
     boolean beginValue(int length) {
         watchdog.streamBegan();
         return attempts.peek().beginValue(length);
     }
 
-    /** Passes on part of a streamed response, which is released there. */
+    /** Passes on part of a streamed response; the receiver releases it. */
     void writePart(ByteBuf part) {
         watchdog.streamProgressed();
         attempts.peek().writePart(part);
@@ -336,13 +340,13 @@
         }
     }
 
-    /** The server has violated its protocol. */
+    /** Logs the server's violation of its protocol and closes the connection. */
     void protocolError(String reason) {
         context.log(EventKind.SERVER_PROTOCOL_ERROR, LogMessage.of(reason).with("server", address));
         close();
     }
 
-    /** The connection has ended, or was never opened. */
+    /** Called when the connection has ended or could not be opened. */
     void channelClosed() {
         if (closed) {
             return;
@@ -351,7 +355,7 @@
         watchdog.stop();
         pool.connectionClosed(this);
         if (rejectedFirstAttempt != null) {
-            // Where this side has closed it, because of what came behind the response, that says nothing of limits.
+            // If the proxy has closed it because of input after the response, that says nothing about limits.
             boolean atLimit = !retired && pool.connectionRejected();
             endRejectedFirstAttempt(atLimit ? AttemptOutcome.CONNECTION_LIMIT : AttemptOutcome.REJECTED);
         }
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamContext.java
@@ -7,15 +7,15 @@
 import cacheproxy.routing.RoutingSettings;
 import io.netty.channel.EventLoop;
 
-/** What the connections to servers use of the core. Event loop only. */
+/** What the connections to servers use of the dispatcher. Event loop only. */
 public interface UpstreamContext {
-    /** What everything runs on. */
+    /** The event loop that everything runs on. */
     EventLoop loop();
 
-    /** The time, in milliseconds, on the clock that every span is measured by. */
+    /** The time, in milliseconds, on the clock by which all durations are measured. */
     double now();
 
-    /** By how much, in milliseconds, a request may have arrived earlier than its time says. */
+    /** By how much, in milliseconds, a request may have arrived earlier than its recorded time. */
     double arrivalToleranceMs();
 
     /** Runs a task after this time, in milliseconds. */
@@ -30,7 +30,7 @@
     /** The budget for values that are held completely. */
     ByteBudget valueBudget();
 
-    /** Whether the load balancer sends this server no ordinary request now. */
+    /** Whether the load balancer currently sends this server no ordinary requests. */
     boolean isAvoided(int server);
 
     /** Adds one to this metric. */
@@ -42,6 +42,6 @@
     /** Logs an event, within the rate limit of its kind. */
     void log(EventKind kind, LogMessage message);
 
-    /** A connection fails; logged unless its other side has closed it. */
+    /** Reports that a connection failed; logged unless the other side has closed it. */
     void connectionFailed(Throwable cause);
 }
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamServer.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamServer.java
@@ -35,7 +35,7 @@
         pool = new ServerConnectionPool(this, context, bootstrap, globalLimits, limits, onConnectionRejected);
     }
 
-    /** Takes over what the list says now; connections to an earlier address or process are retired. */
+    /** Applies the list's current entry; connections to an earlier address or process are retired. */
     void update(DiscoveredEndpoint discovered) {
         Endpoint endpoint = discovered.endpoint();
         if (!discovered.address().equals(address) || startTimeMs != endpoint.startTimeMs()) {
@@ -48,7 +48,7 @@
         ready = endpoint.state() == EndpointState.READY;
     }
 
-    /** The list has it no longer. */
+    /** Called when the list no longer has it. */
     void removed() {
         ready = false;
         pool.retire();
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamServers.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamServers.java
@@ -16,9 +16,15 @@
 
 /** The servers of the endpoint list, with the connections to them. Event loop only. */
 public final class UpstreamServers {
-    /** A node that has been sent nothing for so long, not even to try it again, counts as ejected. */
+    /**
+     * A cache node that is avoided and has been sent nothing for this time, in milliseconds, not even a trial request,
+     * counts as ejected.
+     */
     private static final double EJECTED_SILENCE_MS = 1000;
-    /** Connections are scarce if so many cache nodes reject them, and at least this part of them. */
+    /**
+     * Connections are scarce if at least this many cache nodes reject them, and at least the next constant's fraction
+     * of all.
+     */
     private static final int MIN_REJECTING_NODES = 2;
 
     private static final double MIN_REJECTING_FRACTION = 0.1;
@@ -27,7 +33,7 @@
     private final Bootstrap bootstrap;
     private final ConnectionLimits limits;
     private final IntObjectHashMap<UpstreamServer> servers = new IntObjectHashMap<>();
-    /** Servers that the list has no longer, until attempts that wait for them are ended. */
+    /** Servers that are no longer in the list, kept until attempts that wait for them are ended. */
     private final List<UpstreamServer> removed = new ArrayList<>();
 
     /** {@code maxConnections}: the limit over all servers. */
@@ -95,7 +101,10 @@
         }
     }
 
-    /** Ends attempts that wait for servers which take nothing new; once the load balancer knows of the update. */
+    /**
+     * Ends attempts that wait for connections to servers which take no new requests. To be called once the load
+     * balancer has been given the update.
+     */
     public void endUnsent() {
         Stream.concat(servers.values().stream(), removed.stream()).toList().forEach(server -> server.pool.endUnsent());
         removed.clear();
@@ -103,7 +112,10 @@
 
     // ---- connections
 
-    /** A server was at its limit for a further connection; a single one may be so for reasons of its own. */
+    /**
+     * Handles a connection that a server rejected because it is at its limit. A single such server may have reasons of
+     * its own, so connections count as scarce only if several do so.
+     */
     private void connectionRejected() {
         context.increment(Metric.CONNECTIONS_REJECTED);
         double since = limits.scarcityWindowStartMs();
@@ -131,7 +143,7 @@
         return limits.connections();
     }
 
-    /** Closes connections that have been idle too long, or whose response has stopped in its middle. */
+    /** Closes connections that have been idle too long, or whose response has stalled. */
     public void closeIdleAndStalled() {
         double now = context.now();
         for (UpstreamServer server : servers.values()) {
@@ -152,7 +164,7 @@
         return (int) cacheNodeStream().count();
     }
 
-    /** How many of them are sent no ordinary request now and have been sent nothing for a while. */
+    /** How many of them are currently sent no ordinary requests and have been sent nothing for a while. */
     public int ejectedNodeCount() {
         double now = context.now();
         return (int) cacheNodeStream()
