--- a/src/main/java/cacheproxy/gossip/MembershipBudget.java
+++ b/src/main/java/cacheproxy/gossip/MembershipBudget.java
@@ -4,9 +4,9 @@
 import cacheproxy.membership.OutgoingMessage.Urgency;
 
 /**
- * The {@link SendBudget} as membership uses it: each of its messages is a datagram of its own.
+ * Applies the {@link SendBudget} to membership messages, each of which is a datagram of its own.
  *
- * @param budget that of this instance, shared with other senders
+ * @param budget the budget of this instance, shared with other senders
  */
 public record MembershipBudget(SendBudget budget) implements Membership.MessageBudget {
     @Override
@@ -16,7 +16,7 @@
 
     private static SendBudget.Priority priority(Urgency urgency) {
         return switch (urgency) {
-            case ANSWER -> SendBudget.Priority.HIGH;
+            case RESPONSE -> SendBudget.Priority.HIGH;
             case MEMBERSHIP_CHANGE -> SendBudget.Priority.NORMAL;
             case BACKGROUND -> SendBudget.Priority.LOW;
         };
--- a/src/test/java/cacheproxy/admission/StableNamesTest.java
+++ b/src/test/java/cacheproxy/admission/StableNamesTest.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Names that stand in logs and counters; alerts rest on them, so they stay whatever the constants are called. */
+/** Pins the names in logs and counters: alerts depend on them, so they stay when a constant is renamed. */
 class StableNamesTest {
     @Test
-    void theConditionsThatForbidAnAct() {
+    void verdictKeys() {
         assertThat(Arrays.stream(Verdict.values()).map(Verdict::key))
                 .containsExactly(
                         "allowed",
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theViolationsOfRules() {
+    void ruleViolationKeys() {
         assertThat(Arrays.stream(RuleViolation.values()).map(RuleViolation::key))
                 .containsExactly(
                         "answered_twice",
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void theStatesOfARequest() {
+    void requestStateKeys() {
         assertThat(Arrays.stream(RequestState.values()).map(RequestState::key))
                 .containsExactly("OPEN", "STREAMING", "ANSWERED", "CLIENT_GONE");
     }
--- a/src/test/java/cacheproxy/flow/ArrivalTimesTest.java
+++ b/src/test/java/cacheproxy/flow/ArrivalTimesTest.java
@@ -11,10 +11,10 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** When bytes came that wait to be looked at. */
+/** Tests the arrival times of unprocessed bytes. */
 class ArrivalTimesTest {
     @Test
-    void eachByteHasTheTimeOfTheReadThatBroughtIt() {
+    void eachByteHasTheTimeOfItsRead() {
         ArrivalTimes times = new ArrivalTimes();
         times.received(10, 100, true);
         times.received(5, 200, false);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void whatMayHaveWaitedInTheSystemCameWhenItMayHaveBegunToWait() {
+    void bytesThatMayHaveWaitedGetTheStartOfTheWait() {
         ArrivalTimes times = new ArrivalTimes();
         times.backlogPossible(100);
         times.backlogPossible(300);
@@ -34,9 +34,9 @@
         assertThat(times.arrivedAtMs(10)).isEqualTo(100);
     }
 
-    /** Its sender had no room for it, and sends it as soon as there is some. */
+    /** The sender was blocked by the full buffer and resumes as soon as there is space. */
     @Test
-    void whatComesRightBehindBytesThatWaitedHasWaitedToo() {
+    void bytesRightAfterABacklogCountAsPartOfIt() {
         ArrivalTimes times = new ArrivalTimes();
         times.backlogPossible(100);
         times.received(10, 900, false);
@@ -48,9 +48,9 @@
         assertThat(times.arrivedAtMs(21)).isEqualTo(901 + ArrivalTimes.REFILL_MS + 1);
     }
 
-    /** The rest of a long value that had to wait for room is sent once there is some. */
+    /** The kernels buffer no more than the maximum backlog; the rest of a long value is sent only after the drain. */
     @Test
-    void whatComesBehindAllThatCanWaitHasNotWaited() {
+    void bytesBeyondTheMaximumBacklogHaveNotWaited() {
         ArrivalTimes times = new ArrivalTimes();
         times.backlogPossible(100);
         times.received(ArrivalTimes.MAX_BACKLOG_BYTES + 1, 2000, false);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void whatAClientSendsThatHasAllItsAnswersHasNotWaited() {
+    void bytesOfAnIdleClientHaveNotWaited() {
         ArrivalTimes times = new ArrivalTimes();
         times.backlogPossible(100);
         times.received(10, 900, false);
@@ -70,24 +70,23 @@
         assertThat(times.arrivedAtMs(11)).isEqualTo(903);
     }
 
-    /** The number of pieces is bounded, at the price of times that are too early and never too late. */
+    /** The number of segments is bounded; merging may make an arrival time too early, but never too late. */
     @Property(tries = 100)
-    void noByteIsTakenToHaveComeLaterThanItDid(
-            @ForAll @Size(min = 1, max = 600) List<@IntRange(min = 1, max = 50) Integer> reads) {
+    void noArrivalTimeIsTooLate(@ForAll @Size(min = 1, max = 600) List<@IntRange(min = 1, max = 50) Integer> reads) {
         ArrivalTimes times = new ArrivalTimes();
-        List<Double> came = new ArrayList<>();
+        List<Double> actualMs = new ArrayList<>();
         double now = 0;
         for (int bytes : reads) {
             now += 30;
             times.received(bytes, now, false);
             times.backlogDrained(now);
             for (int i = 0; i < bytes; i++) {
-                came.add(now);
+                actualMs.add(now);
             }
         }
-        for (int i = 0; i < came.size(); i++) {
-            assertThat(times.arrivedAtMs(i + 1)).isLessThanOrEqualTo(came.get(i));
+        for (int i = 0; i < actualMs.size(); i++) {
+            assertThat(times.arrivedAtMs(i + 1)).isLessThanOrEqualTo(actualMs.get(i));
         }
-        assertThat(times.received()).isEqualTo(came.size());
+        assertThat(times.received()).isEqualTo(actualMs.size());
     }
 }
--- a/src/test/java/cacheproxy/simulator/SettingsFormTest.java
+++ b/src/test/java/cacheproxy/simulator/SettingsFormatTest.java
@@ -18,24 +18,24 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A settings file of the operators' form, and all that is read from it, value by value in the order of the fields. */
-class SettingsFormTest {
-    private static final Path FOLDER = Path.of("src/test/resources");
+/** Pins all values that are read from a settings file in the operators' format, in the order of the fields. */
+class SettingsFormatTest {
+    private static final Path RESOURCES = Path.of("src/test/resources");
 
     @Test
     void allFieldsOfASettingsFileAreRead() throws Exception {
-        JsonElement file = JsonParser.parseString(Files.readString(FOLDER.resolve("config.json")));
+        JsonElement file = JsonParser.parseString(Files.readString(RESOURCES.resolve("config.json")));
         Map<String, String> values = new HashMap<>();
         flatten("", file.getAsJsonObject().get("settings"), values);
         List<String> lines = new ArrayList<>();
         print("", new SettingsParser(values).settings(), lines);
         assertThat(String.join("\n", lines) + "\n")
-                .isEqualTo(Files.readString(FOLDER.resolve("simulator/settings-values.txt")));
+                .isEqualTo(Files.readString(RESOURCES.resolve("simulator/settings-values.txt")));
     }
 
-    /** The operators' words and codes; they stay, whatever the constants are called. */
+    /** Pins the operators' names and codes, which stay when a constant is renamed. */
     @Test
-    void theWordsOfTheWireAreTheOperators() {
+    void wireNamesAndCodesAreStable() {
         assertThat(List.of(Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT))
                 .extracting(Idempotency::wireName)
                 .containsExactly("retryable", "dedup", "fragile");
@@ -51,7 +51,7 @@
         assertThat(EndpointState.ofWireCode(3)).isEmpty();
     }
 
-    /** One value a line, without the names of fields: these may change, the values may not. */
+    /** Prints one value per line, without field names: names may change, values must not. */
     private static void print(String indent, Object value, List<String> lines) throws ReflectiveOperationException {
         if (value instanceof Record) {
             lines.add(indent + "record");
@@ -64,11 +64,11 @@
                 print(indent + "  ", each, lines);
             }
         } else {
-            lines.add(indent + word(value));
+            lines.add(indent + wireText(value));
         }
     }
 
-    private static String word(Object value) {
+    private static String wireText(Object value) {
         if (value instanceof Idempotency idempotency) {
             return idempotency.wireName();
         }
@@ -78,7 +78,10 @@
         return value instanceof LoadReportSource source ? source.wireName() : String.valueOf(value);
     }
 
-    /** As the proxy reads its file: paths with dots, lists of plain values with commas, the length at their count. */
+    /**
+     * Flattens a file as the proxy does: dots in paths, lists of plain values separated by commas, and the length of a
+     * list under {@code .count}.
+     */
     private static void flatten(String path, JsonElement value, Map<String, String> values) throws IOException {
         if (value.isJsonObject()) {
             for (Map.Entry<String, JsonElement> field : value.getAsJsonObject().entrySet()) {
