--- a/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRequestReceiver.java
@@ -12,17 +12,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decodes the commands of one client connection and hands their requests on. Stops where the client has too many
- * requests in flight, does not take its responses or waits for memory for a value, and times a client out that stops in
- * the middle of a command. On the event loop only.
+ * Decodes the commands of one client connection and passes on their requests. Pauses while the client has too many
+ * requests in flight, does not read its responses or waits for memory for a value. Times out a client that stops in the
+ * middle of a command. Event loop only.
  */
 final class ClientRequestReceiver {
     private static final int MAX_PIPELINED = 32;
-    /** How long a client waits for memory before it may send a value, in milliseconds; then its write is rejected. */
+    /** How long a client waits for memory before it may send a value, in milliseconds. Then its write is rejected. */
     private static final double RESERVATION_WAIT_MS = 2000;
 
     private static final String BAD_FORMAT = "CLIENT_ERROR bad command line format\r\n";
-    /** Stands for a write that makes no request; its value is read and dropped. */
+    /** Placeholder for a write whose line is not a valid request; its value is read and discarded. */
     private static final RequestCommand NO_REQUEST = new RequestCommand(
             Routing.META_FRONT, "", null, true, null, DeadlineTemplate.EMPTY, DeadlineTemplate.EMPTY);
 
@@ -32,15 +32,15 @@
     private final ClientInput input;
 
     /** The write whose value is being received; null between commands. */
-    private RequestCommand incoming;
-    /** Its value; null if there is no memory for it. */
+    private RequestCommand incomingWrite;
+    /** Its value; null while no memory is reserved for it. */
     private ValueBuffer value;
-    /** Bytes of it, with its line end, that are still to arrive. */
-    private int missingBytes;
+    /** Bytes of the value and its line end that have not arrived yet. */
+    private int remainingBytes;
 
     private boolean awaitsReservation;
-    /** Complete commands may be waiting in the decoder. */
-    private boolean stopped;
+    /** Whether decoding is paused, so that complete commands may be waiting in the decoder. */
+    private boolean decodingPaused;
     /** When decoding was last resumed. */
     private double resumedMs = Double.NEGATIVE_INFINITY;
 
@@ -54,7 +54,10 @@
         input = new ClientInput(dispatcher);
     }
 
-    /** The connection is open; {@code adopted}: another process has accepted it and may have served it. */
+    /**
+     * Starts the read timeout of a new connection; {@code adopted}: another process has accepted it and may have served
+     * it.
+     */
     void start(double nowMs, boolean adopted) {
         readTimeout = adopted ? ReadTimeout.forAdoptedConnection(nowMs) : ReadTimeout.forNewConnection(nowMs);
         setTimer();
@@ -66,38 +69,38 @@
 
     /** Whether a command line has been decoded whose value has not arrived completely. */
     boolean receivesValue() {
-        return incoming != null;
+        return incomingWrite != null;
     }
 
     // ---- commands
 
     /** Decodes the next command, or as much of it as there is. */
     void decode(ByteBuf in) throws MetaCodec.SyntaxException {
-        if (mustStop()) {
-            stop();
+        if (mustPauseDecoding()) {
+            pauseDecoding();
             input.pauseIfFull(connection.context(), in.readableBytes());
-        } else if (incoming != null) {
+        } else if (incomingWrite != null) {
             receiveValue(in);
         } else {
             receiveLine(in);
         }
     }
 
-    private boolean mustStop() {
+    private boolean mustPauseDecoding() {
         return responses.size() >= MAX_PIPELINED
                 || !connection.context().channel().isWritable()
                 || awaitsReservation;
     }
 
-    private void stop() {
-        stopped = true;
+    private void pauseDecoding() {
+        decodingPaused = true;
         readTimeout.setPaused(true, dispatcher.now());
     }
 
-    /** Decodes on if that was stopped and need not be any more. */
+    /** Resumes decoding if it was paused and need not be any more. */
     void resumeIfPossible() {
-        if (stopped && !mustStop()) {
-            stopped = false;
+        if (decodingPaused && !mustPauseDecoding()) {
+            decodingPaused = false;
             resumedMs = dispatcher.now();
             readTimeout.setPaused(false, resumedMs);
             setTimer();
@@ -110,9 +113,9 @@
         String line = MetaCodec.readLine(in);
         if (line != null) {
             readTimeout.commandCompleted();
-            handle(line, input.lastTakenArrivedMs(in.readableBytes()));
+            handle(line, input.lastDecodedArrivalMs(in.readableBytes()));
         } else if (in.isReadable()) {
-            readTimeout.lineStarted(Math.max(input.nextArrivedMs(in.readableBytes()), resumedMs));
+            readTimeout.lineStarted(Math.max(input.nextByteArrivalMs(in.readableBytes()), resumedMs));
             setTimer();
         }
     }
@@ -133,31 +136,35 @@
         }
     }
 
-    /** A value follows, whether the line makes a request or not. */
+    /** Starts to receive a value, which follows even if the line is not a valid request. */
     private void startValue(MetaCommand write, double receivedMs) {
-        incoming = write.command() != null ? write.command() : NO_REQUEST;
-        missingBytes = write.valueLength() + MetaCodec.LINE_END_BYTES;
+        incomingWrite = write.command() != null ? write.command() : NO_REQUEST;
+        remainingBytes = write.valueLength() + MetaCodec.LINE_END_BYTES;
         readTimeout.valueStarted(Math.max(receivedMs, resumedMs));
         setTimer();
         if (write.command() != null) {
-            reserve(write.command());
+            reserveMemory(write.command());
         }
     }
 
-    /** Reserves memory for the whole value, now or after a wait; without any the value is read and dropped. */
-    private void reserve(RequestCommand command) {
-        command.valueReservation = dispatcher.bufferLimits().values().reserve(missingBytes, () -> granted(command));
+    /**
+     * Reserves memory for the whole value, immediately or after a wait. If there is none, the value is read and
+     * discarded.
+     */
+    private void reserveMemory(RequestCommand command) {
+        command.valueReservation =
+                dispatcher.bufferLimits().values().reserve(remainingBytes, () -> reservationGranted(command));
         if (command.valueReservation != null && command.valueReservation.granted()) {
             value = newValueBuffer();
         } else if (command.valueReservation != null) {
             awaitsReservation = true;
-            stop();
+            pauseDecoding();
             dispatcher.after(RESERVATION_WAIT_MS, () -> reservationTimedOut(command));
         }
     }
 
-    private void granted(RequestCommand command) {
-        if (incoming == command) {
+    private void reservationGranted(RequestCommand command) {
+        if (incomingWrite == command) {
             awaitsReservation = false;
             value = newValueBuffer();
             connection.updateBackpressure();
@@ -165,7 +172,7 @@
     }
 
     private void reservationTimedOut(RequestCommand command) {
-        if (incoming == command && awaitsReservation) {
+        if (incomingWrite == command && awaitsReservation) {
             awaitsReservation = false;
             command.release();
             connection.updateBackpressure();
@@ -173,26 +180,26 @@
     }
 
     private ValueBuffer newValueBuffer() {
-        return new ValueBuffer(connection.context().alloc(), missingBytes);
+        return new ValueBuffer(connection.context().alloc(), remainingBytes);
     }
 
     private void receiveValue(ByteBuf in) throws MetaCodec.SyntaxException {
-        int bytes = Math.min(missingBytes, in.readableBytes());
-        missingBytes -= bytes;
+        int bytes = Math.min(remainingBytes, in.readableBytes());
+        remainingBytes -= bytes;
         readTimeout.valueReceived(bytes, dispatcher.now());
         if (value == null) {
             in.skipBytes(bytes);
         } else {
             value.add(in, bytes);
         }
-        if (missingBytes == 0) {
-            completeWrite(input.lastTakenArrivedMs(in.readableBytes()));
+        if (remainingBytes == 0) {
+            completeWrite(input.lastDecodedArrivalMs(in.readableBytes()));
         }
     }
 
     private void completeWrite(double receivedMs) throws MetaCodec.SyntaxException {
-        RequestCommand command = incoming;
-        incoming = null;
+        RequestCommand command = incomingWrite;
+        incomingWrite = null;
         readTimeout.commandCompleted();
         if (value == null) {
             rejectWithoutValue(command);
@@ -207,7 +214,10 @@
         responses.accept(command, receivedMs);
     }
 
-    /** There was no memory for the value, or the line made no request; nothing was forwarded. */
+    /**
+     * Responds to a write that is not forwarded, because there was no memory for its value or its line is not a valid
+     * request.
+     */
     private void rejectWithoutValue(RequestCommand command) {
         if (command.id == null) {
             responses.respond(BAD_FORMAT);
@@ -217,17 +227,17 @@
         responses.respond(MetaCodec.BUSY + "\r\n");
     }
 
-    /** Releases what has been received of a write. */
-    void dropIncoming() {
-        if (incoming == null) {
+    /** Releases what has been received of an incomplete write. */
+    void discardIncomingWrite() {
+        if (incomingWrite == null) {
             return;
         }
         if (value != null) {
             value.release();
             value = null;
         }
-        incoming.release();
-        incoming = null;
+        incomingWrite.release();
+        incomingWrite = null;
     }
 
     // ---- timeout
@@ -240,7 +250,10 @@
         }
     }
 
-    /** Decides after the event loop's next round of input: what arrived while the process was delayed is read first. */
+    /**
+     * Checks the timeout after the event loop's next round of reads, so that input which arrived while the process was
+     * delayed is read first.
+     */
     private void timerExpired() {
         connection.context().executor().schedule(this::checkTimeout, 0, TimeUnit.MILLISECONDS);
     }
@@ -256,11 +269,11 @@
 
     private void timeOut() {
         dispatcher.failures().clientTimedOut(connection.context().channel().remoteAddress(), readTimeout);
-        dropIncoming();
-        if (input.anyReceived()) {
+        discardIncomingWrite();
+        if (input.hasReceivedInput()) {
             connection.respondAndClose("CLIENT_ERROR timed out\r\n");
         } else {
-            connection.closeGracefully(); // a line would be taken for the response to a request that is on its way
+            connection.closeGracefully(); // a line would be taken for the response to a request in flight
         }
     }
 }
