--- a/src/jmh/java/cacheproxy/quota/QuotaBenchmark.java
+++ b/src/jmh/java/cacheproxy/quota/QuotaBenchmark.java
@@ -35,18 +35,18 @@
     private final String[][] paths = new String[1024][];
     private QuotaTree tree;
     private double now = 1e12;
-    private int at;
+    private int next;
 
     /** Three organisations of two apps each, with as many device classes beneath them as it takes. */
     @Setup
-    public void begin() {
-        int each = Math.max(1, nodes / 6);
+    public void build() {
+        int devicesPerApp = Math.max(1, nodes / 6);
         List<QuotaSpec> orgs = new ArrayList<>();
         for (int o = 0; o < 3; o++) {
             List<QuotaSpec> apps = new ArrayList<>();
             for (int a = 0; a < 2; a++) {
                 List<QuotaSpec> devices = new ArrayList<>();
-                for (int d = 0; d < each; d++) {
+                for (int d = 0; d < devicesPerApp; d++) {
                     devices.add(new QuotaSpec("device-" + d, 1, List.of(limit(0, 400)), List.of()));
                 }
                 apps.add(new QuotaSpec("app-" + a, 1, List.of(limit(100, 500)), devices));
@@ -56,7 +56,7 @@
         tree = new QuotaTree(new QuotaSpec("all", 1, List.of(limit(0, 1000)), orgs), 1, 1);
         for (int i = 0; i < paths.length; i++) {
             paths[i] = new String[] {
-                "org-" + random.nextInt(3), "app-" + random.nextInt(2), "device-" + random.nextInt(each)
+                "org-" + random.nextInt(3), "app-" + random.nextInt(2), "device-" + random.nextInt(devicesPerApp)
             };
         }
     }
@@ -69,7 +69,7 @@
     @Benchmark
     public double admitAndSettle() {
         now += 0.5;
-        double wait = tree.admit(now, paths[at++ & 1023], 400, false, charge);
+        double wait = tree.admit(now, paths[next++ & 1023], 400, false, charge);
         if (wait == 0) {
             tree.settle(now, charge, 380);
         }
--- a/src/main/java/cacheproxy/route/PoolActions.java
+++ b/src/main/java/cacheproxy/route/PoolActions.java
@@ -14,7 +14,7 @@
     /** The parts of the router that orders concern. */
     record Context(
             RoutedRequests requests,
-            RetryBudgetGate permission,
+            RetryBudgetGate retryBudgetGate,
             PoolTimers timers,
             PendingHealthChecks healthChecks,
             DeferredActions deferred) {}
@@ -35,7 +35,7 @@
     public void send(int requestId, int endpointId, double timeoutMs) {
         RoutedRequest request = context.requests().get(requestId);
         int index = request.nextOrderIndex();
-        if (context.permission().tryAcquire(nowMs, request, endpointId)) {
+        if (context.retryBudgetGate().tryAcquire(nowMs, request, endpointId)) {
             request.onAttemptSent(pool, index);
             out.send(requestId, endpointId, timeoutMs);
         } else {
--- a/src/main/java/cacheproxy/route/PoolBalancer.java
+++ b/src/main/java/cacheproxy/route/PoolBalancer.java
@@ -117,7 +117,7 @@
         return loadBalancer.learnedState(nowMs).get(ONLY_POOL);
     }
 
-    void resume(double nowMs, LearnedState learned) {
+    void restore(double nowMs, LearnedState learned) {
         loadBalancer.restore(nowMs, Map.of(ONLY_POOL, learned));
     }
 
--- a/src/main/java/cacheproxy/route/PoolRegistry.java
+++ b/src/main/java/cacheproxy/route/PoolRegistry.java
@@ -64,15 +64,15 @@
      * @return the pools of the configuration, by name
      */
     Map<String, PoolBalancer> replace(Collection<Pool> definitions) {
-        Map<String, PoolBalancer> unnamed = new HashMap<>();
+        Map<String, PoolBalancer> obsolete = new HashMap<>();
         for (PoolBalancer pool : pools) {
             if (!pool.isOfAllEndpoints() && !pool.isDraining()) {
-                unnamed.put(pool.name(), pool);
+                obsolete.put(pool.name(), pool);
             }
         }
         Map<String, PoolBalancer> named = new HashMap<>();
         for (Pool definition : definitions) {
-            PoolBalancer pool = unnamed.remove(definition.name());
+            PoolBalancer pool = obsolete.remove(definition.name());
             if (pool == null) {
                 // The name is part of the seed, so that pools of one instance draw differently.
                 pool = create(definition, false, seed ^ definition.name().hashCode() * NAME_HASH_FACTOR);
@@ -81,7 +81,7 @@
             pool.redefine(definition);
             named.put(definition.name(), pool);
         }
-        unnamed.values().forEach(PoolBalancer::startDraining);
+        obsolete.values().forEach(PoolBalancer::startDraining);
         removeDrained();
         return named;
     }
@@ -121,10 +121,10 @@
         return learned;
     }
 
-    void resume(double nowMs, Map<String, LearnedState> learned) {
+    void restore(double nowMs, Map<String, LearnedState> learned) {
         for (PoolBalancer pool : pools) {
             if (learned.containsKey(pool.name())) {
-                pool.resume(nowMs, learned.get(pool.name()));
+                pool.restore(nowMs, learned.get(pool.name()));
             }
         }
     }
--- a/src/main/java/cacheproxy/route/Router.java
+++ b/src/main/java/cacheproxy/route/Router.java
@@ -100,7 +100,7 @@
 
     @Override
     public void restore(double nowMs, Map<String, LearnedState> states) {
-        pools.resume(nowMs, states);
+        pools.restore(nowMs, states);
     }
 
     /** An endpoint that one pool still uses is not avoided. */
--- a/src/test/java/cacheproxy/quota/ExactLog.java
+++ b/src/test/java/cacheproxy/quota/ExactLog.java
@@ -5,13 +5,13 @@
 
 /** All that was counted, for the fullest window of it. */
 public final class ExactLog {
-    private record Counted(double at, long much) {}
+    private record Counted(double at, long amount) {}
 
     private final List<Counted> all = new ArrayList<>();
 
     /** So much was counted at that time, not before what was last. */
-    public void add(double atMs, long much) {
-        all.add(new Counted(atMs, much));
+    public void add(double atMs, long amount) {
+        all.add(new Counted(atMs, amount));
     }
 
     /** The most that lies in any window of that length, wherever it begins. */
@@ -20,9 +20,9 @@
         long sum = 0;
         int from = 0;
         for (Counted c : all) {
-            sum += c.much;
+            sum += c.amount;
             for (; all.get(from).at <= c.at - windowMs; from++) {
-                sum -= all.get(from).much;
+                sum -= all.get(from).amount;
             }
             most = Math.max(most, sum);
         }
--- a/src/test/java/cacheproxy/quota/LeaseTest.java
+++ b/src/test/java/cacheproxy/quota/LeaseTest.java
@@ -22,7 +22,7 @@
     private static final double ROUND = 400;
     private static final double REPLIES = 100;
 
-    private static final class Tier {
+    private static final class Fleet {
         final int size;
         final SplittableRandom random;
         final VirtualTime time = new VirtualTime(10_000);
@@ -47,19 +47,19 @@
 
         int fullestWindow;
 
-        Tier(int many, long seed) {
-            this.size = many;
+        Fleet(int instances, long seed) {
+            this.size = instances;
             random = new SplittableRandom(seed);
-            participants = new LeaseParticipant[many];
-            holders = new LeaseHolder[many];
-            down = new boolean[many];
-            incarnation = new int[many];
-            partition = new int[many];
-            perSecond = new double[many];
-            served = new long[many];
-            requested = new long[many];
-            clockOffsetMs = new double[many];
-            for (int i = 0; i < many; i++) {
+            participants = new LeaseParticipant[instances];
+            holders = new LeaseHolder[instances];
+            down = new boolean[instances];
+            incarnation = new int[instances];
+            partition = new int[instances];
+            perSecond = new double[instances];
+            served = new long[instances];
+            requested = new long[instances];
+            clockOffsetMs = new double[instances];
+            for (int i = 0; i < instances; i++) {
                 used.add(new ArrayDeque<>());
                 clockOffsetMs[i] = random.nextDouble() * 400 - 200;
                 start(i);
@@ -86,8 +86,8 @@
             after(random.nextDouble() * 10, () -> request(i, mine));
         }
 
-        void after(double ms, Runnable what) {
-            time.after(ms, what);
+        void after(double ms, Runnable task) {
+            time.after(ms, task);
         }
 
         /** Every instance that knows of none before it begins rounds; here all do, which must not matter. */
@@ -186,26 +186,26 @@
 
     /** Losses, delays, holders killed, restarts under the same name, splits in halves, and demand that jumps about. */
     @Property(seed = "1", tries = 150)
-    void allTogetherNeverExceedTheCapInAnyWindow(
+    void instancesTogetherNeverExceedTheCapInAnyWindow(
             @ForAll long seed,
-            @ForAll @IntRange(min = 1, max = 6) int many,
+            @ForAll @IntRange(min = 1, max = 6) int instances,
             @ForAll @DoubleRange(min = 0, max = 0.7) double loss) {
-        Tier tier = new Tier(many, seed);
-        tier.loss = loss;
+        Fleet fleet = new Fleet(instances, seed);
+        fleet.loss = loss;
         for (int step = 0; step < 40; step++) {
-            int i = tier.random.nextInt(many);
-            switch (tier.random.nextInt(8)) {
+            int i = fleet.random.nextInt(instances);
+            switch (fleet.random.nextInt(8)) {
                 case 0 -> {
-                    tier.down[i] = true;
-                    tier.after(tier.random.nextDouble() * 3000, () -> tier.start(i));
+                    fleet.down[i] = true;
+                    fleet.after(fleet.random.nextDouble() * 3000, () -> fleet.start(i));
                 }
-                case 1 -> tier.partition[i] = tier.random.nextInt(2);
-                case 2 -> Arrays.fill(tier.partition, 0);
-                case 3 -> tier.perSecond[i] = 0;
-                default -> tier.perSecond[i] = tier.random.nextDouble() * 10 * CAP;
+                case 1 -> fleet.partition[i] = fleet.random.nextInt(2);
+                case 2 -> Arrays.fill(fleet.partition, 0);
+                case 3 -> fleet.perSecond[i] = 0;
+                default -> fleet.perSecond[i] = fleet.random.nextDouble() * 10 * CAP;
             }
-            tier.advance(tier.random.nextDouble() * 1500);
-            assertThat(tier.fullestWindow).as("in the fullest window so far").isLessThanOrEqualTo((int) CAP);
+            fleet.advance(fleet.random.nextDouble() * 1500);
+            assertThat(fleet.fullestWindow).as("in the fullest window so far").isLessThanOrEqualTo((int) CAP);
         }
     }
 
@@ -213,37 +213,38 @@
      * Every way to lose ten messages in a row, while the one that was idle comes back and the other never goes quiet.
      */
     @Test
-    void noPatternOfLossBreaksTheCap() {
-        for (int plan = 0; plan < 1 << 10; plan++) {
-            Tier tier = new Tier(2, 11);
-            tier.perSecond[0] = 10 * CAP;
-            tier.advance(4200);
-            tier.lossPattern = plan;
-            tier.perSecond[1] = 10 * CAP;
-            tier.advance(2500);
-            assertThat(tier.fullestWindow).as("pattern %x", plan).isLessThanOrEqualTo((int) CAP);
+    void noPatternOfMessageLossExceedsTheCap() {
+        for (int pattern = 0; pattern < 1 << 10; pattern++) {
+            Fleet fleet = new Fleet(2, 11);
+            fleet.perSecond[0] = 10 * CAP;
+            fleet.advance(4200);
+            fleet.lossPattern = pattern;
+            fleet.perSecond[1] = 10 * CAP;
+            fleet.advance(2500);
+            assertThat(fleet.fullestWindow).as("pattern %x", pattern).isLessThanOrEqualTo((int) CAP);
         }
     }
 
     /** A holder that was started again does not know what it has granted of what it was ceded. */
     @Test
     void aCessionBindsTowardsOneIncarnationOfAHolder() {
-        LeaseParticipant party = new LeaseParticipant(100, WINDOW, 0);
+        LeaseParticipant participant = new LeaseParticipant(100, WINDOW, 0);
         long first = 1L << LeaseParticipant.INCARNATION_SHIFT;
         long second = 2L << LeaseParticipant.INCARNATION_SHIFT;
-        assertThat(party.onRoundStarted(10_000, 0, first + 1, 0, 0).ceded()).isEqualTo(50);
-        assertThat(party.limit(10_000)).isEqualTo(50);
-        assertThat(party.onRoundStarted(10_400, 0, first + 2, 0, 0).ceded())
+        assertThat(participant.onRoundStarted(10_000, 0, first + 1, 0, 0).ceded())
+                .isEqualTo(50);
+        assertThat(participant.limit(10_000)).isEqualTo(50);
+        assertThat(participant.onRoundStarted(10_400, 0, first + 2, 0, 0).ceded())
                 .as("the same once more")
                 .isEqualTo(50);
-        assertThat(party.limit(10_400)).isEqualTo(50);
-        assertThat(party.onRoundStarted(10_800, 0, second + 1, 0, 0).ceded())
+        assertThat(participant.limit(10_400)).isEqualTo(50);
+        assertThat(participant.onRoundStarted(10_800, 0, second + 1, 0, 0).ceded())
                 .as("the next incarnation")
                 .isZero();
-        assertThat(party.onRoundStarted(10_900, 0, first + 3, 0, 0))
+        assertThat(participant.onRoundStarted(10_900, 0, first + 3, 0, 0))
                 .as("late, of the incarnation before")
                 .isNull();
-        assertThat(party.onRoundStarted(13_500, 0, second + 2, 0, 0).ceded())
+        assertThat(participant.onRoundStarted(13_500, 0, second + 2, 0, 0).ceded())
                 .as("when that has ended")
                 .isEqualTo(50);
     }
@@ -251,46 +252,46 @@
     @Test
     void idleSharesAreUsedElsewhereAndReturnWithinFiveSeconds() {
         for (double loss : new double[] {0, 0.5}) {
-            Tier tier = new Tier(2, 7);
-            tier.loss = loss;
-            tier.perSecond[0] = 10 * CAP;
-            tier.advance(10_000);
-            assertThat(tier.servedPerSecond(0, 10_000))
+            Fleet fleet = new Fleet(2, 7);
+            fleet.loss = loss;
+            fleet.perSecond[0] = 10 * CAP;
+            fleet.advance(10_000);
+            assertThat(fleet.servedPerSecond(0, 10_000))
                     .as("with the other idle, loss " + loss)
                     .isGreaterThan(loss == 0 ? 430 : 340);
-            tier.perSecond[1] = 250;
-            tier.advance(5000);
-            assertThat(tier.servedPerSecond(1, 10_000))
+            fleet.perSecond[1] = 250;
+            fleet.advance(5000);
+            assertThat(fleet.servedPerSecond(1, 10_000))
                     .as("back to 250 of its own 300, loss " + loss)
                     .isGreaterThan(245);
-            assertThat(tier.fullestWindow).isLessThanOrEqualTo((int) CAP);
+            assertThat(fleet.fullestWindow).isLessThanOrEqualTo((int) CAP);
         }
     }
 
     @Test
     void withoutTheHolderEachHasItsOwnShareAndAnotherTakesOver() {
-        Tier tier = new Tier(3, 3);
-        tier.perSecond[1] = 10 * CAP;
-        tier.advance(10_000);
-        assertThat(tier.servedPerSecond(1, 5000)).isGreaterThan(330);
-        tier.down[0] = true;
-        assertThat(tier.servedPerSecond(1, 3000)).as("never less than its own").isGreaterThan(195);
-        tier.advance(4000);
-        assertThat(tier.servedPerSecond(1, 5000))
+        Fleet fleet = new Fleet(3, 3);
+        fleet.perSecond[1] = 10 * CAP;
+        fleet.advance(10_000);
+        assertThat(fleet.servedPerSecond(1, 5000)).isGreaterThan(330);
+        fleet.down[0] = true;
+        assertThat(fleet.servedPerSecond(1, 3000)).as("never less than its own").isGreaterThan(195);
+        fleet.advance(4000);
+        assertThat(fleet.servedPerSecond(1, 5000))
                 .as("what the third cedes, by a holder of its own")
                 .isGreaterThan(280);
-        tier.start(0);
-        tier.advance(8000);
-        assertThat(tier.servedPerSecond(1, 5000)).isGreaterThan(330);
-        assertThat(tier.fullestWindow).isLessThanOrEqualTo((int) CAP);
+        fleet.start(0);
+        fleet.advance(8000);
+        assertThat(fleet.servedPerSecond(1, 5000)).isGreaterThan(330);
+        assertThat(fleet.fullestWindow).isLessThanOrEqualTo((int) CAP);
     }
 
     @Test
     void anIsolatedInstanceKeepsItsOwnShare() {
-        Tier tier = new Tier(4, 3);
-        tier.loss = 1;
-        tier.perSecond[2] = 10 * CAP;
-        tier.advance(5000);
-        assertThat(tier.servedPerSecond(2, 10_000)).isBetween(147.0, 150.5);
+        Fleet fleet = new Fleet(4, 3);
+        fleet.loss = 1;
+        fleet.perSecond[2] = 10 * CAP;
+        fleet.advance(5000);
+        assertThat(fleet.servedPerSecond(2, 10_000)).isBetween(147.0, 150.5);
     }
 }
--- a/src/test/java/cacheproxy/route/RetryBudgetTest.java
+++ b/src/test/java/cacheproxy/route/RetryBudgetTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aStormOfFailuresAddsTheRatioAndNoMore() {
+    void massFailureGetsNoMoreRetriesThanTheRatio() {
         RetryBudget budget = new RetryBudget(0.2, 0);
         int taken = 0;
         for (int i = 0; i < 10_000; i++) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aQuietInstanceHasTheMinimumAndSavesTenSecondsOfIt() {
+    void anIdleInstanceHasTheMinimumAndSavesTenSecondsOfIt() {
         RetryBudget budget = new RetryBudget(0, 2);
         int taken = 0;
         while (taken < 100 && budget.tryTake(0)) {
--- a/src/test/java/cacheproxy/route/RouterRig.java
+++ b/src/test/java/cacheproxy/route/RouterRig.java
@@ -194,23 +194,30 @@
 
     void end(InFlightAttempt o, AttemptOutcome outcome) {
         assertThat(inFlight.remove(o)).isTrue();
-        TrackedRequest a = tracked(o.request());
-        a.inFlight--;
-        a.mayHaveRun |= outcome.mayHaveRun();
-        if (a.answer == null && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR)) {
-            a.answer = "served";
+        TrackedRequest tracked = tracked(o.request());
+        tracked.inFlight--;
+        tracked.mayHaveRun |= outcome.mayHaveRun();
+        if (tracked.answer == null && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR)) {
+            tracked.answer = "served";
         }
         router.onAttemptEnd(
                 now,
                 new AttemptEnd(
-                        o.request(), o.attempt(), o.endpointId(), outcome, now - o.sentMs(), a.answer != null, 0, null),
+                        o.request(),
+                        o.attempt(),
+                        o.endpointId(),
+                        outcome,
+                        now - o.sentMs(),
+                        tracked.answer != null,
+                        0,
+                        null),
                 actions);
     }
 
     void disconnect(int request) {
-        TrackedRequest a = tracked(request);
-        if (a.answer == null) {
-            a.answer = "disconnected";
+        TrackedRequest tracked = tracked(request);
+        if (tracked.answer == null) {
+            tracked.answer = "disconnected";
             router.onClientDisconnected(now, request, actions);
         }
     }
@@ -232,35 +239,35 @@
     }
 
     private void answer(int request, String how) {
-        TrackedRequest a = tracked(request);
-        assertThat(a.answer).as("answers of " + request).isNull();
-        a.answer = how;
+        TrackedRequest tracked = tracked(request);
+        assertThat(tracked.answer).as("answers of " + request).isNull();
+        tracked.answer = how;
     }
 
     @Override
     public void send(int request, int server, double timeoutMs) {
-        TrackedRequest a = tracked(request);
-        assertThat(a.answer).as("sent after the answer of " + request).isNull();
-        if (a.serviceClass != READ) {
-            assertThat(a.inFlight).as("attempts of a write at once").isZero();
-            if (a.serviceClass == NON_IDEMPOTENT) {
-                assertThat(a.mayHaveRun)
+        TrackedRequest tracked = tracked(request);
+        assertThat(tracked.answer).as("sent after the answer of " + request).isNull();
+        if (tracked.serviceClass != READ) {
+            assertThat(tracked.inFlight).as("attempts of a write at once").isZero();
+            if (tracked.serviceClass == NON_IDEMPOTENT) {
+                assertThat(tracked.mayHaveRun)
                         .as("a write that may have run is sent again")
                         .isFalse();
             }
         }
         assertThat(drainingSince.get(server)).as("sent to a server that drains").isNull();
         assertThat(endpoints).containsKey(server);
-        inFlight.add(new InFlightAttempt(request, a.endpoints.size(), server, now));
-        a.endpoints.add(server);
-        a.inFlight++;
+        inFlight.add(new InFlightAttempt(request, tracked.endpoints.size(), server, now));
+        tracked.endpoints.add(server);
+        tracked.inFlight++;
     }
 
     @Override
     public void reject(int request, double retryAfterMs) {
-        TrackedRequest a = tracked(request);
-        if (a.serviceClass != READ) {
-            assertThat(a.mayHaveRun || a.inFlight > 0)
+        TrackedRequest tracked = tracked(request);
+        if (tracked.serviceClass != READ) {
+            assertThat(tracked.mayHaveRun || tracked.inFlight > 0)
                     .as("refused and may have run")
                     .isFalse();
         }
--- a/src/test/java/cacheproxy/route/RouterTest.java
+++ b/src/test/java/cacheproxy/route/RouterTest.java
@@ -225,7 +225,7 @@
     }
 
     @Test
-    void aBudgetLimitsRetriesInAStormAndRequestsAreAnsweredAtOnce() {
+    void theBudgetLimitsRetriesInAMassFailureAndRequestsAreAnsweredAtOnce() {
         RouterRig rig = new RouterRig(twoSites(policy("tight", 3, 0.1, true))).fleet(20);
         int further = 0;
         for (int i = 0; i < 1000; i++) {
@@ -252,7 +252,7 @@
     }
 
     @Test
-    void aPolicysDeadlineEndsARequestBeforeItsClients() {
+    void aPolicyDeadlineBeforeTheClientsEndsTheRequest() {
         RoutePolicy quick = new RoutePolicy(
                 "quick", 200, 3, Double.POSITIVE_INFINITY, 0, true, RejectedRequests.NOTHING, Integer.MAX_VALUE, 0);
         RouterRig rig = new RouterRig(twoSites(quick)).fleet(4);
