--- a/src/jmh/java/cacheproxy/RouteMatchBenchmark.java
+++ b/src/jmh/java/cacheproxy/RouteMatchBenchmark.java
@@ -22,7 +22,9 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What finding a request's route costs: the mixture of keys, beginnings, patterns and classes of bench/many-routes. */
+/**
+ * The cost of finding a request's route, with the mixture of keys, prefixes, patterns and classes of bench/many-routes.
+ */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 @Warmup(iterations = 3, time = 1)
@@ -43,7 +45,7 @@
     private RouteMatcher matcher;
     private int next;
 
-    /** Builds the table, and keys of which one in ten has no route. */
+    /** Builds the table, and the keys, one in ten of which has no route. */
     @Setup
     public void build() {
         List<Route> all = new ArrayList<>();
--- a/src/jmh/java/cacheproxy/quota/QuotaBenchmark.java
+++ b/src/jmh/java/cacheproxy/quota/QuotaBenchmark.java
@@ -16,7 +16,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** One admission at depth 3 and its settling: one quota at each of four levels. Half of all are refused. */
+/** One admission at depth 3 and its settling: one quota at each of four levels. Half of the requests are rejected. */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 @Warmup(iterations = 3, time = 1)
@@ -37,7 +37,7 @@
     private double now = 1e12;
     private int next;
 
-    /** Three organisations of two apps each, with as many device classes beneath them as it takes. */
+    /** Three organisations of two apps each, with the device classes spread evenly over the apps. */
     @Setup
     public void build() {
         int devicesPerApp = Math.max(1, nodes / 6);
@@ -65,7 +65,7 @@
         return new Limit(Measure.REQUESTS, 1000, guarantee, cap);
     }
 
-    /** 2,000 a second are asked for, of a cap of 1,000. */
+    /** A demand of 2,000 requests per second with a cap of 1,000. */
     @Benchmark
     public double admitAndSettle() {
         now += 0.5;
--- a/src/main/java/cacheproxy/quota/DemandRate.java
+++ b/src/main/java/cacheproxy/quota/DemandRate.java
@@ -13,7 +13,7 @@
         updatedMs = Math.max(updatedMs, nowMs);
     }
 
-    /** In units a millisecond. */
+    /** The rate in units per millisecond. */
     double perMs(double nowMs) {
         return recent * remainingFraction(nowMs - updatedMs) / DECAY_MS;
     }
--- a/src/main/java/cacheproxy/quota/LeaseHolder.java
+++ b/src/main/java/cacheproxy/quota/LeaseHolder.java
@@ -7,21 +7,21 @@
 import java.util.TreeSet;
 
 /**
- * Grants what instances have ceded of one cap to those with more demand. It never grants what has not been ceded to
- * itself, so that several holders at once, as in a network partition, do no harm. Amounts in units of the quota's
+ * Grants the parts of a cap that instances have ceded to those with more demand. It grants only what has been ceded to
+ * itself, so that several holders at once, as in a network partition, are safe. Amounts in units of the quota's
  * measure, times in milliseconds of this instance's clock. Not thread-safe.
  */
 final class LeaseHolder {
     private record TimedAmount(long amount, double untilMs) {}
 
-    /** The demand of all instances that report some, and what is outstanding. */
+    /** The instances that report demand with its total, and the outstanding grants. */
     private record Situation(
             List<Integer> demanding, double totalDemand, long outstandingElsewhere, long outstandingToDemanding) {}
 
     private final double windowMs;
     /** The latest cession of each instance. */
     private final Map<Integer, TimedAmount> cessions = new HashMap<>();
-    /** Of the present round, by instance: demand beyond its own share. */
+    /** Demand of the current round beyond its own share, by instance. */
     private final Map<Integer, Long> demands = new HashMap<>();
     /** Grants by instance: it may be using any of them, and its use may be in the window until they expire. */
     private final Map<Integer, List<TimedAmount>> outstanding = new HashMap<>();
@@ -30,7 +30,7 @@
     private double roundStartMs;
 
     /**
-     * A holder that nothing has been ceded to yet.
+     * Creates a holder without cessions.
      *
      * @param incarnation above that of any earlier start of this instance, such as the second in which it started
      */
@@ -39,7 +39,7 @@
         round = (long) incarnation << LeaseParticipant.INCARNATION_SHIFT;
     }
 
-    /** Starts a round, of which all instances are to be notified; its number. */
+    /** Starts a round, of which all instances must be notified, and returns its number. */
     long startRound(double nowMs) {
         roundStartMs = nowMs;
         demands.clear();
@@ -91,12 +91,12 @@
         return new Situation(demanding, totalDemand, elsewhere, toDemanding);
     }
 
-    /** How long a grant that expires then can be used; what is used last must leave the window before. */
+    /** How long a grant that expires at this time can be used: the last use must have left the window by then. */
     private double usableMs(double nowMs, double expiryMs) {
         return expiryMs - nowMs - windowMs - LeaseParticipant.TIMER_MARGIN_MS;
     }
 
-    /** What is ceded at least until then. */
+    /** The amount that is ceded at least until this time. */
     private long cededUntil(double untilMs) {
         long sum = 0;
         for (TimedAmount cession : cessions.values()) {
@@ -106,8 +106,8 @@
     }
 
     /**
-     * The expiry at which grants are of most use, as amount times duration. One that is sooner can also draw on the
-     * earlier cessions of instances that have not reported in this round. Negative infinity if none is of use.
+     * The expiry at which grants are of most use, as amount times duration. An earlier one can also draw on the earlier
+     * cessions of instances that have not reported in this round. Negative infinity if none is of use.
      */
     private double bestExpiryMs(double nowMs, Situation situation) {
         double bestMs = Double.NEGATIVE_INFINITY;
@@ -136,7 +136,7 @@
             int instance = demanding.get(i);
             long current = maxOutstanding(instance);
             long amount = (long) shares[i];
-            if (amount > current && total > available) { // others still use what they are to lose
+            if (amount > current && total > available) { // others may still use what this round takes from them
                 long reduction = Math.min(amount - current, total - available);
                 amount -= reduction;
                 total -= reduction;
--- a/src/main/java/cacheproxy/quota/LeaseParticipant.java
+++ b/src/main/java/cacheproxy/quota/LeaseParticipant.java
@@ -22,7 +22,7 @@
     private static final double RETAINED_PART = 0.5;
     /** The upper half of a round's number is the holder's incarnation. */
     static final int INCARNATION_SHIFT = 32;
-    /** An instance keeps its demand times this, for chance. */
+    /** An instance keeps this multiple of its demand, for random variation. */
     private static final double DEMAND_HEADROOM = 1.25;
 
     /**
@@ -63,7 +63,7 @@
     private double grantedUntilMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * An instance that may have run before.
+     * Creates the participant of an instance that may have run before.
      *
      * @param share its own part of the cap; the shares of all instances together do not exceed it
      */
@@ -124,7 +124,7 @@
         if (ceded > 0 && cessions.stream().allMatch(cession::sameHolder)) {
             cessions.add(cession);
         } else {
-            ceded = 0; // cessions to another holder count beside it, so it waits until they have expired
+            ceded = 0; // an unexpired cession to another holder or incarnation would add to this one
         }
         return new Report(holderRound, Math.max(0, expectedDemand - share), ceded);
     }
--- a/src/main/java/cacheproxy/quota/LentCredit.java
+++ b/src/main/java/cacheproxy/quota/LentCredit.java
@@ -5,7 +5,7 @@
  * measure, times in milliseconds.
  */
 final class LentCredit {
-    /** How long credit may be saved up, which is no longer than the shortest window. */
+    /** How long credit may accumulate; not longer than the shortest window. */
     static final double MAX_SAVED_MS = Limit.MIN_WINDOW_MS;
 
     private double ratePerMs;
@@ -27,7 +27,7 @@
         credit = ratePerMs * MAX_SAVED_MS;
     }
 
-    /** Brings the credit up to date; it may exceed the bucket by an amount that is waited for. */
+    /** Brings the credit up to date; it may exceed the bucket by the amount of a request that waits for it. */
     void refill(double nowMs, long awaited) {
         double max = ratePerMs * MAX_SAVED_MS + (ratePerMs > 0 ? awaited : 0);
         credit = Math.min(max, credit + ratePerMs * Math.max(0, nowMs - updatedMs));
--- a/src/main/java/cacheproxy/quota/Limit.java
+++ b/src/main/java/cacheproxy/quota/Limit.java
@@ -22,10 +22,10 @@
      */
     public Limit {
         if (windowMs < MIN_WINDOW_MS || windowMs > MAX_WINDOW_MS) {
-            throw new InvalidQuotaException("a window of " + windowMs + " ms; it takes 1 s to 1 h");
+            throw new InvalidQuotaException("a window of " + windowMs + "  ms; it must be 1 s to 1 h");
         }
         if (cap < 1) {
-            throw new InvalidQuotaException("a cap of " + cap + "; it takes 1 or more");
+            throw new InvalidQuotaException("a cap of " + cap + "; it must be 1 or more");
         }
         if (guarantee < 0 || guarantee > cap) {
             throw new InvalidQuotaException("a guarantee of " + guarantee + " under a cap of " + cap);
--- a/src/main/java/cacheproxy/quota/Meter.java
+++ b/src/main/java/cacheproxy/quota/Meter.java
@@ -2,9 +2,9 @@
 
 /**
  * The state of one quota of one node. The guarantee may be used in any order within the window; what is lent beyond it
- * arrives at a rate and is counted apart. So an owner that comes back finds its rate free within moments, even with a
- * window of an hour, and a borrower has not used up its guarantee. Amounts in units of the quota's measure, times in
- * milliseconds.
+ * accrues at a rate and is counted separately. So an owner that becomes active again gets its rate back within moments,
+ * even with a window of an hour, and borrowing does not use up the borrower's guarantee. Amounts in units of the
+ * quota's measure, times in milliseconds.
  */
 final class Meter {
     private final Limit limit;
@@ -20,7 +20,7 @@
     private double debtPaidMs;
 
     /**
-     * A meter with nothing used yet.
+     * Creates a meter without usage.
      *
      * @param borrows whether siblings share the parent's quota; if not, the cap alone counts
      */
@@ -46,7 +46,7 @@
         demand.add(nowMs, amount);
     }
 
-    /** Recent demand, in units a millisecond. */
+    /** Recent demand, in units per millisecond. */
     double demandPerMs(double nowMs) {
         return demand.perMs(nowMs);
     }
@@ -73,13 +73,13 @@
         idlePerMs = perMs;
     }
 
-    /** Starts to be lent a rate, with credit as if it had been for a while: its first request must not wait. */
+    /** Starts to borrow at a rate, with full credit so that the first request does not wait. */
     void startBorrowing(double nowMs, double perMs) {
         borrow(nowMs, perMs);
         lent.fill();
     }
 
-    /** Is lent this rate from now on, up to its cap. */
+    /** Borrows at this rate from now on, up to its cap. */
     void borrow(double nowMs, double perMs) {
         lent.setRate(nowMs, Math.min(perMs, capPerMs() - guaranteePerMs()));
     }
@@ -117,7 +117,9 @@
         return guaranteedCount.sum(nowMs) + amount <= limit.guarantee();
     }
 
-    /** Charges what {@link #waitMs} admits; whether it is charged to the guarantee, and not to what is lent. */
+    /**
+     * Charges an amount that {@link #waitMs} admits; true if it is charged to the guarantee, false if to lent credit.
+     */
     boolean charge(double nowMs, long amount) {
         totalCount.add(nowMs, amount);
         if (!borrows) {
@@ -132,7 +134,7 @@
     }
 
     /**
-     * Takes a charge back.
+     * Refunds a charge.
      *
      * @param chargedMs when it was charged
      * @param guaranteed as {@link #charge} has returned
@@ -147,7 +149,7 @@
         }
     }
 
-    /** Corrects a charge to the actual amount: refunds what is less, and owes what is more. */
+    /** Corrects a charge to the actual amount: refunds the excess, or adds what is missing to the debt. */
     void adjust(double nowMs, double chargedMs, long charged, long actual, boolean guaranteed) {
         if (actual <= charged) {
             refund(nowMs, chargedMs, charged - actual, guaranteed);
@@ -163,7 +165,7 @@
 
     /**
      * Pays debt as the window has capacity, before any new charge. While there is debt the window is full: each window
-     * that has passed since the last payment has paid a whole cap, and the present one pays what it has capacity for.
+     * that has passed since the last payment has paid a whole cap, and the current one pays what it has capacity for.
      */
     private void payDebt(double nowMs) {
         if (debt == 0) {
--- a/src/main/java/cacheproxy/quota/QuotaNode.java
+++ b/src/main/java/cacheproxy/quota/QuotaNode.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * An organisation, app or device class: its quotas, and the nodes below it, to which it lends what is idle of its rate.
- * Times in milliseconds. Not thread-safe.
+ * An organisation, app or device class: its quotas, and the nodes below it, to which it lends the idle part of its
+ * rate. Times in milliseconds. Not thread-safe.
  */
 final class QuotaNode {
     /**
@@ -21,9 +21,9 @@
     static final double MAX_LENDING_INTERVAL_MS = 1000;
     /** A child without a request for so long is inactive: nothing is lent to it, and all of its guarantee is lent. */
     static final double INACTIVE_MS = 5000;
-    /** Of its guarantee an owner keeps its demand times this, for chance. */
+    /** An owner keeps this multiple of its demand from its guarantee, for random variation. */
     private static final double GUARANTEE_HEADROOM = 1.1;
-    /** A borrower is lent up to its demand times this, so that a growing demand shows. */
+    /** A borrower is lent up to this multiple of its demand, so that growing demand can be measured. */
     private static final double LENDING_HEADROOM = 1.25;
 
     private static final int INITIAL_CAPACITY = 4;
@@ -42,7 +42,7 @@
     private boolean isActive;
     private double lastRequestMs;
     private double lastLendingMs = Double.NEGATIVE_INFINITY;
-    // Of one round of lending; kept, so that a round allocates nothing.
+    // Buffers of one round of lending, reused so that a round allocates nothing.
     private Meter[] borrowers = new Meter[INITIAL_CAPACITY];
     private double[] demands = new double[INITIAL_CAPACITY];
     private double[] weights = new double[INITIAL_CAPACITY];
--- a/src/main/java/cacheproxy/quota/QuotaReplay.java
+++ b/src/main/java/cacheproxy/quota/QuotaReplay.java
@@ -21,12 +21,12 @@
 
     private static final int BYTES = 4;
     private static final int WRITE = 5;
-    /** Numbers from this on are rejected. */
+    /** Numbers of this absolute value or more are rejected. */
     private static final double MAX_NUMBER = 1e16;
 
     private static final double MAX_BYTES = 1e15;
     private static final int MAX_LINE_LENGTH = 4096;
-    /** Organisations with a row of their own in the table; others are added up. */
+    /** Organisations with a row of their own in the table; all others share one row. */
     private static final int MAX_ROWS = 50;
 
     private static final String OTHERS = "others";
@@ -59,7 +59,7 @@
     private double firstMs = Double.NaN;
 
     /**
-     * A replay that begins with nothing used.
+     * Creates a replay without usage.
      *
      * @param traceName the trace's name, for messages
      * @param seed of the jitter of waits
--- a/src/main/java/cacheproxy/quota/QuotaSpec.java
+++ b/src/main/java/cacheproxy/quota/QuotaSpec.java
@@ -32,7 +32,7 @@
         limits = List.copyOf(limits);
         children = List.copyOf(children);
         if (!(weight > 0) || Double.isInfinite(weight)) {
-            throw new InvalidQuotaException(name + " has weight " + weight + "; it takes more than 0");
+            throw new InvalidQuotaException(name + " has weight " + weight + "; it must be positive and finite");
         }
         if (limits.size() > MAX_LIMITS) {
             throw new InvalidQuotaException(name + " has " + limits.size() + " quotas; " + MAX_LIMITS + " at most");
@@ -48,7 +48,7 @@
         Set<String> names = new HashSet<>();
         children.forEach(child -> {
             if (!names.add(child.name())) {
-                throw new InvalidQuotaException(name + " has two of the name " + child.name());
+                throw new InvalidQuotaException(name + " has two children named " + child.name());
             }
         });
     }
--- a/src/main/java/cacheproxy/quota/QuotaTree.java
+++ b/src/main/java/cacheproxy/quota/QuotaTree.java
@@ -9,9 +9,9 @@
 /**
  * All quotas of one installation. A request is checked along its whole path at once, and charged on all of it or on
  * none. No node exceeds its cap in any window, wherever that begins: see {@link SlidingCount}. Times in milliseconds of
- * one clock; one that steps back counts as standing still. Not thread-safe.
+ * one clock; while it steps back, time counts as standing still. Not thread-safe.
  *
- * <p>What becomes of a charge:
+ * <p>How a charge ends:
  *
  * <ul>
  *   <li>rejected later, or known never to have run: {@link #refund}, as if the request had not come;
@@ -22,11 +22,13 @@
  * </ul>
  */
 public final class QuotaTree {
-    /** Unnamed owners with a node of their own; for further ones those least recently used are evicted. */
+    /** The most unnamed owners with a node of their own; beyond it, the least recently used ones are evicted. */
     public static final int MAX_UNNAMED = 2048;
-    /** Nodes that are checked for one that can be evicted. */
+    /** The most nodes that are checked to find one that can be evicted. */
     private static final int MAX_EVICTION_CANDIDATES = 8;
-    /** Rejected clients are spread over this part of the wait more, so that they don't all come back at once. */
+    /**
+     * The most jitter, as a fraction of the wait, that is added to it so that rejected clients don't all retry at once.
+     */
     private static final double RETRY_JITTER = 0.5;
 
     private final QuotaNode root;
@@ -38,7 +40,7 @@
     private double latestMs;
 
     /**
-     * A tree with nothing used yet.
+     * Creates a tree without usage.
      *
      * @param maxUnnamed unnamed owners with a node of their own
      * @param seed of the jitter of waits
@@ -102,7 +104,7 @@
     // ---- requests
 
     /**
-     * Admits a request and charges it, or says when to come back.
+     * Admits and charges a request, or returns how long its client should wait before a retry.
      *
      * @param path names from the organisation down; those beyond {@value QuotaSpec#MAX_DEPTH} levels are ignored
      * @param bytes an estimate of its size, at least 0
@@ -145,7 +147,7 @@
         }
     }
 
-    /** The request was rejected after all, or has certainly not run: nothing of it counts. */
+    /** Refunds the whole charge of a request that was rejected later, or has certainly not run. */
     public void refund(double nowMs, QuotaCharge charge) {
         double now = monotonic(nowMs);
         int index = 0;
@@ -159,7 +161,9 @@
         charge.leaf = null;
     }
 
-    /** The request has ended and came to so many bytes; what exceeds the estimate is paid before any new charge. */
+    /**
+     * Settles a request that has ended, by its actual bytes; what exceeds the estimate is paid before any new charge.
+     */
     public void settle(double nowMs, QuotaCharge charge, long bytes) {
         double now = monotonic(nowMs);
         long actual = Math.max(0, bytes);
@@ -241,7 +245,7 @@
         return unnamed.size();
     }
 
-    /** What the node at this path has used in the window of this quota; 0 if it has no such quota. */
+    /** The use of the node at this path in the window of this quota; 0 if it has no such quota. */
     public long used(double nowMs, String[] path, Measure measure, long windowMs) {
         Meter meter = meter(path, measure, windowMs);
         return meter == null ? 0 : meter.used(monotonic(nowMs));
--- a/src/main/java/cacheproxy/quota/SlidingCount.java
+++ b/src/main/java/cacheproxy/quota/SlidingCount.java
@@ -4,8 +4,8 @@
 
 /**
  * An upper bound of what was counted in the last window. The window slides in {@value #STEPS} steps, and the step that
- * lies in it only in part counts whole: whoever keeps this sum under a limit keeps every window of that length under
- * it, wherever it begins. The price is that a steady rate may come to 1 / {@value #STEPS} less than the limit. Times in
+ * lies in it only in part counts whole: keeping this sum under a limit keeps every window of that length under it,
+ * wherever the window begins. In return, a steady rate may stay up to 1 / {@value #STEPS} below the limit. Times in
  * milliseconds; a time before the latest one counts as that.
  */
 final class SlidingCount {
--- a/src/main/java/cacheproxy/route/ActiveRoute.java
+++ b/src/main/java/cacheproxy/route/ActiveRoute.java
@@ -12,7 +12,7 @@
     private long throttledAttempts;
 
     /**
-     * A route that has had no request yet.
+     * Creates the route with all counters at 0.
      *
      * @param fallback null if it has none
      */
@@ -27,7 +27,7 @@
         return pool;
     }
 
-    /** The pool that serves what the first can't; null if there is none. */
+    /** The pool that serves requests which the first one can't serve; null if there is none. */
     PoolBalancer fallback() {
         return fallback;
     }
@@ -36,7 +36,7 @@
         return limits;
     }
 
-    /** Counts the pools as reachable by one more open request, or one less. */
+    /** Changes the number of open requests that can reach each of the pools. */
     void addReachableBy(int change) {
         pool.addReachableBy(change);
         if (fallback != null) {
--- a/src/main/java/cacheproxy/route/ActiveRoutes.java
+++ b/src/main/java/cacheproxy/route/ActiveRoutes.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 
 /**
- * The routes in force: finds that of a request, and replaces all of them at a reload. Limits of a policy that a reload
- * leaves unchanged go on with what they have counted. Not thread-safe.
+ * The routes in force: finds the route of a request, and replaces all routes at a reload. The limits of a policy that a
+ * reload leaves unchanged keep their counts. Not thread-safe.
  */
 final class ActiveRoutes {
-    /** Index of a tenant that no route knows. */
+    /** Index of a tenant that no route names. */
     private static final int NO_TENANT = -1;
 
     /** For requests that no route matches. */
@@ -28,7 +28,7 @@
     private IdentityHashMap<Route, ActiveRoute> active = new IdentityHashMap<>();
 
     /**
-     * No routes yet; {@link #replace} comes next.
+     * Creates it without routes; {@link #replace} must be called before any other method.
      *
      * @param allEndpoints serves the requests that no route matches
      */
@@ -36,7 +36,7 @@
         unmatched = new ActiveRoute("", allEndpoints, null, new PolicyLimits(RoutePolicy.UNLIMITED));
     }
 
-    /** Puts other routes in force, at once and as a whole. */
+    /** Replaces all routes atomically. */
     void replace(Routing next, Map<String, PoolBalancer> pools, RoutingSettings settings) {
         Map<String, PolicyLimits> limits = limits(next.policies());
         active = new IdentityHashMap<>();
@@ -86,12 +86,12 @@
         return route == null ? unmatched : active.get(route);
     }
 
-    /** What is in force. */
+    /** The routing in force. */
     Routing routing() {
         return routing;
     }
 
-    /** Counts what has been in force, from 1. */
+    /** The number of routings that have been in force, this one included. */
     int version() {
         return version;
     }
--- a/src/main/java/cacheproxy/route/ConditionTable.java
+++ b/src/main/java/cacheproxy/route/ConditionTable.java
@@ -1,8 +1,8 @@
 package cacheproxy.route;
 
 /**
- * Routes for the same keys, by the conditions that they set and the names in these: a hash table with open addressing.
- * Most tables hold one route, which is kept without arrays.
+ * Routes for the same keys, indexed by their conditions and the names in these: a hash table with open addressing. Most
+ * tables hold one route, which is kept without arrays.
  */
 class ConditionTable {
     private static final int INITIAL_CAPACITY = 8;
@@ -94,7 +94,7 @@
         return firstKey == key ? first : null;
     }
 
-    /** Where a key stands, or the free slot where it would. */
+    /** The slot of a key, or the free slot where it would be inserted. */
     private int slot(long key) {
         int slot = (int) ((key * HASH_FACTOR) >>> Integer.SIZE) & keys.length - 1;
         while (routes[slot] != null && keys[slot] != key) {
--- a/src/main/java/cacheproxy/route/DeferredActions.java
+++ b/src/main/java/cacheproxy/route/DeferredActions.java
@@ -4,7 +4,10 @@
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 
-/** What follows from a load balancer's order and calls that load balancer, which is not reentrant: runs after it. */
+/**
+ * Actions that follow from a load balancer's order and call that load balancer again. It is not reentrant, so they run
+ * after its event.
+ */
 final class DeferredActions {
     private final ArrayDeque<Consumer<RoutingActions>> queue = new ArrayDeque<>();
 
@@ -12,7 +15,7 @@
         queue.add(action);
     }
 
-    /** Runs all in their order, and those that they add. */
+    /** Runs all in the order in which they were added, including those added meanwhile. */
     void runAll(RoutingActions out) {
         for (Consumer<RoutingActions> next; (next = queue.poll()) != null; ) {
             next.accept(out);
--- a/src/main/java/cacheproxy/route/EndpointCatalog.java
+++ b/src/main/java/cacheproxy/route/EndpointCatalog.java
@@ -25,7 +25,7 @@
         attributes.put(endpointId, value);
     }
 
-    /** Applies an update of the list; what failed changes nothing. */
+    /** Applies an update of the list; a failed one changes nothing. */
     void apply(EndpointUpdateKind kind, List<Endpoint> changes) {
         if (kind == EndpointUpdateKind.FAILED) {
             return;
@@ -58,7 +58,7 @@
         return settings.get().cacheAside() && endpoint.kind() == settings.get().originKind();
     }
 
-    /** Whether an endpoint has started so lately that it is in slow start. */
+    /** Whether an endpoint has started so recently that it is in slow start. */
     boolean isWarmingUp(double nowMs, int endpointId) {
         Endpoint endpoint = endpoints.get(endpointId);
         return endpoint != null
--- a/src/main/java/cacheproxy/route/Glob.java
+++ b/src/main/java/cacheproxy/route/Glob.java
@@ -1,8 +1,8 @@
 package cacheproxy.route;
 
 /**
- * A pattern for a whole text: {@code *} stands for any characters or none, {@code ?} for exactly one. The literal
- * characters before the first of them are its literal prefix. Immutable; equal to another of the same text.
+ * A pattern that matches a whole text: {@code *} stands for any characters or none, {@code ?} for exactly one. The
+ * literal characters before the first of them are its literal prefix. Immutable; equal to another of the same text.
  */
 public final class Glob {
     /** The longest pattern, in characters. */
@@ -58,7 +58,10 @@
         return literals - prefixLength;
     }
 
-    /** Whether it matches the whole text. Takes time in the product of the lengths at most, and allocates nothing. */
+    /**
+     * Whether it matches the whole text. Takes time proportional to the product of the lengths at most; allocates
+     * nothing.
+     */
     public boolean matches(CharSequence text) {
         int p = 0;
         int t = 0;
@@ -96,7 +99,7 @@
                 if (i == a.length() && j == b.length()) {
                     reach[i][j] = true;
                 } else if (starA || starB) {
-                    // Each star ends here, or takes a character of the other.
+                    // Each asterisk matches nothing more, or one more character of the other pattern.
                     reach[i][j] = (starA && (reach[i + 1][j] || (j < b.length() && reach[i][j + 1])))
                             || (starB && (reach[i][j + 1] || (i < a.length() && reach[i + 1][j])));
                 } else if (i < a.length() && j < b.length()) {
@@ -118,7 +121,7 @@
         return pattern.hashCode();
     }
 
-    /** As it was written. */
+    /** The pattern as written. */
     @Override
     public String toString() {
         return pattern;
--- a/src/main/java/cacheproxy/route/NameNumbers.java
+++ b/src/main/java/cacheproxy/route/NameNumbers.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Numbers a table of routes gives to the names that routes use, from 1. */
+/** The numbers, from 1, that a route table assigns to the names in its routes. */
 final class NameNumbers {
     /** Stands for any name, and for a name that no route uses. */
     static final int ANY = 0;
--- a/src/main/java/cacheproxy/route/PatternRoute.java
+++ b/src/main/java/cacheproxy/route/PatternRoute.java
@@ -1,6 +1,6 @@
 package cacheproxy.route;
 
-/** A route whose key is a pattern, with its conditions as numbers of the table. */
+/** A route whose key is a pattern, with the names in its conditions as the table's numbers. */
 record PatternRoute(Route route, int[] tenants, int[] classes, int[] fronts) {
     static PatternRoute of(Route route, ConditionNames names) {
         return new PatternRoute(
--- a/src/main/java/cacheproxy/route/PoolActions.java
+++ b/src/main/java/cacheproxy/route/PoolActions.java
@@ -6,12 +6,12 @@
 import cacheproxy.routing.RoutingActions;
 
 /**
- * What the load balancer of one pool orders by during one event. Maps its attempts and timers to the dispatcher's, and
- * decides what policies and fallbacks make of its orders. An attempt that is not allowed ends as
- * {@link AttemptOutcome#NOT_SENT} for the load balancer, which goes on as after any such end.
+ * The actions that one pool's load balancer calls during one event. Maps its attempts and timers to the dispatcher's,
+ * and applies policies and fallbacks. An attempt that is not allowed ends as {@link AttemptOutcome#NOT_SENT} for the
+ * load balancer, which continues as after any other such end.
  */
 final class PoolActions implements RoutingActions {
-    /** The parts of the router that orders concern. */
+    /** The parts of the router that the actions use. */
     record Context(
             RoutedRequests requests,
             RetryBudgetGate retryBudgetGate,
@@ -51,7 +51,10 @@
                 .add(later -> context.requests().closingOnFailure(request, () -> pool.onAttemptEnd(nowMs, end, later)));
     }
 
-    /** What the pool has failed at goes to the fallback; what it rejects without an attempt does not. */
+    /**
+     * Moves the request to its fallback pool, if it may fall back, when an attempt has failed or this pool has no ready
+     * endpoint. A request that the pool rejects without an attempt though it has ready endpoints is rejected.
+     */
     @Override
     public void reject(int requestId, double retryAfterMs) {
         RoutedRequests requests = context.requests();
@@ -110,7 +113,7 @@
         out.sendToPeer(peerIndex, message);
     }
 
-    /** The endpoint list is one for all pools, and the pool of all endpoints looks after it. */
+    /** All pools share one endpoint list, which the pool of all endpoints keeps up to date. */
     @Override
     public void setWatch(boolean on) {
         if (pool.isOfAllEndpoints()) {
--- a/src/main/java/cacheproxy/route/PoolBalancer.java
+++ b/src/main/java/cacheproxy/route/PoolBalancer.java
@@ -14,21 +14,21 @@
 import java.util.Map;
 
 /**
- * A pool with its own load balancer: hands it the events that concern the pool, with ids and indices as that load
- * balancer counts them, and with {@link PoolActions} to order by. Not thread-safe.
+ * A pool with its own load balancer: passes it the events that concern the pool, with attempt indices and timer tokens
+ * as that load balancer counts them, and with {@link PoolActions} as its actions. Not thread-safe.
  */
 final class PoolBalancer {
-    /** A load balancer's own name for what it has learned. */
+    /** Key of a load balancer's learned state; each of them serves one pool. */
     private static final String ONLY_POOL = "";
 
-    /** Makes what a pool's load balancer orders by. */
+    /** Creates the actions for a pool's load balancer. */
     @FunctionalInterface
     interface ActionsFactory {
         /**
          * The actions for one event.
          *
          * @param nowMs the time of the event
-         * @param out takes what the router orders in the end
+         * @param out receives what the router orders of the dispatcher
          */
         RoutingActions create(PoolBalancer pool, double nowMs, RoutingActions out);
     }
@@ -39,17 +39,17 @@
     private final PoolEndpoints endpoints;
     private final CarpLoadBalancer loadBalancer;
     private Pool pool;
-    /** Requests that it has now and that are owed an answer. */
+    /** Open requests in this pool. */
     private int openRequests;
-    /** Those that it has or may yet be given: while there are any it must be told of the endpoint list. */
+    /** Open requests in this pool or able to fall back to it; while there are any, it must get endpoint updates. */
     private int reachableBy;
 
     private boolean draining;
 
     /**
-     * A pool without endpoints yet.
+     * Creates a pool without endpoints.
      *
-     * @param ofAllEndpoints whether this is the one pool of all endpoints, which looks after the endpoint list
+     * @param ofAllEndpoints whether this is the one pool of all endpoints, which keeps the endpoint list up to date
      */
     PoolBalancer(
             Pool pool,
@@ -75,12 +75,12 @@
         return ofAllEndpoints;
     }
 
-    /** Takes the pool's definition of a new configuration. */
+    /** Sets the pool's definition from a new configuration. */
     void redefine(Pool next) {
         pool = next;
     }
 
-    /** The configuration names the pool no more: it only serves the requests that can still reach it. */
+    /** The configuration no longer names the pool: from now on it only serves requests that can still reach it. */
     void startDraining() {
         draining = true;
     }
@@ -135,7 +135,7 @@
         loadBalancer.onSettings(nowMs, settings, actions(nowMs, out));
     }
 
-    /** Hands on what of an update of the list is the pool's own. */
+    /** Passes on the part of a list update that concerns the pool's endpoints. */
     void onEndpointUpdate(double nowMs, EndpointUpdateKind kind, List<Endpoint> changes, RoutingActions out) {
         List<Endpoint> own = endpoints.update(pool, kind, changes);
         // Only the pool of all endpoints has to replace a cached list by a fresh one.
--- a/src/main/java/cacheproxy/route/PoolEndpoints.java
+++ b/src/main/java/cacheproxy/route/PoolEndpoints.java
@@ -24,8 +24,8 @@
     }
 
     /**
-     * What an update of the list means for the pool: its own endpoints, at their weight in the pool, and those that it
-     * had and has no more, as removed.
+     * The part of a list update that concerns the pool: its own endpoints with their weight in the pool, and as removed
+     * those that have left it.
      */
     List<Endpoint> update(Pool pool, EndpointUpdateKind kind, List<Endpoint> changes) {
         List<Endpoint> own = select(pool, changes);
--- a/src/main/java/cacheproxy/route/PoolRegistry.java
+++ b/src/main/java/cacheproxy/route/PoolRegistry.java
@@ -13,8 +13,8 @@
 import java.util.function.Supplier;
 
 /**
- * The pools in use, and those that drain: named no more by the configuration, but reachable by open requests. The pool
- * of all endpoints is always there and comes first. Not thread-safe.
+ * The pools in use, and the draining ones, which the configuration no longer names but open requests can still reach.
+ * The pool of all endpoints always exists and comes first. Not thread-safe.
  */
 final class PoolRegistry {
     private static final long NAME_HASH_FACTOR = 0x9e3779b97f4a7c15L;
@@ -25,7 +25,7 @@
     private final PoolBalancer.ActionsFactory actions;
     private final List<PoolBalancer> pools = new ArrayList<>();
     private final PoolBalancer allEndpoints;
-    /** The traffic of each zone as the fleet has last set it, for pools that are created later. */
+    /** The traffic fraction of each zone that the fleet set last; applied to pools that are created later. */
     private final Map<Integer, ZoneDirective> zones = new HashMap<>();
 
     PoolRegistry(
@@ -47,19 +47,21 @@
         return new PoolBalancer(pool, ofAllEndpoints, catalog, loadBalancer, actions);
     }
 
-    /** The pool of all endpoints, which serves requests that no route matches and looks after the endpoint list. */
+    /**
+     * The pool of all endpoints, which serves requests that no route matches and keeps the endpoint list up to date.
+     */
     PoolBalancer allEndpoints() {
         return allEndpoints;
     }
 
-    /** All pools, unchanged by what happens while they are gone through. */
+    /** A copy of the list of pools, so that it does not change during iteration. */
     List<PoolBalancer> snapshot() {
         return List.copyOf(pools);
     }
 
     /**
-     * Takes the pools of a new configuration: keeps those of the same name with what they have learned, creates others,
-     * and drains what it does not name.
+     * Applies the pools of a new configuration: keeps those of the same name with their learned state, creates new
+     * ones, and drains those that it does not name.
      *
      * @return the pools of the configuration, by name
      */
@@ -74,7 +76,7 @@
         for (Pool definition : definitions) {
             PoolBalancer pool = obsolete.remove(definition.name());
             if (pool == null) {
-                // The name is part of the seed, so that pools of one instance draw differently.
+                // The name is part of the seed, so that the pools of an instance make different random choices.
                 pool = create(definition, false, seed ^ definition.name().hashCode() * NAME_HASH_FACTOR);
                 pools.add(pool);
             }
@@ -112,7 +114,7 @@
         return listed;
     }
 
-    /** What the pools have learned, by name; those that drain are left out. */
+    /** The learned state of the pools, by name; draining pools are left out. */
     Map<String, LearnedState> learnedState(double nowMs) {
         Map<String, LearnedState> learned = new HashMap<>();
         pools.stream()
--- a/src/main/java/cacheproxy/route/PoolTimers.java
+++ b/src/main/java/cacheproxy/route/PoolTimers.java
@@ -21,7 +21,7 @@
         return lastToken;
     }
 
-    /** The timer of a token of the dispatcher, which is due once; null if there is none. */
+    /** Removes and returns the timer of a dispatcher's token, as each fires once; null if there is none. */
     PoolTimer remove(int token) {
         return timers.remove(token);
     }
--- a/src/main/java/cacheproxy/route/PrefixIndex.java
+++ b/src/main/java/cacheproxy/route/PrefixIndex.java
@@ -3,10 +3,10 @@
 import java.util.Collection;
 
 /**
- * Finds the longest literal prefix of a key that a table of routes has. The prefixes stand in one hash table with open
- * addressing; those of a key are looked up, at the lengths that exist, while the key is hashed from left to right. The
- * time depends on the key's length and not on the number of prefixes; nothing is allocated. A trie would read memory in
- * three times as many places.
+ * Finds the longest literal prefix of a key that a table of routes has. The prefixes are stored in one hash table with
+ * open addressing; those of a key are looked up, at the lengths that exist, while the key is hashed from left to right.
+ * The time depends on the key's length and not on the number of prefixes; nothing is allocated. A trie would access
+ * three times as many memory locations.
  */
 final class PrefixIndex {
     /** FNV-1a with 64 bits, over characters. */
@@ -29,9 +29,9 @@
     private final long[] hashes;
 
     private final PrefixNode[] nodes;
-    /** All prefixes, each with a 0 behind it: one place in memory to compare with, not three. */
+    /** All prefixes, each followed by a 0, so that a comparison reads one memory location instead of three. */
     private final char[] characters;
-    /** A bit for each hash: most strings that are no prefix end here. */
+    /** A bit for each hash; rules out most strings that are no prefix before any slot is read. */
     private final long[] filter;
 
     PrefixIndex(Collection<PrefixNode> prefixes, int[] lengths) {
@@ -87,7 +87,7 @@
         if ((filter[bit / Long.SIZE] >>> bit & 1) == 0) {
             return null;
         }
-        // A free slot has the hash 0; one that is taken may, too.
+        // A free slot has the hash 0; an occupied one may have it, too.
         for (int slot = firstSlot(hash); hashes[slot] != 0 || nodes[slot] != null; slot = nextSlot(slot)) {
             if (hashes[slot] == hash && isPrefix(nodes[slot], key, length)) {
                 return nodes[slot];
--- a/src/main/java/cacheproxy/route/PrefixNode.java
+++ b/src/main/java/cacheproxy/route/PrefixNode.java
@@ -1,8 +1,8 @@
 package cacheproxy.route;
 
 /**
- * The routes of one literal prefix. As a condition table it holds those for all keys that start with the prefix; beside
- * these stand the routes for this key alone, and those whose pattern starts with the prefix.
+ * The routes of one literal prefix. As a condition table it holds those for all keys that start with the prefix; in
+ * addition it has the routes for exactly this key, and those whose pattern starts with the prefix.
  */
 final class PrefixNode extends ConditionTable {
     private static final PatternRoute[] NO_PATTERNS = {};
@@ -29,12 +29,12 @@
         return hash;
     }
 
-    /** Of the prefix, in characters. */
+    /** The length of the prefix, in characters. */
     int length() {
         return length;
     }
 
-    /** Where the prefix stands among the characters of the index. */
+    /** The offset of the prefix in the characters of the index. */
     int charactersOffset() {
         return charactersOffset;
     }
@@ -43,7 +43,7 @@
         charactersOffset = offset;
     }
 
-    /** The routes whose key is the prefix and nothing more; null if there are none. */
+    /** The routes whose key is exactly the prefix; null if there are none. */
     ConditionTable exact() {
         return exact;
     }
--- a/src/main/java/cacheproxy/route/RetryBudget.java
+++ b/src/main/java/cacheproxy/route/RetryBudget.java
@@ -1,15 +1,16 @@
 package cacheproxy.route;
 
 /**
- * How many retries there may be: a ratio of the requests, saved up for {@link #SAVED_MS}, and some a second however few
- * requests there are, so that retries can't multiply the load of a failing fleet. Follows Finagle's RetryBudget, after
- * "Handling Overload" (Site Reliability Engineering, chapter 21). Times in milliseconds of one clock.
+ * Limits retries to a ratio of the requests, saved up for {@link #SAVED_MS}, plus a minimum per second that does not
+ * depend on the number of requests, so that retries can't multiply the load of a failing fleet. Follows Finagle's
+ * RetryBudget, after "Handling Overload" (Site Reliability Engineering, chapter 21). Times in milliseconds of one
+ * clock.
  */
 final class RetryBudget {
-    /** How long a retry that is not used stays saved. */
+    /** How long unused retries are saved. */
     static final double SAVED_MS = 10_000;
 
-    /** One retry, less what sums of ratios may be off by. */
+    /** One retry, less the rounding error of a sum of ratios. */
     private static final double ONE_RETRY = 0.999;
 
     private final double ratio;
@@ -22,10 +23,10 @@
     private double updatedMs = Double.NaN;
 
     /**
-     * A budget that begins with the saved minimum.
+     * Creates a budget that starts with the minimum of {@link #SAVED_MS} saved.
      *
-     * @param ratio retries a request, 0 or more; infinite: not bounded
-     * @param minRetriesPerSecond retries a second that are allowed however few requests there are
+     * @param ratio retries per request, 0 or more; infinite: not bounded
+     * @param minRetriesPerSecond retries per second that are allowed for any number of requests
      */
     RetryBudget(double ratio, double minRetriesPerSecond) {
         this.ratio = ratio;
--- a/src/main/java/cacheproxy/route/RetryBudgetGate.java
+++ b/src/main/java/cacheproxy/route/RetryBudgetGate.java
@@ -12,8 +12,8 @@
     }
 
     /**
-     * Whether it may be sent; if so and it is a retry, it is taken from the policy's budget. Asking the origin for what
-     * an endpoint lacks is no retry; anything else after the first attempt is.
+     * Whether the attempt may be sent; a retry that may be sent is taken from the policy's retry budget. Asking the
+     * origin after a cache miss is no retry; any other attempt after the first one is.
      */
     boolean tryAcquire(double nowMs, RoutedRequest request, int endpointId) {
         if (request.hasFallenBack() && endpoints.isWarmingUp(nowMs, endpointId)) {
--- a/src/main/java/cacheproxy/route/RoutePolicy.java
+++ b/src/main/java/cacheproxy/route/RoutePolicy.java
@@ -1,16 +1,17 @@
 package cacheproxy.route;
 
 /**
- * Limits for the requests of the routes that name it. They hold beside those of the settings: the narrower holds.
+ * Limits for the requests of the routes that name it. They apply in addition to those of the settings: the stricter one
+ * holds.
  *
  * @param name its name; empty for {@link #UNLIMITED}
  * @param deadlineMs the longest that a request may wait, in milliseconds, above 0; infinite: as long as its client does
  * @param maxAttempts attempts of one request over both pools, at least 1
- * @param retryRatio retries as a part of all requests, 0 or more; infinite: not bounded
- * @param minRetriesPerSecond retries a second that are allowed however few requests there are, 0 or more
+ * @param retryRatio retries as a fraction of all requests, 0 or more; infinite: not bounded
+ * @param minRetriesPerSecond retries per second that are allowed for any number of requests, 0 or more
  * @param hedgingAllowed whether a second attempt may go out while the first is in flight
- * @param rejectedRequests what is rejected at once
- * @param maxOpenRequests further requests than so many at a time are rejected at once; 0 or more
+ * @param rejectedRequests which requests are rejected on arrival
+ * @param maxOpenRequests the most open requests, 0 or more; further ones are rejected on arrival
  * @param retryAfterMs the Retry-After of those that this policy rejects, in milliseconds, 0 or more
  */
 public record RoutePolicy(
@@ -23,7 +24,7 @@
         RejectedRequests rejectedRequests,
         int maxOpenRequests,
         double retryAfterMs) {
-    /** Which requests are rejected at once, by the value of the setting {@code turn-away}. */
+    /** Which requests are rejected on arrival, by the value of the setting {@code turn-away}. */
     public enum RejectedRequests {
         NOTHING("nothing"),
         READS("reads"),
@@ -42,7 +43,7 @@
         }
 
         /**
-         * What a value of the setting stands for.
+         * The constant for a value of the setting.
          *
          * @throws InvalidPolicyException if it is no such value
          */
@@ -56,7 +57,7 @@
         }
     }
 
-    /** No limit beside the settings' own. */
+    /** No limits beyond those of the settings. */
     public static final RoutePolicy UNLIMITED = new RoutePolicy(
             "",
             Double.POSITIVE_INFINITY,
@@ -80,7 +81,7 @@
                 || !(minRetriesPerSecond >= 0)
                 || maxOpenRequests < 0
                 || !(retryAfterMs >= 0)) {
-            throw new InvalidPolicyException("policy " + name + " is out of range");
+            throw new InvalidPolicyException("policy " + name + " has a limit out of range");
         }
     }
 
--- a/src/main/java/cacheproxy/route/RouteStatus.java
+++ b/src/main/java/cacheproxy/route/RouteStatus.java
@@ -5,8 +5,8 @@
  *
  * @param name its name; empty for requests that no route matches
  * @param requests all that matched it
- * @param fallbacks those that went on to its fallback pool
- * @param rejected those that its policy rejected at once
+ * @param fallbacks those that moved to its fallback pool
+ * @param rejected those that its policy rejected on arrival
  * @param throttledAttempts attempts that its policy did not allow
  */
 public record RouteStatus(String name, long requests, long fallbacks, long rejected, long throttledAttempts) {}
--- a/src/main/java/cacheproxy/route/RouteTable.java
+++ b/src/main/java/cacheproxy/route/RouteTable.java
@@ -11,9 +11,9 @@
  * that one request could match are a conflict. Immutable.
  */
 public final class RouteTable {
-    /** Patterns with the same literal prefix, which are tried one by one. */
+    /** The most patterns with the same literal prefix, as they are tried one by one. */
     static final int MAX_PATTERNS = 2048;
-    /** Triples of tenant, class and front that routes name, in all. */
+    /** The most triples of tenant, class and front that all routes together may name. */
     static final int MAX_TRIPLES = 2_000_000;
 
     private final List<Route> routes;
--- a/src/main/java/cacheproxy/route/RoutedRequest.java
+++ b/src/main/java/cacheproxy/route/RoutedRequest.java
@@ -8,8 +8,8 @@
 
 /**
  * A request from its admission until it is closed and its attempts have ended: its route, the pool that has it, and its
- * attempts. The dispatcher numbers attempts over both pools, each pool's load balancer its own from 0, with those that
- * were not allowed; this class maps one to the other. Not thread-safe.
+ * attempts. The dispatcher numbers attempts over both pools, each pool's load balancer its own from 0, including those
+ * that were not allowed; this class maps one to the other. Not thread-safe.
  */
 final class RoutedRequest {
     /**
@@ -96,7 +96,7 @@
         return attempts.indexOf(new PoolAttempt(sender, index));
     }
 
-    /** The end of an attempt as its load balancer numbers it. */
+    /** The end of an attempt with the index that its load balancer uses. */
     static AttemptEnd forPool(AttemptEnd end, PoolAttempt attempt) {
         return new AttemptEnd(
                 end.requestId(),
--- a/src/main/java/cacheproxy/route/RoutedRequests.java
+++ b/src/main/java/cacheproxy/route/RoutedRequests.java
@@ -31,7 +31,7 @@
         return requests.size();
     }
 
-    /** Counts an arrived request, and rejects it if the policy of its route says so; whether it is admitted. */
+    /** Counts an arrived request, and rejects it if its route's policy requires that; true if it is admitted. */
     boolean admit(Request request, ActiveRoute route, RoutingActions out) {
         route.onRequest();
         PolicyLimits limits = route.limits();
@@ -43,7 +43,7 @@
         return true;
     }
 
-    /** Hands an admitted request to its pool, or at once to the fallback if the pool has no ready endpoint. */
+    /** Passes an admitted request to its pool, or immediately to the fallback if the pool has no ready endpoint. */
     void start(double nowMs, Request request, ActiveRoute route, RoutingActions out) {
         PolicyLimits limits = route.limits();
         limits.onAdmitted(nowMs);
--- a/src/main/java/cacheproxy/route/Router.java
+++ b/src/main/java/cacheproxy/route/Router.java
@@ -23,7 +23,7 @@
  * which endpoints are a pool's PoolEndpoints, over EndpointCatalog
  * admitted or rejected, closed RoutedRequests, by PolicyLimits
  * fallback pool                RoutedRequest
- * another attempt, or not      AttemptPermission, by PolicyLimits and RetryBudget
+ * another attempt, or not      RetryBudgetGate, by PolicyLimits and RetryBudget
  * orders of a pool             PoolActions, with PoolTimers and PendingHealthChecks
  * </pre>
  *
@@ -67,8 +67,8 @@
     // ---- routes, settings and learned state
 
     /**
-     * Puts other routes in force, at once and as a whole. Open requests go on under those they began with; a pool that
-     * is not named any more serves these and is then removed.
+     * Replaces all routes atomically. Open requests continue under the routes that they began with; a pool that is no
+     * longer named serves these and is then removed.
      */
     public void replaceRoutes(double nowMs, Routing next, RoutingActions out) {
         replaceRoutes(next);
@@ -116,7 +116,7 @@
         return routes.routing();
     }
 
-    /** Counts the routings that have been in force, from 1. */
+    /** The number of routings that have been in force, this one included. */
     public int version() {
         return routes.version();
     }
@@ -138,7 +138,7 @@
 
     // ---- endpoints and zones
 
-    /** Sets what pools select an endpoint by, before the update of the list that names it. */
+    /** Sets the attributes by which pools select an endpoint, before the list update that names it. */
     public void updateAttributes(int endpointId, EndpointAttributes attributes) {
         endpoints.putAttributes(endpointId, attributes);
     }
--- a/src/main/java/cacheproxy/route/Routing.java
+++ b/src/main/java/cacheproxy/route/Routing.java
@@ -32,12 +32,13 @@
         Set<String> names = new HashSet<>();
         for (Route route : table.routes()) {
             if (!names.add(route.name())) {
-                throw new InvalidRouteException("two routes are called " + route.name());
+                throw new InvalidRouteException("two routes have the name " + route.name());
             }
             if (!pools.containsKey(route.pool())
                     || (route.fallback() != null && !pools.containsKey(route.fallback()))
                     || (route.policy() != null && !policies.containsKey(route.policy()))) {
-                throw new InvalidRouteException("route " + route.name() + " names what there is not");
+                throw new InvalidRouteException(
+                        "route " + route.name() + " names a pool or policy that does not exist");
             }
         }
     }
--- a/src/test/java/cacheproxy/quota/ExactLog.java
+++ b/src/test/java/cacheproxy/quota/ExactLog.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** All that was counted, for the fullest window of it. */
+/** A log of all counted amounts, to find the largest sum in any window. */
 public final class ExactLog {
     private record Counted(double at, long amount) {}
 
     private final List<Counted> all = new ArrayList<>();
 
-    /** So much was counted at that time, not before what was last. */
+    /** Adds an amount; the time must not be before that of the last one. */
     public void add(double atMs, long amount) {
         all.add(new Counted(atMs, amount));
     }
 
-    /** The most that lies in any window of that length, wherever it begins. */
+    /** The largest sum in any window of that length, wherever it begins. */
     public long fullest(long windowMs) {
         long most = 0;
         long sum = 0;
--- a/src/test/java/cacheproxy/quota/LeaseTest.java
+++ b/src/test/java/cacheproxy/quota/LeaseTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Instances that share one cap over a network that loses, doubles, delays and reorders, in virtual time. */
+/** Instances share one cap, in virtual time, over a network that loses, duplicates, delays and reorders messages. */
 class LeaseTest {
     private static final long CAP = 600;
     private static final double WINDOW = 1000;
@@ -30,7 +30,7 @@
         final LeaseHolder[] holders;
         final boolean[] down;
         final int[] incarnation;
-        /** The network partition that an instance is in; messages pass within one only. */
+        /** The network partition of each instance; messages are delivered only within a partition. */
         final int[] partition;
 
         final double[] perSecond;
@@ -42,7 +42,7 @@
         final double[] clockOffsetMs;
 
         double loss;
-        /** Which of the next messages between two are lost, a bit each; negative: by chance. */
+        /** Which of the next messages between instances are lost, a bit each; negative: random loss. */
         long lossPattern = -1;
 
         int fullestWindow;
@@ -72,8 +72,8 @@
         }
 
         /**
-         * Starts, also under a name that was there before. What it used before still counts for the cap, not for
-         * itself.
+         * Starts or restarts an instance. Its use before a restart still counts towards the cap, but the new
+         * incarnation does not know of it.
          */
         void start(int i) {
             incarnation[i]++;
@@ -90,7 +90,10 @@
             time.after(ms, task);
         }
 
-        /** Every instance that knows of none before it begins rounds; here all do, which must not matter. */
+        /**
+         * In production only an instance that knows of no lower-ranked holder starts rounds; here all do, which must be
+         * safe.
+         */
         void round(int i, int mine) {
             if (down[i] || incarnation[i] != mine) {
                 return;
@@ -121,7 +124,7 @@
         void send(int from, int to, Runnable message) {
             for (int copy = random.nextInt(20) == 0 ? 2 : 1; copy > 0; copy--) {
                 if (from == to || !lost()) {
-                    // To itself at once; else 3 to 30 ms, and a few much later.
+                    // To itself immediately; else after 3 to 30 ms, and a few much later.
                     double ms = from == to
                             ? 0
                             : random.nextInt(50) == 0 ? random.nextDouble() * 6000 : 3 + random.nextDouble() * 27;
@@ -184,7 +187,10 @@
         }
     }
 
-    /** Losses, delays, holders killed, restarts under the same name, splits in halves, and demand that jumps about. */
+    /**
+     * Message loss, delays, killed holders, restarts of the same instance, network partitions, and abrupt changes of
+     * demand.
+     */
     @Property(seed = "1", tries = 150)
     void instancesTogetherNeverExceedTheCapInAnyWindow(
             @ForAll long seed,
@@ -210,7 +216,8 @@
     }
 
     /**
-     * Every way to lose ten messages in a row, while the one that was idle comes back and the other never goes quiet.
+     * Every loss pattern of ten consecutive messages, while the idle instance gets demand and the other one keeps its
+     * own.
      */
     @Test
     void noPatternOfMessageLossExceedsTheCap() {
@@ -225,7 +232,7 @@
         }
     }
 
-    /** A holder that was started again does not know what it has granted of what it was ceded. */
+    /** A restarted holder does not know what it has granted from earlier cessions. */
     @Test
     void aCessionBindsTowardsOneIncarnationOfAHolder() {
         LeaseParticipant participant = new LeaseParticipant(100, WINDOW, 0);
@@ -235,17 +242,17 @@
                 .isEqualTo(50);
         assertThat(participant.limit(10_000)).isEqualTo(50);
         assertThat(participant.onRoundStarted(10_400, 0, first + 2, 0, 0).ceded())
-                .as("the same once more")
+                .as("same incarnation")
                 .isEqualTo(50);
         assertThat(participant.limit(10_400)).isEqualTo(50);
         assertThat(participant.onRoundStarted(10_800, 0, second + 1, 0, 0).ceded())
-                .as("the next incarnation")
+                .as("next incarnation")
                 .isZero();
         assertThat(participant.onRoundStarted(10_900, 0, first + 3, 0, 0))
-                .as("late, of the incarnation before")
+                .as("late message of the earlier incarnation")
                 .isNull();
         assertThat(participant.onRoundStarted(13_500, 0, second + 2, 0, 0).ceded())
-                .as("when that has ended")
+                .as("after the earlier cession has expired")
                 .isEqualTo(50);
     }
 
@@ -275,10 +282,10 @@
         fleet.advance(10_000);
         assertThat(fleet.servedPerSecond(1, 5000)).isGreaterThan(330);
         fleet.down[0] = true;
-        assertThat(fleet.servedPerSecond(1, 3000)).as("never less than its own").isGreaterThan(195);
+        assertThat(fleet.servedPerSecond(1, 3000)).as("at least its own share").isGreaterThan(195);
         fleet.advance(4000);
         assertThat(fleet.servedPerSecond(1, 5000))
-                .as("what the third cedes, by a holder of its own")
+                .as("what the third instance cedes, through a new holder")
                 .isGreaterThan(280);
         fleet.start(0);
         fleet.advance(8000);
--- a/src/test/java/cacheproxy/quota/MaxMinFairShareTest.java
+++ b/src/test/java/cacheproxy/quota/MaxMinFairShareTest.java
@@ -35,7 +35,7 @@
         }
         assertThat(sum).isCloseTo(Math.min(Math.max(0, free), wanted), Offset.offset(1e-6));
         for (int i = 0; i < many && level > 0; i++) {
-            // Whoever has less than wanted has as much for each weight as any other; nobody with all has more.
+            // Unmet demands get equal shares per weight, and no demand gets more per weight than these.
             assertThat(given[i] / weights[i]).isLessThanOrEqualTo(level + 1e-6);
             assertThat(given[i] < wants[i] - 1e-6 ? given[i] / weights[i] : level)
                     .isCloseTo(level, Offset.offset(1e-6));
--- a/src/test/java/cacheproxy/quota/QuotaTranscriptTest.java
+++ b/src/test/java/cacheproxy/quota/QuotaTranscriptTest.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** What quotas decide over random requests, and what leases grant over random rounds, to the last digit. */
+/** Compares the decisions of quotas on random requests, and the grants of leases in random rounds, with a recording. */
 class QuotaTranscriptTest {
     private static final double START_MS = 1e12;
 
--- a/src/test/java/cacheproxy/quota/QuotaTreeTest.java
+++ b/src/test/java/cacheproxy/quota/QuotaTreeTest.java
@@ -42,7 +42,7 @@
                 spec("set-top", List.of(requests(windowMs, guarantee * 3 / 10, cap))));
     }
 
-    // ---- caps, against a log of everything
+    // ---- caps, compared with an exact log
 
     private static final class History {
         final QuotaTree tree;
@@ -128,7 +128,10 @@
         return new QuotaSpec("all", 1, root, orgs);
     }
 
-    /** 10,000 histories: ten times every cap, in bursts at the windows' edges, in steps of 50 ms, and at random. */
+    /**
+     * 10,000 random histories with a demand of ten times every cap: in bursts at the edges of windows, in steps of 50
+     * ms, and at random times.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
     void noNodeExceedsItsCapInAnyWindow(int block) {
@@ -140,7 +143,7 @@
                 spec = randomTree(random);
                 new QuotaTree(spec, 1, 1);
             } catch (IllegalArgumentException e) {
-                continue; // its guarantees did not fit
+                continue; // its guarantees exceed a cap
             }
             History h = new History(spec, seed);
             for (int i = 0; i < 60; i++) {
@@ -166,7 +169,7 @@
 
     // ---- shares
 
-    /** Sends requests at these rates for so long, counts the admitted ones by name; arrivals are random. */
+    /** Sends requests at these mean rates with random arrivals, and counts the admitted ones by name. */
     private static Map<String, Integer> replay(
             QuotaTree tree, double from, double seconds, Map<String, Double> perSecond, SplittableRandom random) {
         record Next(String name, double at) {}
@@ -197,14 +200,14 @@
         double seconds = 2 * window / 1000.0 + 10;
         Map<String, Integer> alone = replay(tree, START, seconds, Map.of("beta/player", 8000.0), random);
         assertThat(alone.get("beta/player") / seconds)
-                .as("lent to one that asks alone")
+                .as("lent while no other owner has demand")
                 .isBetween(700.0, 900.0);
         double back = START + seconds * 1000;
         Map<String, Double> both = Map.of("beta/player", 8000.0, "alpha/player", 330.0, "alpha/set-top", 140.0);
         replay(tree, back, 5, both, random);
         Map<String, Integer> after = replay(tree, back + 5000, 20, both, random);
         assertThat(after.get("alpha/player"))
-                .as("served of what the owner asks")
+                .as("admitted of the returning owner's demand")
                 .isGreaterThan((int) (330 * 20 * 0.93));
         assertThat((after.get("alpha/player") + after.get("alpha/set-top")) / 20.0)
                 .isGreaterThan(470 * 0.96);
@@ -218,12 +221,12 @@
         replay(tree, START, 5, all, random);
         Map<String, Integer> in = replay(tree, START + 5000, 30, all, random);
         assertThat(in.get("gamma/player") / 30.0)
-                .as("asks for less than its own")
+                .as("demands less than its guarantee")
                 .isGreaterThan(190 * 0.95);
         assertThat(in.get("alpha/player") / 30.0).isGreaterThan(490);
         assertThat(in.get("beta/player") / 30.0).isGreaterThan(290);
         assertThat(in.values().stream().mapToInt(n -> n).sum() / 30.0)
-                .as("nothing is left idle")
+                .as("the cap is used up")
                 .isGreaterThan(970);
     }
 
@@ -249,22 +252,24 @@
                 .isPositive();
         assertThat(second.isOpen()).isFalse();
         assertThat(tree.used(START, path, Measure.REQUESTS, 1000))
-                .as("nothing of it was charged")
+                .as("a rejected request is not charged")
                 .isEqualTo(1);
         tree.refund(START + 10, first);
         assertThat(first.isOpen()).isFalse();
         assertThat(tree.used(START + 10, path, Measure.BYTES, 1000)).isZero();
         assertThat(tree.admit(START + 10, path, 400, true, first))
-                .as("it never ran")
+                .as("capacity of the refunded request")
                 .isZero();
         tree.settle(START + 20, first, 100);
         assertThat(tree.used(START + 20, path, Measure.BYTES, 1000))
-                .as("less than estimated")
+                .as("settled below the estimate")
                 .isEqualTo(100);
         assertThat(tree.used(START + 20, path, Measure.WRITES, 1000)).isEqualTo(1);
     }
 
-    /** 4 MiB to one with 1 KB left: let in by the estimate, then nothing more until it is paid for. */
+    /**
+     * A response of 4 MiB with 1 KiB left: admitted by its estimate, then nothing is admitted until the debt is paid.
+     */
     @Test
     void debtIsPaidBeforeAnyNewCharge() {
         QuotaTree tree = new QuotaTree(spec("all", List.of(new Limit(Measure.BYTES, 1000, 0, 1 << 20))), 1, 1);
@@ -293,12 +298,12 @@
             assertThat(tree.admit(START + hour * 3_600_000.0, new String[0], 1, false, charge))
                     .isPositive();
         }
-        // Paid for when somebody looks, so who asks once an hour finds it paid somewhat late, and never early.
+        // Debt is paid on access, so with one request an hour it is paid somewhat late, but never early.
         assertThat(tree.admit(START + 9 * 3_600_000.0, new String[0], 1, false, charge))
                 .isZero();
     }
 
-    /** What is asked for is more than the cap: it counts as all of it, or it would never be let in. */
+    /** A request larger than the cap is charged the whole cap, as it could never be admitted otherwise. */
     @Test
     void aRequestLargerThanTheCapIsAdmittedAloneAndBecomesDebt() {
         QuotaTree tree = new QuotaTree(spec("all", List.of(new Limit(Measure.BYTES, 1000, 0, 1000))), 1, 1);
@@ -340,7 +345,7 @@
         assertThat(in).isEqualTo(5);
     }
 
-    // ---- those who are not named
+    // ---- unnamed owners
 
     @Test
     void unnamedOwnersShareANodeOrGetOneEach() {
@@ -360,7 +365,7 @@
         for (int i = 0; i < 10; i++) {
             in += tree.admit(START, new String[] {"nobody-" + i, "app"}, 0, false, charge) == 0 ? 1 : 0;
         }
-        assertThat(in).as("all of them together").isEqualTo(3);
+        assertThat(in).as("all unnamed owners together").isEqualTo(3);
         for (String app : new String[] {"one", "two"}) {
             for (int i = 0; i < 3; i++) {
                 assertThat(tree.admit(START, new String[] {"alpha", app}, 0, false, charge) == 0)
@@ -369,7 +374,9 @@
         }
     }
 
-    /** 100,000 device classes, each seen once: bounded, and whoever owes is still known when it comes again. */
+    /**
+     * 100,000 device classes, each seen once: the number of nodes stays bounded, and an owner in debt is not forgotten.
+     */
     @Test
     void unnamedNodesAreBoundedAndThoseInDebtAreNotEvicted() {
         QuotaTree tree = new QuotaTree(
--- a/src/test/java/cacheproxy/quota/SlidingCountTest.java
+++ b/src/test/java/cacheproxy/quota/SlidingCountTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Against a log of everything. */
+/** Compares the count with an exact log. */
 class SlidingCountTest {
     private record Counted(double at, long amount) {}
 
--- a/src/test/java/cacheproxy/route/GlobTest.java
+++ b/src/test/java/cacheproxy/route/GlobTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class GlobTest {
-    /** All texts over two letters of up to five. */
+    /** All texts of up to five characters over two letters. */
     private static final List<String> TEXTS = texts();
 
     private static List<String> texts() {
@@ -47,7 +47,8 @@
     }
 
     /**
-     * Two patterns of five characters that meet do so in a text of nine at most; five are tried here, so one way only.
+     * Two overlapping patterns of up to five characters share a text of at most nine. Only texts of up to five are
+     * tried, so a missing common text shows nothing unless the literals of both patterns fit into five characters.
      */
     @Property(tries = 2000, seed = "52")
     void patternsOverlapIfThereIsATextThatBothMatch(@ForAll("globs") Glob a, @ForAll("globs") Glob b) {
@@ -58,7 +59,7 @@
         }
         int least = (int) a.toString().chars().filter(c -> c != '*').count()
                 + (int) b.toString().chars().filter(c -> c != '*').count();
-        if (least <= 5 && a.overlaps(b)) { // then no text that both match needs more than that
+        if (least <= 5 && a.overlaps(b)) { // then the shortest common text has at most five characters
             assertThat(shown).as(a + " " + b).isTrue();
         }
     }
--- a/src/test/java/cacheproxy/route/RetryBudgetTest.java
+++ b/src/test/java/cacheproxy/route/RetryBudgetTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class RetryBudgetTest {
-    /** At any times: no more than the ratio of the requests, the minimum, and ten seconds of it saved. */
+    /** For random event times: no more than the ratio of the requests, the minimum, and ten seconds of it saved. */
     @Property(tries = 200, seed = "71")
     void neverAllowsMoreThanItsRatioAndItsMinimum(
             @ForAll long seed,
--- a/src/test/java/cacheproxy/route/RouteTableTest.java
+++ b/src/test/java/cacheproxy/route/RouteTableTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The table against a model that looks at every route. */
+/** Compares the table with a model that checks every route. */
 class RouteTableTest {
     private static final List<String> TENANTS = List.of("t1", "t2", "t3");
     private static final List<String> CLASSES = List.of("c1", "c2");
@@ -71,7 +71,7 @@
                 && (r.fronts().isEmpty() || r.fronts().contains(Routing.FRONTS.get(f)));
     }
 
-    /** The documented order as a number: exact key, literal prefix, literals behind it, conditions. */
+    /** The documented order as a number: exact key, literal prefix, literals after it, conditions. */
     private static long rank(Route r) {
         long further = r.key() == null || r.key().isExact() || r.key().isPrefix()
                 ? 0
@@ -118,9 +118,9 @@
         }
     }
 
-    /** No conflict that a request could show is missed: two routes of one rank that match the same. */
+    /** Guards against missed conflicts: two routes of equal rank that match the same request must be reported. */
     @Property(tries = 400, seed = "62")
-    @SuppressWarnings("ReferenceEquality") // two routes, also where they say the same
+    @SuppressWarnings("ReferenceEquality") // two list entries, even if they are equal
     void findsEveryConflictThatARequestCanShow(@ForAll long seed) {
         Random random = new Random(seed);
         List<Route> routes = routes(random, 2 + random.nextInt(12));
@@ -178,7 +178,7 @@
         var threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         long least = Long.MAX_VALUE;
         int found = 0;
-        for (int round = 0; round < 5; round++) { // the first loads classes
+        for (int round = 0; round < 5; round++) { // the first round loads classes
             long before = threads.getCurrentThreadAllocatedBytes();
             for (int i = 0; i < 10_000; i++) {
                 found += table.match(keys[i & 3], 0, 0, 0) == null ? 0 : 1;
@@ -186,7 +186,7 @@
             least = Math.min(least, threads.getCurrentThreadAllocatedBytes() - before);
         }
         assertThat(found).isEqualTo(5 * 7500);
-        assertThat(least).isLessThan(10_000); // the look at the figure may itself take some
+        assertThat(least).isLessThan(10_000); // reading the counter may itself allocate
     }
 
     @Test
@@ -208,7 +208,7 @@
                 .hasMessageContaining((RouteTable.MAX_PATTERNS + 1) + " patterns begin with \"x\"");
     }
 
-    /** Each of so many tenants with a pattern of its own, all of one beginning. */
+    /** 1024 tenants have a pattern each, all with the same literal prefix. */
     @Test
     void eachOf1024TenantsMayHaveAPatternOfItsOwn() {
         List<String> tenants = new ArrayList<>();
--- a/src/test/java/cacheproxy/route/RouterRig.java
+++ b/src/test/java/cacheproxy/route/RouterRig.java
@@ -24,7 +24,7 @@
 import java.util.Set;
 
 /**
- * Drives a router as the dispatcher does, in virtual time: records its orders, numbers attempts, fires timers in order,
+ * Drives a router in virtual time as the dispatcher does: records its orders, numbers attempts, fires timers in order,
  * and checks the safety rules at each order.
  */
 final class RouterRig implements RoutingActions {
@@ -56,7 +56,7 @@
 
     final RoutingSettings settings;
     final Router router;
-    /** Where the router's orders go: to the rig itself, or to an observer that hands them on. */
+    /** Receives the router's orders: the rig itself, or an observer that passes them on. */
     RoutingActions actions = this;
 
     final Map<Integer, TrackedRequest> requests = new LinkedHashMap<>();
@@ -117,7 +117,7 @@
         router = new Router(settings, 42, routing);
     }
 
-    /** Endpoints 1 to n; odd ones stand in the west, and each host is called {@code s-NUMBER}. */
+    /** Endpoints 1 to n; odd ones are in the west, and each host is named {@code s-NUMBER}. */
     RouterRig fleet(int n) {
         List<Endpoint> members = new ArrayList<>();
         for (int i = 1; i <= n; i++) {
@@ -184,11 +184,11 @@
         return requests.get(request);
     }
 
-    /** The attempt of a request that is out; there is one. */
+    /** The attempt of a request that is in flight; fails unless there is exactly one. */
     InFlightAttempt inFlight(int request) {
         List<InFlightAttempt> own =
                 inFlight.stream().filter(o -> o.request() == request).toList();
-        assertThat(own).as("attempts out of " + request).hasSize(1);
+        assertThat(own).as("attempts in flight of " + request).hasSize(1);
         return own.get(0);
     }
 
@@ -249,14 +249,14 @@
         TrackedRequest tracked = tracked(request);
         assertThat(tracked.answer).as("sent after the answer of " + request).isNull();
         if (tracked.serviceClass != READ) {
-            assertThat(tracked.inFlight).as("attempts of a write at once").isZero();
+            assertThat(tracked.inFlight).as("concurrent attempts of a write").isZero();
             if (tracked.serviceClass == NON_IDEMPOTENT) {
                 assertThat(tracked.mayHaveRun)
-                        .as("a write that may have run is sent again")
+                        .as("a write that may have run is retried")
                         .isFalse();
             }
         }
-        assertThat(drainingSince.get(server)).as("sent to a server that drains").isNull();
+        assertThat(drainingSince.get(server)).as("sent to a draining endpoint").isNull();
         assertThat(endpoints).containsKey(server);
         inFlight.add(new InFlightAttempt(request, tracked.endpoints.size(), server, now));
         tracked.endpoints.add(server);
@@ -268,7 +268,7 @@
         TrackedRequest tracked = tracked(request);
         if (tracked.serviceClass != READ) {
             assertThat(tracked.mayHaveRun || tracked.inFlight > 0)
-                    .as("refused and may have run")
+                    .as("rejected although it may have run")
                     .isFalse();
         }
         answer(request, "rejected");
@@ -293,7 +293,7 @@
 
     private final List<Runnable> deferred = new ArrayList<>();
 
-    /** Delivers what the dispatcher notifies of after the event in which it was ordered. */
+    /** Delivers the notifications that the dispatcher sends after the event with the order. */
     void runDeferred() {
         while (!deferred.isEmpty()) {
             deferred.remove(0).run();
--- a/src/test/java/cacheproxy/route/RouterTest.java
+++ b/src/test/java/cacheproxy/route/RouterTest.java
@@ -65,7 +65,7 @@
         return new Routing("h" + version, byName, named, new RouteTable(List.of(routes)));
     }
 
-    /** Keys that begin with e go east, those with w go west, each with the other to fall back on. */
+    /** Keys that begin with e go east, those with w go west; each pool is the fallback of the other. */
     private static Routing twoSites(RoutePolicy... policies) {
         String policy = policies.length == 0 ? null : policies[0].name();
         return routing(
@@ -174,11 +174,11 @@
             sent += cold.inFlight(cold.request(RouterRig.READ, "a" + i)).endpointId() == 1 ? 1 : 0;
             sent += cold.inFlight(cold.request(RouterRig.READ, "b" + i)).endpointId() == 1 ? 1 : 0;
         }
-        // Warm it would have half of 800; cold it can do three tenths, in each pool.
+        // Warm, the endpoint would get half of 800 requests; in slow start it gets 0.3 of that, in each pool.
         assertThat(sent).isBetween(400 * 3 / 10 - 45, 400 * 3 / 10 + 45);
     }
 
-    /** A removed endpoint is known by its id alone, without the attributes that its pool selected it by. */
+    /** The removal of an endpoint names only its id, without the attributes by which its pool selected it. */
     @Test
     void anEndpointThatIsRemovedOrNoLongerSelectedIsRemovedFromItsPool() {
         RouterRig rig = new RouterRig(
@@ -198,7 +198,7 @@
         assertThat(rig.tracked(rig.request(RouterRig.READ, "a1")).answer).isEqualTo("rejected");
     }
 
-    /** All of one pool fails at once: its requests must not overload an endpoint of the other in slow start. */
+    /** When a whole pool fails, its requests must not overload an endpoint of the fallback pool in slow start. */
     @Test
     void aRequestInItsFallbackIsNotSentToAnEndpointInSlowStart() {
         RouterRig rig = new RouterRig(twoSites()).fleet(4); // 2 and 4 in the east, 1 and 3 in the west
@@ -259,7 +259,7 @@
         int read = rig.request(RouterRig.READ, "e1", 60_000);
         int write = rig.request(RouterRig.NON_IDEMPOTENT, "e1", 60_000);
         rig.advance(199);
-        assertThat(rig.tracked(write).answer).isNull(); // a read that is given up may be told before
+        assertThat(rig.tracked(write).answer).isNull(); // a read that is given up may be answered earlier
         rig.advance(2);
         assertThat(rig.tracked(read).answer).isEqualTo("rejected");
         assertThat(rig.tracked(write).answer).isEqualTo("failed");
@@ -301,7 +301,7 @@
         assertThat(rig.router.version()).isEqualTo(2);
     }
 
-    /** The pool has no request any more, but an open request may still fall back on it. */
+    /** The pool has no requests left, but an open request may still fall back to it. */
     @Test
     void aDrainingPoolIsToldOfDrainingEndpointsWhileARequestMayReachIt() {
         RouterRig rig = new RouterRig(twoSites()).fleet(4);
@@ -320,7 +320,7 @@
         assertThat(rig.router.pools()).extracting(PoolStatus::name).containsExactly("", "east");
     }
 
-    /** A pool change between the two attempts of a write whose first may have run: there is no second. */
+    /** After a first attempt of a write that may have run, a pool change must not lead to a second attempt. */
     @Test
     void aPoolChangeDuringAWriteThatMayHaveRunSendsItNowhereElse() {
         RouterRig rig = new RouterRig(twoSites()).fleet(2);
@@ -354,7 +354,7 @@
         assertThat(plain).isBetween(100, 260);
     }
 
-    /** Random events; the rig checks the safety rules at each order, and at the end all requests are answered. */
+    /** Random events: the rig checks the safety rules at each order, and all requests must be answered at the end. */
     @Property(tries = 300, seed = "81")
     void theSafetyRulesHoldInRandomRuns(@ForAll long seed) {
         Random random = new Random(seed);
--- a/src/test/java/cacheproxy/route/RouterTranscriptTest.java
+++ b/src/test/java/cacheproxy/route/RouterTranscriptTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All that a router orders over some thousand random events, to the letter: the orders of one run as text, and of
- * others as a hash.
+ * Compares all orders of a router over thousands of random events with a recording: those of one run as text, those of
+ * the other runs as a hash.
  */
 class RouterTranscriptTest {
     private static final String EXPECTED = "route/router-transcript.txt";
@@ -66,7 +66,7 @@
                         route("wa", "wa*", "west", "east", "reads-only"))));
     }
 
-    /** Writes each order down as it comes, and hands it on to the rig. */
+    /** Records each order and passes it on to the rig. */
     private static RoutingActions recorded(RouterRig rig, StringBuilder transcript) {
         return (RoutingActions) Proxy.newProxyInstance(
                 RouterTranscriptTest.class.getClassLoader(), new Class<?>[] {RoutingActions.class}, (p, m, args) -> {
