--- a/src/main/java/cacheproxy/control/AdminPort.java
+++ b/src/main/java/cacheproxy/control/AdminPort.java
@@ -35,7 +35,7 @@
     static final int MAX_LINE_BYTES = 256;
 
     /** How long a connection may last, in seconds. */
-    private static final int MAX_CONNECTION_S = 5;
+    private static final int CONNECTION_TIMEOUT_S = 5;
 
     private static final Map<String, AdminCommand> COMMANDS =
             List.<AdminCommand>of(new HealthCommand(), new DumpCommand(), new HandoverCommand()).stream()
@@ -91,7 +91,8 @@
         }
         connections.add(connection);
         // From its beginning, not since its last byte: one that sends a byte a second lasts no longer.
-        Future<?> limit = connection.eventLoop().schedule(() -> connection.close(), MAX_CONNECTION_S, TimeUnit.SECONDS);
+        Future<?> limit =
+                connection.eventLoop().schedule(() -> connection.close(), CONNECTION_TIMEOUT_S, TimeUnit.SECONDS);
         connection.closeFuture().addListener(f -> {
             limit.cancel(false);
             connections.remove(connection);
--- a/src/main/java/cacheproxy/control/SocketFile.java
+++ b/src/main/java/cacheproxy/control/SocketFile.java
@@ -42,7 +42,7 @@
                     .isOther()) {
                 throw new IOException(path + " is there and no socket; name another path");
             }
-            if (somebodyListens(path)) {
+            if (isListening(path)) {
                 throw new IOException("somebody listens at " + path + "; is this proxy running already?");
             }
         }
@@ -66,7 +66,7 @@
         return path.toString().getBytes(StandardCharsets.UTF_8).length > MAX_PATH_BYTES;
     }
 
-    private static boolean somebodyListens(Path path) {
+    private static boolean isListening(Path path) {
         try (SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             return channel.connect(UnixDomainSocketAddress.of(path));
         } catch (IOException e) {
--- a/src/main/java/cacheproxy/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/GracefulShutdown.java
@@ -16,7 +16,7 @@
  */
 final class GracefulShutdown {
     /** New connections may arrive for so long after SIGTERM, in milliseconds; with a margin for a slow machine. */
-    private static final double LISTEN_ON_MS = 500;
+    private static final double LISTEN_AFTER_SIGTERM_MS = 500;
     /** What an answer may take beyond the longest deadline, in milliseconds. */
     private static final double ANSWER_MARGIN_MS = 150;
 
@@ -68,7 +68,7 @@
             drain.startDrain(
                     handover.passesClients()
                             ? DrainPlan.onTerminationWithSuccessor(longestMs)
-                            : DrainPlan.onTermination(LISTEN_ON_MS, longestMs));
+                            : DrainPlan.onTermination(LISTEN_AFTER_SIGTERM_MS, longestMs));
         });
         try {
             completed.await();
--- a/src/main/java/cacheproxy/proxy/peer/EndpointGossipLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/EndpointGossipLink.java
@@ -95,9 +95,9 @@
             carryOut(versionGossip.onPeerVersion(scheduler.nowMs(), delta.version()));
             return;
         }
-        long queried = PeerMessage.readListQuery(message);
-        if (queried >= 0) {
-            answerQuery(peer, queried);
+        long peerVersion = PeerMessage.readListQuery(message);
+        if (peerVersion >= 0) {
+            answerQuery(peer, peerVersion);
         }
     }
 
--- a/src/test/java/cacheproxy/control/AdminPortTest.java
+++ b/src/test/java/cacheproxy/control/AdminPortTest.java
@@ -42,7 +42,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private Socket caller(String text) throws IOException {
+    private Socket connect(String text) throws IOException {
         Socket socket = new Socket("127.0.0.1", port.address().getPort());
         socket.setSoTimeout(20_000);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -50,46 +50,46 @@
     }
 
     /** All that is answered until the admin port closes the connection. */
-    private String ask(String text) throws IOException {
-        try (Socket socket = caller(text)) {
+    private String send(String text) throws IOException {
+        try (Socket socket = connect(text)) {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
     @Test
     void commandIsAnsweredAndConnectionCloses() throws Exception {
-        assertThat(ask("HEALTH\r\n")).isEqualTo("OK\n");
-        assertThat(ask("HEALTH\n")).isEqualTo("OK\n");
-        assertThat(ask("DUMP\r\n"))
+        assertThat(send("HEALTH\r\n")).isEqualTo("OK\n");
+        assertThat(send("HEALTH\n")).isEqualTo("OK\n");
+        assertThat(send("DUMP\r\n"))
                 .isEqualTo("edge_balancer.succeeded.read:812|c\nedge_balancer.outstanding:14|g\nEND\n");
     }
 
     @Test
     void handoverShowsThePhaseOfAnUpgrade() throws Exception {
-        assertThat(ask("HANDOVER\r\n")).isEqualTo("ERR nothing is handed over here\n");
+        assertThat(send("HANDOVER\r\n")).isEqualTo("ERR nothing is handed over here\n");
         registry.section("handover", () -> {
             JsonObject o = new JsonObject();
             o.addProperty("phase", "served");
             return o;
         });
-        assertThat(ask("HANDOVER\r\n")).isEqualTo("OK served\n");
+        assertThat(send("HANDOVER\r\n")).isEqualTo("OK served\n");
     }
 
     @Test
     void unknownCommandIsAnsweredWithAnError() throws Exception {
-        assertThat(ask("HELP\r\n"))
+        assertThat(send("HELP\r\n"))
                 .startsWith("ERR")
                 .contains("DUMP, HANDOVER, HEALTH")
                 .endsWith("\n");
-        assertThat(ask("\r\n")).startsWith("ERR");
-        assertThat(ask("x".repeat(AdminPort.MAX_LINE_BYTES + 10)))
+        assertThat(send("\r\n")).startsWith("ERR");
+        assertThat(send("x".repeat(AdminPort.MAX_LINE_BYTES + 10)))
                 .startsWith("ERR")
                 .contains("256 bytes");
     }
 
     @Test
     void onlyTheFirstCommandOfAConnectionIsAnswered() throws Exception {
-        assertThat(ask("HEALTH\r\nDUMP\r\nHEALTH\r\n")).isEqualTo("OK\n");
+        assertThat(send("HEALTH\r\nDUMP\r\nHEALTH\r\n")).isEqualTo("OK\n");
     }
 
     @Test
@@ -97,15 +97,15 @@
         List<Socket> silent = new ArrayList<>();
         try {
             for (int i = 0; i < 300; i++) {
-                silent.add(caller(i % 2 == 0 ? "" : "HEAL"));
+                silent.add(connect(i % 2 == 0 ? "" : "HEAL"));
                 if (i % 50 == 0) {
-                    assertThat(ask("HEALTH\r\n")).isEqualTo("OK\n");
+                    assertThat(send("HEALTH\r\n")).isEqualTo("OK\n");
                 }
             }
             Await.until(
                     "most have been ended",
                     () -> silent.stream().filter(AdminPortTest::ended).count() >= 300 - AdminPort.MAX_CONNECTIONS);
-            assertThat(ask("HEALTH\r\n")).isEqualTo("OK\n");
+            assertThat(send("HEALTH\r\n")).isEqualTo("OK\n");
         } finally {
             for (Socket s : silent) {
                 s.close();
--- a/src/test/java/cacheproxy/control/ControlServerTest.java
+++ b/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -81,7 +81,7 @@
         return null;
     }
 
-    private void works() throws IOException {
+    private void assertServes() throws IOException {
         try (ControlClient client = new ControlClient(path)) {
             assertThat(client.call(ControlClient.request("status")).has("part")).isTrue();
         }
@@ -89,7 +89,7 @@
 
     @Test
     void commandsAndSectionsAnswerTheOwnerOnly() throws Exception {
-        works();
+        assertServes();
         assertThat(PosixFilePermissions.toString(Files.getPosixFilePermissions(path)))
                 .isEqualTo("rw-------");
         try (var files = Files.list(folder)) {
@@ -133,7 +133,7 @@
             assertThat(line(channel)).contains("a line of more than");
             assertThat(line(channel)).isNull();
         }
-        works();
+        assertServes();
     }
 
     @Test
@@ -143,7 +143,7 @@
         for (int i = 0; i < 100; i++) {
             silent.add(raw(""));
         }
-        works();
+        assertServes();
         for (SocketChannel channel : silent) {
             channel.configureBlocking(false);
         }
@@ -159,7 +159,7 @@
                                 })
                                 .count()
                         >= 101 - ControlServer.MAX_CONNECTIONS);
-        works();
+        assertServes();
         for (SocketChannel channel : silent) {
             channel.close();
         }
@@ -182,13 +182,13 @@
             });
         }
         assertThat(floods.get()).as("answers that were kept for it").isBetween(1, 100);
-        works();
+        assertServes();
     }
 
     @Test
     void liveSocketIsKeptAndStaleOneReplaced() throws Exception {
         assertThatThrownBy(() -> new ControlServer(loop, path, registry)).hasMessageContaining("somebody listens");
-        works();
+        assertServes();
         Path stale = folder.resolve("stale");
         try (ServerSocketChannel socket = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             socket.bind(UnixDomainSocketAddress.of(stale));
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryRequestsTest.java
@@ -27,12 +27,12 @@
 /** What is sent to discovery, byte for byte: a watch, a poll, the whole list, and what follows a fetch. */
 @Timeout(60)
 class DiscoveryRequestsTest {
-    private static final EndpointListCodec FORM =
+    private static final EndpointListCodec CODEC =
             new EndpointListCodec(List.of("east", "west_coast"), List.of("fast", "slow", "origin"));
     private static final String NO_CHANGES = "{\"seq\":41,\"whole\":false,\"hosts\":[]}";
 
     /** Takes the list and says nothing. */
-    private static final class Ignored implements DiscoveryClient.Listener {
+    private static final class NoOpListener implements DiscoveryClient.Listener {
         @Override
         public void onEndpoints(EndpointUpdateKind kind, long version, List<DiscoveredEndpoint> hosts) {}
 
@@ -100,10 +100,10 @@
                     new Bootstrap().group(loop).channel(NioSocketChannel.class),
                     new DiscoveryClient.Settings(
                             (InetSocketAddress) server.getLocalSocketAddress(),
-                            FORM,
+                            CODEC,
                             7,
                             new PollerSettings(false, 10_000, 1, false)),
-                    new Ignored(),
+                    new NoOpListener(),
                     () -> System.nanoTime() / 1e6);
             String known = WireSamples.text("discovery/list-whole.json");
             loop.submit(() -> client.start(JsonParser.parseString(known).getAsJsonObject()))
--- a/src/test/java/cacheproxy/proxy/discovery/EndpointListCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/EndpointListCodecTest.java
@@ -13,7 +13,7 @@
 
 /** What an entry of discovery's list may say. */
 class EndpointListCodecTest {
-    private static final EndpointListCodec FORM =
+    private static final EndpointListCodec CODEC =
             new EndpointListCodec(List.of("east", "west_coast"), List.of("fast", "origin"));
     private static final String ENTRY = "{'host':'s-5be2a07c','dial':'127.0.0.1:9','site':'west coast','class':'fast',"
             + "'block':3,'health':'draining','share':0.5,'born_ms':7}";
@@ -25,7 +25,7 @@
 
     @Test
     void anEntryIsDecodedWithTheSettingsNames() {
-        DiscoveredEndpoint host = FORM.decodeAll(list(ENTRY)).get(0);
+        DiscoveredEndpoint host = CODEC.decodeAll(list(ENTRY)).get(0);
         assertThat(host.endpoint().id()).isEqualTo(0x5be2a07c);
         assertThat(host.endpoint().zone()).isEqualTo(1);
         assertThat(host.endpoint().state()).isEqualTo(EndpointState.DRAINING);
@@ -46,17 +46,17 @@
                 "'127.0.0.1:9',`'localhost:9'`,not an address",
                 "'127.0.0.1:9',`'127.0.0.1:99999'`,not an address"
             })
-    void anInvalidEntryIsReportedWithItsReason(String there, String instead, String told) {
-        String entry = ENTRY.replace(there, instead);
+    void anInvalidEntryIsReportedWithItsReason(String original, String replacement, String expectedMessage) {
+        String entry = ENTRY.replace(original, replacement);
         assertThat(entry).isNotEqualTo(ENTRY);
-        assertThatThrownBy(() -> FORM.decodeAll(list(entry)))
+        assertThatThrownBy(() -> CODEC.decodeAll(list(entry)))
                 .isInstanceOf(IllegalArgumentException.class)
-                .hasMessageContaining(told);
+                .hasMessageContaining(expectedMessage);
     }
 
     @Test
     void aHostIsListedOnce() {
-        assertThatThrownBy(() -> FORM.decodeAll(list(ENTRY, ENTRY))).hasMessageContaining("listed twice");
+        assertThatThrownBy(() -> CODEC.decodeAll(list(ENTRY, ENTRY))).hasMessageContaining("listed twice");
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/discovery/EndpointListSamplesTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/EndpointListSamplesTest.java
@@ -11,11 +11,11 @@
 
 /** Discovery's answers in each of their forms, and what is read of them. */
 class EndpointListSamplesTest {
-    private static final EndpointListCodec FORM =
+    private static final EndpointListCodec CODEC =
             new EndpointListCodec(List.of("east", "west_coast"), List.of("fast", "slow", "origin"));
 
     private static String read(String name) {
-        DecodedList read = FORM.decode(JsonParser.parseString(WireSamples.text("discovery/" + name + ".json")));
+        DecodedList read = CODEC.decode(JsonParser.parseString(WireSamples.text("discovery/" + name + ".json")));
         StringBuilder text = new StringBuilder();
         text.append("version ").append(read.version()).append(", whole ").append(read.snapshot());
         for (DiscoveredEndpoint host : read.endpoints()) {
--- a/src/test/java/cacheproxy/proxy/lifecycle/ConfigFileWatcherTest.java
+++ b/src/test/java/cacheproxy/proxy/lifecycle/ConfigFileWatcherTest.java
@@ -15,22 +15,22 @@
     private Path folder;
 
     @Test
-    void eachChangeIsToldOnceAndAFileThatIsAwayIsNone() throws Exception {
+    void eachChangeIsReportedOnceAndAMissingFileIsIgnored() throws Exception {
         Path file = Files.writeString(folder.resolve("config"), "one");
         AtomicInteger changes = new AtomicInteger();
-        ConfigFileWatcher watch = new ConfigFileWatcher(file, changes::incrementAndGet);
-        watch.check();
+        ConfigFileWatcher watcher = new ConfigFileWatcher(file, changes::incrementAndGet);
+        watcher.check();
         assertThat(changes).hasValue(0);
         Files.writeString(file, "another");
-        watch.check();
-        watch.check();
+        watcher.check();
+        watcher.check();
         assertThat(changes).hasValue(1);
         Files.delete(file);
-        watch.check();
+        watcher.check();
         assertThat(changes).hasValue(1);
         Path next = Files.writeString(folder.resolve("next"), "third..");
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
-        watch.check();
+        watcher.check();
         assertThat(changes).hasValue(2);
     }
 }
--- a/src/test/java/cacheproxy/proxy/lifecycle/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/lifecycle/WarmUpTest.java
@@ -19,7 +19,7 @@
         return Config.read("src/test/resources/config.json");
     }
 
-    private void nothingIsLeft() throws Exception {
+    private void assertCleanedUp() throws Exception {
         try (var left = Files.list(folder)) {
             assertThat(left).isEmpty();
         }
@@ -30,16 +30,16 @@
     }
 
     @Test
-    void allOfItsRequestsAreAnswered() throws Exception {
+    void allRequestsAreAnswered() throws Exception {
         assertThat(WarmUp.run(config(), folder)).isEqualTo(WarmUp.REQUEST_COUNT);
-        nothingIsLeft();
+        assertCleanedUp();
     }
 
     /** Seen: where the platform has no Unix sockets it failed at once, and its sweeper went on for good. */
     @Test
-    void nothingIsLeftOfOneThatFails() throws Exception {
+    void failedWarmUpCleansUp() throws Exception {
         Files.createDirectory(folder.resolve("p")); // where it would listen
         assertThat(WarmUp.run(config(), folder)).isZero();
-        nothingIsLeft();
+        assertCleanedUp();
     }
 }
