--- a/src/main/java/cacheproxy/proxy/lifecycle/ArchiveTraining.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ArchiveTraining.java
@@ -8,16 +8,20 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** Loads the classes that a restarted proxy loads, so that the build can archive them. */
+/** Loads the classes that a proxy loads on a restart, so that the build can put them into a class data archive. */
 public final class ArchiveTraining {
-    /** Covers some rounds of the view, ticks of zones and recovery, and writes, in milliseconds. */
+    /**
+     * Long enough for some rounds of membership, ticks of zone failover and recovery, and state writes, in
+     * milliseconds.
+     */
     private static final long RUN_MS = 700;
 
     private ArchiveTraining() {}
 
     /**
-     * Starts a proxy with every feature by the configuration that the environment names, has it used and stops it.
+     * Starts a proxy with every feature from the configuration that the environment names, exercises and stops it.
      *
+     * @param use exercises the proxy
      * @return the process's exit code
      */
     public static int run(Consumer<Proxy> use) {
--- a/src/main/java/cacheproxy/proxy/lifecycle/ConfigFileWatcher.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ConfigFileWatcher.java
@@ -9,28 +9,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Polls the configuration file and runs a task when it has changed: how a process that SIGHUP does not reach gets new
- * settings. Polls on a thread of its own, as file systems can be slow.
+ * Polls the configuration file and runs a task when it has changed, so that a process that does not receive SIGHUP can
+ * be reconfigured. Polls on a separate thread, as file system calls can block.
  */
 public final class ConfigFileWatcher {
-    /** New settings are in force within about a second, as after a signal. */
+    /** New settings take effect within about a second, as after SIGHUP. */
     private static final long POLL_INTERVAL_MS = 500;
 
     private final Path file;
     private final Runnable onChange;
     private Version lastVersion;
 
-    /** What distinguishes one content of the file from the next. */
+    /** The file attributes that detect a change of its content. */
     private record Version(FileTime modified, long size, Object fileKey) {}
 
-    /** Starts from the file as it is now; {@code onChange} runs on the polling thread. */
+    /** Compares with the file's present version; {@code whenChanged} runs on the polling thread. */
     public ConfigFileWatcher(Path file, Runnable whenChanged) {
         this.file = file;
         this.onChange = whenChanged;
         lastVersion = currentVersion();
     }
 
-    /** Polls from now on, for as long as the process lives. */
+    /** Starts to poll, until the process exits. */
     public void start() {
         Thread thread = new Thread(this::poll, "settings");
         thread.setDaemon(true);
@@ -63,7 +63,7 @@
             BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
             return new Version(attributes.lastModifiedTime(), attributes.size(), attributes.fileKey());
         } catch (IOException e) {
-            return null; // it may be being replaced
+            return null; // the file may be in the middle of a replacement
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/lifecycle/ConfigReloader.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ConfigReloader.java
@@ -7,15 +7,15 @@
 import io.netty.channel.EventLoop;
 
 /**
- * Holds the configuration in force and replaces it while the instance serves. A reload reads the configuration file and
- * the routes; all of it takes effect or, if anything is wrong with it, nothing.
+ * Holds the current configuration and replaces it while the instance serves. A reload reads the configuration file and
+ * the routes and is atomic: if any part of it is invalid, nothing changes.
  */
 final class ConfigReloader {
     private final RouteSource routes;
     private final EventLoop loop;
     private final Dispatcher dispatcher;
     private final DiscoveryClient discovery;
-    /** Written by the thread of a signal and read by others. */
+    /** Written by the thread that handles a signal and read by others. */
     private volatile Config config;
 
     /** Starts with this configuration; {@code routes}: null for none. */
@@ -28,14 +28,14 @@
         this.discovery = discovery;
     }
 
-    /** The configuration that was accepted last; the event loop applies it right after. On any thread. */
+    /** The last accepted configuration, which the event loop applies soon after. On any thread. */
     Config config() {
         return config;
     }
 
     /**
-     * Reloads from this file. Reads it on the calling thread and applies it on the event loop. Reloads run one at a
-     * time, as each signal has a thread of its own and what was read last must be what holds.
+     * Reloads from this file. Reads it on the calling thread and applies it on the event loop. Synchronized, as each
+     * signal is handled on its own thread and the configuration that was read last must be the one in force.
      */
     synchronized void reload(String file) {
         try {
@@ -58,7 +58,7 @@
     }
 
     private void reject(IllegalArgumentException cause) {
-        dispatcher.log("reload rejected, the settings stay as they are: " + cause.getMessage());
+        dispatcher.log("reload rejected, keeping the current settings: " + cause.getMessage());
         dispatcher.counters().recordReload(false);
     }
 }
--- a/src/main/java/cacheproxy/proxy/lifecycle/DrainCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/DrainCoordinator.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Carries out what {@link DrainStateMachine} decides: reports what is open, closes idle connections, answers what is
- * left at the deadline. On the event loop only.
+ * Carries out what {@link DrainStateMachine} decides: reports the open work to it, closes idle connections, and answers
+ * the remaining requests at the deadline. On the event loop only.
  */
 final class DrainCoordinator {
     private static final long TICK_MS = 20;
-    /** Time for the last answers to leave the process, in milliseconds. */
+    /** Delay before the exit, so that the last answers are flushed to the network, in milliseconds. */
     private static final long FLUSH_MS = 100;
 
     private final EventLoop loop;
@@ -25,9 +25,9 @@
     private boolean listening = true;
 
     /**
-     * Creates a coordinator that serves.
+     * Creates a coordinator without a drain in progress.
      *
-     * @param onDrained run once, when nothing is left and the process may exit
+     * @param onDrained run once, when no work is left and the process may exit
      */
     DrainCoordinator(EventLoop loop, Dispatcher dispatcher, ClientAcceptor acceptor, Runnable onDrained) {
         this.loop = loop;
@@ -38,7 +38,7 @@
 
     /** Starts a drain or joins the one in progress. */
     DrainStateMachine.StartResult startDrain(DrainPlan plan) {
-        drain.tick(dispatcher.now(), openWork()); // what is open at the beginning is what there is to do
+        drain.tick(dispatcher.now(), openWork()); // the work open at the start is what progress is measured against
         DrainStateMachine.StartResult result = drain.startDrain(dispatcher.now(), plan);
         if (!ticking) {
             ticking = true;
@@ -47,7 +47,7 @@
         return result;
     }
 
-    /** Cancels the drain; null if that was done, else the reason why it can't be. */
+    /** Cancels the drain; returns null on success, else the reason why it can't be cancelled. */
     String cancel() {
         String refusal = drain.cancel();
         if (refusal == null) {
--- a/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetParticipation.java
@@ -31,8 +31,8 @@
 import java.util.function.Supplier;
 
 /**
- * The instance's part in its fleet: the membership view, zone decisions and recovery, as far as {@link FleetFeatures}
- * asks for them and the settings allow peer messages. On the event loop only.
+ * The instance's participation in its fleet: the membership view, zone decisions and recovery, as far as
+ * {@link FleetFeatures} enables them and the settings allow peer messages. On the event loop only.
  */
 final class FleetParticipation {
     private final Dispatcher dispatcher;
@@ -58,7 +58,7 @@
      *
      * @param statePersistence null where nothing is stored
      * @param tookOver whether another process served for this instance until now
-     * @param config supplies the configuration in force
+     * @param config supplies the current configuration
      */
     FleetParticipation(
             Dispatcher dispatcher,
@@ -79,7 +79,7 @@
         this.config = config;
     }
 
-    /** Passes on to peers, and learns from them, which version of the endpoint list is current. */
+    /** Starts to exchange versions and changes of the endpoint list with peers. */
     void startListGossip(EndpointListPublisher list) {
         Config config = this.config.get();
         RoutingSettings settings = config.settings();
@@ -97,7 +97,7 @@
         dispatcher.peerLinks().setEndpointListGossip(link);
     }
 
-    /** Starts to take part in what the features name. */
+    /** Starts the enabled features. */
     void join(FleetFeatures features) {
         if (config.get().settings().peerMessagesAllowed() && features.any()) {
             joinMembership(features);
@@ -163,28 +163,31 @@
         discovery.start(config.get().initialEndpointList());
     }
 
-    /** Tells the fleet that this instance drains. */
+    /** Announces to the fleet that this instance drains. */
     void announceDraining() {
         if (members != null) {
             members.phase(ServicePhase.DRAINING);
         }
     }
 
-    /** Tells the fleet that this instance serves again; one that coordinates its recovery announces its own stages. */
+    /**
+     * Announces to the fleet that this instance serves again, unless it coordinates its recovery: then the recovery
+     * coordinator announces the phases.
+     */
     void announceServing() {
         if (members != null && recovery == null) {
             members.phase(ServicePhase.SERVING);
         }
     }
 
-    /** Tells the fleet that this instance is gone. */
+    /** Announces to the fleet that this instance leaves for good. */
     void leave() {
         if (members != null) {
             members.leave();
         }
     }
 
-    /** What a successor needs of it, in the form in which it is stored. */
+    /** The records that a successor needs, in the form in which they are stored. */
     Map<RecordKind, StoredRecord> records() {
         Map<RecordKind, StoredRecord> records = new EnumMap<>(RecordKind.class);
         double now = dispatcher.now();
@@ -209,7 +212,7 @@
         return records;
     }
 
-    /** How far the recovery has come, and what is stored. */
+    /** The progress of recovery, and the stored state. */
     RecoveryStatus recoveryStatus() {
         return new RecoveryStatus(
                 dispatcher.provenance(),
--- a/src/main/java/cacheproxy/proxy/lifecycle/FleetViewStatus.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/FleetViewStatus.java
@@ -7,7 +7,7 @@
  *
  * @param view the members of the fleet as this instance sees them
  * @param unreadableMessages messages that could not be parsed
- * @param refutedDeaths how often this instance refuted that it was dead
+ * @param refutedDeaths how often this instance refuted a claim that it was dead
  * @param droppedDatagrams datagrams that exceeded the send budget
  */
 public record FleetViewStatus(
--- a/src/main/java/cacheproxy/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/GracefulShutdown.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Ends the instance without losing a request: on SIGTERM or when an operator requests a drain. Once nothing is open it
- * withdraws from the fleet, closes the stored state and lets the process exit. On the event loop but for
+ * Shuts the instance down without losing a request, on SIGTERM or when an operator requests a drain. Once no work is
+ * open it leaves the fleet, closes the state folder and lets the process exit. On the event loop except for
  * {@link #terminate}.
  */
 final class GracefulShutdown {
-    /** New connections may arrive for so long after SIGTERM, in milliseconds; with a margin for a slow machine. */
+    /** How long new connections may still arrive after SIGTERM, in milliseconds, with a margin for a slow machine. */
     private static final double LISTEN_AFTER_SIGTERM_MS = 500;
-    /** What an answer may take beyond the longest deadline, in milliseconds. */
+    /** How long an answer may take beyond the longest request deadline, in milliseconds. */
     private static final double ANSWER_MARGIN_MS = 150;
 
     private final EventLoop loop;
@@ -56,9 +56,9 @@
     }
 
     /**
-     * What SIGTERM starts: goes on accepting connections while they may still arrive, answers every request, closes
-     * connections between requests, and returns when none is left or no answer could be in time any more. Waits; not to
-     * be called on the event loop.
+     * Handles SIGTERM: keeps accepting connections while they may still arrive, answers every request, closes
+     * connections between requests, and returns when no request is left or no answer could be in time any more. Blocks,
+     * so it must not be called on the event loop.
      */
     void terminate() {
         loop.execute(() -> {
@@ -86,7 +86,7 @@
         return drain.startDrain(DrainPlan.requested(deadlineMs));
     }
 
-    /** Cancels a drain; null if that was done, else the reason why it can't be. */
+    /** Cancels a drain; returns null on success, else the reason why it can't be cancelled. */
     String cancelDrain() {
         String refusal = drain.cancel();
         if (refusal == null) {
@@ -95,12 +95,12 @@
         return refusal;
     }
 
-    /** How far a drain has come. */
+    /** The progress of a drain. */
     DrainStateMachine.Progress drainProgress() {
         return drain.progress();
     }
 
-    /** A successor goes on under this instance's name, so the fleet is told nothing where there is one. */
+    /** A successor takes over this instance's identity, so nothing is announced to the fleet if there is one. */
     private void announceDraining() {
         if (!handover.passesClients()) {
             fleet.announceDraining();
--- a/src/main/java/cacheproxy/proxy/lifecycle/HandoverServer.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/HandoverServer.java
@@ -25,10 +25,10 @@
 import java.util.function.Supplier;
 
 /**
- * Serves the local socket at which a successor takes over, in the instance's private folder. Requests are lines; the
- * answers are the snapshot as one line, then descriptors: the listening socket and, once this process has been told to
- * terminate, its idle clients. I/O partner of {@link HandoverStateMachine}; its counterpart is {@link TakeoverClient}.
- * On the event loop but for {@link #open}. The lines:
+ * Serves the Unix domain socket through which a successor takes over, in the instance's private folder. Requests are
+ * lines; the answers are the snapshot as one line, then file descriptors: the listening socket and, once this process
+ * has received SIGTERM, the connections of its idle clients. Does the I/O for {@link HandoverStateMachine}; its
+ * counterpart is {@link TakeoverClient}. On the event loop except for {@link #open}. The request lines:
  *
  * <pre>
  * STATE 1  {@link #SNAPSHOT_REQUEST}, with the snapshot's version
@@ -43,7 +43,7 @@
     private static final int MAX_LINE = 64;
     private static final int MAX_CONNECTIONS = 4;
     private static final String SOCKET_NAME = "takeover";
-    /** Numbers the servers of one process, of which only tests have several. */
+    /** Numbers the servers of one process; only tests have several. */
     private static final AtomicInteger SERVER_COUNT = new AtomicInteger();
 
     private final EventLoop loop;
@@ -62,8 +62,8 @@
     /**
      * Creates the server; {@link #open} starts it.
      *
-     * @param folder which the processes of one instance share; null: none takes over
-     * @param snapshot supplies it, on the event loop
+     * @param folder the folder that the processes of one instance share; null for no takeover
+     * @param snapshot supplies the snapshot, on the event loop
      */
     HandoverServer(
             EventLoop loop,
@@ -82,7 +82,9 @@
         this.snapshot = snapshot;
     }
 
-    /** The folder that the processes of one instance share; null if there is none, or sockets can't be passed. */
+    /**
+     * The folder that the processes of one instance share; null if there is none, or file descriptors can't be passed.
+     */
     static Path folder() {
         String folder = System.getenv("TMPDIR");
         return folder == null || folder.isEmpty() || !Transport.BEST.passesDescriptors() ? null : Path.of(folder);
@@ -93,7 +95,7 @@
         return folder.resolve(SOCKET_NAME);
     }
 
-    /** Listens in place of the process that did before. Waits; not to be called on the event loop. */
+    /** Listens in place of the previous process. Blocks, so it must not be called on the event loop. */
     void open() throws IOException, InterruptedException {
         Files.deleteIfExists(ownSocket);
         new ServerBootstrap()
@@ -111,8 +113,8 @@
     }
 
     /**
-     * Makes the well-known name lead to this process's socket. Each process has a socket file of its own: a successor
-     * that goes has taken the name, and this process would be out of reach for the next one.
+     * Points the well-known symbolic link at this process's socket. Each process has its own socket file: if the
+     * successor bound the well-known path itself and then exited, the next successor could not reach this process.
      */
     private void publish() throws IOException {
         Path next = folder.resolve(ownSocket.getFileName() + ".name");
@@ -125,11 +127,11 @@
         try {
             publish();
         } catch (IOException e) {
-            System.err.println("handover: the socket's name is not restored: " + e.getMessage());
+            System.err.println("handover: failed to restore the symbolic link to the socket: " + e.getMessage());
         }
     }
 
-    /** Deletes this process's socket, but not the name, which may be a successor's. */
+    /** Deletes this process's socket file, but not the symbolic link, which may point at a successor's. */
     void close() {
         try {
             if (ownSocket != null) {
@@ -151,9 +153,10 @@
     }
 
     /**
-     * Passes a client's connection to the successor. Input that nobody has read waits in the kernel for the successor.
+     * Passes a client's connection to the successor. Unread input stays in the kernel's receive buffer for the
+     * successor.
      *
-     * @param done told whether it was passed; the connection is then the successor's
+     * @param done receives whether the connection was passed and so belongs to the successor
      */
     void passClient(Channel client, Consumer<Boolean> done) {
         if (successor == null || !handover.passesClients()) {
@@ -166,7 +169,7 @@
         });
     }
 
-    /** How many clients the successor was passed. */
+    /** How many client connections were passed to the successor. */
     int passedClients() {
         return passedClients;
     }
--- a/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/Proxy.java
@@ -33,8 +33,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One proxy instance: builds its subsystems, starts them in order and offers operators what they ask for and command.
- * Everything runs on one event loop; what may be called elsewhere says so.
+ * One proxy instance: builds its subsystems, starts them in order and provides the status and commands for operators.
+ * Everything runs on one event loop; methods that may be called on another thread say so.
  */
 public final class Proxy {
     private static final int NO_ENDPOINT_KIND = -1;
@@ -70,9 +70,9 @@
     /**
      * Builds and starts an instance.
      *
-     * @param routes null: none
-     * @param takeoverFolder where it takes over from another process and hands over; null: nowhere
-     * @param storage where it stores what outlasts it; null: nowhere
+     * @param routes supplies its routes; null for none
+     * @param takeoverFolder the folder through which it takes over from another process and hands over; null for none
+     * @param storage where it stores the state that outlasts the process; null for nowhere
      */
     Proxy(Config config, RouteSource routes, boolean warmUp, Path takeoverFolder, StateLocation storage)
             throws InterruptedException, IOException {
@@ -95,7 +95,7 @@
         reloader = new ConfigReloader(config, routes, loop, dispatcher, discovery);
         handoverServer = new HandoverServer(loop, takeoverFolder, handover, acceptor, this::takeoverSnapshot);
         acceptor.closeIdleBy(this::retire);
-        // As late as possible, so that the snapshot shows the old process's present state.
+        // As late as possible, so that the snapshot shows the predecessor's latest state.
         TakeoverClient predecessor = TakeoverClient.connect(loop, takeoverFolder);
         TakeoverSnapshot snapshot = predecessor == null ? null : predecessor.snapshot();
         restored = restoredState(snapshot);
@@ -109,7 +109,7 @@
         }
     }
 
-    /** A third of the descriptors is for connections to servers. */
+    /** The descriptors that are left after the reserve and the connections to servers, which get a third of all. */
     private static int maxClients(Config config) {
         return Math.max(MIN_CLIENTS, config.sockets() - config.upstreamSockets() - RESERVED_DESCRIPTORS);
     }
@@ -146,7 +146,11 @@
         loop.scheduleWithFixedDelay(acceptor::closeStalled, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S, TimeUnit.SECONDS);
     }
 
-    /** At the predecessor's socket if it passes that, else at one of its own; null: there is no predecessor. */
+    /**
+     * Listens on the predecessor's socket if it passes that, else on a new one.
+     *
+     * @param predecessor null if there is none
+     */
     private void listen(TakeoverClient predecessor) throws InterruptedException {
         FileDescriptor socket = predecessor == null ? null : predecessor.socket();
         if (socket == null) {
@@ -159,12 +163,12 @@
     }
 
     /**
-     * Runs a proxy by the configuration that the environment names, until SIGTERM or the end of a drain. Exits the
-     * process if it can't start.
+     * Runs a proxy with the configuration that the environment names, until SIGTERM or the end of a drain. Exits the
+     * process if the proxy can't start.
      *
-     * @param routes supplies its routes; null: none
-     * @param storage where it stores what outlasts it; null: nowhere
-     * @param sighup has it reload its configuration
+     * @param routes supplies its routes; null for none
+     * @param storage where it stores the state that outlasts the process; null for nowhere
+     * @param sighup triggers reloads of its configuration
      */
     public static Proxy serve(RouteSource routes, StateLocation storage, SighupHandler sighup) {
         Config config = startConfiguration();
@@ -172,7 +176,7 @@
             Proxy proxy = new Proxy(config, routes, true, HandoverServer.folder(), storage);
             Runtime.getRuntime().addShutdownHook(new Thread(proxy::terminate));
             proxy.reloadOn(sighup, System.getenv("BALANCER_CONFIG"));
-            // Not on the event loop, which the process's end waits for.
+            // Not on the event loop: System.exit waits for the shutdown hook, which needs the event loop.
             proxy.shutdown.onCompleted(() -> new Thread(() -> System.exit(0), "drained").start());
             return proxy;
         } catch (IllegalArgumentException e) {
@@ -200,8 +204,8 @@
     private void reloadOn(SighupHandler sighup, String file) {
         sighup.onSignal(() -> reload(file));
         if (!sighup.delivered()) {
-            System.err.println("SIGHUP is ignored where this was started (nohup?): " + file
-                    + " is looked at twice a second in its place");
+            System.err.println("SIGHUP is ignored (started with nohup?): " + file
+                    + " is polled twice a second for changes instead");
             new ConfigFileWatcher(Path.of(file), () -> reload(file)).start();
         }
     }
@@ -216,18 +220,18 @@
         return new Proxy(config, routes, false, null, null);
     }
 
-    /** Starts without a warm-up, as the successor of the process that serves by this folder. */
+    /** Starts without a warm-up, as the successor of the process that serves with this takeover folder. */
     public static Proxy start(Config config, Path takeoverFolder) throws InterruptedException, IOException {
         return new Proxy(config, null, false, takeoverFolder, null);
     }
 
-    /** As above, with what is stored at {@code storage}; {@code takeoverFolder}: null for no takeover. */
+    /** As above, with the state stored at {@code storage}; {@code takeoverFolder}: null for no takeover. */
     public static Proxy start(Config config, Path takeoverFolder, StateLocation storage)
             throws InterruptedException, IOException {
         return new Proxy(config, null, false, takeoverFolder, storage);
     }
 
-    /** Starts to take part in its fleet. On any thread. */
+    /** Starts the fleet features. On any thread. */
     public void joinFleet(FleetFeatures features) {
         loop.execute(() -> fleet.join(features));
     }
@@ -256,27 +260,27 @@
             client.closeGracefully();
         } else if (client.served()) {
             client.passTo(handoverServer::passClient);
-        } // else its first command is awaited here: the successor does not know since when
+        } // else this process waits for its first command, as the successor does not know when the wait began
     }
 
     // ---- drain and shutdown
 
-    /** What SIGTERM starts; returns when the process may exit. Not on the event loop. */
+    /** Handles SIGTERM; returns when the process may exit. Not on the event loop. */
     public void terminate() {
         shutdown.terminate();
     }
 
-    /** Starts a drain that can be watched and cancelled, or joins the one in progress. On the event loop only. */
+    /** Starts a drain that can be monitored and cancelled, or joins the one in progress. On the event loop only. */
     public DrainStateMachine.StartResult startDrain(double timeoutMs) {
         return shutdown.drain(timeoutMs);
     }
 
-    /** Cancels a drain; null if that was done, else the reason why it can't be. On the event loop only. */
+    /** Cancels a drain; returns null on success, else the reason why it can't be cancelled. On the event loop only. */
     public String cancelDrain() {
         return shutdown.cancelDrain();
     }
 
-    /** How far a drain has come. On the event loop only. */
+    /** The progress of a drain. On the event loop only. */
     public DrainStateMachine.Progress drainProgress() {
         return shutdown.drainProgress();
     }
@@ -286,7 +290,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    // ---- what operators ask
+    // ---- status for operators
 
     /** The instance's name in its configuration. On any thread. */
     public String name() {
@@ -307,12 +311,12 @@
                 : Addresses.parse(environment);
     }
 
-    /** What is open now, and the totals since the start. On the event loop only. */
+    /** The open connections and requests, and the totals since the start. On the event loop only. */
     public ProxyStatus status() {
         return ProxyStatus.of(dispatcher, acceptor, handover);
     }
 
-    /** The violations of the safety rules that were seen so far. On the event loop only. */
+    /** The counts of safety rule violations so far. On the event loop only. */
     public RuleCounts ruleCounts() {
         return dispatcher.rules().counts();
     }
@@ -327,7 +331,7 @@
         return dispatcher.router();
     }
 
-    /** How far the recovery has come, and what is stored. On the event loop only. */
+    /** The progress of recovery, and the stored state. On the event loop only. */
     public RecoveryStatus recoveryStatus() {
         return fleet.recoveryStatus();
     }
@@ -354,7 +358,7 @@
         return peers.address();
     }
 
-    /** The core. On the event loop only. */
+    /** The dispatcher of requests. On the event loop only. */
     public Dispatcher dispatcher() {
         return dispatcher;
     }
--- a/src/main/java/cacheproxy/proxy/lifecycle/ProxyStatus.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/ProxyStatus.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /**
- * What an instance has open, and its totals since the start.
+ * The open connections and requests of an instance, and its totals since the start.
  *
  * @param clientConnections open connections of clients
  * @param openRequests requests without a final answer
@@ -17,12 +17,12 @@
  * @param outcomesByClass how requests have ended, by the name of their service class
  * @param forwardedAttempts attempts fully written to cache nodes or the origin
  * @param discoveredNodes cache nodes in the endpoint list
- * @param ejectedNodes those of them that get no ordinary request now and got none for a second
+ * @param ejectedNodes cache nodes that have received no ordinary request for at least a second and receive none now
  * @param reloadsApplied configuration reloads that took effect
  * @param reloadsRejected configuration reloads that were rejected
  * @param handoverPhase how far a handover to a successor has come
- * @param completedHandovers successors that came to serve
- * @param valueBytes bytes reserved for values that are buffered whole
+ * @param completedHandovers successors that have started to serve
+ * @param valueBytes bytes reserved for values that are buffered completely
  * @param waitingValues values that wait for such a reservation
  */
 public record ProxyStatus(
--- a/src/main/java/cacheproxy/proxy/lifecycle/RecoveryStatus.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RecoveryStatus.java
@@ -7,16 +7,16 @@
 import cacheproxy.state.RecordStore;
 
 /**
- * How far recovery of this process is and what it stores, for operators. Event loop only.
+ * The recovery progress of this process and its stored state, for operators. On the event loop only.
  *
- * @param provenance where the state came from that it has not observed itself
- * @param progress its stage; null where it runs without {@code --recovery}
- * @param rebalancer its load by that of the others; null likewise
+ * @param provenance the sources of the state that this process has not observed itself
+ * @param progress the stage of recovery; null without {@code --recovery}
+ * @param rebalancer compares its load with that of the other instances; null without {@code --recovery}
  * @param requestsPerSecond requests that it receives
- * @param openedState what its state folder held at the start; null where it has none
- * @param recordStore what it stores there; null likewise
- * @param folder the folder's path; null likewise
- * @param writable whether it alone writes there
+ * @param openedState what its state folder held at the start; null without a state folder
+ * @param recordStore what it stores there; null without a state folder
+ * @param folder the path of the state folder; null if there is none
+ * @param writable whether this process holds the folder's lock, so that it alone writes there
  */
 public record RecoveryStatus(
         ProvenanceTracker provenance,
--- a/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/RestoredState.java
@@ -22,9 +22,9 @@
 import java.util.Map;
 
 /**
- * What this process knows from before its start: from the process that it takes over from, and for what that one did
- * not pass, from the state folder, as far as its age allows. Each piece of data that is used is recorded in
- * {@link ProvenanceTracker}.
+ * The state from before the start of this process: that of the process that it takes over from and, for records that
+ * the predecessor did not pass, that of the state folder, as far as its age allows. Each record that is used is
+ * reported to {@link ProvenanceTracker}.
  */
 final class RestoredState {
     private static final Map<RecordKind, Subject> SUBJECT_BY_KIND = Map.of(
@@ -45,9 +45,9 @@
     private final double nowMs;
 
     /**
-     * Merges what the two sources know; the predecessor's goes before the folder's.
+     * Merges the two sources; the predecessor's records take precedence over the folder's.
      *
-     * @param predecessor null where no process is taken over from
+     * @param predecessor null if there is no predecessor
      * @param nowMs Unix time by {@code ProxyClock}, in milliseconds
      */
     RestoredState(TakeoverSnapshot predecessor, OpenedState stored, ProvenanceTracker provenance, double nowMs) {
@@ -94,7 +94,7 @@
     }
 
     /**
-     * The endpoint list to start with: of the restored one and the configured one that of the higher version, and the
+     * The endpoint list to start with: the restored or the configured one, whichever has the higher version, and the
      * configured one if the versions are equal. Null if there is neither.
      */
     JsonObject endpointList(JsonObject configured) {
@@ -123,7 +123,10 @@
         return configured;
     }
 
-    /** What was learned, by pool name; if it is too old for that, the suspected endpoints alone; empty for nothing. */
+    /**
+     * The learned state by pool name; if it is old enough to be only a hint, reduced by {@link #suspectsOnly}; empty if
+     * there is none.
+     */
     Map<String, LearnedState> learnedState() {
         Validity validity = validity(RecordKind.LEARNED_STATE);
         if (validity == Validity.UNUSABLE) {
@@ -147,8 +150,8 @@
     }
 
     /**
-     * Endpoints whose last request failed are tried by one request before others; of the origin's throttle and of hot
-     * keys nothing is kept.
+     * Keeps the endpoints whose last request failed, with one failure, so that a single request tries each before
+     * others follow. The state of the origin's throttle and the hot keys are dropped.
      */
     private static LearnedState suspectsOnly(LearnedState learned) {
         List<EndpointHealthRecord> suspects = learned.endpoints().stream()
@@ -167,7 +170,7 @@
                 suspects);
     }
 
-    /** The last incarnation of this instance; 0 if unknown. */
+    /** The last known incarnation of this instance; 0 if unknown. */
     long incarnation() {
         StoredRecord record = records.get(RecordKind.INCARNATION);
         try {
@@ -182,7 +185,7 @@
         }
     }
 
-    /** The restored zone decisions of one kind, by the zones' present numbers. */
+    /** The restored zone decisions of one kind, by the zones' current numbers. */
     ZoneFailoverCoordinator.RestoredDecisions zoneDecisions(RecordKind kind, List<String> names) {
         StoredRecord record = records.get(kind);
         if (record == null) {
--- a/src/main/java/cacheproxy/proxy/lifecycle/SighupHandler.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/SighupHandler.java
@@ -6,9 +6,9 @@
 import java.lang.invoke.MethodType;
 
 /**
- * Handles SIGHUP, which terminates a JVM that has no handler for it. To be installed first of all: a signal that
- * arrives during the start is kept until there is a task for it. The JDK has no public API for signals, so the one of
- * the module jdk.unsupported is called by reflection: compiling against it warns.
+ * Handles SIGHUP, which terminates a JVM that has no handler for it. Must be installed before anything else; a signal
+ * that arrives during the start stays pending until there is a task for it. The JDK has no public API for signals, so
+ * that of the module jdk.unsupported is called by reflection, as compiling against it causes a warning.
  */
 public final class SighupHandler {
     private boolean delivered;
@@ -17,7 +17,7 @@
 
     private SighupHandler() {}
 
-    /** Handles the signal from now on. */
+    /** Installs a handler. */
     public static SighupHandler install() {
         SighupHandler handler = new SighupHandler();
         try {
@@ -34,17 +34,17 @@
                             MethodHandleProxies.asInterfaceInstance(type, MethodHandles.dropArguments(run, 0, signal)));
             handler.delivered = before != type.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
-            System.err.println("no handler for SIGHUP: " + e);
+            System.err.println("failed to install the SIGHUP handler: " + e);
         }
         return handler;
     }
 
-    /** Whether the signal is delivered: one that was ignored at the start, as under nohup, stays ignored in a JVM. */
+    /** Whether the signal is delivered. If the JVM was started with it ignored, as by nohup, it stays ignored. */
     public boolean delivered() {
         return delivered;
     }
 
-    /** Runs the task on a thread of its own at each further signal, and at once if one has arrived before. */
+    /** Runs the task on a separate thread at each later signal, and at once if a signal is pending. */
     public void onSignal(Runnable next) {
         boolean due;
         synchronized (this) {
--- a/src/main/java/cacheproxy/proxy/lifecycle/TakeoverClient.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/TakeoverClient.java
@@ -23,9 +23,9 @@
 import java.util.function.Consumer;
 
 /**
- * Requests the snapshot, the listening socket and then the clients of the process that serves, where there is one. I/O
- * partner of {@link TakeoverStateMachine}; its counterpart is {@link HandoverServer}. On the event loop but for
- * {@link #snapshot} and {@link #socket}, which wait.
+ * Requests the snapshot, the listening socket and then the client connections of the predecessor, if there is one. Does
+ * the I/O for {@link TakeoverStateMachine}; its counterpart is {@link HandoverServer}. On the event loop except for
+ * {@link #snapshot} and {@link #socket}, which block.
  */
 final class TakeoverClient {
     private static final int MAX_SNAPSHOT_BYTES = 4 << 20;
@@ -50,7 +50,7 @@
         return System.nanoTime() / 1e6;
     }
 
-    /** Connects to the process that serves by this folder; null if there is no folder or no such process. */
+    /** Connects to the process that serves with this folder; null if there is no folder or no such process. */
     static TakeoverClient connect(EventLoop loop, Path folder) {
         if (folder == null || !Files.exists(HandoverServer.socketPath(folder))) {
             return null;
@@ -86,19 +86,21 @@
         }
     }
 
-    /** The old process's snapshot; null if it sends none. Waits; not to be called on the event loop. */
+    /** The predecessor's snapshot; null if it sends none. Blocks, so it must not be called on the event loop. */
     TakeoverSnapshot snapshot() throws InterruptedException {
         return snapshot.sync().getNow();
     }
 
-    /** The old process's listening socket; null if it passes none. Waits; not to be called on the event loop. */
+    /**
+     * The predecessor's listening socket; null if it passes none. Blocks, so it must not be called on the event loop.
+     */
     FileDescriptor socket() throws InterruptedException {
         return socket.sync().getNow();
     }
 
     /**
-     * Reports that this process serves; from then on each client that the old process passes is handed to
-     * {@code adopt}.
+     * Reports to the predecessor that this process serves. From then on each client connection that the predecessor
+     * passes is given to {@code adopt}.
      */
     void reportServing(Consumer<FileDescriptor> adopt) {
         loop.execute(() -> {
@@ -107,7 +109,7 @@
         });
     }
 
-    /** What was taken over, for the log. */
+    /** The log line on the takeover. */
     String summary() {
         return "takeover completed: duration_ms=%.1f snapshot_bytes=%d".formatted(now() - requestedMs, snapshotLength);
     }
@@ -126,7 +128,7 @@
         try {
             descriptor.close();
         } catch (IOException e) {
-            // it is closed already
+            // Nothing else can be done with the descriptor.
         }
     }
 
@@ -151,7 +153,7 @@
                         + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             }
             if (takeover.snapshotReceived(now(), read != null)) {
-                // Before the socket is requested: read as bytes, a descriptor would be dropped.
+                // Must precede the request for the socket: in byte mode, a received descriptor would be dropped.
                 ((EpollDomainSocketChannel) ctx.channel()).config().setReadMode(DomainSocketReadMode.FILE_DESCRIPTORS);
                 send(HandoverServer.SOCKET_REQUEST);
                 snapshot.trySuccess(read);
--- a/src/main/java/cacheproxy/proxy/lifecycle/TakeoverSnapshot.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/TakeoverSnapshot.java
@@ -11,8 +11,9 @@
 import java.util.Map;
 
 /**
- * What the serving process passes to its successor, as one line of JSON: the endpoint list in use, which binds both,
- * and what the routing module has learned, which the successor would otherwise relearn from failures. Keys of the line:
+ * The state that the serving process passes to its successor, as one line of JSON: the endpoint list in use, which both
+ * must follow, and the learned state of the load balancers, which the successor would otherwise have to relearn from
+ * failures. Keys of the line:
  *
  * <pre>
  * v       {@link #VERSION}
@@ -21,16 +22,16 @@
  * kept    {@link #records}
  * </pre>
  *
- * @param endpointList in discovery's form
+ * @param endpointList in discovery's JSON format
  * @param learnedState by pool name; empty from a process of an earlier version
- * @param records what else outlasts a process, in the form in which it is stored; empty from an earlier version
+ * @param records the other records that outlast a process, in their stored form; empty from an earlier version
  */
 public record TakeoverSnapshot(
         JsonObject endpointList, Map<String, LearnedState> learnedState, Map<RecordKind, StoredRecord> records) {
-    /** Version of the line; a process that uses another starts beside this one, without the snapshot. */
+    /** Version of the format; a process that uses another one starts alongside this one, without the snapshot. */
     static final int VERSION = 1;
 
-    /** The snapshot as one line, without its end. */
+    /** The snapshot as one line, without a line terminator. */
     public String toJson() {
         JsonObject snapshot = new JsonObject();
         snapshot.addProperty("v", VERSION);
@@ -43,14 +44,14 @@
     }
 
     /**
-     * Parses such a line.
+     * Parses the output of {@link #toJson}.
      *
      * @throws RuntimeException if it is malformed or of another version
      */
     public static TakeoverSnapshot parse(String line) {
         JsonObject snapshot = JsonParser.parseString(line).getAsJsonObject();
         if (snapshot.get("v").getAsInt() != VERSION) {
-            throw new IllegalArgumentException("version " + snapshot.get("v"));
+            throw new IllegalArgumentException("unsupported snapshot version " + snapshot.get("v"));
         }
         Map<String, LearnedState> learnedState =
                 snapshot.has("learnt") ? LearnedStateCodec.fromJson(snapshot.getAsJsonObject("learnt")) : Map.of();
--- a/src/main/java/cacheproxy/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/lifecycle/WarmUp.java
@@ -36,11 +36,11 @@
 import java.util.function.Supplier;
 
 /**
- * Sends requests through the proxy's own code before the instance reports that it is ready, so that classes are loaded
- * and hot code is compiled. Otherwise, on part of a core, the first seconds' requests would be interpreted and time
- * out, and their clients would open new connections that cost more than the requests did. Uses local sockets in the
- * private temporary folder and an event loop of its own; nothing is left of either at the end, even if the warm-up
- * fails.
+ * Sends requests through the proxy's code before the instance reports that it is ready, so that classes are loaded and
+ * hot code is compiled. Otherwise, with a fraction of a core, the requests of the first seconds would run in the
+ * interpreter and time out, and their clients would open new connections, which cost more than the requests. Uses Unix
+ * domain sockets in the private temporary folder and a separate event loop; both are cleaned up at the end, even if the
+ * warm-up fails.
  */
 final class WarmUp {
     private static final EndpointListSource NO_DISCOVERY = new EndpointListSource() {
@@ -59,20 +59,20 @@
         public void idleWhileDraining(ClientConnection client) {}
     };
 
-    /** A few times the calls after which the JVM compiles a method; more would delay a restart. */
+    /** A few times the number of calls after which the JVM compiles a method; more would delay a restart. */
     static final int REQUEST_COUNT = 400;
 
     static final String THREAD_NAME = "warm-up";
     private static final int PIPELINE_DEPTH = 8;
     private static final int TIMEOUT_MS = 6000;
-    /** Local sockets of the stand-ins and of the proxy, in the warm-up's folder. */
+    /** File names of the sockets of the stub servers and of the proxy, in the warm-up's folder. */
     private static final String NODE_SOCKET = "n";
 
     private static final String ORIGIN_SOCKET = "o";
     private static final String PROXY_SOCKET = "p";
     private static final int NODE_ID = 1;
     private static final int ORIGIN_ID = 2;
-    /** Where a read's key starts, behind {@code mg }; its flags follow. */
+    /** Index of the key in a read command, after {@code mg }; the flags follow the key. */
     private static final int FLAGS_START = 3;
 
     private final EventLoopGroup group =
@@ -88,26 +88,26 @@
         this.folder = folder;
     }
 
-    /** Warms up. A failure is only logged, as the proxy can do without. */
+    /** Runs the warm-up. A failure is only logged, as the proxy also works without it. */
     static void run(Config config) {
         try {
             Path folder = Files.createTempDirectory(Path.of(System.getenv().getOrDefault("TMPDIR", "/tmp")), "warm");
             run(config, folder);
             Files.delete(folder);
         } catch (IOException e) {
-            System.err.println("no warm-up: " + e);
+            System.err.println("warm-up failed: " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Warms up with sockets in this folder; returns how many requests were answered. */
+    /** Runs the warm-up with sockets in this folder; returns how many requests were answered. */
     static int run(Config config, Path folder) throws IOException, InterruptedException {
         WarmUp warmUp = new WarmUp(config, folder);
         try {
             warmUp.run();
         } catch (IOException | RuntimeException e) {
-            System.err.println("no warm-up: " + e);
+            System.err.println("warm-up failed: " + e);
         } finally {
             warmUp.group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
             for (String name : new String[] {NODE_SOCKET, ORIGIN_SOCKET, PROXY_SOCKET}) {
@@ -117,7 +117,7 @@
         return (int) (REQUEST_COUNT - warmUp.unanswered.getCount());
     }
 
-    /** Netty throws a socket's IOException undeclared. */
+    /** Declares IOException, as Netty throws that of a socket without declaring it. */
     private void run() throws IOException, InterruptedException {
         Dispatcher dispatcher = new Dispatcher(loop, new LoopClock(), config, Transport.BEST.domainSocket());
         SocketAddress node = listen(NODE_SOCKET, Node::new);
@@ -139,8 +139,8 @@
                 .connect(proxy)
                 .sync();
         if (!unanswered.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-            System.err.println("a short warm-up: " + unanswered.getCount() + " of " + REQUEST_COUNT
-                    + " requests without an answer");
+            System.err.println(
+                    "warm-up timed out: " + unanswered.getCount() + " of " + REQUEST_COUNT + " requests unanswered");
         }
         loop.submit(dispatcher::stop).sync();
     }
@@ -168,7 +168,7 @@
                 new EndpointAttributes("", "", "", Set.of()));
     }
 
-    /** A side whose connection ends with the warm-up, possibly by a reset. */
+    /** One end of a connection that is closed at the end of the warm-up, possibly by a reset. */
     private abstract static class StandIn extends ByteToMessageDecoder {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/src/test/java/cacheproxy/proxy/lifecycle/ConfigFileWatcherTest.java
+++ b/src/test/java/cacheproxy/proxy/lifecycle/ConfigFileWatcherTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What counts as a change of a file. */
+/** Which changes of a file are detected. */
 class ConfigFileWatcherTest {
     @TempDir
     private Path folder;
--- a/src/test/java/cacheproxy/proxy/lifecycle/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/lifecycle/WarmUpTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a proxy does with itself before it says that it is ready. */
+/** The warm-up answers its requests and cleans up, also if it fails. */
 class WarmUpTest {
     @TempDir
     private Path folder;
 
-    /** In the operators' form, with cache nodes beside the origin. */
+    /** A configuration in the operators' format, with cache nodes as well as the origin. */
     private static Config config() {
         return Config.read("src/test/resources/config.json");
     }
@@ -35,10 +35,13 @@
         assertCleanedUp();
     }
 
-    /** Seen: where the platform has no Unix sockets it failed at once, and its sweeper went on for good. */
+    /**
+     * On a platform without Unix domain sockets the warm-up failed at once, and its periodic cleanup task kept running
+     * forever.
+     */
     @Test
     void failedWarmUpCleansUp() throws Exception {
-        Files.createDirectory(folder.resolve("p")); // where it would listen
+        Files.createDirectory(folder.resolve("p")); // occupies the path of the proxy's socket
         assertThat(WarmUp.run(config(), folder)).isZero();
         assertCleanedUp();
     }
