--- a/src/main/java/cacheproxy/proxy/peer/CacheNodes.java
+++ b/src/main/java/cacheproxy/proxy/peer/CacheNodes.java
@@ -2,11 +2,11 @@
 
 import java.util.OptionalInt;
 
-/** The cache nodes of the endpoint list, as gossip about them needs them. */
+/** The cache nodes of the endpoint list, as the outlier gossip needs them. */
 public interface CacheNodes {
-    /** The zone of a cache node; empty for the origin and for what is not on the list. */
+    /** The zone of a cache node; empty for the origin and for endpoints that are not on the list. */
     OptionalInt zoneOf(int endpointId);
 
-    /** How many cache nodes of the list stand in this zone. */
+    /** The number of cache nodes on the list in this zone. */
     int countInZone(int zone);
 }
--- a/src/main/java/cacheproxy/proxy/peer/EndpointGossipLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/EndpointGossipLink.java
@@ -13,12 +13,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Exchanges what is known of the endpoint list with the other proxies: carries out what {@link ListVersionGossip} and
- * {@link AntiEntropy} decide. Where one discovery serves all instances, peers pass on to each other what has changed;
- * where each has an agent of its own, the version of the list is enough. On the event loop only.
+ * Exchanges the state of the endpoint list with the other proxies: carries out the decisions of
+ * {@link ListVersionGossip} and {@link AntiEntropy}. If one discovery serves all instances, peers send each other the
+ * changes; if each instance has its own discovery agent, they send only the version of the list. On the event loop
+ * only.
  */
 public final class EndpointGossipLink {
-    /** A peer that has missed more than so many messages hold learns it from discovery. */
+    /** The maximum number of messages in answer to a query; a peer that misses more gets the rest from discovery. */
     private static final int MAX_ANSWER_MESSAGES = 4;
 
     private final EventScheduler scheduler;
@@ -31,10 +32,10 @@
     private final AntiEntropy antiEntropy;
 
     /**
-     * Begins to query peers whenever {@link AntiEntropy} is due.
+     * Starts to query peers whenever {@link AntiEntropy} is due.
      *
-     * @param sharedDiscovery whether one discovery serves all instances, by the settings that hold at the moment
-     * @param seed other than that of any other instance, so that they do not all query one peer
+     * @param sharedDiscovery whether one discovery serves all instances, by the current settings
+     * @param seed different from that of any other instance, so that they do not all query the same peer
      */
     public EndpointGossipLink(
             EventScheduler scheduler,
@@ -68,18 +69,18 @@
         return list.provisionalEndpoints();
     }
 
-    /** A list or changes of this version, from discovery, are in use. */
+    /** Discovery's list, or its changes, up to this version are in use. */
     public void onVersionApplied(long version) {
         antiEntropy.onDiscoveryResponse(scheduler.nowMs());
         carryOut(versionGossip.onVersionApplied(scheduler.nowMs(), version));
     }
 
-    /** A poll of discovery has failed: a peer may know what it would have brought. */
+    /** A poll of discovery has failed; a peer may have the changes. */
     public void onPollFailed() {
         queryPeerUnlessRecent();
     }
 
-    /** A peer announces its version of the list, sends changes, or queries for them. */
+    /** A peer has announced its version of the list, sent changes, or queried for them. */
     public void onMessage(int peer, byte[] message) {
         long announced = PeerMessage.readListVersion(message);
         if (announced >= 0) {
@@ -132,7 +133,7 @@
         peers.send(PeerDatagramSocket.ALL_PEERS, PeerMessageKind.ENDPOINT_LIST, message);
     }
 
-    /** Peers hold a version that discovery has not brought here. */
+    /** Peers have a version that this instance has not received from discovery. */
     private void pollDiscovery() {
         discovery.onPeerAhead();
         queryPeerUnlessRecent();
@@ -144,7 +145,7 @@
         }
     }
 
-    /** Queries some peer for what is not known here. */
+    /** Queries a random peer for changes after the known version. */
     private void queryPeer() {
         int peer = peers.randomPeer(random);
         if (sharedDiscovery.getAsBoolean() && peer >= 0) {
--- a/src/main/java/cacheproxy/proxy/peer/EventScheduler.java
+++ b/src/main/java/cacheproxy/proxy/peer/EventScheduler.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy.peer;
 
-/** The clock and the timers of the event loop, for what runs on it. */
+/** The clock and the timers of the event loop. */
 public interface EventScheduler {
-    /** The monotonic time by which every span is measured, in milliseconds. */
+    /** The monotonic time, in milliseconds. */
     double nowMs();
 
     /** Runs a task on the event loop after a delay in milliseconds, 0 or more. */
--- a/src/main/java/cacheproxy/proxy/peer/LearnedStateAccess.java
+++ b/src/main/java/cacheproxy/proxy/peer/LearnedStateAccess.java
@@ -4,21 +4,21 @@
 import cacheproxy.routing.LearnedState;
 import java.util.Map;
 
-/** What the state query needs of the core: learned state to answer with and to adopt. Event loop only. */
+/** Access to the core's learned state, to answer state queries and to adopt their result. On the event loop only. */
 public interface LearnedStateAccess {
-    /** What the load balancer of all endpoints has learned; null where there are pools alone. */
+    /** The learned state of the load balancer of all endpoints; null if there are only those of pools. */
     LearnedState learnedState();
 
-    /** Has the load balancer of all endpoints go on from this state. */
+    /** Restores this state into the load balancer of all endpoints. */
     void resume(LearnedState learned);
 
-    /** Where the state in use came from. */
+    /** The tracker of the sources of the state in use. */
     ProvenanceTracker provenance();
 
-    /** Whether the load balancer sends an endpoint no requests for now, as it failed. */
+    /** Whether the load balancer currently avoids an endpoint because of failures. */
     boolean isAvoided(int endpointId);
 
-    /** When the process of an endpoint on the list has started, Unix time in milliseconds. */
+    /** The start time of the process of an endpoint on the list, Unix time in milliseconds. */
     double startTimeMs(int endpointId);
 
     /** The cache nodes on the list, each with its zone. */
--- a/src/main/java/cacheproxy/proxy/peer/MembershipLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/MembershipLink.java
@@ -9,23 +9,23 @@
 import cacheproxy.routing.RoutingSettings;
 import java.util.function.Consumer;
 
-/** Sends the messages that {@link Membership} decides on, and calls it when it is due. Event loop only. */
+/** Sends the messages that {@link Membership} decides on, and runs its timer. On the event loop only. */
 public final class MembershipLink {
     private final EventScheduler scheduler;
     private final PeerDatagramSocket peers;
     private final Membership membership;
     private final Consumer<LiveMembers> liveMembersListener;
-    /** Counts the timers that were set; an earlier timer than the last does nothing. */
+    /** Counts the timers that were set; only the last one has an effect. */
     private long timerGeneration;
 
     private LiveMembers liveMembers = new LiveMembers(1);
     private Runnable changeListener = () -> {};
 
     /**
-     * Begins at once.
+     * Starts at once.
      *
      * @param lastIncarnation the incarnation of this instance's last process; 0 if that is unknown
-     * @param liveMembersListener called with the number of live members each time that it changes
+     * @param liveMembersListener called with the number of live members whenever it changes
      */
     public MembershipLink(
             EventScheduler scheduler,
@@ -56,18 +56,18 @@
         run();
     }
 
-    /** Sets what is called each time that something may have changed. */
+    /** Sets the listener that is called whenever the view may have changed. */
     public void onChange(Runnable listener) {
         changeListener = listener;
     }
 
-    /** Publishes a part's note with this instance's entry; empty removes it. */
+    /** Publishes metadata of one part with this instance's entry; empty removes it. */
     public void note(int part, byte[] bytes) {
         membership.setMetadata(part, bytes);
         run();
     }
 
-    /** Announces the phase of this instance's service. */
+    /** Announces this instance's service phase. */
     public void phase(ServicePhase phase) {
         membership.setPhase(phase);
         run();
@@ -89,18 +89,18 @@
         return membership.incarnation();
     }
 
-    /** How often this proxy refuted that it was dead. */
+    /** How often this instance refuted a claim that it was dead. */
     public long deathsRefuted() {
         return membership.deathsRefuted();
     }
 
-    /** Messages that could not be read. */
+    /** The number of messages that could not be parsed. */
     public long unreadable() {
         return membership.rejectedMessages();
     }
 
     private static double nowMs() {
-        return System.nanoTime() / 1e6; // the clock of the send budget, which all parts share
+        return System.nanoTime() / 1e6; // the clock of the shared send budget
     }
 
     private void run() {
--- a/src/main/java/cacheproxy/proxy/peer/OutlierGossipLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/OutlierGossipLink.java
@@ -13,18 +13,18 @@
 import java.util.function.Supplier;
 
 /**
- * Reports unresponsive cache nodes to the other proxies, and passes reports of theirs on to the load balancer once
- * {@link OutlierGossip} finds enough of them. On the event loop only.
+ * Reports unresponsive cache nodes to the other proxies, and passes their reports to the load balancer once
+ * {@link OutlierGossip} has counted enough of them. On the event loop only.
  */
 public final class OutlierGossipLink {
-    /** The zones of live peers are read anew after this time: where much is wrong, many reports come at once. */
+    /** How long the zones of live peers are cached: in a large outage many reports arrive at once. */
     private static final double ZONES_CACHED_MS = 500;
-    /** A node is reported again after this time, so that the first report has not expired yet. */
+    /** The interval between reports of one node, so short that the previous report has not expired yet. */
     private static final double REPORT_INTERVAL_MS = OutlierGossip.REPORT_TTL_MS / 2;
 
-    /** Takes a report that enough peers agree on. */
+    /** Receives the report that enough peers have confirmed. */
     public interface OutlierListener {
-        /** The last of these reports: the peer's number, and its message as it came. */
+        /** The last of these reports: the number of the peer that sent it, and the unchanged message. */
         void onOutlier(int peer, byte[] message);
     }
 
@@ -34,18 +34,18 @@
     private final Supplier<MembershipView> members;
     private final OutlierListener listener;
     private final OutlierGossip outliers = new OutlierGossip();
-    /** When each node was reported last by this proxy. */
+    /** When this proxy last reported each node. */
     private final Map<Integer, Double> reportedMs = new HashMap<>();
-    /** The zones of live peers, by their numbers; as of {@link #zonesReadMs}. */
+    /** The zones of live peers by peer number, as of {@link #zonesReadMs}. */
     private final Map<Integer, Integer> zoneOfPeer = new HashMap<>();
 
     private double zonesReadMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * Reports nothing yet.
+     * Creates a link that has reported nothing.
      *
      * @param nowMs a monotonic clock, in milliseconds
-     * @param members the fleet as membership sees it now
+     * @param members supplies the current membership view
      */
     public OutlierGossipLink(
             DoubleSupplier nowMs,
@@ -60,7 +60,7 @@
         this.listener = listener;
     }
 
-    /** The load balancer has observed this at an endpoint; reports a cache node that did not respond. */
+    /** The load balancer has observed this signal of an endpoint; reports a cache node that did not respond. */
     public void onEndpointSignal(int endpointId, EndpointSignal signal) {
         if (signal != EndpointSignal.UNRESPONSIVE || nodes.zoneOf(endpointId).isEmpty()) {
             return;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** A peer reports a node that did not respond; anything else is ignored. */
+    /** A peer has reported a node that did not respond; any other message is ignored. */
     public void onMessage(int peer, byte[] message) {
         Integer endpointId = PeerMessage.readEndpointUnresponsive(message);
         OptionalInt zone = endpointId == null ? OptionalInt.empty() : nodes.zoneOf(endpointId);
--- a/src/main/java/cacheproxy/proxy/peer/PeerDatagramSocket.java
+++ b/src/main/java/cacheproxy/proxy/peer/PeerDatagramSocket.java
@@ -24,20 +24,22 @@
 
 /**
  * Sends datagrams to the other proxies of a tier and receives theirs. Delivery is best effort: a datagram may be late,
- * lost or repeated. All parts of the program send through this one socket and share its {@link SendBudget}.
+ * lost or duplicated. All subsystems send through this one socket and share its {@link SendBudget}.
  *
- * <p>Everything but the constructor runs on the event loop. Nothing here throws for what a peer sends: a datagram that
- * can't be read is dropped.
+ * <p>Everything but the constructor runs on the event loop. A malformed datagram is dropped without an exception.
  */
 public final class PeerDatagramSocket {
-    /** Stands for all other proxies of the tier where a peer's number is asked for. */
+    /** The peer number that stands for all other proxies of the tier. */
     public static final int ALL_PEERS = -1;
 
-    /** What an instance may send, in bytes a second, whatever the size of the fleet. */
+    /** The maximum send rate of an instance in bytes per second, whatever the size of the fleet. */
     private static final double BYTES_PER_SECOND = 2000;
 
     private static final double BURST_BYTES = 6000;
-    /** A predecessor that has passed its clients on still holds the address for a while. */
+    /**
+     * The interval of bind attempts, as a predecessor that has passed on its clients still holds the address for a
+     * while.
+     */
     private static final long BIND_RETRY_MS = 500;
 
     private final EventLoop loop;
@@ -46,24 +48,24 @@
     private final Listener listener;
     private final Consumer<Metric> counter;
     private final SendBudget budget = new SendBudget(BYTES_PER_SECOND, BURST_BYTES);
-    /** By address: where all send, a search for each datagram would grow with the square of the fleet. */
+    /** Peer numbers by address. A linear search per datagram would cost the square of the fleet size when all send. */
     private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
 
-    /** Null until the socket is bound; what is sent before is lost. */
+    /** Null until the socket is bound; datagrams sent before that are lost. */
     private Channel channel;
 
     /** Receives the messages of peers, on the event loop. */
     public interface Listener {
-        /** A message has come: from the proxy of this number, of a kind and version of form that are known here. */
+        /** A message of a known kind and version has been received from the proxy of this number. */
         void onMessage(int peer, PeerMessageKind kind, byte[] body);
     }
 
     /**
-     * Binds the socket and waits until it is bound or has failed; not to be called on the event loop. An address that
-     * is in use is tried again every {@value #BIND_RETRY_MS} ms.
+     * Binds the socket and blocks until that has succeeded or failed, so it must not be called on the event loop. A
+     * failed bind, as for an address in use, is retried every {@value #BIND_RETRY_MS} ms.
      *
-     * @param channelType of datagram channels on this event loop
-     * @param counter is told each datagram that was sent or received
+     * @param channelType the type of datagram channels on this event loop
+     * @param counter called for each datagram sent or received
      */
     public PeerDatagramSocket(
             EventLoop loop,
@@ -109,26 +111,26 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Where it is bound; null if this proxy takes no part. */
+    /** The local address; null if this proxy does not participate. */
     public InetSocketAddress address() {
         return channel == null ? null : (InetSocketAddress) channel.localAddress();
     }
 
-    /** What all parts of the program together may send. */
+    /** The send budget that all subsystems share. */
     public SendBudget budget() {
         return budget;
     }
 
-    /** The number of some other proxy of the tier, each as likely; negative if there is none. */
+    /** The number of another proxy of the tier, chosen uniformly at random; negative if there is none. */
     public int randomPeer(SplittableRandom random) {
         return AntiEntropy.randomPeer(
                 random, addresses.self(), addresses.peers().size());
     }
 
     /**
-     * Sends a message; drops it if the budget has no room for it or its body is too long for a datagram.
+     * Sends a message; drops it if it exceeds the budget or its body is too long for a datagram.
      *
-     * @param peer the number of a proxy; {@link #ALL_PEERS}, or any other negative number, for all others at once
+     * @param peer the number of a proxy; {@link #ALL_PEERS}, or any other negative number, for all others
      */
     public void send(int peer, PeerMessageKind kind, byte[] body) {
         if (body.length <= Envelope.MAX_BODY_BYTES
@@ -138,7 +140,7 @@
         }
     }
 
-    /** Sends a message whose bytes have been taken from {@link #budget} already; {@code peer} as in {@link #send}. */
+    /** Sends a message whose bytes were already taken from {@link #budget}; {@code peer} as in {@link #send}. */
     public void sendWithinBudget(int peer, PeerMessageKind kind, byte[] body) {
         InetSocketAddress to = addressOf(peer);
         if (channel == null || to == null) {
@@ -149,7 +151,7 @@
         channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to));
     }
 
-    /** Null where there is none. */
+    /** The address of a peer; null if there is none. */
     private InetSocketAddress addressOf(int peer) {
         if (peer < 0) {
             return addresses.all();
@@ -157,7 +159,7 @@
         return peer < addresses.peers().size() ? addresses.peers().get(peer) : null;
     }
 
-    /** Drops what does not come from a peer, is longer than the protocol allows, or was changed on its way. */
+    /** Drops datagrams that are not from a peer, exceed the protocol's maximum length or are corrupted. */
     private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
@@ -176,7 +178,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A datagram that did not arrive says nothing of the next.
+            // An error of one datagram does not affect the next.
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/peer/PeerMessageKind.java
+++ b/src/main/java/cacheproxy/proxy/peer/PeerMessageKind.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy.peer;
 
 /**
- * The kind of an item in a datagram between proxies; says which part of the program reads its body. The kinds on the
- * wire ({@code docs/design/members-wire.md}):
+ * The kind of an item in a datagram between proxies, which determines the subsystem that parses its body. The kinds on
+ * the wire ({@code docs/design/members-wire.md}):
  *
  * <pre>
  * code  on the page           here
@@ -22,10 +22,10 @@
     MEMBERSHIP(3),
     /** Cache nodes that did not respond: {@code OutlierGossipLink}. */
     OUTLIERS(4),
-    /** What an instance that restarts asks of its peers, and their answers: {@link StateQueryLink}. */
+    /** The state query of an instance that restarts, and its peers' answers: {@link StateQueryLink}. */
     STATE_QUERY(5);
 
-    /** The version of the body's form, the same for all kinds so far. */
+    /** The version of the body's format, the same for all kinds so far. */
     public static final int VERSION = 0;
 
     private final int code;
@@ -34,12 +34,12 @@
         this.code = code;
     }
 
-    /** Its code on the wire. */
+    /** The code on the wire. */
     public int code() {
         return code;
     }
 
-    /** The kind of that code; null if it is unknown, as that of a later program. */
+    /** The kind with this code; null if it is unknown, as one of a later release may be. */
     static PeerMessageKind of(int code) {
         for (PeerMessageKind kind : values()) {
             if (kind.code == code) {
--- a/src/main/java/cacheproxy/proxy/peer/StateQueryLink.java
+++ b/src/main/java/cacheproxy/proxy/peer/StateQueryLink.java
@@ -15,14 +15,14 @@
 import java.util.Map;
 
 /**
- * Sends the state queries that {@link PeerStateQuery} decides on, adopts their result, and answers queries of peers.
- * Event loop only.
+ * Sends the state queries that {@link PeerStateQuery} decides on, adopts their result, and answers queries of peers. On
+ * the event loop only.
  */
 public final class StateQueryLink {
     private static final double TICK_MS = 100;
-    /** The in-time ratio that peers report weighs as much as so many requests of this process to the origin. */
+    /** The weight of the in-time ratio that peers report, in requests of this process to the origin. */
     private static final double ORIGIN_WEIGHT = 10;
-    /** What peers reported is a hint for no longer than this: by then this process has observed more itself. */
+    /** How long state from peers counts as a hint; after that, this process has observed more itself. */
     private static final double MAX_AGE_MS = 60_000;
 
     private final EventScheduler scheduler;
@@ -30,14 +30,14 @@
     private final PeerDatagramSocket peers;
     private final MembershipLink members;
     private final DiscoveryClient discovery;
-    /** Null where this process has state, and asks for none. */
+    /** Null if this process has learned state and needs none from peers. */
     private final PeerStateQuery query;
 
     /**
-     * Begins at once.
+     * Starts at once.
      *
      * @param instance this instance's number
-     * @param needsState whether this process has started without learned state, and asks for it
+     * @param needsState whether this process has started without learned state, so that it queries its peers
      */
     public StateQueryLink(
             EventScheduler scheduler,
@@ -58,7 +58,7 @@
         }
     }
 
-    /** A state query of a peer, or its answer to one. */
+    /** A state query from a peer, or its answer to one, has been received. */
     public void messageReceived(int peer, byte[] message) {
         if (PeerStateSummary.isQuery(message)) {
             answer(peer);
@@ -70,11 +70,11 @@
         }
     }
 
-    // ---- answering
+    // ---- answers to peers
 
     private void answer(int peer) {
         LearnedState learned = state.learnedState();
-        if (learned != null) { // null where there are pools and none of all endpoints
+        if (learned != null) { // null if there are only load balancers of pools
             peers.send(peer, PeerMessageKind.STATE_QUERY, summary(learned).encode());
         }
     }
@@ -100,7 +100,7 @@
         return requested < 1 ? 1 : (float) Math.max(0, Math.min(1, load.completedInTime() / requested));
     }
 
-    // ---- asking
+    // ---- own query
 
     private void run() {
         query.peersToQuery(scheduler.nowMs(), members.view())
@@ -125,7 +125,7 @@
         state.resume(learnedState(result));
         state.provenance().adopted(nowMs, Subject.LEARNED_STATE, Provenance.PEERS, 0, MAX_AGE_MS, true);
         if (result.listVersion() > discovery.version()) {
-            discovery.onPeerAhead(); // a claim makes no list, but is worth a poll
+            discovery.onPeerAhead(); // the version alone brings no list, but justifies a poll
         }
         state.log(String.format(
                 Locale.ROOT,
--- a/src/main/java/cacheproxy/proxy/peer/package-info.java
+++ b/src/main/java/cacheproxy/proxy/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Datagrams between the proxies of a tier: the socket, its codec's kinds, and the links that carry out what the
- * decision packages order of it. Knows nothing of requests and clients; what it needs of the core is passed in.
+ * Datagrams between the proxies of a tier: the socket, the kinds of messages, and the links that do the I/O for the
+ * packages that make the decisions. Independent of requests and clients; its interfaces to the core are passed in.
  */
 package cacheproxy.proxy.peer;
--- a/src/test/java/cacheproxy/proxy/peer/PeerMessageKindTest.java
+++ b/src/test/java/cacheproxy/proxy/peer/PeerMessageKindTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The codes of the kinds of item in a datagram, as released programs send them. */
+/** The codes of message kinds in a datagram, which released versions already send. */
 class PeerMessageKindTest {
     @Test
     void eachKindHasItsCode() {
