--- a/src/main/java/cacheproxy/control/AdminPort.java
+++ b/src/main/java/cacheproxy/control/AdminPort.java
@@ -25,16 +25,17 @@
 import java.util.stream.Collectors;
 
 /**
- * The admin port: one command a connection, which is answered and then closed, on the proxy's event loop. Bounded in
- * connections and in the time that each may take, as some send nothing, or half a command, and stay open.
+ * The admin port: one command per connection, which is closed after the answer. Runs on the proxy's event loop. The
+ * number of connections and the duration of each are limited, as some clients send nothing, or half a command, and stay
+ * connected.
  */
 public final class AdminPort implements AutoCloseable {
-    /** Connections at a time; one more closes the oldest. */
+    /** The maximum number of open connections; a further one closes the oldest. */
     static final int MAX_CONNECTIONS = 32;
-    /** The longest command, in bytes. */
+    /** The maximum length of a command, in bytes. */
     static final int MAX_LINE_BYTES = 256;
 
-    /** How long a connection may last, in seconds. */
+    /** The maximum duration of a connection, in seconds. */
     private static final int CONNECTION_TIMEOUT_S = 5;
 
     private static final Map<String, AdminCommand> COMMANDS =
@@ -46,7 +47,7 @@
     private final Set<Channel> connections = new LinkedHashSet<>();
 
     /**
-     * Listens at this address. Blocks, so it is not to be called on the event loop.
+     * Listens on this address. Blocks, so it must not be called on the event loop.
      *
      * @throws Exception if it can't listen there
      */
@@ -67,7 +68,7 @@
                 .channel();
     }
 
-    /** Opens an admin port, gives each command once and closes it; for the archive of loaded classes. */
+    /** Opens an admin port, sends each command once and closes it; loads classes for the class data archive. */
     public static void exercise(EventLoop loop, ControlRegistry registry) throws Exception {
         try (AdminPort port = new AdminPort(loop, new InetSocketAddress("127.0.0.1", 0), registry)) {
             for (String command : COMMANDS.keySet()) {
@@ -90,7 +91,8 @@
             connections.iterator().next().close();
         }
         connections.add(connection);
-        // From its beginning, not since its last byte: one that sends a byte a second lasts no longer.
+        // Counted from the accept, not from the last byte, so that a client that sends a byte per second is closed,
+        // too.
         Future<?> limit =
                 connection.eventLoop().schedule(() -> connection.close(), CONNECTION_TIMEOUT_S, TimeUnit.SECONDS);
         connection.closeFuture().addListener(f -> {
@@ -128,7 +130,7 @@
             }
         }
 
-        /** A line that is too long, or a connection that broke. */
+        /** The line is too long, or the connection failed. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             answer(ctx, "ERR a line of at most " + MAX_LINE_BYTES + " bytes is read here\n");
--- a/src/main/java/cacheproxy/control/CommandArguments.java
+++ b/src/main/java/cacheproxy/control/CommandArguments.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 
-/** The arguments of a command, by their names in the request. */
+/** The arguments of a command by name. */
 public final class CommandArguments {
     private final JsonObject request;
 
@@ -17,9 +17,9 @@
     }
 
     /**
-     * An argument that is a number.
+     * A numeric argument.
      *
-     * @throws CommandException if it is none, or missing
+     * @throws CommandException if it is missing or not a number
      */
     public double number(String name) {
         JsonElement value = request.get(name);
@@ -28,15 +28,15 @@
                 return value.getAsDouble();
             }
         } catch (NumberFormatException e) {
-            // Reported below, as any other value that is no number.
+            // Reported below, like any other value that is not a number.
         }
         throw new CommandException("'" + name + "' is to be a number");
     }
 
     /**
-     * An argument that is a string.
+     * A string argument.
      *
-     * @throws CommandException if it is none, or missing
+     * @throws CommandException if it is missing or not a string
      */
     String text(String name) {
         JsonElement value = request.get(name);
--- a/src/main/java/cacheproxy/control/CommandException.java
+++ b/src/main/java/cacheproxy/control/CommandException.java
@@ -1,8 +1,8 @@
 package cacheproxy.control;
 
 /**
- * A command that can't be carried out, with the reason for whoever asked: an unknown name, a bad argument, a wrong
- * state.
+ * Thrown if a command can't be carried out because of an unknown name, an invalid argument or the present state. Its
+ * message is sent to the client.
  */
 public final class CommandException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/cacheproxy/control/ControlClient.java
+++ b/src/main/java/cacheproxy/control/ControlClient.java
@@ -13,9 +13,9 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 
-/** A client of a control socket: sends a request and blocks until the answer. For one thread. */
+/** A blocking client of a control socket. Not thread-safe. */
 public final class ControlClient implements Closeable {
-    /** The proxy can't carry out the command; the message is its reason. */
+    /** Thrown if the proxy can't carry out the command; its message is the proxy's reason. */
     public static final class RefusedException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -44,16 +44,16 @@
         in = new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8));
     }
 
-    /** A request without arguments. */
+    /** Creates a request without arguments. */
     public static JsonObject request(String command) {
         return ControlProtocol.request(command);
     }
 
     /**
-     * The result of a request.
+     * Sends a request and waits for its result.
      *
      * @throws RefusedException if the proxy can't carry it out
-     * @throws IOException if the connection has ended, or the answer is of another protocol
+     * @throws IOException if the connection was closed, or the answer does not follow the protocol
      */
     public JsonObject call(JsonObject request) throws IOException {
         ByteBuffer out = ByteBuffer.wrap((request + "\n").getBytes(StandardCharsets.UTF_8));
@@ -62,12 +62,12 @@
         }
         String line = in.readLine();
         if (line == null) {
-            throw new IOException("the proxy has ended the connection");
+            throw new IOException("the proxy closed the connection");
         }
         try {
             return ControlProtocol.result(line);
         } catch (JsonParseException | IllegalStateException | NullPointerException e) {
-            throw new IOException("an answer of another protocol: " + line, e);
+            throw new IOException("malformed answer: " + line, e);
         }
     }
 
--- a/src/main/java/cacheproxy/control/ControlProtocol.java
+++ b/src/main/java/cacheproxy/control/ControlProtocol.java
@@ -6,15 +6,15 @@
 import com.google.gson.JsonParser;
 
 /**
- * The control socket's protocol: one JSON object on a line for each request and each answer.
+ * The control socket's protocol: each request and each answer is a JSON object on one line.
  *
  * <table>
  * <caption>Fields</caption>
  * <tr><td>{@code v}</td><td>request and answer: {@link #VERSION}</td></tr>
  * <tr><td>{@code command}</td><td>request: the command's name; its arguments are further fields</td></tr>
  * <tr><td>{@code ok}</td><td>answer: whether the command was carried out</td></tr>
- * <tr><td>{@code result}</td><td>answer, if so: the command's result</td></tr>
- * <tr><td>{@code error}</td><td>answer, if not: why, for people</td></tr>
+ * <tr><td>{@code result}</td><td>answer, if {@code ok} is true: the command's result</td></tr>
+ * <tr><td>{@code error}</td><td>answer, if {@code ok} is false: the reason, as text</td></tr>
  * </table>
  */
 final class ControlProtocol {
@@ -28,7 +28,7 @@
 
     private ControlProtocol() {}
 
-    /** A request without arguments. */
+    /** Creates a request without arguments. */
     static JsonObject request(String command) {
         JsonObject request = new JsonObject();
         request.addProperty(VERSION_FIELD, VERSION);
@@ -37,9 +37,9 @@
     }
 
     /**
-     * The request on a line, of this version.
+     * Parses a request.
      *
-     * @throws CommandException if it is none
+     * @throws CommandException if the line is not a request of this version
      */
     static JsonObject parseRequest(String line) {
         JsonObject request;
@@ -55,7 +55,7 @@
         return request;
     }
 
-    /** The name of the command that is asked for; empty where there is none. */
+    /** The name of the requested command; empty if there is none. */
     static String command(JsonObject request) {
         JsonElement name = request.get(COMMAND_FIELD);
         return name != null && name.isJsonPrimitive() ? name.getAsString() : "";
@@ -70,7 +70,7 @@
         return answer;
     }
 
-    /** The answer to a request that can't be carried out. */
+    /** The answer to a request that could not be carried out. */
     static JsonObject failure(String reason) {
         JsonObject answer = new JsonObject();
         answer.addProperty(VERSION_FIELD, VERSION);
@@ -80,10 +80,10 @@
     }
 
     /**
-     * The result in an answer.
+     * Parses an answer and returns its result.
      *
-     * @throws ControlClient.RefusedException with the proxy's reason if it holds none
-     * @throws JsonParseException or another unchecked exception if it is of another protocol
+     * @throws ControlClient.RefusedException with the proxy's reason if the command was not carried out
+     * @throws JsonParseException or another unchecked exception if the answer does not follow the protocol
      */
     static JsonObject result(String line) {
         JsonObject answer = JsonParser.parseString(line).getAsJsonObject();
--- a/src/main/java/cacheproxy/control/ControlRegistry.java
+++ b/src/main/java/cacheproxy/control/ControlRegistry.java
@@ -9,17 +9,17 @@
 
 /**
  * The commands, status sections and metrics of a running proxy. Each subsystem registers its own; the control socket
- * and the admin port serve them. All run on the event loop, where alone this may be used, and must not block.
+ * and the admin port serve them. They run on the event loop and must not block. On the event loop only.
  */
 public final class ControlRegistry {
-    /** Of an unknown command's name, so much is repeated in the answer, in characters. */
+    /** The maximum number of characters of an unknown command's name in the answer. */
     private static final int MAX_NAME_SHOWN = 40;
 
     private final Map<String, ControlCommand> commands = new TreeMap<>();
     private final Map<String, Supplier<JsonObject>> sections = new TreeMap<>();
     private final List<Supplier<List<MetricSample>>> metricSources = new ArrayList<>();
 
-    /** With the commands {@code status} and {@code help}. */
+    /** Creates a registry with the commands {@code status} and {@code help}. */
     public ControlRegistry() {
         command("status", arguments -> status());
         command("help", arguments -> help());
@@ -38,28 +38,28 @@
         return help;
     }
 
-    /** Adds a command; its name is new. */
+    /** Registers a command; its name must be new. */
     public void command(String name, ControlCommand command) {
         if (commands.putIfAbsent(name, command) != null) {
-            throw new IllegalStateException("command '" + name + "' is registered already");
+            throw new IllegalStateException("command '" + name + "' is already registered");
         }
     }
 
-    /** Adds a section to {@code status}; its name is new. */
+    /** Registers a section of {@code status}; its name must be new. */
     public void section(String name, Supplier<JsonObject> section) {
         if (sections.putIfAbsent(name, section) != null) {
-            throw new IllegalStateException("status section '" + name + "' is registered already");
+            throw new IllegalStateException("status section '" + name + "' is already registered");
         }
     }
 
-    /** One section of {@code status} as it is now; null if there is none of this name. */
+    /** The current content of a section of {@code status}; null if there is none of this name. */
     JsonObject section(String name) {
         Supplier<JsonObject> section = sections.get(name);
         return section == null ? null : section.get();
     }
 
     /**
-     * Adds a source of metrics; where there is any, {@code status} shows all metrics in the section {@code figures}.
+     * Registers a source of metrics. If there is one, {@code status} shows all metrics in the section {@code figures}.
      */
     public void metrics(Supplier<List<MetricSample>> source) {
         if (metricSources.isEmpty()) {
@@ -74,12 +74,12 @@
         return section;
     }
 
-    /** All metrics as they are now. */
+    /** The current values of all metrics. */
     List<MetricSample> metrics() {
         return metricSources.stream().flatMap(source -> source.get().stream()).toList();
     }
 
-    /** The answer to a request, one line each. */
+    /** Carries out the request on a line and returns the answer, without a line terminator. */
     String answer(String line) {
         try {
             return ControlProtocol.success(run(line)).toString();
--- a/src/main/java/cacheproxy/control/ControlServer.java
+++ b/src/main/java/cacheproxy/control/ControlServer.java
@@ -25,17 +25,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The server of the control socket: requests and answers of {@link ControlProtocol}, on the proxy's event loop. Bounded
- * in connections, in the length of requests and in answers that aren't read.
+ * The server of the control socket. Speaks {@link ControlProtocol} on the proxy's event loop. Limits the number of
+ * connections, the length of requests and the amount of unread answers.
  */
 public final class ControlServer implements AutoCloseable {
-    /** The longest request, in bytes. */
+    /** The maximum length of a request, in bytes. */
     static final int MAX_LINE_BYTES = 64 << 10;
-    /** Connections at a time; one more closes the one that has been idle longest. */
+    /** The maximum number of open connections; a further one closes the one that has been idle longest. */
     static final int MAX_CONNECTIONS = 16;
-    /** A connection that has sent nothing for so long is closed, in seconds. */
+    /** The time after which a connection that sends nothing is closed, in seconds. */
     private static final int IDLE_TIMEOUT_S = 60;
-    /** Answers that a client does not read are buffered up to this many bytes. */
+    /** The maximum size of the answers that are buffered for a client that does not read them, in bytes. */
     private static final int MAX_UNREAD_BYTES = 256 << 10;
 
     private final ControlRegistry registry;
@@ -44,7 +44,7 @@
     private final Set<Channel> connections = new LinkedHashSet<>();
 
     /**
-     * Listens at this path. Blocks, so it is not to be called on the event loop.
+     * Listens on a socket at this path. Blocks, so it must not be called on the event loop.
      *
      * @throws IOException if another process listens there, or the socket can't be created
      */
@@ -90,10 +90,10 @@
     private final class RequestHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            connections.remove(ctx.channel()); // to the end: the last to be closed for another
+            connections.remove(ctx.channel()); // moved to the end, as the most recently used
             connections.add(ctx.channel());
             if (!ctx.channel().isWritable()) {
-                ctx.close(); // it sends requests and does not read the answers
+                ctx.close(); // the client sends requests without reading the answers
                 return;
             }
             send(ctx, registry.answer(line.toString(StandardCharsets.UTF_8)));
--- a/src/main/java/cacheproxy/control/FleetViewControl.java
+++ b/src/main/java/cacheproxy/control/FleetViewControl.java
@@ -9,12 +9,14 @@
 
 /** The section {@code view} of the status, and the command {@code view} that shows each member of the fleet. */
 final class FleetViewControl {
-    /** Members shown: some 120 bytes each, together under what the control socket buffers for a slow reader. */
+    /**
+     * The maximum number of members shown: at about 120 bytes each, they fit into the control socket's write buffer.
+     */
     private static final int MAX_MEMBERS = 2048;
 
     private FleetViewControl() {}
 
-    /** {@code view}: supplies null where this proxy takes no part in the fleet's view. */
+    /** {@code view}: supplies null if this proxy does not take part in the membership view. */
     static void register(ControlRegistry registry, Supplier<FleetViewStatus> view) {
         registry.section("view", () -> summary(view.get()));
         registry.command("view", arguments -> members(view.get()));
--- a/src/main/java/cacheproxy/control/HandoverCommand.java
+++ b/src/main/java/cacheproxy/control/HandoverCommand.java
@@ -2,9 +2,9 @@
 
 import com.google.gson.JsonObject;
 
-/** {@code HANDOVER}: the phase of an upgrade, as the process that is asked sees it. */
+/** {@code HANDOVER}: the handover phase of an upgrade, as seen by this process. */
 final class HandoverCommand implements AdminCommand {
-    /** The section of {@code status} that it is taken from. */
+    /** The section of {@code status} that holds the phase. */
     static final String SECTION = "handover";
 
     @Override
--- a/src/main/java/cacheproxy/control/HealthCommand.java
+++ b/src/main/java/cacheproxy/control/HealthCommand.java
@@ -1,8 +1,8 @@
 package cacheproxy.control;
 
 /**
- * {@code HEALTH}: whether this process accepts clients. The admin port opens only once it does, so whoever can ask is
- * answered yes.
+ * {@code HEALTH}: whether this process accepts clients. The admin port opens only once it does, so the answer is always
+ * {@code OK}.
  */
 final class HealthCommand implements AdminCommand {
     @Override
--- a/src/main/java/cacheproxy/control/MetricSample.java
+++ b/src/main/java/cacheproxy/control/MetricSample.java
@@ -1,18 +1,18 @@
 package cacheproxy.control;
 
 /**
- * The present value of one metric.
+ * The current value of a metric.
  *
- * @param name its parts joined by dots
- * @param kind what it counts
- * @param value a whole number, 0 or more
+ * @param name the name, its parts joined by dots
+ * @param kind the kind of the metric
+ * @param value a non-negative integer
  */
 public record MetricSample(String name, Kind kind, long value) {
-    /** What a metric counts. */
+    /** The kinds of metrics. */
     public enum Kind {
-        /** How often something has happened since the process started. */
+        /** The number of events since the process started. */
         COUNTER,
-        /** How much there is now. */
+        /** A current amount. */
         GAUGE
     }
 }
--- a/src/main/java/cacheproxy/control/ProxyControl.java
+++ b/src/main/java/cacheproxy/control/ProxyControl.java
@@ -8,7 +8,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Registers what operators can ask of a running proxy, whichever way they ask. */
+/**
+ * Registers the commands, status sections and metrics of a running proxy, for the control socket and the admin port.
+ */
 public final class ProxyControl {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
--- a/src/main/java/cacheproxy/control/ProxyMetrics.java
+++ b/src/main/java/cacheproxy/control/ProxyMetrics.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** The metrics of a proxy, by the names of the operators' statsd page. */
+/** The metrics of a proxy, by their documented statsd names. */
 final class ProxyMetrics {
     private ProxyMetrics() {}
 
--- a/src/main/java/cacheproxy/control/RecoverySection.java
+++ b/src/main/java/cacheproxy/control/RecoverySection.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** The section {@code recovery} of the status: how far recovery is, where state came from, and what is stored. */
+/** The section {@code recovery} of the status: the progress of recovery, the sources of state, and the stored state. */
 final class RecoverySection {
     private static final String NAME = "recovery";
     private static final double MS_PER_SECOND = 1000;
@@ -94,14 +94,14 @@
         return rows;
     }
 
-    /** In seconds, to a tenth; no field where the value is NaN or infinite. */
+    /** Adds a duration in seconds, rounded to a tenth; adds no field if the value is NaN or infinite. */
     private static void addSeconds(JsonObject json, String name, double ms) {
         if (!Double.isNaN(ms) && !Double.isInfinite(ms)) {
             json.addProperty(name, Math.round(ms / (MS_PER_SECOND / 10)) / 10.0);
         }
     }
 
-    /** A ratio to a tenth; no field where it is NaN or infinite. */
+    /** Adds a ratio, rounded to a tenth; adds no field if it is NaN or infinite. */
     private static void addTenths(JsonObject json, String name, double ratio) {
         addSeconds(json, name, MS_PER_SECOND * ratio);
     }
--- a/src/main/java/cacheproxy/control/RoutingSection.java
+++ b/src/main/java/cacheproxy/control/RoutingSection.java
@@ -7,9 +7,9 @@
 import com.google.gson.JsonObject;
 import java.util.Comparator;
 
-/** The section {@code routing} of the status: pools, and the routes with most requests. */
+/** The section {@code routing} of the status: the pools, and the routes with the most requests. */
 final class RoutingSection {
-    /** How many pools and routes are shown. */
+    /** The maximum number of pools, and of routes, shown. */
     private static final int MAX_SHOWN = 50;
 
     private RoutingSection() {}
--- a/src/main/java/cacheproxy/control/SocketFile.java
+++ b/src/main/java/cacheproxy/control/SocketFile.java
@@ -13,12 +13,12 @@
 import java.nio.file.attribute.PosixFilePermissions;
 
 /**
- * The file of a control socket. Nobody but its owner may connect at any time, and one that a process listens on is not
- * replaced. The socket is bound in a temporary folder that only the owner may enter, and moved to its path once its
- * mode is set: bound at its path, others could connect before that.
+ * The file of a control socket. Only its owner can connect, and a socket that a process listens on is not replaced. The
+ * socket is bound in a temporary folder that only the owner may enter, and moved to its path once its mode is set: if
+ * it were bound at its path, other users could connect before that.
  */
 final class SocketFile {
-    /** The longest path of a local socket (sun_path without its terminator), in bytes. */
+    /** The maximum length of the path of a Unix domain socket (sun_path without its terminator), in bytes. */
     private static final int MAX_PATH_BYTES = 107;
 
     private final Path path;
@@ -33,14 +33,14 @@
     /**
      * Prepares a socket at this path.
      *
-     * @throws IOException if the path is taken, too long or in no folder
+     * @throws IOException if the path is in use or too long, or its folder does not exist
      */
     static SocketFile prepare(Path wanted) throws IOException {
         Path path = wanted.toAbsolutePath();
         if (Files.exists(path, LinkOption.NOFOLLOW_LINKS)) {
             if (!Files.readAttributes(path, BasicFileAttributes.class, LinkOption.NOFOLLOW_LINKS)
                     .isOther()) {
-                throw new IOException(path + " is there and no socket; name another path");
+                throw new IOException(path + " exists and is no socket; choose another path");
             }
             if (isListening(path)) {
                 throw new IOException("somebody listens at " + path + "; is this proxy running already?");
@@ -79,7 +79,7 @@
         return folder.resolve("s");
     }
 
-    /** The socket is bound: moves it to its path. */
+    /** Sets the mode of the bound socket and moves it to its path. */
     void publish() throws IOException {
         Files.setPosixFilePermissions(temporary(), PosixFilePermissions.fromString("rw-------"));
         key = fileKey(temporary());
@@ -99,7 +99,7 @@
                 Files.delete(path);
             }
         } catch (IOException e) {
-            // it has been deleted already
+            // The file has already been deleted.
         }
     }
 }
--- a/src/main/java/cacheproxy/control/StatusNames.java
+++ b/src/main/java/cacheproxy/control/StatusNames.java
@@ -6,7 +6,7 @@
 import cacheproxy.membership.Reachability;
 import cacheproxy.membership.ServicePhase;
 
-/** The names by which answers to operators show the states of other packages; scripts depend on them. */
+/** The names of other packages' states in answers to operators; scripts depend on them. */
 final class StatusNames {
     private StatusNames() {}
 
--- a/src/main/java/cacheproxy/control/ZoneControl.java
+++ b/src/main/java/cacheproxy/control/ZoneControl.java
@@ -7,7 +7,7 @@
 import com.google.gson.JsonObject;
 import java.util.function.Supplier;
 
-/** The section {@code zones} of the status, and the command {@code zone} by which operators order zones. */
+/** The section {@code zones} of the status, and the command {@code zone} for operators' orders on zones. */
 final class ZoneControl {
     private static final String ZONE = "zone";
     private static final String ORDER = "order";
@@ -19,7 +19,7 @@
         this.zones = zones;
     }
 
-    /** {@code zones}: supplies null where this proxy decides nothing of zones. */
+    /** {@code zones}: supplies null if this proxy takes no part in zone decisions. */
     static void register(ControlRegistry registry, Supplier<ZoneOperations> zones) {
         ZoneControl control = new ZoneControl(zones);
         registry.section("zones", control::status);
--- a/src/test/java/cacheproxy/control/AdminPortTest.java
+++ b/src/test/java/cacheproxy/control/AdminPortTest.java
@@ -49,7 +49,7 @@
         return socket;
     }
 
-    /** All that is answered until the admin port closes the connection. */
+    /** Everything received until the admin port closes the connection. */
     private String send(String text) throws IOException {
         try (Socket socket = connect(text)) {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -103,7 +103,7 @@
                 }
             }
             Await.until(
-                    "most have been ended",
+                    "most have been closed",
                     () -> silent.stream().filter(AdminPortTest::ended).count() >= 300 - AdminPort.MAX_CONNECTIONS);
             assertThat(send("HEALTH\r\n")).isEqualTo("OK\n");
         } finally {
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Whether the other side has ended it; waits a moment at most. */
+    /** Whether the other side has closed the connection; waits 1 ms at most. */
     private static boolean ended(Socket socket) {
         try {
             socket.setSoTimeout(1);
--- a/src/test/java/cacheproxy/control/ControlServerTest.java
+++ b/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -148,7 +148,7 @@
             channel.configureBlocking(false);
         }
         Await.until(
-                "the oldest have made room",
+                "the oldest have been closed",
                 () -> silent.stream()
                                 .filter(c -> {
                                     try {
@@ -170,7 +170,7 @@
         try (SocketChannel channel = raw("")) {
             channel.configureBlocking(false);
             ByteBuffer ask = ByteBuffer.wrap("{\"v\":1,\"command\":\"flood\"}\n".getBytes(UTF_8));
-            Await.until("it is ended", () -> {
+            Await.until("it is closed", () -> {
                 try {
                     for (int i = 0; i < 50; i++) {
                         channel.write(ask.rewind());
@@ -181,7 +181,7 @@
                 }
             });
         }
-        assertThat(floods.get()).as("answers that were kept for it").isBetween(1, 100);
+        assertThat(floods.get()).as("answers that were buffered for it").isBetween(1, 100);
         assertServes();
     }
 
--- a/src/test/java/cacheproxy/control/StatusNamesTest.java
+++ b/src/test/java/cacheproxy/control/StatusNamesTest.java
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** The words that scripts of operators look for. */
+/** The state names that operators' scripts depend on. */
 class StatusNamesTest {
     @Test
     void statusNamesAreStable() {
