--- a/src/test/java/cacheproxy/failover/FailoverPlanTest.java
+++ b/src/test/java/cacheproxy/failover/FailoverPlanTest.java
@@ -52,16 +52,16 @@
     }
 
     @Property(seed = "3")
-    void aNoteEncodesTheWholePlan(@ForAll("plans") FailoverPlan a) {
-        byte[] note = a.encode();
-        assertThat(note.length).isLessThanOrEqualTo(24);
-        assertThat(FailoverPlan.decode(note, 4)).isEqualTo(a.hasDecisions() ? a : FailoverPlan.initial(4));
+    void metadataEncodesTheWholePlan(@ForAll("plans") FailoverPlan a) {
+        byte[] metadata = a.encode();
+        assertThat(metadata.length).isLessThanOrEqualTo(24);
+        assertThat(FailoverPlan.decode(metadata, 4)).isEqualTo(a.hasDecisions() ? a : FailoverPlan.initial(4));
         assertThat(FailoverPlan.decode(new byte[5], 4)).isEqualTo(FailoverPlan.initial(4));
     }
 
-    /** The vectors of docs/design/members-wire.md. */
+    /** The test vectors of docs/design/members-wire.md. */
     @Test
-    void notesAreEncodedAsOnTheWirePage() {
+    void metadataIsEncodedAsOnTheWirePage() {
         HexFormat hex = HexFormat.of();
         FailoverPlan plan = FailoverPlan.initial(2).with(0, ZoneState.INITIAL.next(0, Cause.EVIDENCE, 1));
         assertThat(hex.formatHex(plan.encode())).isEqualTo("00000104000000f0");
@@ -93,14 +93,14 @@
 
     @Test
     void anOrderPrevailsOverEvidenceOfItsEpochAndNotOfALaterOne() {
-        ZoneState seen = new ZoneState(3, 15, Cause.EVIDENCE, 0);
-        ZoneState told = new ZoneState(3, 0, Cause.LEAVE, 0);
-        assertThat(new FailoverPlan(List.of(seen))
-                        .join(new FailoverPlan(List.of(told)))
+        ZoneState evidence = new ZoneState(3, 15, Cause.EVIDENCE, 0);
+        ZoneState order = new ZoneState(3, 0, Cause.LEAVE, 0);
+        assertThat(new FailoverPlan(List.of(evidence))
+                        .join(new FailoverPlan(List.of(order)))
                         .stateOf(0))
-                .isEqualTo(told);
+                .isEqualTo(order);
         ZoneState later = new ZoneState(4, 15, Cause.EVIDENCE, 0);
-        assertThat(new FailoverPlan(List.of(told))
+        assertThat(new FailoverPlan(List.of(order))
                         .join(new FailoverPlan(List.of(later)))
                         .stateOf(0))
                 .isEqualTo(later);
