--- a/src/main/java/cacheproxy/cli/DemoCommand.java
+++ b/src/main/java/cacheproxy/cli/DemoCommand.java
@@ -3,10 +3,10 @@
 import cacheproxy.demo.OracleObserver;
 import cacheproxy.demo.ProxiedFleet;
 import cacheproxy.emulator.Fault;
+import cacheproxy.emulator.FaultSchedules;
 import cacheproxy.emulator.FleetSpec;
 import cacheproxy.emulator.FrontLayer;
 import cacheproxy.emulator.Oracle;
-import cacheproxy.emulator.Unrest;
 import cacheproxy.load.Generator;
 import cacheproxy.load.Report;
 import cacheproxy.load.Workload;
@@ -155,13 +155,13 @@
     private List<Fault> unrest(FleetSpec of) {
         List<Fault> faults = new ArrayList<>();
         if (upgrade != null) {
-            faults.addAll(Unrest.upgrades(upgrade.ms(), traffic.length.ms(), of.proxies()));
+            faults.addAll(FaultSchedules.upgrades(upgrade.ms(), traffic.length.ms(), of.proxies()));
         }
         if (release != null) {
-            faults.addAll(Unrest.release(release.ms(), of.proxies()));
+            faults.addAll(FaultSchedules.release(release.ms(), of.proxies()));
         }
         if (replace != null) {
-            faults.addAll(Unrest.replacements(replace.ms(), traffic.length.ms(), of.nodes()));
+            faults.addAll(FaultSchedules.replacements(replace.ms(), traffic.length.ms(), of.nodes()));
         }
         return faults;
     }
--- a/src/main/java/cacheproxy/demo/OracleObserver.java
+++ b/src/main/java/cacheproxy/demo/OracleObserver.java
@@ -1,8 +1,8 @@
 package cacheproxy.demo;
 
+import cacheproxy.emulator.EmulatedFleet;
 import cacheproxy.emulator.Oracle;
 import cacheproxy.emulator.Series.What;
-import cacheproxy.emulator.StandInFleet;
 import cacheproxy.emulator.meta.MetaAnswer;
 import cacheproxy.emulator.meta.MetaAnswerDecoder;
 import cacheproxy.load.Observer;
@@ -17,7 +17,7 @@
     /** What an answer's way through the event loops may take after its time was noted. */
     private static final long LOOP_MS = 100;
 
-    private final StandInFleet fleet;
+    private final EmulatedFleet fleet;
     private final IntUnaryOperator takenBy;
     /** When open requests were asked, and until when an answer is in time; on the fleet's event loop only. */
     private final Map<String, double[]> open = new HashMap<>();
@@ -26,7 +26,7 @@
      * For this fleet's oracle; {@code takenBy}: which proxy took the connection from a client's port, negative for
      * none.
      */
-    public OracleObserver(StandInFleet fleet, IntUnaryOperator takenBy) {
+    public OracleObserver(EmulatedFleet fleet, IntUnaryOperator takenBy) {
         this.fleet = fleet;
         this.takenBy = takenBy;
     }
--- a/src/main/java/cacheproxy/demo/ProxiedFleet.java
+++ b/src/main/java/cacheproxy/demo/ProxiedFleet.java
@@ -1,12 +1,12 @@
 package cacheproxy.demo;
 
 import cacheproxy.control.ControlClient;
+import cacheproxy.emulator.EmulatedFleet;
 import cacheproxy.emulator.Fault;
 import cacheproxy.emulator.FleetSpec;
 import cacheproxy.emulator.FrontLayer;
 import cacheproxy.emulator.LinkFault;
 import cacheproxy.emulator.Sockets;
-import cacheproxy.emulator.StandInFleet;
 import cacheproxy.emulator.TrafficClass;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -40,7 +40,7 @@
 
     private static final double KILL_SLACK_MS = 700;
 
-    private final StandInFleet fleet;
+    private final EmulatedFleet fleet;
     private final FrontLayer front;
     private final List<ProxyProcess> proxies = new ArrayList<>();
     /** The front is a machine of its own, and must not wait for the nodes. */
@@ -72,7 +72,7 @@
         retuned = new boolean[spec.proxies()];
         folder = Files.createTempDirectory("cacheproxy");
         Runtime.getRuntime().addShutdownHook(hook);
-        fleet = new StandInFleet(spec);
+        fleet = new EmulatedFleet(spec);
         try {
             for (int i = 0; i < spec.proxies(); i++) {
                 proxies.add(new ProxyProcess(
@@ -111,7 +111,7 @@
     }
 
     /** The stand-ins. */
-    public StandInFleet fleet() {
+    public EmulatedFleet fleet() {
         return fleet;
     }
 
--- a/src/main/java/cacheproxy/demo/ProxyConfig.java
+++ b/src/main/java/cacheproxy/demo/ProxyConfig.java
@@ -1,8 +1,8 @@
 package cacheproxy.demo;
 
+import cacheproxy.emulator.EmulatedFleet;
 import cacheproxy.emulator.FleetSpec;
 import cacheproxy.emulator.Keys;
-import cacheproxy.emulator.StandInFleet;
 import cacheproxy.emulator.TrafficClass;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -20,7 +20,7 @@
      * {@code retuned}: with a class that nobody uses and one attempt less.
      */
     static JsonObject of(
-            StandInFleet fleet, int proxy, InetSocketAddress listen, int turn, int memoryMb, boolean retuned) {
+            EmulatedFleet fleet, int proxy, InetSocketAddress listen, int turn, int memoryMb, boolean retuned) {
         FleetSpec spec = fleet.spec();
         JsonObject o = new JsonObject();
         o.addProperty("name", "proxy-" + proxy);
--- a/src/main/java/cacheproxy/emulator/CacheNode.java
+++ b/src/main/java/cacheproxy/emulator/CacheNode.java
@@ -23,13 +23,13 @@
 
     private static final double MISS_WORK = 0.05;
 
-    private final StandInFleet fleet;
+    private final EmulatedFleet fleet;
     private final String name;
     private final double speed;
     private final Listener listener;
     private final LruStore<String> store;
     private final Service core;
-    private final Set<AnswerLine> lines = new HashSet<>();
+    private final Set<ResponsePipeline> lines = new HashSet<>();
     private final Random random;
     private ColdStart start;
     private double spoiltShare;
@@ -37,7 +37,7 @@
     private double heldAtStart;
     private int life;
 
-    CacheNode(StandInFleet fleet, String name, double speed, long seed) {
+    CacheNode(EmulatedFleet fleet, String name, double speed, long seed) {
         this.fleet = fleet;
         this.name = name;
         this.speed = speed;
@@ -102,7 +102,7 @@
         }
         core.offer(() -> {}, fleet.spec().workMs() * HANDSHAKE_WORK);
         fleet.series().count(proxy, Series.What.OPENED);
-        AnswerLine line = new AnswerLine(channel, listener);
+        ResponsePipeline line = new ResponsePipeline(channel, listener);
         lines.add(line);
         channel.closeFuture().addListener(f -> lines.remove(line));
         channel.pipeline().addLast(new MetaCommandDecoder(), new SimpleChannelInboundHandler<MetaCommand>() {
@@ -118,7 +118,7 @@
         });
     }
 
-    private void take(ChannelHandlerContext ctx, AnswerLine line, int proxy, MetaCommand command) {
+    private void take(ChannelHandlerContext ctx, ResponsePipeline line, int proxy, MetaCommand command) {
         if (command instanceof MetaCommand.Read read) {
             read(line, proxy, read);
         } else if (command instanceof MetaCommand.Write) {
@@ -132,11 +132,11 @@
         }
     }
 
-    private void read(AnswerLine line, int proxy, MetaCommand.Read read) {
+    private void read(ResponsePipeline line, int proxy, MetaCommand.Read read) {
         double now = fleet.now();
         fleet.oracle().sent(proxy, name, read.id(), now);
         fleet.series().attempt(proxy, fleet.spec().layout().zoneOf(Parties.number(name)));
-        AnswerLine.Slot slot = line.next();
+        ResponsePipeline.Slot slot = line.next();
         boolean hit = held(read.key()) != null;
         double work = fleet.work(read.id(), read.extras()) * (hit ? 1 : MISS_WORK);
         if (start.pushedOver(now, work)) {
@@ -196,7 +196,7 @@
     void freeze(boolean on) {
         listener.freeze(on);
         if (!on) {
-            lines.forEach(AnswerLine::flush);
+            lines.forEach(ResponsePipeline::flush);
         }
     }
 
--- a/src/main/java/cacheproxy/emulator/DiscoveryServer.java
+++ b/src/main/java/cacheproxy/emulator/DiscoveryServer.java
@@ -63,8 +63,8 @@
         }
     }
 
-    private final StandInFleet fleet;
-    private final Roster roster;
+    private final EmulatedFleet fleet;
+    private final HostList roster;
     private final Listener listener;
     private final List<Watch> watches = new ArrayList<>();
     private final Deque<Version> older = new ArrayDeque<>();
@@ -75,9 +75,9 @@
     private double freeMs;
 
     /** The whole list as it was once. */
-    private record Version(long seq, List<Roster.Host> hosts) {}
+    private record Version(long seq, List<HostList.Host> hosts) {}
 
-    DiscoveryServer(StandInFleet fleet, Roster roster) {
+    DiscoveryServer(EmulatedFleet fleet, HostList roster) {
         this.fleet = fleet;
         this.roster = roster;
         random = new SplittableRandom(fleet.spec().seed());
@@ -204,7 +204,7 @@
         }
     }
 
-    private void answer(int proxy, ChannelHandlerContext ctx, List<Roster.Host> hosts, boolean whole) {
+    private void answer(int proxy, ChannelHandlerContext ctx, List<HostList.Host> hosts, boolean whole) {
         double now = fleet.now();
         if (freeMs - now > PATIENCE_MS) {
             send(ctx, 503, "{}");
@@ -228,8 +228,8 @@
     }
 
     /** Counts from when the last byte is on its way to the proxy, whatever its link did to it before. */
-    private void told(int proxy, List<Roster.Host> hosts) {
-        hosts.forEach(h -> fleet.oracle().told(proxy, h.name(), h.health() == Roster.Health.UP, fleet.now()));
+    private void told(int proxy, List<HostList.Host> hosts) {
+        hosts.forEach(h -> fleet.oracle().told(proxy, h.name(), h.health() == HostList.Health.UP, fleet.now()));
     }
 
     private static ChannelFuture send(ChannelHandlerContext ctx, int status, String body) {
@@ -244,12 +244,12 @@
     }
 
     /** A list as a proxy is told it, with the addresses that it dials. */
-    static JsonObject json(int proxy, long seq, List<Roster.Host> hosts, boolean whole) {
+    static JsonObject json(int proxy, long seq, List<HostList.Host> hosts, boolean whole) {
         JsonObject list = new JsonObject();
         list.addProperty("seq", seq);
         list.addProperty("whole", whole);
         JsonArray entries = new JsonArray();
-        for (Roster.Host h : hosts) {
+        for (HostList.Host h : hosts) {
             JsonObject entry = new JsonObject();
             entry.addProperty("host", h.name());
             entry.addProperty(
--- a/src/main/java/cacheproxy/emulator/StandInFleet.java
+++ b/src/main/java/cacheproxy/emulator/EmulatedFleet.java
@@ -22,7 +22,7 @@
  * A fleet of stand-ins on loopback: cache nodes, the origin, discovery, and the oracle that all of them report to.
  * Everything runs on one event loop of its own; public methods may be called from any other thread.
  */
-public final class StandInFleet implements AutoCloseable {
+public final class EmulatedFleet implements AutoCloseable {
     /** How long a miss waits for the fetch that fills it. */
     private static final double MISS_MEMORY_MS = 10_000;
 
@@ -41,7 +41,7 @@
     private final long startNanos = System.nanoTime();
     private final long startUnixMs = System.currentTimeMillis();
     private final Oracle oracle;
-    private final Roster roster = new Roster();
+    private final HostList roster = new HostList();
     private final Map<String, CacheNode> nodes = new LinkedHashMap<>();
     private final OriginServer origin;
     private final DiscoveryServer discovery;
@@ -56,7 +56,7 @@
     private ProxyFaults proxyFaults = (proxy, fault) -> {};
 
     /** Opens all sockets; returns when they listen. */
-    public StandInFleet(FleetSpec spec) {
+    public EmulatedFleet(FleetSpec spec) {
         this.spec = spec;
         oracle = new Oracle(spec.drainGraceMs(), spec.answerGraceMs());
         links = new Links(spec);
@@ -64,8 +64,8 @@
         spec.classes().forEach(c -> classWork.put(c.name(), c.work()));
         SplittableRandom random = new SplittableRandom(spec.seed());
         origin = new OriginServer(this);
-        roster.put(new Roster.Host(
-                Parties.ORIGIN, texts(origin.listener()), sites().get(0), "origin", 0, Roster.Health.UP, 0));
+        roster.put(new HostList.Host(
+                Parties.ORIGIN, texts(origin.listener()), sites().get(0), "origin", 0, HostList.Health.UP, 0));
         for (int i = 0; i < spec.nodes(); i++) {
             String name = Parties.node(i);
             // Fast and slow machines, as merged fleets have them.
@@ -73,13 +73,13 @@
             double speed = fast ? random.nextDouble(1.5, 2.1) : random.nextDouble(0.77, 1);
             CacheNode node = new CacheNode(this, name, speed, random.nextLong());
             nodes.put(name, node);
-            roster.put(new Roster.Host(
+            roster.put(new HostList.Host(
                     name,
                     texts(node.listener()),
                     sites().get(spec.layout().zoneOf(i)),
                     fast ? "node-fast" : "node-slow",
                     i,
-                    Roster.Health.UP,
+                    HostList.Health.UP,
                     0));
         }
         discovery = new DiscoveryServer(this, roster);
@@ -88,7 +88,7 @@
     }
 
     private static List<String> texts(Listener listener) {
-        return listener.addresses().stream().map(StandInFleet::text).toList();
+        return listener.addresses().stream().map(EmulatedFleet::text).toList();
     }
 
     private static String text(InetSocketAddress address) {
@@ -333,7 +333,7 @@
     void pushedOver(CacheNode node) {
         oracle.pushedOver(node.name(), now());
         node.die();
-        notice(node.name(), Roster.Health.REMOVED);
+        notice(node.name(), HostList.Health.REMOVED);
     }
 
     // ---- faults
@@ -342,7 +342,7 @@
         loop.schedule(task, (long) (ms * 1e6), TimeUnit.NANOSECONDS);
     }
 
-    private void notice(String name, Roster.Health health) {
+    private void notice(String name, HostList.Health health) {
         after(spec.noticeMs(), () -> {
             roster.health(name, health);
             listChanged(name, health);
@@ -391,13 +391,13 @@
 
     /** Whether what discovery writes to a proxy comes there, if late. */
     private boolean reachesDiscovery(int proxy) {
-        Way there = links.way(Parties.proxy(proxy), Parties.DISCOVERY);
-        Way back = links.way(Parties.DISCOVERY, Parties.proxy(proxy));
+        LinkConditions there = links.way(Parties.proxy(proxy), Parties.DISCOVERY);
+        LinkConditions back = links.way(Parties.DISCOVERY, Parties.proxy(proxy));
         return there.sound() && back.sound();
     }
 
-    private void listChanged(String node, Roster.Health health) {
-        oracle.changed(node, health == Roster.Health.UP, now());
+    private void listChanged(String node, HostList.Health health) {
+        oracle.changed(node, health == HostList.Health.UP, now());
         discovery.changed();
     }
 
@@ -434,15 +434,15 @@
             }
             case LEAVE -> {
                 node.die();
-                notice(node.name(), Roster.Health.REMOVED);
+                notice(node.name(), HostList.Health.REMOVED);
             }
-            case DRAIN -> notice(node.name(), Roster.Health.DRAINING);
+            case DRAIN -> notice(node.name(), HostList.Health.DRAINING);
             case RESTART -> {
                 node.die();
                 after(
                         f.forMs(),
                         () -> node.live(() -> {
-                            Roster.Host host = roster.get(node.name()).born(startUnixMs + (long) now());
+                            HostList.Host host = roster.get(node.name()).born(startUnixMs + (long) now());
                             after(spec.noticeMs(), () -> {
                                 roster.put(host);
                                 listChanged(node.name(), host.health());
--- a/src/main/java/cacheproxy/emulator/Unrest.java
+++ b/src/main/java/cacheproxy/emulator/FaultSchedules.java
@@ -7,7 +7,7 @@
  * Faults that come in numbers, as a large fleet has them: written out as a script's lines would be. Times in
  * milliseconds.
  */
-public final class Unrest {
+public final class FaultSchedules {
     /** What a process needs to start at all; nothing is repeated faster. */
     public static final double LEAST_MS = 100;
     /** How long one that is killed, or replaced, is away. */
@@ -15,7 +15,7 @@
     /** Of all proxies, as on the operators' days. */
     private static final double RELEASE_PART = 0.8;
 
-    private Unrest() {}
+    private FaultSchedules() {}
 
     /**
      * A release goes wrong: eight in ten proxies, one at least, are killed in one moment and start together 1 s later.
--- a/src/main/java/cacheproxy/emulator/Roster.java
+++ b/src/main/java/cacheproxy/emulator/HostList.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Discovery's list: what each host is said to be, and since which version. */
-final class Roster {
+final class HostList {
     /** {@code addresses}: where each proxy dials it, in their order. */
     record Host(String name, List<String> addresses, String site, String kind, int block, Health health, long bornMs) {
         Host with(Health other) {
--- a/src/main/java/cacheproxy/emulator/Way.java
+++ b/src/main/java/cacheproxy/emulator/LinkConditions.java
@@ -12,7 +12,7 @@
  * @param hold of pieces of a stream that stand still half way, with all that follows
  * @param reset of pieces of a stream in whose place the connection is reset
  */
-public record Way(
+public record LinkConditions(
         boolean cut,
         double delayMs,
         double jitterMs,
@@ -22,12 +22,12 @@
         double hold,
         double reset) {
     /** All arrives at once. */
-    public static final Way OPEN = new Way(false, 0, 0, 0, 0, 0, 0, 0);
+    public static final LinkConditions OPEN = new LinkConditions(false, 0, 0, 0, 0, 0, 0, 0);
     /** Nothing arrives. */
-    public static final Way CUT = new Way(true, 0, 0, 0, 0, 0, 0, 0);
+    public static final LinkConditions CUT = new LinkConditions(true, 0, 0, 0, 0, 0, 0, 0);
 
     /** Checks the ranges. */
-    public Way {
+    public LinkConditions {
         for (double share : new double[] {lose, twice, reorder, hold, reset}) {
             if (!(share >= 0 && share <= 1)) {
                 throw new IllegalArgumentException("a share of " + share + "; it takes 0 to 1");
@@ -45,13 +45,13 @@
     }
 
     /** Only slower. */
-    public static Way slow(double delayMs) {
-        return delayMs == 0 ? OPEN : new Way(false, delayMs, 0, 0, 0, 0, 0, 0);
+    public static LinkConditions slow(double delayMs) {
+        return delayMs == 0 ? OPEN : new LinkConditions(false, delayMs, 0, 0, 0, 0, 0, 0);
     }
 
     /** This way with another's troubles on top. */
-    public Way and(Way b) {
-        return new Way(
+    public LinkConditions and(LinkConditions b) {
+        return new LinkConditions(
                 cut || b.cut,
                 Math.min(60_000, delayMs + b.delayMs),
                 Math.min(60_000, jitterMs + b.jitterMs),
--- a/src/main/java/cacheproxy/emulator/LinkFault.java
+++ b/src/main/java/cacheproxy/emulator/LinkFault.java
@@ -14,7 +14,7 @@
  * @param way what happens to it
  */
 public record LinkFault(
-        String name, double atMs, double forMs, Set<String> at, Set<String> from, boolean oneWay, Way way) {
+        String name, double atMs, double forMs, Set<String> at, Set<String> from, boolean oneWay, LinkConditions way) {
     /** Checks the ranges. */
     public LinkFault {
         at = Set.copyOf(at);
--- a/src/main/java/cacheproxy/emulator/LinkHandler.java
+++ b/src/main/java/cacheproxy/emulator/LinkHandler.java
@@ -27,7 +27,7 @@
     private final class Side {
         private final boolean inward;
         private final ArrayDeque<Held> held = new ArrayDeque<>();
-        private Way way = Way.OPEN;
+        private LinkConditions way = LinkConditions.OPEN;
         private double lastDueMs;
         /** A piece stands still half way, until the way changes. */
         private boolean still;
@@ -38,7 +38,7 @@
             this.inward = inward;
         }
 
-        void settle(Way next) {
+        void settle(LinkConditions next) {
             way = next;
             still = false;
             release();
@@ -134,7 +134,7 @@
 
         @SuppressWarnings("ReferenceEquality") // links hand out the constant itself
         boolean passesAtOnce() {
-            return way == Way.OPEN && held.isEmpty() && !still;
+            return way == LinkConditions.OPEN && held.isEmpty() && !still;
         }
 
         void drop() {
@@ -159,7 +159,7 @@
     private ChannelHandlerContext ctx;
 
     /** With these ways to begin with. */
-    LinkHandler(Way in, Way out, SplittableRandom random) {
+    LinkHandler(LinkConditions in, LinkConditions out, SplittableRandom random) {
         this.random = random;
         this.in.way = in;
         this.out.way = out;
@@ -177,7 +177,7 @@
     }
 
     /** The ways have changed: what waited for that goes on. */
-    void settle(Way inward, Way outward) {
+    void settle(LinkConditions inward, LinkConditions outward) {
         in.settle(inward);
         out.settle(outward);
     }
--- a/src/main/java/cacheproxy/emulator/Links.java
+++ b/src/main/java/cacheproxy/emulator/Links.java
@@ -26,10 +26,10 @@
     }
 
     /** What happens now to what one part sends to another. */
-    public Way way(String sender, String receiver) {
+    public LinkConditions way(String sender, String receiver) {
         int a = parties.zone(sender);
         int b = parties.zone(receiver);
-        Way way = Way.slow(a >= 0 && b >= 0 && a != b ? layout.betweenMs() : 0);
+        LinkConditions way = LinkConditions.slow(a >= 0 && b >= 0 && a != b ? layout.betweenMs() : 0);
         for (LinkFault f : now) {
             if (f.concerns(sender, receiver)) {
                 way = way.and(f.way());
--- a/src/main/java/cacheproxy/emulator/Listener.java
+++ b/src/main/java/cacheproxy/emulator/Listener.java
@@ -50,8 +50,8 @@
     private boolean open = true;
     private boolean frozen;
 
-    private record Ways(Way in, Way out) {
-        static final Ways OPEN = new Ways(Way.OPEN, Way.OPEN);
+    private record Ways(LinkConditions in, LinkConditions out) {
+        static final Ways OPEN = new Ways(LinkConditions.OPEN, LinkConditions.OPEN);
 
         boolean cut() {
             return in.cut() || out.cut();
@@ -205,7 +205,7 @@
      * comes up: the system's queue is made as short as can be and kept full, so that it drops what would open one, as
      * it drops it on a machine that is cut off.
      */
-    void ways(int socket, Way in, Way out) {
+    void ways(int socket, LinkConditions in, LinkConditions out) {
         Ways before = ways.getOrDefault(socket, Ways.OPEN);
         Ways now = new Ways(in, out);
         if (now.equals(before)) {
--- a/src/main/java/cacheproxy/emulator/OriginServer.java
+++ b/src/main/java/cacheproxy/emulator/OriginServer.java
@@ -33,17 +33,17 @@
 
     private record Receipt(long version, double atMs) {}
 
-    private final StandInFleet fleet;
+    private final EmulatedFleet fleet;
     private final Listener listener;
     private final Service slots;
     private final Map<String, Long> versions = new HashMap<>();
     /** The receipts of keyed writes for as long as repeats are dropped, oldest first. */
     private final Map<String, Receipt> receipts = new LinkedHashMap<>();
 
-    private final Set<AnswerLine> lines = new HashSet<>();
+    private final Set<ResponsePipeline> lines = new HashSet<>();
     private long fetches;
 
-    OriginServer(StandInFleet fleet) {
+    OriginServer(EmulatedFleet fleet) {
         this.fleet = fleet;
         int places = fleet.spec().originSlots();
         slots = new Service(fleet, new ServiceModel<>(places, places * QUEUE_PER_SLOT), () -> 1);
@@ -69,7 +69,7 @@
 
     private void accepted(Channel channel, int socket) {
         fleet.series().count(socket, Series.What.OPENED);
-        AnswerLine line = new AnswerLine(channel, listener);
+        ResponsePipeline line = new ResponsePipeline(channel, listener);
         lines.add(line);
         channel.closeFuture().addListener(f -> lines.remove(line));
         channel.pipeline()
@@ -89,8 +89,8 @@
                         });
     }
 
-    private void take(AnswerLine line, int proxy, FullHttpRequest request) {
-        AnswerLine.Slot slot = line.next();
+    private void take(ResponsePipeline line, int proxy, FullHttpRequest request) {
+        ResponsePipeline.Slot slot = line.next();
         String key = request.uri().substring(1);
         String id = request.headers().get("Req-Id", "");
         String extras = request.headers().get("Req-Extra", "");
@@ -156,7 +156,7 @@
     void freeze(boolean on) {
         listener.freeze(on);
         if (!on) {
-            lines.forEach(AnswerLine::flush);
+            lines.forEach(ResponsePipeline::flush);
         }
     }
 }
--- a/src/main/java/cacheproxy/emulator/PeerRelay.java
+++ b/src/main/java/cacheproxy/emulator/PeerRelay.java
@@ -24,7 +24,7 @@
     /** What one may be overtaken by. */
     private static final double OVERTAKEN_MS = 20;
 
-    private final StandInFleet fleet;
+    private final EmulatedFleet fleet;
     private final Links links;
     private final SplittableRandom random;
     /** Where each proxy listens. */
@@ -33,7 +33,7 @@
     private final Channel[][] ends;
 
     /** Opens all sockets, waiting for it; not on the event loop. */
-    PeerRelay(StandInFleet fleet, Links links) {
+    PeerRelay(EmulatedFleet fleet, Links links) {
         this.fleet = fleet;
         this.links = links;
         int n = fleet.spec().proxies();
@@ -111,8 +111,8 @@
 
     @SuppressWarnings("ReferenceEquality") // links hand out the constant itself
     private void relay(int from, int to, ByteBuf message) {
-        Way way = links.way(Parties.proxy(from), Parties.proxy(to));
-        if (way == Way.OPEN) {
+        LinkConditions way = links.way(Parties.proxy(from), Parties.proxy(to));
+        if (way == LinkConditions.OPEN) {
             deliver(from, to, message.retainedDuplicate());
             return;
         }
--- a/src/main/java/cacheproxy/emulator/AnswerLine.java
+++ b/src/main/java/cacheproxy/emulator/ResponsePipeline.java
@@ -7,7 +7,7 @@
  * The answers of one connection, given in the order of their commands whenever each is ready. What is ready waits while
  * the process is frozen.
  */
-final class AnswerLine {
+final class ResponsePipeline {
     /** Where one command's answer goes. */
     static final class Slot {
         private Object answer;
@@ -17,7 +17,7 @@
     private final Listener listener;
     private final ArrayDeque<Slot> slots = new ArrayDeque<>();
 
-    AnswerLine(Channel channel, Listener listener) {
+    ResponsePipeline(Channel channel, Listener listener) {
         this.channel = channel;
         this.listener = listener;
     }
--- a/src/main/java/cacheproxy/emulator/Service.java
+++ b/src/main/java/cacheproxy/emulator/Service.java
@@ -6,14 +6,14 @@
 
 /** A {@link ServiceModel} in real time: runs what is done when it is done. Belongs to the fleet's event loop. */
 final class Service {
-    private final StandInFleet fleet;
+    private final EmulatedFleet fleet;
     private final ServiceModel<Runnable> model;
     private final DoubleSupplier speed;
     private Future<?> timer;
     private double timerMs = Double.POSITIVE_INFINITY;
 
     /** {@code speed}: at the time when it is asked. */
-    Service(StandInFleet fleet, ServiceModel<Runnable> model, DoubleSupplier speed) {
+    Service(EmulatedFleet fleet, ServiceModel<Runnable> model, DoubleSupplier speed) {
         this.fleet = fleet;
         this.model = model;
         this.speed = speed;
--- a/src/main/java/cacheproxy/lab/ScenarioFile.java
+++ b/src/main/java/cacheproxy/lab/ScenarioFile.java
@@ -12,11 +12,11 @@
 import cacheproxy.emulator.FleetSpec;
 import cacheproxy.emulator.Layout;
 import cacheproxy.emulator.Layout.Part;
+import cacheproxy.emulator.LinkConditions;
 import cacheproxy.emulator.LinkFault;
 import cacheproxy.emulator.Parties;
 import cacheproxy.emulator.Series.What;
 import cacheproxy.emulator.TrafficClass;
-import cacheproxy.emulator.Way;
 import cacheproxy.lab.Scenario.Band;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -259,7 +259,7 @@
         if (fault.has(FROM) && !links) {
             problems.add(fault.placeOf(FROM), "from belongs to cut or link", "leave it out");
         }
-        if (fault.has(LINK) && !fault.has(CUT) && way(fault).equals(Way.OPEN)) {
+        if (fault.has(LINK) && !fault.has(CUT) && way(fault).equals(LinkConditions.OPEN)) {
             problems.add(
                     fault.placeOf(LINK), "nothing happens on this link", "say what, as lose = 50% or delay = 30ms");
         }
@@ -445,7 +445,7 @@
             Set<String> these = parties.match(f.texts(CUT));
             Set<String> from = new LinkedHashSet<>(f.has(FROM) ? parties.match(f.texts(FROM)) : parties.all());
             from.removeAll(these);
-            links.add(new LinkFault(f.name(), at, length, these, from, f.on("one-way"), Way.CUT));
+            links.add(new LinkFault(f.name(), at, length, these, from, f.on("one-way"), LinkConditions.CUT));
         }
         if (f.has(LINK)) {
             Set<String> these = parties.match(f.texts(LINK));
@@ -480,8 +480,8 @@
                 .orElse(Fault.State.KEPT);
     }
 
-    private static Way way(Entry f) {
-        return new Way(
+    private static LinkConditions way(Entry f) {
+        return new LinkConditions(
                 false,
                 f.number("delay", 0),
                 f.number("jitter", 0),
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -192,7 +192,7 @@
     void emulatorAndLoadModelsDoNoInputOrOutput() {
         noClasses()
                 .that()
-                .haveNameMatching("cacheproxy\\.fleet\\.(Oracle|ServiceModel|ColdStart|LruStore|Roster|"
+                .haveNameMatching("cacheproxy\\.fleet\\.(Oracle|ServiceModel|ColdStart|LruStore|HostList|"
                         + "FaultScript|Fault|Payload|Keys|TrafficClass|FleetSpec)(\\$.*)?")
                 .or()
                 .haveNameMatching("cacheproxy\\.load\\.(Shape|Zipf|SyntheticWorkload|Planned)(\\$.*)?")
--- a/src/test/java/cacheproxy/cli/CliTest.java
+++ b/src/test/java/cacheproxy/cli/CliTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.emulator.EmulatedFleet;
 import cacheproxy.emulator.FleetSpec;
-import cacheproxy.emulator.StandInFleet;
 import cacheproxy.metrics.Metric;
 import cacheproxy.metrics.MetricsLine;
 import com.google.gson.JsonObject;
@@ -62,7 +62,7 @@
     @Test
     void loadWritesItsReportsAndMergeJoinsThem() throws Exception {
         FleetSpec spec = FleetSpec.standard(1, 1, 1).withWork(0, 0).withHeld(1);
-        try (StandInFleet fleet = new StandInFleet(spec)) {
+        try (EmulatedFleet fleet = new EmulatedFleet(spec)) {
             String target = "127.0.0.1:" + fleet.nodes(0).get("node-0").getPort();
             for (String name : new String[] {"a", "b"}) {
                 int code = run(
@@ -115,8 +115,8 @@
             trace.append(i).append(",seg-text,7f,read,0\n");
         }
         Files.writeString(folder.resolve("day.csv"), trace);
-        try (StandInFleet fleet =
-                new StandInFleet(FleetSpec.standard(1, 1, 1).withWork(0, 0).withHeld(1))) {
+        try (EmulatedFleet fleet =
+                new EmulatedFleet(FleetSpec.standard(1, 1, 1).withWork(0, 0).withHeld(1))) {
             assertThat(run(
                             "load",
                             "--target",
--- a/src/test/java/cacheproxy/demo/BrokenProxy.java
+++ b/src/test/java/cacheproxy/demo/BrokenProxy.java
@@ -1,6 +1,6 @@
 package cacheproxy.demo;
 
-import cacheproxy.emulator.StandInFleet;
+import cacheproxy.emulator.EmulatedFleet;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -35,13 +35,13 @@
         FLOODS_COLD_NODES
     }
 
-    private final StandInFleet fleet;
+    private final EmulatedFleet fleet;
     private final List<InetSocketAddress> nodes;
     private final Breach breach;
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final Map<String, String> kept = new ConcurrentHashMap<>();
 
-    BrokenProxy(StandInFleet fleet, Breach breach) throws IOException {
+    BrokenProxy(EmulatedFleet fleet, Breach breach) throws IOException {
         this.fleet = fleet;
         this.breach = breach;
         nodes = List.copyOf(fleet.nodes(0).values());
--- a/src/test/java/cacheproxy/demo/OracleCatchesTest.java
+++ b/src/test/java/cacheproxy/demo/OracleCatchesTest.java
@@ -5,11 +5,11 @@
 
 import cacheproxy.Await;
 import cacheproxy.demo.BrokenProxy.Breach;
+import cacheproxy.emulator.EmulatedFleet;
 import cacheproxy.emulator.Fault;
 import cacheproxy.emulator.FleetSpec;
 import cacheproxy.emulator.Oracle;
 import cacheproxy.emulator.Oracle.Rule;
-import cacheproxy.emulator.StandInFleet;
 import cacheproxy.emulator.TrafficClass;
 import cacheproxy.emulator.ValueSizes;
 import cacheproxy.load.Generator;
@@ -35,7 +35,7 @@
             .withBounds(1000, 10_000, 1000, 60)
             .withTimes(0, 60_000, 50, 1000);
 
-    private static Oracle.Verdict drive(StandInFleet fleet, Breach breach, int connections) throws Exception {
+    private static Oracle.Verdict drive(EmulatedFleet fleet, Breach breach, int connections) throws Exception {
         try (BrokenProxy proxy = new BrokenProxy(fleet, breach)) {
             Generator.Settings settings =
                     new Generator.Settings(List.of(proxy.address()), CLASSES, connections, 8, 10_000, 0, 0, 10, 1);
@@ -70,14 +70,14 @@
         "CUTS_VALUES,WRONG_VALUE"
     })
     void aProxyThatBreaksOneRule(Breach breach, Rule rule) throws Exception {
-        try (StandInFleet fleet = new StandInFleet(SPEC)) {
+        try (EmulatedFleet fleet = new EmulatedFleet(SPEC)) {
             assertThat(drive(fleet, breach, 8).breaches()).containsOnlyKeys(rule);
         }
     }
 
     @Test
     void anHonestProxyBreaksNone() throws Exception {
-        try (StandInFleet fleet = new StandInFleet(SPEC)) {
+        try (EmulatedFleet fleet = new EmulatedFleet(SPEC)) {
             Oracle.Verdict verdict = drive(fleet, Breach.NONE, 8);
             assertThat(verdict.breaches()).isEmpty();
             assertThat(verdict.effects()).isBetween(10L, 40L);
@@ -88,12 +88,12 @@
     @ParameterizedTest
     @CsvSource({"LOSES_ANSWERS,LOST", "ANSWERS_TWICE,ANSWERED_TWICE"})
     void aProxyThatMiscountsAnswers(Breach breach, Rule rule) throws Exception {
-        try (StandInFleet fleet = new StandInFleet(SPEC)) {
+        try (EmulatedFleet fleet = new EmulatedFleet(SPEC)) {
             assertThat(drive(fleet, breach, 8).breaches()).containsKey(rule);
         }
     }
 
-    private static void awaitTold(StandInFleet fleet, String what) {
+    private static void awaitTold(EmulatedFleet fleet, String what) {
         URI list = URI.create("http://127.0.0.1:" + fleet.discovery(0, 0).getPort() + "/discovery/hosts");
         Await.until("the list says " + what, () -> {
             try (InputStream in = list.toURL().openStream()) {
@@ -104,7 +104,7 @@
 
     @Test
     void aProxyThatSendsOnToADrainingNode() throws Exception {
-        try (StandInFleet fleet = new StandInFleet(SPEC)) {
+        try (EmulatedFleet fleet = new EmulatedFleet(SPEC)) {
             fleet.play(List.of(new Fault(0, "node-0", Fault.Action.DRAIN, 0, 0)), (p, f) -> {});
             awaitTold(fleet, "draining");
             assertThat(drive(fleet, Breach.IGNORES_DRAINS, 8).breaches()).containsOnlyKeys(Rule.SENT_AFTER_DRAIN);
@@ -113,7 +113,7 @@
 
     @Test
     void aProxyThatFloodsAColdNode() throws Exception {
-        try (StandInFleet fleet = new StandInFleet(SPEC.withWork(100, 0))) {
+        try (EmulatedFleet fleet = new EmulatedFleet(SPEC.withWork(100, 0))) {
             fleet.play(List.of(new Fault(0, "node-0", Fault.Action.RESTART, 0, 0)), (p, f) -> {});
             awaitTold(
                     fleet,
@@ -124,7 +124,7 @@
 
     @Test
     void aNodeThatKeepsWhatAWriteHasVoided() throws Exception {
-        try (StandInFleet fleet = new StandInFleet(SPEC)) {
+        try (EmulatedFleet fleet = new EmulatedFleet(SPEC)) {
             fleet.play(
                             List.of(
                                     new Fault(0, "node-0", Fault.Action.STALE, 60_000, 0),
--- a/src/test/java/cacheproxy/emulator/StandInFleetTest.java
+++ b/src/test/java/cacheproxy/emulator/EmulatedFleetTest.java
@@ -22,17 +22,17 @@
 
 /** The stand-ins on their sockets, each fault among them, with plain sockets and the JDK's HTTP client as peers. */
 @Timeout(60)
-class StandInFleetTest {
+class EmulatedFleetTest {
     private static final FleetSpec QUICK =
             FleetSpec.standard(2, 2, 1).withWork(0, 0).withHeld(0).withTimes(0, 60_000, 100, 50);
     private static final String KEY = Keys.key(1);
 
-    private StandInFleet fleet;
+    private EmulatedFleet fleet;
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    private StandInFleet start(FleetSpec spec) {
-        fleet = new StandInFleet(spec);
+    private EmulatedFleet start(FleetSpec spec) {
+        fleet = new EmulatedFleet(spec);
         return fleet;
     }
 
--- a/src/test/java/cacheproxy/emulator/UnrestTest.java
+++ b/src/test/java/cacheproxy/emulator/FaultSchedulesTest.java
@@ -9,10 +9,10 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class UnrestTest {
+class FaultSchedulesTest {
     @Property(seed = "1", tries = 100)
     void aReleaseKillsMostAtOnceAndNoneTwice(@ForAll @IntRange(min = 1, max = 64) int proxies) {
-        List<Fault> faults = Unrest.release(5000, proxies);
+        List<Fault> faults = FaultSchedules.release(5000, proxies);
         assertThat(faults).extracting(Fault::target).doesNotHaveDuplicates();
         assertThat(faults).allSatisfy(f -> {
             assertThat(f.atMs()).isEqualTo(5000);
@@ -27,7 +27,7 @@
             @ForAll @DoubleRange(min = 0, max = 5000) double every,
             @ForAll @DoubleRange(min = 0, max = 60_000) double until,
             @ForAll @IntRange(min = 1, max = 70) int nodes) {
-        List<Fault> faults = Unrest.replacements(every, until, nodes);
+        List<Fault> faults = FaultSchedules.replacements(every, until, nodes);
         for (int i = 0; i < faults.size(); i++) {
             assertThat(faults.get(i).target()).isEqualTo("node-" + i % nodes);
             assertThat(faults.get(i).atMs()).isLessThan(until);
@@ -35,9 +35,9 @@
                             i == 0
                                     ? faults.get(i).atMs()
                                     : faults.get(i).atMs() - faults.get(i - 1).atMs())
-                    .isGreaterThan(Unrest.LEAST_MS - 0.001);
+                    .isGreaterThan(FaultSchedules.LEAST_MS - 0.001);
         }
-        assertThat(faults).hasSizeLessThanOrEqualTo((int) (until / Math.max(every, Unrest.LEAST_MS)) + 1);
+        assertThat(faults).hasSizeLessThanOrEqualTo((int) (until / Math.max(every, FaultSchedules.LEAST_MS)) + 1);
     }
 
     /** What an option makes can also be written in a script. */
@@ -48,10 +48,10 @@
                         "s",
                         List.of("2s proxy-0 kill 1s", "2s proxy-1 kill 1s", "2s proxy-2 kill 1s", "2s proxy-3 kill 1s"),
                         spec))
-                .isEqualTo(Unrest.release(2000, 5));
+                .isEqualTo(FaultSchedules.release(2000, 5));
         assertThat(FaultScript.parse("s", List.of("1s node-0 restart 1s", "2s node-1 restart 1s"), spec))
-                .isEqualTo(Unrest.replacements(1000, 3000, 3));
+                .isEqualTo(FaultSchedules.replacements(1000, 3000, 3));
         assertThat(FaultScript.parse("s", List.of("1s proxy-0 upgrade", "2s proxy-1 upgrade"), spec))
-                .isEqualTo(Unrest.upgrades(1000, 2500, 5));
+                .isEqualTo(FaultSchedules.upgrades(1000, 2500, 5));
     }
 }
--- a/src/test/java/cacheproxy/emulator/LinksTest.java
+++ b/src/test/java/cacheproxy/emulator/LinksTest.java
@@ -28,11 +28,11 @@
     private static final Set<String> NODE = Set.of("node-0");
     private static final double LONG = 3_600_000;
 
-    private StandInFleet fleet;
+    private EmulatedFleet fleet;
 
     @BeforeEach
     void start() {
-        fleet = new StandInFleet(FleetSpec.standard(1, 2, 1)
+        fleet = new EmulatedFleet(FleetSpec.standard(1, 2, 1)
                 .withWork(0, 0)
                 .withHeld(1)
                 .withTimes(0, 60_000, 100, 50)
@@ -48,7 +48,7 @@
         return new Peer(fleet.nodes(proxy).get("node-0"));
     }
 
-    private void fault(Set<String> at, Set<String> from, boolean oneWay, Way way, double forMs) {
+    private void fault(Set<String> at, Set<String> from, boolean oneWay, LinkConditions way, double forMs) {
         fleet.play(new LinkFault("test", 0, forMs, at, from, oneWay, way));
         fleet.on(() -> true); // it has begun
     }
@@ -80,7 +80,7 @@
         try (Peer cut = node(0);
                 Peer other = node(1)) {
             served(cut, "1");
-            fault(NODE, PROXY, false, Way.CUT, 1500);
+            fault(NODE, PROXY, false, LinkConditions.CUT, 1500);
             cut.read(KEY, "2");
             neverComesUp(to);
             served(other, "3");
@@ -97,7 +97,7 @@
     @Test
     void whatDiesBehindACutRefusesOnlyOnceTheWayIsWhole() throws Exception {
         InetSocketAddress to = fleet.nodes(0).get("node-0");
-        fault(NODE, PROXY, false, Way.CUT, 1500);
+        fault(NODE, PROXY, false, LinkConditions.CUT, 1500);
         fleet.play(List.of(new Fault(0, "node-0", Fault.Action.LEAVE, 0, 0)), (p, f) -> {})
                 .get();
         neverComesUp(to);
@@ -118,7 +118,7 @@
         try (Peer cut = node(0);
                 Peer other = node(1)) {
             served(cut, "0"); // it is up by then
-            fault(NODE, PROXY, true, Way.CUT, 1500);
+            fault(NODE, PROXY, true, LinkConditions.CUT, 1500);
             cut.read(KEY, "1");
             Await.until("it has come", () -> attempts(0) == 2);
             served(other, "2");
@@ -131,7 +131,7 @@
     void aSlowLinkTakesItsTimeAndKeepsTheOrder() throws Exception {
         try (Peer slow = node(0);
                 Peer other = node(1)) {
-            fault(NODE, PROXY, false, new Way(false, 60, 40, 0, 0, 0, 0, 0), LONG);
+            fault(NODE, PROXY, false, new LinkConditions(false, 60, 40, 0, 0, 0, 0, 0), LONG);
             long before = System.nanoTime();
             for (int i = 0; i < 5; i++) {
                 slow.read(KEY, "s" + i);
@@ -149,7 +149,7 @@
     @Test
     void whatIsLostOnAConnectionComesLaterByAResend() throws Exception {
         try (Peer lossy = node(0)) {
-            fault(NODE, PROXY, true, new Way(false, 0, 0, 0.5, 0, 0, 0, 0), LONG);
+            fault(NODE, PROXY, true, new LinkConditions(false, 0, 0, 0.5, 0, 0, 0, 0), LONG);
             long before = System.nanoTime();
             for (int i = 0; i < 12; i++) {
                 served(lossy, "l" + i);
@@ -162,7 +162,7 @@
     void anAnswerStandsStillHalfWayUntilTheLinkIsSound() throws Exception {
         try (Peer held = node(0);
                 Peer other = node(1)) {
-            fault(NODE, PROXY, false, new Way(false, 0, 0, 0, 0, 0, 1, 0), 1500);
+            fault(NODE, PROXY, false, new LinkConditions(false, 0, 0, 0, 0, 0, 1, 0), 1500);
             held.read(KEY, "1");
             assertThat(held.line()).as("its first half comes").isEqualTo("VA 400 O1 h1");
             served(other, "2");
@@ -172,7 +172,7 @@
 
     @Test
     void aConnectionIsResetInPlaceOfAnAnswer() throws Exception {
-        fault(NODE, PROXY, false, new Way(false, 0, 0, 0, 0, 0, 0, 1), LONG);
+        fault(NODE, PROXY, false, new LinkConditions(false, 0, 0, 0, 0, 0, 0, 1), LONG);
         try (Peer reset = node(0);
                 Peer other = node(1)) {
             assertThatThrownBy(() -> reset.read(KEY, "1").line()).isInstanceOf(SocketException.class);
@@ -183,7 +183,7 @@
 
     @Test
     void originAndDiscoveryAreCutOffForOneProxyAlone() throws Exception {
-        fault(PROXY, Set.of("origin", "discovery"), false, Way.CUT, LONG);
+        fault(PROXY, Set.of("origin", "discovery"), false, LinkConditions.CUT, LONG);
         neverComesUp(fleet.discovery(0, 0));
         neverComesUp(fleet.discovery(0, 1));
         neverComesUp(fleet.originAddress());
@@ -199,7 +199,7 @@
     }
 
     /** What comes to one proxy from another until a last word, which the faults leave alone. */
-    private List<Integer> heard(Way way, int many) throws Exception {
+    private List<Integer> heard(LinkConditions way, int many) throws Exception {
         List<Integer> heard = new ArrayList<>();
         try (DatagramSocket a = new DatagramSocket(fleet.peers().listen(0));
                 DatagramSocket b = new DatagramSocket(fleet.peers().listen(1))) {
@@ -239,27 +239,27 @@
 
     @Test
     void datagramsComeFromTheirSendersAddress() throws Exception {
-        assertThat(heard(Way.OPEN, 3)).containsExactly(0, 1, 2);
+        assertThat(heard(LinkConditions.OPEN, 3)).containsExactly(0, 1, 2);
     }
 
     @Test
     void datagramsAreCut() throws Exception {
-        assertThat(heard(Way.CUT, 3)).isEmpty();
+        assertThat(heard(LinkConditions.CUT, 3)).isEmpty();
     }
 
     @Test
     void halfOfTheDatagramsAreLost() throws Exception {
-        assertThat(heard(new Way(false, 0, 0, 0.5, 0, 0, 0, 0), 100)).hasSizeBetween(30, 70);
+        assertThat(heard(new LinkConditions(false, 0, 0, 0.5, 0, 0, 0, 0), 100)).hasSizeBetween(30, 70);
     }
 
     @Test
     void datagramsComeTwice() throws Exception {
-        assertThat(heard(new Way(false, 0, 0, 0, 1, 0, 0, 0), 3)).hasSize(6);
+        assertThat(heard(new LinkConditions(false, 0, 0, 0, 1, 0, 0, 0), 3)).hasSize(6);
     }
 
     @Test
     void datagramsAreOvertaken() throws Exception {
-        assertThat(heard(new Way(false, 0, 0, 0, 0, 0.5, 0, 0), 50))
+        assertThat(heard(new LinkConditions(false, 0, 0, 0, 0, 0.5, 0, 0), 50))
                 .hasSize(50)
                 .isNotEqualTo(IntStream.range(0, 50).boxed().toList());
     }
--- a/src/test/java/cacheproxy/load/GeneratorTest.java
+++ b/src/test/java/cacheproxy/load/GeneratorTest.java
@@ -5,9 +5,9 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.Await;
+import cacheproxy.emulator.EmulatedFleet;
 import cacheproxy.emulator.Fault;
 import cacheproxy.emulator.FleetSpec;
-import cacheproxy.emulator.StandInFleet;
 import cacheproxy.emulator.TrafficClass;
 import cacheproxy.emulator.ValueSizes;
 import cacheproxy.load.SyntheticWorkload.Arrivals;
@@ -142,7 +142,7 @@
         double seconds = 6;
         double rate = 200;
         double stall = 2;
-        try (StandInFleet fleet = new StandInFleet(QUICK)) {
+        try (EmulatedFleet fleet = new EmulatedFleet(QUICK)) {
             InetSocketAddress node = fleet.nodes(0).get("node-0");
             List<Double> closed = new ArrayList<>();
             CountDownLatch ended = new CountDownLatch(1);
@@ -276,7 +276,7 @@
 
     @Test
     void connectionsThatAreOldAreEndedBetweenRequests() throws Exception {
-        try (StandInFleet fleet = new StandInFleet(QUICK)) {
+        try (EmulatedFleet fleet = new EmulatedFleet(QUICK)) {
             Generator.Settings settings = new Generator.Settings(
                     List.of(fleet.nodes(0).get("node-0")), reads(20_000), 4, 100, 1000, 0.1, 0, 10, 1);
             try (Generator generator = new Generator(settings, constant(100, 2, reads(20_000)), Observer.NONE)) {
@@ -326,7 +326,7 @@
         for (int i = 0; i < 50_000; i++) {
             lines.append(i).append(",seg-text,").append(Integer.toHexString(i)).append(",read,0\n");
         }
-        try (StandInFleet fleet = new StandInFleet(QUICK)) {
+        try (EmulatedFleet fleet = new EmulatedFleet(QUICK)) {
             Report r = run(
                     fleet.nodes(0).get("node-0"),
                     new TraceWorkload(
@@ -358,7 +358,7 @@
     @Test
     void reportsAreMergedByTheirHistograms(@TempDir Path folder) throws Exception {
         List<Report> reports = new ArrayList<>();
-        try (StandInFleet fleet = new StandInFleet(QUICK);
+        try (EmulatedFleet fleet = new EmulatedFleet(QUICK);
                 ServerSocket silent = target((s, in) -> readAll(in))) {
             reports.add(run(fleet.nodes(0).get("node-0"), constant(300, 1, reads(400)), reads(400), 8, 1000));
             reports.add(run(at(silent), constant(100, 1, reads(400)), reads(400), 8, 1000));
