--- a/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A request's time counts from when its last byte came to this machine, and not from when the proxy comes to read it:
- * servers are told at most what the client has left, with 0.15 s of slack.
+ * A request's deadline runs from when its last byte arrived at this machine, not from when the proxy reads it: servers
+ * are sent at most the time that the client has left, with 0.15 s of slack.
  */
 @Timeout(60)
 class ArrivalTimeTest {
     private static final int ASKED_MS = 20_000;
     private static final double SLACK_MS = 150;
-    /** Well over the slack. */
+    /** Well above the slack. */
     private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
     private static final Pattern DEADLINE = Pattern.compile("\\bd=(\\d+)");
 
-    /** What a server was told, and when. */
+    /** The remaining time that a server was sent with a request, and when. */
     private record Told(String id, int deadlineMs, long atNanos) {}
 
     private static Told told(String command) {
@@ -59,7 +59,9 @@
         return text.toString();
     }
 
-    /** A node that reads at once and answers once it may; it keeps what it is told of each command. */
+    /**
+     * A node that reads at once and answers once it is released; it records the remaining time sent with each command.
+     */
     private static FakeServer answersLate(CountDownLatch go, Map<String, Told> seen) throws Exception {
         return new FakeServer(c -> {
             BlockingQueue<String> owed = new LinkedBlockingQueue<>();
@@ -70,7 +72,7 @@
                         c.say("VA 5 O" + owed.take() + " h1\r\nhello\r\n");
                     }
                 } catch (InterruptedException | IOException e) {
-                    // the connection has ended
+                    // the connection is closed
                 }
             });
             answers.setDaemon(true);
@@ -83,7 +85,7 @@
         });
     }
 
-    /** All reads are written at once, and none is answered before some time has passed. */
+    /** Sends all reads at once, with none answered before {@link #LATE_NANOS} have passed. */
     private static Map<String, Told> answerLate(int many, String pad) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Map<String, Told> seen = new ConcurrentHashMap<>();
@@ -113,7 +115,7 @@
         assertThat(answerLate(100, "")).hasSize(100);
     }
 
-    /** More than the proxy reads ahead. */
+    /** The requests exceed what the proxy reads ahead, so the last ones wait in the kernel's buffer. */
     @Test
     void aRequestThatWaitsInTheSystemCountsFromItsLastByteToo() throws Exception {
         assertThat(answerLate(600, "x".repeat(1000))).hasSize(600);
--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What clients do to the proxy, on loopback sockets. */
+/** How the proxy handles client connections, on loopback sockets. */
 class ClientConnectionTest {
     private static String hit(String command) {
         return "VA 5 O" + FakeServer.id(command) + " h1\r\nhello\r\n";
@@ -145,7 +145,7 @@
         }
     }
 
-    /** A node that answers reads once it may. */
+    /** A node that holds back its answers to reads until it is released. */
     private static FakeServer waiting(CountDownLatch go) throws Exception {
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
@@ -155,7 +155,7 @@
         });
     }
 
-    /** An id is new with every request, so the second of one id names another's, be that open or answered. */
+    /** Ids are unique per request, so a repeated id belongs to another request, whether open or answered. */
     @Test
     void theIdOfAnotherRequestIsTurnedAwayWhileThatIsOpenAndRightAfterItsAnswer() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -179,7 +179,7 @@
         }
     }
 
-    /** A server may still be at what a client that has gone had asked for. */
+    /** A server may still be executing the request of a client that has disconnected. */
     @Test
     void theIdOfARequestWhoseClientHasGoneIsTurnedAway() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -198,7 +198,7 @@
         }
     }
 
-    /** Ids are not kept for good: a deadline after its request's end this one serves again. */
+    /** Ids are not remembered forever: one deadline after its request's end, an id is accepted again. */
     @Test
     void anIdIsFreeAgainADeadlineAfterItsRequest() throws Exception {
         Fleet setup = new Fleet().node(FakeServer.node(ClientConnectionTest::hit));
@@ -274,8 +274,9 @@
     }
 
     /**
-     * A class may wait longer than a client that lets the proxy wait; it is not given up for that. Both are told of the
-     * request that they have begun and not ended, the one that waits behind the answer that it is owed.
+     * A class's deadline may be longer than the timeout for stalled clients; a client that waits for its answer is not
+     * closed for that. Both clients get an error for the request that they began and didn't finish; the waiting client
+     * gets it after the outstanding answer.
      */
     @Test
     void aClientThatWaitsForItsAnswerIsNotTakenForAStalledOne() throws Exception {
@@ -293,7 +294,7 @@
                         .start();
                 Fleet.Client patient = fleet.client();
                 Fleet.Client half = fleet.client()) {
-            patient.say("mg 7f3a v O1 Pc=text,d=20000\r\nmg 7f3a v O2 Pc=te"); // and the next is on its way
+            patient.say("mg 7f3a v O1 Pc=text,d=20000\r\nmg 7f3a v O2 Pc=te"); // and part of the next command
             half.say("mg 7f3a v");
             node.next();
             double late = fleet.on(() -> fleet.proxy.dispatcher().now()) + 15_000;
--- a/src/test/java/cacheproxy/proxy/ClosingTest.java
+++ b/src/test/java/cacheproxy/proxy/ClosingTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests that cross the end of a connection or of the listening socket. */
+/** Requests that race with the closing of a connection or of the listening socket. */
 @Timeout(60)
 class ClosingTest {
     private static Fleet fleet() throws Exception {
@@ -22,7 +22,7 @@
         try (Fleet fleet = fleet().start()) {
             CountDownLatch go = fleet.still();
             List<Fleet.Client> waiting = new ArrayList<>();
-            for (int i = 0; i < 40; i++) { // more than one round takes
+            for (int i = 0; i < 40; i++) { // more than one event-loop iteration accepts
                 waiting.add(fleet.client().read("w" + i));
             }
             fleet.proxy.loop().execute(fleet.proxy.clientAcceptor()::stopListening);
@@ -58,12 +58,12 @@
             endIdle(fleet, now);
             assertThat(used.ended()).isTrue();
             assertThat(fresh.read("1").line()).isEqualTo("VA 5 O1");
-            endIdle(fleet, now + 30_000); // it has had its time
+            endIdle(fleet, now + 30_000); // its time to send a first request is over
             assertThat(mute.ended()).isTrue();
         }
     }
 
-    /** The one that makes room for another may have sent a request just then; it must be able to read on to its end. */
+    /** A client whose connection is closed to make room may have just sent a request; it must see an orderly close. */
     @Test
     void whoMakesRoomForAnotherIsEndedInOrder() throws Exception {
         JsonObject limits = new JsonObject();
@@ -72,7 +72,7 @@
         setup.config.add("limits", limits);
         try (Fleet fleet = setup.start()) {
             List<Fleet.Client> all = new ArrayList<>();
-            for (int i = 0; i < 16; i++) { // as many as there are places for
+            for (int i = 0; i < 16; i++) { // as many as the descriptor limit allows
                 all.add(fleet.client());
                 assertThat(all.get(i).say("mn\r\n").line()).isEqualTo("MN");
             }
@@ -80,7 +80,7 @@
             Fleet.Client another = fleet.client();
             all.get(0).read("crossing");
             go.countDown();
-            assertThat(all.get(0).line()).isNull(); // its end, and no reset
+            assertThat(all.get(0).line()).isNull(); // an orderly close, not a reset
             assertThat(another.read("1").line()).isEqualTo("VA 5 O1");
             assertThat(all.get(1).read("2").line()).isEqualTo("VA 5 O2");
         }
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What discovery does to the proxy, on loopback sockets. */
+/** How the proxy handles discovery's answers and its peers' list changes, on loopback sockets. */
 class DiscoveryClientTest {
     private static final int HOLD_MS = 15_000;
     private static final AtomicInteger ASKED = new AtomicInteger();
@@ -31,14 +31,14 @@
         return FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
     }
 
-    /** A list of version 43 with this one node, as it would be written. */
+    /** The JSON text of a list of version 43 with this node only. */
     private static String list(FakeServer node, boolean whole) {
         JsonArray hosts = new JsonArray();
         hosts.add(Fleet.host("s-0000beef", "node-fast", node.dial(), "up"));
         return Fleet.list(43, whole, hosts).toString();
     }
 
-    /** Whether a new request is; ids are new with every request. */
+    /** Whether a new request, with an id of its own, is served. */
     private static boolean served(Fleet fleet) throws Exception {
         String id = "r" + ASKED.incrementAndGet();
         try (Fleet.Client client = fleet.client()) {
@@ -67,14 +67,14 @@
         node.close();
     }
 
-    /** A fleet with one peer, whose datagrams come from this socket. */
+    /** A proxy with one peer, whose datagrams are sent from this socket. */
     private static Fleet withPeer(FakeServer discovery, DatagramSocket peer, String mode) {
         Fleet fleet = new Fleet()
                 .discovery(discovery)
                 .set("caps.connect-timeout", "200.0")
                 .set("discovery", mode);
         JsonArray peers = new JsonArray();
-        peers.add("127.0.0.1:1"); // its own
+        peers.add("127.0.0.1:1"); // the proxy's own address
         peers.add("127.0.0.1:" + peer.getLocalPort());
         fleet.config.add("peers", peers);
         fleet.config.addProperty("peers_all", "127.0.0.1:" + peer.getLocalPort());
@@ -86,7 +86,10 @@
         send(peer, PeerMessage.listVersionAnnouncement(version), fleet);
     }
 
-    /** Guards against a list that stays old for as long as a watch may wait, where another proxy has the news. */
+    /**
+     * Guards against a list that stays outdated until a silent watch times out, though a peer has announced a newer
+     * one.
+     */
     @Test
     void aSilentWatchIsFollowedByAPollOnAPeersAnnouncement() throws Exception {
         FakeServer node = hits();
@@ -114,8 +117,8 @@
     }
 
     /**
-     * Where all instances ask one discovery, a call that stands in its line is not given up because a peer was answered
-     * first: it would lose its place, and a fleet that does so jams discovery.
+     * Where all instances poll one discovery, a poll in its queue is not cancelled because a peer was answered first:
+     * it would lose its place in the queue, and a fleet that does so overloads discovery.
      */
     @Test
     void aPollQueuedAtASharedDiscoveryStaysPendingOnAPeersAnnouncement() throws Exception {
@@ -126,7 +129,7 @@
             asked.countDown();
             c.socket.setSoTimeout(Integer.parseInt(call.replaceAll("(?s).*timeout_ms=(\\d+).*", "$1")));
             try {
-                c.in.read(); // nothing may come, nor the connection end, for as long as the call may wait
+                c.in.read(); // neither data nor a close may arrive while the poll may wait
             } catch (SocketTimeoutException e) {
                 c.socket.setSoTimeout(0);
                 c.sayHttp(200, "", list(node, false));
@@ -150,7 +153,7 @@
         peer.send(new DatagramPacket(sealed, sealed.length, fleet.proxy.peerAddress()));
     }
 
-    /** The next message about the list that the proxy sends to its peer. */
+    /** Waits for the next message about the list that the proxy sends to its peer. */
     private static byte[] receive(DatagramSocket peer) throws Exception {
         peer.setSoTimeout(20_000);
         DatagramPacket packet = new DatagramPacket(new byte[1000], 1000);
@@ -160,7 +163,9 @@
                 .body();
     }
 
-    /** Guards against instances of a large fleet that hear of a drain only when discovery's line has room for them. */
+    /**
+     * Guards against instances of a large fleet that learn of a drain only when discovery's queue admits their poll.
+     */
     @Test
     void aPeersChangesAreInUseWhileDiscoveryRejectsPolls() throws Exception {
         FakeServer drained = hits();
@@ -184,7 +189,7 @@
                 client.line();
                 assertThat(drained.next()).contains("O1 ");
                 assertThat(PeerMessage.readListQuery(receive(peer)))
-                        .as("a call has failed")
+                        .as("a poll has failed")
                         .isEqualTo(41);
                 send(
                         peer,
@@ -257,7 +262,7 @@
                 .node(before)
                 .discovery(discovery)
                 .set("guarantees.ask-within", "200.0")
-                .set("balancers", "60"); // one connection to a node
+                .set("balancers", "60"); // one connection per node
         try (Fleet fleet = setup.start()) {
             discovery.next();
             Fleet.Client waiting = fleet.client().read("2");
@@ -303,7 +308,7 @@
                 .start()) {
             for (int i = 0; i < bad.length + 3; i++) {
                 assertThat(discovery.next())
-                        .as("all of it is asked for, or what came after the list held")
+                        .as("asked for a snapshot or for changes after the list in use")
                         .containsPattern("^GET /discovery/hosts(\\?since=41&timeout_ms=\\d+)? ");
             }
             assertThat(served(fleet)).isTrue();
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A drain that an operator asks for, on sockets: what is owed is answered, and a cancel gives all of it back. */
+/** An operator's drain on sockets: outstanding requests are answered, and a cancel restores full service. */
 @Timeout(60)
 class DrainOnRequestTest {
-    /** Far beyond what any of it takes. */
+    /** Far longer than any step takes. */
     private static final double LONG_MS = 12_000;
 
     private static final int LONG_VALUE = 4_000_000;
@@ -39,7 +39,7 @@
         return "VA 5 O" + FakeServer.id(command) + " h1\r\nhello\r\n";
     }
 
-    /** A node that answers each command when it is let. */
+    /** A node that answers a command for each permit. */
     private static FakeServer held(CountDownLatch go) throws Exception {
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
@@ -66,7 +66,7 @@
             client.read("1");
             node.next();
             drain(fleet, LONG_MS);
-            client.read("2").read("3"); // behind the drain, on a connection that is owed an answer
+            client.read("2").read("3"); // after the drain began, on a connection with an outstanding answer
             Await.until("they are taken", () -> fleet.on(fleet.proxy::status).openRequests() == 3);
             go.countDown();
             for (String id : new String[] {"1", "2", "3"}) {
@@ -131,7 +131,7 @@
                         .node(FakeServer.node(DrainOnRequestTest::hit))
                         .start();
                 Fleet.Client busy = fleet.client()) {
-            busy.say("m"); // half a command keeps the drain under way
+            busy.say("m"); // an incomplete command keeps the drain going
             Await.until("it is read", () -> fleet.on(fleet.proxy::status).clientConnections() == 1);
             drain(fleet, LONG_MS);
             try (Fleet.Client late = fleet.client()) {
@@ -192,7 +192,7 @@
         }
     }
 
-    /** It is never seen idle, so the pace does not end it. */
+    /** The connection is never idle, so the paced closing of idle connections doesn't end it. */
     @Test
     void aConnectionInUseEndsWithItsAnswerOnceThePaceIsOver() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -209,14 +209,13 @@
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
             client.say("mn\r\n");
-            assertThat(client.ended())
-                    .as("ended with its answer, not some time after")
-                    .isTrue();
+            assertThat(client.ended()).as("closed with its answer, not later").isTrue();
         }
     }
 
     /**
-     * Whichever of them is first: the request has one answer, its own after a cancel and a refusal after the deadline.
+     * Whichever comes first, the request gets exactly one answer: its own after a cancel, a rejection after the
+     * deadline.
      */
     @Test
     void aCancelRacingTheDeadlineLeavesOneOfTheTwo() throws Exception {
@@ -248,14 +247,14 @@
                 } else {
                     assertThat(cancelled.get()).contains("too late");
                     assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
-                    go.countDown(); // and what the node still says goes nowhere
+                    go.countDown(); // the node's late response is discarded
                     assertThat(client.ended()).isTrue();
                 }
             }
         }
     }
 
-    /** A refusal says that repeating is harmless: a read gets it, a write that may have run does not. */
+    /** A rejection says that a retry is safe: a read gets it, a write that may have been executed does not. */
     @Test
     void atTheDeadlineWhatIsOwedIsAnsweredByTheRules() throws Exception {
         FakeServer silent = new FakeServer(FakeServer.Connection::awaitEnd);
@@ -273,7 +272,8 @@
             drain(fleet, 500);
             assertThat(read.line()).isEqualTo("SERVER_ERROR busy");
             assertThat(write.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(System.nanoTime() / 1e6 - before).isBetween(499.0, 15_000.0); // and not at their own deadline
+            assertThat(System.nanoTime() / 1e6 - before)
+                    .isBetween(499.0, 15_000.0); // at the drain's deadline, not at the requests' own
             assertThat(read.ended()).isTrue();
             assertThat(write.ended()).isTrue();
             assertThat(progress(fleet).phase()).isEqualTo(Phase.EXPIRED);
@@ -302,7 +302,7 @@
         }
     }
 
-    /** Seen: its connection ended as soon as the last answer was in the proxy's own buffer, and cut it off. */
+    /** Guards against closing once the last answer is in the proxy's write buffer, which truncated that answer. */
     @Test
     void answersThatWaitInTheProxyForTheirClientReachItWhole() throws Exception {
         String value = "x".repeat(MetaCodec.MAX_WHOLE_VALUE_BYTES);
@@ -312,15 +312,14 @@
                 Fleet.Client first = fleet.client(1 << 16);
                 Fleet.Client idle = fleet.client()) {
             assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
-            // So many that the system's buffers are full and the proxy's own are in use: it reads no further command
-            // then.
+            // Enough to fill the kernel's buffers and use the proxy's own: it then reads no further command.
             int fit = 0;
             while (answeredSoon(fleet, fit)) {
                 first.read("f" + fit++);
             }
             first.close();
             Fleet.Client client = fleet.client(1 << 16);
-            for (int i = 1; i < fit; i++) { // one more would be a command that is still to be read
+            for (int i = 1; i < fit; i++) { // one more would be a command that is not read yet
                 client.read("" + i);
             }
             answeredSoon(fleet, 2 * (fit - 1));
@@ -338,7 +337,8 @@
     }
 
     /**
-     * Whether so many have been answered within a time that is long for one; a slow machine only makes it too careful.
+     * Whether this many have been answered within a time that is ample for one. On a slow machine it may return false
+     * too early, which only makes the test send fewer requests.
      */
     private static boolean answeredSoon(Fleet fleet, int many) throws InterruptedException {
         for (int i = 0; i < 100; i++) {
@@ -350,7 +350,7 @@
         return false;
     }
 
-    /** What SIGTERM begins ends connections at once; returns when the proxy has stopped listening. */
+    /** Starts the SIGTERM shutdown, which closes connections at once; returns when the proxy has stopped listening. */
     private static Thread drainAndTerminate(Fleet fleet) {
         drain(fleet, LONG_MS);
         Thread end = new Thread(fleet.proxy::terminate);
@@ -377,7 +377,7 @@
             node.next();
             drain(fleet, 700);
             awaitPhase(fleet, Phase.EXPIRED);
-            fleet.proxy.terminate(); // returns once the proxy has ended
+            fleet.proxy.terminate(); // returns when the proxy has stopped
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What SIGTERM begins: everything taken is answered, connections end between requests, and it comes to an end. */
+/** The shutdown at SIGTERM: accepted requests are answered, connections close between requests, and it terminates. */
 class DrainTest {
     @Test
     void whatIsInHandIsAnsweredBeforeItsConnectionEnds() throws Exception {
@@ -30,7 +30,7 @@
             assertThat(busy.line()).isEqualTo("VA 5 O1");
             assertThat(busy.line()).isEqualTo("hello");
             assertThat(busy.ended()).isTrue();
-            half.say("n\r\n"); // a command that had been begun is still answered
+            half.say("n\r\n"); // a partly received command is still answered
             assertThat(half.line()).isEqualTo("MN");
             assertThat(half.ended()).isTrue();
             idle.close();
--- a/src/test/java/cacheproxy/proxy/DuplicateResponsesTest.java
+++ b/src/test/java/cacheproxy/proxy/DuplicateResponsesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Responses followed by more than belongs to them: late duplicates, and invalid input. */
+/** Responses followed by surplus input: late duplicates, and invalid data. */
 @Timeout(60)
 class DuplicateResponsesTest {
     private static String write(int id) {
@@ -18,7 +18,7 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + (1 + id.length()) + "\r\n\r\nr" + id;
     }
 
-    /** The next write is read in the event loop's round right behind the answer, and the copy comes then. */
+    /** The next write is read in the same event-loop iteration as the answer, and the duplicate arrives then. */
     @Test
     void aLateDuplicateOfTheOriginsResponseIsNotTakenForTheNextResponse() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -34,7 +34,7 @@
             answer.await();
             c.say(receipt(id));
             answered.countDown();
-            c.pause.acquire(); // until the next write has gone out, here or elsewhere
+            c.pause.acquire(); // until the next write has been sent, on this connection or another
             c.say(receipt(id));
             c.awaitEnd();
             ended.countDown();
@@ -54,13 +54,13 @@
             origin.accepted.take().pause.release();
             assertThat(two.line()).isEqualTo("HD O2 cr2");
             assertThat(ended.await(20, TimeUnit.SECONDS))
-                    .as("the copy ends its connection")
+                    .as("the duplicate closes its connection")
                     .isTrue();
             assertThat(two.say(write(3)).line()).isEqualTo("HD O3 cr3");
         }
     }
 
-    /** Noise that is no line yet would begin the next answer. */
+    /** Surplus bytes without a line end would be taken for the start of the next response. */
     @Test
     void invalidInputBehindTheOriginsResponseClosesTheConnection() throws Exception {
         FakeServer origin = new FakeServer(c -> {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** A line's end more than an answer needs is none's beginning. */
+    /** A surplus line end after a response is not the start of another. */
     @Test
     void aLineEndBehindTheOriginsResponseIsSkipped() throws Exception {
         FakeServer origin = new FakeServer(c -> {
@@ -106,7 +106,7 @@
     }
 
     /**
-     * Of sixty proxies each has four connections to the origin; where all of them rest, requests go out nevertheless.
+     * Each of sixty proxies has four connections to the origin; if all of them are resting, requests are sent anyway.
      */
     @Test
     void ifAllConnectionsRestTheOneThatHasRestedLongestIsUsed() throws Exception {
--- a/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
+++ b/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
@@ -20,19 +20,19 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How long news that discovery has stays unknown once discovery could be asked for it, by the way in which the poll
- * before failed: it has to be known after 6 s, whatever that was.
+ * How long a change of the endpoint list takes to be known once discovery answers again, for each way in which the
+ * previous poll failed: at most 6 s in every case.
  */
 @Timeout(120)
 class EndpointListPollingTest {
-    /** Under the 6 s with a margin for a busy machine and for the line at a discovery that many ask. */
+    /** Below the 6 s, with a margin for a busy machine and for the queue at a shared discovery. */
     private static final double MAX_DELAY_MS = 4500;
-    /** Failures in a row before discovery is well: as many as lengthen the waits between calls. */
+    /** Consecutive failures before discovery recovers: as many as lengthen the delay between polls. */
     private static final int FAILURES = 4;
-    /** So many refusals in a row, and the waits grow no longer. */
+    /** The number of consecutive refusals after which the delay grows no further. */
     private static final int LONGEST_WAITS = 5;
 
-    /** What discovery does to a call while it is not well. */
+    /** What a failing discovery does with a poll. */
     private enum Failure {
         TURNED_AWAY,
         RESET,
@@ -60,19 +60,19 @@
             }
         }
 
-        /** A call that takes as long as it may takes the test's time: two of them show all that there is to see. */
+        /** A poll that runs into its timeout makes the test slow, so two of them have to do. */
         int times() {
             return this == SILENT || this == STALLED ? 2 : FAILURES;
         }
     }
 
-    /** Failures one after another, before which nothing has been answered. */
+    /** Consecutive failures with no successful poll before them. */
     private record Failures(String name, List<Failure> inOrder) {
         static Failures ofOneKind(Failure failure) {
             return new Failures(failure.name(), Collections.nCopies(failure.times(), failure));
         }
 
-        /** So many that the waits between calls are as long as they get, and then these. */
+        /** Refusals until the delay between polls has reached its maximum, then these failures. */
         static Failures afterRefusals(Failure... last) {
             List<Failure> all = new ArrayList<>(Collections.nCopies(LONGEST_WAITS, Failure.TURNED_AWAY));
             all.addAll(List.of(last));
@@ -106,8 +106,7 @@
     }
 
     /**
-     * Milliseconds from the end of the last bad call's beginning, when discovery was well again, until the news is in
-     * use.
+     * Milliseconds from when the last failing poll had begun and discovery had recovered until the change is in use.
      */
     private static double unknownAfter(Failures failures, String mode) throws Exception {
         List<Failure> inOrder = failures.inOrder();
@@ -136,7 +135,7 @@
         }
     }
 
-    /** Milliseconds from when a watch that went on fell silent until the news that it should have brought is in use. */
+    /** Milliseconds from when an open watch fell silent until the change that it should have delivered is in use. */
     private static double unknownAfterAContinuedWatch(String mode) throws Exception {
         CompletableFuture<Long> silent = new CompletableFuture<>();
         CompletableFuture<Long> known = new CompletableFuture<>();
@@ -159,7 +158,7 @@
         }
     }
 
-    /** Discovery's connections do not come up, until they do. */
+    /** Connections to discovery are not established at first, and are later. */
     private static double unknownAfterNoWayIn(String mode) throws Exception {
         CompletableFuture<Long> known = new CompletableFuture<>();
         try (LateServer discovery = new LateServer(p -> {
@@ -180,7 +179,7 @@
         }
     }
 
-    /** Nobody listens at discovery's address, until somebody does. */
+    /** Discovery's address refuses connections at first, and accepts them later. */
     private static double unknownAfterRefusals(String mode) throws Exception {
         CompletableFuture<Long> known = new CompletableFuture<>();
         InetAddress local = InetAddress.getByName("127.0.0.1");
@@ -236,8 +235,8 @@
     }
 
     /**
-     * What a connection that was given up still brings out as it ends is no answer to the call that took its place:
-     * here one without a length, which its end makes whole. Taken for one, it ended a sound call.
+     * A response that a cancelled poll's connection still delivers as it closes is no answer to the next poll: here one
+     * without a length, which the close completes. Guards against taking it for the answer, which ended a valid poll.
      */
     @Test
     void theEndOfACancelledPollIsNoAnswerToTheNext() throws Exception {
@@ -265,7 +264,7 @@
                         .set("guarantees.ask-within", "200.0")
                         .start()) {
             begun.await();
-            fleet.client().say("mn\r\n").line(); // the event loop has been round: what there is of it has been read
+            fleet.client().say("mn\r\n").line(); // the event loop has completed an iteration and read what has arrived
             fleet.config.addProperty("discovery", after.dial());
             fleet.reload();
             assertThat(after.next()).contains("since=41&");
@@ -277,7 +276,7 @@
         }
     }
 
-    /** One that has moved, or lost its memory, may number its lists from less. */
+    /** A discovery that has moved or lost its state may restart its version numbers at lower values. */
     @Test
     void aDiscoveryWithNewVersionNumbersIsAskedForASnapshot() throws Exception {
         FakeServer discovery = new FakeServer(c -> {
--- a/src/test/java/cacheproxy/proxy/EventLogTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLogTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The lines of the log as they are written. */
+/** The text of event log lines. */
 class EventLogTest {
     private static final int BURST = 20;
 
--- a/src/test/java/cacheproxy/proxy/FakeServer.java
+++ b/src/test/java/cacheproxy/proxy/FakeServer.java
@@ -21,17 +21,17 @@
 
 /** A server on loopback that runs a script for each connection; cache nodes, origins and discovery in tests. */
 final class FakeServer implements AutoCloseable {
-    /** What to do with a connection; its end closes it. */
+    /** Handles a connection, which is closed when the script returns. */
     interface Script {
         void run(Connection connection) throws Exception;
     }
 
-    /** One accepted connection, with the reading that the protocols need. */
+    /** An accepted connection, with readers for the protocols. */
     static final class Connection {
         final Socket socket;
         final InputStream in;
         final OutputStream out;
-        /** For scripts that wait for their test. */
+        /** Lets a test hold back its script. */
         final Semaphore pause = new Semaphore(0);
 
         private final FakeServer server;
@@ -48,7 +48,7 @@
             return FakeServer.line(in);
         }
 
-        /** The next command of a proxy, kept for the test to see; null at the end of the stream. */
+        /** Reads the proxy's next command and records it for the test; null at the end of the stream. */
         String command() throws IOException {
             String line = line();
             if (line != null) {
@@ -57,7 +57,7 @@
             return line;
         }
 
-        /** The next HTTP request, its lines and body in one text; null at the end of the stream. */
+        /** Reads the next HTTP request, header lines and body as one text; null at the end of the stream. */
         String request() throws IOException {
             StringBuilder text = new StringBuilder();
             int length = 0;
@@ -84,20 +84,20 @@
             say("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
-        /** Ends the connection with a reset. */
+        /** Resets the connection. */
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
 
-        /** Waits for the other side's end. */
+        /** Reads and discards input until the peer closes or resets the connection. */
         void awaitEnd() throws IOException {
             try {
                 while (in.read() >= 0) {
-                    // dropped
+                    // discarded
                 }
             } catch (IOException e) {
-                // a reset is an end, too
+                // a reset counts as the end
             }
         }
     }
@@ -116,7 +116,7 @@
         return line.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** The id of a command or of a request to the origin. */
+    /** The request id in a command to a node or in an HTTP request to the origin. */
     static String id(String command) {
         int field = command.toLowerCase(Locale.ROOT).indexOf("req-id: ");
         int at = field >= 0 ? field + 8 : command.indexOf(" O") + 2;
@@ -135,7 +135,7 @@
         this(script, new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 0);
     }
 
-    /** One that refuses all for so long, and listens at this address then. */
+    /** A server that refuses connections for {@code afterMs} and listens at this address afterwards. */
     FakeServer(Script script, InetSocketAddress address, long afterMs) throws IOException {
         server = new ServerSocket();
         server.setReuseAddress(true);
@@ -166,7 +166,7 @@
         });
     }
 
-    /** A cache node that answers reads with what this function makes of the command's line. */
+    /** A cache node that answers each command line with the result of this function. */
     static FakeServer node(Function<String, String> answer) throws IOException {
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
@@ -181,7 +181,7 @@
         listeningNanos = System.nanoTime();
     }
 
-    /** When it began to listen. */
+    /** When it began to listen, by {@link System#nanoTime}. */
     long listeningNanos() {
         return listeningNanos;
     }
@@ -208,8 +208,8 @@
     }
 
     /**
-     * Refuses further connections; those it has go on. An accept that is under way keeps the system's socket open and
-     * would take one more, so its end is waited for.
+     * Refuses further connections; open ones continue. An accept() in progress keeps the kernel's socket open and would
+     * accept one more connection, so this waits for the accepting thread to end.
      */
     void stopListening() throws IOException {
         server.close();
@@ -224,11 +224,11 @@
         return "127.0.0.1:" + port();
     }
 
-    /** The next command that any connection read. */
+    /** Waits for the next command that was read on any connection. */
     String next() throws InterruptedException {
         String command = commands.poll(20, TimeUnit.SECONDS);
         if (command == null) {
-            throw new AssertionError("no command came");
+            throw new AssertionError("no command arrived within 20 s");
         }
         return command;
     }
--- a/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
+++ b/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
@@ -20,16 +20,16 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How long a change that discovery has stays unknown, by what is wrong with its answers and for as long as that lasts,
- * with either kind of discovery: it has to be known after 6 s wherever any kind of poll would have brought it.
+ * How long a change of the endpoint list takes to be known while discovery's answers are faulty, by fault and by
+ * discovery mode: at most 6 s wherever any kind of poll would have delivered it.
  */
 @Timeout(120)
 class FaultyDiscoveryTest {
     private static final String CHANGED_LIST = list("{\"seq\":43,", entry("s-0000beef", "up"));
-    /** Of faults that concern some polls only: so many polls. */
+    /** The number of faulty polls, for faults that don't affect every poll. */
     private static final int FAULTY_POLLS = 2;
 
-    /** What is wrong with an answer. */
+    /** A fault in discovery's answers. */
     private enum Fault {
         WATCHES_BREAK_OFF(3000),
         WATCHES_ARE_SILENT(5500),
@@ -117,7 +117,7 @@
                 case ENDLESS_BODY -> {
                     c.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     String chunk = "10000\r\n" + " ".repeat(0x10000) + "\r\n";
-                    while (true) { // until the proxy ends the connection
+                    while (true) { // until the proxy closes the connection
                         c.say(chunk);
                     }
                 }
--- a/src/test/java/cacheproxy/proxy/FiguresTest.java
+++ b/src/test/java/cacheproxy/proxy/FiguresTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The proxy's counters against those of scripted clients and servers, to the last request. */
+/** The proxy's counters match those of scripted clients and servers exactly. */
 @Timeout(60)
 class FiguresTest {
     private static ProxyStatus status(Fleet fleet) {
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 
-/** A proxy on loopback with the servers that a test gives it, and clients of it. */
+/** A proxy under test on loopback sockets, with the fake servers and the clients that a test adds. */
 final class Fleet implements AutoCloseable {
     static final String SETTINGS = String.join(
             "\n",
@@ -83,7 +83,7 @@
     private final JsonArray hosts = new JsonArray();
     Proxy proxy;
     private Path shared;
-    /** The routes, or null; a test may put others in their place. */
+    /** The routes, or null for none; a test may replace them before a reload. */
     volatile Routing routing;
 
     Fleet() {
@@ -115,7 +115,7 @@
         return this;
     }
 
-    /** One entry of discovery's list. */
+    /** An entry of discovery's endpoint list. */
     static JsonObject host(String name, String kind, String dial, String health) {
         JsonObject h = new JsonObject();
         h.addProperty("host", name);
@@ -148,7 +148,7 @@
         return this;
     }
 
-    /** An entry of the list that the proxy starts with. */
+    /** Adds an entry to the endpoint list that the proxy starts with. */
     Fleet host(JsonElement entry) {
         hosts.add(entry);
         return this;
@@ -170,13 +170,13 @@
         return this;
     }
 
-    /** The proxy begins as the successor of whoever serves by this folder. */
+    /** Starts the proxy as the successor of the process that serves with this shared folder, if there is one. */
     Fleet shared(Path folder) {
         shared = folder;
         return this;
     }
 
-    /** The list that the proxy starts with. */
+    /** The endpoint list that the proxy starts with. */
     JsonObject known() {
         return list(41, true, hosts);
     }
@@ -196,26 +196,26 @@
         return this;
     }
 
-    /** Has the proxy read this text, as at SIGHUP; returns when it has been taken or turned down. */
+    /** Reloads the configuration from this text, as SIGHUP does; returns once it is applied or rejected. */
     void reload(String text) throws IOException {
         Path file = Files.createTempFile("config", ".json");
         Files.writeString(file, text);
         proxy.reload(file.toString());
-        on(() -> null); // behind what the reload handed in
+        on(() -> null); // runs after the tasks that the reload has submitted
         Files.delete(file);
     }
 
-    /** Has the proxy read the configuration as it is now. */
+    /** Reloads the current value of {@link #config}. */
     void reload() throws IOException {
         reload(config.toString());
     }
 
-    /** What this comes to on the proxy's event loop. */
+    /** Runs a task on the proxy's event loop and returns its result. */
     <T> T on(Callable<T> what) {
         return proxy.loop().submit(what).syncUninterruptibly().getNow();
     }
 
-    /** The event loop stands still until the latch is open; what comes meanwhile waits in the system. */
+    /** Blocks the event loop until the latch is opened; input that arrives meanwhile stays in the kernel's buffers. */
     CountDownLatch still() throws InterruptedException {
         CountDownLatch go = new CountDownLatch(1);
         CountDownLatch stands = new CountDownLatch(1);
@@ -235,7 +235,7 @@
         return client(0);
     }
 
-    /** One whose system keeps no more than so many unread bytes for it; 0 for the usual. */
+    /** A client whose kernel buffers at most this many unread bytes; 0 for the system's default. */
     Client client(int receiveBuffer) throws IOException {
         Client client = new Client(proxy.address(), receiveBuffer);
         parts.add(client);
@@ -260,7 +260,7 @@
         Client(InetSocketAddress to, int receiveBuffer) throws IOException {
             socket = new Socket();
             if (receiveBuffer > 0) {
-                socket.setReceiveBufferSize(receiveBuffer); // the window is agreed on when the connection is made
+                socket.setReceiveBufferSize(receiveBuffer); // must precede connect(), which negotiates the window
             }
             socket.connect(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), to.getPort()));
             socket.setSoTimeout(25_000);
@@ -282,7 +282,7 @@
             return say("mg 7f3a9c21e0b4d655 v O" + id + " Pc=text,d=20000\r\n");
         }
 
-        /** A line without its end; null at the end of the stream. */
+        /** Reads a line, without its terminator; null at the end of the stream. */
         String line() throws IOException {
             return FakeServer.line(in);
         }
@@ -291,7 +291,7 @@
             return in.readNBytes(n);
         }
 
-        /** Whether nothing but the end of the stream is left. */
+        /** Whether the next read reaches the end of the stream. */
         boolean ended() throws IOException {
             return in.read() < 0;
         }
--- a/src/test/java/cacheproxy/proxy/Keys.java
+++ b/src/test/java/cacheproxy/proxy/Keys.java
@@ -2,11 +2,11 @@
 
 import cacheproxy.routing.CarpHash;
 
-/** Keys for tests that must know which node of equal weights takes them. */
+/** Finds keys for which the rank of equally weighted nodes is known. */
 final class Keys {
     private Keys() {}
 
-    /** A key that these nodes take in this order. */
+    /** A key for which these nodes rank in this order. */
     static String ranked(int... nodes) {
         for (int i = 1; ; i++) {
             String key = Integer.toHexString(i);
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -42,16 +42,16 @@
     private static final int ZONES = 1024;
     private static final int CLIENTS = 1024;
     private static final int SOCKETS = 300;
-    /** Less than the system waits until it tries a first time again: a second. */
+    /** Less than the 1 s after which the kernel first retransmits a SYN. */
     private static final int CONNECT_MS = 900;
-    /** Enough that each server is, by far, the first of some key. */
+    /** Enough keys that each server ranks first for several of them. */
     private static final int READS = 12 * SERVERS;
 
     @TempDir
     private Path folder;
 
     private final SplittableRandom random = new SplittableRandom(11);
-    /** An id is new with every request. */
+    /** Request ids are unique. */
     private int lastId;
 
     private static FakeServer node() throws Exception {
@@ -67,7 +67,7 @@
         return fleet;
     }
 
-    /** Reads so many keys, one after another; how many were served. */
+    /** Reads this many keys, one at a time; returns how many were served. */
     private int served(Fleet fleet, int reads) throws Exception {
         int served = 0;
         try (Fleet.Client client = fleet.client()) {
@@ -84,8 +84,8 @@
     }
 
     /**
-     * With fewer descriptors than servers, a server that has no connection takes the place of the one that has stood
-     * idle longest. The first servers kept theirs, and the others could not be reached.
+     * With fewer descriptors than servers, a server without a connection takes over the descriptor of the connection
+     * that has been idle longest. Guards against the first servers keeping theirs, so that the others are unreachable.
      */
     @Test
     void eachOf1024ServersIsReachedWithFewerDescriptors() throws Exception {
@@ -101,12 +101,14 @@
                     "no more connections than there are descriptors for",
                     () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) <= SOCKETS / 3);
             assertThat(fleet.on(() -> fleet.proxy.status().ejectedNodes()))
-                    .as("no server is held to be at fault")
+                    .as("ejected nodes")
                     .isZero();
         }
     }
 
-    /** A list of 1,024 others takes the place of the first, changes of most of it are applied, and requests follow. */
+    /**
+     * A list of 1,024 other servers replaces the first, changes to most of it are applied, and requests follow both.
+     */
     @Test
     void aWholeListOf1024AndChangesAreApplied() throws Exception {
         FakeServer before = node();
@@ -145,7 +147,7 @@
         }
     }
 
-    /** Three in four go, and half as many as are left join. */
+    /** Three of four servers are removed, and half as many as remain are added. */
     private static JsonArray changes(FakeServer node) {
         JsonArray changes = new JsonArray();
         for (int i = 0; i < SERVERS; i++) {
@@ -165,7 +167,7 @@
         return ids;
     }
 
-    /** So many clients come while the event loop is busy; none has to wait until the system tries again. */
+    /** 1,024 clients connect while the event loop is blocked; none has to wait for the kernel to retransmit its SYN. */
     @Test
     void atOnce1024ClientsMayCome() throws Exception {
         FakeServer node = node();
@@ -188,7 +190,7 @@
                             new InetSocketAddress(
                                     "127.0.0.1", fleet.proxy.address().getPort()),
                             CONNECT_MS);
-                    // One that stays silent would be closed where the last of them is accepted late.
+                    // A silent client would be closed if the last of them is accepted late.
                     client.getOutputStream().write("mn\r\n".getBytes(StandardCharsets.US_ASCII));
                 }
             } finally {
@@ -198,7 +200,7 @@
         }
     }
 
-    /** Of 1,024 classes and tenants each may be asked for, and each class is counted. */
+    /** Each of 1,024 classes and tenants can be requested, and each class is counted. */
     @Test
     void eachOf1024ClassesAndTenantsIsServed() throws Exception {
         FakeServer node = node();
@@ -230,7 +232,9 @@
         }
     }
 
-    /** An instance in the last of 1,024 zones serves from all of them, and takes part in the view and in zones. */
+    /**
+     * An instance in the last of 1,024 zones serves from all of them, and takes part in membership and zone failover.
+     */
     @Test
     void anInstanceInTheLastOf1024ZonesServesAndJoins() throws Exception {
         FakeServer node = node();
@@ -254,7 +258,7 @@
         }
     }
 
-    /** A successor that knows of no list of its own is told all of 1,024 servers. */
+    /** A successor without a list of its own is sent all 1,024 servers. */
     @Test
     void aSuccessorIsToldAll1024Servers() throws Exception {
         FakeServer node = node();
@@ -277,7 +281,7 @@
         }
     }
 
-    /** Each of more silent nodes than were remembered before is told, as far as the budget goes. */
+    /** Each silent node is reported as far as the budget goes, though there are more than were remembered before. */
     @Test
     void eachOf1024SilentNodesIsTold() throws Exception {
         FakeServer node = node();
@@ -303,7 +307,7 @@
         }
     }
 
-    /** The last of 1,024 peers is heard under its number and sent to by it. */
+    /** Messages of the last of 1,024 peers arrive under its number, and those to that number reach it. */
     @Test
     void theLastOf1024PeersIsHeardAndSentTo() throws Exception {
         FakeServer node = node();
--- a/src/test/java/cacheproxy/proxy/LargeList.java
+++ b/src/test/java/cacheproxy/proxy/LargeList.java
@@ -4,18 +4,21 @@
 import com.google.gson.JsonObject;
 import java.util.function.IntFunction;
 
-/** Lists and configurations of many servers and peers, for tests and measurements. */
+/** Endpoint lists and configurations with many servers and peers, for tests and measurements. */
 final class LargeList {
     private static final String[] SITES = {"east", "west"};
 
     private LargeList() {}
 
-    /** The name of a server by its place in the list, from 0 on. */
+    /** The name of the server at an index of the list, from 0. */
     static String name(int server) {
         return "s-%08x".formatted(server + 1);
     }
 
-    /** So many servers over both sites and the origin; {@code dial}: where each listens. */
+    /**
+     * A list of {@code servers} cache nodes, alternating between both sites, and the origin; {@code dial} gives each
+     * address.
+     */
     static JsonArray hosts(int servers, IntFunction<String> dial, String origin) {
         JsonArray hosts = new JsonArray();
         for (int i = 0; i < servers; i++) {
@@ -28,12 +31,12 @@
         return hosts;
     }
 
-    /** The address of a peer by its number: a loopback address each. */
+    /** The address of a peer by its number; each has a loopback address of its own. */
     static String peer(int number) {
         return "127.77.%d.%d:7946".formatted(number / 250, number % 250 + 1);
     }
 
-    /** Has a configuration name so many peers, of which this proxy is the first. */
+    /** Configures {@code peers} peers, of which this proxy is the first. */
     static void peers(JsonObject config, int peers) {
         JsonArray all = new JsonArray();
         for (int i = 0; i < peers; i++) {
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Values up to 4 MiB, many at a time, in parts of any size, sent and read slowly. */
+/** Values of up to 4 MiB: many at once, in parts of any size, sent and read slowly. */
 @Timeout(90)
 class LargeValuesTest {
     private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE_BYTES];
@@ -39,7 +39,7 @@
         client.say(Arrays.copyOf(VALUE, length)).say("\r\n");
     }
 
-    /** Together they are ten times what there is room for: clients wait to send, and nothing is turned away. */
+    /** Together the values are ten times the memory budget: clients wait to send, and nothing is rejected. */
     @Test
     void writesBeyondTheBudgetWaitAndAllSucceed() throws Exception {
         try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** One that comes to nothing gives its room back, at whatever byte it ends. */
+    /** An aborted write releases its memory reservation, at whatever byte it ends. */
     @Test
     void anAbortedWriteReleasesItsReservation() throws Exception {
         try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
@@ -113,9 +113,9 @@
         }
     }
 
-    /** The node's answer in pieces cut at each byte of its first line and of its end. */
+    /** The node's response is split at each byte of its first line and of its end. */
     @Test
-    @SuppressWarnings("ThreadPriorityCheck") // a chance for the reader between both writes; nothing rests on it
+    @SuppressWarnings("ThreadPriorityCheck") // lets the reader run between both writes; the test doesn't depend on it
     void aLongResponseMayArriveInPartsOfAnySize() throws Exception {
         int length = 70_000;
         FakeServer node = new FakeServer(c -> {
@@ -149,14 +149,16 @@
         }
     }
 
-    /** A short answer's watch must not end a long one whose line came in pieces and whose client is slow. */
+    /**
+     * The timeout for short responses must not end a long one whose line arrived in pieces and whose client is slow.
+     */
     @Test
     void aClientThatPausesWithinALongResponseGetsItCompletely() throws Exception {
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
             c.socket.setTcpNoDelay(true);
             c.say("VA " + VALUE.length + " O");
-            c.pause.acquire(); // the first part of the line is on its way
+            c.pause.acquire(); // the first part of the line has been sent
             c.say(FakeServer.id(line) + " h1\r\n");
             c.out.write(VALUE);
             c.say("\r\n");
@@ -169,14 +171,14 @@
             node.next();
             c.pause.release();
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
-            double until = System.nanoTime() / 1e6 + 900; // three times the watch over short answers
+            double until = System.nanoTime() / 1e6 + 900; // three times the timeout for short responses
             Await.until("the client has paused", () -> System.nanoTime() / 1e6 > until);
             assertThat(client.bytes(VALUE.length)).isEqualTo(VALUE);
             assertThat(client.line()).isEmpty();
         }
     }
 
-    /** What would wait behind a long answer that its client takes slowly goes by another connection. */
+    /** Requests that would wait behind a long response to a slow client use another connection. */
     @Test
     void aSlowReaderDelaysNobodyElse() throws Exception {
         FakeServer node = new FakeServer(c -> {
@@ -193,7 +195,7 @@
         });
         try (Fleet fleet = new Fleet().node(node).start()) {
             List<Fleet.Client> slow = new ArrayList<>();
-            for (int i = 0; i < 6; i++) { // more than there are connections to a node ordinarily
+            for (int i = 0; i < 6; i++) { // more than the usual number of connections to a node
                 Fleet.Client client = fleet.client();
                 assertThat(client.read("long" + i).line()).isEqualTo("VA " + VALUE.length + " Olong" + i);
                 slow.add(client);
@@ -210,7 +212,7 @@
         }
     }
 
-    /** RFC 9112, 6.3: without a length the body ends with the connection, and an orderly end makes it whole. */
+    /** RFC 9112, 6.3: without a length the body ends with the connection, and is complete if the close is orderly. */
     @Test
     void aBodyThatEndsWithItsConnectionIsCompleteIfThatCloseIsOrderly() throws Exception {
         FakeServer misses = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
--- a/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
+++ b/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
@@ -21,7 +21,7 @@
         });
     }
 
-    /** Discovery that tells of this change to the first node once it may, and of nothing else. */
+    /** A discovery that reports this change of the first node once it is released, and nothing else. */
     private static FakeServer discovery(CountDownLatch told, JsonObject change) throws Exception {
         return new FakeServer(c -> {
             c.request();
@@ -58,7 +58,7 @@
                 Fleet.Client client = fleet.client().read("1");
                 awaitWaiting(fleet, 1);
                 told.countDown();
-                assertThat(discovery.next()).contains("since=43&"); // the news is in use
+                assertThat(discovery.next()).contains("since=43&"); // the change is in use
                 node.open();
                 assertThat(client.line()).isEqualTo("VA 5 O1");
                 assertThat(client.line()).isEqualTo("fetch");
@@ -67,7 +67,9 @@
         }
     }
 
-    /** Guards against a request that reaches a node as late as a connection may come up after the node was to leave. */
+    /**
+     * Guards against a request that reaches a node long after it began to drain, when its connection is established.
+     */
     @Test
     void aWaitingRequestIsNotSentToANodeThatBeginsToDrain() throws Exception {
         leaves(h -> h.addProperty("health", "draining"));
@@ -83,7 +85,7 @@
         leaves(h -> h.addProperty("dial", "127.0.0.1:9"));
     }
 
-    /** Whatever the settings say of cancelling: what nobody has heard of yet needs no cancelling. */
+    /** Holds even if the settings forbid cancelling: a request that no server has received needs no cancel. */
     @Test
     void nothingIsSentForAClientThatDisconnectedMeanwhile() throws Exception {
         try (LateServer node = LateServer.node();
@@ -105,7 +107,7 @@
         }
     }
 
-    /** Two clients read one key, and the first one's fetch is to serve both. */
+    /** Two clients read one key, and the second waits for the first one's fetch. */
     @Test
     void ifTheFetchingRequestDisconnectsItsWaiterFetches() throws Exception {
         FakeServer node = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
@@ -129,7 +131,7 @@
                     "its fetch waits", () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) == 2);
             Fleet.Client waiter = fleet.client().read("2");
             node.next();
-            fleet.client().say("mn\r\n").line(); // the event loop has been round: the miss has come
+            fleet.client().say("mn\r\n").line(); // the event loop has completed an iteration and read the miss
             awaitWaiting(fleet, 2);
             leader.close();
             awaitWaiting(fleet, 1);
@@ -140,19 +142,19 @@
         }
     }
 
-    /** The second copy's connection comes up after the first has been answered, and must not go out then. */
+    /** The hedge's connection is established after the first attempt was answered; the hedge must not be sent then. */
     @Test
     void nothingIsSentForACompletedRequest() throws Exception {
         CountDownLatch copied = new CountDownLatch(1);
         FakeServer slow = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                if (FakeServer.id(line).equals("1")) { // the other it never answers
+                if (FakeServer.id(line).equals("1")) { // the other request is never answered
                     copied.await();
                     c.say("VA 5 O1 h1\r\nhello\r\n");
                 }
             }
         });
-        // Of sixty proxies each has one connection to a node, so what waits there goes out in order.
+        // Each of sixty proxies has one connection to a node, so waiting requests are sent in order.
         try (LateServer late = LateServer.node();
                 Fleet fleet = new Fleet()
                         .node(slow)
@@ -172,7 +174,7 @@
             copied.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
-            client.say("mg " + second + " v O2 Pc=text,d=20000\r\n"); // where the other copy was to go
+            client.say("mg " + second + " v O2 Pc=text,d=20000\r\n"); // to the node that the hedge was meant for
             awaitWaiting(fleet, 1);
             late.open();
             assertThat(client.line()).isEqualTo("VA 5 O2");
--- a/src/test/java/cacheproxy/proxy/LateServer.java
+++ b/src/test/java/cacheproxy/proxy/LateServer.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /**
- * A server to which no connection comes up until it is opened: the system's queue of those that it has not accepted is
- * full, so what else wants in is left without a word, and asks again by itself.
+ * A server to which no connection is established until {@link #open}: its backlog is full, so the kernel drops further
+ * SYNs, and the connecting side retransmits them.
  */
 final class LateServer implements AutoCloseable {
     private static final int FULL_MS = 100;
     private static final int MAX_FILLERS = 16;
 
-    /** What to do with a connection that came through. */
+    /** Handles an accepted connection, which is closed when the script returns. */
     interface Script {
         void run(Peer peer) throws IOException;
     }
 
-    /** A connection that came through. */
+    /** An accepted connection. */
     final class Peer {
         private final Socket socket;
 
@@ -31,7 +31,7 @@
             this.socket = socket;
         }
 
-        /** The next line, kept for the test to see; null at the end. */
+        /** Reads the next line and records it for the test; null at the end of the stream. */
         String command() throws IOException {
             String line = FakeServer.line(socket.getInputStream());
             if (line != null) {
@@ -64,10 +64,10 @@
                 return;
             }
         }
-        throw new IOException("the queue never fills");
+        throw new IOException("backlog accepted " + MAX_FILLERS + " connections without filling up");
     }
 
-    /** A cache node that answers reads with what it has, once it is open. */
+    /** A cache node that answers every read with a hit, once it is open. */
     static LateServer node() throws IOException {
         return new LateServer(p -> {
             for (String line; (line = p.command()) != null; ) {
@@ -80,7 +80,7 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Takes what waits and what comes from now on. */
+    /** Empties the backlog and accepts connections from now on. */
     void open() throws IOException {
         for (Socket filler : fillers) {
             filler.close();
@@ -96,7 +96,7 @@
                         try (socket) {
                             script.run(new Peer(socket));
                         } catch (IOException e) {
-                            // its other side has ended it
+                            // the peer closed the connection
                         }
                     });
                     serving.setDaemon(true);
--- a/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/LearnedStateCodecTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The stored form of what was learnt: each field stands where processes of other versions look for it. */
+/** The stored format of learned state, which processes of other versions read by field name. */
 class LearnedStateCodecTest {
     private static final String FILE = "proxy/learned-state.json";
 
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -37,8 +37,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What processes of other versions and operators' files rely on: the line that a takeover passes on, the lines of the
- * handover's protocol and the start configuration stay as the recorded texts show them.
+ * Formats that processes of other versions and operators' files depend on: the state line of a takeover, the lines of
+ * the handover protocol and the start configuration match the recorded texts.
  */
 @Timeout(60)
 class LifecycleFormsTest {
@@ -78,7 +78,7 @@
         assertThat(TakeoverSnapshot.parse(line)).isEqualTo(snapshot());
     }
 
-    /** The old process understands the recorded lines, in this order, at the socket of this name. */
+    /** The old process accepts the recorded lines, in this order, on the socket of this name. */
     @Test
     void theOldProcessTakesTheRecordedLines() throws Exception {
         List<String> lines = recorded("handover-lines.txt").lines().toList();
@@ -96,7 +96,7 @@
         }
     }
 
-    /** The new process sends the recorded lines; it asks for the socket once it has read the state. */
+    /** The new process sends the recorded lines; it requests the socket once it has read the state. */
     @Test
     void theNewProcessSendsTheRecordedLines() throws Exception {
         List<String> lines = recorded("handover-lines.txt").lines().toList();
--- a/src/test/java/cacheproxy/proxy/MetricsLogTest.java
+++ b/src/test/java/cacheproxy/proxy/MetricsLogTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The lines of metrics that a proxy writes. */
+/** The metrics lines that a proxy logs. */
 class MetricsLogTest {
     private static MetricsLine line(Fleet fleet) {
         return fleet.on(() -> fleet.proxy.metricsLog(System.err).line());
@@ -26,7 +26,9 @@
         });
         try (Fleet fleet = new Fleet().node(node).origin(origin).start();
                 Fleet.Client client = fleet.client()) {
-            assertThat(line(fleet).firstServedMs()).as("before any answer").isNegative();
+            assertThat(line(fleet).firstServedMs())
+                    .as("before the first answer")
+                    .isNegative();
             client.read("1");
             assertThat(client.line()).startsWith("VA 5 ");
             MetricsLine line = line(fleet);
--- a/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
+++ b/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Discovery that answers with a list older than one it has told before: a replica that is behind, or lost memory. */
+/** Discovery answers with a list older than one it has sent before: a lagging replica, or one that lost its state. */
 @Timeout(60)
 class OlderEndpointListTest {
     private static final int KEYS = 64;
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Two replicas, one behind the other, that each answer at once what the other's answer has the proxy ask for. */
+    /** Two replicas, one lagging, that each answer at once the poll that the other's answer triggers. */
     @Test
     void disagreeingReplicasAreNotPolledWithoutADelay() throws Exception {
         int calls = 8;
@@ -117,7 +117,7 @@
                 }
             });
             double ms = (calledNanos.get(calls) - calledNanos.get(0)) / 1e6;
-            assertThat(ms).as("the time of %d calls", calls).isGreaterThan(calls * 80.0);
+            assertThat(ms).as("milliseconds for %d polls", calls).isGreaterThan(calls * 80.0);
             assertThat(fleet.on(() -> fleet.proxy.status().discoveredNodes())).isBetween(2, 3);
         }
     }
--- a/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
@@ -25,12 +25,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What a running proxy answers operators, field by field. Numbers, and texts that differ from run to run, stand as
- * zeros and stars.
+ * The answers of a running proxy to operators' commands, field by field. Numbers are compared as zeros, and texts that
+ * differ from run to run as stars.
  */
 @Timeout(60)
 class OperatorAnswersTest {
-    /** Fields whose text differs from run to run. */
+    /** Fields whose text varies from run to run. */
     private static final Set<String> VARYING = Set.of("life", "digest", "folder");
 
     @TempDir
@@ -87,7 +87,7 @@
     void proxyWithAllFeaturesAnswersAsPinned() throws Exception {
         try (Fleet fleet = new Fleet().node("127.0.0.1:9").origin("127.0.0.1:9")) {
             fleet.config.add("known", fleet.known());
-            fleet.config.addProperty("name", "proxy-3"); // whose folder it is
+            fleet.config.addProperty("name", "proxy-3"); // the instance that the stored state belongs to
             Path kept = Files.createDirectory(folder.resolve("kept"));
             for (String file : new String[] {"snapshot", "journal"}) {
                 Files.write(kept.resolve(file), GoldenFile.bytes("state/journal-torn/" + file));
@@ -167,7 +167,7 @@
         }
     }
 
-    /** The section of a proxy with routes; the figures of a route that nobody asked for are zero in any case. */
+    /** The routing section of a proxy with routes; the counters of an unused route are zero anyway. */
     @Test
     void routingSectionIsAsPinned() throws Exception {
         Fleet fleet = new Fleet().node("127.0.0.1:9").origin("127.0.0.1:9");
--- a/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Messages between proxies, on loopback datagrams. */
+/** Messages between proxies, as datagrams on loopback. */
 class PeerDatagramSocketTest {
     private static String text(DatagramSocket socket) {
         return "127.0.0.1:" + socket.getLocalPort();
@@ -86,7 +86,7 @@
                 socket.send(1, PeerMessageKind.ENDPOINT_LIST, new byte[200]);
             }
             assertThat(counters.count(Metric.PEER_MESSAGES_SENT))
-                    .as("the budget")
+                    .as("send budget")
                     .isBetween(20L, 40L);
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/src/test/java/cacheproxy/proxy/PeerListIT.java
+++ b/src/test/java/cacheproxy/proxy/PeerListIT.java
@@ -19,14 +19,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Two processes of the packaged program whose discovery tells them the same at different times. What one tells the
- * other of the list may have a server left alone sooner; it may not have one used that discovery itself has told the
- * other to leave alone.
+ * Two processes of the packaged program that receive the same list changes from discovery at different times. A list
+ * change from a peer may drain a server sooner; it must not readmit a server that discovery itself has drained.
  */
 @Timeout(60)
 class PeerListIT {
     private static final int KEYS = 64;
-    /** So long discovery keeps a watch without news open. */
+    /** How long discovery holds a watch open without a change. */
     private static final int WATCH_MS = 200;
 
     private static final String RELEASED = "s-00000001";
@@ -60,8 +59,8 @@
     }
 
     /**
-     * Discovery as one proxy finds it. Version 42 drains a server; 43 has it ready again and drains another, and is
-     * told once {@code tellsLast} is open. Until then a watch ends with nothing new.
+     * The discovery of one proxy. Version 42 drains a server; version 43 makes it ready again, drains another, and is
+     * sent once {@code tellsLast} is open. Until then a watch ends without a change.
      */
     private FakeServer discovery(CountDownLatch drained, CountDownLatch tellsLast) throws IOException {
         return new FakeServer(c -> {
@@ -104,7 +103,7 @@
         return new ServeProcess(folder, "n" + me, fleet.config.toString(), Map.of());
     }
 
-    /** Asks for each of the keys once and forgets what the servers had been asked before. */
+    /** Clears the servers' recorded commands and reads each key once. */
     private void readAll(int port) throws IOException {
         released.commands.clear();
         drainsLater.commands.clear();
@@ -147,7 +146,7 @@
             });
             readAll(port);
             assertThat(askedOf(released))
-                    .as("reads of a server that this proxy's own discovery has drained")
+                    .as("reads at a server that this proxy's own discovery has drained")
                     .isZero();
             lateIsTold.countDown();
             Await.until("its own discovery has it used again", () -> {
--- a/src/test/java/cacheproxy/proxy/ProcessFigures.java
+++ b/src/test/java/cacheproxy/proxy/ProcessFigures.java
@@ -19,10 +19,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the real process takes at several sizes of the fleet: starts the deploy file's {@code run} line with so many
- * servers and peers, before a discovery and a node of its own, and prints a row of a table for each size. Run by hand,
- * from the root, after the build, by {@code java -cp target/test-classes:target/classes:target/lib/*
- * cacheproxy.proxy.ProcessFigures SIZE...}.
+ * Measures start time, memory and processor time of the packaged program at several fleet sizes: starts the deploy
+ * file's {@code run} line with that many servers and peers, against a discovery and a node of its own, and prints a
+ * table row for each size. Run by hand, from the root, after the build, by {@code java -cp
+ * target/test-classes:target/classes:target/lib/* cacheproxy.proxy.ProcessFigures SIZE...}.
  */
 final class ProcessFigures {
     private static final int REQUESTS = 4000;
@@ -30,7 +30,7 @@
 
     private ProcessFigures() {}
 
-    /** Each argument is a number of servers, and of peers. */
+    /** Each argument is a fleet size: the number of servers and of peers. */
     public static void main(String[] args) throws Exception {
         System.out.println("| servers and peers | until it takes clients | VmRSS then | VmRSS after " + REQUESTS
                 + " reads | highest | heap in use | after a collection | processor time | connections to nodes "
@@ -141,10 +141,10 @@
                 TimeUnit.MILLISECONDS.sleep(10);
             }
         }
-        throw new IllegalStateException("it does not take clients");
+        throw new IllegalStateException("proxy did not accept clients within " + READY_S + " s");
     }
 
-    /** Reads keys drawn evenly, one after another on some connections; how many were served. */
+    /** Reads uniformly drawn keys, one at a time, in turn on 16 connections; returns how many were served. */
     private static int use(int port) throws Exception {
         SplittableRandom random = new SplittableRandom(7);
         List<Socket> clients = new ArrayList<>();
@@ -179,7 +179,7 @@
                 .orElse(0);
     }
 
-    /** Of both generations, in use and in all. */
+    /** Heap in use and committed, summed over both generations. */
     private static String heap(Process process, String command) throws Exception {
         int used = 0;
         int total = 0;
--- a/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The timeout that servers are sent: the time that remains for the client when the attempt goes out, never more. */
+/** The timeout sent to servers: at most the client's remaining time when the attempt is sent. */
 @Timeout(60)
 class RemainingTimeTest {
     private static final int TIMEOUT_MS = 20_000;
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The system retries a connection that was not accepted after a second at the earliest. */
+    /** The kernel retransmits the SYN of a connection that was not accepted after one second at the earliest. */
     @Test
     void anAttemptThatWaitedForItsConnectionIsSentTheTimeThatRemains() throws Exception {
         LateServer origin = new LateServer(p -> {
--- a/src/test/java/cacheproxy/proxy/RoutesTest.java
+++ b/src/test/java/cacheproxy/proxy/RoutesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Routes on sockets: two nodes in two pools, what falls back and what must not, and other routes meanwhile. */
+/** Routes on sockets: two nodes in two pools, which requests may use the fallback, and routes reloaded in service. */
 @Timeout(60)
 class RoutesTest {
     private static final String POOLS = "pool one { host = \"s-00000001\" } pool two { host = \"s-00000002\" } ";
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Its module would ask the origin, which other pools' servers spare. */
+    /** The empty pool's routing would fetch from the origin, which the fallback pool's servers make unnecessary. */
     @Test
     void aPoolWithoutServersIsPassedOverForTheFallbackAndNotForTheOrigin() throws Exception {
         FakeServer origin = new FakeServer(c -> {
@@ -100,10 +100,10 @@
         }
     }
 
-    /** The origin takes the write and ends the connection: it may have run, and no pool gets it again. */
+    /** The origin reads the write and closes the connection: it may have been executed, so no pool gets it again. */
     @Test
     void aWriteThatMayHaveRunIsNotSentToTheFallback() throws Exception {
-        FakeServer origin = new FakeServer(c -> c.request()); // and the connection ends
+        FakeServer origin = new FakeServer(c -> c.request()); // then closes the connection
         try (Fleet fleet = fleet(ROUTES)
                         .node(node("one"))
                         .node(node("two"))
@@ -152,7 +152,7 @@
     @Test
     void routesOfNoUseChangeNothing() throws Exception {
         try (Fleet fleet = fleet(ROUTES).node(node("one")).node(node("two")).start()) {
-            fleet.routing = null; // reading them fails
+            fleet.routing = null; // loading routes fails
             fleet.reload();
             assertThat(get(fleet.client(), "a1", "1")).isEqualTo("one");
             assertThat(fleet.on(() -> fleet.proxy.router().version())).isEqualTo(1);
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What may be sent is asked as it is sent: events that cross an order are forced here, on real sockets. */
+/** The safety rules are checked when an attempt is sent: races of events with sends are forced here on real sockets. */
 @Timeout(60)
 class SafetyRulesOnSocketsTest {
-    /** Longer than what is known of a client may be old. */
+    /** Longer than the maximum age of the proxy's knowledge of a client's connection. */
     private static final long HELD_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-    /** A client's end is seen in a moment, and long before this part of its deadline of 20 s. */
+    /** A client's disconnect is noticed in a moment, long before this share of its 20 s deadline. */
     private static final long SOON_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-    /** Reads and answers nothing but the request of this id. */
+    /** A node that reads every request and answers only the one with this id. */
     private static FakeServer answersOnly(String id) throws Exception {
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
@@ -52,7 +52,7 @@
                 fleet.proxy
                         .dispatcher()
                         .routingActions()
-                        .send(1, server, 0); // as a timer of the module would, before the end is read
+                        .send(1, server, 0); // as a routing timer would, before the disconnect is read
             });
             stands.await();
             long since = System.nanoTime();
@@ -95,19 +95,19 @@
         }
     }
 
-    /** More than the system keeps for a connection: the end could not even come if none of it were read. */
+    /** More than the kernel buffers for a connection: the disconnect could not arrive if none of it were read. */
     @Test
     void theEndOfAClientThatHasSentMuchAtOnceIsSeenSoon() throws Exception {
         assertEndIsSeen(3000);
     }
 
-    /** More than is read ahead: its last bytes wait in the system, and its end behind them. */
+    /** More than the proxy reads ahead: the last bytes wait in the kernel's buffer, and the disconnect behind them. */
     @Test
     void theEndOfAClientIsSeenSoonBehindMoreThanIsReadAhead() throws Exception {
         assertEndIsSeen(ReadAheadBudget.MAX_BYTES_PER_CONNECTION / 46 + 1000);
     }
 
-    /** A server ends what stands idle for a second; the sweep that would retire it comes round later. */
+    /** The server closes connections idle for a second; the proxy's periodic sweep would retire this one only later. */
     @Test
     void aConnectionThatItsServerMayEndJustNowIsNotUsed() throws Exception {
         FakeServer node = FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
@@ -144,7 +144,7 @@
             assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().violations()))
                     .containsEntry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, 1L);
             assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).violations())
-                    .as("what status and figures show")
+                    .as("counts in status and metrics")
                     .containsExactly(Map.entry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED.key(), 1L));
         }
     }
--- a/src/test/java/cacheproxy/proxy/ServeProcess.java
+++ b/src/test/java/cacheproxy/proxy/ServeProcess.java
@@ -8,17 +8,18 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** The packaged program's {@code serve} as a process of its own, with its configuration and log in a folder. */
+/** Runs {@code serve} of the packaged program in a process, with its configuration and log in a folder. */
 final class ServeProcess implements AutoCloseable {
     private final Process process;
     private final Path log;
 
     /**
-     * Starts it.
+     * Starts the process.
      *
-     * @param parent where it gets a folder of its own, {@code name}: processes that share one take over from each other
+     * @param parent the folder in which its own, {@code name}, is made: processes that share one take over from each
+     *     other
      * @param config its configuration
-     * @param environment what is added to this process's environment
+     * @param environment variables to set in addition to the inherited environment
      */
     ServeProcess(Path parent, String name, String config, Map<String, String> environment) throws IOException {
         Path folder = Files.createDirectory(parent.resolve(name));
@@ -45,7 +46,7 @@
         return process.isAlive();
     }
 
-    /** What it has logged so far. */
+    /** The log so far. */
     String log() throws IOException {
         return Files.readString(log);
     }
@@ -64,7 +65,6 @@
         }
     }
 
-    /** Kills it. */
     @Override
     public void close() {
         process.destroyForcibly();
--- a/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Settings that change in service: taken whole, or not at all. */
+/** A settings reload in service is applied as a whole or rejected as a whole. */
 @Timeout(60)
 class SettingsReloadTest {
-    /** As the platform words them, with lists and objects and not flat as in the other tests. */
+    /** Settings in the platform's format, with lists and objects, not flat as in the other tests. */
     private static JsonObject settings() throws Exception {
         return JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
                 .getAsJsonObject()
@@ -113,10 +113,12 @@
         FakeServer misses = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
         try (Fleet fleet = fleet(misses).origin(resets).start();
                 Fleet.Client client = fleet.client()) {
-            assertThat(ask(client, "1", "seg-text")).as("safe to repeat").startsWith("SERVER_ERROR busy");
+            assertThat(ask(client, "1", "seg-text")).as("safe to retry").startsWith("SERVER_ERROR busy");
             classes(fleet.config).get(0).getAsJsonObject().addProperty("idempotency", "fragile");
             fleet.reload();
-            assertThat(ask(client, "2", "seg-text")).as("may have run").isEqualTo("SERVER_ERROR failed");
+            assertThat(ask(client, "2", "seg-text"))
+                    .as("may have been executed")
+                    .isEqualTo("SERVER_ERROR failed");
         }
     }
 
@@ -131,7 +133,7 @@
         FakeServer other = node();
         try (Fleet fleet = fleet(slow).node(other).start()) {
             List<Fleet.Client> clients = new ArrayList<>();
-            for (int i = 0; i < 8; i++) { // some of these keys are the slow node's
+            for (int i = 0; i < 8; i++) { // some of these keys belong to the slow node
                 Fleet.Client client = fleet.client();
                 client.say("mg 7f3a9c21e0b4d65" + i + " v O" + i + " Pc=seg-text,d=20000\r\n");
                 clients.add(client);
@@ -191,7 +193,7 @@
         }
     }
 
-    /** For each key of each object, a change that takes it out; but not of the list, which is its own matter. */
+    /** Adds a change for each key of each object that removes it, except in the endpoint list. */
     private static void withoutEachKey(JsonObject config, List<Consumer<JsonObject>> changes) {
         for (Map.Entry<String, JsonElement> e : config.entrySet()) {
             changes.add(c -> c.remove(e.getKey()));
--- a/src/test/java/cacheproxy/proxy/SharedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/SharedClientsTest.java
@@ -7,7 +7,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Connections that are ended so that they are dealt anew: between requests, and none whose first request is on its way.
+ * Connections closed so that clients reconnect and are redistributed: only between requests, and none whose first
+ * request has yet to arrive.
  */
 @Timeout(60)
 class SharedClientsTest {
@@ -27,7 +28,7 @@
             for (Fleet.Client c : new Fleet.Client[] {first, last}) {
                 assertThat(c.say("mn\r\n").line()).isEqualTo("MN");
             }
-            Fleet.Client unheard = fleet.client(); // only now: the proxy closes a client that stays silent
+            Fleet.Client unheard = fleet.client(); // connected only now: the proxy closes a client that stays silent
             Await.until(
                     "all are idle",
                     () -> fleet.on(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
--- a/src/test/java/cacheproxy/proxy/StoppedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/StoppedClientsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that stop in the middle of a request and stay: each is owed an error or a close within three seconds. */
+/** Clients that stall in the middle of a request: each must get an error or a close within three seconds. */
 @Timeout(60)
 class StoppedClientsTest {
     private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
@@ -27,7 +27,7 @@
                 .start();
     }
 
-    /** Whether it is told an error, or its connection is ended, before this time; other answers are passed over. */
+    /** Whether the client gets an error or a close before this time; other answers are skipped. */
     private static boolean heard(Fleet.Client client, long untilNanos) throws IOException {
         try {
             for (long left; (left = TimeUnit.NANOSECONDS.toMillis(untilNanos - System.nanoTime())) > 0; ) {
@@ -40,7 +40,7 @@
         } catch (SocketTimeoutException e) {
             return false;
         } catch (IOException e) {
-            return true; // a reset is an end, too
+            return true; // a reset counts as a close
         }
         return false;
     }
@@ -87,7 +87,7 @@
         assertThat(unheard(Map.of("mute", new byte[0]))).isEmpty();
     }
 
-    /** Each byte is activity, and none of it is the end of a request. */
+    /** Each byte is activity, but none completes a request. */
     @Test
     void aClientThatSendsAByteNowAndThenHearsOfItInTime() throws Exception {
         ScheduledExecutorService drip = Executors.newSingleThreadScheduledExecutor();
@@ -101,7 +101,8 @@
                             line.say("g");
                             value.say("x");
                         } catch (IOException e) {
-                            throw new IllegalStateException(e); // ends it: one of the two has been ended
+                            throw new IllegalStateException(
+                                    e); // ends the schedule: one of the two connections is closed
                         }
                     },
                     DRIP_MS,
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -31,27 +31,24 @@
     }
 
     private static final int QUIET_MS = 200;
-    /** What the proxy may hold itself. */
+    /** Upper bound of what the proxy itself may buffer. */
     private static final long OWN_ROOM = 8L << 20;
 
     private static final long USUAL_MOST = 32L << 20;
 
-    /**
-     * What fits into the buffers on the way from a node to a client: the system's on both connections, and the proxy's.
-     */
+    /** Capacity of all buffers between a node and a client: the kernel's on both connections, and the proxy's. */
     private static long room() throws IOException {
         return 2 * (most("tcp_rmem") + most("tcp_wmem")) + OWN_ROOM;
     }
 
-    /**
-     * The length that the system lets a connection's buffer grow to; it differs by a factor of five between kernels.
-     */
+    /** The kernel's limit for a socket buffer; it differs by a factor of five between kernels. */
     private static long most(String buffer) throws IOException {
         Path limits = Path.of("/proc/sys/net/ipv4", buffer);
         if (!Files.isReadable(limits)) {
             return USUAL_MOST;
         }
-        try (Stream<String> lines = Files.lines(limits)) { // reads it at one go, as the system wants it
+        try (Stream<String> lines =
+                Files.lines(limits)) { // reads the file in one call, as the kernel expects for sysctl files
             return Long.parseLong(lines.findFirst().orElseThrow().split("\\s+")[2]);
         }
     }
@@ -80,7 +77,7 @@
         }
     }
 
-    /** Takes a long answer, and has no room left as its end comes. */
+    /** Accepts a long response and has no room left when its end arrives. */
     private static final class Full implements ResponseWriter {
         private final CompletableFuture<String> ended = new CompletableFuture<>();
         private FlowControl flow;
@@ -129,21 +126,21 @@
     }
 
     /**
-     * Seen: a connection to a node was held as the client had no room for an answer's end, and nobody let go of it
-     * again. What stood behind that answer never came, and ten seconds later its client's connection was ended.
+     * Guards against a node's connection that stays paused because the client had no room for the end of a response:
+     * the response behind it never arrived, and ten seconds later that client's connection was closed.
      */
     @Test
     void aResponseBehindAStreamedOneArrivesThoughItsClientWasSlow() throws Exception {
         Semaphore next = new Semaphore(0);
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                next.acquire(); // nothing of an answer comes with the end of the one before
+                next.acquire(); // no response arrives together with the end of the previous one
                 head(c, line);
                 c.out.write(VALUE);
                 c.say("\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).set("balancers", "60").start()) { // one connection to a node
+        try (Fleet fleet = new Fleet().node(node).set("balancers", "60").start()) { // one connection per node
             for (int i = 0; i < 3; i++) {
                 Full client = new Full();
                 RequestCommand read = new RequestCommand(
@@ -233,7 +230,7 @@
             client.line();
             client.bytes(VALUE.length);
             for (long before = -1; before != sent.get(); Thread.sleep(QUIET_MS)) {
-                before = sent.get(); // a proxy that does not hold back goes on to the end of all values
+                before = sent.get(); // without back pressure the proxy would read all values to their end
             }
             assertThat(sent.get() - VALUE.length).isLessThan(room);
             client.line();
--- a/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
+++ b/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
@@ -27,9 +27,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The packaged program while system calls on its sockets fail: each request has one final answer, and in time. The
- * faults are injected by a library of the project's own (src/test/c/faults.c) and logged; a run without any proves
- * nothing.
+ * The packaged program while system calls on its sockets fail: each request gets one final answer by its deadline. A
+ * preloaded library (src/test/c/faults.c) injects and logs the faults; the test requires that there were some.
  */
 @Timeout(120)
 class SyscallFaultsIT {
@@ -50,9 +49,9 @@
             assertThat(compiler.waitFor()).isZero();
         } catch (IOException e) {
             if (System.getenv("CI") != null) {
-                fail("CI requires a C compiler for the faults of system calls", e);
+                fail("CI requires a C compiler to inject faults into system calls", e);
             }
-            abort("no C compiler: the faults of system calls were not played");
+            abort("no C compiler: system call faults were not injected");
         }
         return shim;
     }
@@ -82,7 +81,7 @@
                         folder.resolve("faults").toString()));
     }
 
-    /** One request on a connection of its own; what was wrong with its answer, or null. */
+    /** Sends one request on a connection of its own; returns what is wrong with its answer, or null. */
     private static String request(int port, String id) throws IOException {
         long sent = System.nanoTime();
         try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
@@ -129,7 +128,7 @@
         return names;
     }
 
-    /** Ends each connection after its answer, so that the proxy makes many. */
+    /** A node that closes each connection after one answer, so that the proxy opens many. */
     private static FakeServer node() throws IOException {
         return new FakeServer(c -> c.say("VA 5 O" + FakeServer.id(c.command()) + " h1\r\nhello\r\n"));
     }
@@ -149,7 +148,7 @@
             String injected = Files.readString(folder.resolve("faults"));
             assertThat(injected).contains(calls);
             assertThat(process.log()).doesNotContain("rule_violation: ", "internal_error: ");
-            // Netty's own thread for what belongs to no event loop: nothing of the proxy may run on it.
+            // Netty's thread for tasks without an event loop: no code of the proxy may run on it.
             assertThat(threads(process)).noneMatch(name -> name.startsWith("globalEvent"));
         } finally {
             one.close();
--- a/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
+++ b/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
@@ -22,7 +22,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** What is passed over comes to be read as it was meant, or not at all. */
+/** A takeover's state is read as it was written, or rejected. */
 class TakeoverSnapshotTest {
     private static JsonObject list() {
         JsonArray hosts = new JsonArray();
@@ -91,7 +91,7 @@
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
-    /** A process that has been started before this was added tells its list alone. */
+    /** A process of a version before this state was added sends its list only. */
     @Example
     void aListAloneIsEnough() {
         JsonObject state = new JsonObject();
--- a/src/test/java/cacheproxy/proxy/TimersTest.java
+++ b/src/test/java/cacheproxy/proxy/TimersTest.java
@@ -25,7 +25,7 @@
                     Timers timers = new Timers(loop);
                     Random random = new Random(5);
                     for (int i = 0; i < count; i++) {
-                        // beyond the wheel's four seconds, too
+                        // includes delays beyond the wheel's four seconds
                         double ms = i % 500 == 0 ? 4200 : random.nextInt(300);
                         long due = System.nanoTime() + (long) (ms * 1e6);
                         timers.after(ms, () -> {
@@ -37,7 +37,7 @@
                         timers.after(ms, () -> wrong.add("cancelled")).cancel();
                     }
                     timers.after(10, () -> {
-                        timers.after(0, () -> same.add(2)); // set from within a timer: runs later
+                        timers.after(0, () -> same.add(2)); // scheduled by a running timer: runs later
                         same.add(1);
                     });
                 })
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A new process beside the old one, here two proxies in one JVM: the sockets change hands as between processes. */
+/** Takeover by a new process, here two proxies in one JVM: sockets are passed as between processes. */
 @Timeout(120)
 class UpgradeTest {
     @TempDir
@@ -33,7 +33,7 @@
         return FakeServer.node(line -> "VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
     }
 
-    /** The fleet's proxy, at an address of its own so that the next one can be told it. */
+    /** Starts the proxy at a fixed address, which its successor's configuration can name. */
     private Fleet serving(FakeServer node) throws Exception {
         Fleet fleet = new Fleet().node(node).shared(folder).start();
         fleet.config.addProperty("listen", "127.0.0.1:" + fleet.proxy.address().getPort());
@@ -84,7 +84,7 @@
             Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             served(client.read("2"), "2");
             assertThat(answered(fleet.proxy))
-                    .as("the old one still has its connections")
+                    .as("the old process still has its connections")
                     .isEqualTo(2);
             Thread ending = end(fleet.proxy);
             ending.join();
@@ -111,7 +111,8 @@
             Proxy next = successor(fleet);
             Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             Thread ending = end(fleet.proxy);
-            client.say("mg 7f3a9c21e0b4d655 v O2 Pc=te"); // half a command keeps the connection where it is
+            client.say("mg 7f3a9c21e0b4d655 v O2 Pc=te"); // an incomplete command keeps the connection with the old
+            // process
             go.countDown();
             served(client, "1");
             client.say("xt,d=20000\r\n");
@@ -123,7 +124,7 @@
         }
     }
 
-    /** What the old process waits for is not begun anew by its successor: three seconds are owed, whoever serves. */
+    /** A takeover does not restart the timeout of a silent client: it gets an error or a close within 3 s in all. */
     @Test
     void aClientThatSaysNothingHearsOfItInTimeThroughAnUpgrade() throws Exception {
         try (Fleet fleet = serving(node());
@@ -141,7 +142,7 @@
         }
     }
 
-    /** Clients that never pause, on old connections and on new ones, through several upgrades. */
+    /** Clients send without pause, on old and on new connections, through several upgrades. */
     @Test
     void nothingIsTurnedBackUnheard() throws Exception {
         AtomicBoolean over = new AtomicBoolean();
@@ -192,7 +193,7 @@
         }
     }
 
-    /** One of two servers refuses connections, and the old process has found out. */
+    /** One of two servers refuses connections, which the old process has found out and passes on. */
     @Test
     void whatIsKnownOfServersGoesOver() throws Exception {
         FakeServer gone = node();
@@ -207,15 +208,14 @@
                 String key = Long.toHexString(System.nanoTime());
                 client.say("mg " + key + " v O" + key + " Pc=text,d=20000\r\n");
                 served(client, key);
-                return fleet.on(() -> fleet.proxy.status().ejectedNodes())
-                        == 1; // what is only doubted is known of, too
+                return fleet.on(() -> fleet.proxy.status().ejectedNodes()) == 1; // suspected servers are included
             });
             Proxy next = successor(fleet);
             assertThat(next.loop()
                             .submit(() -> next.status().ejectedNodes())
                             .syncUninterruptibly()
                             .getNow())
-                    .as("before it has sent anything")
+                    .as("before the successor has sent anything")
                     .isEqualTo(1);
         }
     }
@@ -268,7 +268,7 @@
         }
     }
 
-    /** A socket file whose process was killed, one that answers nothing, one that answers nonsense. */
+    /** A socket file of a killed process, one whose process never answers, one whose process answers invalid data. */
     @Test
     void whereTheOldProcessIsOfNoUseTheNewOneServesAnyway() throws Exception {
         Path path = takeoverSocket();
--- a/src/test/java/cacheproxy/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/UpstreamTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Behaviour of cache nodes and the origin that the proxy has to cope with, on loopback sockets. */
+/** How the proxy handles misbehaving cache nodes and origins, on loopback sockets. */
 @Timeout(120)
 class UpstreamTest {
     private static String hit(String command) {
         return "VA 5 O" + FakeServer.id(command) + " h1\r\nhello\r\n";
     }
 
-    /** An origin that answers every request in this way. */
+    /** An origin that gives every request this answer. */
     private static FakeServer origin(int status, String headers, String body) throws Exception {
         return new FakeServer(c -> {
             while (c.request() != null) {
@@ -26,7 +26,7 @@
         });
     }
 
-    /** Reads of as many keys, one after the other, all served by a node. */
+    /** Reads this many keys, one at a time, and asserts that each is answered. */
     private static void servesReads(Fleet.Client client, int reads) throws Exception {
         for (int i = 0; i < reads; i++) {
             client.say("mg " + Integer.toHexString(0x1000 + 7919 * i) + " v O" + i + " Pc=text,d=20000\r\n");
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Else requests would try in vain, one after the other, to get a connection that other proxies have. */
+    /** Guards against requests that each try in vain to open a connection while other proxies hold all of them. */
     @Test
     void aNodeAtItsConnectionLimitIsReplacedByTheNextRankedForAWhile() throws Exception {
         FakeServer crowded = new FakeServer(c -> {
@@ -105,7 +105,7 @@
     }
 
     /**
-     * An invalid response must not be taken for a connection limit: it is the proxy that closes the connection then.
+     * An invalid response must not be taken for a connection limit: the proxy closes the connection then, not the node.
      */
     @Test
     void aRejectionFollowedByInvalidInputSaysNothingOfConnectionLimits() throws Exception {
@@ -124,7 +124,7 @@
         }
     }
 
-    /** A rejection on a connection that stays open holds for that moment only. */
+    /** A rejection on a connection that stays open is no lasting limit: the node is tried again. */
     @Test
     void aNodeWhoseQueueIsFullIsTriedAgain() throws Exception {
         FakeServer full = FakeServer.node(line -> "SERVER_ERROR busy\r\n");
@@ -228,7 +228,7 @@
         }
     }
 
-    /** Two reads of one key share a fetch; the second goes to the origin as soon as the first has its answer. */
+    /** Two reads of one key share a fetch; the second goes to the origin once the first is answered. */
     @Test
     void aDuplicateOfAResponseIsNotTakenForTheNextResponse() throws Exception {
         CountDownLatch missed = new CountDownLatch(2);
@@ -258,7 +258,7 @@
             origin.next();
             Fleet.Client two = fleet.client().read("2");
             missed.await();
-            fleet.client().say("mn\r\n").line(); // the event loop has been round
+            fleet.client().say("mn\r\n").line(); // the event loop has completed an iteration
             fleet.client().say("mn\r\n").line();
             go.countDown();
             assertThat(one.line()).isEqualTo("VA 5 O1");
@@ -283,7 +283,7 @@
                 client.say("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
                 closed.await();
-                client.say("mn\r\n").line(); // the event loop has been round
+                client.say("mn\r\n").line(); // the event loop has completed an iteration
             }
         }
     }
@@ -397,13 +397,14 @@
         try (Fleet fleet = new Fleet().start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
-            assertThat(client.line()).isEqualTo("SERVER_ERROR busy 500"); // half of 2.5 s, but no more than is honoured
+            assertThat(client.line())
+                    .isEqualTo("SERVER_ERROR busy 500"); // half of 2.5 s, capped at caps.max-retry-after
         }
     }
 
     /**
-     * Without hedging, an attempt that shares its connection can't be abandoned for another: it is in flight until the
-     * connection ends, and others wait there. The node accepts one connection, so that they share it.
+     * Without hedging, an attempt on a shared connection can't be abandoned for another: it stays in flight until the
+     * connection ends, as other attempts wait there. The node accepts one connection, so that they share it.
      */
     @Test
     void withoutHedgingNoAttemptFollowsOneThatIsInFlight() throws Exception {
@@ -421,7 +422,7 @@
         });
         FakeServer quick = FakeServer.node(UpstreamTest::hit);
         FakeServer mute = new FakeServer(FakeServer.Connection::awaitEnd);
-        // The third stands in for a clock: its request is abandoned after the others would have been.
+        // The third request serves as a timer: it would be abandoned later than the others.
         Fleet setup = new Fleet()
                 .node(shared[0])
                 .node(quick)
@@ -445,10 +446,12 @@
         }
     }
 
-    /** As above, each on a connection of its own: an attempt that is abandoned there ends, and another may follow. */
+    /**
+     * As above, with a connection per request: an abandoned attempt ends with its connection, and another may follow.
+     */
     @Test
     void withoutHedgingEachRequestHasItsOwnConnection() throws Exception {
-        int many = 5; // as many attempts as a fresh proxy abandons for another server
+        int many = 5; // the number of attempts that a newly started proxy may abandon for another server
         CountDownLatch ended = new CountDownLatch(many);
         FakeServer mute = new FakeServer(c -> {
             c.command();
@@ -474,8 +477,8 @@
     }
 
     /**
-     * A response without a length ends with its connection: if the origin closes it, not if the proxy does or at a
-     * reset.
+     * A response without a length ends with its connection: it is complete if the origin closes it in an orderly way,
+     * not if the proxy closes it or the connection is reset.
      */
     @Test
     void aResponseWithoutLengthIsCompleteOnlyIfItsServerClosesOrderly() throws Exception {
@@ -511,7 +514,7 @@
                 Fleet.Client client = fleet.client()) {
             client.say(write);
             reset.next();
-            fleet.client().say("mn\r\n").line(); // the event loop has been round
+            fleet.client().say("mn\r\n").line(); // the event loop has completed an iteration
             reset.accepted.take().pause.release();
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
         }
--- a/src/test/java/cacheproxy/proxy/WallClockTest.java
+++ b/src/test/java/cacheproxy/proxy/WallClockTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A proxy whose wall clock differs from discovery's by an hour keeps a server that starts cold for its warm-up. */
+/** A proxy whose wall clock is an hour off discovery's treats a new server as cold for its warm-up time. */
 @Timeout(60)
 class WallClockTest {
     private static final double HOUR_MS = 3_600_000;
@@ -23,7 +23,7 @@
         return Fleet.list(seq, false, hosts).toString();
     }
 
-    /** How long a server that is told to have started at this time of another clock stays cold from then on. */
+    /** How long a server stays cold if its start time is given by another clock. */
     private static double coldForMs(double aheadMs) throws Exception {
         double told = System.currentTimeMillis();
         FakeServer discovery = new FakeServer(c -> {
--- a/src/test/java/cacheproxy/proxy/ZoneStateCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/ZoneStateCodecTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The stored form of what was decided of zones, as released programs write it. */
+/** The stored format of zone decisions, as released versions write it. */
 class ZoneStateCodecTest {
     private static final List<String> NAMES = List.of("east", "west", "north", "south");
     private static final Map<Integer, StoredZoneState> ALL = new TreeMap<>(Map.of(
