--- a/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
@@ -21,7 +21,7 @@
  */
 @Timeout(60)
 class ArrivalTimeTest {
-    private static final int ASKED_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
     private static final double SLACK_MS = 150;
     /** Well above the slack. */
     private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
@@ -38,7 +38,7 @@
     }
 
     private static void assertNotTooMuch(Told told, long sentNanos) {
-        double leftMs = ASKED_MS - (told.atNanos - sentNanos) / 1e6;
+        double leftMs = TIMEOUT_MS - (told.atNanos - sentNanos) / 1e6;
         assertThat((double) told.deadlineMs).as(told.id).isLessThanOrEqualTo(leftMs + SLACK_MS);
     }
 
@@ -53,7 +53,7 @@
                     .append(i)
                     .append(pad)
                     .append(" Pc=text,d=")
-                    .append(ASKED_MS)
+                    .append(TIMEOUT_MS)
                     .append("\r\n");
         }
         return text.toString();
@@ -62,14 +62,14 @@
     /**
      * A node that reads at once and answers once it is released; it records the remaining time sent with each command.
      */
-    private static FakeServer answersLate(CountDownLatch go, Map<String, Told> seen) throws Exception {
+    private static FakeServer answersLate(CountDownLatch release, Map<String, Told> seen) throws Exception {
         return new FakeServer(c -> {
             BlockingQueue<String> owed = new LinkedBlockingQueue<>();
             Thread answers = new Thread(() -> {
                 try {
-                    go.await();
+                    release.await();
                     while (true) {
-                        c.say("VA 5 O" + owed.take() + " h1\r\nhello\r\n");
+                        c.send("VA 5 O" + owed.take() + " h1\r\nhello\r\n");
                     }
                 } catch (InterruptedException | IOException e) {
                     // the connection is closed
@@ -87,20 +87,20 @@
 
     /** Sends all reads at once, with none answered before {@link #LATE_NANOS} have passed. */
     private static Map<String, Told> answerLate(int many, String pad) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         Map<String, Told> seen = new ConcurrentHashMap<>();
-        FakeServer node = answersLate(go, seen);
+        FakeServer node = answersLate(release, seen);
         try (Fleet fleet = new Fleet()
                         .node(node)
                         .set("caps.second-copies", "false")
                         .set("caps.may-cancel", "false")
                         .start();
                 Fleet.Client client = fleet.client()) {
-            assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
-            client.say(reads(0, many, pad));
+            assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
+            client.send(reads(0, many, pad));
             long sent = System.nanoTime();
             awaitTime(sent + LATE_NANOS);
-            go.countDown();
+            release.countDown();
             for (int i = 0; i < many; i++) {
                 assertThat(client.line()).isEqualTo("VA 5 O" + i + pad);
                 client.line();
@@ -117,24 +117,24 @@
 
     /** The requests exceed what the proxy reads ahead, so the last ones wait in the kernel's buffer. */
     @Test
-    void aRequestThatWaitsInTheSystemCountsFromItsLastByteToo() throws Exception {
+    void aRequestThatWaitsInTheKernelsBufferCountsFromItsLastByteToo() throws Exception {
         assertThat(answerLate(600, "x".repeat(1000))).hasSize(600);
     }
 
     @Test
-    void aRequestThatComesWhileTheProxyIsHeldUpCountsFromItsLastByte() throws Exception {
+    void aRequestThatArrivesWhileTheEventLoopIsBlockedCountsFromItsLastByte() throws Exception {
         FakeServer node = FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client();
                 Fleet.Client fresh = fleet.client()) {
-            assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
-            assertThat(fresh.say("mn\r\n").line()).isEqualTo("MN");
-            CountDownLatch go = fleet.still();
-            client.say(reads(1, 2, ""));
+            assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
+            assertThat(fresh.send("mn\r\n").line()).isEqualTo("MN");
+            CountDownLatch release = fleet.pauseEventLoop();
+            client.send(reads(1, 2, ""));
             long sent = System.nanoTime();
             awaitTime(sent + LATE_NANOS);
-            go.countDown();
-            assertNotTooMuch(told(node.next()), sent);
+            release.countDown();
+            assertNotTooMuch(told(node.nextCommand()), sent);
             assertThat(client.line()).isEqualTo("VA 5 O1");
         }
     }
--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -18,14 +18,14 @@
     }
 
     @Test
-    void commandsComeInPiecesAndInHeapsAndAreAnsweredInOrder() throws Exception {
+    void splitAndPipelinedCommandsAreAnsweredInOrder() throws Exception {
         try (Fleet fleet = new Fleet()
                         .node(FakeServer.node(ClientConnectionTest::hit))
                         .start();
                 Fleet.Client client = fleet.client()) {
-            client.say("m").say("n\r").say("\n");
+            client.send("m").send("n\r").send("\n");
             assertThat(client.line()).isEqualTo("MN");
-            client.read("1").say("mn\r\n").read("2").say("nonsense\r\n");
+            client.read("1").send("mn\r\n").read("2").send("nonsense\r\n");
             assertThat(client.line()).isEqualTo("VA 5 O1");
             assertThat(client.line()).isEqualTo("hello");
             assertThat(client.line()).isEqualTo("MN");
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void aSlowFirstAnswerHoldsBackAQuickSecond() throws Exception {
+    void aSlowFirstResponseDelaysAFastSecond() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
             if (FakeServer.id(line).equals("1")) {
                 second.await();
             }
-            c.say(hit(line));
+            c.send(hit(line));
             second.countDown();
             c.awaitEnd();
         });
@@ -57,31 +57,31 @@
     }
 
     @Test
-    void theCommandGoesOnUnchangedButForTheDeadline() throws Exception {
+    void theCommandIsForwardedUnchangedExceptForTheDeadline() throws Exception {
         FakeServer node = FakeServer.node(ClientConnectionTest::hit);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
-            client.say("mg 7f3a v Oab12 Pc=text,t=acme,d=20000,r=1 q\r\n");
+            client.send("mg 7f3a v Oab12 Pc=text,t=acme,d=20000,r=1 q\r\n");
             client.line();
-            assertThat(node.next()).matches("mg 7f3a v Oab12 Pc=text,t=acme,d=(20000|1\\d{4}),r=1 q");
+            assertThat(node.nextCommand()).matches("mg 7f3a v Oab12 Pc=text,t=acme,d=(20000|1\\d{4}),r=1 q");
         }
     }
 
     @Test
-    void aBinaryValueOfFourMebibytesReachesTheOriginWhole() throws Exception {
+    void aBinaryValueOfFourMebibytesReachesTheOriginCompletely() throws Exception {
         byte[] value = new byte[MetaCodec.MAX_VALUE_BYTES];
         new Random(1).nextBytes(value);
         FakeServer origin = new FakeServer(c -> {
             c.request();
-            c.sayHttp(200, "", "r1");
+            c.sendHttp(200, "", "r1");
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a " + value.length + " O9 Pc=fix,d=20000\r\n")
-                    .say(value)
-                    .say("\r\n");
+            client.send("ms 7f3a " + value.length + " O9 Pc=fix,d=20000\r\n")
+                    .send(value)
+                    .send("\r\n");
             assertThat(client.line()).isEqualTo("HD O9 cr1");
-            String request = origin.next();
+            String request = origin.nextCommand();
             assertThat(request)
                     .startsWith("PUT /7f3a HTTP/1.1\n")
                     .containsIgnoringCase("req-id: 9\n")
@@ -93,13 +93,13 @@
     }
 
     @Test
-    void brokenCommandsAreToldAndOnlyLostFramingEndsTheConnection() throws Exception {
+    void invalidCommandsAreAnsweredAndOnlyLostFramingClosesTheConnection() throws Exception {
         try (Fleet fleet =
                 new Fleet().node(FakeServer.node(ClientConnectionTest::hit)).start()) {
             try (Fleet.Client client = fleet.client()) {
-                client.say("mg 7f3a v\r\n")
-                        .say("ms 7f3a 5 v\r\nhello\r\n")
-                        .say("mg 7f3a v O1 Pc=none,d=5\r\n")
+                client.send("mg 7f3a v\r\n")
+                        .send("ms 7f3a 5 v\r\nhello\r\n")
+                        .send("mg 7f3a v O1 Pc=none,d=5\r\n")
                         .read("2");
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
@@ -113,16 +113,16 @@
                 "x".repeat(MetaCodec.MAX_LINE_BYTES)
             }) {
                 try (Fleet.Client client = fleet.client()) {
-                    client.say(lost);
+                    client.send(lost);
                     assertThat(client.line()).as(lost.substring(0, 10)).startsWith("CLIENT_ERROR");
-                    assertThat(client.ended()).isTrue();
+                    assertThat(client.isAtEnd()).isTrue();
                 }
             }
         }
     }
 
     @Test
-    void whatAServerCouldNotUseIsNotPassedOn() throws Exception {
+    void invalidParametersAreNotForwarded() throws Exception {
         FakeServer node = FakeServer.node(ClientConnectionTest::hit);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
@@ -136,7 +136,7 @@
                 "O\u0001 Pc=text,d=500",
                 "O1 Pc=text,d=500 \u00ff"
             }) {
-                client.say("mg 7f3a v " + bad + "\r\n");
+                client.send("mg 7f3a v " + bad + "\r\n");
                 assertThat(client.line()).as(bad).startsWith("CLIENT_ERROR");
             }
             client.read("2");
@@ -146,27 +146,27 @@
     }
 
     /** A node that holds back its answers to reads until it is released. */
-    private static FakeServer waiting(CountDownLatch go) throws Exception {
+    private static FakeServer waiting(CountDownLatch release) throws Exception {
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say(hit(line));
+                release.await();
+                c.send(hit(line));
             }
         });
     }
 
     /** Ids are unique per request, so a repeated id belongs to another request, whether open or answered. */
     @Test
-    void theIdOfAnotherRequestIsTurnedAwayWhileThatIsOpenAndRightAfterItsAnswer() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = waiting(go);
+    void aRepeatedIdIsRejectedWhileItsRequestIsOpenAndRightAfterItsAnswer() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        FakeServer node = waiting(release);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client one = fleet.client()) {
             one.read("1");
-            node.next();
+            node.nextCommand();
             Fleet.Client two = fleet.client().read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
-            go.countDown();
+            release.countDown();
             assertThat(one.line()).isEqualTo("VA 5 O1");
             two.read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
@@ -181,26 +181,26 @@
 
     /** A server may still be executing the request of a client that has disconnected. */
     @Test
-    void theIdOfARequestWhoseClientHasGoneIsTurnedAway() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = waiting(go);
+    void theIdOfARequestWhoseClientDisconnectedIsRejected() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        FakeServer node = waiting(release);
         try (Fleet fleet = new Fleet().node(node).start()) {
             Fleet.Client one = fleet.client().read("1");
-            node.next();
+            node.nextCommand();
             one.close();
             Await.until(
                     "the proxy has seen its end",
-                    () -> fleet.on(() -> fleet.proxy.dispatcher().openRequests()) == 0);
+                    () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 0);
             Fleet.Client two = fleet.client().read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
-            go.countDown();
+            release.countDown();
             assertThat(node.commands).isEmpty();
         }
     }
 
     /** Ids are not remembered forever: one deadline after its request's end, an id is accepted again. */
     @Test
-    void anIdIsFreeAgainADeadlineAfterItsRequest() throws Exception {
+    void anIdIsAcceptedAgainADeadlineAfterItsRequest() throws Exception {
         Fleet setup = new Fleet().node(FakeServer.node(ClientConnectionTest::hit));
         for (int i = 0; i < 3; i++) {
             setup.set("classes." + i + ".promise", "100.0").set("classes." + i + ".deadline", "200.0");
@@ -208,15 +208,15 @@
         String read = "mg 7f3a v O1 Pc=text,d=200\r\n";
         try (Fleet fleet = setup.start();
                 Fleet.Client client = fleet.client()) {
-            assertThat(client.say(read).line()).isEqualTo("VA 5 O1");
+            assertThat(client.send(read).line()).isEqualTo("VA 5 O1");
             client.line();
-            assertThat(client.say(read).line()).startsWith("CLIENT_ERROR");
-            Await.until("it is free", () -> client.say(read).line().equals("VA 5 O1"));
+            assertThat(client.send(read).line()).startsWith("CLIENT_ERROR");
+            Await.until("it is free", () -> client.send(read).line().equals("VA 5 O1"));
         }
     }
 
     @Test
-    void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
+    void aDisconnectedClientsAttemptsAreCancelled() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         FakeServer node = new FakeServer(c -> {
             c.command();
@@ -226,36 +226,36 @@
         try (Fleet fleet = new Fleet().node(node).start()) {
             Fleet.Client client = fleet.client();
             client.read("1");
-            node.next();
+            node.nextCommand();
             client.close();
             assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
-    void aValueThatFindsNoRoomIsTurnedAwayUnseen() throws Exception {
-        FakeServer origin = new FakeServer(c -> c.sayHttp(200, "", c.request().substring(0, 3)));
+    void aValueBeyondTheMemoryBudgetIsRejectedUnread() throws Exception {
+        FakeServer origin = new FakeServer(c -> c.sendHttp(200, "", c.request().substring(0, 3)));
         Fleet setup = new Fleet().origin(origin);
         JsonObject limits = new JsonObject();
         limits.addProperty("memory_mb", 8);
         setup.config.add("limits", limits);
         try (Fleet fleet = setup.start();
                 Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a 2000000 O1 Pc=fix,d=20000\r\n")
-                    .say(new byte[2_000_000])
-                    .say("\r\n");
+            client.send("ms 7f3a 2000000 O1 Pc=fix,d=20000\r\n")
+                    .send(new byte[2_000_000])
+                    .send("\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
-            client.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("HD O2 cPUT");
-            assertThat(FakeServer.id(origin.next())).isEqualTo("2");
+            assertThat(FakeServer.id(origin.nextCommand())).isEqualTo("2");
         }
     }
 
     @Test
-    void theRoomOfAValueIsFreeAgainWhenItsRequestIsOver() throws Exception {
+    void aValuesMemoryIsReleasedWhenItsRequestCompletes() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(200, "", "r1");
+                c.sendHttp(200, "", "r1");
             }
         });
         Fleet setup = new Fleet().origin(origin);
@@ -265,9 +265,9 @@
         try (Fleet fleet = setup.start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 6; i++) {
-                client.say("ms 7f3a 400000 O" + i + " Pc=fix,d=20000\r\n")
-                        .say(new byte[400_000])
-                        .say("\r\n");
+                client.send("ms 7f3a 400000 O" + i + " Pc=fix,d=20000\r\n")
+                        .send(new byte[400_000])
+                        .send("\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
             }
         }
@@ -280,11 +280,11 @@
      */
     @Test
     void aClientThatWaitsForItsAnswerIsNotTakenForAStalledOne() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
-            go.await();
-            c.say("VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
+            release.await();
+            c.send("VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet()
@@ -294,24 +294,24 @@
                         .start();
                 Fleet.Client patient = fleet.client();
                 Fleet.Client half = fleet.client()) {
-            patient.say("mg 7f3a v O1 Pc=text,d=20000\r\nmg 7f3a v O2 Pc=te"); // and part of the next command
-            half.say("mg 7f3a v");
-            node.next();
-            double late = fleet.on(() -> fleet.proxy.dispatcher().now()) + 15_000;
+            patient.send("mg 7f3a v O1 Pc=text,d=20000\r\nmg 7f3a v O2 Pc=te"); // and part of the next command
+            half.send("mg 7f3a v");
+            node.nextCommand();
+            double late = fleet.onEventLoop(() -> fleet.proxy.dispatcher().now()) + 15_000;
             Await.until(
                     "both have been read",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idleConnections()) == 0);
-            fleet.on(() -> {
+                    () -> fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().idleConnections()) == 0);
+            fleet.onEventLoop(() -> {
                 fleet.proxy.clientAcceptor().closeStalled(late);
                 return null;
             });
             assertThat(half.line()).startsWith("CLIENT_ERROR");
-            assertThat(half.ended()).isTrue();
-            go.countDown();
+            assertThat(half.isAtEnd()).isTrue();
+            release.countDown();
             assertThat(patient.line()).isEqualTo("VA 5 O1");
             assertThat(patient.line()).isEqualTo("hello");
             assertThat(patient.line()).startsWith("CLIENT_ERROR");
-            assertThat(patient.ended()).isTrue();
+            assertThat(patient.isAtEnd()).isTrue();
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/ClosingTest.java
+++ b/src/test/java/cacheproxy/proxy/ClosingTest.java
@@ -18,54 +18,54 @@
     }
 
     @Test
-    void whatTheSystemHasAcceptedIsServedThoughTheListenerEnds() throws Exception {
+    void connectionsInTheBacklogAreServedThoughTheListenerCloses() throws Exception {
         try (Fleet fleet = fleet().start()) {
-            CountDownLatch go = fleet.still();
+            CountDownLatch release = fleet.pauseEventLoop();
             List<Fleet.Client> waiting = new ArrayList<>();
             for (int i = 0; i < 40; i++) { // more than one event-loop iteration accepts
                 waiting.add(fleet.client().read("w" + i));
             }
             fleet.proxy.loop().execute(fleet.proxy.clientAcceptor()::stopListening);
-            go.countDown();
+            release.countDown();
             for (int i = 0; i < waiting.size(); i++) {
                 assertThat(waiting.get(i).line()).isEqualTo("VA 5 Ow" + i);
             }
             Await.until(
                     "the listener ends then",
-                    () -> !fleet.on(() ->
+                    () -> !fleet.onEventLoop(() ->
                             fleet.proxy.clientAcceptor().listeningChannel().isOpen()));
         }
     }
 
-    private static void endIdle(Fleet fleet, double now) {
-        fleet.on(() -> {
+    private static void closeIdle(Fleet fleet, double now) {
+        fleet.onEventLoop(() -> {
             fleet.proxy.clientAcceptor().closeIdle(3, now);
             return null;
         });
     }
 
     @Test
-    void aConnectionThatHasJustComeIsNotEndedBeforeItsRequest() throws Exception {
+    void aNewConnectionIsNotClosedBeforeItsFirstRequest() throws Exception {
         try (Fleet fleet = fleet().start();
                 Fleet.Client used = fleet.client()) {
-            assertThat(used.say("mn\r\n").line()).isEqualTo("MN");
-            double now = fleet.on(() -> fleet.proxy.dispatcher().now());
+            assertThat(used.send("mn\r\n").line()).isEqualTo("MN");
+            double now = fleet.onEventLoop(() -> fleet.proxy.dispatcher().now());
             Fleet.Client fresh = fleet.client();
             Fleet.Client mute = fleet.client();
             Await.until(
                     "all have come",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
-            endIdle(fleet, now);
-            assertThat(used.ended()).isTrue();
+                    () -> fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
+            closeIdle(fleet, now);
+            assertThat(used.isAtEnd()).isTrue();
             assertThat(fresh.read("1").line()).isEqualTo("VA 5 O1");
-            endIdle(fleet, now + 30_000); // its time to send a first request is over
-            assertThat(mute.ended()).isTrue();
+            closeIdle(fleet, now + 30_000); // its time to send a first request is over
+            assertThat(mute.isAtEnd()).isTrue();
         }
     }
 
     /** A client whose connection is closed to make room may have just sent a request; it must see an orderly close. */
     @Test
-    void whoMakesRoomForAnotherIsEndedInOrder() throws Exception {
+    void aConnectionClosedToMakeRoomIsClosedOrderly() throws Exception {
         JsonObject limits = new JsonObject();
         limits.addProperty("sockets", 96);
         Fleet setup = fleet();
@@ -74,12 +74,12 @@
             List<Fleet.Client> all = new ArrayList<>();
             for (int i = 0; i < 16; i++) { // as many as the descriptor limit allows
                 all.add(fleet.client());
-                assertThat(all.get(i).say("mn\r\n").line()).isEqualTo("MN");
+                assertThat(all.get(i).send("mn\r\n").line()).isEqualTo("MN");
             }
-            CountDownLatch go = fleet.still();
+            CountDownLatch release = fleet.pauseEventLoop();
             Fleet.Client another = fleet.client();
             all.get(0).read("crossing");
-            go.countDown();
+            release.countDown();
             assertThat(all.get(0).line()).isNull(); // an orderly close, not a reset
             assertThat(another.read("1").line()).isEqualTo("VA 5 O1");
             assertThat(all.get(1).read("2").line()).isEqualTo("VA 5 O2");
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -51,7 +51,7 @@
         FakeServer node = hits();
         FakeServer discovery = new FakeServer(c -> {
             c.request();
-            c.sayHttp(200, "", list(node, false));
+            c.sendHttp(200, "", list(node, false));
             c.request();
             c.awaitEnd();
         });
@@ -59,8 +59,8 @@
                 .discovery(discovery)
                 .set("caps.connect-timeout", "200.0")
                 .start()) {
-            assertThat(discovery.next()).startsWith("GET /discovery/hosts?since=41&timeout_ms=");
-            assertThat(discovery.next()).startsWith("GET /discovery/hosts?since=43&timeout_ms=");
+            assertThat(discovery.nextCommand()).startsWith("GET /discovery/hosts?since=41&timeout_ms=");
+            assertThat(discovery.nextCommand()).startsWith("GET /discovery/hosts?since=43&timeout_ms=");
             assertThat(served(fleet)).isTrue();
             assertThat(discovery.accepted).hasSize(1);
         }
@@ -101,7 +101,7 @@
                 c.awaitEnd();
                 return;
             }
-            c.sayHttp(200, "", list(node, false));
+            c.sendHttp(200, "", list(node, false));
             c.request();
             c.awaitEnd();
         });
@@ -132,7 +132,7 @@
                 c.in.read(); // neither data nor a close may arrive while the poll may wait
             } catch (SocketTimeoutException e) {
                 c.socket.setSoTimeout(0);
-                c.sayHttp(200, "", list(node, false));
+                c.sendHttp(200, "", list(node, false));
                 c.request();
                 c.awaitEnd();
             }
@@ -174,9 +174,9 @@
         FakeServer discovery = new FakeServer(c -> {
             while (c.request() != null) {
                 if (well.get()) {
-                    c.sayHttp(200, "", Fleet.list(43, false, new JsonArray()).toString());
+                    c.sendHttp(200, "", Fleet.list(43, false, new JsonArray()).toString());
                 } else {
-                    c.sayHttp(503, "", "");
+                    c.sendHttp(503, "", "");
                 }
             }
         });
@@ -185,9 +185,9 @@
                 Fleet fleet = withPeer(discovery, peer, "ask").node(drained).node(other)) {
             fleet.start();
             try (Fleet.Client client = fleet.client()) {
-                client.say(read.formatted(1)).line();
+                client.send(read.formatted(1)).line();
                 client.line();
-                assertThat(drained.next()).contains("O1 ");
+                assertThat(drained.nextCommand()).contains("O1 ");
                 assertThat(PeerMessage.readListQuery(receive(peer)))
                         .as("a poll has failed")
                         .isEqualTo(41);
@@ -199,17 +199,19 @@
                         fleet);
                 Await.until(
                         "the peer's word is in use",
-                        () -> !fleet.on(() -> fleet.proxy.dispatcher().servers().get(1).ready));
-                client.say(read.formatted(2)).line();
+                        () -> !fleet.onEventLoop(
+                                () -> fleet.proxy.dispatcher().servers().get(1).ready));
+                client.send(read.formatted(2)).line();
                 client.line();
-                assertThat(other.next()).contains("O2 ");
+                assertThat(other.nextCommand()).contains("O2 ");
                 well.set(true);
                 Await.until(
                         "discovery's list of that version knows nothing of it",
-                        () -> fleet.on(() -> fleet.proxy.dispatcher().servers().get(1).ready));
-                client.say(read.formatted(3)).line();
+                        () -> fleet.onEventLoop(
+                                () -> fleet.proxy.dispatcher().servers().get(1).ready));
+                client.send(read.formatted(3)).line();
                 client.line();
-                assertThat(drained.next()).contains("O3 ");
+                assertThat(drained.nextCommand()).contains("O3 ");
             }
         }
     }
@@ -219,15 +221,15 @@
         FakeServer node = hits();
         FakeServer discovery = new FakeServer(c -> {
             c.request();
-            c.sayHttp(200, "", list(node, false));
+            c.sendHttp(200, "", list(node, false));
             c.request();
             c.awaitEnd();
         });
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
                 Fleet fleet = withPeer(discovery, peer, "ask")) {
             fleet.start();
-            discovery.next();
-            assertThat(discovery.next()).contains("since=43&");
+            discovery.nextCommand();
+            assertThat(discovery.nextCommand()).contains("since=43&");
             send(peer, PeerMessage.listQuery(41), fleet);
             assertThat(EndpointListDelta.decode(receive(peer)))
                     .isEqualTo(new EndpointListDelta(
@@ -238,13 +240,13 @@
 
     @Test
     void anEndpointAtANewAddressGetsNothingAtItsOldOne() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         CountDownLatch moved = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
         FakeServer before = new FakeServer(c -> {
             String line = c.command();
-            go.await();
-            c.say("VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
+            release.await();
+            c.send("VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
             c.awaitEnd();
             ended.countDown();
         });
@@ -254,7 +256,7 @@
             moved.await();
             JsonArray hosts = new JsonArray();
             hosts.add(Fleet.host("s-00000001", "node-fast", after.dial(), "up"));
-            c.sayHttp(200, "", Fleet.list(43, false, hosts).toString());
+            c.sendHttp(200, "", Fleet.list(43, false, hosts).toString());
             c.request();
             c.awaitEnd();
         });
@@ -264,14 +266,14 @@
                 .set("guarantees.ask-within", "200.0")
                 .set("balancers", "60"); // one connection per node
         try (Fleet fleet = setup.start()) {
-            discovery.next();
+            discovery.nextCommand();
             Fleet.Client waiting = fleet.client().read("2");
-            before.next();
+            before.nextCommand();
             moved.countDown();
-            assertThat(discovery.next()).contains("since=43&");
+            assertThat(discovery.nextCommand()).contains("since=43&");
             assertThat(served(fleet)).isTrue();
             assertThat(after.commands).hasSize(1);
-            go.countDown();
+            release.countDown();
             assertThat(waiting.line()).isEqualTo("VA 5 O2");
             ended.await();
         }
@@ -290,11 +292,11 @@
                 int call = (int) (bad.length + 2 - all.getCount());
                 all.countDown();
                 if (call == 0) {
-                    c.sayHttp(503, "", "");
+                    c.sendHttp(503, "", "");
                 } else if (call == 1) {
                     c.reset();
                 } else if (call < bad.length + 2) {
-                    c.sayHttp(200, "", bad[call - 2]);
+                    c.sendHttp(200, "", bad[call - 2]);
                 } else {
                     c.awaitEnd();
                 }
@@ -307,7 +309,7 @@
                 .set("guarantees.ask-within", "200.0")
                 .start()) {
             for (int i = 0; i < bad.length + 3; i++) {
-                assertThat(discovery.next())
+                assertThat(discovery.nextCommand())
                         .as("asked for a snapshot or for changes after the list in use")
                         .containsPattern("^GET /discovery/hosts(\\?since=41&timeout_ms=\\d+)? ");
             }
@@ -323,18 +325,18 @@
             for (String request; (request = c.request()) != null; ) {
                 if (down.getCount() > 0) {
                     down.countDown();
-                    c.sayHttp(503, "", "");
+                    c.sendHttp(503, "", "");
                 } else if (request.contains("since=41")) {
-                    c.sayHttp(200, "", list(node, true));
+                    c.sendHttp(200, "", list(node, true));
                 } else {
                     c.awaitEnd();
                 }
             }
         });
         try (Fleet fleet = new Fleet().discovery(agent).set("discovery", "push").start()) {
-            assertThat(agent.next()).contains("since=41");
-            assertThat(agent.next()).contains("since=41");
-            assertThat(agent.next()).contains("since=43");
+            assertThat(agent.nextCommand()).contains("since=41");
+            assertThat(agent.nextCommand()).contains("since=41");
+            assertThat(agent.nextCommand()).contains("since=43");
             assertThat(served(fleet)).isTrue();
         }
         node.close();
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -24,11 +24,11 @@
     private static final int LONG_VALUE = 4_000_000;
 
     private static DrainStateMachine.StartResult drain(Fleet fleet, double deadlineMs) {
-        return fleet.on(() -> fleet.proxy.startDrain(deadlineMs));
+        return fleet.onEventLoop(() -> fleet.proxy.startDrain(deadlineMs));
     }
 
     private static DrainStateMachine.Progress progress(Fleet fleet) {
-        return fleet.on(fleet.proxy::drainProgress);
+        return fleet.onEventLoop(fleet.proxy::drainProgress);
     }
 
     private static void awaitPhase(Fleet fleet, Phase phase) {
@@ -40,11 +40,11 @@
     }
 
     /** A node that answers a command for each permit. */
-    private static FakeServer held(CountDownLatch go) throws Exception {
+    private static FakeServer held(CountDownLatch release) throws Exception {
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say(hit(line));
+                release.await();
+                c.send(hit(line));
             }
         });
     }
@@ -52,65 +52,67 @@
     private static FakeServer longValues() throws Exception {
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                c.say("VA " + LONG_VALUE + " O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(LONG_VALUE) + "\r\n");
+                c.send("VA " + LONG_VALUE + " O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(LONG_VALUE) + "\r\n");
             }
         });
     }
 
     @Test
-    void requestsInLineAreAllAnsweredBeforeTheirConnectionEnds() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = held(go);
+    void pipelinedRequestsAreAllAnsweredBeforeTheirConnectionCloses() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        FakeServer node = held(release);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
-            node.next();
+            node.nextCommand();
             drain(fleet, LONG_MS);
             client.read("2").read("3"); // after the drain began, on a connection with an outstanding answer
-            Await.until("they are taken", () -> fleet.on(fleet.proxy::status).openRequests() == 3);
-            go.countDown();
+            Await.until(
+                    "they are taken",
+                    () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 3);
+            release.countDown();
             for (String id : new String[] {"1", "2", "3"}) {
                 assertThat(client.line()).isEqualTo("VA 5 O" + id);
                 client.line();
             }
-            assertThat(client.ended()).isTrue();
+            assertThat(client.isAtEnd()).isTrue();
             awaitPhase(fleet, Phase.DRAINED);
             assertThat(progress(fleet).completedFraction()).isEqualTo(1);
         }
     }
 
     @Test
-    void aWriteInTheMiddleOfItsValueIsServed() throws Exception {
+    void aPartlyReceivedWriteIsServed() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(200, "", "r1");
+                c.sendHttp(200, "", "r1");
             }
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
-            client.say("mn\r\nms 7f3a 5 O1 Pc=fix,d=20000\r\nhel");
+            client.send("mn\r\nms 7f3a 5 O1 Pc=fix,d=20000\r\nhel");
             assertThat(client.line()).isEqualTo("MN");
             drain(fleet, LONG_MS);
             Await.until(
                     "idle connections would have gone",
                     () -> progress(fleet).remainingMs() >= 0
-                            && fleet.on(fleet.proxy::status).clientConnections() == 1);
-            client.say("lo\r\n");
+                            && fleet.onEventLoop(fleet.proxy::status).clientConnections() == 1);
+            client.send("lo\r\n");
             assertThat(client.line()).isEqualTo("HD O1 cr1");
-            assertThat(client.ended()).isTrue();
+            assertThat(client.isAtEnd()).isTrue();
             awaitPhase(fleet, Phase.DRAINED);
         }
     }
 
     @Test
-    void aLongAnswerUnderWayIsPassedOnToItsEnd() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void aLongResponseInProgressIsForwardedToItsEnd() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         int length = 300_000;
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
-            c.say("VA " + length + " O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(length / 2));
-            go.await();
-            c.say("x".repeat(length / 2) + "\r\n");
+            c.send("VA " + length + " O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(length / 2));
+            release.await();
+            c.send("x".repeat(length / 2) + "\r\n");
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
@@ -118,10 +120,10 @@
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + length + " O1");
             drain(fleet, LONG_MS);
-            go.countDown();
+            release.countDown();
             assertThat(client.bytes(length)).hasSize(length);
             assertThat(client.line()).isEmpty();
-            assertThat(client.ended()).isTrue();
+            assertThat(client.isAtEnd()).isTrue();
         }
     }
 
@@ -131,44 +133,45 @@
                         .node(FakeServer.node(DrainOnRequestTest::hit))
                         .start();
                 Fleet.Client busy = fleet.client()) {
-            busy.say("m"); // an incomplete command keeps the drain going
-            Await.until("it is read", () -> fleet.on(fleet.proxy::status).clientConnections() == 1);
+            busy.send("m"); // an incomplete command keeps the drain going
+            Await.until(
+                    "it is read", () -> fleet.onEventLoop(fleet.proxy::status).clientConnections() == 1);
             drain(fleet, LONG_MS);
             try (Fleet.Client late = fleet.client()) {
-                late.say("mn\r\n").read("1");
+                late.send("mn\r\n").read("1");
                 assertThat(late.line()).isEqualTo("SERVER_ERROR draining");
                 assertThat(late.line()).isEqualTo("VA 5 O1");
                 late.line();
-                assertThat(late.ended()).isTrue();
+                assertThat(late.isAtEnd()).isTrue();
             }
-            busy.say("n\r\n");
+            busy.send("n\r\n");
             assertThat(busy.line()).isEqualTo("SERVER_ERROR draining");
-            assertThat(busy.ended()).isTrue();
+            assertThat(busy.isAtEnd()).isTrue();
         }
     }
 
     @Test
-    void aCancelHalfwayGivesFullServiceBackAndASecondDrainWorks() throws Exception {
+    void aCancelHalfwayRestoresFullServiceAndASecondDrainWorks() throws Exception {
         try (Fleet fleet =
                 new Fleet().node(FakeServer.node(DrainOnRequestTest::hit)).start()) {
             Fleet.Client[] clients = new Fleet.Client[40];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = fleet.client();
-                clients[i].say("mn\r\n").line();
+                clients[i].send("mn\r\n").line();
             }
             drain(fleet, LONG_MS); // its pace is 5 s
             Await.until(
                     "half of them are ended",
-                    () -> fleet.on(fleet.proxy::status).clientConnections() <= 20);
-            assertThat(fleet.on(fleet.proxy::cancelDrain)).isNull();
-            int left = fleet.on(fleet.proxy::status).clientConnections();
+                    () -> fleet.onEventLoop(fleet.proxy::status).clientConnections() <= 20);
+            assertThat(fleet.onEventLoop(fleet.proxy::cancelDrain)).isNull();
+            int left = fleet.onEventLoop(fleet.proxy::status).clientConnections();
             assertThat(left).isPositive();
             int serving = 0;
             for (Fleet.Client c : clients) {
                 c.read("c" + serving);
                 if (c.line() != null) {
                     c.line();
-                    c.say("mn\r\n");
+                    c.send("mn\r\n");
                     assertThat(c.line()).isEqualTo("MN");
                     serving++;
                 }
@@ -177,7 +180,7 @@
             assertThat(stay).isBetween(1, left);
             Await.until(
                     "what had been ended is gone",
-                    () -> fleet.on(fleet.proxy::status).clientConnections() == stay);
+                    () -> fleet.onEventLoop(fleet.proxy::status).clientConnections() == stay);
             try (Fleet.Client late = fleet.client()) {
                 late.read("x");
                 assertThat(late.line()).isEqualTo("VA 5 Ox");
@@ -188,28 +191,28 @@
                 assertThat(drain(fleet, LONG_MS).alreadyDraining()).isFalse();
             }
             awaitPhase(fleet, Phase.DRAINED);
-            assertThat(fleet.on(fleet.proxy::cancelDrain)).contains("too late");
+            assertThat(fleet.onEventLoop(fleet.proxy::cancelDrain)).contains("too late");
         }
     }
 
     /** The connection is never idle, so the paced closing of idle connections doesn't end it. */
     @Test
-    void aConnectionInUseEndsWithItsAnswerOnceThePaceIsOver() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = held(go);
+    void aBusyConnectionClosesWithItsAnswerAfterTheIdleClosePeriod() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        FakeServer node = held(release);
         double deadlineMs = 10_000;
         double paceMs = DrainPlan.requested(deadlineMs).idleClosePeriodMs();
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
-            node.next();
+            node.nextCommand();
             drain(fleet, deadlineMs);
             Await.until("the pace is over", () -> progress(fleet).deadlineRemainingMs() < deadlineMs - paceMs - 200);
-            go.countDown();
+            release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
-            client.say("mn\r\n");
-            assertThat(client.ended()).as("closed with its answer, not later").isTrue();
+            client.send("mn\r\n");
+            assertThat(client.isAtEnd()).as("closed with its answer, not later").isTrue();
         }
     }
 
@@ -218,17 +221,19 @@
      * deadline.
      */
     @Test
-    void aCancelRacingTheDeadlineLeavesOneOfTheTwo() throws Exception {
+    void aCancelRacingTheDeadlineHasOneOfBothOutcomes() throws Exception {
         int deadlineMs = 100;
         for (int offset = -6; offset <= 6; offset += 2) {
-            CountDownLatch go = new CountDownLatch(1);
-            try (Fleet fleet = new Fleet().node(held(go)).start();
+            CountDownLatch release = new CountDownLatch(1);
+            try (Fleet fleet = new Fleet().node(held(release)).start();
                     Fleet.Client client = fleet.client()) {
                 client.read("1");
-                Await.until("it is taken", () -> fleet.on(fleet.proxy::status).openRequests() == 1);
+                Await.until(
+                        "it is taken",
+                        () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 1);
                 CompletableFuture<String> cancelled = new CompletableFuture<>();
                 int after = deadlineMs + offset;
-                fleet.on(() -> {
+                fleet.onEventLoop(() -> {
                     fleet.proxy
                             .loop()
                             .schedule(
@@ -239,16 +244,16 @@
                 });
                 if (cancelled.get(30, TimeUnit.SECONDS).equals("null")) {
                     assertThat(progress(fleet).phase()).isEqualTo(Phase.SERVING);
-                    go.countDown();
+                    release.countDown();
                     assertThat(client.line()).isEqualTo("VA 5 O1");
                     client.line();
-                    client.say("mn\r\n");
+                    client.send("mn\r\n");
                     assertThat(client.line()).isEqualTo("MN");
                 } else {
                     assertThat(cancelled.get()).contains("too late");
                     assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
-                    go.countDown(); // the node's late response is discarded
-                    assertThat(client.ended()).isTrue();
+                    release.countDown(); // the node's late response is discarded
+                    assertThat(client.isAtEnd()).isTrue();
                 }
             }
         }
@@ -256,7 +261,7 @@
 
     /** A rejection says that a retry is safe: a read gets it, a write that may have been executed does not. */
     @Test
-    void atTheDeadlineWhatIsOwedIsAnsweredByTheRules() throws Exception {
+    void atTheDeadlineOpenRequestsAreAnsweredByTheRules() throws Exception {
         FakeServer silent = new FakeServer(FakeServer.Connection::awaitEnd);
         FakeServer origin = new FakeServer(c -> {
             c.request();
@@ -265,23 +270,25 @@
         try (Fleet fleet = new Fleet().node(silent).origin(origin).start();
                 Fleet.Client read = fleet.client().read("1");
                 Fleet.Client write = fleet.client()) {
-            write.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
-            origin.next();
-            Await.until("both are taken", () -> fleet.on(fleet.proxy::status).openRequests() == 2);
+            write.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            origin.nextCommand();
+            Await.until(
+                    "both are taken",
+                    () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 2);
             double before = System.nanoTime() / 1e6;
             drain(fleet, 500);
             assertThat(read.line()).isEqualTo("SERVER_ERROR busy");
             assertThat(write.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(System.nanoTime() / 1e6 - before)
                     .isBetween(499.0, 15_000.0); // at the drain's deadline, not at the requests' own
-            assertThat(read.ended()).isTrue();
-            assertThat(write.ended()).isTrue();
+            assertThat(read.isAtEnd()).isTrue();
+            assertThat(write.isAtEnd()).isTrue();
             assertThat(progress(fleet).phase()).isEqualTo(Phase.EXPIRED);
         }
     }
 
     @Test
-    void aClientThatReadsSlowlyGetsItsAnswersWhole() throws Exception {
+    void aSlowReaderGetsItsAnswersCompletely() throws Exception {
         FakeServer node = longValues();
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
@@ -290,28 +297,28 @@
             }
             Await.until(
                     "all are under way, held back by the client",
-                    () -> fleet.on(fleet.proxy::status).openRequests() == 10);
+                    () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 10);
             Thread end = drainAndTerminate(fleet);
             for (int i = 0; i < 10; i++) {
                 assertThat(client.line()).isEqualTo("VA " + LONG_VALUE + " O" + i);
                 assertThat(client.bytes(LONG_VALUE)).hasSize(LONG_VALUE);
                 assertThat(client.line()).isEmpty();
             }
-            assertThat(client.ended()).isTrue();
+            assertThat(client.isAtEnd()).isTrue();
             end.join();
         }
     }
 
     /** Guards against closing once the last answer is in the proxy's write buffer, which truncated that answer. */
     @Test
-    void answersThatWaitInTheProxyForTheirClientReachItWhole() throws Exception {
+    void answersBufferedInTheProxyReachTheirClientCompletely() throws Exception {
         String value = "x".repeat(MetaCodec.MAX_WHOLE_VALUE_BYTES);
         FakeServer node = FakeServer.node(
                 line -> "VA " + value.length() + " O" + FakeServer.id(line) + " h1\r\n" + value + "\r\n");
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client first = fleet.client(1 << 16);
                 Fleet.Client idle = fleet.client()) {
-            assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
+            assertThat(idle.send("mn\r\n").line()).isEqualTo("MN");
             // Enough to fill the kernel's buffers and use the proxy's own: it then reads no further command.
             int fit = 0;
             while (answeredSoon(fleet, fit)) {
@@ -324,7 +331,7 @@
             }
             answeredSoon(fleet, 2 * (fit - 1));
             Thread end = drainAndTerminate(fleet);
-            assertThat(idle.ended())
+            assertThat(idle.isAtEnd())
                     .as("with the connections that have nothing under way, which end at once")
                     .isTrue();
             for (int i = 1; i < fit; i++) {
@@ -342,7 +349,7 @@
      */
     private static boolean answeredSoon(Fleet fleet, int many) throws InterruptedException {
         for (int i = 0; i < 100; i++) {
-            if (fleet.on(fleet.proxy::status).completedRequests() >= many) {
+            if (fleet.onEventLoop(fleet.proxy::status).completedRequests() >= many) {
                 return true;
             }
             Thread.sleep(5);
@@ -367,14 +374,14 @@
     }
 
     @Test
-    void aClientThatNeverReadsHoldsTheEndBackToTheDeadlineAndNoLonger() throws Exception {
+    void aClientThatNeverReadsDelaysTheEndUntilTheDeadlineOnly() throws Exception {
         FakeServer node = longValues();
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 10; i++) { // more than the system's own buffers take
                 client.read("" + i);
             }
-            node.next();
+            node.nextCommand();
             drain(fleet, 700);
             awaitPhase(fleet, Phase.EXPIRED);
             fleet.proxy.terminate(); // returns when the proxy has stopped
@@ -383,37 +390,38 @@
 
     @Test
     void sigtermDuringADrainTakesOver() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = held(go);
+        CountDownLatch release = new CountDownLatch(1);
+        FakeServer node = held(release);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
-            node.next();
+            node.nextCommand();
             drain(fleet, LONG_MS);
             Thread end = new Thread(fleet.proxy::terminate);
             end.start();
             Await.until(
                     "it can't be taken back",
-                    () -> String.valueOf(fleet.on(fleet.proxy::cancelDrain)).contains("told to end"));
-            go.countDown();
+                    () -> String.valueOf(fleet.onEventLoop(fleet.proxy::cancelDrain))
+                            .contains("told to end"));
+            release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
-            assertThat(client.ended()).isTrue();
+            assertThat(client.isAtEnd()).isTrue();
             end.join();
         }
     }
 
     @Test
-    void theLastServerGoesMeanwhileAndEveryRequestStillHasItsAnswer() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = held(go);
+    void everyRequestIsAnsweredThoughTheLastServerIsRemovedMeanwhile() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        FakeServer node = held(release);
         JsonArray gone = new JsonArray();
         gone.add(Fleet.host("s-00000001", "node-fast", node.dial(), "draining"));
         CountDownLatch tell = new CountDownLatch(1);
         FakeServer discovery = new FakeServer(c -> {
             while (c.request() != null) {
                 tell.await();
-                c.sayHttp(200, "", Fleet.list(42, false, gone).toString());
+                c.sendHttp(200, "", Fleet.list(42, false, gone).toString());
             }
         });
         try (Fleet fleet = new Fleet()
@@ -423,15 +431,15 @@
                         .start();
                 Fleet.Client before = fleet.client()) {
             before.read("1");
-            node.next();
+            node.nextCommand();
             drain(fleet, LONG_MS);
             tell.countDown();
             Await.until("discovery has been asked twice", () -> discovery.commands.size() >= 2);
             try (Fleet.Client after = fleet.client()) {
-                after.say("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=1000\r\n");
+                after.send("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=1000\r\n");
                 assertThat(after.line()).matches("SERVER_ERROR .*|VA 5 O2");
             }
-            go.countDown();
+            release.countDown();
             assertThat(before.line()).isEqualTo("VA 5 O1");
             awaitPhase(fleet, Phase.DRAINED);
         }
--- a/src/test/java/cacheproxy/proxy/DuplicateResponsesTest.java
+++ b/src/test/java/cacheproxy/proxy/DuplicateResponsesTest.java
@@ -27,36 +27,36 @@
         FakeServer origin = new FakeServer(c -> {
             String id = FakeServer.id(c.request());
             if (!id.equals("1")) {
-                c.say(receipt(id));
+                c.send(receipt(id));
                 c.awaitEnd();
                 return;
             }
             answer.await();
-            c.say(receipt(id));
+            c.send(receipt(id));
             answered.countDown();
             c.pause.acquire(); // until the next write has been sent, on this connection or another
-            c.say(receipt(id));
+            c.send(receipt(id));
             c.awaitEnd();
             ended.countDown();
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client one = fleet.client();
                 Fleet.Client two = fleet.client()) {
-            two.say("mn\r\n").line();
-            one.say(write(1));
-            origin.next();
-            CountDownLatch go = fleet.still();
+            two.send("mn\r\n").line();
+            one.send(write(1));
+            origin.nextCommand();
+            CountDownLatch release = fleet.pauseEventLoop();
             answer.countDown();
             answered.await();
-            two.say(write(2));
-            go.countDown();
+            two.send(write(2));
+            release.countDown();
             assertThat(one.line()).isEqualTo("HD O1 cr1");
             origin.accepted.take().pause.release();
             assertThat(two.line()).isEqualTo("HD O2 cr2");
             assertThat(ended.await(20, TimeUnit.SECONDS))
                     .as("the duplicate closes its connection")
                     .isTrue();
-            assertThat(two.say(write(3)).line()).isEqualTo("HD O3 cr3");
+            assertThat(two.send(write(3)).line()).isEqualTo("HD O3 cr3");
         }
     }
 
@@ -65,13 +65,13 @@
     void invalidInputBehindTheOriginsResponseClosesTheConnection() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
-                c.say(receipt(FakeServer.id(request)) + "noise");
+                c.send(receipt(FakeServer.id(request)) + "noise");
             }
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 3; i++) {
-                assertThat(client.say(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
+                assertThat(client.send(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
             }
         }
     }
@@ -93,13 +93,13 @@
     void aLineEndBehindTheOriginsResponseIsSkipped() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
-                c.say(receipt(FakeServer.id(request)) + "\r\n");
+                c.send(receipt(FakeServer.id(request)) + "\r\n");
             }
         });
         try (Fleet fleet = new Fleet().origin(origin).set("balancers", "60").start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 12; i++) {
-                assertThat(client.say(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
+                assertThat(client.send(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
             }
             assertThat(origin.accepted).hasSizeLessThanOrEqualTo(4);
         }
@@ -112,14 +112,14 @@
     void ifAllConnectionsRestTheOneThatHasRestedLongestIsUsed() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
-                c.say(receipt(FakeServer.id(request)));
+                c.send(receipt(FakeServer.id(request)));
             }
         });
         int writes = 40;
         try (Fleet fleet = new Fleet().origin(origin).set("balancers", "60").start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < writes; i++) {
-                assertThat(client.say(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
+                assertThat(client.send(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
             }
             assertThat(origin.accepted).hasSizeLessThanOrEqualTo(4);
             assertThat(origin.commands).hasSize(writes);
--- a/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
+++ b/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
@@ -30,7 +30,7 @@
     /** Consecutive failures before discovery recovers: as many as lengthen the delay between polls. */
     private static final int FAILURES = 4;
     /** The number of consecutive refusals after which the delay grows no further. */
-    private static final int LONGEST_WAITS = 5;
+    private static final int REFUSALS_TO_MAX_DELAY = 5;
 
     /** What a failing discovery does with a poll. */
     private enum Failure {
@@ -44,16 +44,16 @@
 
         void run(FakeServer.Connection c) throws Exception {
             switch (this) {
-                case TURNED_AWAY -> c.sayHttp(503, "", "");
+                case TURNED_AWAY -> c.sendHttp(503, "", "");
                 case RESET -> c.reset();
                 case CLOSED -> c.socket.close();
                 case CUT -> {
-                    c.say("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":43,");
+                    c.send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":43,");
                     c.socket.close();
                 }
-                case HALF_JSON -> c.sayHttp(200, "", "{\"seq\":43,\"whole\":");
+                case HALF_JSON -> c.sendHttp(200, "", "{\"seq\":43,\"whole\":");
                 case STALLED -> {
-                    c.say("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":43,");
+                    c.send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":43,");
                     c.awaitEnd();
                 }
                 case SILENT -> c.awaitEnd();
@@ -74,7 +74,7 @@
 
         /** Refusals until the delay between polls has reached its maximum, then these failures. */
         static Failures afterRefusals(Failure... last) {
-            List<Failure> all = new ArrayList<>(Collections.nCopies(LONGEST_WAITS, Failure.TURNED_AWAY));
+            List<Failure> all = new ArrayList<>(Collections.nCopies(REFUSALS_TO_MAX_DELAY, Failure.TURNED_AWAY));
             all.addAll(List.of(last));
             return new Failures("refusals, then " + List.of(last), all);
         }
@@ -108,35 +108,35 @@
     /**
      * Milliseconds from when the last failing poll had begun and discovery had recovered until the change is in use.
      */
-    private static double unknownAfter(Failures failures, String mode) throws Exception {
+    private static double delayAfter(Failures failures, String mode) throws Exception {
         List<Failure> inOrder = failures.inOrder();
         AtomicInteger calls = new AtomicInteger();
-        CompletableFuture<Long> well = new CompletableFuture<>();
+        CompletableFuture<Long> recovered = new CompletableFuture<>();
         CompletableFuture<Long> known = new CompletableFuture<>();
         FakeServer discovery = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 int call = calls.getAndIncrement();
                 if (call < inOrder.size()) {
                     if (call == inOrder.size() - 1) {
-                        well.complete(System.nanoTime());
+                        recovered.complete(System.nanoTime());
                     }
                     inOrder.get(call).run(c);
                 } else if (request.contains("since=43&")) {
                     known.complete(System.nanoTime());
                     c.awaitEnd();
                 } else {
-                    c.sayHttp(200, "", news());
+                    c.sendHttp(200, "", news());
                 }
             }
         });
         try (Fleet fleet = fleet(discovery.dial(), mode).discovery(discovery).start()) {
-            long from = well.get(60, TimeUnit.SECONDS);
+            long from = recovered.get(60, TimeUnit.SECONDS);
             return (known.get(60, TimeUnit.SECONDS) - from) / 1e6;
         }
     }
 
     /** Milliseconds from when an open watch fell silent until the change that it should have delivered is in use. */
-    private static double unknownAfterAContinuedWatch(String mode) throws Exception {
+    private static double delayAfterAContinuedWatch(String mode) throws Exception {
         CompletableFuture<Long> silent = new CompletableFuture<>();
         CompletableFuture<Long> known = new CompletableFuture<>();
         FakeServer discovery = new FakeServer(c -> {
@@ -145,11 +145,11 @@
                     known.complete(System.nanoTime());
                     c.awaitEnd();
                 } else if (request.contains("since=41&")) {
-                    c.sayHttp(200, "", news());
+                    c.sendHttp(200, "", news());
                 } else if (silent.complete(System.nanoTime())) {
                     c.awaitEnd();
                 } else {
-                    c.sayHttp(200, "", news().replace("43", "44"));
+                    c.sendHttp(200, "", news().replace("43", "44"));
                 }
             }
         });
@@ -159,7 +159,7 @@
     }
 
     /** Connections to discovery are not established at first, and are later. */
-    private static double unknownAfterNoWayIn(String mode) throws Exception {
+    private static double delayAfterUnacceptedConnections(String mode) throws Exception {
         CompletableFuture<Long> known = new CompletableFuture<>();
         try (LateServer discovery = new LateServer(p -> {
                     String request = null;
@@ -168,7 +168,7 @@
                         if (line.isEmpty() && request.contains("since=43&")) {
                             known.complete(System.nanoTime());
                         } else if (line.isEmpty()) {
-                            p.say("HTTP/1.1 200 OK\r\nContent-Length: " + news().length() + "\r\n\r\n" + news());
+                            p.send("HTTP/1.1 200 OK\r\nContent-Length: " + news().length() + "\r\n\r\n" + news());
                         }
                     }
                 });
@@ -180,7 +180,7 @@
     }
 
     /** Discovery's address refuses connections at first, and accepts them later. */
-    private static double unknownAfterRefusals(String mode) throws Exception {
+    private static double delayAfterRefusals(String mode) throws Exception {
         CompletableFuture<Long> known = new CompletableFuture<>();
         InetAddress local = InetAddress.getByName("127.0.0.1");
         int port;
@@ -194,7 +194,7 @@
                             known.complete(System.nanoTime());
                             c.awaitEnd();
                         } else {
-                            c.sayHttp(200, "", news());
+                            c.sendHttp(200, "", news());
                         }
                     }
                 },
@@ -215,14 +215,14 @@
             for (String mode : new String[] {"ask", "push"}) {
                 for (Failures f : failures()) {
                     names.add(mode + " " + f.name());
-                    times.add(each.submit(() -> unknownAfter(f, mode)));
+                    times.add(each.submit(() -> delayAfter(f, mode)));
                 }
                 names.add(mode + " watch that went on falls silent");
-                times.add(each.submit(() -> unknownAfterAContinuedWatch(mode)));
+                times.add(each.submit(() -> delayAfterAContinuedWatch(mode)));
                 names.add(mode + " NO_WAY_IN");
-                times.add(each.submit(() -> unknownAfterNoWayIn(mode)));
+                times.add(each.submit(() -> delayAfterUnacceptedConnections(mode)));
                 names.add(mode + " REFUSED");
-                times.add(each.submit(() -> unknownAfterRefusals(mode)));
+                times.add(each.submit(() -> delayAfterRefusals(mode)));
             }
             for (int i = 0; i < names.size(); i++) {
                 double ms = times.get(i).get();
@@ -243,7 +243,7 @@
         CountDownLatch begun = new CountDownLatch(1);
         FakeServer before = new FakeServer(c -> {
             c.request();
-            c.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"seq\":42,");
+            c.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"seq\":42,");
             begun.countDown();
             c.awaitEnd();
         });
@@ -254,7 +254,7 @@
                     c.awaitEnd();
                 } else {
                     asked.await();
-                    c.sayHttp(200, "", news());
+                    c.sendHttp(200, "", news());
                 }
             }
         });
@@ -264,14 +264,14 @@
                         .set("guarantees.ask-within", "200.0")
                         .start()) {
             begun.await();
-            fleet.client().say("mn\r\n").line(); // the event loop has completed an iteration and read what has arrived
+            fleet.client().send("mn\r\n").line(); // the event loop has completed an iteration and read what has arrived
             fleet.config.addProperty("discovery", after.dial());
             fleet.reload();
-            assertThat(after.next()).contains("since=41&");
-            fleet.client().say("mn\r\n").line();
-            fleet.client().say("mn\r\n").line();
+            assertThat(after.nextCommand()).contains("since=41&");
+            fleet.client().send("mn\r\n").line();
+            fleet.client().send("mn\r\n").line();
             asked.countDown();
-            assertThat(after.next()).contains("since=43&");
+            assertThat(after.nextCommand()).contains("since=43&");
             assertThat(after.accepted).hasSize(1);
         }
     }
@@ -282,11 +282,11 @@
         FakeServer discovery = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=41&")) {
-                    c.sayHttp(200, "", Fleet.list(3, false, new JsonArray()).toString());
+                    c.sendHttp(200, "", Fleet.list(3, false, new JsonArray()).toString());
                 } else if (request.contains("since=0&")) {
                     JsonArray hosts = new JsonArray();
                     hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "up"));
-                    c.sayHttp(200, "", Fleet.list(3, true, hosts).toString());
+                    c.sendHttp(200, "", Fleet.list(3, true, hosts).toString());
                 } else {
                     c.awaitEnd();
                 }
@@ -296,10 +296,11 @@
                 .discovery(discovery)
                 .set("guarantees.ask-within", "200.0")
                 .start()) {
-            assertThat(discovery.next()).contains("since=41&");
-            assertThat(discovery.next()).contains("since=0&");
-            assertThat(discovery.next()).contains("since=3&");
-            assertThat(fleet.on(() -> fleet.proxy.status().discoveredNodes())).isEqualTo(1);
+            assertThat(discovery.nextCommand()).contains("since=41&");
+            assertThat(discovery.nextCommand()).contains("since=0&");
+            assertThat(discovery.nextCommand()).contains("since=3&");
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.status().discoveredNodes()))
+                    .isEqualTo(1);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/EventLogTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLogTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void whatTheRulesForbadeAndWhatViolatedThemHasItsIds() {
+    void forbiddenActionsAndViolationsAreLoggedWithTheirIds() {
         RuleMonitor rules = new RuleMonitor(log);
         ClientRequest request = request();
         rules.recordForbidden(
--- a/src/test/java/cacheproxy/proxy/FakeServer.java
+++ b/src/test/java/cacheproxy/proxy/FakeServer.java
@@ -75,13 +75,13 @@
             return null;
         }
 
-        void say(String text) throws IOException {
+        void send(String text) throws IOException {
             out.write(text.getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
         }
 
-        void sayHttp(int status, String headers, String body) throws IOException {
-            say("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+        void sendHttp(int status, String headers, String body) throws IOException {
+            send("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
         /** Resets the connection. */
@@ -170,7 +170,7 @@
     static FakeServer node(Function<String, String> answer) throws IOException {
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                c.say(answer.apply(line));
+                c.send(answer.apply(line));
             }
         });
     }
@@ -225,7 +225,7 @@
     }
 
     /** Waits for the next command that was read on any connection. */
-    String next() throws InterruptedException {
+    String nextCommand() throws InterruptedException {
         String command = commands.poll(20, TimeUnit.SECONDS);
         if (command == null) {
             throw new AssertionError("no command arrived within 20 s");
--- a/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
+++ b/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
@@ -59,27 +59,27 @@
             switch (this) {
                 case WATCHES_BREAK_OFF -> {
                     if (watch) {
-                        c.say("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":43,");
+                        c.send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":43,");
                         c.reset();
                     } else {
-                        well(c);
+                        sendList(c);
                     }
                 }
                 case WATCHES_ARE_SILENT -> {
                     if (watch) {
                         c.awaitEnd();
                     } else {
-                        well(c);
+                        sendList(c);
                     }
                 }
-                case ANSWERS_ARE_1200_MS_LATE -> late(c, 1200, never);
-                case ANSWERS_ARE_2400_MS_LATE -> late(c, 2400, never);
-                case ANSWERS_ARE_4000_MS_LATE -> late(c, 4000, never);
-                case ONE_BAD_ENTRY -> c.sayHttp(200, "", list("{\"seq\":43,", "{}", entry("s-0000beef", "up")));
+                case ANSWERS_ARE_1200_MS_LATE -> sendListLate(c, 1200, never);
+                case ANSWERS_ARE_2400_MS_LATE -> sendListLate(c, 2400, never);
+                case ANSWERS_ARE_4000_MS_LATE -> sendListLate(c, 4000, never);
+                case ONE_BAD_ENTRY -> c.sendHttp(200, "", list("{\"seq\":43,", "{}", entry("s-0000beef", "up")));
                 case BAD_HEALTH_OF_ANOTHER ->
-                    c.sayHttp(200, "", list("{\"seq\":43,", entry("s-1", "asleep"), entry("s-0000beef", "up")));
+                    c.sendHttp(200, "", list("{\"seq\":43,", entry("s-1", "asleep"), entry("s-0000beef", "up")));
                 case HOST_TWICE ->
-                    c.sayHttp(
+                    c.sendHttp(
                             200,
                             "",
                             list(
@@ -89,39 +89,39 @@
                                     entry("s-0000beef", "up")));
                 default -> {
                     if (call < FAULTY_POLLS) {
-                        spoilt(c);
+                        sendFaulty(c);
                     } else {
-                        well(c);
+                        sendList(c);
                     }
                 }
             }
         }
 
-        private void spoilt(FakeServer.Connection c) throws IOException {
+        private void sendFaulty(FakeServer.Connection c) throws IOException {
             switch (this) {
                 case HEAD_OF_MEGABYTES -> {
-                    c.say("HTTP/1.1 200 OK\r\n");
+                    c.send("HTTP/1.1 200 OK\r\n");
                     String field = "X-Filler: " + "x".repeat(1000) + "\r\n";
                     for (int i = 0; i < 4000; i++) {
-                        c.say(field);
+                        c.send(field);
                     }
                 }
-                case LENGTH_TOO_SHORT -> c.say("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n" + CHANGED_LIST);
+                case LENGTH_TOO_SHORT -> c.send("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n" + CHANGED_LIST);
                 case LENGTH_TOO_LONG -> {
-                    c.say("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + CHANGED_LIST);
+                    c.send("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + CHANGED_LIST);
                     c.awaitEnd();
                 }
-                case TWO_LISTS -> c.sayHttp(200, "", CHANGED_LIST + CHANGED_LIST);
-                case NUMBER_PAST_2_53 -> c.sayHttp(200, "", CHANGED_LIST.replace("43", "1e300"));
-                case NEGATIVE_NUMBER -> c.sayHttp(200, "", CHANGED_LIST.replace("43", "-43"));
+                case TWO_LISTS -> c.sendHttp(200, "", CHANGED_LIST + CHANGED_LIST);
+                case NUMBER_PAST_2_53 -> c.sendHttp(200, "", CHANGED_LIST.replace("43", "1e300"));
+                case NEGATIVE_NUMBER -> c.sendHttp(200, "", CHANGED_LIST.replace("43", "-43"));
                 case ENDLESS_BODY -> {
-                    c.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    c.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     String chunk = "10000\r\n" + " ".repeat(0x10000) + "\r\n";
                     while (true) { // until the proxy closes the connection
-                        c.say(chunk);
+                        c.send(chunk);
                     }
                 }
-                default -> c.sayHttp(200, "", "null");
+                default -> c.sendHttp(200, "", "null");
             }
         }
     }
@@ -134,17 +134,17 @@
         return head + "\"whole\":true,\"hosts\":[" + String.join(",", entries) + "]}";
     }
 
-    private static void well(FakeServer.Connection c) throws IOException {
-        c.sayHttp(200, "", CHANGED_LIST);
+    private static void sendList(FakeServer.Connection c) throws IOException {
+        c.sendHttp(200, "", CHANGED_LIST);
     }
 
-    private static void late(FakeServer.Connection c, long ms, CountDownLatch never) throws Exception {
+    private static void sendListLate(FakeServer.Connection c, long ms, CountDownLatch never) throws Exception {
         never.await(ms, TimeUnit.MILLISECONDS);
-        well(c);
+        sendList(c);
     }
 
     /** Milliseconds from the proxy's start until the change is in use. */
-    private static double unknownFor(Fault trouble, String mode) throws Exception {
+    private static double delayMs(Fault fault, String mode) throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
         FakeServer discovery = new FakeServer(c -> {
@@ -152,7 +152,7 @@
                 if (request.contains("since=43&")) {
                     c.awaitEnd();
                 } else {
-                    trouble.answer(c, request, calls.getAndIncrement(), never);
+                    fault.answer(c, request, calls.getAndIncrement(), never);
                 }
             }
         });
@@ -164,7 +164,9 @@
             fleet.start();
             Await.until(
                     "the change is in use",
-                    () -> fleet.on(() -> fleet.proxy.dispatcher().servers().get(0xbeef)) != null);
+                    () -> fleet.onEventLoop(
+                                    () -> fleet.proxy.dispatcher().servers().get(0xbeef))
+                            != null);
             return (System.nanoTime() - from) / 1e6;
         }
     }
@@ -175,20 +177,19 @@
         List<String> late = new ArrayList<>();
         ExecutorService each = Executors.newCachedThreadPool();
         try {
-            for (Fault trouble : Fault.values()) {
+            for (Fault fault : Fault.values()) {
                 for (String mode : new String[] {"ask", "push"}) {
-                    times.put(mode + " " + trouble, each.submit(() -> unknownFor(trouble, mode)));
+                    times.put(mode + " " + fault, each.submit(() -> delayMs(fault, mode)));
                 }
             }
-            for (Fault trouble : Fault.values()) {
+            for (Fault fault : Fault.values()) {
                 for (String mode : new String[] {"ask", "push"}) {
-                    String name = mode + " " + trouble;
+                    String name = mode + " " + fault;
                     String outcome;
                     try {
                         double ms = times.get(name).get();
-                        outcome = ms <= trouble.maxDelayMs
-                                ? null
-                                : "%.0f ms, %.0f allowed".formatted(ms, trouble.maxDelayMs);
+                        outcome =
+                                ms <= fault.maxDelayMs ? null : "%.0f ms, %.0f allowed".formatted(ms, fault.maxDelayMs);
                         System.out.printf("known after %5.0f ms: %s%n", ms, name);
                     } catch (ExecutionException e) {
                         outcome = "never";
--- a/src/test/java/cacheproxy/proxy/FiguresTest.java
+++ b/src/test/java/cacheproxy/proxy/FiguresTest.java
@@ -16,7 +16,7 @@
 @Timeout(60)
 class FiguresTest {
     private static ProxyStatus status(Fleet fleet) {
-        return fleet.on(fleet.proxy::status);
+        return fleet.onEventLoop(fleet.proxy::status);
     }
 
     @Test
@@ -27,11 +27,11 @@
                 long n = commands.incrementAndGet();
                 String id = FakeServer.id(line);
                 if (n % 7 == 0) {
-                    c.say("SERVER_ERROR busy\r\n");
+                    c.send("SERVER_ERROR busy\r\n");
                 } else if (n % 5 == 0) {
-                    c.say("EN O" + id + " h0\r\n");
+                    c.send("EN O" + id + " h0\r\n");
                 } else {
-                    c.say("VA 2 O" + id + " h1\r\nhi\r\n");
+                    c.send("VA 2 O" + id + " h1\r\nhi\r\n");
                 }
             }
         });
@@ -42,9 +42,9 @@
                 fetched.incrementAndGet();
                 boolean write = request.startsWith("PUT");
                 if (write && writes.incrementAndGet() % 3 == 0) {
-                    c.sayHttp(500, "", "");
+                    c.sendHttp(500, "", "");
                 } else {
-                    c.sayHttp(200, "", write ? "v1" : "fetched");
+                    c.sendHttp(200, "", write ? "v1" : "fetched");
                 }
             }
         });
@@ -57,7 +57,7 @@
             for (int i = 0; i < 400; i++) {
                 boolean write = random.nextInt(4) == 0;
                 int kind = write ? 1 : 0;
-                client.say(
+                client.send(
                         write
                                 ? "ms 7f3a9c21e0b4d65" + i % 8 + " 2 Ow" + i + " Pc=fix,d=20000\r\nab\r\n"
                                 : "mg 7f3a9c21e0b4d65" + i % 8 + " v Or" + i + " Pc=text,d=20000\r\n");
@@ -89,7 +89,7 @@
     void anInvalidRequestOfAKnownClassFailsAndOneOfNoClassIsNotCounted() throws Exception {
         try (Fleet fleet = new Fleet().start();
                 Fleet.Client client = fleet.client()) {
-            client.say("mg k v O1 Pc=text,d=x\r\nmg k v O2 Pc=none,d=100\r\nmg k v O3\r\nnonsense\r\n");
+            client.send("mg k v O1 Pc=text,d=x\r\nmg k v O2 Pc=none,d=100\r\nmg k v O3\r\nnonsense\r\n");
             for (int i = 0; i < 4; i++) {
                 assertThat(client.line()).matches("(CLIENT_)?ERROR.*");
             }
@@ -103,7 +103,7 @@
     void anAbortedStreamFailsAndADisconnectedClientIsNotCounted() throws Exception {
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
-            c.say("VA 200000 O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(100_000));
+            c.send("VA 200000 O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(100_000));
             if (FakeServer.id(line).equals("gone")) {
                 c.awaitEnd();
             }
@@ -136,10 +136,10 @@
         });
         try (Fleet fleet = new Fleet().node(silent).origin(origin).start();
                 Fleet.Client client = fleet.client()) {
-            client.read("1").say("ms k 2 O2 Pc=fix,d=20000\r\nab\r\n");
-            silent.next();
-            origin.next();
-            fleet.on(() -> fleet.proxy.startDrain(100));
+            client.read("1").send("ms k 2 O2 Pc=fix,d=20000\r\nab\r\n");
+            silent.nextCommand();
+            origin.nextCommand();
+            fleet.onEventLoop(() -> fleet.proxy.startDrain(100));
             assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(status(fleet).outcomesByClass())
@@ -160,7 +160,7 @@
                 Fleet.Client client = fleet.client()) {
             assertThat(status(fleet).ejectedNodes()).isZero();
             for (int i = 0; i < 8; i++) {
-                client.say("mg 7f3a9c21e0b4d65" + i + " v O" + i + " Pc=text,d=20000\r\n");
+                client.send("mg 7f3a9c21e0b4d65" + i + " v O" + i + " Pc=text,d=20000\r\n");
                 answers.add(client.line());
                 client.line();
             }
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -82,7 +82,7 @@
     final List<AutoCloseable> parts = new ArrayList<>();
     private final JsonArray hosts = new JsonArray();
     Proxy proxy;
-    private Path shared;
+    private Path sharedFolder;
     /** The routes, or null for none; a test may replace them before a reload. */
     volatile Routing routing;
 
@@ -171,20 +171,20 @@
     }
 
     /** Starts the proxy as the successor of the process that serves with this shared folder, if there is one. */
-    Fleet shared(Path folder) {
-        shared = folder;
+    Fleet sharedFolder(Path folder) {
+        sharedFolder = folder;
         return this;
     }
 
     /** The endpoint list that the proxy starts with. */
-    JsonObject known() {
+    JsonObject initialList() {
         return list(41, true, hosts);
     }
 
     Fleet start() throws InterruptedException, IOException {
-        config.add("known", known());
-        proxy = shared != null
-                ? Proxy.start(Config.parse(config), shared)
+        config.add("known", initialList());
+        proxy = sharedFolder != null
+                ? Proxy.start(Config.parse(config), sharedFolder)
                 : routing == null
                         ? Proxy.start(Config.parse(config))
                         : Proxy.start(Config.parse(config), known -> {
@@ -201,7 +201,7 @@
         Path file = Files.createTempFile("config", ".json");
         Files.writeString(file, text);
         proxy.reload(file.toString());
-        on(() -> null); // runs after the tasks that the reload has submitted
+        onEventLoop(() -> null); // runs after the tasks that the reload has submitted
         Files.delete(file);
     }
 
@@ -211,24 +211,24 @@
     }
 
     /** Runs a task on the proxy's event loop and returns its result. */
-    <T> T on(Callable<T> what) {
-        return proxy.loop().submit(what).syncUninterruptibly().getNow();
+    <T> T onEventLoop(Callable<T> task) {
+        return proxy.loop().submit(task).syncUninterruptibly().getNow();
     }
 
     /** Blocks the event loop until the latch is opened; input that arrives meanwhile stays in the kernel's buffers. */
-    CountDownLatch still() throws InterruptedException {
-        CountDownLatch go = new CountDownLatch(1);
-        CountDownLatch stands = new CountDownLatch(1);
+    CountDownLatch pauseEventLoop() throws InterruptedException {
+        CountDownLatch resume = new CountDownLatch(1);
+        CountDownLatch paused = new CountDownLatch(1);
         proxy.loop().execute(() -> {
-            stands.countDown();
+            paused.countDown();
             try {
-                go.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        stands.await();
-        return go;
+        paused.await();
+        return resume;
     }
 
     Client client() throws IOException {
@@ -268,18 +268,18 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        Client say(String text) throws IOException {
-            return say(text.getBytes(StandardCharsets.ISO_8859_1));
+        Client send(String text) throws IOException {
+            return send(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        Client say(byte[] bytes) throws IOException {
+        Client send(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
             socket.getOutputStream().flush();
             return this;
         }
 
         Client read(String id) throws IOException {
-            return say("mg 7f3a9c21e0b4d655 v O" + id + " Pc=text,d=20000\r\n");
+            return send("mg 7f3a9c21e0b4d655 v O" + id + " Pc=text,d=20000\r\n");
         }
 
         /** Reads a line, without its terminator; null at the end of the stream. */
@@ -292,7 +292,7 @@
         }
 
         /** Whether the next read reaches the end of the stream. */
-        boolean ended() throws IOException {
+        boolean isAtEnd() throws IOException {
             return in.read() < 0;
         }
 
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -72,7 +72,7 @@
         int served = 0;
         try (Fleet.Client client = fleet.client()) {
             for (int i = 0; i < reads; i++) {
-                client.say("mg %016x v O%d Pc=text,d=20000\r\n".formatted(random.nextLong(), ++lastId));
+                client.send("mg %016x v O%d Pc=text,d=20000\r\n".formatted(random.nextLong(), ++lastId));
                 String line = client.line();
                 if (line.startsWith("VA 5 ")) {
                     client.line();
@@ -95,12 +95,12 @@
             fleet.start();
             assertThat(served(fleet, READS)).isEqualTo(READS);
             List<UpstreamServer> nodes =
-                    fleet.on(() -> fleet.proxy.dispatcher().servers().cacheNodes());
+                    fleet.onEventLoop(() -> fleet.proxy.dispatcher().servers().cacheNodes());
             assertThat(nodes).hasSize(SERVERS).allMatch(u -> u.pool.openedConnections() > 0);
             Await.until(
                     "no more connections than there are descriptors for",
-                    () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) <= SOCKETS / 3);
-            assertThat(fleet.on(() -> fleet.proxy.status().ejectedNodes()))
+                    () -> fleet.onEventLoop(() -> fleet.proxy.status().upstreamConnections()) <= SOCKETS / 3);
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.status().ejectedNodes()))
                     .as("ejected nodes")
                     .isZero();
         }
@@ -118,10 +118,10 @@
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=41&")) {
                     JsonArray others = LargeList.hosts(SERVERS, i -> after.dial(), after.dial());
-                    c.sayHttp(200, "", Fleet.list(42, true, others).toString());
+                    c.sendHttp(200, "", Fleet.list(42, true, others).toString());
                 } else if (request.contains("since=42&")) {
                     change.await();
-                    c.sayHttp(200, "", Fleet.list(43, false, changes(after)).toString());
+                    c.sendHttp(200, "", Fleet.list(43, false, changes(after)).toString());
                 } else {
                     c.awaitEnd();
                 }
@@ -163,13 +163,13 @@
 
     private static Set<Integer> known(Fleet fleet) {
         Set<Integer> ids = new HashSet<>();
-        fleet.on(() -> fleet.proxy.dispatcher().servers().cacheNodes()).forEach(u -> ids.add(u.id));
+        fleet.onEventLoop(() -> fleet.proxy.dispatcher().servers().cacheNodes()).forEach(u -> ids.add(u.id));
         return ids;
     }
 
     /** 1,024 clients connect while the event loop is blocked; none has to wait for the kernel to retransmit its SYN. */
     @Test
-    void atOnce1024ClientsMayCome() throws Exception {
+    void simultaneousConnectionsOf1024ClientsAreAccepted() throws Exception {
         FakeServer node = node();
         CountDownLatch come = new CountDownLatch(1);
         try (Fleet fleet = fleet(node)) {
@@ -196,7 +196,9 @@
             } finally {
                 come.countDown();
             }
-            Await.until("all of them", () -> fleet.on(() -> fleet.proxy.status().clientConnections()) == CLIENTS);
+            Await.until(
+                    "all of them",
+                    () -> fleet.onEventLoop(() -> fleet.proxy.status().clientConnections()) == CLIENTS);
         }
     }
 
@@ -220,13 +222,13 @@
             fleet.node(node).start();
             try (Fleet.Client client = fleet.client()) {
                 for (int i = 0; i < CLASSES; i++) {
-                    client.say("mg %x v O%d Pc=c%d,t=t%d,d=20000\r\n".formatted(i, i, i, i));
+                    client.send("mg %x v O%d Pc=c%d,t=t%d,d=20000\r\n".formatted(i, i, i, i));
                     assertThat(client.line()).startsWith("VA 5 ");
                     client.line();
                 }
             }
             Map<String, ClassOutcomes> classes =
-                    fleet.on(() -> fleet.proxy.status().outcomesByClass());
+                    fleet.onEventLoop(() -> fleet.proxy.status().outcomesByClass());
             assertThat(classes).hasSize(CLASSES);
             assertThat(classes.values()).allMatch(e -> e.succeeded() == 1);
         }
@@ -251,18 +253,19 @@
             fleet.start();
             fleet.proxy.joinFleet(new FleetFeatures(true, true, false));
             assertThat(served(fleet, SERVERS)).isEqualTo(SERVERS);
-            assertThat(fleet.on(() -> fleet.proxy.dispatcher().servers().cacheNodesInZone(ZONES - 1)))
+            assertThat(fleet.onEventLoop(
+                            () -> fleet.proxy.dispatcher().servers().cacheNodesInZone(ZONES - 1)))
                     .isEqualTo(1);
-            assertThat(fleet.on(() -> fleet.proxy.fleetView())).isNotNull();
-            assertThat(fleet.on(() -> fleet.proxy.zoneDecisions())).isNotNull();
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.fleetView())).isNotNull();
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.zoneDecisions())).isNotNull();
         }
     }
 
     /** A successor without a list of its own is sent all 1,024 servers. */
     @Test
-    void aSuccessorIsToldAll1024Servers() throws Exception {
+    void aSuccessorIsSentAll1024Servers() throws Exception {
         FakeServer node = node();
-        try (Fleet fleet = fleet(node).shared(folder)) {
+        try (Fleet fleet = fleet(node).sharedFolder(folder)) {
             LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fleet::host);
             fleet.start();
             fleet.config.addProperty(
@@ -277,13 +280,13 @@
             assertThat(discovered).isEqualTo(SERVERS);
             Await.until(
                     "the successor is believed",
-                    () -> fleet.on(() -> fleet.proxy.status().completedHandovers()) == 1);
+                    () -> fleet.onEventLoop(() -> fleet.proxy.status().completedHandovers()) == 1);
         }
     }
 
     /** Each silent node is reported as far as the budget goes, though there are more than were remembered before. */
     @Test
-    void eachOf1024SilentNodesIsTold() throws Exception {
+    void eachOf1024SilentNodesIsReported() throws Exception {
         FakeServer node = node();
         try (Fleet fleet = fleet(node)) {
             LargeList.peers(fleet.config, PEERS);
@@ -291,7 +294,7 @@
             LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fleet::host);
             fleet.start();
             fleet.proxy.joinFleet(new FleetFeatures(true, false, false));
-            fleet.on(() -> {
+            fleet.onEventLoop(() -> {
                 Dispatcher core = fleet.proxy.dispatcher();
                 long before = core.counters().count(Metric.PEER_MESSAGES_SENT)
                         + fleet.proxy.fleetView().droppedDatagrams();
@@ -309,7 +312,7 @@
 
     /** Messages of the last of 1,024 peers arrive under its number, and those to that number reach it. */
     @Test
-    void theLastOf1024PeersIsHeardAndSentTo() throws Exception {
+    void messagesFromAndToTheLastOf1024PeersArrive() throws Exception {
         FakeServer node = node();
         InetAddress local = InetAddress.getByName("127.0.0.1");
         try (DatagramSocket last = new DatagramSocket(0, local);
@@ -323,8 +326,9 @@
                     new Envelope.Item(PeerMessageKind.LOAD_BALANCER.code(), PeerMessageKind.VERSION, new byte[] {0})));
             last.send(new DatagramPacket(bytes, bytes.length, fleet.proxy.peerAddress()));
             Counters counters = fleet.proxy.dispatcher().counters();
-            Await.until("the message", () -> fleet.on(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
-            fleet.on(() -> {
+            Await.until(
+                    "the message", () -> fleet.onEventLoop(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
+            fleet.onEventLoop(() -> {
                 fleet.proxy.dispatcher().routingActions().sendToPeer(PEERS - 1, new byte[] {0});
                 return null;
             });
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -23,20 +23,21 @@
     }
 
     private static long used(Fleet fleet) {
-        return fleet.on(() -> fleet.proxy.dispatcher().bufferLimits().values().reserved());
+        return fleet.onEventLoop(
+                () -> fleet.proxy.dispatcher().bufferLimits().values().reserved());
     }
 
     private static FakeServer origin() throws IOException {
         return new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
-                c.sayHttp(200, "", "v" + (request.length() - request.indexOf("\n\n") - 2));
+                c.sendHttp(200, "", "v" + (request.length() - request.indexOf("\n\n") - 2));
             }
         });
     }
 
     private static void write(Fleet.Client client, String id, int length) throws IOException {
-        client.say("ms 7f3a9c21e0b4d655 " + length + " O" + id + " Pc=publish,d=30000,k=" + id + "\r\n");
-        client.say(Arrays.copyOf(VALUE, length)).say("\r\n");
+        client.send("ms 7f3a9c21e0b4d655 " + length + " O" + id + " Pc=publish,d=30000,k=" + id + "\r\n");
+        client.send(Arrays.copyOf(VALUE, length)).send("\r\n");
     }
 
     /** Together the values are ten times the memory budget: clients wait to send, and nothing is rejected. */
@@ -77,7 +78,7 @@
             List<Fleet.Client> slow = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 Fleet.Client client = fleet.client();
-                client.say("ms 7f3a9c21e0b4d655 " + VALUE.length + " Os" + i + " Pc=publish,d=30000,k=s\r\nxyz");
+                client.send("ms 7f3a9c21e0b4d655 " + VALUE.length + " Os" + i + " Pc=publish,d=30000,k=s\r\nxyz");
                 slow.add(client);
             }
             Await.until("room is taken", () -> used(fleet) > VALUE.length);
@@ -98,8 +99,8 @@
             for (int length : new int[] {0, 1, 65_535, 65_536, 65_537, 1_000_000}) {
                 for (int cut : new int[] {0, 1, length / 2, length}) {
                     Fleet.Client client = fleet.client();
-                    client.say("ms 7f3a9c21e0b4d655 " + length + " Oc Pc=publish,d=30000,k=c\r\n");
-                    client.say(Arrays.copyOf(VALUE, Math.min(cut, length)));
+                    client.send("ms 7f3a9c21e0b4d655 " + length + " Oc Pc=publish,d=30000,k=c\r\n");
+                    client.send(Arrays.copyOf(VALUE, Math.min(cut, length)));
                     client.close();
                 }
             }
@@ -157,18 +158,18 @@
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
             c.socket.setTcpNoDelay(true);
-            c.say("VA " + VALUE.length + " O");
+            c.send("VA " + VALUE.length + " O");
             c.pause.acquire(); // the first part of the line has been sent
-            c.say(FakeServer.id(line) + " h1\r\n");
+            c.send(FakeServer.id(line) + " h1\r\n");
             c.out.write(VALUE);
-            c.say("\r\n");
+            c.send("\r\n");
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
             FakeServer.Connection c = node.accepted.take();
-            node.next();
+            node.nextCommand();
             c.pause.release();
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
             double until = System.nanoTime() / 1e6 + 900; // three times the timeout for short responses
@@ -185,11 +186,11 @@
             for (String line; (line = c.command()) != null; ) {
                 String id = FakeServer.id(line);
                 if (id.startsWith("long")) {
-                    c.say("VA " + VALUE.length + " O" + id + " h1\r\n");
+                    c.send("VA " + VALUE.length + " O" + id + " h1\r\n");
                     c.out.write(VALUE);
-                    c.say("\r\n");
+                    c.send("\r\n");
                 } else {
-                    c.say("VA 2 O" + id + " h1\r\nhi\r\n");
+                    c.send("VA 2 O" + id + " h1\r\nhi\r\n");
                 }
             }
         });
@@ -218,7 +219,7 @@
         FakeServer misses = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
         FakeServer origin = new FakeServer(c -> {
             String request = c.request();
-            c.say("HTTP/1.1 200 \r\nConnection: close\r\n\r\n");
+            c.send("HTTP/1.1 200 \r\nConnection: close\r\n\r\n");
             c.out.write(VALUE, 0, 100_000);
             c.out.flush();
             if (request.contains(": cut")) {
--- a/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
+++ b/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
@@ -16,7 +16,7 @@
     private static FakeServer origin() throws Exception {
         return new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(200, "", "fetch");
+                c.sendHttp(200, "", "fetch");
             }
         });
     }
@@ -28,7 +28,7 @@
             told.await();
             JsonArray hosts = new JsonArray();
             hosts.add(change);
-            c.sayHttp(200, "", Fleet.list(43, false, hosts).toString());
+            c.sendHttp(200, "", Fleet.list(43, false, hosts).toString());
             c.request();
             c.awaitEnd();
         });
@@ -37,11 +37,11 @@
     private static void awaitWaiting(Fleet fleet, int requests) {
         Await.until(
                 "requests wait for a connection",
-                () -> fleet.on(() -> fleet.proxy.status().openRequests() == requests
+                () -> fleet.onEventLoop(() -> fleet.proxy.status().openRequests() == requests
                         && fleet.proxy.status().upstreamConnections() > 0));
     }
 
-    private static void leaves(Consumer<JsonObject> change) throws Exception {
+    private static void assertNotSentAfter(Consumer<JsonObject> change) throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         try (LateServer node = LateServer.node()) {
             JsonObject host = Fleet.host("s-00000001", "node-fast", node.dial(), "up");
@@ -54,11 +54,11 @@
                     .set("caps.connect-timeout", "10000.0")
                     .set("guarantees.ask-within", "200.0");
             try (Fleet fleet = setup.start()) {
-                assertThat(discovery.next()).contains("since=41&");
+                assertThat(discovery.nextCommand()).contains("since=41&");
                 Fleet.Client client = fleet.client().read("1");
                 awaitWaiting(fleet, 1);
                 told.countDown();
-                assertThat(discovery.next()).contains("since=43&"); // the change is in use
+                assertThat(discovery.nextCommand()).contains("since=43&"); // the change is in use
                 node.open();
                 assertThat(client.line()).isEqualTo("VA 5 O1");
                 assertThat(client.line()).isEqualTo("fetch");
@@ -72,17 +72,17 @@
      */
     @Test
     void aWaitingRequestIsNotSentToANodeThatBeginsToDrain() throws Exception {
-        leaves(h -> h.addProperty("health", "draining"));
+        assertNotSentAfter(h -> h.addProperty("health", "draining"));
     }
 
     @Test
     void aWaitingRequestIsNotSentToANodeThatWasRemoved() throws Exception {
-        leaves(h -> h.addProperty("health", "removed"));
+        assertNotSentAfter(h -> h.addProperty("health", "removed"));
     }
 
     @Test
     void aWaitingRequestIsNotSentToTheOldAddressOfANode() throws Exception {
-        leaves(h -> h.addProperty("dial", "127.0.0.1:9"));
+        assertNotSentAfter(h -> h.addProperty("dial", "127.0.0.1:9"));
     }
 
     /** Holds even if the settings forbid cancelling: a request that no server has received needs no cancel. */
@@ -114,7 +114,7 @@
         LateServer origin = new LateServer(p -> {
             for (String line; (line = p.command()) != null; ) {
                 if (line.isEmpty()) {
-                    p.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfetch");
+                    p.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfetch");
                 }
             }
         });
@@ -126,12 +126,13 @@
                         .start()) {
             Fleet.Client leader = fleet.client();
             leader.read("1");
-            node.next();
+            node.nextCommand();
             Await.until(
-                    "its fetch waits", () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) == 2);
+                    "its fetch waits",
+                    () -> fleet.onEventLoop(() -> fleet.proxy.status().upstreamConnections()) == 2);
             Fleet.Client waiter = fleet.client().read("2");
-            node.next();
-            fleet.client().say("mn\r\n").line(); // the event loop has completed an iteration and read the miss
+            node.nextCommand();
+            fleet.client().send("mn\r\n").line(); // the event loop has completed an iteration and read the miss
             awaitWaiting(fleet, 2);
             leader.close();
             awaitWaiting(fleet, 1);
@@ -150,7 +151,7 @@
             for (String line; (line = c.command()) != null; ) {
                 if (FakeServer.id(line).equals("1")) { // the other request is never answered
                     copied.await();
-                    c.say("VA 5 O1 h1\r\nhello\r\n");
+                    c.send("VA 5 O1 h1\r\nhello\r\n");
                 }
             }
         });
@@ -167,14 +168,14 @@
                 Fleet.Client client = fleet.client()) {
             String first = Keys.ranked(1, 2);
             String second = Keys.ranked(2, 1);
-            client.say("mg " + first + " v O1 Pc=text,d=20000\r\n");
+            client.send("mg " + first + " v O1 Pc=text,d=20000\r\n");
             Await.until(
                     "the second copy waits",
-                    () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) == 2);
+                    () -> fleet.onEventLoop(() -> fleet.proxy.status().upstreamConnections()) == 2);
             copied.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
-            client.say("mg " + second + " v O2 Pc=text,d=20000\r\n"); // to the node that the hedge was meant for
+            client.send("mg " + second + " v O2 Pc=text,d=20000\r\n"); // to the node that the hedge was meant for
             awaitWaiting(fleet, 1);
             late.open();
             assertThat(client.line()).isEqualTo("VA 5 O2");
--- a/src/test/java/cacheproxy/proxy/LateServer.java
+++ b/src/test/java/cacheproxy/proxy/LateServer.java
@@ -15,8 +15,8 @@
  * SYNs, and the connecting side retransmits them.
  */
 final class LateServer implements AutoCloseable {
-    private static final int FULL_MS = 100;
-    private static final int MAX_FILLERS = 16;
+    private static final int CONNECT_TIMEOUT_MS = 100;
+    private static final int MAX_BACKLOG_FILLERS = 16;
 
     /** Handles an accepted connection, which is closed when the script returns. */
     interface Script {
@@ -40,38 +40,38 @@
             return line;
         }
 
-        void say(String text) throws IOException {
+        void send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
         }
     }
 
     final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-    private final List<Socket> fillers = new ArrayList<>();
-    private final List<Socket> taken = new ArrayList<>();
+    private final List<Socket> backlogFillers = new ArrayList<>();
+    private final List<Socket> accepted = new ArrayList<>();
     private final Script script;
     private Thread accepting;
 
     LateServer(Script script) throws IOException {
         this.script = script;
-        for (int i = 0; i < MAX_FILLERS; i++) {
+        for (int i = 0; i < MAX_BACKLOG_FILLERS; i++) {
             Socket filler = new Socket();
             try {
-                filler.connect(server.getLocalSocketAddress(), FULL_MS);
-                fillers.add(filler);
+                filler.connect(server.getLocalSocketAddress(), CONNECT_TIMEOUT_MS);
+                backlogFillers.add(filler);
             } catch (SocketTimeoutException e) {
                 filler.close();
                 return;
             }
         }
-        throw new IOException("backlog accepted " + MAX_FILLERS + " connections without filling up");
+        throw new IOException("backlog accepted " + MAX_BACKLOG_FILLERS + " connections without filling up");
     }
 
     /** A cache node that answers every read with a hit, once it is open. */
     static LateServer node() throws IOException {
         return new LateServer(p -> {
             for (String line; (line = p.command()) != null; ) {
-                p.say("VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
+                p.send("VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
             }
         });
     }
@@ -82,15 +82,15 @@
 
     /** Empties the backlog and accepts connections from now on. */
     void open() throws IOException {
-        for (Socket filler : fillers) {
+        for (Socket filler : backlogFillers) {
             filler.close();
         }
         accepting = new Thread(() -> {
             try {
                 while (true) {
                     Socket socket = server.accept();
-                    synchronized (taken) {
-                        taken.add(socket);
+                    synchronized (accepted) {
+                        accepted.add(socket);
                     }
                     Thread serving = new Thread(() -> {
                         try (socket) {
@@ -113,11 +113,11 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket filler : fillers) {
+        for (Socket filler : backlogFillers) {
             filler.close();
         }
-        synchronized (taken) {
-            for (Socket socket : taken) {
+        synchronized (accepted) {
+            for (Socket socket : accepted) {
                 socket.close();
             }
         }
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void whatATakeoverPassesOnIsAsRecorded() throws Exception {
+    void takeoverStateIsWrittenAsRecorded() throws Exception {
         String line = recorded("takeover-state.json");
         assertThat(snapshot().toJson()).isEqualTo(line);
         assertThat(TakeoverSnapshot.parse(line)).isEqualTo(snapshot());
@@ -80,9 +80,9 @@
 
     /** The old process accepts the recorded lines, in this order, on the socket of this name. */
     @Test
-    void theOldProcessTakesTheRecordedLines() throws Exception {
+    void theOldProcessAcceptsTheRecordedLines() throws Exception {
         List<String> lines = recorded("handover-lines.txt").lines().toList();
-        try (Fleet fleet = new Fleet().shared(folder).start();
+        try (Fleet fleet = new Fleet().sharedFolder(folder).start();
                 SocketChannel successor = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             successor.connect(UnixDomainSocketAddress.of(folder.resolve("takeover")));
             BufferedReader answers = new BufferedReader(Channels.newReader(successor, StandardCharsets.UTF_8));
@@ -114,7 +114,7 @@
                 }
             });
             oldProcess.start();
-            try (Fleet fleet = new Fleet().shared(folder).start()) {
+            try (Fleet fleet = new Fleet().sharedFolder(folder).start()) {
                 assertThat(received.get(20, TimeUnit.SECONDS)).isEqualTo(lines.subList(0, 2));
             }
             oldProcess.join();
@@ -131,11 +131,11 @@
     private static void awaitPhase(Fleet fleet, Phase phase) {
         Await.until(
                 "the handover is " + phase,
-                () -> fleet.on(() -> fleet.proxy.status().handoverPhase()) == phase);
+                () -> fleet.onEventLoop(() -> fleet.proxy.status().handoverPhase()) == phase);
     }
 
     @Test
-    void aStartConfigurationInTheOperatorsFormIsReadAsRecorded() throws Exception {
+    void aStartConfigurationInTheOperatorsFormatIsReadAsRecorded() throws Exception {
         JsonObject json = JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
                 .getAsJsonObject();
         json.add("peers", JsonParser.parseString("[\"127.0.0.1:7001\", \"127.0.0.1:7002\"]"));
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void phasesOfADrainAndOfAHandoverHaveTheirWordsInTheStatus() {
+    void phasesOfADrainAndOfAHandoverAreNamedInTheStatus() {
         assertThat(DrainStateMachine.Phase.values())
                 .extracting(DrainStateMachine.Phase::statusName)
                 .containsExactly("serving", "draining", "drained", "expired");
--- a/src/test/java/cacheproxy/proxy/MetricsLogTest.java
+++ b/src/test/java/cacheproxy/proxy/MetricsLogTest.java
@@ -13,7 +13,7 @@
 /** The metrics lines that a proxy logs. */
 class MetricsLogTest {
     private static MetricsLine line(Fleet fleet) {
-        return fleet.on(() -> fleet.proxy.metricsLog(System.err).line());
+        return fleet.onEventLoop(() -> fleet.proxy.metricsLog(System.err).line());
     }
 
     @Test
@@ -21,7 +21,7 @@
         FakeServer node = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
         FakeServer origin = new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(200, "", "hello");
+                c.sendHttp(200, "", "hello");
             }
         });
         try (Fleet fleet = new Fleet().node(node).origin(origin).start();
@@ -62,7 +62,7 @@
     void pollsOfDiscoveryAndTheirFailuresAreCounted() throws Exception {
         FakeServer discovery = new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(503, "", "");
+                c.sendHttp(503, "", "");
             }
         });
         try (Fleet fleet = new Fleet().discovery(discovery).start()) {
--- a/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
+++ b/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
@@ -68,7 +68,7 @@
         drained.commands.clear();
         try (Fleet.Client client = fleet.client()) {
             for (int key = 0; key < KEYS; key++) {
-                client.say("mg %x v O%x Pc=text,d=20000\r\n".formatted(key, ++requests));
+                client.send("mg %x v O%x Pc=text,d=20000\r\n".formatted(key, ++requests));
                 assertThat(client.line()).startsWith("VA 5 ");
                 client.line();
             }
@@ -80,9 +80,9 @@
         FakeServer discovery = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=41&")) {
-                    c.sayHttp(200, "", newer());
+                    c.sendHttp(200, "", newer());
                 } else if (request.contains("since=44&")) {
-                    c.sayHttp(200, "", older());
+                    c.sendHttp(200, "", older());
                 } else {
                     c.awaitEnd();
                 }
@@ -91,7 +91,7 @@
         try (Fleet fleet = fleet(discovery).start()) {
             Await.until(
                     "the older list, which has a server more",
-                    () -> fleet.on(() -> fleet.proxy.status().discoveredNodes()) == 3);
+                    () -> fleet.onEventLoop(() -> fleet.proxy.status().discoveredNodes()) == 3);
             readAll(fleet);
             assertThat(drained.commands).as("reads of the drained server").isEmpty();
         }
@@ -107,7 +107,7 @@
                 synchronized (calledNanos) {
                     calledNanos.add(System.nanoTime());
                 }
-                c.sayHttp(200, "", request.contains("since=44&") ? older() : newer());
+                c.sendHttp(200, "", request.contains("since=44&") ? older() : newer());
             }
         });
         try (Fleet fleet = fleet(discovery).start()) {
@@ -118,7 +118,8 @@
             });
             double ms = (calledNanos.get(calls) - calledNanos.get(0)) / 1e6;
             assertThat(ms).as("milliseconds for %d polls", calls).isGreaterThan(calls * 80.0);
-            assertThat(fleet.on(() -> fleet.proxy.status().discoveredNodes())).isBetween(2, 3);
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.status().discoveredNodes()))
+                    .isBetween(2, 3);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
@@ -86,7 +86,7 @@
     @Test
     void proxyWithAllFeaturesAnswersAsPinned() throws Exception {
         try (Fleet fleet = new Fleet().node("127.0.0.1:9").origin("127.0.0.1:9")) {
-            fleet.config.add("known", fleet.known());
+            fleet.config.add("known", fleet.initialList());
             fleet.config.addProperty("name", "proxy-3"); // the instance that the stored state belongs to
             Path kept = Files.createDirectory(folder.resolve("kept"));
             for (String file : new String[] {"snapshot", "journal"}) {
@@ -94,7 +94,7 @@
             }
             fleet.proxy = Proxy.start(Config.parse(fleet.config), null, new StateLocation(kept, "edge"));
             fleet.proxy.joinFleet(new FleetFeatures(true, true, true));
-            ControlRegistry registry = fleet.on(() -> ProxyControl.registry(fleet.proxy));
+            ControlRegistry registry = fleet.onEventLoop(() -> ProxyControl.registry(fleet.proxy));
             Path path = folder.resolve("c");
             try (ControlServer server = new ControlServer(fleet.proxy.loop(), path, registry);
                     ControlClient client = new ControlClient(path)) {
@@ -154,7 +154,7 @@
     @Test
     void proxyWithoutFeaturesAnswersAsPinned() throws Exception {
         try (Fleet fleet = new Fleet().node("127.0.0.1:9").origin("127.0.0.1:9").start()) {
-            ControlRegistry registry = fleet.on(() -> ProxyControl.registry(fleet.proxy));
+            ControlRegistry registry = fleet.onEventLoop(() -> ProxyControl.registry(fleet.proxy));
             Path path = folder.resolve("c");
             try (ControlServer server = new ControlServer(fleet.proxy.loop(), path, registry);
                     ControlClient client = new ControlClient(path)) {
@@ -174,7 +174,7 @@
         fleet.routing = RoutesTest.routing("pool one { host = \"s-00000001\" } route a { key = \"a*\" pool = one }");
         try (fleet) {
             fleet.start();
-            ControlRegistry registry = fleet.on(() -> ProxyControl.registry(fleet.proxy));
+            ControlRegistry registry = fleet.onEventLoop(() -> ProxyControl.registry(fleet.proxy));
             Path path = folder.resolve("c");
             try (ControlServer server = new ControlServer(fleet.proxy.loop(), path, registry);
                     ControlClient client = new ControlClient(path)) {
--- a/src/test/java/cacheproxy/proxy/PeerListIT.java
+++ b/src/test/java/cacheproxy/proxy/PeerListIT.java
@@ -66,10 +66,10 @@
         return new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=41&")) {
-                    c.sayHttp(200, "", list(42, host(RELEASED, released, "draining")));
+                    c.sendHttp(200, "", list(42, host(RELEASED, released, "draining")));
                 } else if (request.contains("since=42&")) {
                     drained.countDown();
-                    c.sayHttp(200, "", tellsLast.await(WATCH_MS, TimeUnit.MILLISECONDS) ? lastList() : list(42));
+                    c.sendHttp(200, "", tellsLast.await(WATCH_MS, TimeUnit.MILLISECONDS) ? lastList() : list(42));
                 } else {
                     c.awaitEnd();
                 }
@@ -96,7 +96,7 @@
         fleet.config.addProperty("name", "n" + me);
         fleet.config.addProperty("listen", "127.0.0.1:" + port);
         fleet.config.addProperty("discovery", discovery.dial());
-        fleet.config.add("known", fleet.known());
+        fleet.config.add("known", fleet.initialList());
         fleet.config.add("peers", peers);
         fleet.config.addProperty("peers_all", "127.0.0.1:" + peerPorts[1 - me]);
         fleet.config.addProperty("peer_listen", "127.0.0.1:" + peerPorts[me]);
--- a/src/test/java/cacheproxy/proxy/ProcessFigures.java
+++ b/src/test/java/cacheproxy/proxy/ProcessFigures.java
@@ -37,12 +37,12 @@
                 + "| served |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (String size : args) {
-            row(Integer.parseInt(size));
+            measure(Integer.parseInt(size));
         }
         System.exit(0);
     }
 
-    private static void row(int size) throws Exception {
+    private static void measure(int size) throws Exception {
         FakeServer node = FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + "\r\nhello\r\n");
         CountDownLatch change = new CountDownLatch(1);
         FakeServer[] discovery = new FakeServer[1];
@@ -52,9 +52,9 @@
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=42&")) {
                     change.await(1500, TimeUnit.MILLISECONDS);
-                    c.sayHttp(200, "", "{\"seq\":42,\"whole\":false,\"hosts\":[]}");
+                    c.sendHttp(200, "", "{\"seq\":42,\"whole\":false,\"hosts\":[]}");
                 } else {
-                    c.sayHttp(200, "", list);
+                    c.sendHttp(200, "", list);
                 }
             }
         });
@@ -84,7 +84,7 @@
             awaitReady(process, port);
             double readyS = (System.nanoTime() - from) / 1e9;
             int rssThen = status(process, "VmRSS");
-            int served = use(port);
+            int served = sendReads(port);
             int rss = status(process, "VmRSS");
             int highest = status(process, "VmHWM");
             String heap = heap(process, "GC.heap_info");
@@ -145,7 +145,7 @@
     }
 
     /** Reads uniformly drawn keys, one at a time, in turn on 16 connections; returns how many were served. */
-    private static int use(int port) throws Exception {
+    private static int sendReads(int port) throws Exception {
         SplittableRandom random = new SplittableRandom(7);
         List<Socket> clients = new ArrayList<>();
         List<InputStream> in = new ArrayList<>();
--- a/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
@@ -22,7 +22,7 @@
     }
 
     private static void write(Fleet.Client client, String kind, String id) throws Exception {
-        client.say("ms 7f3a9c21e0b4d655 5 O" + id + " Pk=5c0f6e1a2b3d4c59,c=" + kind + ",d=" + TIMEOUT_MS
+        client.send("ms 7f3a9c21e0b4d655 5 O" + id + " Pk=5c0f6e1a2b3d4c59,c=" + kind + ",d=" + TIMEOUT_MS
                 + ",t=acme\r\nhello\r\n");
     }
 
@@ -35,7 +35,7 @@
         });
         FakeServer origin = new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(200, "", "fetch");
+                c.sendHttp(200, "", "fetch");
             }
         });
         try (Fleet fleet = new Fleet()
@@ -44,10 +44,10 @@
                         .set("classes.0.promise", "400.0")
                         .start();
                 Fleet.Client client = fleet.client()) {
-            client.say("mg 7f3a9c21e0b4d655 v O1 Pc=text,t=acme,d=" + TIMEOUT_MS + ",size=5\r\n");
+            client.send("mg 7f3a9c21e0b4d655 v O1 Pc=text,t=acme,d=" + TIMEOUT_MS + ",size=5\r\n");
             assertThat(client.line()).isEqualTo("VA 5 O1");
-            assertThat(sentTimeoutMs(silent.next())).isBetween(TIMEOUT_MS - 5000, TIMEOUT_MS);
-            String fetch = origin.next();
+            assertThat(sentTimeoutMs(silent.nextCommand())).isBetween(TIMEOUT_MS - 5000, TIMEOUT_MS);
+            String fetch = origin.nextCommand();
             assertThat(fetch).contains("Req-Extra: c=text,t=acme,d=").contains(",size=5\n");
             assertThat(sentTimeoutMs(fetch)).isBetween(1, TIMEOUT_MS - 100);
         }
@@ -58,9 +58,9 @@
     void aRetriedWriteIsSentLessTimeThanTheFirstAttempt() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
-            c.sayHttp(503, "Srv-Declined: 1\r\n", "");
+            c.sendHttp(503, "Srv-Declined: 1\r\n", "");
             c.request();
-            c.sayHttp(200, "", "receipt");
+            c.sendHttp(200, "", "receipt");
         });
         try (Fleet fleet = new Fleet()
                         .origin(origin)
@@ -69,8 +69,8 @@
                 Fleet.Client client = fleet.client()) {
             write(client, "fix", "1");
             assertThat(client.line()).isEqualTo("HD O1 creceipt");
-            int first = sentTimeoutMs(origin.next());
-            int second = sentTimeoutMs(origin.next());
+            int first = sentTimeoutMs(origin.nextCommand());
+            int second = sentTimeoutMs(origin.nextCommand());
             assertThat(first).isBetween(1, TIMEOUT_MS);
             assertThat(second).isBetween(1, first - 50);
         }
@@ -82,7 +82,7 @@
         LateServer origin = new LateServer(p -> {
             for (String line; (line = p.command()) != null; ) {
                 if (line.isEmpty()) {
-                    p.say("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nreceipt");
+                    p.send("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nreceipt");
                 }
             }
         });
@@ -95,7 +95,7 @@
             write(client, "fix", "1");
             Await.until(
                     "it waits for the connection",
-                    () -> fleet.on(() -> fleet.proxy.status().openRequests() == 1
+                    () -> fleet.onEventLoop(() -> fleet.proxy.status().openRequests() == 1
                             && fleet.proxy.status().upstreamConnections() == 1));
             origin.open();
             assertThat(client.line()).isEqualTo("HD O1 creceipt");
--- a/src/test/java/cacheproxy/proxy/RoutesTest.java
+++ b/src/test/java/cacheproxy/proxy/RoutesTest.java
@@ -40,7 +40,7 @@
     }
 
     private static String get(Fleet.Client client, String key, String id) throws Exception {
-        client.say("mg " + key + " v O" + id + " Pc=text,d=20000\r\n");
+        client.send("mg " + key + " v O" + id + " Pc=text,d=20000\r\n");
         String head = client.line();
         return head.startsWith("VA") ? client.line() : head;
     }
@@ -60,7 +60,7 @@
                 assertThat(get(client, "b" + i, "b" + i)).isEqualTo("two");
                 assertThat(get(client, "c" + i, "c" + i)).isIn("one", "two");
             }
-            assertThat(fleet.on(() -> fleet.proxy.router().routes()))
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.router().routes()))
                     .extracting(RouteStatus::requests)
                     .containsExactly(20L, 20L, 20L);
         }
@@ -73,17 +73,18 @@
             for (int i = 0; i < 20; i++) {
                 assertThat(get(client, "a" + i, "a" + i)).isEqualTo("two");
             }
-            assertThat(fleet.on(() -> fleet.proxy.router().routes().get(0).fallbacks()))
+            assertThat(fleet.onEventLoop(
+                            () -> fleet.proxy.router().routes().get(0).fallbacks()))
                     .isEqualTo(20);
         }
     }
 
     /** The empty pool's routing would fetch from the origin, which the fallback pool's servers make unnecessary. */
     @Test
-    void aPoolWithoutServersIsPassedOverForTheFallbackAndNotForTheOrigin() throws Exception {
+    void aPoolWithoutServersUsesTheFallbackAndNotTheOrigin() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(200, "", "origin");
+                c.sendHttp(200, "", "origin");
             }
         });
         String routes = "pool none { host = \"nobody\" } pool two { host = \"s-00000002\" } "
@@ -102,7 +103,7 @@
 
     /** The origin reads the write and closes the connection: it may have been executed, so no pool gets it again. */
     @Test
-    void aWriteThatMayHaveRunIsNotSentToTheFallback() throws Exception {
+    void aPossiblyExecutedWriteIsNotSentToTheFallback() throws Exception {
         FakeServer origin = new FakeServer(c -> c.request()); // then closes the connection
         try (Fleet fleet = fleet(ROUTES)
                         .node(node("one"))
@@ -110,56 +111,58 @@
                         .origin(origin)
                         .start();
                 Fleet.Client client = fleet.client()) {
-            client.say("ms a1 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms a1 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(origin.commands).hasSize(1);
-            assertThat(fleet.on(() -> fleet.proxy.router().routes().get(0).fallbacks()))
+            assertThat(fleet.onEventLoop(
+                            () -> fleet.proxy.router().routes().get(0).fallbacks()))
                     .isZero();
         }
     }
 
     @Test
     void openRequestsEndUnderTheOldRoutesAndNewOnesBeginUnderTheNew() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer one = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say("VA 3 O" + FakeServer.id(line) + " h1\r\none\r\n");
+                release.await();
+                c.send("VA 3 O" + FakeServer.id(line) + " h1\r\none\r\n");
             }
         });
         try (Fleet fleet = fleet(ROUTES).node(one).node(node("two")).start();
                 Fleet.Client before = fleet.client()) {
-            before.say("mg a1 v O1 Pc=text,d=20000\r\n");
-            one.next();
+            before.send("mg a1 v O1 Pc=text,d=20000\r\n");
+            one.nextCommand();
             fleet.routing = routing(POOLS.substring(POOLS.indexOf("pool two")) + "route all { pool = two }");
             fleet.reload();
             Await.until(
                     "the new routes hold",
-                    () -> fleet.on(() -> fleet.proxy.router().version()) == 2);
+                    () -> fleet.onEventLoop(() -> fleet.proxy.router().version()) == 2);
             assertThat(get(fleet.client(), "a1", "2")).isEqualTo("two");
-            assertThat(fleet.on(() -> fleet.proxy.router().pools()))
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.router().pools()))
                     .extracting(PoolStatus::name)
                     .containsExactly("", "one", "two");
-            go.countDown();
+            release.countDown();
             assertThat(before.line()).isEqualTo("VA 3 O1");
             assertThat(before.line()).isEqualTo("one");
             Await.until(
                     "the pool that vanished has ended",
-                    () -> fleet.on(() -> fleet.proxy.router().pools()).size() == 2);
+                    () -> fleet.onEventLoop(() -> fleet.proxy.router().pools()).size() == 2);
         }
     }
 
     @Test
-    void routesOfNoUseChangeNothing() throws Exception {
+    void invalidRoutesChangeNothing() throws Exception {
         try (Fleet fleet = fleet(ROUTES).node(node("one")).node(node("two")).start()) {
             fleet.routing = null; // loading routes fails
             fleet.reload();
             assertThat(get(fleet.client(), "a1", "1")).isEqualTo("one");
-            assertThat(fleet.on(() -> fleet.proxy.router().version())).isEqualTo(1);
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.router().version())).isEqualTo(1);
             fleet.routing = routing(ROUTES);
             fleet.reload();
             Await.until(
-                    "the next hold", () -> fleet.on(() -> fleet.proxy.router().version()) == 2);
+                    "the next hold",
+                    () -> fleet.onEventLoop(() -> fleet.proxy.router().version()) == 2);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -16,7 +16,7 @@
 @Timeout(60)
 class SafetyRulesOnSocketsTest {
     /** Longer than the maximum age of the proxy's knowledge of a client's connection. */
-    private static final long HELD_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final long BLOCKED_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
     /** A client's disconnect is noticed in a moment, long before this share of its 20 s deadline. */
     private static final long SOON_NANOS = TimeUnit.SECONDS.toNanos(5);
 
@@ -25,27 +25,27 @@
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
                 if (FakeServer.id(line).equals(id)) {
-                    c.say("VA 5 O" + id + " h1\r\nhello\r\n");
+                    c.send("VA 5 O" + id + " h1\r\nhello\r\n");
                 }
             }
         });
     }
 
     @Test
-    void nothingIsSentForAClientThatLeftWhileTheLoopStoodStill() throws Exception {
+    void nothingIsSentForAClientThatDisconnectedWhileTheEventLoopWasBlocked() throws Exception {
         FakeServer node = answersOnly("2");
         try (Fleet fleet =
                 new Fleet().node(node).set("caps.may-cancel", "false").start()) {
             Fleet.Client gone = fleet.client().read("1");
-            assertThat(FakeServer.id(node.next())).isEqualTo("1");
-            int server = fleet.on(
+            assertThat(FakeServer.id(node.nextCommand())).isEqualTo("1");
+            int server = fleet.onEventLoop(
                     () -> fleet.proxy.dispatcher().servers().cacheNodes().get(0).id);
-            CountDownLatch stands = new CountDownLatch(1);
-            CountDownLatch go = new CountDownLatch(1);
+            CountDownLatch paused = new CountDownLatch(1);
+            CountDownLatch release = new CountDownLatch(1);
             fleet.proxy.loop().execute(() -> {
-                stands.countDown();
+                paused.countDown();
                 try {
-                    go.await();
+                    release.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -54,113 +54,113 @@
                         .routingActions()
                         .send(1, server, 0); // as a routing timer would, before the disconnect is read
             });
-            stands.await();
+            paused.await();
             long since = System.nanoTime();
             gone.close();
-            Await.until("it is held up", () -> System.nanoTime() - since > HELD_NANOS);
-            go.countDown();
+            Await.until("it is held up", () -> System.nanoTime() - since > BLOCKED_NANOS);
+            release.countDown();
             Await.until(
                     "its end is seen",
-                    () -> fleet.on(() -> fleet.proxy.dispatcher().openRequests()) == 0);
+                    () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 0);
             try (Fleet.Client next = fleet.client().read("2")) {
-                assertThat(FakeServer.id(node.next())).isEqualTo("2");
+                assertThat(FakeServer.id(node.nextCommand())).isEqualTo("2");
                 assertThat(next.line()).isEqualTo("VA 5 O2");
             }
-            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().forbidden())
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.dispatcher().rules().forbidden())
                             .keySet())
                     .isSubsetOf(Verdict.CLIENT_DISCONNECTED);
-            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().violations()))
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.dispatcher().rules().violations()))
                     .isEmpty();
         }
     }
 
-    private static void assertEndIsSeen(int many) throws Exception {
+    private static void assertDisconnectIsNoticed(int many) throws Exception {
         StringBuilder reads = new StringBuilder();
         for (int i = 0; i < many; i++) {
             reads.append("mg 7f3a9c21e0b4d655 v O").append(i).append(" Pc=text,d=20000\r\n");
         }
         try (Fleet fleet = new Fleet().node(answersOnly("none")).start()) {
-            Fleet.Client client = fleet.client().say(reads.toString());
+            Fleet.Client client = fleet.client().send(reads.toString());
             Await.until(
                     "some are out",
-                    () -> fleet.on(() -> fleet.proxy.dispatcher().openRequests()) == 32);
+                    () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 32);
             long since = System.nanoTime();
             client.close();
             Await.until(
                     "its end is seen",
-                    () -> fleet.on(() -> fleet.proxy.dispatcher().openRequests()) == 0);
+                    () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 0);
             assertThat(System.nanoTime() - since).isLessThan(SOON_NANOS);
-            assertThat(fleet.on(() -> fleet.proxy.clientAcceptor().openConnections()))
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().openConnections()))
                     .isZero();
         }
     }
 
     /** More than the kernel buffers for a connection: the disconnect could not arrive if none of it were read. */
     @Test
-    void theEndOfAClientThatHasSentMuchAtOnceIsSeenSoon() throws Exception {
-        assertEndIsSeen(3000);
+    void aDisconnectBehindManyRequestsIsNoticedSoon() throws Exception {
+        assertDisconnectIsNoticed(3000);
     }
 
     /** More than the proxy reads ahead: the last bytes wait in the kernel's buffer, and the disconnect behind them. */
     @Test
-    void theEndOfAClientIsSeenSoonBehindMoreThanIsReadAhead() throws Exception {
-        assertEndIsSeen(ReadAheadBudget.MAX_BYTES_PER_CONNECTION / 46 + 1000);
+    void aDisconnectBehindMoreThanTheReadAheadIsNoticedSoon() throws Exception {
+        assertDisconnectIsNoticed(ReadAheadBudget.MAX_BYTES_PER_CONNECTION / 46 + 1000);
     }
 
     /** The server closes connections idle for a second; the proxy's periodic sweep would retire this one only later. */
     @Test
-    void aConnectionThatItsServerMayEndJustNowIsNotUsed() throws Exception {
+    void aConnectionThatItsServerMayBeClosingIsNotUsed() throws Exception {
         FakeServer node = FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
         try (Fleet fleet =
                         new Fleet().node(node).set("caps.idle-close", "1000.0").start();
                 Fleet.Client client = fleet.client()) {
             assertThat(client.read("1").line()).isEqualTo("VA 5 O1");
             client.line();
-            CountDownLatch go = fleet.still();
+            CountDownLatch release = fleet.pauseEventLoop();
             long since = System.nanoTime();
             client.read("2");
             Await.until("it is old", () -> System.nanoTime() - since > TimeUnit.MILLISECONDS.toNanos(800));
-            go.countDown();
+            release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O2");
             assertThat(node.accepted).hasSize(2);
         }
     }
 
     @Test
-    void aRefusalOfAWriteThatMayHaveRunIsAnsweredAsFailedAndCounted() throws Exception {
+    void aRejectionOfAPossiblyExecutedWriteIsAnsweredAsFailedAndCounted() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
-            origin.next();
-            fleet.on(() -> {
+            client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+            origin.nextCommand();
+            fleet.onEventLoop(() -> {
                 fleet.proxy.dispatcher().routingActions().reject(1, 0);
                 return null;
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().violations()))
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.dispatcher().rules().violations()))
                     .containsEntry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, 1L);
-            assertThat(fleet.on(() -> fleet.proxy.ruleCounts()).violations())
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.ruleCounts()).violations())
                     .as("counts in status and metrics")
                     .containsExactly(Map.entry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED.key(), 1L));
         }
     }
 
     @Test
-    void anAttemptAtAServerThatIsNotInTheListDoesNotBegin() throws Exception {
+    void anAttemptAtAnUnlistedServerIsNotSent() throws Exception {
         FakeServer node = answersOnly("none");
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
-            node.next();
-            fleet.on(() -> {
+            node.nextCommand();
+            fleet.onEventLoop(() -> {
                 fleet.proxy.dispatcher().routingActions().send(1, 12345, 0);
                 return null;
             });
-            assertThat(fleet.on(() -> fleet.proxy.dispatcher().rules().forbidden()))
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.dispatcher().rules().forbidden()))
                     .containsEntry(Verdict.ENDPOINT_NOT_READY, 1L);
         }
     }
--- a/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
@@ -53,11 +53,11 @@
     }
 
     private static ProxyStatus status(Fleet fleet) {
-        return fleet.on(fleet.proxy::status);
+        return fleet.onEventLoop(fleet.proxy::status);
     }
 
     private static String ask(Fleet.Client client, String id, String kind) throws Exception {
-        String line = client.say("mg 7f3a9c21e0b4d655 v O" + id + " Pc=" + kind + ",d=20000\r\n")
+        String line = client.send("mg 7f3a9c21e0b4d655 v O" + id + " Pc=" + kind + ",d=20000\r\n")
                 .line();
         if (line.startsWith("VA")) {
             client.line();
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void classesAppearAndVanish() throws Exception {
+    void classesAreAddedAndRemoved() throws Exception {
         try (Fleet fleet = fleet(node()).start();
                 Fleet.Client client = fleet.client()) {
             assertThat(ask(client, "1", "seg-text")).startsWith("VA");
@@ -84,28 +84,28 @@
     }
 
     @Test
-    void aRequestUnderWayKeepsItsClassThoughThatVanishes() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void anOpenRequestKeepsItsRemovedClass() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer slow = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say("VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
+                release.await();
+                c.send("VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
             }
         });
         try (Fleet fleet = fleet(slow).start();
                 Fleet.Client client = fleet.client()) {
-            client.say("mg 7f3a9c21e0b4d655 v O1 Pc=seg-text,d=20000\r\n");
-            slow.next();
+            client.send("mg 7f3a9c21e0b4d655 v O1 Pc=seg-text,d=20000\r\n");
+            slow.nextCommand();
             classes(fleet.config).set(0, kind(classes(fleet.config).get(0).getAsJsonObject(), "seg-new"));
             fleet.reload();
-            go.countDown();
+            release.countDown();
             assertThat(client.line()).isEqualTo("VA 2 O1");
             assertThat(status(fleet).outcomesByClass()).containsEntry("seg-text", new ClassOutcomes(1, 0, 0));
         }
     }
 
     @Test
-    void aStricterEffectHoldsForWhatComesAfter() throws Exception {
+    void stricterIdempotencyAppliesToLaterRequests() throws Exception {
         FakeServer resets = new FakeServer(c -> {
             c.request();
             c.reset();
@@ -123,11 +123,11 @@
     }
 
     @Test
-    void fewerAttemptsHoldForRequestsUnderWayToo() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void aLowerAttemptLimitAppliesToOpenRequestsToo() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer slow = new FakeServer(c -> {
             c.command();
-            go.await();
+            release.await();
             c.reset();
         });
         FakeServer other = node();
@@ -135,15 +135,15 @@
             List<Fleet.Client> clients = new ArrayList<>();
             for (int i = 0; i < 8; i++) { // some of these keys belong to the slow node
                 Fleet.Client client = fleet.client();
-                client.say("mg 7f3a9c21e0b4d65" + i + " v O" + i + " Pc=seg-text,d=20000\r\n");
+                client.send("mg 7f3a9c21e0b4d65" + i + " v O" + i + " Pc=seg-text,d=20000\r\n");
                 clients.add(client);
             }
-            slow.next();
+            slow.nextCommand();
             Await.until("each has been sent once", () -> status(fleet).forwardedAttempts() == clients.size());
             fleet.config.getAsJsonObject("settings").getAsJsonObject("caps").addProperty("max-attempts", 1);
             fleet.reload();
             long before = status(fleet).forwardedAttempts();
-            go.countDown();
+            release.countDown();
             for (Fleet.Client client : clients) {
                 assertThat(client.line()).matches("VA .*|SERVER_ERROR busy.*");
             }
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void brokenFilesChangeNothingAndAreCounted() throws Exception {
+    void invalidFilesChangeNothingAndAreCounted() throws Exception {
         try (Fleet fleet = fleet(node()).start()) {
             String good = fleet.config.toString();
             int broken = 0;
@@ -161,7 +161,7 @@
                 broken++;
             }
             List<Consumer<JsonObject>> changes = new ArrayList<>();
-            withoutEachKey(fleet.config, changes);
+            addKeyRemovals(fleet.config, changes);
             for (String figure : new String[] {"deadline", "promise"}) {
                 for (String value : new String[] {"0", "-1", "null", "\"x\"", "\"NaN\"", "1e999"}) {
                     changes.add(c -> classes(c).get(0).getAsJsonObject().add(figure, JsonParser.parseString(value)));
@@ -194,7 +194,7 @@
     }
 
     /** Adds a change for each key of each object that removes it, except in the endpoint list. */
-    private static void withoutEachKey(JsonObject config, List<Consumer<JsonObject>> changes) {
+    private static void addKeyRemovals(JsonObject config, List<Consumer<JsonObject>> changes) {
         for (Map.Entry<String, JsonElement> e : config.entrySet()) {
             changes.add(c -> c.remove(e.getKey()));
         }
--- a/src/test/java/cacheproxy/proxy/SharedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/SharedClientsTest.java
@@ -12,8 +12,8 @@
  */
 @Timeout(60)
 class SharedClientsTest {
-    private static int end(Fleet fleet, int many) {
-        return fleet.on(() -> {
+    private static int closeMostRecentlyUsed(Fleet fleet, int many) {
+        return fleet.onEventLoop(() -> {
             int before = fleet.proxy.clientAcceptor().idleConnections();
             fleet.proxy.clientAcceptor().closeMostRecentlyUsed(many);
             return before - fleet.proxy.clientAcceptor().idleConnections();
@@ -21,22 +21,22 @@
     }
 
     @Test
-    void onlyOnesThatHaveBeenAnsweredAreEndedAndThoseUsedLastFirst() throws Exception {
+    void onlyAnsweredConnectionsAreClosedMostRecentlyUsedFirst() throws Exception {
         try (Fleet fleet = new Fleet().start();
                 Fleet.Client first = fleet.client();
                 Fleet.Client last = fleet.client()) {
             for (Fleet.Client c : new Fleet.Client[] {first, last}) {
-                assertThat(c.say("mn\r\n").line()).isEqualTo("MN");
+                assertThat(c.send("mn\r\n").line()).isEqualTo("MN");
             }
-            Fleet.Client unheard = fleet.client(); // connected only now: the proxy closes a client that stays silent
+            Fleet.Client silent = fleet.client(); // connected only now: the proxy closes a client that stays silent
             Await.until(
                     "all are idle",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
-            assertThat(end(fleet, 1)).isEqualTo(1);
-            assertThat(last.ended()).isTrue();
-            assertThat(end(fleet, 9)).isEqualTo(1);
-            assertThat(first.ended()).isTrue();
-            assertThat(unheard.say("mn\r\n").line()).isEqualTo("MN");
+                    () -> fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
+            assertThat(closeMostRecentlyUsed(fleet, 1)).isEqualTo(1);
+            assertThat(last.isAtEnd()).isTrue();
+            assertThat(closeMostRecentlyUsed(fleet, 9)).isEqualTo(1);
+            assertThat(first.isAtEnd()).isTrue();
+            assertThat(silent.send("mn\r\n").line()).isEqualTo("MN");
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/StoppedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/StoppedClientsTest.java
@@ -17,7 +17,7 @@
 /** Clients that stall in the middle of a request: each must get an error or a close within three seconds. */
 @Timeout(60)
 class StoppedClientsTest {
-    private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long NOTIFICATION_NANOS = TimeUnit.SECONDS.toNanos(3);
     private static final int DRIP_MS = 400;
     private static final String WRITE = "ms 7f3a9c21e0b4d655 ";
 
@@ -28,7 +28,7 @@
     }
 
     /** Whether the client gets an error or a close before this time; other answers are skipped. */
-    private static boolean heard(Fleet.Client client, long untilNanos) throws IOException {
+    private static boolean isNotified(Fleet.Client client, long untilNanos) throws IOException {
         try {
             for (long left; (left = TimeUnit.NANOSECONDS.toMillis(untilNanos - System.nanoTime())) > 0; ) {
                 client.socket.setSoTimeout((int) left);
@@ -45,21 +45,21 @@
         return false;
     }
 
-    private static List<String> unheard(Map<String, byte[]> clients) throws Exception {
-        List<String> unheard = new ArrayList<>();
+    private static List<String> unnotified(Map<String, byte[]> clients) throws Exception {
+        List<String> unnotified = new ArrayList<>();
         try (Fleet fleet = fleet()) {
             Map<String, Fleet.Client> open = new LinkedHashMap<>();
             for (Map.Entry<String, byte[]> client : clients.entrySet()) {
-                open.put(client.getKey(), fleet.client().say(client.getValue()));
+                open.put(client.getKey(), fleet.client().send(client.getValue()));
             }
-            long until = System.nanoTime() + OWED_NANOS;
+            long until = System.nanoTime() + NOTIFICATION_NANOS;
             for (Map.Entry<String, Fleet.Client> client : open.entrySet()) {
-                if (!heard(client.getValue(), until)) {
-                    unheard.add(client.getKey());
+                if (!isNotified(client.getValue(), until)) {
+                    unnotified.add(client.getKey());
                 }
             }
         }
-        return unheard;
+        return unnotified;
     }
 
     private static byte[] bytes(String text) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aClientThatStopsAnywhereInARequestHearsOfItInTime() throws Exception {
+    void aClientThatStallsAnywhereInARequestIsNotifiedInTime() throws Exception {
         Map<String, byte[]> clients = new LinkedHashMap<>();
         clients.put("half a line", bytes("mg 7f3a9c21e0b4d655 v O1"));
         clients.put("a line without its end", bytes("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=20000"));
@@ -79,27 +79,27 @@
         clients.put("half a write of an unknown class", bytes(WRITE + "5 O8 Pc=none,d=20000\r\nhe"));
         clients.put("half a write without an id", bytes(WRITE + "5 v\r\nhe"));
         clients.put("a read and half of the next", bytes("mg 7f3a v O9 Pc=text,d=20000\r\nmg 7f3a v O10 Pc"));
-        assertThat(unheard(clients)).isEmpty();
+        assertThat(unnotified(clients)).isEmpty();
     }
 
     @Test
-    void aClientThatConnectsAndSaysNothingHearsOfItInTime() throws Exception {
-        assertThat(unheard(Map.of("mute", new byte[0]))).isEmpty();
+    void aClientThatConnectsAndSendsNothingIsNotifiedInTime() throws Exception {
+        assertThat(unnotified(Map.of("mute", new byte[0]))).isEmpty();
     }
 
     /** Each byte is activity, but none completes a request. */
     @Test
-    void aClientThatSendsAByteNowAndThenHearsOfItInTime() throws Exception {
+    void aClientThatTricklesBytesIsNotifiedInTime() throws Exception {
         ScheduledExecutorService drip = Executors.newSingleThreadScheduledExecutor();
         try (Fleet fleet = fleet()) {
-            Fleet.Client line = fleet.client().say("m");
-            Fleet.Client value = fleet.client().say(WRITE + "500 O1 Pc=fix,d=20000\r\n");
-            long until = System.nanoTime() + OWED_NANOS;
+            Fleet.Client line = fleet.client().send("m");
+            Fleet.Client value = fleet.client().send(WRITE + "500 O1 Pc=fix,d=20000\r\n");
+            long until = System.nanoTime() + NOTIFICATION_NANOS;
             drip.scheduleAtFixedRate(
                     () -> {
                         try {
-                            line.say("g");
-                            value.say("x");
+                            line.send("g");
+                            value.send("x");
                         } catch (IOException e) {
                             throw new IllegalStateException(
                                     e); // ends the schedule: one of the two connections is closed
@@ -108,8 +108,8 @@
                     DRIP_MS,
                     DRIP_MS,
                     TimeUnit.MILLISECONDS);
-            assertThat(heard(line, until)).as("a line").isTrue();
-            assertThat(heard(value, until)).as("a value").isTrue();
+            assertThat(isNotified(line, until)).as("a line").isTrue();
+            assertThat(isNotified(value, until)).as("a value").isTrue();
         } finally {
             drip.shutdownNow();
         }
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -32,20 +32,20 @@
 
     private static final int QUIET_MS = 200;
     /** Upper bound of what the proxy itself may buffer. */
-    private static final long OWN_ROOM = 8L << 20;
+    private static final long PROXY_BUFFER_BYTES = 8L << 20;
 
-    private static final long USUAL_MOST = 32L << 20;
+    private static final long DEFAULT_SOCKET_BUFFER_BYTES = 32L << 20;
 
     /** Capacity of all buffers between a node and a client: the kernel's on both connections, and the proxy's. */
-    private static long room() throws IOException {
-        return 2 * (most("tcp_rmem") + most("tcp_wmem")) + OWN_ROOM;
+    private static long bufferCapacity() throws IOException {
+        return 2 * (maxSocketBufferBytes("tcp_rmem") + maxSocketBufferBytes("tcp_wmem")) + PROXY_BUFFER_BYTES;
     }
 
     /** The kernel's limit for a socket buffer; it differs by a factor of five between kernels. */
-    private static long most(String buffer) throws IOException {
+    private static long maxSocketBufferBytes(String buffer) throws IOException {
         Path limits = Path.of("/proc/sys/net/ipv4", buffer);
         if (!Files.isReadable(limits)) {
-            return USUAL_MOST;
+            return DEFAULT_SOCKET_BUFFER_BYTES;
         }
         try (Stream<String> lines =
                 Files.lines(limits)) { // reads the file in one call, as the kernel expects for sysctl files
@@ -54,7 +54,7 @@
     }
 
     private static void head(FakeServer.Connection c, String command) throws IOException {
-        c.say("VA " + VALUE.length + " O" + FakeServer.id(command) + " h1\r\n");
+        c.send("VA " + VALUE.length + " O" + FakeServer.id(command) + " h1\r\n");
     }
 
     @Test
@@ -63,7 +63,7 @@
             for (String line; (line = c.command()) != null; ) {
                 head(c, line);
                 c.out.write(VALUE);
-                c.say("\r\n");
+                c.send("\r\n");
             }
         });
         try (Fleet fleet = new Fleet().node(node).start();
@@ -137,7 +137,7 @@
                 next.acquire(); // no response arrives together with the end of the previous one
                 head(c, line);
                 c.out.write(VALUE);
-                c.say("\r\n");
+                c.send("\r\n");
             }
         });
         try (Fleet fleet = new Fleet().node(node).set("balancers", "60").start()) { // one connection per node
@@ -151,7 +151,7 @@
                         new RequestParameters("text", null, 20_000, Double.NaN, 0, false),
                         new DeadlineTemplate("c=text,d=", ""),
                         new DeadlineTemplate("mg 7f3a v O" + i + " Pc=text,d=", ""));
-                fleet.on(() -> {
+                fleet.onEventLoop(() -> {
                     fleet.proxy
                             .dispatcher()
                             .accept(new ClientRequest(
@@ -170,7 +170,7 @@
     void aLongValueOfTheOriginIsStreamedCompletely() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
-            c.say("HTTP/1.1 200 OK\r\nContent-Length: " + VALUE.length + "\r\n\r\n");
+            c.send("HTTP/1.1 200 OK\r\nContent-Length: " + VALUE.length + "\r\n\r\n");
             c.out.write(VALUE);
             c.out.flush();
             c.awaitEnd();
@@ -193,7 +193,7 @@
             c.out.flush();
             seen.await();
             c.out.write(VALUE, 1000, VALUE.length - 1000);
-            c.say("\r\n");
+            c.send("\r\n");
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
@@ -216,11 +216,11 @@
                     c.out.write(VALUE, at, 1 << 14);
                     sent.addAndGet(1 << 14);
                 }
-                c.say("\r\n");
+                c.send("\r\n");
             }
             over.countDown();
         });
-        long room = room();
+        long room = bufferCapacity();
         int values = (int) (2 * room / VALUE.length);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
@@ -253,7 +253,7 @@
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
             assertThat(client.bytes(VALUE.length).length).isLessThan(VALUE.length);
-            assertThat(fleet.client().say("mn\r\n").line()).isEqualTo("MN");
+            assertThat(fleet.client().send("mn\r\n").line()).isEqualTo("MN");
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
+++ b/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
@@ -39,11 +39,18 @@
     @TempDir
     private Path folder;
 
-    private Path shim() throws IOException, InterruptedException {
-        Path shim = folder.resolve("faults.so");
+    private Path faultLibrary() throws IOException, InterruptedException {
+        Path faultLibrary = folder.resolve("faults.so");
         try {
             Process compiler = new ProcessBuilder(
-                            "cc", "-O1", "-shared", "-fPIC", "-o", shim.toString(), "src/test/c/faults.c", "-ldl")
+                            "cc",
+                            "-O1",
+                            "-shared",
+                            "-fPIC",
+                            "-o",
+                            faultLibrary.toString(),
+                            "src/test/c/faults.c",
+                            "-ldl")
                     .inheritIO()
                     .start();
             assertThat(compiler.waitFor()).isZero();
@@ -53,7 +60,7 @@
             }
             abort("no C compiler: system call faults were not injected");
         }
-        return shim;
+        return faultLibrary;
     }
 
     private static String config(int port, FakeServer... nodes) {
@@ -74,7 +81,7 @@
                 config,
                 Map.of(
                         "LD_PRELOAD",
-                        shim().toString(),
+                        faultLibrary().toString(),
                         "FAULTS",
                         faults,
                         "FAULTS_LOG",
@@ -130,10 +137,10 @@
 
     /** A node that closes each connection after one answer, so that the proxy opens many. */
     private static FakeServer node() throws IOException {
-        return new FakeServer(c -> c.say("VA 5 O" + FakeServer.id(c.command()) + " h1\r\nhello\r\n"));
+        return new FakeServer(c -> c.send("VA 5 O" + FakeServer.id(c.command()) + " h1\r\nhello\r\n"));
     }
 
-    private void holds(String faults, String... calls) throws Exception {
+    private void assertServesDespite(String faults, String... calls) throws Exception {
         FakeServer one = node();
         FakeServer two = node();
         int port = ServeProcess.freePort();
@@ -158,21 +165,22 @@
 
     @Test
     void acceptFails() throws Exception {
-        holds("seed=1,accept=0.3", "accept4 103", "accept4 23", "accept4 105");
+        assertServesDespite("seed=1,accept=0.3", "accept4 103", "accept4 23", "accept4 105");
     }
 
     @Test
     void socketAndConnectFail() throws Exception {
-        holds("seed=2,socket=0.3,connect=0.3", "socket 23", "socket 105", "connect 99", "connect 101");
+        assertServesDespite("seed=2,socket=0.3,connect=0.3", "socket 23", "socket 105", "connect 99", "connect 101");
     }
 
     @Test
     void callsAreInterruptedAndReadsAndWritesAreShort() throws Exception {
-        holds("seed=3,wait=0.2,intr=0.2,short=0.5", "epoll_wait 4", " 4\n", " 0\n");
+        assertServesDespite("seed=3,wait=0.2,intr=0.2,short=0.5", "epoll_wait 4", " 4\n", " 0\n");
     }
 
     @Test
-    void allOfItTogether() throws Exception {
-        holds("seed=4,accept=0.1,socket=0.1,connect=0.1,wait=0.1,intr=0.1,short=0.2", "accept4", "epoll_wait");
+    void allFaultsTogether() throws Exception {
+        assertServesDespite(
+                "seed=4,accept=0.1,socket=0.1,connect=0.1,wait=0.1,intr=0.1,short=0.2", "accept4", "epoll_wait");
     }
 }
--- a/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
+++ b/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
@@ -49,7 +49,7 @@
     }
 
     @Property(seed = "1", tries = 300)
-    void whatIsToldIsRead(
+    void stateIsReadAsWritten(
             @ForAll @Size(9) List<@DoubleRange(max = 1e14) Double> f,
             @ForAll @Size(max = 20) List<Long> keys,
             @ForAll @Size(max = 20) List<Integer> ids,
@@ -71,7 +71,7 @@
     }
 
     @Example
-    void whatIsCutOffAnywhereIsNotRead() {
+    void truncatedStateIsRejected() {
         String line = state().toJson();
         for (int cut = 0; cut < line.length(); cut++) {
             String part = line.substring(0, cut);
@@ -80,7 +80,7 @@
     }
 
     @Example
-    void figuresThatCannotBeAreNotRead() {
+    void invalidNumbersAreRejected() {
         String line = state().toJson();
         for (String figure : new String[] {"-1.0", "NaN", "1e300", "\"x\"", "null", "[]"}) {
             String wrong = line.replace("\"figures\":[1.0", "\"figures\":[" + figure);
@@ -93,7 +93,7 @@
 
     /** A process of a version before this state was added sends its list only. */
     @Example
-    void aListAloneIsEnough() {
+    void aListAloneIsAccepted() {
         JsonObject state = new JsonObject();
         state.addProperty("v", 1);
         state.add("list", list());
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -35,7 +35,7 @@
 
     /** Starts the proxy at a fixed address, which its successor's configuration can name. */
     private Fleet serving(FakeServer node) throws Exception {
-        Fleet fleet = new Fleet().node(node).shared(folder).start();
+        Fleet fleet = new Fleet().node(node).sharedFolder(folder).start();
         fleet.config.addProperty("listen", "127.0.0.1:" + fleet.proxy.address().getPort());
         return fleet;
     }
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aClientsConnectionOutlivesTheProcessThatTookIt() throws Exception {
+    void aClientsConnectionOutlivesTheProcessThatAcceptedIt() throws Exception {
         try (Fleet fleet = serving(node());
                 Fleet.Client client = fleet.client()) {
             served(client.read("1"), "1");
@@ -96,26 +96,26 @@
     }
 
     @Test
-    void whatIsUnderWayIsAnsweredByTheOldProcessAndItsConnectionGoesOver() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void openRequestsAreAnsweredByTheOldProcessAndTheirConnectionsPassedOn() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer slow = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say("VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
+                release.await();
+                c.send("VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
             }
         });
         try (Fleet fleet = serving(slow);
                 Fleet.Client client = fleet.client()) {
             client.read("1");
-            slow.next();
+            slow.nextCommand();
             Proxy next = successor(fleet);
             Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             Thread ending = end(fleet.proxy);
-            client.say("mg 7f3a9c21e0b4d655 v O2 Pc=te"); // an incomplete command keeps the connection with the old
+            client.send("mg 7f3a9c21e0b4d655 v O2 Pc=te"); // an incomplete command keeps the connection with the old
             // process
-            go.countDown();
+            release.countDown();
             served(client, "1");
-            client.say("xt,d=20000\r\n");
+            client.send("xt,d=20000\r\n");
             served(client, "2");
             ending.join();
             assertThat(answered(fleet.proxy)).isEqualTo(2);
@@ -126,27 +126,27 @@
 
     /** A takeover does not restart the timeout of a silent client: it gets an error or a close within 3 s in all. */
     @Test
-    void aClientThatSaysNothingHearsOfItInTimeThroughAnUpgrade() throws Exception {
+    void aSilentClientIsNotifiedInTimeThroughAnUpgrade() throws Exception {
         try (Fleet fleet = serving(node());
                 Fleet.Client mute = fleet.client()) {
             long owedBy = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
             Await.until(
                     "it has come",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().openConnections()) == 1);
+                    () -> fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().openConnections()) == 1);
             successor(fleet);
             Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             Thread ending = end(fleet.proxy);
             mute.socket.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(owedBy - System.nanoTime()));
-            assertThat(mute.ended()).isTrue();
+            assertThat(mute.isAtEnd()).isTrue();
             ending.join();
         }
     }
 
     /** Clients send without pause, on old and on new connections, through several upgrades. */
     @Test
-    void nothingIsTurnedBackUnheard() throws Exception {
+    void noRequestFailsThroughUpgrades() throws Exception {
         AtomicBoolean over = new AtomicBoolean();
-        List<Throwable> troubles = new ArrayList<>();
+        List<Throwable> failures = new ArrayList<>();
         long[] served = new long[8];
         try (Fleet fleet = serving(node())) {
             List<Thread> clients = new ArrayList<>();
@@ -166,8 +166,8 @@
                         }
                         client.close();
                     } catch (Throwable e) {
-                        synchronized (troubles) {
-                            troubles.add(e);
+                        synchronized (failures) {
+                            failures.add(e);
                         }
                     }
                 });
@@ -188,27 +188,28 @@
             for (Thread t : clients) {
                 t.join();
             }
-            assertThat(troubles).isEmpty();
+            assertThat(failures).isEmpty();
             assertThat(served).doesNotContain(0);
         }
     }
 
     /** One of two servers refuses connections, which the old process has found out and passes on. */
     @Test
-    void whatIsKnownOfServersGoesOver() throws Exception {
+    void serverStateIsPassedToTheSuccessor() throws Exception {
         FakeServer gone = node();
         String dial = gone.dial();
         gone.close();
         FakeServer up = node();
-        try (Fleet fleet = new Fleet().node(up).node(dial).shared(folder).start();
+        try (Fleet fleet = new Fleet().node(up).node(dial).sharedFolder(folder).start();
                 Fleet.Client client = fleet.client()) {
             fleet.config.addProperty(
                     "listen", "127.0.0.1:" + fleet.proxy.address().getPort());
             Await.until("the old one has tried it", () -> {
                 String key = Long.toHexString(System.nanoTime());
-                client.say("mg " + key + " v O" + key + " Pc=text,d=20000\r\n");
+                client.send("mg " + key + " v O" + key + " Pc=text,d=20000\r\n");
                 served(client, key);
-                return fleet.on(() -> fleet.proxy.status().ejectedNodes()) == 1; // suspected servers are included
+                return fleet.onEventLoop(() -> fleet.proxy.status().ejectedNodes())
+                        == 1; // suspected servers are included
             });
             Proxy next = successor(fleet);
             assertThat(next.loop()
@@ -221,7 +222,7 @@
     }
 
     @Test
-    void aSuccessorThatGoesGivesTheClientsBack() throws Exception {
+    void aSuccessorThatEndsReturnsTheClients() throws Exception {
         try (Fleet fleet = serving(node())) {
             Proxy next = successor(fleet);
             Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
@@ -235,7 +236,7 @@
     }
 
     @Test
-    void oneThatAsksAndNeverServesHoldsNobodyUp() throws Exception {
+    void aSuccessorThatNeverServesDelaysNobody() throws Exception {
         try (Fleet fleet = serving(node());
                 SocketChannel hung = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             hung.connect(UnixDomainSocketAddress.of(takeoverSocket()));
@@ -248,7 +249,7 @@
     }
 
     @Test
-    void wordsOutOfTurnEndTheLinkAndNothingElse() throws Exception {
+    void outOfOrderMessagesCloseOnlyTheHandoverConnection() throws Exception {
         try (Fleet fleet = serving(node())) {
             for (String words :
                     new String[] {"SERVING\n", "SOCKET\n", "STATE 9\n", "x".repeat(200), "STATE 1\nSERVING\n"}) {
@@ -270,7 +271,7 @@
 
     /** A socket file of a killed process, one whose process never answers, one whose process answers invalid data. */
     @Test
-    void whereTheOldProcessIsOfNoUseTheNewOneServesAnyway() throws Exception {
+    void theNewProcessServesIfTheOldOneCannotHandOver() throws Exception {
         Path path = takeoverSocket();
         for (String answer : new String[] {null, "", "{\"v\":9}\n", "{\"v\":1,\"li\n", "nonsense\n"}) {
             Files.deleteIfExists(path);
--- a/src/test/java/cacheproxy/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/UpstreamTest.java
@@ -21,7 +21,7 @@
     private static FakeServer origin(int status, String headers, String body) throws Exception {
         return new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(status, headers, body);
+                c.sendHttp(status, headers, body);
             }
         });
     }
@@ -29,7 +29,7 @@
     /** Reads this many keys, one at a time, and asserts that each is answered. */
     private static void servesReads(Fleet.Client client, int reads) throws Exception {
         for (int i = 0; i < reads; i++) {
-            client.say("mg " + Integer.toHexString(0x1000 + 7919 * i) + " v O" + i + " Pc=text,d=20000\r\n");
+            client.send("mg " + Integer.toHexString(0x1000 + 7919 * i) + " v O" + i + " Pc=text,d=20000\r\n");
             assertThat(client.line()).isEqualTo("VA 5 O" + i);
             client.line();
         }
@@ -91,7 +91,7 @@
     void aNodeAtItsConnectionLimitIsReplacedByTheNextRankedForAWhile() throws Exception {
         FakeServer crowded = new FakeServer(c -> {
             c.command();
-            c.say("SERVER_ERROR busy\r\n");
+            c.send("SERVER_ERROR busy\r\n");
         });
         try (Fleet fleet = new Fleet()
                         .node(crowded)
@@ -100,7 +100,8 @@
                 Fleet.Client client = fleet.client()) {
             servesReads(client, 60);
             assertThat(crowded.commands).hasSize(1);
-            assertThat(fleet.on(() -> fleet.proxy.status().ejectedNodes())).isZero();
+            assertThat(fleet.onEventLoop(() -> fleet.proxy.status().ejectedNodes()))
+                    .isZero();
         }
     }
 
@@ -111,7 +112,7 @@
     void aRejectionFollowedByInvalidInputSaysNothingOfConnectionLimits() throws Exception {
         FakeServer noisy = new FakeServer(c -> {
             c.command();
-            c.say("SERVER_ERROR busy\r\nnoise\r\n");
+            c.send("SERVER_ERROR busy\r\nnoise\r\n");
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet()
@@ -143,21 +144,21 @@
         String write = "ms 7f3a 5 O1 Pc=fix,d=2000\r\nhello\r\n";
         try (Fleet fleet = new Fleet().origin(origin(500, "", "")).start();
                 Fleet.Client c = fleet.client()) {
-            assertThat(c.say(write).line()).isEqualTo("SERVER_ERROR failed");
+            assertThat(c.send(write).line()).isEqualTo("SERVER_ERROR failed");
         }
         try (Fleet fleet = new Fleet().origin(origin(503, "", "")).start();
                 Fleet.Client c = fleet.client()) {
-            assertThat(c.say(write).line()).isEqualTo("SERVER_ERROR failed");
+            assertThat(c.send(write).line()).isEqualTo("SERVER_ERROR failed");
         }
         try (Fleet fleet = new Fleet()
                         .origin(origin(503, "Srv-Declined: 1\r\n", ""))
                         .start();
                 Fleet.Client c = fleet.client()) {
-            assertThat(c.say(write).line()).startsWith("SERVER_ERROR busy");
+            assertThat(c.send(write).line()).startsWith("SERVER_ERROR busy");
         }
         try (Fleet fleet = new Fleet().origin(refusingAddress()).start();
                 Fleet.Client c = fleet.client()) {
-            assertThat(c.say(write).line()).startsWith("SERVER_ERROR busy");
+            assertThat(c.send(write).line()).startsWith("SERVER_ERROR busy");
         }
     }
 
@@ -169,9 +170,9 @@
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
+            assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
             assertThat(origin.commands).hasSize(1);
         }
     }
@@ -184,8 +185,8 @@
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a 5 O1 Pc=fix,d=2000\r\nhello\r\n");
-            origin.next();
+            client.send("ms 7f3a 5 O1 Pc=fix,d=2000\r\nhello\r\n");
+            origin.nextCommand();
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
         }
     }
@@ -198,7 +199,7 @@
             CountDownLatch ended = new CountDownLatch(1);
             FakeServer node = new FakeServer(c -> {
                 c.command();
-                c.say(garbage);
+                c.send(garbage);
                 c.awaitEnd();
                 ended.countDown();
             });
@@ -217,12 +218,12 @@
                 new String[] {"what?\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nr1"}) {
             FakeServer broken = new FakeServer(c -> {
                 c.request();
-                c.say(garbage);
+                c.send(garbage);
                 c.awaitEnd();
             });
             try (Fleet fleet = new Fleet().origin(broken).start();
                     Fleet.Client client = fleet.client()) {
-                client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+                client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).as(garbage).isEqualTo("SERVER_ERROR failed");
             }
         }
@@ -232,10 +233,10 @@
     @Test
     void aDuplicateOfAResponseIsNotTakenForTheNextResponse() throws Exception {
         CountDownLatch missed = new CountDownLatch(2);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                c.say("EN O" + FakeServer.id(line) + " h0\r\n");
+                c.send("EN O" + FakeServer.id(line) + " h0\r\n");
                 missed.countDown();
             }
         });
@@ -243,9 +244,9 @@
         FakeServer origin = new FakeServer(c -> {
             boolean leads = FakeServer.id(c.request()).equals("1");
             if (leads) {
-                go.await();
+                release.await();
             }
-            c.say(leads ? first + first : "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother");
+            c.send(leads ? first + first : "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother");
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet()
@@ -255,12 +256,12 @@
                         .start();
                 Fleet.Client one = fleet.client()) {
             one.read("1");
-            origin.next();
+            origin.nextCommand();
             Fleet.Client two = fleet.client().read("2");
             missed.await();
-            fleet.client().say("mn\r\n").line(); // the event loop has completed an iteration
-            fleet.client().say("mn\r\n").line();
-            go.countDown();
+            fleet.client().send("mn\r\n").line(); // the event loop has completed an iteration
+            fleet.client().send("mn\r\n").line();
+            release.countDown();
             assertThat(one.line()).isEqualTo("VA 5 O1");
             assertThat(one.line()).isEqualTo("first");
             assertThat(two.line()).isEqualTo("VA 5 O2");
@@ -273,17 +274,17 @@
         CountDownLatch closed = new CountDownLatch(1);
         FakeServer origin = new FakeServer(c -> {
             c.request();
-            c.sayHttp(200, "", "r1");
+            c.sendHttp(200, "", "r1");
             c.socket.close();
             closed.countDown();
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 3; i++) {
-                client.say("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
+                client.send("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
                 closed.await();
-                client.say("mn\r\n").line(); // the event loop has completed an iteration
+                client.send("mn\r\n").line(); // the event loop has completed an iteration
             }
         }
     }
@@ -292,13 +293,13 @@
     void closedConnectionsDoNotCountAgainstTheLimit() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
-            c.sayHttp(200, "Connection: close\r\n", "r1");
+            c.sendHttp(200, "Connection: close\r\n", "r1");
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet().origin(origin).set("balancers", "60").start(); // four connections at most
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 12; i++) {
-                client.say("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
+                client.send("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
             }
             assertThat(origin.accepted).hasSize(12);
@@ -312,18 +313,18 @@
             String first = c.command();
             String second = c.command();
             gone.await();
-            c.say(hit(first) + hit(second));
+            c.send(hit(first) + hit(second));
             c.awaitEnd();
         });
         Fleet setup = new Fleet().node(pipelined).set("balancers", "60");
         try (Fleet fleet = setup.start()) {
             Fleet.Client leaving = fleet.client();
-            leaving.say("mg 7f3a v Oa Pc=text,d=20000\r\n");
-            pipelined.next();
-            Fleet.Client other = fleet.client().say("mg 7f3b v Ob Pc=text,d=20000\r\n");
-            pipelined.next();
+            leaving.send("mg 7f3a v Oa Pc=text,d=20000\r\n");
+            pipelined.nextCommand();
+            Fleet.Client other = fleet.client().send("mg 7f3b v Ob Pc=text,d=20000\r\n");
+            pipelined.nextCommand();
             leaving.close();
-            fleet.client().say("mn\r\n").line();
+            fleet.client().send("mn\r\n").line();
             gone.countDown();
             assertThat(other.line()).isEqualTo("VA 5 Ob");
         }
@@ -338,7 +339,7 @@
             node[0].stopListening();
             refusing.countDown();
             String second = c.command();
-            c.say(hit(first) + hit(second));
+            c.send(hit(first) + hit(second));
             c.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node[0]).start();
@@ -356,17 +357,17 @@
     void aResponseThatStopsInItsMiddleIsNotWaitedFor() throws Exception {
         CountDownLatch ended = new CountDownLatch(2);
         FakeServer node = new FakeServer(c -> {
-            c.say("VA 5 O" + FakeServer.id(c.command()) + " h1\r\nhel");
+            c.send("VA 5 O" + FakeServer.id(c.command()) + " h1\r\nhel");
             c.awaitEnd();
             ended.countDown();
         });
         FakeServer origin = new FakeServer(c -> {
             if (c.request().startsWith("PUT")) {
-                c.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nr");
+                c.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nr");
                 c.awaitEnd();
                 ended.countDown();
             } else {
-                c.sayHttp(200, "", "fetch");
+                c.sendHttp(200, "", "fetch");
             }
         });
         try (Fleet fleet = new Fleet().node(node).origin(origin).start();
@@ -374,7 +375,7 @@
             client.read("1");
             assertThat(client.line()).isEqualTo("VA 5 O1");
             assertThat(client.line()).isEqualTo("fetch");
-            client.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             ended.await();
         }
@@ -387,7 +388,7 @@
         Fleet setup = new Fleet().node(silent).set("classes.0.late-share", "0").set("classes.0.promise", "300.0");
         try (Fleet fleet = setup.start();
                 Fleet.Client client = fleet.client()) {
-            client.say("mg 7f3a v O1 Pc=text,d=60000\r\n");
+            client.send("mg 7f3a v O1 Pc=text,d=60000\r\n");
             assertThat(client.line()).startsWith("SERVER_ERROR busy");
         }
     }
@@ -408,7 +409,7 @@
      */
     @Test
     void withoutHedgingNoAttemptFollowsOneThatIsInFlight() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         CountDownLatch refusing = new CountDownLatch(1);
         FakeServer[] shared = new FakeServer[1];
         shared[0] = new FakeServer(c -> {
@@ -416,8 +417,8 @@
             shared[0].stopListening();
             refusing.countDown();
             String second = c.command();
-            go.await();
-            c.say(hit(first) + hit(second));
+            release.await();
+            c.send(hit(first) + hit(second));
             c.awaitEnd();
         });
         FakeServer quick = FakeServer.node(UpstreamTest::hit);
@@ -431,15 +432,15 @@
                 .set("classes.0.promise", "4000.0");
         try (Fleet fleet = setup.start();
                 Fleet.Client one = fleet.client()) {
-            one.say("mg " + Keys.ranked(1, 2, 3) + " v O1 Pc=text,d=20000\r\n");
+            one.send("mg " + Keys.ranked(1, 2, 3) + " v O1 Pc=text,d=20000\r\n");
             refusing.await();
-            shared[0].next();
-            Fleet.Client two = fleet.client().say("mg " + Keys.ranked(1, 2, 3) + " v O2 Pc=text,d=20000\r\n");
-            shared[0].next();
-            Fleet.Client clock = fleet.client().say("mg " + Keys.ranked(3, 2, 1) + " v O3 Pc=text,d=20000\r\n");
+            shared[0].nextCommand();
+            Fleet.Client two = fleet.client().send("mg " + Keys.ranked(1, 2, 3) + " v O2 Pc=text,d=20000\r\n");
+            shared[0].nextCommand();
+            Fleet.Client clock = fleet.client().send("mg " + Keys.ranked(3, 2, 1) + " v O3 Pc=text,d=20000\r\n");
             assertThat(clock.line()).isEqualTo("VA 5 O3");
             assertThat(quick.commands).hasSize(1);
-            go.countDown();
+            release.countDown();
             assertThat(one.line()).isEqualTo("VA 5 O1");
             assertThat(two.line()).isEqualTo("VA 5 O2");
             assertThat(quick.commands).hasSize(1);
@@ -467,7 +468,7 @@
         try (Fleet fleet = setup.start()) {
             Fleet.Client[] clients = new Fleet.Client[many];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = fleet.client().say("mg " + Keys.ranked(1, 2) + " v O" + i + " Pc=text,d=20000\r\n");
+                clients[i] = fleet.client().send("mg " + Keys.ranked(1, 2) + " v O" + i + " Pc=text,d=20000\r\n");
             }
             assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
             for (int i = 0; i < clients.length; i++) {
@@ -485,36 +486,36 @@
         String head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
         FakeServer whole = new FakeServer(c -> {
             c.request();
-            c.say(head + "receipt");
+            c.send(head + "receipt");
         });
         CountDownLatch ended = new CountDownLatch(1);
         FakeServer stalled = new FakeServer(c -> {
             c.request();
-            c.say(head + "rec");
+            c.send(head + "rec");
             c.awaitEnd();
             ended.countDown();
         });
         FakeServer reset = new FakeServer(c -> {
             c.request();
-            c.say(head + "rec");
+            c.send(head + "rec");
             c.pause.acquire();
             c.reset();
         });
         String write = "ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n";
         try (Fleet fleet = new Fleet().origin(whole).start();
                 Fleet.Client client = fleet.client()) {
-            assertThat(client.say(write).line()).isEqualTo("HD O1 creceipt");
+            assertThat(client.send(write).line()).isEqualTo("HD O1 creceipt");
         }
         try (Fleet fleet = new Fleet().origin(stalled).start();
                 Fleet.Client client = fleet.client()) {
-            assertThat(client.say(write).line()).isEqualTo("SERVER_ERROR failed");
+            assertThat(client.send(write).line()).isEqualTo("SERVER_ERROR failed");
             assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
         }
         try (Fleet fleet = new Fleet().origin(reset).start();
                 Fleet.Client client = fleet.client()) {
-            client.say(write);
-            reset.next();
-            fleet.client().say("mn\r\n").line(); // the event loop has completed an iteration
+            client.send(write);
+            reset.nextCommand();
+            fleet.client().send("mn\r\n").line(); // the event loop has completed an iteration
             reset.accepted.take().pause.release();
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
         }
--- a/src/test/java/cacheproxy/proxy/WallClockTest.java
+++ b/src/test/java/cacheproxy/proxy/WallClockTest.java
@@ -28,9 +28,9 @@
         double told = System.currentTimeMillis();
         FakeServer discovery = new FakeServer(c -> {
             c.request();
-            c.sayHttp(200, "", Fleet.list(42, false, new JsonArray()).toString());
+            c.sendHttp(200, "", Fleet.list(42, false, new JsonArray()).toString());
             c.request();
-            c.sayHttp(200, "", started(43, told + aheadMs));
+            c.sendHttp(200, "", started(43, told + aheadMs));
             c.request();
             c.awaitEnd();
         });
@@ -41,21 +41,22 @@
                 .start()) {
             Await.until(
                     "its start is known",
-                    () -> fleet.on(() ->
+                    () -> fleet.onEventLoop(() ->
                             fleet.proxy.dispatcher().servers().cacheNodes().get(0).startTimeMs == told + aheadMs));
             List<Double> warm =
-                    fleet.on(() -> fleet.proxy.dispatcher().servers().warmedUpAtMs(0, WARM_UP_MS));
-            return warm.get(0) - fleet.on(() -> fleet.proxy.dispatcher().now());
+                    fleet.onEventLoop(() -> fleet.proxy.dispatcher().servers().warmedUpAtMs(0, WARM_UP_MS));
+            return warm.get(0)
+                    - fleet.onEventLoop(() -> fleet.proxy.dispatcher().now());
         }
     }
 
     @Test
-    void itsClockIsAhead() throws Exception {
+    void aProxyWhoseClockIsAheadKeepsTheWarmUp() throws Exception {
         assertThat(coldForMs(-HOUR_MS)).isBetween(WARM_UP_MS / 2, WARM_UP_MS);
     }
 
     @Test
-    void itsClockIsBehind() throws Exception {
+    void aProxyWhoseClockIsBehindKeepsTheWarmUp() throws Exception {
         assertThat(coldForMs(HOUR_MS)).isBetween(WARM_UP_MS / 2, WARM_UP_MS);
     }
 }
--- a/src/test/java/cacheproxy/proxy/ZoneStateCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/ZoneStateCodecTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void anUnknownCauseIsRefused() {
+    void anUnknownCauseIsRejected() {
         String unknown = EVIDENCE.replace("evidence", "rumour");
         assertThatThrownBy(() -> ZoneStateCodec.decode(JsonParser.parseString(unknown), NAMES))
                 .isInstanceOf(IllegalArgumentException.class);
