--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -189,7 +189,7 @@
             node.nextCommand();
             one.close();
             Await.until(
-                    "the proxy has seen its end",
+                    "the proxy has noticed the disconnect",
                     () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 0);
             Fleet.Client two = fleet.client().read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
@@ -211,7 +211,8 @@
             assertThat(client.send(read).line()).isEqualTo("VA 5 O1");
             client.line();
             assertThat(client.send(read).line()).startsWith("CLIENT_ERROR");
-            Await.until("it is free", () -> client.send(read).line().equals("VA 5 O1"));
+            Await.until(
+                    "the id is accepted again", () -> client.send(read).line().equals("VA 5 O1"));
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/ClosingTest.java
+++ b/src/test/java/cacheproxy/proxy/ClosingTest.java
@@ -31,7 +31,7 @@
                 assertThat(waiting.get(i).line()).isEqualTo("VA 5 Ow" + i);
             }
             Await.until(
-                    "the listener ends then",
+                    "the listening socket is closed",
                     () -> !fleet.onEventLoop(() ->
                             fleet.proxy.clientAcceptor().listeningChannel().isOpen()));
         }
@@ -53,7 +53,7 @@
             Fleet.Client fresh = fleet.client();
             Fleet.Client mute = fleet.client();
             Await.until(
-                    "all have come",
+                    "all clients are connected",
                     () -> fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
             closeIdle(fleet, now);
             assertThat(used.isAtEnd()).isTrue();
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -110,7 +110,7 @@
             fleet.start();
             silent.await();
             announceVersion(peer, 43, fleet);
-            Await.until("the list is news", () -> served(fleet));
+            Await.until("the new list is in use", () -> served(fleet));
             assertThat(discovery.accepted).hasSize(2);
         }
         node.close();
@@ -142,7 +142,7 @@
             fleet.start();
             asked.await();
             announceVersion(peer, 43, fleet);
-            Await.until("the list is news", () -> served(fleet));
+            Await.until("the new list is in use", () -> served(fleet));
             assertThat(discovery.accepted).hasSize(1);
         }
         node.close();
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -68,7 +68,7 @@
             drain(fleet, LONG_MS);
             client.read("2").read("3"); // after the drain began, on a connection with an outstanding answer
             Await.until(
-                    "they are taken",
+                    "all three requests are open",
                     () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 3);
             release.countDown();
             for (String id : new String[] {"1", "2", "3"}) {
@@ -94,7 +94,7 @@
             assertThat(client.line()).isEqualTo("MN");
             drain(fleet, LONG_MS);
             Await.until(
-                    "idle connections would have gone",
+                    "the time to close idle connections has passed",
                     () -> progress(fleet).remainingMs() >= 0
                             && fleet.onEventLoop(fleet.proxy::status).clientConnections() == 1);
             client.send("lo\r\n");
@@ -135,7 +135,8 @@
                 Fleet.Client busy = fleet.client()) {
             busy.send("m"); // an incomplete command keeps the drain going
             Await.until(
-                    "it is read", () -> fleet.onEventLoop(fleet.proxy::status).clientConnections() == 1);
+                    "the client is connected",
+                    () -> fleet.onEventLoop(fleet.proxy::status).clientConnections() == 1);
             drain(fleet, LONG_MS);
             try (Fleet.Client late = fleet.client()) {
                 late.send("mn\r\n").read("1");
@@ -161,7 +162,7 @@
             }
             drain(fleet, LONG_MS); // its pace is 5 s
             Await.until(
-                    "half of them are ended",
+                    "half of the connections are closed",
                     () -> fleet.onEventLoop(fleet.proxy::status).clientConnections() <= 20);
             assertThat(fleet.onEventLoop(fleet.proxy::cancelDrain)).isNull();
             int left = fleet.onEventLoop(fleet.proxy::status).clientConnections();
@@ -179,7 +180,7 @@
             int stay = serving;
             assertThat(stay).isBetween(1, left);
             Await.until(
-                    "what had been ended is gone",
+                    "only the kept connections are open",
                     () -> fleet.onEventLoop(fleet.proxy::status).clientConnections() == stay);
             try (Fleet.Client late = fleet.client()) {
                 late.read("x");
@@ -207,7 +208,9 @@
             client.read("1");
             node.nextCommand();
             drain(fleet, deadlineMs);
-            Await.until("the pace is over", () -> progress(fleet).deadlineRemainingMs() < deadlineMs - paceMs - 200);
+            Await.until(
+                    "the period for closing idle connections is over",
+                    () -> progress(fleet).deadlineRemainingMs() < deadlineMs - paceMs - 200);
             release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
@@ -229,7 +232,7 @@
                     Fleet.Client client = fleet.client()) {
                 client.read("1");
                 Await.until(
-                        "it is taken",
+                        "the request is open",
                         () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 1);
                 CompletableFuture<String> cancelled = new CompletableFuture<>();
                 int after = deadlineMs + offset;
@@ -273,7 +276,7 @@
             write.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             origin.nextCommand();
             Await.until(
-                    "both are taken",
+                    "both requests are open",
                     () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 2);
             double before = System.nanoTime() / 1e6;
             drain(fleet, 500);
@@ -296,7 +299,7 @@
                 client.read("" + i);
             }
             Await.until(
-                    "all are under way, held back by the client",
+                    "all requests are open, paused by the slow client",
                     () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 10);
             Thread end = drainAndTerminate(fleet);
             for (int i = 0; i < 10; i++) {
@@ -332,7 +335,7 @@
             answeredSoon(fleet, 2 * (fit - 1));
             Thread end = drainAndTerminate(fleet);
             assertThat(idle.isAtEnd())
-                    .as("with the connections that have nothing under way, which end at once")
+                    .as("closed at once with the other connections without open requests")
                     .isTrue();
             for (int i = 1; i < fit; i++) {
                 assertThat(client.line()).isEqualTo("VA " + value.length() + " O" + i);
@@ -362,7 +365,7 @@
         drain(fleet, LONG_MS);
         Thread end = new Thread(fleet.proxy::terminate);
         end.start();
-        Await.until("SIGTERM's time to listen is over", () -> {
+        Await.until("the listening period after SIGTERM is over", () -> {
             try {
                 fleet.client().close();
                 return false;
@@ -400,7 +403,7 @@
             Thread end = new Thread(fleet.proxy::terminate);
             end.start();
             Await.until(
-                    "it can't be taken back",
+                    "the drain can no longer be cancelled",
                     () -> String.valueOf(fleet.onEventLoop(fleet.proxy::cancelDrain))
                             .contains("told to end"));
             release.countDown();
--- a/src/test/java/cacheproxy/proxy/FiguresTest.java
+++ b/src/test/java/cacheproxy/proxy/FiguresTest.java
@@ -118,7 +118,7 @@
                 client.read("gone").line();
                 assertThat(status(fleet).openRequests()).isEqualTo(1);
             }
-            Await.until("it is not owed any more", () -> status(fleet).openRequests() == 0);
+            Await.until("no request is open", () -> status(fleet).openRequests() == 0);
             assertThat(status(fleet).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
         }
     }
@@ -165,7 +165,7 @@
                 client.line();
             }
             assertThat(answers).allMatch(a -> a.startsWith("VA"));
-            Await.until("the one is avoided", () -> status(fleet).ejectedNodes() == 1);
+            Await.until("the unreachable node is ejected", () -> status(fleet).ejectedNodes() == 1);
             assertThat(status(fleet).discoveredNodes()).isEqualTo(2);
         }
     }
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -98,7 +98,7 @@
                     fleet.onEventLoop(() -> fleet.proxy.dispatcher().servers().cacheNodes());
             assertThat(nodes).hasSize(SERVERS).allMatch(u -> u.pool.openedConnections() > 0);
             Await.until(
-                    "no more connections than there are descriptors for",
+                    "no more connections than descriptors",
                     () -> fleet.onEventLoop(() -> fleet.proxy.status().upstreamConnections()) <= SOCKETS / 3);
             assertThat(fleet.onEventLoop(() -> fleet.proxy.status().ejectedNodes()))
                     .as("ejected nodes")
@@ -134,7 +134,7 @@
             }
             fleet.start();
             Await.until(
-                    "the whole list",
+                    "the complete list is in use",
                     () -> known(fleet).contains(1) && !known(fleet).contains(5000));
             assertThat(known(fleet)).hasSize(SERVERS);
             before.commands.clear();
@@ -142,7 +142,7 @@
             assertThat(after.commands).hasSize(SERVERS);
             assertThat(before.commands).isEmpty();
             change.countDown();
-            Await.until("the changes", () -> known(fleet).size() == SERVERS / 4 + SERVERS / 8);
+            Await.until("the changes are in use", () -> known(fleet).size() == SERVERS / 4 + SERVERS / 8);
             assertThat(served(fleet, SERVERS)).isEqualTo(SERVERS);
         }
     }
@@ -197,7 +197,7 @@
                 come.countDown();
             }
             Await.until(
-                    "all of them",
+                    "all clients are connected",
                     () -> fleet.onEventLoop(() -> fleet.proxy.status().clientConnections()) == CLIENTS);
         }
     }
@@ -279,7 +279,7 @@
                     .getNow();
             assertThat(discovered).isEqualTo(SERVERS);
             Await.until(
-                    "the successor is believed",
+                    "the successor's report that it serves is accepted",
                     () -> fleet.onEventLoop(() -> fleet.proxy.status().completedHandovers()) == 1);
         }
     }
@@ -327,7 +327,8 @@
             last.send(new DatagramPacket(bytes, bytes.length, fleet.proxy.peerAddress()));
             Counters counters = fleet.proxy.dispatcher().counters();
             Await.until(
-                    "the message", () -> fleet.onEventLoop(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
+                    "the message has been received",
+                    () -> fleet.onEventLoop(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
             fleet.onEventLoop(() -> {
                 fleet.proxy.dispatcher().routingActions().sendToPeer(PEERS - 1, new byte[] {0});
                 return null;
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -68,7 +68,7 @@
                 t.join();
             }
             assertThat(answers).hasSize(20).allMatch(a -> a.endsWith(" cv" + VALUE.length));
-            Await.until("all room is free", () -> used(fleet) == 0);
+            Await.until("all reserved memory is released", () -> used(fleet) == 0);
         }
     }
 
@@ -81,14 +81,14 @@
                 client.send("ms 7f3a9c21e0b4d655 " + VALUE.length + " Os" + i + " Pc=publish,d=30000,k=s\r\nxyz");
                 slow.add(client);
             }
-            Await.until("room is taken", () -> used(fleet) > VALUE.length);
+            Await.until("part of the memory budget is reserved", () -> used(fleet) > VALUE.length);
             Fleet.Client small = fleet.client();
             write(small, "1", 1000);
             assertThat(small.line()).isEqualTo("HD O1 cv1000");
             for (Fleet.Client client : slow) {
                 client.close();
             }
-            Await.until("all room is free", () -> used(fleet) == 0);
+            Await.until("all reserved memory is released", () -> used(fleet) == 0);
         }
     }
 
@@ -104,7 +104,7 @@
                     client.close();
                 }
             }
-            Await.until("all room is free", () -> used(fleet) == 0);
+            Await.until("all reserved memory is released", () -> used(fleet) == 0);
             try (Fleet.Client client = fleet.client()) {
                 for (int length : new int[] {0, 1, 65_534, 65_535, 65_536, 65_537, 131_072, 1_000_000}) {
                     write(client, "w" + length, length);
@@ -233,7 +233,7 @@
             assertThat(client.bytes(100_000)).isEqualTo(Arrays.copyOf(VALUE, 100_000));
             assertThat(client.line()).isEmpty();
             assertThat(client.read("cut").line()).startsWith("SERVER_ERROR");
-            Await.until("all room is free", () -> used(fleet) == 0);
+            Await.until("all reserved memory is released", () -> used(fleet) == 0);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
+++ b/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
@@ -170,7 +170,7 @@
             String second = Keys.ranked(2, 1);
             client.send("mg " + first + " v O1 Pc=text,d=20000\r\n");
             Await.until(
-                    "the second copy waits",
+                    "the hedge waits for its connection",
                     () -> fleet.onEventLoop(() -> fleet.proxy.status().upstreamConnections()) == 2);
             copied.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
--- a/src/test/java/cacheproxy/proxy/MetricsLogTest.java
+++ b/src/test/java/cacheproxy/proxy/MetricsLogTest.java
@@ -67,7 +67,7 @@
         });
         try (Fleet fleet = new Fleet().discovery(discovery).start()) {
             Await.until(
-                    "a call has failed and another followed",
+                    "a poll has failed and another followed",
                     () -> line(fleet).count(Metric.ENDPOINT_LIST_POLLS) > 1
                             && line(fleet).count(Metric.ENDPOINT_LIST_POLL_FAILURES) > 0);
         }
@@ -81,7 +81,7 @@
                     .metricsLog(new PrintStream(out, true, StandardCharsets.UTF_8))
                     .start(fleet.proxy.loop(), 5);
             Await.until(
-                    "two whole lines",
+                    "two complete lines are logged",
                     () -> out.toString(StandardCharsets.UTF_8)
                                     .lines()
                                     .filter(l -> MetricsLine.parse(l).isPresent())
--- a/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
+++ b/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
@@ -90,7 +90,7 @@
         });
         try (Fleet fleet = fleet(discovery).start()) {
             Await.until(
-                    "the older list, which has a server more",
+                    "the older list is in use, which has one more server",
                     () -> fleet.onEventLoop(() -> fleet.proxy.status().discoveredNodes()) == 3);
             readAll(fleet);
             assertThat(drained.commands).as("reads of the drained server").isEmpty();
@@ -111,7 +111,7 @@
             }
         });
         try (Fleet fleet = fleet(discovery).start()) {
-            Await.until("some calls", () -> {
+            Await.until("discovery has received enough polls", () -> {
                 synchronized (calledNanos) {
                     return calledNanos.size() > calls;
                 }
--- a/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
@@ -98,7 +98,7 @@
             Path path = folder.resolve("c");
             try (ControlServer server = new ControlServer(fleet.proxy.loop(), path, registry);
                     ControlClient client = new ControlClient(path)) {
-                Await.until("it serves", () -> stage(client).equals("serving"));
+                Await.until("the process serves", () -> stage(client).equals("serving"));
                 GoldenFile.assertJson("operators/status.json", answer(client, "status", ""));
                 GoldenFile.assertJson("operators/view.json", answer(client, "view", ""));
                 JsonObject others = new JsonObject();
--- a/src/test/java/cacheproxy/proxy/PeerListIT.java
+++ b/src/test/java/cacheproxy/proxy/PeerListIT.java
@@ -133,14 +133,14 @@
                 FakeServer lateDiscovery = discovery(lateDrained, lateIsTold);
                 ServeProcess informed = proxy(0, ServeProcess.freePort(), informedDiscovery, peers);
                 ServeProcess late = proxy(1, port, lateDiscovery, peers)) {
-            Await.until("both know of the drain", () -> {
+            Await.until("both processes have applied the drain", () -> {
                 informedDrained.await();
                 lateDrained.await();
                 readAll(port);
                 return askedOf(released) == 0 && askedOf(drainsLater) > 0;
             });
             informedIsTold.countDown();
-            Await.until("its peer has told the late one of the next version", () -> {
+            Await.until("the peer's drain has reached the proxy whose discovery lags", () -> {
                 readAll(port);
                 return askedOf(drainsLater) == 0;
             });
@@ -149,7 +149,7 @@
                     .as("reads at a server that this proxy's own discovery has drained")
                     .isZero();
             lateIsTold.countDown();
-            Await.until("its own discovery has it used again", () -> {
+            Await.until("the proxy's own discovery has readmitted the server", () -> {
                 readAll(port);
                 return askedOf(released) > 0;
             });
--- a/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
@@ -94,7 +94,7 @@
                 Fleet.Client client = fleet.client()) {
             write(client, "fix", "1");
             Await.until(
-                    "it waits for the connection",
+                    "the request waits for the connection",
                     () -> fleet.onEventLoop(() -> fleet.proxy.status().openRequests() == 1
                             && fleet.proxy.status().upstreamConnections() == 1));
             origin.open();
--- a/src/test/java/cacheproxy/proxy/RoutesTest.java
+++ b/src/test/java/cacheproxy/proxy/RoutesTest.java
@@ -136,7 +136,7 @@
             fleet.routing = routing(POOLS.substring(POOLS.indexOf("pool two")) + "route all { pool = two }");
             fleet.reload();
             Await.until(
-                    "the new routes hold",
+                    "the new routes are in use",
                     () -> fleet.onEventLoop(() -> fleet.proxy.router().version()) == 2);
             assertThat(get(fleet.client(), "a1", "2")).isEqualTo("two");
             assertThat(fleet.onEventLoop(() -> fleet.proxy.router().pools()))
@@ -146,7 +146,7 @@
             assertThat(before.line()).isEqualTo("VA 3 O1");
             assertThat(before.line()).isEqualTo("one");
             Await.until(
-                    "the pool that vanished has ended",
+                    "the removed pool is closed",
                     () -> fleet.onEventLoop(() -> fleet.proxy.router().pools()).size() == 2);
         }
     }
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -57,10 +57,10 @@
             paused.await();
             long since = System.nanoTime();
             gone.close();
-            Await.until("it is held up", () -> System.nanoTime() - since > BLOCKED_NANOS);
+            Await.until("the event loop has been blocked long enough", () -> System.nanoTime() - since > BLOCKED_NANOS);
             release.countDown();
             Await.until(
-                    "its end is seen",
+                    "the disconnect is noticed",
                     () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 0);
             try (Fleet.Client next = fleet.client().read("2")) {
                 assertThat(FakeServer.id(node.nextCommand())).isEqualTo("2");
@@ -82,12 +82,12 @@
         try (Fleet fleet = new Fleet().node(answersOnly("none")).start()) {
             Fleet.Client client = fleet.client().send(reads.toString());
             Await.until(
-                    "some are out",
+                    "the maximum number of requests is open",
                     () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 32);
             long since = System.nanoTime();
             client.close();
             Await.until(
-                    "its end is seen",
+                    "the disconnect is noticed",
                     () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 0);
             assertThat(System.nanoTime() - since).isLessThan(SOON_NANOS);
             assertThat(fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().openConnections()))
@@ -119,7 +119,9 @@
             CountDownLatch release = fleet.pauseEventLoop();
             long since = System.nanoTime();
             client.read("2");
-            Await.until("it is old", () -> System.nanoTime() - since > TimeUnit.MILLISECONDS.toNanos(800));
+            Await.until(
+                    "the connection has been idle for long",
+                    () -> System.nanoTime() - since > TimeUnit.MILLISECONDS.toNanos(800));
             release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O2");
             assertThat(node.accepted).hasSize(2);
--- a/src/test/java/cacheproxy/proxy/StoppedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/StoppedClientsTest.java
@@ -108,8 +108,8 @@
                     DRIP_MS,
                     DRIP_MS,
                     TimeUnit.MILLISECONDS);
-            assertThat(isNotified(line, until)).as("a line").isTrue();
-            assertThat(isNotified(value, until)).as("a value").isTrue();
+            assertThat(isNotified(line, until)).as("stalled line").isTrue();
+            assertThat(isNotified(value, until)).as("stalled value").isTrue();
         } finally {
             drip.shutdownNow();
         }
--- a/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
+++ b/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
@@ -145,7 +145,7 @@
         FakeServer two = node();
         int port = ServeProcess.freePort();
         try (ServeProcess process = start(config(port, one, two), faults + ",after_ms=4000")) {
-            Await.until("it serves", () -> request(port, "ready" + System.nanoTime()) == null);
+            Await.until("the process serves", () -> request(port, "ready" + System.nanoTime()) == null);
             Await.until("faults begin", () -> {
                 request(port, "warm" + System.nanoTime());
                 return Files.exists(folder.resolve("faults")) && Files.size(folder.resolve("faults")) > 0;
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -81,7 +81,9 @@
                 Fleet.Client client = fleet.client()) {
             served(client.read("1"), "1");
             Proxy next = successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+            Await.until(
+                    "the successor's report that it serves is accepted",
+                    () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             served(client.read("2"), "2");
             assertThat(answered(fleet.proxy))
                     .as("the old process still has its connections")
@@ -109,7 +111,9 @@
             client.read("1");
             slow.nextCommand();
             Proxy next = successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+            Await.until(
+                    "the successor's report that it serves is accepted",
+                    () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             Thread ending = end(fleet.proxy);
             client.send("mg 7f3a9c21e0b4d655 v O2 Pc=te"); // an incomplete command keeps the connection with the old
             // process
@@ -131,10 +135,12 @@
                 Fleet.Client mute = fleet.client()) {
             long owedBy = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
             Await.until(
-                    "it has come",
+                    "the client is connected",
                     () -> fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().openConnections()) == 1);
             successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+            Await.until(
+                    "the successor's report that it serves is accepted",
+                    () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             Thread ending = end(fleet.proxy);
             mute.socket.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(owedBy - System.nanoTime()));
             assertThat(mute.isAtEnd()).isTrue();
@@ -178,10 +184,12 @@
             for (int upgrade = 0; upgrade < 10; upgrade++) {
                 Proxy next = successor(fleet);
                 Proxy before = old;
-                Await.until("the successor is believed", () -> phase(before) == Phase.SUCCESSOR_SERVES);
+                Await.until(
+                        "the successor's report that it serves is accepted",
+                        () -> phase(before) == Phase.SUCCESSOR_SERVES);
                 end(before).join();
                 before.close();
-                Await.until("clients go on", () -> answered(next) > 20);
+                Await.until("the successor answers clients", () -> answered(next) > 20);
                 old = next;
             }
             over.set(true);
@@ -204,7 +212,7 @@
                 Fleet.Client client = fleet.client()) {
             fleet.config.addProperty(
                     "listen", "127.0.0.1:" + fleet.proxy.address().getPort());
-            Await.until("the old one has tried it", () -> {
+            Await.until("the old process has tried the server", () -> {
                 String key = Long.toHexString(System.nanoTime());
                 client.send("mg " + key + " v O" + key + " Pc=text,d=20000\r\n");
                 served(client, key);
@@ -225,13 +233,16 @@
     void aSuccessorThatEndsReturnsTheClients() throws Exception {
         try (Fleet fleet = serving(node())) {
             Proxy next = successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+            Await.until(
+                    "the successor's report that it serves is accepted",
+                    () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
             next.close();
-            Await.until("the old one is alone", () -> phase(fleet.proxy) == Phase.NO_SUCCESSOR);
+            Await.until("the old process has no successor", () -> phase(fleet.proxy) == Phase.NO_SUCCESSOR);
             served(fleet.client().read("1"), "1");
             assertThat(answered(fleet.proxy)).isEqualTo(1);
             successor(fleet);
-            Await.until("the next one finds the old one", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+            Await.until(
+                    "the next successor reaches the old process", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
         }
     }
 
@@ -241,10 +252,12 @@
                 SocketChannel hung = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             hung.connect(UnixDomainSocketAddress.of(takeoverSocket()));
             hung.write(ByteBuffer.wrap("STATE 1\nSOCKET\n".getBytes(StandardCharsets.US_ASCII)));
-            Await.until("it has the socket", () -> phase(fleet.proxy) == Phase.SOCKET_PASSED);
+            Await.until("the listening socket is passed", () -> phase(fleet.proxy) == Phase.SOCKET_PASSED);
             served(fleet.client().read("1"), "1");
             successor(fleet);
-            Await.until("the newer is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+            Await.until(
+                    "the newer successor's report that it serves is accepted",
+                    () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
         }
     }
 
@@ -263,7 +276,7 @@
                         }
                     }
                 }
-                Await.until("the old one is alone", () -> phase(fleet.proxy) == Phase.NO_SUCCESSOR);
+                Await.until("the old process has no successor", () -> phase(fleet.proxy) == Phase.NO_SUCCESSOR);
             }
             served(fleet.client().read("1"), "1");
         }
--- a/src/test/java/cacheproxy/proxy/WallClockTest.java
+++ b/src/test/java/cacheproxy/proxy/WallClockTest.java
@@ -40,7 +40,7 @@
                 .set("caps.connect-timeout", "200.0")
                 .start()) {
             Await.until(
-                    "its start is known",
+                    "the server's start time is known",
                     () -> fleet.onEventLoop(() ->
                             fleet.proxy.dispatcher().servers().cacheNodes().get(0).startTimeMs == told + aheadMs));
             List<Double> warm =
