--- a/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
@@ -29,17 +29,17 @@
     private static final Pattern DEADLINE = Pattern.compile("\\bd=(\\d+)");
 
     /** The remaining time that a server was sent with a request, and when. */
-    private record Told(String id, int deadlineMs, long atNanos) {}
+    private record ReceivedDeadline(String id, int deadlineMs, long atNanos) {}
 
-    private static Told told(String command) {
+    private static ReceivedDeadline received(String command) {
         Matcher deadline = DEADLINE.matcher(command);
         assertThat(deadline.find()).as(command).isTrue();
-        return new Told(FakeServer.id(command), Integer.parseInt(deadline.group(1)), System.nanoTime());
+        return new ReceivedDeadline(FakeServer.id(command), Integer.parseInt(deadline.group(1)), System.nanoTime());
     }
 
-    private static void assertNotTooMuch(Told told, long sentNanos) {
-        double leftMs = TIMEOUT_MS - (told.atNanos - sentNanos) / 1e6;
-        assertThat((double) told.deadlineMs).as(told.id).isLessThanOrEqualTo(leftMs + SLACK_MS);
+    private static void assertNotTooMuch(ReceivedDeadline received, long sentNanos) {
+        double leftMs = TIMEOUT_MS - (received.atNanos - sentNanos) / 1e6;
+        assertThat((double) received.deadlineMs).as(received.id).isLessThanOrEqualTo(leftMs + SLACK_MS);
     }
 
     private static void awaitTime(long nanos) {
@@ -62,7 +62,7 @@
     /**
      * A node that reads at once and answers once it is released; it records the remaining time sent with each command.
      */
-    private static FakeServer answersLate(CountDownLatch release, Map<String, Told> seen) throws Exception {
+    private static FakeServer answersLate(CountDownLatch release, Map<String, ReceivedDeadline> seen) throws Exception {
         return new FakeServer(c -> {
             BlockingQueue<String> owed = new LinkedBlockingQueue<>();
             Thread answers = new Thread(() -> {
@@ -78,24 +78,24 @@
             answers.setDaemon(true);
             answers.start();
             for (String line; (line = c.command()) != null; ) {
-                Told told = told(line);
-                seen.put(told.id, told);
-                owed.add(told.id);
+                ReceivedDeadline received = received(line);
+                seen.put(received.id, received);
+                owed.add(received.id);
             }
         });
     }
 
     /** Sends all reads at once, with none answered before {@link #LATE_NANOS} have passed. */
-    private static Map<String, Told> answerLate(int many, String pad) throws Exception {
+    private static Map<String, ReceivedDeadline> answerLate(int many, String pad) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Map<String, Told> seen = new ConcurrentHashMap<>();
+        Map<String, ReceivedDeadline> seen = new ConcurrentHashMap<>();
         FakeServer node = answersLate(release, seen);
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(node)
                         .set("caps.second-copies", "false")
                         .set("caps.may-cancel", "false")
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
             client.send(reads(0, many, pad));
             long sent = System.nanoTime();
@@ -124,17 +124,17 @@
     @Test
     void aRequestThatArrivesWhileTheEventLoopIsBlockedCountsFromItsLastByte() throws Exception {
         FakeServer node = FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client();
-                Fleet.Client fresh = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client();
+                ProxyFixture.Client fresh = fixture.client()) {
             assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
             assertThat(fresh.send("mn\r\n").line()).isEqualTo("MN");
-            CountDownLatch release = fleet.pauseEventLoop();
+            CountDownLatch release = fixture.pauseEventLoop();
             client.send(reads(1, 2, ""));
             long sent = System.nanoTime();
             awaitTime(sent + LATE_NANOS);
             release.countDown();
-            assertNotTooMuch(told(node.nextCommand()), sent);
+            assertNotTooMuch(received(node.nextCommand()), sent);
             assertThat(client.line()).isEqualTo("VA 5 O1");
         }
     }
--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -19,10 +19,10 @@
 
     @Test
     void splitAndPipelinedCommandsAreAnsweredInOrder() throws Exception {
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(FakeServer.node(ClientConnectionTest::hit))
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             client.send("m").send("n\r").send("\n");
             assertThat(client.line()).isEqualTo("MN");
             client.read("1").send("mn\r\n").read("2").send("nonsense\r\n");
@@ -47,8 +47,8 @@
             second.countDown();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1").read("2");
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
@@ -59,8 +59,8 @@
     @Test
     void theCommandIsForwardedUnchangedExceptForTheDeadline() throws Exception {
         FakeServer node = FakeServer.node(ClientConnectionTest::hit);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send("mg 7f3a v Oab12 Pc=text,t=acme,d=20000,r=1 q\r\n");
             client.line();
             assertThat(node.nextCommand()).matches("mg 7f3a v Oab12 Pc=text,t=acme,d=(20000|1\\d{4}),r=1 q");
@@ -75,8 +75,8 @@
             c.request();
             c.sendHttp(200, "", "r1");
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send("ms 7f3a " + value.length + " O9 Pc=fix,d=20000\r\n")
                     .send(value)
                     .send("\r\n");
@@ -94,9 +94,10 @@
 
     @Test
     void invalidCommandsAreAnsweredAndOnlyLostFramingClosesTheConnection() throws Exception {
-        try (Fleet fleet =
-                new Fleet().node(FakeServer.node(ClientConnectionTest::hit)).start()) {
-            try (Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture()
+                .node(FakeServer.node(ClientConnectionTest::hit))
+                .start()) {
+            try (ProxyFixture.Client client = fixture.client()) {
                 client.send("mg 7f3a v\r\n")
                         .send("ms 7f3a 5 v\r\nhello\r\n")
                         .send("mg 7f3a v O1 Pc=none,d=5\r\n")
@@ -112,7 +113,7 @@
                 "ms 7f3a 4194305 O1 Pc=fix,d=500\r\n",
                 "x".repeat(MetaCodec.MAX_LINE_BYTES)
             }) {
-                try (Fleet.Client client = fleet.client()) {
+                try (ProxyFixture.Client client = fixture.client()) {
                     client.send(lost);
                     assertThat(client.line()).as(lost.substring(0, 10)).startsWith("CLIENT_ERROR");
                     assertThat(client.isAtEnd()).isTrue();
@@ -124,8 +125,8 @@
     @Test
     void invalidParametersAreNotForwarded() throws Exception {
         FakeServer node = FakeServer.node(ClientConnectionTest::hit);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (String bad : new String[] {
                 "O1 Pc=text",
                 "O1 Pc=text,d=",
@@ -160,11 +161,11 @@
     void aRepeatedIdIsRejectedWhileItsRequestIsOpenAndRightAfterItsAnswer() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         FakeServer node = waiting(release);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client one = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client one = fixture.client()) {
             one.read("1");
             node.nextCommand();
-            Fleet.Client two = fleet.client().read("1");
+            ProxyFixture.Client two = fixture.client().read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
             release.countDown();
             assertThat(one.line()).isEqualTo("VA 5 O1");
@@ -184,14 +185,14 @@
     void theIdOfARequestWhoseClientDisconnectedIsRejected() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         FakeServer node = waiting(release);
-        try (Fleet fleet = new Fleet().node(node).start()) {
-            Fleet.Client one = fleet.client().read("1");
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start()) {
+            ProxyFixture.Client one = fixture.client().read("1");
             node.nextCommand();
             one.close();
             Await.until(
                     "the proxy has noticed the disconnect",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 0);
-            Fleet.Client two = fleet.client().read("1");
+                    () -> fixture.onEventLoop(() -> fixture.proxy.dispatcher().openRequests()) == 0);
+            ProxyFixture.Client two = fixture.client().read("1");
             assertThat(two.line()).startsWith("CLIENT_ERROR");
             release.countDown();
             assertThat(node.commands).isEmpty();
@@ -201,13 +202,13 @@
     /** Ids are not remembered forever: one deadline after its request's end, an id is accepted again. */
     @Test
     void anIdIsAcceptedAgainADeadlineAfterItsRequest() throws Exception {
-        Fleet setup = new Fleet().node(FakeServer.node(ClientConnectionTest::hit));
+        ProxyFixture setup = new ProxyFixture().node(FakeServer.node(ClientConnectionTest::hit));
         for (int i = 0; i < 3; i++) {
             setup.set("classes." + i + ".promise", "100.0").set("classes." + i + ".deadline", "200.0");
         }
         String read = "mg 7f3a v O1 Pc=text,d=200\r\n";
-        try (Fleet fleet = setup.start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = setup.start();
+                ProxyFixture.Client client = fixture.client()) {
             assertThat(client.send(read).line()).isEqualTo("VA 5 O1");
             client.line();
             assertThat(client.send(read).line()).startsWith("CLIENT_ERROR");
@@ -224,8 +225,8 @@
             c.awaitEnd();
             ended.countDown();
         });
-        try (Fleet fleet = new Fleet().node(node).start()) {
-            Fleet.Client client = fleet.client();
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start()) {
+            ProxyFixture.Client client = fixture.client();
             client.read("1");
             node.nextCommand();
             client.close();
@@ -236,12 +237,12 @@
     @Test
     void aValueBeyondTheMemoryBudgetIsRejectedUnread() throws Exception {
         FakeServer origin = new FakeServer(c -> c.sendHttp(200, "", c.request().substring(0, 3)));
-        Fleet setup = new Fleet().origin(origin);
+        ProxyFixture setup = new ProxyFixture().origin(origin);
         JsonObject limits = new JsonObject();
         limits.addProperty("memory_mb", 8);
         setup.config.add("limits", limits);
-        try (Fleet fleet = setup.start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = setup.start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send("ms 7f3a 2000000 O1 Pc=fix,d=20000\r\n")
                     .send(new byte[2_000_000])
                     .send("\r\n");
@@ -259,12 +260,12 @@
                 c.sendHttp(200, "", "r1");
             }
         });
-        Fleet setup = new Fleet().origin(origin);
+        ProxyFixture setup = new ProxyFixture().origin(origin);
         JsonObject limits = new JsonObject();
         limits.addProperty("memory_mb", 8);
         setup.config.add("limits", limits);
-        try (Fleet fleet = setup.start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = setup.start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 6; i++) {
                 client.send("ms 7f3a 400000 O" + i + " Pc=fix,d=20000\r\n")
                         .send(new byte[400_000])
@@ -288,22 +289,24 @@
             c.send("VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(node)
                         .set("caps.second-copies", "false")
                         .set("caps.may-cancel", "false")
                         .start();
-                Fleet.Client patient = fleet.client();
-                Fleet.Client half = fleet.client()) {
+                ProxyFixture.Client patient = fixture.client();
+                ProxyFixture.Client half = fixture.client()) {
             patient.send("mg 7f3a v O1 Pc=text,d=20000\r\nmg 7f3a v O2 Pc=te"); // and part of the next command
             half.send("mg 7f3a v");
             node.nextCommand();
-            double late = fleet.onEventLoop(() -> fleet.proxy.dispatcher().now()) + 15_000;
+            double late = fixture.onEventLoop(() -> fixture.proxy.dispatcher().now()) + 15_000;
             Await.until(
                     "both have been read",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().idleConnections()) == 0);
-            fleet.onEventLoop(() -> {
-                fleet.proxy.clientAcceptor().closeStalled(late);
+                    () -> fixture.onEventLoop(
+                                    () -> fixture.proxy.clientAcceptor().idleConnections())
+                            == 0);
+            fixture.onEventLoop(() -> {
+                fixture.proxy.clientAcceptor().closeStalled(late);
                 return null;
             });
             assertThat(half.line()).startsWith("CLIENT_ERROR");
--- a/src/test/java/cacheproxy/proxy/ClosingTest.java
+++ b/src/test/java/cacheproxy/proxy/ClosingTest.java
@@ -13,52 +13,54 @@
 /** Requests that race with the closing of a connection or of the listening socket. */
 @Timeout(60)
 class ClosingTest {
-    private static Fleet fleet() throws Exception {
-        return new Fleet().node(FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n"));
+    private static ProxyFixture fixture() throws Exception {
+        return new ProxyFixture().node(FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n"));
     }
 
     @Test
     void connectionsInTheBacklogAreServedThoughTheListenerCloses() throws Exception {
-        try (Fleet fleet = fleet().start()) {
-            CountDownLatch release = fleet.pauseEventLoop();
-            List<Fleet.Client> waiting = new ArrayList<>();
+        try (ProxyFixture fixture = fixture().start()) {
+            CountDownLatch release = fixture.pauseEventLoop();
+            List<ProxyFixture.Client> waiting = new ArrayList<>();
             for (int i = 0; i < 40; i++) { // more than one event-loop iteration accepts
-                waiting.add(fleet.client().read("w" + i));
+                waiting.add(fixture.client().read("w" + i));
             }
-            fleet.proxy.loop().execute(fleet.proxy.clientAcceptor()::stopListening);
+            fixture.proxy.loop().execute(fixture.proxy.clientAcceptor()::stopListening);
             release.countDown();
             for (int i = 0; i < waiting.size(); i++) {
                 assertThat(waiting.get(i).line()).isEqualTo("VA 5 Ow" + i);
             }
             Await.until(
                     "the listening socket is closed",
-                    () -> !fleet.onEventLoop(() ->
-                            fleet.proxy.clientAcceptor().listeningChannel().isOpen()));
+                    () -> !fixture.onEventLoop(() ->
+                            fixture.proxy.clientAcceptor().listeningChannel().isOpen()));
         }
     }
 
-    private static void closeIdle(Fleet fleet, double now) {
-        fleet.onEventLoop(() -> {
-            fleet.proxy.clientAcceptor().closeIdle(3, now);
+    private static void closeIdle(ProxyFixture fixture, double now) {
+        fixture.onEventLoop(() -> {
+            fixture.proxy.clientAcceptor().closeIdle(3, now);
             return null;
         });
     }
 
     @Test
     void aNewConnectionIsNotClosedBeforeItsFirstRequest() throws Exception {
-        try (Fleet fleet = fleet().start();
-                Fleet.Client used = fleet.client()) {
+        try (ProxyFixture fixture = fixture().start();
+                ProxyFixture.Client used = fixture.client()) {
             assertThat(used.send("mn\r\n").line()).isEqualTo("MN");
-            double now = fleet.onEventLoop(() -> fleet.proxy.dispatcher().now());
-            Fleet.Client fresh = fleet.client();
-            Fleet.Client mute = fleet.client();
+            double now = fixture.onEventLoop(() -> fixture.proxy.dispatcher().now());
+            ProxyFixture.Client fresh = fixture.client();
+            ProxyFixture.Client mute = fixture.client();
             Await.until(
                     "all clients are connected",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
-            closeIdle(fleet, now);
+                    () -> fixture.onEventLoop(
+                                    () -> fixture.proxy.clientAcceptor().idleConnections())
+                            == 3);
+            closeIdle(fixture, now);
             assertThat(used.isAtEnd()).isTrue();
             assertThat(fresh.read("1").line()).isEqualTo("VA 5 O1");
-            closeIdle(fleet, now + 30_000); // its time to send a first request is over
+            closeIdle(fixture, now + 30_000); // its time to send a first request is over
             assertThat(mute.isAtEnd()).isTrue();
         }
     }
@@ -68,16 +70,16 @@
     void aConnectionClosedToMakeRoomIsClosedOrderly() throws Exception {
         JsonObject limits = new JsonObject();
         limits.addProperty("sockets", 96);
-        Fleet setup = fleet();
+        ProxyFixture setup = fixture();
         setup.config.add("limits", limits);
-        try (Fleet fleet = setup.start()) {
-            List<Fleet.Client> all = new ArrayList<>();
+        try (ProxyFixture fixture = setup.start()) {
+            List<ProxyFixture.Client> all = new ArrayList<>();
             for (int i = 0; i < 16; i++) { // as many as the descriptor limit allows
-                all.add(fleet.client());
+                all.add(fixture.client());
                 assertThat(all.get(i).send("mn\r\n").line()).isEqualTo("MN");
             }
-            CountDownLatch release = fleet.pauseEventLoop();
-            Fleet.Client another = fleet.client();
+            CountDownLatch release = fixture.pauseEventLoop();
+            ProxyFixture.Client another = fixture.client();
             all.get(0).read("crossing");
             release.countDown();
             assertThat(all.get(0).line()).isNull(); // an orderly close, not a reset
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -34,14 +34,14 @@
     /** The JSON text of a list of version 43 with this node only. */
     private static String list(FakeServer node, boolean whole) {
         JsonArray hosts = new JsonArray();
-        hosts.add(Fleet.host("s-0000beef", "node-fast", node.dial(), "up"));
-        return Fleet.list(43, whole, hosts).toString();
+        hosts.add(ProxyFixture.host("s-0000beef", "node-fast", node.dial(), "up"));
+        return ProxyFixture.list(43, whole, hosts).toString();
     }
 
     /** Whether a new request, with an id of its own, is served. */
-    private static boolean served(Fleet fleet) throws Exception {
+    private static boolean served(ProxyFixture fixture) throws Exception {
         String id = "r" + ASKED.incrementAndGet();
-        try (Fleet.Client client = fleet.client()) {
+        try (ProxyFixture.Client client = fixture.client()) {
             return client.read(id).line().equals("VA 5 O" + id);
         }
     }
@@ -55,35 +55,35 @@
             c.request();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                 .discovery(discovery)
                 .set("caps.connect-timeout", "200.0")
                 .start()) {
             assertThat(discovery.nextCommand()).startsWith("GET /discovery/hosts?since=41&timeout_ms=");
             assertThat(discovery.nextCommand()).startsWith("GET /discovery/hosts?since=43&timeout_ms=");
-            assertThat(served(fleet)).isTrue();
+            assertThat(served(fixture)).isTrue();
             assertThat(discovery.accepted).hasSize(1);
         }
         node.close();
     }
 
     /** A proxy with one peer, whose datagrams are sent from this socket. */
-    private static Fleet withPeer(FakeServer discovery, DatagramSocket peer, String mode) {
-        Fleet fleet = new Fleet()
+    private static ProxyFixture withPeer(FakeServer discovery, DatagramSocket peer, String mode) {
+        ProxyFixture fixture = new ProxyFixture()
                 .discovery(discovery)
                 .set("caps.connect-timeout", "200.0")
                 .set("discovery", mode);
         JsonArray peers = new JsonArray();
         peers.add("127.0.0.1:1"); // the proxy's own address
         peers.add("127.0.0.1:" + peer.getLocalPort());
-        fleet.config.add("peers", peers);
-        fleet.config.addProperty("peers_all", "127.0.0.1:" + peer.getLocalPort());
-        fleet.config.addProperty("peer_listen", "127.0.0.1:0");
-        return fleet;
+        fixture.config.add("peers", peers);
+        fixture.config.addProperty("peers_all", "127.0.0.1:" + peer.getLocalPort());
+        fixture.config.addProperty("peer_listen", "127.0.0.1:0");
+        return fixture;
     }
 
-    private static void announceVersion(DatagramSocket peer, long version, Fleet fleet) throws Exception {
-        send(peer, PeerMessage.listVersionAnnouncement(version), fleet);
+    private static void announceVersion(DatagramSocket peer, long version, ProxyFixture fixture) throws Exception {
+        send(peer, PeerMessage.listVersionAnnouncement(version), fixture);
     }
 
     /**
@@ -106,11 +106,11 @@
             c.awaitEnd();
         });
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-                Fleet fleet = withPeer(discovery, peer, "push")) {
-            fleet.start();
+                ProxyFixture fixture = withPeer(discovery, peer, "push")) {
+            fixture.start();
             silent.await();
-            announceVersion(peer, 43, fleet);
-            Await.until("the new list is in use", () -> served(fleet));
+            announceVersion(peer, 43, fixture);
+            Await.until("the new list is in use", () -> served(fixture));
             assertThat(discovery.accepted).hasSize(2);
         }
         node.close();
@@ -138,19 +138,19 @@
             }
         });
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-                Fleet fleet = withPeer(discovery, peer, "ask")) {
-            fleet.start();
+                ProxyFixture fixture = withPeer(discovery, peer, "ask")) {
+            fixture.start();
             asked.await();
-            announceVersion(peer, 43, fleet);
-            Await.until("the new list is in use", () -> served(fleet));
+            announceVersion(peer, 43, fixture);
+            Await.until("the new list is in use", () -> served(fixture));
             assertThat(discovery.accepted).hasSize(1);
         }
         node.close();
     }
 
-    private static void send(DatagramSocket peer, byte[] body, Fleet fleet) throws Exception {
+    private static void send(DatagramSocket peer, byte[] body, ProxyFixture fixture) throws Exception {
         byte[] sealed = Envelope.encode(List.of(new Envelope.Item(PeerMessageKind.ENDPOINT_LIST.code(), 0, body)));
-        peer.send(new DatagramPacket(sealed, sealed.length, fleet.proxy.peerAddress()));
+        peer.send(new DatagramPacket(sealed, sealed.length, fixture.proxy.peerAddress()));
     }
 
     /** Waits for the next message about the list that the proxy sends to its peer. */
@@ -174,7 +174,10 @@
         FakeServer discovery = new FakeServer(c -> {
             while (c.request() != null) {
                 if (well.get()) {
-                    c.sendHttp(200, "", Fleet.list(43, false, new JsonArray()).toString());
+                    c.sendHttp(
+                            200,
+                            "",
+                            ProxyFixture.list(43, false, new JsonArray()).toString());
                 } else {
                     c.sendHttp(503, "", "");
                 }
@@ -182,9 +185,10 @@
         });
         String read = "mg " + Keys.ranked(1, 2) + " v O%d Pc=text,d=20000\r\n";
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-                Fleet fleet = withPeer(discovery, peer, "ask").node(drained).node(other)) {
-            fleet.start();
-            try (Fleet.Client client = fleet.client()) {
+                ProxyFixture fixture =
+                        withPeer(discovery, peer, "ask").node(drained).node(other)) {
+            fixture.start();
+            try (ProxyFixture.Client client = fixture.client()) {
                 client.send(read.formatted(1)).line();
                 client.line();
                 assertThat(drained.nextCommand()).contains("O1 ");
@@ -196,19 +200,19 @@
                         new EndpointListDelta(
                                         41, 43, HOLD_MS, List.of(new EndpointChange(43, 1, EndpointState.DRAINING, 0)))
                                 .encode(),
-                        fleet);
+                        fixture);
                 Await.until(
                         "the peer's word is in use",
-                        () -> !fleet.onEventLoop(
-                                () -> fleet.proxy.dispatcher().servers().get(1).ready));
+                        () -> !fixture.onEventLoop(
+                                () -> fixture.proxy.dispatcher().servers().get(1).ready));
                 client.send(read.formatted(2)).line();
                 client.line();
                 assertThat(other.nextCommand()).contains("O2 ");
                 well.set(true);
                 Await.until(
                         "discovery's list of that version knows nothing of it",
-                        () -> fleet.onEventLoop(
-                                () -> fleet.proxy.dispatcher().servers().get(1).ready));
+                        () -> fixture.onEventLoop(
+                                () -> fixture.proxy.dispatcher().servers().get(1).ready));
                 client.send(read.formatted(3)).line();
                 client.line();
                 assertThat(drained.nextCommand()).contains("O3 ");
@@ -226,11 +230,11 @@
             c.awaitEnd();
         });
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-                Fleet fleet = withPeer(discovery, peer, "ask")) {
-            fleet.start();
+                ProxyFixture fixture = withPeer(discovery, peer, "ask")) {
+            fixture.start();
             discovery.nextCommand();
             assertThat(discovery.nextCommand()).contains("since=43&");
-            send(peer, PeerMessage.listQuery(41), fleet);
+            send(peer, PeerMessage.listQuery(41), fixture);
             assertThat(EndpointListDelta.decode(receive(peer)))
                     .isEqualTo(new EndpointListDelta(
                             41, 43, HOLD_MS, List.of(new EndpointChange(43, 0xbeef, EndpointState.READY, 0))));
@@ -255,23 +259,23 @@
             c.request();
             moved.await();
             JsonArray hosts = new JsonArray();
-            hosts.add(Fleet.host("s-00000001", "node-fast", after.dial(), "up"));
-            c.sendHttp(200, "", Fleet.list(43, false, hosts).toString());
+            hosts.add(ProxyFixture.host("s-00000001", "node-fast", after.dial(), "up"));
+            c.sendHttp(200, "", ProxyFixture.list(43, false, hosts).toString());
             c.request();
             c.awaitEnd();
         });
-        Fleet setup = new Fleet()
+        ProxyFixture setup = new ProxyFixture()
                 .node(before)
                 .discovery(discovery)
                 .set("guarantees.ask-within", "200.0")
                 .set("balancers", "60"); // one connection per node
-        try (Fleet fleet = setup.start()) {
+        try (ProxyFixture fixture = setup.start()) {
             discovery.nextCommand();
-            Fleet.Client waiting = fleet.client().read("2");
+            ProxyFixture.Client waiting = fixture.client().read("2");
             before.nextCommand();
             moved.countDown();
             assertThat(discovery.nextCommand()).contains("since=43&");
-            assertThat(served(fleet)).isTrue();
+            assertThat(served(fixture)).isTrue();
             assertThat(after.commands).hasSize(1);
             release.countDown();
             assertThat(waiting.line()).isEqualTo("VA 5 O2");
@@ -283,8 +287,8 @@
     @Test
     void failedPollsAndInvalidAnswersLeaveTheListAndAreRetried() throws Exception {
         FakeServer node = hits();
-        JsonObject unknown = Fleet.list(44, true, new JsonArray());
-        unknown.getAsJsonArray("hosts").add(Fleet.host("s-1", "no-such-class", "127.0.0.1:1", "up"));
+        JsonObject unknown = ProxyFixture.list(44, true, new JsonArray());
+        unknown.getAsJsonArray("hosts").add(ProxyFixture.host("s-1", "no-such-class", "127.0.0.1:1", "up"));
         String[] bad = {"{", "[]", "{\"seq\":44,\"whole\":true,\"hosts\":[{}]}", unknown.toString()};
         CountDownLatch all = new CountDownLatch(bad.length + 2);
         FakeServer discovery = new FakeServer(c -> {
@@ -302,7 +306,7 @@
                 }
             }
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                 .node(node)
                 .discovery(discovery)
                 .set("caps.connect-timeout", "50.0")
@@ -313,7 +317,7 @@
                         .as("asked for a snapshot or for changes after the list in use")
                         .containsPattern("^GET /discovery/hosts(\\?since=41&timeout_ms=\\d+)? ");
             }
-            assertThat(served(fleet)).isTrue();
+            assertThat(served(fixture)).isTrue();
         }
     }
 
@@ -333,11 +337,12 @@
                 }
             }
         });
-        try (Fleet fleet = new Fleet().discovery(agent).set("discovery", "push").start()) {
+        try (ProxyFixture fixture =
+                new ProxyFixture().discovery(agent).set("discovery", "push").start()) {
             assertThat(agent.nextCommand()).contains("since=41");
             assertThat(agent.nextCommand()).contains("since=41");
             assertThat(agent.nextCommand()).contains("since=43");
-            assertThat(served(fleet)).isTrue();
+            assertThat(served(fixture)).isTrue();
         }
         node.close();
     }
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -23,16 +23,16 @@
 
     private static final int LONG_VALUE = 4_000_000;
 
-    private static DrainStateMachine.StartResult drain(Fleet fleet, double deadlineMs) {
-        return fleet.onEventLoop(() -> fleet.proxy.startDrain(deadlineMs));
+    private static DrainStateMachine.StartResult drain(ProxyFixture fixture, double deadlineMs) {
+        return fixture.onEventLoop(() -> fixture.proxy.startDrain(deadlineMs));
     }
 
-    private static DrainStateMachine.Progress progress(Fleet fleet) {
-        return fleet.onEventLoop(fleet.proxy::drainProgress);
+    private static DrainStateMachine.Progress progress(ProxyFixture fixture) {
+        return fixture.onEventLoop(fixture.proxy::drainProgress);
     }
 
-    private static void awaitPhase(Fleet fleet, Phase phase) {
-        Await.until("the proxy is " + phase, () -> progress(fleet).phase() == phase);
+    private static void awaitPhase(ProxyFixture fixture, Phase phase) {
+        Await.until("the proxy is " + phase, () -> progress(fixture).phase() == phase);
     }
 
     private static String hit(String command) {
@@ -61,23 +61,23 @@
     void pipelinedRequestsAreAllAnsweredBeforeTheirConnectionCloses() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         FakeServer node = held(release);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             node.nextCommand();
-            drain(fleet, LONG_MS);
+            drain(fixture, LONG_MS);
             client.read("2").read("3"); // after the drain began, on a connection with an outstanding answer
             Await.until(
                     "all three requests are open",
-                    () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 3);
+                    () -> fixture.onEventLoop(fixture.proxy::status).openRequests() == 3);
             release.countDown();
             for (String id : new String[] {"1", "2", "3"}) {
                 assertThat(client.line()).isEqualTo("VA 5 O" + id);
                 client.line();
             }
             assertThat(client.isAtEnd()).isTrue();
-            awaitPhase(fleet, Phase.DRAINED);
-            assertThat(progress(fleet).completedFraction()).isEqualTo(1);
+            awaitPhase(fixture, Phase.DRAINED);
+            assertThat(progress(fixture).completedFraction()).isEqualTo(1);
         }
     }
 
@@ -88,19 +88,19 @@
                 c.sendHttp(200, "", "r1");
             }
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send("mn\r\nms 7f3a 5 O1 Pc=fix,d=20000\r\nhel");
             assertThat(client.line()).isEqualTo("MN");
-            drain(fleet, LONG_MS);
+            drain(fixture, LONG_MS);
             Await.until(
                     "the time to close idle connections has passed",
-                    () -> progress(fleet).remainingMs() >= 0
-                            && fleet.onEventLoop(fleet.proxy::status).clientConnections() == 1);
+                    () -> progress(fixture).remainingMs() >= 0
+                            && fixture.onEventLoop(fixture.proxy::status).clientConnections() == 1);
             client.send("lo\r\n");
             assertThat(client.line()).isEqualTo("HD O1 cr1");
             assertThat(client.isAtEnd()).isTrue();
-            awaitPhase(fleet, Phase.DRAINED);
+            awaitPhase(fixture, Phase.DRAINED);
         }
     }
 
@@ -115,11 +115,11 @@
             c.send("x".repeat(length / 2) + "\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + length + " O1");
-            drain(fleet, LONG_MS);
+            drain(fixture, LONG_MS);
             release.countDown();
             assertThat(client.bytes(length)).hasSize(length);
             assertThat(client.line()).isEmpty();
@@ -129,16 +129,16 @@
 
     @Test
     void newConnectionsAreServedAndThenEndedAndClientsThatAskAreTold() throws Exception {
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(FakeServer.node(DrainOnRequestTest::hit))
                         .start();
-                Fleet.Client busy = fleet.client()) {
+                ProxyFixture.Client busy = fixture.client()) {
             busy.send("m"); // an incomplete command keeps the drain going
             Await.until(
                     "the client is connected",
-                    () -> fleet.onEventLoop(fleet.proxy::status).clientConnections() == 1);
-            drain(fleet, LONG_MS);
-            try (Fleet.Client late = fleet.client()) {
+                    () -> fixture.onEventLoop(fixture.proxy::status).clientConnections() == 1);
+            drain(fixture, LONG_MS);
+            try (ProxyFixture.Client late = fixture.client()) {
                 late.send("mn\r\n").read("1");
                 assertThat(late.line()).isEqualTo("SERVER_ERROR draining");
                 assertThat(late.line()).isEqualTo("VA 5 O1");
@@ -153,22 +153,23 @@
 
     @Test
     void aCancelHalfwayRestoresFullServiceAndASecondDrainWorks() throws Exception {
-        try (Fleet fleet =
-                new Fleet().node(FakeServer.node(DrainOnRequestTest::hit)).start()) {
-            Fleet.Client[] clients = new Fleet.Client[40];
+        try (ProxyFixture fixture = new ProxyFixture()
+                .node(FakeServer.node(DrainOnRequestTest::hit))
+                .start()) {
+            ProxyFixture.Client[] clients = new ProxyFixture.Client[40];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = fleet.client();
+                clients[i] = fixture.client();
                 clients[i].send("mn\r\n").line();
             }
-            drain(fleet, LONG_MS); // its pace is 5 s
+            drain(fixture, LONG_MS); // its pace is 5 s
             Await.until(
                     "half of the connections are closed",
-                    () -> fleet.onEventLoop(fleet.proxy::status).clientConnections() <= 20);
-            assertThat(fleet.onEventLoop(fleet.proxy::cancelDrain)).isNull();
-            int left = fleet.onEventLoop(fleet.proxy::status).clientConnections();
+                    () -> fixture.onEventLoop(fixture.proxy::status).clientConnections() <= 20);
+            assertThat(fixture.onEventLoop(fixture.proxy::cancelDrain)).isNull();
+            int left = fixture.onEventLoop(fixture.proxy::status).clientConnections();
             assertThat(left).isPositive();
             int serving = 0;
-            for (Fleet.Client c : clients) {
+            for (ProxyFixture.Client c : clients) {
                 c.read("c" + serving);
                 if (c.line() != null) {
                     c.line();
@@ -181,18 +182,18 @@
             assertThat(stay).isBetween(1, left);
             Await.until(
                     "only the kept connections are open",
-                    () -> fleet.onEventLoop(fleet.proxy::status).clientConnections() == stay);
-            try (Fleet.Client late = fleet.client()) {
+                    () -> fixture.onEventLoop(fixture.proxy::status).clientConnections() == stay);
+            try (ProxyFixture.Client late = fixture.client()) {
                 late.read("x");
                 assertThat(late.line()).isEqualTo("VA 5 Ox");
                 late.line();
                 late.read("y");
                 assertThat(late.line()).isEqualTo("VA 5 Oy");
-                assertThat(progress(fleet).phase()).isEqualTo(Phase.SERVING);
-                assertThat(drain(fleet, LONG_MS).alreadyDraining()).isFalse();
+                assertThat(progress(fixture).phase()).isEqualTo(Phase.SERVING);
+                assertThat(drain(fixture, LONG_MS).alreadyDraining()).isFalse();
             }
-            awaitPhase(fleet, Phase.DRAINED);
-            assertThat(fleet.onEventLoop(fleet.proxy::cancelDrain)).contains("too late");
+            awaitPhase(fixture, Phase.DRAINED);
+            assertThat(fixture.onEventLoop(fixture.proxy::cancelDrain)).contains("too late");
         }
     }
 
@@ -203,14 +204,14 @@
         FakeServer node = held(release);
         double deadlineMs = 10_000;
         double paceMs = DrainPlan.requested(deadlineMs).idleClosePeriodMs();
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             node.nextCommand();
-            drain(fleet, deadlineMs);
+            drain(fixture, deadlineMs);
             Await.until(
                     "the period for closing idle connections is over",
-                    () -> progress(fleet).deadlineRemainingMs() < deadlineMs - paceMs - 200);
+                    () -> progress(fixture).deadlineRemainingMs() < deadlineMs - paceMs - 200);
             release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
@@ -228,25 +229,25 @@
         int deadlineMs = 100;
         for (int offset = -6; offset <= 6; offset += 2) {
             CountDownLatch release = new CountDownLatch(1);
-            try (Fleet fleet = new Fleet().node(held(release)).start();
-                    Fleet.Client client = fleet.client()) {
+            try (ProxyFixture fixture = new ProxyFixture().node(held(release)).start();
+                    ProxyFixture.Client client = fixture.client()) {
                 client.read("1");
                 Await.until(
                         "the request is open",
-                        () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 1);
+                        () -> fixture.onEventLoop(fixture.proxy::status).openRequests() == 1);
                 CompletableFuture<String> cancelled = new CompletableFuture<>();
                 int after = deadlineMs + offset;
-                fleet.onEventLoop(() -> {
-                    fleet.proxy
+                fixture.onEventLoop(() -> {
+                    fixture.proxy
                             .loop()
                             .schedule(
-                                    () -> cancelled.complete(String.valueOf(fleet.proxy.cancelDrain())),
+                                    () -> cancelled.complete(String.valueOf(fixture.proxy.cancelDrain())),
                                     after,
                                     TimeUnit.MILLISECONDS);
-                    return fleet.proxy.startDrain(deadlineMs);
+                    return fixture.proxy.startDrain(deadlineMs);
                 });
                 if (cancelled.get(30, TimeUnit.SECONDS).equals("null")) {
-                    assertThat(progress(fleet).phase()).isEqualTo(Phase.SERVING);
+                    assertThat(progress(fixture).phase()).isEqualTo(Phase.SERVING);
                     release.countDown();
                     assertThat(client.line()).isEqualTo("VA 5 O1");
                     client.line();
@@ -270,38 +271,39 @@
             c.request();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(silent).origin(origin).start();
-                Fleet.Client read = fleet.client().read("1");
-                Fleet.Client write = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().node(silent).origin(origin).start();
+                ProxyFixture.Client read = fixture.client().read("1");
+                ProxyFixture.Client write = fixture.client()) {
             write.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             origin.nextCommand();
             Await.until(
                     "both requests are open",
-                    () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 2);
+                    () -> fixture.onEventLoop(fixture.proxy::status).openRequests() == 2);
             double before = System.nanoTime() / 1e6;
-            drain(fleet, 500);
+            drain(fixture, 500);
             assertThat(read.line()).isEqualTo("SERVER_ERROR busy");
             assertThat(write.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(System.nanoTime() / 1e6 - before)
                     .isBetween(499.0, 15_000.0); // at the drain's deadline, not at the requests' own
             assertThat(read.isAtEnd()).isTrue();
             assertThat(write.isAtEnd()).isTrue();
-            assertThat(progress(fleet).phase()).isEqualTo(Phase.EXPIRED);
+            assertThat(progress(fixture).phase()).isEqualTo(Phase.EXPIRED);
         }
     }
 
     @Test
     void aSlowReaderGetsItsAnswersCompletely() throws Exception {
         FakeServer node = longValues();
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 10; i++) { // more than the system's own buffers take
                 client.read("" + i);
             }
             Await.until(
                     "all requests are open, paused by the slow client",
-                    () -> fleet.onEventLoop(fleet.proxy::status).openRequests() == 10);
-            Thread end = drainAndTerminate(fleet);
+                    () -> fixture.onEventLoop(fixture.proxy::status).openRequests() == 10);
+            Thread end = drainAndTerminate(fixture);
             for (int i = 0; i < 10; i++) {
                 assertThat(client.line()).isEqualTo("VA " + LONG_VALUE + " O" + i);
                 assertThat(client.bytes(LONG_VALUE)).hasSize(LONG_VALUE);
@@ -318,22 +320,22 @@
         String value = "x".repeat(MetaCodec.MAX_WHOLE_VALUE_BYTES);
         FakeServer node = FakeServer.node(
                 line -> "VA " + value.length() + " O" + FakeServer.id(line) + " h1\r\n" + value + "\r\n");
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client first = fleet.client(1 << 16);
-                Fleet.Client idle = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client first = fixture.client(1 << 16);
+                ProxyFixture.Client idle = fixture.client()) {
             assertThat(idle.send("mn\r\n").line()).isEqualTo("MN");
             // Enough to fill the kernel's buffers and use the proxy's own: it then reads no further command.
             int fit = 0;
-            while (answeredSoon(fleet, fit)) {
+            while (answeredSoon(fixture, fit)) {
                 first.read("f" + fit++);
             }
             first.close();
-            Fleet.Client client = fleet.client(1 << 16);
+            ProxyFixture.Client client = fixture.client(1 << 16);
             for (int i = 1; i < fit; i++) { // one more would be a command that is not read yet
                 client.read("" + i);
             }
-            answeredSoon(fleet, 2 * (fit - 1));
-            Thread end = drainAndTerminate(fleet);
+            answeredSoon(fixture, 2 * (fit - 1));
+            Thread end = drainAndTerminate(fixture);
             assertThat(idle.isAtEnd())
                     .as("closed at once with the other connections without open requests")
                     .isTrue();
@@ -350,9 +352,9 @@
      * Whether this many have been answered within a time that is ample for one. On a slow machine it may return false
      * too early, which only makes the test send fewer requests.
      */
-    private static boolean answeredSoon(Fleet fleet, int many) throws InterruptedException {
+    private static boolean answeredSoon(ProxyFixture fixture, int many) throws InterruptedException {
         for (int i = 0; i < 100; i++) {
-            if (fleet.onEventLoop(fleet.proxy::status).completedRequests() >= many) {
+            if (fixture.onEventLoop(fixture.proxy::status).completedRequests() >= many) {
                 return true;
             }
             Thread.sleep(5);
@@ -361,13 +363,13 @@
     }
 
     /** Starts the SIGTERM shutdown, which closes connections at once; returns when the proxy has stopped listening. */
-    private static Thread drainAndTerminate(Fleet fleet) {
-        drain(fleet, LONG_MS);
-        Thread end = new Thread(fleet.proxy::terminate);
+    private static Thread drainAndTerminate(ProxyFixture fixture) {
+        drain(fixture, LONG_MS);
+        Thread end = new Thread(fixture.proxy::terminate);
         end.start();
         Await.until("the listening period after SIGTERM is over", () -> {
             try {
-                fleet.client().close();
+                fixture.client().close();
                 return false;
             } catch (ConnectException e) {
                 return true;
@@ -379,15 +381,15 @@
     @Test
     void aClientThatNeverReadsDelaysTheEndUntilTheDeadlineOnly() throws Exception {
         FakeServer node = longValues();
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 10; i++) { // more than the system's own buffers take
                 client.read("" + i);
             }
             node.nextCommand();
-            drain(fleet, 700);
-            awaitPhase(fleet, Phase.EXPIRED);
-            fleet.proxy.terminate(); // returns when the proxy has stopped
+            drain(fixture, 700);
+            awaitPhase(fixture, Phase.EXPIRED);
+            fixture.proxy.terminate(); // returns when the proxy has stopped
         }
     }
 
@@ -395,16 +397,16 @@
     void sigtermDuringADrainTakesOver() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         FakeServer node = held(release);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             node.nextCommand();
-            drain(fleet, LONG_MS);
-            Thread end = new Thread(fleet.proxy::terminate);
+            drain(fixture, LONG_MS);
+            Thread end = new Thread(fixture.proxy::terminate);
             end.start();
             Await.until(
                     "the drain can no longer be cancelled",
-                    () -> String.valueOf(fleet.onEventLoop(fleet.proxy::cancelDrain))
+                    () -> String.valueOf(fixture.onEventLoop(fixture.proxy::cancelDrain))
                             .contains("told to end"));
             release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
@@ -419,32 +421,32 @@
         CountDownLatch release = new CountDownLatch(1);
         FakeServer node = held(release);
         JsonArray gone = new JsonArray();
-        gone.add(Fleet.host("s-00000001", "node-fast", node.dial(), "draining"));
+        gone.add(ProxyFixture.host("s-00000001", "node-fast", node.dial(), "draining"));
         CountDownLatch tell = new CountDownLatch(1);
         FakeServer discovery = new FakeServer(c -> {
             while (c.request() != null) {
                 tell.await();
-                c.sendHttp(200, "", Fleet.list(42, false, gone).toString());
+                c.sendHttp(200, "", ProxyFixture.list(42, false, gone).toString());
             }
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(node)
                         .discovery(discovery)
                         .set("discovery", "push")
                         .start();
-                Fleet.Client before = fleet.client()) {
+                ProxyFixture.Client before = fixture.client()) {
             before.read("1");
             node.nextCommand();
-            drain(fleet, LONG_MS);
+            drain(fixture, LONG_MS);
             tell.countDown();
             Await.until("discovery has been asked twice", () -> discovery.commands.size() >= 2);
-            try (Fleet.Client after = fleet.client()) {
+            try (ProxyFixture.Client after = fixture.client()) {
                 after.send("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=1000\r\n");
                 assertThat(after.line()).matches("SERVER_ERROR .*|VA 5 O2");
             }
             release.countDown();
             assertThat(before.line()).isEqualTo("VA 5 O1");
-            awaitPhase(fleet, Phase.DRAINED);
+            awaitPhase(fixture, Phase.DRAINED);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -16,14 +16,14 @@
             c.send("VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client idle = fleet.client().send("mn\r\n");
-                Fleet.Client busy = fleet.client().read("1");
-                Fleet.Client half = fleet.client().send("mn\r\nm")) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client idle = fixture.client().send("mn\r\n");
+                ProxyFixture.Client busy = fixture.client().read("1");
+                ProxyFixture.Client half = fixture.client().send("mn\r\nm")) {
             assertThat(idle.line()).isEqualTo("MN");
             node.nextCommand();
             assertThat(half.line()).isEqualTo("MN");
-            Thread drain = new Thread(fleet.proxy::terminate);
+            Thread drain = new Thread(fixture.proxy::terminate);
             drain.start();
             assertThat(idle.isAtEnd()).isTrue();
             release.countDown();
--- a/src/test/java/cacheproxy/proxy/DuplicateResponsesTest.java
+++ b/src/test/java/cacheproxy/proxy/DuplicateResponsesTest.java
@@ -39,13 +39,13 @@
             c.awaitEnd();
             ended.countDown();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client one = fleet.client();
-                Fleet.Client two = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client one = fixture.client();
+                ProxyFixture.Client two = fixture.client()) {
             two.send("mn\r\n").line();
             one.send(write(1));
             origin.nextCommand();
-            CountDownLatch release = fleet.pauseEventLoop();
+            CountDownLatch release = fixture.pauseEventLoop();
             answer.countDown();
             answered.await();
             two.send(write(2));
@@ -68,8 +68,8 @@
                 c.send(receipt(FakeServer.id(request)) + "noise");
             }
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 3; i++) {
                 assertThat(client.send(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
             }
@@ -79,8 +79,11 @@
     @Test
     void invalidInputBehindANodesResponseClosesTheConnection() throws Exception {
         FakeServer node = FakeServer.node(l -> "VA 5 O" + FakeServer.id(l) + " h1\r\nhello\r\nnoise");
-        try (Fleet fleet = new Fleet().node(node).set("caps.max-attempts", "1").start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture()
+                        .node(node)
+                        .set("caps.max-attempts", "1")
+                        .start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 3; i++) {
                 assertThat(client.read("r" + i).line()).isEqualTo("VA 5 Or" + i);
                 client.line();
@@ -96,8 +99,9 @@
                 c.send(receipt(FakeServer.id(request)) + "\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().origin(origin).set("balancers", "60").start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().origin(origin).set("balancers", "60").start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 12; i++) {
                 assertThat(client.send(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
             }
@@ -116,8 +120,9 @@
             }
         });
         int writes = 40;
-        try (Fleet fleet = new Fleet().origin(origin).set("balancers", "60").start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().origin(origin).set("balancers", "60").start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < writes; i++) {
                 assertThat(client.send(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
             }
--- a/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
+++ b/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
@@ -95,14 +95,14 @@
 
     private static String news() {
         JsonArray hosts = new JsonArray();
-        hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "up"));
-        return Fleet.list(43, true, hosts).toString();
+        hosts.add(ProxyFixture.host("s-0000beef", "node-fast", "127.0.0.1:9", "up"));
+        return ProxyFixture.list(43, true, hosts).toString();
     }
 
-    private static Fleet fleet(String discovery, String mode) {
-        Fleet fleet = new Fleet().set("discovery", mode).set("caps.connect-timeout", "100.0");
-        fleet.config.addProperty("discovery", discovery);
-        return fleet;
+    private static ProxyFixture fixture(String discovery, String mode) {
+        ProxyFixture fixture = new ProxyFixture().set("discovery", mode).set("caps.connect-timeout", "100.0");
+        fixture.config.addProperty("discovery", discovery);
+        return fixture;
     }
 
     /**
@@ -129,7 +129,8 @@
                 }
             }
         });
-        try (Fleet fleet = fleet(discovery.dial(), mode).discovery(discovery).start()) {
+        try (ProxyFixture fixture =
+                fixture(discovery.dial(), mode).discovery(discovery).start()) {
             long from = recovered.get(60, TimeUnit.SECONDS);
             return (known.get(60, TimeUnit.SECONDS) - from) / 1e6;
         }
@@ -153,7 +154,8 @@
                 }
             }
         });
-        try (Fleet fleet = fleet(discovery.dial(), mode).discovery(discovery).start()) {
+        try (ProxyFixture fixture =
+                fixture(discovery.dial(), mode).discovery(discovery).start()) {
             return (known.get(60, TimeUnit.SECONDS) - silent.join()) / 1e6;
         }
     }
@@ -172,7 +174,7 @@
                         }
                     }
                 });
-                Fleet fleet = fleet(discovery.dial(), mode).start()) {
+                ProxyFixture fixture = fixture(discovery.dial(), mode).start()) {
             long from = System.nanoTime();
             discovery.open();
             return (known.get(60, TimeUnit.SECONDS) - from) / 1e6;
@@ -201,7 +203,7 @@
                 new InetSocketAddress(local, port),
                 1500);
         try (discovery;
-                Fleet fleet = fleet("127.0.0.1:" + port, mode).start()) {
+                ProxyFixture fixture = fixture("127.0.0.1:" + port, mode).start()) {
             return (known.get(60, TimeUnit.SECONDS) - discovery.listeningNanos()) / 1e6;
         }
     }
@@ -259,17 +261,19 @@
             }
         });
         try (after;
-                Fleet fleet = new Fleet()
+                ProxyFixture fixture = new ProxyFixture()
                         .discovery(before)
                         .set("guarantees.ask-within", "200.0")
                         .start()) {
             begun.await();
-            fleet.client().send("mn\r\n").line(); // the event loop has completed an iteration and read what has arrived
-            fleet.config.addProperty("discovery", after.dial());
-            fleet.reload();
+            fixture.client()
+                    .send("mn\r\n")
+                    .line(); // the event loop has completed an iteration and read what has arrived
+            fixture.config.addProperty("discovery", after.dial());
+            fixture.reload();
             assertThat(after.nextCommand()).contains("since=41&");
-            fleet.client().send("mn\r\n").line();
-            fleet.client().send("mn\r\n").line();
+            fixture.client().send("mn\r\n").line();
+            fixture.client().send("mn\r\n").line();
             asked.countDown();
             assertThat(after.nextCommand()).contains("since=43&");
             assertThat(after.accepted).hasSize(1);
@@ -282,24 +286,27 @@
         FakeServer discovery = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=41&")) {
-                    c.sendHttp(200, "", Fleet.list(3, false, new JsonArray()).toString());
+                    c.sendHttp(
+                            200,
+                            "",
+                            ProxyFixture.list(3, false, new JsonArray()).toString());
                 } else if (request.contains("since=0&")) {
                     JsonArray hosts = new JsonArray();
-                    hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "up"));
-                    c.sendHttp(200, "", Fleet.list(3, true, hosts).toString());
+                    hosts.add(ProxyFixture.host("s-0000beef", "node-fast", "127.0.0.1:9", "up"));
+                    c.sendHttp(200, "", ProxyFixture.list(3, true, hosts).toString());
                 } else {
                     c.awaitEnd();
                 }
             }
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                 .discovery(discovery)
                 .set("guarantees.ask-within", "200.0")
                 .start()) {
             assertThat(discovery.nextCommand()).contains("since=41&");
             assertThat(discovery.nextCommand()).contains("since=0&");
             assertThat(discovery.nextCommand()).contains("since=3&");
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.status().discoveredNodes()))
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.status().discoveredNodes()))
                     .isEqualTo(1);
         }
     }
--- a/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
+++ b/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
@@ -127,7 +127,7 @@
     }
 
     private static String entry(String name, String health) {
-        return Fleet.host(name, "node-fast", "127.0.0.1:9", health).toString();
+        return ProxyFixture.host(name, "node-fast", "127.0.0.1:9", health).toString();
     }
 
     private static String list(String head, String... entries) {
@@ -156,16 +156,17 @@
                 }
             }
         });
-        Fleet fleet = new Fleet().discovery(discovery).set("discovery", mode).set("caps.connect-timeout", "100.0");
+        ProxyFixture fixture =
+                new ProxyFixture().discovery(discovery).set("discovery", mode).set("caps.connect-timeout", "100.0");
         JsonArray none = new JsonArray();
-        fleet.config.add("known", Fleet.list(41, true, none));
-        try (fleet) {
+        fixture.config.add("known", ProxyFixture.list(41, true, none));
+        try (fixture) {
             long from = System.nanoTime();
-            fleet.start();
+            fixture.start();
             Await.until(
                     "the change is in use",
-                    () -> fleet.onEventLoop(
-                                    () -> fleet.proxy.dispatcher().servers().get(0xbeef))
+                    () -> fixture.onEventLoop(
+                                    () -> fixture.proxy.dispatcher().servers().get(0xbeef))
                             != null);
             return (System.nanoTime() - from) / 1e6;
         }
--- a/src/test/java/cacheproxy/proxy/FiguresTest.java
+++ b/src/test/java/cacheproxy/proxy/FiguresTest.java
@@ -15,8 +15,8 @@
 /** The proxy's counters match those of scripted clients and servers exactly. */
 @Timeout(60)
 class FiguresTest {
-    private static ProxyStatus status(Fleet fleet) {
-        return fleet.onEventLoop(fleet.proxy::status);
+    private static ProxyStatus status(ProxyFixture fixture) {
+        return fixture.onEventLoop(fixture.proxy::status);
     }
 
     @Test
@@ -52,8 +52,8 @@
         long[] refused = new long[2];
         long[] failed = new long[2];
         Random random = new Random(11);
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 400; i++) {
                 boolean write = random.nextInt(4) == 0;
                 int kind = write ? 1 : 0;
@@ -73,7 +73,7 @@
                     failed[kind]++;
                 }
             }
-            ProxyStatus s = status(fleet);
+            ProxyStatus s = status(fixture);
             assertThat(s.outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(served[0], refused[0], failed[0]));
             assertThat(s.outcomesByClass().get("fix")).isEqualTo(new ClassOutcomes(served[1], refused[1], failed[1]));
             assertThat(s.outcomesByClass().get("publish")).isEqualTo(new ClassOutcomes(0, 0, 0));
@@ -87,13 +87,13 @@
 
     @Test
     void anInvalidRequestOfAKnownClassFailsAndOneOfNoClassIsNotCounted() throws Exception {
-        try (Fleet fleet = new Fleet().start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send("mg k v O1 Pc=text,d=x\r\nmg k v O2 Pc=none,d=100\r\nmg k v O3\r\nnonsense\r\n");
             for (int i = 0; i < 4; i++) {
                 assertThat(client.line()).matches("(CLIENT_)?ERROR.*");
             }
-            assertThat(status(fleet).outcomesByClass())
+            assertThat(status(fixture).outcomesByClass())
                     .containsOnlyKeys("text", "fix", "publish")
                     .containsEntry("text", new ClassOutcomes(0, 0, 1));
         }
@@ -108,18 +108,18 @@
                 c.awaitEnd();
             }
         });
-        try (Fleet fleet = new Fleet().node(node).start()) {
-            try (Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start()) {
+            try (ProxyFixture.Client client = fixture.client()) {
                 client.read("1").line();
                 assertThat(client.bytes(200_000)).hasSizeLessThan(200_000);
             }
-            assertThat(status(fleet).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
-            try (Fleet.Client client = fleet.client()) {
+            assertThat(status(fixture).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
+            try (ProxyFixture.Client client = fixture.client()) {
                 client.read("gone").line();
-                assertThat(status(fleet).openRequests()).isEqualTo(1);
+                assertThat(status(fixture).openRequests()).isEqualTo(1);
             }
-            Await.until("no request is open", () -> status(fleet).openRequests() == 0);
-            assertThat(status(fleet).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
+            Await.until("no request is open", () -> status(fixture).openRequests() == 0);
+            assertThat(status(fixture).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
         }
     }
 
@@ -134,15 +134,16 @@
             c.request();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(silent).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().node(silent).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1").send("ms k 2 O2 Pc=fix,d=20000\r\nab\r\n");
             silent.nextCommand();
             origin.nextCommand();
-            fleet.onEventLoop(() -> fleet.proxy.startDrain(100));
+            fixture.onEventLoop(() -> fixture.proxy.startDrain(100));
             assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(status(fleet).outcomesByClass())
+            assertThat(status(fixture).outcomesByClass())
                     .containsEntry("text", new ClassOutcomes(0, 1, 0))
                     .containsEntry("fix", new ClassOutcomes(0, 0, 1));
         }
@@ -153,20 +154,20 @@
         FakeServer gone = FakeServer.node(line -> "");
         gone.close();
         List<String> answers = new ArrayList<>();
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(gone.dial())
                         .node(FakeServer.node(line -> "VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n"))
                         .start();
-                Fleet.Client client = fleet.client()) {
-            assertThat(status(fleet).ejectedNodes()).isZero();
+                ProxyFixture.Client client = fixture.client()) {
+            assertThat(status(fixture).ejectedNodes()).isZero();
             for (int i = 0; i < 8; i++) {
                 client.send("mg 7f3a9c21e0b4d65" + i + " v O" + i + " Pc=text,d=20000\r\n");
                 answers.add(client.line());
                 client.line();
             }
             assertThat(answers).allMatch(a -> a.startsWith("VA"));
-            Await.until("the unreachable node is ejected", () -> status(fleet).ejectedNodes() == 1);
-            assertThat(status(fleet).discoveredNodes()).isEqualTo(2);
+            Await.until("the unreachable node is ejected", () -> status(fixture).ejectedNodes() == 1);
+            assertThat(status(fixture).discoveredNodes()).isEqualTo(2);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/LargeFleetTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeFleetTest.java
@@ -58,19 +58,19 @@
         return FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + "\r\nhello\r\n");
     }
 
-    private static Fleet fleet(FakeServer node) {
-        Fleet fleet = new Fleet();
+    private static ProxyFixture fixture(FakeServer node) {
+        ProxyFixture fixture = new ProxyFixture();
         JsonObject limits = new JsonObject();
         limits.addProperty("sockets", SOCKETS);
-        fleet.config.add("limits", limits);
-        fleet.parts.add(node);
-        return fleet;
+        fixture.config.add("limits", limits);
+        fixture.parts.add(node);
+        return fixture;
     }
 
     /** Reads this many keys, one at a time; returns how many were served. */
-    private int served(Fleet fleet, int reads) throws Exception {
+    private int served(ProxyFixture fixture, int reads) throws Exception {
         int served = 0;
-        try (Fleet.Client client = fleet.client()) {
+        try (ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < reads; i++) {
                 client.send("mg %016x v O%d Pc=text,d=20000\r\n".formatted(random.nextLong(), ++lastId));
                 String line = client.line();
@@ -90,17 +90,17 @@
     @Test
     void eachOf1024ServersIsReachedWithFewerDescriptors() throws Exception {
         FakeServer node = node();
-        try (Fleet fleet = fleet(node)) {
-            LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fleet::host);
-            fleet.start();
-            assertThat(served(fleet, READS)).isEqualTo(READS);
-            List<UpstreamServer> nodes =
-                    fleet.onEventLoop(() -> fleet.proxy.dispatcher().servers().cacheNodes());
+        try (ProxyFixture fixture = fixture(node)) {
+            LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fixture::host);
+            fixture.start();
+            assertThat(served(fixture, READS)).isEqualTo(READS);
+            List<UpstreamServer> nodes = fixture.onEventLoop(
+                    () -> fixture.proxy.dispatcher().servers().cacheNodes());
             assertThat(nodes).hasSize(SERVERS).allMatch(u -> u.pool.openedConnections() > 0);
             Await.until(
                     "no more connections than descriptors",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.status().upstreamConnections()) <= SOCKETS / 3);
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.status().ejectedNodes()))
+                    () -> fixture.onEventLoop(() -> fixture.proxy.status().upstreamConnections()) <= SOCKETS / 3);
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.status().ejectedNodes()))
                     .as("ejected nodes")
                     .isZero();
         }
@@ -118,32 +118,35 @@
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=41&")) {
                     JsonArray others = LargeList.hosts(SERVERS, i -> after.dial(), after.dial());
-                    c.sendHttp(200, "", Fleet.list(42, true, others).toString());
+                    c.sendHttp(200, "", ProxyFixture.list(42, true, others).toString());
                 } else if (request.contains("since=42&")) {
                     change.await();
-                    c.sendHttp(200, "", Fleet.list(43, false, changes(after)).toString());
+                    c.sendHttp(
+                            200,
+                            "",
+                            ProxyFixture.list(43, false, changes(after)).toString());
                 } else {
                     c.awaitEnd();
                 }
             }
         });
-        try (Fleet fleet = fleet(before).discovery(discovery).set("guarantees.ask-within", "200.0")) {
-            fleet.parts.add(after);
+        try (ProxyFixture fixture = fixture(before).discovery(discovery).set("guarantees.ask-within", "200.0")) {
+            fixture.parts.add(after);
             for (int i = 0; i < SERVERS; i++) {
-                fleet.host(Fleet.host("s-%08x".formatted(5000 + i), "node-fast", before.dial(), "up"));
+                fixture.host(ProxyFixture.host("s-%08x".formatted(5000 + i), "node-fast", before.dial(), "up"));
             }
-            fleet.start();
+            fixture.start();
             Await.until(
                     "the complete list is in use",
-                    () -> known(fleet).contains(1) && !known(fleet).contains(5000));
-            assertThat(known(fleet)).hasSize(SERVERS);
+                    () -> known(fixture).contains(1) && !known(fixture).contains(5000));
+            assertThat(known(fixture)).hasSize(SERVERS);
             before.commands.clear();
-            assertThat(served(fleet, SERVERS)).isEqualTo(SERVERS);
+            assertThat(served(fixture, SERVERS)).isEqualTo(SERVERS);
             assertThat(after.commands).hasSize(SERVERS);
             assertThat(before.commands).isEmpty();
             change.countDown();
-            Await.until("the changes are in use", () -> known(fleet).size() == SERVERS / 4 + SERVERS / 8);
-            assertThat(served(fleet, SERVERS)).isEqualTo(SERVERS);
+            Await.until("the changes are in use", () -> known(fixture).size() == SERVERS / 4 + SERVERS / 8);
+            assertThat(served(fixture, SERVERS)).isEqualTo(SERVERS);
         }
     }
 
@@ -152,18 +155,19 @@
         JsonArray changes = new JsonArray();
         for (int i = 0; i < SERVERS; i++) {
             if (i % 4 != 0) {
-                changes.add(Fleet.host(LargeList.name(i), "node-fast", node.dial(), "removed"));
+                changes.add(ProxyFixture.host(LargeList.name(i), "node-fast", node.dial(), "removed"));
             }
         }
         for (int i = 0; i < SERVERS / 8; i++) {
-            changes.add(Fleet.host(LargeList.name(SERVERS + i), "node-fast", node.dial(), "up"));
+            changes.add(ProxyFixture.host(LargeList.name(SERVERS + i), "node-fast", node.dial(), "up"));
         }
         return changes;
     }
 
-    private static Set<Integer> known(Fleet fleet) {
+    private static Set<Integer> known(ProxyFixture fixture) {
         Set<Integer> ids = new HashSet<>();
-        fleet.onEventLoop(() -> fleet.proxy.dispatcher().servers().cacheNodes()).forEach(u -> ids.add(u.id));
+        fixture.onEventLoop(() -> fixture.proxy.dispatcher().servers().cacheNodes())
+                .forEach(u -> ids.add(u.id));
         return ids;
     }
 
@@ -172,11 +176,11 @@
     void simultaneousConnectionsOf1024ClientsAreAccepted() throws Exception {
         FakeServer node = node();
         CountDownLatch come = new CountDownLatch(1);
-        try (Fleet fleet = fleet(node)) {
-            fleet.config.getAsJsonObject("limits").addProperty("sockets", 4 * CLIENTS);
-            fleet.node(node).start();
+        try (ProxyFixture fixture = fixture(node)) {
+            fixture.config.getAsJsonObject("limits").addProperty("sockets", 4 * CLIENTS);
+            fixture.node(node).start();
             CountDownLatch busy = new CountDownLatch(1);
-            fleet.proxy.loop().submit(() -> {
+            fixture.proxy.loop().submit(() -> {
                 busy.countDown();
                 come.await();
                 return null;
@@ -185,10 +189,10 @@
             try {
                 for (int i = 0; i < CLIENTS; i++) {
                     Socket client = new Socket();
-                    fleet.parts.add(client);
+                    fixture.parts.add(client);
                     client.connect(
                             new InetSocketAddress(
-                                    "127.0.0.1", fleet.proxy.address().getPort()),
+                                    "127.0.0.1", fixture.proxy.address().getPort()),
                             CONNECT_MS);
                     // A silent client would be closed if the last of them is accepted late.
                     client.getOutputStream().write("mn\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -198,7 +202,7 @@
             }
             Await.until(
                     "all clients are connected",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.status().clientConnections()) == CLIENTS);
+                    () -> fixture.onEventLoop(() -> fixture.proxy.status().clientConnections()) == CLIENTS);
         }
     }
 
@@ -206,21 +210,21 @@
     @Test
     void eachOf1024ClassesAndTenantsIsServed() throws Exception {
         FakeServer node = node();
-        try (Fleet fleet = fleet(node)) {
-            fleet.set("classes.count", Integer.toString(CLASSES)).set("tenants.count", Integer.toString(CLASSES));
+        try (ProxyFixture fixture = fixture(node)) {
+            fixture.set("classes.count", Integer.toString(CLASSES)).set("tenants.count", Integer.toString(CLASSES));
             for (int i = 0; i < CLASSES; i++) {
                 String at = "classes." + i + ".";
-                fleet.set(at + "name", "c" + i)
+                fixture.set(at + "name", "c" + i)
                         .set(at + "idempotency", "retryable")
                         .set(at + "promise", "20000.0")
                         .set(at + "deadline", "30000.0")
                         .set(at + "gain", "1.0")
                         .set(at + "late-share", "0.2")
                         .set(at + "stream", "false");
-                fleet.set("tenants." + i + ".name", "t" + i).set("tenants." + i + ".quota-per-s", "10.0");
+                fixture.set("tenants." + i + ".name", "t" + i).set("tenants." + i + ".quota-per-s", "10.0");
             }
-            fleet.node(node).start();
-            try (Fleet.Client client = fleet.client()) {
+            fixture.node(node).start();
+            try (ProxyFixture.Client client = fixture.client()) {
                 for (int i = 0; i < CLASSES; i++) {
                     client.send("mg %x v O%d Pc=c%d,t=t%d,d=20000\r\n".formatted(i, i, i, i));
                     assertThat(client.line()).startsWith("VA 5 ");
@@ -228,7 +232,7 @@
                 }
             }
             Map<String, ClassOutcomes> classes =
-                    fleet.onEventLoop(() -> fleet.proxy.status().outcomesByClass());
+                    fixture.onEventLoop(() -> fixture.proxy.status().outcomesByClass());
             assertThat(classes).hasSize(CLASSES);
             assertThat(classes.values()).allMatch(e -> e.succeeded() == 1);
         }
@@ -240,24 +244,24 @@
     @Test
     void anInstanceInTheLastOf1024ZonesServesAndJoins() throws Exception {
         FakeServer node = node();
-        try (Fleet fleet = fleet(node)) {
-            LargeList.peers(fleet.config, PEERS);
-            fleet.config.addProperty("peer_listen", "127.0.0.1:0");
+        try (ProxyFixture fixture = fixture(node)) {
+            LargeList.peers(fixture.config, PEERS);
+            fixture.config.addProperty("peer_listen", "127.0.0.1:0");
             String zones = IntStream.range(0, ZONES).mapToObj(z -> "z" + z).collect(Collectors.joining(","));
-            fleet.set("zones", zones).set("locality", Integer.toString(ZONES - 1));
+            fixture.set("zones", zones).set("locality", Integer.toString(ZONES - 1));
             for (int i = 0; i < ZONES; i++) {
-                JsonObject host = Fleet.host(LargeList.name(i), "node-fast", node.dial(), "up");
+                JsonObject host = ProxyFixture.host(LargeList.name(i), "node-fast", node.dial(), "up");
                 host.addProperty("site", "z" + i);
-                fleet.host(host);
+                fixture.host(host);
             }
-            fleet.start();
-            fleet.proxy.joinFleet(new FleetFeatures(true, true, false));
-            assertThat(served(fleet, SERVERS)).isEqualTo(SERVERS);
-            assertThat(fleet.onEventLoop(
-                            () -> fleet.proxy.dispatcher().servers().cacheNodesInZone(ZONES - 1)))
+            fixture.start();
+            fixture.proxy.joinFleet(new FleetFeatures(true, true, false));
+            assertThat(served(fixture, SERVERS)).isEqualTo(SERVERS);
+            assertThat(fixture.onEventLoop(
+                            () -> fixture.proxy.dispatcher().servers().cacheNodesInZone(ZONES - 1)))
                     .isEqualTo(1);
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.fleetView())).isNotNull();
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.zoneDecisions())).isNotNull();
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.fleetView())).isNotNull();
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.zoneDecisions())).isNotNull();
         }
     }
 
@@ -265,14 +269,14 @@
     @Test
     void aSuccessorIsSentAll1024Servers() throws Exception {
         FakeServer node = node();
-        try (Fleet fleet = fleet(node).sharedFolder(folder)) {
-            LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fleet::host);
-            fleet.start();
-            fleet.config.addProperty(
-                    "listen", "127.0.0.1:" + fleet.proxy.address().getPort());
-            fleet.config.add("known", Fleet.list(0, true, new JsonArray()));
-            Proxy next = Proxy.start(Config.parse(fleet.config), folder);
-            fleet.parts.add(next::close);
+        try (ProxyFixture fixture = fixture(node).sharedFolder(folder)) {
+            LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fixture::host);
+            fixture.start();
+            fixture.config.addProperty(
+                    "listen", "127.0.0.1:" + fixture.proxy.address().getPort());
+            fixture.config.add("known", ProxyFixture.list(0, true, new JsonArray()));
+            Proxy next = Proxy.start(Config.parse(fixture.config), folder);
+            fixture.parts.add(next::close);
             int discovered = next.loop()
                     .submit(() -> next.status().discoveredNodes())
                     .syncUninterruptibly()
@@ -280,7 +284,7 @@
             assertThat(discovered).isEqualTo(SERVERS);
             Await.until(
                     "the successor's report that it serves is accepted",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.status().completedHandovers()) == 1);
+                    () -> fixture.onEventLoop(() -> fixture.proxy.status().completedHandovers()) == 1);
         }
     }
 
@@ -288,21 +292,21 @@
     @Test
     void eachOf1024SilentNodesIsReported() throws Exception {
         FakeServer node = node();
-        try (Fleet fleet = fleet(node)) {
-            LargeList.peers(fleet.config, PEERS);
-            fleet.config.addProperty("peer_listen", "127.0.0.1:0");
-            LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fleet::host);
-            fleet.start();
-            fleet.proxy.joinFleet(new FleetFeatures(true, false, false));
-            fleet.onEventLoop(() -> {
-                Dispatcher core = fleet.proxy.dispatcher();
+        try (ProxyFixture fixture = fixture(node)) {
+            LargeList.peers(fixture.config, PEERS);
+            fixture.config.addProperty("peer_listen", "127.0.0.1:0");
+            LargeList.hosts(SERVERS, i -> node.dial(), node.dial()).forEach(fixture::host);
+            fixture.start();
+            fixture.proxy.joinFleet(new FleetFeatures(true, false, false));
+            fixture.onEventLoop(() -> {
+                Dispatcher core = fixture.proxy.dispatcher();
                 long before = core.counters().count(Metric.PEER_MESSAGES_SENT)
-                        + fleet.proxy.fleetView().droppedDatagrams();
+                        + fixture.proxy.fleetView().droppedDatagrams();
                 core.servers()
                         .cacheNodes()
                         .forEach(u -> core.routingActions().reportSignal(u.id, EndpointSignal.UNRESPONSIVE));
                 assertThat(core.counters().count(Metric.PEER_MESSAGES_SENT)
-                                + fleet.proxy.fleetView().droppedDatagrams()
+                                + fixture.proxy.fleetView().droppedDatagrams()
                                 - before)
                         .isEqualTo(SERVERS);
                 return null;
@@ -316,21 +320,23 @@
         FakeServer node = node();
         InetAddress local = InetAddress.getByName("127.0.0.1");
         try (DatagramSocket last = new DatagramSocket(0, local);
-                Fleet fleet = fleet(node)) {
-            LargeList.peers(fleet.config, PEERS);
-            fleet.config.addProperty("peer_listen", "127.0.0.1:0");
-            fleet.config.getAsJsonArray("peers").set(PEERS - 1, new JsonPrimitive("127.0.0.1:" + last.getLocalPort()));
-            fleet.node(node).start();
-            assertThat(served(fleet, 1)).isEqualTo(1);
+                ProxyFixture fixture = fixture(node)) {
+            LargeList.peers(fixture.config, PEERS);
+            fixture.config.addProperty("peer_listen", "127.0.0.1:0");
+            fixture.config
+                    .getAsJsonArray("peers")
+                    .set(PEERS - 1, new JsonPrimitive("127.0.0.1:" + last.getLocalPort()));
+            fixture.node(node).start();
+            assertThat(served(fixture, 1)).isEqualTo(1);
             byte[] bytes = Envelope.encode(List.of(
                     new Envelope.Item(PeerMessageKind.LOAD_BALANCER.code(), PeerMessageKind.VERSION, new byte[] {0})));
-            last.send(new DatagramPacket(bytes, bytes.length, fleet.proxy.peerAddress()));
-            Counters counters = fleet.proxy.dispatcher().counters();
+            last.send(new DatagramPacket(bytes, bytes.length, fixture.proxy.peerAddress()));
+            Counters counters = fixture.proxy.dispatcher().counters();
             Await.until(
                     "the message has been received",
-                    () -> fleet.onEventLoop(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
-            fleet.onEventLoop(() -> {
-                fleet.proxy.dispatcher().routingActions().sendToPeer(PEERS - 1, new byte[] {0});
+                    () -> fixture.onEventLoop(() -> counters.count(Metric.PEER_MESSAGES_RECEIVED)) == 1);
+            fixture.onEventLoop(() -> {
+                fixture.proxy.dispatcher().routingActions().sendToPeer(PEERS - 1, new byte[] {0});
                 return null;
             });
             last.setSoTimeout(20_000);
--- a/src/test/java/cacheproxy/proxy/LargeList.java
+++ b/src/test/java/cacheproxy/proxy/LargeList.java
@@ -22,12 +22,12 @@
     static JsonArray hosts(int servers, IntFunction<String> dial, String origin) {
         JsonArray hosts = new JsonArray();
         for (int i = 0; i < servers; i++) {
-            JsonObject host = Fleet.host(name(i), "node-fast", dial.apply(i), "up");
+            JsonObject host = ProxyFixture.host(name(i), "node-fast", dial.apply(i), "up");
             host.addProperty("site", SITES[i % SITES.length]);
             host.addProperty("block", i / 16);
             hosts.add(host);
         }
-        hosts.add(Fleet.host("s-0000aaaa", "origin", origin, "up"));
+        hosts.add(ProxyFixture.host("s-0000aaaa", "origin", origin, "up"));
         return hosts;
     }
 
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -22,9 +22,9 @@
         new Random(7).nextBytes(VALUE);
     }
 
-    private static long used(Fleet fleet) {
-        return fleet.onEventLoop(
-                () -> fleet.proxy.dispatcher().bufferLimits().values().reserved());
+    private static long used(ProxyFixture fixture) {
+        return fixture.onEventLoop(
+                () -> fixture.proxy.dispatcher().bufferLimits().values().reserved());
     }
 
     private static FakeServer origin() throws IOException {
@@ -35,7 +35,7 @@
         });
     }
 
-    private static void write(Fleet.Client client, String id, int length) throws IOException {
+    private static void write(ProxyFixture.Client client, String id, int length) throws IOException {
         client.send("ms 7f3a9c21e0b4d655 " + length + " O" + id + " Pc=publish,d=30000,k=" + id + "\r\n");
         client.send(Arrays.copyOf(VALUE, length)).send("\r\n");
     }
@@ -43,13 +43,14 @@
     /** Together the values are ten times the memory budget: clients wait to send, and nothing is rejected. */
     @Test
     void writesBeyondTheBudgetWaitAndAllSucceed() throws Exception {
-        try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
+        try (ProxyFixture fixture =
+                new ProxyFixture().memory(64).origin(origin()).start()) {
             List<Thread> threads = new ArrayList<>();
             List<String> answers = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 String id = "w" + i;
                 Thread t = new Thread(() -> {
-                    try (Fleet.Client client = fleet.client()) {
+                    try (ProxyFixture.Client client = fixture.client()) {
                         write(client, id, VALUE.length);
                         String line = client.line();
                         synchronized (answers) {
@@ -68,44 +69,46 @@
                 t.join();
             }
             assertThat(answers).hasSize(20).allMatch(a -> a.endsWith(" cv" + VALUE.length));
-            Await.until("all reserved memory is released", () -> used(fleet) == 0);
+            Await.until("all reserved memory is released", () -> used(fixture) == 0);
         }
     }
 
     @Test
     void smallWritesOvertakeLargeOnesThatAreSentSlowly() throws Exception {
-        try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
-            List<Fleet.Client> slow = new ArrayList<>();
+        try (ProxyFixture fixture =
+                new ProxyFixture().memory(64).origin(origin()).start()) {
+            List<ProxyFixture.Client> slow = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                Fleet.Client client = fleet.client();
+                ProxyFixture.Client client = fixture.client();
                 client.send("ms 7f3a9c21e0b4d655 " + VALUE.length + " Os" + i + " Pc=publish,d=30000,k=s\r\nxyz");
                 slow.add(client);
             }
-            Await.until("part of the memory budget is reserved", () -> used(fleet) > VALUE.length);
-            Fleet.Client small = fleet.client();
+            Await.until("part of the memory budget is reserved", () -> used(fixture) > VALUE.length);
+            ProxyFixture.Client small = fixture.client();
             write(small, "1", 1000);
             assertThat(small.line()).isEqualTo("HD O1 cv1000");
-            for (Fleet.Client client : slow) {
+            for (ProxyFixture.Client client : slow) {
                 client.close();
             }
-            Await.until("all reserved memory is released", () -> used(fleet) == 0);
+            Await.until("all reserved memory is released", () -> used(fixture) == 0);
         }
     }
 
     /** An aborted write releases its memory reservation, at whatever byte it ends. */
     @Test
     void anAbortedWriteReleasesItsReservation() throws Exception {
-        try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
+        try (ProxyFixture fixture =
+                new ProxyFixture().memory(64).origin(origin()).start()) {
             for (int length : new int[] {0, 1, 65_535, 65_536, 65_537, 1_000_000}) {
                 for (int cut : new int[] {0, 1, length / 2, length}) {
-                    Fleet.Client client = fleet.client();
+                    ProxyFixture.Client client = fixture.client();
                     client.send("ms 7f3a9c21e0b4d655 " + length + " Oc Pc=publish,d=30000,k=c\r\n");
                     client.send(Arrays.copyOf(VALUE, Math.min(cut, length)));
                     client.close();
                 }
             }
-            Await.until("all reserved memory is released", () -> used(fleet) == 0);
-            try (Fleet.Client client = fleet.client()) {
+            Await.until("all reserved memory is released", () -> used(fixture) == 0);
+            try (ProxyFixture.Client client = fixture.client()) {
                 for (int length : new int[] {0, 1, 65_534, 65_535, 65_536, 65_537, 131_072, 1_000_000}) {
                     write(client, "w" + length, length);
                     assertThat(client.line()).isEqualTo("HD Ow" + length + " cv" + length);
@@ -139,8 +142,8 @@
             }
         });
         byte[] expected = Arrays.copyOf(VALUE, length);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int cut = 0; cut < 30; cut++) {
                 client.read("c" + cut);
                 assertThat(client.line()).isEqualTo("VA " + length + " Oc" + cut);
@@ -165,8 +168,8 @@
             c.send("\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             FakeServer.Connection c = node.accepted.take();
             node.nextCommand();
@@ -194,20 +197,20 @@
                 }
             }
         });
-        try (Fleet fleet = new Fleet().node(node).start()) {
-            List<Fleet.Client> slow = new ArrayList<>();
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start()) {
+            List<ProxyFixture.Client> slow = new ArrayList<>();
             for (int i = 0; i < 6; i++) { // more than the usual number of connections to a node
-                Fleet.Client client = fleet.client();
+                ProxyFixture.Client client = fixture.client();
                 assertThat(client.read("long" + i).line()).isEqualTo("VA " + VALUE.length + " Olong" + i);
                 slow.add(client);
             }
-            try (Fleet.Client client = fleet.client()) {
+            try (ProxyFixture.Client client = fixture.client()) {
                 for (int i = 0; i < 20; i++) {
                     assertThat(client.read("s" + i).line()).isEqualTo("VA 2 Os" + i);
                     client.line();
                 }
             }
-            for (Fleet.Client client : slow) {
+            for (ProxyFixture.Client client : slow) {
                 assertThat(client.bytes(VALUE.length)).isEqualTo(VALUE);
             }
         }
@@ -226,14 +229,15 @@
                 c.reset();
             }
         });
-        try (Fleet fleet = new Fleet().node(misses).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().node(misses).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("whole");
             assertThat(client.line()).isEqualTo("VA 100000 Owhole");
             assertThat(client.bytes(100_000)).isEqualTo(Arrays.copyOf(VALUE, 100_000));
             assertThat(client.line()).isEmpty();
             assertThat(client.read("cut").line()).startsWith("SERVER_ERROR");
-            Await.until("all reserved memory is released", () -> used(fleet) == 0);
+            Await.until("all reserved memory is released", () -> used(fixture) == 0);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
+++ b/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
@@ -28,35 +28,35 @@
             told.await();
             JsonArray hosts = new JsonArray();
             hosts.add(change);
-            c.sendHttp(200, "", Fleet.list(43, false, hosts).toString());
+            c.sendHttp(200, "", ProxyFixture.list(43, false, hosts).toString());
             c.request();
             c.awaitEnd();
         });
     }
 
-    private static void awaitWaiting(Fleet fleet, int requests) {
+    private static void awaitWaiting(ProxyFixture fixture, int requests) {
         Await.until(
                 "requests wait for a connection",
-                () -> fleet.onEventLoop(() -> fleet.proxy.status().openRequests() == requests
-                        && fleet.proxy.status().upstreamConnections() > 0));
+                () -> fixture.onEventLoop(() -> fixture.proxy.status().openRequests() == requests
+                        && fixture.proxy.status().upstreamConnections() > 0));
     }
 
     private static void assertNotSentAfter(Consumer<JsonObject> change) throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         try (LateServer node = LateServer.node()) {
-            JsonObject host = Fleet.host("s-00000001", "node-fast", node.dial(), "up");
+            JsonObject host = ProxyFixture.host("s-00000001", "node-fast", node.dial(), "up");
             change.accept(host);
             FakeServer discovery = discovery(told, host);
-            Fleet setup = new Fleet()
+            ProxyFixture setup = new ProxyFixture()
                     .node(node.dial())
                     .origin(origin())
                     .discovery(discovery)
                     .set("caps.connect-timeout", "10000.0")
                     .set("guarantees.ask-within", "200.0");
-            try (Fleet fleet = setup.start()) {
+            try (ProxyFixture fixture = setup.start()) {
                 assertThat(discovery.nextCommand()).contains("since=41&");
-                Fleet.Client client = fleet.client().read("1");
-                awaitWaiting(fleet, 1);
+                ProxyFixture.Client client = fixture.client().read("1");
+                awaitWaiting(fixture, 1);
                 told.countDown();
                 assertThat(discovery.nextCommand()).contains("since=43&"); // the change is in use
                 node.open();
@@ -89,18 +89,18 @@
     @Test
     void nothingIsSentForAClientThatDisconnectedMeanwhile() throws Exception {
         try (LateServer node = LateServer.node();
-                Fleet fleet = new Fleet()
+                ProxyFixture fixture = new ProxyFixture()
                         .node(node.dial())
                         .set("caps.may-cancel", "false")
                         .set("caps.connect-timeout", "10000.0")
                         .start()) {
-            Fleet.Client leaving = fleet.client();
+            ProxyFixture.Client leaving = fixture.client();
             leaving.read("1");
-            awaitWaiting(fleet, 1);
+            awaitWaiting(fixture, 1);
             leaving.close();
-            awaitWaiting(fleet, 0);
-            Fleet.Client next = fleet.client().read("2");
-            awaitWaiting(fleet, 1);
+            awaitWaiting(fixture, 0);
+            ProxyFixture.Client next = fixture.client().read("2");
+            awaitWaiting(fixture, 1);
             node.open();
             assertThat(next.line()).isEqualTo("VA 5 O2");
             assertThat(node.commands).hasSize(1);
@@ -119,23 +119,23 @@
             }
         });
         try (origin;
-                Fleet fleet = new Fleet()
+                ProxyFixture fixture = new ProxyFixture()
                         .node(node)
                         .origin(origin.dial())
                         .set("caps.connect-timeout", "10000.0")
                         .start()) {
-            Fleet.Client leader = fleet.client();
+            ProxyFixture.Client leader = fixture.client();
             leader.read("1");
             node.nextCommand();
             Await.until(
                     "its fetch waits",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.status().upstreamConnections()) == 2);
-            Fleet.Client waiter = fleet.client().read("2");
+                    () -> fixture.onEventLoop(() -> fixture.proxy.status().upstreamConnections()) == 2);
+            ProxyFixture.Client waiter = fixture.client().read("2");
             node.nextCommand();
-            fleet.client().send("mn\r\n").line(); // the event loop has completed an iteration and read the miss
-            awaitWaiting(fleet, 2);
+            fixture.client().send("mn\r\n").line(); // the event loop has completed an iteration and read the miss
+            awaitWaiting(fixture, 2);
             leader.close();
-            awaitWaiting(fleet, 1);
+            awaitWaiting(fixture, 1);
             origin.open();
             assertThat(waiter.line()).isEqualTo("VA 5 O2");
             assertThat(waiter.line()).isEqualTo("fetch");
@@ -157,7 +157,7 @@
         });
         // Each of sixty proxies has one connection to a node, so waiting requests are sent in order.
         try (LateServer late = LateServer.node();
-                Fleet fleet = new Fleet()
+                ProxyFixture fixture = new ProxyFixture()
                         .node(slow)
                         .node(late.dial())
                         .set("caps.may-cancel", "false")
@@ -165,18 +165,18 @@
                         .set("caps.connect-timeout", "10000.0")
                         .set("balancers", "60")
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             String first = Keys.ranked(1, 2);
             String second = Keys.ranked(2, 1);
             client.send("mg " + first + " v O1 Pc=text,d=20000\r\n");
             Await.until(
                     "the hedge waits for its connection",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.status().upstreamConnections()) == 2);
+                    () -> fixture.onEventLoop(() -> fixture.proxy.status().upstreamConnections()) == 2);
             copied.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
             client.send("mg " + second + " v O2 Pc=text,d=20000\r\n"); // to the node that the hedge was meant for
-            awaitWaiting(fleet, 1);
+            awaitWaiting(fixture, 1);
             late.open();
             assertThat(client.line()).isEqualTo("VA 5 O2");
             assertThat(late.commands)
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
@@ -49,7 +49,7 @@
 
     private static TakeoverSnapshot snapshot() {
         JsonArray hosts = new JsonArray();
-        hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
+        hosts.add(ProxyFixture.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
         LearnedState learned = new LearnedState(
                 1,
                 2,
@@ -64,7 +64,7 @@
         records.put(RecordKind.INCARNATION, new StoredRecord(RecordKind.INCARNATION, 1.7e12, new JsonPrimitive(4)));
         records.put(RecordKind.ZONE_STATES, new StoredRecord(RecordKind.ZONE_STATES, 1.7e12, new JsonObject()));
         records.put(RecordKind.OPERATOR_ORDERS, new StoredRecord(RecordKind.OPERATOR_ORDERS, 1.7e12, new JsonObject()));
-        return new TakeoverSnapshot(Fleet.list(43, true, hosts), Map.of("", learned), records);
+        return new TakeoverSnapshot(ProxyFixture.list(43, true, hosts), Map.of("", learned), records);
     }
 
     private static String recorded(String name) throws Exception {
@@ -82,16 +82,16 @@
     @Test
     void theOldProcessAcceptsTheRecordedLines() throws Exception {
         List<String> lines = recorded("handover-lines.txt").lines().toList();
-        try (Fleet fleet = new Fleet().sharedFolder(folder).start();
+        try (ProxyFixture fixture = new ProxyFixture().sharedFolder(folder).start();
                 SocketChannel successor = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             successor.connect(UnixDomainSocketAddress.of(folder.resolve("takeover")));
             BufferedReader answers = new BufferedReader(Channels.newReader(successor, StandardCharsets.UTF_8));
             say(successor, lines.get(0));
             assertThat(answers.readLine()).startsWith("{\"v\":1,\"list\":{");
             say(successor, lines.get(1));
-            awaitPhase(fleet, Phase.SOCKET_PASSED);
+            awaitPhase(fixture, Phase.SOCKET_PASSED);
             say(successor, lines.get(2));
-            awaitPhase(fleet, Phase.SUCCESSOR_SERVES);
+            awaitPhase(fixture, Phase.SUCCESSOR_SERVES);
             assertThat(lines).hasSize(3);
         }
     }
@@ -114,7 +114,7 @@
                 }
             });
             oldProcess.start();
-            try (Fleet fleet = new Fleet().sharedFolder(folder).start()) {
+            try (ProxyFixture fixture = new ProxyFixture().sharedFolder(folder).start()) {
                 assertThat(received.get(20, TimeUnit.SECONDS)).isEqualTo(lines.subList(0, 2));
             }
             oldProcess.join();
@@ -128,10 +128,10 @@
         }
     }
 
-    private static void awaitPhase(Fleet fleet, Phase phase) {
+    private static void awaitPhase(ProxyFixture fixture, Phase phase) {
         Await.until(
                 "the handover is " + phase,
-                () -> fleet.onEventLoop(() -> fleet.proxy.status().handoverPhase()) == phase);
+                () -> fixture.onEventLoop(() -> fixture.proxy.status().handoverPhase()) == phase);
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/MetricsLogTest.java
+++ b/src/test/java/cacheproxy/proxy/MetricsLogTest.java
@@ -12,8 +12,8 @@
 
 /** The metrics lines that a proxy logs. */
 class MetricsLogTest {
-    private static MetricsLine line(Fleet fleet) {
-        return fleet.onEventLoop(() -> fleet.proxy.metricsLog(System.err).line());
+    private static MetricsLine line(ProxyFixture fixture) {
+        return fixture.onEventLoop(() -> fixture.proxy.metricsLog(System.err).line());
     }
 
     @Test
@@ -24,14 +24,14 @@
                 c.sendHttp(200, "", "hello");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
-            assertThat(line(fleet).firstServedMs())
+        try (ProxyFixture fixture = new ProxyFixture().node(node).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
+            assertThat(line(fixture).firstServedMs())
                     .as("before the first answer")
                     .isNegative();
             client.read("1");
             assertThat(client.line()).startsWith("VA 5 ");
-            MetricsLine line = line(fleet);
+            MetricsLine line = line(fixture);
             assertThat(line.proxy()).isEqualTo("n0");
             assertThat(line.count(Metric.ATTEMPTS)).isEqualTo(2);
             assertThat(line.count(Metric.RETRIES)).isEqualTo(1);
@@ -49,10 +49,10 @@
         FakeServer gone = FakeServer.node(line -> "");
         String dial = gone.dial();
         gone.close();
-        try (Fleet fleet = new Fleet().node(dial).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(dial).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1").line();
-            MetricsLine line = line(fleet);
+            MetricsLine line = line(fixture);
             assertThat(line.count(Metric.CONNECTIONS_FAILED)).isEqualTo(1);
             assertThat(line.nodes()).containsExactly(new MetricsLine.Node("1", 1, 0, true));
         }
@@ -65,21 +65,21 @@
                 c.sendHttp(503, "", "");
             }
         });
-        try (Fleet fleet = new Fleet().discovery(discovery).start()) {
+        try (ProxyFixture fixture = new ProxyFixture().discovery(discovery).start()) {
             Await.until(
                     "a poll has failed and another followed",
-                    () -> line(fleet).count(Metric.ENDPOINT_LIST_POLLS) > 1
-                            && line(fleet).count(Metric.ENDPOINT_LIST_POLL_FAILURES) > 0);
+                    () -> line(fixture).count(Metric.ENDPOINT_LIST_POLLS) > 1
+                            && line(fixture).count(Metric.ENDPOINT_LIST_POLL_FAILURES) > 0);
         }
     }
 
     @Test
     void linesAreWrittenAtIntervals() throws Exception {
-        try (Fleet fleet = new Fleet().start()) {
+        try (ProxyFixture fixture = new ProxyFixture().start()) {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            fleet.proxy
+            fixture.proxy
                     .metricsLog(new PrintStream(out, true, StandardCharsets.UTF_8))
-                    .start(fleet.proxy.loop(), 5);
+                    .start(fixture.proxy.loop(), 5);
             Await.until(
                     "two complete lines are logged",
                     () -> out.toString(StandardCharsets.UTF_8)
--- a/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
+++ b/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
@@ -37,7 +37,7 @@
     }
 
     private static JsonObject host(String name, FakeServer node, String health) {
-        return Fleet.host(name, "node-fast", node.dial(), health);
+        return ProxyFixture.host(name, "node-fast", node.dial(), health);
     }
 
     private static String list(long version, boolean whole, JsonObject... hosts) {
@@ -45,7 +45,7 @@
         for (JsonObject host : hosts) {
             all.add(host);
         }
-        return Fleet.list(version, whole, all).toString();
+        return ProxyFixture.list(version, whole, all).toString();
     }
 
     private String newer() {
@@ -56,17 +56,17 @@
         return list(42, true, host(DRAINED, drained, "up"), host(STAYS, stays, "up"), host(JOINS, stays, "up"));
     }
 
-    private Fleet fleet(FakeServer discovery) {
-        return new Fleet()
+    private ProxyFixture fixture(FakeServer discovery) {
+        return new ProxyFixture()
                 .discovery(discovery)
                 .host(host(DRAINED, drained, "up"))
                 .host(host(STAYS, stays, "up"))
                 .set("caps.connect-timeout", "100.0");
     }
 
-    private void readAll(Fleet fleet) throws IOException {
+    private void readAll(ProxyFixture fixture) throws IOException {
         drained.commands.clear();
-        try (Fleet.Client client = fleet.client()) {
+        try (ProxyFixture.Client client = fixture.client()) {
             for (int key = 0; key < KEYS; key++) {
                 client.send("mg %x v O%x Pc=text,d=20000\r\n".formatted(key, ++requests));
                 assertThat(client.line()).startsWith("VA 5 ");
@@ -88,11 +88,11 @@
                 }
             }
         });
-        try (Fleet fleet = fleet(discovery).start()) {
+        try (ProxyFixture fixture = fixture(discovery).start()) {
             Await.until(
                     "the older list is in use, which has one more server",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.status().discoveredNodes()) == 3);
-            readAll(fleet);
+                    () -> fixture.onEventLoop(() -> fixture.proxy.status().discoveredNodes()) == 3);
+            readAll(fixture);
             assertThat(drained.commands).as("reads of the drained server").isEmpty();
         }
     }
@@ -110,7 +110,7 @@
                 c.sendHttp(200, "", request.contains("since=44&") ? older() : newer());
             }
         });
-        try (Fleet fleet = fleet(discovery).start()) {
+        try (ProxyFixture fixture = fixture(discovery).start()) {
             Await.until("discovery has received enough polls", () -> {
                 synchronized (calledNanos) {
                     return calledNanos.size() > calls;
@@ -118,7 +118,7 @@
             });
             double ms = (calledNanos.get(calls) - calledNanos.get(0)) / 1e6;
             assertThat(ms).as("milliseconds for %d polls", calls).isGreaterThan(calls * 80.0);
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.status().discoveredNodes()))
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.status().discoveredNodes()))
                     .isBetween(2, 3);
         }
     }
--- a/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorAnswersTest.java
@@ -85,18 +85,18 @@
 
     @Test
     void proxyWithAllFeaturesAnswersAsPinned() throws Exception {
-        try (Fleet fleet = new Fleet().node("127.0.0.1:9").origin("127.0.0.1:9")) {
-            fleet.config.add("known", fleet.initialList());
-            fleet.config.addProperty("name", "proxy-3"); // the instance that the stored state belongs to
+        try (ProxyFixture fixture = new ProxyFixture().node("127.0.0.1:9").origin("127.0.0.1:9")) {
+            fixture.config.add("known", fixture.initialList());
+            fixture.config.addProperty("name", "proxy-3"); // the instance that the stored state belongs to
             Path kept = Files.createDirectory(folder.resolve("kept"));
             for (String file : new String[] {"snapshot", "journal"}) {
                 Files.write(kept.resolve(file), GoldenFile.bytes("state/journal-torn/" + file));
             }
-            fleet.proxy = Proxy.start(Config.parse(fleet.config), null, new StateLocation(kept, "edge"));
-            fleet.proxy.joinFleet(new FleetFeatures(true, true, true));
-            ControlRegistry registry = fleet.onEventLoop(() -> ProxyControl.registry(fleet.proxy));
+            fixture.proxy = Proxy.start(Config.parse(fixture.config), null, new StateLocation(kept, "edge"));
+            fixture.proxy.joinFleet(new FleetFeatures(true, true, true));
+            ControlRegistry registry = fixture.onEventLoop(() -> ProxyControl.registry(fixture.proxy));
             Path path = folder.resolve("c");
-            try (ControlServer server = new ControlServer(fleet.proxy.loop(), path, registry);
+            try (ControlServer server = new ControlServer(fixture.proxy.loop(), path, registry);
                     ControlClient client = new ControlClient(path)) {
                 Await.until("the process serves", () -> stage(client).equals("serving"));
                 GoldenFile.assertJson("operators/status.json", answer(client, "status", ""));
@@ -132,7 +132,8 @@
                 }
                 GoldenFile.assertJson("operators/commands.json", others);
             }
-            try (AdminPort port = new AdminPort(fleet.proxy.loop(), new InetSocketAddress("127.0.0.1", 0), registry)) {
+            try (AdminPort port =
+                    new AdminPort(fixture.proxy.loop(), new InetSocketAddress("127.0.0.1", 0), registry)) {
                 StringBuilder all = new StringBuilder();
                 for (String call : new String[] {"HEALTH", "HANDOVER", "DUMP", "STATUS", ""}) {
                     all.append("> ").append(call).append('\n').append(call(port, call));
@@ -153,10 +154,11 @@
 
     @Test
     void proxyWithoutFeaturesAnswersAsPinned() throws Exception {
-        try (Fleet fleet = new Fleet().node("127.0.0.1:9").origin("127.0.0.1:9").start()) {
-            ControlRegistry registry = fleet.onEventLoop(() -> ProxyControl.registry(fleet.proxy));
+        try (ProxyFixture fixture =
+                new ProxyFixture().node("127.0.0.1:9").origin("127.0.0.1:9").start()) {
+            ControlRegistry registry = fixture.onEventLoop(() -> ProxyControl.registry(fixture.proxy));
             Path path = folder.resolve("c");
-            try (ControlServer server = new ControlServer(fleet.proxy.loop(), path, registry);
+            try (ControlServer server = new ControlServer(fixture.proxy.loop(), path, registry);
                     ControlClient client = new ControlClient(path)) {
                 JsonObject all = new JsonObject();
                 for (String ask : new String[] {"status", "view", "zone"}) {
@@ -170,13 +172,13 @@
     /** The routing section of a proxy with routes; the counters of an unused route are zero anyway. */
     @Test
     void routingSectionIsAsPinned() throws Exception {
-        Fleet fleet = new Fleet().node("127.0.0.1:9").origin("127.0.0.1:9");
-        fleet.routing = RoutesTest.routing("pool one { host = \"s-00000001\" } route a { key = \"a*\" pool = one }");
-        try (fleet) {
-            fleet.start();
-            ControlRegistry registry = fleet.onEventLoop(() -> ProxyControl.registry(fleet.proxy));
+        ProxyFixture fixture = new ProxyFixture().node("127.0.0.1:9").origin("127.0.0.1:9");
+        fixture.routing = RoutesTest.routing("pool one { host = \"s-00000001\" } route a { key = \"a*\" pool = one }");
+        try (fixture) {
+            fixture.start();
+            ControlRegistry registry = fixture.onEventLoop(() -> ProxyControl.registry(fixture.proxy));
             Path path = folder.resolve("c");
-            try (ControlServer server = new ControlServer(fleet.proxy.loop(), path, registry);
+            try (ControlServer server = new ControlServer(fixture.proxy.loop(), path, registry);
                     ControlClient client = new ControlClient(path)) {
                 JsonObject routing =
                         answer(client, "status", "").getAsJsonObject().getAsJsonObject("routing");
--- a/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
@@ -49,14 +49,14 @@
         try (DatagramSocket peer = new DatagramSocket(0, local);
                 DatagramSocket all = new DatagramSocket(0, local);
                 DatagramSocket stranger = new DatagramSocket(0, local)) {
-            Fleet fleet = new Fleet();
+            ProxyFixture fixture = new ProxyFixture();
             JsonArray peers = new JsonArray();
             peers.add("127.0.0.1:1");
             peers.add(text(peer));
-            fleet.config.add("peers", peers);
-            fleet.config.addProperty("peers_all", text(all));
-            fleet.config.addProperty("peer_listen", "127.0.0.1:0");
-            Config config = Config.parse(fleet.config);
+            fixture.config.add("peers", peers);
+            fixture.config.addProperty("peers_all", text(all));
+            fixture.config.addProperty("peer_listen", "127.0.0.1:0");
+            Config config = Config.parse(fixture.config);
             EventLoop loop = group.next();
             Counters counters = new Counters();
             LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
--- a/src/test/java/cacheproxy/proxy/PeerListIT.java
+++ b/src/test/java/cacheproxy/proxy/PeerListIT.java
@@ -47,7 +47,7 @@
     }
 
     private static JsonObject host(String name, FakeServer node, String health) {
-        return Fleet.host(name, "node-fast", node.dial(), health);
+        return ProxyFixture.host(name, "node-fast", node.dial(), health);
     }
 
     private static String list(long version, JsonElement... hosts) {
@@ -55,7 +55,7 @@
         for (JsonElement host : hosts) {
             changed.add(host);
         }
-        return Fleet.list(version, false, changed).toString();
+        return ProxyFixture.list(version, false, changed).toString();
     }
 
     /**
@@ -82,7 +82,7 @@
     }
 
     private ServeProcess proxy(int me, int port, FakeServer discovery, int... peerPorts) throws IOException {
-        Fleet fleet = new Fleet()
+        ProxyFixture fixture = new ProxyFixture()
                 .host(host(RELEASED, released, "up"))
                 .host(host(STAYS, stays, "up"))
                 .host(host(DRAINS_LATER, drainsLater, "up"))
@@ -93,14 +93,14 @@
         for (int peer : peerPorts) {
             peers.add("127.0.0.1:" + peer);
         }
-        fleet.config.addProperty("name", "n" + me);
-        fleet.config.addProperty("listen", "127.0.0.1:" + port);
-        fleet.config.addProperty("discovery", discovery.dial());
-        fleet.config.add("known", fleet.initialList());
-        fleet.config.add("peers", peers);
-        fleet.config.addProperty("peers_all", "127.0.0.1:" + peerPorts[1 - me]);
-        fleet.config.addProperty("peer_listen", "127.0.0.1:" + peerPorts[me]);
-        return new ServeProcess(folder, "n" + me, fleet.config.toString(), Map.of());
+        fixture.config.addProperty("name", "n" + me);
+        fixture.config.addProperty("listen", "127.0.0.1:" + port);
+        fixture.config.addProperty("discovery", discovery.dial());
+        fixture.config.add("known", fixture.initialList());
+        fixture.config.add("peers", peers);
+        fixture.config.addProperty("peers_all", "127.0.0.1:" + peerPorts[1 - me]);
+        fixture.config.addProperty("peer_listen", "127.0.0.1:" + peerPorts[me]);
+        return new ServeProcess(folder, "n" + me, fixture.config.toString(), Map.of());
     }
 
     /** Clears the servers' recorded commands and reads each key once. */
--- a/src/test/java/cacheproxy/proxy/ProcessFigures.java
+++ b/src/test/java/cacheproxy/proxy/ProcessFigures.java
@@ -46,7 +46,7 @@
         FakeServer node = FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + "\r\nhello\r\n");
         CountDownLatch change = new CountDownLatch(1);
         FakeServer[] discovery = new FakeServer[1];
-        String list = Fleet.list(42, true, LargeList.hosts(size, i -> node.dial(), node.dial()))
+        String list = ProxyFixture.list(42, true, LargeList.hosts(size, i -> node.dial(), node.dial()))
                 .toString();
         discovery[0] = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
@@ -114,17 +114,17 @@
     }
 
     private static JsonObject config(int size, int port, FakeServer discovery, FakeServer node) {
-        Fleet fleet = new Fleet();
-        fleet.config.addProperty("listen", "127.0.0.1:" + port);
-        fleet.config.addProperty("discovery", discovery.dial());
+        ProxyFixture fixture = new ProxyFixture();
+        fixture.config.addProperty("listen", "127.0.0.1:" + port);
+        fixture.config.addProperty("discovery", discovery.dial());
         JsonObject limits = new JsonObject();
         limits.addProperty("cores", 1.0);
         limits.addProperty("memory_mb", 192);
         limits.addProperty("sockets", 1024);
-        fleet.config.add("limits", limits);
-        LargeList.peers(fleet.config, size);
-        fleet.config.add("known", Fleet.list(41, true, LargeList.hosts(size, i -> node.dial(), node.dial())));
-        return fleet.config;
+        fixture.config.add("limits", limits);
+        LargeList.peers(fixture.config, size);
+        fixture.config.add("known", ProxyFixture.list(41, true, LargeList.hosts(size, i -> node.dial(), node.dial())));
+        return fixture.config;
     }
 
     private static void awaitReady(Process process, int port) throws Exception {
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/ProxyFixture.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.CountDownLatch;
 
 /** A proxy under test on loopback sockets, with the fake servers and the clients that a test adds. */
-final class Fleet implements AutoCloseable {
+final class ProxyFixture implements AutoCloseable {
     static final String SETTINGS = String.join(
             "\n",
             "balancers=1",
@@ -86,7 +86,7 @@
     /** The routes, or null for none; a test may replace them before a reload. */
     volatile Routing routing;
 
-    Fleet() {
+    ProxyFixture() {
         config.addProperty("name", "n0");
         config.addProperty("listen", "127.0.0.1:0");
         config.addProperty("discovery", "127.0.0.1:9");
@@ -94,7 +94,7 @@
         settings(SETTINGS);
     }
 
-    Fleet settings(String lines) {
+    ProxyFixture settings(String lines) {
         JsonObject settings = new JsonObject();
         for (String line : lines.split("\n")) {
             settings.addProperty(line.substring(0, line.indexOf('=')), line.substring(line.indexOf('=') + 1));
@@ -103,12 +103,12 @@
         return this;
     }
 
-    Fleet set(String path, String value) {
+    ProxyFixture set(String path, String value) {
         config.getAsJsonObject("settings").addProperty(path, value);
         return this;
     }
 
-    Fleet memory(int megabytes) {
+    ProxyFixture memory(int megabytes) {
         JsonObject limits = new JsonObject();
         limits.addProperty("memory_mb", megabytes);
         config.add("limits", limits);
@@ -137,41 +137,41 @@
         return list;
     }
 
-    Fleet node(FakeServer server) {
+    ProxyFixture node(FakeServer server) {
         hosts.add(host("s-%08x".formatted(hosts.size() + 1), "node-fast", server.dial(), "up"));
         parts.add(server);
         return this;
     }
 
-    Fleet node(String dial) {
+    ProxyFixture node(String dial) {
         hosts.add(host("s-%08x".formatted(hosts.size() + 1), "node-fast", dial, "up"));
         return this;
     }
 
     /** Adds an entry to the endpoint list that the proxy starts with. */
-    Fleet host(JsonElement entry) {
+    ProxyFixture host(JsonElement entry) {
         hosts.add(entry);
         return this;
     }
 
-    Fleet origin(FakeServer server) {
+    ProxyFixture origin(FakeServer server) {
         parts.add(server);
         return origin(server.dial());
     }
 
-    Fleet origin(String dial) {
+    ProxyFixture origin(String dial) {
         hosts.add(host("s-0000aaaa", "origin", dial, "up"));
         return this;
     }
 
-    Fleet discovery(FakeServer server) {
+    ProxyFixture discovery(FakeServer server) {
         config.addProperty("discovery", server.dial());
         parts.add(server);
         return this;
     }
 
     /** Starts the proxy as the successor of the process that serves with this shared folder, if there is one. */
-    Fleet sharedFolder(Path folder) {
+    ProxyFixture sharedFolder(Path folder) {
         sharedFolder = folder;
         return this;
     }
@@ -181,7 +181,7 @@
         return list(41, true, hosts);
     }
 
-    Fleet start() throws InterruptedException, IOException {
+    ProxyFixture start() throws InterruptedException, IOException {
         config.add("known", initialList());
         proxy = sharedFolder != null
                 ? Proxy.start(Config.parse(config), sharedFolder)
--- a/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/RemainingTimeTest.java
@@ -21,7 +21,7 @@
         return Integer.parseInt(deadline.group(1));
     }
 
-    private static void write(Fleet.Client client, String kind, String id) throws Exception {
+    private static void write(ProxyFixture.Client client, String kind, String id) throws Exception {
         client.send("ms 7f3a9c21e0b4d655 5 O" + id + " Pk=5c0f6e1a2b3d4c59,c=" + kind + ",d=" + TIMEOUT_MS
                 + ",t=acme\r\nhello\r\n");
     }
@@ -38,12 +38,12 @@
                 c.sendHttp(200, "", "fetch");
             }
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(silent)
                         .origin(origin)
                         .set("classes.0.promise", "400.0")
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             client.send("mg 7f3a9c21e0b4d655 v O1 Pc=text,t=acme,d=" + TIMEOUT_MS + ",size=5\r\n");
             assertThat(client.line()).isEqualTo("VA 5 O1");
             assertThat(sentTimeoutMs(silent.nextCommand())).isBetween(TIMEOUT_MS - 5000, TIMEOUT_MS);
@@ -62,11 +62,11 @@
             c.request();
             c.sendHttp(200, "", "receipt");
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .origin(origin)
                         .set("classes.0.promise", "400.0")
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             write(client, "fix", "1");
             assertThat(client.line()).isEqualTo("HD O1 creceipt");
             int first = sentTimeoutMs(origin.nextCommand());
@@ -87,16 +87,16 @@
             }
         });
         try (origin;
-                Fleet fleet = new Fleet()
+                ProxyFixture fixture = new ProxyFixture()
                         .origin(origin.dial())
                         .set("caps.connect-timeout", "10000.0")
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             write(client, "fix", "1");
             Await.until(
                     "the request waits for the connection",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.status().openRequests() == 1
-                            && fleet.proxy.status().upstreamConnections() == 1));
+                    () -> fixture.onEventLoop(() -> fixture.proxy.status().openRequests() == 1
+                            && fixture.proxy.status().upstreamConnections() == 1));
             origin.open();
             assertThat(client.line()).isEqualTo("HD O1 creceipt");
             String extras = origin.commands.stream()
--- a/src/test/java/cacheproxy/proxy/RoutesTest.java
+++ b/src/test/java/cacheproxy/proxy/RoutesTest.java
@@ -39,28 +39,29 @@
         }
     }
 
-    private static String get(Fleet.Client client, String key, String id) throws Exception {
+    private static String get(ProxyFixture.Client client, String key, String id) throws Exception {
         client.send("mg " + key + " v O" + id + " Pc=text,d=20000\r\n");
         String head = client.line();
         return head.startsWith("VA") ? client.line() : head;
     }
 
-    private static Fleet fleet(String routes) {
-        Fleet fleet = new Fleet();
-        fleet.routing = routing(routes);
-        return fleet;
+    private static ProxyFixture fixture(String routes) {
+        ProxyFixture fixture = new ProxyFixture();
+        fixture.routing = routing(routes);
+        return fixture;
     }
 
     @Test
     void keysGoToTheirPoolsAndOthersToAll() throws Exception {
-        try (Fleet fleet = fleet(ROUTES).node(node("one")).node(node("two")).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        fixture(ROUTES).node(node("one")).node(node("two")).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 20; i++) {
                 assertThat(get(client, "a" + i, "a" + i)).isEqualTo("one");
                 assertThat(get(client, "b" + i, "b" + i)).isEqualTo("two");
                 assertThat(get(client, "c" + i, "c" + i)).isIn("one", "two");
             }
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.router().routes()))
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.router().routes()))
                     .extracting(RouteStatus::requests)
                     .containsExactly(20L, 20L, 20L);
         }
@@ -68,13 +69,14 @@
 
     @Test
     void aDeadPoolsReadsAreServedByTheFallback() throws Exception {
-        try (Fleet fleet = fleet(ROUTES).node("127.0.0.1:9").node(node("two")).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        fixture(ROUTES).node("127.0.0.1:9").node(node("two")).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 20; i++) {
                 assertThat(get(client, "a" + i, "a" + i)).isEqualTo("two");
             }
-            assertThat(fleet.onEventLoop(
-                            () -> fleet.proxy.router().routes().get(0).fallbacks()))
+            assertThat(fixture.onEventLoop(
+                            () -> fixture.proxy.router().routes().get(0).fallbacks()))
                     .isEqualTo(20);
         }
     }
@@ -89,12 +91,12 @@
         });
         String routes = "pool none { host = \"nobody\" } pool two { host = \"s-00000002\" } "
                 + "route a { key = \"a*\" pool = none fallback = two } route b { key = \"b*\" pool = none }";
-        try (Fleet fleet = fleet(routes)
+        try (ProxyFixture fixture = fixture(routes)
                         .node(node("one"))
                         .node(node("two"))
                         .origin(origin)
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             assertThat(get(client, "a1", "1")).isEqualTo("two");
             assertThat(origin.commands).isEmpty();
             assertThat(get(client, "b1", "2")).as("without a fallback").isEqualTo("origin");
@@ -105,17 +107,17 @@
     @Test
     void aPossiblyExecutedWriteIsNotSentToTheFallback() throws Exception {
         FakeServer origin = new FakeServer(c -> c.request()); // then closes the connection
-        try (Fleet fleet = fleet(ROUTES)
+        try (ProxyFixture fixture = fixture(ROUTES)
                         .node(node("one"))
                         .node(node("two"))
                         .origin(origin)
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             client.send("ms a1 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(origin.commands).hasSize(1);
-            assertThat(fleet.onEventLoop(
-                            () -> fleet.proxy.router().routes().get(0).fallbacks()))
+            assertThat(fixture.onEventLoop(
+                            () -> fixture.proxy.router().routes().get(0).fallbacks()))
                     .isZero();
         }
     }
@@ -129,17 +131,17 @@
                 c.send("VA 3 O" + FakeServer.id(line) + " h1\r\none\r\n");
             }
         });
-        try (Fleet fleet = fleet(ROUTES).node(one).node(node("two")).start();
-                Fleet.Client before = fleet.client()) {
+        try (ProxyFixture fixture = fixture(ROUTES).node(one).node(node("two")).start();
+                ProxyFixture.Client before = fixture.client()) {
             before.send("mg a1 v O1 Pc=text,d=20000\r\n");
             one.nextCommand();
-            fleet.routing = routing(POOLS.substring(POOLS.indexOf("pool two")) + "route all { pool = two }");
-            fleet.reload();
+            fixture.routing = routing(POOLS.substring(POOLS.indexOf("pool two")) + "route all { pool = two }");
+            fixture.reload();
             Await.until(
                     "the new routes are in use",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.router().version()) == 2);
-            assertThat(get(fleet.client(), "a1", "2")).isEqualTo("two");
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.router().pools()))
+                    () -> fixture.onEventLoop(() -> fixture.proxy.router().version()) == 2);
+            assertThat(get(fixture.client(), "a1", "2")).isEqualTo("two");
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.router().pools()))
                     .extracting(PoolStatus::name)
                     .containsExactly("", "one", "two");
             release.countDown();
@@ -147,22 +149,26 @@
             assertThat(before.line()).isEqualTo("one");
             Await.until(
                     "the removed pool is closed",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.router().pools()).size() == 2);
+                    () -> fixture.onEventLoop(() -> fixture.proxy.router().pools())
+                                    .size()
+                            == 2);
         }
     }
 
     @Test
     void invalidRoutesChangeNothing() throws Exception {
-        try (Fleet fleet = fleet(ROUTES).node(node("one")).node(node("two")).start()) {
-            fleet.routing = null; // loading routes fails
-            fleet.reload();
-            assertThat(get(fleet.client(), "a1", "1")).isEqualTo("one");
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.router().version())).isEqualTo(1);
-            fleet.routing = routing(ROUTES);
-            fleet.reload();
+        try (ProxyFixture fixture =
+                fixture(ROUTES).node(node("one")).node(node("two")).start()) {
+            fixture.routing = null; // loading routes fails
+            fixture.reload();
+            assertThat(get(fixture.client(), "a1", "1")).isEqualTo("one");
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.router().version()))
+                    .isEqualTo(1);
+            fixture.routing = routing(ROUTES);
+            fixture.reload();
             Await.until(
                     "the next hold",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.router().version()) == 2);
+                    () -> fixture.onEventLoop(() -> fixture.proxy.router().version()) == 2);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -34,22 +34,22 @@
     @Test
     void nothingIsSentForAClientThatDisconnectedWhileTheEventLoopWasBlocked() throws Exception {
         FakeServer node = answersOnly("2");
-        try (Fleet fleet =
-                new Fleet().node(node).set("caps.may-cancel", "false").start()) {
-            Fleet.Client gone = fleet.client().read("1");
+        try (ProxyFixture fixture =
+                new ProxyFixture().node(node).set("caps.may-cancel", "false").start()) {
+            ProxyFixture.Client gone = fixture.client().read("1");
             assertThat(FakeServer.id(node.nextCommand())).isEqualTo("1");
-            int server = fleet.onEventLoop(
-                    () -> fleet.proxy.dispatcher().servers().cacheNodes().get(0).id);
+            int server = fixture.onEventLoop(
+                    () -> fixture.proxy.dispatcher().servers().cacheNodes().get(0).id);
             CountDownLatch paused = new CountDownLatch(1);
             CountDownLatch release = new CountDownLatch(1);
-            fleet.proxy.loop().execute(() -> {
+            fixture.proxy.loop().execute(() -> {
                 paused.countDown();
                 try {
                     release.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                fleet.proxy
+                fixture.proxy
                         .dispatcher()
                         .routingActions()
                         .send(1, server, 0); // as a routing timer would, before the disconnect is read
@@ -61,15 +61,17 @@
             release.countDown();
             Await.until(
                     "the disconnect is noticed",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 0);
-            try (Fleet.Client next = fleet.client().read("2")) {
+                    () -> fixture.onEventLoop(() -> fixture.proxy.dispatcher().openRequests()) == 0);
+            try (ProxyFixture.Client next = fixture.client().read("2")) {
                 assertThat(FakeServer.id(node.nextCommand())).isEqualTo("2");
                 assertThat(next.line()).isEqualTo("VA 5 O2");
             }
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.dispatcher().rules().forbidden())
+            assertThat(fixture.onEventLoop(
+                                    () -> fixture.proxy.dispatcher().rules().forbidden())
                             .keySet())
                     .isSubsetOf(Verdict.CLIENT_DISCONNECTED);
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.dispatcher().rules().violations()))
+            assertThat(fixture.onEventLoop(
+                            () -> fixture.proxy.dispatcher().rules().violations()))
                     .isEmpty();
         }
     }
@@ -79,18 +81,18 @@
         for (int i = 0; i < many; i++) {
             reads.append("mg 7f3a9c21e0b4d655 v O").append(i).append(" Pc=text,d=20000\r\n");
         }
-        try (Fleet fleet = new Fleet().node(answersOnly("none")).start()) {
-            Fleet.Client client = fleet.client().send(reads.toString());
+        try (ProxyFixture fixture = new ProxyFixture().node(answersOnly("none")).start()) {
+            ProxyFixture.Client client = fixture.client().send(reads.toString());
             Await.until(
                     "the maximum number of requests is open",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 32);
+                    () -> fixture.onEventLoop(() -> fixture.proxy.dispatcher().openRequests()) == 32);
             long since = System.nanoTime();
             client.close();
             Await.until(
                     "the disconnect is noticed",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.dispatcher().openRequests()) == 0);
+                    () -> fixture.onEventLoop(() -> fixture.proxy.dispatcher().openRequests()) == 0);
             assertThat(System.nanoTime() - since).isLessThan(SOON_NANOS);
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().openConnections()))
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.clientAcceptor().openConnections()))
                     .isZero();
         }
     }
@@ -111,12 +113,14 @@
     @Test
     void aConnectionThatItsServerMayBeClosingIsNotUsed() throws Exception {
         FakeServer node = FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
-        try (Fleet fleet =
-                        new Fleet().node(node).set("caps.idle-close", "1000.0").start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture()
+                        .node(node)
+                        .set("caps.idle-close", "1000.0")
+                        .start();
+                ProxyFixture.Client client = fixture.client()) {
             assertThat(client.read("1").line()).isEqualTo("VA 5 O1");
             client.line();
-            CountDownLatch release = fleet.pauseEventLoop();
+            CountDownLatch release = fixture.pauseEventLoop();
             long since = System.nanoTime();
             client.read("2");
             Await.until(
@@ -134,18 +138,19 @@
             c.request();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             origin.nextCommand();
-            fleet.onEventLoop(() -> {
-                fleet.proxy.dispatcher().routingActions().reject(1, 0);
+            fixture.onEventLoop(() -> {
+                fixture.proxy.dispatcher().routingActions().reject(1, 0);
                 return null;
             });
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.dispatcher().rules().violations()))
+            assertThat(fixture.onEventLoop(
+                            () -> fixture.proxy.dispatcher().rules().violations()))
                     .containsEntry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED, 1L);
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.ruleCounts()).violations())
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.ruleCounts()).violations())
                     .as("counts in status and metrics")
                     .containsExactly(Map.entry(RuleViolation.REJECTED_THOUGH_MAYBE_EXECUTED.key(), 1L));
         }
@@ -154,15 +159,16 @@
     @Test
     void anAttemptAtAnUnlistedServerIsNotSent() throws Exception {
         FakeServer node = answersOnly("none");
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             node.nextCommand();
-            fleet.onEventLoop(() -> {
-                fleet.proxy.dispatcher().routingActions().send(1, 12345, 0);
+            fixture.onEventLoop(() -> {
+                fixture.proxy.dispatcher().routingActions().send(1, 12345, 0);
                 return null;
             });
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.dispatcher().rules().forbidden()))
+            assertThat(fixture.onEventLoop(
+                            () -> fixture.proxy.dispatcher().rules().forbidden()))
                     .containsEntry(Verdict.ENDPOINT_NOT_READY, 1L);
         }
     }
--- a/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/SettingsReloadTest.java
@@ -33,13 +33,13 @@
         return FakeServer.node(line -> "VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
     }
 
-    private static Fleet fleet(FakeServer node) throws Exception {
-        Fleet fleet = new Fleet();
-        fleet.config.add("settings", settings());
-        fleet.config.getAsJsonObject("settings").add("zones", JsonParser.parseString("[\"east\"]"));
-        fleet.config.getAsJsonObject("settings").add("kinds", JsonParser.parseString("[\"node-fast\",\"origin\"]"));
-        fleet.config.getAsJsonObject("settings").getAsJsonObject("extra").addProperty("origin-kind", 1);
-        return fleet.node(node);
+    private static ProxyFixture fixture(FakeServer node) throws Exception {
+        ProxyFixture fixture = new ProxyFixture();
+        fixture.config.add("settings", settings());
+        fixture.config.getAsJsonObject("settings").add("zones", JsonParser.parseString("[\"east\"]"));
+        fixture.config.getAsJsonObject("settings").add("kinds", JsonParser.parseString("[\"node-fast\",\"origin\"]"));
+        fixture.config.getAsJsonObject("settings").getAsJsonObject("extra").addProperty("origin-kind", 1);
+        return fixture.node(node);
     }
 
     private static JsonArray classes(JsonObject config) {
@@ -52,11 +52,11 @@
         return c;
     }
 
-    private static ProxyStatus status(Fleet fleet) {
-        return fleet.onEventLoop(fleet.proxy::status);
+    private static ProxyStatus status(ProxyFixture fixture) {
+        return fixture.onEventLoop(fixture.proxy::status);
     }
 
-    private static String ask(Fleet.Client client, String id, String kind) throws Exception {
+    private static String ask(ProxyFixture.Client client, String id, String kind) throws Exception {
         String line = client.send("mg 7f3a9c21e0b4d655 v O" + id + " Pc=" + kind + ",d=20000\r\n")
                 .line();
         if (line.startsWith("VA")) {
@@ -67,17 +67,17 @@
 
     @Test
     void classesAreAddedAndRemoved() throws Exception {
-        try (Fleet fleet = fleet(node()).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = fixture(node()).start();
+                ProxyFixture.Client client = fixture.client()) {
             assertThat(ask(client, "1", "seg-text")).startsWith("VA");
             assertThat(ask(client, "2", "seg-new")).startsWith("CLIENT_ERROR");
-            JsonObject old = classes(fleet.config).get(0).getAsJsonObject();
-            classes(fleet.config).set(0, kind(old, "seg-new"));
-            fleet.reload();
+            JsonObject old = classes(fixture.config).get(0).getAsJsonObject();
+            classes(fixture.config).set(0, kind(old, "seg-new"));
+            fixture.reload();
             assertThat(ask(client, "3", "seg-new")).startsWith("VA");
             assertThat(ask(client, "4", "seg-text")).startsWith("CLIENT_ERROR");
-            assertThat(status(fleet).reloadsApplied()).isEqualTo(1);
-            assertThat(status(fleet).outcomesByClass())
+            assertThat(status(fixture).reloadsApplied()).isEqualTo(1);
+            assertThat(status(fixture).outcomesByClass())
                     .containsEntry("seg-text", new ClassOutcomes(1, 0, 1))
                     .containsEntry("seg-new", new ClassOutcomes(1, 0, 0));
         }
@@ -92,15 +92,15 @@
                 c.send("VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
             }
         });
-        try (Fleet fleet = fleet(slow).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = fixture(slow).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send("mg 7f3a9c21e0b4d655 v O1 Pc=seg-text,d=20000\r\n");
             slow.nextCommand();
-            classes(fleet.config).set(0, kind(classes(fleet.config).get(0).getAsJsonObject(), "seg-new"));
-            fleet.reload();
+            classes(fixture.config).set(0, kind(classes(fixture.config).get(0).getAsJsonObject(), "seg-new"));
+            fixture.reload();
             release.countDown();
             assertThat(client.line()).isEqualTo("VA 2 O1");
-            assertThat(status(fleet).outcomesByClass()).containsEntry("seg-text", new ClassOutcomes(1, 0, 0));
+            assertThat(status(fixture).outcomesByClass()).containsEntry("seg-text", new ClassOutcomes(1, 0, 0));
         }
     }
 
@@ -111,11 +111,11 @@
             c.reset();
         });
         FakeServer misses = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
-        try (Fleet fleet = fleet(misses).origin(resets).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = fixture(misses).origin(resets).start();
+                ProxyFixture.Client client = fixture.client()) {
             assertThat(ask(client, "1", "seg-text")).as("safe to retry").startsWith("SERVER_ERROR busy");
-            classes(fleet.config).get(0).getAsJsonObject().addProperty("idempotency", "fragile");
-            fleet.reload();
+            classes(fixture.config).get(0).getAsJsonObject().addProperty("idempotency", "fragile");
+            fixture.reload();
             assertThat(ask(client, "2", "seg-text"))
                     .as("may have been executed")
                     .isEqualTo("SERVER_ERROR failed");
@@ -131,37 +131,37 @@
             c.reset();
         });
         FakeServer other = node();
-        try (Fleet fleet = fleet(slow).node(other).start()) {
-            List<Fleet.Client> clients = new ArrayList<>();
+        try (ProxyFixture fixture = fixture(slow).node(other).start()) {
+            List<ProxyFixture.Client> clients = new ArrayList<>();
             for (int i = 0; i < 8; i++) { // some of these keys belong to the slow node
-                Fleet.Client client = fleet.client();
+                ProxyFixture.Client client = fixture.client();
                 client.send("mg 7f3a9c21e0b4d65" + i + " v O" + i + " Pc=seg-text,d=20000\r\n");
                 clients.add(client);
             }
             slow.nextCommand();
-            Await.until("each has been sent once", () -> status(fleet).forwardedAttempts() == clients.size());
-            fleet.config.getAsJsonObject("settings").getAsJsonObject("caps").addProperty("max-attempts", 1);
-            fleet.reload();
-            long before = status(fleet).forwardedAttempts();
+            Await.until("each has been sent once", () -> status(fixture).forwardedAttempts() == clients.size());
+            fixture.config.getAsJsonObject("settings").getAsJsonObject("caps").addProperty("max-attempts", 1);
+            fixture.reload();
+            long before = status(fixture).forwardedAttempts();
             release.countDown();
-            for (Fleet.Client client : clients) {
+            for (ProxyFixture.Client client : clients) {
                 assertThat(client.line()).matches("VA .*|SERVER_ERROR busy.*");
             }
-            assertThat(status(fleet).forwardedAttempts()).isEqualTo(before);
+            assertThat(status(fixture).forwardedAttempts()).isEqualTo(before);
         }
     }
 
     @Test
     void invalidFilesChangeNothingAndAreCounted() throws Exception {
-        try (Fleet fleet = fleet(node()).start()) {
-            String good = fleet.config.toString();
+        try (ProxyFixture fixture = fixture(node()).start()) {
+            String good = fixture.config.toString();
             int broken = 0;
             for (int cut = 0; cut < good.length(); cut += 7) {
-                fleet.reload(good.substring(0, cut));
+                fixture.reload(good.substring(0, cut));
                 broken++;
             }
             List<Consumer<JsonObject>> changes = new ArrayList<>();
-            addKeyRemovals(fleet.config, changes);
+            addKeyRemovals(fixture.config, changes);
             for (String figure : new String[] {"deadline", "promise"}) {
                 for (String value : new String[] {"0", "-1", "null", "\"x\"", "\"NaN\"", "1e999"}) {
                     changes.add(c -> classes(c).get(0).getAsJsonObject().add(figure, JsonParser.parseString(value)));
@@ -179,17 +179,17 @@
             for (Consumer<JsonObject> change : changes) {
                 JsonObject copy = JsonParser.parseString(good).getAsJsonObject();
                 change.accept(copy);
-                fleet.reload(copy.toString());
+                fixture.reload(copy.toString());
                 broken++;
-                assertThat(status(fleet).reloadsRejected()).as("%s", copy).isEqualTo(broken);
+                assertThat(status(fixture).reloadsRejected()).as("%s", copy).isEqualTo(broken);
             }
-            assertThat(status(fleet).reloadsApplied()).isZero();
+            assertThat(status(fixture).reloadsApplied()).isZero();
             // Connected only now: the proxy closes a client that stays silent through the reloads above.
-            try (Fleet.Client client = fleet.client()) {
+            try (ProxyFixture.Client client = fixture.client()) {
                 assertThat(ask(client, "1", "seg-text")).startsWith("VA");
             }
-            fleet.reload(good);
-            assertThat(status(fleet).reloadsApplied()).isEqualTo(1);
+            fixture.reload(good);
+            assertThat(status(fixture).reloadsApplied()).isEqualTo(1);
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/SharedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/SharedClientsTest.java
@@ -12,29 +12,32 @@
  */
 @Timeout(60)
 class SharedClientsTest {
-    private static int closeMostRecentlyUsed(Fleet fleet, int many) {
-        return fleet.onEventLoop(() -> {
-            int before = fleet.proxy.clientAcceptor().idleConnections();
-            fleet.proxy.clientAcceptor().closeMostRecentlyUsed(many);
-            return before - fleet.proxy.clientAcceptor().idleConnections();
+    private static int closeMostRecentlyUsed(ProxyFixture fixture, int many) {
+        return fixture.onEventLoop(() -> {
+            int before = fixture.proxy.clientAcceptor().idleConnections();
+            fixture.proxy.clientAcceptor().closeMostRecentlyUsed(many);
+            return before - fixture.proxy.clientAcceptor().idleConnections();
         });
     }
 
     @Test
     void onlyAnsweredConnectionsAreClosedMostRecentlyUsedFirst() throws Exception {
-        try (Fleet fleet = new Fleet().start();
-                Fleet.Client first = fleet.client();
-                Fleet.Client last = fleet.client()) {
-            for (Fleet.Client c : new Fleet.Client[] {first, last}) {
+        try (ProxyFixture fixture = new ProxyFixture().start();
+                ProxyFixture.Client first = fixture.client();
+                ProxyFixture.Client last = fixture.client()) {
+            for (ProxyFixture.Client c : new ProxyFixture.Client[] {first, last}) {
                 assertThat(c.send("mn\r\n").line()).isEqualTo("MN");
             }
-            Fleet.Client silent = fleet.client(); // connected only now: the proxy closes a client that stays silent
+            ProxyFixture.Client silent =
+                    fixture.client(); // connected only now: the proxy closes a client that stays silent
             Await.until(
                     "all are idle",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
-            assertThat(closeMostRecentlyUsed(fleet, 1)).isEqualTo(1);
+                    () -> fixture.onEventLoop(
+                                    () -> fixture.proxy.clientAcceptor().idleConnections())
+                            == 3);
+            assertThat(closeMostRecentlyUsed(fixture, 1)).isEqualTo(1);
             assertThat(last.isAtEnd()).isTrue();
-            assertThat(closeMostRecentlyUsed(fleet, 9)).isEqualTo(1);
+            assertThat(closeMostRecentlyUsed(fixture, 9)).isEqualTo(1);
             assertThat(first.isAtEnd()).isTrue();
             assertThat(silent.send("mn\r\n").line()).isEqualTo("MN");
         }
--- a/src/test/java/cacheproxy/proxy/StoppedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/StoppedClientsTest.java
@@ -21,14 +21,14 @@
     private static final int DRIP_MS = 400;
     private static final String WRITE = "ms 7f3a9c21e0b4d655 ";
 
-    private static Fleet fleet() throws Exception {
-        return new Fleet()
+    private static ProxyFixture fixture() throws Exception {
+        return new ProxyFixture()
                 .node(FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n"))
                 .start();
     }
 
     /** Whether the client gets an error or a close before this time; other answers are skipped. */
-    private static boolean isNotified(Fleet.Client client, long untilNanos) throws IOException {
+    private static boolean isNotified(ProxyFixture.Client client, long untilNanos) throws IOException {
         try {
             for (long left; (left = TimeUnit.NANOSECONDS.toMillis(untilNanos - System.nanoTime())) > 0; ) {
                 client.socket.setSoTimeout((int) left);
@@ -47,13 +47,13 @@
 
     private static List<String> unnotified(Map<String, byte[]> clients) throws Exception {
         List<String> unnotified = new ArrayList<>();
-        try (Fleet fleet = fleet()) {
-            Map<String, Fleet.Client> open = new LinkedHashMap<>();
+        try (ProxyFixture fixture = fixture()) {
+            Map<String, ProxyFixture.Client> open = new LinkedHashMap<>();
             for (Map.Entry<String, byte[]> client : clients.entrySet()) {
-                open.put(client.getKey(), fleet.client().send(client.getValue()));
+                open.put(client.getKey(), fixture.client().send(client.getValue()));
             }
             long until = System.nanoTime() + NOTIFICATION_NANOS;
-            for (Map.Entry<String, Fleet.Client> client : open.entrySet()) {
+            for (Map.Entry<String, ProxyFixture.Client> client : open.entrySet()) {
                 if (!isNotified(client.getValue(), until)) {
                     unnotified.add(client.getKey());
                 }
@@ -91,9 +91,9 @@
     @Test
     void aClientThatTricklesBytesIsNotifiedInTime() throws Exception {
         ScheduledExecutorService drip = Executors.newSingleThreadScheduledExecutor();
-        try (Fleet fleet = fleet()) {
-            Fleet.Client line = fleet.client().send("m");
-            Fleet.Client value = fleet.client().send(WRITE + "500 O1 Pc=fix,d=20000\r\n");
+        try (ProxyFixture fixture = fixture()) {
+            ProxyFixture.Client line = fixture.client().send("m");
+            ProxyFixture.Client value = fixture.client().send(WRITE + "500 O1 Pc=fix,d=20000\r\n");
             long until = System.nanoTime() + NOTIFICATION_NANOS;
             drip.scheduleAtFixedRate(
                     () -> {
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -66,8 +66,8 @@
                 c.send("\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1").read("2");
             for (String id : new String[] {"1", "2"}) {
                 assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O" + id);
@@ -140,7 +140,8 @@
                 c.send("\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).set("balancers", "60").start()) { // one connection per node
+        try (ProxyFixture fixture =
+                new ProxyFixture().node(node).set("balancers", "60").start()) { // one connection per node
             for (int i = 0; i < 3; i++) {
                 Full client = new Full();
                 RequestCommand read = new RequestCommand(
@@ -151,11 +152,11 @@
                         new RequestParameters("text", null, 20_000, Double.NaN, 0, false),
                         new DeadlineTemplate("c=text,d=", ""),
                         new DeadlineTemplate("mg 7f3a v O" + i + " Pc=text,d=", ""));
-                fleet.onEventLoop(() -> {
-                    fleet.proxy
+                fixture.onEventLoop(() -> {
+                    fixture.proxy
                             .dispatcher()
                             .accept(new ClientRequest(
-                                    client, read, fleet.proxy.dispatcher().now()));
+                                    client, read, fixture.proxy.dispatcher().now()));
                     return null;
                 });
                 next.release();
@@ -176,8 +177,8 @@
             c.awaitEnd();
         });
         FakeServer node = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
             assertThat(client.bytes(VALUE.length)).isEqualTo(VALUE);
@@ -196,8 +197,8 @@
             c.send("\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1").line();
             assertThat(client.bytes(1000)).hasSize(1000);
             seen.countDown();
@@ -222,8 +223,8 @@
         });
         long room = bufferCapacity();
         int values = (int) (2 * room / VALUE.length);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < values; i++) {
                 client.read(Integer.toString(i));
             }
@@ -248,12 +249,12 @@
             c.out.write(VALUE, 0, 100_000);
             c.out.flush();
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
             assertThat(client.bytes(VALUE.length).length).isLessThan(VALUE.length);
-            assertThat(fleet.client().send("mn\r\n").line()).isEqualTo("MN");
+            assertThat(fixture.client().send("mn\r\n").line()).isEqualTo("MN");
         }
     }
 
@@ -267,8 +268,8 @@
             c.awaitEnd();
             ended.countDown();
         });
-        try (Fleet fleet = new Fleet().node(node).start()) {
-            Fleet.Client client = fleet.client();
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start()) {
+            ProxyFixture.Client client = fixture.client();
             client.read("1").line();
             client.close();
             assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
--- a/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
+++ b/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
@@ -64,14 +64,14 @@
     }
 
     private static String config(int port, FakeServer... nodes) {
-        Fleet fleet = new Fleet();
+        ProxyFixture fixture = new ProxyFixture();
         JsonArray hosts = new JsonArray();
         for (FakeServer node : nodes) {
-            hosts.add(Fleet.host("s-0000000" + hosts.size(), "node-fast", node.dial(), "up"));
+            hosts.add(ProxyFixture.host("s-0000000" + hosts.size(), "node-fast", node.dial(), "up"));
         }
-        fleet.config.add("known", Fleet.list(41, true, hosts));
-        fleet.config.addProperty("listen", "127.0.0.1:" + port);
-        return fleet.config.toString();
+        fixture.config.add("known", ProxyFixture.list(41, true, hosts));
+        fixture.config.addProperty("listen", "127.0.0.1:" + port);
+        return fixture.config.toString();
     }
 
     private ServeProcess start(String config, String faults) throws IOException, InterruptedException {
--- a/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
+++ b/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
@@ -26,8 +26,8 @@
 class TakeoverSnapshotTest {
     private static JsonObject list() {
         JsonArray hosts = new JsonArray();
-        hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
-        return Fleet.list(43, true, hosts);
+        hosts.add(ProxyFixture.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
+        return ProxyFixture.list(43, true, hosts);
     }
 
     private static TakeoverSnapshot state() {
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -34,19 +34,21 @@
     }
 
     /** Starts the proxy at a fixed address, which its successor's configuration can name. */
-    private Fleet serving(FakeServer node) throws Exception {
-        Fleet fleet = new Fleet().node(node).sharedFolder(folder).start();
-        fleet.config.addProperty("listen", "127.0.0.1:" + fleet.proxy.address().getPort());
-        return fleet;
+    private ProxyFixture serving(FakeServer node) throws Exception {
+        ProxyFixture fixture =
+                new ProxyFixture().node(node).sharedFolder(folder).start();
+        fixture.config.addProperty(
+                "listen", "127.0.0.1:" + fixture.proxy.address().getPort());
+        return fixture;
     }
 
     private Path takeoverSocket() {
         return folder.resolve("takeover");
     }
 
-    private Proxy successor(Fleet fleet) throws Exception {
-        Proxy next = Proxy.start(Config.parse(fleet.config), folder);
-        fleet.parts.add(next::close);
+    private Proxy successor(ProxyFixture fixture) throws Exception {
+        Proxy next = Proxy.start(Config.parse(fixture.config), folder);
+        fixture.parts.add(next::close);
         return next;
     }
 
@@ -70,30 +72,30 @@
         return ending;
     }
 
-    private static void served(Fleet.Client client, String id) throws Exception {
+    private static void served(ProxyFixture.Client client, String id) throws Exception {
         assertThat(client.line()).isEqualTo("VA 2 O" + id);
         assertThat(client.line()).isEqualTo("hi");
     }
 
     @Test
     void aClientsConnectionOutlivesTheProcessThatAcceptedIt() throws Exception {
-        try (Fleet fleet = serving(node());
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = serving(node());
+                ProxyFixture.Client client = fixture.client()) {
             served(client.read("1"), "1");
-            Proxy next = successor(fleet);
+            Proxy next = successor(fixture);
             Await.until(
                     "the successor's report that it serves is accepted",
-                    () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+                    () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
             served(client.read("2"), "2");
-            assertThat(answered(fleet.proxy))
+            assertThat(answered(fixture.proxy))
                     .as("the old process still has its connections")
                     .isEqualTo(2);
-            Thread ending = end(fleet.proxy);
+            Thread ending = end(fixture.proxy);
             ending.join();
             served(client.read("3").read("4"), "3");
             served(client, "4");
             assertThat(answered(next)).isEqualTo(2);
-            served(fleet.client().read("5"), "5");
+            served(fixture.client().read("5"), "5");
         }
     }
 
@@ -106,15 +108,15 @@
                 c.send("VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
             }
         });
-        try (Fleet fleet = serving(slow);
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = serving(slow);
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             slow.nextCommand();
-            Proxy next = successor(fleet);
+            Proxy next = successor(fixture);
             Await.until(
                     "the successor's report that it serves is accepted",
-                    () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
-            Thread ending = end(fleet.proxy);
+                    () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
+            Thread ending = end(fixture.proxy);
             client.send("mg 7f3a9c21e0b4d655 v O2 Pc=te"); // an incomplete command keeps the connection with the old
             // process
             release.countDown();
@@ -122,7 +124,7 @@
             client.send("xt,d=20000\r\n");
             served(client, "2");
             ending.join();
-            assertThat(answered(fleet.proxy)).isEqualTo(2);
+            assertThat(answered(fixture.proxy)).isEqualTo(2);
             served(client.read("3"), "3");
             assertThat(answered(next)).isEqualTo(1);
         }
@@ -131,17 +133,19 @@
     /** A takeover does not restart the timeout of a silent client: it gets an error or a close within 3 s in all. */
     @Test
     void aSilentClientIsNotifiedInTimeThroughAnUpgrade() throws Exception {
-        try (Fleet fleet = serving(node());
-                Fleet.Client mute = fleet.client()) {
+        try (ProxyFixture fixture = serving(node());
+                ProxyFixture.Client mute = fixture.client()) {
             long owedBy = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
             Await.until(
                     "the client is connected",
-                    () -> fleet.onEventLoop(() -> fleet.proxy.clientAcceptor().openConnections()) == 1);
-            successor(fleet);
+                    () -> fixture.onEventLoop(
+                                    () -> fixture.proxy.clientAcceptor().openConnections())
+                            == 1);
+            successor(fixture);
             Await.until(
                     "the successor's report that it serves is accepted",
-                    () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
-            Thread ending = end(fleet.proxy);
+                    () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
+            Thread ending = end(fixture.proxy);
             mute.socket.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(owedBy - System.nanoTime()));
             assertThat(mute.isAtEnd()).isTrue();
             ending.join();
@@ -154,18 +158,18 @@
         AtomicBoolean over = new AtomicBoolean();
         List<Throwable> failures = new ArrayList<>();
         long[] served = new long[8];
-        try (Fleet fleet = serving(node())) {
+        try (ProxyFixture fixture = serving(node())) {
             List<Thread> clients = new ArrayList<>();
             for (int c = 0; c < served.length; c++) {
                 int number = c;
                 Thread thread = new Thread(() -> {
                     try {
-                        Fleet.Client client = new Fleet.Client(fleet.proxy.address(), 0);
+                        ProxyFixture.Client client = new ProxyFixture.Client(fixture.proxy.address(), 0);
                         for (int i = 0; !over.get(); i++) {
                             String id = number + "x" + i;
                             if (number % 2 == 1 && i % 10 == 9) {
                                 client.close();
-                                client = new Fleet.Client(fleet.proxy.address(), 0);
+                                client = new ProxyFixture.Client(fixture.proxy.address(), 0);
                             }
                             served(client.read(id), id);
                             served[number]++;
@@ -180,9 +184,9 @@
                 clients.add(thread);
                 thread.start();
             }
-            Proxy old = fleet.proxy;
+            Proxy old = fixture.proxy;
             for (int upgrade = 0; upgrade < 10; upgrade++) {
-                Proxy next = successor(fleet);
+                Proxy next = successor(fixture);
                 Proxy before = old;
                 Await.until(
                         "the successor's report that it serves is accepted",
@@ -208,18 +212,22 @@
         String dial = gone.dial();
         gone.close();
         FakeServer up = node();
-        try (Fleet fleet = new Fleet().node(up).node(dial).sharedFolder(folder).start();
-                Fleet.Client client = fleet.client()) {
-            fleet.config.addProperty(
-                    "listen", "127.0.0.1:" + fleet.proxy.address().getPort());
+        try (ProxyFixture fixture = new ProxyFixture()
+                        .node(up)
+                        .node(dial)
+                        .sharedFolder(folder)
+                        .start();
+                ProxyFixture.Client client = fixture.client()) {
+            fixture.config.addProperty(
+                    "listen", "127.0.0.1:" + fixture.proxy.address().getPort());
             Await.until("the old process has tried the server", () -> {
                 String key = Long.toHexString(System.nanoTime());
                 client.send("mg " + key + " v O" + key + " Pc=text,d=20000\r\n");
                 served(client, key);
-                return fleet.onEventLoop(() -> fleet.proxy.status().ejectedNodes())
+                return fixture.onEventLoop(() -> fixture.proxy.status().ejectedNodes())
                         == 1; // suspected servers are included
             });
-            Proxy next = successor(fleet);
+            Proxy next = successor(fixture);
             assertThat(next.loop()
                             .submit(() -> next.status().ejectedNodes())
                             .syncUninterruptibly()
@@ -231,39 +239,39 @@
 
     @Test
     void aSuccessorThatEndsReturnsTheClients() throws Exception {
-        try (Fleet fleet = serving(node())) {
-            Proxy next = successor(fleet);
+        try (ProxyFixture fixture = serving(node())) {
+            Proxy next = successor(fixture);
             Await.until(
                     "the successor's report that it serves is accepted",
-                    () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+                    () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
             next.close();
-            Await.until("the old process has no successor", () -> phase(fleet.proxy) == Phase.NO_SUCCESSOR);
-            served(fleet.client().read("1"), "1");
-            assertThat(answered(fleet.proxy)).isEqualTo(1);
-            successor(fleet);
+            Await.until("the old process has no successor", () -> phase(fixture.proxy) == Phase.NO_SUCCESSOR);
+            served(fixture.client().read("1"), "1");
+            assertThat(answered(fixture.proxy)).isEqualTo(1);
+            successor(fixture);
             Await.until(
-                    "the next successor reaches the old process", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+                    "the next successor reaches the old process", () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
         }
     }
 
     @Test
     void aSuccessorThatNeverServesDelaysNobody() throws Exception {
-        try (Fleet fleet = serving(node());
+        try (ProxyFixture fixture = serving(node());
                 SocketChannel hung = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             hung.connect(UnixDomainSocketAddress.of(takeoverSocket()));
             hung.write(ByteBuffer.wrap("STATE 1\nSOCKET\n".getBytes(StandardCharsets.US_ASCII)));
-            Await.until("the listening socket is passed", () -> phase(fleet.proxy) == Phase.SOCKET_PASSED);
-            served(fleet.client().read("1"), "1");
-            successor(fleet);
+            Await.until("the listening socket is passed", () -> phase(fixture.proxy) == Phase.SOCKET_PASSED);
+            served(fixture.client().read("1"), "1");
+            successor(fixture);
             Await.until(
                     "the newer successor's report that it serves is accepted",
-                    () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+                    () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
         }
     }
 
     @Test
     void outOfOrderMessagesCloseOnlyTheHandoverConnection() throws Exception {
-        try (Fleet fleet = serving(node())) {
+        try (ProxyFixture fixture = serving(node())) {
             for (String words :
                     new String[] {"SERVING\n", "SOCKET\n", "STATE 9\n", "x".repeat(200), "STATE 1\nSERVING\n"}) {
                 try (SocketChannel link = SocketChannel.open(StandardProtocolFamily.UNIX)) {
@@ -276,9 +284,9 @@
                         }
                     }
                 }
-                Await.until("the old process has no successor", () -> phase(fleet.proxy) == Phase.NO_SUCCESSOR);
+                Await.until("the old process has no successor", () -> phase(fixture.proxy) == Phase.NO_SUCCESSOR);
             }
-            served(fleet.client().read("1"), "1");
+            served(fixture.client().read("1"), "1");
         }
     }
 
@@ -303,8 +311,8 @@
                     answering.setDaemon(true);
                     answering.start();
                 }
-                try (Fleet fleet = serving(node())) {
-                    served(fleet.client().read("1"), "1");
+                try (ProxyFixture fixture = serving(node())) {
+                    served(fixture.client().read("1"), "1");
                 }
             }
         }
