--- a/src/test/java/cacheproxy/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/UpstreamTest.java
@@ -27,7 +27,7 @@
     }
 
     /** Reads this many keys, one at a time, and asserts that each is answered. */
-    private static void servesReads(Fleet.Client client, int reads) throws Exception {
+    private static void servesReads(ProxyFixture.Client client, int reads) throws Exception {
         for (int i = 0; i < reads; i++) {
             client.send("mg " + Integer.toHexString(0x1000 + 7919 * i) + " v O" + i + " Pc=text,d=20000\r\n");
             assertThat(client.line()).isEqualTo("VA 5 O" + i);
@@ -44,9 +44,11 @@
     @Test
     void aMissIsFetchedFromTheOrigin() throws Exception {
         FakeServer node = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
-        try (Fleet fleet =
-                        new Fleet().node(node).origin(origin(200, "", "master")).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture()
+                        .node(node)
+                        .origin(origin(200, "", "master"))
+                        .start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA 6 O1");
             assertThat(client.line()).isEqualTo("master");
@@ -56,8 +58,8 @@
     @Test
     void oneConnectionServesRequestAfterRequest() throws Exception {
         FakeServer node = FakeServer.node(UpstreamTest::hit);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 5; i++) {
                 client.read("a" + i);
                 assertThat(client.line()).isEqualTo("VA 5 Oa" + i);
@@ -74,13 +76,13 @@
             busy.incrementAndGet();
             return "SERVER_ERROR busy\r\n";
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(refusingAddress())
                         .node(full)
                         .node(FakeServer.node(UpstreamTest::hit))
                         .origin(origin(200, "", "fetch"))
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             servesReads(client, 30);
             assertThat(busy.get()).isPositive();
         }
@@ -93,14 +95,14 @@
             c.command();
             c.send("SERVER_ERROR busy\r\n");
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(crowded)
                         .node(FakeServer.node(UpstreamTest::hit))
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             servesReads(client, 60);
             assertThat(crowded.commands).hasSize(1);
-            assertThat(fleet.onEventLoop(() -> fleet.proxy.status().ejectedNodes()))
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.status().ejectedNodes()))
                     .isZero();
         }
     }
@@ -115,11 +117,11 @@
             c.send("SERVER_ERROR busy\r\nnoise\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(noisy)
                         .node(FakeServer.node(UpstreamTest::hit))
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             servesReads(client, 60);
             assertThat(noisy.commands).hasSizeGreaterThan(10);
         }
@@ -129,11 +131,11 @@
     @Test
     void aNodeWhoseQueueIsFullIsTriedAgain() throws Exception {
         FakeServer full = FakeServer.node(line -> "SERVER_ERROR busy\r\n");
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(full)
                         .node(FakeServer.node(UpstreamTest::hit))
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             servesReads(client, 60);
             assertThat(full.commands).hasSizeGreaterThan(10);
         }
@@ -142,22 +144,24 @@
     @Test
     void aNonIdempotentWriteIsRejectedOnlyIfItWasNotExecuted() throws Exception {
         String write = "ms 7f3a 5 O1 Pc=fix,d=2000\r\nhello\r\n";
-        try (Fleet fleet = new Fleet().origin(origin(500, "", "")).start();
-                Fleet.Client c = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().origin(origin(500, "", "")).start();
+                ProxyFixture.Client c = fixture.client()) {
             assertThat(c.send(write).line()).isEqualTo("SERVER_ERROR failed");
         }
-        try (Fleet fleet = new Fleet().origin(origin(503, "", "")).start();
-                Fleet.Client c = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().origin(origin(503, "", "")).start();
+                ProxyFixture.Client c = fixture.client()) {
             assertThat(c.send(write).line()).isEqualTo("SERVER_ERROR failed");
         }
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .origin(origin(503, "Srv-Declined: 1\r\n", ""))
                         .start();
-                Fleet.Client c = fleet.client()) {
+                ProxyFixture.Client c = fixture.client()) {
             assertThat(c.send(write).line()).startsWith("SERVER_ERROR busy");
         }
-        try (Fleet fleet = new Fleet().origin(refusingAddress()).start();
-                Fleet.Client c = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(refusingAddress()).start();
+                ProxyFixture.Client c = fixture.client()) {
             assertThat(c.send(write).line()).startsWith("SERVER_ERROR busy");
         }
     }
@@ -168,8 +172,8 @@
             c.request();
             c.reset();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
@@ -183,8 +187,8 @@
             c.request();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send("ms 7f3a 5 O1 Pc=fix,d=2000\r\nhello\r\n");
             origin.nextCommand();
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
@@ -203,11 +207,11 @@
                 c.awaitEnd();
                 ended.countDown();
             });
-            try (Fleet fleet = new Fleet()
+            try (ProxyFixture fixture = new ProxyFixture()
                             .node(node)
                             .origin(origin(200, "", "fetch"))
                             .start();
-                    Fleet.Client client = fleet.client()) {
+                    ProxyFixture.Client client = fixture.client()) {
                 client.read("1");
                 assertThat(client.line()).as(garbage).isEqualTo("VA 5 O1");
                 assertThat(client.line()).isEqualTo("fetch");
@@ -221,8 +225,8 @@
                 c.send(garbage);
                 c.awaitEnd();
             });
-            try (Fleet fleet = new Fleet().origin(broken).start();
-                    Fleet.Client client = fleet.client()) {
+            try (ProxyFixture fixture = new ProxyFixture().origin(broken).start();
+                    ProxyFixture.Client client = fixture.client()) {
                 client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).as(garbage).isEqualTo("SERVER_ERROR failed");
             }
@@ -249,18 +253,18 @@
             c.send(leads ? first + first : "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(node)
                         .origin(origin)
                         .set("caps.max-attempts", "2")
                         .start();
-                Fleet.Client one = fleet.client()) {
+                ProxyFixture.Client one = fixture.client()) {
             one.read("1");
             origin.nextCommand();
-            Fleet.Client two = fleet.client().read("2");
+            ProxyFixture.Client two = fixture.client().read("2");
             missed.await();
-            fleet.client().send("mn\r\n").line(); // the event loop has completed an iteration
-            fleet.client().send("mn\r\n").line();
+            fixture.client().send("mn\r\n").line(); // the event loop has completed an iteration
+            fixture.client().send("mn\r\n").line();
             release.countDown();
             assertThat(one.line()).isEqualTo("VA 5 O1");
             assertThat(one.line()).isEqualTo("first");
@@ -278,8 +282,8 @@
             c.socket.close();
             closed.countDown();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 3; i++) {
                 client.send("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
@@ -296,8 +300,9 @@
             c.sendHttp(200, "Connection: close\r\n", "r1");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().origin(origin).set("balancers", "60").start(); // four connections at most
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().origin(origin).set("balancers", "60").start(); // four connections at most
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 12; i++) {
                 client.send("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
@@ -316,15 +321,15 @@
             c.send(hit(first) + hit(second));
             c.awaitEnd();
         });
-        Fleet setup = new Fleet().node(pipelined).set("balancers", "60");
-        try (Fleet fleet = setup.start()) {
-            Fleet.Client leaving = fleet.client();
+        ProxyFixture setup = new ProxyFixture().node(pipelined).set("balancers", "60");
+        try (ProxyFixture fixture = setup.start()) {
+            ProxyFixture.Client leaving = fixture.client();
             leaving.send("mg 7f3a v Oa Pc=text,d=20000\r\n");
             pipelined.nextCommand();
-            Fleet.Client other = fleet.client().send("mg 7f3b v Ob Pc=text,d=20000\r\n");
+            ProxyFixture.Client other = fixture.client().send("mg 7f3b v Ob Pc=text,d=20000\r\n");
             pipelined.nextCommand();
             leaving.close();
-            fleet.client().send("mn\r\n").line();
+            fixture.client().send("mn\r\n").line();
             gone.countDown();
             assertThat(other.line()).isEqualTo("VA 5 Ob");
         }
@@ -342,8 +347,8 @@
             c.send(hit(first) + hit(second));
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node[0]).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node[0]).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             refusing.await();
             client.read("2");
@@ -370,8 +375,8 @@
                 c.sendHttp(200, "", "fetch");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA 5 O1");
             assertThat(client.line()).isEqualTo("fetch");
@@ -385,9 +390,10 @@
     @Test
     void aReadThatCanNoLongerBeInTimeIsRejectedAtOnce() throws Exception {
         FakeServer silent = new FakeServer(FakeServer.Connection::awaitEnd);
-        Fleet setup = new Fleet().node(silent).set("classes.0.late-share", "0").set("classes.0.promise", "300.0");
-        try (Fleet fleet = setup.start();
-                Fleet.Client client = fleet.client()) {
+        ProxyFixture setup =
+                new ProxyFixture().node(silent).set("classes.0.late-share", "0").set("classes.0.promise", "300.0");
+        try (ProxyFixture fixture = setup.start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send("mg 7f3a v O1 Pc=text,d=60000\r\n");
             assertThat(client.line()).startsWith("SERVER_ERROR busy");
         }
@@ -395,8 +401,8 @@
 
     @Test
     void aRejectionSaysWhenToRetry() throws Exception {
-        try (Fleet fleet = new Fleet().start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line())
                     .isEqualTo("SERVER_ERROR busy 500"); // half of 2.5 s, capped at caps.max-retry-after
@@ -424,20 +430,21 @@
         FakeServer quick = FakeServer.node(UpstreamTest::hit);
         FakeServer mute = new FakeServer(FakeServer.Connection::awaitEnd);
         // The third request serves as a timer: it would be abandoned later than the others.
-        Fleet setup = new Fleet()
+        ProxyFixture setup = new ProxyFixture()
                 .node(shared[0])
                 .node(quick)
                 .node(mute)
                 .set("caps.second-copies", "false")
                 .set("classes.0.promise", "4000.0");
-        try (Fleet fleet = setup.start();
-                Fleet.Client one = fleet.client()) {
+        try (ProxyFixture fixture = setup.start();
+                ProxyFixture.Client one = fixture.client()) {
             one.send("mg " + Keys.ranked(1, 2, 3) + " v O1 Pc=text,d=20000\r\n");
             refusing.await();
             shared[0].nextCommand();
-            Fleet.Client two = fleet.client().send("mg " + Keys.ranked(1, 2, 3) + " v O2 Pc=text,d=20000\r\n");
+            ProxyFixture.Client two = fixture.client().send("mg " + Keys.ranked(1, 2, 3) + " v O2 Pc=text,d=20000\r\n");
             shared[0].nextCommand();
-            Fleet.Client clock = fleet.client().send("mg " + Keys.ranked(3, 2, 1) + " v O3 Pc=text,d=20000\r\n");
+            ProxyFixture.Client clock =
+                    fixture.client().send("mg " + Keys.ranked(3, 2, 1) + " v O3 Pc=text,d=20000\r\n");
             assertThat(clock.line()).isEqualTo("VA 5 O3");
             assertThat(quick.commands).hasSize(1);
             release.countDown();
@@ -459,16 +466,16 @@
             c.awaitEnd();
             ended.countDown();
         });
-        Fleet setup = new Fleet()
+        ProxyFixture setup = new ProxyFixture()
                 .node(mute)
                 .node(FakeServer.node(UpstreamTest::hit))
                 .set("caps.second-copies", "false")
                 .set("classes.0.promise", "4000.0")
                 .set("balancers", "60");
-        try (Fleet fleet = setup.start()) {
-            Fleet.Client[] clients = new Fleet.Client[many];
+        try (ProxyFixture fixture = setup.start()) {
+            ProxyFixture.Client[] clients = new ProxyFixture.Client[many];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = fleet.client().send("mg " + Keys.ranked(1, 2) + " v O" + i + " Pc=text,d=20000\r\n");
+                clients[i] = fixture.client().send("mg " + Keys.ranked(1, 2) + " v O" + i + " Pc=text,d=20000\r\n");
             }
             assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
             for (int i = 0; i < clients.length; i++) {
@@ -502,20 +509,20 @@
             c.reset();
         });
         String write = "ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n";
-        try (Fleet fleet = new Fleet().origin(whole).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(whole).start();
+                ProxyFixture.Client client = fixture.client()) {
             assertThat(client.send(write).line()).isEqualTo("HD O1 creceipt");
         }
-        try (Fleet fleet = new Fleet().origin(stalled).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(stalled).start();
+                ProxyFixture.Client client = fixture.client()) {
             assertThat(client.send(write).line()).isEqualTo("SERVER_ERROR failed");
             assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
         }
-        try (Fleet fleet = new Fleet().origin(reset).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(reset).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.send(write);
             reset.nextCommand();
-            fleet.client().send("mn\r\n").line(); // the event loop has completed an iteration
+            fixture.client().send("mn\r\n").line(); // the event loop has completed an iteration
             reset.accepted.take().pause.release();
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
         }
--- a/src/test/java/cacheproxy/proxy/WallClockTest.java
+++ b/src/test/java/cacheproxy/proxy/WallClockTest.java
@@ -17,36 +17,36 @@
 
     private static String started(long seq, double bornMs) {
         JsonArray hosts = new JsonArray();
-        JsonObject host = Fleet.host("s-00000001", "node-fast", "127.0.0.1:9", "up");
+        JsonObject host = ProxyFixture.host("s-00000001", "node-fast", "127.0.0.1:9", "up");
         host.addProperty("born_ms", bornMs);
         hosts.add(host);
-        return Fleet.list(seq, false, hosts).toString();
+        return ProxyFixture.list(seq, false, hosts).toString();
     }
 
     /** How long a server stays cold if its start time is given by another clock. */
     private static double coldForMs(double aheadMs) throws Exception {
-        double told = System.currentTimeMillis();
+        double nowMs = System.currentTimeMillis();
         FakeServer discovery = new FakeServer(c -> {
             c.request();
-            c.sendHttp(200, "", Fleet.list(42, false, new JsonArray()).toString());
+            c.sendHttp(200, "", ProxyFixture.list(42, false, new JsonArray()).toString());
             c.request();
-            c.sendHttp(200, "", started(43, told + aheadMs));
+            c.sendHttp(200, "", started(43, nowMs + aheadMs));
             c.request();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                 .node("127.0.0.1:9")
                 .discovery(discovery)
                 .set("caps.connect-timeout", "200.0")
                 .start()) {
             Await.until(
                     "the server's start time is known",
-                    () -> fleet.onEventLoop(() ->
-                            fleet.proxy.dispatcher().servers().cacheNodes().get(0).startTimeMs == told + aheadMs));
-            List<Double> warm =
-                    fleet.onEventLoop(() -> fleet.proxy.dispatcher().servers().warmedUpAtMs(0, WARM_UP_MS));
+                    () -> fixture.onEventLoop(() ->
+                            fixture.proxy.dispatcher().servers().cacheNodes().get(0).startTimeMs == nowMs + aheadMs));
+            List<Double> warm = fixture.onEventLoop(
+                    () -> fixture.proxy.dispatcher().servers().warmedUpAtMs(0, WARM_UP_MS));
             return warm.get(0)
-                    - fleet.onEventLoop(() -> fleet.proxy.dispatcher().now());
+                    - fixture.onEventLoop(() -> fixture.proxy.dispatcher().now());
         }
     }
 
