--- a/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
@@ -62,14 +62,15 @@
     /**
      * A node that reads at once and answers once it is released; it records the remaining time sent with each command.
      */
-    private static FakeServer answersLate(CountDownLatch release, Map<String, ReceivedDeadline> seen) throws Exception {
+    private static FakeServer answersLate(CountDownLatch release, Map<String, ReceivedDeadline> receivedById)
+            throws Exception {
         return new FakeServer(c -> {
-            BlockingQueue<String> owed = new LinkedBlockingQueue<>();
+            BlockingQueue<String> unanswered = new LinkedBlockingQueue<>();
             Thread answers = new Thread(() -> {
                 try {
                     release.await();
                     while (true) {
-                        c.send("VA 5 O" + owed.take() + " h1\r\nhello\r\n");
+                        c.send("VA 5 O" + unanswered.take() + " h1\r\nhello\r\n");
                     }
                 } catch (InterruptedException | IOException e) {
                     // the connection is closed
@@ -79,8 +80,8 @@
             answers.start();
             for (String line; (line = c.command()) != null; ) {
                 ReceivedDeadline received = received(line);
-                seen.put(received.id, received);
-                owed.add(received.id);
+                receivedById.put(received.id, received);
+                unanswered.add(received.id);
             }
         });
     }
@@ -88,8 +89,8 @@
     /** Sends all reads at once, with none answered before {@link #LATE_NANOS} have passed. */
     private static Map<String, ReceivedDeadline> answerLate(int many, String pad) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Map<String, ReceivedDeadline> seen = new ConcurrentHashMap<>();
-        FakeServer node = answersLate(release, seen);
+        Map<String, ReceivedDeadline> receivedById = new ConcurrentHashMap<>();
+        FakeServer node = answersLate(release, receivedById);
         try (ProxyFixture fixture = new ProxyFixture()
                         .node(node)
                         .set("caps.second-copies", "false")
@@ -105,9 +106,9 @@
                 assertThat(client.line()).isEqualTo("VA 5 O" + i + pad);
                 client.line();
             }
-            seen.values().forEach(t -> assertNotTooMuch(t, sent));
+            receivedById.values().forEach(t -> assertNotTooMuch(t, sent));
         }
-        return seen;
+        return receivedById;
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/ClosingTest.java
+++ b/src/test/java/cacheproxy/proxy/ClosingTest.java
@@ -51,7 +51,7 @@
             assertThat(used.send("mn\r\n").line()).isEqualTo("MN");
             double now = fixture.onEventLoop(() -> fixture.proxy.dispatcher().now());
             ProxyFixture.Client fresh = fixture.client();
-            ProxyFixture.Client mute = fixture.client();
+            ProxyFixture.Client silent = fixture.client();
             Await.until(
                     "all clients are connected",
                     () -> fixture.onEventLoop(
@@ -61,7 +61,7 @@
             assertThat(used.isAtEnd()).isTrue();
             assertThat(fresh.read("1").line()).isEqualTo("VA 5 O1");
             closeIdle(fixture, now + 30_000); // its time to send a first request is over
-            assertThat(mute.isAtEnd()).isTrue();
+            assertThat(silent.isAtEnd()).isTrue();
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -325,21 +325,21 @@
                 ProxyFixture.Client idle = fixture.client()) {
             assertThat(idle.send("mn\r\n").line()).isEqualTo("MN");
             // Enough to fill the kernel's buffers and use the proxy's own: it then reads no further command.
-            int fit = 0;
-            while (answeredSoon(fixture, fit)) {
-                first.read("f" + fit++);
+            int buffered = 0;
+            while (answeredSoon(fixture, buffered)) {
+                first.read("f" + buffered++);
             }
             first.close();
             ProxyFixture.Client client = fixture.client(1 << 16);
-            for (int i = 1; i < fit; i++) { // one more would be a command that is not read yet
+            for (int i = 1; i < buffered; i++) { // one more would be a command that is not read yet
                 client.read("" + i);
             }
-            answeredSoon(fixture, 2 * (fit - 1));
+            answeredSoon(fixture, 2 * (buffered - 1));
             Thread end = drainAndTerminate(fixture);
             assertThat(idle.isAtEnd())
                     .as("closed at once with the other connections without open requests")
                     .isTrue();
-            for (int i = 1; i < fit; i++) {
+            for (int i = 1; i < buffered; i++) {
                 assertThat(client.line()).isEqualTo("VA " + value.length() + " O" + i);
                 assertThat(client.bytes(value.length())).hasSize(value.length());
                 assertThat(client.line()).isEmpty();
@@ -420,13 +420,13 @@
     void everyRequestIsAnsweredThoughTheLastServerIsRemovedMeanwhile() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         FakeServer node = held(release);
-        JsonArray gone = new JsonArray();
-        gone.add(ProxyFixture.host("s-00000001", "node-fast", node.dial(), "draining"));
+        JsonArray drained = new JsonArray();
+        drained.add(ProxyFixture.host("s-00000001", "node-fast", node.dial(), "draining"));
         CountDownLatch tell = new CountDownLatch(1);
         FakeServer discovery = new FakeServer(c -> {
             while (c.request() != null) {
                 tell.await();
-                c.sendHttp(200, "", ProxyFixture.list(42, false, gone).toString());
+                c.sendHttp(200, "", ProxyFixture.list(42, false, drained).toString());
             }
         });
         try (ProxyFixture fixture = new ProxyFixture()
--- a/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
+++ b/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
@@ -61,7 +61,7 @@
         }
 
         /** A poll that runs into its timeout makes the test slow, so two of them have to do. */
-        int times() {
+        int repetitions() {
             return this == SILENT || this == STALLED ? 2 : FAILURES;
         }
     }
@@ -69,7 +69,7 @@
     /** Consecutive failures with no successful poll before them. */
     private record Failures(String name, List<Failure> inOrder) {
         static Failures ofOneKind(Failure failure) {
-            return new Failures(failure.name(), Collections.nCopies(failure.times(), failure));
+            return new Failures(failure.name(), Collections.nCopies(failure.repetitions(), failure));
         }
 
         /** Refusals until the delay between polls has reached its maximum, then these failures. */
@@ -93,7 +93,7 @@
         return all;
     }
 
-    private static String news() {
+    private static String changedList() {
         JsonArray hosts = new JsonArray();
         hosts.add(ProxyFixture.host("s-0000beef", "node-fast", "127.0.0.1:9", "up"));
         return ProxyFixture.list(43, true, hosts).toString();
@@ -125,7 +125,7 @@
                     known.complete(System.nanoTime());
                     c.awaitEnd();
                 } else {
-                    c.sendHttp(200, "", news());
+                    c.sendHttp(200, "", changedList());
                 }
             }
         });
@@ -146,11 +146,11 @@
                     known.complete(System.nanoTime());
                     c.awaitEnd();
                 } else if (request.contains("since=41&")) {
-                    c.sendHttp(200, "", news());
+                    c.sendHttp(200, "", changedList());
                 } else if (silent.complete(System.nanoTime())) {
                     c.awaitEnd();
                 } else {
-                    c.sendHttp(200, "", news().replace("43", "44"));
+                    c.sendHttp(200, "", changedList().replace("43", "44"));
                 }
             }
         });
@@ -170,7 +170,8 @@
                         if (line.isEmpty() && request.contains("since=43&")) {
                             known.complete(System.nanoTime());
                         } else if (line.isEmpty()) {
-                            p.send("HTTP/1.1 200 OK\r\nContent-Length: " + news().length() + "\r\n\r\n" + news());
+                            p.send("HTTP/1.1 200 OK\r\nContent-Length: "
+                                    + changedList().length() + "\r\n\r\n" + changedList());
                         }
                     }
                 });
@@ -196,7 +197,7 @@
                             known.complete(System.nanoTime());
                             c.awaitEnd();
                         } else {
-                            c.sendHttp(200, "", news());
+                            c.sendHttp(200, "", changedList());
                         }
                     }
                 },
@@ -211,23 +212,23 @@
     @Test
     void aChangeIsKnownInTimeWhateverPollFailed() throws Exception {
         List<String> names = new ArrayList<>();
-        List<Future<Double>> times = new ArrayList<>();
+        List<Future<Double>> repetitions = new ArrayList<>();
         ExecutorService each = Executors.newCachedThreadPool();
         try {
             for (String mode : new String[] {"ask", "push"}) {
                 for (Failures f : failures()) {
                     names.add(mode + " " + f.name());
-                    times.add(each.submit(() -> delayAfter(f, mode)));
+                    repetitions.add(each.submit(() -> delayAfter(f, mode)));
                 }
                 names.add(mode + " watch that went on falls silent");
-                times.add(each.submit(() -> delayAfterAContinuedWatch(mode)));
+                repetitions.add(each.submit(() -> delayAfterAContinuedWatch(mode)));
                 names.add(mode + " NO_WAY_IN");
-                times.add(each.submit(() -> delayAfterUnacceptedConnections(mode)));
+                repetitions.add(each.submit(() -> delayAfterUnacceptedConnections(mode)));
                 names.add(mode + " REFUSED");
-                times.add(each.submit(() -> delayAfterRefusals(mode)));
+                repetitions.add(each.submit(() -> delayAfterRefusals(mode)));
             }
             for (int i = 0; i < names.size(); i++) {
-                double ms = times.get(i).get();
+                double ms = repetitions.get(i).get();
                 System.out.printf("known after %5.0f ms: %s%n", ms, names.get(i));
                 assertThat(ms).as(names.get(i)).isLessThan(MAX_DELAY_MS);
             }
@@ -256,7 +257,7 @@
                     c.awaitEnd();
                 } else {
                     asked.await();
-                    c.sendHttp(200, "", news());
+                    c.sendHttp(200, "", changedList());
                 }
             }
         });
--- a/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
+++ b/src/test/java/cacheproxy/proxy/FaultyDiscoveryTest.java
@@ -174,13 +174,13 @@
 
     @Test
     void aChangeIsKnownInTimeWhateverIsWrongWithAnswers() throws Exception {
-        Map<String, Future<Double>> times = new LinkedHashMap<>();
+        Map<String, Future<Double>> delays = new LinkedHashMap<>();
         List<String> late = new ArrayList<>();
         ExecutorService each = Executors.newCachedThreadPool();
         try {
             for (Fault fault : Fault.values()) {
                 for (String mode : new String[] {"ask", "push"}) {
-                    times.put(mode + " " + fault, each.submit(() -> delayMs(fault, mode)));
+                    delays.put(mode + " " + fault, each.submit(() -> delayMs(fault, mode)));
                 }
             }
             for (Fault fault : Fault.values()) {
@@ -188,7 +188,7 @@
                     String name = mode + " " + fault;
                     String outcome;
                     try {
-                        double ms = times.get(name).get();
+                        double ms = delays.get(name).get();
                         outcome =
                                 ms <= fault.maxDelayMs ? null : "%.0f ms, %.0f allowed".formatted(ms, fault.maxDelayMs);
                         System.out.printf("known after %5.0f ms: %s%n", ms, name);
--- a/src/test/java/cacheproxy/proxy/FiguresTest.java
+++ b/src/test/java/cacheproxy/proxy/FiguresTest.java
@@ -151,11 +151,11 @@
 
     @Test
     void anUnreachableNodeIsReportedAsEjected() throws Exception {
-        FakeServer gone = FakeServer.node(line -> "");
-        gone.close();
+        FakeServer unreachable = FakeServer.node(line -> "");
+        unreachable.close();
         List<String> answers = new ArrayList<>();
         try (ProxyFixture fixture = new ProxyFixture()
-                        .node(gone.dial())
+                        .node(unreachable.dial())
                         .node(FakeServer.node(line -> "VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n"))
                         .start();
                 ProxyFixture.Client client = fixture.client()) {
--- a/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
+++ b/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
@@ -22,10 +22,10 @@
     }
 
     /** A discovery that reports this change of the first node once it is released, and nothing else. */
-    private static FakeServer discovery(CountDownLatch told, JsonObject change) throws Exception {
+    private static FakeServer discovery(CountDownLatch report, JsonObject change) throws Exception {
         return new FakeServer(c -> {
             c.request();
-            told.await();
+            report.await();
             JsonArray hosts = new JsonArray();
             hosts.add(change);
             c.sendHttp(200, "", ProxyFixture.list(43, false, hosts).toString());
@@ -42,11 +42,11 @@
     }
 
     private static void assertNotSentAfter(Consumer<JsonObject> change) throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+        CountDownLatch report = new CountDownLatch(1);
         try (LateServer node = LateServer.node()) {
             JsonObject host = ProxyFixture.host("s-00000001", "node-fast", node.dial(), "up");
             change.accept(host);
-            FakeServer discovery = discovery(told, host);
+            FakeServer discovery = discovery(report, host);
             ProxyFixture setup = new ProxyFixture()
                     .node(node.dial())
                     .origin(origin())
@@ -57,7 +57,7 @@
                 assertThat(discovery.nextCommand()).contains("since=41&");
                 ProxyFixture.Client client = fixture.client().read("1");
                 awaitWaiting(fixture, 1);
-                told.countDown();
+                report.countDown();
                 assertThat(discovery.nextCommand()).contains("since=43&"); // the change is in use
                 node.open();
                 assertThat(client.line()).isEqualTo("VA 5 O1");
@@ -94,10 +94,10 @@
                         .set("caps.may-cancel", "false")
                         .set("caps.connect-timeout", "10000.0")
                         .start()) {
-            ProxyFixture.Client leaving = fixture.client();
-            leaving.read("1");
+            ProxyFixture.Client disconnecting = fixture.client();
+            disconnecting.read("1");
             awaitWaiting(fixture, 1);
-            leaving.close();
+            disconnecting.close();
             awaitWaiting(fixture, 0);
             ProxyFixture.Client next = fixture.client().read("2");
             awaitWaiting(fixture, 1);
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormatsTest.java
@@ -41,7 +41,7 @@
  * the handover protocol and the start configuration match the recorded texts.
  */
 @Timeout(60)
-class LifecycleFormsTest {
+class LifecycleFormatsTest {
     private static final Path FORMS = Path.of("src/test/resources/formats");
 
     @TempDir
--- a/src/test/java/cacheproxy/proxy/MetricsLogTest.java
+++ b/src/test/java/cacheproxy/proxy/MetricsLogTest.java
@@ -46,9 +46,9 @@
 
     @Test
     void anUnreachableNodeIsReportedAsEjected() throws Exception {
-        FakeServer gone = FakeServer.node(line -> "");
-        String dial = gone.dial();
-        gone.close();
+        FakeServer unreachable = FakeServer.node(line -> "");
+        String dial = unreachable.dial();
+        unreachable.close();
         try (ProxyFixture fixture = new ProxyFixture().node(dial).start();
                 ProxyFixture.Client client = fixture.client()) {
             client.read("1").line();
--- a/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
@@ -59,12 +59,12 @@
             Config config = Config.parse(fixture.config);
             EventLoop loop = group.next();
             Counters counters = new Counters();
-            LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
+            LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
             PeerDatagramSocket socket = new PeerDatagramSocket(
                     loop,
                     Transport.BEST.datagram(),
                     config.peerAddresses(),
-                    (from, kind, body) -> heard.add(from + kind.name() + new String(body, UTF_8)),
+                    (from, kind, body) -> received.add(from + kind.name() + new String(body, UTF_8)),
                     counters::increment);
             socket.send(1, PeerMessageKind.ENDPOINT_LIST, "to one".getBytes(UTF_8));
             assertThat(receive(peer)).isEqualTo("1to one");
@@ -79,7 +79,7 @@
             send(peer, sealed(30, 0, "of a kind to come"), socket);
             send(peer, sealed(1, 5, "of a version to come"), socket);
             send(peer, sealed(2, 0, "hi"), socket);
-            assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("1LOAD_BALANCERhi");
+            assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("1LOAD_BALANCERhi");
             assertThat(counters.count(Metric.PEER_MESSAGES_SENT)).isEqualTo(3);
             assertThat(counters.count(Metric.PEER_MESSAGES_RECEIVED)).isEqualTo(4);
             for (int i = 0; i < 200; i++) {
--- a/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
+++ b/src/test/java/cacheproxy/proxy/SafetyRulesOnSocketsTest.java
@@ -36,7 +36,7 @@
         FakeServer node = answersOnly("2");
         try (ProxyFixture fixture =
                 new ProxyFixture().node(node).set("caps.may-cancel", "false").start()) {
-            ProxyFixture.Client gone = fixture.client().read("1");
+            ProxyFixture.Client disconnected = fixture.client().read("1");
             assertThat(FakeServer.id(node.nextCommand())).isEqualTo("1");
             int server = fixture.onEventLoop(
                     () -> fixture.proxy.dispatcher().servers().cacheNodes().get(0).id);
@@ -56,7 +56,7 @@
             });
             paused.await();
             long since = System.nanoTime();
-            gone.close();
+            disconnected.close();
             Await.until("the event loop has been blocked long enough", () -> System.nanoTime() - since > BLOCKED_NANOS);
             release.countDown();
             Await.until(
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -187,12 +187,12 @@
 
     @Test
     void theFirstBytesDoNotWaitForTheLast() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch firstPartRead = new CountDownLatch(1);
         FakeServer node = new FakeServer(c -> {
             head(c, c.command());
             c.out.write(VALUE, 0, 1000);
             c.out.flush();
-            seen.await();
+            firstPartRead.await();
             c.out.write(VALUE, 1000, VALUE.length - 1000);
             c.send("\r\n");
             c.awaitEnd();
@@ -201,7 +201,7 @@
                 ProxyFixture.Client client = fixture.client()) {
             client.read("1").line();
             assertThat(client.bytes(1000)).hasSize(1000);
-            seen.countDown();
+            firstPartRead.countDown();
             assertThat(client.bytes(VALUE.length - 1000)).hasSize(VALUE.length - 1000);
         }
     }
--- a/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
+++ b/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
@@ -66,8 +66,8 @@
                 ids.stream()
                         .map(i -> new EndpointHealthRecord(i, f.get(1), count, f.get(0), count))
                         .toList());
-        TakeoverSnapshot told = new TakeoverSnapshot(list(), Map.of("", e, "pool", e), state().records());
-        assertThat(TakeoverSnapshot.parse(told.toJson())).isEqualTo(told);
+        TakeoverSnapshot written = new TakeoverSnapshot(list(), Map.of("", e, "pool", e), state().records());
+        assertThat(TakeoverSnapshot.parse(written.toJson())).isEqualTo(written);
     }
 
     @Example
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -208,9 +208,9 @@
     /** One of two servers refuses connections, which the old process has found out and passes on. */
     @Test
     void serverStateIsPassedToTheSuccessor() throws Exception {
-        FakeServer gone = node();
-        String dial = gone.dial();
-        gone.close();
+        FakeServer unreachable = node();
+        String dial = unreachable.dial();
+        unreachable.close();
         FakeServer up = node();
         try (ProxyFixture fixture = new ProxyFixture()
                         .node(up)
@@ -257,9 +257,9 @@
     @Test
     void aSuccessorThatNeverServesDelaysNobody() throws Exception {
         try (ProxyFixture fixture = serving(node());
-                SocketChannel hung = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-            hung.connect(UnixDomainSocketAddress.of(takeoverSocket()));
-            hung.write(ByteBuffer.wrap("STATE 1\nSOCKET\n".getBytes(StandardCharsets.US_ASCII)));
+                SocketChannel hungSuccessor = SocketChannel.open(StandardProtocolFamily.UNIX)) {
+            hungSuccessor.connect(UnixDomainSocketAddress.of(takeoverSocket()));
+            hungSuccessor.write(ByteBuffer.wrap("STATE 1\nSOCKET\n".getBytes(StandardCharsets.US_ASCII)));
             Await.until("the listening socket is passed", () -> phase(fixture.proxy) == Phase.SOCKET_PASSED);
             served(fixture.client().read("1"), "1");
             successor(fixture);
@@ -272,12 +272,12 @@
     @Test
     void outOfOrderMessagesCloseOnlyTheHandoverConnection() throws Exception {
         try (ProxyFixture fixture = serving(node())) {
-            for (String words :
+            for (String messages :
                     new String[] {"SERVING\n", "SOCKET\n", "STATE 9\n", "x".repeat(200), "STATE 1\nSERVING\n"}) {
                 try (SocketChannel link = SocketChannel.open(StandardProtocolFamily.UNIX)) {
                     link.connect(UnixDomainSocketAddress.of(takeoverSocket()));
-                    link.write(ByteBuffer.wrap(words.getBytes(StandardCharsets.US_ASCII)));
-                    if (words.length() < 100) {
+                    link.write(ByteBuffer.wrap(messages.getBytes(StandardCharsets.US_ASCII)));
+                    if (messages.length() < 100) {
                         ByteBuffer rest = ByteBuffer.allocate(1 << 16);
                         while (link.read(rest) >= 0) {
                             rest.clear();
--- a/src/test/java/cacheproxy/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/UpstreamTest.java
@@ -491,7 +491,7 @@
     @Test
     void aResponseWithoutLengthIsCompleteOnlyIfItsServerClosesOrderly() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
-        FakeServer whole = new FakeServer(c -> {
+        FakeServer complete = new FakeServer(c -> {
             c.request();
             c.send(head + "receipt");
         });
@@ -509,7 +509,7 @@
             c.reset();
         });
         String write = "ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n";
-        try (ProxyFixture fixture = new ProxyFixture().origin(whole).start();
+        try (ProxyFixture fixture = new ProxyFixture().origin(complete).start();
                 ProxyFixture.Client client = fixture.client()) {
             assertThat(client.send(write).line()).isEqualTo("HD O1 creceipt");
         }
