--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -134,7 +134,7 @@
         Semaphore next = new Semaphore(0);
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                next.acquire(); // no response arrives together with the end of the previous one
+                next.acquire(); // no part of a response arrives with the end of the previous one
                 head(c, line);
                 c.out.write(VALUE);
                 c.send("\r\n");
