--- a/src/test/java/cacheproxy/route/RetryBudgetTest.java
+++ b/src/test/java/cacheproxy/route/RetryBudgetTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class RetryBudgetTest {
-    /** At any times: no more than the ratio of the requests, the minimum, and ten seconds of it saved. */
+    /** For random event times: no more than the ratio of the requests, the minimum, and ten seconds of it saved. */
     @Property(tries = 200, seed = "71")
     void neverAllowsMoreThanItsRatioAndItsMinimum(
             @ForAll long seed,
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aStormOfFailuresAddsTheRatioAndNoMore() {
+    void massFailureGetsNoMoreRetriesThanTheRatio() {
         RetryBudget budget = new RetryBudget(0.2, 0);
         int taken = 0;
         for (int i = 0; i < 10_000; i++) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aQuietInstanceHasTheMinimumAndSavesTenSecondsOfIt() {
+    void anIdleInstanceHasTheMinimumAndSavesTenSecondsOfIt() {
         RetryBudget budget = new RetryBudget(0, 2);
         int taken = 0;
         while (taken < 100 && budget.tryTake(0)) {
