--- a/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
+++ b/src/test/java/cacheproxy/proxy/EndpointListPollingTest.java
@@ -20,19 +20,19 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How long news that discovery has stays unknown once discovery could be asked for it, by the way in which the poll
- * before failed: it has to be known after 6 s, whatever that was.
+ * How long a change of the endpoint list takes to be known once discovery answers again, for each way in which the
+ * previous poll failed: at most 6 s in every case.
  */
 @Timeout(120)
 class EndpointListPollingTest {
-    /** Under the 6 s with a margin for a busy machine and for the line at a discovery that many ask. */
+    /** Below the 6 s, with a margin for a busy machine and for the queue at a shared discovery. */
     private static final double MAX_DELAY_MS = 4500;
-    /** Failures in a row before discovery is well: as many as lengthen the waits between calls. */
+    /** Consecutive failures before discovery recovers: as many as lengthen the delay between polls. */
     private static final int FAILURES = 4;
-    /** So many refusals in a row, and the waits grow no longer. */
-    private static final int LONGEST_WAITS = 5;
+    /** The number of consecutive refusals after which the delay grows no further. */
+    private static final int REFUSALS_TO_MAX_DELAY = 5;
 
-    /** What discovery does to a call while it is not well. */
+    /** What a failing discovery does with a poll. */
     private enum Failure {
         TURNED_AWAY,
         RESET,
@@ -44,37 +44,37 @@
 
         void run(FakeServer.Connection c) throws Exception {
             switch (this) {
-                case TURNED_AWAY -> c.sayHttp(503, "", "");
+                case TURNED_AWAY -> c.sendHttp(503, "", "");
                 case RESET -> c.reset();
                 case CLOSED -> c.socket.close();
                 case CUT -> {
-                    c.say("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":43,");
+                    c.send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":43,");
                     c.socket.close();
                 }
-                case HALF_JSON -> c.sayHttp(200, "", "{\"seq\":43,\"whole\":");
+                case HALF_JSON -> c.sendHttp(200, "", "{\"seq\":43,\"whole\":");
                 case STALLED -> {
-                    c.say("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":43,");
+                    c.send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":43,");
                     c.awaitEnd();
                 }
                 case SILENT -> c.awaitEnd();
             }
         }
 
-        /** A call that takes as long as it may takes the test's time: two of them show all that there is to see. */
-        int times() {
+        /** A poll that runs into its timeout makes the test slow, so two of them have to do. */
+        int repetitions() {
             return this == SILENT || this == STALLED ? 2 : FAILURES;
         }
     }
 
-    /** Failures one after another, before which nothing has been answered. */
+    /** Consecutive failures with no successful poll before them. */
     private record Failures(String name, List<Failure> inOrder) {
         static Failures ofOneKind(Failure failure) {
-            return new Failures(failure.name(), Collections.nCopies(failure.times(), failure));
+            return new Failures(failure.name(), Collections.nCopies(failure.repetitions(), failure));
         }
 
-        /** So many that the waits between calls are as long as they get, and then these. */
+        /** Refusals until the delay between polls has reached its maximum, then these failures. */
         static Failures afterRefusals(Failure... last) {
-            List<Failure> all = new ArrayList<>(Collections.nCopies(LONGEST_WAITS, Failure.TURNED_AWAY));
+            List<Failure> all = new ArrayList<>(Collections.nCopies(REFUSALS_TO_MAX_DELAY, Failure.TURNED_AWAY));
             all.addAll(List.of(last));
             return new Failures("refusals, then " + List.of(last), all);
         }
@@ -93,51 +93,51 @@
         return all;
     }
 
-    private static String news() {
+    private static String changedList() {
         JsonArray hosts = new JsonArray();
-        hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "up"));
-        return Fleet.list(43, true, hosts).toString();
+        hosts.add(ProxyFixture.host("s-0000beef", "node-fast", "127.0.0.1:9", "up"));
+        return ProxyFixture.list(43, true, hosts).toString();
     }
 
-    private static Fleet fleet(String discovery, String mode) {
-        Fleet fleet = new Fleet().set("discovery", mode).set("caps.connect-timeout", "100.0");
-        fleet.config.addProperty("discovery", discovery);
-        return fleet;
+    private static ProxyFixture fixture(String discovery, String mode) {
+        ProxyFixture fixture = new ProxyFixture().set("discovery", mode).set("caps.connect-timeout", "100.0");
+        fixture.config.addProperty("discovery", discovery);
+        return fixture;
     }
 
     /**
-     * Milliseconds from the end of the last bad call's beginning, when discovery was well again, until the news is in
-     * use.
+     * Milliseconds from when the last failing poll had begun and discovery had recovered until the change is in use.
      */
-    private static double unknownAfter(Failures failures, String mode) throws Exception {
+    private static double delayAfter(Failures failures, String mode) throws Exception {
         List<Failure> inOrder = failures.inOrder();
         AtomicInteger calls = new AtomicInteger();
-        CompletableFuture<Long> well = new CompletableFuture<>();
+        CompletableFuture<Long> recovered = new CompletableFuture<>();
         CompletableFuture<Long> known = new CompletableFuture<>();
         FakeServer discovery = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 int call = calls.getAndIncrement();
                 if (call < inOrder.size()) {
                     if (call == inOrder.size() - 1) {
-                        well.complete(System.nanoTime());
+                        recovered.complete(System.nanoTime());
                     }
                     inOrder.get(call).run(c);
                 } else if (request.contains("since=43&")) {
                     known.complete(System.nanoTime());
                     c.awaitEnd();
                 } else {
-                    c.sayHttp(200, "", news());
+                    c.sendHttp(200, "", changedList());
                 }
             }
         });
-        try (Fleet fleet = fleet(discovery.dial(), mode).discovery(discovery).start()) {
-            long from = well.get(60, TimeUnit.SECONDS);
+        try (ProxyFixture fixture =
+                fixture(discovery.dial(), mode).discovery(discovery).start()) {
+            long from = recovered.get(60, TimeUnit.SECONDS);
             return (known.get(60, TimeUnit.SECONDS) - from) / 1e6;
         }
     }
 
-    /** Milliseconds from when a watch that went on fell silent until the news that it should have brought is in use. */
-    private static double unknownAfterAContinuedWatch(String mode) throws Exception {
+    /** Milliseconds from when an open watch fell silent until the change that it should have delivered is in use. */
+    private static double delayAfterAContinuedWatch(String mode) throws Exception {
         CompletableFuture<Long> silent = new CompletableFuture<>();
         CompletableFuture<Long> known = new CompletableFuture<>();
         FakeServer discovery = new FakeServer(c -> {
@@ -146,21 +146,22 @@
                     known.complete(System.nanoTime());
                     c.awaitEnd();
                 } else if (request.contains("since=41&")) {
-                    c.sayHttp(200, "", news());
+                    c.sendHttp(200, "", changedList());
                 } else if (silent.complete(System.nanoTime())) {
                     c.awaitEnd();
                 } else {
-                    c.sayHttp(200, "", news().replace("43", "44"));
+                    c.sendHttp(200, "", changedList().replace("43", "44"));
                 }
             }
         });
-        try (Fleet fleet = fleet(discovery.dial(), mode).discovery(discovery).start()) {
+        try (ProxyFixture fixture =
+                fixture(discovery.dial(), mode).discovery(discovery).start()) {
             return (known.get(60, TimeUnit.SECONDS) - silent.join()) / 1e6;
         }
     }
 
-    /** Discovery's connections do not come up, until they do. */
-    private static double unknownAfterNoWayIn(String mode) throws Exception {
+    /** Connections to discovery are not established at first, and are later. */
+    private static double delayAfterUnacceptedConnections(String mode) throws Exception {
         CompletableFuture<Long> known = new CompletableFuture<>();
         try (LateServer discovery = new LateServer(p -> {
                     String request = null;
@@ -169,19 +170,20 @@
                         if (line.isEmpty() && request.contains("since=43&")) {
                             known.complete(System.nanoTime());
                         } else if (line.isEmpty()) {
-                            p.say("HTTP/1.1 200 OK\r\nContent-Length: " + news().length() + "\r\n\r\n" + news());
+                            p.send("HTTP/1.1 200 OK\r\nContent-Length: "
+                                    + changedList().length() + "\r\n\r\n" + changedList());
                         }
                     }
                 });
-                Fleet fleet = fleet(discovery.dial(), mode).start()) {
+                ProxyFixture fixture = fixture(discovery.dial(), mode).start()) {
             long from = System.nanoTime();
             discovery.open();
             return (known.get(60, TimeUnit.SECONDS) - from) / 1e6;
         }
     }
 
-    /** Nobody listens at discovery's address, until somebody does. */
-    private static double unknownAfterRefusals(String mode) throws Exception {
+    /** Discovery's address refuses connections at first, and accepts them later. */
+    private static double delayAfterRefusals(String mode) throws Exception {
         CompletableFuture<Long> known = new CompletableFuture<>();
         InetAddress local = InetAddress.getByName("127.0.0.1");
         int port;
@@ -195,14 +197,14 @@
                             known.complete(System.nanoTime());
                             c.awaitEnd();
                         } else {
-                            c.sayHttp(200, "", news());
+                            c.sendHttp(200, "", changedList());
                         }
                     }
                 },
                 new InetSocketAddress(local, port),
                 1500);
         try (discovery;
-                Fleet fleet = fleet("127.0.0.1:" + port, mode).start()) {
+                ProxyFixture fixture = fixture("127.0.0.1:" + port, mode).start()) {
             return (known.get(60, TimeUnit.SECONDS) - discovery.listeningNanos()) / 1e6;
         }
     }
@@ -210,23 +212,23 @@
     @Test
     void aChangeIsKnownInTimeWhateverPollFailed() throws Exception {
         List<String> names = new ArrayList<>();
-        List<Future<Double>> times = new ArrayList<>();
+        List<Future<Double>> repetitions = new ArrayList<>();
         ExecutorService each = Executors.newCachedThreadPool();
         try {
             for (String mode : new String[] {"ask", "push"}) {
                 for (Failures f : failures()) {
                     names.add(mode + " " + f.name());
-                    times.add(each.submit(() -> unknownAfter(f, mode)));
+                    repetitions.add(each.submit(() -> delayAfter(f, mode)));
                 }
                 names.add(mode + " watch that went on falls silent");
-                times.add(each.submit(() -> unknownAfterAContinuedWatch(mode)));
+                repetitions.add(each.submit(() -> delayAfterAContinuedWatch(mode)));
                 names.add(mode + " NO_WAY_IN");
-                times.add(each.submit(() -> unknownAfterNoWayIn(mode)));
+                repetitions.add(each.submit(() -> delayAfterUnacceptedConnections(mode)));
                 names.add(mode + " REFUSED");
-                times.add(each.submit(() -> unknownAfterRefusals(mode)));
+                repetitions.add(each.submit(() -> delayAfterRefusals(mode)));
             }
             for (int i = 0; i < names.size(); i++) {
-                double ms = times.get(i).get();
+                double ms = repetitions.get(i).get();
                 System.out.printf("known after %5.0f ms: %s%n", ms, names.get(i));
                 assertThat(ms).as(names.get(i)).isLessThan(MAX_DELAY_MS);
             }
@@ -236,15 +238,15 @@
     }
 
     /**
-     * What a connection that was given up still brings out as it ends is no answer to the call that took its place:
-     * here one without a length, which its end makes whole. Taken for one, it ended a sound call.
+     * A response that a cancelled poll's connection still delivers as it closes is no answer to the next poll: here one
+     * without a length, which the close completes. Guards against taking it for the answer, which ended a valid poll.
      */
     @Test
     void theEndOfACancelledPollIsNoAnswerToTheNext() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         FakeServer before = new FakeServer(c -> {
             c.request();
-            c.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"seq\":42,");
+            c.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"seq\":42,");
             begun.countDown();
             c.awaitEnd();
         });
@@ -255,52 +257,58 @@
                     c.awaitEnd();
                 } else {
                     asked.await();
-                    c.sayHttp(200, "", news());
+                    c.sendHttp(200, "", changedList());
                 }
             }
         });
         try (after;
-                Fleet fleet = new Fleet()
+                ProxyFixture fixture = new ProxyFixture()
                         .discovery(before)
                         .set("guarantees.ask-within", "200.0")
                         .start()) {
             begun.await();
-            fleet.client().say("mn\r\n").line(); // the event loop has been round: what there is of it has been read
-            fleet.config.addProperty("discovery", after.dial());
-            fleet.reload();
-            assertThat(after.next()).contains("since=41&");
-            fleet.client().say("mn\r\n").line();
-            fleet.client().say("mn\r\n").line();
+            fixture.client()
+                    .send("mn\r\n")
+                    .line(); // the event loop has completed an iteration and read what has arrived
+            fixture.config.addProperty("discovery", after.dial());
+            fixture.reload();
+            assertThat(after.nextCommand()).contains("since=41&");
+            fixture.client().send("mn\r\n").line();
+            fixture.client().send("mn\r\n").line();
             asked.countDown();
-            assertThat(after.next()).contains("since=43&");
+            assertThat(after.nextCommand()).contains("since=43&");
             assertThat(after.accepted).hasSize(1);
         }
     }
 
-    /** One that has moved, or lost its memory, may number its lists from less. */
+    /** A discovery that has moved or lost its state may restart its version numbers at lower values. */
     @Test
     void aDiscoveryWithNewVersionNumbersIsAskedForASnapshot() throws Exception {
         FakeServer discovery = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=41&")) {
-                    c.sayHttp(200, "", Fleet.list(3, false, new JsonArray()).toString());
+                    c.sendHttp(
+                            200,
+                            "",
+                            ProxyFixture.list(3, false, new JsonArray()).toString());
                 } else if (request.contains("since=0&")) {
                     JsonArray hosts = new JsonArray();
-                    hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "up"));
-                    c.sayHttp(200, "", Fleet.list(3, true, hosts).toString());
+                    hosts.add(ProxyFixture.host("s-0000beef", "node-fast", "127.0.0.1:9", "up"));
+                    c.sendHttp(200, "", ProxyFixture.list(3, true, hosts).toString());
                 } else {
                     c.awaitEnd();
                 }
             }
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                 .discovery(discovery)
                 .set("guarantees.ask-within", "200.0")
                 .start()) {
-            assertThat(discovery.next()).contains("since=41&");
-            assertThat(discovery.next()).contains("since=0&");
-            assertThat(discovery.next()).contains("since=3&");
-            assertThat(fleet.on(() -> fleet.proxy.status().discoveredNodes())).isEqualTo(1);
+            assertThat(discovery.nextCommand()).contains("since=41&");
+            assertThat(discovery.nextCommand()).contains("since=0&");
+            assertThat(discovery.nextCommand()).contains("since=3&");
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.status().discoveredNodes()))
+                    .isEqualTo(1);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/EventLogTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLogTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The lines of the log as they are written. */
+/** The text of event log lines. */
 class EventLogTest {
     private static final int BURST = 20;
 
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void whatTheRulesForbadeAndWhatViolatedThemHasItsIds() {
+    void forbiddenActionsAndViolationsAreLoggedWithTheirIds() {
         RuleMonitor rules = new RuleMonitor(log);
         ClientRequest request = request();
         rules.recordForbidden(
--- a/src/test/java/cacheproxy/proxy/FiguresTest.java
+++ b/src/test/java/cacheproxy/proxy/FiguresTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The proxy's counters against those of scripted clients and servers, to the last request. */
+/** The proxy's counters match those of scripted clients and servers exactly. */
 @Timeout(60)
 class FiguresTest {
-    private static ProxyStatus status(Fleet fleet) {
-        return fleet.on(fleet.proxy::status);
+    private static ProxyStatus status(ProxyFixture fixture) {
+        return fixture.onEventLoop(fixture.proxy::status);
     }
 
     @Test
@@ -27,11 +27,11 @@
                 long n = commands.incrementAndGet();
                 String id = FakeServer.id(line);
                 if (n % 7 == 0) {
-                    c.say("SERVER_ERROR busy\r\n");
+                    c.send("SERVER_ERROR busy\r\n");
                 } else if (n % 5 == 0) {
-                    c.say("EN O" + id + " h0\r\n");
+                    c.send("EN O" + id + " h0\r\n");
                 } else {
-                    c.say("VA 2 O" + id + " h1\r\nhi\r\n");
+                    c.send("VA 2 O" + id + " h1\r\nhi\r\n");
                 }
             }
         });
@@ -42,9 +42,9 @@
                 fetched.incrementAndGet();
                 boolean write = request.startsWith("PUT");
                 if (write && writes.incrementAndGet() % 3 == 0) {
-                    c.sayHttp(500, "", "");
+                    c.sendHttp(500, "", "");
                 } else {
-                    c.sayHttp(200, "", write ? "v1" : "fetched");
+                    c.sendHttp(200, "", write ? "v1" : "fetched");
                 }
             }
         });
@@ -52,12 +52,12 @@
         long[] refused = new long[2];
         long[] failed = new long[2];
         Random random = new Random(11);
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 400; i++) {
                 boolean write = random.nextInt(4) == 0;
                 int kind = write ? 1 : 0;
-                client.say(
+                client.send(
                         write
                                 ? "ms 7f3a9c21e0b4d65" + i % 8 + " 2 Ow" + i + " Pc=fix,d=20000\r\nab\r\n"
                                 : "mg 7f3a9c21e0b4d65" + i % 8 + " v Or" + i + " Pc=text,d=20000\r\n");
@@ -73,7 +73,7 @@
                     failed[kind]++;
                 }
             }
-            ProxyStatus s = status(fleet);
+            ProxyStatus s = status(fixture);
             assertThat(s.outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(served[0], refused[0], failed[0]));
             assertThat(s.outcomesByClass().get("fix")).isEqualTo(new ClassOutcomes(served[1], refused[1], failed[1]));
             assertThat(s.outcomesByClass().get("publish")).isEqualTo(new ClassOutcomes(0, 0, 0));
@@ -87,13 +87,13 @@
 
     @Test
     void anInvalidRequestOfAKnownClassFailsAndOneOfNoClassIsNotCounted() throws Exception {
-        try (Fleet fleet = new Fleet().start();
-                Fleet.Client client = fleet.client()) {
-            client.say("mg k v O1 Pc=text,d=x\r\nmg k v O2 Pc=none,d=100\r\nmg k v O3\r\nnonsense\r\n");
+        try (ProxyFixture fixture = new ProxyFixture().start();
+                ProxyFixture.Client client = fixture.client()) {
+            client.send("mg k v O1 Pc=text,d=x\r\nmg k v O2 Pc=none,d=100\r\nmg k v O3\r\nnonsense\r\n");
             for (int i = 0; i < 4; i++) {
                 assertThat(client.line()).matches("(CLIENT_)?ERROR.*");
             }
-            assertThat(status(fleet).outcomesByClass())
+            assertThat(status(fixture).outcomesByClass())
                     .containsOnlyKeys("text", "fix", "publish")
                     .containsEntry("text", new ClassOutcomes(0, 0, 1));
         }
@@ -103,23 +103,23 @@
     void anAbortedStreamFailsAndADisconnectedClientIsNotCounted() throws Exception {
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
-            c.say("VA 200000 O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(100_000));
+            c.send("VA 200000 O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(100_000));
             if (FakeServer.id(line).equals("gone")) {
                 c.awaitEnd();
             }
         });
-        try (Fleet fleet = new Fleet().node(node).start()) {
-            try (Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start()) {
+            try (ProxyFixture.Client client = fixture.client()) {
                 client.read("1").line();
                 assertThat(client.bytes(200_000)).hasSizeLessThan(200_000);
             }
-            assertThat(status(fleet).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
-            try (Fleet.Client client = fleet.client()) {
+            assertThat(status(fixture).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
+            try (ProxyFixture.Client client = fixture.client()) {
                 client.read("gone").line();
-                assertThat(status(fleet).openRequests()).isEqualTo(1);
+                assertThat(status(fixture).openRequests()).isEqualTo(1);
             }
-            Await.until("it is not owed any more", () -> status(fleet).openRequests() == 0);
-            assertThat(status(fleet).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
+            Await.until("no request is open", () -> status(fixture).openRequests() == 0);
+            assertThat(status(fixture).outcomesByClass().get("text")).isEqualTo(new ClassOutcomes(0, 0, 1));
         }
     }
 
@@ -134,15 +134,16 @@
             c.request();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(silent).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
-            client.read("1").say("ms k 2 O2 Pc=fix,d=20000\r\nab\r\n");
-            silent.next();
-            origin.next();
-            fleet.on(() -> fleet.proxy.startDrain(100));
+        try (ProxyFixture fixture =
+                        new ProxyFixture().node(silent).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
+            client.read("1").send("ms k 2 O2 Pc=fix,d=20000\r\nab\r\n");
+            silent.nextCommand();
+            origin.nextCommand();
+            fixture.onEventLoop(() -> fixture.proxy.startDrain(100));
             assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(status(fleet).outcomesByClass())
+            assertThat(status(fixture).outcomesByClass())
                     .containsEntry("text", new ClassOutcomes(0, 1, 0))
                     .containsEntry("fix", new ClassOutcomes(0, 0, 1));
         }
@@ -150,23 +151,23 @@
 
     @Test
     void anUnreachableNodeIsReportedAsEjected() throws Exception {
-        FakeServer gone = FakeServer.node(line -> "");
-        gone.close();
+        FakeServer unreachable = FakeServer.node(line -> "");
+        unreachable.close();
         List<String> answers = new ArrayList<>();
-        try (Fleet fleet = new Fleet()
-                        .node(gone.dial())
+        try (ProxyFixture fixture = new ProxyFixture()
+                        .node(unreachable.dial())
                         .node(FakeServer.node(line -> "VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n"))
                         .start();
-                Fleet.Client client = fleet.client()) {
-            assertThat(status(fleet).ejectedNodes()).isZero();
+                ProxyFixture.Client client = fixture.client()) {
+            assertThat(status(fixture).ejectedNodes()).isZero();
             for (int i = 0; i < 8; i++) {
-                client.say("mg 7f3a9c21e0b4d65" + i + " v O" + i + " Pc=text,d=20000\r\n");
+                client.send("mg 7f3a9c21e0b4d65" + i + " v O" + i + " Pc=text,d=20000\r\n");
                 answers.add(client.line());
                 client.line();
             }
             assertThat(answers).allMatch(a -> a.startsWith("VA"));
-            Await.until("the one is avoided", () -> status(fleet).ejectedNodes() == 1);
-            assertThat(status(fleet).discoveredNodes()).isEqualTo(2);
+            Await.until("the unreachable node is ejected", () -> status(fixture).ejectedNodes() == 1);
+            assertThat(status(fixture).discoveredNodes()).isEqualTo(2);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerDatagramSocketTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Messages between proxies, on loopback datagrams. */
+/** Messages between proxies, as datagrams on loopback. */
 class PeerDatagramSocketTest {
     private static String text(DatagramSocket socket) {
         return "127.0.0.1:" + socket.getLocalPort();
@@ -49,22 +49,22 @@
         try (DatagramSocket peer = new DatagramSocket(0, local);
                 DatagramSocket all = new DatagramSocket(0, local);
                 DatagramSocket stranger = new DatagramSocket(0, local)) {
-            Fleet fleet = new Fleet();
+            ProxyFixture fixture = new ProxyFixture();
             JsonArray peers = new JsonArray();
             peers.add("127.0.0.1:1");
             peers.add(text(peer));
-            fleet.config.add("peers", peers);
-            fleet.config.addProperty("peers_all", text(all));
-            fleet.config.addProperty("peer_listen", "127.0.0.1:0");
-            Config config = Config.parse(fleet.config);
+            fixture.config.add("peers", peers);
+            fixture.config.addProperty("peers_all", text(all));
+            fixture.config.addProperty("peer_listen", "127.0.0.1:0");
+            Config config = Config.parse(fixture.config);
             EventLoop loop = group.next();
             Counters counters = new Counters();
-            LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
+            LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
             PeerDatagramSocket socket = new PeerDatagramSocket(
                     loop,
                     Transport.BEST.datagram(),
                     config.peerAddresses(),
-                    (from, kind, body) -> heard.add(from + kind.name() + new String(body, UTF_8)),
+                    (from, kind, body) -> received.add(from + kind.name() + new String(body, UTF_8)),
                     counters::increment);
             socket.send(1, PeerMessageKind.ENDPOINT_LIST, "to one".getBytes(UTF_8));
             assertThat(receive(peer)).isEqualTo("1to one");
@@ -79,14 +79,14 @@
             send(peer, sealed(30, 0, "of a kind to come"), socket);
             send(peer, sealed(1, 5, "of a version to come"), socket);
             send(peer, sealed(2, 0, "hi"), socket);
-            assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("1LOAD_BALANCERhi");
+            assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("1LOAD_BALANCERhi");
             assertThat(counters.count(Metric.PEER_MESSAGES_SENT)).isEqualTo(3);
             assertThat(counters.count(Metric.PEER_MESSAGES_RECEIVED)).isEqualTo(4);
             for (int i = 0; i < 200; i++) {
                 socket.send(1, PeerMessageKind.ENDPOINT_LIST, new byte[200]);
             }
             assertThat(counters.count(Metric.PEER_MESSAGES_SENT))
-                    .as("the budget")
+                    .as("send budget")
                     .isBetween(20L, 40L);
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/src/test/java/cacheproxy/proxy/RoutesTest.java
+++ b/src/test/java/cacheproxy/proxy/RoutesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Routes on sockets: two nodes in two pools, what falls back and what must not, and other routes meanwhile. */
+/** Routes on sockets: two nodes in two pools, which requests may use the fallback, and routes reloaded in service. */
 @Timeout(60)
 class RoutesTest {
     private static final String POOLS = "pool one { host = \"s-00000001\" } pool two { host = \"s-00000002\" } ";
@@ -39,28 +39,29 @@
         }
     }
 
-    private static String get(Fleet.Client client, String key, String id) throws Exception {
-        client.say("mg " + key + " v O" + id + " Pc=text,d=20000\r\n");
+    private static String get(ProxyFixture.Client client, String key, String id) throws Exception {
+        client.send("mg " + key + " v O" + id + " Pc=text,d=20000\r\n");
         String head = client.line();
         return head.startsWith("VA") ? client.line() : head;
     }
 
-    private static Fleet fleet(String routes) {
-        Fleet fleet = new Fleet();
-        fleet.routing = routing(routes);
-        return fleet;
+    private static ProxyFixture fixture(String routes) {
+        ProxyFixture fixture = new ProxyFixture();
+        fixture.routing = routing(routes);
+        return fixture;
     }
 
     @Test
     void keysGoToTheirPoolsAndOthersToAll() throws Exception {
-        try (Fleet fleet = fleet(ROUTES).node(node("one")).node(node("two")).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        fixture(ROUTES).node(node("one")).node(node("two")).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 20; i++) {
                 assertThat(get(client, "a" + i, "a" + i)).isEqualTo("one");
                 assertThat(get(client, "b" + i, "b" + i)).isEqualTo("two");
                 assertThat(get(client, "c" + i, "c" + i)).isIn("one", "two");
             }
-            assertThat(fleet.on(() -> fleet.proxy.router().routes()))
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.router().routes()))
                     .extracting(RouteStatus::requests)
                     .containsExactly(20L, 20L, 20L);
         }
@@ -68,98 +69,106 @@
 
     @Test
     void aDeadPoolsReadsAreServedByTheFallback() throws Exception {
-        try (Fleet fleet = fleet(ROUTES).node("127.0.0.1:9").node(node("two")).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        fixture(ROUTES).node("127.0.0.1:9").node(node("two")).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 20; i++) {
                 assertThat(get(client, "a" + i, "a" + i)).isEqualTo("two");
             }
-            assertThat(fleet.on(() -> fleet.proxy.router().routes().get(0).fallbacks()))
+            assertThat(fixture.onEventLoop(
+                            () -> fixture.proxy.router().routes().get(0).fallbacks()))
                     .isEqualTo(20);
         }
     }
 
-    /** Its module would ask the origin, which other pools' servers spare. */
+    /** The empty pool's routing would fetch from the origin, which the fallback pool's servers make unnecessary. */
     @Test
-    void aPoolWithoutServersIsPassedOverForTheFallbackAndNotForTheOrigin() throws Exception {
+    void aPoolWithoutServersUsesTheFallbackAndNotTheOrigin() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(200, "", "origin");
+                c.sendHttp(200, "", "origin");
             }
         });
         String routes = "pool none { host = \"nobody\" } pool two { host = \"s-00000002\" } "
                 + "route a { key = \"a*\" pool = none fallback = two } route b { key = \"b*\" pool = none }";
-        try (Fleet fleet = fleet(routes)
+        try (ProxyFixture fixture = fixture(routes)
                         .node(node("one"))
                         .node(node("two"))
                         .origin(origin)
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             assertThat(get(client, "a1", "1")).isEqualTo("two");
             assertThat(origin.commands).isEmpty();
             assertThat(get(client, "b1", "2")).as("without a fallback").isEqualTo("origin");
         }
     }
 
-    /** The origin takes the write and ends the connection: it may have run, and no pool gets it again. */
+    /** The origin reads the write and closes the connection: it may have been executed, so no pool gets it again. */
     @Test
-    void aWriteThatMayHaveRunIsNotSentToTheFallback() throws Exception {
-        FakeServer origin = new FakeServer(c -> c.request()); // and the connection ends
-        try (Fleet fleet = fleet(ROUTES)
+    void aPossiblyExecutedWriteIsNotSentToTheFallback() throws Exception {
+        FakeServer origin = new FakeServer(c -> c.request()); // then closes the connection
+        try (ProxyFixture fixture = fixture(ROUTES)
                         .node(node("one"))
                         .node(node("two"))
                         .origin(origin)
                         .start();
-                Fleet.Client client = fleet.client()) {
-            client.say("ms a1 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+                ProxyFixture.Client client = fixture.client()) {
+            client.send("ms a1 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(origin.commands).hasSize(1);
-            assertThat(fleet.on(() -> fleet.proxy.router().routes().get(0).fallbacks()))
+            assertThat(fixture.onEventLoop(
+                            () -> fixture.proxy.router().routes().get(0).fallbacks()))
                     .isZero();
         }
     }
 
     @Test
     void openRequestsEndUnderTheOldRoutesAndNewOnesBeginUnderTheNew() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer one = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say("VA 3 O" + FakeServer.id(line) + " h1\r\none\r\n");
+                release.await();
+                c.send("VA 3 O" + FakeServer.id(line) + " h1\r\none\r\n");
             }
         });
-        try (Fleet fleet = fleet(ROUTES).node(one).node(node("two")).start();
-                Fleet.Client before = fleet.client()) {
-            before.say("mg a1 v O1 Pc=text,d=20000\r\n");
-            one.next();
-            fleet.routing = routing(POOLS.substring(POOLS.indexOf("pool two")) + "route all { pool = two }");
-            fleet.reload();
+        try (ProxyFixture fixture = fixture(ROUTES).node(one).node(node("two")).start();
+                ProxyFixture.Client before = fixture.client()) {
+            before.send("mg a1 v O1 Pc=text,d=20000\r\n");
+            one.nextCommand();
+            fixture.routing = routing(POOLS.substring(POOLS.indexOf("pool two")) + "route all { pool = two }");
+            fixture.reload();
             Await.until(
-                    "the new routes hold",
-                    () -> fleet.on(() -> fleet.proxy.router().version()) == 2);
-            assertThat(get(fleet.client(), "a1", "2")).isEqualTo("two");
-            assertThat(fleet.on(() -> fleet.proxy.router().pools()))
+                    "the new routes are in use",
+                    () -> fixture.onEventLoop(() -> fixture.proxy.router().version()) == 2);
+            assertThat(get(fixture.client(), "a1", "2")).isEqualTo("two");
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.router().pools()))
                     .extracting(PoolStatus::name)
                     .containsExactly("", "one", "two");
-            go.countDown();
+            release.countDown();
             assertThat(before.line()).isEqualTo("VA 3 O1");
             assertThat(before.line()).isEqualTo("one");
             Await.until(
-                    "the pool that vanished has ended",
-                    () -> fleet.on(() -> fleet.proxy.router().pools()).size() == 2);
+                    "the removed pool is closed",
+                    () -> fixture.onEventLoop(() -> fixture.proxy.router().pools())
+                                    .size()
+                            == 2);
         }
     }
 
     @Test
-    void routesOfNoUseChangeNothing() throws Exception {
-        try (Fleet fleet = fleet(ROUTES).node(node("one")).node(node("two")).start()) {
-            fleet.routing = null; // reading them fails
-            fleet.reload();
-            assertThat(get(fleet.client(), "a1", "1")).isEqualTo("one");
-            assertThat(fleet.on(() -> fleet.proxy.router().version())).isEqualTo(1);
-            fleet.routing = routing(ROUTES);
-            fleet.reload();
+    void invalidRoutesChangeNothing() throws Exception {
+        try (ProxyFixture fixture =
+                fixture(ROUTES).node(node("one")).node(node("two")).start()) {
+            fixture.routing = null; // loading routes fails
+            fixture.reload();
+            assertThat(get(fixture.client(), "a1", "1")).isEqualTo("one");
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.router().version()))
+                    .isEqualTo(1);
+            fixture.routing = routing(ROUTES);
+            fixture.reload();
             Await.until(
-                    "the next hold", () -> fleet.on(() -> fleet.proxy.router().version()) == 2);
+                    "the next hold",
+                    () -> fixture.onEventLoop(() -> fixture.proxy.router().version()) == 2);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -31,33 +31,30 @@
     }
 
     private static final int QUIET_MS = 200;
-    /** What the proxy may hold itself. */
-    private static final long OWN_ROOM = 8L << 20;
+    /** Upper bound of what the proxy itself may buffer. */
+    private static final long PROXY_BUFFER_BYTES = 8L << 20;
 
-    private static final long USUAL_MOST = 32L << 20;
+    private static final long DEFAULT_SOCKET_BUFFER_BYTES = 32L << 20;
 
-    /**
-     * What fits into the buffers on the way from a node to a client: the system's on both connections, and the proxy's.
-     */
-    private static long room() throws IOException {
-        return 2 * (most("tcp_rmem") + most("tcp_wmem")) + OWN_ROOM;
+    /** Capacity of all buffers between a node and a client: the kernel's on both connections, and the proxy's. */
+    private static long bufferCapacity() throws IOException {
+        return 2 * (maxSocketBufferBytes("tcp_rmem") + maxSocketBufferBytes("tcp_wmem")) + PROXY_BUFFER_BYTES;
     }
 
-    /**
-     * The length that the system lets a connection's buffer grow to; it differs by a factor of five between kernels.
-     */
-    private static long most(String buffer) throws IOException {
+    /** The kernel's limit for a socket buffer; it differs by a factor of five between kernels. */
+    private static long maxSocketBufferBytes(String buffer) throws IOException {
         Path limits = Path.of("/proc/sys/net/ipv4", buffer);
         if (!Files.isReadable(limits)) {
-            return USUAL_MOST;
+            return DEFAULT_SOCKET_BUFFER_BYTES;
         }
-        try (Stream<String> lines = Files.lines(limits)) { // reads it at one go, as the system wants it
+        try (Stream<String> lines =
+                Files.lines(limits)) { // reads the file in one call, as the kernel expects for sysctl files
             return Long.parseLong(lines.findFirst().orElseThrow().split("\\s+")[2]);
         }
     }
 
     private static void head(FakeServer.Connection c, String command) throws IOException {
-        c.say("VA " + VALUE.length + " O" + FakeServer.id(command) + " h1\r\n");
+        c.send("VA " + VALUE.length + " O" + FakeServer.id(command) + " h1\r\n");
     }
 
     @Test
@@ -66,11 +63,11 @@
             for (String line; (line = c.command()) != null; ) {
                 head(c, line);
                 c.out.write(VALUE);
-                c.say("\r\n");
+                c.send("\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1").read("2");
             for (String id : new String[] {"1", "2"}) {
                 assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O" + id);
@@ -80,7 +77,7 @@
         }
     }
 
-    /** Takes a long answer, and has no room left as its end comes. */
+    /** Accepts a long response and has no room left when its end arrives. */
     private static final class Full implements ResponseWriter {
         private final CompletableFuture<String> ended = new CompletableFuture<>();
         private FlowControl flow;
@@ -129,21 +126,22 @@
     }
 
     /**
-     * Seen: a connection to a node was held as the client had no room for an answer's end, and nobody let go of it
-     * again. What stood behind that answer never came, and ten seconds later its client's connection was ended.
+     * Guards against a node's connection that stays paused because the client had no room for the end of a response:
+     * the response behind it never arrived, and ten seconds later that client's connection was closed.
      */
     @Test
     void aResponseBehindAStreamedOneArrivesThoughItsClientWasSlow() throws Exception {
         Semaphore next = new Semaphore(0);
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                next.acquire(); // nothing of an answer comes with the end of the one before
+                next.acquire(); // no part of a response arrives with the end of the previous one
                 head(c, line);
                 c.out.write(VALUE);
-                c.say("\r\n");
+                c.send("\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).set("balancers", "60").start()) { // one connection to a node
+        try (ProxyFixture fixture =
+                new ProxyFixture().node(node).set("balancers", "60").start()) { // one connection per node
             for (int i = 0; i < 3; i++) {
                 Full client = new Full();
                 RequestCommand read = new RequestCommand(
@@ -154,11 +152,11 @@
                         new RequestParameters("text", null, 20_000, Double.NaN, 0, false),
                         new DeadlineTemplate("c=text,d=", ""),
                         new DeadlineTemplate("mg 7f3a v O" + i + " Pc=text,d=", ""));
-                fleet.on(() -> {
-                    fleet.proxy
+                fixture.onEventLoop(() -> {
+                    fixture.proxy
                             .dispatcher()
                             .accept(new ClientRequest(
-                                    client, read, fleet.proxy.dispatcher().now()));
+                                    client, read, fixture.proxy.dispatcher().now()));
                     return null;
                 });
                 next.release();
@@ -173,14 +171,14 @@
     void aLongValueOfTheOriginIsStreamedCompletely() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
-            c.say("HTTP/1.1 200 OK\r\nContent-Length: " + VALUE.length + "\r\n\r\n");
+            c.send("HTTP/1.1 200 OK\r\nContent-Length: " + VALUE.length + "\r\n\r\n");
             c.out.write(VALUE);
             c.out.flush();
             c.awaitEnd();
         });
         FakeServer node = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
             assertThat(client.bytes(VALUE.length)).isEqualTo(VALUE);
@@ -189,21 +187,21 @@
 
     @Test
     void theFirstBytesDoNotWaitForTheLast() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch firstPartRead = new CountDownLatch(1);
         FakeServer node = new FakeServer(c -> {
             head(c, c.command());
             c.out.write(VALUE, 0, 1000);
             c.out.flush();
-            seen.await();
+            firstPartRead.await();
             c.out.write(VALUE, 1000, VALUE.length - 1000);
-            c.say("\r\n");
+            c.send("\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1").line();
             assertThat(client.bytes(1000)).hasSize(1000);
-            seen.countDown();
+            firstPartRead.countDown();
             assertThat(client.bytes(VALUE.length - 1000)).hasSize(VALUE.length - 1000);
         }
     }
@@ -219,21 +217,21 @@
                     c.out.write(VALUE, at, 1 << 14);
                     sent.addAndGet(1 << 14);
                 }
-                c.say("\r\n");
+                c.send("\r\n");
             }
             over.countDown();
         });
-        long room = room();
+        long room = bufferCapacity();
         int values = (int) (2 * room / VALUE.length);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < values; i++) {
                 client.read(Integer.toString(i));
             }
             client.line();
             client.bytes(VALUE.length);
             for (long before = -1; before != sent.get(); Thread.sleep(QUIET_MS)) {
-                before = sent.get(); // a proxy that does not hold back goes on to the end of all values
+                before = sent.get(); // without back pressure the proxy would read all values to their end
             }
             assertThat(sent.get() - VALUE.length).isLessThan(room);
             client.line();
@@ -251,12 +249,12 @@
             c.out.write(VALUE, 0, 100_000);
             c.out.flush();
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
             assertThat(client.bytes(VALUE.length).length).isLessThan(VALUE.length);
-            assertThat(fleet.client().say("mn\r\n").line()).isEqualTo("MN");
+            assertThat(fixture.client().send("mn\r\n").line()).isEqualTo("MN");
         }
     }
 
@@ -270,8 +268,8 @@
             c.awaitEnd();
             ended.countDown();
         });
-        try (Fleet fleet = new Fleet().node(node).start()) {
-            Fleet.Client client = fleet.client();
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start()) {
+            ProxyFixture.Client client = fixture.client();
             client.read("1").line();
             client.close();
             assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
