--- a/src/main/java/cacheproxy/emulator/ColdStart.java
+++ b/src/main/java/cacheproxy/emulator/ColdStart.java
@@ -3,20 +3,20 @@
 import java.util.ArrayDeque;
 
 /**
- * What a server that has just started can do, and whether it is pushed over: sent more than {@code multiple} times its
- * present capacity over a window, it falls and stays down.
+ * The reduced capacity of a server that has just started, and its collapse under overload: if it is sent more than
+ * {@code multiple} times its current capacity within a window, it fails and stays down.
  */
 public final class ColdStart {
     private record Sent(double atMs, double workMs) {}
 
     /**
-     * The course from a start to full capacity, and what pushes a server over on the way.
+     * The warm-up from the start to full capacity, and the overload that a cold server collapses under.
      *
-     * @param from capacity at the start, as a share of the whole: above 0, at most 1
-     * @param warmMs after which time all of it is there
-     * @param multiple how many times its capacity a cold server stands
-     * @param windowMs over which time that is counted
-     * @param slackMs work that may come beyond it, for chance
+     * @param from capacity at the start, as a share of full capacity: above 0, at most 1
+     * @param warmMs the time until full capacity is reached
+     * @param multiple the multiple of its capacity that a cold server tolerates
+     * @param windowMs the window over which the load is counted
+     * @param slackMs additional work tolerated, to allow for random bursts
      */
     public record Settings(double from, double warmMs, double multiple, double windowMs, double slackMs) {
         /** @throws IllegalArgumentException if a value is out of its range */
@@ -34,14 +34,14 @@
     private final ArrayDeque<Sent> window = new ArrayDeque<>();
     private double sentMs;
 
-    /** {@code bornMs}: when it started; negative infinity for long ago. */
+    /** {@code bornMs}: the start time; negative infinity for a server that is warm. */
     public ColdStart(Settings settings, double speed, double bornMs) {
         this.settings = settings;
         this.speed = speed;
         this.bornMs = bornMs;
     }
 
-    /** The share of its capacity that a server has now. */
+    /** The current capacity as a share of full capacity. */
     public double share(double now) {
         double age = now - bornMs;
         return age >= settings.warmMs()
@@ -49,12 +49,12 @@
                 : settings.from() + (1 - settings.from()) * Math.max(0, age) / settings.warmMs();
     }
 
-    /** Whether it still has less than its full capacity. */
+    /** Whether the server is still warming up. */
     public boolean cold(double now) {
         return now - bornMs < settings.warmMs();
     }
 
-    /** Counts work that has been sent to it; true if that pushes it over. */
+    /** Records work sent to the server; returns whether it collapses under the load. */
     public boolean pushedOver(double now, double workMs) {
         if (!cold(now)) {
             window.clear();
@@ -66,7 +66,7 @@
         while (window.peek().atMs() <= now - settings.windowMs()) {
             sentMs -= window.poll().workMs();
         }
-        // Capacity grows in a straight line, so over the window it is on average what it was in its middle.
+        // Capacity grows linearly, so its mean over the window is its value at the window's midpoint.
         double canDo = share((now + Math.max(bornMs, now - settings.windowMs())) / 2) * speed * settings.windowMs();
         return sentMs > settings.multiple() * canDo + settings.slackMs();
     }
--- a/src/main/java/cacheproxy/emulator/FaultSchedules.java
+++ b/src/main/java/cacheproxy/emulator/FaultSchedules.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * Faults that come in numbers, as a large fleet has them: written out as a script's lines would be. Times in
+ * Generates the repeated faults that are typical of a large fleet, in the form that a fault script yields. Times in
  * milliseconds.
  */
 public final class FaultSchedules {
-    /** What a process needs to start at all; nothing is repeated faster. */
+    /** The minimum interval between faults: the time that a process needs to start. */
     public static final double LEAST_MS = 100;
-    /** How long one that is killed, or replaced, is away. */
+    /** The downtime of a killed or replaced process. */
     private static final double AWAY_MS = 1000;
-    /** Of all proxies, as on the operators' days. */
+    /** The share of all proxies that fail in a bad release, as the operators have seen it. */
     private static final double RELEASE_PART = 0.8;
 
     private FaultSchedules() {}
 
     /**
-     * A release goes wrong: eight in ten proxies, one at least, are killed in one moment and start together 1 s later.
+     * A failed release: 80% of the proxies, at least one, are killed at the same time and restart together 1 s later.
      */
     public static List<Fault> release(double atMs, int proxies) {
         List<Fault> faults = new ArrayList<>();
@@ -28,12 +28,12 @@
         return faults;
     }
 
-    /** One node after another dies and comes back empty and cold 1 s later, until a time. */
+    /** Until {@code untilMs}, nodes in turn die and restart 1 s later with an empty cache and at cold capacity. */
     public static List<Fault> replacements(double everyMs, double untilMs, int nodes) {
         return inTurn(everyMs, untilMs, nodes, "node-", Fault.Action.RESTART, AWAY_MS);
     }
 
-    /** A new process takes over from one proxy after another, until a time. */
+    /** Until {@code untilMs}, a new process takes over from each proxy in turn. */
     public static List<Fault> upgrades(double everyMs, double untilMs, int proxies) {
         return inTurn(everyMs, untilMs, proxies, "proxy-", Fault.Action.UPGRADE, 0);
     }
--- a/src/main/java/cacheproxy/emulator/Filler.java
+++ b/src/main/java/cacheproxy/emulator/Filler.java
@@ -6,17 +6,18 @@
 import java.net.SocketAddress;
 import java.nio.channels.SocketChannel;
 
-/** A connection that stands in a listening socket's queue and says nothing, so that the queue is full. */
+/** An idle connection that occupies a place in a listening socket's accept queue, to keep the queue full. */
 final class Filler {
     private final SocketChannel channel;
     private final SocketAddress local;
 
-    /** On loopback it is up, or waits for room in the queue, when this returns. */
+    /** On return the connection is established, or waits for room in the queue (loopback only). */
     Filler(InetSocketAddress to) {
         try {
             channel = SocketChannel.open();
             channel.configureBlocking(false);
-            channel.bind(new InetSocketAddress(to.getAddress(), 0)); // or the address is not known before it is up
+            channel.bind(new InetSocketAddress(
+                    to.getAddress(), 0)); // otherwise the local address is unknown until the connection is established
             local = channel.getLocalAddress();
             channel.connect(to);
         } catch (IOException e) {
@@ -24,7 +25,7 @@
         }
     }
 
-    /** Its own end's address. */
+    /** The connection's local address. */
     SocketAddress local() {
         return local;
     }
--- a/src/main/java/cacheproxy/emulator/Hosts.java
+++ b/src/main/java/cacheproxy/emulator/Hosts.java
@@ -5,27 +5,27 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Loopback addresses for the machines that proxies stand for. On an address that all share, the system gives the port
- * of a proxy that was killed to whoever connects next, and the proxy can't listen there when it starts again.
+ * Loopback addresses for the emulated proxy machines. On a shared address the kernel may assign the port of a killed
+ * proxy to another outgoing connection, and the proxy can't bind to it when it restarts.
  */
 final class Hosts {
     private static final AtomicInteger NEXT = new AtomicInteger();
 
     private Hosts() {}
 
-    /** A number for one more fleet of this process. */
+    /** Allocates the number of a new fleet in this process. */
     static int next() {
         return NEXT.getAndIncrement();
     }
 
-    /** The address of one proxy of one fleet, apart from those of other processes' fleets as far as can be. */
+    /** The address of a proxy; derived from the process id so that it rarely collides with other processes' fleets. */
     static InetAddress of(int fleet, int proxy) {
         int own = (int) ProcessHandle.current().pid() * 31 + fleet;
         try {
             return InetAddress.getByAddress(
                     new byte[] {127, (byte) (1 + (own >> 8 & 0x7f)), (byte) own, (byte) (proxy + 1)});
         } catch (UnknownHostException e) {
-            throw new IllegalStateException(e); // four bytes are an address
+            throw new IllegalStateException(e); // unreachable: four bytes are always a valid address
         }
     }
 }
--- a/src/main/java/cacheproxy/emulator/Keys.java
+++ b/src/main/java/cacheproxy/emulator/Keys.java
@@ -1,10 +1,10 @@
 package cacheproxy.emulator;
 
-/** The key space of a run: key number {@code i} as sixteen hexadecimal digits, spread evenly over all hashes. */
+/** The key space of a run: key number {@code i} as sixteen hexadecimal digits, uniformly distributed. */
 public final class Keys {
     private Keys() {}
 
-    /** The text of key number {@code i}, the same in every process. */
+    /** Key number {@code i}, identical in every process. */
     public static String key(long i) {
         return hex(mix(i ^ 0x5eed_0f_4b_e7L));
     }
@@ -18,7 +18,7 @@
         return new String(digits);
     }
 
-    /** The finaliser of SplitMix64 (Steele, Lea, Flood 2014): a bijection, so that no two numbers share a key. */
+    /** The finalizer of SplitMix64 (Steele, Lea, Flood 2014): a bijection, so no two numbers share a key. */
     public static long mix(long z) {
         z += 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/cacheproxy/emulator/Layout.java
+++ b/src/main/java/cacheproxy/emulator/Layout.java
@@ -5,28 +5,28 @@
 import java.util.Set;
 
 /**
- * Where a fleet's proxies and nodes stand: they are dealt to the zones in turn, so that {@code proxy-0} and
- * {@code node-0} stand in the first. The origin and discovery stand in none of them.
+ * The placement of a fleet's proxies and nodes: they are assigned to zones round-robin, so that {@code proxy-0} and
+ * {@code node-0} are in the first zone. The origin and discovery are in no zone.
  *
- * @param zones their names, 1 to 16, all different
- * @param betweenMs what the way from one zone to another takes, one way, 0 to 1,000 ms
- * @param peers whether proxies are told of one another and may send datagrams
- * @param parts what they run with of what concerns the fleet
+ * @param zones the zone names, 1 to 16, all different
+ * @param betweenMs one-way latency between two zones, 0 to 1,000 ms
+ * @param peers whether proxies are configured with their peers and may send datagrams
+ * @param parts the optional fleet features that the proxies run with
  */
 public record Layout(List<String> zones, double betweenMs, boolean peers, Set<Part> parts) {
-    /** What a proxy may run with or without. */
+    /** An optional fleet feature of a proxy. */
     public enum Part {
-        /** It keeps a view of the fleet with the others. */
+        /** Keeps a fleet view that is shared with the peers. */
         VIEW,
-        /** It leaves zones with the others, which takes a view. */
+        /** Coordinates zone failover with the peers; requires a view. */
         ZONES,
-        /** It stores what outlasts it in a folder of its own. */
+        /** Persists its state in a directory of its own. */
         STATE,
-        /** It comes back with the others in mind, which takes a view. */
+        /** Coordinates its recovery after a restart with the peers; requires a view. */
         RECOVERY
     }
 
-    /** One zone, and proxies that know nothing of each other. */
+    /** One zone, and proxies without peers. */
     public static final Layout PLAIN = new Layout(List.of("loopback"), 0, false, Set.of());
 
     /** Checks the ranges. */
@@ -41,7 +41,7 @@
         }
     }
 
-    /** The number of the zone in which the proxy or node of this number stands. */
+    /** The zone number of the proxy or node with this number. */
     public int zoneOf(int number) {
         return number % zones.size();
     }
--- a/src/main/java/cacheproxy/emulator/LinkConditions.java
+++ b/src/main/java/cacheproxy/emulator/LinkConditions.java
@@ -1,16 +1,16 @@
 package cacheproxy.emulator;
 
 /**
- * What the way from one part of a fleet to another does to what is sent. Shares from 0 to 1, times in milliseconds.
+ * The conditions of the link from one component of a fleet to another. Shares from 0 to 1, times in milliseconds.
  *
- * @param cut nothing arrives
- * @param delayMs what everything takes, 0 to 60,000
- * @param jitterMs what it takes at most beyond that, drawn evenly; a stream keeps its order all the same
- * @param lose of datagrams that do not arrive; a piece of a stream comes later instead, by what a resend takes
- * @param twice of datagrams that arrive twice
- * @param reorder of datagrams that are overtaken by those behind them
- * @param hold of pieces of a stream that stand still half way, with all that follows
- * @param reset of pieces of a stream in whose place the connection is reset
+ * @param cut the link is partitioned: nothing arrives
+ * @param delayMs fixed delay, 0 to 60,000
+ * @param jitterMs maximum additional delay, uniformly distributed, 0 to 60,000; streams are not reordered by it
+ * @param lose share of datagrams that are lost; a stream segment is delayed by retransmissions instead
+ * @param twice share of datagrams that are duplicated
+ * @param reorder share of datagrams that are overtaken by later ones
+ * @param hold share of stream segments that stall half way, with all that follows, until the conditions change
+ * @param reset share of stream segments that are replaced by a connection reset
  */
 public record LinkConditions(
         boolean cut,
@@ -21,9 +21,9 @@
         double reorder,
         double hold,
         double reset) {
-    /** All arrives at once. */
+    /** A healthy link without delay. */
     public static final LinkConditions OPEN = new LinkConditions(false, 0, 0, 0, 0, 0, 0, 0);
-    /** Nothing arrives. */
+    /** A partitioned link. */
     public static final LinkConditions CUT = new LinkConditions(true, 0, 0, 0, 0, 0, 0, 0);
 
     /** Checks the ranges. */
@@ -39,17 +39,17 @@
         }
     }
 
-    /** Whether all that is sent arrives. */
+    /** Whether everything that is sent arrives, though perhaps late. */
     boolean sound() {
         return !cut && lose == 0 && hold == 0 && reset == 0;
     }
 
-    /** Only slower. */
+    /** A link with a fixed delay only. */
     public static LinkConditions slow(double delayMs) {
         return delayMs == 0 ? OPEN : new LinkConditions(false, delayMs, 0, 0, 0, 0, 0, 0);
     }
 
-    /** This way with another's troubles on top. */
+    /** Combines two sets of conditions: delays add up, shares combine as independent probabilities. */
     public LinkConditions and(LinkConditions b) {
         return new LinkConditions(
                 cut || b.cut,
--- a/src/main/java/cacheproxy/emulator/LinkFault.java
+++ b/src/main/java/cacheproxy/emulator/LinkFault.java
@@ -3,15 +3,15 @@
 import java.util.Set;
 
 /**
- * Something that goes wrong between parts of a fleet and not in one of them.
+ * A fault of the links between components of a fleet, as opposed to a fault of one component.
  *
- * @param name for people
- * @param atMs when it begins
- * @param forMs how long it lasts, over 0
- * @param at one end, by the names of parts
- * @param from the other; may overlap the first, as all proxies do with all proxies
- * @param oneWay only what goes from {@code at} to {@code from} is concerned
- * @param way what happens to it
+ * @param name a descriptive name
+ * @param atMs start time
+ * @param forMs duration, above 0
+ * @param at the names of the components at one end
+ * @param from those at the other end; may overlap {@code at}, as for faults between all proxies
+ * @param oneWay whether only traffic from {@code at} to {@code from} is affected
+ * @param way the conditions of the affected links
  */
 public record LinkFault(
         String name, double atMs, double forMs, Set<String> at, Set<String> from, boolean oneWay, LinkConditions way) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Whether it concerns what is sent from one part to another. */
+    /** Whether it affects the link from a sender to a receiver. */
     boolean concerns(String sender, String receiver) {
         return (at.contains(sender) && from.contains(receiver))
                 || (!oneWay && from.contains(sender) && at.contains(receiver));
--- a/src/main/java/cacheproxy/emulator/Links.java
+++ b/src/main/java/cacheproxy/emulator/Links.java
@@ -3,29 +3,29 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The ways between the parts of a fleet, with the faults that hold now. Does no I/O. */
+/** The conditions of the links between a fleet's components under the active faults. Does no I/O. */
 public final class Links {
     private final Parties parties;
     private final Layout layout;
     private final List<LinkFault> now = new ArrayList<>();
 
-    /** Without faults: only what lies between zones. */
+    /** Starts without faults, with only the latency between zones. */
     public Links(FleetSpec spec) {
         parties = new Parties(spec);
         layout = spec.layout();
     }
 
-    /** A fault begins. */
+    /** Activates a fault. */
     public void begin(LinkFault fault) {
         now.add(fault);
     }
 
-    /** A fault is over; nothing happens if it had not begun. */
+    /** Deactivates a fault; no-op if it is not active. */
     public void end(LinkFault fault) {
         now.remove(fault);
     }
 
-    /** What happens now to what one part sends to another. */
+    /** The current conditions of the link from a sender to a receiver. */
     public LinkConditions way(String sender, String receiver) {
         int a = parties.zone(sender);
         int b = parties.zone(receiver);
--- a/src/main/java/cacheproxy/emulator/LruStore.java
+++ b/src/main/java/cacheproxy/emulator/LruStore.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * A cache node's memory: the version held of each key, least recently used first out.
+ * A cache node's store: the cached version of each key, with least-recently-used eviction.
  *
- * @param <K> what a key is
+ * @param <K> the key type
  */
 public final class LruStore<K> {
     private final Map<K, Long> versions;
 
-    /** {@code entries}: how many keys it holds, at least 1. */
+    /** {@code entries}: the maximum number of keys, at least 1. */
     public LruStore(int entries) {
         if (entries < 1) {
             throw new IllegalArgumentException("a cache holds 1 entry or more, not " + entries);
@@ -26,27 +26,27 @@
         };
     }
 
-    /** The version held, or null. */
+    /** Returns the cached version of a key, or null on a miss. */
     public Long get(K key) {
         return versions.get(key);
     }
 
-    /** Holds this version of a key from now on; drops the key used longest ago if there is no room. */
+    /** Stores a version of a key; evicts the least recently used key if the store is full. */
     public void put(K key, long version) {
         versions.put(key, version);
     }
 
-    /** Holds a key no longer; nothing happens if it did not. */
+    /** Removes a key if it is present. */
     public void drop(K key) {
         versions.remove(key);
     }
 
-    /** Holds nothing from now on. */
+    /** Removes all keys. */
     public void clear() {
         versions.clear();
     }
 
-    /** How many keys are held. */
+    /** The number of stored keys. */
     public int size() {
         return versions.size();
     }
--- a/src/main/java/cacheproxy/emulator/Parties.java
+++ b/src/main/java/cacheproxy/emulator/Parties.java
@@ -6,13 +6,14 @@
 import java.util.Set;
 
 /**
- * The parts of a fleet by name, as scripts and scenarios select them: {@code proxy-3}, {@code proxy-*}, {@code node-0},
- * {@code node-*}, {@code zone-a} (the proxies and nodes that stand there), {@code origin}, {@code discovery}.
+ * The components of a fleet by name, as fault scripts and scenarios select them: {@code proxy-3}, {@code proxy-*},
+ * {@code node-0}, {@code node-*}, {@code zone-a} (the proxies and nodes in that zone), {@code origin},
+ * {@code discovery}.
  */
 public final class Parties {
-    /** The part's name, and that of its list entry. */
+    /** The origin's name, also that of its entry in the host list. */
     public static final String ORIGIN = "origin";
-    /** The part's name. */
+    /** Discovery's name. */
     public static final String DISCOVERY = "discovery";
 
     private static final String PROXY = "proxy-";
@@ -21,22 +22,22 @@
 
     private final FleetSpec spec;
 
-    /** Of such a fleet. */
+    /** The components of a fleet of this specification. */
     public Parties(FleetSpec spec) {
         this.spec = spec;
     }
 
-    /** The proxy of this number. */
+    /** The name of the proxy with this number. */
     public static String proxy(int number) {
         return PROXY + number;
     }
 
-    /** The node of this number. */
+    /** The name of the node with this number. */
     public static String node(int number) {
         return NODE + number;
     }
 
-    /** Whether a part is a proxy. */
+    /** Whether a component is a proxy. */
     public static boolean isProxy(String part) {
         return part.startsWith(PROXY);
     }
@@ -46,14 +47,14 @@
         return Integer.parseInt(part.substring(part.indexOf('-') + 1));
     }
 
-    /** The number of the zone in which a part stands, negative for the origin and discovery. */
+    /** The number of a component's zone, negative for the origin and discovery. */
     public int zone(String part) {
         return part.equals(ORIGIN) || part.equals(DISCOVERY)
                 ? -1
                 : spec.layout().zoneOf(number(part));
     }
 
-    /** All parts. */
+    /** All components. */
     public List<String> all() {
         List<String> all = new ArrayList<>(match(PROXY + "*"));
         all.addAll(match(NODE + "*"));
@@ -62,7 +63,7 @@
         return all;
     }
 
-    /** The parts that a word selects, in order; none if it selects nothing of this fleet. */
+    /** The components that a selector matches, in order; empty if it matches none of this fleet. */
     public List<String> match(String word) {
         List<String> parts = new ArrayList<>();
         if (word.equals(ORIGIN) || word.equals(DISCOVERY)) {
@@ -84,14 +85,14 @@
         }
     }
 
-    /** The parts that any of these words select, each once. */
+    /** The components that any of these selectors matches, without duplicates. */
     public Set<String> match(List<String> words) {
         Set<String> parts = new LinkedHashSet<>();
         words.forEach(w -> parts.addAll(match(w)));
         return parts;
     }
 
-    /** What may stand in place of a word that selects nothing. */
+    /** The valid selectors, for error messages. */
     public String hint() {
         return "proxy-0 to proxy-" + (spec.proxies() - 1) + ", proxy-*, node-0 to node-" + (spec.nodes() - 1)
                 + ", node-*, "
--- a/src/main/java/cacheproxy/emulator/ResponsePipeline.java
+++ b/src/main/java/cacheproxy/emulator/ResponsePipeline.java
@@ -4,11 +4,11 @@
 import java.util.ArrayDeque;
 
 /**
- * The answers of one connection, given in the order of their commands whenever each is ready. What is ready waits while
- * the process is frozen.
+ * The pipelined responses of one connection, written in command order as they become ready. Ready responses are held
+ * back while the process is frozen.
  */
 final class ResponsePipeline {
-    /** Where one command's answer goes. */
+    /** The place of one command's response in the pipeline. */
     static final class Slot {
         private Object answer;
     }
--- a/src/main/java/cacheproxy/emulator/Service.java
+++ b/src/main/java/cacheproxy/emulator/Service.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 
-/** A {@link ServiceModel} in real time: runs what is done when it is done. Belongs to the fleet's event loop. */
+/** Drives a {@link ServiceModel} in real time and runs each job's callback on completion. Event loop only. */
 final class Service {
     private final EmulatedFleet fleet;
     private final ServiceModel<Runnable> model;
@@ -12,14 +12,14 @@
     private Future<?> timer;
     private double timerMs = Double.POSITIVE_INFINITY;
 
-    /** {@code speed}: at the time when it is asked. */
+    /** {@code speed}: returns the current speed. */
     Service(EmulatedFleet fleet, ServiceModel<Runnable> model, DoubleSupplier speed) {
         this.fleet = fleet;
         this.model = model;
         this.speed = speed;
     }
 
-    /** Takes work, in milliseconds at speed 1, and what to do when it is done; false if the queue is full. */
+    /** Queues work, in milliseconds at speed 1, with its completion callback; false if the queue is full. */
     boolean offer(Runnable done, double workMs) {
         boolean taken = model.offer(fleet.now(), done, workMs, speed.getAsDouble());
         arm();
--- a/src/main/java/cacheproxy/emulator/Sockets.java
+++ b/src/main/java/cacheproxy/emulator/Sockets.java
@@ -14,15 +14,15 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 
 /**
- * The kinds of channel that stand-ins and generators use. Epoll where it can be loaded: its timers are exact to some
- * microseconds, where the JDK's selector wakes to the millisecond.
+ * The transport of the emulator and the load generators. Epoll where it is available: its timers are accurate to some
+ * microseconds, while the JDK's selector wakes with millisecond resolution.
  */
 public record Sockets(
         IoHandlerFactory io,
         Class<? extends ServerChannel> server,
         Class<? extends Channel> client,
         Class<? extends Channel> datagram) {
-    /** The best kind that this machine has. */
+    /** The preferred transport that is available on this machine. */
     public static final Sockets BEST = Epoll.isAvailable()
             ? new Sockets(
                     EpollIoHandler.newFactory(),
--- a/src/main/java/cacheproxy/emulator/ValueSizes.java
+++ b/src/main/java/cacheproxy/emulator/ValueSizes.java
@@ -5,17 +5,17 @@
 import java.util.Locale;
 
 /**
- * How long values are: a usual length, and some shares of all keys that have longer ones. A key's values are always of
- * one length, so that whoever asks for it, a node or the origin, gives as much.
+ * The distribution of value lengths: a default length, and shares of all keys that have other lengths. The length is a
+ * function of the key, so that every node and the origin return the same length for it.
  *
- * @param usual in bytes, 0 to 4 MiB
- * @param large shares of all keys with other lengths; together 1 at most
+ * @param usual the default length in bytes, 0 to 4 MiB
+ * @param large shares of all keys with other lengths; their sum is at most 1
  */
 public record ValueSizes(int usual, List<Part> large) {
-    /** The longest value of the protocol, in bytes. */
+    /** The protocol's maximum value length, in bytes. */
     public static final int MAX = 4 << 20;
 
-    /** A share of all keys, above 0 to 1, and how long their values are, in bytes. */
+    /** A share of all keys, above 0 and at most 1, and the length of their values in bytes. */
     public record Part(int bytes, double share) {}
 
     /** Checks the ranges. */
@@ -41,15 +41,16 @@
         }
     }
 
-    /** All of one length. */
+    /** All values have the same length. */
     public static ValueSizes of(int bytes) {
         return new ValueSizes(bytes, List.of());
     }
 
     /**
-     * Reads a mix such as {@code 4mb:0.05,64kb:0.1}; an IllegalArgumentException says what is wrong, with an example.
+     * Parses a distribution such as {@code 4mb:0.05,64kb:0.1}; an IllegalArgumentException names the invalid part and
+     * gives an example.
      *
-     * @param usual of all other keys, in bytes
+     * @param usual the length for all other keys, in bytes
      */
     public static ValueSizes parse(String text, int usual) {
         List<Part> parts = new ArrayList<>();
@@ -76,7 +77,7 @@
         return (int) bytes;
     }
 
-    /** How long this key's values are, in bytes. */
+    /** The length of this key's values, in bytes. */
     public int bytesOf(String key) {
         if (large.isEmpty()) {
             return usual;
--- a/src/main/java/cacheproxy/emulator/meta/MetaAnswer.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaAnswer.java
@@ -1,21 +1,21 @@
 package cacheproxy.emulator.meta;
 
-/** One answer as a client reads it. {@code id} is null where the line carries none. */
+/** A response as decoded by a client. {@code id} is null if the response line carries none. */
 public sealed interface MetaAnswer {
 
-    /** The id that the answer names, or null. */
+    /** The request id echoed in the response, or null. */
     String id();
 
-    /** A served read; {@code begunNanos}: when its first line came, by {@link System#nanoTime()}. */
+    /** A successful read. {@code begunNanos}: when its first line was decoded, by {@link System#nanoTime()}. */
     record Value(String id, byte[] value, long begunNanos) implements MetaAnswer {}
 
-    /** A served write. */
+    /** A successful write. */
     record Receipt(String id, String receipt) implements MetaAnswer {}
 
-    /** A cache node that lacks the key. */
+    /** A cache miss. */
     record Miss(String id) implements MetaAnswer {}
 
-    /** {@code MN}. */
+    /** {@code MN}, the response to a no-op. */
     record Noop() implements MetaAnswer {
         @Override
         public String id() {
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Turned away: trying again is harmless, after {@code retryAfterMs} (0: no time was told). */
+    /** Rejected without being executed, so a retry is safe after {@code retryAfterMs} (0: no delay was given). */
     record Busy(long retryAfterMs) implements MetaAnswer {
         @Override
         public String id() {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Any other line. */
+    /** Any other response line. */
     record Failed(String line) implements MetaAnswer {
         @Override
         public String id() {
--- a/src/main/java/cacheproxy/emulator/meta/MetaAnswerDecoder.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaAnswerDecoder.java
@@ -6,9 +6,9 @@
 import io.netty.handler.codec.CorruptedFrameException;
 import java.util.List;
 
-/** Turns a server's bytes into {@link MetaAnswer}s. What can't be framed raises a decoder's exception. */
+/** Decodes a server's bytes into {@link MetaAnswer}s. Throws a decoder exception on a framing error. */
 public final class MetaAnswerDecoder extends ByteToMessageDecoder {
-    /** Values over this length are timed by their first bytes. */
+    /** Values of more than this many bytes are timed by their first line instead of their last byte. */
     public static final int LONG = 64 << 10;
 
     private static final String BUSY = "SERVER_ERROR busy";
@@ -17,7 +17,7 @@
     private int length = -1;
     private long begunNanos;
 
-    /** Whether a value has begun that is timed by its first bytes, and has not come whole. */
+    /** Whether a value over {@link #LONG} is being received and is not complete yet. */
     public boolean inLongValue() {
         return length > LONG;
     }
--- a/src/main/java/cacheproxy/emulator/meta/MetaCommandDecoder.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaCommandDecoder.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.TooLongFrameException;
 import java.util.List;
 
-/** Turns a client's bytes into {@link MetaCommand}s; a command comes out when its last byte has come. */
+/** Decodes a client's bytes into {@link MetaCommand}s; a command is emitted once all its bytes have arrived. */
 public final class MetaCommandDecoder extends ByteToMessageDecoder {
     private String[] write;
     private int length;
--- a/src/main/java/cacheproxy/emulator/meta/MetaLines.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaLines.java
@@ -4,16 +4,16 @@
 import io.netty.handler.codec.TooLongFrameException;
 import java.nio.charset.StandardCharsets;
 
-/** Lines, lengths and flags: what both directions of the protocol have in common. */
+/** Parsing of lines, lengths and flags, shared by both directions of the protocol. */
 final class MetaLines {
-    /** The longest line that is read, in bytes. */
+    /** The maximum length of a line, in bytes. */
     static final int MAX_LINE = 4096;
-    /** The longest value that is read, in bytes. */
+    /** The maximum length of a value, in bytes. */
     static final int MAX_VALUE = 4 << 20;
 
     private MetaLines() {}
 
-    /** Takes a line off the input, without its end; null while it is not all there. */
+    /** Consumes a line and returns it without its terminator; null while it is incomplete. */
     static String take(ByteBuf in) {
         int length = in.bytesBefore((byte) '\n');
         if (length < 0 ? in.readableBytes() > MAX_LINE : length > MAX_LINE) {
@@ -27,12 +27,12 @@
         return line.endsWith("\r") ? line.substring(0, line.length() - 1) : line;
     }
 
-    /** Takes the two bytes behind a value; false if they are not CR LF. */
+    /** Consumes the two bytes that follow a value; returns false if they are not CR LF. */
     static boolean ends(ByteBuf in) {
         return in.readShort() == ('\r' << 8 | '\n');
     }
 
-    /** A value's length in bytes, or -1 if the word is none. */
+    /** Parses a value's length in bytes; -1 if it is invalid or above {@link #MAX_VALUE}. */
     static int length(String word) {
         if (word.isEmpty() || word.length() > 7 || !word.chars().allMatch(c -> c >= '0' && c <= '9')) {
             return -1;
@@ -41,7 +41,7 @@
         return n <= MAX_VALUE ? n : -1;
     }
 
-    /** The flag that begins with this letter among the words from {@code from} on, without it; null if none does. */
+    /** Returns the argument of the first flag with this letter, searching from index {@code from}; null if absent. */
     static String flag(String[] words, int from, char letter) {
         for (int i = from; i < words.length; i++) {
             if (!words[i].isEmpty() && words[i].charAt(0) == letter) {
--- a/src/main/java/cacheproxy/emulator/meta/package-info.java
+++ b/src/main/java/cacheproxy/emulator/meta/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The meta commands of the memcache text protocol as stand-ins and load generators see them: commands and answers as
- * records, with a decoder for each direction. Depends on Netty alone.
+ * The meta commands of the memcache text protocol for the emulated servers and the load generators: commands and
+ * responses as records, and a decoder for each direction. Depends on Netty alone.
  */
 package cacheproxy.emulator.meta;
--- a/src/main/java/cacheproxy/emulator/package-info.java
+++ b/src/main/java/cacheproxy/emulator/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Stand-ins for everything around the proxy, on loopback: cache nodes, the origin, discovery and the front layer, with
- * timed faults and an oracle that a run is checked against.
+ * Emulates the proxy's environment on loopback: cache nodes, the origin, discovery and the front layer, with scheduled
+ * fault injection and an oracle that checks a run.
  *
- * <p>The package knows the protocols and not the proxy: it shares no code with what it tests, so that a mistake in the
- * proxy's grammar can't hide behind the same mistake here. What is decided here (a node's core, its ramp, its memory,
- * the roster, the oracle) stands in classes without I/O that take the time as an argument; what owns a socket only
- * carries it out. All of one fleet runs on one event loop. It may use Netty and Gson; {@code proxy}, the decision
- * files, {@code simulator}, {@code load}, {@code demo} and {@code cli} are out of bounds.
+ * <p>The package implements the protocols and shares no code with the proxy, so that a parser bug in the proxy can't be
+ * masked by the same bug here. The logic (a node's core, its warm-up, its cache, the host list, the oracle) is in
+ * classes without I/O that take the time as an argument; the classes that own sockets only execute it. Each emulated
+ * fleet runs on a single event loop. The package may use Netty and Gson, but not {@code proxy}, the decision classes,
+ * {@code simulator}, {@code load}, {@code demo} or {@code cli}.
  */
 package cacheproxy.emulator;
