--- a/src/main/java/cacheproxy/emulator/DiscoveryServer.java
+++ b/src/main/java/cacheproxy/emulator/DiscoveryServer.java
@@ -27,18 +27,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery: the whole list and a watch on its changes over HTTP/1.1, a socket for each proxy, and outages. It works
- * through its calls in turn at a bounded number of lines a second. Belongs to the fleet's event loop.
+ * Emulated discovery: serves the whole host list and a watch on its changes over HTTP/1.1, with separate sockets for
+ * each proxy, and emulates outages. Requests are served in sequence at a limited number of list entries per second.
+ * Confined to the fleet's event loop.
  */
 final class DiscoveryServer {
-    /** Addresses for each proxy, so that a new configuration can name another. */
+    /** Addresses per proxy; more than one, so that a new configuration can name another. */
     static final int ADDRESSES = 2;
-    /** A call that would wait longer is turned away. */
+    /** A request that would wait longer is rejected with 503. */
     private static final double PATIENCE_MS = 2000;
 
     private static final double MAX_WAIT_MS = 60_000;
     private static final int MAX_WATCHES = 256;
-    /** Where some answers are older lists: so many, and of a list so many versions back. */
+    /** While older lists are served: their share of the responses, and how many versions they lag behind. */
     private static final double OLDER_SHARE = 0.3;
 
     private static final int OLDER_VERSIONS = 5;
@@ -74,7 +75,7 @@
     private boolean olderLists;
     private double freeMs;
 
-    /** The whole list as it was once. */
+    /** A snapshot of the whole list. */
     private record Version(long seq, List<HostList.Host> hosts) {}
 
     DiscoveryServer(EmulatedFleet fleet, HostList roster) {
@@ -159,7 +160,7 @@
         }
     }
 
-    /** The list has changed: whoever watches hears of it. */
+    /** Answers all watches after a change of the list. */
     void changed() {
         older.addLast(new Version(roster.seq(), roster.whole()));
         if (older.size() > OLDER_VERSIONS) {
@@ -168,18 +169,18 @@
         List.copyOf(watches).forEach(Watch::end);
     }
 
-    /** Answers no watch, those included that wait. */
+    /** Sets whether watches go unanswered, pending ones included. */
     void watchesSilent(boolean on) {
         watchesSilent = on;
         forgetWatches();
     }
 
-    /** Some answers are lists of older versions. */
+    /** Sets whether some responses are lists of older versions. */
     void olderLists(boolean on) {
         olderLists = on;
     }
 
-    /** Has lost its memory. */
+    /** Emulates a loss of state: version numbers restart. */
     void renumber() {
         roster.renumber();
         older.clear();
@@ -195,7 +196,7 @@
         return down;
     }
 
-    /** While down it answers nothing, and watches end. */
+    /** Sets whether discovery is down: it then answers nothing and drops all watches. */
     void down(boolean on) {
         down = on;
         if (on) {
@@ -227,7 +228,7 @@
                         TimeUnit.NANOSECONDS);
     }
 
-    /** Counts from when the last byte is on its way to the proxy, whatever its link did to it before. */
+    /** Records the update as of the write of its last byte, after any delay that the emulated link added. */
     private void told(int proxy, List<HostList.Host> hosts) {
         hosts.forEach(h -> fleet.oracle().told(proxy, h.name(), h.health() == HostList.Health.UP, fleet.now()));
     }
@@ -243,7 +244,7 @@
         return ctx.writeAndFlush(response);
     }
 
-    /** A list as a proxy is told it, with the addresses that it dials. */
+    /** Encodes a list for a proxy, with the addresses that this proxy connects to. */
     static JsonObject json(int proxy, long seq, List<HostList.Host> hosts, boolean whole) {
         JsonObject list = new JsonObject();
         list.addProperty("seq", seq);
--- a/src/main/java/cacheproxy/emulator/Fault.java
+++ b/src/main/java/cacheproxy/emulator/Fault.java
@@ -1,82 +1,81 @@
 package cacheproxy.emulator;
 
 /**
- * One thing that goes wrong in one part of a fleet, when, and where. What goes wrong between two is a
- * {@link LinkFault}.
+ * A scheduled fault of one component of a fleet. Faults between components are {@link LinkFault}s.
  *
- * @param atMs after the start
+ * @param atMs start time, from the start of the run
  * @param target {@code node-3}, {@code node-*}, {@code origin}, {@code discovery}, {@code proxy-1}
- * @param forMs how long it lasts; 0 where the action has no length
- * @param share of answers that come spoilt, 0 to 1; 0 for other actions
- * @param state what becomes of a killed proxy's folder of state until it is started again
+ * @param forMs duration; 0 if the action has none
+ * @param share share of responses that are corrupted, 0 to 1; 0 for other actions
+ * @param state what happens to a killed proxy's state directory before its restart
  */
 public record Fault(double atMs, String target, Action action, double forMs, double share, State state) {
-    /** What becomes of what an instance keeps beyond its life. */
+    /** What happens to an instance's persisted state. */
     public enum State {
-        /** Nothing. */
+        /** It is left unchanged. */
         KEPT,
-        /** All of it is gone. */
+        /** All of it is deleted. */
         LOST,
-        /** Each file is cut off somewhere. */
+        /** Each file is truncated at some position. */
         CUT_SHORT,
-        /** One byte of each file is another. */
+        /** One byte of each file is changed. */
         DAMAGED,
-        /** It is what it was when the faults began. */
+        /** It is reset to the copy taken when the faults began. */
         OLDER,
-        /** It is what another instance has kept. */
+        /** It is replaced by another instance's state. */
         OTHER
     }
 
-    /** One that leaves what instances keep alone. */
+    /** A fault that leaves persisted state unchanged. */
     public Fault(double atMs, String target, Action action, double forMs, double share) {
         this(atMs, target, action, forMs, share, State.KEPT);
     }
 
-    /** What can go wrong, and with what. */
+    /** The kinds of fault and the components that each applies to. */
     public enum Action {
-        /** The core stands still; sockets are read, the queue fills. */
+        /** Request processing stalls; sockets are still read and the queue fills. */
         STALL("node origin", true, false),
-        /** The process stands still: nothing is read, accepted or answered until it goes on. */
+        /** The process is frozen: nothing is read, accepted or answered until it resumes. */
         FREEZE("node origin", true, false),
-        /** All open connections end with a reset; new ones come up. */
+        /** All open connections are reset; new ones are accepted. */
         RESET("node origin", false, false),
-        /** The machine says nothing more; afterwards its connections are reset. */
+        /** The machine stops responding; afterwards its connections are reset. */
         SILENCE("node origin", true, false),
-        /** The process dies and stays away; the roster sees it late. */
+        /** The process dies and stays down; the host list reflects it with a delay. */
         LEAVE("node", false, false),
-        /** The roster says that it drains. */
+        /** The host list marks it as draining. */
         DRAIN("node", false, false),
-        /** The process dies and comes back after this time with an empty cache, cold. */
+        /** The process dies and restarts after the duration with an empty cache and at cold capacity. */
         RESTART("node", true, false),
-        /** A share of its answers comes spoilt. */
+        /** A share of its responses is corrupted. */
         SPOIL("node", true, true),
-        /** It keeps copies that writes have voided. */
+        /** It keeps copies that writes have invalidated. */
         STALE("node", true, false),
-        /** Discovery answers nothing. */
+        /** Discovery is unavailable. */
         DOWN("discovery", true, false),
-        /** Discovery answers no watch; what waits gets no answer either. Calls for the whole list are answered. */
+        /** Discovery answers no watches, pending ones included. Requests for the whole list are answered. */
         WATCHES_SILENT("discovery", true, false),
-        /** Some of discovery's answers are whole lists of older versions, as of a replica that is behind. */
+        /** Some of discovery's responses are whole lists of older versions, as from a replica that lags. */
         OLDER_LISTS("discovery", true, false),
-        /** Discovery has lost its memory and numbers its lists from the beginning. */
+        /** Discovery loses its state and restarts the numbering of its list versions. */
         RENUMBER("discovery", false, false),
-        /** A proxy is killed and started again after this time. */
+        /** A proxy is killed and restarted after the duration. */
         KILL("proxy", true, false),
-        /** A proxy's process stands still, and then believes that it is still then. */
+        /** A proxy's process is paused, and resumes unaware of the time that has passed. */
         STOP("proxy", true, false),
-        /** A proxy is told to end and started again when it has. */
+        /** A proxy is told to terminate, and is restarted once it has. */
         TERM("proxy", false, false),
-        /** A new process takes over from a proxy that serves, which is then told to end. */
+        /** A successor process takes over from a serving proxy, which is then told to terminate. */
         UPGRADE("proxy", false, false),
-        /** A proxy is asked to drain within this time, and started again when it has ended. */
+        /** A proxy is told to drain within the duration, and is restarted once it has exited. */
         RETIRE("proxy", true, false),
-        /** A proxy's drain is taken back. */
+        /** A proxy's drain is cancelled. */
         RECALL("proxy", false, false),
-        /** A proxy is told to read its configuration again. */
+        /** A proxy is told to reload its configuration. */
         HUP("proxy", false, false),
-        /** The same with other settings: a class appears and fewer attempts are allowed, or the other way round. */
+        /** A reload with changed settings: a class is added and fewer attempts are allowed, or the reverse. */
         RETUNE("proxy", false, false),
-        /** A proxy is told to read a file that is cut off. */
+        /** A proxy is told to load a truncated configuration file. */
         MISFILE("proxy", false, false);
 
         private final String targets;
@@ -89,13 +88,13 @@
             this.shared = shared;
         }
 
-        /** Whether it can happen to that part. */
+        /** Whether it applies to that component. */
         public boolean fits(String target) {
             String kind = target.startsWith("node-") ? "node" : target.startsWith("proxy-") ? "proxy" : target;
             return (" " + targets + " ").contains(" " + kind + " ");
         }
 
-        /** The kinds of part that it can happen to. */
+        /** The kinds of component that it applies to. */
         public String targets() {
             return targets;
         }
--- a/src/main/java/cacheproxy/emulator/FaultScript.java
+++ b/src/main/java/cacheproxy/emulator/FaultScript.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 
 /**
- * Reads fault scripts: a line a fault, {@code AT TARGET ACTION [LENGTH] [SHARE%]}, {@code #} begins a comment.
+ * Parses fault scripts: one fault per line, {@code AT TARGET ACTION [LENGTH] [SHARE%]}; {@code #} starts a comment.
  *
  * <pre>
  * 5s    node-3     stall 2s
@@ -16,10 +16,10 @@
  * </pre>
  */
 public final class FaultScript {
-    /** The most faults that a script may hold. */
+    /** The maximum number of faults in a script. */
     static final int MAX_FAULTS = 10_000;
 
-    /** A script that can't be read: every wrong line, each with its number and the likely fix. */
+    /** An invalid script: lists every invalid line with its number and a suggested fix. */
     public static final class ScriptException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -37,7 +37,7 @@
         parties = new Parties(spec);
     }
 
-    /** The faults of a script for such a fleet, in the order of their times. {@code name} is for messages. */
+    /** Parses a script for a fleet; returns its faults ordered by time. {@code name} is the file's name in messages. */
     public static List<Fault> parse(String name, List<String> lines, FleetSpec spec) throws ScriptException {
         FaultScript script = new FaultScript(name, spec);
         List<Fault> faults = new ArrayList<>();
@@ -133,7 +133,7 @@
         return "did you mean " + best + "?";
     }
 
-    /** The number of letters to change, add or drop (Levenshtein). */
+    /** The Levenshtein distance. */
     private static int distance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
@@ -156,7 +156,7 @@
         return word.matches("\\d+(\\.\\d+)?") ? "name the unit: " + word + "s or " + word + "ms" : "1.5s or 300ms";
     }
 
-    /** A time such as {@code 300ms}, {@code 1.5s} or {@code 2m} in milliseconds; NaN if it is none. */
+    /** Parses a duration such as {@code 300ms}, {@code 1.5s} or {@code 2m} to milliseconds; NaN if it is invalid. */
     public static double duration(String word) {
         if (!word.matches("\\d{1,9}(\\.\\d{1,9})?(ms|s|m|h)")) {
             return Double.NaN;
--- a/src/main/java/cacheproxy/emulator/HostList.java
+++ b/src/main/java/cacheproxy/emulator/HostList.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Discovery's list: what each host is said to be, and since which version. */
+/** Discovery's versioned host list: each host's entry and the version of its last change. */
 final class HostList {
-    /** {@code addresses}: where each proxy dials it, in their order. */
+    /** {@code addresses}: the address that each proxy connects to, by proxy number. */
     record Host(String name, List<String> addresses, String site, String kind, int block, Health health, long bornMs) {
         Host with(Health other) {
             return new Host(name, addresses, site, kind, block, other, bornMs);
@@ -18,7 +18,7 @@
         }
     }
 
-    /** What the list says of a host. */
+    /** A host's listed state. */
     enum Health {
         UP,
         DRAINING,
@@ -30,7 +30,7 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private long seq = 1;
 
-    /** Adds or changes a host. */
+    /** Adds or updates a host. */
     void put(Host host) {
         entries.put(host.name(), new Entry(host, ++seq));
     }
@@ -51,13 +51,13 @@
         return seq;
     }
 
-    /** Numbers its versions from the beginning, as if all of it were news. */
+    /** Restarts the version numbers, with all entries as new changes. */
     void renumber() {
         seq = 1;
         entries.replaceAll((name, entry) -> new Entry(entry.host(), ++seq));
     }
 
-    /** All hosts that are not gone. */
+    /** All hosts that are not removed. */
     List<Host> whole() {
         List<Host> hosts = new ArrayList<>();
         entries.values().forEach(e -> {
@@ -68,7 +68,7 @@
         return hosts;
     }
 
-    /** What has changed since that version, the removed among it. */
+    /** The hosts that have changed since that version, including removed ones. */
     List<Host> since(long version) {
         List<Host> hosts = new ArrayList<>();
         entries.values().forEach(e -> {
--- a/src/main/java/cacheproxy/emulator/OriginServer.java
+++ b/src/main/java/cacheproxy/emulator/OriginServer.java
@@ -22,13 +22,14 @@
 import java.util.Set;
 
 /**
- * The origin: HTTP/1.1, a few slots and a bounded queue. It alone knows a key's version, counts what takes effect,
- * drops the nodes' copies on a write and fills the nodes that missed. Belongs to the fleet's event loop.
+ * The emulated origin: HTTP/1.1, a few parallel slots and a bounded queue. It is the authority on key versions, reports
+ * executed writes to the oracle, invalidates the nodes' copies on a write and fills the nodes that missed. Confined to
+ * the fleet's event loop.
  */
 final class OriginServer {
     private static final byte[] NOTHING = {};
     private static final double WRITE_WORK = 1.5;
-    /** The queue, in slots' worth: some seconds of work. */
+    /** Queue length per slot; corresponds to some seconds of work. */
     private static final int QUEUE_PER_SLOT = 16;
 
     private record Receipt(long version, double atMs) {}
@@ -37,7 +38,7 @@
     private final Listener listener;
     private final Service slots;
     private final Map<String, Long> versions = new HashMap<>();
-    /** The receipts of keyed writes for as long as repeats are dropped, oldest first. */
+    /** Receipts of keyed writes within the deduplication window, oldest first. */
     private final Map<String, Receipt> receipts = new LinkedHashMap<>();
 
     private final Set<ResponsePipeline> lines = new HashSet<>();
@@ -57,12 +58,12 @@
         return listener;
     }
 
-    /** How many writes of the key have run. */
+    /** The number of executed writes of the key. */
     long version(String key) {
         return versions.getOrDefault(key, 0L);
     }
 
-    /** Fetches served so far. */
+    /** The number of fetches served so far. */
     long fetches() {
         return fetches;
     }
--- a/src/main/java/cacheproxy/emulator/Payload.java
+++ b/src/main/java/cacheproxy/emulator/Payload.java
@@ -4,17 +4,17 @@
 import java.util.Arrays;
 
 /**
- * A value that says what it is: {@code KEY@VERSION:}, a filler that both determine, and a full stop. Anybody who reads
- * it can tell a stale value from a current one, one key's from another's, and a whole one from a spoilt or cut one.
+ * A self-describing value: {@code KEY@VERSION:}, a filler derived from both, and a full stop. A reader can detect a
+ * stale value, a value of another key, and a corrupted or truncated one.
  *
- * @param version how many writes of the key had run when the value was made; 0 before the first
+ * @param version the number of writes of the key before the value was created; 0 before the first
  */
 public record Payload(String key, long version) {
 
-    /** After so many bytes the filler repeats: no power of two, or parts in the wrong order would look right. */
+    /** The filler's period in bytes. Not a power of two, as value chunks in the wrong order would go undetected. */
     private static final int PERIOD = 65_521;
 
-    /** The value's bytes; {@code size} is the least length, in bytes. */
+    /** The value's bytes; {@code size} is the minimum length. */
     public byte[] bytes(int size) {
         byte[] head = (key + "@" + version + ":").getBytes(StandardCharsets.ISO_8859_1);
         byte[] value = new byte[Math.max(head.length + 1, size)];
@@ -24,7 +24,7 @@
         return value;
     }
 
-    /** The first period letter by letter, and the rest as copies of it, which take a tenth of the time. */
+    /** Generates the first period and copies it for the rest, which takes a tenth of the time of generating all. */
     private void fill(byte[] value, int from) {
         int end = value.length - 1;
         letters(value, from, Math.min(end, from + PERIOD));
@@ -43,7 +43,7 @@
         }
     }
 
-    /** What the value says it is, or null if it is spoilt: no head, or a filler that isn't its own. */
+    /** Parses a value; returns null if it is corrupted, as its header is invalid or its filler does not match. */
     public static Payload read(byte[] value) {
         int at = -1;
         int colon = -1;
--- a/src/main/java/cacheproxy/emulator/Series.java
+++ b/src/main/java/cacheproxy/emulator/Series.java
@@ -7,52 +7,52 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What each proxy did in each second, as those around it saw it: clients, stand-ins and the relay of datagrams. Belongs
- * to the fleet's event loop.
+ * Per-second counters of each proxy as observed from outside: by clients, the emulated servers and the datagram relay.
+ * Confined to the fleet's event loop.
  */
 public final class Series {
-    /** Later seconds are counted in the last. */
+    /** The number of seconds kept; later events are counted in the last one. */
     static final int MOST_SECONDS = 7200;
     /** A tenth of a second, in milliseconds. */
     public static final double TENTH_MS = 100;
 
-    /** What is counted. */
+    /** The counters. */
     public enum What {
-        /** Requests by clients, in the second in which they were asked. */
+        /** Client requests, by the second in which they were sent. */
         ASKED,
-        /** Served within the deadline. */
+        /** Requests served within their deadline. */
         SERVED,
-        /** Served after it. */
+        /** Requests served after their deadline. */
         LATE,
-        /** Answered {@code busy}. */
+        /** Requests rejected as {@code busy}. */
         REFUSED,
-        /** Answered as failed. */
+        /** Requests answered with a failure. */
         FAILED,
-        /** Never answered. */
+        /** Requests that were never answered. */
         UNANSWERED,
-        /** Reads at cache nodes. */
+        /** Reads received by cache nodes. */
         ATTEMPTS,
-        /** Calls of discovery. */
+        /** Requests to discovery. */
         CALLS,
         /** Connections opened to nodes and origin. */
         OPENED,
-        /** Reads at the origin. */
+        /** Reads received by the origin. */
         FETCHES,
-        /** Writes at the origin. */
+        /** Writes received by the origin. */
         WRITES,
         /** Datagrams sent to peers. */
         MESSAGES,
-        /** Bytes in them. */
+        /** Bytes in datagrams sent to peers. */
         BYTES
     }
 
     /**
-     * A second of one proxy.
+     * The counters of one proxy in one second.
      *
-     * @param second since the stand-ins' start
-     * @param proxy its number, negative for what no proxy took
-     * @param counts what was seen, without what never was
-     * @param attempts reads at cache nodes by the zone of these
+     * @param second since the start of the emulated fleet
+     * @param proxy its number, negative for connections that no proxy accepted
+     * @param counts the counters that are not 0
+     * @param attempts reads received by cache nodes, by zone of the node
      */
     public record Row(int second, int proxy, Map<What, Long> counts, long[] attempts) {}
 
@@ -68,9 +68,9 @@
     private final int proxies;
     private final int zones;
     private final DoubleSupplier nowMs;
-    /** Of all proxies together, by tenths of a second. */
+    /** Totals over all proxies, by tenths of a second. */
     private final List<long[]> tenths = new ArrayList<>();
-    /** By second; in each the proxies in their order, and behind them nobody. */
+    /** By second; each row is indexed by proxy, with a last element for events that no proxy handled. */
     private final List<Cell[]> seconds = new ArrayList<>();
 
     Series(int proxies, int zones, DoubleSupplier nowMs) {
@@ -92,12 +92,12 @@
         return row[at];
     }
 
-    /** Something has happened just now. */
+    /** Counts one event now. */
     public void count(int proxy, What what) {
         add(proxy, what, 1, nowMs.getAsDouble());
     }
 
-    /** So much has happened at that time, in milliseconds since the start. */
+    /** Adds to a counter at a time in milliseconds since the start. */
     public void add(int proxy, What what, long much, double atMs) {
         cell(proxy, atMs).counts.merge(what, much, Long::sum);
         int tenth = (int) Math.max(0, Math.min(10 * MOST_SECONDS - 1, atMs / TENTH_MS));
@@ -107,18 +107,18 @@
         tenths.get(tenth)[what.ordinal()] += much;
     }
 
-    /** What all proxies did together in each tenth of a second since the start; in each by {@link What#ordinal}. */
+    /** Totals over all proxies in each tenth of a second since the start, indexed by {@link What#ordinal}. */
     List<long[]> tenths() {
         return tenths.stream().map(long[]::clone).toList();
     }
 
-    /** A read has come to a cache node of that zone. */
+    /** Counts a read received by a cache node of that zone. */
     void attempt(int proxy, int zone) {
         count(proxy, What.ATTEMPTS);
         cell(proxy, nowMs.getAsDouble()).attempts[zone]++;
     }
 
-    /** All that was seen, by second and proxy. */
+    /** All counters by second and proxy. */
     List<Row> rows() {
         List<Row> rows = new ArrayList<>();
         for (int s = 0; s < seconds.size(); s++) {
--- a/src/main/java/cacheproxy/emulator/ServiceModel.java
+++ b/src/main/java/cacheproxy/emulator/ServiceModel.java
@@ -7,10 +7,9 @@
 import java.util.PriorityQueue;
 
 /**
- * Places that work side by side behind one bounded first-come queue: a node's core, or the origin's slots. Times in
- * milliseconds.
+ * Parallel servers behind one bounded FIFO queue: a node's core or the origin's slots. Times in milliseconds.
  *
- * @param <J> what is worked on
+ * @param <J> the job type
  */
 public final class ServiceModel<J> {
     private record Job<J>(J what, double workMs) {}
@@ -24,7 +23,7 @@
     private double stalledUntilMs;
     private long begun;
 
-    /** {@code places}: at least 1; {@code maxQueue}: how many may wait beside those that run, at least 0. */
+    /** {@code places}: jobs that run in parallel, at least 1; {@code maxQueue}: jobs that may wait, at least 0. */
     public ServiceModel(int places, int maxQueue) {
         if (places < 1 || maxQueue < 0) {
             throw new IllegalArgumentException(places + " places with a queue of " + maxQueue);
@@ -38,7 +37,7 @@
                 Comparator.<Running<J>>comparingDouble(Running::finishMs).thenComparingLong(Running::number));
     }
 
-    /** Takes work, in milliseconds at speed 1; false if the queue is full. {@code speed} is above 0. */
+    /** Queues work, in milliseconds at speed 1; false if the queue is full. {@code speed} is above 0. */
     public boolean offer(double now, J what, double workMs, double speed) {
         if (running.size() >= places && queue.size() >= maxQueue) {
             return false;
@@ -55,7 +54,7 @@
         }
     }
 
-    /** Stands still for this long from now on: what runs is done so much later. */
+    /** Stalls for this long from now; running jobs are delayed accordingly. */
     public void stall(double now, double ms) {
         double added = now + ms - Math.max(now, stalledUntilMs);
         if (added > 0) {
@@ -66,12 +65,12 @@
         }
     }
 
-    /** When the next of the running work will be done; positive infinity if there is none. */
+    /** When the next running job completes; positive infinity if none is running. */
     public double finishMs() {
         return running.isEmpty() ? Double.POSITIVE_INFINITY : running.peek().finishMs();
     }
 
-    /** What has been done by now, in order. */
+    /** Removes and returns the jobs that have completed by now, in order of completion. */
     public List<J> advance(double now, double speed) {
         List<J> done = new ArrayList<>(1);
         while (finishMs() <= now) {
@@ -82,13 +81,13 @@
         return done;
     }
 
-    /** Drops what runs and what waits, undone. */
+    /** Discards all running and queued jobs. */
     public void clear() {
         queue.clear();
         running.clear();
     }
 
-    /** How much is held: running and waiting. */
+    /** The number of running and queued jobs. */
     public int load() {
         return queue.size() + running.size();
     }
--- a/src/main/java/cacheproxy/emulator/TrafficClass.java
+++ b/src/main/java/cacheproxy/emulator/TrafficClass.java
@@ -5,15 +5,15 @@
 import java.util.Locale;
 
 /**
- * A class of requests as clients, stand-ins and the proxies' settings know it.
+ * A service class of requests, as used by clients, the emulated servers and the proxies' settings.
  *
- * @param name as it stands on the wire: letters, digits, dots, dashes
- * @param share its part of the traffic, above 0; shares need not sum to anything
- * @param kind how often it may take effect, and so whether it is a write
- * @param work its work, as a multiple of the stand-ins' mean
- * @param aimMs within which time an answer is wanted
- * @param deadlineMs after which time the client has given up
- * @param worth of an answer within the aim
+ * @param name the name on the wire: letters, digits, dots, dashes
+ * @param share its relative weight in the traffic, above 0; weights need not add up to 1
+ * @param kind how often a request may take effect, which also tells whether it is a write
+ * @param work the work per request, as a multiple of the emulated servers' mean
+ * @param aimMs target response time
+ * @param deadlineMs the time after which the client gives up
+ * @param worth the value of a response within the target time
  */
 public record TrafficClass(
         String name, double share, Kind kind, double work, double aimMs, double deadlineMs, double worth) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Whether it changes what its key holds. */
+    /** Whether it changes its key's value. */
     public boolean write() {
         return kind != Kind.READ;
     }
@@ -48,17 +48,17 @@
             new TrafficClass("fix-submit", 2.7, Kind.UNSAFE, 1.2, 250, 600, 5),
             new TrafficClass("track-publish", 1.8, Kind.KEYED, 1.8, 500, 1000, 10));
 
-    /** This class with its aim and deadline multiplied. */
+    /** This class with its target time and deadline multiplied. */
     public TrafficClass patient(double factor) {
         return new TrafficClass(name, share, kind, work, aimMs * factor, deadlineMs * factor, worth);
     }
 
     /**
-     * Reads a mix such as {@code seg-text=57,fix-submit=2.7:unsafe:600}: name, share, then {@code read} (where nothing
+     * Parses a mix such as {@code seg-text=57,fix-submit=2.7:unsafe:600}: name, share, then {@code read} (where nothing
      * is said), {@code unsafe} or {@code keyed}, then the deadline in milliseconds.
      *
-     * @param deadlineMs where an entry names none
-     * @throws IllegalArgumentException saying which entry is wrong and what would do
+     * @param deadlineMs the deadline of entries that name none
+     * @throws IllegalArgumentException naming the invalid entry and the expected format
      */
     public static List<TrafficClass> mix(String text, double deadlineMs) {
         List<TrafficClass> classes = new ArrayList<>();
