--- a/src/main/java/cacheproxy/emulator/CacheNode.java
+++ b/src/main/java/cacheproxy/emulator/CacheNode.java
@@ -14,11 +14,13 @@
 import java.util.Set;
 
 /**
- * A cache node: the meta commands on its sockets (one for each proxy, so that it can tell who sends), one core's worth
- * of service behind a bounded queue, a memory, and a cold start. Belongs to the fleet's event loop.
+ * An emulated cache node: serves the meta commands on one socket per proxy, to tell the senders apart, with one core
+ * behind a bounded queue, an LRU store and a cold start. Confined to the fleet's event loop.
  */
 final class CacheNode {
-    /** What a new connection costs, and a look-up that finds nothing, as a share of a read's mean work. */
+    /**
+     * The work of accepting a connection, as a share of a read's mean work; below, that of a miss as a share of a hit.
+     */
     private static final double HANDSHAKE_WORK = 0.06;
 
     private static final double MISS_WORK = 0.05;
@@ -61,16 +63,16 @@
         return listener;
     }
 
-    // ---- what it holds
+    // ---- store
 
-    /** Keeps a value that the origin gave for a request that missed here. */
+    /** Stores a value that the origin returned for a request that missed here. */
     void fill(String key, long version) {
         if (listener.isOpen()) {
             store.put(key, version);
         }
     }
 
-    /** A write has voided the key. */
+    /** Invalidates a key after a write. */
     void drop(String key) {
         if (!keepsStale) {
             store.drop(key);
@@ -86,7 +88,7 @@
         return version;
     }
 
-    /** Whether a node that was warm at the start had this key then, if a write has not voided it since. */
+    /** Whether this key was cached at the start and has not been written since. */
     private boolean heldThen(String key) {
         return heldAtStart > 0
                 && fleet.origin().version(key) == 0
@@ -211,7 +213,7 @@
         }
     }
 
-    /** The process dies: its memory is lost, its connections are reset, new ones refused. */
+    /** Emulates a crash: the store is lost, connections are reset and new ones are refused. */
     void die() {
         life++;
         listener.shut();
@@ -220,7 +222,7 @@
         store.clear();
     }
 
-    /** A new process listens where the old one did, empty and cold. */
+    /** Emulates a restart: a process with an empty store and cold capacity listens on the same addresses. */
     void live(Runnable then) {
         heldAtStart = 0;
         start = new ColdStart(fleet.spec().coldStart(), speed, fleet.now());
--- a/src/main/java/cacheproxy/emulator/FleetSpec.java
+++ b/src/main/java/cacheproxy/emulator/FleetSpec.java
@@ -3,27 +3,26 @@
 import java.util.List;
 
 /**
- * What a fleet of stand-ins is like.
+ * The parameters of an emulated fleet.
  *
  * @param nodes cache nodes, 1 to 1,000
- * @param proxies proxies that it is for, 1 to 64; each has listeners of its own at every node, so that a node can tell
- *     who sends
- * @param seed of everything that is drawn
- * @param classes the classes that clients send
- * @param workMs mean work of a read, in milliseconds of a core of speed 1; 0 for none
- * @param originMs mean time of a fetch at the origin
- * @param originSlots fetches that the origin works on at once
- * @param cacheEntries keys that a node holds
- * @param queue commands that wait at a node beside the one it works on, before it turns away
- * @param connections that a node accepts at most
- * @param values how long values are, at least
- * @param heldAtStart the share of all keys, 0 to 1, that a node which is warm at the start holds when first asked
- * @param noticeMs how late the roster and the front layer see a change
- * @param warmUpMs how long a node that has just started is cold
- * @param drainGraceMs how long after it was told a proxy may still send to a node that drains
- * @param answerGraceMs how much later than its deadline an answer may come
- * @param listLines lines of lists that discovery can send a second, to all proxies together
- * @param layout where proxies and nodes stand
+ * @param proxies proxies under test, 1 to 64; every node has a separate listener for each, to tell the senders apart
+ * @param seed the seed of all random choices
+ * @param classes the service classes that clients send
+ * @param workMs mean work of a read, in milliseconds on a core of speed 1; 0 for none
+ * @param originMs mean service time of a fetch at the origin
+ * @param originSlots fetches that the origin processes in parallel
+ * @param cacheEntries maximum number of keys that a node stores
+ * @param queue commands that may wait at a node beside the one in progress; further ones are rejected
+ * @param connections maximum number of connections per node
+ * @param values the minimum length of values
+ * @param heldAtStart the share of all keys, 0 to 1, that a node has cached at the start
+ * @param noticeMs the delay after which the host list and the front layer reflect a change
+ * @param warmUpMs the warm-up time of a node after a start
+ * @param drainGraceMs how long a proxy may still send to a draining node after it was told of the drain
+ * @param answerGraceMs how long after its deadline a response is still accepted
+ * @param listLines list entries that discovery can send per second, to all proxies together
+ * @param layout the placement of proxies and nodes
  */
 public record FleetSpec(
         int nodes,
@@ -45,14 +44,14 @@
         int listLines,
         Layout layout) {
 
-    /** The rules' figures: a cold node falls when sent this many times what it can do over this time. */
+    /** A cold node collapses if it is sent this multiple of its capacity over {@link #FALL_MS}. */
     static final double FALL_MULTIPLE = 3;
 
     static final double FALL_MS = 1500;
     static final double COLD_FROM = 0.3;
-    /** How many mean requests more a cold node stands, for chance. */
+    /** Additional mean requests that a cold node tolerates, to allow for random bursts. */
     static final double SLACK_REQUESTS = 5;
-    /** How long repeats of a keyed write are dropped. */
+    /** The window within which repeats of a keyed write are deduplicated. */
     static final double REPEAT_WINDOW_MS = 1500;
 
     /** Checks the ranges. */
@@ -82,7 +81,7 @@
         }
     }
 
-    /** A fleet like that of the first installation, with work small enough for one machine. */
+    /** A fleet modelled on the first installation, with work small enough for one machine. */
     public static FleetSpec standard(int nodes, int proxies, long seed) {
         return new FleetSpec(
                 nodes,
@@ -105,7 +104,7 @@
                 Layout.PLAIN);
     }
 
-    /** This with other classes. */
+    /** A copy with other classes. */
     public FleetSpec withClasses(List<TrafficClass> other) {
         return new FleetSpec(
                 nodes,
@@ -128,7 +127,7 @@
                 layout);
     }
 
-    /** This with nodes and an origin of other speed. */
+    /** A copy with other service times of nodes and origin. */
     public FleetSpec withWork(double work, double origin) {
         return new FleetSpec(
                 nodes,
@@ -151,7 +150,7 @@
                 layout);
     }
 
-    /** This with other bounds at each node. */
+    /** A copy with other limits per node. */
     public FleetSpec withBounds(int entries, int waiting, int accepted, int bytes) {
         return new FleetSpec(
                 nodes,
@@ -174,7 +173,7 @@
                 layout);
     }
 
-    /** This with values of other lengths. */
+    /** A copy with other value lengths. */
     public FleetSpec withValues(ValueSizes other) {
         return new FleetSpec(
                 nodes,
@@ -197,7 +196,7 @@
                 layout);
     }
 
-    /** This with nodes that hold another share of the keys at the start. */
+    /** A copy with another share of keys cached at the start. */
     public FleetSpec withHeld(double share) {
         return new FleetSpec(
                 nodes,
@@ -220,7 +219,7 @@
                 layout);
     }
 
-    /** This with other times of notice, warm-up and grace. */
+    /** A copy with other notice, warm-up and grace times. */
     public FleetSpec withTimes(double notice, double warmUp, double drainGrace, double answerGrace) {
         return new FleetSpec(
                 nodes,
@@ -243,7 +242,7 @@
                 layout);
     }
 
-    /** This with an origin that works on so many fetches at once. */
+    /** A copy with another number of parallel fetches at the origin. */
     public FleetSpec withOriginSlots(int slots) {
         return new FleetSpec(
                 nodes,
@@ -266,7 +265,7 @@
                 layout);
     }
 
-    /** This with a discovery that can send so many lines a second. */
+    /** A copy with another rate of list entries at discovery. */
     public FleetSpec withListLines(int lines) {
         return new FleetSpec(
                 nodes,
@@ -289,7 +288,7 @@
                 layout);
     }
 
-    /** This with proxies and nodes elsewhere. */
+    /** A copy with another placement of proxies and nodes. */
     public FleetSpec withLayout(Layout other) {
         return new FleetSpec(
                 nodes,
--- a/src/main/java/cacheproxy/emulator/LinkHandler.java
+++ b/src/main/java/cacheproxy/emulator/LinkHandler.java
@@ -13,12 +13,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection's link: what it does to the bytes that come and go, before any other handler of the stand-in's sees
- * them. A stream loses nothing and keeps its order; it is late, stands still, or is reset. What is cut is kept back and
- * goes on when the way is whole again, as the system's resends would have it. Belongs to the channel's event loop.
+ * Applies the link conditions to a connection's inbound and outbound bytes, as the first handler of its pipeline. A
+ * stream loses nothing and keeps its order, as over TCP; it is delayed, stalled or reset. During a partition data is
+ * held back, and it is passed on when the partition ends, as retransmissions would deliver it. Confined to the
+ * channel's event loop.
  */
 final class LinkHandler extends ChannelDuplexHandler {
-    /** What a system waits before it sends a lost piece once more, at first; doubled each time. */
+    /** Initial TCP retransmission timeout that is emulated for a lost segment; doubles with each retry. */
     private static final double RESEND_MS = 200;
 
     private static final int MAX_RESENDS = 5;
@@ -29,7 +30,7 @@
         private final ArrayDeque<Held> held = new ArrayDeque<>();
         private LinkConditions way = LinkConditions.OPEN;
         private double lastDueMs;
-        /** A piece stands still half way, until the way changes. */
+        /** Whether a segment has stalled half way; until the conditions change. */
         private boolean still;
 
         private boolean scheduled;
@@ -81,7 +82,7 @@
             return late;
         }
 
-        /** Passes on what is due. */
+        /** Passes on the messages that are due. */
         void release() {
             boolean passed = false;
             double now = nowMs();
@@ -132,7 +133,7 @@
             }
         }
 
-        @SuppressWarnings("ReferenceEquality") // links hand out the constant itself
+        @SuppressWarnings("ReferenceEquality") // Links returns the constant itself for a healthy link
         boolean passesAtOnce() {
             return way == LinkConditions.OPEN && held.isEmpty() && !still;
         }
@@ -158,7 +159,7 @@
     private final Side out = new Side(false);
     private ChannelHandlerContext ctx;
 
-    /** With these ways to begin with. */
+    /** Starts with these conditions. */
     LinkHandler(LinkConditions in, LinkConditions out, SplittableRandom random) {
         this.random = random;
         this.in.way = in;
@@ -176,7 +177,7 @@
         channel.unsafe().close(channel.unsafe().voidPromise());
     }
 
-    /** The ways have changed: what waited for that goes on. */
+    /** Applies changed conditions; ends a stall and releases the data that is due. */
     void settle(LinkConditions inward, LinkConditions outward) {
         in.settle(inward);
         out.settle(outward);
@@ -211,7 +212,7 @@
         }
     }
 
-    /** An end goes the same way as the bytes before it. */
+    /** A close is queued behind the bytes written before it. */
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) {
         if (out.held.isEmpty() && !out.way.cut()) {
--- a/src/main/java/cacheproxy/emulator/Listener.java
+++ b/src/main/java/cacheproxy/emulator/Listener.java
@@ -23,14 +23,14 @@
 import java.util.function.ObjIntConsumer;
 
 /**
- * The listening sockets of one stand-in and the connections that came through them. Sockets keep their addresses while
- * they are closed and opened again. Each socket is the end of a link of its own, whose ways can be changed. Used on the
- * event loop only, but for {@link #bind}.
+ * The listening sockets of one emulated server and the connections accepted on them. Sockets keep their addresses
+ * across closing and reopening. Each socket has its own link conditions, which can be changed. Used on the event loop
+ * only, except for {@link #bind}.
  */
 final class Listener {
     private static final long AGAIN_MS = 20;
     private static final int BACKLOG = 512;
-    /** A queue of length 0 takes one; the second is for a race with a connection that was just coming up. */
+    /** A backlog of 0 admits one connection; the second covers a race with a connection that is being established. */
     private static final int FILLERS = 2;
 
     private static final int FILLERS_GO_MS = 200;
@@ -38,11 +38,11 @@
     private final EventLoop loop;
     private final List<Channel> channels = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    /** Each with its link. */
+    /** Open connections with their links. */
     private final Map<Channel, Link> connections = new LinkedHashMap<>();
 
     private final Map<Integer, Ways> ways = new HashMap<>();
-    /** What keeps the queue of a socket that is cut off full, so that no further connection comes up. */
+    /** Connections that keep a partitioned socket's accept queue full, so that no other can be established. */
     private final Map<Integer, List<Filler>> fillers = new HashMap<>();
 
     private final SplittableRandom random;
@@ -60,19 +60,19 @@
 
     private record Link(int socket, LinkHandler handler) {}
 
-    /** {@code accepted}: puts handlers in place on a new connection, told which socket it came through. */
+    /** {@code accepted}: installs handlers on a new connection; receives the number of its listening socket. */
     Listener(EventLoop loop, ObjIntConsumer<Channel> accepted) {
         this(loop, 0, accepted);
     }
 
-    /** {@code seed}: of what its links draw. */
+    /** {@code seed}: the seed of the links' random choices. */
     Listener(EventLoop loop, long seed, ObjIntConsumer<Channel> accepted) {
         this.loop = loop;
         random = new SplittableRandom(seed);
         this.accepted = accepted;
     }
 
-    /** Opens one more socket at a free port, waiting for it; not on the event loop. */
+    /** Opens another socket at a free port and blocks until it is bound; not to be called on the event loop. */
     InetSocketAddress bind() {
         int number = addresses.size();
         Channel channel =
@@ -119,7 +119,7 @@
         return open;
     }
 
-    /** Ends all connections with a reset. */
+    /** Resets all connections. */
     void reset() {
         for (Channel c : List.copyOf(connections.keySet())) {
             if (c instanceof SocketChannel s) {
@@ -129,14 +129,14 @@
         }
     }
 
-    /** Ends all connections, gently. */
+    /** Closes all connections without a reset. */
     void close() {
         List.copyOf(connections.keySet()).forEach(Channel::close);
     }
 
     /**
-     * Refuses new connections from now on; those that stand are left alone. A socket that is cut off stays as it is
-     * until the way is whole, as nobody could see a refusal before.
+     * Refuses new connections; existing ones stay open. A partitioned socket is closed only when the partition ends, as
+     * no refusal can be seen through a partition.
      */
     void shut() {
         open = false;
@@ -147,14 +147,14 @@
         }
     }
 
-    /** Listens again where it did. {@code then} is told once all sockets are open. */
+    /** Listens again on the same addresses; runs {@code then} once all sockets are open. */
     void reopen(Runnable then) {
         open = true;
         int[] missing = {addresses.size()};
         for (int i = 0; i < addresses.size(); i++) {
             int number = i;
             if (channels.get(i).isOpen()) {
-                missing[0]--; // cut off all the while
+                missing[0]--; // it stayed open, as it has been partitioned since
                 continue;
             }
             rebind(number, c -> {
@@ -187,7 +187,7 @@
         });
     }
 
-    /** While frozen nothing is accepted or read. */
+    /** Sets whether the server is frozen: nothing is accepted or read. */
     void freeze(boolean on) {
         frozen = on;
         channels.forEach(c -> c.config().setAutoRead(!on));
@@ -201,9 +201,9 @@
     // ---- links
 
     /**
-     * What happens from now on to what comes through this socket and what goes back. While either is cut no connection
-     * comes up: the system's queue is made as short as can be and kept full, so that it drops what would open one, as
-     * it drops it on a machine that is cut off.
+     * Sets the link conditions of a socket, inbound and outbound. While either direction is cut no connection can be
+     * established: the accept queue is set to its minimum length and kept full, so that the kernel drops SYNs as on an
+     * unreachable host.
      */
     void ways(int socket, LinkConditions in, LinkConditions out) {
         Ways before = ways.getOrDefault(socket, Ways.OPEN);
@@ -213,7 +213,7 @@
         }
         ways.put(socket, now);
         if (now.cut() != before.cut()) {
-            hang(socket, now.cut()); // before anybody can hear that the way is whole
+            hang(socket, now.cut()); // before any peer can see that the partition has ended
         }
         connections.forEach((c, link) -> {
             if (link.socket() == socket) {
@@ -240,7 +240,7 @@
     private void hang(int socket, boolean on) {
         Channel channel = channels.get(socket);
         if (!(channel instanceof EpollServerSocketChannel epoll) || !channel.isOpen()) {
-            return; // without the system's own call connections come up, and say nothing
+            return; // without epoll's listen() call connections are established, but stay silent
         }
         channel.config().setAutoRead(!on && !frozen);
         try {
@@ -265,11 +265,11 @@
                         fillers.remove(socket, done);
                     },
                     FILLERS_GO_MS,
-                    TimeUnit.MILLISECONDS); // known until they have been accepted
+                    TimeUnit.MILLISECONDS); // kept until they have been accepted, so that isFiller recognizes them
         }
     }
 
-    /** Whether the other end of a connection is one of the socket's fillers, which no stand-in is to see. */
+    /** Whether a connection comes from one of the socket's fillers, which are hidden from the emulated server. */
     private boolean isFiller(Channel channel, int socket) {
         return fillers.getOrDefault(socket, List.of()).stream()
                 .anyMatch(f -> f.local().equals(channel.remoteAddress()));
--- a/src/main/java/cacheproxy/emulator/PeerRelay.java
+++ b/src/main/java/cacheproxy/emulator/PeerRelay.java
@@ -16,23 +16,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What lies between proxies: each sends to an address of its own for each peer, and hears a peer from that peer's
- * address, so that a datagram can be lost, late, doubled or overtaken on one way of one pair. What comes from anywhere
- * else than a proxy's own socket is dropped. Belongs to the fleet's event loop.
+ * Relays datagrams between proxies. Each proxy has a separate relay address for each peer, to which it sends and from
+ * which it receives, so that datagrams can be lost, delayed, duplicated or reordered in one direction between two
+ * proxies. Datagrams that do not come from the proxy's own socket are dropped. Confined to the fleet's event loop.
  */
 public final class PeerRelay {
-    /** What one may be overtaken by. */
+    /** The additional delay of a reordered datagram. */
     private static final double OVERTAKEN_MS = 20;
 
     private final EmulatedFleet fleet;
     private final Links links;
     private final SplittableRandom random;
-    /** Where each proxy listens. */
+    /** The proxies' listen addresses. */
     private final List<InetSocketAddress> proxies = new ArrayList<>();
-    /** {@code [i][k]}: what stands for peer k at proxy i; {@code [i][n]}: all peers at proxy i. */
+    /** {@code [i][k]}: the relay socket for peer k at proxy i; {@code [i][n]}: broadcast to all peers of proxy i. */
     private final Channel[][] ends;
 
-    /** Opens all sockets, waiting for it; not on the event loop. */
+    /** Opens all sockets and blocks until they are bound; not to be called on the event loop. */
     PeerRelay(EmulatedFleet fleet, Links links) {
         this.fleet = fleet;
         this.links = links;
@@ -61,12 +61,12 @@
         }
     }
 
-    /** Where this proxy is to listen; free at the moment. */
+    /** The address that this proxy is to listen on; free when it was chosen. */
     public InetSocketAddress listen(int proxy) {
         return proxies.get(proxy);
     }
 
-    /** The addresses at which this proxy reaches each, its own number's among them. */
+    /** The addresses at which this proxy reaches each proxy, by number, including an unused one for itself. */
     public List<InetSocketAddress> peers(int proxy) {
         List<InetSocketAddress> all = new ArrayList<>();
         for (int k = 0; k < proxies.size(); k++) {
@@ -105,11 +105,11 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // a proxy that is away refuses; nobody hears of it, as on a real network
+            // a proxy that is down refuses datagrams; as on a real network, senders are not told
         }
     }
 
-    @SuppressWarnings("ReferenceEquality") // links hand out the constant itself
+    @SuppressWarnings("ReferenceEquality") // Links returns the constant itself for a healthy link
     private void relay(int from, int to, ByteBuf message) {
         LinkConditions way = links.way(Parties.proxy(from), Parties.proxy(to));
         if (way == LinkConditions.OPEN) {
