--- a/src/main/java/cacheproxy/emulator/EmulatedFleet.java
+++ b/src/main/java/cacheproxy/emulator/EmulatedFleet.java
@@ -19,16 +19,16 @@
 import java.util.function.Consumer;
 
 /**
- * A fleet of stand-ins on loopback: cache nodes, the origin, discovery, and the oracle that all of them report to.
- * Everything runs on one event loop of its own; public methods may be called from any other thread.
+ * An emulated fleet on loopback: cache nodes, the origin, discovery, and the oracle that all of them report to. It runs
+ * on a single event loop of its own; public methods may be called from any other thread.
  */
 public final class EmulatedFleet implements AutoCloseable {
-    /** How long a miss waits for the fetch that fills it. */
+    /** How long a miss is remembered, to be filled by its fetch. */
     private static final double MISS_MEMORY_MS = 10_000;
 
-    /** What carries out faults of proxies. Called on the fleet's event loop; must not wait. */
+    /** Executes faults of proxies. Called on the fleet's event loop; must not block. */
     public interface ProxyFaults {
-        /** Carries out a fault whose target is a proxy. */
+        /** Executes a fault whose target is a proxy. */
         void apply(int proxy, Fault fault);
     }
 
@@ -49,13 +49,13 @@
     private final Series series;
     private final PeerRelay peers;
     private final Map<String, Double> classWork = new HashMap<>();
-    /** Where each request has missed, oldest first, and how many fetches of a key are out. */
+    /** The nodes at which each request has missed, oldest first; below, the number of pending fetches per key. */
     private final Map<String, Missed> misses = new LinkedHashMap<>();
 
     private final Map<String, Integer> fetching = new HashMap<>();
     private ProxyFaults proxyFaults = (proxy, fault) -> {};
 
-    /** Opens all sockets; returns when they listen. */
+    /** Opens all sockets; returns once they listen. */
     public EmulatedFleet(FleetSpec spec) {
         this.spec = spec;
         oracle = new Oracle(spec.drainGraceMs(), spec.answerGraceMs());
@@ -68,7 +68,7 @@
                 Parties.ORIGIN, texts(origin.listener()), sites().get(0), "origin", 0, HostList.Health.UP, 0));
         for (int i = 0; i < spec.nodes(); i++) {
             String name = Parties.node(i);
-            // Fast and slow machines, as merged fleets have them.
+            // A mix of fast and slow machines, as in fleets that were merged.
             boolean fast = random.nextDouble() < 0.59;
             double speed = fast ? random.nextDouble(1.5, 2.1) : random.nextDouble(0.77, 1);
             CacheNode node = new CacheNode(this, name, speed, random.nextLong());
@@ -95,24 +95,24 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    // ---- for people and tools
+    // ---- for callers outside the fleet
 
-    /** What it was made by. */
+    /** The parameters of this fleet. */
     public FleetSpec spec() {
         return spec;
     }
 
-    /** The names that the list may hold for sites. */
+    /** The site names that may occur in the host list. */
     public List<String> sites() {
         return spec.layout().zones();
     }
 
-    /** The names that the list may hold for kinds; the last is the origin's. */
+    /** The host kinds that may occur in the host list; the last is the origin's. */
     public List<String> kinds() {
         return List.of("node-fast", "node-slow", "origin");
     }
 
-    /** Where each node listens for this proxy, by name. */
+    /** The nodes' addresses for this proxy, by name. */
     public Map<String, InetSocketAddress> nodes(int proxy) {
         Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
         nodes.forEach(
@@ -120,93 +120,94 @@
         return addresses;
     }
 
-    /** Where the origin listens for the first proxy. */
+    /** The origin's address for the first proxy. */
     public InetSocketAddress originAddress() {
         return origin.listener().addresses().get(0);
     }
 
-    /** Datagrams between proxies, or null where these know nothing of each other. */
+    /** The relay of datagrams between proxies, or null if they have no peers. */
     public PeerRelay peers() {
         return peers;
     }
 
-    /** What each proxy did in each second so far. */
+    /** The counters of each proxy by second so far. */
     public List<Series.Row> rows() {
         return on(series::rows);
     }
 
-    /** What all proxies did together in each tenth of a second so far, by {@link Series.What#ordinal}. */
+    /** Totals over all proxies by tenths of a second so far, indexed by {@link Series.What#ordinal}. */
     public List<long[]> tenths() {
         return on(series::tenths);
     }
 
-    /** Has something counted, in turn with what the stand-ins count; waits for nothing. */
+    /** Updates the counters on the event loop; does not block. */
     public void count(Consumer<Series> what) {
         loop.execute(() -> what.accept(series));
     }
 
     /**
-     * The address of the machine that this proxy stands for: one of its own on loopback, so that no other socket can
-     * take its port while it is away.
+     * The loopback address of this proxy's emulated machine. It is not shared, so that no other socket can take the
+     * proxy's port while the proxy is down.
      */
     public InetAddress host(int proxy) {
         return Hosts.of(number, proxy);
     }
 
-    /** Where discovery listens for this proxy; it has two addresses and takes turns with them. */
+    /** Discovery's address for this proxy; {@code turn} alternates between its two addresses. */
     public InetSocketAddress discovery(int proxy, int turn) {
         return discovery.listener().addresses().get(turn % DiscoveryServer.ADDRESSES * spec.proxies() + proxy);
     }
 
-    /** The list as this proxy would be told it now. */
+    /** The current host list as discovery would send it to this proxy. */
     public JsonObject known(int proxy) {
         return on(() -> DiscoveryServer.json(proxy, roster.seq(), roster.whole(), true));
     }
 
-    /** What the oracle has seen so far. */
+    /** The oracle's verdict so far. */
     public Oracle.Verdict verdict() {
         return on(oracle::verdict);
     }
 
-    /** Waits until the last requests' grace is over, so that a verdict holds all that the oracle is to be told. */
+    /** Waits for the answer grace of the last requests to end, so that the verdict is complete. */
     public void awaitGrace() {
         loop.schedule(() -> {}, (long) spec.answerGraceMs() + 200, TimeUnit.MILLISECONDS)
                 .syncUninterruptibly();
     }
 
-    /** Fetches that the origin has served so far. */
+    /** The number of fetches that the origin has served so far. */
     public long fetches() {
         return on(origin::fetches);
     }
 
-    /** Has something said to the oracle, in turn with what the stand-ins say; waits for nothing. */
+    /** Reports to the oracle on the event loop; does not block. */
     public void tell(Consumer<Oracle> what) {
         loop.execute(() -> what.accept(oracle));
     }
 
-    /** Milliseconds since the start. */
+    /** The time in milliseconds since the start. */
     public double now() {
         return at(System.nanoTime());
     }
 
-    /** A {@link System#nanoTime()} in milliseconds since the start. */
+    /** Converts a {@link System#nanoTime()} to milliseconds since the start. */
     public double at(long nanos) {
         return (nanos - startNanos) / 1e6;
     }
 
-    /** The event loop that all of it runs on. */
+    /** The event loop of the whole fleet. */
     public EventLoop loop() {
         return loop;
     }
 
-    /** Runs something on the event loop and waits for what it gives; not to be called there. */
+    /** Runs a task on the event loop and blocks for its result; not to be called on the event loop. */
     public <T> T on(Callable<T> what) {
         return loop.submit(what).syncUninterruptibly().getNow();
     }
 
     /**
-     * Lets these faults happen, their times counted from now; done when those that are due now have happened. They are
-     * not left to a timer: an event loop may run what is handed in later before a timer that is due.
+     * Schedules faults, with times relative to now. The future completes once the faults that are due now have been
+     * applied. Those are not scheduled with a timer, as an event loop may run a task that is submitted later before a
+     * timer that is due.
      */
     public Future<?> play(List<Fault> faults, ProxyFaults proxies) {
         return loop.submit(() -> {
@@ -221,7 +222,7 @@
         });
     }
 
-    /** Lets something go wrong between parts of the fleet, its time counted from now. */
+    /** Schedules a link fault, with its time relative to now. */
     public void play(LinkFault fault) {
         loop.execute(() -> {
             if (fault.atMs() <= 0) {
@@ -241,7 +242,7 @@
         });
     }
 
-    /** Tells all stand-ins what their links are like now. */
+    /** Applies the current link conditions to all emulated servers. */
     private void relink() {
         for (int p = 0; p < spec.proxies(); p++) {
             String proxy = Parties.proxy(p);
@@ -266,7 +267,7 @@
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    // ---- for the stand-ins, on the event loop
+    // ---- for the emulated servers, on the event loop
 
     Oracle oracle() {
         return oracle;
@@ -280,7 +281,7 @@
         return series;
     }
 
-    /** Work of a request, in milliseconds at speed 1: drawn by its id, so the same wherever it goes. */
+    /** Work of a request, in milliseconds at speed 1. Derived from its id, so that it is the same at every node. */
     double work(String id, String extras) {
         return spec.workMs() * classWork.getOrDefault(String.valueOf(MetaCommand.named(extras, "c")), 1.0) * draw(id);
     }
@@ -289,13 +290,13 @@
         return spec.originMs() * draw(id + "o");
     }
 
-    /** Of mean 1: half of it fixed, half exponential. */
+    /** A factor of mean 1: half of it fixed, half exponentially distributed. */
     private double draw(String id) {
         double u = (Keys.mix(id.hashCode() * 0x9e3779b97f4a7c15L ^ spec.seed()) >>> 11) * 0x1.0p-53;
         return 0.5 - 0.5 * Math.log(1 - u);
     }
 
-    /** A read has missed at a node; whether a fetch of its key is out already. */
+    /** Records a miss at a node; returns whether a fetch of the key is already pending. */
     boolean missed(MetaCommand.Read read, CacheNode node) {
         double now = now();
         for (var i = misses.values().iterator(); i.hasNext(); ) {
@@ -317,7 +318,7 @@
         return out;
     }
 
-    /** The origin has made a value for a request: it is kept where that request missed. */
+    /** Stores a value that the origin returned for a request at the nodes where that request missed. */
     void fetched(String key, String id, long version) {
         Missed m = misses.remove(id);
         if (m != null) {
@@ -389,7 +390,7 @@
         }
     }
 
-    /** Whether what discovery writes to a proxy comes there, if late. */
+    /** Whether messages between discovery and a proxy arrive, though perhaps late. */
     private boolean reachesDiscovery(int proxy) {
         LinkConditions there = links.way(Parties.proxy(proxy), Parties.DISCOVERY);
         LinkConditions back = links.way(Parties.DISCOVERY, Parties.proxy(proxy));
--- a/src/main/java/cacheproxy/emulator/FrontLayer.java
+++ b/src/main/java/cacheproxy/emulator/FrontLayer.java
@@ -30,17 +30,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The plain front layer: deals clients' connections out to the proxy that has fewest, and passes bytes both ways. It
- * asks each proxy whether it serves, and notices late that one has died or drains, and that it serves again; until then
- * it goes on dealing. Belongs to one event loop.
+ * The emulated front layer, a TCP load balancer: assigns each client connection to the proxy with the fewest
+ * connections and relays bytes in both directions. It health-checks each proxy, and reacts with a delay when one dies,
+ * drains or serves again; until then it keeps assigning connections as before. Confined to one event loop.
  */
 public final class FrontLayer implements AutoCloseable {
-    /** In place of a proxy's number: a connection that none took, as the one that it was dealt to was away. */
+    /** In place of a proxy's number: no proxy accepted the connection, as the one it was assigned to was down. */
     public static final int NOBODY = -1;
 
     private static final int CONNECT_MS = 500;
     private static final long LOOK_MS = 250;
-    /** A proxy that is asked whether it serves and says nothing for so long does not. */
+    /** Health check timeout; a proxy that does not answer within it is regarded as not serving. */
     private static final long ANSWER_MS = 2000;
 
     private static final class Target {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** What one proxy has been dealt: connections in all, those open now, and whether it is in use. */
+    /** The connections assigned to a proxy in total, those open now, and whether the proxy is in use. */
     public record Share(InetSocketAddress proxy, long dealt, int open, boolean used) {}
 
     private final EventLoop loop;
@@ -66,12 +66,10 @@
     private final InetSocketAddress address;
     private final Future<?> looking;
     private int turn;
-    /**
-     * Which proxy has taken the connection from a client's port, as far as is known; bounded by the ports there are.
-     */
+    /** The proxy that accepted the last connection from each client port; bounded by the number of ports. */
     private final Map<Integer, Integer> taken = new ConcurrentHashMap<>();
 
-    /** Opens the front at a free port; not to be called on the event loop. {@code noticeMs}: how late it sees. */
+    /** Listens on a free port; not to be called on the event loop. {@code noticeMs}: the health check delay. */
     public FrontLayer(EventLoop loop, List<InetSocketAddress> proxies, double noticeMs) {
         this.loop = loop;
         this.noticeMs = noticeMs;
@@ -81,12 +79,12 @@
         looking = loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Where clients connect. */
+    /** The address for clients. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** How connections are spread now; on the event loop only. */
+    /** The current distribution of connections; on the event loop only. */
     public List<Share> shares() {
         return targets.stream()
                 .map(t -> new Share(t.address, t.dealt, t.clients.size(), t.used))
@@ -94,8 +92,8 @@
     }
 
     /**
-     * The process of a proxy is about to be killed: its connections end with a reset, as those of a process that dies
-     * do. On the event loop only.
+     * A proxy is about to be killed: resets its client connections, as the death of a process does. On the event loop
+     * only.
      */
     public void killed(int proxy) {
         for (Channel c : List.copyOf(targets.get(proxy).clients)) {
@@ -106,7 +104,7 @@
         }
     }
 
-    /** Of those in use the one with the fewest connections, in turn where they have as many. */
+    /** The proxy in use with the fewest connections; ties are broken round-robin. */
     private Target pick() {
         Target best = null;
         turn++;
@@ -120,8 +118,8 @@
     }
 
     /**
-     * The number of the proxy that took the last connection from this port of a client's, {@link #NOBODY} while none
-     * has. May be called from any thread.
+     * The number of the proxy that accepted the last connection from this client port, {@link #NOBODY} while none has.
+     * May be called from any thread.
      */
     public int takenBy(int clientPort) {
         return taken.getOrDefault(clientPort, NOBODY);
@@ -156,8 +154,8 @@
     }
 
     /**
-     * Ends a client's connection for which no proxy was to be had. Closing it with the request unread would send a
-     * reset, which says that somebody may have had it.
+     * Ends a client connection that no proxy accepted. Reads and discards the request first: closing with unread data
+     * would send a reset, from which the client must assume that a proxy may have received it.
      */
     private static void turnAway(Channel client) {
         client.pipeline().addLast(new ChannelInboundHandlerAdapter() {
@@ -200,7 +198,7 @@
         }
     }
 
-    /** Each proxy is asked whether it serves, and believed when it has said the same for the time of the notice. */
+    /** Health-checks all proxies; a changed result takes effect once it has been stable for {@link #noticeMs}. */
     private void look() {
         double now = System.nanoTime() / 1e6;
         for (Target t : targets) {
@@ -225,7 +223,7 @@
                 });
     }
 
-    /** A look at a proxy: it is asked {@code mn}, and whatever else comes of that than {@code MN} is no. */
+    /** A health check: sends {@code mn}; any outcome other than {@code MN} means that the proxy is not serving. */
     private final class Answer extends SimpleChannelInboundHandler<MetaAnswer> {
         private final Target target;
         private boolean told;
@@ -269,7 +267,7 @@
         });
     }
 
-    /** Passes what comes on to the other side, reads no faster than that takes it, and hands on a half-close. */
+    /** Relays bytes to the other side with backpressure, and propagates a half-close. */
     private static final class Relay extends ChannelInboundHandlerAdapter {
         private final Channel other;
 
@@ -310,7 +308,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (other instanceof SocketChannel s) {
-                s.config().setSoLinger(0); // a reset goes on as a reset
+                s.config().setSoLinger(0); // propagates a reset as a reset
             }
             ctx.close();
         }
--- a/src/main/java/cacheproxy/emulator/Oracle.java
+++ b/src/main/java/cacheproxy/emulator/Oracle.java
@@ -11,21 +11,23 @@
 import java.util.Map;
 
 /**
- * Knows what a run owes its clients and what was done, and tells each breach of the rules. It is told of events with
- * their times, does no I/O, and forgets what is older than {@link #MEMORY_MS}, so its memory hangs on the rate and not
- * on the run's length. Times in milliseconds of one clock.
+ * Checks a run against its correctness rules and reports each breach. It receives events with their times, does no I/O,
+ * and discards what is older than {@link #MEMORY_MS}, so that its memory use depends on the request rate and not on the
+ * length of the run. Times in milliseconds of one clock.
  */
 public final class Oracle {
-    /** For how long a finished request and its effects are remembered. */
+    /** How long a finished request and its effects are retained. */
     static final double MEMORY_MS = 30_000;
 
-    /** A change of discovery's list counts as told so long after it could have been learnt, in milliseconds. */
+    /**
+     * How long after a proxy could first have learnt of a host list change it is assumed to know it, in milliseconds.
+     */
     private static final double TOLD_MS = 6000;
 
     private static final int EXAMPLES = 5;
     private static final int MAX_EXCUSES = 10_000;
 
-    /** The rules that can be broken. */
+    /** The rules that are checked. */
     public enum Rule {
         LOST("no final answer in time"),
         ANSWERED_TWICE("a second answer, or one to nothing"),
@@ -42,7 +44,7 @@
             this.meaning = meaning;
         }
 
-        /** In words for people. */
+        /** A description of the breach. */
         public String meaning() {
             return meaning;
         }
@@ -55,7 +57,7 @@
         FAILED
     }
 
-    /** Counts of breaches and the first examples of each. */
+    /** Breach counts, with the first examples of each rule, and totals. */
     public record Verdict(
             Map<Rule, Long> breaches,
             Map<Rule, List<String>> examples,
@@ -87,14 +89,14 @@
         }
     }
 
-    /** How discovery's list has a node, and since when. */
+    /** A node's state in discovery's list, and since when. */
     private record Listed(double atMs, boolean wanted) {}
 
     private record Confirmed(double atMs, long version) {}
 
     private record Told(double atMs, boolean wanted) {}
 
-    /** When a proxy need not answer: it is dead, or stands still. */
+    /** A period in which a proxy is not required to answer, as it is dead or paused. */
     private record Excuse(int proxy, double fromMs, double untilMs, boolean standsStill) {
         boolean covers(int by, Asked a, double endedMs) {
             return by == proxy
@@ -123,7 +125,7 @@
     private long excused;
     private long untaken;
 
-    /** Graces in milliseconds, as the rules word them. */
+    /** Grace periods in milliseconds, as the rules define them. */
     public Oracle(double drainGraceMs, double answerGraceMs) {
         this.drainGraceMs = drainGraceMs;
         this.answerGraceMs = answerGraceMs;
@@ -131,7 +133,7 @@
 
     // ---- clients
 
-    /** A client has sent a request, perhaps once more; {@code deadlineMs} is the time when it gives up. */
+    /** A client has sent a request, possibly a repeat; it gives up at {@code deadlineMs}. */
     public void asked(String id, String key, boolean write, double atMs, double deadlineMs) {
         Asked before = asked.put(id, new Asked(key, write, atMs, deadlineMs));
         if (before == null) {
@@ -143,13 +145,13 @@
     }
 
     /**
-     * A client has had an answer, by that proxy. {@code value}: a served read's; {@code version}: what a served write's
-     * receipt confirms, negative if it names none.
+     * A client has received a response from that proxy. {@code value}: the value of a served read; {@code version}: the
+     * version in the receipt of a served write, negative if it has none.
      */
     public void answered(String id, int proxy, Ending ending, byte[] value, long version, double atMs) {
         Asked a = asked.get(id);
         if (a != null && a.unanswered) {
-            return; // lost, and told so; that it comes at last is no second answer
+            return; // already reported as lost; a late response is not a second one
         }
         if (a == null || a.ending != null) {
             breach(Rule.ANSWERED_TWICE, id + " at " + ms(atMs));
@@ -197,11 +199,11 @@
     }
 
     /**
-     * A client's time is up, and it has no answer. Not a breach if the proxy was excused: what it held when it was
-     * killed or stopped is for the client to repeat. Nor if no proxy had taken it.
+     * A request's deadline has passed without a response. Not a breach if the proxy was excused, as the client has to
+     * repeat requests that were pending when a proxy was killed or paused, nor if no proxy had accepted the connection.
      *
-     * @param proxy that the request's connection was dealt to, negative if no proxy took that
-     * @param endedMs when its connection ended, NaN if it stands
+     * @param proxy the proxy that the request's connection was assigned to, negative if none accepted it
+     * @param endedMs when its connection ended, NaN if it is still open
      */
     public void unanswered(String id, int proxy, double endedMs, double atMs) {
         Asked a = asked.get(id);
@@ -222,17 +224,17 @@
         }
     }
 
-    /** An answer that no request waited for. */
+    /** A client has received a response that matches no pending request. */
     public void unsolicited(String what, double atMs) {
         breach(Rule.ANSWERED_TWICE, what + " at " + ms(atMs));
     }
 
-    /** A proxy is killed: connections to it that end until it is started again lose what they held. */
+    /** A proxy is killed: requests pending on connections that end before its restart are excused. */
     public void killed(int proxy, double atMs) {
         excuse(new Excuse(proxy, atMs, Double.POSITIVE_INFINITY, false));
     }
 
-    /** A proxy stands still between these times: what it had to answer then may come late or never. */
+    /** A proxy is paused between these times: requests pending then may be answered late or never. */
     public void stopped(int proxy, double fromMs, double untilMs) {
         excuse(new Excuse(proxy, fromMs, untilMs, true));
     }
@@ -246,7 +248,7 @@
 
     // ---- servers
 
-    /** A write has taken effect. {@code idempotencyKey} is null where it carries none. */
+    /** A write has been executed. {@code idempotencyKey} is null if it has none. */
     public void effect(String id, String idempotencyKey, double atMs) {
         effects++;
         Asked a = asked.computeIfAbsent(id, i -> new Asked("", true, atMs, atMs));
@@ -263,7 +265,7 @@
         }
     }
 
-    /** A repeat of a keyed write has been dropped and given the first one's receipt: it has run, but not again. */
+    /** A repeated keyed write was deduplicated and got the original receipt: it counts as executed, but not twice. */
     public void repeated(String id, String idempotencyKey, double atMs) {
         Asked a = asked.computeIfAbsent(id, i -> new Asked("", true, atMs, atMs));
         a.effects = Math.max(1, a.effects);
@@ -272,17 +274,17 @@
         }
     }
 
-    /** A proxy has been told of a node. {@code wanted}: whether it may be sent anything new. */
+    /** A proxy has been told a node's state. {@code wanted}: whether the node may be sent new requests. */
     public void told(int proxy, String node, boolean wanted, double atMs) {
         told.compute(proxy + " " + node, (k, t) -> t != null && t.wanted() == wanted ? t : new Told(atMs, wanted));
     }
 
-    /** Discovery's list has changed. {@code wanted}: whether the node may be sent anything new. */
+    /** A node's state in discovery's list has changed. {@code wanted}: whether it may be sent new requests. */
     public void changed(String node, boolean wanted, double atMs) {
         listed.compute(node, (k, l) -> l != null && l.wanted() == wanted ? l : new Listed(atMs, wanted));
     }
 
-    /** Whether a proxy can reach discovery from now on. */
+    /** Whether a proxy can reach discovery has changed. */
     public void reachesDiscovery(int proxy, boolean reaches, double atMs) {
         if (!reaches) {
             reachesSinceMs.put(proxy, Double.POSITIVE_INFINITY);
@@ -291,7 +293,7 @@
         }
     }
 
-    /** A proxy is started again and knows nothing of what it was told; what it takes from now on it has to answer. */
+    /** A proxy has restarted: it has lost what it was told, and is required to answer again from now on. */
     public void restarted(int proxy, double atMs) {
         told.keySet().removeIf(k -> k.startsWith(proxy + " "));
         reachesSinceMs.computeIfPresent(proxy, (p, since) -> Math.max(since, atMs));
@@ -301,7 +303,7 @@
                 : e);
     }
 
-    /** A proxy's command has come to a node; {@code atMs}: its first byte's time. */
+    /** A node has received a proxy's command; {@code atMs}: the time of its first byte. */
     public void sent(int proxy, String node, String id, double atMs) {
         Told t = told.get(proxy + " " + node);
         if (t != null && !t.wanted() && atMs > t.atMs() + drainGraceMs) {
@@ -323,7 +325,7 @@
         }
     }
 
-    /** Until when a proxy stood still last; 0: it never has. */
+    /** The end of the last pause of a proxy; 0 if it was never paused. */
     private double goesOnMs(int proxy) {
         return excuses.stream()
                 .filter(e -> e.standsStill() && e.proxy() == proxy)
@@ -332,19 +334,19 @@
                 .orElse(0);
     }
 
-    /** A node has been pushed over. */
+    /** A cold node has collapsed under overload. */
     public void pushedOver(String node, double atMs) {
         breach(Rule.PUSHED_OVER, node + " at " + ms(atMs));
     }
 
     // ---- the verdict
 
-    /** What has been seen so far. */
+    /** The verdict on all events so far. */
     public Verdict verdict() {
         return new Verdict(Map.copyOf(breaches), Map.copyOf(examples), requests, effects, excused, untaken);
     }
 
-    /** Requests, finished or not, that are remembered at the moment. */
+    /** The number of requests currently retained, finished or not. */
     int remembered() {
         return asked.size();
     }
@@ -371,7 +373,7 @@
         }
     }
 
-    /** Of confirmations so old that every open request was asked after them, the highest is enough. */
+    /** Merges confirmations that precede every open request: of these only the highest version matters. */
     private static void trim(ArrayDeque<Confirmed> history, double now) {
         while (history != null && history.size() > 1 && now - history.peek().atMs() > MEMORY_MS) {
             Confirmed old = history.poll();
--- a/src/test/java/cacheproxy/emulator/EmulatedFleetTest.java
+++ b/src/test/java/cacheproxy/emulator/EmulatedFleetTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The stand-ins on their sockets, each fault among them, with plain sockets and the JDK's HTTP client as peers. */
+/** Tests the emulated servers and each fault over real sockets, with plain sockets and the JDK's HTTP client. */
 @Timeout(60)
 class EmulatedFleetTest {
     private static final FleetSpec QUICK =
@@ -66,7 +66,7 @@
                 .thenApply(r -> JsonParser.parseString(r.body()).getAsJsonObject());
     }
 
-    /** Returns when the fault has happened. */
+    /** Returns once the fault has been applied. */
     private void fault(Fault.Action action, String target, double forMs, double share) throws Exception {
         fleet.play(List.of(new Fault(0, target, action, forMs, share)), (p, f) -> {})
                 .get();
@@ -86,7 +86,8 @@
                     .isEqualTo(new Payload(KEY, 0));
             assertThat(node.read(KEY, "3").line()).isEqualTo("VA " + value.length() + " O3 h1");
             assertThat(node.line()).isEqualTo(value);
-            assertThat(other.read(KEY, "4").line()).startsWith("EN"); // its own request has not been answered
+            assertThat(other.read(KEY, "4").line())
+                    .startsWith("EN"); // its own request has not been answered by the origin
             assertThat(origin("PUT", "5", "c=fix-submit").body()).isEqualTo("v1");
             assertThat(node.read(KEY, "6").line()).startsWith("EN");
             assertThat(fleet.verdict().effects()).isEqualTo(1);
@@ -125,7 +126,7 @@
         start(QUICK.withWork(60_000, 0).withHeld(1).withBounds(10, 1, 2, 100));
         try (Peer node = node(0, 0);
                 Peer second = node(0, 0)) {
-            for (int i = 1; i <= 3; i++) { // one runs, beside the handshakes' work; one waits
+            for (int i = 1; i <= 3; i++) { // one runs, along with the handshake work; one waits
                 node.read(KEY, "" + i);
             }
             second.read(KEY, "4");
@@ -321,7 +322,7 @@
     @Test
     void theFrontDealsInTurnNoticesADeadProxyLateAndItsReturn() throws Exception {
         start(QUICK);
-        // Two of the nodes' listeners serve as proxies here: what they speak is the same.
+        // Two nodes serve as proxies here, as they speak the same protocol.
         List<InetSocketAddress> proxies =
                 List.of(fleet.nodes(0).get("node-0"), fleet.nodes(0).get("node-1"));
         try (FrontLayer front = new FrontLayer(fleet.loop(), proxies, 100)) {
@@ -337,7 +338,7 @@
             int[] ended = {0};
             Await.until("the front leaves it out", () -> {
                 try (Peer client = new Peer(front.address())) {
-                    ended[0] += client.say("mn\r\n").line() == null ? 1 : 0; // dealt to the dead one
+                    ended[0] += client.say("mn\r\n").line() == null ? 1 : 0; // assigned to the dead proxy
                 }
                 return !fleet.on(front::shares).get(0).used();
             });
--- a/src/test/java/cacheproxy/emulator/FaultSchedulesTest.java
+++ b/src/test/java/cacheproxy/emulator/FaultSchedulesTest.java
@@ -40,7 +40,7 @@
         assertThat(faults).hasSizeLessThanOrEqualTo((int) (until / Math.max(every, FaultSchedules.LEAST_MS)) + 1);
     }
 
-    /** What an option makes can also be written in a script. */
+    /** The generated schedules can also be written as a fault script. */
     @Test
     void theyAreFaultsThatAScriptMayHold() throws Exception {
         FleetSpec spec = FleetSpec.standard(3, 5, 1);
--- a/src/test/java/cacheproxy/emulator/LinksTest.java
+++ b/src/test/java/cacheproxy/emulator/LinksTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Each kind of trouble on a link, seen by a probe over that link, with the same probe over another beside it. */
+/** Tests each kind of link condition with a probe over the affected link and, as a control, one over another. */
 @Timeout(60)
 class LinksTest {
     private static final String KEY = Keys.key(1);
@@ -50,7 +50,7 @@
 
     private void fault(Set<String> at, Set<String> from, boolean oneWay, LinkConditions way, double forMs) {
         fleet.play(new LinkFault("test", 0, forMs, at, from, oneWay, way));
-        fleet.on(() -> true); // it has begun
+        fleet.on(() -> true); // waits until the fault is active
     }
 
     private static void served(Peer peer, String id) throws IOException {
@@ -86,7 +86,8 @@
             served(other, "3");
             assertThat(cut.heard()).isFalse();
             assertThat(attempts(0)).as("requests do not arrive").isEqualTo(1);
-            assertThat(cut.line()).isEqualTo("VA 400 O2 h1"); // the system has sent it again
+            assertThat(cut.line())
+                    .isEqualTo("VA 400 O2 h1"); // delivered after the partition, as by a TCP retransmission
             try (Peer next = new Peer(to)) {
                 served(next, "4");
             }
@@ -117,7 +118,7 @@
     void onAOneWayCutRequestsArriveAndAnswersDoNot() throws Exception {
         try (Peer cut = node(0);
                 Peer other = node(1)) {
-            served(cut, "0"); // it is up by then
+            served(cut, "0"); // the connection is established by then
             fault(NODE, PROXY, true, LinkConditions.CUT, 1500);
             cut.read(KEY, "1");
             Await.until("it has come", () -> attempts(0) == 2);
@@ -198,7 +199,7 @@
         from.send(new DatagramPacket(new byte[] {(byte) what}, 1, to));
     }
 
-    /** What comes to one proxy from another until a last word, which the faults leave alone. */
+    /** Returns the datagrams that one proxy receives from another under the given conditions. */
     private List<Integer> heard(LinkConditions way, int many) throws Exception {
         List<Integer> heard = new ArrayList<>();
         try (DatagramSocket a = new DatagramSocket(fleet.peers().listen(0));
@@ -209,7 +210,7 @@
             for (int i = 0; i < many; i++) {
                 say(a, fleet.peers().peers(0).get(1), i);
             }
-            // The way back is not concerned; by then all that was sent has been dealt with.
+            // The reverse direction is not affected; by then all datagrams have been relayed.
             Await.until(
                     "all has gone",
                     () -> fleet.rows().stream()
--- a/src/test/java/cacheproxy/emulator/OracleTest.java
+++ b/src/test/java/cacheproxy/emulator/OracleTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Each rule by itself: what breaks it, and what comes close and does not. */
+/** Tests each rule separately: events that break it, and similar ones that do not. */
 class OracleTest {
     private final Oracle oracle = new Oracle(2000, 50);
 
@@ -34,7 +34,7 @@
         oracle.answered("3", 0, REFUSED, null, -1, 30);
         oracle.asked("4", "k", true, 10, 1000);
         oracle.effect("4", null, 40);
-        oracle.answered("4", 0, FAILED, null, -1, 50); // may have run: promises nothing
+        oracle.answered("4", 0, FAILED, null, -1, 50); // a failure does not tell whether the write was executed
         broken();
         assertThat(oracle.verdict().asked()).isEqualTo(4);
         assertThat(oracle.verdict().effects()).isEqualTo(2);
@@ -47,7 +47,7 @@
         oracle.asked("2", "k", false, 0, 1000);
         oracle.answered("2", 0, FAILED, null, -1, 1051);
         broken(Rule.LOST);
-        oracle.answered("1", 0, SERVED, value("k", 0), -1, 2000); // lost already, and counted once
+        oracle.answered("1", 0, SERVED, value("k", 0), -1, 2000); // already counted as lost
         assertThat(oracle.verdict().breaches()).containsOnly(Map.entry(Rule.LOST, 2L));
     }
 
@@ -145,7 +145,7 @@
     @Test
     void aSendToADrainingNodeCountsFromWhenThatProxyWasTold() {
         oracle.told(0, "n", false, 100);
-        oracle.told(0, "n", false, 1000); // told again: the first time counts
+        oracle.told(0, "n", false, 1000); // told again: the first notice counts
         oracle.sent(0, "n", "1", 2100);
         oracle.sent(1, "n", "2", 9000); // another proxy, which was not told
         broken();
--- a/src/test/java/cacheproxy/emulator/PayloadTest.java
+++ b/src/test/java/cacheproxy/emulator/PayloadTest.java
@@ -35,7 +35,7 @@
         assertThat(Payload.read(Arrays.copyOf(value, value.length - cut))).isNull();
     }
 
-    /** What a proxy that mixes up the parts of a long value makes of it. */
+    /** Emulates a proxy that puts a chunk of a long value at the wrong offset. */
     @Property(tries = 50, seed = "7")
     void partsInTheWrongOrderAreSeen(
             @ForAll @IntRange(min = 1, max = 62) int from, @ForAll @IntRange(min = 0, max = 62) int to) {
--- a/src/test/java/cacheproxy/emulator/Peer.java
+++ b/src/test/java/cacheproxy/emulator/Peer.java
@@ -9,7 +9,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A plain socket towards a stand-in, as a proxy would hold it. */
+/** A plain socket to an emulated server, in the place of a proxy. */
 final class Peer implements Closeable {
     private final Socket socket = new Socket();
     private final InputStream in;
@@ -40,7 +40,7 @@
         return line.toString(StandardCharsets.ISO_8859_1).trim();
     }
 
-    /** Whether anything has come that has not been read. */
+    /** Whether unread data has arrived. */
     boolean heard() throws IOException {
         return in.available() > 0;
     }
--- a/src/test/java/cacheproxy/emulator/ServiceModelTest.java
+++ b/src/test/java/cacheproxy/emulator/ServiceModelTest.java
@@ -31,7 +31,7 @@
         core.offer(0, "a", 10, 1);
         core.stall(4, 100);
         assertThat(core.finishMs()).isEqualTo(110);
-        core.stall(50, 54); // ends when the other does: nothing more is lost
+        core.stall(50, 54); // ends with the first stall, so it adds no delay
         assertThat(core.finishMs()).isEqualTo(110);
         core.advance(110, 1);
         core.stall(200, 50);
@@ -39,7 +39,7 @@
         assertThat(core.finishMs()).isEqualTo(260);
     }
 
-    /** Whatever comes when: never more at once than places, and all that was taken is done in its work's time. */
+    /** For any arrivals: at most {@code places} jobs run in parallel, and each accepted job takes its work's time. */
     @Property(tries = 200, seed = "11")
     void allWorkTakenIsDoneOnce(
             @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 1, max = 50) Integer> works,
