--- a/src/main/java/cacheproxy/emulator/CacheNode.java
+++ b/src/main/java/cacheproxy/emulator/CacheNode.java
@@ -31,13 +31,13 @@
     private final Listener listener;
     private final LruStore<String> store;
     private final Service core;
-    private final Set<ResponsePipeline> lines = new HashSet<>();
+    private final Set<ResponsePipeline> pipelines = new HashSet<>();
     private final Random random;
     private ColdStart start;
     private double spoiltShare;
     private boolean keepsStale;
-    private double heldAtStart;
-    private int life;
+    private double cachedShareAtStart;
+    private int incarnation;
 
     CacheNode(EmulatedFleet fleet, String name, double speed, long seed) {
         this.fleet = fleet;
@@ -48,7 +48,7 @@
         store = new LruStore<>(spec.cacheEntries());
         core = new Service(fleet, new ServiceModel<>(1, spec.queue()), () -> speed * start.share(fleet.now()));
         start = new ColdStart(spec.coldStart(), speed, Double.NEGATIVE_INFINITY);
-        heldAtStart = spec.heldAtStart();
+        cachedShareAtStart = spec.heldAtStart();
         listener = new Listener(fleet.loop(), seed, this::accepted);
         for (int p = 0; p < spec.proxies(); p++) {
             listener.bind();
@@ -79,9 +79,9 @@
         }
     }
 
-    private Long held(String key) {
+    private Long cachedVersion(String key) {
         Long version = store.get(key);
-        if (version == null && heldThen(key)) {
+        if (version == null && cachedAtStart(key)) {
             version = fleet.origin().version(key);
             store.put(key, version);
         }
@@ -89,10 +89,10 @@
     }
 
     /** Whether this key was cached at the start and has not been written since. */
-    private boolean heldThen(String key) {
-        return heldAtStart > 0
+    private boolean cachedAtStart(String key) {
+        return cachedShareAtStart > 0
                 && fleet.origin().version(key) == 0
-                && (Keys.mix(key.hashCode() * 31L + name.hashCode()) >>> 11) * 0x1.0p-53 < heldAtStart;
+                && (Keys.mix(key.hashCode() * 31L + name.hashCode()) >>> 11) * 0x1.0p-53 < cachedShareAtStart;
     }
 
     // ---- commands
@@ -104,13 +104,13 @@
         }
         core.offer(() -> {}, fleet.spec().workMs() * HANDSHAKE_WORK);
         fleet.series().count(proxy, Series.What.OPENED);
-        ResponsePipeline line = new ResponsePipeline(channel, listener);
-        lines.add(line);
-        channel.closeFuture().addListener(f -> lines.remove(line));
+        ResponsePipeline pipeline = new ResponsePipeline(channel, listener);
+        pipelines.add(pipeline);
+        channel.closeFuture().addListener(f -> pipelines.remove(pipeline));
         channel.pipeline().addLast(new MetaCommandDecoder(), new SimpleChannelInboundHandler<MetaCommand>() {
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, MetaCommand command) {
-                take(ctx, line, proxy, command);
+                handle(ctx, pipeline, proxy, command);
             }
 
             @Override
@@ -120,46 +120,46 @@
         });
     }
 
-    private void take(ChannelHandlerContext ctx, ResponsePipeline line, int proxy, MetaCommand command) {
+    private void handle(ChannelHandlerContext ctx, ResponsePipeline pipeline, int proxy, MetaCommand command) {
         if (command instanceof MetaCommand.Read read) {
-            read(line, proxy, read);
+            read(pipeline, proxy, read);
         } else if (command instanceof MetaCommand.Write) {
-            line.answer(line.next(), text("CLIENT_ERROR writes go to the origin\r\n"));
+            pipeline.answer(pipeline.next(), text("CLIENT_ERROR writes go to the origin\r\n"));
         } else if (command instanceof MetaCommand.Unusable u && u.fatal()) {
             ctx.writeAndFlush(text("CLIENT_ERROR " + u.why() + "\r\n")).addListener(ChannelFutureListener.CLOSE);
         } else if (command instanceof MetaCommand.Noop) {
-            line.answer(line.next(), text("MN\r\n"));
+            pipeline.answer(pipeline.next(), text("MN\r\n"));
         } else {
-            line.answer(line.next(), text("ERROR\r\n"));
+            pipeline.answer(pipeline.next(), text("ERROR\r\n"));
         }
     }
 
-    private void read(ResponsePipeline line, int proxy, MetaCommand.Read read) {
+    private void read(ResponsePipeline pipeline, int proxy, MetaCommand.Read read) {
         double now = fleet.now();
         fleet.oracle().sent(proxy, name, read.id(), now);
         fleet.series().attempt(proxy, fleet.spec().layout().zoneOf(Parties.number(name)));
-        ResponsePipeline.Slot slot = line.next();
-        boolean hit = held(read.key()) != null;
+        ResponsePipeline.Slot slot = pipeline.next();
+        boolean hit = cachedVersion(read.key()) != null;
         double work = fleet.work(read.id(), read.extras()) * (hit ? 1 : MISS_WORK);
         if (start.pushedOver(now, work)) {
             fleet.pushedOver(this);
             return;
         }
-        int mine = life;
+        int startedIn = incarnation;
         Runnable done = () -> {
-            if (life == mine) {
-                line.answer(slot, answer(read));
+            if (incarnation == startedIn) {
+                pipeline.answer(slot, answer(read));
             }
         };
         if (work == 0) {
             done.run();
         } else if (!core.offer(done, work)) {
-            line.answer(slot, text("SERVER_ERROR busy\r\n"));
+            pipeline.answer(slot, text("SERVER_ERROR busy\r\n"));
         }
     }
 
     private ByteBuf answer(MetaCommand.Read read) {
-        Long version = held(read.key());
+        Long version = cachedVersion(read.key());
         if (version == null) {
             boolean fetched = fleet.missed(read, this);
             return text("EN O" + read.id() + (fetched ? " h0 Z\r\n" : " h0\r\n"));
@@ -198,7 +198,7 @@
     void freeze(boolean on) {
         listener.freeze(on);
         if (!on) {
-            lines.forEach(ResponsePipeline::flush);
+            pipelines.forEach(ResponsePipeline::flush);
         }
     }
 
@@ -214,17 +214,17 @@
     }
 
     /** Emulates a crash: the store is lost, connections are reset and new ones are refused. */
-    void die() {
-        life++;
-        listener.shut();
+    void crash() {
+        incarnation++;
+        listener.refuseNew();
         listener.reset();
         core.clear();
         store.clear();
     }
 
     /** Emulates a restart: a process with an empty store and cold capacity listens on the same addresses. */
-    void live(Runnable then) {
-        heldAtStart = 0;
+    void restart(Runnable then) {
+        cachedShareAtStart = 0;
         start = new ColdStart(fleet.spec().coldStart(), speed, fleet.now());
         listener.reopen(then);
     }
--- a/src/main/java/cacheproxy/emulator/DiscoveryServer.java
+++ b/src/main/java/cacheproxy/emulator/DiscoveryServer.java
@@ -35,7 +35,7 @@
     /** Addresses per proxy; more than one, so that a new configuration can name another. */
     static final int ADDRESSES = 2;
     /** A request that would wait longer is rejected with 503. */
-    private static final double PATIENCE_MS = 2000;
+    private static final double MAX_QUEUE_DELAY_MS = 2000;
 
     private static final double MAX_WAIT_MS = 60_000;
     private static final int MAX_WATCHES = 256;
@@ -59,13 +59,13 @@
         void end() {
             if (watches.remove(this)) {
                 timeout.cancel(false);
-                answer(proxy, ctx, roster.since(since), false);
+                answer(proxy, ctx, hostList.since(since), false);
             }
         }
     }
 
     private final EmulatedFleet fleet;
-    private final HostList roster;
+    private final HostList hostList;
     private final Listener listener;
     private final List<Watch> watches = new ArrayList<>();
     private final Deque<Version> older = new ArrayDeque<>();
@@ -73,14 +73,14 @@
     private boolean down;
     private boolean watchesSilent;
     private boolean olderLists;
-    private double freeMs;
+    private double idleAtMs;
 
     /** A snapshot of the whole list. */
     private record Version(long seq, List<HostList.Host> hosts) {}
 
-    DiscoveryServer(EmulatedFleet fleet, HostList roster) {
+    DiscoveryServer(EmulatedFleet fleet, HostList hostList) {
         this.fleet = fleet;
-        this.roster = roster;
+        this.hostList = hostList;
         random = new SplittableRandom(fleet.spec().seed());
         listener = new Listener(fleet.loop(), ~fleet.spec().seed(), this::accepted);
         for (int i = 0; i < fleet.spec().proxies() * ADDRESSES; i++) {
@@ -101,7 +101,7 @@
                         new SimpleChannelInboundHandler<FullHttpRequest>() {
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-                                take(proxy, ctx, new QueryStringDecoder(request.uri()));
+                                handle(proxy, ctx, new QueryStringDecoder(request.uri()));
                             }
 
                             @Override
@@ -116,7 +116,7 @@
                         });
     }
 
-    private void take(int proxy, ChannelHandlerContext ctx, QueryStringDecoder uri) {
+    private void handle(int proxy, ChannelHandlerContext ctx, QueryStringDecoder uri) {
         fleet.series().count(proxy, Series.What.CALLS);
         if (down) {
             ctx.close();
@@ -127,7 +127,7 @@
             return;
         }
         if (!uri.parameters().containsKey("since")) {
-            answer(proxy, ctx, roster.whole(), true);
+            answer(proxy, ctx, hostList.whole(), true);
             return;
         }
         long since;
@@ -149,10 +149,10 @@
         Version old = olderLists && random.nextDouble() < OLDER_SHARE ? older.peekFirst() : null;
         if (old != null) {
             send(ctx, 200, json(proxy, old.seq(), old.hosts(), true).toString());
-        } else if (since > roster.seq() || since == 0) {
-            answer(proxy, ctx, roster.whole(), true);
-        } else if (since < roster.seq() || watches.size() >= MAX_WATCHES) {
-            answer(proxy, ctx, roster.since(since), false);
+        } else if (since > hostList.seq() || since == 0) {
+            answer(proxy, ctx, hostList.whole(), true);
+        } else if (since < hostList.seq() || watches.size() >= MAX_WATCHES) {
+            answer(proxy, ctx, hostList.since(since), false);
         } else {
             Watch watch = new Watch(proxy, ctx, since);
             watch.timeout = fleet.loop().schedule(watch::end, (long) Math.max(0, wait), TimeUnit.MILLISECONDS);
@@ -162,7 +162,7 @@
 
     /** Answers all watches after a change of the list. */
     void changed() {
-        older.addLast(new Version(roster.seq(), roster.whole()));
+        older.addLast(new Version(hostList.seq(), hostList.whole()));
         if (older.size() > OLDER_VERSIONS) {
             older.removeFirst();
         }
@@ -172,7 +172,7 @@
     /** Sets whether watches go unanswered, pending ones included. */
     void watchesSilent(boolean on) {
         watchesSilent = on;
-        forgetWatches();
+        dropWatches();
     }
 
     /** Sets whether some responses are lists of older versions. */
@@ -182,12 +182,12 @@
 
     /** Emulates a loss of state: version numbers restart. */
     void renumber() {
-        roster.renumber();
+        hostList.renumber();
         older.clear();
         changed();
     }
 
-    private void forgetWatches() {
+    private void dropWatches() {
         List.copyOf(watches).forEach(w -> w.timeout.cancel(false));
         watches.clear();
     }
@@ -200,36 +200,37 @@
     void down(boolean on) {
         down = on;
         if (on) {
-            forgetWatches();
+            dropWatches();
             listener.close();
         }
     }
 
     private void answer(int proxy, ChannelHandlerContext ctx, List<HostList.Host> hosts, boolean whole) {
         double now = fleet.now();
-        if (freeMs - now > PATIENCE_MS) {
+        if (idleAtMs - now > MAX_QUEUE_DELAY_MS) {
             send(ctx, 503, "{}");
             return;
         }
-        freeMs = Math.max(now, freeMs) + hosts.size() * 1000.0 / fleet.spec().listLines();
-        String body = json(proxy, roster.seq(), hosts, whole).toString();
+        idleAtMs =
+                Math.max(now, idleAtMs) + hosts.size() * 1000.0 / fleet.spec().listLines();
+        String body = json(proxy, hostList.seq(), hosts, whole).toString();
         fleet.loop()
                 .schedule(
                         () -> {
                             if (!down) {
                                 send(ctx, 200, body).addListener(written -> {
                                     if (written.isSuccess()) {
-                                        told(proxy, hosts);
+                                        recordUpdate(proxy, hosts);
                                     }
                                 });
                             }
                         },
-                        (long) (Math.max(0, freeMs - now) * 1e6),
+                        (long) (Math.max(0, idleAtMs - now) * 1e6),
                         TimeUnit.NANOSECONDS);
     }
 
     /** Records the update as of the write of its last byte, after any delay that the emulated link added. */
-    private void told(int proxy, List<HostList.Host> hosts) {
+    private void recordUpdate(int proxy, List<HostList.Host> hosts) {
         hosts.forEach(h -> fleet.oracle().told(proxy, h.name(), h.health() == HostList.Health.UP, fleet.now()));
     }
 
--- a/src/main/java/cacheproxy/emulator/EmulatedFleet.java
+++ b/src/main/java/cacheproxy/emulator/EmulatedFleet.java
@@ -41,7 +41,7 @@
     private final long startNanos = System.nanoTime();
     private final long startUnixMs = System.currentTimeMillis();
     private final Oracle oracle;
-    private final HostList roster = new HostList();
+    private final HostList hostList = new HostList();
     private final Map<String, CacheNode> nodes = new LinkedHashMap<>();
     private final OriginServer origin;
     private final DiscoveryServer discovery;
@@ -64,7 +64,7 @@
         spec.classes().forEach(c -> classWork.put(c.name(), c.work()));
         SplittableRandom random = new SplittableRandom(spec.seed());
         origin = new OriginServer(this);
-        roster.put(new HostList.Host(
+        hostList.put(new HostList.Host(
                 Parties.ORIGIN, texts(origin.listener()), sites().get(0), "origin", 0, HostList.Health.UP, 0));
         for (int i = 0; i < spec.nodes(); i++) {
             String name = Parties.node(i);
@@ -73,7 +73,7 @@
             double speed = fast ? random.nextDouble(1.5, 2.1) : random.nextDouble(0.77, 1);
             CacheNode node = new CacheNode(this, name, speed, random.nextLong());
             nodes.put(name, node);
-            roster.put(new HostList.Host(
+            hostList.put(new HostList.Host(
                     name,
                     texts(node.listener()),
                     sites().get(spec.layout().zoneOf(i)),
@@ -82,7 +82,7 @@
                     HostList.Health.UP,
                     0));
         }
-        discovery = new DiscoveryServer(this, roster);
+        discovery = new DiscoveryServer(this, hostList);
         peers = spec.layout().peers() ? new PeerRelay(this, links) : null;
         relink();
     }
@@ -160,7 +160,7 @@
 
     /** The current host list as discovery would send it to this proxy. */
     public JsonObject known(int proxy) {
-        return on(() -> DiscoveryServer.json(proxy, roster.seq(), roster.whole(), true));
+        return on(() -> DiscoveryServer.json(proxy, hostList.seq(), hostList.whole(), true));
     }
 
     /** The oracle's verdict so far. */
@@ -327,13 +327,13 @@
         }
     }
 
-    void voided(String key) {
+    void invalidate(String key) {
         nodes.values().forEach(n -> n.drop(key));
     }
 
     void pushedOver(CacheNode node) {
         oracle.pushedOver(node.name(), now());
-        node.die();
+        node.crash();
         notice(node.name(), HostList.Health.REMOVED);
     }
 
@@ -345,7 +345,7 @@
 
     private void notice(String name, HostList.Health health) {
         after(spec.noticeMs(), () -> {
-            roster.health(name, health);
+            hostList.health(name, health);
             listChanged(name, health);
         });
     }
@@ -434,18 +434,18 @@
                 });
             }
             case LEAVE -> {
-                node.die();
+                node.crash();
                 notice(node.name(), HostList.Health.REMOVED);
             }
             case DRAIN -> notice(node.name(), HostList.Health.DRAINING);
             case RESTART -> {
-                node.die();
+                node.crash();
                 after(
                         f.forMs(),
-                        () -> node.live(() -> {
-                            HostList.Host host = roster.get(node.name()).born(startUnixMs + (long) now());
+                        () -> node.restart(() -> {
+                            HostList.Host host = hostList.get(node.name()).born(startUnixMs + (long) now());
                             after(spec.noticeMs(), () -> {
-                                roster.put(host);
+                                hostList.put(host);
                                 listChanged(node.name(), host.health());
                             });
                         }));
--- a/src/main/java/cacheproxy/emulator/FrontLayer.java
+++ b/src/main/java/cacheproxy/emulator/FrontLayer.java
@@ -38,10 +38,10 @@
     /** In place of a proxy's number: no proxy accepted the connection, as the one it was assigned to was down. */
     public static final int NOBODY = -1;
 
-    private static final int CONNECT_MS = 500;
-    private static final long LOOK_MS = 250;
+    private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final long HEALTH_CHECK_INTERVAL_MS = 250;
     /** Health check timeout; a proxy that does not answer within it is regarded as not serving. */
-    private static final long ANSWER_MS = 2000;
+    private static final long HEALTH_CHECK_TIMEOUT_MS = 2000;
 
     private static final class Target {
         final InetSocketAddress address;
@@ -64,10 +64,10 @@
     private final List<Target> targets = new ArrayList<>();
     private final Listener listener;
     private final InetSocketAddress address;
-    private final Future<?> looking;
-    private int turn;
+    private final Future<?> healthChecks;
+    private int nextTarget;
     /** The proxy that accepted the last connection from each client port; bounded by the number of ports. */
-    private final Map<Integer, Integer> taken = new ConcurrentHashMap<>();
+    private final Map<Integer, Integer> acceptedBy = new ConcurrentHashMap<>();
 
     /** Listens on a free port; not to be called on the event loop. {@code noticeMs}: the health check delay. */
     public FrontLayer(EventLoop loop, List<InetSocketAddress> proxies, double noticeMs) {
@@ -76,7 +76,8 @@
         proxies.forEach(p -> targets.add(new Target(p)));
         listener = new Listener(loop, this::accepted);
         address = listener.bind();
-        looking = loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        healthChecks = loop.scheduleWithFixedDelay(
+                this::checkAll, HEALTH_CHECK_INTERVAL_MS, HEALTH_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** The address for clients. */
@@ -107,14 +108,14 @@
     /** The proxy in use with the fewest connections; ties are broken round-robin. */
     private Target pick() {
         Target best = null;
-        turn++;
+        nextTarget++;
         for (int i = 0; i < targets.size(); i++) {
-            Target t = targets.get((turn + i) % targets.size());
+            Target t = targets.get((nextTarget + i) % targets.size());
             if (t.used && (best == null || t.clients.size() < best.clients.size())) {
                 best = t;
             }
         }
-        return best != null ? best : targets.get(turn % targets.size());
+        return best != null ? best : targets.get(nextTarget % targets.size());
     }
 
     /**
@@ -122,13 +123,13 @@
      * May be called from any thread.
      */
     public int takenBy(int clientPort) {
-        return taken.getOrDefault(clientPort, NOBODY);
+        return acceptedBy.getOrDefault(clientPort, NOBODY);
     }
 
     private void accepted(Channel client, int socket) {
         Target target = pick();
         int port = ((InetSocketAddress) client.remoteAddress()).getPort();
-        taken.put(port, NOBODY);
+        acceptedBy.put(port, NOBODY);
         target.dealt++;
         target.clients.add(client);
         client.closeFuture().addListener(f -> target.clients.remove(client));
@@ -142,13 +143,13 @@
         });
         up.addListener(f -> {
             if (f.isSuccess()) {
-                taken.put(port, targets.indexOf(target));
+                acceptedBy.put(port, targets.indexOf(target));
                 client.pipeline().addLast(new Relay(up.channel()));
                 client.config().setAutoRead(true);
                 up.channel().closeFuture().addListener(g -> client.close());
                 client.closeFuture().addListener(g -> up.channel().close());
             } else {
-                turnAway(client);
+                closeUnserved(client);
             }
         });
     }
@@ -157,7 +158,7 @@
      * Ends a client connection that no proxy accepted. Reads and discards the request first: closing with unread data
      * would send a reset, from which the client must assume that a proxy may have received it.
      */
-    private static void turnAway(Channel client) {
+    private static void closeUnserved(Channel client) {
         client.pipeline().addLast(new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -186,12 +187,12 @@
                 .channel(Sockets.BEST.client())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(handler)
                 .connect(target.address);
     }
 
-    private void seen(Target target, boolean refusing) {
+    private void recordHealth(Target target, boolean refusing) {
         if (target.refusing != refusing) {
             target.refusing = refusing;
             target.changedMs = System.nanoTime() / 1e6;
@@ -199,56 +200,56 @@
     }
 
     /** Health-checks all proxies; a changed result takes effect once it has been stable for {@link #noticeMs}. */
-    private void look() {
+    private void checkAll() {
         double now = System.nanoTime() / 1e6;
         for (Target t : targets) {
             if (t.used == t.refusing && now - t.changedMs >= noticeMs) {
                 t.used = !t.refusing;
             }
-            ask(t);
+            check(t);
         }
     }
 
-    private void ask(Target target) {
+    private void check(Target target) {
         connect(target, new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new MetaAnswerDecoder(), new Answer(target));
+                        channel.pipeline().addLast(new MetaAnswerDecoder(), new HealthCheck(target));
                     }
                 })
                 .addListener(f -> {
                     if (!f.isSuccess()) {
-                        seen(target, true);
+                        recordHealth(target, true);
                     }
                 });
     }
 
     /** A health check: sends {@code mn}; any outcome other than {@code MN} means that the proxy is not serving. */
-    private final class Answer extends SimpleChannelInboundHandler<MetaAnswer> {
+    private final class HealthCheck extends SimpleChannelInboundHandler<MetaAnswer> {
         private final Target target;
-        private boolean told;
+        private boolean answered;
 
-        Answer(Target target) {
+        HealthCheck(Target target) {
             this.target = target;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             ctx.writeAndFlush(Unpooled.copiedBuffer("mn\r\n", StandardCharsets.ISO_8859_1));
-            ctx.executor().schedule(() -> ctx.close(), ANSWER_MS, TimeUnit.MILLISECONDS);
+            ctx.executor().schedule(() -> ctx.close(), HEALTH_CHECK_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaAnswer answer) {
-            told = true;
-            seen(target, !(answer instanceof MetaAnswer.Noop));
+            answered = true;
+            recordHealth(target, !(answer instanceof MetaAnswer.Noop));
             ctx.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (!told) {
-                seen(target, true);
+            if (!answered) {
+                recordHealth(target, true);
             }
         }
 
@@ -260,9 +261,9 @@
 
     @Override
     public void close() {
-        looking.cancel(false);
+        healthChecks.cancel(false);
         loop.execute(() -> {
-            listener.shut();
+            listener.refuseNew();
             listener.close();
         });
     }
--- a/src/main/java/cacheproxy/emulator/LinkHandler.java
+++ b/src/main/java/cacheproxy/emulator/LinkHandler.java
@@ -20,33 +20,33 @@
  */
 final class LinkHandler extends ChannelDuplexHandler {
     /** Initial TCP retransmission timeout that is emulated for a lost segment; doubles with each retry. */
-    private static final double RESEND_MS = 200;
+    private static final double RETRANSMISSION_MS = 200;
 
-    private static final int MAX_RESENDS = 5;
+    private static final int MAX_RETRANSMISSIONS = 5;
 
     /** One direction. */
-    private final class Side {
-        private final boolean inward;
+    private final class Direction {
+        private final boolean inbound;
         private final ArrayDeque<Held> held = new ArrayDeque<>();
         private LinkConditions way = LinkConditions.OPEN;
         private double lastDueMs;
         /** Whether a segment has stalled half way; until the conditions change. */
-        private boolean still;
+        private boolean stalled;
 
         private boolean scheduled;
 
-        Side(boolean inward) {
-            this.inward = inward;
+        Direction(boolean inbound) {
+            this.inbound = inbound;
         }
 
-        void settle(LinkConditions next) {
+        void setConditions(LinkConditions next) {
             way = next;
-            still = false;
+            stalled = false;
             release();
         }
 
         void take(Object message, ChannelPromise promise) {
-            if (!inward && way.reset() > 0 && random.nextDouble() < way.reset()) {
+            if (!inbound && way.reset() > 0 && random.nextDouble() < way.reset()) {
                 ReferenceCountUtil.release(message);
                 promise.tryFailure(new ClosedChannelException());
                 reset(ctx.channel());
@@ -54,30 +54,30 @@
             }
             Object rest = message;
             ChannelPromise last = promise;
-            boolean halts = false;
-            if (!inward
+            boolean stalls = false;
+            if (!inbound
                     && way.hold() > 0
                     && message instanceof ByteBuf b
                     && b.readableBytes() > 1
                     && random.nextDouble() < way.hold()) {
                 ByteBuf half = b.readRetainedSlice(b.readableBytes() / 2);
                 add(half, ctx.newPromise(), false);
-                halts = true;
+                stalls = true;
             }
-            add(rest, last, halts);
+            add(rest, last, stalls);
             release();
         }
 
-        private void add(Object message, ChannelPromise promise, boolean halts) {
-            double due = nowMs() + way.delayMs() + way.jitterMs() * random.nextDouble() + resends();
+        private void add(Object message, ChannelPromise promise, boolean stalls) {
+            double due = nowMs() + way.delayMs() + way.jitterMs() * random.nextDouble() + retransmissionDelay();
             lastDueMs = Math.max(lastDueMs, due);
-            held.add(new Held(message, promise, lastDueMs, halts));
+            held.add(new Held(message, promise, lastDueMs, stalls));
         }
 
-        private double resends() {
+        private double retransmissionDelay() {
             double late = 0;
-            for (int i = 0; i < MAX_RESENDS && way.lose() > 0 && random.nextDouble() < way.lose(); i++) {
-                late += RESEND_MS * (1 << i);
+            for (int i = 0; i < MAX_RETRANSMISSIONS && way.lose() > 0 && random.nextDouble() < way.lose(); i++) {
+                late += RETRANSMISSION_MS * (1 << i);
             }
             return late;
         }
@@ -86,14 +86,14 @@
         void release() {
             boolean passed = false;
             double now = nowMs();
-            while (!held.isEmpty() && !way.cut() && !still) {
+            while (!held.isEmpty() && !way.cut() && !stalled) {
                 Held next = held.peek();
                 if (next.dueMs() > now) {
-                    wake(next.dueMs() - now);
+                    scheduleRelease(next.dueMs() - now);
                     break;
                 }
-                if (next.halts()) {
-                    still = true;
+                if (next.stalls()) {
+                    stalled = true;
                     held.poll();
                     held.addFirst(new Held(next.message(), next.promise(), next.dueMs(), false));
                     break;
@@ -102,7 +102,7 @@
                 passed = true;
                 pass(next);
             }
-            if (passed && inward) {
+            if (passed && inbound) {
                 ctx.fireChannelReadComplete();
             } else if (passed) {
                 ctx.flush();
@@ -110,7 +110,7 @@
         }
 
         private void pass(Held next) {
-            if (inward) {
+            if (inbound) {
                 ctx.fireChannelRead(next.message());
             } else if (next.message() == CLOSE) {
                 ctx.close(next.promise());
@@ -119,7 +119,7 @@
             }
         }
 
-        private void wake(double inMs) {
+        private void scheduleRelease(double inMs) {
             if (!scheduled) {
                 scheduled = true;
                 ctx.executor()
@@ -134,8 +134,8 @@
         }
 
         @SuppressWarnings("ReferenceEquality") // Links returns the constant itself for a healthy link
-        boolean passesAtOnce() {
-            return way == LinkConditions.OPEN && held.isEmpty() && !still;
+        boolean isTransparent() {
+            return way == LinkConditions.OPEN && held.isEmpty() && !stalled;
         }
 
         void drop() {
@@ -150,13 +150,13 @@
         }
     }
 
-    private record Held(Object message, ChannelPromise promise, double dueMs, boolean halts) {}
+    private record Held(Object message, ChannelPromise promise, double dueMs, boolean stalls) {}
 
     private static final Object CLOSE = new Object();
 
     private final SplittableRandom random;
-    private final Side in = new Side(true);
-    private final Side out = new Side(false);
+    private final Direction in = new Direction(true);
+    private final Direction out = new Direction(false);
     private ChannelHandlerContext ctx;
 
     /** Starts with these conditions. */
@@ -178,9 +178,9 @@
     }
 
     /** Applies changed conditions; ends a stall and releases the data that is due. */
-    void settle(LinkConditions inward, LinkConditions outward) {
-        in.settle(inward);
-        out.settle(outward);
+    void setConditions(LinkConditions inbound, LinkConditions outbound) {
+        in.setConditions(inbound);
+        out.setConditions(outbound);
     }
 
     @Override
@@ -196,7 +196,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        if (in.passesAtOnce()) {
+        if (in.isTransparent()) {
             context.fireChannelRead(message);
         } else {
             in.take(message, null);
@@ -205,7 +205,7 @@
 
     @Override
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-        if (out.passesAtOnce()) {
+        if (out.isTransparent()) {
             context.write(message, promise);
         } else {
             out.take(message, promise);
--- a/src/main/java/cacheproxy/emulator/Listener.java
+++ b/src/main/java/cacheproxy/emulator/Listener.java
@@ -28,12 +28,12 @@
  * only, except for {@link #bind}.
  */
 final class Listener {
-    private static final long AGAIN_MS = 20;
+    private static final long REBIND_DELAY_MS = 20;
     private static final int BACKLOG = 512;
     /** A backlog of 0 admits one connection; the second covers a race with a connection that is being established. */
     private static final int FILLERS = 2;
 
-    private static final int FILLERS_GO_MS = 200;
+    private static final int FILLERS_CLOSE_DELAY_MS = 200;
 
     private final EventLoop loop;
     private final List<Channel> channels = new ArrayList<>();
@@ -41,7 +41,7 @@
     /** Open connections with their links. */
     private final Map<Channel, Link> connections = new LinkedHashMap<>();
 
-    private final Map<Integer, Ways> ways = new HashMap<>();
+    private final Map<Integer, Conditions> ways = new HashMap<>();
     /** Connections that keep a partitioned socket's accept queue full, so that no other can be established. */
     private final Map<Integer, List<Filler>> fillers = new HashMap<>();
 
@@ -50,8 +50,8 @@
     private boolean open = true;
     private boolean frozen;
 
-    private record Ways(LinkConditions in, LinkConditions out) {
-        static final Ways OPEN = new Ways(LinkConditions.OPEN, LinkConditions.OPEN);
+    private record Conditions(LinkConditions in, LinkConditions out) {
+        static final Conditions OPEN = new Conditions(LinkConditions.OPEN, LinkConditions.OPEN);
 
         boolean cut() {
             return in.cut() || out.cut();
@@ -96,7 +96,7 @@
                             channel.close();
                             return;
                         }
-                        Ways w = ways.getOrDefault(number, Ways.OPEN);
+                        Conditions w = ways.getOrDefault(number, Conditions.OPEN);
                         LinkHandler link = new LinkHandler(w.in(), w.out(), random.split());
                         connections.put(channel, new Link(number, link));
                         channel.closeFuture().addListener(f -> connections.remove(channel));
@@ -138,7 +138,7 @@
      * Refuses new connections; existing ones stay open. A partitioned socket is closed only when the partition ends, as
      * no refusal can be seen through a partition.
      */
-    void shut() {
+    void refuseNew() {
         open = false;
         for (int i = 0; i < channels.size(); i++) {
             if (!cut(i)) {
@@ -164,7 +164,7 @@
                     return;
                 }
                 if (cut(number)) {
-                    hang(number, true);
+                    setUnreachable(number, true);
                 }
                 if (--missing[0] == 0) {
                     then.run();
@@ -182,7 +182,7 @@
             if (f.isSuccess()) {
                 then.accept(future.channel());
             } else if (open) {
-                loop.schedule(() -> rebind(number, then), AGAIN_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> rebind(number, then), REBIND_DELAY_MS, TimeUnit.MILLISECONDS);
             }
         });
     }
@@ -191,7 +191,7 @@
     void freeze(boolean on) {
         frozen = on;
         channels.forEach(c -> c.config().setAutoRead(!on));
-        connections.forEach((c, link) -> readOrNot(c, link.socket()));
+        connections.forEach((c, link) -> updateAutoRead(c, link.socket()));
     }
 
     boolean frozen() {
@@ -206,19 +206,19 @@
      * unreachable host.
      */
     void ways(int socket, LinkConditions in, LinkConditions out) {
-        Ways before = ways.getOrDefault(socket, Ways.OPEN);
-        Ways now = new Ways(in, out);
+        Conditions before = ways.getOrDefault(socket, Conditions.OPEN);
+        Conditions now = new Conditions(in, out);
         if (now.equals(before)) {
             return;
         }
         ways.put(socket, now);
         if (now.cut() != before.cut()) {
-            hang(socket, now.cut()); // before any peer can see that the partition has ended
+            setUnreachable(socket, now.cut()); // before any peer can see that the partition has ended
         }
         connections.forEach((c, link) -> {
             if (link.socket() == socket) {
-                link.handler().settle(in, out);
-                readOrNot(c, socket);
+                link.handler().setConditions(in, out);
+                updateAutoRead(c, socket);
             }
         });
         if (!now.cut() && !open) {
@@ -227,17 +227,17 @@
     }
 
     private boolean cut(int socket) {
-        return ways.getOrDefault(socket, Ways.OPEN).cut();
+        return ways.getOrDefault(socket, Conditions.OPEN).cut();
     }
 
-    private void readOrNot(Channel connection, int socket) {
+    private void updateAutoRead(Channel connection, int socket) {
         connection
                 .config()
-                .setAutoRead(
-                        !frozen && !ways.getOrDefault(socket, Ways.OPEN).in().cut());
+                .setAutoRead(!frozen
+                        && !ways.getOrDefault(socket, Conditions.OPEN).in().cut());
     }
 
-    private void hang(int socket, boolean on) {
+    private void setUnreachable(int socket, boolean on) {
         Channel channel = channels.get(socket);
         if (!(channel instanceof EpollServerSocketChannel epoll) || !channel.isOpen()) {
             return; // without epoll's listen() call connections are established, but stay silent
@@ -264,7 +264,7 @@
                         done.forEach(Filler::close);
                         fillers.remove(socket, done);
                     },
-                    FILLERS_GO_MS,
+                    FILLERS_CLOSE_DELAY_MS,
                     TimeUnit.MILLISECONDS); // kept until they have been accepted, so that isFiller recognizes them
         }
     }
--- a/src/main/java/cacheproxy/emulator/Oracle.java
+++ b/src/main/java/cacheproxy/emulator/Oracle.java
@@ -22,9 +22,9 @@
     /**
      * How long after a proxy could first have learnt of a host list change it is assumed to know it, in milliseconds.
      */
-    private static final double TOLD_MS = 6000;
+    private static final double DISCOVERY_DELAY_MS = 6000;
 
-    private static final int EXAMPLES = 5;
+    private static final int MAX_EXAMPLES = 5;
     private static final int MAX_EXCUSES = 10_000;
 
     /** The rules that are checked. */
@@ -97,12 +97,10 @@
     private record Told(double atMs, boolean wanted) {}
 
     /** A period in which a proxy is not required to answer, as it is dead or paused. */
-    private record Excuse(int proxy, double fromMs, double untilMs, boolean standsStill) {
+    private record Excuse(int proxy, double fromMs, double untilMs, boolean paused) {
         boolean covers(int by, Asked a, double endedMs) {
             return by == proxy
-                    && (standsStill
-                            ? a.atMs <= untilMs && a.deadlineMs >= fromMs
-                            : endedMs >= fromMs && endedMs <= untilMs);
+                    && (paused ? a.atMs <= untilMs && a.deadlineMs >= fromMs : endedMs >= fromMs && endedMs <= untilMs);
         }
     }
 
@@ -160,7 +158,7 @@
         a.ending = ending;
         a.endedMs = atMs;
         if (atMs > a.deadlineMs + answerGraceMs
-                && excuses.stream().noneMatch(e -> e.standsStill() && e.covers(proxy, a, atMs))) {
+                && excuses.stream().noneMatch(e -> e.paused() && e.covers(proxy, a, atMs))) {
             breach(Rule.LOST, id + " answered " + ms(atMs - a.deadlineMs) + " after its deadline");
         }
         if (ending == Ending.REFUSED && a.effects > 0) {
@@ -298,7 +296,7 @@
         told.keySet().removeIf(k -> k.startsWith(proxy + " "));
         reachesSinceMs.computeIfPresent(proxy, (p, since) -> Math.max(since, atMs));
         reachesSinceMs.putIfAbsent(proxy, atMs);
-        excuses.replaceAll(e -> e.proxy() == proxy && e.untilMs() > atMs && !e.standsStill()
+        excuses.replaceAll(e -> e.proxy() == proxy && e.untilMs() > atMs && !e.paused()
                 ? new Excuse(proxy, e.fromMs(), atMs, false)
                 : e);
     }
@@ -316,19 +314,19 @@
         if (l == null || l.wanted()) {
             return;
         }
-        double couldMs = Math.max(l.atMs(), Math.max(reachesSinceMs.getOrDefault(proxy, 0.0), goesOnMs(proxy)));
-        if (atMs > couldMs + TOLD_MS + drainGraceMs) {
+        double learnableMs = Math.max(l.atMs(), Math.max(reachesSinceMs.getOrDefault(proxy, 0.0), pauseEndMs(proxy)));
+        if (atMs > learnableMs + DISCOVERY_DELAY_MS + drainGraceMs) {
             breach(
                     Rule.SENT_AFTER_DRAIN,
-                    id + " to " + node + " by proxy " + proxy + ", " + ms(atMs - couldMs)
+                    id + " to " + node + " by proxy " + proxy + ", " + ms(atMs - learnableMs)
                             + " after it could have learnt of it from discovery");
         }
     }
 
     /** The end of the last pause of a proxy; 0 if it was never paused. */
-    private double goesOnMs(int proxy) {
+    private double pauseEndMs(int proxy) {
         return excuses.stream()
-                .filter(e -> e.standsStill() && e.proxy() == proxy)
+                .filter(e -> e.paused() && e.proxy() == proxy)
                 .mapToDouble(Excuse::untilMs)
                 .max()
                 .orElse(0);
@@ -354,7 +352,7 @@
     private void breach(Rule rule, String what) {
         breaches.merge(rule, 1L, Long::sum);
         List<String> some = examples.computeIfAbsent(rule, r -> new ArrayList<>());
-        if (some.size() < EXAMPLES) {
+        if (some.size() < MAX_EXAMPLES) {
             some.add(what);
         }
     }
--- a/src/main/java/cacheproxy/emulator/OriginServer.java
+++ b/src/main/java/cacheproxy/emulator/OriginServer.java
@@ -41,7 +41,7 @@
     /** Receipts of keyed writes within the deduplication window, oldest first. */
     private final Map<String, Receipt> receipts = new LinkedHashMap<>();
 
-    private final Set<ResponsePipeline> lines = new HashSet<>();
+    private final Set<ResponsePipeline> pipelines = new HashSet<>();
     private long fetches;
 
     OriginServer(EmulatedFleet fleet) {
@@ -70,9 +70,9 @@
 
     private void accepted(Channel channel, int socket) {
         fleet.series().count(socket, Series.What.OPENED);
-        ResponsePipeline line = new ResponsePipeline(channel, listener);
-        lines.add(line);
-        channel.closeFuture().addListener(f -> lines.remove(line));
+        ResponsePipeline pipeline = new ResponsePipeline(channel, listener);
+        pipelines.add(pipeline);
+        channel.closeFuture().addListener(f -> pipelines.remove(pipeline));
         channel.pipeline()
                 .addLast(
                         new HttpServerCodec(),
@@ -80,7 +80,7 @@
                         new SimpleChannelInboundHandler<FullHttpRequest>() {
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-                                take(line, socket, request);
+                                handle(pipeline, socket, request);
                             }
 
                             @Override
@@ -90,21 +90,22 @@
                         });
     }
 
-    private void take(ResponsePipeline line, int proxy, FullHttpRequest request) {
-        ResponsePipeline.Slot slot = line.next();
+    private void handle(ResponsePipeline pipeline, int proxy, FullHttpRequest request) {
+        ResponsePipeline.Slot slot = pipeline.next();
         String key = request.uri().substring(1);
         String id = request.headers().get("Req-Id", "");
         String extras = request.headers().get("Req-Extra", "");
         boolean write = request.method().equals(HttpMethod.PUT);
         if (request.uri().equals("/alive") || (!write && !request.method().equals(HttpMethod.GET)) || id.isEmpty()) {
-            line.answer(slot, response(id.isEmpty() ? 400 : 200, NOTHING, false));
+            pipeline.answer(slot, response(id.isEmpty() ? 400 : 200, NOTHING, false));
             return;
         }
         fleet.series().count(proxy, write ? Series.What.WRITES : Series.What.FETCHES);
-        Runnable run = () -> line.answer(slot, response(200, write ? write(key, id, extras) : read(key, id), false));
+        Runnable run =
+                () -> pipeline.answer(slot, response(200, write ? write(key, id, extras) : read(key, id), false));
         double work = fleet.originWork(id) * (write ? WRITE_WORK : 1);
         if (!slots.offer(run, work)) {
-            line.answer(slot, response(503, NOTHING, true));
+            pipeline.answer(slot, response(503, NOTHING, true));
         }
     }
 
@@ -129,7 +130,7 @@
             receipts.put(idempotencyKey, new Receipt(version, now));
         }
         fleet.oracle().effect(id, idempotencyKey, now);
-        fleet.voided(key);
+        fleet.invalidate(key);
         return receipt(version);
     }
 
@@ -157,7 +158,7 @@
     void freeze(boolean on) {
         listener.freeze(on);
         if (!on) {
-            lines.forEach(ResponsePipeline::flush);
+            pipelines.forEach(ResponsePipeline::flush);
         }
     }
 }
--- a/src/main/java/cacheproxy/emulator/PeerRelay.java
+++ b/src/main/java/cacheproxy/emulator/PeerRelay.java
@@ -22,7 +22,7 @@
  */
 public final class PeerRelay {
     /** The additional delay of a reordered datagram. */
-    private static final double OVERTAKEN_MS = 20;
+    private static final double REORDER_DELAY_MS = 20;
 
     private final EmulatedFleet fleet;
     private final Links links;
@@ -40,7 +40,7 @@
         random = new SplittableRandom(fleet.spec().seed() * 31 + 7);
         ends = new Channel[n][n + 1];
         for (int i = 0; i < n; i++) {
-            proxies.add(free(fleet.host(i)));
+            proxies.add(unusedAddress(fleet.host(i)));
             for (int k = 0; k <= n; k++) {
                 ends[i][k] = new Bootstrap()
                         .group(fleet.loop())
@@ -53,7 +53,7 @@
         }
     }
 
-    private static InetSocketAddress free(InetAddress host) {
+    private static InetSocketAddress unusedAddress(InetAddress host) {
         try (DatagramSocket socket = new DatagramSocket(0, host)) {
             return new InetSocketAddress(host, socket.getLocalPort());
         } catch (SocketException e) {
@@ -122,7 +122,7 @@
         for (int copies = random.nextDouble() < way.twice() ? 2 : 1; copies > 0; copies--) {
             double late = way.delayMs()
                     + random.nextDouble() * way.jitterMs()
-                    + (random.nextDouble() < way.reorder() ? OVERTAKEN_MS : 0);
+                    + (random.nextDouble() < way.reorder() ? REORDER_DELAY_MS : 0);
             ByteBuf copy = message.retainedDuplicate();
             fleet.loop().schedule(() -> deliver(from, to, copy), (long) (late * 1e6), TimeUnit.NANOSECONDS);
         }
--- a/src/main/java/cacheproxy/emulator/Series.java
+++ b/src/main/java/cacheproxy/emulator/Series.java
@@ -12,7 +12,7 @@
  */
 public final class Series {
     /** The number of seconds kept; later events are counted in the last one. */
-    static final int MOST_SECONDS = 7200;
+    static final int MAX_SECONDS = 7200;
     /** A tenth of a second, in milliseconds. */
     public static final double TENTH_MS = 100;
 
@@ -56,11 +56,11 @@
      */
     public record Row(int second, int proxy, Map<What, Long> counts, long[] attempts) {}
 
-    private static final class Cell {
+    private static final class Counters {
         final Map<What, Long> counts = new EnumMap<>(What.class);
         final long[] attempts;
 
-        Cell(int zones) {
+        Counters(int zones) {
             attempts = new long[zones];
         }
     }
@@ -71,7 +71,7 @@
     /** Totals over all proxies, by tenths of a second. */
     private final List<long[]> tenths = new ArrayList<>();
     /** By second; each row is indexed by proxy, with a last element for events that no proxy handled. */
-    private final List<Cell[]> seconds = new ArrayList<>();
+    private final List<Counters[]> seconds = new ArrayList<>();
 
     Series(int proxies, int zones, DoubleSupplier nowMs) {
         this.proxies = proxies;
@@ -79,15 +79,15 @@
         this.nowMs = nowMs;
     }
 
-    private Cell cell(int proxy, double atMs) {
-        int second = (int) Math.max(0, Math.min(MOST_SECONDS - 1, atMs / 1000));
+    private Counters counters(int proxy, double atMs) {
+        int second = (int) Math.max(0, Math.min(MAX_SECONDS - 1, atMs / 1000));
         while (seconds.size() <= second) {
-            seconds.add(new Cell[proxies + 1]);
+            seconds.add(new Counters[proxies + 1]);
         }
-        Cell[] row = seconds.get(second);
+        Counters[] row = seconds.get(second);
         int at = proxy < 0 ? proxies : proxy;
         if (row[at] == null) {
-            row[at] = new Cell(zones);
+            row[at] = new Counters(zones);
         }
         return row[at];
     }
@@ -99,8 +99,8 @@
 
     /** Adds to a counter at a time in milliseconds since the start. */
     public void add(int proxy, What what, long much, double atMs) {
-        cell(proxy, atMs).counts.merge(what, much, Long::sum);
-        int tenth = (int) Math.max(0, Math.min(10 * MOST_SECONDS - 1, atMs / TENTH_MS));
+        counters(proxy, atMs).counts.merge(what, much, Long::sum);
+        int tenth = (int) Math.max(0, Math.min(10 * MAX_SECONDS - 1, atMs / TENTH_MS));
         while (tenths.size() <= tenth) {
             tenths.add(new long[What.values().length]);
         }
@@ -115,7 +115,7 @@
     /** Counts a read received by a cache node of that zone. */
     void attempt(int proxy, int zone) {
         count(proxy, What.ATTEMPTS);
-        cell(proxy, nowMs.getAsDouble()).attempts[zone]++;
+        counters(proxy, nowMs.getAsDouble()).attempts[zone]++;
     }
 
     /** All counters by second and proxy. */
@@ -123,7 +123,7 @@
         List<Row> rows = new ArrayList<>();
         for (int s = 0; s < seconds.size(); s++) {
             for (int p = 0; p <= proxies; p++) {
-                Cell c = seconds.get(s)[p];
+                Counters c = seconds.get(s)[p];
                 if (c != null) {
                     rows.add(new Row(s, p == proxies ? -1 : p, Map.copyOf(c.counts), c.attempts.clone()));
                 }
--- a/src/main/java/cacheproxy/emulator/meta/MetaAnswerDecoder.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaAnswerDecoder.java
@@ -25,7 +25,7 @@
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
         if (length < 0) {
-            String line = MetaLines.take(in);
+            String line = MetaLines.readLine(in);
             if (line != null) {
                 line(line, out);
             }
@@ -33,7 +33,7 @@
             byte[] value = new byte[length];
             in.readBytes(value);
             length = -1;
-            if (!MetaLines.ends(in)) {
+            if (!MetaLines.readLineEnd(in)) {
                 throw new CorruptedFrameException("value without end");
             }
             out.add(new MetaAnswer.Value(valueId, value, begunNanos));
--- a/src/main/java/cacheproxy/emulator/meta/MetaCommandDecoder.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaCommandDecoder.java
@@ -19,7 +19,7 @@
         }
         String line;
         try {
-            line = MetaLines.take(in);
+            line = MetaLines.readLine(in);
         } catch (TooLongFrameException e) {
             in.skipBytes(in.readableBytes());
             out.add(new MetaCommand.Unusable(e.getMessage(), true));
@@ -61,7 +61,7 @@
         }
         byte[] value = new byte[length];
         in.readBytes(value);
-        boolean ended = MetaLines.ends(in);
+        boolean ended = MetaLines.readLineEnd(in);
         String[] words = write;
         write = null;
         String id = MetaLines.flag(words, 3, 'O');
--- a/src/main/java/cacheproxy/emulator/meta/MetaLines.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaLines.java
@@ -14,7 +14,7 @@
     private MetaLines() {}
 
     /** Consumes a line and returns it without its terminator; null while it is incomplete. */
-    static String take(ByteBuf in) {
+    static String readLine(ByteBuf in) {
         int length = in.bytesBefore((byte) '\n');
         if (length < 0 ? in.readableBytes() > MAX_LINE : length > MAX_LINE) {
             throw new TooLongFrameException("line of more than " + MAX_LINE + " bytes");
@@ -28,7 +28,7 @@
     }
 
     /** Consumes the two bytes that follow a value; returns false if they are not CR LF. */
-    static boolean ends(ByteBuf in) {
+    static boolean readLineEnd(ByteBuf in) {
         return in.readShort() == ('\r' << 8 | '\n');
     }
 
--- a/src/test/java/cacheproxy/emulator/FaultSchedulesTest.java
+++ b/src/test/java/cacheproxy/emulator/FaultSchedulesTest.java
@@ -35,9 +35,10 @@
                             i == 0
                                     ? faults.get(i).atMs()
                                     : faults.get(i).atMs() - faults.get(i - 1).atMs())
-                    .isGreaterThan(FaultSchedules.LEAST_MS - 0.001);
+                    .isGreaterThan(FaultSchedules.MIN_INTERVAL_MS - 0.001);
         }
-        assertThat(faults).hasSizeLessThanOrEqualTo((int) (until / Math.max(every, FaultSchedules.LEAST_MS)) + 1);
+        assertThat(faults)
+                .hasSizeLessThanOrEqualTo((int) (until / Math.max(every, FaultSchedules.MIN_INTERVAL_MS)) + 1);
     }
 
     /** The generated schedules can also be written as a fault script. */
