--- a/src/test/java/cacheproxy/emulator/ServiceModelTest.java
+++ b/src/test/java/cacheproxy/emulator/ServiceModelTest.java
@@ -39,7 +39,9 @@
         assertThat(core.finishMs()).isEqualTo(260);
     }
 
-    /** For any arrivals: at most {@code places} jobs run in parallel, and each accepted job takes its work's time. */
+    /**
+     * For any arrivals: the capacity is never exceeded, and all accepted jobs complete within the sum of their work.
+     */
     @Property(tries = 200, seed = "11")
     void allWorkTakenIsDoneOnce(
             @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 1, max = 50) Integer> works,
