--- a/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
+++ b/src/test/java/cacheproxy/proxy/OlderEndpointListTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Discovery that answers with a list older than one it has told before: a replica that is behind, or lost memory. */
+/** Discovery answers with a list older than one it has sent before: a lagging replica, or one that lost its state. */
 @Timeout(60)
 class OlderEndpointListTest {
     private static final int KEYS = 64;
@@ -37,7 +37,7 @@
     }
 
     private static JsonObject host(String name, FakeServer node, String health) {
-        return Fleet.host(name, "node-fast", node.dial(), health);
+        return ProxyFixture.host(name, "node-fast", node.dial(), health);
     }
 
     private static String list(long version, boolean whole, JsonObject... hosts) {
@@ -45,7 +45,7 @@
         for (JsonObject host : hosts) {
             all.add(host);
         }
-        return Fleet.list(version, whole, all).toString();
+        return ProxyFixture.list(version, whole, all).toString();
     }
 
     private String newer() {
@@ -56,19 +56,19 @@
         return list(42, true, host(DRAINED, drained, "up"), host(STAYS, stays, "up"), host(JOINS, stays, "up"));
     }
 
-    private Fleet fleet(FakeServer discovery) {
-        return new Fleet()
+    private ProxyFixture fixture(FakeServer discovery) {
+        return new ProxyFixture()
                 .discovery(discovery)
                 .host(host(DRAINED, drained, "up"))
                 .host(host(STAYS, stays, "up"))
                 .set("caps.connect-timeout", "100.0");
     }
 
-    private void readAll(Fleet fleet) throws IOException {
+    private void readAll(ProxyFixture fixture) throws IOException {
         drained.commands.clear();
-        try (Fleet.Client client = fleet.client()) {
+        try (ProxyFixture.Client client = fixture.client()) {
             for (int key = 0; key < KEYS; key++) {
-                client.say("mg %x v O%x Pc=text,d=20000\r\n".formatted(key, ++requests));
+                client.send("mg %x v O%x Pc=text,d=20000\r\n".formatted(key, ++requests));
                 assertThat(client.line()).startsWith("VA 5 ");
                 client.line();
             }
@@ -80,24 +80,24 @@
         FakeServer discovery = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=41&")) {
-                    c.sayHttp(200, "", newer());
+                    c.sendHttp(200, "", newer());
                 } else if (request.contains("since=44&")) {
-                    c.sayHttp(200, "", older());
+                    c.sendHttp(200, "", older());
                 } else {
                     c.awaitEnd();
                 }
             }
         });
-        try (Fleet fleet = fleet(discovery).start()) {
+        try (ProxyFixture fixture = fixture(discovery).start()) {
             Await.until(
-                    "the older list, which has a server more",
-                    () -> fleet.on(() -> fleet.proxy.status().discoveredNodes()) == 3);
-            readAll(fleet);
+                    "the older list is in use, which has one more server",
+                    () -> fixture.onEventLoop(() -> fixture.proxy.status().discoveredNodes()) == 3);
+            readAll(fixture);
             assertThat(drained.commands).as("reads of the drained server").isEmpty();
         }
     }
 
-    /** Two replicas, one behind the other, that each answer at once what the other's answer has the proxy ask for. */
+    /** Two replicas, one lagging, that each answer at once the poll that the other's answer triggers. */
     @Test
     void disagreeingReplicasAreNotPolledWithoutADelay() throws Exception {
         int calls = 8;
@@ -107,18 +107,19 @@
                 synchronized (calledNanos) {
                     calledNanos.add(System.nanoTime());
                 }
-                c.sayHttp(200, "", request.contains("since=44&") ? older() : newer());
+                c.sendHttp(200, "", request.contains("since=44&") ? older() : newer());
             }
         });
-        try (Fleet fleet = fleet(discovery).start()) {
-            Await.until("some calls", () -> {
+        try (ProxyFixture fixture = fixture(discovery).start()) {
+            Await.until("discovery has received enough polls", () -> {
                 synchronized (calledNanos) {
                     return calledNanos.size() > calls;
                 }
             });
             double ms = (calledNanos.get(calls) - calledNanos.get(0)) / 1e6;
-            assertThat(ms).as("the time of %d calls", calls).isGreaterThan(calls * 80.0);
-            assertThat(fleet.on(() -> fleet.proxy.status().discoveredNodes())).isBetween(2, 3);
+            assertThat(ms).as("milliseconds for %d polls", calls).isGreaterThan(calls * 80.0);
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.status().discoveredNodes()))
+                    .isBetween(2, 3);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/PeerListIT.java
+++ b/src/test/java/cacheproxy/proxy/PeerListIT.java
@@ -19,14 +19,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Two processes of the packaged program whose discovery tells them the same at different times. What one tells the
- * other of the list may have a server left alone sooner; it may not have one used that discovery itself has told the
- * other to leave alone.
+ * Two processes of the packaged program that receive the same list changes from discovery at different times. A list
+ * change from a peer may drain a server sooner; it must not readmit a server that discovery itself has drained.
  */
 @Timeout(60)
 class PeerListIT {
     private static final int KEYS = 64;
-    /** So long discovery keeps a watch without news open. */
+    /** How long discovery holds a watch open without a change. */
     private static final int WATCH_MS = 200;
 
     private static final String RELEASED = "s-00000001";
@@ -48,7 +47,7 @@
     }
 
     private static JsonObject host(String name, FakeServer node, String health) {
-        return Fleet.host(name, "node-fast", node.dial(), health);
+        return ProxyFixture.host(name, "node-fast", node.dial(), health);
     }
 
     private static String list(long version, JsonElement... hosts) {
@@ -56,21 +55,21 @@
         for (JsonElement host : hosts) {
             changed.add(host);
         }
-        return Fleet.list(version, false, changed).toString();
+        return ProxyFixture.list(version, false, changed).toString();
     }
 
     /**
-     * Discovery as one proxy finds it. Version 42 drains a server; 43 has it ready again and drains another, and is
-     * told once {@code tellsLast} is open. Until then a watch ends with nothing new.
+     * The discovery of one proxy. Version 42 drains a server; version 43 makes it ready again, drains another, and is
+     * sent once {@code tellsLast} is open. Until then a watch ends without a change.
      */
     private FakeServer discovery(CountDownLatch drained, CountDownLatch tellsLast) throws IOException {
         return new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=41&")) {
-                    c.sayHttp(200, "", list(42, host(RELEASED, released, "draining")));
+                    c.sendHttp(200, "", list(42, host(RELEASED, released, "draining")));
                 } else if (request.contains("since=42&")) {
                     drained.countDown();
-                    c.sayHttp(200, "", tellsLast.await(WATCH_MS, TimeUnit.MILLISECONDS) ? lastList() : list(42));
+                    c.sendHttp(200, "", tellsLast.await(WATCH_MS, TimeUnit.MILLISECONDS) ? lastList() : list(42));
                 } else {
                     c.awaitEnd();
                 }
@@ -83,7 +82,7 @@
     }
 
     private ServeProcess proxy(int me, int port, FakeServer discovery, int... peerPorts) throws IOException {
-        Fleet fleet = new Fleet()
+        ProxyFixture fixture = new ProxyFixture()
                 .host(host(RELEASED, released, "up"))
                 .host(host(STAYS, stays, "up"))
                 .host(host(DRAINS_LATER, drainsLater, "up"))
@@ -94,17 +93,17 @@
         for (int peer : peerPorts) {
             peers.add("127.0.0.1:" + peer);
         }
-        fleet.config.addProperty("name", "n" + me);
-        fleet.config.addProperty("listen", "127.0.0.1:" + port);
-        fleet.config.addProperty("discovery", discovery.dial());
-        fleet.config.add("known", fleet.known());
-        fleet.config.add("peers", peers);
-        fleet.config.addProperty("peers_all", "127.0.0.1:" + peerPorts[1 - me]);
-        fleet.config.addProperty("peer_listen", "127.0.0.1:" + peerPorts[me]);
-        return new ServeProcess(folder, "n" + me, fleet.config.toString(), Map.of());
+        fixture.config.addProperty("name", "n" + me);
+        fixture.config.addProperty("listen", "127.0.0.1:" + port);
+        fixture.config.addProperty("discovery", discovery.dial());
+        fixture.config.add("known", fixture.initialList());
+        fixture.config.add("peers", peers);
+        fixture.config.addProperty("peers_all", "127.0.0.1:" + peerPorts[1 - me]);
+        fixture.config.addProperty("peer_listen", "127.0.0.1:" + peerPorts[me]);
+        return new ServeProcess(folder, "n" + me, fixture.config.toString(), Map.of());
     }
 
-    /** Asks for each of the keys once and forgets what the servers had been asked before. */
+    /** Clears the servers' recorded commands and reads each key once. */
     private void readAll(int port) throws IOException {
         released.commands.clear();
         drainsLater.commands.clear();
@@ -134,23 +133,23 @@
                 FakeServer lateDiscovery = discovery(lateDrained, lateIsTold);
                 ServeProcess informed = proxy(0, ServeProcess.freePort(), informedDiscovery, peers);
                 ServeProcess late = proxy(1, port, lateDiscovery, peers)) {
-            Await.until("both know of the drain", () -> {
+            Await.until("both processes have applied the drain", () -> {
                 informedDrained.await();
                 lateDrained.await();
                 readAll(port);
                 return askedOf(released) == 0 && askedOf(drainsLater) > 0;
             });
             informedIsTold.countDown();
-            Await.until("its peer has told the late one of the next version", () -> {
+            Await.until("the peer's drain has reached the proxy whose discovery lags", () -> {
                 readAll(port);
                 return askedOf(drainsLater) == 0;
             });
             readAll(port);
             assertThat(askedOf(released))
-                    .as("reads of a server that this proxy's own discovery has drained")
+                    .as("reads at a server that this proxy's own discovery has drained")
                     .isZero();
             lateIsTold.countDown();
-            Await.until("its own discovery has it used again", () -> {
+            Await.until("the proxy's own discovery has readmitted the server", () -> {
                 readAll(port);
                 return askedOf(released) > 0;
             });
