--- a/src/main/java/cacheproxy/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -44,7 +44,7 @@
 
     static final int FAILED = 1;
     static final int USAGE = 2;
-    static final int NOT_KEPT = 3;
+    static final int INCONCLUSIVE = 3;
 
     @Spec
     private CommandSpec spec;
--- a/src/main/java/cacheproxy/cli/ConfigCommand.java
+++ b/src/main/java/cacheproxy/cli/ConfigCommand.java
@@ -58,14 +58,14 @@
     }
 
     /** The configuration, or null if it has mistakes, which are then told. */
-    private Configuration read(Path file, ConfiguredEndpoints installation) {
+    private Configuration read(Path file, ConfiguredEndpoints endpoints) {
         Problems problems = new Problems();
-        Configuration configuration = ConfigFile.read(
-                file, EdgeFile.schema(installation == null ? null : installation.routableNames()), problems);
-        return told(problems) ? null : configuration;
+        Configuration configuration =
+                ConfigFile.read(file, EdgeFile.schema(endpoints == null ? null : endpoints.routableNames()), problems);
+        return reportProblems(problems) ? null : configuration;
     }
 
-    private boolean told(Problems problems) {
+    private boolean reportProblems(Problems problems) {
         if (problems.none()) {
             return false;
         }
@@ -75,7 +75,7 @@
         return true;
     }
 
-    private static ConfiguredEndpoints installation(Path with) {
+    private static ConfiguredEndpoints readEndpoints(Path with) {
         return with == null ? null : ConfiguredEndpoints.read(with.toString());
     }
 
@@ -92,12 +92,12 @@
                                     "Checks names of classes, tenants, sites "
                                             + "and kinds against a proxy's configuration, and that each pool has a server of its list.")
                     Path with) {
-        ConfiguredEndpoints installation = installation(with);
-        Configuration c = read(file, installation);
+        ConfiguredEndpoints endpoints = readEndpoints(with);
+        Configuration c = read(file, endpoints);
         if (c == null) {
             return Cli.FAILED;
         }
-        List<String> empty = installation == null ? List.of() : RoutingSections.empty(c, installation.poolMembers());
+        List<String> empty = endpoints == null ? List.of() : RoutingSections.emptyPools(c, endpoints.poolMembers());
         empty.forEach(err()::println);
         err().flush();
         if (!empty.isEmpty()) {
@@ -131,7 +131,7 @@
                     boolean check,
             @Option(names = "--stdout", description = "Prints the result, and changes nothing.") boolean stdout)
             throws IOException {
-        boolean well = true;
+        boolean valid = true;
         for (Path file : files) {
             Problems problems = new Problems();
             String text;
@@ -141,19 +141,19 @@
                 throw new IOException(file + " is not UTF-8");
             }
             String formatted = ConfigFile.format(new Source(file.toString(), text), problems);
-            if (told(problems)) {
-                well = false;
+            if (reportProblems(problems)) {
+                valid = false;
             } else if (stdout) {
                 out().print(formatted);
             } else if (!formatted.equals(text) && check) {
                 out().println(file);
-                well = false;
+                valid = false;
             } else if (!formatted.equals(text)) {
                 replace(file, formatted);
             }
         }
         out().flush();
-        return well ? Cli.OK : Cli.FAILED;
+        return valid ? Cli.OK : Cli.FAILED;
     }
 
     /** Whole or not at all: who reads it meanwhile must not find half a file. */
@@ -225,12 +225,12 @@
                             paramLabel = "CONFIG",
                             description = "A proxy's configuration, whose list of servers is used.")
                     Path with) {
-        ConfiguredEndpoints installation = installation(with);
-        Configuration c = read(file, installation);
+        ConfiguredEndpoints endpoints = readEndpoints(with);
+        Configuration c = read(file, endpoints);
         if (c == null) {
             return Cli.FAILED;
         }
-        Explanation.text(RoutingSections.routing(c), installation, key, kind, tenant, front)
+        Explanation.text(RoutingSections.routing(c), endpoints, key, kind, tenant, front)
                 .forEach(out()::println);
         out().flush();
         return Cli.OK;
--- a/src/main/java/cacheproxy/cli/DemoCommand.java
+++ b/src/main/java/cacheproxy/cli/DemoCommand.java
@@ -116,9 +116,9 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
-        FleetSpec fleetSpec = traffic.values.in(fleetOptions.spec());
+        FleetSpec fleetSpec = traffic.values.applyTo(fleetOptions.spec());
         List<Fault> faults = new ArrayList<>(fleetOptions.faults(fleetSpec));
-        faults.addAll(unrest(fleetSpec));
+        faults.addAll(optionFaults(fleetSpec));
         out.printf("starting %d nodes, an origin, discovery and %d proxies%n", fleetSpec.nodes(), fleetSpec.proxies());
         out.flush();
         try (ProxiedFleet fleet = new ProxiedFleet(fleetSpec, fleetOptions.memoryMb, fleetOptions.edge)) {
@@ -130,29 +130,29 @@
                         traffic.leadIn(fleetSpec.classes(), traffic.rate * LEAD_IN_SHARE, leadIn.seconds()),
                         0,
                         ~traffic.seed)) {
-                    Runs.run(generator, out, () -> "  lead-in");
+                    LoadRuns.run(generator, out, () -> "  lead-in");
                 }
             }
             try (Generator generator =
                     generator(fleet, traffic.workload(fleetSpec.classes()), warmUp.seconds(), traffic.seed)) {
                 fleet.play(faults);
-                Report report = Runs.run(
+                Report report = LoadRuns.run(
                         generator,
                         out,
-                        () -> fleet.watch().text() + broken(fleet.fleet().verdict()));
+                        () -> fleet.watch().text() + brokenRules(fleet.fleet().verdict()));
                 fleet.fleet().awaitGrace();
                 Oracle.Verdict verdict = fleet.fleet().verdict();
                 out.println();
                 out.print(report.text());
                 print(out, fleet, verdict);
-                Runs.write(report, "Demo", json, null, html);
+                LoadRuns.write(report, "Demo", json, null, html);
                 return verdict.held() ? Cli.OK : Cli.FAILED;
             }
         }
     }
 
     /** What the options ask for, beside the script. */
-    private List<Fault> unrest(FleetSpec of) {
+    private List<Fault> optionFaults(FleetSpec of) {
         List<Fault> faults = new ArrayList<>();
         if (upgrade != null) {
             faults.addAll(Unrest.upgrades(upgrade.ms(), traffic.length.ms(), of.proxies()));
@@ -180,7 +180,7 @@
         return new Generator(settings, workload, new OracleObserver(fleet.fleet(), fleet::takenBy));
     }
 
-    private static String broken(Oracle.Verdict verdict) {
+    private static String brokenRules(Oracle.Verdict verdict) {
         return verdict.held() ? "" : "  BROKEN " + verdict.breaches();
     }
 
--- a/src/main/java/cacheproxy/cli/FiguresCommand.java
+++ b/src/main/java/cacheproxy/cli/FiguresCommand.java
@@ -36,7 +36,7 @@
         footer = {"  figures logs", "  figures --each p0.log p1.log"})
 final class FiguresCommand implements Callable<Integer> {
     /** Nodes named of those that turned connections away. */
-    private static final int SHOWN = 10;
+    private static final int MAX_NODES_SHOWN = 10;
 
     @Spec
     private CommandSpec spec;
@@ -106,14 +106,14 @@
                     metrics.total(metric) / (double) Math.max(1, requests));
         }
         out.println();
-        line(out, "processor time, ms", metrics, MetricsLine::cpuMs);
-        line(out, "start to first served, ms", metrics, MetricsLine::firstServedMs);
+        printDistribution(out, "processor time, ms", metrics, MetricsLine::cpuMs);
+        printDistribution(out, "start to first served, ms", metrics, MetricsLine::firstServedMs);
         List<Map.Entry<String, Long>> rejected = metrics.rejectedConnections();
         if (!rejected.isEmpty()) {
             out.printf(
                     "%nnodes without a place (of %d the first %d): ",
-                    rejected.size(), Math.min(SHOWN, rejected.size()));
-            rejected.stream().limit(SHOWN).forEach(e -> out.print(" " + e.getKey() + "=" + e.getValue()));
+                    rejected.size(), Math.min(MAX_NODES_SHOWN, rejected.size()));
+            rejected.stream().limit(MAX_NODES_SHOWN).forEach(e -> out.print(" " + e.getKey() + "=" + e.getValue()));
             out.println();
         }
         List<FleetMetrics.Ejection> ejections = metrics.ejections();
@@ -150,14 +150,15 @@
     }
 
     /** Least, middle and most over all processes that tell it. */
-    private static void line(PrintWriter out, String words, FleetMetrics metrics, ToLongFunction<MetricsLine> of) {
+    private static void printDistribution(
+            PrintWriter out, String label, FleetMetrics metrics, ToLongFunction<MetricsLine> of) {
         long[] all = metrics.processes().stream()
                 .mapToLong(of)
                 .filter(v -> v >= 0)
                 .sorted()
                 .toArray();
         if (all.length > 0) {
-            out.printf("%-28s least %d, middle %d, most %d%n", words, all[0], all[all.length / 2], all[all.length - 1]);
+            out.printf("%-28s least %d, middle %d, most %d%n", label, all[0], all[all.length / 2], all[all.length - 1]);
         }
     }
 }
--- a/src/main/java/cacheproxy/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -54,7 +54,7 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
-        FleetSpec fleetSpec = values.in(options.spec());
+        FleetSpec fleetSpec = values.applyTo(options.spec());
         List<Fault> faults = options.faults(fleetSpec);
         try (ProxiedFleet fleet = new ProxiedFleet(fleetSpec, options.memoryMb, options.edge)) {
             JsonObject addresses = fleet.json();
--- a/src/main/java/cacheproxy/cli/LabCommand.java
+++ b/src/main/java/cacheproxy/cli/LabCommand.java
@@ -135,14 +135,14 @@
         if (html != null) {
             Files.writeString(html, OutcomeText.html(outcomes));
         }
-        return code(outcomes);
+        return exitCode(outcomes);
     }
 
-    private static int code(List<Outcome> outcomes) {
+    private static int exitCode(List<Outcome> outcomes) {
         List<Outcome.Judgement> all = outcomes.stream().map(Outcome::judgement).toList();
         return all.contains(Outcome.Judgement.BROKEN)
                 ? Cli.FAILED
-                : all.contains(Outcome.Judgement.TOO_BUSY) ? Cli.NOT_KEPT : Cli.OK;
+                : all.contains(Outcome.Judgement.TOO_BUSY) ? Cli.INCONCLUSIVE : Cli.OK;
     }
 
     @Command(
@@ -214,7 +214,7 @@
                 throw new ParameterException(spec.commandLine(), e.getMessage(), e);
             }
         }
-        return held ? Cli.OK : code(outcomes) == Cli.NOT_KEPT ? Cli.NOT_KEPT : Cli.FAILED;
+        return held ? Cli.OK : exitCode(outcomes) == Cli.INCONCLUSIVE ? Cli.INCONCLUSIVE : Cli.FAILED;
     }
 
     @Command(
@@ -222,16 +222,16 @@
             mixinStandardHelpOptions = true,
             description = "Tells all mistakes of scenarios without playing them. Exit codes: 0 none, 1 some.")
     private int check(@Parameters(arity = "1..*", paramLabel = "FILE") List<Path> files) {
-        boolean well = true;
+        boolean valid = true;
         for (Path file : files) {
             ScenarioFile scenario = read(file);
-            well &= scenario != null;
+            valid &= scenario != null;
             if (scenario != null) {
                 out().println(summary(file, scenario));
             }
         }
         out().flush();
-        return well ? Cli.OK : Cli.FAILED;
+        return valid ? Cli.OK : Cli.FAILED;
     }
 
     @Command(name = "list", mixinStandardHelpOptions = true, description = "Tells what stands in a folder.")
--- a/src/main/java/cacheproxy/cli/LoadCommand.java
+++ b/src/main/java/cacheproxy/cli/LoadCommand.java
@@ -160,12 +160,12 @@
                 ? traffic.workload(classes)
                 : new TraceWorkload(Files.newInputStream(trace), format, classes, speed);
         try (Generator generator = new Generator(settings, workload, Observer.NONE)) {
-            Report report = Runs.run(generator, out, () -> "");
+            Report report = LoadRuns.run(generator, out, () -> "");
             out.println();
             out.print(report.text());
             out.flush();
-            Runs.write(report, "Load on " + targets.get(0).address(), json, hlog, html);
-            return report.keptSchedule() ? Cli.OK : Cli.NOT_KEPT;
+            LoadRuns.write(report, "Load on " + targets.get(0).address(), json, hlog, html);
+            return report.keptSchedule() ? Cli.OK : Cli.INCONCLUSIVE;
         }
     }
 
@@ -189,7 +189,7 @@
         PrintWriter out = spec.commandLine().getOut();
         out.print(merged.text());
         out.flush();
-        Runs.write(merged, "Load by " + reports.size() + " generators", to, log, page);
-        return merged.keptSchedule() ? Cli.OK : Cli.NOT_KEPT;
+        LoadRuns.write(merged, "Load by " + reports.size() + " generators", to, log, page);
+        return merged.keptSchedule() ? Cli.OK : Cli.INCONCLUSIVE;
     }
 }
--- a/src/main/java/cacheproxy/cli/Runs.java
+++ b/src/main/java/cacheproxy/cli/LoadRuns.java
@@ -13,8 +13,8 @@
 import java.util.function.Supplier;
 
 /** What the commands that drive load share: progress while it runs, and where its report goes. */
-final class Runs {
-    private Runs() {}
+final class LoadRuns {
+    private LoadRuns() {}
 
     /** Runs to the end with a line of progress a second. */
     static Report run(Generator generator, PrintWriter out, Supplier<String> more) throws Exception {
--- a/src/main/java/cacheproxy/cli/ValueOptions.java
+++ b/src/main/java/cacheproxy/cli/ValueOptions.java
@@ -20,7 +20,7 @@
     }
 
     /** This fleet with them. */
-    FleetSpec in(FleetSpec spec) {
+    FleetSpec applyTo(FleetSpec spec) {
         return spec.withValues(sizes(spec.values().usual()));
     }
 }
--- a/src/main/java/cacheproxy/cli/ZoneCommand.java
+++ b/src/main/java/cacheproxy/cli/ZoneCommand.java
@@ -61,10 +61,10 @@
             @Mixin ControlOption control,
             @Option(names = "--over", paramLabel = "TIME", description = "Step by step over this time, up to 75s.")
                     Duration over,
-            @Option(names = "--dry-run", description = "Only tells what it would cost.") boolean dry)
+            @Option(names = "--dry-run", description = "Only tells what it would cost.") boolean dryRun)
             throws IOException {
-        if (!dry) {
-            return order("leave", zone, control, over);
+        if (!dryRun) {
+            return sendOrder("leave", zone, control, over);
         }
         try (ControlClient client = control.connect()) {
             JsonObject cost = client.call(request("cost", zone));
@@ -95,7 +95,7 @@
                     "Has the fleet return to a zone step by step, whatever is seen of it; then what is seen decides.")
     private int comeBack(@Parameters(paramLabel = "NAME") String zone, @Mixin ControlOption control)
             throws IOException {
-        return order("return", zone, control, null);
+        return sendOrder("return", zone, control, null);
     }
 
     @Command(
@@ -103,7 +103,7 @@
             mixinStandardHelpOptions = true,
             description = "Has a zone stay as far open as it is, whatever is seen of it, until it is released.")
     private int hold(@Parameters(paramLabel = "NAME") String zone, @Mixin ControlOption control) throws IOException {
-        return order("hold", zone, control, null);
+        return sendOrder("hold", zone, control, null);
     }
 
     @Command(
@@ -111,7 +111,7 @@
             mixinStandardHelpOptions = true,
             description = "Takes orders for a zone back: what is seen of it decides.")
     private int release(@Parameters(paramLabel = "NAME") String zone, @Mixin ControlOption control) throws IOException {
-        return order("release", zone, control, null);
+        return sendOrder("release", zone, control, null);
     }
 
     private static JsonObject request(String order, String zone) {
@@ -121,7 +121,7 @@
         return request;
     }
 
-    private int order(String order, String zone, ControlOption control, Duration over) throws IOException {
+    private int sendOrder(String order, String zone, ControlOption control, Duration over) throws IOException {
         JsonObject request = request(order, zone);
         if (over != null) {
             request.addProperty("over_ms", over.ms());
--- a/src/main/java/cacheproxy/config/Checker.java
+++ b/src/main/java/cacheproxy/config/Checker.java
@@ -22,7 +22,7 @@
 
 /** From syntax to entries by a schema: names, types, ranges, defaults, references. */
 final class Checker {
-    private static final int MAX_NAME = 100;
+    private static final int MAX_NAME_LENGTH = 100;
 
     private record Key(String section, String name) {}
 
@@ -31,7 +31,7 @@
     /** By section, what its {@code defaults} blocks set. */
     private final Map<String, Map<String, Setting>> defaults = new HashMap<>();
 
-    private final Map<Key, List<Place>> named = new HashMap<>();
+    private final Map<Key, List<Place>> placesByName = new HashMap<>();
     private final List<Entry> entries = new ArrayList<>();
 
     private Checker(Schema schema, Problems problems) {
@@ -42,9 +42,9 @@
     /** The entries; of use only if {@code problems} stays without any. */
     static Configuration check(List<Document> documents, Schema schema, Problems problems) {
         Checker checker = new Checker(schema, problems);
-        checker.each(documents, true);
-        checker.each(documents, false);
-        checker.references(checker.entries);
+        checker.checkBlocks(documents, true);
+        checker.checkBlocks(documents, false);
+        checker.checkReferences(checker.entries);
         Configuration configuration = new Configuration(checker.entries);
         if (problems.none()) {
             schema.checks().forEach(c -> c.run(configuration, problems));
@@ -53,10 +53,10 @@
     }
 
     /** Defaults first, wherever they stand: what holds may not hang on order. */
-    private void each(List<Document> documents, boolean ofDefaults) {
+    private void checkBlocks(List<Document> documents, boolean defaultsOnly) {
         for (Document d : documents) {
             for (Item item : d.items()) {
-                if (item instanceof Attribute a && !ofDefaults) {
+                if (item instanceof Attribute a && !defaultsOnly) {
                     problems.add(
                             a.place(),
                             "'" + a.name() + "' stands outside of any block",
@@ -64,18 +64,18 @@
                                     ? "write " + a.name() + " { ... }"
                                     : a.name().equals("include")
                                             ? "write include \"FILE\""
-                                            : owner(a.name()) != null
-                                                    ? owner(a.name())
+                                            : suggestOwner(a.name()) != null
+                                                    ? suggestOwner(a.name())
                                                     : "it belongs into a block of one of "
                                                             + String.join(
                                                                     ", ",
                                                                     schema.sections()
                                                                             .keySet()));
-                } else if (item instanceof Block b && b.name().equals("defaults") == ofDefaults) {
-                    if (ofDefaults) {
-                        defaults(b);
+                } else if (item instanceof Block b && b.name().equals("defaults") == defaultsOnly) {
+                    if (defaultsOnly) {
+                        readDefaults(b);
                     } else {
-                        entry(b);
+                        checkEntry(b);
                     }
                 }
             }
@@ -83,7 +83,7 @@
     }
 
     /** The section that knows an attribute of this name. */
-    private String owner(String attribute) {
+    private String suggestOwner(String attribute) {
         return schema.sections().values().stream()
                 .filter(s -> s.attributes().containsKey(attribute))
                 .findFirst()
@@ -93,7 +93,7 @@
 
     // ---- defaults
 
-    private void defaults(Block block) {
+    private void readDefaults(Block block) {
         Label label = block.labels().size() == 1 ? block.labels().get(0) : null;
         Section section = label == null ? null : schema.sections().get(label.text());
         if (section == null) {
@@ -103,20 +103,20 @@
                     label == null ? "defaults of what?" : "defaults of a section that there is not: " + label.raw(),
                     label == null
                             ? "write defaults SECTION { ... }, with one of " + String.join(", ", known)
-                            : Names.fix(label.text(), known));
+                            : Suggestions.suggest(label.text(), known));
             return;
         }
         Map<String, Setting> set = defaults.computeIfAbsent(section.name(), k -> new LinkedHashMap<>());
         for (Item item : block.items()) {
             if (item instanceof Attribute a) {
-                Section.Attribute known = attribute(section, a);
-                Setting setting = known == null ? null : read(known, a, Origin.DEFAULTS, builtIn(known));
+                Section.Attribute known = findAttribute(section, a);
+                Setting setting = known == null ? null : readSetting(known, a, Origin.DEFAULTS, builtIn(known));
                 Setting before = setting == null ? null : set.putIfAbsent(a.name(), setting);
                 if (before != null) {
                     problems.add(
                             a.place(),
                             "a default of " + section.name() + " that is set already at "
-                                    + before.place().shortly(),
+                                    + before.place().fileAndLine(),
                             "leave one of them out; which holds may not hang on order");
                 }
             } else {
@@ -127,26 +127,29 @@
 
     // ---- entries
 
-    private void entry(Block block) {
+    private void checkEntry(Block block) {
         Section section = schema.sections().get(block.name());
         if (section == null) {
             List<String> known = new ArrayList<>(schema.sections().keySet());
             known.add("defaults");
             known.add("include");
-            problems.add(block.place(), "no section is called '" + block.name() + "'", Names.fix(block.name(), known));
+            problems.add(
+                    block.place(),
+                    "no section is called '" + block.name() + "'",
+                    Suggestions.suggest(block.name(), known));
             return;
         }
-        Entry entry = block(section, block, defaults.getOrDefault(section.name(), Map.of()));
+        Entry entry = checkBlock(section, block, defaults.getOrDefault(section.name(), Map.of()));
         if (entry == null) {
             return;
         }
         Key key = new Key(section.name(), entry.name());
-        List<Place> places = named.computeIfAbsent(key, k -> new ArrayList<>(1));
+        List<Place> places = placesByName.computeIfAbsent(key, k -> new ArrayList<>(1));
         places.add(entry.place());
         if (section.naming() != Naming.MANY && places.size() > 1) {
             problems.add(
                     entry.place(),
-                    entry.title() + " stands already at " + places.get(0).shortly(),
+                    entry.title() + " stands already at " + places.get(0).fileAndLine(),
                     section.naming() == Naming.NAMED
                             ? "give one of them another name, or take one out"
                             : "join the two");
@@ -154,30 +157,30 @@
         entries.add(entry);
     }
 
-    private Entry block(Section section, Block block, Map<String, Setting> inherited) {
-        String name = name(section, block);
+    private Entry checkBlock(Section section, Block block, Map<String, Setting> inherited) {
+        String name = blockName(section, block);
         Map<String, Setting> own = new HashMap<>();
         List<Entry> blocks = new ArrayList<>();
         for (Item item : block.items()) {
             if (item instanceof Attribute a) {
-                Section.Attribute known = attribute(section, a);
-                Setting instead = known == null ? null : inherited.getOrDefault(a.name(), builtIn(known));
-                Setting setting = known == null ? null : read(known, a, Origin.OWN, instead);
+                Section.Attribute known = findAttribute(section, a);
+                Setting overridden = known == null ? null : inherited.getOrDefault(a.name(), builtIn(known));
+                Setting setting = known == null ? null : readSetting(known, a, Origin.OWN, overridden);
                 Setting before = setting == null ? null : own.putIfAbsent(a.name(), setting);
                 if (before != null) {
                     problems.add(
                             a.place(),
                             "'" + a.name() + "' is set already at "
-                                    + before.place().shortly(),
+                                    + before.place().fileAndLine(),
                             known.listed() ? "write one list" : "leave one of them out");
                 }
             } else if (item instanceof Block b) {
                 Section inner = section.blocks().get(b.name());
                 if (inner == null) {
-                    unknown(section, b.name(), b.place(), true);
+                    reportUnknown(section, b.name(), b.place(), true);
                     continue;
                 }
-                Entry entry = block(inner, b, Map.of());
+                Entry entry = checkBlock(inner, b, Map.of());
                 if (inner.naming() == Naming.ONCE && blocks.stream().anyMatch(e -> e.section() == inner)) {
                     problems.add(b.place(), "a second '" + b.name() + "' in one " + section.name(), "join the two");
                 }
@@ -198,14 +201,14 @@
                 problems.add(
                         block.place(),
                         "'" + a.name() + "' is missing",
-                        "set it: " + a.help() + " (" + a.type().words() + ")");
+                        "set it: " + a.help() + " (" + a.type().description() + ")");
             }
         }
         return name == null ? null : new Entry(section, name, block.place(), all, blocks);
     }
 
     /** The block's name, empty where it has none, null where that is wrong. */
-    private String name(Section section, Block block) {
+    private String blockName(Section section, Block block) {
         int labels = block.labels().size();
         if (section.naming() != Naming.NAMED) {
             if (labels > 0) {
@@ -226,29 +229,29 @@
             return null;
         }
         String name = block.labels().get(0).text();
-        if (name.isBlank() || name.length() > MAX_NAME || !name.equals(name.strip())) {
+        if (name.isBlank() || name.length() > MAX_NAME_LENGTH || !name.equals(name.strip())) {
             problems.add(
                     block.labels().get(0).place(),
-                    name.length() > MAX_NAME
+                    name.length() > MAX_NAME_LENGTH
                             ? "a name of " + name.length() + " characters"
                             : name.isBlank() ? "an empty name" : "a name with blanks around it",
-                    name.length() > MAX_NAME
-                            ? "at most " + MAX_NAME + " are taken"
+                    name.length() > MAX_NAME_LENGTH
+                            ? "at most " + MAX_NAME_LENGTH + " are taken"
                             : name.isBlank() ? "give it a name" : "write " + Type.quoted(name.strip()));
             return null;
         }
         return name;
     }
 
-    private Section.Attribute attribute(Section section, Attribute a) {
+    private Section.Attribute findAttribute(Section section, Attribute a) {
         Section.Attribute known = section.attributes().get(a.name());
         if (known == null) {
-            unknown(section, a.name(), a.place(), false);
+            reportUnknown(section, a.name(), a.place(), false);
         }
         return known;
     }
 
-    private void unknown(Section section, String name, Place place, boolean block) {
+    private void reportUnknown(Section section, String name, Place place, boolean block) {
         if (block ? section.attributes().containsKey(name) : section.blocks().containsKey(name)) {
             problems.add(
                     place,
@@ -265,8 +268,8 @@
         }
         List<String> known = new ArrayList<>(section.attributes().keySet());
         known.addAll(section.blocks().keySet());
-        String fix = Names.fix(name, known);
-        String elsewhere = block ? null : owner(name);
+        String fix = Suggestions.suggest(name, known);
+        String elsewhere = block ? null : suggestOwner(name);
         problems.add(
                 place,
                 "a " + section.name() + " knows no '" + name + "'",
@@ -282,29 +285,29 @@
         Problems own = new Problems();
         Source source = new Source("built in", "x = " + a.builtIn());
         Value value = ((Attribute) Parser.parse(source, own).items().get(0)).value();
-        Type.Read read = a.type().read(value, own);
+        Type.Parsed parsed = a.type().read(value, own);
         if (!own.none()) {
             throw new IllegalArgumentException(own.text());
         }
-        return new Setting(List.of(read.value()), read.canonical(), null, Origin.BUILT_IN, null);
+        return new Setting(List.of(parsed.value()), parsed.canonical(), null, Origin.BUILT_IN, null);
     }
 
-    private Setting read(Section.Attribute known, Attribute a, Origin origin, Setting instead) {
+    private Setting readSetting(Section.Attribute known, Attribute a, Origin origin, Setting overridden) {
         if (!(a.value() instanceof Listing list)) {
-            Type.Read read = known.type().read(a.value(), problems);
-            return read == null
+            Type.Parsed parsed = known.type().read(a.value(), problems);
+            return parsed == null
                     ? null
                     : new Setting(
-                            List.of(read.value()),
-                            known.listed() ? "[" + read.canonical() + "]" : read.canonical(),
+                            List.of(parsed.value()),
+                            known.listed() ? "[" + parsed.canonical() + "]" : parsed.canonical(),
                             a.value().place(),
                             origin,
-                            instead);
+                            overridden);
         }
         if (!known.listed()) {
             problems.add(
                     list.place(),
-                    "a list where " + known.type().words() + " belongs",
+                    "a list where " + known.type().description() + " belongs",
                     list.elements().size() == 1 ? "leave the brackets out" : "one value is taken here");
             return null;
         }
@@ -313,38 +316,39 @@
             return null;
         }
         Map<String, Object> values = new TreeMap<>();
-        boolean right = true;
+        boolean valid = true;
         for (Element e : list.elements()) {
-            Type.Read read = known.type().read(e.value(), problems);
-            right &= read != null;
-            if (read != null && values.put(read.canonical(), read.value()) != null) {
+            Type.Parsed parsed = known.type().read(e.value(), problems);
+            valid &= parsed != null;
+            if (parsed != null && values.put(parsed.canonical(), parsed.value()) != null) {
                 problems.add(e.value().place(), "a value that is in the list already", "leave it out");
-                right = false;
+                valid = false;
             }
         }
-        return right
-                ? new Setting(List.copyOf(values.values()), values.keySet().toString(), list.place(), origin, instead)
+        return valid
+                ? new Setting(
+                        List.copyOf(values.values()), values.keySet().toString(), list.place(), origin, overridden)
                 : null;
     }
 
     // ---- references
 
-    private void references(List<Entry> all) {
+    private void checkReferences(List<Entry> all) {
         for (Entry e : all) {
             e.settings().forEach((attribute, setting) -> {
                 String section = e.section().attributes().get(attribute).type().reference();
                 if (section != null && setting.place() != null) {
-                    setting.values().forEach(v -> reference(section, (String) v, setting.place()));
+                    setting.values().forEach(v -> checkReference(section, (String) v, setting.place()));
                 }
             });
-            references(e.blocks());
+            checkReferences(e.blocks());
         }
     }
 
-    private void reference(String section, String name, Place place) {
-        List<Place> places = named.get(new Key(section, name));
+    private void checkReference(String section, String name, Place place) {
+        List<Place> places = placesByName.get(new Key(section, name));
         if (places == null) {
-            List<String> known = named.keySet().stream()
+            List<String> known = placesByName.keySet().stream()
                     .filter(k -> k.section().equals(section))
                     .map(Key::name)
                     .toList();
@@ -354,13 +358,13 @@
                     known.isEmpty()
                             ? "there is no " + section + " at all; write " + section + " " + Type.quoted(name)
                                     + " { ... }"
-                            : Names.fix(name, known));
+                            : Suggestions.suggest(name, known));
         } else if (places.size() > 1) {
             problems.add(
                     place,
                     section + " " + Type.quoted(name) + " could be that of "
-                            + places.get(0).shortly() + " or that of "
-                            + places.get(1).shortly(),
+                            + places.get(0).fileAndLine() + " or that of "
+                            + places.get(1).fileAndLine(),
                     "give one of them another name");
         }
     }
--- a/src/main/java/cacheproxy/config/ConfigFile.java
+++ b/src/main/java/cacheproxy/config/ConfigFile.java
@@ -40,7 +40,7 @@
         for (Entry e : configuration.entries()) {
             s.append(s.isEmpty() ? "" : "\n")
                     .append("# ")
-                    .append(e.place().shortly())
+                    .append(e.place().fileAndLine())
                     .append('\n');
             append(s, e, "");
         }
@@ -67,16 +67,16 @@
             return "  # built in";
         }
         String where = setting.origin() == Origin.DEFAULTS
-                ? "  # default, " + setting.place().shortly()
+                ? "  # default, " + setting.place().fileAndLine()
                 : "";
-        Setting instead = setting.instead();
+        Setting overridden = setting.overridden();
         if (setting.origin() == Origin.OWN
-                && instead != null
-                && !instead.canonical().equals(setting.canonical())) {
-            where = "  # instead of " + instead.canonical()
-                    + (instead.place() == null
+                && overridden != null
+                && !overridden.canonical().equals(setting.canonical())) {
+            where = "  # instead of " + overridden.canonical()
+                    + (overridden.place() == null
                             ? ", built in"
-                            : ", " + instead.place().shortly());
+                            : ", " + overridden.place().fileAndLine());
         }
         return where;
     }
--- a/src/main/java/cacheproxy/config/Configuration.java
+++ b/src/main/java/cacheproxy/config/Configuration.java
@@ -25,9 +25,9 @@
      * @param values one, or as many as the list has, in canonical order
      * @param canonical as text, alike for all ways to write it
      * @param place where it is set; null for what is built in
-     * @param instead what would hold if it were not set here; null where nothing would
+     * @param overridden what would hold if it were not set here; null where nothing would
      */
-    public record Setting(List<Object> values, String canonical, Place place, Origin origin, Setting instead) {}
+    public record Setting(List<Object> values, String canonical, Place place, Origin origin, Setting overridden) {}
 
     /**
      * One block.
--- a/src/main/java/cacheproxy/config/Difference.java
+++ b/src/main/java/cacheproxy/config/Difference.java
@@ -28,8 +28,8 @@
 
     /** All differences, by section and name. */
     public static List<Difference> between(Configuration a, Configuration b) {
-        Map<String, Entry> before = keyed(a);
-        Map<String, Entry> after = keyed(b);
+        Map<String, Entry> before = byKey(a);
+        Map<String, Entry> after = byKey(b);
         List<Difference> all = new ArrayList<>();
         TreeSet<String> keys = new TreeSet<>(before.keySet());
         keys.addAll(after.keySet());
@@ -44,31 +44,31 @@
                 all.add(new Difference(Kind.CHANGED, x, y, changes("", x, y)));
             }
         }
-        return renamed(all);
+        return joinRenames(all);
     }
 
     /** What differs in its name only is the same entry under another. */
-    private static List<Difference> renamed(List<Difference> all) {
+    private static List<Difference> joinRenames(List<Difference> all) {
         List<Difference> joined = new ArrayList<>();
-        List<Difference> gone =
+        List<Difference> removed =
                 new ArrayList<>(all.stream().filter(d -> d.kind == Kind.REMOVED).toList());
-        List<Difference> met = new ArrayList<>();
+        List<Difference> matched = new ArrayList<>();
         for (Difference d : all) {
-            Difference twin = d.kind != Kind.ADDED
+            Difference match = d.kind != Kind.ADDED
                     ? null
-                    : gone.stream()
+                    : removed.stream()
                             .filter(g -> body(g.before).equals(body(d.after)))
                             .findFirst()
                             .orElse(null);
-            if (twin == null) {
+            if (match == null) {
                 joined.add(d);
             } else {
-                gone.remove(twin);
-                met.add(twin);
-                joined.add(new Difference(Kind.RENAMED, twin.before, d.after, List.of()));
+                removed.remove(match);
+                matched.add(match);
+                joined.add(new Difference(Kind.RENAMED, match.before, d.after, List.of()));
             }
         }
-        joined.removeAll(met);
+        joined.removeAll(matched);
         return joined;
     }
 
@@ -76,7 +76,7 @@
         return e.section().name() + e.canonical().substring(e.title().length());
     }
 
-    private static Map<String, Entry> keyed(Configuration c) {
+    private static Map<String, Entry> byKey(Configuration c) {
         Map<String, Entry> all = new TreeMap<>();
         for (Entry e : c.entries()) {
             String key = e.title();
--- a/src/main/java/cacheproxy/config/Formatter.java
+++ b/src/main/java/cacheproxy/config/Formatter.java
@@ -16,8 +16,8 @@
 
 /** Prints a file in the one layout that all files have: two blanks a level, an item a line, comments kept. */
 final class Formatter {
-    private static final int WIDTH = 100;
-    private static final String STEP = "  ";
+    private static final int MAX_LINE_LENGTH = 100;
+    private static final String INDENT = "  ";
 
     private final StringBuilder out = new StringBuilder();
 
@@ -34,7 +34,7 @@
         boolean first = true;
         Item last = null;
         for (Item item : items) {
-            List<String> before = item.notes().before();
+            List<String> before = item.comments().before();
             boolean blank = !before.isEmpty() && before.get(0).isEmpty();
             boolean apart = last instanceof Block || (item instanceof Block && last != null);
             if (!first && (blank || apart)) {
@@ -74,47 +74,53 @@
             if (b.items().isEmpty() && b.closing().isEmpty() && b.opening() == null) {
                 out.append('}');
             } else {
-                out.append(b.opening() == null ? "" : STEP + b.opening()).append('\n');
-                items(b.items(), indent + STEP, b.closing());
+                out.append(b.opening() == null ? "" : INDENT + b.opening()).append('\n');
+                items(b.items(), indent + INDENT, b.closing());
                 out.append(indent).append('}');
             }
         }
-        out.append(item.notes().after() == null ? "" : STEP + item.notes().after())
+        out.append(
+                        item.comments().after() == null
+                                ? ""
+                                : INDENT + item.comments().after())
                 .append('\n');
     }
 
     private void value(Value value, String indent, int column) {
         if (!(value instanceof Listing list)) {
-            out.append(plain(value));
+            out.append(scalar(value));
             return;
         }
-        boolean noted = !list.closing().isEmpty()
+        boolean hasComments = !list.closing().isEmpty()
                 || list.elements().stream()
-                        .anyMatch(
-                                e -> !e.notes().before().isEmpty() || e.notes().after() != null);
+                        .anyMatch(e ->
+                                !e.comments().before().isEmpty() || e.comments().after() != null);
         String line = "["
                 + String.join(
                         ", ",
-                        list.elements().stream().map(e -> plain(e.value())).toList()) + "]";
-        if (!noted && column + line.length() <= WIDTH) {
+                        list.elements().stream().map(e -> scalar(e.value())).toList()) + "]";
+        if (!hasComments && column + line.length() <= MAX_LINE_LENGTH) {
             out.append(line);
             return;
         }
         out.append("[\n");
         for (Element e : list.elements()) {
-            comments(e.notes().before(), indent + STEP);
+            comments(e.comments().before(), indent + INDENT);
             out.append(indent)
-                    .append(STEP)
-                    .append(plain(e.value()))
+                    .append(INDENT)
+                    .append(scalar(e.value()))
                     .append(',')
-                    .append(e.notes().after() == null ? "" : STEP + e.notes().after())
+                    .append(
+                            e.comments().after() == null
+                                    ? ""
+                                    : INDENT + e.comments().after())
                     .append('\n');
         }
-        comments(list.closing(), indent + STEP);
+        comments(list.closing(), indent + INDENT);
         out.append(indent).append(']');
     }
 
-    private static String plain(Value value) {
+    private static String scalar(Value value) {
         return value instanceof Text t ? t.raw() : value instanceof Word w ? w.text() : ((Quantity) value).text();
     }
 }
--- a/src/main/java/cacheproxy/config/Lexer.java
+++ b/src/main/java/cacheproxy/config/Lexer.java
@@ -15,10 +15,10 @@
     private final String text;
     private final Problems problems;
     private final List<Token> tokens = new ArrayList<>();
-    private int at;
+    private int position;
     private int line = 1;
     private int lineStart;
-    private int lineEnds;
+    private int pendingLineEnds;
 
     private Lexer(Source source, Problems problems) {
         this.source = source;
@@ -29,10 +29,10 @@
     /** The words with the comments; the last is {@code END}. */
     static List<Token> tokens(Source source, Problems problems) {
         Lexer lexer = new Lexer(source, problems);
-        while (lexer.at < lexer.text.length()) {
-            lexer.next();
+        while (lexer.position < lexer.text.length()) {
+            lexer.readToken();
         }
-        lexer.add(Kind.END, "", lexer.at);
+        lexer.add(Kind.END, "", lexer.position);
         return lexer.tokens;
     }
 
@@ -41,66 +41,67 @@
     }
 
     private void add(Kind kind, String value, int from) {
-        tokens.add(new Token(kind, value, text.substring(from, at), place(from), lineEnds));
-        lineEnds = 0;
+        tokens.add(new Token(kind, value, text.substring(from, position), place(from), pendingLineEnds));
+        pendingLineEnds = 0;
     }
 
-    private void next() {
-        char c = text.charAt(at);
-        int from = at;
+    private void readToken() {
+        char c = text.charAt(position);
+        int from = position;
         if (c == '\n') {
-            at++;
+            position++;
             line++;
-            lineEnds++;
-            lineStart = at;
-        } else if (c == ' ' || c == '\t' || c == '\r' || (c == '\ufeff' && at == 0)) {
-            at++;
+            pendingLineEnds++;
+            lineStart = position;
+        } else if (c == ' ' || c == '\t' || c == '\r' || (c == '\ufeff' && position == 0)) {
+            position++;
         } else if (c == '#') {
-            int end = text.indexOf('\n', at);
-            at = end < 0 ? text.length() : end;
-            add(Kind.COMMENT, text.substring(from, at).stripTrailing(), from);
+            int end = text.indexOf('\n', position);
+            position = end < 0 ? text.length() : end;
+            add(Kind.COMMENT, text.substring(from, position).stripTrailing(), from);
         } else if (PUNCTUATION.indexOf(c) >= 0) {
-            at++;
-            add(KINDS[PUNCTUATION.indexOf(c)], text.substring(from, at), from);
+            position++;
+            add(KINDS[PUNCTUATION.indexOf(c)], text.substring(from, position), from);
         } else if (c == '"') {
-            string();
-        } else if (digit(c) || (c == '-' && at + 1 < text.length() && digit(text.charAt(at + 1)))) {
-            at++;
-            while (at < text.length() && (word(text.charAt(at)) || "%/".indexOf(text.charAt(at)) >= 0)) {
-                at++;
+            readString();
+        } else if (isDigit(c) || (c == '-' && position + 1 < text.length() && isDigit(text.charAt(position + 1)))) {
+            position++;
+            while (position < text.length()
+                    && (isWordChar(text.charAt(position)) || "%/".indexOf(text.charAt(position)) >= 0)) {
+                position++;
             }
-            add(Kind.QUANTITY, text.substring(from, at), from);
-        } else if (start(c)) {
-            while (at < text.length() && word(text.charAt(at))) {
-                at++;
+            add(Kind.QUANTITY, text.substring(from, position), from);
+        } else if (isNameStart(c)) {
+            while (position < text.length() && isWordChar(text.charAt(position))) {
+                position++;
             }
-            if (text.startsWith("*", at) && text.charAt(at - 1) == '-') {
-                at++; // all that begin so, as in proxy-*
+            if (text.startsWith("*", position) && text.charAt(position - 1) == '-') {
+                position++; // all that begin so, as in proxy-*
             }
-            add(Kind.NAME, text.substring(from, at), from);
+            add(Kind.NAME, text.substring(from, position), from);
         } else {
-            stray(c);
+            reportStray(c);
         }
     }
 
     /** One message for a run of characters that mean nothing. */
-    private void stray(char c) {
-        int from = at;
-        boolean comment = (text.startsWith("//", at) || text.startsWith("/*", at))
-                && (at == 0 || Character.isWhitespace(text.charAt(at - 1)));
+    private void reportStray(char c) {
+        int from = position;
+        boolean comment = (text.startsWith("//", position) || text.startsWith("/*", position))
+                && (position == 0 || Character.isWhitespace(text.charAt(position - 1)));
         if (comment) {
             problems.add(place(from), "a comment of another language", "comments begin with # and end with the line");
-            int end = text.indexOf('\n', at);
-            at = end < 0 ? text.length() : end;
+            int end = text.indexOf('\n', position);
+            position = end < 0 ? text.length() : end;
             return;
         }
-        while (at < text.length()
-                && !Character.isWhitespace(text.charAt(at))
-                && !word(text.charAt(at))
-                && "\"#={}[],".indexOf(text.charAt(at)) < 0) {
-            at++;
+        while (position < text.length()
+                && !Character.isWhitespace(text.charAt(position))
+                && !isWordChar(text.charAt(position))
+                && "\"#={}[],".indexOf(text.charAt(position)) < 0) {
+            position++;
         }
-        at = Math.max(at, from + 1);
+        position = Math.max(position, from + 1);
         String fix = switch (c) {
             case ';' -> "leave it out; items need nothing between them";
             case ':' -> "write '=' between a name and its value";
@@ -119,55 +120,55 @@
                 "a character that means nothing here: "
                         + (Character.isISOControl(c)
                                 ? String.format("U+%04X", (int) c)
-                                : "'" + text.substring(from, Math.min(at, from + 10)) + "'"),
+                                : "'" + text.substring(from, Math.min(position, from + 10)) + "'"),
                 fix);
     }
 
-    private void string() {
-        int from = at++;
+    private void readString() {
+        int from = position++;
         StringBuilder value = new StringBuilder();
-        while (at < text.length() && text.charAt(at) != '"' && text.charAt(at) != '\n') {
-            char c = text.charAt(at++);
+        while (position < text.length() && text.charAt(position) != '"' && text.charAt(position) != '\n') {
+            char c = text.charAt(position++);
             if (c != '\\') {
                 if (Character.isISOControl(c) && c != '\t' && c != '\r') {
                     problems.add(
-                            place(at - 1),
+                            place(position - 1),
                             String.format("a control character in a string: U+%04X", (int) c),
                             "leave it out");
                 }
                 value.append(c);
                 continue;
             }
-            char e = at < text.length() ? text.charAt(at) : '\n';
+            char e = position < text.length() ? text.charAt(position) : '\n';
             int known = "\"\\nt".indexOf(e);
             if (known >= 0) {
                 value.append("\"\\\n\t".charAt(known));
-                at++;
+                position++;
             } else {
                 problems.add(
-                        place(at - 1),
+                        place(position - 1),
                         "an escape that is not known: \\" + (e == '\n' ? "" : e),
                         "\\\" \\\\ \\n and \\t are known; a single backslash is written \\\\");
-                at += e == '\n' ? 0 : 1;
+                position += e == '\n' ? 0 : 1;
             }
         }
-        if (at < text.length() && text.charAt(at) == '"') {
-            at++;
+        if (position < text.length() && text.charAt(position) == '"') {
+            position++;
         } else {
             problems.add(place(from), "a string that does not end on its line", "close it with a double quote");
         }
         add(Kind.STRING, value.toString(), from);
     }
 
-    private static boolean digit(char c) {
+    private static boolean isDigit(char c) {
         return c >= '0' && c <= '9';
     }
 
-    private static boolean start(char c) {
+    private static boolean isNameStart(char c) {
         return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_';
     }
 
-    private static boolean word(char c) {
-        return start(c) || digit(c) || c == '-' || c == '.';
+    private static boolean isWordChar(char c) {
+        return isNameStart(c) || isDigit(c) || c == '-' || c == '.';
     }
 }
--- a/src/main/java/cacheproxy/config/Loader.java
+++ b/src/main/java/cacheproxy/config/Loader.java
@@ -27,20 +27,20 @@
  */
 public final class Loader {
     /** Of one file, in bytes. */
-    static final int MAX_FILE = 4 << 20;
+    static final int MAX_FILE_BYTES = 4 << 20;
     /** Of all files together, in bytes. */
-    static final long MAX_ALL = 64L << 20;
+    static final long MAX_TOTAL_BYTES = 64L << 20;
 
     static final int MAX_FILES = 2000;
-    static final int MAX_CHAIN = 32;
-    private static final int TRIES = 3;
-    private static final int SUGGESTED_FROM = 1000;
+    static final int MAX_INCLUDE_DEPTH = 32;
+    private static final int MAX_ATTEMPTS = 3;
+    private static final int MAX_SUGGESTION_CANDIDATES = 1000;
 
     /** A file's content, and what would be another if it were replaced. */
     record Snapshot(Object identity, Object stamp, byte[] content) {}
 
     /** Where files come from; a test can change them in the middle. */
-    interface Access {
+    interface FileAccess {
         /** The content with its stamp; an IOException says why there is none. */
         Snapshot read(Path path) throws IOException;
 
@@ -49,19 +49,19 @@
     }
 
     /** The file system. */
-    private static final Access DISK = new Access() {
+    private static final FileAccess DISK = new FileAccess() {
         @Override
         public Snapshot read(Path path) throws IOException {
             BasicFileAttributes a = Files.readAttributes(path, BasicFileAttributes.class);
             if (!a.isRegularFile()) {
                 throw new IOException(a.isDirectory() ? "it is a folder" : "it is no regular file");
             }
-            if (a.size() > MAX_FILE) {
-                throw new IOException("it has " + a.size() + " bytes; at most " + MAX_FILE + " are read");
+            if (a.size() > MAX_FILE_BYTES) {
+                throw new IOException("it has " + a.size() + " bytes; at most " + MAX_FILE_BYTES + " are read");
             }
             Object identity = a.fileKey() != null ? a.fileKey() : path.toRealPath();
             try (var in = Files.newInputStream(path)) {
-                return new Snapshot(identity, stamp(a), in.readNBytes(MAX_FILE + 1));
+                return new Snapshot(identity, stamp(a), in.readNBytes(MAX_FILE_BYTES + 1));
             }
         }
 
@@ -75,15 +75,15 @@
         }
     };
 
-    private final Access access;
+    private final FileAccess access;
     private Problems problems;
     private final List<Document> documents = new ArrayList<>();
-    private final Map<Object, String> done = new LinkedHashMap<>();
-    private final Map<Object, Place> chain = new LinkedHashMap<>();
+    private final Map<Object, String> loaded = new LinkedHashMap<>();
+    private final Map<Object, Place> includeChain = new LinkedHashMap<>();
     private final Map<Path, Object> stamps = new LinkedHashMap<>();
-    private long bytes;
+    private long totalBytes;
 
-    private Loader(Access access) {
+    private Loader(FileAccess access) {
         this.access = access;
     }
 
@@ -92,20 +92,21 @@
         return load(root, problems, DISK);
     }
 
-    static List<Document> load(Path root, Problems problems, Access access) {
+    static List<Document> load(Path root, Problems problems, FileAccess access) {
         for (int i = 1; ; i++) {
             Loader loader = new Loader(access);
             Problems found = new Problems();
             loader.problems = found;
             Source source = new Source(root.toString(), "");
-            loader.file(root, root.toString(), Parser.start(source));
-            Path changed = loader.changed();
-            if (changed == null || i == TRIES) {
+            loader.loadFile(root, root.toString(), Parser.start(source));
+            Path changed = loader.findChanged();
+            if (changed == null || i == MAX_ATTEMPTS) {
                 problems.addAll(found);
                 if (changed != null) {
                     problems.add(
                             Parser.start(new Source(changed.toString(), "")),
-                            "the file changed while the " + "configuration was read, " + TRIES + " times in a row",
+                            "the file changed while the " + "configuration was read, " + MAX_ATTEMPTS
+                                    + " times in a row",
                             "try again when it is at rest");
                 }
                 return loader.documents;
@@ -113,7 +114,7 @@
         }
     }
 
-    private Path changed() {
+    private Path findChanged() {
         for (Map.Entry<Path, Object> e : stamps.entrySet()) {
             try {
                 if (!access.stamp(e.getKey()).equals(e.getValue())) {
@@ -126,7 +127,7 @@
         return null;
     }
 
-    private void file(Path path, String name, Place from) {
+    private void loadFile(Path path, String name, Place from) {
         Snapshot snapshot;
         try {
             snapshot = access.read(path);
@@ -134,35 +135,37 @@
             String why = e.getClass() == IOException.class
                     ? e.getMessage()
                     : Files.exists(path, LinkOption.NOFOLLOW_LINKS) ? "it can't be read" : "there is no such file";
-            problems.add(from, name + ": " + why, sibling(path));
+            problems.add(from, name + ": " + why, suggestSibling(path));
             return;
         }
         stamps.put(path, snapshot.stamp());
-        if (chain.containsKey(snapshot.identity())) {
+        if (includeChain.containsKey(snapshot.identity())) {
             problems.add(
                     from,
-                    "a circle of includes: " + circle(snapshot.identity(), name),
+                    "a circle of includes: " + describeCycle(snapshot.identity(), name),
                     "take this include out, and move what both need into a file of its own");
             return;
         }
-        if (done.containsKey(snapshot.identity())) {
+        if (loaded.containsKey(snapshot.identity())) {
             return; // two ways to one file: it is there already
         }
-        if (done.size() >= MAX_FILES || chain.size() >= MAX_CHAIN || (bytes += snapshot.content().length) > MAX_ALL) {
+        if (loaded.size() >= MAX_FILES
+                || includeChain.size() >= MAX_INCLUDE_DEPTH
+                || (totalBytes += snapshot.content().length) > MAX_TOTAL_BYTES) {
             problems.add(
                     from,
                     "too much to read: "
-                            + (done.size() >= MAX_FILES
+                            + (loaded.size() >= MAX_FILES
                                     ? MAX_FILES + " files"
-                                    : chain.size() >= MAX_CHAIN
-                                            ? MAX_CHAIN + " includes within one another"
-                                            : (MAX_ALL >> 20) + " MiB"),
+                                    : includeChain.size() >= MAX_INCLUDE_DEPTH
+                                            ? MAX_INCLUDE_DEPTH + " includes within one another"
+                                            : (MAX_TOTAL_BYTES >> 20) + " MiB"),
                     "join files, or include them side by side");
             return;
         }
-        done.put(snapshot.identity(), name);
-        chain.put(snapshot.identity(), from);
-        Source source = source(name, snapshot.content());
+        loaded.put(snapshot.identity(), name);
+        includeChain.put(snapshot.identity(), from);
+        Source source = decode(name, snapshot.content());
         if (source != null) {
             Document document = Parser.parse(source, problems);
             documents.add(document);
@@ -172,7 +175,7 @@
                 }
             }
         }
-        chain.remove(snapshot.identity());
+        includeChain.remove(snapshot.identity());
     }
 
     private void include(Path from, String fromName, Include include) {
@@ -186,7 +189,7 @@
                 return;
             }
             Path folder = Path.of(fromName).getParent();
-            file(
+            loadFile(
                     from.resolveSibling(relative),
                     (folder == null ? relative : folder.resolve(relative))
                             .normalize()
@@ -197,11 +200,11 @@
         }
     }
 
-    private String circle(Object identity, String name) {
+    private String describeCycle(Object identity, String name) {
         List<String> names = new ArrayList<>();
-        for (Object id : chain.keySet()) {
+        for (Object id : includeChain.keySet()) {
             if (id.equals(identity) || !names.isEmpty()) {
-                names.add(done.get(id));
+                names.add(loaded.get(id));
             }
         }
         names.add(name);
@@ -209,15 +212,15 @@
     }
 
     /** A file of a like name in the same folder. */
-    private static String sibling(Path path) {
+    private static String suggestSibling(Path path) {
         Path folder = path.toAbsolutePath().getParent();
         if (folder == null || !Files.isDirectory(folder) || path.getFileName() == null) {
             return "the folder is not there either";
         }
         try (Stream<Path> files = Files.list(folder)) {
-            String fix = Names.fix(
+            String fix = Suggestions.suggest(
                     path.getFileName().toString(),
-                    files.limit(SUGGESTED_FROM)
+                    files.limit(MAX_SUGGESTION_CANDIDATES)
                             .filter(Files::isRegularFile)
                             .map(f -> f.getFileName().toString())
                             .toList());
@@ -229,7 +232,7 @@
         }
     }
 
-    private Source source(String name, byte[] content) {
+    private Source decode(String name, byte[] content) {
         ByteBuffer in = ByteBuffer.wrap(content);
         try {
             return new Source(
--- a/src/main/java/cacheproxy/config/Parser.java
+++ b/src/main/java/cacheproxy/config/Parser.java
@@ -3,13 +3,13 @@
 import cacheproxy.config.Source.Place;
 import cacheproxy.config.Syntax.Attribute;
 import cacheproxy.config.Syntax.Block;
+import cacheproxy.config.Syntax.Comments;
 import cacheproxy.config.Syntax.Document;
 import cacheproxy.config.Syntax.Element;
 import cacheproxy.config.Syntax.Include;
 import cacheproxy.config.Syntax.Item;
 import cacheproxy.config.Syntax.Label;
 import cacheproxy.config.Syntax.Listing;
-import cacheproxy.config.Syntax.Notes;
 import cacheproxy.config.Syntax.Quantity;
 import cacheproxy.config.Syntax.Text;
 import cacheproxy.config.Syntax.Value;
@@ -30,11 +30,11 @@
 
     private final Problems problems;
     private final List<Token> tokens;
-    private int at;
+    private int position;
     /** One mistake of this kind is told, and not each block that it leaves open. */
-    private boolean tooDeep;
+    private boolean depthReported;
     /** Comments met and not yet anybody's. */
-    private final List<String> loose = new ArrayList<>();
+    private final List<String> pending = new ArrayList<>();
 
     private Parser(List<Token> tokens, Problems problems) {
         this.tokens = tokens;
@@ -45,43 +45,43 @@
     static Document parse(Source source, Problems problems) {
         Parser parser = new Parser(Lexer.tokens(source, problems), problems);
         List<Item> items = parser.items(0, null);
-        return new Document(source, items, parser.takeLoose(false));
+        return new Document(source, items, parser.takePending(false));
     }
 
     // ---- words
 
     private Token peek() {
-        return tokens.get(at);
+        return tokens.get(position);
     }
 
     /** The next word that is no comment; comments on the way become loose. */
-    private Token ahead() {
+    private Token peekToken() {
         while (peek().is(Kind.COMMENT)) {
-            comment();
+            takeComment();
         }
         return peek();
     }
 
-    private void comment() {
-        Token c = tokens.get(at++);
-        blank(c);
-        loose.add(c.text());
+    private void takeComment() {
+        Token c = tokens.get(position++);
+        keepBlank(c);
+        pending.add(c.text());
     }
 
-    private void blank(Token t) {
+    private void keepBlank(Token t) {
         if (t.lineEndsBefore() > 1
-                && (loose.isEmpty() || !loose.get(loose.size() - 1).isEmpty())) {
-            loose.add("");
+                && (pending.isEmpty() || !pending.get(pending.size() - 1).isEmpty())) {
+            pending.add("");
         }
     }
 
     private Token take() {
-        return tokens.get(at == tokens.size() - 1 ? at : at++);
+        return tokens.get(position == tokens.size() - 1 ? position : position++);
     }
 
-    private List<String> takeLoose(boolean leadingBlank) {
-        List<String> taken = new ArrayList<>(loose);
-        loose.clear();
+    private List<String> takePending(boolean leadingBlank) {
+        List<String> taken = new ArrayList<>(pending);
+        pending.clear();
         while (!taken.isEmpty() && taken.get(taken.size() - 1).isEmpty() && !leadingBlank) {
             taken.remove(taken.size() - 1);
         }
@@ -98,10 +98,10 @@
     private List<Item> items(int depth, Token open) {
         List<Item> items = new ArrayList<>();
         while (true) {
-            Token t = ahead();
-            blank(t);
+            Token t = peekToken();
+            keepBlank(t);
             if (t.is(Kind.END)) {
-                if (open != null && !tooDeep) {
+                if (open != null && !depthReported) {
                     problems.add(open.place(), "a block that is not closed", "write } where it ends");
                 }
                 return items;
@@ -118,7 +118,7 @@
                 continue;
             }
             if (!t.is(Kind.NAME)) {
-                wrongStart(t);
+                invalidStart(t);
                 continue;
             }
             Item item = item(depth);
@@ -128,7 +128,7 @@
         }
     }
 
-    private void wrongStart(Token t) {
+    private void invalidStart(Token t) {
         String fix = switch (t.kind()) {
             case STRING -> "an item begins with a name without quotes";
             case EQUALS -> "write the name that the value is for before the '='";
@@ -137,13 +137,13 @@
             default -> "an item is NAME = VALUE, or NAME \"LABEL\" { ... }";
         };
         problems.add(t.place(), t.shown() + " where an item should begin", fix);
-        int start = at;
-        skip();
-        at = Math.max(at, start + 1);
+        int start = position;
+        skipItem();
+        position = Math.max(position, start + 1);
     }
 
     /** On to the next line at this depth that begins with a name, or to the end of the block. */
-    private void skip() {
+    private void skipItem() {
         int depth = 0;
         for (Token t = peek(); !t.is(Kind.END); t = peek()) {
             if (depth == 0 && (t.is(Kind.CLOSE) || (t.is(Kind.NAME) && t.lineEndsBefore() > 0))) {
@@ -155,13 +155,13 @@
     }
 
     private Item item(int depth) {
-        List<String> before = takeLoose(true);
+        List<String> before = takePending(true);
         Token name = take();
-        Token t = ahead();
+        Token t = peekToken();
         if (t.is(Kind.EQUALS)) {
             take();
             Value value = value();
-            return value == null ? null : new Attribute(name.place(), notes(before), name.text(), value);
+            return value == null ? null : new Attribute(name.place(), comments(before), name.text(), value);
         }
         if (name.text().equals("include")) {
             return include(name, before, depth);
@@ -170,20 +170,20 @@
     }
 
     /** Comments that stood within an item go before it. */
-    private Notes notes(List<String> before) {
+    private Comments comments(List<String> before) {
         String after = trailing();
-        before.addAll(takeLoose(false));
-        return new Notes(before, after);
+        before.addAll(takePending(false));
+        return new Comments(before, after);
     }
 
     private Item include(Token name, List<String> before, int depth) {
-        Token path = ahead();
+        Token path = peekToken();
         if (!path.is(Kind.STRING) || path.lineEndsBefore() > 0) {
             problems.add(
                     path.lineEndsBefore() > 0 ? name.place() : path.place(),
                     "include names no file",
                     "write include \"FILE\", the path in double quotes");
-            skip();
+            skipItem();
             return null;
         }
         take();
@@ -191,16 +191,16 @@
             problems.add(name.place(), "include within a block", "include files at the top level only");
             return null;
         }
-        return new Include(name.place(), notes(before), path.text(), path.raw(), path.place());
+        return new Include(name.place(), comments(before), path.text(), path.raw(), path.place());
     }
 
     private Item block(Token name, List<String> before, int depth) {
         List<Label> labels = new ArrayList<>();
-        Token t = ahead();
+        Token t = peekToken();
         while ((t.is(Kind.NAME) || t.is(Kind.STRING)) && t.lineEndsBefore() == 0 && labels.size() < MAX_LABELS) {
             labels.add(new Label(t.place(), t.text(), t.raw()));
             take();
-            t = ahead();
+            t = peekToken();
         }
         if (!t.is(Kind.OPEN)) {
             if (labels.isEmpty() && (t.is(Kind.QUANTITY) || t.is(Kind.OPEN_LIST)) && t.lineEndsBefore() == 0) {
@@ -222,7 +222,7 @@
                         "neither '=' nor '{' after " + name.shown(),
                         "write " + name.text() + " = VALUE, or " + name.text() + " { ... }");
             }
-            skip();
+            skipItem();
             return null;
         }
         Token open = take();
@@ -231,19 +231,19 @@
                     open.place(),
                     "blocks nest more than " + MAX_DEPTH + " deep",
                     "no section has so many levels; look for a brace too many");
-            tooDeep = true;
+            depthReported = true;
             skipBlock();
             return null;
         }
-        before.addAll(takeLoose(false));
+        before.addAll(takePending(false));
         String opening = trailing();
         List<Item> items = items(depth + 1, open);
-        List<String> closing = takeLoose(false);
-        if (ahead().is(Kind.CLOSE)) {
+        List<String> closing = takePending(false);
+        if (peekToken().is(Kind.CLOSE)) {
             take();
         }
         String after = trailing();
-        return new Block(name.place(), new Notes(before, after), name.text(), labels, items, opening, closing);
+        return new Block(name.place(), new Comments(before, after), name.text(), labels, items, opening, closing);
     }
 
     private void skipBlock() {
@@ -251,24 +251,25 @@
             Token t = take();
             depth += t.is(Kind.OPEN) ? 1 : t.is(Kind.CLOSE) ? -1 : 0;
         }
-        loose.clear();
+        pending.clear();
     }
 
     // ---- values
 
     private Value value() {
-        Token equals = tokens.get(at - 1);
-        Token t = ahead();
+        Token equals = tokens.get(position - 1);
+        Token t = peekToken();
         boolean nextItem = t.is(Kind.NAME)
                 && t.lineEndsBefore() > 0
-                && at + 1 < tokens.size()
-                && (tokens.get(at + 1).is(Kind.EQUALS) || tokens.get(at + 1).is(Kind.OPEN));
+                && position + 1 < tokens.size()
+                && (tokens.get(position + 1).is(Kind.EQUALS)
+                        || tokens.get(position + 1).is(Kind.OPEN));
         if (nextItem || t.is(Kind.CLOSE) || t.is(Kind.END)) {
             problems.add(equals.place(), "no value after '='", "write the value behind it, or leave the line out");
             return null;
         }
         Value value = switch (t.kind()) {
-            case STRING, NAME, QUANTITY -> single(take());
+            case STRING, NAME, QUANTITY -> scalar(take());
             case OPEN_LIST -> list(take());
             default -> null;
         };
@@ -284,7 +285,7 @@
                             : t.is(Kind.EQUALS)
                                     ? "write one '=' only"
                                     : "a value is a number with its unit, a name, \"a string\" or [a list]");
-            skip();
+            skipItem();
             return null;
         }
         Token next = peek();
@@ -293,30 +294,30 @@
                         || next.is(Kind.QUANTITY)
                         || next.is(Kind.COMMA)
                         || next.is(Kind.EQUALS)
-                        || (next.is(Kind.NAME) && !begins(at)))) {
+                        || (next.is(Kind.NAME) && !startsItem(position)))) {
             problems.add(
                     next.place(),
                     next.shown() + " after the value",
-                    unit(value, next)
+                    isUnit(value, next)
                             ? "write the unit without a space: " + ((Quantity) value).text() + next.text()
                             : "one value stands behind '='; several make a list: [a, b]");
-            skip();
+            skipItem();
             return null;
         }
         return value;
     }
 
-    private static boolean unit(Value value, Token next) {
+    private static boolean isUnit(Value value, Token next) {
         return value instanceof Quantity && next.is(Kind.NAME) && next.text().length() < 3;
     }
 
     /** Whether an item begins here: {@code a = 1 b = 2} on one line is two. */
-    private boolean begins(int index) {
+    private boolean startsItem(int index) {
         Kind after = tokens.get(Math.min(index + 1, tokens.size() - 1)).kind();
         return after == Kind.EQUALS || after == Kind.OPEN || after == Kind.STRING;
     }
 
-    private static Value single(Token t) {
+    private static Value scalar(Token t) {
         return switch (t.kind()) {
             case STRING -> new Text(t.place(), t.text(), t.raw());
             case NAME -> new Word(t.place(), t.text());
@@ -325,17 +326,17 @@
     }
 
     private Value list(Token open) {
-        List<String> outer = new ArrayList<>(loose);
-        loose.clear();
+        List<String> outer = new ArrayList<>(pending);
+        pending.clear();
         List<Element> elements = new ArrayList<>();
         boolean comma = true;
         while (true) {
-            Token t = ahead();
+            Token t = peekToken();
             if (t.is(Kind.CLOSE_LIST)) {
-                List<String> closing = takeLoose(false);
+                List<String> closing = takePending(false);
                 closing.removeIf(String::isEmpty);
                 take();
-                loose.addAll(outer);
+                pending.addAll(outer);
                 return new Listing(open.place(), elements, closing);
             }
             if (t.is(Kind.STRING) || t.is(Kind.NAME) || t.is(Kind.QUANTITY)) {
@@ -344,10 +345,10 @@
                             t.place(), "no comma between two values of a list", "write a comma before " + t.shown());
                 }
                 take();
-                List<String> before = takeLoose(false);
+                List<String> before = takePending(false);
                 before.removeIf(String::isEmpty);
                 comma = takeIfNext(Kind.COMMA);
-                elements.add(new Element(single(t), new Notes(before, trailing())));
+                elements.add(new Element(scalar(t), new Comments(before, trailing())));
                 continue;
             }
             if (t.is(Kind.COMMA)) {
@@ -364,23 +365,23 @@
                     t.is(Kind.OPEN_LIST)
                             ? "write all values in one list"
                             : t.is(Kind.OPEN) ? "a list holds plain values only" : "write ] behind its last value");
-            skip();
-            loose.addAll(outer);
+            skipItem();
+            pending.addAll(outer);
             return null;
         }
     }
 
     /** Takes a word of this kind if it is next, over comments on the way only if it is. */
     private boolean takeIfNext(Kind kind) {
-        int i = at;
+        int i = position;
         while (tokens.get(i).is(Kind.COMMENT)) {
             i++;
         }
         if (!tokens.get(i).is(kind)) {
             return false;
         }
-        while (at < i) {
-            comment();
+        while (position < i) {
+            takeComment();
         }
         take();
         return true;
--- a/src/main/java/cacheproxy/config/Problems.java
+++ b/src/main/java/cacheproxy/config/Problems.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Set;
 
-/** All that is wrong with a configuration, in the order of the files; the first {@link #MOST} of it. */
+/** All that is wrong with a configuration, in the order of the files; the first {@link #MAX_KEPT} of it. */
 public final class Problems {
     /** More are counted and not kept. */
-    public static final int MOST = 200;
+    public static final int MAX_KEPT = 200;
 
     private final Set<Problem> all = new LinkedHashSet<>();
-    private long more;
+    private long dropped;
 
     /** All that others have found, too. */
     void addAll(Problems others) {
@@ -22,10 +22,10 @@
 
     /** Something wrong and what would most likely mend it, null if nothing can be said. */
     public void add(Place place, String message, String fix) {
-        if (all.size() < MOST) {
+        if (all.size() < MAX_KEPT) {
             all.add(new Problem(place, message, fix));
         } else {
-            more++;
+            dropped++;
         }
     }
 
@@ -50,8 +50,8 @@
     public String text() {
         StringBuilder s = new StringBuilder();
         all().forEach(p -> s.append(p.text()).append('\n'));
-        if (more > 0) {
-            s.append("and ").append(more).append(" more\n");
+        if (dropped > 0) {
+            s.append("and ").append(dropped).append(" more\n");
         }
         return s.toString();
     }
--- a/src/main/java/cacheproxy/config/Source.java
+++ b/src/main/java/cacheproxy/config/Source.java
@@ -46,7 +46,7 @@
         }
 
         /** As {@code FILE:LINE}. */
-        public String shortly() {
+        public String fileAndLine() {
             return source.name() + ":" + line;
         }
     }
--- a/src/main/java/cacheproxy/config/Names.java
+++ b/src/main/java/cacheproxy/config/Suggestions.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 
 /** Guesses at what was meant by a name that nobody knows. */
-public final class Names {
-    private static final int LONGEST = 64;
+public final class Suggestions {
+    private static final int MAX_LENGTH = 64;
 
-    private Names() {}
+    private Suggestions() {}
 
     /** "did you mean X?", or what there is to choose from, or null where there is nothing. */
-    public static String fix(String given, Collection<String> known) {
+    public static String suggest(String given, Collection<String> known) {
         Optional<String> near = known.stream()
                 .filter(k -> distance(given, k) <= Math.max(1, Math.min(2, k.length() / 3)))
                 .min(Comparator.<String>comparingInt(k -> distance(given, k)).thenComparing(Comparator.naturalOrder()));
@@ -27,7 +27,7 @@
 
     /** Edits from one to the other: a letter more, fewer, another, or two swapped (Damerau, 1964). */
     static int distance(String a, String b) {
-        if (a.length() > LONGEST || b.length() > LONGEST) {
+        if (a.length() > MAX_LENGTH || b.length() > MAX_LENGTH) {
             return Integer.MAX_VALUE;
         }
         int[][] d = new int[a.length() + 1][b.length() + 1];
--- a/src/main/java/cacheproxy/config/Syntax.java
+++ b/src/main/java/cacheproxy/config/Syntax.java
@@ -13,22 +13,22 @@
      * @param before each on a line of its own; an empty one stands for a blank line
      * @param after on the item's own last line, or null
      */
-    record Notes(List<String> before, String after) {
-        static final Notes NONE = new Notes(List.of(), null);
+    record Comments(List<String> before, String after) {
+        static final Comments NONE = new Comments(List.of(), null);
     }
 
     /** What may stand in a file or a block. */
     sealed interface Item permits Include, Attribute, Block {
         Place place();
 
-        Notes notes();
+        Comments comments();
     }
 
     /** {@code include "PATH"}. */
-    record Include(Place place, Notes notes, String path, String raw, Place pathPlace) implements Item {}
+    record Include(Place place, Comments comments, String path, String raw, Place pathPlace) implements Item {}
 
     /** {@code NAME = VALUE}. */
-    record Attribute(Place place, Notes notes, String name, Value value) implements Item {}
+    record Attribute(Place place, Comments comments, String name, Value value) implements Item {}
 
     /**
      * {@code NAME [LABEL ...] { ITEM ... }}.
@@ -38,7 +38,7 @@
      */
     record Block(
             Place place,
-            Notes notes,
+            Comments comments,
             String name,
             List<Label> labels,
             List<Item> items,
@@ -64,7 +64,7 @@
     record Listing(Place place, List<Element> elements, List<String> closing) implements Value {}
 
     /** One of a list's values. */
-    record Element(Value value, Notes notes) {}
+    record Element(Value value, Comments comments) {}
 
     /** A whole file; {@code closing}: comments after the last item. */
     record Document(Source source, List<Item> items, List<String> closing) {}
--- a/src/main/java/cacheproxy/config/Token.java
+++ b/src/main/java/cacheproxy/config/Token.java
@@ -23,10 +23,10 @@
         COMMA("','"),
         END("the end of the file");
 
-        final String words;
+        final String description;
 
-        Kind(String words) {
-            this.words = words;
+        Kind(String description) {
+            this.description = description;
         }
     }
 
@@ -37,7 +37,7 @@
     String shown() {
         return switch (kind) {
             case NAME, QUANTITY -> "'" + (text.length() > 40 ? text.substring(0, 40) + "..." : text) + "'";
-            default -> kind.words;
+            default -> kind.description;
         };
     }
 }
--- a/src/main/java/cacheproxy/config/Type.java
+++ b/src/main/java/cacheproxy/config/Type.java
@@ -26,7 +26,7 @@
      * @param value a {@link BigDecimal} in the base unit, a String or a Boolean
      * @param canonical as text, alike for all ways to write it
      */
-    public record Read(Object value, String canonical) {}
+    public record Parsed(Object value, String canonical) {}
 
     private record Unit(String base, Map<String, BigDecimal> factors, String example, String otherExample) {}
 
@@ -40,12 +40,12 @@
     private static final Map<String, Unit> UNITS =
             Map.of("duration", DURATION, "size", SIZE, "rate", RATE, "share", SHARE);
 
-    private final String words;
+    private final String description;
     private final String reference;
-    private final Function<Reading, Read> reader;
+    private final Function<Input, Parsed> reader;
 
-    private record Reading(Value value, Problems problems) {
-        Read wrong(String message, String fix) {
+    private record Input(Value value, Problems problems) {
+        Parsed reject(String message, String fix) {
             problems.add(value.place(), message, fix);
             return null;
         }
@@ -63,15 +63,15 @@
         }
     }
 
-    private Type(String words, String reference, Function<Reading, Read> reader) {
-        this.words = words;
+    private Type(String description, String reference, Function<Input, Parsed> reader) {
+        this.description = description;
         this.reference = reference;
         this.reader = reader;
     }
 
     /** In words, as "a duration". */
-    public String words() {
-        return words;
+    public String description() {
+        return description;
     }
 
     /** The section whose entries a value of this type names, or null. */
@@ -79,54 +79,53 @@
         return reference;
     }
 
-    Read read(Value value, Problems problems) {
-        return reader.apply(new Reading(value, problems));
+    Parsed read(Value value, Problems problems) {
+        return reader.apply(new Input(value, problems));
     }
 
     // ---- the types
 
     /** A duration, read as milliseconds, within a range that is written as durations are. */
-    public static Type duration(String least, String most) {
-        return quantity("duration", DURATION, least, most);
+    public static Type duration(String min, String max) {
+        return quantity("duration", DURATION, min, max);
     }
 
     /** A size, read as bytes. */
-    public static Type size(String least, String most) {
-        return quantity("size", SIZE, least, most);
+    public static Type size(String min, String max) {
+        return quantity("size", SIZE, min, max);
     }
 
     /** A rate, read as events an hour, which keeps what is a whole number of them a minute exact. */
-    public static Type rate(String least, String most) {
-        return quantity("rate", RATE, least, most);
+    public static Type rate(String min, String max) {
+        return quantity("rate", RATE, min, max);
     }
 
     /** A share, read as percent. */
-    public static Type share(String least, String most) {
-        return quantity("share", SHARE, least, most);
+    public static Type share(String min, String max) {
+        return quantity("share", SHARE, min, max);
     }
 
     /** A whole number without a unit. */
-    public static Type count(long least, long most) {
+    public static Type count(long min, long max) {
         return new Type(
                 "a whole number",
                 null,
-                r -> number(r, "a whole number", BigDecimal.valueOf(least), BigDecimal.valueOf(most), true));
+                r -> number(r, "a whole number", BigDecimal.valueOf(min), BigDecimal.valueOf(max), true));
     }
 
     /** A number without a unit, perhaps with a fraction. */
-    public static Type factor(String least, String most) {
-        return new Type(
-                "a number", null, r -> number(r, "a number", new BigDecimal(least), new BigDecimal(most), false));
+    public static Type factor(String min, String max) {
+        return new Type("a number", null, r -> number(r, "a number", new BigDecimal(min), new BigDecimal(max), false));
     }
 
     /** A string in quotes, not empty, of so many characters at most. */
-    public static Type text(int most) {
+    public static Type text(int max) {
         return new Type(
                 "a string",
                 null,
                 r -> r.value() instanceof Text t
-                        ? bounded(r, t.text(), most)
-                        : r.wrong(
+                        ? bounded(r, t.text(), max)
+                        : r.reject(
                                 r.shown() + " where a string belongs",
                                 r.value() instanceof Word w
                                         ? "put it in quotes: \"" + w.text() + "\""
@@ -135,26 +134,26 @@
                                                 : "write one string in quotes"));
     }
 
-    private static Read bounded(Reading r, String text, int most) {
+    private static Parsed bounded(Input r, String text, int max) {
         if (text.isEmpty()) {
-            return r.wrong("an empty string", "leave the line out if nothing is meant");
+            return r.reject("an empty string", "leave the line out if nothing is meant");
         }
-        if (text.length() > most) {
-            return r.wrong("a string of " + text.length() + " characters", "at most " + most + " are taken");
+        if (text.length() > max) {
+            return r.reject("a string of " + text.length() + " characters", "at most " + max + " are taken");
         }
-        return new Read(text, quoted(text));
+        return new Parsed(text, quoted(text));
     }
 
     /** A name or a string that names something outside of the file. */
-    public static Type name(int most) {
+    public static Type name(int max) {
         return new Type(
                 "a name",
                 null,
                 r -> r.value() instanceof Word w
-                        ? bounded(r, w.text(), most)
+                        ? bounded(r, w.text(), max)
                         : r.value() instanceof Text t
-                                ? bounded(r, t.text(), most)
-                                : r.wrong(
+                                ? bounded(r, t.text(), max)
+                                : r.reject(
                                         r.shown() + " where a name belongs",
                                         r.value() instanceof Quantity q
                                                 ? "put it in quotes: \"" + q.text() + "\""
@@ -167,16 +166,16 @@
         return new Type("one of " + String.join(", ", all), null, r -> {
             String given = r.value() instanceof Word w ? w.text() : null;
             if (given != null && all.contains(given)) {
-                return new Read(given, given);
+                return new Parsed(given, given);
             }
             if (r.value() instanceof Text t && all.contains(t.text())) {
-                return r.wrong(
+                return r.reject(
                         "a string where one of " + String.join(", ", all) + " belongs",
                         "write it without quotes: " + t.text());
             }
-            return r.wrong(
+            return r.reject(
                     r.shown() + " where one of " + String.join(", ", all) + " belongs",
-                    given == null ? "write one of them, without quotes" : Names.fix(given, all));
+                    given == null ? "write one of them, without quotes" : Suggestions.suggest(given, all));
         });
     }
 
@@ -185,11 +184,11 @@
         return new Type("on or off", null, r -> {
             String given = r.value() instanceof Word w ? w.text() : "";
             return switch (given) {
-                case "on" -> new Read(true, "on");
-                case "off" -> new Read(false, "off");
-                case "true", "yes" -> r.wrong(r.shown() + " where on or off belongs", "write on");
-                case "false", "no", "none" -> r.wrong(r.shown() + " where on or off belongs", "write off");
-                default -> r.wrong(r.shown() + " where on or off belongs", "write on or off, without quotes");
+                case "on" -> new Parsed(true, "on");
+                case "off" -> new Parsed(false, "off");
+                case "true", "yes" -> r.reject(r.shown() + " where on or off belongs", "write on");
+                case "false", "no", "none" -> r.reject(r.shown() + " where on or off belongs", "write off");
+                default -> r.reject(r.shown() + " where on or off belongs", "write on or off, without quotes");
             };
         });
     }
@@ -199,8 +198,8 @@
         return new Type("the name of a " + section, section, r -> {
             String given = r.value() instanceof Word w ? w.text() : r.value() instanceof Text t ? t.text() : null;
             return given != null
-                    ? new Read(given, quoted(given))
-                    : r.wrong(
+                    ? new Parsed(given, quoted(given))
+                    : r.reject(
                             r.shown() + " where the name of a " + section + " belongs",
                             "write the " + section + "'s name");
         });
@@ -217,39 +216,39 @@
     }
 
     @SuppressWarnings("ReferenceEquality") // each unit is one constant
-    private static Type quantity(String kind, Unit unit, String least, String most) {
-        BigDecimal low = parse(unit, least);
-        BigDecimal high = parse(unit, most);
-        String words = "a " + kind;
-        return new Type(words, null, r -> {
+    private static Type quantity(String kind, Unit unit, String min, String max) {
+        BigDecimal low = parse(unit, min);
+        BigDecimal high = parse(unit, max);
+        String description = "a " + kind;
+        return new Type(description, null, r -> {
             if (!(r.value() instanceof Quantity q)) {
-                return r.wrong(
-                        r.shown() + " where " + words + " belongs",
+                return r.reject(
+                        r.shown() + " where " + description + " belongs",
                         r.value() instanceof Text t && NUMBER.matcher(t.text()).matches()
                                 ? "write it without quotes: " + t.text()
                                 : "write a number with its unit, as 250" + unit.example());
             }
             Matcher m = NUMBER.matcher(q.text());
             if (!m.matches() || m.group(1).length() > MAX_DIGITS) {
-                return unreadable(r, q.text());
+                return rejectNumber(r, q.text());
             }
             String suffix = m.group(2);
             if (suffix.isEmpty()) {
-                return r.wrong(
-                        "a bare number where " + words + " belongs",
+                return r.reject(
+                        "a bare number where " + description + " belongs",
                         "write " + q.text() + unit.example()
                                 + (unit.otherExample() == null ? "" : ", or " + q.text() + unit.otherExample()));
             }
             BigDecimal factor = unit.factors().get(suffix);
             if (factor == null) {
-                return r.wrong(foreign(kind, suffix, r.shown()), fix(unit, m.group(1), suffix));
+                return r.reject(unitMismatch(kind, suffix, r.shown()), suggestUnit(unit, m.group(1), suffix));
             }
             BigDecimal value = new BigDecimal(m.group(1)).multiply(factor);
             if (value.compareTo(low) < 0 || value.compareTo(high) > 0) {
-                return r.wrong(r.shown() + " is out of range", "from " + least + " to " + most);
+                return r.reject(r.shown() + " is out of range", "from " + min + " to " + max);
             }
-            BigDecimal plain = plain(value);
-            return new Read(plain, plain.toPlainString() + (unit == RATE ? "/h" : unit.base()));
+            BigDecimal plain = normalize(value);
+            return new Parsed(plain, plain.toPlainString() + (unit == RATE ? "/h" : unit.base()));
         });
     }
 
@@ -261,7 +260,7 @@
         return new BigDecimal(m.group(1)).multiply(unit.factors().get(m.group(2)));
     }
 
-    private static String foreign(String kind, String suffix, String shown) {
+    private static String unitMismatch(String kind, String suffix, String shown) {
         for (Map.Entry<String, Unit> u : UNITS.entrySet()) {
             if (u.getValue().factors().containsKey(suffix)) {
                 return shown + " is a " + u.getKey() + ", and a " + kind + " belongs here";
@@ -270,15 +269,15 @@
         return shown + " has a unit that is not known";
     }
 
-    private static String fix(Unit unit, String number, String suffix) {
+    private static String suggestUnit(Unit unit, String number, String suffix) {
         for (String known : unit.factors().keySet()) {
             if (known.equalsIgnoreCase(suffix)) {
                 return "did you mean " + number + known + "?";
             }
         }
         // "mins", "sec", "hours", "msec": a longer word for one that is known, if it is not one of another kind.
-        boolean foreign = UNITS.values().stream().anyMatch(u -> u.factors().containsKey(suffix));
-        String start = foreign
+        boolean otherKind = UNITS.values().stream().anyMatch(u -> u.factors().containsKey(suffix));
+        String start = otherKind
                 ? null
                 : unit.factors().keySet().stream()
                         .filter(suffix.toLowerCase(Locale.ROOT)::startsWith)
@@ -290,8 +289,8 @@
         return "units here are " + String.join(", ", unit.factors().keySet());
     }
 
-    private static Read unreadable(Reading r, String text) {
-        return r.wrong(
+    private static Parsed rejectNumber(Input r, String text) {
+        return r.reject(
                 r.shown() + " is no number that can be read",
                 text.length() > MAX_DIGITS
                         ? "at most " + MAX_DIGITS + " characters are taken"
@@ -300,33 +299,33 @@
                                 : "write decimal digits and one unit behind them");
     }
 
-    private static Read number(Reading r, String words, BigDecimal low, BigDecimal high, boolean whole) {
+    private static Parsed number(Input r, String description, BigDecimal low, BigDecimal high, boolean whole) {
         if (!(r.value() instanceof Quantity q)) {
-            return r.wrong(
-                    r.shown() + " where " + words + " belongs",
+            return r.reject(
+                    r.shown() + " where " + description + " belongs",
                     r.value() instanceof Text t && NUMBER.matcher(t.text()).matches()
                             ? "write it without quotes: " + t.text()
                             : "write digits, from " + low.toPlainString() + " to " + high.toPlainString());
         }
         Matcher m = NUMBER.matcher(q.text());
         if (!m.matches() || m.group(1).length() > MAX_DIGITS) {
-            return unreadable(r, q.text());
+            return rejectNumber(r, q.text());
         }
         if (!m.group(2).isEmpty()) {
-            return r.wrong(r.shown() + " has a unit where " + words + " belongs", "write " + m.group(1));
+            return r.reject(r.shown() + " has a unit where " + description + " belongs", "write " + m.group(1));
         }
-        BigDecimal value = plain(new BigDecimal(m.group(1)));
+        BigDecimal value = normalize(new BigDecimal(m.group(1)));
         if (whole && value.scale() > 0) {
-            return r.wrong(r.shown() + " where " + words + " belongs", "leave the fraction out");
+            return r.reject(r.shown() + " where " + description + " belongs", "leave the fraction out");
         }
         if (value.compareTo(low) < 0 || value.compareTo(high) > 0) {
-            return r.wrong(
+            return r.reject(
                     r.shown() + " is out of range", "from " + low.toPlainString() + " to " + high.toPlainString());
         }
-        return new Read(value, value.toPlainString());
+        return new Parsed(value, value.toPlainString());
     }
 
-    private static BigDecimal plain(BigDecimal value) {
+    private static BigDecimal normalize(BigDecimal value) {
         BigDecimal stripped = value.stripTrailingZeros();
         return stripped.scale() < 0 ? stripped.setScale(0) : stripped;
     }
--- a/src/main/java/cacheproxy/config/edge/Changes.java
+++ b/src/main/java/cacheproxy/config/edge/Changes.java
@@ -11,7 +11,7 @@
 
 /** What differs between two configurations, and for which traffic. */
 public final class Changes {
-    private static final int SHOWN = 5;
+    private static final int MAX_ROUTES = 5;
 
     private Changes() {}
 
@@ -21,7 +21,7 @@
         Routing a = RoutingSections.routing(before);
         Routing b = RoutingSections.routing(after);
         for (Difference d : Difference.between(before, after)) {
-            lines.add(head(d));
+            lines.add(headline(d));
             d.detail().forEach(l -> lines.add("    " + l));
             if (d.kind() != Kind.RENAMED) {
                 List<String> traffic = d.after() == null ? traffic(d.before(), a) : traffic(d.after(), b);
@@ -31,14 +31,14 @@
         return lines;
     }
 
-    private static String head(Difference d) {
+    private static String headline(Difference d) {
         return switch (d.kind()) {
-            case ADDED -> "+ " + d.after().title() + " (" + d.after().place().shortly() + ")";
+            case ADDED -> "+ " + d.after().title() + " (" + d.after().place().fileAndLine() + ")";
             case REMOVED ->
-                "- " + d.before().title() + " (" + d.before().place().shortly() + ")";
+                "- " + d.before().title() + " (" + d.before().place().fileAndLine() + ")";
             case CHANGED ->
-                "~ " + d.after().title() + " (" + d.before().place().shortly() + ", "
-                        + d.after().place().shortly() + ")";
+                "~ " + d.after().title() + " (" + d.before().place().fileAndLine() + ", "
+                        + d.after().place().fileAndLine() + ")";
             case RENAMED ->
                 "= " + d.before().title() + " is now called " + d.after().title() + "; otherwise alike";
         };
@@ -63,11 +63,11 @@
                 all.add(r.describeTraffic() + as);
             }
         }
-        if (all.size() <= SHOWN) {
+        if (all.size() <= MAX_ROUTES) {
             return all;
         }
-        List<String> some = new ArrayList<>(all.subList(0, SHOWN));
-        some.add((all.size() - SHOWN) + " more routes");
+        List<String> some = new ArrayList<>(all.subList(0, MAX_ROUTES));
+        some.add((all.size() - MAX_ROUTES) + " more routes");
         return some;
     }
 }
--- a/src/main/java/cacheproxy/config/edge/Explanation.java
+++ b/src/main/java/cacheproxy/config/edge/Explanation.java
@@ -14,45 +14,46 @@
 
 /** Why a request goes where it goes. */
 public final class Explanation {
-    private static final int SHOWN = 5;
+    private static final int MAX_SHOWN = 5;
 
     private Explanation() {}
 
     /**
      * For people, a line each.
      *
-     * @param installation null where none is known: servers are then not named
+     * @param endpoints null where none is known: servers are then not named
      * @param kind the class, null for one that no route names; likewise the tenant
      */
     public static List<String> text(
-            Routing routing, ConfiguredEndpoints installation, String key, String kind, String tenant, String front) {
-        KnownNames known = installation == null ? null : installation.routableNames();
+            Routing routing, ConfiguredEndpoints endpoints, String key, String kind, String tenant, String front) {
+        KnownNames known = endpoints == null ? null : endpoints.routableNames();
         List<String> lines = new ArrayList<>();
         if (known != null && kind != null && !known.classes().contains(kind)) {
             lines.add("note: this instance knows no class " + kind + " and would turn the request away");
         }
-        List<Route> left = new ArrayList<>(routing.routes());
-        Route found = match(left, key, kind, tenant, front);
+        List<Route> remaining = new ArrayList<>(routing.routes());
+        Route found = match(remaining, key, kind, tenant, front);
         if (found == null) {
             lines.add("route     none matches: all servers, by the settings' own policy");
-            servers(lines, installation, Pool.ALL, key, "servers   ");
+            servers(lines, endpoints, Pool.ALL, key, "servers   ");
             return lines;
         }
         lines.add("route     " + found.name() + " (" + found.describeTraffic() + ")");
-        left.remove(found);
-        Route next = match(left, key, kind, tenant, front);
-        for (int i = 0; next != null && i < SHOWN; i++) {
-            lines.add("          before " + next.name() + " (" + next.describeTraffic() + "): " + why(found, next));
-            left.remove(next);
-            next = match(left, key, kind, tenant, front);
+        remaining.remove(found);
+        Route next = match(remaining, key, kind, tenant, front);
+        for (int i = 0; next != null && i < MAX_SHOWN; i++) {
+            lines.add("          before " + next.name() + " (" + next.describeTraffic() + "): "
+                    + precedence(found, next));
+            remaining.remove(next);
+            next = match(remaining, key, kind, tenant, front);
         }
         Pool pool = routing.pools().get(found.pool());
         lines.add("pool      " + pool.name() + selection(pool));
-        servers(lines, installation, pool, key, "servers   ");
+        servers(lines, endpoints, pool, key, "servers   ");
         if (found.fallback() != null) {
             Pool fallback = routing.pools().get(found.fallback());
             lines.add("fallback  " + fallback.name() + selection(fallback));
-            servers(lines, installation, fallback, key, "servers   ");
+            servers(lines, endpoints, fallback, key, "servers   ");
         }
         lines.add("policy    "
                 + (found.policy() == null
@@ -71,7 +72,7 @@
                 .match(key, 0, 0, Routing.FRONTS.indexOf(front));
     }
 
-    private static String why(Route first, Route second) {
+    private static String precedence(Route first, Route second) {
         String a = Objects.toString(first.key(), "");
         String b = Objects.toString(second.key(), "");
         return !a.equals(b) && !a.isEmpty()
@@ -85,33 +86,34 @@
 
     private static String selection(Pool p) {
         List<String> parts = new ArrayList<>();
-        part(parts, "site", p.sites());
-        part(parts, "kind", p.kinds());
-        part(parts, "label", p.labels());
-        part(parts, "host", p.hosts());
+        appendPart(parts, "site", p.sites());
+        appendPart(parts, "kind", p.kinds());
+        appendPart(parts, "label", p.labels());
+        appendPart(parts, "host", p.hosts());
         return parts.isEmpty() ? " (all servers)" : " (" + String.join(", ", parts) + ")";
     }
 
-    private static void part(List<String> parts, String words, Iterable<?> names) {
+    private static void appendPart(List<String> parts, String attribute, Iterable<?> names) {
         List<String> all = new ArrayList<>();
         names.forEach(n -> all.add(n.toString()));
         if (!all.isEmpty()) {
-            parts.add(words + " " + String.join(" or ", all.stream().sorted().toList()));
+            parts.add(
+                    attribute + " " + String.join(" or ", all.stream().sorted().toList()));
         }
     }
 
     private static void servers(
-            List<String> lines, ConfiguredEndpoints installation, Pool pool, String key, String words) {
-        if (installation == null) {
+            List<String> lines, ConfiguredEndpoints endpoints, Pool pool, String key, String words) {
+        if (endpoints == null) {
             lines.add(words + "not known without an instance's configuration (--with)");
             return;
         }
-        List<String> ranks = installation.rank(pool, key);
+        List<String> ranks = endpoints.rank(pool, key);
         lines.add(words
                 + (ranks.isEmpty()
                         ? "none" + (pool.origin() ? "; reads go to the origin" : "")
-                        : String.join(", ", ranks.subList(0, Math.min(SHOWN, ranks.size())))
-                                + (ranks.size() > SHOWN ? " and " + (ranks.size() - SHOWN) + " more" : "")));
+                        : String.join(", ", ranks.subList(0, Math.min(MAX_SHOWN, ranks.size())))
+                                + (ranks.size() > MAX_SHOWN ? " and " + (ranks.size() - MAX_SHOWN) + " more" : "")));
     }
 
     private static String policy(RoutePolicy p) {
--- a/src/main/java/cacheproxy/config/edge/QuotaSections.java
+++ b/src/main/java/cacheproxy/config/edge/QuotaSections.java
@@ -22,7 +22,7 @@
     /** From the top: what may stand within which. */
     private static final String[] LEVELS = {"organisation", "app", "device"};
 
-    private static final long MOST = 1_000_000_000_000L;
+    private static final long MAX_COUNT = 1_000_000_000_000L;
 
     private QuotaSections() {}
 
@@ -51,8 +51,8 @@
 
     private static Section limits(Section section, boolean guaranteed) {
         for (Measure m : Measure.values()) {
-            Type amount = m == Measure.BYTES ? Type.size("1B", "1000GB") : Type.count(1, MOST);
-            Type own = m == Measure.BYTES ? Type.size("0B", "1000GB") : Type.count(0, MOST);
+            Type amount = m == Measure.BYTES ? Type.size("1B", "1000GB") : Type.count(1, MAX_COUNT);
+            Type own = m == Measure.BYTES ? Type.size("0B", "1000GB") : Type.count(0, MAX_COUNT);
             Section limit = new Section(m.setting(), Naming.MANY, "how many " + m.setting() + " in one window")
                     .required("per", Type.duration("1s", "1h"), "the window, which slides")
                     .required("cap", amount, "how many at most in any window");
@@ -80,12 +80,12 @@
             if (!isLimit(limit)) {
                 continue;
             }
-            Entry other = limits.putIfAbsent(same(limit), limit);
+            Entry other = limits.putIfAbsent(limitKey(limit), limit);
             if (other != null) {
                 problems.add(
                         limit.place(),
                         "a second quota for " + limit.section().name() + " over the same window as at "
-                                + other.place().shortly(),
+                                + other.place().fileAndLine(),
                         "take one out, or give it another window");
             }
             if (limit.number("guarantee", 0) > limit.number("cap", 0)) {
@@ -109,29 +109,29 @@
                     problems.add(
                             child.place(),
                             child.title() + " stands there already, at "
-                                    + other.place().shortly(),
+                                    + other.place().fileAndLine(),
                             "join the two");
                 }
                 check(child, problems);
             }
         }
-        limits.values().forEach(l -> shared(node, l, problems));
+        limits.values().forEach(l -> checkGuarantees(node, l, problems));
     }
 
     /** What a limit is compared by. */
-    private static String same(Entry limit) {
+    private static String limitKey(Entry limit) {
         return limit.section().name() + " " + limit.number("per", 0);
     }
 
     /** Guarantees beneath must fit into what is guaranteed here or, where nothing is, into the cap. */
-    private static void shared(Entry node, Entry limit, Problems problems) {
+    private static void checkGuarantees(Entry node, Entry limit, Problems problems) {
         boolean guaranteed = limit.number("guarantee", 0) > 0;
         double has = guaranteed ? limit.number("guarantee", 0) : limit.number("cap", 0);
         String what = guaranteed ? "guarantee" : "cap";
         double sum = 0;
         for (Entry child : node.blocks()) {
             for (Entry l : child.blocks()) {
-                if (isLimit(child) || !isLimit(l) || !same(l).equals(same(limit))) {
+                if (isLimit(child) || !isLimit(l) || !limitKey(l).equals(limitKey(limit))) {
                     continue;
                 }
                 double own = l.number("guarantee", 0);
@@ -139,7 +139,7 @@
                     problems.add(
                             l.placeOf("guarantee"),
                             "a guarantee above the " + what + " of " + node.title() + ", at "
-                                    + limit.placeOf(what).shortly(),
+                                    + limit.placeOf(what).fileAndLine(),
                             "guarantee " + plain(has) + " at most, or raise that");
                     return;
                 }
@@ -150,7 +150,7 @@
                             "with this one " + plain(sum) + " " + l.section().name()
                                     + " are guaranteed beneath " + node.title() + ", more than its " + what + " of "
                                     + plain(has)
-                                    + " at " + limit.placeOf(what).shortly(),
+                                    + " at " + limit.placeOf(what).fileAndLine(),
                             "guarantee " + plain(sum - has) + " less, or raise that");
                     return;
                 }
--- a/src/main/java/cacheproxy/config/edge/RoutingSections.java
+++ b/src/main/java/cacheproxy/config/edge/RoutingSections.java
@@ -2,12 +2,12 @@
 
 import cacheproxy.config.Configuration;
 import cacheproxy.config.Configuration.Entry;
-import cacheproxy.config.Names;
 import cacheproxy.config.Problems;
 import cacheproxy.config.Schema;
 import cacheproxy.config.Section;
 import cacheproxy.config.Section.Naming;
 import cacheproxy.config.Source.Place;
+import cacheproxy.config.Suggestions;
 import cacheproxy.config.Type;
 import cacheproxy.route.EndpointAttributes;
 import cacheproxy.route.Glob;
@@ -31,7 +31,7 @@
 
 /** {@code pool}, {@code policy} and {@code route}. */
 public final class RoutingSections {
-    private static final int LONGEST_NAME = 200;
+    private static final int MAX_NAME_LENGTH = 200;
     private static final double PERCENT = 100;
     private static final double SECONDS_PER_HOUR = 3600;
 
@@ -44,15 +44,15 @@
      *     taken as they are
      */
     public static Schema register(Schema schema, KnownNames known) {
-        Type name = Type.name(LONGEST_NAME);
+        Type name = Type.name(MAX_NAME_LENGTH);
         schema.register(new Section("pool", Naming.NAMED, "a selection of the servers on the list")
                 .list("site", name, "where its servers stand")
                 .list("kind", name, "of which kind they are")
                 .list("label", name, "labels, one of which they carry")
-                .list("host", Type.text(LONGEST_NAME), "patterns, one of which their names match")
+                .list("host", Type.text(MAX_NAME_LENGTH), "patterns, one of which their names match")
                 .optional("origin", Type.flag(), "on", "whether the origin is asked for what they lack")
                 .block(new Section("weight", Naming.MANY, "another weight for some of them")
-                        .required("host", Type.text(LONGEST_NAME), "pattern of their names")
+                        .required("host", Type.text(MAX_NAME_LENGTH), "pattern of their names")
                         .required("value", Type.factor("0", "1000"), "the weight, 1 for one like the others")));
         schema.register(new Section("policy", Naming.NAMED, "limits for the requests of a route")
                 .optional("deadline", Type.duration("1ms", "24h"), null, "the longest that a request may wait")
@@ -90,19 +90,19 @@
 
     private static void check(Configuration configuration, KnownNames known, Problems problems) {
         for (Entry pool : configuration.of("pool")) {
-            globs(pool, "host", problems);
-            pool.blocks().forEach(w -> globs(w, "host", problems));
+            checkPatterns(pool, "host", problems);
+            pool.blocks().forEach(w -> checkPatterns(w, "host", problems));
             if (known != null) {
-                names(pool, "site", known.sites(), problems);
-                names(pool, "kind", known.kinds(), problems);
+                checkNames(pool, "site", known.sites(), problems);
+                checkNames(pool, "kind", known.kinds(), problems);
             }
-            overlaps(pool, problems);
+            checkWeightOverlaps(pool, problems);
         }
         for (Entry route : configuration.of("route")) {
-            globs(route, "key", problems);
+            checkPatterns(route, "key", problems);
             if (known != null) {
-                names(route, "class", known.classes(), problems);
-                names(route, "tenant", known.tenants(), problems);
+                checkNames(route, "class", known.classes(), problems);
+                checkNames(route, "tenant", known.tenants(), problems);
             }
             if (route.has("fallback") && route.text("fallback").equals(route.text("pool"))) {
                 problems.add(
@@ -111,13 +111,13 @@
                         "name another pool, or leave it out");
             }
         }
-        unused(configuration, problems);
+        checkUnused(configuration, problems);
         if (problems.none()) {
-            conflicts(configuration, problems);
+            checkConflicts(configuration, problems);
         }
     }
 
-    private static void globs(Entry entry, String attribute, Problems problems) {
+    private static void checkPatterns(Entry entry, String attribute, Problems problems) {
         for (String pattern : entry.texts(attribute)) {
             try {
                 new Glob(pattern);
@@ -127,7 +127,7 @@
         }
     }
 
-    private static void names(Entry entry, String attribute, List<String> known, Problems problems) {
+    private static void checkNames(Entry entry, String attribute, List<String> known, Problems problems) {
         for (String name : entry.texts(attribute)) {
             if (!known.contains(name)) {
                 problems.add(
@@ -135,13 +135,13 @@
                         "no " + attribute + " is called \"" + name + "\" here",
                         known.isEmpty()
                                 ? "this instance knows no " + attribute + "; leave the line out"
-                                : Names.fix(name, known));
+                                : Suggestions.suggest(name, known));
             }
         }
     }
 
     /** Which of two weights holds for a server may not hang on order. */
-    private static void overlaps(Entry pool, Problems problems) {
+    private static void checkWeightOverlaps(Entry pool, Problems problems) {
         if (!problems.none()) {
             return;
         }
@@ -153,7 +153,7 @@
                     problems.add(
                             weights.get(i).placeOf("host"),
                             "a server could match this weight and that at "
-                                    + weights.get(j).placeOf("host").shortly(),
+                                    + weights.get(j).placeOf("host").fileAndLine(),
                             "make the patterns apart");
                 }
             }
@@ -161,7 +161,7 @@
     }
 
     /** A pool or policy that no route names is most likely a name mistyped elsewhere. */
-    private static void unused(Configuration configuration, Problems problems) {
+    private static void checkUnused(Configuration configuration, Problems problems) {
         Set<String> used = new HashSet<>();
         for (Entry r : configuration.of("route")) {
             used.add("pool " + r.text("pool"));
@@ -176,7 +176,7 @@
         }
     }
 
-    private static void conflicts(Configuration configuration, Problems problems) {
+    private static void checkConflicts(Configuration configuration, Problems problems) {
         Map<String, Place> places = new HashMap<>();
         configuration.of("route").forEach(r -> places.put(r.name(), r.place()));
         try {
@@ -184,7 +184,7 @@
                 problems.add(
                         places.get(c.second().name()),
                         "equally specific as route \"" + c.first().name() + "\" at "
-                                + places.get(c.first().name()).shortly() + ", and a request could match both ("
+                                + places.get(c.first().name()).fileAndLine() + ", and a request could match both ("
                                 + c.second().describeTraffic() + ")",
                         "add a condition to one of them, or join them");
             }
@@ -206,7 +206,7 @@
     }
 
     /** A line for each pool that selects none of these servers. */
-    public static List<String> empty(Configuration configuration, List<EndpointAttributes> servers) {
+    public static List<String> emptyPools(Configuration configuration, List<EndpointAttributes> servers) {
         return configuration.of("pool").stream()
                 .filter(e -> servers.stream().noneMatch(pool(e)::selects))
                 .map(e -> e.place() + ": " + e.title() + " selects none of the " + servers.size() + " servers")
--- a/src/test/java/cacheproxy/cli/CliTest.java
+++ b/src/test/java/cacheproxy/cli/CliTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void figuresAddsUpOverLogsAndSaysWhereThereAreNone() throws Exception {
+    void figuresSumsOverLogsAndReportsLogsWithoutAny() throws Exception {
         Path logs = Files.createDirectory(folder.resolve("logs"));
         Files.write(logs.resolve("p0.log"), new byte[] {(byte) 0xff, '\n'});
         assertThat(run("figures", logs.toString())).isEqualTo(1);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void loadWritesItsReportsAndMergeJoinsThem() throws Exception {
+    void loadWritesReportsAndMergeCombinesThem() throws Exception {
         FleetSpec spec = FleetSpec.standard(1, 1, 1).withWork(0, 0).withHeld(1);
         try (StandInFleet fleet = new StandInFleet(spec)) {
             String target = "127.0.0.1:" + fleet.nodes(0).get("node-0").getPort();
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aTraceThatCantBeKeptExitsWithThree() throws Exception {
+    void aTraceFasterThanTheGeneratorExitsWithThree() throws Exception {
         StringBuilder trace = new StringBuilder("time_ms,class,key,op,value_bytes\nnonsense\n");
         for (int i = 0; i < 20_000; i++) {
             trace.append(i).append(",seg-text,7f,read,0\n");
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void wrongUseIsToldWithTheFixAndExitsWithTwo() throws Exception {
+    void wrongUsageIsReportedWithTheFixAndExitsWithTwo() throws Exception {
         assertThat(run("load", "--target", "127.0.0.1:1", "--for", "20")).isEqualTo(2);
         assertThat(err).contains("name the unit");
         assertThat(run("load", "--target", "here")).isEqualTo(2);
--- a/src/test/java/cacheproxy/cli/CommandLineFormTest.java
+++ b/src/test/java/cacheproxy/cli/CommandLineFormatTest.java
@@ -16,12 +16,12 @@
 import picocli.CommandLine;
 
 /** Operators' scripts rely on the command words and the flags: they stay as the recorded texts show them. */
-class CommandLineFormTest extends Terminal {
+class CommandLineFormatTest extends Terminal {
     private static final Path HELP = Path.of("src/test/resources/formats/command-line-help.txt");
     private static final Path SERVE_USAGE = Path.of("src/test/resources/formats/serve-usage.txt");
 
     @Test
-    void everyCommandsHelpIsAsRecorded() throws IOException {
+    void helpOfEveryCommandIsAsRecorded() throws IOException {
         StringBuilder all = new StringBuilder();
         appendHelp(all, List.of(), Cli.commandLine());
         assertThat(all).hasToString(Files.readString(HELP));
--- a/src/test/java/cacheproxy/cli/ConfigCommandTest.java
+++ b/src/test/java/cacheproxy/cli/ConfigCommandTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void checkTellsAllMistakesWithTheLineACaretAndAFix() throws IOException {
+    void checkReportsAllMistakesWithLineCaretAndFix() throws IOException {
         Path file = write("a.conf", "pool \"fast\" {}\nroute \"r\" {\n  pool = fats\n  key = 7\n}\n");
         assertThat(run("check", file)).isEqualTo(1);
         assertThat(err)
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void checkLooksAtAnInstancesNamesAndServers() throws IOException {
+    void checkValidatesNamesAndServersAgainstAnInstance() throws IOException {
         Path file = write("a.conf", "pool p { site = tan-thaun } route r { pool = p class = seg-txt }");
         assertThat(run("check", file)).isZero();
         assertThat(out).contains("1 pools, 0 policies, 1 routes, hash ");
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void formatChangesAFileInPlaceAndKeepsWhoMayReadIt() throws IOException {
+    void formatRewritesAFileInPlaceAndKeepsItsPermissions() throws IOException {
         Path file = write("a.conf", "pool p{}\nroute r{pool=p}# why\n");
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-r-----"));
         Path link = Files.createSymbolicLink(folder.resolve("link"), file);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void diffNamesTheTrafficAndIsSilentWhereNothingChanges() throws IOException {
+    void diffNamesTheAffectedTrafficAndPrintsNothingWithoutAChange() throws IOException {
         Path a = write(
                 "a.conf",
                 "pool p {} policy y { deadline = 1s } route r { key = \"k*\" pool = p policy = y } "
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void showTellsWhereEachValueComesFrom() throws IOException {
+    void showPrintsTheOriginOfEachValue() throws IOException {
         Path file = write(
                 "a.conf",
                 "defaults policy { deadline = 1s attempts = 2 }\npool p {}\n"
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void explainTellsRoutePoolServersPolicyAndWhy() throws IOException {
+    void explainPrintsRoutePoolServersPolicyAndReasons() throws IOException {
         Path file = write(
                 "a.conf",
                 "pool p { site = tan-thuan } pool q {} policy y { deadline = 3s }\n"
--- a/src/test/java/cacheproxy/cli/ModelCommandTest.java
+++ b/src/test/java/cacheproxy/cli/ModelCommandTest.java
@@ -14,7 +14,7 @@
     private Path folder;
 
     @Test
-    void aDayIsToldAsTableAsJsonAndAsAPage() throws Exception {
+    void aDayIsReportedAsTableJsonAndHtml() throws Exception {
         Path json = folder.resolve("m.json");
         Path html = folder.resolve("m.html");
         assertThat(run(
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void manySeedsAreSummedUp() {
+    void manySeedsAreSummarized() {
         assertThat(run("model", "--instances", "2", "--nodes", "4", "--day", "all", "--seeds", "2", "--for", "3s"))
                 .isZero();
         assertThat(out).contains("herd   2 seeds").contains("rules broken on 0").doesNotContain("soak");
     }
 
     @Test
-    void whatMakesNoSenseIsToldWithWhatWould() {
+    void invalidArgumentsAreReportedWithTheAllowedOnes() {
         assertThat(run("model", "--day", "friday")).isEqualTo(2);
         assertThat(err).contains("there is no day 'friday'; it takes calm, roll, herd, zone, split, join, soak or all");
         assertThat(run("model", "--nodes", "1")).isEqualTo(2);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void whatColdNodesAreSentIsToldByCaseAndRamp() {
+    void coldNodeLoadIsReportedByCaseAndRamp() {
         assertThat(run("model", "cold", "--instances", "2", "--nodes", "4", "--case", "late", "--seeds", "2"))
                 .isZero();
         assertThat(out).containsPattern("late +2 +[1-9]\\d* steady").containsPattern("late +2 +[1-9]\\d* late");
--- a/src/test/java/cacheproxy/cli/QuotaCommandTest.java
+++ b/src/test/java/cacheproxy/cli/QuotaCommandTest.java
@@ -58,7 +58,7 @@
 
     /** Alpha comes back at 20 s to beta, which asks ten times everything all the time. */
     @Test
-    void theExampleHoldsItsCapsAndGivesBackWhatWasLent() throws Exception {
+    void theExampleKeepsItsCapsAndReclaimsLentQuota() throws Exception {
         SplittableRandom random = new SplittableRandom(1);
         Map<String, Double> rates =
                 new HashMap<>(Map.of("beta,player", 6000.0, "beta,set-top", 2000.0, "nobody,tv", 900.0));
@@ -111,7 +111,7 @@
                 "1,alpha,player,tv,10,0 | earlier than the line before it",
                 "NaN,alpha,player,tv,10,0 | 'NaN' where a time in milliseconds belongs"
             })
-    void aLineThatCantBeReadIsNamed(String line, String message) throws Exception {
+    void anUnreadableTraceLineIsReported(String line, String message) throws Exception {
         Path in = folder.resolve("trace.csv");
         Files.write(in, List.of("2,alpha,player,tv,10,0", line));
         assertThat(run("quota", "replay", "--edge", EXAMPLE, in.toString())).isEqualTo(1);
@@ -135,7 +135,7 @@
                 "organisation \"a\" { bytes { per = 2h cap = 1MB } } | out of range",
                 "organisation \"a\" { bytes { per = 1m cap = 1000 } } | a bare number where a size belongs"
             })
-    void aMistakeInQuotasNamesItsLineAndAFix(String inside, String message) throws Exception {
+    void aQuotaMistakeIsReportedWithItsPositionAndFix(String inside, String message) throws Exception {
         Path file = folder.resolve("q.conf");
         Files.writeString(
                 file,
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void theExampleIsInOrderAndADifferenceIsTold() throws Exception {
+    void theExampleIsValidAndADifferenceIsReported() throws Exception {
         assertThat(run("config", "check", EXAMPLE)).as(err).isZero();
         assertThat(out).contains("quotas of 4 organisations");
         assertThat(run("config", "format", "--check", EXAMPLE)).as(out).isZero();
--- a/src/test/java/cacheproxy/config/ConfigFuzzTest.java
+++ b/src/test/java/cacheproxy/config/ConfigFuzzTest.java
@@ -18,11 +18,11 @@
 class ConfigFuzzTest {
     private static final Schema SCHEMA = EdgeFile.schema(null);
 
-    private static void survives(String text) {
+    private static void assertSurvives(String text) {
         Source source = new Source("x", text);
         Problems problems = new Problems();
         Configuration c = ConfigFile.read(source, SCHEMA, problems);
-        assertThat(problems.all()).hasSizeLessThanOrEqualTo(Problems.MOST);
+        assertThat(problems.all()).hasSizeLessThanOrEqualTo(Problems.MAX_KEPT);
         long lines = text.chars().filter(x -> x == '\n').count() + 1;
         assertThat(problems.all())
                 .allMatch(p -> p.place().line() >= 1
@@ -98,17 +98,17 @@
 
     @Property(tries = 4000, seed = "41")
     void anyWordsInAnyOrder(@ForAll("soup") String text) {
-        survives(text);
+        assertSurvives(text);
     }
 
     @Property(tries = 1500, seed = "42")
     void anyCharacters(@ForAll String text) {
-        survives(text);
+        assertSurvives(text);
     }
 
     /** A file that is right, with something cut, doubled, swapped or written over. */
     @Property(tries = 3000, seed = "43")
-    void aSoundFileWithDamage(@ForAll long seed) throws IOException {
+    void aValidFileWithDamage(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
         List<String> files = List.of("all-sections", "comments", "strings", "units", "long-lists");
         StringBuilder s = new StringBuilder(Files.readString(
@@ -126,6 +126,6 @@
                 break;
             }
         }
-        survives(s.toString());
+        assertSurvives(s.toString());
     }
 }
--- a/src/test/java/cacheproxy/config/CorpusTest.java
+++ b/src/test/java/cacheproxy/config/CorpusTest.java
@@ -40,7 +40,7 @@
         return files(GOOD).stream().filter(f -> !f.getParent().endsWith("parts"));
     }
 
-    private static String told(Problems problems) {
+    private static String reported(Problems problems) {
         StringBuilder s = new StringBuilder();
         for (Problem p : problems.all()) {
             s.append(p.place().line())
@@ -56,7 +56,7 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> eachMistakeIsToldWithItsPlaceAndItsFix() throws IOException {
+    Stream<DynamicTest> eachMistakeIsReportedWithItsPositionAndFix() throws IOException {
         List<Path> files = files(BROKEN);
         assertThat(files).hasSizeGreaterThan(200);
         return files.stream()
@@ -69,7 +69,7 @@
                     Problems problems = new Problems();
                     ConfigFile.read(file, SCHEMA, problems);
                     assertThat(expected).isNotEmpty();
-                    assertThat(told(problems)).isEqualTo(expected.toString());
+                    assertThat(reported(problems)).isEqualTo(expected.toString());
                     assertThat(problems.all())
                             .allMatch(p -> p.fix() != null
                                     && p.place()
@@ -81,32 +81,32 @@
                 }));
     }
 
-    private static String onOneLine(String text) {
+    private static String reportedFor(String text) {
         Problems problems = new Problems();
         ConfigFile.read(new Source("x", text), SCHEMA, problems);
-        return told(problems);
+        return reported(problems);
     }
 
     @Test
-    void tenThousandNestedBracesAreToldOnceAndNoOverflow() {
-        assertThat(onOneLine("pool p " + "{ a ".repeat(10_000)).lines())
+    void tenThousandNestedBracesAreReportedOnceWithoutStackOverflow() {
+        assertThat(reportedFor("pool p " + "{ a ".repeat(10_000)).lines())
                 .hasSize(2)
                 .last()
                 .asString()
                 .startsWith("1:72 blocks nest more than 16 deep");
-        assertThat(onOneLine("pool p " + "{ ".repeat(10_000) + "}".repeat(10_000))
+        assertThat(reportedFor("pool p " + "{ ".repeat(10_000) + "}".repeat(10_000))
                         .lines())
                 .hasSizeLessThan(20);
-        assertThat(onOneLine("pool p { site = " + "[".repeat(10_000))).contains("a list within a list");
-        assertThat(onOneLine("}".repeat(10_000)).lines()).hasSize(Problems.MOST);
+        assertThat(reportedFor("pool p { site = " + "[".repeat(10_000))).contains("a list within a list");
+        assertThat(reportedFor("}".repeat(10_000)).lines()).hasSize(Problems.MAX_KEPT);
     }
 
     @Test
-    void moreMistakesThanAnyoneReadsAreCounted() {
+    void mistakesBeyondTheMaximumAreOnlyCounted() {
         Problems problems = new Problems();
         ConfigFile.read(new Source("x", "wrong {}\n".repeat(5000)), SCHEMA, problems);
-        assertThat(problems.all()).hasSize(Problems.MOST);
-        assertThat(problems.text()).endsWith("and " + (5000 - Problems.MOST) + " more\n");
+        assertThat(problems.all()).hasSize(Problems.MAX_KEPT);
+        assertThat(problems.text()).endsWith("and " + (5000 - Problems.MAX_KEPT) + " more\n");
     }
 
     // ---- files that are right
@@ -144,7 +144,7 @@
 
     @ParameterizedTest
     @MethodSource("good")
-    void formattingTwiceIsFormattingOnceAndChangesNoMeaningAndLosesNoComment(Path file) throws IOException {
+    void formattingIsIdempotentAndKeepsMeaningAndComments(Path file) throws IOException {
         String text = Files.readString(file);
         String once = format(text);
         assertThat(format(once)).isEqualTo(once);
@@ -171,7 +171,7 @@
             if (item instanceof Syntax.Block b) {
                 shuffled.add(new Syntax.Block(
                         b.place(),
-                        b.notes(),
+                        b.comments(),
                         b.name(),
                         b.labels(),
                         shuffled(b.items(), random),
@@ -181,7 +181,7 @@
                 List<Syntax.Element> elements = new ArrayList<>(l.elements());
                 Collections.shuffle(elements, random);
                 shuffled.add(new Syntax.Attribute(
-                        a.place(), a.notes(), a.name(), new Syntax.Listing(l.place(), elements, l.closing())));
+                        a.place(), a.comments(), a.name(), new Syntax.Listing(l.place(), elements, l.closing())));
             } else {
                 shuffled.add(item);
             }
@@ -192,7 +192,7 @@
 
     @ParameterizedTest
     @MethodSource("good")
-    void aShuffleOfAllThatMayBeReorderedDiffersInNothing(Path file) throws IOException {
+    void reorderingMakesNoDifference(Path file) throws IOException {
         Problems problems = new Problems();
         Syntax.Document document = Parser.parse(new Source(file.toString(), Files.readString(file)), problems);
         Configuration before = meaning(file);
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void unitsIncludesAndDefaultsAreNoDifference() throws IOException {
+    void unitsIncludesAndDefaultsMakeNoDifference() throws IOException {
         Configuration units = meaning(GOOD.resolve("units.conf"));
         List<Configuration.Entry> policies = units.of("policy");
         assertThat(policies)
@@ -233,7 +233,7 @@
     }
 
     @Test
-    void whatHoldsInTheEndCanBeReadAgainAndMeansTheSame() throws IOException {
+    void effectiveConfigurationCanBeReadBackWithTheSameMeaning() throws IOException {
         for (Path file : good().toList()) {
             Configuration c = meaning(file);
             assertThat(meaning(ConfigFile.effective(c)).canonical()).isEqualTo(c.canonical());
@@ -241,7 +241,7 @@
     }
 
     @Test
-    void theExampleThatIsShippedIsRightAndLaidOut() throws IOException {
+    void theShippedExampleIsValidAndFormatted() throws IOException {
         Path example = Path.of("deploy/edge.conf");
         assertThat(meaning(example).of("route")).hasSize(3);
         assertThat(format(Files.readString(example))).isEqualTo(Files.readString(example));
--- a/src/test/java/cacheproxy/config/LoaderTest.java
+++ b/src/test/java/cacheproxy/config/LoaderTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aCircleThroughSeveralFilesIsToldWithItsWay() throws IOException {
+    void aCycleThroughSeveralFilesIsReportedWithItsPath() throws IOException {
         Path root = write("a", "include \"b\"");
         write("b", "\n  include \"sub/c\"");
         write("sub/c", "include \"../a\"");
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aCircleThroughASymbolicLinkAHardLinkAndDotsIsOne() throws IOException {
+    void aCycleThroughLinksAndDotsIsDetected() throws IOException {
         Path root = write("a", "include \"sub/../link\"\ninclude \"hard\"\ninclude \"./sub/.././a\"");
         Files.createDirectories(folder.resolve("sub"));
         Files.createSymbolicLink(folder.resolve("link"), root);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aCircleOfSymbolicLinksIsNoFile() throws IOException {
+    void aCycleOfSymbolicLinksCannotBeRead() throws IOException {
         Path root = write("a", "include \"x\"");
         Files.createSymbolicLink(folder.resolve("x"), folder.resolve("y"));
         Files.createSymbolicLink(folder.resolve("y"), folder.resolve("x"));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aDiamondIsReadOnce() throws IOException {
+    void aFileIncludedTwiceIsReadOnce() throws IOException {
         Path root = write("a", "include \"b\" include \"c\" include \"b\"");
         write("b", "include \"d\"");
         write("c", "include \"./d\" include \"link\"");
@@ -78,23 +78,23 @@
     }
 
     @Test
-    void pathsCountFromTheIncludingFilesFolderAlsoThroughALinkToTheRoot() throws IOException {
+    void pathsAreRelativeToTheIncludingFile() throws IOException {
         Path root = write("real/a", "include \"b\"");
         write("real/b", "");
         assertThat(load(root)).containsExactly("real/a", "real/b");
     }
 
     @Test
-    void whatIsNoFileOrTooMuchIsTold() throws IOException {
+    void unreadableAndOversizedFilesAreReported() throws IOException {
         Files.createDirectories(folder.resolve("folder"));
         Path big = folder.resolve("big");
-        Files.write(big, new byte[Loader.MAX_FILE + 1]);
+        Files.write(big, new byte[Loader.MAX_FILE_BYTES + 1]);
         Path root = write("a", "include \"folder\" include \"big\" include \"gone\" include \"nul\\t\"");
         assertThat(load(root))
                 .containsExactly(
                         "a:1:9: folder: it is a folder",
-                        "a:1:26: big: it has " + (Loader.MAX_FILE + 1) + " bytes; at most " + Loader.MAX_FILE
-                                + " are read",
+                        "a:1:26: big: it has " + (Loader.MAX_FILE_BYTES + 1) + " bytes; at most "
+                                + Loader.MAX_FILE_BYTES + " are read",
                         "a:1:40: gone: there is no such file",
                         "a:1:55: nul\t: there is no such file");
         assertThat(load(folder.resolve("nowhere")))
@@ -103,13 +103,13 @@
     }
 
     @Test
-    void aChainTooLongAndTooManyFilesAreToldOnce() throws IOException {
+    void tooDeepIncludesAndTooManyFilesAreReportedOnce() throws IOException {
         for (int i = 0; i < 40; i++) {
             write("chain" + i, "include \"chain" + (i + 1) + "\"");
         }
         assertThat(load(folder.resolve("chain0")))
-                .containsExactly("chain" + (Loader.MAX_CHAIN - 1) + ":1:9: too much to read: " + Loader.MAX_CHAIN
-                        + " includes within one another");
+                .containsExactly("chain" + (Loader.MAX_INCLUDE_DEPTH - 1) + ":1:9: too much to read: "
+                        + Loader.MAX_INCLUDE_DEPTH + " includes within one another");
         StringBuilder many = new StringBuilder();
         for (int i = 0; i <= Loader.MAX_FILES; i++) {
             write("many/" + i, "");
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void aNameToldTwiceInTwoIncludesAndAReferenceToItNameBothPlaces() throws IOException {
+    void aDuplicateNameAcrossIncludesIsReportedWithBothPositions() throws IOException {
         Path root = write("a", "include \"b\" include \"c\"\nroute r { pool = p }");
         write("b", "pool p {}");
         write("c", "\npool p { site = x }");
@@ -136,11 +136,11 @@
     // ---- files that change
 
     /** Files in memory that can be replaced when another is read. */
-    private static final class Changing implements Loader.Access {
+    private static final class ReplaceableFiles implements Loader.FileAccess {
         final Map<String, String> files = new HashMap<>();
         final Map<String, Integer> versions = new HashMap<>();
         final List<String> reads = new ArrayList<>();
-        Runnable after = () -> {};
+        Runnable afterRead = () -> {};
 
         void put(String name, String text) {
             files.put(name, text);
@@ -156,7 +156,7 @@
             Loader.Snapshot s = new Loader.Snapshot(
                     name, versions.get(name), files.get(name).getBytes(StandardCharsets.UTF_8));
             reads.add(name);
-            after.run();
+            afterRead.run();
             return s;
         }
 
@@ -167,11 +167,11 @@
     }
 
     @Test
-    void aFileThatIsReplacedWhileOthersAreReadIsReadAgainWithThem() {
-        Changing access = new Changing();
+    void aFileReplacedDuringLoadingRestartsTheLoad() {
+        ReplaceableFiles access = new ReplaceableFiles();
         access.put("a", "include \"b\" old {}");
         access.put("b", "");
-        access.after = () -> {
+        access.afterRead = () -> {
             if (access.reads.size() == 2) {
                 access.put("a", "include \"b\" new {}");
             }
@@ -184,10 +184,10 @@
     }
 
     @Test
-    void aFileThatNeverComesToRestIsTold() {
-        Changing access = new Changing();
+    void aFileThatKeepsChangingIsReported() {
+        ReplaceableFiles access = new ReplaceableFiles();
         access.put("a", "");
-        access.after = () -> access.put("a", "");
+        access.afterRead = () -> access.put("a", "");
         Problems problems = new Problems();
         Loader.load(Path.of("a"), problems, access);
         assertThat(access.reads).hasSize(3);
@@ -195,10 +195,10 @@
     }
 
     @Test
-    void aMistakeInAMixtureOfOldAndNewIsNotTold() {
-        Changing access = new Changing();
+    void mistakesOfAnInconsistentReadAreDiscarded() {
+        ReplaceableFiles access = new ReplaceableFiles();
         access.put("a", "include \"b\"");
-        access.after = () -> {
+        access.afterRead = () -> {
             if (access.reads.size() == 1) {
                 access.put("a", "");
             }
