--- a/src/main/java/cacheproxy/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The root of the command line. */
+/** The root command. */
 @Command(
         name = "cacheproxy",
         mixinStandardHelpOptions = true,
@@ -39,7 +39,7 @@
             "  java -jar target/cacheproxy.jar load --target 127.0.0.1:11211 --rate 1000 --for 30s --html out.html"
         })
 public final class Cli implements Runnable {
-    /** Exit codes: all well, a rule broken or a run that failed, wrong use, a schedule that was not kept. */
+    /** Exit codes: success, a violated rule or failed run, wrong usage, a run whose schedule was not kept. */
     static final int OK = 0;
 
     static final int FAILED = 1;
@@ -56,12 +56,12 @@
         throw new ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** Runs a command line; the process's exit code. */
+    /** Runs a command line and returns the exit code. */
     public static int run(String... args) {
         return commandLine().execute(args);
     }
 
-    /** Runs a command line that prints to these; for tests. */
+    /** Runs a command line with the given output streams; for tests. */
     static int run(PrintWriter out, PrintWriter err, String... args) {
         return commandLine().setOut(out).setErr(err).execute(args);
     }
--- a/src/main/java/cacheproxy/cli/ConfigCommand.java
+++ b/src/main/java/cacheproxy/cli/ConfigCommand.java
@@ -25,7 +25,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code config}: looks at files of routes, pools and policies. */
+/** {@code config}: checks, formats, compares and explains edge configurations. */
 @Command(
         name = "config",
         mixinStandardHelpOptions = true,
@@ -57,7 +57,7 @@
         return spec.commandLine().getErr();
     }
 
-    /** The configuration, or null if it has mistakes, which are then told. */
+    /** Reads the configuration; returns null after printing its mistakes. */
     private Configuration read(Path file, ConfiguredEndpoints endpoints) {
         Problems problems = new Problems();
         Configuration configuration =
@@ -156,7 +156,7 @@
         return valid ? Cli.OK : Cli.FAILED;
     }
 
-    /** Whole or not at all: who reads it meanwhile must not find half a file. */
+    /** Replaces the file atomically, so that a concurrent reader never sees a partial file. */
     private static void replace(Path file, String text) throws IOException {
         Path real = file.toRealPath();
         Path next = Files.createTempFile(real.getParent(), real.getFileName().toString(), ".new");
--- a/src/main/java/cacheproxy/cli/ControlOption.java
+++ b/src/main/java/cacheproxy/cli/ControlOption.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** Which proxy a command is for. */
+/** Option that selects the proxy by its control socket. */
 final class ControlOption {
     @Option(
             names = "--control",
--- a/src/main/java/cacheproxy/cli/DemoCommand.java
+++ b/src/main/java/cacheproxy/cli/DemoCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code demo}: the whole of it on one machine, for some seconds. */
+/** {@code demo}: a complete fleet on one machine under load for a limited time. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
@@ -124,7 +124,7 @@
         try (ProxiedFleet fleet = new ProxiedFleet(fleetSpec, fleetOptions.memoryMb, fleetOptions.edge)) {
             out.printf("front at %s; driving %.0f requests a second%n", fleet.front(), traffic.rate);
             if (leadIn.seconds() > 0) {
-                // Another seed, so that the oracle takes none of its requests for one of the run's.
+                // a different seed, so that the oracle does not mistake lead-in requests for those of the run
                 try (Generator generator = generator(
                         fleet,
                         traffic.leadIn(fleetSpec.classes(), traffic.rate * LEAD_IN_SHARE, leadIn.seconds()),
@@ -151,7 +151,7 @@
         }
     }
 
-    /** What the options ask for, beside the script. */
+    /** Faults from the options, in addition to those of the script. */
     private List<Fault> optionFaults(FleetSpec of) {
         List<Fault> faults = new ArrayList<>();
         if (upgrade != null) {
--- a/src/main/java/cacheproxy/cli/DrainCommand.java
+++ b/src/main/java/cacheproxy/cli/DrainCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code drain}: starts a drain, watches it, or cancels it. */
+/** {@code drain}: starts, watches or cancels a drain. */
 @Command(
         name = "drain",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/Duration.java
+++ b/src/main/java/cacheproxy/cli/Duration.java
@@ -3,7 +3,7 @@
 import cacheproxy.emulator.FaultScript;
 import picocli.CommandLine.TypeConversionException;
 
-/** A time on the command line, such as {@code 300ms}, {@code 20s} or {@code 2m}; in milliseconds. */
+/** A duration argument such as {@code 300ms}, {@code 20s} or {@code 2m}, in milliseconds. */
 record Duration(double ms) {
     static Duration parse(String text) {
         double ms = FaultScript.duration(text);
--- a/src/main/java/cacheproxy/cli/FiguresCommand.java
+++ b/src/main/java/cacheproxy/cli/FiguresCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code figures}: what all proxies of a tier have done together, from their logs. */
+/** {@code figures}: sums the metrics of all proxies of a tier from their logs. */
 @Command(
         name = "figures",
         mixinStandardHelpOptions = true,
@@ -35,7 +35,7 @@
         footerHeading = "%nExamples:%n",
         footer = {"  figures logs", "  figures --each p0.log p1.log"})
 final class FiguresCommand implements Callable<Integer> {
-    /** Nodes named of those that turned connections away. */
+    /** Limit on the listed nodes that rejected connections. */
     private static final int MAX_NODES_SHOWN = 10;
 
     @Spec
@@ -79,7 +79,7 @@
     }
 
     private static void readFile(Path file, FleetMetrics metrics) throws IOException {
-        // Whatever else stands in a log need not be text; a reader made this way takes any bytes.
+        // other parts of a log may not be valid UTF-8; this reader replaces malformed bytes instead of failing
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(Files.newInputStream(file), StandardCharsets.UTF_8))) {
             in.lines().forEach(metrics::add);
@@ -149,7 +149,7 @@
         }
     }
 
-    /** Least, middle and most over all processes that tell it. */
+    /** Prints minimum, median and maximum over all processes that report the value. */
     private static void printDistribution(
             PrintWriter out, String label, FleetMetrics metrics, ToLongFunction<MetricsLine> of) {
         long[] all = metrics.processes().stream()
--- a/src/main/java/cacheproxy/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code fleet}: stand-ins and proxies that stay up, to try things by hand. */
+/** {@code fleet}: emulated nodes and proxies that keep running for manual tests. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/FleetOptions.java
+++ b/src/main/java/cacheproxy/cli/FleetOptions.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** What the stand-ins are like: options that {@code fleet} and {@code demo} share. */
+/** Options of the emulated fleet, shared by {@code fleet} and {@code demo}. */
 final class FleetOptions {
     @Option(
             names = "--nodes",
--- a/src/main/java/cacheproxy/cli/LabCommand.java
+++ b/src/main/java/cacheproxy/cli/LabCommand.java
@@ -26,7 +26,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code lab}: scenarios in which several processes meet faults between them. */
+/** {@code lab}: fault scenarios with several processes. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/LoadCommand.java
+++ b/src/main/java/cacheproxy/cli/LoadCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code load}: the open-loop generator. */
+/** {@code load}: the open-loop load generator. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
@@ -139,7 +139,7 @@
 
     @Override
     public Integer call() throws Exception {
-        if (targets == null) { // not marked as required, which would ask it of merge, too
+        if (targets == null) { // not marked as required, as that would also require it for merge
             throw new ParameterException(spec.commandLine(), "--target HOST:PORT is missing");
         }
         PrintWriter out = spec.commandLine().getOut();
--- a/src/main/java/cacheproxy/cli/LoadRuns.java
+++ b/src/main/java/cacheproxy/cli/LoadRuns.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 
-/** What the commands that drive load share: progress while it runs, and where its report goes. */
+/** Runs a load generator with progress output and writes its reports; shared by {@code load} and {@code demo}. */
 final class LoadRuns {
     private LoadRuns() {}
 
-    /** Runs to the end with a line of progress a second. */
+    /** Runs to completion and prints one progress line per second. */
     static Report run(Generator generator, PrintWriter out, Supplier<String> more) throws Exception {
         CompletableFuture<Report> done = generator.start();
         while (true) {
--- a/src/main/java/cacheproxy/cli/ModelCheckCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelCheckCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code model check}: all states that a small system can reach. */
+/** {@code model check}: explores all reachable states of a small system. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/ModelColdCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelColdCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code model cold}: what a whole fleet sends to nodes that have just started. */
+/** {@code model cold}: the load of a whole fleet on nodes that have just started. */
 @Command(
         name = "cold",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/ModelCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code model}: days of a whole fleet in virtual time. */
+/** {@code model}: simulates days of a whole fleet in virtual time. */
 @Command(
         name = "model",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/ModelNewsCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelNewsCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code model news}: how soon all instances know of a change after calls for the list have failed. */
+/** {@code model news}: how fast all instances learn of a change after failed polls of the endpoint list. */
 @Command(
         name = "news",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/ModelViewCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelViewCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code model view}: how soon the view that instances keep of each other settles. */
+/** {@code model view}: convergence time of the membership view. */
 @Command(
         name = "view",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/ModelZonesCommand.java
+++ b/src/main/java/cacheproxy/cli/ModelZonesCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code model zones}: how soon a fleet leaves a zone and is back. */
+/** {@code model zones}: how fast a fleet leaves a failed zone and returns to it. */
 @Command(
         name = "zones",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/QuotaCommand.java
+++ b/src/main/java/cacheproxy/cli/QuotaCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code quota}: tries quotas without a proxy. */
+/** {@code quota}: evaluates quotas offline, without a proxy. */
 @Command(
         name = "quota",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/StateCommand.java
+++ b/src/main/java/cacheproxy/cli/StateCommand.java
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Writes the intact records as a snapshot, or sets unusable files aside; what was done, for people. */
+    /** Writes the intact records as a snapshot, or sets unusable files aside; returns a message for the operator. */
     private static String repair(StateFolder folder, OpenedState state) throws IOException {
         StateFileHeader header = state.header();
         if (header == null) {
--- a/src/main/java/cacheproxy/cli/StatusCommand.java
+++ b/src/main/java/cacheproxy/cli/StatusCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code status}: the status of a running proxy, section by section. */
+/** {@code status}: prints the status of a running proxy by section. */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
@@ -76,7 +76,7 @@
                 }));
     }
 
-    /** A line for the view, then a row for each member. */
+    /** One line for the view, then one row per member. */
     private static String table(JsonObject view) {
         StringBuilder s = new StringBuilder();
         appendFields(s, summary(view));
@@ -102,7 +102,7 @@
         return o;
     }
 
-    /** A line for each section: its name, then its fields; a further line for each element of a list. */
+    /** One line per section with its name and fields, then one line per element of its lists. */
     static String text(JsonObject status) {
         StringBuilder s = new StringBuilder();
         for (Map.Entry<String, JsonElement> section : status.entrySet()) {
--- a/src/main/java/cacheproxy/cli/Target.java
+++ b/src/main/java/cacheproxy/cli/Target.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import picocli.CommandLine.TypeConversionException;
 
-/** An address with its port on the command line. */
+/** A HOST:PORT argument. */
 record Target(InetSocketAddress address) {
     static Target parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -14,7 +14,7 @@
                 return new Target(address);
             }
         } catch (IllegalArgumentException e) {
-            // told below
+            // reported below
         }
         throw new TypeConversionException("'" + text + "' is no address; it reads HOST:PORT, as in 127.0.0.1:11211");
     }
--- a/src/main/java/cacheproxy/cli/TrafficOptions.java
+++ b/src/main/java/cacheproxy/cli/TrafficOptions.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** What drawn traffic is like: options that {@code load} and {@code demo} share. */
+/** Options of synthetic traffic, shared by {@code load} and {@code demo}. */
 final class TrafficOptions {
     @Option(
             names = "--rate",
@@ -92,7 +92,7 @@
                 seed));
     }
 
-    /** Steady traffic over the same keys before the run itself, at another rate. */
+    /** Steady traffic over the same keys at another rate, sent before the run. */
     SyntheticWorkload leadIn(List<TrafficClass> classes, double leadRate, double seconds) {
         return new SyntheticWorkload(new SyntheticWorkload.Settings(
                 leadRate,
--- a/src/main/java/cacheproxy/cli/ValueOptions.java
+++ b/src/main/java/cacheproxy/cli/ValueOptions.java
@@ -4,7 +4,7 @@
 import cacheproxy.emulator.ValueSizes;
 import picocli.CommandLine.Option;
 
-/** How long values are: an option that {@code fleet}, {@code load} and {@code demo} share. */
+/** Option for value sizes, shared by {@code fleet}, {@code load} and {@code demo}. */
 final class ValueOptions {
     @Option(
             names = "--values",
@@ -14,12 +14,12 @@
                     "Shares of all keys with longer values, as SIZE:SHARE separated by commas: 4mb:0.05,64kb:0.1.")
     private String mix;
 
-    /** Lengths for keys whose values have this length usually. */
+    /** The value sizes; keys outside the mix have the usual length. */
     ValueSizes sizes(int usual) {
         return ValueSizes.parse(mix, usual);
     }
 
-    /** This fleet with them. */
+    /** The fleet with these value sizes. */
     FleetSpec applyTo(FleetSpec spec) {
         return spec.withValues(sizes(spec.values().usual()));
     }
--- a/src/main/java/cacheproxy/cli/ZoneCommand.java
+++ b/src/main/java/cacheproxy/cli/ZoneCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code zone}: what the fleet has decided of its zones, and orders that all of it keeps. */
+/** {@code zone}: shows the fleet's zone decisions and sends operator orders, which apply to the whole fleet. */
 @Command(
         name = "zone",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/package-info.java
+++ b/src/main/java/cacheproxy/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line of the tools: reads arguments, starts something, prints, chooses the exit code. Loaded only by the
- * commands that need it, so that {@code serve}, {@code drill} and {@code train} start without it. May use everything;
- * nothing uses it but {@code Main}.
+ * The command line of the tools: parses arguments, runs a command, prints its result and sets the exit code. Loaded
+ * only by these commands, so that {@code serve}, {@code drill} and {@code train} start without it. May depend on every
+ * package; only {@code Main} depends on it.
  */
 package cacheproxy.cli;
--- a/src/main/java/cacheproxy/config/Checker.java
+++ b/src/main/java/cacheproxy/config/Checker.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** From syntax to entries by a schema: names, types, ranges, defaults, references. */
+/** Validates syntax trees against a schema (names, types, ranges, defaults, references) and builds the entries. */
 final class Checker {
     private static final int MAX_NAME_LENGTH = 100;
 
@@ -28,7 +28,7 @@
 
     private final Schema schema;
     private final Problems problems;
-    /** By section, what its {@code defaults} blocks set. */
+    /** Values set by {@code defaults} blocks, by section and attribute. */
     private final Map<String, Map<String, Setting>> defaults = new HashMap<>();
 
     private final Map<Key, List<Place>> placesByName = new HashMap<>();
@@ -39,7 +39,7 @@
         this.problems = problems;
     }
 
-    /** The entries; of use only if {@code problems} stays without any. */
+    /** Returns the checked entries; only valid if {@code problems} remains empty. */
     static Configuration check(List<Document> documents, Schema schema, Problems problems) {
         Checker checker = new Checker(schema, problems);
         checker.checkBlocks(documents, true);
@@ -52,7 +52,7 @@
         return configuration;
     }
 
-    /** Defaults first, wherever they stand: what holds may not hang on order. */
+    /** Run for {@code defaults} first, as the position of a block must not affect the result. */
     private void checkBlocks(List<Document> documents, boolean defaultsOnly) {
         for (Document d : documents) {
             for (Item item : d.items()) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** The section that knows an attribute of this name. */
+    /** A fix that names the first section with this attribute, or null. */
     private String suggestOwner(String attribute) {
         return schema.sections().values().stream()
                 .filter(s -> s.attributes().containsKey(attribute))
@@ -207,7 +207,7 @@
         return name == null ? null : new Entry(section, name, block.place(), all, blocks);
     }
 
-    /** The block's name, empty where it has none, null where that is wrong. */
+    /** The block's name, empty for a section without names, or null if the label is invalid (reported). */
     private String blockName(Section section, Block block) {
         int labels = block.labels().size();
         if (section.naming() != Naming.NAMED) {
--- a/src/main/java/cacheproxy/config/ConfigFile.java
+++ b/src/main/java/cacheproxy/config/ConfigFile.java
@@ -8,25 +8,25 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** What can be done with files of the language: check them, lay them out, and show what they come to. */
+/** Entry points of the configuration language: read and check, format, and print the effective configuration. */
 public final class ConfigFile {
     private ConfigFile() {}
 
     /**
-     * Reads a file with all that it includes. What is wrong goes to {@code problems}, all of it in one run; the result
-     * is of use only if there is none.
+     * Reads a file and its includes. All mistakes are added to {@code problems} in one run; the result is valid only if
+     * there is none.
      */
     public static Configuration read(Path file, Schema schema, Problems problems) {
         List<Document> documents = Loader.load(file, problems);
         return Checker.check(documents, schema, problems);
     }
 
-    /** Reads a text that includes nothing. */
+    /** Reads a text; its includes are not loaded. */
     public static Configuration read(Source source, Schema schema, Problems problems) {
         return Checker.check(List.of(Parser.parse(source, problems)), schema, problems);
     }
 
-    /** The text in the one layout; null if it has mistakes. Its includes are not followed. */
+    /** The text in canonical layout, or null if it has mistakes. Includes are not loaded. */
     public static String format(Source source, Problems problems) {
         Problems found = new Problems();
         Document document = Parser.parse(source, found);
@@ -34,7 +34,7 @@
         return found.none() ? Formatter.format(document) : null;
     }
 
-    /** All entries in one text with every value that holds, and where each comes from. Can itself be read. */
+    /** All entries as one text with every effective value and its origin. The text is itself a valid configuration. */
     public static String effective(Configuration configuration) {
         StringBuilder s = new StringBuilder();
         for (Entry e : configuration.entries()) {
--- a/src/main/java/cacheproxy/config/Difference.java
+++ b/src/main/java/cacheproxy/config/Difference.java
@@ -9,16 +9,16 @@
 import java.util.TreeSet;
 
 /**
- * One thing that two configurations do not have alike. Order, layout, includes, units and whether a value is set in
- * place or by default make none.
+ * One semantic difference between two configurations. Order, layout, includes, units, and whether a value is set in
+ * place or by default, do not count.
  *
- * @param kind what has become of it
- * @param before the entry in the first, null if it is new
- * @param after the entry in the second, null if it is gone
- * @param detail what of it changed, a line each; empty for what is new or gone
+ * @param kind how the entry changed
+ * @param before the entry in the first configuration, null if it was added
+ * @param after the entry in the second configuration, null if it was removed
+ * @param detail one line per changed attribute or nested block; empty unless {@code kind} is CHANGED
  */
 public record Difference(Kind kind, Entry before, Entry after, List<String> detail) {
-    /** What has become of an entry. */
+    /** How an entry changed. */
     public enum Kind {
         ADDED,
         REMOVED,
@@ -26,7 +26,7 @@
         RENAMED
     }
 
-    /** All differences, by section and name. */
+    /** All differences, ordered by section and name. */
     public static List<Difference> between(Configuration a, Configuration b) {
         Map<String, Entry> before = byKey(a);
         Map<String, Entry> after = byKey(b);
@@ -47,7 +47,7 @@
         return joinRenames(all);
     }
 
-    /** What differs in its name only is the same entry under another. */
+    /** Merges a removed and an added entry with equal content into one renamed entry. */
     private static List<Difference> joinRenames(List<Difference> all) {
         List<Difference> joined = new ArrayList<>();
         List<Difference> removed =
--- a/src/main/java/cacheproxy/config/Formatter.java
+++ b/src/main/java/cacheproxy/config/Formatter.java
@@ -14,7 +14,7 @@
 import cacheproxy.config.Syntax.Word;
 import java.util.List;
 
-/** Prints a file in the one layout that all files have: two blanks a level, an item a line, comments kept. */
+/** Prints a file in canonical layout: two spaces per level, one item per line, comments preserved. */
 final class Formatter {
     private static final int MAX_LINE_LENGTH = 100;
     private static final String INDENT = "  ";
@@ -23,7 +23,9 @@
 
     private Formatter() {}
 
-    /** The file's text; of one that has mistakes nothing is known, so it must have none. */
+    /**
+     * The formatted text. The document must come from a file without syntax errors, as the parser drops invalid items.
+     */
     static String format(Document document) {
         Formatter f = new Formatter();
         f.items(document.items(), "", document.closing());
--- a/src/main/java/cacheproxy/config/Lexer.java
+++ b/src/main/java/cacheproxy/config/Lexer.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts a file's text into words. What is none is told and left out, so that the rest can still be looked at. */
+/** Splits a file's text into tokens. Invalid characters are reported and skipped, so that the rest is still checked. */
 final class Lexer {
     private static final String PUNCTUATION = "={}[],";
     private static final Kind[] KINDS = {Kind.EQUALS, Kind.OPEN, Kind.CLOSE, Kind.OPEN_LIST, Kind.CLOSE_LIST, Kind.COMMA
@@ -26,7 +26,7 @@
         this.problems = problems;
     }
 
-    /** The words with the comments; the last is {@code END}. */
+    /** All tokens including comments; the last is {@code END}. */
     static List<Token> tokens(Source source, Problems problems) {
         Lexer lexer = new Lexer(source, problems);
         while (lexer.position < lexer.text.length()) {
@@ -76,7 +76,7 @@
                 position++;
             }
             if (text.startsWith("*", position) && text.charAt(position - 1) == '-') {
-                position++; // all that begin so, as in proxy-*
+                position++; // a prefix pattern such as proxy-*
             }
             add(Kind.NAME, text.substring(from, position), from);
         } else {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** One message for a run of characters that mean nothing. */
+    /** Reports a run of invalid characters once. */
     private void reportStray(char c) {
         int from = position;
         boolean comment = (text.startsWith("//", position) || text.startsWith("/*", position))
--- a/src/main/java/cacheproxy/config/Loader.java
+++ b/src/main/java/cacheproxy/config/Loader.java
@@ -21,14 +21,14 @@
 import java.util.stream.Stream;
 
 /**
- * Reads a file and what it includes, each file once. A file is known by what the system knows it by, so links and
- * {@code ..} make no two files of one. If one of them was replaced while the others were read, all are read again: a
- * mixture of old and new is nobody's configuration.
+ * Loads a file and its includes, each file once. Files are identified by the file system's key, so that links and
+ * {@code ..} do not load a file twice. If a file changes during the load, all files are read again, as a mixture of old
+ * and new files is a configuration that nobody wrote.
  */
 public final class Loader {
-    /** Of one file, in bytes. */
+    /** Limit for a single file. */
     static final int MAX_FILE_BYTES = 4 << 20;
-    /** Of all files together, in bytes. */
+    /** Limit for all files together. */
     static final long MAX_TOTAL_BYTES = 64L << 20;
 
     static final int MAX_FILES = 2000;
@@ -36,15 +36,15 @@
     private static final int MAX_ATTEMPTS = 3;
     private static final int MAX_SUGGESTION_CANDIDATES = 1000;
 
-    /** A file's content, and what would be another if it were replaced. */
+    /** A file's content with its identity and a stamp that changes when the file is replaced. */
     record Snapshot(Object identity, Object stamp, byte[] content) {}
 
-    /** Where files come from; a test can change them in the middle. */
+    /** File access; tests substitute files that change during a load. */
     interface FileAccess {
-        /** The content with its stamp; an IOException says why there is none. */
+        /** Reads the content with its stamp; a plain IOException has a message for the user. */
         Snapshot read(Path path) throws IOException;
 
-        /** What {@link #read} would give as stamp now. */
+        /** The stamp that {@link #read} would return now. */
         Object stamp(Path path) throws IOException;
     }
 
@@ -87,7 +87,7 @@
         this.access = access;
     }
 
-    /** The files' syntax, the root first; what is wrong goes to {@code problems}. */
+    /** Parses all files, the root first; mistakes are added to {@code problems}. */
     static List<Document> load(Path root, Problems problems) {
         return load(root, problems, DISK);
     }
@@ -147,7 +147,7 @@
             return;
         }
         if (loaded.containsKey(snapshot.identity())) {
-            return; // two ways to one file: it is there already
+            return; // included more than once; already loaded
         }
         if (loaded.size() >= MAX_FILES
                 || includeChain.size() >= MAX_INCLUDE_DEPTH
@@ -211,7 +211,7 @@
         return String.join(" includes ", names);
     }
 
-    /** A file of a like name in the same folder. */
+    /** A fix that suggests a file with a similar name in the same folder. */
     private static String suggestSibling(Path path) {
         Path folder = path.toAbsolutePath().getParent();
         if (folder == null || !Files.isDirectory(folder) || path.getFileName() == null) {
--- a/src/main/java/cacheproxy/config/Parser.java
+++ b/src/main/java/cacheproxy/config/Parser.java
@@ -19,11 +19,11 @@
 import java.util.List;
 
 /**
- * Reads one file by recursive descent. After a mistake it goes on with the next line that could begin an item, so that
- * one run tells all mistakes; how deep blocks nest is bounded, and so is the stack.
+ * Recursive descent parser for one file. After a syntax error it resumes at the next line that can begin an item, so
+ * that one run reports all errors. The nesting depth of blocks is limited, which bounds the stack.
  */
 final class Parser {
-    /** Far beyond what any section has. */
+    /** Far above the depth of any section. */
     static final int MAX_DEPTH = 16;
 
     private static final int MAX_LABELS = 4;
@@ -31,9 +31,9 @@
     private final Problems problems;
     private final List<Token> tokens;
     private int position;
-    /** One mistake of this kind is told, and not each block that it leaves open. */
+    /** Set when excessive depth was reported; the blocks left open by it are then not reported as well. */
     private boolean depthReported;
-    /** Comments met and not yet anybody's. */
+    /** Comments read but not yet attached to an item. */
     private final List<String> pending = new ArrayList<>();
 
     private Parser(List<Token> tokens, Problems problems) {
@@ -41,20 +41,20 @@
         this.problems = problems;
     }
 
-    /** What of the file could be read. */
+    /** Parses the file; invalid items are missing from the result. */
     static Document parse(Source source, Problems problems) {
         Parser parser = new Parser(Lexer.tokens(source, problems), problems);
         List<Item> items = parser.items(0, null);
         return new Document(source, items, parser.takePending(false));
     }
 
-    // ---- words
+    // ---- tokens
 
     private Token peek() {
         return tokens.get(position);
     }
 
-    /** The next word that is no comment; comments on the way become loose. */
+    /** The next token that is not a comment; comments before it become pending. */
     private Token peekToken() {
         while (peek().is(Kind.COMMENT)) {
             takeComment();
@@ -88,7 +88,7 @@
         return taken;
     }
 
-    /** A comment that stands on the same line behind what has just been read. */
+    /** Consumes a comment that follows the last token on the same line, or returns null. */
     private String trailing() {
         return peek().is(Kind.COMMENT) && peek().lineEndsBefore() == 0 ? take().text() : null;
     }
@@ -142,7 +142,7 @@
         position = Math.max(position, start + 1);
     }
 
-    /** On to the next line at this depth that begins with a name, or to the end of the block. */
+    /** Skips to the next line at this depth that begins with a name, or to the end of the block. */
     private void skipItem() {
         int depth = 0;
         for (Token t = peek(); !t.is(Kind.END); t = peek()) {
@@ -169,7 +169,7 @@
         return block(name, before, depth);
     }
 
-    /** Comments that stood within an item go before it. */
+    /** Comments inside an item are moved in front of it. */
     private Comments comments(List<String> before) {
         String after = trailing();
         before.addAll(takePending(false));
@@ -311,7 +311,7 @@
         return value instanceof Quantity && next.is(Kind.NAME) && next.text().length() < 3;
     }
 
-    /** Whether an item begins here: {@code a = 1 b = 2} on one line is two. */
+    /** Whether an item begins here; {@code a = 1 b = 2} on one line is two items. */
     private boolean startsItem(int index) {
         Kind after = tokens.get(Math.min(index + 1, tokens.size() - 1)).kind();
         return after == Kind.EQUALS || after == Kind.OPEN || after == Kind.STRING;
@@ -371,7 +371,7 @@
         }
     }
 
-    /** Takes a word of this kind if it is next, over comments on the way only if it is. */
+    /** Consumes the next non-comment token, and the comments before it, only if it has this kind. */
     private boolean takeIfNext(Kind kind) {
         int i = position;
         while (tokens.get(i).is(Kind.COMMENT)) {
@@ -387,7 +387,7 @@
         return true;
     }
 
-    /** The place of a file's first character. */
+    /** The position of a file's first character. */
     static Place start(Source source) {
         return new Place(source, 1, 1);
     }
--- a/src/main/java/cacheproxy/config/Problem.java
+++ b/src/main/java/cacheproxy/config/Problem.java
@@ -3,17 +3,17 @@
 import cacheproxy.config.Source.Place;
 
 /**
- * Something wrong in a file.
+ * A mistake in a configuration file.
  *
  * @param place where it begins
- * @param message what is wrong, in one line
- * @param fix what would most likely mend it, in one line; null where nothing can be said
+ * @param message a description in one line
+ * @param fix the most likely correction in one line; null if none is known
  */
 public record Problem(Place place, String message, String fix) {
-    /** Of a line longer than this only the part around the place is shown. */
+    /** Longer lines are cut to this many characters around the position. */
     private static final int MAX_SHOWN = 100;
 
-    /** For people: the place, the line with a caret under it, and the fix. */
+    /** Human-readable text: position, source line with a caret, and fix. */
     public String text() {
         String line = place.source().line(place.line()).replace('\t', ' ');
         int column = Math.max(1, Math.min(place.column(), line.length() + 1));
@@ -26,7 +26,7 @@
                 + " ".repeat(column - 1 - from) + "^" + (fix == null ? "" : "\n  fix: " + printable(fix));
     }
 
-    /** Control characters shown as a mark each, so that a file can't play with the terminal. */
+    /** Replaces control characters, so that a file can't send escape sequences to the terminal. */
     private static String printable(String line) {
         return line.chars()
                 .map(c -> Character.isISOControl(c) ? '\ufffd' : c)
--- a/src/main/java/cacheproxy/config/Problems.java
+++ b/src/main/java/cacheproxy/config/Problems.java
@@ -7,20 +7,20 @@
 import java.util.List;
 import java.util.Set;
 
-/** All that is wrong with a configuration, in the order of the files; the first {@link #MAX_KEPT} of it. */
+/** The mistakes found in a configuration; only the first {@link #MAX_KEPT} are kept. */
 public final class Problems {
-    /** More are counted and not kept. */
+    /** Further mistakes are only counted. */
     public static final int MAX_KEPT = 200;
 
     private final Set<Problem> all = new LinkedHashSet<>();
     private long dropped;
 
-    /** All that others have found, too. */
+    /** Adds the mistakes of another collection. */
     void addAll(Problems others) {
         others.all().forEach(p -> add(p.place(), p.message(), p.fix()));
     }
 
-    /** Something wrong and what would most likely mend it, null if nothing can be said. */
+    /** Adds a mistake and its most likely correction, null if none is known. */
     public void add(Place place, String message, String fix) {
         if (all.size() < MAX_KEPT) {
             all.add(new Problem(place, message, fix));
@@ -29,12 +29,12 @@
         }
     }
 
-    /** Whether there is none. */
+    /** Whether no mistake was found. */
     public boolean none() {
         return all.isEmpty();
     }
 
-    /** By file in the order in which they were met, then by line. */
+    /** Sorted by file in order of first occurrence, then by line and column. */
     public List<Problem> all() {
         List<String> files =
                 all.stream().map(p -> p.place().source().name()).distinct().toList();
@@ -46,7 +46,7 @@
         return sorted;
     }
 
-    /** For people. */
+    /** Human-readable text of all mistakes. */
     public String text() {
         StringBuilder s = new StringBuilder();
         all().forEach(p -> s.append(p.text()).append('\n'));
--- a/src/main/java/cacheproxy/config/Schema.java
+++ b/src/main/java/cacheproxy/config/Schema.java
@@ -6,35 +6,35 @@
 import java.util.Map;
 
 /**
- * The sections that files may have. A subsystem registers its own, with the checks that need more than one attribute or
- * entry at a time.
+ * The sections permitted in configuration files. Each subsystem registers its sections, and the checks that span
+ * several attributes or entries.
  */
 public final class Schema {
-    /** A check over all entries, run when each by itself is right. */
+    /** A check across entries, run only if every entry is valid by itself. */
     public interface Check {
-        /** Looks at a whole configuration; what is wrong with it goes to {@code problems}, with its place. */
+        /** Checks a whole configuration and adds mistakes to {@code problems}. */
         void run(Configuration configuration, Problems problems);
     }
 
     private final Map<String, Section> sections = new LinkedHashMap<>();
     private final List<Check> checks = new ArrayList<>();
 
-    /** Adds a section; its name must be free. */
+    /** Adds a section; its name must be unique and not reserved. */
     public Schema register(Section section) {
         String name = section.name();
         if (name.equals("include") || name.equals("defaults") || sections.put(name, section) != null) {
-            throw new IllegalArgumentException("a section of the name " + name + " is there already");
+            throw new IllegalArgumentException("section " + name + " is reserved or already registered");
         }
         return this;
     }
 
-    /** Adds a check. */
+    /** Adds a check across entries. */
     public Schema check(Check check) {
         checks.add(check);
         return this;
     }
 
-    /** By name, in the order in which they are shown. */
+    /** All sections by name, in display order. */
     public Map<String, Section> sections() {
         return sections;
     }
--- a/src/main/java/cacheproxy/config/Section.java
+++ b/src/main/java/cacheproxy/config/Section.java
@@ -3,28 +3,26 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/**
- * What one kind of block may hold: its attributes and the blocks within it. Built once, when a subsystem registers it.
- */
+/** The schema of one kind of block: its attributes and nested blocks. Built once, when a subsystem registers it. */
 public final class Section {
-    /** Whether a block of the kind carries a name. */
+    /** Whether blocks of a section have names, and how often they may occur. */
     public enum Naming {
-        /** None, and it may stand once. */
+        /** No name; may occur once. */
         ONCE,
-        /** None, and it may stand often. */
+        /** No name; may occur several times. */
         MANY,
-        /** One, by which it is told apart and referred to. */
+        /** A unique name, used in references. */
         NAMED
     }
 
     /**
      * One attribute.
      *
-     * @param type of the value, or of each of a list's
-     * @param listed whether a list may stand there; a single value is a list of one, and its order means nothing
-     * @param required whether it must be set
-     * @param builtIn its value where nothing is set, as it would be written; null for none
-     * @param help in half a line
+     * @param type the type of the value, or of each list element
+     * @param listed whether a list is allowed; a single value is a list of one, and order is irrelevant
+     * @param required whether a value is mandatory
+     * @param builtIn the built-in default as source text; null for none
+     * @param help a short description
      */
     public record Attribute(String name, Type type, boolean listed, boolean required, String builtIn, String help) {}
 
@@ -34,64 +32,64 @@
     private final Map<String, Attribute> attributes = new LinkedHashMap<>();
     private final Map<String, Section> blocks = new LinkedHashMap<>();
 
-    /** Without anything in it yet. */
+    /** Creates a section without attributes or blocks. */
     public Section(String name, Naming naming, String help) {
         this.name = name;
         this.naming = naming;
         this.help = help;
     }
 
-    /** An attribute that must be set. */
+    /** Adds a mandatory attribute. */
     public Section required(String attribute, Type type, String what) {
         return with(new Attribute(attribute, type, false, true, null, what));
     }
 
-    /** An attribute that may be set; {@code builtIn} null: it has no value then. */
+    /** Adds an optional attribute; with {@code builtIn} null it has no default. */
     public Section optional(String attribute, Type type, String builtIn, String what) {
         return with(new Attribute(attribute, type, false, false, builtIn, what));
     }
 
-    /** An attribute that may be set to one value or a list. */
+    /** Adds an optional attribute that takes one value or a list. */
     public Section list(String attribute, Type type, String what) {
         return with(new Attribute(attribute, type, true, false, null, what));
     }
 
     private Section with(Attribute a) {
         if (attributes.put(a.name(), a) != null || blocks.containsKey(a.name())) {
-            throw new IllegalArgumentException(name + " has " + a.name() + " twice");
+            throw new IllegalArgumentException(name + " defines " + a.name() + " more than once");
         }
         return this;
     }
 
-    /** A kind of block within it. */
+    /** Adds a kind of nested block. */
     public Section block(Section inner) {
         if (blocks.put(inner.name, inner) != null || attributes.containsKey(inner.name)) {
-            throw new IllegalArgumentException(name + " has " + inner.name + " twice");
+            throw new IllegalArgumentException(name + " defines " + inner.name + " more than once");
         }
         return this;
     }
 
-    /** The word that a block begins with. */
+    /** The keyword of the block. */
     public String name() {
         return name;
     }
 
-    /** Whether a block carries a name. */
+    /** Whether blocks have names. */
     public Naming naming() {
         return naming;
     }
 
-    /** What it is for, in half a line. */
+    /** A short description. */
     public String help() {
         return help;
     }
 
-    /** By name, in the order in which they are shown. */
+    /** Attributes by name, in display order. */
     public Map<String, Attribute> attributes() {
         return attributes;
     }
 
-    /** By name, in the order in which they are shown. */
+    /** Nested blocks by name, in display order. */
     public Map<String, Section> blocks() {
         return blocks;
     }
--- a/src/main/java/cacheproxy/config/Source.java
+++ b/src/main/java/cacheproxy/config/Source.java
@@ -1,20 +1,20 @@
 package cacheproxy.config;
 
 /**
- * A file's text, by the name that it is told by. Lines and columns count from 1; a column is a code unit of UTF-16, as
- * editors count them but for characters outside the basic plane.
+ * A file's text with its display name. Lines and columns start at 1; columns count UTF-16 code units, which matches
+ * editors except for characters outside the basic multilingual plane.
  */
 public final class Source {
     private final String name;
     private final String text;
 
-    /** {@code name}: as people know the file. */
+    /** {@code name} is the path shown in messages. */
     public Source(String name, String text) {
         this.name = name;
         this.text = text;
     }
 
-    /** As people know it. */
+    /** The path shown in messages. */
     public String name() {
         return name;
     }
@@ -23,7 +23,7 @@
         return text;
     }
 
-    /** The text of a line without its end, empty past the last. */
+    /** A line without its terminator; empty past the last line. */
     String line(int number) {
         int from = 0;
         for (int i = 1; i < number; i++) {
@@ -37,7 +37,7 @@
         return line.endsWith("\r") ? line.substring(0, line.length() - 1) : line;
     }
 
-    /** A place in it. */
+    /** A position in the file. */
     public record Place(Source source, int line, int column) {
         /** As {@code FILE:LINE:COLUMN}. */
         @Override
--- a/src/main/java/cacheproxy/config/Suggestions.java
+++ b/src/main/java/cacheproxy/config/Suggestions.java
@@ -4,13 +4,13 @@
 import java.util.Comparator;
 import java.util.Optional;
 
-/** Guesses at what was meant by a name that nobody knows. */
+/** Suggestions for unknown names, based on edit distance. */
 public final class Suggestions {
     private static final int MAX_LENGTH = 64;
 
     private Suggestions() {}
 
-    /** "did you mean X?", or what there is to choose from, or null where there is nothing. */
+    /** "did you mean X?", else the list of known names, or null if there are none or more than 12. */
     public static String suggest(String given, Collection<String> known) {
         Optional<String> near = known.stream()
                 .filter(k -> distance(given, k) <= Math.max(1, Math.min(2, k.length() / 3)))
@@ -25,7 +25,7 @@
                         : "one of " + String.join(", ", known.stream().sorted().toList());
     }
 
-    /** Edits from one to the other: a letter more, fewer, another, or two swapped (Damerau, 1964). */
+    /** Damerau-Levenshtein distance (Damerau, 1964): insertions, deletions, substitutions and adjacent swaps. */
     static int distance(String a, String b) {
         if (a.length() > MAX_LENGTH || b.length() > MAX_LENGTH) {
             return Integer.MAX_VALUE;
--- a/src/main/java/cacheproxy/config/Syntax.java
+++ b/src/main/java/cacheproxy/config/Syntax.java
@@ -3,21 +3,21 @@
 import cacheproxy.config.Source.Place;
 import java.util.List;
 
-/** A file as it is written: what the formatter prints and the checker reads. */
+/** The syntax tree of a file, input of the formatter and the checker. */
 final class Syntax {
     private Syntax() {}
 
     /**
      * Comments around an item.
      *
-     * @param before each on a line of its own; an empty one stands for a blank line
-     * @param after on the item's own last line, or null
+     * @param before comments on their own lines; an empty string is a blank line
+     * @param after the comment on the item's last line, or null
      */
     record Comments(List<String> before, String after) {
         static final Comments NONE = new Comments(List.of(), null);
     }
 
-    /** What may stand in a file or a block. */
+    /** An element of a file or a block. */
     sealed interface Item permits Include, Attribute, Block {
         Place place();
 
@@ -33,7 +33,7 @@
     /**
      * {@code NAME [LABEL ...] { ITEM ... }}.
      *
-     * @param opening comment on the line of the brace, or null
+     * @param opening comment on the line of the opening brace, or null
      * @param closing comments before the closing brace
      */
     record Block(
@@ -49,7 +49,7 @@
     /** A block's label, a name or a string. */
     record Label(Place place, String text, String raw) {}
 
-    /** What stands behind an equals sign. */
+    /** The right side of an attribute. */
     sealed interface Value permits Text, Word, Quantity, Listing {
         Place place();
     }
@@ -58,12 +58,12 @@
 
     record Word(Place place, String text) implements Value {}
 
-    /** A number with or without a unit, not yet looked into. */
+    /** A number with or without a unit, not yet parsed. */
     record Quantity(Place place, String text) implements Value {}
 
     record Listing(Place place, List<Element> elements, List<String> closing) implements Value {}
 
-    /** One of a list's values. */
+    /** An element of a list. */
     record Element(Value value, Comments comments) {}
 
     /** A whole file; {@code closing}: comments after the last item. */
--- a/src/main/java/cacheproxy/config/Token.java
+++ b/src/main/java/cacheproxy/config/Token.java
@@ -3,11 +3,11 @@
 import cacheproxy.config.Source.Place;
 
 /**
- * A word of the language.
+ * A token.
  *
- * @param text as it stands in the file; for a string without quotes and with its escapes undone
- * @param raw as it stands in the file
- * @param lineEndsBefore how many lines end between the token before and this one
+ * @param text the source text; for a string, its value without quotes and escapes
+ * @param raw the source text
+ * @param lineEndsBefore the number of line ends between the previous token and this one
  */
 record Token(Kind kind, String text, String raw, Place place, int lineEndsBefore) {
     enum Kind {
--- a/src/main/java/cacheproxy/config/Type.java
+++ b/src/main/java/cacheproxy/config/Type.java
@@ -15,16 +15,16 @@
 import java.util.regex.Pattern;
 
 /**
- * What kind of value an attribute takes. A value has one canonical form, so that {@code 1s} and {@code 1000ms} are the
- * same; quantities carry their unit, because a number that means seconds to one and milliseconds to another is how
- * installations break.
+ * The type of an attribute's value. Each value has one canonical form, so that {@code 1s} equals {@code 1000ms}.
+ * Quantities require a unit, because a bare number that one reader takes as seconds and another as milliseconds causes
+ * outages.
  */
 public final class Type {
     /**
-     * A value that has been read.
+     * A parsed value.
      *
      * @param value a {@link BigDecimal} in the base unit, a String or a Boolean
-     * @param canonical as text, alike for all ways to write it
+     * @param canonical the text form, equal for all equivalent notations
      */
     public record Parsed(Object value, String canonical) {}
 
@@ -69,12 +69,12 @@
         this.reader = reader;
     }
 
-    /** In words, as "a duration". */
+    /** A phrase for messages, such as "a duration". */
     public String description() {
         return description;
     }
 
-    /** The section whose entries a value of this type names, or null. */
+    /** For a reference, the section of the referenced entry; else null. */
     String reference() {
         return reference;
     }
@@ -85,27 +85,27 @@
 
     // ---- the types
 
-    /** A duration, read as milliseconds, within a range that is written as durations are. */
+    /** A duration in milliseconds; bounds are written with a unit, such as "1ms". */
     public static Type duration(String min, String max) {
         return quantity("duration", DURATION, min, max);
     }
 
-    /** A size, read as bytes. */
+    /** A size in bytes. */
     public static Type size(String min, String max) {
         return quantity("size", SIZE, min, max);
     }
 
-    /** A rate, read as events an hour, which keeps what is a whole number of them a minute exact. */
+    /** A rate in events per hour, so that whole numbers per minute remain exact. */
     public static Type rate(String min, String max) {
         return quantity("rate", RATE, min, max);
     }
 
-    /** A share, read as percent. */
+    /** A share in percent. */
     public static Type share(String min, String max) {
         return quantity("share", SHARE, min, max);
     }
 
-    /** A whole number without a unit. */
+    /** An integer without a unit. */
     public static Type count(long min, long max) {
         return new Type(
                 "a whole number",
@@ -113,12 +113,12 @@
                 r -> number(r, "a whole number", BigDecimal.valueOf(min), BigDecimal.valueOf(max), true));
     }
 
-    /** A number without a unit, perhaps with a fraction. */
+    /** A decimal number without a unit. */
     public static Type factor(String min, String max) {
         return new Type("a number", null, r -> number(r, "a number", new BigDecimal(min), new BigDecimal(max), false));
     }
 
-    /** A string in quotes, not empty, of so many characters at most. */
+    /** A quoted, non-empty string of at most {@code max} characters. */
     public static Type text(int max) {
         return new Type(
                 "a string",
@@ -144,7 +144,7 @@
         return new Parsed(text, quoted(text));
     }
 
-    /** A name or a string that names something outside of the file. */
+    /** A name, bare or quoted, of something defined outside the file. */
     public static Type name(int max) {
         return new Type(
                 "a name",
@@ -160,7 +160,7 @@
                                                 : "write one name"));
     }
 
-    /** One of these words. */
+    /** One of the given keywords. */
     public static Type choice(String... choices) {
         List<String> all = List.of(choices);
         return new Type("one of " + String.join(", ", all), null, r -> {
@@ -215,7 +215,7 @@
         return new Unit(base, all, example, otherExample);
     }
 
-    @SuppressWarnings("ReferenceEquality") // each unit is one constant
+    @SuppressWarnings("ReferenceEquality") // units are singletons
     private static Type quantity(String kind, Unit unit, String min, String max) {
         BigDecimal low = parse(unit, min);
         BigDecimal high = parse(unit, max);
@@ -255,7 +255,7 @@
     private static BigDecimal parse(Unit unit, String text) {
         Matcher m = NUMBER.matcher(text);
         if (!m.matches() || !unit.factors().containsKey(m.group(2))) {
-            throw new IllegalArgumentException(text + " is no bound of a quantity in " + unit.base());
+            throw new IllegalArgumentException(text + " is not a valid bound in a unit of " + unit.base());
         }
         return new BigDecimal(m.group(1)).multiply(unit.factors().get(m.group(2)));
     }
@@ -275,7 +275,9 @@
                 return "did you mean " + number + known + "?";
             }
         }
-        // "mins", "sec", "hours", "msec": a longer word for one that is known, if it is not one of another kind.
+        // "mins", "sec", "hours", "msec": the longest known unit that the suffix starts with, unless the suffix is a
+        // unit of
+        // another kind
         boolean otherKind = UNITS.values().stream().anyMatch(u -> u.factors().containsKey(suffix));
         String start = otherKind
                 ? null
@@ -330,7 +332,7 @@
         return stripped.scale() < 0 ? stripped.setScale(0) : stripped;
     }
 
-    /** As a string of the language. */
+    /** The text as a string literal of the language. */
     static String quoted(String text) {
         return "\""
                 + text.replace("\\", "\\\\")
--- a/src/main/java/cacheproxy/config/edge/Changes.java
+++ b/src/main/java/cacheproxy/config/edge/Changes.java
@@ -9,13 +9,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What differs between two configurations, and for which traffic. */
+/** Reports the differences between two configurations and the traffic that they affect. */
 public final class Changes {
     private static final int MAX_ROUTES = 5;
 
     private Changes() {}
 
-    /** A few lines for each difference; none if the two mean the same. */
+    /** A few lines per difference; empty if the configurations are equivalent. */
     public static List<String> text(Configuration before, Configuration after) {
         List<String> lines = new ArrayList<>();
         Routing a = RoutingSections.routing(before);
@@ -44,7 +44,7 @@
         };
     }
 
-    /** What an entry decides about: a route's own requests, or those of the routes that name it. */
+    /** The traffic that an entry affects: a route's requests, or those of the routes that reference it. */
     private static List<String> traffic(Entry entry, Routing routing) {
         if (entry.section().name().equals("quotas")) {
             return List.of("all organisations: what is lent to one hangs on the quotas of the others");
--- a/src/main/java/cacheproxy/config/edge/EdgeFile.java
+++ b/src/main/java/cacheproxy/config/edge/EdgeFile.java
@@ -9,16 +9,16 @@
 import cacheproxy.route.Routing;
 import java.nio.file.Path;
 
-/** An installation's file: routes for a proxy, read at its start and again at each SIGHUP. */
+/** The file of a proxy's routes, read at start and again on each SIGHUP. */
 public final class EdgeFile implements RouteSource {
     private final Path file;
 
-    /** Reads nothing yet. */
+    /** Does not read the file yet. */
     public EdgeFile(Path file) {
         this.file = file;
     }
 
-    /** All sections that such a file may have. {@code known} as for {@link RoutingSections#register}. */
+    /** All sections permitted in the file. {@code known} as for {@link RoutingSections#register}. */
     public static Schema schema(KnownNames known) {
         return QuotaSections.register(RoutingSections.register(new Schema(), known));
     }
--- a/src/main/java/cacheproxy/config/edge/Explanation.java
+++ b/src/main/java/cacheproxy/config/edge/Explanation.java
@@ -12,17 +12,17 @@
 import java.util.Locale;
 import java.util.Objects;
 
-/** Why a request goes where it goes. */
+/** Explains how a request is routed. */
 public final class Explanation {
     private static final int MAX_SHOWN = 5;
 
     private Explanation() {}
 
     /**
-     * For people, a line each.
+     * Human-readable lines.
      *
-     * @param endpoints null where none is known: servers are then not named
-     * @param kind the class, null for one that no route names; likewise the tenant
+     * @param endpoints the configured endpoints; null if unknown, then no servers are listed
+     * @param kind the service class, or null for one that no route names
      */
     public static List<String> text(
             Routing routing, ConfiguredEndpoints endpoints, String key, String kind, String tenant, String front) {
@@ -63,7 +63,7 @@
     }
 
     private static Route match(List<Route> routes, String key, String kind, String tenant, String front) {
-        // A name that the request lacks is one that no route knows.
+        // a missing tenant or class is matched like one that no route names
         return new RouteTable(routes)
                 .matcher(
                         tenant == null ? List.of() : List.of(tenant),
--- a/src/main/java/cacheproxy/config/edge/QuotaSections.java
+++ b/src/main/java/cacheproxy/config/edge/QuotaSections.java
@@ -16,10 +16,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** {@code quotas}: what each organisation, app and device class may ask. */
+/** The section {@code quotas}: limits per organisation, app and device class. */
 public final class QuotaSections {
     private static final String SECTION = "quotas";
-    /** From the top: what may stand within which. */
+    /** Nesting levels, outermost first. */
     private static final String[] LEVELS = {"organisation", "app", "device"};
 
     private static final long MAX_COUNT = 1_000_000_000_000L;
@@ -118,12 +118,12 @@
         limits.values().forEach(l -> checkGuarantees(node, l, problems));
     }
 
-    /** What a limit is compared by. */
+    /** Limits with equal keys have the same measure and window. */
     private static String limitKey(Entry limit) {
         return limit.section().name() + " " + limit.number("per", 0);
     }
 
-    /** Guarantees beneath must fit into what is guaranteed here or, where nothing is, into the cap. */
+    /** The children's guarantees must fit into the node's guarantee or, without one, into its cap. */
     private static void checkGuarantees(Entry node, Entry limit, Problems problems) {
         boolean guaranteed = limit.number("guarantee", 0) > 0;
         double has = guaranteed ? limit.number("guarantee", 0) : limit.number("cap", 0);
@@ -164,7 +164,7 @@
 
     // ---- from entries to quotas
 
-    /** What a checked configuration sets, or null if it has no quotas. */
+    /** The quotas of a checked configuration, or null if it has none. */
     public static QuotaSpec quotas(Configuration configuration) {
         List<Entry> all = configuration.of(SECTION);
         return all.isEmpty() ? null : spec("all", all.get(0));
--- a/src/main/java/cacheproxy/config/edge/RoutingSections.java
+++ b/src/main/java/cacheproxy/config/edge/RoutingSections.java
@@ -29,7 +29,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** {@code pool}, {@code policy} and {@code route}. */
+/** The sections {@code pool}, {@code policy} and {@code route}. */
 public final class RoutingSections {
     private static final int MAX_NAME_LENGTH = 200;
     private static final double PERCENT = 100;
@@ -40,8 +40,8 @@
     /**
      * Registers the sections.
      *
-     * @param known what an instance knows, to check names against; null: names of classes, tenants, sites and kinds are
-     *     taken as they are
+     * @param known the names known to an instance; with null, names of classes, tenants, sites and kinds are not
+     *     checked
      */
     public static Schema register(Schema schema, KnownNames known) {
         Type name = Type.name(MAX_NAME_LENGTH);
@@ -140,7 +140,7 @@
         }
     }
 
-    /** Which of two weights holds for a server may not hang on order. */
+    /** Two weights must not match the same server, as its weight would depend on their order. */
     private static void checkWeightOverlaps(Entry pool, Problems problems) {
         if (!problems.none()) {
             return;
@@ -160,7 +160,7 @@
         }
     }
 
-    /** A pool or policy that no route names is most likely a name mistyped elsewhere. */
+    /** Reports pools and policies that no route references; most likely a name is mistyped elsewhere. */
     private static void checkUnused(Configuration configuration, Problems problems) {
         Set<String> used = new HashSet<>();
         for (Entry r : configuration.of("route")) {
@@ -196,7 +196,7 @@
 
     // ---- from entries to routing
 
-    /** What a checked configuration sets. */
+    /** The routing of a checked configuration. */
     public static Routing routing(Configuration configuration) {
         Map<String, Pool> pools = new LinkedHashMap<>();
         configuration.of("pool").forEach(e -> pools.put(e.name(), pool(e)));
@@ -205,7 +205,7 @@
         return new Routing(configuration.hash(), pools, policies, new RouteTable(routes(configuration)));
     }
 
-    /** A line for each pool that selects none of these servers. */
+    /** One line per pool that selects none of the given servers. */
     public static List<String> emptyPools(Configuration configuration, List<EndpointAttributes> servers) {
         return configuration.of("pool").stream()
                 .filter(e -> servers.stream().noneMatch(pool(e)::selects))
--- a/src/main/java/cacheproxy/config/package-info.java
+++ b/src/main/java/cacheproxy/config/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The configuration language: source text to tokens, syntax, checked entries and meaning; formatting and comparing. It
- * knows no subsystem: what may stand in a file is a {@link cacheproxy.config.Schema} that subsystems register their
- * sections in (those for routing are in {@code cacheproxy.config.edge}). Only {@code Loader} reads files; everything
- * else is a function of text. May be used by anything above {@code proxy}.
+ * The configuration language: lexer, parser, schema check, formatter and semantic comparison. It depends on no
+ * subsystem: the permitted content is a {@link cacheproxy.config.Schema} in which subsystems register their sections
+ * (those for routing are in {@code cacheproxy.config.edge}). Only {@code Loader} reads files; everything else is a
+ * function of text. Any package above {@code proxy} may use it.
  */
 package cacheproxy.config;
--- a/src/test/java/cacheproxy/cli/CommandLineFormatTest.java
+++ b/src/test/java/cacheproxy/cli/CommandLineFormatTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import picocli.CommandLine;
 
-/** Operators' scripts rely on the command words and the flags: they stay as the recorded texts show them. */
+/** Operators' scripts depend on command names and flags; the help texts must equal the recorded ones. */
 class CommandLineFormatTest extends Terminal {
     private static final Path HELP = Path.of("src/test/resources/formats/command-line-help.txt");
     private static final Path SERVE_USAGE = Path.of("src/test/resources/formats/serve-usage.txt");
--- a/src/test/java/cacheproxy/cli/ConfigCommandTest.java
+++ b/src/test/java/cacheproxy/cli/ConfigCommandTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The tools for files of routes, as people call them. */
+/** The {@code config} commands, run through the command line. */
 class ConfigCommandTest {
     private static final String PROXY = "src/test/resources/config.json";
 
--- a/src/test/java/cacheproxy/cli/EdgeOutputTest.java
+++ b/src/test/java/cacheproxy/cli/EdgeOutputTest.java
@@ -3,7 +3,7 @@
 import cacheproxy.GoldenFile;
 import org.junit.jupiter.api.Test;
 
-/** What {@code config show} and {@code config explain} print for edge configurations, to the letter. */
+/** What {@code config show} and {@code config explain} print for edge configurations must equal the recorded text. */
 class EdgeOutputTest {
     private static final String EXPECTED = "route/config-output.txt";
     private static final String EXAMPLE = "deploy/edge.conf";
--- a/src/test/java/cacheproxy/cli/OperatorTextTest.java
+++ b/src/test/java/cacheproxy/cli/OperatorTextTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The text that the command line makes of a proxy's answers and of a state folder. */
+/** The text that {@code status} and {@code state} print must equal the recorded text. */
 @Timeout(60)
 class OperatorTextTest extends Terminal {
     @TempDir
@@ -43,7 +43,7 @@
         }
     }
 
-    /** A copy of a pinned folder, as repairing writes into it. */
+    /** Copies a recorded state folder, as {@code repair} modifies it. */
     private String copy(String name) throws Exception {
         Path copy = Files.createDirectory(folder.resolve(name));
         for (String file : new String[] {"snapshot", "journal"}) {
--- a/src/test/java/cacheproxy/cli/QuotaCommandTest.java
+++ b/src/test/java/cacheproxy/cli/QuotaCommandTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The commented example over traces, and every mistake of a file and of a trace. */
+/** Replays of the shipped example, and mistakes in quota files and traces. */
 class QuotaCommandTest extends Terminal {
     private static final String EXAMPLE = "deploy/quotas.conf";
 
     @TempDir
     private Path folder;
 
-    /** One line of what came out. */
+    /** One line of the output. */
     private record Decided(double at, String org, String app, long bytes, boolean write, boolean admitted, long retry) {
         static Decided of(String line) {
             String[] w = line.split(",", -1);
@@ -56,7 +56,7 @@
         assertThat(log.fullest(windowMs)).isLessThanOrEqualTo(cap);
     }
 
-    /** Alpha comes back at 20 s to beta, which asks ten times everything all the time. */
+    /** Alpha returns at 20 s, while beta requests ten times its cap throughout. */
     @Test
     void theExampleKeepsItsCapsAndReclaimsLentQuota() throws Exception {
         SplittableRandom random = new SplittableRandom(1);
--- a/src/test/java/cacheproxy/cli/QuotaOutputTest.java
+++ b/src/test/java/cacheproxy/cli/QuotaOutputTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What {@code quota replay} and {@code config show} print of the example, to the letter. */
+/** What {@code quota replay} and {@code config show} print for the example must equal the recorded text. */
 class QuotaOutputTest {
     private static final String EXAMPLE = "deploy/quotas.conf";
 
--- a/src/test/java/cacheproxy/cli/Terminal.java
+++ b/src/test/java/cacheproxy/cli/Terminal.java
@@ -3,12 +3,12 @@
 import java.io.PrintWriter;
 import java.io.StringWriter;
 
-/** Runs command lines and keeps what the last one printed; for tests that extend it. */
+/** Runs command lines and keeps the output of the last one; base class of tests. */
 class Terminal {
     String out;
     String err;
 
-    /** Its exit code. */
+    /** Runs a command line and returns its exit code. */
     int run(String... args) {
         StringWriter o = new StringWriter();
         StringWriter e = new StringWriter();
--- a/src/test/java/cacheproxy/config/ConfigFuzzTest.java
+++ b/src/test/java/cacheproxy/config/ConfigFuzzTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Whatever the text: an end, mistakes with places in it, and a layout that changes no meaning. */
+/** For any text, reading terminates, mistakes have positions within the text, and formatting keeps the meaning. */
 class ConfigFuzzTest {
     private static final Schema SCHEMA = EdgeFile.schema(null);
 
@@ -106,7 +106,7 @@
         assertSurvives(text);
     }
 
-    /** A file that is right, with something cut, doubled, swapped or written over. */
+    /** A valid file with up to four random deletions, duplications, replacements or insertions. */
     @Property(tries = 3000, seed = "43")
     void aValidFileWithDamage(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
--- a/src/test/java/cacheproxy/config/CorpusTest.java
+++ b/src/test/java/cacheproxy/config/CorpusTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Files that are wrong, each with all that is to be told of it ({@code #= LINE:COLUMN MESSAGE || FIX} at its end), and
- * files that are right, whose layout may change and whose meaning may not.
+ * Invalid files, each with its expected messages at the end ({@code #= LINE:COLUMN MESSAGE || FIX}), and valid files
+ * whose meaning must survive formatting and reordering.
  */
 class CorpusTest {
     private static final Path BROKEN = Path.of("src/test/resources/config/broken");
@@ -109,7 +109,7 @@
         assertThat(problems.text()).endsWith("and " + (5000 - Problems.MAX_KEPT) + " more\n");
     }
 
-    // ---- files that are right
+    // ---- valid files
 
     private static Configuration meaning(Path file) {
         Problems problems = new Problems();
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Entries, attributes, inner blocks and the values of lists: whatever may stand in another order. */
+    /** Shuffles everything whose order is irrelevant: entries, attributes, nested blocks and list values. */
     private static String shuffled(Syntax.Document document, Random random) {
         List<Syntax.Item> items = shuffled(document.items(), random);
         return Formatter.format(new Syntax.Document(document.source(), items, document.closing()));
--- a/src/test/java/cacheproxy/config/LoaderTest.java
+++ b/src/test/java/cacheproxy/config/LoaderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Includes: circles by whatever name, diamonds, bounds, and files that change under the reader's hands. */
+/** Includes: cycles through different paths, repeated includes, limits, and files that change during a load. */
 class LoaderTest {
     @TempDir
     private Path folder;
@@ -133,9 +133,9 @@
                         "c:2:1: pool \"p\" stands already at b:1");
     }
 
-    // ---- files that change
+    // ---- files that change during a load
 
-    /** Files in memory that can be replaced when another is read. */
+    /** In-memory files that can be replaced while others are read. */
     private static final class ReplaceableFiles implements Loader.FileAccess {
         final Map<String, String> files = new HashMap<>();
         final Map<String, Integer> versions = new HashMap<>();
