--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -14,7 +14,7 @@
 import java.util.List;
 
 /**
- * The meta text protocol towards a cache node. Event loop only.
+ * The client side of the meta text protocol, towards a cache node. Event loop only.
  *
  * <pre>
  * response line           outcome
@@ -53,17 +53,17 @@
     private final UpstreamConnection connection;
     private final UpstreamContext context;
     private final LoadReports loadReports;
-    /** Bytes of the value and its line end still to arrive, or {@link #NO_VALUE}: a line is next. */
-    private int missing = NO_VALUE;
+    /** Bytes of the value and its line end that have not arrived yet; {@link #NO_VALUE} if a line is next. */
+    private int remainingBytes = NO_VALUE;
 
     private int length;
     private boolean streamed;
-    /** Whether nobody waits for the streamed value. */
-    private boolean dropped;
+    /** Whether the streamed value is discarded, because nobody waits for it. */
+    private boolean discarded;
 
     private int note;
     private float[] report;
-    /** The figures of a health check's response so far, as a list such as {@code a=1,b=2,}. */
+    /** The load statistics of a health check's response so far, as a list such as {@code a=1,b=2,}. */
     private String stats = "";
 
     CacheCodec(UpstreamConnection connection) {
@@ -103,10 +103,10 @@
     @Override
     protected void decode(ChannelHandlerContext channelContext, ByteBuf in, List<Object> out) {
         try {
-            if (connection.currentAttempt() == null) { // complete or not: it would be taken for the next response
-                throw new MetaCodec.SyntaxException("answer to nothing");
+            if (connection.currentAttempt() == null) { // even a partial line would be taken for the next response
+                throw new MetaCodec.SyntaxException("response without a request");
             }
-            if (missing == NO_VALUE) {
+            if (remainingBytes == NO_VALUE) {
                 decodeLine(in);
             } else if (streamed) {
                 streamValue(in);
@@ -115,7 +115,7 @@
             }
         } catch (MetaCodec.SyntaxException e) {
             in.skipBytes(in.readableBytes());
-            missing = NO_VALUE;
+            remainingBytes = NO_VALUE;
             connection.protocolError(e.getMessage());
         }
     }
@@ -144,25 +144,25 @@
             decodeFlags(line, STORED.length(), command);
             String receipt = MetaCodec.flag(line, STORED.length(), 'c');
             if (receipt == null) {
-                throw new MetaCodec.SyntaxException("no receipt");
+                throw new MetaCodec.SyntaxException("response to a write without a receipt");
             }
             connection.responseCompleted(AttemptOutcome.OK, note, report, new ServerResponse.Receipt(receipt));
         } else if (line.startsWith(MISS)) {
             decodeFlags(line, MISS.length() + 1, command);
             connection.responseCompleted(AttemptOutcome.MISS, note, report, null);
         } else {
-            throw new MetaCodec.SyntaxException("unknown line");
+            throw new MetaCodec.SyntaxException("unknown response line");
         }
     }
 
     private void beginValue(String line, RequestCommand command) throws MetaCodec.SyntaxException {
-        String word = MetaCodec.tokenAt(line, VALUE.length());
-        length = MetaCodec.parseLength(word);
-        decodeFlags(line, VALUE.length() + word.length() + 1, command);
-        missing = length + LINE_END_BYTES;
+        String lengthToken = MetaCodec.tokenAt(line, VALUE.length());
+        length = MetaCodec.parseLength(lengthToken);
+        decodeFlags(line, VALUE.length() + lengthToken.length() + 1, command);
+        remainingBytes = length + LINE_END_BYTES;
         streamed = length > MetaCodec.MAX_WHOLE_VALUE_BYTES;
         if (streamed) {
-            dropped = !connection.beginValue(length);
+            discarded = !connection.beginValue(length);
         }
     }
 
@@ -170,10 +170,12 @@
         return loadReports.parse(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
     }
 
-    /** Decodes the flags from this index on. The id must be the request's, or responses have lost their order. */
+    /**
+     * Decodes the flags from this index on. The id must be that of the request; otherwise responses are out of order.
+     */
     private void decodeFlags(String line, int from, RequestCommand command) throws MetaCodec.SyntaxException {
         if (!command.id.equals(MetaCodec.flag(line, from, 'O'))) {
-            throw new MetaCodec.SyntaxException("answer to another request");
+            throw new MetaCodec.SyntaxException("response to another request");
         }
         note = decodeNote(line, from);
         report = loadReports.parse(MetaCodec.flag(line, from, 'L'));
@@ -191,40 +193,43 @@
     }
 
     private void decodeValue(ByteBuf in) throws MetaCodec.SyntaxException {
-        if (in.readableBytes() < missing) {
+        if (in.readableBytes() < remainingBytes) {
             connection.responseProgressed();
             return;
         }
         requireLineEnd(in, in.readerIndex() + length);
         ByteBuf value = in.readRetainedSlice(length);
         in.skipBytes(LINE_END_BYTES);
-        missing = NO_VALUE;
+        remainingBytes = NO_VALUE;
         connection.responseCompleted(AttemptOutcome.OK, note, report, new ServerResponse.Value(value));
     }
 
-    /** Passes on what has arrived of the value, and its end only when its line end is seen to be one. */
+    /**
+     * Passes on the part of the value that has arrived. Its end is passed on only once the line end after it is
+     * verified.
+     */
     private void streamValue(ByteBuf in) throws MetaCodec.SyntaxException {
-        int available = Math.min(missing - LINE_END_BYTES, in.readableBytes());
+        int available = Math.min(remainingBytes - LINE_END_BYTES, in.readableBytes());
         if (available > 0) {
-            missing -= available;
-            if (dropped) {
+            remainingBytes -= available;
+            if (discarded) {
                 in.skipBytes(available);
             } else {
                 connection.writePart(in.readRetainedSlice(available));
             }
         }
-        if (missing == LINE_END_BYTES && in.readableBytes() >= LINE_END_BYTES) {
+        if (remainingBytes == LINE_END_BYTES && in.readableBytes() >= LINE_END_BYTES) {
             requireLineEnd(in, in.readerIndex());
             in.skipBytes(LINE_END_BYTES);
-            missing = NO_VALUE;
+            remainingBytes = NO_VALUE;
             connection.responseCompleted(
-                    AttemptOutcome.OK, note, report, dropped ? null : ServerResponse.EndOfValue.INSTANCE);
+                    AttemptOutcome.OK, note, report, discarded ? null : ServerResponse.EndOfValue.INSTANCE);
         }
     }
 
     private static void requireLineEnd(ByteBuf in, int index) throws MetaCodec.SyntaxException {
         if (in.getByte(index) != '\r' || in.getByte(index + 1) != '\n') {
-            throw new MetaCodec.SyntaxException("value without end");
+            throw new MetaCodec.SyntaxException("value without a line end");
         }
     }
 
@@ -235,9 +240,9 @@
             return;
         }
         boolean healthy = line.equals(NO_OP_RESPONSE) || line.equals(STAT_END);
-        float[] figures = MetaCodec.loadReport(stats, loadReports.fields());
+        float[] report = MetaCodec.loadReport(stats, loadReports.fields());
         stats = "";
-        connection.responseCompleted(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, NOTE_NONE, figures, null);
+        connection.responseCompleted(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, NOTE_NONE, report, null);
     }
 
     @Override
--- a/src/test/java/cacheproxy/proxy/DuplicateResponsesTest.java
+++ b/src/test/java/cacheproxy/proxy/DuplicateResponsesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Responses followed by more than belongs to them: late duplicates, and invalid input. */
+/** Responses followed by surplus input: late duplicates, and invalid data. */
 @Timeout(60)
 class DuplicateResponsesTest {
     private static String write(int id) {
@@ -18,7 +18,7 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + (1 + id.length()) + "\r\n\r\nr" + id;
     }
 
-    /** The next write is read in the event loop's round right behind the answer, and the copy comes then. */
+    /** The next write is read in the same event-loop iteration as the answer, and the duplicate arrives then. */
     @Test
     void aLateDuplicateOfTheOriginsResponseIsNotTakenForTheNextResponse() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -27,51 +27,51 @@
         FakeServer origin = new FakeServer(c -> {
             String id = FakeServer.id(c.request());
             if (!id.equals("1")) {
-                c.say(receipt(id));
+                c.send(receipt(id));
                 c.awaitEnd();
                 return;
             }
             answer.await();
-            c.say(receipt(id));
+            c.send(receipt(id));
             answered.countDown();
-            c.pause.acquire(); // until the next write has gone out, here or elsewhere
-            c.say(receipt(id));
+            c.pause.acquire(); // until the next write has been sent, on this connection or another
+            c.send(receipt(id));
             c.awaitEnd();
             ended.countDown();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client one = fleet.client();
-                Fleet.Client two = fleet.client()) {
-            two.say("mn\r\n").line();
-            one.say(write(1));
-            origin.next();
-            CountDownLatch go = fleet.still();
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client one = fixture.client();
+                ProxyFixture.Client two = fixture.client()) {
+            two.send("mn\r\n").line();
+            one.send(write(1));
+            origin.nextCommand();
+            CountDownLatch release = fixture.pauseEventLoop();
             answer.countDown();
             answered.await();
-            two.say(write(2));
-            go.countDown();
+            two.send(write(2));
+            release.countDown();
             assertThat(one.line()).isEqualTo("HD O1 cr1");
             origin.accepted.take().pause.release();
             assertThat(two.line()).isEqualTo("HD O2 cr2");
             assertThat(ended.await(20, TimeUnit.SECONDS))
-                    .as("the copy ends its connection")
+                    .as("the duplicate closes its connection")
                     .isTrue();
-            assertThat(two.say(write(3)).line()).isEqualTo("HD O3 cr3");
+            assertThat(two.send(write(3)).line()).isEqualTo("HD O3 cr3");
         }
     }
 
-    /** Noise that is no line yet would begin the next answer. */
+    /** Surplus bytes without a line end would be taken for the start of the next response. */
     @Test
     void invalidInputBehindTheOriginsResponseClosesTheConnection() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
-                c.say(receipt(FakeServer.id(request)) + "noise");
+                c.send(receipt(FakeServer.id(request)) + "noise");
             }
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 3; i++) {
-                assertThat(client.say(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
+                assertThat(client.send(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
             }
         }
     }
@@ -79,8 +79,11 @@
     @Test
     void invalidInputBehindANodesResponseClosesTheConnection() throws Exception {
         FakeServer node = FakeServer.node(l -> "VA 5 O" + FakeServer.id(l) + " h1\r\nhello\r\nnoise");
-        try (Fleet fleet = new Fleet().node(node).set("caps.max-attempts", "1").start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture()
+                        .node(node)
+                        .set("caps.max-attempts", "1")
+                        .start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 3; i++) {
                 assertThat(client.read("r" + i).line()).isEqualTo("VA 5 Or" + i);
                 client.line();
@@ -88,38 +91,40 @@
         }
     }
 
-    /** A line's end more than an answer needs is none's beginning. */
+    /** A surplus line end after a response is not the start of another. */
     @Test
     void aLineEndBehindTheOriginsResponseIsSkipped() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
-                c.say(receipt(FakeServer.id(request)) + "\r\n");
+                c.send(receipt(FakeServer.id(request)) + "\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().origin(origin).set("balancers", "60").start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().origin(origin).set("balancers", "60").start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 12; i++) {
-                assertThat(client.say(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
+                assertThat(client.send(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
             }
             assertThat(origin.accepted).hasSizeLessThanOrEqualTo(4);
         }
     }
 
     /**
-     * Of sixty proxies each has four connections to the origin; where all of them rest, requests go out nevertheless.
+     * Each of sixty proxies has four connections to the origin; if all of them are resting, requests are sent anyway.
      */
     @Test
     void ifAllConnectionsRestTheOneThatHasRestedLongestIsUsed() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
-                c.say(receipt(FakeServer.id(request)));
+                c.send(receipt(FakeServer.id(request)));
             }
         });
         int writes = 40;
-        try (Fleet fleet = new Fleet().origin(origin).set("balancers", "60").start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().origin(origin).set("balancers", "60").start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < writes; i++) {
-                assertThat(client.say(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
+                assertThat(client.send(write(i)).line()).isEqualTo("HD O" + i + " cr" + i);
             }
             assertThat(origin.accepted).hasSizeLessThanOrEqualTo(4);
             assertThat(origin.commands).hasSize(writes);
--- a/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
+++ b/src/test/java/cacheproxy/proxy/LateConnectionsTest.java
@@ -16,49 +16,49 @@
     private static FakeServer origin() throws Exception {
         return new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(200, "", "fetch");
+                c.sendHttp(200, "", "fetch");
             }
         });
     }
 
-    /** Discovery that tells of this change to the first node once it may, and of nothing else. */
-    private static FakeServer discovery(CountDownLatch told, JsonObject change) throws Exception {
+    /** A discovery that reports this change of the first node once it is released, and nothing else. */
+    private static FakeServer discovery(CountDownLatch report, JsonObject change) throws Exception {
         return new FakeServer(c -> {
             c.request();
-            told.await();
+            report.await();
             JsonArray hosts = new JsonArray();
             hosts.add(change);
-            c.sayHttp(200, "", Fleet.list(43, false, hosts).toString());
+            c.sendHttp(200, "", ProxyFixture.list(43, false, hosts).toString());
             c.request();
             c.awaitEnd();
         });
     }
 
-    private static void awaitWaiting(Fleet fleet, int requests) {
+    private static void awaitWaiting(ProxyFixture fixture, int requests) {
         Await.until(
                 "requests wait for a connection",
-                () -> fleet.on(() -> fleet.proxy.status().openRequests() == requests
-                        && fleet.proxy.status().upstreamConnections() > 0));
+                () -> fixture.onEventLoop(() -> fixture.proxy.status().openRequests() == requests
+                        && fixture.proxy.status().upstreamConnections() > 0));
     }
 
-    private static void leaves(Consumer<JsonObject> change) throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+    private static void assertNotSentAfter(Consumer<JsonObject> change) throws Exception {
+        CountDownLatch report = new CountDownLatch(1);
         try (LateServer node = LateServer.node()) {
-            JsonObject host = Fleet.host("s-00000001", "node-fast", node.dial(), "up");
+            JsonObject host = ProxyFixture.host("s-00000001", "node-fast", node.dial(), "up");
             change.accept(host);
-            FakeServer discovery = discovery(told, host);
-            Fleet setup = new Fleet()
+            FakeServer discovery = discovery(report, host);
+            ProxyFixture setup = new ProxyFixture()
                     .node(node.dial())
                     .origin(origin())
                     .discovery(discovery)
                     .set("caps.connect-timeout", "10000.0")
                     .set("guarantees.ask-within", "200.0");
-            try (Fleet fleet = setup.start()) {
-                assertThat(discovery.next()).contains("since=41&");
-                Fleet.Client client = fleet.client().read("1");
-                awaitWaiting(fleet, 1);
-                told.countDown();
-                assertThat(discovery.next()).contains("since=43&"); // the news is in use
+            try (ProxyFixture fixture = setup.start()) {
+                assertThat(discovery.nextCommand()).contains("since=41&");
+                ProxyFixture.Client client = fixture.client().read("1");
+                awaitWaiting(fixture, 1);
+                report.countDown();
+                assertThat(discovery.nextCommand()).contains("since=43&"); // the change is in use
                 node.open();
                 assertThat(client.line()).isEqualTo("VA 5 O1");
                 assertThat(client.line()).isEqualTo("fetch");
@@ -67,72 +67,75 @@
         }
     }
 
-    /** Guards against a request that reaches a node as late as a connection may come up after the node was to leave. */
+    /**
+     * Guards against a request that reaches a node long after it began to drain, when its connection is established.
+     */
     @Test
     void aWaitingRequestIsNotSentToANodeThatBeginsToDrain() throws Exception {
-        leaves(h -> h.addProperty("health", "draining"));
+        assertNotSentAfter(h -> h.addProperty("health", "draining"));
     }
 
     @Test
     void aWaitingRequestIsNotSentToANodeThatWasRemoved() throws Exception {
-        leaves(h -> h.addProperty("health", "removed"));
+        assertNotSentAfter(h -> h.addProperty("health", "removed"));
     }
 
     @Test
     void aWaitingRequestIsNotSentToTheOldAddressOfANode() throws Exception {
-        leaves(h -> h.addProperty("dial", "127.0.0.1:9"));
+        assertNotSentAfter(h -> h.addProperty("dial", "127.0.0.1:9"));
     }
 
-    /** Whatever the settings say of cancelling: what nobody has heard of yet needs no cancelling. */
+    /** Holds even if the settings forbid cancelling: a request that no server has received needs no cancel. */
     @Test
     void nothingIsSentForAClientThatDisconnectedMeanwhile() throws Exception {
         try (LateServer node = LateServer.node();
-                Fleet fleet = new Fleet()
+                ProxyFixture fixture = new ProxyFixture()
                         .node(node.dial())
                         .set("caps.may-cancel", "false")
                         .set("caps.connect-timeout", "10000.0")
                         .start()) {
-            Fleet.Client leaving = fleet.client();
-            leaving.read("1");
-            awaitWaiting(fleet, 1);
-            leaving.close();
-            awaitWaiting(fleet, 0);
-            Fleet.Client next = fleet.client().read("2");
-            awaitWaiting(fleet, 1);
+            ProxyFixture.Client disconnecting = fixture.client();
+            disconnecting.read("1");
+            awaitWaiting(fixture, 1);
+            disconnecting.close();
+            awaitWaiting(fixture, 0);
+            ProxyFixture.Client next = fixture.client().read("2");
+            awaitWaiting(fixture, 1);
             node.open();
             assertThat(next.line()).isEqualTo("VA 5 O2");
             assertThat(node.commands).hasSize(1);
         }
     }
 
-    /** Two clients read one key, and the first one's fetch is to serve both. */
+    /** Two clients read one key, and the second waits for the first one's fetch. */
     @Test
     void ifTheFetchingRequestDisconnectsItsWaiterFetches() throws Exception {
         FakeServer node = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
         LateServer origin = new LateServer(p -> {
             for (String line; (line = p.command()) != null; ) {
                 if (line.isEmpty()) {
-                    p.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfetch");
+                    p.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfetch");
                 }
             }
         });
         try (origin;
-                Fleet fleet = new Fleet()
+                ProxyFixture fixture = new ProxyFixture()
                         .node(node)
                         .origin(origin.dial())
                         .set("caps.connect-timeout", "10000.0")
                         .start()) {
-            Fleet.Client leader = fleet.client();
+            ProxyFixture.Client leader = fixture.client();
             leader.read("1");
-            node.next();
+            node.nextCommand();
             Await.until(
-                    "its fetch waits", () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) == 2);
-            Fleet.Client waiter = fleet.client().read("2");
-            node.next();
-            fleet.client().say("mn\r\n").line(); // the event loop has been round: the miss has come
-            awaitWaiting(fleet, 2);
+                    "its fetch waits",
+                    () -> fixture.onEventLoop(() -> fixture.proxy.status().upstreamConnections()) == 2);
+            ProxyFixture.Client waiter = fixture.client().read("2");
+            node.nextCommand();
+            fixture.client().send("mn\r\n").line(); // the event loop has completed an iteration and read the miss
+            awaitWaiting(fixture, 2);
             leader.close();
-            awaitWaiting(fleet, 1);
+            awaitWaiting(fixture, 1);
             origin.open();
             assertThat(waiter.line()).isEqualTo("VA 5 O2");
             assertThat(waiter.line()).isEqualTo("fetch");
@@ -140,21 +143,21 @@
         }
     }
 
-    /** The second copy's connection comes up after the first has been answered, and must not go out then. */
+    /** The hedge's connection is established after the first attempt was answered; the hedge must not be sent then. */
     @Test
     void nothingIsSentForACompletedRequest() throws Exception {
         CountDownLatch copied = new CountDownLatch(1);
         FakeServer slow = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                if (FakeServer.id(line).equals("1")) { // the other it never answers
+                if (FakeServer.id(line).equals("1")) { // the other request is never answered
                     copied.await();
-                    c.say("VA 5 O1 h1\r\nhello\r\n");
+                    c.send("VA 5 O1 h1\r\nhello\r\n");
                 }
             }
         });
-        // Of sixty proxies each has one connection to a node, so what waits there goes out in order.
+        // Each of sixty proxies has one connection to a node, so waiting requests are sent in order.
         try (LateServer late = LateServer.node();
-                Fleet fleet = new Fleet()
+                ProxyFixture fixture = new ProxyFixture()
                         .node(slow)
                         .node(late.dial())
                         .set("caps.may-cancel", "false")
@@ -162,18 +165,18 @@
                         .set("caps.connect-timeout", "10000.0")
                         .set("balancers", "60")
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             String first = Keys.ranked(1, 2);
             String second = Keys.ranked(2, 1);
-            client.say("mg " + first + " v O1 Pc=text,d=20000\r\n");
+            client.send("mg " + first + " v O1 Pc=text,d=20000\r\n");
             Await.until(
-                    "the second copy waits",
-                    () -> fleet.on(() -> fleet.proxy.status().upstreamConnections()) == 2);
+                    "the hedge waits for its connection",
+                    () -> fixture.onEventLoop(() -> fixture.proxy.status().upstreamConnections()) == 2);
             copied.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
-            client.say("mg " + second + " v O2 Pc=text,d=20000\r\n"); // where the other copy was to go
-            awaitWaiting(fleet, 1);
+            client.send("mg " + second + " v O2 Pc=text,d=20000\r\n"); // to the node that the hedge was meant for
+            awaitWaiting(fixture, 1);
             late.open();
             assertThat(client.line()).isEqualTo("VA 5 O2");
             assertThat(late.commands)
--- a/src/test/java/cacheproxy/proxy/ProcessFigures.java
+++ b/src/test/java/cacheproxy/proxy/ProcessFigures.java
@@ -19,10 +19,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the real process takes at several sizes of the fleet: starts the deploy file's {@code run} line with so many
- * servers and peers, before a discovery and a node of its own, and prints a row of a table for each size. Run by hand,
- * from the root, after the build, by {@code java -cp target/test-classes:target/classes:target/lib/*
- * cacheproxy.proxy.ProcessFigures SIZE...}.
+ * Measures start time, memory and processor time of the packaged program at several fleet sizes: starts the deploy
+ * file's {@code run} line with that many servers and peers, against a discovery and a node of its own, and prints a
+ * table row for each size. Run by hand, from the root, after the build, by {@code java -cp
+ * target/test-classes:target/classes:target/lib/* cacheproxy.proxy.ProcessFigures SIZE...}.
  */
 final class ProcessFigures {
     private static final int REQUESTS = 4000;
@@ -30,31 +30,31 @@
 
     private ProcessFigures() {}
 
-    /** Each argument is a number of servers, and of peers. */
+    /** Each argument is a fleet size: the number of servers and of peers. */
     public static void main(String[] args) throws Exception {
         System.out.println("| servers and peers | until it takes clients | VmRSS then | VmRSS after " + REQUESTS
                 + " reads | highest | heap in use | after a collection | processor time | connections to nodes "
                 + "| served |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (String size : args) {
-            row(Integer.parseInt(size));
+            measure(Integer.parseInt(size));
         }
         System.exit(0);
     }
 
-    private static void row(int size) throws Exception {
+    private static void measure(int size) throws Exception {
         FakeServer node = FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + "\r\nhello\r\n");
         CountDownLatch change = new CountDownLatch(1);
         FakeServer[] discovery = new FakeServer[1];
-        String list = Fleet.list(42, true, LargeList.hosts(size, i -> node.dial(), node.dial()))
+        String list = ProxyFixture.list(42, true, LargeList.hosts(size, i -> node.dial(), node.dial()))
                 .toString();
         discovery[0] = new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
                 if (request.contains("since=42&")) {
                     change.await(1500, TimeUnit.MILLISECONDS);
-                    c.sayHttp(200, "", "{\"seq\":42,\"whole\":false,\"hosts\":[]}");
+                    c.sendHttp(200, "", "{\"seq\":42,\"whole\":false,\"hosts\":[]}");
                 } else {
-                    c.sayHttp(200, "", list);
+                    c.sendHttp(200, "", list);
                 }
             }
         });
@@ -84,7 +84,7 @@
             awaitReady(process, port);
             double readyS = (System.nanoTime() - from) / 1e9;
             int rssThen = status(process, "VmRSS");
-            int served = use(port);
+            int served = sendReads(port);
             int rss = status(process, "VmRSS");
             int highest = status(process, "VmHWM");
             String heap = heap(process, "GC.heap_info");
@@ -114,17 +114,17 @@
     }
 
     private static JsonObject config(int size, int port, FakeServer discovery, FakeServer node) {
-        Fleet fleet = new Fleet();
-        fleet.config.addProperty("listen", "127.0.0.1:" + port);
-        fleet.config.addProperty("discovery", discovery.dial());
+        ProxyFixture fixture = new ProxyFixture();
+        fixture.config.addProperty("listen", "127.0.0.1:" + port);
+        fixture.config.addProperty("discovery", discovery.dial());
         JsonObject limits = new JsonObject();
         limits.addProperty("cores", 1.0);
         limits.addProperty("memory_mb", 192);
         limits.addProperty("sockets", 1024);
-        fleet.config.add("limits", limits);
-        LargeList.peers(fleet.config, size);
-        fleet.config.add("known", Fleet.list(41, true, LargeList.hosts(size, i -> node.dial(), node.dial())));
-        return fleet.config;
+        fixture.config.add("limits", limits);
+        LargeList.peers(fixture.config, size);
+        fixture.config.add("known", ProxyFixture.list(41, true, LargeList.hosts(size, i -> node.dial(), node.dial())));
+        return fixture.config;
     }
 
     private static void awaitReady(Process process, int port) throws Exception {
@@ -141,11 +141,11 @@
                 TimeUnit.MILLISECONDS.sleep(10);
             }
         }
-        throw new IllegalStateException("it does not take clients");
+        throw new IllegalStateException("proxy did not accept clients within " + READY_S + " s");
     }
 
-    /** Reads keys drawn evenly, one after another on some connections; how many were served. */
-    private static int use(int port) throws Exception {
+    /** Reads uniformly drawn keys, one at a time, in turn on 16 connections; returns how many were served. */
+    private static int sendReads(int port) throws Exception {
         SplittableRandom random = new SplittableRandom(7);
         List<Socket> clients = new ArrayList<>();
         List<InputStream> in = new ArrayList<>();
@@ -179,7 +179,7 @@
                 .orElse(0);
     }
 
-    /** Of both generations, in use and in all. */
+    /** Heap in use and committed, summed over both generations. */
     private static String heap(Process process, String command) throws Exception {
         int used = 0;
         int total = 0;
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/ProxyFixture.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 
-/** A proxy on loopback with the servers that a test gives it, and clients of it. */
-final class Fleet implements AutoCloseable {
+/** A proxy under test on loopback sockets, with the fake servers and the clients that a test adds. */
+final class ProxyFixture implements AutoCloseable {
     static final String SETTINGS = String.join(
             "\n",
             "balancers=1",
@@ -82,11 +82,11 @@
     final List<AutoCloseable> parts = new ArrayList<>();
     private final JsonArray hosts = new JsonArray();
     Proxy proxy;
-    private Path shared;
-    /** The routes, or null; a test may put others in their place. */
+    private Path sharedFolder;
+    /** The routes, or null for none; a test may replace them before a reload. */
     volatile Routing routing;
 
-    Fleet() {
+    ProxyFixture() {
         config.addProperty("name", "n0");
         config.addProperty("listen", "127.0.0.1:0");
         config.addProperty("discovery", "127.0.0.1:9");
@@ -94,7 +94,7 @@
         settings(SETTINGS);
     }
 
-    Fleet settings(String lines) {
+    ProxyFixture settings(String lines) {
         JsonObject settings = new JsonObject();
         for (String line : lines.split("\n")) {
             settings.addProperty(line.substring(0, line.indexOf('=')), line.substring(line.indexOf('=') + 1));
@@ -103,19 +103,19 @@
         return this;
     }
 
-    Fleet set(String path, String value) {
+    ProxyFixture set(String path, String value) {
         config.getAsJsonObject("settings").addProperty(path, value);
         return this;
     }
 
-    Fleet memory(int megabytes) {
+    ProxyFixture memory(int megabytes) {
         JsonObject limits = new JsonObject();
         limits.addProperty("memory_mb", megabytes);
         config.add("limits", limits);
         return this;
     }
 
-    /** One entry of discovery's list. */
+    /** An entry of discovery's endpoint list. */
     static JsonObject host(String name, String kind, String dial, String health) {
         JsonObject h = new JsonObject();
         h.addProperty("host", name);
@@ -137,54 +137,54 @@
         return list;
     }
 
-    Fleet node(FakeServer server) {
+    ProxyFixture node(FakeServer server) {
         hosts.add(host("s-%08x".formatted(hosts.size() + 1), "node-fast", server.dial(), "up"));
         parts.add(server);
         return this;
     }
 
-    Fleet node(String dial) {
+    ProxyFixture node(String dial) {
         hosts.add(host("s-%08x".formatted(hosts.size() + 1), "node-fast", dial, "up"));
         return this;
     }
 
-    /** An entry of the list that the proxy starts with. */
-    Fleet host(JsonElement entry) {
+    /** Adds an entry to the endpoint list that the proxy starts with. */
+    ProxyFixture host(JsonElement entry) {
         hosts.add(entry);
         return this;
     }
 
-    Fleet origin(FakeServer server) {
+    ProxyFixture origin(FakeServer server) {
         parts.add(server);
         return origin(server.dial());
     }
 
-    Fleet origin(String dial) {
+    ProxyFixture origin(String dial) {
         hosts.add(host("s-0000aaaa", "origin", dial, "up"));
         return this;
     }
 
-    Fleet discovery(FakeServer server) {
+    ProxyFixture discovery(FakeServer server) {
         config.addProperty("discovery", server.dial());
         parts.add(server);
         return this;
     }
 
-    /** The proxy begins as the successor of whoever serves by this folder. */
-    Fleet shared(Path folder) {
-        shared = folder;
+    /** Starts the proxy as the successor of the process that serves with this shared folder, if there is one. */
+    ProxyFixture sharedFolder(Path folder) {
+        sharedFolder = folder;
         return this;
     }
 
-    /** The list that the proxy starts with. */
-    JsonObject known() {
+    /** The endpoint list that the proxy starts with. */
+    JsonObject initialList() {
         return list(41, true, hosts);
     }
 
-    Fleet start() throws InterruptedException, IOException {
-        config.add("known", known());
-        proxy = shared != null
-                ? Proxy.start(Config.parse(config), shared)
+    ProxyFixture start() throws InterruptedException, IOException {
+        config.add("known", initialList());
+        proxy = sharedFolder != null
+                ? Proxy.start(Config.parse(config), sharedFolder)
                 : routing == null
                         ? Proxy.start(Config.parse(config))
                         : Proxy.start(Config.parse(config), known -> {
@@ -196,46 +196,46 @@
         return this;
     }
 
-    /** Has the proxy read this text, as at SIGHUP; returns when it has been taken or turned down. */
+    /** Reloads the configuration from this text, as SIGHUP does; returns once it is applied or rejected. */
     void reload(String text) throws IOException {
         Path file = Files.createTempFile("config", ".json");
         Files.writeString(file, text);
         proxy.reload(file.toString());
-        on(() -> null); // behind what the reload handed in
+        onEventLoop(() -> null); // runs after the tasks that the reload has submitted
         Files.delete(file);
     }
 
-    /** Has the proxy read the configuration as it is now. */
+    /** Reloads the current value of {@link #config}. */
     void reload() throws IOException {
         reload(config.toString());
     }
 
-    /** What this comes to on the proxy's event loop. */
-    <T> T on(Callable<T> what) {
-        return proxy.loop().submit(what).syncUninterruptibly().getNow();
+    /** Runs a task on the proxy's event loop and returns its result. */
+    <T> T onEventLoop(Callable<T> task) {
+        return proxy.loop().submit(task).syncUninterruptibly().getNow();
     }
 
-    /** The event loop stands still until the latch is open; what comes meanwhile waits in the system. */
-    CountDownLatch still() throws InterruptedException {
-        CountDownLatch go = new CountDownLatch(1);
-        CountDownLatch stands = new CountDownLatch(1);
+    /** Blocks the event loop until the latch is opened; input that arrives meanwhile stays in the kernel's buffers. */
+    CountDownLatch pauseEventLoop() throws InterruptedException {
+        CountDownLatch resume = new CountDownLatch(1);
+        CountDownLatch paused = new CountDownLatch(1);
         proxy.loop().execute(() -> {
-            stands.countDown();
+            paused.countDown();
             try {
-                go.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        stands.await();
-        return go;
+        paused.await();
+        return resume;
     }
 
     Client client() throws IOException {
         return client(0);
     }
 
-    /** One whose system keeps no more than so many unread bytes for it; 0 for the usual. */
+    /** A client whose kernel buffers at most this many unread bytes; 0 for the system's default. */
     Client client(int receiveBuffer) throws IOException {
         Client client = new Client(proxy.address(), receiveBuffer);
         parts.add(client);
@@ -260,7 +260,7 @@
         Client(InetSocketAddress to, int receiveBuffer) throws IOException {
             socket = new Socket();
             if (receiveBuffer > 0) {
-                socket.setReceiveBufferSize(receiveBuffer); // the window is agreed on when the connection is made
+                socket.setReceiveBufferSize(receiveBuffer); // must precede connect(), which negotiates the window
             }
             socket.connect(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), to.getPort()));
             socket.setSoTimeout(25_000);
@@ -268,21 +268,21 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        Client say(String text) throws IOException {
-            return say(text.getBytes(StandardCharsets.ISO_8859_1));
+        Client send(String text) throws IOException {
+            return send(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        Client say(byte[] bytes) throws IOException {
+        Client send(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
             socket.getOutputStream().flush();
             return this;
         }
 
         Client read(String id) throws IOException {
-            return say("mg 7f3a9c21e0b4d655 v O" + id + " Pc=text,d=20000\r\n");
+            return send("mg 7f3a9c21e0b4d655 v O" + id + " Pc=text,d=20000\r\n");
         }
 
-        /** A line without its end; null at the end of the stream. */
+        /** Reads a line, without its terminator; null at the end of the stream. */
         String line() throws IOException {
             return FakeServer.line(in);
         }
@@ -291,8 +291,8 @@
             return in.readNBytes(n);
         }
 
-        /** Whether nothing but the end of the stream is left. */
-        boolean ended() throws IOException {
+        /** Whether the next read reaches the end of the stream. */
+        boolean isAtEnd() throws IOException {
             return in.read() < 0;
         }
 
--- a/src/test/java/cacheproxy/proxy/StoppedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/StoppedClientsTest.java
@@ -14,21 +14,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that stop in the middle of a request and stay: each is owed an error or a close within three seconds. */
+/** Clients that stall in the middle of a request: each must get an error or a close within three seconds. */
 @Timeout(60)
 class StoppedClientsTest {
-    private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long NOTIFICATION_NANOS = TimeUnit.SECONDS.toNanos(3);
     private static final int DRIP_MS = 400;
     private static final String WRITE = "ms 7f3a9c21e0b4d655 ";
 
-    private static Fleet fleet() throws Exception {
-        return new Fleet()
+    private static ProxyFixture fixture() throws Exception {
+        return new ProxyFixture()
                 .node(FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n"))
                 .start();
     }
 
-    /** Whether it is told an error, or its connection is ended, before this time; other answers are passed over. */
-    private static boolean heard(Fleet.Client client, long untilNanos) throws IOException {
+    /** Whether the client gets an error or a close before this time; other answers are skipped. */
+    private static boolean isNotified(ProxyFixture.Client client, long untilNanos) throws IOException {
         try {
             for (long left; (left = TimeUnit.NANOSECONDS.toMillis(untilNanos - System.nanoTime())) > 0; ) {
                 client.socket.setSoTimeout((int) left);
@@ -40,26 +40,26 @@
         } catch (SocketTimeoutException e) {
             return false;
         } catch (IOException e) {
-            return true; // a reset is an end, too
+            return true; // a reset counts as a close
         }
         return false;
     }
 
-    private static List<String> unheard(Map<String, byte[]> clients) throws Exception {
-        List<String> unheard = new ArrayList<>();
-        try (Fleet fleet = fleet()) {
-            Map<String, Fleet.Client> open = new LinkedHashMap<>();
+    private static List<String> unnotified(Map<String, byte[]> clients) throws Exception {
+        List<String> unnotified = new ArrayList<>();
+        try (ProxyFixture fixture = fixture()) {
+            Map<String, ProxyFixture.Client> open = new LinkedHashMap<>();
             for (Map.Entry<String, byte[]> client : clients.entrySet()) {
-                open.put(client.getKey(), fleet.client().say(client.getValue()));
+                open.put(client.getKey(), fixture.client().send(client.getValue()));
             }
-            long until = System.nanoTime() + OWED_NANOS;
-            for (Map.Entry<String, Fleet.Client> client : open.entrySet()) {
-                if (!heard(client.getValue(), until)) {
-                    unheard.add(client.getKey());
+            long until = System.nanoTime() + NOTIFICATION_NANOS;
+            for (Map.Entry<String, ProxyFixture.Client> client : open.entrySet()) {
+                if (!isNotified(client.getValue(), until)) {
+                    unnotified.add(client.getKey());
                 }
             }
         }
-        return unheard;
+        return unnotified;
     }
 
     private static byte[] bytes(String text) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aClientThatStopsAnywhereInARequestHearsOfItInTime() throws Exception {
+    void aClientThatStallsAnywhereInARequestIsNotifiedInTime() throws Exception {
         Map<String, byte[]> clients = new LinkedHashMap<>();
         clients.put("half a line", bytes("mg 7f3a9c21e0b4d655 v O1"));
         clients.put("a line without its end", bytes("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=20000"));
@@ -79,36 +79,37 @@
         clients.put("half a write of an unknown class", bytes(WRITE + "5 O8 Pc=none,d=20000\r\nhe"));
         clients.put("half a write without an id", bytes(WRITE + "5 v\r\nhe"));
         clients.put("a read and half of the next", bytes("mg 7f3a v O9 Pc=text,d=20000\r\nmg 7f3a v O10 Pc"));
-        assertThat(unheard(clients)).isEmpty();
+        assertThat(unnotified(clients)).isEmpty();
     }
 
     @Test
-    void aClientThatConnectsAndSaysNothingHearsOfItInTime() throws Exception {
-        assertThat(unheard(Map.of("mute", new byte[0]))).isEmpty();
+    void aClientThatConnectsAndSendsNothingIsNotifiedInTime() throws Exception {
+        assertThat(unnotified(Map.of("mute", new byte[0]))).isEmpty();
     }
 
-    /** Each byte is activity, and none of it is the end of a request. */
+    /** Each byte is activity, but none completes a request. */
     @Test
-    void aClientThatSendsAByteNowAndThenHearsOfItInTime() throws Exception {
+    void aClientThatTricklesBytesIsNotifiedInTime() throws Exception {
         ScheduledExecutorService drip = Executors.newSingleThreadScheduledExecutor();
-        try (Fleet fleet = fleet()) {
-            Fleet.Client line = fleet.client().say("m");
-            Fleet.Client value = fleet.client().say(WRITE + "500 O1 Pc=fix,d=20000\r\n");
-            long until = System.nanoTime() + OWED_NANOS;
+        try (ProxyFixture fixture = fixture()) {
+            ProxyFixture.Client line = fixture.client().send("m");
+            ProxyFixture.Client value = fixture.client().send(WRITE + "500 O1 Pc=fix,d=20000\r\n");
+            long until = System.nanoTime() + NOTIFICATION_NANOS;
             drip.scheduleAtFixedRate(
                     () -> {
                         try {
-                            line.say("g");
-                            value.say("x");
+                            line.send("g");
+                            value.send("x");
                         } catch (IOException e) {
-                            throw new IllegalStateException(e); // ends it: one of the two has been ended
+                            throw new IllegalStateException(
+                                    e); // ends the schedule: one of the two connections is closed
                         }
                     },
                     DRIP_MS,
                     DRIP_MS,
                     TimeUnit.MILLISECONDS);
-            assertThat(heard(line, until)).as("a line").isTrue();
-            assertThat(heard(value, until)).as("a value").isTrue();
+            assertThat(isNotified(line, until)).as("stalled line").isTrue();
+            assertThat(isNotified(value, until)).as("stalled value").isTrue();
         } finally {
             drip.shutdownNow();
         }
