--- a/src/main/java/cacheproxy/config/edge/Changes.java
+++ b/src/main/java/cacheproxy/config/edge/Changes.java
@@ -9,19 +9,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What differs between two configurations, and for which traffic. */
+/** Reports the differences between two configurations and the traffic that they affect. */
 public final class Changes {
-    private static final int SHOWN = 5;
+    private static final int MAX_ROUTES = 5;
 
     private Changes() {}
 
-    /** A few lines for each difference; none if the two mean the same. */
+    /** A few lines per difference; empty if the configurations are equivalent. */
     public static List<String> text(Configuration before, Configuration after) {
         List<String> lines = new ArrayList<>();
         Routing a = RoutingSections.routing(before);
         Routing b = RoutingSections.routing(after);
         for (Difference d : Difference.between(before, after)) {
-            lines.add(head(d));
+            lines.add(headline(d));
             d.detail().forEach(l -> lines.add("    " + l));
             if (d.kind() != Kind.RENAMED) {
                 List<String> traffic = d.after() == null ? traffic(d.before(), a) : traffic(d.after(), b);
@@ -31,20 +31,20 @@
         return lines;
     }
 
-    private static String head(Difference d) {
+    private static String headline(Difference d) {
         return switch (d.kind()) {
-            case ADDED -> "+ " + d.after().title() + " (" + d.after().place().shortly() + ")";
+            case ADDED -> "+ " + d.after().title() + " (" + d.after().place().fileAndLine() + ")";
             case REMOVED ->
-                "- " + d.before().title() + " (" + d.before().place().shortly() + ")";
+                "- " + d.before().title() + " (" + d.before().place().fileAndLine() + ")";
             case CHANGED ->
-                "~ " + d.after().title() + " (" + d.before().place().shortly() + ", "
-                        + d.after().place().shortly() + ")";
+                "~ " + d.after().title() + " (" + d.before().place().fileAndLine() + ", "
+                        + d.after().place().fileAndLine() + ")";
             case RENAMED ->
                 "= " + d.before().title() + " is now called " + d.after().title() + "; otherwise alike";
         };
     }
 
-    /** What an entry decides about: a route's own requests, or those of the routes that name it. */
+    /** The traffic that an entry affects: a route's requests, or those of the routes that reference it. */
     private static List<String> traffic(Entry entry, Routing routing) {
         if (entry.section().name().equals("quotas")) {
             return List.of("all organisations: what is lent to one hangs on the quotas of the others");
@@ -63,11 +63,11 @@
                 all.add(r.describeTraffic() + as);
             }
         }
-        if (all.size() <= SHOWN) {
+        if (all.size() <= MAX_ROUTES) {
             return all;
         }
-        List<String> some = new ArrayList<>(all.subList(0, SHOWN));
-        some.add((all.size() - SHOWN) + " more routes");
+        List<String> some = new ArrayList<>(all.subList(0, MAX_ROUTES));
+        some.add((all.size() - MAX_ROUTES) + " more routes");
         return some;
     }
 }
