--- a/src/main/java/cacheproxy/model/check/Explorer.java
+++ b/src/main/java/cacheproxy/model/check/Explorer.java
@@ -7,21 +7,22 @@
 import java.util.Map;
 
 /**
- * Breadth first over all states: the first counterexample is a shortest one. States that were met are known by 64 bits
- * of their key's hash, so of a million states two are taken for one with a chance of about one in 40 million.
+ * Explores the state space breadth first, so the first counterexample has the shortest possible trace. Visited states
+ * are stored as a 64-bit hash of their key; among a million states the probability of a collision is about one in 40
+ * million.
  */
 public final class Explorer<S> {
     /**
-     * What came of it.
+     * The result of an exploration.
      *
-     * @param states that were met
-     * @param depth moves to the farthest of them
-     * @param complete whether that were all within the protocol's own bounds
-     * @param broken what was found, null for nothing
-     * @param trace the moves that lead there
+     * @param states number of distinct states visited
+     * @param depth number of moves on the path to the deepest of them
+     * @param complete whether every state within the protocol's bounds was visited
+     * @param broken the violated property, null if none was
+     * @param trace the moves from the initial state to the violation
      */
     public record Result(long states, int depth, boolean complete, String broken, List<String> trace) {
-        /** For people. */
+        /** A human-readable summary, with the trace of a violation. */
         public String text() {
             StringBuilder s = new StringBuilder(String.format(
                     "%,d states, %d moves deep%s%n",
@@ -44,12 +45,12 @@
     private final Protocol<S> protocol;
     private final Map<Long, From> met = new HashMap<>();
 
-    /** Explores nothing yet. */
+    /** Creates an explorer; {@link #run} does the exploration. */
     public Explorer(Protocol<S> protocol) {
         this.protocol = protocol;
     }
 
-    /** Explores until something is broken, all has been met, or so many states have. */
+    /** Explores until a property is violated, all states are visited, or {@code most} states are. */
     public Result run(long most) {
         ArrayDeque<Waiting<S>> waiting = new ArrayDeque<>();
         S first = protocol.initial();
@@ -90,7 +91,7 @@
         return moves;
     }
 
-    /** FNV-1a of 64 bits, mixed. */
+    /** 64-bit FNV-1a; the upper half is folded into the lower. */
     private static long hash(String text) {
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/cacheproxy/model/check/MemberProtocol.java
+++ b/src/main/java/cacheproxy/model/check/MemberProtocol.java
@@ -11,33 +11,33 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Three instances that tell each other what they know, over the real {@link MembershipReplica}. A message is lost,
- * doubled, or overtakes others; each instance suspects and gives up others at any time; it dies, and starts again with
- * or without its incarnation. Holds that an entry's incarnation never goes back at anybody, that nothing is taken back
- * but by the next one, and that those who live, once they exchange without loss, all come to hold the same and hold
- * each other for alive.
+ * Three instances that exchange membership state, over the real {@link MembershipReplica}. Messages may be lost,
+ * duplicated or reordered. An instance may suspect others and declare them dead at any time; it may crash and restart
+ * with or without its last incarnation. Checks that the incarnation of an entry never decreases at any instance, that a
+ * state is revoked only by a higher incarnation, and that the running instances, once they exchange messages without
+ * loss, converge on the same entries and consider each other alive.
  */
 public final class MemberProtocol implements Protocol<MemberProtocol.Fleet> {
-    /** How many take part. */
+    /** Number of instances. */
     public static final int INSTANCES = 3;
-    /** Rounds of everybody telling everybody in which all has to be settled. */
+    /** Rounds of all-to-all exchange within which the instances must converge. */
     private static final int ROUNDS = 6;
 
     private static final int[][] ORDERS = {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
 
     /**
-     * How far it goes.
+     * Bounds of the exploration.
      *
-     * @param messages under way at once
-     * @param suspicions of anybody by anybody, in all
-     * @param deaths of processes, in all
+     * @param messages in flight at once
+     * @param suspicions raised in total, by all instances
+     * @param deaths of processes in total
      */
     public record Bounds(int messages, int suspicions, int deaths) {}
 
-    /** A message: all that the sender knew. */
+    /** A message in flight: all entries that the sender held. */
     private record Mail(int to, List<Member> entries) {}
 
-    /** One state of all. A process that is dead has no knowledge; what it remembers is its last incarnation. */
+    /** State of the whole system. A dead process has no replica (null); only its last incarnation is remembered. */
     public record Fleet(
             List<MembershipReplica> alive, long[] remembered, List<Mail> mail, int suspicions, int deaths, int lives) {
         private MembershipReplica of(int id) {
@@ -49,7 +49,7 @@
     private final Function<Member, MembershipReplica> begin;
     private final UnaryOperator<MembershipReplica> copy;
 
-    /** {@code begin} and {@code copy}: the knowledge to explore. */
+    /** {@code begin} creates and {@code copy} copies the replica implementation to explore. */
     public MemberProtocol(
             Bounds bounds, Function<Member, MembershipReplica> begin, UnaryOperator<MembershipReplica> copy) {
         this.bounds = bounds;
@@ -57,7 +57,7 @@
         this.copy = copy;
     }
 
-    /** The knowledge as the program has it. */
+    /** Explores the production implementation. */
     public static MemberProtocol real(Bounds bounds) {
         return new MemberProtocol(bounds, e -> new Real(e), k -> new Real(k));
     }
@@ -201,7 +201,7 @@
                 broken));
     }
 
-    /** What is broken by it: an entry that goes back. */
+    /** Merges the entries; returns the violated property if an entry regresses, else null. */
     private static String tell(MembershipReplica k, List<Member> entries) {
         for (Member said : entries) {
             Member before = k.get(said.id());
@@ -220,7 +220,7 @@
         return null;
     }
 
-    // ---- what must hold
+    // ---- invariants
 
     @Override
     public String broken(Fleet f) {
@@ -257,7 +257,7 @@
         return null;
     }
 
-    // ---- states that differ in names alone
+    // ---- symmetry reduction: states that differ only in instance ids share a key
 
     @Override
     public String key(Fleet f) {
--- a/src/main/java/cacheproxy/model/check/Protocol.java
+++ b/src/main/java/cacheproxy/model/check/Protocol.java
@@ -2,26 +2,26 @@
 
 import java.util.List;
 
-/** A small system whose states are explored. States are values: a move makes another. */
+/** A small system whose state space is explored. States are immutable: a move produces a new one. */
 public interface Protocol<S> {
     /**
-     * A move.
+     * A transition to another state.
      *
-     * @param words for people
-     * @param to the state after it
-     * @param broken what it broke that may not happen between two states; null for nothing
+     * @param words human-readable description
+     * @param to the state after the move
+     * @param broken the property of transitions that the move violates; null for none
      */
     record Move<S>(String words, S to, String broken) {}
 
-    /** Where it begins. */
+    /** The initial state. */
     S initial();
 
-    /** All that can happen next, within the bounds of the exploration. */
+    /** All moves that are possible in a state, within the bounds of the exploration. */
     List<Move<S>> moves(S state);
 
-    /** What is broken in a state; null for nothing. */
+    /** The property of states that this state violates; null for none. */
     String broken(S state);
 
-    /** Alike for states that differ in names alone. */
+    /** A key that is the same for states that differ only in how their participants are numbered. */
     String key(S state);
 }
--- a/src/main/java/cacheproxy/model/check/ZoneProtocol.java
+++ b/src/main/java/cacheproxy/model/check/ZoneProtocol.java
@@ -10,45 +10,46 @@
 import java.util.function.BinaryOperator;
 
 /**
- * Three observers that decide of two zones, over the real {@link FailoverPlan}. Any of them may find any zone lost or
- * sound at any time, or take an operator's order; a message is lost, doubled, or overtakes others; an observer dies and
- * starts again with nothing. Holds that nobody ever has all zones closed, or less open than the floor; that no epoch
- * goes back at anybody who lives; and that, once all exchange without loss, they hold one plan.
+ * Three observers that decide on the failover of two zones, over the real {@link FailoverPlan}. Each observer may find
+ * any zone lost or healthy at any time, or receive an operator's command. Messages may be lost, duplicated or
+ * reordered; an observer may crash and restart without state. Checks that no observer's plan closes all zones or keeps
+ * less open than the floor of a third, that no epoch decreases at a running observer, and that the observers, once they
+ * exchange messages without loss, converge on one plan.
  */
 public final class ZoneProtocol implements Protocol<ZoneProtocol.Fleet> {
-    /** How many observe. */
+    /** Number of observers. */
     public static final int OBSERVERS = 3;
-    /** How many zones there are. */
+
     public static final int ZONES = 2;
 
     private static final int ROUNDS = OBSERVERS;
-    /** Parts that come back at a step. */
+    /** Traffic parts that return to a zone per recovery step. */
     private static final int STEP = ZoneState.ALL_PARTS / 3;
 
     /**
-     * How far it goes.
+     * Bounds of the exploration.
      *
-     * @param messages under way at once
-     * @param decisions in all
-     * @param deaths in all
+     * @param messages in flight at once
+     * @param decisions in total
+     * @param deaths of observers in total
      */
     public record Bounds(int messages, int decisions, int deaths) {}
 
     private record Mail(int to, FailoverPlan plan) {}
 
-    /** One state of all. */
+    /** State of the whole system. */
     public record Fleet(List<FailoverPlan> plans, List<Mail> mail, int decisions, int deaths) {}
 
     private final Bounds bounds;
     private final BinaryOperator<FailoverPlan> join;
 
-    /** {@code join}: how two plans become one. */
+    /** {@code join} merges a received plan into the one held. */
     public ZoneProtocol(Bounds bounds, BinaryOperator<FailoverPlan> join) {
         this.bounds = bounds;
         this.join = join;
     }
 
-    /** As the program has it. */
+    /** Explores the production merge, {@link FailoverPlan#join}. */
     public static ZoneProtocol real(Bounds bounds) {
         return new ZoneProtocol(bounds, FailoverPlan::join);
     }
@@ -162,7 +163,7 @@
         return false;
     }
 
-    // ---- what must hold
+    // ---- invariants
 
     @Override
     public String broken(Fleet f) {
@@ -196,7 +197,7 @@
         return 3 * sum >= ZONES * ZoneState.ALL_PARTS ? null : who + " has less than a third open by " + p;
     }
 
-    /** Observers are alike but for their names. */
+    /** Symmetry reduction: observers differ only in their ids, so the least key over all permutations is used. */
     @Override
     public String key(Fleet f) {
         int[][] orders = {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
--- a/src/main/java/cacheproxy/model/check/package-info.java
+++ b/src/main/java/cacheproxy/model/check/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Model checking of decision packages: all states that a small system can reach by all orders of its moves, breadth
- * first, over the real classes. No sockets, threads or clocks.
+ * Model checking of the decision packages: explores breadth first every state that a small system can reach under any
+ * order of its moves. It runs the production classes and uses no sockets, threads or clocks.
  */
 package cacheproxy.model.check;
--- a/src/test/java/cacheproxy/model/check/ExplorerTest.java
+++ b/src/test/java/cacheproxy/model/check/ExplorerTest.java
@@ -12,9 +12,9 @@
 class ExplorerTest {
     private static final MemberProtocol.Bounds BOUNDS = new MemberProtocol.Bounds(1, 2, 1);
 
-    /** A {@link MembershipReplica} with one line of it wrong. */
+    /** Faults, each in one rule of {@link MembershipReplica}, that the exploration must find. */
     private enum Mutant {
-        /** Whoever lives is believed in its own incarnation, so a death is forgotten and comes back. */
+        /** ALIVE overrides other states of the same incarnation, so a recorded death is revoked. */
         BELIEVES_THE_LIVING {
             @Override
             Member join(Member held, Member said) {
@@ -23,14 +23,14 @@
                         : held.merge(said);
             }
         },
-        /** What was said last holds. */
+        /** The entry received last wins, whatever its incarnation. */
         BELIEVES_THE_LAST {
             @Override
             Member join(Member held, Member said) {
                 return said;
             }
         },
-        /** What refutes says the same once more. */
+        /** A refutation raises the incarnation but repeats the state it should refute. */
         REFUTES_NOTHING {
             @Override
             Member beyond(Member self, Member said) {
@@ -47,7 +47,7 @@
                         self.address());
             }
         },
-        /** It goes as far as what was said, and no further. */
+        /** A refutation reuses the incarnation of the entry it refutes instead of a higher one. */
         GOES_NOT_BEYOND {
             @Override
             Member beyond(Member self, Member said) {
--- a/src/test/java/cacheproxy/model/check/ZoneProtocolTest.java
+++ b/src/test/java/cacheproxy/model/check/ZoneProtocolTest.java
@@ -14,30 +14,30 @@
 class ZoneProtocolTest {
     private static final ZoneProtocol.Bounds BOUNDS = new ZoneProtocol.Bounds(1, 2, 1);
 
-    /** Ways to merge two plans with one line wrong. */
+    /** Merge functions with one faulty rule each, which the exploration must find. */
     private enum Mutant implements BinaryOperator<FailoverPlan> {
-        /** What was said last holds. */
+        /** The state received last wins, whatever its epoch. */
         LAST {
             @Override
             ZoneState of(ZoneState held, ZoneState said) {
                 return said;
             }
         },
-        /** In one epoch each keeps to its own. */
+        /** Within an epoch, each observer keeps its own state. */
         OWN {
             @Override
             ZoneState of(ZoneState held, ZoneState said) {
                 return said.epoch() > held.epoch() ? said : held;
             }
         },
-        /** The wider open holds, whatever the epoch. */
+        /** The state with more traffic wins, whatever its epoch. */
         WIDER {
             @Override
             ZoneState of(ZoneState held, ZoneState said) {
                 return said.trafficParts() > held.trafficParts() ? said : held;
             }
         },
-        /** Causes of one epoch count for nothing, and the narrower holds there; else what is said. */
+        /** Within an epoch the state with less traffic wins whatever its cause; otherwise the received one does. */
         NARROWER_OR_LAST {
             @Override
             ZoneState of(ZoneState held, ZoneState said) {
