--- a/src/main/java/cacheproxy/model/Ask.java
+++ b/src/main/java/cacheproxy/model/Ask.java
@@ -5,18 +5,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that an instance has taken. */
+/** A request that an instance has accepted, with the state the model keeps for it. */
 final class Ask {
-    /** How a client's try ends. */
+    /** The final outcome of a client's request. */
     enum Answer {
         SERVED,
         REFUSED,
         FAILED
     }
 
-    /** Who wants the answer. */
+    /** Receives the final response. */
     interface Client {
-        /** The final answer, as it leaves the instance; {@code retryAfterMs}: 0 for no advice. */
+        /** The final response leaves the instance; {@code retryAfterMs}: advised retry delay, 0 for none. */
         void answered(Ask ask, Answer answer, double retryAfterMs);
     }
 
@@ -24,18 +24,18 @@
     final ServiceClass kind;
     final double workMs;
     final Client client;
-    /** Whether its client has asked before, marked or not. */
+    /** Whether this is a client's retry, marked as such or not. */
     final boolean again;
 
     final List<Attempt> attempts = new ArrayList<>(3);
     int out;
-    /** When something was last out for it. */
+    /** When an attempt was last in flight for it. */
     double idleSinceMs;
 
     boolean over;
-    /** Its final answer; null while there is none. */
+    /** Its final outcome; null until there is one. */
     Answer answer;
-    /** How often it has truly run at the origin, and when first. */
+    /** How often it was executed at the origin; {@link #ranMs} is the time of the first. */
     int ran;
 
     double ranMs;
--- a/src/main/java/cacheproxy/model/Attempt.java
+++ b/src/main/java/cacheproxy/model/Attempt.java
@@ -1,6 +1,6 @@
 package cacheproxy.model;
 
-/** One try of a request at a server, as one instance sees it. */
+/** One attempt of a request at a server, as seen by the instance. */
 final class Attempt {
     final Ask ask;
     final int index;
@@ -8,9 +8,9 @@
     final double sentMs;
     Link link;
     boolean ended;
-    /** As far as the instance can know, it has not run and never will. */
+    /** The instance can tell that the attempt was not executed and never will be. */
     boolean neverRan;
-    /** It went to a node, and missed there. */
+    /** It was a cache miss at a node. */
     boolean missed;
 
     Attempt(Ask ask, int index, int server, double sentMs) {
--- a/src/main/java/cacheproxy/model/ClientsModel.java
+++ b/src/main/java/cacheproxy/model/ClientsModel.java
@@ -10,17 +10,19 @@
 import java.util.SplittableRandom;
 
 /**
- * The clients and the front layer: arrivals that wait for no answer, dealt out unevenly to the instances of a zone, and
- * clients that come again. What a first try is worth counts once, at the second in which it came.
+ * The clients and the front layer: open-loop arrivals, distributed unevenly over the instances of a zone, and clients
+ * that retry. The worth of a request counts once, in the second of its first try.
  */
 final class ClientsModel {
-    /** One way between a client and an instance, in milliseconds. */
+    /** One-way delay between a client and an instance, in milliseconds. */
     private static final double CLIENT_MS = 0.6;
 
     private static final double BACKOFF_MS = 30;
-    /** Clients that keep to the time they were told. */
+    /** The share of retries that honour the advised delay. */
     private static final double HONOUR = 0.85;
-    /** A client that gets no answer closes its connection so much later, when the rule has been looked at. */
+    /**
+     * A client without a response leaves this long after its wait, once the rule on late responses has been checked.
+     */
     private static final double LEAVE_MS = 60;
 
     private static final int KEYS_PER_NODE = 100;
@@ -62,42 +64,42 @@
         Arrays.fill(known, true);
     }
 
-    /** How many of the most popular keys make up this part of all reads. */
+    /** How many of the most popular keys make up this share of all reads. */
     int keysFor(double part) {
         return Math.min(manyKeys, keys.rank(part) + 1);
     }
 
-    // ---- what happens to them
+    // ---- changes of traffic
 
-    /** So many times the usual number come. */
+    /** Multiplies the usual request rate. */
     void rate(double times) {
         rate = times;
     }
 
-    /** A zone gets so many times its usual share. */
+    /** Multiplies a zone's share of the traffic. */
     void shift(int zone, double times) {
         zoneWeights[zone] *= times;
     }
 
-    /** This part leave early, and all come again so many times as soon. */
+    /** This share of clients leave early, and all retry so many times sooner. */
     void restless(double part, double soon) {
         impatient = part;
         retryTimes = soon;
     }
 
-    /** One key has this part of all reads. */
+    /** Gives one key this share of the requests, in addition to its usual one. */
     void hot(double part) {
         hotPart = part;
         hotKey = 1L + random.nextInt(manyKeys);
     }
 
-    /** One instance takes this part of all requests. */
+    /** Gives one instance this share of the requests, in addition to its usual one; -1 for none. */
     void crowd(int instance, double part) {
         hotInstance = instance;
         hotInstancePart = part;
     }
 
-    /** The front comes to know that an instance takes requests, or that it doesn't. */
+    /** The front layer learns whether an instance accepts requests. */
     void front(int instance, boolean takes) {
         known[instance] = takes;
     }
@@ -133,7 +135,7 @@
         return there.isEmpty() ? -1 : there.get(weighed(weights, there));
     }
 
-    /** The place of one drawn by weight: of those named, or of all. */
+    /** Draws an index by weight: into {@code named}, or into all if that is empty. */
     private int weighed(double[] by, List<Integer> named) {
         int many = named.isEmpty() ? by.length : named.size();
         double sum = 0;
@@ -150,7 +152,7 @@
         return many - 1;
     }
 
-    /** One client with one wish, for which it may come several times. */
+    /** One client with one request, which it may try several times. */
     private final class Client implements Ask.Client {
         private final double cameMs = play.time().now();
         private final int classIndex = FleetDraw.classOf(random.nextDouble());
@@ -206,8 +208,7 @@
                 at.take(ask);
                 boolean early = random.nextDouble() < impatient;
                 play.time().after(early ? wait * random.nextDouble() : wait + LEAVE_MS, () -> {
-                    if (open
-                            == ask) { // nothing came: what may have run is asked for again only where that does no harm
+                    if (open == ask) { // no response: retried only if executing it twice does no harm
                         open = null;
                         at.leave(ask);
                         if (!early && kind.idempotency() != Idempotency.NON_IDEMPOTENT) {
--- a/src/main/java/cacheproxy/model/ColdCase.java
+++ b/src/main/java/cacheproxy/model/ColdCase.java
@@ -6,14 +6,14 @@
 import java.util.stream.IntStream;
 
 /**
- * What comes together with nodes that start cold. In each, a part of the nodes is replaced, falls silent and is back,
- * or crashes and is back at once, as the seed draws it; figures are drawn from what the operators state for their
- * sites.
+ * Conditions that coincide with cold starts of nodes. In each case some of the nodes are replaced, stop responding for
+ * a while, or crash and restart at once; the seed decides which. Values are drawn from the ranges that the operators
+ * state for their sites.
  */
 public enum ColdCase {
-    /** Nothing else. */
+    /** Cold starts alone. */
     PLAIN("nothing else"),
-    /** Keys that are as unlike in popularity as the operators' are. */
+    /** Key popularity as skewed as the operators see it. */
     KEYS("keys by Zipf's law with an exponent of 1.1 to 1.2") {
         @Override
         Traffic traffic(SplittableRandom r) {
@@ -25,7 +25,7 @@
                     true);
         }
     },
-    /** One key draws many of the reads. */
+    /** One key receives a large share of the reads. */
     HOT_KEY("one key has 3 to 25% of the reads") {
         @Override
         void plan(FleetPlay p) {
@@ -33,14 +33,14 @@
             p.at(HOT_FROM, () -> p.clients().hot(part));
         }
     },
-    /** Half as much again comes while nodes are cold. */
+    /** The request rate rises by half while nodes are cold. */
     BURST("half as much again comes while they are cold") {
         @Override
         void plan(FleetPlay p) {
             p.at(COLD_FROM, () -> p.clients().rate(1.5));
         }
     },
-    /** More comes than can be served, and clients come again soon. */
+    /** Load near or above capacity, and clients that retry early. */
     REPEATS("a load of 0.8 to 1.1, and clients come again three times as soon") {
         @Override
         double load(SplittableRandom r) {
@@ -52,7 +52,7 @@
             p.at(HOT_FROM, () -> p.clients().restless(0.03, 3));
         }
     },
-    /** The same by clients that don't mark what they ask again. */
+    /** The same with clients that don't mark their retries. */
     UNMARKED("the same, and repeats are not marked as such") {
         @Override
         double load(SplittableRandom r) {
@@ -81,7 +81,7 @@
             return new Traffic(Traffic.USUAL.zipf(), Traffic.USUAL.offset(), 5, 6, true);
         }
     },
-    /** Some hear of the starts late. */
+    /** Some instances learn of the starts late. */
     LATE("a tenth to half of the instances are told 1 to 4 s late, and peers tell them nothing") {
         @Override
         void plan(FleetPlay p) {
@@ -96,7 +96,7 @@
             });
         }
     },
-    /** All of them at once. */
+    /** All of these conditions at once. */
     ALL("all of these at once") {
         @Override
         double load(SplittableRandom r) {
@@ -116,7 +116,7 @@
         }
     };
 
-    /** How long a run takes: a warm-up after the starts. */
+    /** Duration of a run: it covers the warm-up after the starts. */
     static final double SECONDS = 18;
 
     private static final double HOT_FROM = 3;
@@ -131,7 +131,7 @@
         this.words = words;
     }
 
-    /** As tables name it. */
+    /** Description for tables. */
     public String words() {
         return words;
     }
@@ -146,7 +146,7 @@
 
     void plan(FleetPlay p) {}
 
-    /** A run of it that is still to be played. */
+    /** A run of this case, prepared but not started. */
     FleetPlay play(int instances, int nodes, long seed) {
         SplittableRandom r = new SplittableRandom(seed);
         FleetDraw draw = FleetDraw.of(instances, nodes, seed).withLoad(load(r)).withTraffic(traffic(r));
@@ -156,7 +156,7 @@
         return p;
     }
 
-    /** A part of the nodes starts cold, one way or another. */
+    /** Schedules the cold starts: nodes are replaced, stop responding for a while, or crash and restart. */
     private static void start(FleetPlay p, SplittableRandom r) {
         int way = r.nextInt(3);
         int many = (int) Math.max(1, Math.round(p.draw().nodes() * (0.1 + 0.5 * r.nextDouble())));
--- a/src/main/java/cacheproxy/model/ColdLoad.java
+++ b/src/main/java/cacheproxy/model/ColdLoad.java
@@ -8,35 +8,35 @@
 import java.util.function.Function;
 
 /**
- * What all instances together send one node while it is cold, held against what makes it fall: more than {@code N + 2
- * sqrt(N) + 2} requests in a window, {@code N} being what the settings allow it then. Each request counts as one of
- * mean work, a miss and one that is turned away as well.
+ * Measures what all instances together send to one cold node against its overload limit: it fails when a window holds
+ * more than {@code N + 2 sqrt(N) + 2} requests, where {@code N} is what the settings allow at its age. Each request
+ * counts as one of mean work, including misses and rejected requests.
  */
 public final class ColdLoad {
     /**
-     * What the settings say of cold nodes.
+     * The settings for cold nodes.
      *
-     * @param start the part of its capacity that a node has at its start at least
-     * @param warmUpMs after which time it has all of it at the latest
-     * @param multiple how many times its present capacity it stands
-     * @param windowMs over which time that is counted
+     * @param start the least share of its full capacity that a node has when it starts
+     * @param warmUpMs the time after which it has its full capacity at the latest
+     * @param multiple how many times its present capacity it withstands
+     * @param windowMs the window over which requests are counted
      */
     record Limits(double start, double warmUpMs, double multiple, double windowMs) {}
 
-    /** One request that has come; {@code told}: its instance had been told of the node's start. */
+    /** One request that arrived; {@code told}: its instance had been told of the node's start. */
     private record Arrival(double atMs, Attempt attempt, int instance, boolean told) {}
 
     /**
-     * The fullest window, as a part of what makes the node fall, and who filled it.
+     * A window of requests, as a ratio to the node's limit, and what it consisted of.
      *
-     * @param part requests over the limit; above 1 the node falls
+     * @param part requests divided by the limit; above 1 the node fails
      * @param requests in the window
-     * @param ageMs of the node at the window's end
-     * @param told the part that came from instances that had been told of the start
-     * @param further the part that were not the first attempts of their requests
-     * @param repeats the part that were clients' repeats
-     * @param topKey the part that one key has
-     * @param topSender the part that one instance has
+     * @param ageMs age of the node at the end of the window
+     * @param told the share from instances that had been told of the node's start
+     * @param further the share that were not the first attempts of their requests
+     * @param repeats the share that were client retries
+     * @param topKey the share of the most frequent key
+     * @param topSender the share of the instance that sent most
      */
     public record Window(
             double part,
@@ -50,7 +50,7 @@
         static final Window EMPTY = new Window(0, 0, 0, 1, 0, 0, 0, 0);
     }
 
-    /** The rule is broken by a fall of which more than this part came from instances that had been told. */
+    /** A failure breaks the rule if more than this share of its window came from instances told of the node's start. */
     static final double TOLD_PART = 2.0 / 3;
 
     private final Limits limits;
@@ -62,14 +62,14 @@
     private final Map<ColdRamp, Window> falls = new EnumMap<>(ColdRamp.class);
     private int told;
 
-    /** {@code warmPerMs}: requests of mean work that the node can do in a millisecond once it is warm. */
+    /** {@code warmPerMs}: requests of mean work that the warm node can serve in a millisecond. */
     ColdLoad(Limits limits, double warmPerMs, double bornMs) {
         this.limits = limits;
         this.warmPerMs = warmPerMs;
         this.bornMs = bornMs;
     }
 
-    /** Counts a request that has come, if the node is still cold. */
+    /** Counts a request that arrived, if the node is still cold. */
     void arrived(double now, Attempt attempt, int instance, boolean knows) {
         if (now - bornMs >= limits.warmUpMs()) {
             window.clear();
@@ -98,7 +98,7 @@
         }
     }
 
-    /** How many requests in the window that ends now do not push it over. */
+    /** How many requests the window that ends now may hold before the node fails. */
     private double limit(double now, ColdRamp ramp) {
         double middle = (now + Math.max(bornMs, now - limits.windowMs())) / 2;
         double share = ramp.share(middle - bornMs, limits.start(), limits.warmUpMs());
@@ -128,18 +128,18 @@
         return most;
     }
 
-    /** The fullest window of all. */
+    /** The window with the highest ratio to the limit. */
     public Window fullest(ColdRamp ramp) {
         return fullest.getOrDefault(ramp, Window.EMPTY);
     }
 
-    /** Whether it falls, and by that breaks the rule: what comes after its first fall no longer counts. */
+    /** Whether the node's first failure breaks the rule; windows after it don't count. */
     public boolean breaksRule(ColdRamp ramp) {
         Window first = falls.getOrDefault(ramp, Window.EMPTY);
         return first.part() > 1 && first.told() > TOLD_PART;
     }
 
-    /** The fullest of those that would break the rule: over two thirds came from instances that had been told. */
+    /** The highest ratio among windows of which over two thirds came from instances told of the node's start. */
     public Window fullestTold(ColdRamp ramp) {
         return fullestTold.getOrDefault(ramp, Window.EMPTY);
     }
--- a/src/main/java/cacheproxy/model/ColdRamp.java
+++ b/src/main/java/cacheproxy/model/ColdRamp.java
@@ -1,15 +1,15 @@
 package cacheproxy.model;
 
-/** How a node that has just started comes to its full capacity; the settings tell its beginning and its end. */
+/** How the capacity of a node that has just started rises to its full value; the settings give its start and end. */
 public enum ColdRamp {
-    /** In a straight line. */
+    /** Rises linearly over the warm-up. */
     STEADY {
         @Override
         double share(double age, double start, double warmUpMs) {
             return start + (1 - start) * age / warmUpMs;
         }
     },
-    /** It stays as it was at the start for most of the time, and then rises in a straight line. */
+    /** Stays at the starting value for most of the warm-up, then rises linearly. */
     LATE {
         @Override
         double share(double age, double start, double warmUpMs) {
@@ -18,9 +18,9 @@
         }
     };
 
-    /** The part of the warm-up for which a late one stays at its start. */
+    /** The share of the warm-up for which {@link #LATE} stays at the starting value. */
     private static final double STAYS = 0.8;
 
-    /** The part of its capacity that a node has at that age, of 0 to {@code warmUpMs}. */
+    /** The share of its full capacity that a node has at an age from 0 to {@code warmUpMs}. */
     abstract double share(double age, double start, double warmUpMs);
 }
--- a/src/main/java/cacheproxy/model/ColdStudy.java
+++ b/src/main/java/cacheproxy/model/ColdStudy.java
@@ -8,15 +8,15 @@
 import java.util.stream.LongStream;
 
 /**
- * What all instances send to nodes that start cold, over many seeds: the fullest window of each node as a part of what
- * makes it fall.
+ * The load that all instances together put on nodes that start cold, over many seeds: for each node, its fullest window
+ * as a ratio to the load at which it fails.
  *
- * @param what what came together with the starts
- * @param instances that sent
- * @param loads of each node that started, in all plays
+ * @param what the conditions that coincided with the starts
+ * @param instances number of sending instances
+ * @param loads one entry for each node that started, over all runs
  */
 public record ColdStudy(ColdCase what, int instances, List<ColdLoad> loads) {
-    /** Plays that many seeds from one on, side by side. */
+    /** Runs {@code seeds} consecutive seeds from {@code seed} in parallel. */
     public static ColdStudy of(ColdCase what, int instances, int nodes, long seed, int seeds) {
         List<ColdLoad> loads = LongStream.range(seed, seed + seeds)
                 .parallel()
@@ -26,17 +26,17 @@
         return new ColdStudy(what, instances, loads);
     }
 
-    /** The part of the nodes that were sent more than they stand. */
+    /** The share of nodes that were sent more than their limit. */
     public double over(ColdRamp ramp) {
         return share(l -> l.fullest(ramp).part() > 1);
     }
 
-    /** The part that were in any window of which over two thirds came from instances told of the start. */
+    /** The share over their limit in a window of which over two thirds came from instances told of the start. */
     public double overByTold(ColdRamp ramp) {
         return share(l -> l.fullestTold(ramp).part() > 1);
     }
 
-    /** The part whose first fall breaks the rule: over two thirds of that window came from these. */
+    /** The share whose first failure breaks the rule: over two thirds of that window came from instances told. */
     public double broken(ColdRamp ramp) {
         return share(l -> l.breaksRule(ramp));
     }
@@ -45,7 +45,7 @@
         return loads.isEmpty() ? 0 : (double) loads.stream().filter(what).count() / loads.size();
     }
 
-    /** What the columns of {@link #text} are. */
+    /** Column headings of {@link #text}. */
     public static String head() {
         return String.format(
                 "%-9s%6s%7s %-7s%7s%7s%7s%9s%7s%9s%9s%9s%9s%7s%8s%8s%n",
@@ -54,9 +54,9 @@
     }
 
     /**
-     * A line for each ramp: of all windows median, 99th percentile and most, and how many nodes are over; of those that
-     * were filled by instances that had been told the most, how many are over, how many falls break the rule, and who
-     * filled the fullest.
+     * A line for each ramp. First median, 99th percentile and maximum of the nodes' fullest windows, and the share of
+     * nodes over the limit. Then, for windows sent mostly by instances told of the start: the maximum, the share of
+     * nodes over the limit, the share whose failure breaks the rule, and what the fullest window consisted of.
      */
     public String text() {
         StringBuilder s = new StringBuilder();
--- a/src/main/java/cacheproxy/model/Day.java
+++ b/src/main/java/cacheproxy/model/Day.java
@@ -4,9 +4,9 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 
-/** What happens on a day. Seconds count from its beginning; one of the site's own troubles comes beside each day's. */
+/** Fault scenarios. Seconds count from the start of a run; each run also gets one {@link Trouble} seen at the site. */
 public enum Day {
-    /** No fault; a burst of half as much again, and traffic that shifts between zones. */
+    /** No faults; a burst of 1.5 times the usual traffic, then a shift of traffic between zones. */
     CALM(40, "no fault; a burst of half as much again, traffic shifts between zones") {
         @Override
         void plan(FleetPlay p) {
@@ -15,7 +15,7 @@
             p.at(26, () -> p.clients().shift(p.random().nextInt(p.draw().zones()), 2));
         }
     },
-    /** Half of the nodes are replaced in steps while all instances are restarted by tenths, and discovery moves. */
+    /** Rolling replacement of half of the nodes and restart of all instances by tenths; discovery is down for 2 s. */
     ROLL(45, "half of the nodes replaced in steps, all instances restarted by tenths, discovery moves") {
         @Override
         void plan(FleetPlay p) {
@@ -34,9 +34,7 @@
             p.at(22, () -> p.discovery().down(false));
         }
     },
-    /**
-     * A release: seven in ten instances are killed at once, discovery has too many callers, one node in eight is bad.
-     */
+    /** A release: 70% of the instances are killed at once, discovery is overloaded, and one node in eight is faulty. */
     HERD(40, "seven in ten instances killed at once, discovery overbooked, one node in eight bad") {
         @Override
         void plan(FleetPlay p) {
@@ -51,7 +49,7 @@
             p.at(28, () -> p.discovery().capacity(lines));
         }
     },
-    /** A zone is lost for 5 s and returns cold; another is cut off from the rest; one node in eight is bad. */
+    /** A zone fails for 5 s and returns cold; later another is partitioned for 6 s; one node in eight is faulty. */
     ZONE(45, "a zone lost for 5 s and back cold, then a zone cut off, one node in eight bad") {
         @Override
         void plan(FleetPlay p) {
@@ -64,8 +62,8 @@
         }
     },
     /**
-     * A zone is cut off or a fifth of the nodes fall silent, lists come late, peers are deaf, answers lost, links
-     * reset.
+     * For 6 s a zone is partitioned or a fifth of the nodes stop responding; meanwhile half of the instances get the
+     * endpoint list late, peers receive no messages, 1% of the responses are lost and connections are reset.
      */
     SPLIT(40, "for 6 s a zone cut off or a fifth of the nodes silent, late lists, deaf peers, lost answers, resets") {
         @Override
@@ -103,7 +101,7 @@
             });
         }
     },
-    /** Six in ten nodes are replaced within 7 s; clients give up early or come again too often. */
+    /** 60% of the nodes are replaced within 7 s; some clients give up early, and all retry three times as soon. */
     JOIN(40, "six in ten nodes replaced within 7 s, clients that leave early or come again too soon") {
         @Override
         void plan(FleetPlay p) {
@@ -115,9 +113,7 @@
             p.at(5, () -> p.clients().restless(0.03, 3));
         }
     },
-    /**
-     * The long day: a node is replaced every few seconds and an instance killed now and then, for as long as wanted.
-     */
+    /** Soak test: a node is replaced every 3 s and an instance killed every minute, for as long as requested. */
     SOAK(240, "a node replaced every 3 s and an instance killed every minute, for as long as --for says") {
         @Override
         void plan(FleetPlay p) {
@@ -145,32 +141,32 @@
         this.words = words;
     }
 
-    /** How long it lasts unless told otherwise. */
+    /** Default duration in seconds. */
     public double seconds() {
         return seconds;
     }
 
-    /** What happens on it. */
+    /** Description for people. */
     public String words() {
         return words;
     }
 
     abstract void plan(FleetPlay p);
 
-    /** A run of this day that is still to be played. */
+    /** A run of this scenario, prepared but not started. */
     public FleetPlay play(FleetDraw draw, double seconds) {
         FleetPlay p = new FleetPlay(draw, seconds);
         arrange(p);
         return p;
     }
 
-    /** Sets what happens. */
+    /** Schedules the scenario's faults and one site trouble. */
     void arrange(FleetPlay p) {
         plan(p);
         Trouble.of(p.random()).plan(p);
     }
 
-    /** One node in eight is bad for the day: slow, or failing this part of what it is asked. */
+    /** Makes one node in eight faulty for the whole run: half of them slow, half failing this share of requests. */
     private static void bad(FleetPlay p, double errors) {
         List<NodeModel> some = p.some(p.nodes(), p.draw().nodes() / 8);
         for (int i = 0; i < some.size(); i++) {
--- a/src/main/java/cacheproxy/model/DiscoveryModel.java
+++ b/src/main/java/cacheproxy/model/DiscoveryModel.java
@@ -9,16 +9,16 @@
 import java.util.stream.Stream;
 
 /**
- * The list of nodes: one service for all instances that sends so many lines a second, takes calls in turn, turns away
- * those that would wait too long, and knows of changes late.
+ * The discovery service, shared by all instances: it sends a limited number of lines per second, serves calls in order,
+ * rejects those that would wait too long, and learns of changes with a delay.
  */
 final class DiscoveryModel {
-    /** A call that would wait longer than this is turned away, in milliseconds. */
+    /** A call that would take longer than this, in milliseconds, is rejected. */
     private static final double LONGEST_WAIT_MS = 3000;
 
-    /** Who waits for changes. */
+    /** An instance that watches the endpoint list. */
     interface Watcher {
-        /** The whole list, or changes since what it had. */
+        /** The whole list, or the changes since the last update. */
         void list(long version, boolean whole, List<Endpoint> members);
 
         void failed();
@@ -46,7 +46,7 @@
         lines = draw.lines();
     }
 
-    /** The list as it stands, for those who begin with it. */
+    /** The current list. */
     List<Endpoint> known() {
         return List.copyOf(members.values());
     }
@@ -55,12 +55,12 @@
         return version;
     }
 
-    /** It is there from the beginning. */
+    /** Adds a member that is listed from the beginning. */
     void begin(Endpoint member) {
         members.put(member.id(), member);
     }
 
-    /** It will come to know of this. */
+    /** A member has changed; discovery learns of it after its delay and tells the watchers. */
     void changed(Endpoint member) {
         time.after(noticeMs, () -> {
             version++;
@@ -80,12 +80,12 @@
         });
     }
 
-    /** Sends so many lines a second from now on. */
+    /** Sets the number of lines per second. */
     void capacity(double perSecond) {
         lines = perSecond;
     }
 
-    /** Takes no calls, or takes them again; watches end. */
+    /** Stops or resumes serving calls; when it stops, all calls and watches fail. */
     void down(boolean on) {
         down = on;
         if (on) {
@@ -97,14 +97,14 @@
         }
     }
 
-    /** What it tells these instances is that much later. */
+    /** Delays updates to these instances by this time. */
     void late(List<Integer> instances, double ms) {
         late.clear();
         late.addAll(instances);
         lateMs = ms;
     }
 
-    /** A call for the whole list, and a watch from there on. */
+    /** A call for the whole list, which then becomes a watch. */
     void call(int instance, Watcher watcher) {
         leave(instance);
         tally.add(time.now(), Figure.CALLS);
@@ -132,7 +132,7 @@
         });
     }
 
-    /** It no longer waits. */
+    /** Ends the instance's call or watch. */
     void leave(int instance) {
         calling.remove(instance);
         watchers.remove(instance);
--- a/src/main/java/cacheproxy/model/Figure.java
+++ b/src/main/java/cacheproxy/model/Figure.java
@@ -1,20 +1,20 @@
 package cacheproxy.model;
 
-/** What is counted, second by second, over all instances. */
+/** Metrics that are counted per second over all instances. */
 public enum Figure {
-    /** Worth of the first tries that came in this second, each counted once however often its client came again. */
+    /** Worth of first tries that arrived in this second; each counts once however often its client retries. */
     WORTH_ASKED("worth asked for"),
-    /** Of that, what was earned: all of it within the class's aim, a part of it until the client gave up. */
+    /** Worth earned: in full within the class's latency objective, in part until its deadline. */
     WORTH_EARNED("worth earned"),
     FIRST_TRIES("first tries"),
-    /** Requests that instances took, clients' repeats among them. */
+    /** Requests that instances accepted, including client retries. */
     REQUESTS("requests"),
     SERVED("served"),
     REFUSED("refused"),
     FAILED("failed"),
-    /** Requests that were open at an instance when it was killed, and that clients found nobody for. */
+    /** Requests open at an instance when it was killed, or for which a client found no instance. */
     ABANDONED("abandoned"),
-    /** Refused or failed while nothing was out for it, at the end of its time. */
+    /** Refused or failed at its deadline with no attempt in flight. */
     HELD_BACK("held back"),
     ATTEMPTS("attempts"),
     SECOND_COPIES("second copies"),
@@ -35,7 +35,7 @@
         this.words = words;
     }
 
-    /** As tables name it. */
+    /** Name for tables. */
     public String words() {
         return words;
     }
--- a/src/main/java/cacheproxy/model/LineDiscovery.java
+++ b/src/main/java/cacheproxy/model/LineDiscovery.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 
 /**
- * A discovery that serves all instances, as the operators' bench was seen to have it: it takes new calls one after
- * another, each at the same cost, keeps so much of them in line and turns the others away at once. A watch that goes on
- * costs nothing.
+ * A discovery service for all instances, modelled on the one observed at the operators' bench: it serves new calls one
+ * after another at equal cost, queues a limited number and rejects the others at once. Continuing a watch costs
+ * nothing.
  */
 final class LineDiscovery {
-    /** A new call that would wait longer is turned away, in milliseconds. */
+    /** A new call that would take longer than this, in milliseconds, is rejected. */
     static final double LONGEST_LINE_MS = 3000;
 
     private static final double ANSWER_MS = 10;
 
-    /** Who called. */
+    /** The caller, which receives the result. */
     interface Caller {
-        /** The list of this version; nothing is new where the caller holds it. */
+        /** The list of this version; unchanged if the caller already holds it. */
         void answered(int call, long version);
 
-        /** The call was turned away, or its connection has ended. */
+        /** The call was rejected, or its connection was closed. */
         void failed(int call);
     }
 
@@ -58,9 +58,9 @@
     }
 
     /**
-     * A call that waits for changes.
+     * A long-poll call.
      *
-     * @param goesOn whether it follows the last answer at once, on the same connection
+     * @param goesOn whether it follows the last response at once, on the same connection
      */
     void call(Caller caller, int call, long since, double waitMs, boolean goesOn) {
         if (goesOn) {
@@ -96,12 +96,12 @@
         });
     }
 
-    /** The caller does not wait for that call any more. */
+    /** The caller abandons the call. */
     void giveUp(Caller caller, int call) {
         watches.remove(new Call(caller, call));
     }
 
-    /** Something has changed, of which all watches are told. */
+    /** Raises the version and answers all watches. */
     void change() {
         version++;
         List<Watch> told = new ArrayList<>(watches.values());
@@ -109,24 +109,24 @@
         told.forEach(w -> time.after(ANSWER_MS, () -> w.caller().answered(w.call(), version)));
     }
 
-    /** All watches end, and callers are told so. */
+    /** Ends all watches; their callers are notified. */
     void endWatches() {
         List<Watch> ended = new ArrayList<>(watches.values());
         watches.clear();
         ended.forEach(w -> time.after(ANSWER_MS, () -> w.caller().failed(w.call())));
     }
 
-    /** All watches are forgotten without a word. */
+    /** Drops all watches without notifying their callers. */
     void forgetWatches() {
         watches.clear();
     }
 
-    /** Turns all calls away, or takes them again. */
+    /** Rejects new calls, or accepts them again. */
     void down(boolean on) {
         down = on;
     }
 
-    /** Takes calls and says nothing, or answers again. */
+    /** Accepts new calls without responding, or responds again. */
     void silent(boolean on) {
         silent = on;
     }
--- a/src/main/java/cacheproxy/model/Link.java
+++ b/src/main/java/cacheproxy/model/Link.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * One connection of an instance to a node. Answers come in the order of its requests; one that is lost holds up all
- * that come after it, as on a link that swallows packets.
+ * One connection of an instance to a node. Responses are delivered in the order of the requests; a lost response blocks
+ * all later ones (head-of-line blocking), as on a link that drops packets.
  */
 final class Link {
     private record Answer(Attempt attempt, AttemptOutcome outcome) {}
@@ -64,10 +64,10 @@
         });
     }
 
-    /** The node has an answer; it comes in its turn. */
+    /** The node has a response; it is delivered in request order. */
     void answered(Attempt attempt, AttemptOutcome outcome, int from) {
         if (mute || network.losesAnswer() || !network.passes(from, owner.zone())) {
-            mute = true; // what comes after it can't be told from its answer
+            mute = true; // later responses could not be matched to their requests
             return;
         }
         time.after(network.delayMs(from, owner.zone()), () -> arrived(new Answer(attempt, outcome)));
@@ -96,14 +96,14 @@
         }
     }
 
-    /** Nobody waits for this one any more: with nothing else on it, the connection ends. */
+    /** An attempt was abandoned: closes the connection if no other attempt on it is still awaited. */
     void gaveUp() {
         if (!closed && out.stream().allMatch(a -> a.ended)) {
             close();
         }
     }
 
-    /** Nothing new goes onto it. */
+    /** Accepts no new attempts; closes once those in flight have their responses. */
     void retire() {
         retired = true;
         if (out.isEmpty()) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /** The other side, or what lies between, has ended it. */
+    /** The node or the network has reset the connection. */
     void reset() {
         if (!closed) {
             close();
--- a/src/main/java/cacheproxy/model/Network.java
+++ b/src/main/java/cacheproxy/model/Network.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Delays between zones, and what is wrong between them. Zones are numbered from 0; times in milliseconds, one way. */
+/** Delays and faults between zones. Zones are numbered from 0; delays are one-way, in milliseconds. */
 final class Network {
     private static final double JITTER = 0.2;
 
@@ -22,7 +22,7 @@
         return (from == to ? sameMs : crossMs) * (1 - JITTER + 2 * JITTER * random.nextDouble());
     }
 
-    /** Nothing passes between this zone and the others; -1: everything does. */
+    /** Partitions this zone from the others; -1 heals the partition. */
     void cut(int zone) {
         cutZone = zone;
     }
@@ -31,7 +31,7 @@
         return from == to || (from != cutZone && to != cutZone);
     }
 
-    /** This part of the answers on their way back from nodes is lost. */
+    /** Loses this share of the responses from nodes. */
     void lose(double part) {
         lost = part;
     }
--- a/src/main/java/cacheproxy/model/NodeModel.java
+++ b/src/main/java/cacheproxy/model/NodeModel.java
@@ -9,14 +9,14 @@
 import java.util.SplittableRandom;
 
 /**
- * One cache node: a core with a short queue, a memory, places for connections, a cold ramp and a tipping point. What is
- * cancelled goes on, as it does at the site.
+ * One cache node: one core with a short queue, an LRU store, a connection limit, a capacity ramp after a cold start and
+ * an overload limit. A cancelled request is still processed, as at the operators' site.
  */
 final class NodeModel {
-    /** What a miss costs of what a hit does. */
+    /** Cost of a miss relative to a hit. */
     private static final double MISS_PART = 0.1;
 
-    /** One request that has arrived; {@code link}: null for the work of a new connection. */
+    /** One request in the queue; {@code link}: null for the handshake of a new connection. */
     private record Job(Link link, Attempt attempt) {}
 
     final int id;
@@ -42,7 +42,7 @@
     private double errorPart;
     private double slowness = 1;
 
-    /** {@code bornMs}: 0 for long ago. */
+    /** {@code bornMs}: start time; 0 for a node that has long been warm. */
     NodeModel(
             int id,
             int zone,
@@ -77,7 +77,7 @@
         load = bornMs == 0 ? null : new ColdLoad(FleetDraw.COLD_LIMITS, speed / draw.workMs(), bornMs);
     }
 
-    /** What it was sent while it was cold; null if it has been warm from the beginning. */
+    /** The load it received while cold; null if it was warm from the beginning. */
     ColdLoad load() {
         return load;
     }
@@ -86,20 +86,20 @@
         return speed * start.share(time.now()) / slowness;
     }
 
-    // ---- what happens to it
+    // ---- faults and lifecycle
 
-    /** Finishes what it has and wants nothing new. */
+    /** Finishes its current requests and rejects new ones. */
     void drain() {
         draining = true;
     }
 
-    /** Its process ends: what is open is reset, and nothing comes up any more. */
+    /** The process ends for good: open connections are reset and no request is answered any more. */
     void go() {
         gone = true;
         resetAll();
     }
 
-    /** Says nothing, or speaks again; what was open is still open. */
+    /** Stops responding, or responds again; open connections stay open. */
     void silent(boolean on) {
         silent = on;
         if (on) {
@@ -107,18 +107,18 @@
         }
     }
 
-    /** Answers this part with an error or a reset, and takes so many times as long. */
+    /** Fails this share of requests with an error or a reset, and serves so many times slower. */
     void bad(double errors, double timesSlower) {
         errorPart = errors;
         slowness = timesSlower;
     }
 
-    /** Stands still for so long. */
+    /** Pauses for this time. */
     void pause(double ms) {
         core.stall(time.now(), ms);
     }
 
-    /** Ends each of its connections with this probability. */
+    /** Resets each of its connections with this probability. */
     void reset(double part) {
         for (Link link : List.copyOf(links)) {
             if (random.nextDouble() < part) {
@@ -145,7 +145,7 @@
 
     // ---- connections
 
-    /** Takes a connection; false if all places are taken. */
+    /** Accepts a connection; false if the connection limit is reached. */
     boolean accept(Link link) {
         if (links.size() >= places) {
             return false;
@@ -175,7 +175,7 @@
         store.drop(key);
     }
 
-    /** A request has come whole; its answer goes to the link, or nothing does. */
+    /** A request has arrived in full; its response goes to the link, unless the node doesn't respond. */
     void arrive(Link link, Attempt attempt) {
         if (!answers()) {
             return;
@@ -203,7 +203,7 @@
         }
     }
 
-    /** What is sent counts, also what is turned away: so the operators' rule has it. */
+    /** Fails from overload. Rejected requests count towards it too, as the operators' rule says. */
     private void fall() {
         fallen = true;
         rules.broken(
--- a/src/main/java/cacheproxy/model/OriginModel.java
+++ b/src/main/java/cacheproxy/model/OriginModel.java
@@ -6,13 +6,15 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** The one slow origin: so many fetches at a time behind a bounded queue. It goes on with what nobody waits for. */
+/**
+ * The one slow origin: limited concurrency behind a bounded queue. It completes fetches that nobody awaits any more.
+ */
 final class OriginModel {
-    /** It lets fetches wait for this long on average before it turns others away. */
+    /** The queue holds fetches for this long on average; beyond that the origin rejects. */
     private static final double QUEUE_MS = 600;
     /**
-     * Fetches a request that it carries without a jam where each instance has places at two nodes in five, as the
-     * operators' bench showed it (1,919 of 5,393 requests within 5 s, at a steady 42 ms a fetch).
+     * Fetches per request that the origin carries without congestion where each instance has connections to two nodes
+     * in five. The operators' bench showed 1,919 fetches for 5,393 requests within 5 s, at a steady 42 ms per fetch.
      */
     private static final double SCATTERED = 0.25;
 
@@ -37,7 +39,7 @@
         slots = new ServiceModel<>(places, (int) Math.max(2, places * QUEUE_MS / fetchMs));
     }
 
-    /** Fetches, or carries a write out; {@code done} is told at its end, or false at once where it is turned away. */
+    /** Performs a fetch or a write; {@code done} gets true at its end, or false at once if it is rejected. */
     void take(Attempt attempt, Consumer<Boolean> done) {
         double work = fetchMs * -(Math.log(1 - random.nextDouble()) + Math.log(1 - random.nextDouble())) / 2;
         if (!slots.offer(time.now(), new Job(attempt, done), work, 1)) {
--- a/src/main/java/cacheproxy/model/Rules.java
+++ b/src/main/java/cacheproxy/model/Rules.java
@@ -6,29 +6,33 @@
 import java.util.List;
 import java.util.Map;
 
-/** What has been broken of the four rules, over all instances. */
+/** Records violations of the four rules over all instances. */
 public final class Rules {
-    /** The four rules, as the operators word them. */
+    /** The four rules, as the operators state them. */
     public enum Rule {
-        /** Each request that a running instance took gets exactly one final answer in time, and nothing after it. */
+        /** Each request accepted by a running instance gets exactly one final response in time and nothing after it. */
         NO_REQUEST_LOST,
-        /** Nothing runs oftener than its class allows, and a refusal is told only where nothing can have run. */
+        /**
+         * No request is executed more often than its class allows; it is refused only if it can't have been executed.
+         */
         NO_EFFECT_TWICE,
-        /** Nothing new goes to a node beyond the grace after this instance was told that it drains or is gone. */
+        /**
+         * Once an instance is told that a node drains or is removed, it sends nothing new there after the grace time.
+         */
         DRAINS_KEPT,
-        /** All instances together do not push a cold node over. */
+        /** All instances together don't overload a cold node. */
         NO_COLD_NODE_PUSHED_OVER
     }
 
     /**
-     * One break of a rule.
+     * One violation of a rule.
      *
-     * @param atMs when, in milliseconds of virtual time
-     * @param what what happened, with the ids of request and instance
+     * @param atMs virtual time in milliseconds
+     * @param what what happened, with the ids that identify it
      */
     public record Broken(Rule rule, double atMs, String what) {}
 
-    /** So many are kept word for word; the rest is counted. */
+    /** Maximum number of violations kept with their texts; further ones are only counted. */
     private static final int MOST_TOLD = 20;
 
     private final List<Broken> told = new ArrayList<>();
@@ -41,17 +45,17 @@
         }
     }
 
-    /** Whether all were kept. */
+    /** Whether no rule was violated. */
     public boolean kept() {
         return counts.isEmpty();
     }
 
-    /** How often each was broken; those that were kept are not in it. */
+    /** Number of violations by rule; rules without violations are absent. */
     public Map<Rule, Integer> counts() {
         return Collections.unmodifiableMap(counts);
     }
 
-    /** The first of them. */
+    /** The first violations, with their texts. */
     public List<Broken> told() {
         return List.copyOf(told);
     }
--- a/src/main/java/cacheproxy/model/Tally.java
+++ b/src/main/java/cacheproxy/model/Tally.java
@@ -1,8 +1,6 @@
 package cacheproxy.model;
 
-/**
- * Counts by the second. Seconds are those of the run, from 0; what comes before or after it goes to the first or last.
- */
+/** Counters per second of a run, from 0. Events before or after the run count in the first or last second. */
 public final class Tally {
     private final double startMs;
     private final double[][] counts;
@@ -21,22 +19,22 @@
         add(now, figure, 1);
     }
 
-    /** How many seconds are told apart. */
+    /** Number of seconds with counters of their own. */
     public int seconds() {
         return counts[0].length;
     }
 
-    /** What was counted in that second. */
+    /** The count of one second. */
     public double at(int second, Figure figure) {
         return counts[figure.ordinal()][second];
     }
 
-    /** What was counted in all. */
+    /** The count over the whole run. */
     public double total(Figure figure) {
         return total(figure, 0, seconds());
     }
 
-    /** What was counted from one second to before another. */
+    /** The count from second {@code from} to before {@code until}. */
     public double total(Figure figure, int from, int until) {
         double sum = 0;
         for (int s = Math.max(0, from); s < Math.min(seconds(), until); s++) {
@@ -45,13 +43,13 @@
         return sum;
     }
 
-    /** The part of the worth that was earned; 1 where none was asked for. */
+    /** The share of the requested worth that was earned; 1 if none was requested. */
     public double worth() {
         double asked = total(Figure.WORTH_ASKED);
         return asked == 0 ? 1 : total(Figure.WORTH_EARNED) / asked;
     }
 
-    /** The least part of the worth that was earned in so many seconds on end. */
+    /** The lowest earned share of worth in any {@code span} consecutive seconds. */
     public double worstWorth(int span) {
         double worst = worth();
         for (int s = 0; s + span <= seconds(); s++) {
--- a/src/main/java/cacheproxy/model/Trouble.java
+++ b/src/main/java/cacheproxy/model/Trouble.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The troubles that the operators see by themselves; one of them comes on each day, from its fifth second. */
+/** Disturbances that the operators see at their site; each run gets one of them from its fifth second. */
 enum Trouble {
-    /** Up to 41% of the nodes stand still for 62 to 160 ms every few seconds. */
+    /** 10 to 41% of the nodes pause for 62 to 160 ms every 2.5 s. */
     PAUSES {
         @Override
         void plan(FleetPlay p) {
@@ -18,7 +18,7 @@
             }
         }
     },
-    /** One key draws 3 to 15% of all reads. */
+    /** One key receives 3 to 15% of all reads. */
     HOT_KEY {
         @Override
         void plan(FleetPlay p) {
@@ -27,7 +27,7 @@
             p.at(FROM + SPAN, () -> p.clients().hot(0));
         }
     },
-    /** One instance carries 3 to 8% of all traffic. */
+    /** One instance receives 3 to 8% of all traffic. */
     HOT_CALLER {
         @Override
         void plan(FleetPlay p) {
@@ -37,7 +37,7 @@
             p.at(FROM + SPAN, () -> p.clients().crowd(-1, 0));
         }
     },
-    /** The roster is out of reach. */
+    /** Discovery is unreachable. */
     DISCOVERY_DOWN {
         @Override
         void plan(FleetPlay p) {
--- a/src/main/java/cacheproxy/model/VirtualTime.java
+++ b/src/main/java/cacheproxy/model/VirtualTime.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** Events in the order of their times, and of their making where these are alike: the same seed gives the same run. */
+/** Event queue ordered by time, then by order of scheduling, so that the same seed gives the same run. */
 public final class VirtualTime {
     private record Event(double at, long number, Runnable what) implements Comparable<Event> {
         @Override
@@ -15,27 +15,27 @@
     private long number;
     private double now;
 
-    /** Begins at that time, in milliseconds. */
+    /** Starts the clock at a time in milliseconds. */
     public VirtualTime(double startMs) {
         now = startMs;
     }
 
-    /** The time now, in milliseconds. */
+    /** Current virtual time in milliseconds. */
     public double now() {
         return now;
     }
 
-    /** Has this happen so much later. */
+    /** Schedules an action after a delay. */
     public void after(double ms, Runnable what) {
         at(now + ms, what);
     }
 
-    /** Has this happen at that time. */
+    /** Schedules an action at an absolute time. */
     public void at(double ms, Runnable what) {
         events.add(new Event(ms, number++, what));
     }
 
-    /** Lets all happen that is to happen until then, and is then there. */
+    /** Runs all events due up to a time and advances the clock to it. */
     public void passTo(double ms) {
         while (!events.isEmpty() && events.peek().at <= ms) {
             Event e = events.poll();
--- a/src/test/java/cacheproxy/model/Mutant.java
+++ b/src/test/java/cacheproxy/model/Mutant.java
@@ -11,9 +11,9 @@
 import java.lang.reflect.Proxy;
 import java.util.List;
 
-/** The decision module with one line of it wrong: each breaks one of the rules. */
+/** Faults in the decision module, each of which violates one of the rules. */
 enum Mutant {
-    /** What may have run is refused, so that its client asks again. */
+    /** Refuses a request that may have been executed, so its client retries. */
     REFUSES_WHAT_MAY_HAVE_RUN(Rules.Rule.NO_EFFECT_TWICE) {
         @Override
         Object order(RoutingActions out, String name, Object[] args) throws ReflectiveOperationException {
@@ -24,7 +24,7 @@
             return super.order(out, name, args);
         }
     },
-    /** One answer in fifty is forgotten. */
+    /** Drops the rejections and failures of one request in fifty. */
     FORGETS_ANSWERS(Rules.Rule.NO_REQUEST_LOST) {
         @Override
         Object order(RoutingActions out, String name, Object[] args) throws ReflectiveOperationException {
@@ -33,7 +33,7 @@
                     : super.order(out, name, args);
         }
     },
-    /** A node that drains is taken for one that doesn't, and one that is gone is kept. */
+    /** Treats draining and removed nodes as ready. */
     KEEPS_WHAT_DRAINS(Rules.Rule.DRAINS_KEPT) {
         @Override
         Endpoint member(Endpoint m) {
@@ -43,9 +43,9 @@
                             m.id(), m.zone(), m.kind(), m.cell(), EndpointState.READY, m.weight(), m.startTimeMs());
         }
     },
-    /** Whatever goes to a node goes to the newest. */
+    /** Sends every attempt for a node to the newest node. */
     PREFERS_THE_NEWEST(Rules.Rule.NO_COLD_NODE_PUSHED_OVER) {
-        @SuppressWarnings("ImmutableEnumChecker") // plays with it run one after another
+        @SuppressWarnings("ImmutableEnumChecker") // runs that use it are sequential
         private int newest;
 
         @Override
@@ -69,7 +69,7 @@
         this.breaks = breaks;
     }
 
-    /** What comes of an order of the module. */
+    /** Carries out an action of the module. */
     Object order(RoutingActions out, String name, Object[] args) throws ReflectiveOperationException {
         for (var m : RoutingActions.class.getMethods()) {
             if (m.getName().equals(name)) {
@@ -79,12 +79,12 @@
         throw new NoSuchMethodException(name);
     }
 
-    /** What the module is told of a member. */
+    /** The endpoint as the module sees it. */
     Endpoint member(Endpoint m) {
         return m;
     }
 
-    /** Such a module. */
+    /** A decision module with this fault. */
     LoadBalancer module(RoutingSettings settings, long seed) {
         CarpLoadBalancer real = new CarpLoadBalancer(settings, seed);
         return (LoadBalancer) Proxy.newProxyInstance(
