--- a/src/main/java/cacheproxy/model/FleetPart.java
+++ b/src/main/java/cacheproxy/model/FleetPart.java
@@ -17,7 +17,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** One life of an instance's part in the view and in leaving zones, as the proxy carries it out: the real decisions. */
+/** Membership and zone failover of one process, wired as in the proxy; uses the production decision classes. */
 final class FleetPart {
     private final VirtualTime time;
     private final RoutingSettings settings;
@@ -28,7 +28,7 @@
     private byte[] plan = {};
     private byte[] sight = {};
 
-    /** {@code post}: sends a message to an instance; {@code order}: hands orders to the decision module. */
+    /** {@code post}: sends a message to an instance; {@code order}: passes directives to the decision module. */
     FleetPart(
             RoutingSettings settings,
             long seed,
@@ -52,7 +52,7 @@
                 settings.instanceIndex(), settings.zone(), settings.zoneCount(), settings.warmUpMs()));
     }
 
-    /** Does what is due of the view; when to call again. */
+    /** Runs membership work that is due; returns when to call again. */
     double view() {
         members.tick(time.now());
         members.takeOutgoing().forEach(s -> post.accept(s.to(), s.body()));
@@ -63,7 +63,7 @@
         members.messageReceived(time.now(), from, body);
     }
 
-    /** What the list holds now. */
+    /** Passes on the current endpoint list. */
     void listed(List<Endpoint> listed) {
         for (int z = 0; z < settings.zoneCount(); z++) {
             int zone = z;
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Decides what is due of zones; to be called each {@link ZoneFailover#TICK_MS}. Whether the view has something new
-     * to tell.
+     * Runs the zone decisions that are due; to be called every {@link ZoneFailover#TICK_MS}. Returns whether the
+     * metadata that membership spreads has changed.
      */
     boolean decide() {
         List<ZoneDirective> orders = zones.tick(time.now(), members.view(time.now()));
@@ -98,7 +98,7 @@
         return changed;
     }
 
-    /** The decision module has met this at a node of a zone, or at the origin. */
+    /** A signal of the decision module about a node of a zone, or about the origin. */
     void saw(int zone, int server, boolean origin, EndpointSignal what) {
         if (origin) {
             zones.onOriginFetch(time.now(), what == EndpointSignal.RESPONDED);
