--- a/src/main/java/cacheproxy/model/ClientsModel.java
+++ b/src/main/java/cacheproxy/model/ClientsModel.java
@@ -19,11 +19,11 @@
 
     private static final double BACKOFF_MS = 30;
     /** The share of retries that honour the advised delay. */
-    private static final double HONOUR = 0.85;
+    private static final double HONOUR_SHARE = 0.85;
     /**
      * A client without a response leaves this long after its wait, once the rule on late responses has been checked.
      */
-    private static final double LEAVE_MS = 60;
+    private static final double LEAVE_DELAY_MS = 60;
 
     private static final int KEYS_PER_NODE = 100;
 
@@ -207,7 +207,7 @@
                 open = ask;
                 at.take(ask);
                 boolean early = random.nextDouble() < impatient;
-                play.time().after(early ? wait * random.nextDouble() : wait + LEAVE_MS, () -> {
+                play.time().after(early ? wait * random.nextDouble() : wait + LEAVE_DELAY_MS, () -> {
                     if (open == ask) { // no response: retried only if executing it twice does no harm
                         open = null;
                         at.leave(ask);
@@ -238,7 +238,7 @@
                                                     ? kind.priorityWeight() * kind.lateValueShare()
                                                     : 0);
                 } else if (answer == Ask.Answer.REFUSED || kind.idempotency() != Idempotency.NON_IDEMPOTENT) {
-                    again(random.nextDouble() < HONOUR ? retryAfterMs : 0);
+                    again(random.nextDouble() < HONOUR_SHARE ? retryAfterMs : 0);
                 }
             });
         }
--- a/src/main/java/cacheproxy/model/ColdRamp.java
+++ b/src/main/java/cacheproxy/model/ColdRamp.java
@@ -13,13 +13,13 @@
     LATE {
         @Override
         double share(double age, double start, double warmUpMs) {
-            double from = STAYS * warmUpMs;
+            double from = FLAT_SHARE * warmUpMs;
             return age < from ? start : start + (1 - start) * (age - from) / (warmUpMs - from);
         }
     };
 
     /** The share of the warm-up for which {@link #LATE} stays at the starting value. */
-    private static final double STAYS = 0.8;
+    private static final double FLAT_SHARE = 0.8;
 
     /** The share of its full capacity that a node has at an age from 0 to {@code warmUpMs}. */
     abstract double share(double age, double start, double warmUpMs);
--- a/src/main/java/cacheproxy/model/Link.java
+++ b/src/main/java/cacheproxy/model/Link.java
@@ -16,10 +16,10 @@
     private final VirtualTime time;
     private final Network network;
     private final ArrayDeque<Attempt> out = new ArrayDeque<>();
-    private final ArrayDeque<Answer> early = new ArrayDeque<>();
+    private final ArrayDeque<Answer> undelivered = new ArrayDeque<>();
     private double readyMs;
     private double usedMs;
-    private boolean mute;
+    private boolean responseLost;
     private boolean retired;
     private boolean closed;
 
@@ -66,8 +66,8 @@
 
     /** The node has a response; it is delivered in request order. */
     void answered(Attempt attempt, AttemptOutcome outcome, int from) {
-        if (mute || network.losesAnswer() || !network.passes(from, owner.zone())) {
-            mute = true; // later responses could not be matched to their requests
+        if (responseLost || network.losesAnswer() || !network.passes(from, owner.zone())) {
+            responseLost = true; // later responses could not be matched to their requests
             return;
         }
         time.after(network.delayMs(from, owner.zone()), () -> arrived(new Answer(attempt, outcome)));
@@ -77,12 +77,12 @@
         if (closed) {
             return;
         }
-        early.add(answer);
+        undelivered.add(answer);
         for (boolean more = true; more; ) {
             more = false;
-            for (Answer a : early) {
+            for (Answer a : undelivered) {
                 if (a.attempt() == out.peek()) {
-                    early.remove(a);
+                    undelivered.remove(a);
                     out.poll();
                     usedMs = time.now();
                     owner.ended(a.attempt(), a.outcome());
--- a/src/main/java/cacheproxy/model/check/Explorer.java
+++ b/src/main/java/cacheproxy/model/check/Explorer.java
@@ -43,49 +43,49 @@
     private record Waiting<S>(long key, S state) {}
 
     private final Protocol<S> protocol;
-    private final Map<Long, From> met = new HashMap<>();
+    private final Map<Long, From> visited = new HashMap<>();
 
     /** Creates an explorer; {@link #run} does the exploration. */
     public Explorer(Protocol<S> protocol) {
         this.protocol = protocol;
     }
 
-    /** Explores until a property is violated, all states are visited, or {@code most} states are. */
-    public Result run(long most) {
+    /** Explores until a property is violated, all states are visited, or {@code maxStates} states are. */
+    public Result run(long maxStates) {
         ArrayDeque<Waiting<S>> waiting = new ArrayDeque<>();
         S first = protocol.initial();
         long firstKey = hash(protocol.key(first));
-        met.put(firstKey, new From(0, null, 0));
+        visited.put(firstKey, new From(0, null, 0));
         waiting.add(new Waiting<>(firstKey, first));
         int depth = 0;
         String broken = protocol.broken(first);
         if (broken != null) {
             return new Result(1, 0, false, broken, List.of());
         }
-        while (!waiting.isEmpty() && met.size() < most) {
+        while (!waiting.isEmpty() && visited.size() < maxStates) {
             Waiting<S> w = waiting.poll();
-            depth = met.get(w.key()).depth() + 1;
+            depth = visited.get(w.key()).depth() + 1;
             for (Protocol.Move<S> move : protocol.moves(w.state())) {
                 long key = hash(protocol.key(move.to()));
-                if (move.broken() == null && met.containsKey(key)) {
+                if (move.broken() == null && visited.containsKey(key)) {
                     continue;
                 }
-                met.putIfAbsent(key, new From(w.key(), move.words(), depth));
+                visited.putIfAbsent(key, new From(w.key(), move.words(), depth));
                 String wrong = move.broken() != null ? move.broken() : protocol.broken(move.to());
                 if (wrong != null) {
                     List<String> trace = trace(w.key());
                     trace.add(move.words());
-                    return new Result(met.size(), depth, false, wrong, trace);
+                    return new Result(visited.size(), depth, false, wrong, trace);
                 }
                 waiting.add(new Waiting<>(key, move.to()));
             }
         }
-        return new Result(met.size(), depth, waiting.isEmpty(), null, List.of());
+        return new Result(visited.size(), depth, waiting.isEmpty(), null, List.of());
     }
 
     private List<String> trace(long key) {
         List<String> moves = new ArrayList<>();
-        for (From f = met.get(key); f.move() != null; f = met.get(f.before())) {
+        for (From f = visited.get(key); f.move() != null; f = visited.get(f.before())) {
             moves.add(0, f.move());
         }
         return moves;
--- a/src/main/java/cacheproxy/model/check/MemberProtocol.java
+++ b/src/main/java/cacheproxy/model/check/MemberProtocol.java
@@ -102,7 +102,7 @@
             for (int j = 0; j < INSTANCES; j++) {
                 if (i != j) {
                     send(f, i, j, moves);
-                    doubt(f, i, j, moves);
+                    addSuspicionMoves(f, i, j, moves);
                 }
             }
             if (f.deaths() < bounds.deaths()) {
@@ -142,7 +142,7 @@
         }
     }
 
-    private void doubt(Fleet f, int i, int j, List<Move<Fleet>> moves) {
+    private void addSuspicionMoves(Fleet f, int i, int j, List<Move<Fleet>> moves) {
         Member e = f.of(i).get(j);
         if (e != null && e.state() == MemberState.ALIVE && f.suspicions() < bounds.suspicions()) {
             MembershipReplica k = copy.apply(f.of(i));
