--- a/src/main/java/cacheproxy/emulator/CacheNode.java
+++ b/src/main/java/cacheproxy/emulator/CacheNode.java
@@ -14,22 +14,24 @@
 import java.util.Set;
 
 /**
- * A cache node: the meta commands on its sockets (one for each proxy, so that it can tell who sends), one core's worth
- * of service behind a bounded queue, a memory, and a cold start. Belongs to the fleet's event loop.
+ * An emulated cache node: serves the meta commands on one socket per proxy, to tell the senders apart, with one core
+ * behind a bounded queue, an LRU store and a cold start. Confined to the fleet's event loop.
  */
 final class CacheNode {
-    /** What a new connection costs, and a look-up that finds nothing, as a share of a read's mean work. */
+    /**
+     * The work of accepting a connection, as a share of a read's mean work; below, that of a miss as a share of a hit.
+     */
     private static final double HANDSHAKE_WORK = 0.06;
 
     private static final double MISS_WORK = 0.05;
 
-    private final StandInFleet fleet;
+    private final EmulatedFleet fleet;
     private final String name;
     private final double speed;
     private final Listener listener;
     private final LruStore<String> store;
     private final Service core;
-    private final Set<AnswerLine> lines = new HashSet<>();
+    private final Set<ResponsePipeline> lines = new HashSet<>();
     private final Random random;
     private ColdStart start;
     private double spoiltShare;
@@ -37,7 +39,7 @@
     private double heldAtStart;
     private int life;
 
-    CacheNode(StandInFleet fleet, String name, double speed, long seed) {
+    CacheNode(EmulatedFleet fleet, String name, double speed, long seed) {
         this.fleet = fleet;
         this.name = name;
         this.speed = speed;
@@ -61,16 +63,16 @@
         return listener;
     }
 
-    // ---- what it holds
+    // ---- store
 
-    /** Keeps a value that the origin gave for a request that missed here. */
+    /** Stores a value that the origin returned for a request that missed here. */
     void fill(String key, long version) {
         if (listener.isOpen()) {
             store.put(key, version);
         }
     }
 
-    /** A write has voided the key. */
+    /** Invalidates a key after a write. */
     void drop(String key) {
         if (!keepsStale) {
             store.drop(key);
@@ -86,7 +88,7 @@
         return version;
     }
 
-    /** Whether a node that was warm at the start had this key then, if a write has not voided it since. */
+    /** Whether this key was cached at the start and has not been written since. */
     private boolean heldThen(String key) {
         return heldAtStart > 0
                 && fleet.origin().version(key) == 0
@@ -102,7 +104,7 @@
         }
         core.offer(() -> {}, fleet.spec().workMs() * HANDSHAKE_WORK);
         fleet.series().count(proxy, Series.What.OPENED);
-        AnswerLine line = new AnswerLine(channel, listener);
+        ResponsePipeline line = new ResponsePipeline(channel, listener);
         lines.add(line);
         channel.closeFuture().addListener(f -> lines.remove(line));
         channel.pipeline().addLast(new MetaCommandDecoder(), new SimpleChannelInboundHandler<MetaCommand>() {
@@ -118,7 +120,7 @@
         });
     }
 
-    private void take(ChannelHandlerContext ctx, AnswerLine line, int proxy, MetaCommand command) {
+    private void take(ChannelHandlerContext ctx, ResponsePipeline line, int proxy, MetaCommand command) {
         if (command instanceof MetaCommand.Read read) {
             read(line, proxy, read);
         } else if (command instanceof MetaCommand.Write) {
@@ -132,11 +134,11 @@
         }
     }
 
-    private void read(AnswerLine line, int proxy, MetaCommand.Read read) {
+    private void read(ResponsePipeline line, int proxy, MetaCommand.Read read) {
         double now = fleet.now();
         fleet.oracle().sent(proxy, name, read.id(), now);
         fleet.series().attempt(proxy, fleet.spec().layout().zoneOf(Parties.number(name)));
-        AnswerLine.Slot slot = line.next();
+        ResponsePipeline.Slot slot = line.next();
         boolean hit = held(read.key()) != null;
         double work = fleet.work(read.id(), read.extras()) * (hit ? 1 : MISS_WORK);
         if (start.pushedOver(now, work)) {
@@ -196,7 +198,7 @@
     void freeze(boolean on) {
         listener.freeze(on);
         if (!on) {
-            lines.forEach(AnswerLine::flush);
+            lines.forEach(ResponsePipeline::flush);
         }
     }
 
@@ -211,7 +213,7 @@
         }
     }
 
-    /** The process dies: its memory is lost, its connections are reset, new ones refused. */
+    /** Emulates a crash: the store is lost, connections are reset and new ones are refused. */
     void die() {
         life++;
         listener.shut();
@@ -220,7 +222,7 @@
         store.clear();
     }
 
-    /** A new process listens where the old one did, empty and cold. */
+    /** Emulates a restart: a process with an empty store and cold capacity listens on the same addresses. */
     void live(Runnable then) {
         heldAtStart = 0;
         start = new ColdStart(fleet.spec().coldStart(), speed, fleet.now());
--- a/src/main/java/cacheproxy/emulator/OriginServer.java
+++ b/src/main/java/cacheproxy/emulator/OriginServer.java
@@ -22,28 +22,29 @@
 import java.util.Set;
 
 /**
- * The origin: HTTP/1.1, a few slots and a bounded queue. It alone knows a key's version, counts what takes effect,
- * drops the nodes' copies on a write and fills the nodes that missed. Belongs to the fleet's event loop.
+ * The emulated origin: HTTP/1.1, a few parallel slots and a bounded queue. It is the authority on key versions, reports
+ * executed writes to the oracle, invalidates the nodes' copies on a write and fills the nodes that missed. Confined to
+ * the fleet's event loop.
  */
 final class OriginServer {
     private static final byte[] NOTHING = {};
     private static final double WRITE_WORK = 1.5;
-    /** The queue, in slots' worth: some seconds of work. */
+    /** Queue length per slot; corresponds to some seconds of work. */
     private static final int QUEUE_PER_SLOT = 16;
 
     private record Receipt(long version, double atMs) {}
 
-    private final StandInFleet fleet;
+    private final EmulatedFleet fleet;
     private final Listener listener;
     private final Service slots;
     private final Map<String, Long> versions = new HashMap<>();
-    /** The receipts of keyed writes for as long as repeats are dropped, oldest first. */
+    /** Receipts of keyed writes within the deduplication window, oldest first. */
     private final Map<String, Receipt> receipts = new LinkedHashMap<>();
 
-    private final Set<AnswerLine> lines = new HashSet<>();
+    private final Set<ResponsePipeline> lines = new HashSet<>();
     private long fetches;
 
-    OriginServer(StandInFleet fleet) {
+    OriginServer(EmulatedFleet fleet) {
         this.fleet = fleet;
         int places = fleet.spec().originSlots();
         slots = new Service(fleet, new ServiceModel<>(places, places * QUEUE_PER_SLOT), () -> 1);
@@ -57,19 +58,19 @@
         return listener;
     }
 
-    /** How many writes of the key have run. */
+    /** The number of executed writes of the key. */
     long version(String key) {
         return versions.getOrDefault(key, 0L);
     }
 
-    /** Fetches served so far. */
+    /** The number of fetches served so far. */
     long fetches() {
         return fetches;
     }
 
     private void accepted(Channel channel, int socket) {
         fleet.series().count(socket, Series.What.OPENED);
-        AnswerLine line = new AnswerLine(channel, listener);
+        ResponsePipeline line = new ResponsePipeline(channel, listener);
         lines.add(line);
         channel.closeFuture().addListener(f -> lines.remove(line));
         channel.pipeline()
@@ -89,8 +90,8 @@
                         });
     }
 
-    private void take(AnswerLine line, int proxy, FullHttpRequest request) {
-        AnswerLine.Slot slot = line.next();
+    private void take(ResponsePipeline line, int proxy, FullHttpRequest request) {
+        ResponsePipeline.Slot slot = line.next();
         String key = request.uri().substring(1);
         String id = request.headers().get("Req-Id", "");
         String extras = request.headers().get("Req-Extra", "");
@@ -156,7 +157,7 @@
     void freeze(boolean on) {
         listener.freeze(on);
         if (!on) {
-            lines.forEach(AnswerLine::flush);
+            lines.forEach(ResponsePipeline::flush);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
+++ b/src/test/java/cacheproxy/proxy/ArrivalTimeTest.java
@@ -16,30 +16,30 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A request's time counts from when its last byte came to this machine, and not from when the proxy comes to read it:
- * servers are told at most what the client has left, with 0.15 s of slack.
+ * A request's deadline runs from when its last byte arrived at this machine, not from when the proxy reads it: servers
+ * are sent at most the time that the client has left, with 0.15 s of slack.
  */
 @Timeout(60)
 class ArrivalTimeTest {
-    private static final int ASKED_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
     private static final double SLACK_MS = 150;
-    /** Well over the slack. */
+    /** Well above the slack. */
     private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
     private static final Pattern DEADLINE = Pattern.compile("\\bd=(\\d+)");
 
-    /** What a server was told, and when. */
-    private record Told(String id, int deadlineMs, long atNanos) {}
+    /** The remaining time that a server was sent with a request, and when. */
+    private record ReceivedDeadline(String id, int deadlineMs, long atNanos) {}
 
-    private static Told told(String command) {
+    private static ReceivedDeadline received(String command) {
         Matcher deadline = DEADLINE.matcher(command);
         assertThat(deadline.find()).as(command).isTrue();
-        return new Told(FakeServer.id(command), Integer.parseInt(deadline.group(1)), System.nanoTime());
+        return new ReceivedDeadline(FakeServer.id(command), Integer.parseInt(deadline.group(1)), System.nanoTime());
     }
 
-    private static void assertNotTooMuch(Told told, long sentNanos) {
-        double leftMs = ASKED_MS - (told.atNanos - sentNanos) / 1e6;
-        assertThat((double) told.deadlineMs).as(told.id).isLessThanOrEqualTo(leftMs + SLACK_MS);
+    private static void assertNotTooMuch(ReceivedDeadline received, long sentNanos) {
+        double leftMs = TIMEOUT_MS - (received.atNanos - sentNanos) / 1e6;
+        assertThat((double) received.deadlineMs).as(received.id).isLessThanOrEqualTo(leftMs + SLACK_MS);
     }
 
     private static void awaitTime(long nanos) {
@@ -53,59 +53,62 @@
                     .append(i)
                     .append(pad)
                     .append(" Pc=text,d=")
-                    .append(ASKED_MS)
+                    .append(TIMEOUT_MS)
                     .append("\r\n");
         }
         return text.toString();
     }
 
-    /** A node that reads at once and answers once it may; it keeps what it is told of each command. */
-    private static FakeServer answersLate(CountDownLatch go, Map<String, Told> seen) throws Exception {
+    /**
+     * A node that reads at once and answers once it is released; it records the remaining time sent with each command.
+     */
+    private static FakeServer answersLate(CountDownLatch release, Map<String, ReceivedDeadline> receivedById)
+            throws Exception {
         return new FakeServer(c -> {
-            BlockingQueue<String> owed = new LinkedBlockingQueue<>();
+            BlockingQueue<String> unanswered = new LinkedBlockingQueue<>();
             Thread answers = new Thread(() -> {
                 try {
-                    go.await();
+                    release.await();
                     while (true) {
-                        c.say("VA 5 O" + owed.take() + " h1\r\nhello\r\n");
+                        c.send("VA 5 O" + unanswered.take() + " h1\r\nhello\r\n");
                     }
                 } catch (InterruptedException | IOException e) {
-                    // the connection has ended
+                    // the connection is closed
                 }
             });
             answers.setDaemon(true);
             answers.start();
             for (String line; (line = c.command()) != null; ) {
-                Told told = told(line);
-                seen.put(told.id, told);
-                owed.add(told.id);
+                ReceivedDeadline received = received(line);
+                receivedById.put(received.id, received);
+                unanswered.add(received.id);
             }
         });
     }
 
-    /** All reads are written at once, and none is answered before some time has passed. */
-    private static Map<String, Told> answerLate(int many, String pad) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        Map<String, Told> seen = new ConcurrentHashMap<>();
-        FakeServer node = answersLate(go, seen);
-        try (Fleet fleet = new Fleet()
+    /** Sends all reads at once, with none answered before {@link #LATE_NANOS} have passed. */
+    private static Map<String, ReceivedDeadline> answerLate(int many, String pad) throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        Map<String, ReceivedDeadline> receivedById = new ConcurrentHashMap<>();
+        FakeServer node = answersLate(release, receivedById);
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(node)
                         .set("caps.second-copies", "false")
                         .set("caps.may-cancel", "false")
                         .start();
-                Fleet.Client client = fleet.client()) {
-            assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
-            client.say(reads(0, many, pad));
+                ProxyFixture.Client client = fixture.client()) {
+            assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
+            client.send(reads(0, many, pad));
             long sent = System.nanoTime();
             awaitTime(sent + LATE_NANOS);
-            go.countDown();
+            release.countDown();
             for (int i = 0; i < many; i++) {
                 assertThat(client.line()).isEqualTo("VA 5 O" + i + pad);
                 client.line();
             }
-            seen.values().forEach(t -> assertNotTooMuch(t, sent));
+            receivedById.values().forEach(t -> assertNotTooMuch(t, sent));
         }
-        return seen;
+        return receivedById;
     }
 
     @Test
@@ -113,26 +116,26 @@
         assertThat(answerLate(100, "")).hasSize(100);
     }
 
-    /** More than the proxy reads ahead. */
+    /** The requests exceed what the proxy reads ahead, so the last ones wait in the kernel's buffer. */
     @Test
-    void aRequestThatWaitsInTheSystemCountsFromItsLastByteToo() throws Exception {
+    void aRequestThatWaitsInTheKernelsBufferCountsFromItsLastByteToo() throws Exception {
         assertThat(answerLate(600, "x".repeat(1000))).hasSize(600);
     }
 
     @Test
-    void aRequestThatComesWhileTheProxyIsHeldUpCountsFromItsLastByte() throws Exception {
+    void aRequestThatArrivesWhileTheEventLoopIsBlockedCountsFromItsLastByte() throws Exception {
         FakeServer node = FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n");
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client();
-                Fleet.Client fresh = fleet.client()) {
-            assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
-            assertThat(fresh.say("mn\r\n").line()).isEqualTo("MN");
-            CountDownLatch go = fleet.still();
-            client.say(reads(1, 2, ""));
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client();
+                ProxyFixture.Client fresh = fixture.client()) {
+            assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
+            assertThat(fresh.send("mn\r\n").line()).isEqualTo("MN");
+            CountDownLatch release = fixture.pauseEventLoop();
+            client.send(reads(1, 2, ""));
             long sent = System.nanoTime();
             awaitTime(sent + LATE_NANOS);
-            go.countDown();
-            assertNotTooMuch(told(node.next()), sent);
+            release.countDown();
+            assertNotTooMuch(received(node.nextCommand()), sent);
             assertThat(client.line()).isEqualTo("VA 5 O1");
         }
     }
--- a/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainOnRequestTest.java
@@ -15,36 +15,36 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A drain that an operator asks for, on sockets: what is owed is answered, and a cancel gives all of it back. */
+/** An operator's drain on sockets: outstanding requests are answered, and a cancel restores full service. */
 @Timeout(60)
 class DrainOnRequestTest {
-    /** Far beyond what any of it takes. */
+    /** Far longer than any step takes. */
     private static final double LONG_MS = 12_000;
 
     private static final int LONG_VALUE = 4_000_000;
 
-    private static DrainStateMachine.StartResult drain(Fleet fleet, double deadlineMs) {
-        return fleet.on(() -> fleet.proxy.startDrain(deadlineMs));
+    private static DrainStateMachine.StartResult drain(ProxyFixture fixture, double deadlineMs) {
+        return fixture.onEventLoop(() -> fixture.proxy.startDrain(deadlineMs));
     }
 
-    private static DrainStateMachine.Progress progress(Fleet fleet) {
-        return fleet.on(fleet.proxy::drainProgress);
+    private static DrainStateMachine.Progress progress(ProxyFixture fixture) {
+        return fixture.onEventLoop(fixture.proxy::drainProgress);
     }
 
-    private static void awaitPhase(Fleet fleet, Phase phase) {
-        Await.until("the proxy is " + phase, () -> progress(fleet).phase() == phase);
+    private static void awaitPhase(ProxyFixture fixture, Phase phase) {
+        Await.until("the proxy is " + phase, () -> progress(fixture).phase() == phase);
     }
 
     private static String hit(String command) {
         return "VA 5 O" + FakeServer.id(command) + " h1\r\nhello\r\n";
     }
 
-    /** A node that answers each command when it is let. */
-    private static FakeServer held(CountDownLatch go) throws Exception {
+    /** A node that answers a command for each permit. */
+    private static FakeServer held(CountDownLatch release) throws Exception {
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say(hit(line));
+                release.await();
+                c.send(hit(line));
             }
         });
     }
@@ -52,123 +52,128 @@
     private static FakeServer longValues() throws Exception {
         return new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                c.say("VA " + LONG_VALUE + " O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(LONG_VALUE) + "\r\n");
+                c.send("VA " + LONG_VALUE + " O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(LONG_VALUE) + "\r\n");
             }
         });
     }
 
     @Test
-    void requestsInLineAreAllAnsweredBeforeTheirConnectionEnds() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = held(go);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+    void pipelinedRequestsAreAllAnsweredBeforeTheirConnectionCloses() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        FakeServer node = held(release);
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
-            node.next();
-            drain(fleet, LONG_MS);
-            client.read("2").read("3"); // behind the drain, on a connection that is owed an answer
-            Await.until("they are taken", () -> fleet.on(fleet.proxy::status).openRequests() == 3);
-            go.countDown();
+            node.nextCommand();
+            drain(fixture, LONG_MS);
+            client.read("2").read("3"); // after the drain began, on a connection with an outstanding answer
+            Await.until(
+                    "all three requests are open",
+                    () -> fixture.onEventLoop(fixture.proxy::status).openRequests() == 3);
+            release.countDown();
             for (String id : new String[] {"1", "2", "3"}) {
                 assertThat(client.line()).isEqualTo("VA 5 O" + id);
                 client.line();
             }
-            assertThat(client.ended()).isTrue();
-            awaitPhase(fleet, Phase.DRAINED);
-            assertThat(progress(fleet).completedFraction()).isEqualTo(1);
+            assertThat(client.isAtEnd()).isTrue();
+            awaitPhase(fixture, Phase.DRAINED);
+            assertThat(progress(fixture).completedFraction()).isEqualTo(1);
         }
     }
 
     @Test
-    void aWriteInTheMiddleOfItsValueIsServed() throws Exception {
+    void aPartlyReceivedWriteIsServed() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(200, "", "r1");
+                c.sendHttp(200, "", "r1");
             }
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
-            client.say("mn\r\nms 7f3a 5 O1 Pc=fix,d=20000\r\nhel");
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
+            client.send("mn\r\nms 7f3a 5 O1 Pc=fix,d=20000\r\nhel");
             assertThat(client.line()).isEqualTo("MN");
-            drain(fleet, LONG_MS);
+            drain(fixture, LONG_MS);
             Await.until(
-                    "idle connections would have gone",
-                    () -> progress(fleet).remainingMs() >= 0
-                            && fleet.on(fleet.proxy::status).clientConnections() == 1);
-            client.say("lo\r\n");
+                    "the time to close idle connections has passed",
+                    () -> progress(fixture).remainingMs() >= 0
+                            && fixture.onEventLoop(fixture.proxy::status).clientConnections() == 1);
+            client.send("lo\r\n");
             assertThat(client.line()).isEqualTo("HD O1 cr1");
-            assertThat(client.ended()).isTrue();
-            awaitPhase(fleet, Phase.DRAINED);
+            assertThat(client.isAtEnd()).isTrue();
+            awaitPhase(fixture, Phase.DRAINED);
         }
     }
 
     @Test
-    void aLongAnswerUnderWayIsPassedOnToItsEnd() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void aLongResponseInProgressIsForwardedToItsEnd() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         int length = 300_000;
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
-            c.say("VA " + length + " O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(length / 2));
-            go.await();
-            c.say("x".repeat(length / 2) + "\r\n");
+            c.send("VA " + length + " O" + FakeServer.id(line) + " h1\r\n" + "x".repeat(length / 2));
+            release.await();
+            c.send("x".repeat(length / 2) + "\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + length + " O1");
-            drain(fleet, LONG_MS);
-            go.countDown();
+            drain(fixture, LONG_MS);
+            release.countDown();
             assertThat(client.bytes(length)).hasSize(length);
             assertThat(client.line()).isEmpty();
-            assertThat(client.ended()).isTrue();
+            assertThat(client.isAtEnd()).isTrue();
         }
     }
 
     @Test
     void newConnectionsAreServedAndThenEndedAndClientsThatAskAreTold() throws Exception {
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(FakeServer.node(DrainOnRequestTest::hit))
                         .start();
-                Fleet.Client busy = fleet.client()) {
-            busy.say("m"); // half a command keeps the drain under way
-            Await.until("it is read", () -> fleet.on(fleet.proxy::status).clientConnections() == 1);
-            drain(fleet, LONG_MS);
-            try (Fleet.Client late = fleet.client()) {
-                late.say("mn\r\n").read("1");
+                ProxyFixture.Client busy = fixture.client()) {
+            busy.send("m"); // an incomplete command keeps the drain going
+            Await.until(
+                    "the client is connected",
+                    () -> fixture.onEventLoop(fixture.proxy::status).clientConnections() == 1);
+            drain(fixture, LONG_MS);
+            try (ProxyFixture.Client late = fixture.client()) {
+                late.send("mn\r\n").read("1");
                 assertThat(late.line()).isEqualTo("SERVER_ERROR draining");
                 assertThat(late.line()).isEqualTo("VA 5 O1");
                 late.line();
-                assertThat(late.ended()).isTrue();
+                assertThat(late.isAtEnd()).isTrue();
             }
-            busy.say("n\r\n");
+            busy.send("n\r\n");
             assertThat(busy.line()).isEqualTo("SERVER_ERROR draining");
-            assertThat(busy.ended()).isTrue();
+            assertThat(busy.isAtEnd()).isTrue();
         }
     }
 
     @Test
-    void aCancelHalfwayGivesFullServiceBackAndASecondDrainWorks() throws Exception {
-        try (Fleet fleet =
-                new Fleet().node(FakeServer.node(DrainOnRequestTest::hit)).start()) {
-            Fleet.Client[] clients = new Fleet.Client[40];
+    void aCancelHalfwayRestoresFullServiceAndASecondDrainWorks() throws Exception {
+        try (ProxyFixture fixture = new ProxyFixture()
+                .node(FakeServer.node(DrainOnRequestTest::hit))
+                .start()) {
+            ProxyFixture.Client[] clients = new ProxyFixture.Client[40];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = fleet.client();
-                clients[i].say("mn\r\n").line();
+                clients[i] = fixture.client();
+                clients[i].send("mn\r\n").line();
             }
-            drain(fleet, LONG_MS); // its pace is 5 s
+            drain(fixture, LONG_MS); // its pace is 5 s
             Await.until(
-                    "half of them are ended",
-                    () -> fleet.on(fleet.proxy::status).clientConnections() <= 20);
-            assertThat(fleet.on(fleet.proxy::cancelDrain)).isNull();
-            int left = fleet.on(fleet.proxy::status).clientConnections();
+                    "half of the connections are closed",
+                    () -> fixture.onEventLoop(fixture.proxy::status).clientConnections() <= 20);
+            assertThat(fixture.onEventLoop(fixture.proxy::cancelDrain)).isNull();
+            int left = fixture.onEventLoop(fixture.proxy::status).clientConnections();
             assertThat(left).isPositive();
             int serving = 0;
-            for (Fleet.Client c : clients) {
+            for (ProxyFixture.Client c : clients) {
                 c.read("c" + serving);
                 if (c.line() != null) {
                     c.line();
-                    c.say("mn\r\n");
+                    c.send("mn\r\n");
                     assertThat(c.line()).isEqualTo("MN");
                     serving++;
                 }
@@ -176,159 +181,165 @@
             int stay = serving;
             assertThat(stay).isBetween(1, left);
             Await.until(
-                    "what had been ended is gone",
-                    () -> fleet.on(fleet.proxy::status).clientConnections() == stay);
-            try (Fleet.Client late = fleet.client()) {
+                    "only the kept connections are open",
+                    () -> fixture.onEventLoop(fixture.proxy::status).clientConnections() == stay);
+            try (ProxyFixture.Client late = fixture.client()) {
                 late.read("x");
                 assertThat(late.line()).isEqualTo("VA 5 Ox");
                 late.line();
                 late.read("y");
                 assertThat(late.line()).isEqualTo("VA 5 Oy");
-                assertThat(progress(fleet).phase()).isEqualTo(Phase.SERVING);
-                assertThat(drain(fleet, LONG_MS).alreadyDraining()).isFalse();
+                assertThat(progress(fixture).phase()).isEqualTo(Phase.SERVING);
+                assertThat(drain(fixture, LONG_MS).alreadyDraining()).isFalse();
             }
-            awaitPhase(fleet, Phase.DRAINED);
-            assertThat(fleet.on(fleet.proxy::cancelDrain)).contains("too late");
+            awaitPhase(fixture, Phase.DRAINED);
+            assertThat(fixture.onEventLoop(fixture.proxy::cancelDrain)).contains("too late");
         }
     }
 
-    /** It is never seen idle, so the pace does not end it. */
+    /** The connection is never idle, so the paced closing of idle connections doesn't end it. */
     @Test
-    void aConnectionInUseEndsWithItsAnswerOnceThePaceIsOver() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = held(go);
+    void aBusyConnectionClosesWithItsAnswerAfterTheIdleClosePeriod() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        FakeServer node = held(release);
         double deadlineMs = 10_000;
         double paceMs = DrainPlan.requested(deadlineMs).idleClosePeriodMs();
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
-            node.next();
-            drain(fleet, deadlineMs);
-            Await.until("the pace is over", () -> progress(fleet).deadlineRemainingMs() < deadlineMs - paceMs - 200);
-            go.countDown();
+            node.nextCommand();
+            drain(fixture, deadlineMs);
+            Await.until(
+                    "the period for closing idle connections is over",
+                    () -> progress(fixture).deadlineRemainingMs() < deadlineMs - paceMs - 200);
+            release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
-            client.say("mn\r\n");
-            assertThat(client.ended())
-                    .as("ended with its answer, not some time after")
-                    .isTrue();
+            client.send("mn\r\n");
+            assertThat(client.isAtEnd()).as("closed with its answer, not later").isTrue();
         }
     }
 
     /**
-     * Whichever of them is first: the request has one answer, its own after a cancel and a refusal after the deadline.
+     * Whichever comes first, the request gets exactly one answer: its own after a cancel, a rejection after the
+     * deadline.
      */
     @Test
-    void aCancelRacingTheDeadlineLeavesOneOfTheTwo() throws Exception {
+    void aCancelRacingTheDeadlineHasOneOfBothOutcomes() throws Exception {
         int deadlineMs = 100;
         for (int offset = -6; offset <= 6; offset += 2) {
-            CountDownLatch go = new CountDownLatch(1);
-            try (Fleet fleet = new Fleet().node(held(go)).start();
-                    Fleet.Client client = fleet.client()) {
+            CountDownLatch release = new CountDownLatch(1);
+            try (ProxyFixture fixture = new ProxyFixture().node(held(release)).start();
+                    ProxyFixture.Client client = fixture.client()) {
                 client.read("1");
-                Await.until("it is taken", () -> fleet.on(fleet.proxy::status).openRequests() == 1);
+                Await.until(
+                        "the request is open",
+                        () -> fixture.onEventLoop(fixture.proxy::status).openRequests() == 1);
                 CompletableFuture<String> cancelled = new CompletableFuture<>();
                 int after = deadlineMs + offset;
-                fleet.on(() -> {
-                    fleet.proxy
+                fixture.onEventLoop(() -> {
+                    fixture.proxy
                             .loop()
                             .schedule(
-                                    () -> cancelled.complete(String.valueOf(fleet.proxy.cancelDrain())),
+                                    () -> cancelled.complete(String.valueOf(fixture.proxy.cancelDrain())),
                                     after,
                                     TimeUnit.MILLISECONDS);
-                    return fleet.proxy.startDrain(deadlineMs);
+                    return fixture.proxy.startDrain(deadlineMs);
                 });
                 if (cancelled.get(30, TimeUnit.SECONDS).equals("null")) {
-                    assertThat(progress(fleet).phase()).isEqualTo(Phase.SERVING);
-                    go.countDown();
+                    assertThat(progress(fixture).phase()).isEqualTo(Phase.SERVING);
+                    release.countDown();
                     assertThat(client.line()).isEqualTo("VA 5 O1");
                     client.line();
-                    client.say("mn\r\n");
+                    client.send("mn\r\n");
                     assertThat(client.line()).isEqualTo("MN");
                 } else {
                     assertThat(cancelled.get()).contains("too late");
                     assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
-                    go.countDown(); // and what the node still says goes nowhere
-                    assertThat(client.ended()).isTrue();
+                    release.countDown(); // the node's late response is discarded
+                    assertThat(client.isAtEnd()).isTrue();
                 }
             }
         }
     }
 
-    /** A refusal says that repeating is harmless: a read gets it, a write that may have run does not. */
+    /** A rejection says that a retry is safe: a read gets it, a write that may have been executed does not. */
     @Test
-    void atTheDeadlineWhatIsOwedIsAnsweredByTheRules() throws Exception {
+    void atTheDeadlineOpenRequestsAreAnsweredByTheRules() throws Exception {
         FakeServer silent = new FakeServer(FakeServer.Connection::awaitEnd);
         FakeServer origin = new FakeServer(c -> {
             c.request();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(silent).origin(origin).start();
-                Fleet.Client read = fleet.client().read("1");
-                Fleet.Client write = fleet.client()) {
-            write.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
-            origin.next();
-            Await.until("both are taken", () -> fleet.on(fleet.proxy::status).openRequests() == 2);
+        try (ProxyFixture fixture =
+                        new ProxyFixture().node(silent).origin(origin).start();
+                ProxyFixture.Client read = fixture.client().read("1");
+                ProxyFixture.Client write = fixture.client()) {
+            write.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            origin.nextCommand();
+            Await.until(
+                    "both requests are open",
+                    () -> fixture.onEventLoop(fixture.proxy::status).openRequests() == 2);
             double before = System.nanoTime() / 1e6;
-            drain(fleet, 500);
+            drain(fixture, 500);
             assertThat(read.line()).isEqualTo("SERVER_ERROR busy");
             assertThat(write.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(System.nanoTime() / 1e6 - before).isBetween(499.0, 15_000.0); // and not at their own deadline
-            assertThat(read.ended()).isTrue();
-            assertThat(write.ended()).isTrue();
-            assertThat(progress(fleet).phase()).isEqualTo(Phase.EXPIRED);
+            assertThat(System.nanoTime() / 1e6 - before)
+                    .isBetween(499.0, 15_000.0); // at the drain's deadline, not at the requests' own
+            assertThat(read.isAtEnd()).isTrue();
+            assertThat(write.isAtEnd()).isTrue();
+            assertThat(progress(fixture).phase()).isEqualTo(Phase.EXPIRED);
         }
     }
 
     @Test
-    void aClientThatReadsSlowlyGetsItsAnswersWhole() throws Exception {
+    void aSlowReaderGetsItsAnswersCompletely() throws Exception {
         FakeServer node = longValues();
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 10; i++) { // more than the system's own buffers take
                 client.read("" + i);
             }
             Await.until(
-                    "all are under way, held back by the client",
-                    () -> fleet.on(fleet.proxy::status).openRequests() == 10);
-            Thread end = drainAndTerminate(fleet);
+                    "all requests are open, paused by the slow client",
+                    () -> fixture.onEventLoop(fixture.proxy::status).openRequests() == 10);
+            Thread end = drainAndTerminate(fixture);
             for (int i = 0; i < 10; i++) {
                 assertThat(client.line()).isEqualTo("VA " + LONG_VALUE + " O" + i);
                 assertThat(client.bytes(LONG_VALUE)).hasSize(LONG_VALUE);
                 assertThat(client.line()).isEmpty();
             }
-            assertThat(client.ended()).isTrue();
+            assertThat(client.isAtEnd()).isTrue();
             end.join();
         }
     }
 
-    /** Seen: its connection ended as soon as the last answer was in the proxy's own buffer, and cut it off. */
+    /** Guards against closing once the last answer is in the proxy's write buffer, which truncated that answer. */
     @Test
-    void answersThatWaitInTheProxyForTheirClientReachItWhole() throws Exception {
+    void answersBufferedInTheProxyReachTheirClientCompletely() throws Exception {
         String value = "x".repeat(MetaCodec.MAX_WHOLE_VALUE_BYTES);
         FakeServer node = FakeServer.node(
                 line -> "VA " + value.length() + " O" + FakeServer.id(line) + " h1\r\n" + value + "\r\n");
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client first = fleet.client(1 << 16);
-                Fleet.Client idle = fleet.client()) {
-            assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
-            // So many that the system's buffers are full and the proxy's own are in use: it reads no further command
-            // then.
-            int fit = 0;
-            while (answeredSoon(fleet, fit)) {
-                first.read("f" + fit++);
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client first = fixture.client(1 << 16);
+                ProxyFixture.Client idle = fixture.client()) {
+            assertThat(idle.send("mn\r\n").line()).isEqualTo("MN");
+            // Enough to fill the kernel's buffers and use the proxy's own: it then reads no further command.
+            int buffered = 0;
+            while (answeredSoon(fixture, buffered)) {
+                first.read("f" + buffered++);
             }
             first.close();
-            Fleet.Client client = fleet.client(1 << 16);
-            for (int i = 1; i < fit; i++) { // one more would be a command that is still to be read
+            ProxyFixture.Client client = fixture.client(1 << 16);
+            for (int i = 1; i < buffered; i++) { // one more would be a command that is not read yet
                 client.read("" + i);
             }
-            answeredSoon(fleet, 2 * (fit - 1));
-            Thread end = drainAndTerminate(fleet);
-            assertThat(idle.ended())
-                    .as("with the connections that have nothing under way, which end at once")
+            answeredSoon(fixture, 2 * (buffered - 1));
+            Thread end = drainAndTerminate(fixture);
+            assertThat(idle.isAtEnd())
+                    .as("closed at once with the other connections without open requests")
                     .isTrue();
-            for (int i = 1; i < fit; i++) {
+            for (int i = 1; i < buffered; i++) {
                 assertThat(client.line()).isEqualTo("VA " + value.length() + " O" + i);
                 assertThat(client.bytes(value.length())).hasSize(value.length());
                 assertThat(client.line()).isEmpty();
@@ -338,11 +349,12 @@
     }
 
     /**
-     * Whether so many have been answered within a time that is long for one; a slow machine only makes it too careful.
+     * Whether this many have been answered within a time that is ample for one. On a slow machine it may return false
+     * too early, which only makes the test send fewer requests.
      */
-    private static boolean answeredSoon(Fleet fleet, int many) throws InterruptedException {
+    private static boolean answeredSoon(ProxyFixture fixture, int many) throws InterruptedException {
         for (int i = 0; i < 100; i++) {
-            if (fleet.on(fleet.proxy::status).completedRequests() >= many) {
+            if (fixture.onEventLoop(fixture.proxy::status).completedRequests() >= many) {
                 return true;
             }
             Thread.sleep(5);
@@ -350,14 +362,14 @@
         return false;
     }
 
-    /** What SIGTERM begins ends connections at once; returns when the proxy has stopped listening. */
-    private static Thread drainAndTerminate(Fleet fleet) {
-        drain(fleet, LONG_MS);
-        Thread end = new Thread(fleet.proxy::terminate);
+    /** Starts the SIGTERM shutdown, which closes connections at once; returns when the proxy has stopped listening. */
+    private static Thread drainAndTerminate(ProxyFixture fixture) {
+        drain(fixture, LONG_MS);
+        Thread end = new Thread(fixture.proxy::terminate);
         end.start();
-        Await.until("SIGTERM's time to listen is over", () -> {
+        Await.until("the listening period after SIGTERM is over", () -> {
             try {
-                fleet.client().close();
+                fixture.client().close();
                 return false;
             } catch (ConnectException e) {
                 return true;
@@ -367,73 +379,74 @@
     }
 
     @Test
-    void aClientThatNeverReadsHoldsTheEndBackToTheDeadlineAndNoLonger() throws Exception {
+    void aClientThatNeverReadsDelaysTheEndUntilTheDeadlineOnly() throws Exception {
         FakeServer node = longValues();
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 10; i++) { // more than the system's own buffers take
                 client.read("" + i);
             }
-            node.next();
-            drain(fleet, 700);
-            awaitPhase(fleet, Phase.EXPIRED);
-            fleet.proxy.terminate(); // returns once the proxy has ended
+            node.nextCommand();
+            drain(fixture, 700);
+            awaitPhase(fixture, Phase.EXPIRED);
+            fixture.proxy.terminate(); // returns when the proxy has stopped
         }
     }
 
     @Test
     void sigtermDuringADrainTakesOver() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = held(go);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        CountDownLatch release = new CountDownLatch(1);
+        FakeServer node = held(release);
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
-            node.next();
-            drain(fleet, LONG_MS);
-            Thread end = new Thread(fleet.proxy::terminate);
+            node.nextCommand();
+            drain(fixture, LONG_MS);
+            Thread end = new Thread(fixture.proxy::terminate);
             end.start();
             Await.until(
-                    "it can't be taken back",
-                    () -> String.valueOf(fleet.on(fleet.proxy::cancelDrain)).contains("told to end"));
-            go.countDown();
+                    "the drain can no longer be cancelled",
+                    () -> String.valueOf(fixture.onEventLoop(fixture.proxy::cancelDrain))
+                            .contains("told to end"));
+            release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
-            assertThat(client.ended()).isTrue();
+            assertThat(client.isAtEnd()).isTrue();
             end.join();
         }
     }
 
     @Test
-    void theLastServerGoesMeanwhileAndEveryRequestStillHasItsAnswer() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = held(go);
-        JsonArray gone = new JsonArray();
-        gone.add(Fleet.host("s-00000001", "node-fast", node.dial(), "draining"));
+    void everyRequestIsAnsweredThoughTheLastServerIsRemovedMeanwhile() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        FakeServer node = held(release);
+        JsonArray drained = new JsonArray();
+        drained.add(ProxyFixture.host("s-00000001", "node-fast", node.dial(), "draining"));
         CountDownLatch tell = new CountDownLatch(1);
         FakeServer discovery = new FakeServer(c -> {
             while (c.request() != null) {
                 tell.await();
-                c.sayHttp(200, "", Fleet.list(42, false, gone).toString());
+                c.sendHttp(200, "", ProxyFixture.list(42, false, drained).toString());
             }
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(node)
                         .discovery(discovery)
                         .set("discovery", "push")
                         .start();
-                Fleet.Client before = fleet.client()) {
+                ProxyFixture.Client before = fixture.client()) {
             before.read("1");
-            node.next();
-            drain(fleet, LONG_MS);
+            node.nextCommand();
+            drain(fixture, LONG_MS);
             tell.countDown();
             Await.until("discovery has been asked twice", () -> discovery.commands.size() >= 2);
-            try (Fleet.Client after = fleet.client()) {
-                after.say("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=1000\r\n");
+            try (ProxyFixture.Client after = fixture.client()) {
+                after.send("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=1000\r\n");
                 assertThat(after.line()).matches("SERVER_ERROR .*|VA 5 O2");
             }
-            go.countDown();
+            release.countDown();
             assertThat(before.line()).isEqualTo("VA 5 O1");
-            awaitPhase(fleet, Phase.DRAINED);
+            awaitPhase(fixture, Phase.DRAINED);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/LargeValuesTest.java
+++ b/src/test/java/cacheproxy/proxy/LargeValuesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Values up to 4 MiB, many at a time, in parts of any size, sent and read slowly. */
+/** Values of up to 4 MiB: many at once, in parts of any size, sent and read slowly. */
 @Timeout(90)
 class LargeValuesTest {
     private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE_BYTES];
@@ -22,33 +22,35 @@
         new Random(7).nextBytes(VALUE);
     }
 
-    private static long used(Fleet fleet) {
-        return fleet.on(() -> fleet.proxy.dispatcher().bufferLimits().values().reserved());
+    private static long used(ProxyFixture fixture) {
+        return fixture.onEventLoop(
+                () -> fixture.proxy.dispatcher().bufferLimits().values().reserved());
     }
 
     private static FakeServer origin() throws IOException {
         return new FakeServer(c -> {
             for (String request; (request = c.request()) != null; ) {
-                c.sayHttp(200, "", "v" + (request.length() - request.indexOf("\n\n") - 2));
+                c.sendHttp(200, "", "v" + (request.length() - request.indexOf("\n\n") - 2));
             }
         });
     }
 
-    private static void write(Fleet.Client client, String id, int length) throws IOException {
-        client.say("ms 7f3a9c21e0b4d655 " + length + " O" + id + " Pc=publish,d=30000,k=" + id + "\r\n");
-        client.say(Arrays.copyOf(VALUE, length)).say("\r\n");
+    private static void write(ProxyFixture.Client client, String id, int length) throws IOException {
+        client.send("ms 7f3a9c21e0b4d655 " + length + " O" + id + " Pc=publish,d=30000,k=" + id + "\r\n");
+        client.send(Arrays.copyOf(VALUE, length)).send("\r\n");
     }
 
-    /** Together they are ten times what there is room for: clients wait to send, and nothing is turned away. */
+    /** Together the values are ten times the memory budget: clients wait to send, and nothing is rejected. */
     @Test
     void writesBeyondTheBudgetWaitAndAllSucceed() throws Exception {
-        try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
+        try (ProxyFixture fixture =
+                new ProxyFixture().memory(64).origin(origin()).start()) {
             List<Thread> threads = new ArrayList<>();
             List<String> answers = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 String id = "w" + i;
                 Thread t = new Thread(() -> {
-                    try (Fleet.Client client = fleet.client()) {
+                    try (ProxyFixture.Client client = fixture.client()) {
                         write(client, id, VALUE.length);
                         String line = client.line();
                         synchronized (answers) {
@@ -67,44 +69,46 @@
                 t.join();
             }
             assertThat(answers).hasSize(20).allMatch(a -> a.endsWith(" cv" + VALUE.length));
-            Await.until("all room is free", () -> used(fleet) == 0);
+            Await.until("all reserved memory is released", () -> used(fixture) == 0);
         }
     }
 
     @Test
     void smallWritesOvertakeLargeOnesThatAreSentSlowly() throws Exception {
-        try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
-            List<Fleet.Client> slow = new ArrayList<>();
+        try (ProxyFixture fixture =
+                new ProxyFixture().memory(64).origin(origin()).start()) {
+            List<ProxyFixture.Client> slow = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                Fleet.Client client = fleet.client();
-                client.say("ms 7f3a9c21e0b4d655 " + VALUE.length + " Os" + i + " Pc=publish,d=30000,k=s\r\nxyz");
+                ProxyFixture.Client client = fixture.client();
+                client.send("ms 7f3a9c21e0b4d655 " + VALUE.length + " Os" + i + " Pc=publish,d=30000,k=s\r\nxyz");
                 slow.add(client);
             }
-            Await.until("room is taken", () -> used(fleet) > VALUE.length);
-            Fleet.Client small = fleet.client();
+            Await.until("part of the memory budget is reserved", () -> used(fixture) > VALUE.length);
+            ProxyFixture.Client small = fixture.client();
             write(small, "1", 1000);
             assertThat(small.line()).isEqualTo("HD O1 cv1000");
-            for (Fleet.Client client : slow) {
+            for (ProxyFixture.Client client : slow) {
                 client.close();
             }
-            Await.until("all room is free", () -> used(fleet) == 0);
+            Await.until("all reserved memory is released", () -> used(fixture) == 0);
         }
     }
 
-    /** One that comes to nothing gives its room back, at whatever byte it ends. */
+    /** An aborted write releases its memory reservation, at whatever byte it ends. */
     @Test
     void anAbortedWriteReleasesItsReservation() throws Exception {
-        try (Fleet fleet = new Fleet().memory(64).origin(origin()).start()) {
+        try (ProxyFixture fixture =
+                new ProxyFixture().memory(64).origin(origin()).start()) {
             for (int length : new int[] {0, 1, 65_535, 65_536, 65_537, 1_000_000}) {
                 for (int cut : new int[] {0, 1, length / 2, length}) {
-                    Fleet.Client client = fleet.client();
-                    client.say("ms 7f3a9c21e0b4d655 " + length + " Oc Pc=publish,d=30000,k=c\r\n");
-                    client.say(Arrays.copyOf(VALUE, Math.min(cut, length)));
+                    ProxyFixture.Client client = fixture.client();
+                    client.send("ms 7f3a9c21e0b4d655 " + length + " Oc Pc=publish,d=30000,k=c\r\n");
+                    client.send(Arrays.copyOf(VALUE, Math.min(cut, length)));
                     client.close();
                 }
             }
-            Await.until("all room is free", () -> used(fleet) == 0);
-            try (Fleet.Client client = fleet.client()) {
+            Await.until("all reserved memory is released", () -> used(fixture) == 0);
+            try (ProxyFixture.Client client = fixture.client()) {
                 for (int length : new int[] {0, 1, 65_534, 65_535, 65_536, 65_537, 131_072, 1_000_000}) {
                     write(client, "w" + length, length);
                     assertThat(client.line()).isEqualTo("HD Ow" + length + " cv" + length);
@@ -113,9 +117,9 @@
         }
     }
 
-    /** The node's answer in pieces cut at each byte of its first line and of its end. */
+    /** The node's response is split at each byte of its first line and of its end. */
     @Test
-    @SuppressWarnings("ThreadPriorityCheck") // a chance for the reader between both writes; nothing rests on it
+    @SuppressWarnings("ThreadPriorityCheck") // lets the reader run between both writes; the test doesn't depend on it
     void aLongResponseMayArriveInPartsOfAnySize() throws Exception {
         int length = 70_000;
         FakeServer node = new FakeServer(c -> {
@@ -138,8 +142,8 @@
             }
         });
         byte[] expected = Arrays.copyOf(VALUE, length);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int cut = 0; cut < 30; cut++) {
                 client.read("c" + cut);
                 assertThat(client.line()).isEqualTo("VA " + length + " Oc" + cut);
@@ -149,88 +153,91 @@
         }
     }
 
-    /** A short answer's watch must not end a long one whose line came in pieces and whose client is slow. */
+    /**
+     * The timeout for short responses must not end a long one whose line arrived in pieces and whose client is slow.
+     */
     @Test
     void aClientThatPausesWithinALongResponseGetsItCompletely() throws Exception {
         FakeServer node = new FakeServer(c -> {
             String line = c.command();
             c.socket.setTcpNoDelay(true);
-            c.say("VA " + VALUE.length + " O");
-            c.pause.acquire(); // the first part of the line is on its way
-            c.say(FakeServer.id(line) + " h1\r\n");
+            c.send("VA " + VALUE.length + " O");
+            c.pause.acquire(); // the first part of the line has been sent
+            c.send(FakeServer.id(line) + " h1\r\n");
             c.out.write(VALUE);
-            c.say("\r\n");
+            c.send("\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             FakeServer.Connection c = node.accepted.take();
-            node.next();
+            node.nextCommand();
             c.pause.release();
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
-            double until = System.nanoTime() / 1e6 + 900; // three times the watch over short answers
+            double until = System.nanoTime() / 1e6 + 900; // three times the timeout for short responses
             Await.until("the client has paused", () -> System.nanoTime() / 1e6 > until);
             assertThat(client.bytes(VALUE.length)).isEqualTo(VALUE);
             assertThat(client.line()).isEmpty();
         }
     }
 
-    /** What would wait behind a long answer that its client takes slowly goes by another connection. */
+    /** Requests that would wait behind a long response to a slow client use another connection. */
     @Test
     void aSlowReaderDelaysNobodyElse() throws Exception {
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
                 String id = FakeServer.id(line);
                 if (id.startsWith("long")) {
-                    c.say("VA " + VALUE.length + " O" + id + " h1\r\n");
+                    c.send("VA " + VALUE.length + " O" + id + " h1\r\n");
                     c.out.write(VALUE);
-                    c.say("\r\n");
+                    c.send("\r\n");
                 } else {
-                    c.say("VA 2 O" + id + " h1\r\nhi\r\n");
+                    c.send("VA 2 O" + id + " h1\r\nhi\r\n");
                 }
             }
         });
-        try (Fleet fleet = new Fleet().node(node).start()) {
-            List<Fleet.Client> slow = new ArrayList<>();
-            for (int i = 0; i < 6; i++) { // more than there are connections to a node ordinarily
-                Fleet.Client client = fleet.client();
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start()) {
+            List<ProxyFixture.Client> slow = new ArrayList<>();
+            for (int i = 0; i < 6; i++) { // more than the usual number of connections to a node
+                ProxyFixture.Client client = fixture.client();
                 assertThat(client.read("long" + i).line()).isEqualTo("VA " + VALUE.length + " Olong" + i);
                 slow.add(client);
             }
-            try (Fleet.Client client = fleet.client()) {
+            try (ProxyFixture.Client client = fixture.client()) {
                 for (int i = 0; i < 20; i++) {
                     assertThat(client.read("s" + i).line()).isEqualTo("VA 2 Os" + i);
                     client.line();
                 }
             }
-            for (Fleet.Client client : slow) {
+            for (ProxyFixture.Client client : slow) {
                 assertThat(client.bytes(VALUE.length)).isEqualTo(VALUE);
             }
         }
     }
 
-    /** RFC 9112, 6.3: without a length the body ends with the connection, and an orderly end makes it whole. */
+    /** RFC 9112, 6.3: without a length the body ends with the connection, and is complete if the close is orderly. */
     @Test
     void aBodyThatEndsWithItsConnectionIsCompleteIfThatCloseIsOrderly() throws Exception {
         FakeServer misses = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
         FakeServer origin = new FakeServer(c -> {
             String request = c.request();
-            c.say("HTTP/1.1 200 \r\nConnection: close\r\n\r\n");
+            c.send("HTTP/1.1 200 \r\nConnection: close\r\n\r\n");
             c.out.write(VALUE, 0, 100_000);
             c.out.flush();
             if (request.contains(": cut")) {
                 c.reset();
             }
         });
-        try (Fleet fleet = new Fleet().node(misses).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().node(misses).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("whole");
             assertThat(client.line()).isEqualTo("VA 100000 Owhole");
             assertThat(client.bytes(100_000)).isEqualTo(Arrays.copyOf(VALUE, 100_000));
             assertThat(client.line()).isEmpty();
             assertThat(client.read("cut").line()).startsWith("SERVER_ERROR");
-            Await.until("all room is free", () -> used(fleet) == 0);
+            Await.until("all reserved memory is released", () -> used(fixture) == 0);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/MetricsLogTest.java
+++ b/src/test/java/cacheproxy/proxy/MetricsLogTest.java
@@ -10,10 +10,10 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The lines of metrics that a proxy writes. */
+/** The metrics lines that a proxy logs. */
 class MetricsLogTest {
-    private static MetricsLine line(Fleet fleet) {
-        return fleet.on(() -> fleet.proxy.metricsLog(System.err).line());
+    private static MetricsLine line(ProxyFixture fixture) {
+        return fixture.onEventLoop(() -> fixture.proxy.metricsLog(System.err).line());
     }
 
     @Test
@@ -21,15 +21,17 @@
         FakeServer node = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
         FakeServer origin = new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(200, "", "hello");
+                c.sendHttp(200, "", "hello");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
-            assertThat(line(fleet).firstServedMs()).as("before any answer").isNegative();
+        try (ProxyFixture fixture = new ProxyFixture().node(node).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
+            assertThat(line(fixture).firstServedMs())
+                    .as("before the first answer")
+                    .isNegative();
             client.read("1");
             assertThat(client.line()).startsWith("VA 5 ");
-            MetricsLine line = line(fleet);
+            MetricsLine line = line(fixture);
             assertThat(line.proxy()).isEqualTo("n0");
             assertThat(line.count(Metric.ATTEMPTS)).isEqualTo(2);
             assertThat(line.count(Metric.RETRIES)).isEqualTo(1);
@@ -44,13 +46,13 @@
 
     @Test
     void anUnreachableNodeIsReportedAsEjected() throws Exception {
-        FakeServer gone = FakeServer.node(line -> "");
-        String dial = gone.dial();
-        gone.close();
-        try (Fleet fleet = new Fleet().node(dial).start();
-                Fleet.Client client = fleet.client()) {
+        FakeServer unreachable = FakeServer.node(line -> "");
+        String dial = unreachable.dial();
+        unreachable.close();
+        try (ProxyFixture fixture = new ProxyFixture().node(dial).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1").line();
-            MetricsLine line = line(fleet);
+            MetricsLine line = line(fixture);
             assertThat(line.count(Metric.CONNECTIONS_FAILED)).isEqualTo(1);
             assertThat(line.nodes()).containsExactly(new MetricsLine.Node("1", 1, 0, true));
         }
@@ -60,26 +62,26 @@
     void pollsOfDiscoveryAndTheirFailuresAreCounted() throws Exception {
         FakeServer discovery = new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(503, "", "");
+                c.sendHttp(503, "", "");
             }
         });
-        try (Fleet fleet = new Fleet().discovery(discovery).start()) {
+        try (ProxyFixture fixture = new ProxyFixture().discovery(discovery).start()) {
             Await.until(
-                    "a call has failed and another followed",
-                    () -> line(fleet).count(Metric.ENDPOINT_LIST_POLLS) > 1
-                            && line(fleet).count(Metric.ENDPOINT_LIST_POLL_FAILURES) > 0);
+                    "a poll has failed and another followed",
+                    () -> line(fixture).count(Metric.ENDPOINT_LIST_POLLS) > 1
+                            && line(fixture).count(Metric.ENDPOINT_LIST_POLL_FAILURES) > 0);
         }
     }
 
     @Test
     void linesAreWrittenAtIntervals() throws Exception {
-        try (Fleet fleet = new Fleet().start()) {
+        try (ProxyFixture fixture = new ProxyFixture().start()) {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            fleet.proxy
+            fixture.proxy
                     .metricsLog(new PrintStream(out, true, StandardCharsets.UTF_8))
-                    .start(fleet.proxy.loop(), 5);
+                    .start(fixture.proxy.loop(), 5);
             Await.until(
-                    "two whole lines",
+                    "two complete lines are logged",
                     () -> out.toString(StandardCharsets.UTF_8)
                                     .lines()
                                     .filter(l -> MetricsLine.parse(l).isPresent())
--- a/src/test/java/cacheproxy/proxy/SharedClientsTest.java
+++ b/src/test/java/cacheproxy/proxy/SharedClientsTest.java
@@ -7,35 +7,39 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Connections that are ended so that they are dealt anew: between requests, and none whose first request is on its way.
+ * Connections closed so that clients reconnect and are redistributed: only between requests, and none whose first
+ * request has yet to arrive.
  */
 @Timeout(60)
 class SharedClientsTest {
-    private static int end(Fleet fleet, int many) {
-        return fleet.on(() -> {
-            int before = fleet.proxy.clientAcceptor().idleConnections();
-            fleet.proxy.clientAcceptor().closeMostRecentlyUsed(many);
-            return before - fleet.proxy.clientAcceptor().idleConnections();
+    private static int closeMostRecentlyUsed(ProxyFixture fixture, int many) {
+        return fixture.onEventLoop(() -> {
+            int before = fixture.proxy.clientAcceptor().idleConnections();
+            fixture.proxy.clientAcceptor().closeMostRecentlyUsed(many);
+            return before - fixture.proxy.clientAcceptor().idleConnections();
         });
     }
 
     @Test
-    void onlyOnesThatHaveBeenAnsweredAreEndedAndThoseUsedLastFirst() throws Exception {
-        try (Fleet fleet = new Fleet().start();
-                Fleet.Client first = fleet.client();
-                Fleet.Client last = fleet.client()) {
-            for (Fleet.Client c : new Fleet.Client[] {first, last}) {
-                assertThat(c.say("mn\r\n").line()).isEqualTo("MN");
+    void onlyAnsweredConnectionsAreClosedMostRecentlyUsedFirst() throws Exception {
+        try (ProxyFixture fixture = new ProxyFixture().start();
+                ProxyFixture.Client first = fixture.client();
+                ProxyFixture.Client last = fixture.client()) {
+            for (ProxyFixture.Client c : new ProxyFixture.Client[] {first, last}) {
+                assertThat(c.send("mn\r\n").line()).isEqualTo("MN");
             }
-            Fleet.Client unheard = fleet.client(); // only now: the proxy closes a client that stays silent
+            ProxyFixture.Client silent =
+                    fixture.client(); // connected only now: the proxy closes a client that stays silent
             Await.until(
                     "all are idle",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
-            assertThat(end(fleet, 1)).isEqualTo(1);
-            assertThat(last.ended()).isTrue();
-            assertThat(end(fleet, 9)).isEqualTo(1);
-            assertThat(first.ended()).isTrue();
-            assertThat(unheard.say("mn\r\n").line()).isEqualTo("MN");
+                    () -> fixture.onEventLoop(
+                                    () -> fixture.proxy.clientAcceptor().idleConnections())
+                            == 3);
+            assertThat(closeMostRecentlyUsed(fixture, 1)).isEqualTo(1);
+            assertThat(last.isAtEnd()).isTrue();
+            assertThat(closeMostRecentlyUsed(fixture, 9)).isEqualTo(1);
+            assertThat(first.isAtEnd()).isTrue();
+            assertThat(silent.send("mn\r\n").line()).isEqualTo("MN");
         }
     }
 }
