--- a/src/main/java/cacheproxy/model/check/Explorer.java
+++ b/src/main/java/cacheproxy/model/check/Explorer.java
@@ -7,21 +7,22 @@
 import java.util.Map;
 
 /**
- * Breadth first over all states: the first counterexample is a shortest one. States that were met are known by 64 bits
- * of their key's hash, so of a million states two are taken for one with a chance of about one in 40 million.
+ * Explores the state space breadth first, so the first counterexample has the shortest possible trace. Visited states
+ * are stored as a 64-bit hash of their key; among a million states the probability of a collision is about one in 40
+ * million.
  */
 public final class Explorer<S> {
     /**
-     * What came of it.
+     * The result of an exploration.
      *
-     * @param states that were met
-     * @param depth moves to the farthest of them
-     * @param complete whether that were all within the protocol's own bounds
-     * @param broken what was found, null for nothing
-     * @param trace the moves that lead there
+     * @param states number of distinct states visited
+     * @param depth number of moves on the path to the deepest of them
+     * @param complete whether every state within the protocol's bounds was visited
+     * @param broken the violated property, null if none was
+     * @param trace the moves from the initial state to the violation
      */
     public record Result(long states, int depth, boolean complete, String broken, List<String> trace) {
-        /** For people. */
+        /** A human-readable summary, with the trace of a violation. */
         public String text() {
             StringBuilder s = new StringBuilder(String.format(
                     "%,d states, %d moves deep%s%n",
@@ -42,55 +43,55 @@
     private record Waiting<S>(long key, S state) {}
 
     private final Protocol<S> protocol;
-    private final Map<Long, From> met = new HashMap<>();
+    private final Map<Long, From> visited = new HashMap<>();
 
-    /** Explores nothing yet. */
+    /** Creates an explorer; {@link #run} does the exploration. */
     public Explorer(Protocol<S> protocol) {
         this.protocol = protocol;
     }
 
-    /** Explores until something is broken, all has been met, or so many states have. */
-    public Result run(long most) {
+    /** Explores until a property is violated, all states are visited, or {@code maxStates} states are. */
+    public Result run(long maxStates) {
         ArrayDeque<Waiting<S>> waiting = new ArrayDeque<>();
         S first = protocol.initial();
         long firstKey = hash(protocol.key(first));
-        met.put(firstKey, new From(0, null, 0));
+        visited.put(firstKey, new From(0, null, 0));
         waiting.add(new Waiting<>(firstKey, first));
         int depth = 0;
         String broken = protocol.broken(first);
         if (broken != null) {
             return new Result(1, 0, false, broken, List.of());
         }
-        while (!waiting.isEmpty() && met.size() < most) {
+        while (!waiting.isEmpty() && visited.size() < maxStates) {
             Waiting<S> w = waiting.poll();
-            depth = met.get(w.key()).depth() + 1;
+            depth = visited.get(w.key()).depth() + 1;
             for (Protocol.Move<S> move : protocol.moves(w.state())) {
                 long key = hash(protocol.key(move.to()));
-                if (move.broken() == null && met.containsKey(key)) {
+                if (move.broken() == null && visited.containsKey(key)) {
                     continue;
                 }
-                met.putIfAbsent(key, new From(w.key(), move.words(), depth));
+                visited.putIfAbsent(key, new From(w.key(), move.words(), depth));
                 String wrong = move.broken() != null ? move.broken() : protocol.broken(move.to());
                 if (wrong != null) {
                     List<String> trace = trace(w.key());
                     trace.add(move.words());
-                    return new Result(met.size(), depth, false, wrong, trace);
+                    return new Result(visited.size(), depth, false, wrong, trace);
                 }
                 waiting.add(new Waiting<>(key, move.to()));
             }
         }
-        return new Result(met.size(), depth, waiting.isEmpty(), null, List.of());
+        return new Result(visited.size(), depth, waiting.isEmpty(), null, List.of());
     }
 
     private List<String> trace(long key) {
         List<String> moves = new ArrayList<>();
-        for (From f = met.get(key); f.move() != null; f = met.get(f.before())) {
+        for (From f = visited.get(key); f.move() != null; f = visited.get(f.before())) {
             moves.add(0, f.move());
         }
         return moves;
     }
 
-    /** FNV-1a of 64 bits, mixed. */
+    /** 64-bit FNV-1a; the upper half is folded into the lower. */
     private static long hash(String text) {
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
