--- a/src/main/java/cacheproxy/load/Connection.java
+++ b/src/main/java/cacheproxy/load/Connection.java
@@ -17,9 +17,9 @@
 import java.nio.channels.ClosedChannelException;
 import java.util.ArrayDeque;
 
-/** One of a generator's connections with the requests on it, in the order in which their answers are due. */
+/** A client connection of the generator with its pipelined requests, in the order in which responses are expected. */
 final class Connection {
-    /** For how long a late answer is listened for. */
+    /** How long after the head request's deadline its connection is kept open for a late response. */
     private static final long OVERDUE_NANOS = 300_000_000;
 
     private static final long CHECK_MS = 100;
@@ -36,7 +36,7 @@
     private boolean broken;
     private long answered;
 
-    /** {@code untilNanos}: when it is old, and ended between requests. */
+    /** {@code untilNanos}: end of the connection's lifetime; it is then closed as soon as it has no request pending. */
     Connection(Generator generator, long untilNanos) {
         this.generator = generator;
         this.untilNanos = untilNanos;
@@ -67,7 +67,8 @@
                 unsent.forEach(Runnable::run);
                 unsent.clear();
             } else {
-                // A socket that could not even be opened has no event loop and tells on another thread.
+                // If the socket could not be created, the channel has no event loop and the listener runs on another
+                // thread.
                 generator.loop().execute(() -> failed(f.cause()));
             }
         });
@@ -78,7 +79,7 @@
         generator.connectFailed(this, cause);
     }
 
-    /** Whether this request's answer is a long one that has begun to come: its first bytes are what was in time. */
+    /** Whether part of this request's value has arrived; a response that has started by the deadline is in time. */
     boolean receives(Pending p) {
         return !ended && !broken && pending.peek() == p && decoder.inLongValue();
     }
@@ -87,7 +88,7 @@
         return connected;
     }
 
-    /** The client's port; 0 before the connection has come up. */
+    /** The local port; 0 until the connection is established. */
     int port() {
         return port;
     }
@@ -100,13 +101,13 @@
         return pending.size();
     }
 
-    /** Whether one more request may go onto it: not behind one that has been given up. */
+    /** Whether another request may be sent on it; false while the request at the head has passed its deadline. */
     boolean usable() {
         Pending head = pending.peek();
         return !ended && !broken && !old() && pending.size() < generator.depth() && (head == null || !head.ended);
     }
 
-    /** Nobody waits for what is on it any more, and an answer is long overdue. */
+    /** Whether every pending request has ended and the head's response is overdue by more than the limit. */
     boolean spent() {
         return !pending.isEmpty()
                 && System.nanoTime() - pending.peek().deadlineNanos > OVERDUE_NANOS
@@ -160,7 +161,8 @@
             out.writeByte('\r').writeByte('\n');
         }
         channel.writeAndFlush(out).addListener(f -> {
-            // A reset may be seen here and nowhere else; what was on the connection may have been had.
+            // A reset may be reported only here. The server may have processed the pending requests, so they are not
+            // resent.
             broken |= !f.isSuccess() && !(f.cause() instanceof ClosedChannelException);
         });
     }
@@ -173,7 +175,7 @@
                 return;
             }
             if (head == null || (answer.id() != null && !answer.id().equals(head.id))) {
-                broken = true; // what follows can't be told whose it is
+                broken = true; // later responses can't be matched to requests
                 generator.unsolicited(answer);
                 ctx.close();
                 return;
--- a/src/main/java/cacheproxy/load/Descriptors.java
+++ b/src/main/java/cacheproxy/load/Descriptors.java
@@ -4,17 +4,17 @@
 import java.lang.management.ManagementFactory;
 
 /**
- * How many sockets this process may still open. A Java process that has used up its descriptors can't even load its own
- * classes, which breaks off whatever runs; so some are always left for that, and for the report.
+ * The number of sockets that this process may still open. A Java process without free file descriptors can't load
+ * classes, which aborts the run; some are therefore reserved for class loading and for the report.
  */
 final class Descriptors {
-    /** Left for the virtual machine's own files and a run's reports. */
+    /** Descriptors reserved for the JVM's own files and the run's reports. */
     static final int RESERVE = 32;
 
     private Descriptors() {}
 
     /**
-     * Sockets that may be opened from now on, at least one; {@link Integer#MAX_VALUE} where the system names no limit.
+     * The number of sockets that may still be opened, at least 1; {@link Integer#MAX_VALUE} if the limit is unknown.
      */
     static int room() {
         return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean os
@@ -28,7 +28,7 @@
                 : (int) Math.max(1, Math.min(Integer.MAX_VALUE, most - open - RESERVE));
     }
 
-    /** Whether the system opened no socket because the process, or the machine, has as many as it may. */
+    /** Whether opening a socket failed because the process or the system has reached its file descriptor limit. */
     static boolean usedUp(Throwable cause) {
         for (Throwable t = cause; t != null; t = t.getCause()) {
             String text = String.valueOf(t.getMessage());
--- a/src/main/java/cacheproxy/load/Generator.java
+++ b/src/main/java/cacheproxy/load/Generator.java
@@ -20,9 +20,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sends a workload to a target over the meta protocol, each request when it is meant to go, whatever has become of
- * those before it. One event loop; a request goes onto a connection that stands idle, else onto a new one up to the
- * limit, else behind others. It ends by its answer or by its own deadline, and by nothing else.
+ * Open-loop load generator for the meta protocol: each request is sent at its scheduled time, whatever the outcome of
+ * earlier ones. Runs on one event loop. A request uses an idle connection, else a new one up to the limit, else it is
+ * pipelined behind others. Only its response or its own deadline ends a request.
  */
 public final class Generator implements AutoCloseable {
     private static final int BATCH = 256;
@@ -31,24 +31,25 @@
     private static final long READY_NANOS = 2_000_000_000L;
     private static final int CONNECT_MS = 2000;
     private static final int SLOW_BUFFER = 32 << 10;
-    /** How often a request goes out again whose connection ended before it had answered anything. */
+    /** How often a request is resent whose connection closed before it had answered any request. */
     private static final int MAX_RESENT_UNUSED = 3;
 
     /**
-     * Where the load goes, and the bounds that it keeps.
+     * The targets of the load and its limits.
      *
-     * @param targets in turn, one for each connection that is opened
-     * @param classes as the workload's requests name them by index; each with its deadline
-     * @param connections open at most
-     * @param depth requests on one connection at most; more wait until one is free
-     * @param maxOutstanding requests out or waiting at most, over all connections: memory's bound. Beyond it the
-     *     schedule is late, and the report says so
-     * @param staySeconds how long a connection is kept, on average, and then ended between requests; 0 for good
-     * @param warmUpSeconds at the start, sent and not counted
-     * @param maxLagMs up to which lag at p99.9 the schedule counts as kept
-     * @param seed of request ids; generators that run side by side want different ones
-     * @param inTurn as many clients with a connection each: all are opened, and the one that stood idle longest is used
-     * @param readBytes how fast each connection takes answers, in bytes a second; 0: as fast as they come
+     * @param targets used round-robin by newly opened connections
+     * @param classes indexed by {@link Planned#kind}; each has its deadline
+     * @param connections maximum number of open connections
+     * @param depth maximum number of requests pending on one connection; further ones wait
+     * @param maxOutstanding maximum number of requests pending or waiting over all connections, which bounds memory.
+     *     When it is reached, requests are sent late and the report says so
+     * @param staySeconds mean lifetime of a connection, which is then closed between requests; 0 for no limit
+     * @param warmUpSeconds time at the start in which requests are sent but not counted
+     * @param maxLagMs schedule lag at p99.9 up to which the schedule counts as kept
+     * @param seed seed of the request ids; generators that run in parallel need different ones
+     * @param inTurn simulates one client per connection: all connections are opened, and the least recently used idle
+     *     one is chosen
+     * @param readBytes rate at which each connection reads responses, in bytes per second; 0 for no limit
      */
     public record Settings(
             List<InetSocketAddress> targets,
@@ -62,7 +63,7 @@
             long seed,
             boolean inTurn,
             int readBytes) {
-        /** Takes answers as fast as they come. */
+        /** Settings without a read rate limit, with connections not used in turn. */
         public Settings(
                 List<InetSocketAddress> targets,
                 List<TrafficClass> classes,
@@ -110,7 +111,7 @@
         }
     }
 
-    /** A request that has left the schedule and has not ended, or whose late answer may still come. */
+    /** A request taken from the schedule that has not ended, or whose late response may still arrive. */
     static final class Pending {
         final String id;
         final Planned planned;
@@ -119,9 +120,9 @@
         final boolean counted;
         boolean ended;
         int resent;
-        /** Its time is up, and the rest of its answer is on its way. */
+        /** The deadline has passed while the response was being received. */
         boolean begun;
-        /** The connection that it went onto last. */
+        /** The connection on which it was last sent. */
         Connection on;
 
         long connectionEndedNanos;
@@ -146,9 +147,9 @@
     private final SplittableRandom random;
     private final List<Connection> connections = new ArrayList<>();
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
-    /** What has no connection to go onto. */
+    /** Requests that wait for a usable connection. */
     private final ArrayDeque<Pending> waiting = new ArrayDeque<>();
-    /** The open requests of each class in the order of their deadlines. */
+    /** The requests of each class that have not ended, in the order of their deadlines. */
     private final List<Set<Pending>> open = new ArrayList<>();
 
     private final Pauses pauses = new Pauses();
@@ -160,18 +161,18 @@
     private long planned;
     private long number;
     private int held;
-    /** Requests whose time is up and whose long answers are still coming. */
+    /** Number of requests whose deadline has passed while their response is being received. */
     private int begun;
 
     private int targetTurn;
-    /** Connections open at most: what was asked, or what the process's descriptors allow. */
+    /** Maximum number of open connections: the configured one, or what the file descriptor limit allows. */
     private int most;
 
     private long retryNanos;
     private long secondNanos;
     private boolean over;
 
-    /** Sends nothing yet. */
+    /** Creates a generator that sends nothing before {@link #start}. */
     public Generator(Settings settings, Workload workload, Observer observer) {
         this.settings = settings;
         this.workload = workload;
@@ -185,11 +186,11 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS);
         if (settings.readBytes() > 0) {
-            bootstrap.option(ChannelOption.SO_RCVBUF, SLOW_BUFFER); // or the system would read for the client
+            bootstrap.option(ChannelOption.SO_RCVBUF, SLOW_BUFFER); // a large kernel buffer would hide the slow reader
         }
     }
 
-    /** Opens some connections, then begins; the future has the report when the last request has ended. */
+    /** Opens up to 8 connections, then starts the schedule; the future completes with the report of the whole run. */
     public CompletableFuture<Report> start() {
         loop.execute(() -> {
             bound(Descriptors.room());
@@ -216,7 +217,7 @@
         }
     }
 
-    /** How the run stands, for a line of progress; may be called from any thread. */
+    /** The run's progress; may be called from any thread. */
     public Progress progress() {
         return loop.submit(() -> new Progress(
                         (System.nanoTime() - startNanos) / 1e9,
@@ -229,15 +230,15 @@
     }
 
     /**
-     * A run on its way.
+     * The progress of a run.
      *
      * @param seconds since the start
-     * @param outstanding requests out or waiting
-     * @param row what the last whole second saw; null before the first
+     * @param outstanding requests pending or waiting
+     * @param row the latest row of the time series; null before the first
      * @param lagMs schedule lag at p99.9 so far
      */
     public record Progress(double seconds, int outstanding, int connections, Recorder.Row row, double lagMs) {
-        /** In one line for people. */
+        /** One line of text for the console. */
         public String text() {
             return row == null
                     ? String.format("%6.1f s  starting, %d connections", seconds, connections)
@@ -264,7 +265,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    // ---- the schedule
+    // ---- schedule
 
     private void pump() {
         for (int i = 0; next != null; i++) {
@@ -280,7 +281,7 @@
                 return;
             }
             if (i >= BATCH) {
-                loop.execute(this::pump); // answers are read in between
+                loop.execute(this::pump); // lets the event loop read responses in between
                 return;
             }
             send(next, meant);
@@ -316,7 +317,7 @@
 
     private Connection pick() {
         if (settings.inTurn() && connections.size() < most && System.nanoTime() >= retryNanos) {
-            connect(); // each client has one of its own
+            connect(); // one connection per simulated client
         }
         for (Connection c; (c = settings.inTurn() ? idle.pollFirst() : idle.pollLast()) != null; ) {
             if (c.usable()) {
@@ -347,7 +348,7 @@
     private void connect() {
         InetSocketAddress to =
                 settings.targets().get(targetTurn++ % settings.targets().size());
-        // From half of the stay to one and a half of it, so that connections do not all end together.
+        // Lifetimes are drawn from 0.5 to 1.5 times the mean, so that connections do not all close at once.
         long until = settings.staySeconds() == 0
                 ? Long.MAX_VALUE
                 : System.nanoTime() + (long) (settings.staySeconds() * (0.5 + random.nextDouble()) * 1e9);
@@ -358,7 +359,7 @@
         c.open(bootstrap, to);
     }
 
-    // ---- what connections tell
+    // ---- connection events
 
     void written(Pending p) {
         observer.asked(p.id, p.planned, System.nanoTime(), p.deadlineNanos);
@@ -383,7 +384,7 @@
     void connectFailed(Connection c, Throwable cause) {
         recorder.connectErrors++;
         if (Descriptors.usedUp(cause)) {
-            bound(connections.size() - 1); // others have taken what there was to begin with
+            bound(connections.size() - 1); // descriptors counted as free at the start are in use by others
         }
         retryNanos = System.nanoTime() + RETRY_NANOS;
         ended(c, false);
@@ -398,7 +399,10 @@
         return loop;
     }
 
-    /** A connection has ended. Cleanly: what it has not answered goes out once more, as the protocol asks. */
+    /**
+     * Handles a closed connection. After a clean close its unanswered requests are resent, as the protocol requires:
+     * once, or up to {@link #MAX_RESENT_UNUSED} times if the connection had answered none.
+     */
     void ended(Connection c, boolean cleanly) {
         connections.remove(c);
         idle.remove(c);
@@ -475,7 +479,7 @@
         }
     }
 
-    // ---- time
+    // ---- timers
 
     private void tick() {
         if (over) {
@@ -518,7 +522,7 @@
         }
         end(p, p.deadlineNanos);
         if (p.connectionEndedNanos != 0) {
-            held--; // no connection holds it any more
+            held--; // its connection is closed, so no late response can release it
         }
         if (p.counted) {
             recorder.unanswered++;
--- a/src/main/java/cacheproxy/load/HtmlReport.java
+++ b/src/main/java/cacheproxy/load/HtmlReport.java
@@ -8,11 +8,10 @@
 import java.util.function.ToDoubleFunction;
 import org.HdrHistogram.Histogram;
 
-/** A report as one page that needs nothing else: figures, percentiles and times as inline SVG. */
+/** Renders a report as a self-contained HTML page: summary, latency percentiles and time series as inline SVG. */
 public final class HtmlReport {
     private HtmlReport() {}
 
-    /** Writes the page. */
     public static void write(Report report, String title, Path file) throws IOException {
         Files.writeString(file, page(report, title));
     }
@@ -62,7 +61,7 @@
                         .toList());
     }
 
-    /** The axis is the number of nines: 90%, 99%, 99.9% lie evenly. */
+    /** The x axis is the number of nines, so that 90%, 99% and 99.9% are evenly spaced. */
     private static String percentiles(Report r) {
         double nines = Math.max(1, Math.ceil(Math.log10((double) Math.max(10, r.requests()))));
         List<LineChart.Line> lines = new ArrayList<>();
--- a/src/main/java/cacheproxy/load/LineChart.java
+++ b/src/main/java/cacheproxy/load/LineChart.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Lines on axes with round figures, as SVG that stands inside a page. */
+/** Line chart with rounded axis labels, as an SVG element for use inside an HTML page. */
 public final class LineChart {
     private static final int WIDTH = 860;
     private static final int HEIGHT = 300;
@@ -14,28 +14,28 @@
     /**
      * One line of a chart.
      *
-     * @param name as its legend names it
-     * @param colour as CSS has it
-     * @param points pairs of what lies across and what lies up, neither below 0
+     * @param name its text in the legend
+     * @param colour a CSS colour
+     * @param points pairs of x and y, neither negative
      */
     public record Line(String name, String colour, List<double[]> points) {}
 
-    /** A span across, from and to, shaded behind the lines and named. */
+    /** A named range on the x axis that is shaded behind the lines. */
     public record Band(String name, double from, double to) {}
 
     private LineChart() {}
 
-    /** The text as it may stand in a page. */
+    /** Escapes text for HTML. */
     public static String escape(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 
-    /** The lines over one axis each way, both from 0; {@code across} and {@code up} say what these are. */
+    /** Draws the lines on axes that start at 0; {@code across} labels the x axis and {@code up} the y axis. */
     public static String svg(String across, String up, List<Line> lines) {
         return svg(across, up, lines, List.of());
     }
 
-    /** The same over shaded spans. */
+    /** Draws the lines over shaded ranges. */
     public static String svg(String across, String up, List<Line> lines, List<Band> bands) {
         double maxX = 1e-9;
         double maxY = 1e-9;
@@ -121,7 +121,7 @@
         return HEIGHT - BOTTOM - y / top * (HEIGHT - BOTTOM - TOP);
     }
 
-    /** The next of 1, 2 and 5 times a power of ten. */
+    /** Rounds up to 1, 2 or 5 times a power of ten. */
     private static double nice(double raw) {
         double power = Math.pow(10, Math.floor(Math.log10(raw)));
         double rest = raw / power;
--- a/src/main/java/cacheproxy/load/Observer.java
+++ b/src/main/java/cacheproxy/load/Observer.java
@@ -2,28 +2,28 @@
 
 import cacheproxy.emulator.meta.MetaAnswer;
 
-/** What watches each request of a run. Called on the generator's event loop; times are {@link System#nanoTime()}. */
+/** Callbacks for each request of a run, on the generator's event loop; times are {@link System#nanoTime()}. */
 public interface Observer {
-    /** Watches nothing. */
+    /** An observer that does nothing. */
     Observer NONE = new Observer() {};
 
-    /** A request is written to a connection; once more for each time that it goes out again. */
+    /** A request is written to a connection; called again each time it is resent. */
     default void asked(String id, Planned planned, long atNanos, long deadlineNanos) {}
 
-    /** Its answer has come whole; {@code port}: the client's, of the connection that it came on. */
+    /** The response has arrived completely; {@code port}: the local port of its connection. */
     default void answered(String id, MetaAnswer answer, int port, long atNanos) {}
 
     /**
-     * Its time is up without one.
+     * The deadline has passed without a response.
      *
-     * @param port the client's, of the connection that it went onto last; 0 if it went onto none
-     * @param endedNanos when that connection ended, 0 if it stands or never was
+     * @param port local port of the connection on which it was last sent; 0 if there was none
+     * @param endedNanos when that connection closed; 0 if it is open or there was none
      */
     default void unanswered(String id, int port, long endedNanos, long atNanos) {}
 
-    /** An answer has come after its request's time was up. */
+    /** A response has arrived after its request's deadline. */
     default void late(String id, MetaAnswer answer, int port, long atNanos) {}
 
-    /** An answer has come that nobody waits for, or another than was due. */
+    /** A response has arrived that matches no pending request, or not the one at the head of the connection. */
     default void unsolicited(MetaAnswer answer, long atNanos) {}
 }
--- a/src/main/java/cacheproxy/load/Pauses.java
+++ b/src/main/java/cacheproxy/load/Pauses.java
@@ -4,8 +4,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The generator's own pauses (garbage collection, a machine that is busy): a thread that means to wake each millisecond
- * records how late it was, as jHiccup does. What stands here is not the target's.
+ * Measures the generator's own pauses (garbage collection, a busy machine) as jHiccup does: a thread that sleeps for 1
+ * ms at a time records how late it wakes. Latency that is seen here is not caused by the target.
  */
 final class Pauses implements AutoCloseable {
     private static final long STEP_NANOS = 1_000_000;
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Ends the thread and gives how late it was, in microseconds. */
+    /** Stops the thread and returns its wake-up delays in microseconds. */
     Histogram histogram() {
         close();
         try {
--- a/src/main/java/cacheproxy/load/Planned.java
+++ b/src/main/java/cacheproxy/load/Planned.java
@@ -1,12 +1,12 @@
 package cacheproxy.load;
 
 /**
- * One request that is meant to be sent.
+ * A scheduled request.
  *
- * @param atNanos when, since the start
- * @param kind index of its class
- * @param key as it stands on the wire
- * @param write whether it changes the key
- * @param valueBytes how long a write's value is
+ * @param atNanos scheduled send time, since the start
+ * @param kind index of its traffic class
+ * @param key the key as sent on the wire
+ * @param write whether it is a write
+ * @param valueBytes length of a write's value
  */
 public record Planned(long atNanos, int kind, String key, boolean write, int valueBytes) {}
--- a/src/main/java/cacheproxy/load/Recorder.java
+++ b/src/main/java/cacheproxy/load/Recorder.java
@@ -5,17 +5,17 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a run counts. Histograms hold microseconds to three digits; latency counts from the time at which a request was
- * meant to be sent, so no wait is left out because the wait itself held up the next request (coordinated omission,
- * after Gil Tene). Belongs to the generator's event loop; reads from outside see whole numbers.
+ * The counters and histograms of a run. Histograms hold microseconds with three significant digits. Latency is measured
+ * from the scheduled send time, which avoids coordinated omission (Gil Tene): a wait still counts if it delays the next
+ * request. Confined to the generator's event loop.
  */
 final class Recorder {
-    /** The most seconds that stand in the time plot; longer runs join several seconds in one row. */
+    /** Maximum number of rows in the time series; longer runs combine several seconds into one row. */
     private static final int MAX_ROWS = 1200;
-    /** Longer waits are counted as this long: a day. */
+    /** Longer times are recorded as this one: a day. */
     private static final long MAX_MICROS = 86_400_000_000L;
 
-    /** One row of the time plot. Latencies in milliseconds. */
+    /** One row of the time series. Latencies are in milliseconds. */
     record Row(
             double second,
             long sent,
@@ -26,7 +26,7 @@
             double p50,
             double p99,
             double max) {
-        /** This row and another of the same time as one: counts added, of latencies the worse. */
+        /** Combines this row with another: counts are added, of each latency the higher is taken. */
         Row with(Row b) {
             return new Row(
                     Math.max(second, b.second),
@@ -60,7 +60,7 @@
     long resent;
     long opened;
     long outOfRoom;
-    /** How many connections fewer than asked for the process's descriptors allow. */
+    /** Number of configured connections that the file descriptor limit rules out. */
     long connectionsShort;
 
     Recorder() {
@@ -68,13 +68,13 @@
         lag.setStartTimeStamp(System.currentTimeMillis());
     }
 
-    /** A request has left. */
+    /** Records a request that was sent this long after its scheduled time. */
     void sent(long lagNanos) {
         sent++;
         lag.recordValue(micros(lagNanos));
     }
 
-    /** A request has ended this long after it was meant to be sent. */
+    /** Records a request that ended this long after its scheduled send time. */
     void ended(long nanos) {
         long micros = micros(nanos);
         latency.recordValue(micros);
@@ -89,7 +89,7 @@
         return served + refused + failed + unanswered;
     }
 
-    /** A second is over. */
+    /** Called after each second; adds a row when the row's seconds are complete. */
     void second(double atSecond) {
         if (++secondsInSpan < secondsPerRow) {
             return;
@@ -113,7 +113,7 @@
         }
     }
 
-    /** The run is over: what has come since the last row joins that one, as a row of its own would seem a fall. */
+    /** Ends the run. Counts since the last row are added to it, as a partial row would look like a drop in the rate. */
     void end(double atSecond) {
         secondsInSpan = secondsPerRow - 1;
         second(atSecond);
@@ -123,7 +123,7 @@
         }
     }
 
-    /** Halves the rows and doubles the seconds that further ones stand for. */
+    /** Combines rows in pairs and doubles the number of seconds per further row. */
     private void thin() {
         List<Row> half = new ArrayList<>();
         for (int i = 0; i + 1 < rows.size(); i += 2) {
--- a/src/main/java/cacheproxy/load/Report.java
+++ b/src/main/java/cacheproxy/load/Report.java
@@ -21,16 +21,16 @@
 import org.HdrHistogram.HistogramLogWriter;
 
 /**
- * What a run came to. {@code requests} is the sum of the four endings, and {@code latency} holds each of them: an
- * unanswered one with its whole deadline. Histograms are in microseconds.
+ * The result of a run. {@code requests} is the sum of the four outcomes, and {@code latency} includes all of them; an
+ * unanswered request counts with its whole deadline. Histograms are in microseconds.
  *
- * @param rateAsked requests a second as they were meant to go
- * @param rateSent requests a second as they went
- * @param keptSchedule whether they went when they were meant to
- * @param seconds from the first counted request to the last
- * @param lag how late each request left
- * @param connectionsShort how many connections fewer than asked for the process's descriptors allowed
- * @param pauses how late a thread of the generator's own woke: its pauses, which are not the target's
+ * @param rateAsked scheduled requests per second
+ * @param rateSent requests per second as sent
+ * @param keptSchedule whether requests were sent at their scheduled times, within the limit on lag
+ * @param seconds from the end of the warm-up to the last request sent
+ * @param lag how late each request was sent
+ * @param connectionsShort number of configured connections that the file descriptor limit ruled out
+ * @param pauses the generator's own pauses, which the target did not cause
  */
 public record Report(
         long requests,
@@ -93,9 +93,9 @@
                 unreadable);
     }
 
-    // ---- as JSON
+    // ---- JSON
 
-    /** As a JSON object, with its histograms, so that reports can be merged. */
+    /** The report as a JSON object, including its histograms, so that reports can be merged. */
     public JsonObject json() {
         JsonObject o = new JsonObject();
         o.addProperty("requests", requests);
@@ -144,12 +144,12 @@
         return Base64.getEncoder().encodeToString(Arrays.copyOf(buffer.array(), length));
     }
 
-    /** Writes the JSON to a file. */
+    /** Writes the report as JSON to a file. */
     public void writeJson(Path file) throws IOException {
         Files.writeString(file, GSON.toJson(json()) + "\n");
     }
 
-    /** Writes the latency histogram as a log that HdrHistogram's tools read. */
+    /** Writes the latency histogram in the HdrHistogram log format. */
     public void writeHlog(Path file) throws IOException {
         try (PrintStream out = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.UTF_8)) {
             HistogramLogWriter writer = new HistogramLogWriter(out);
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Reads a report that {@link #writeJson} wrote; an IOException says what the file lacks. */
+    /** Reads a report that {@link #writeJson} wrote; throws an IOException if the file is not one. */
     public static Report read(Path file) throws IOException {
         try {
             JsonObject o = JsonParser.parseString(Files.readString(file)).getAsJsonObject();
@@ -204,11 +204,11 @@
                 ByteBuffer.wrap(Base64.getDecoder().decode(text)), 0);
     }
 
-    // ---- several as one
+    // ---- merging
 
     /**
-     * Reports of generators that ran side by side as one. Counts and rates are added, histograms merged; no percentile
-     * is made from percentiles, but in the time plot, where a row shows the worst of its parts.
+     * Merges the reports of generators that ran in parallel. Counts and rates are added, and percentiles come from the
+     * merged histograms; only the rows of the time series take the highest percentile of their parts.
      */
     public static Report merge(List<Report> reports) {
         Recorder all = new Recorder();
@@ -288,9 +288,9 @@
                 unreadable);
     }
 
-    // ---- for people
+    // ---- text
 
-    /** As a table. */
+    /** The report as a text table. */
     public String text() {
         StringBuilder s = new StringBuilder();
         s.append(String.format("%,12d requests%n", requests));
--- a/src/main/java/cacheproxy/load/Shape.java
+++ b/src/main/java/cacheproxy/load/Shape.java
@@ -1,25 +1,25 @@
 package cacheproxy.load;
 
 /**
- * How a rate goes over a run: a factor on the rate asked for, by the time since the start and the run's length, both in
- * seconds. Each has a mean of 1 over the whole run, so that shapes of one rate send as much.
+ * How the request rate varies over a run: a factor on the configured rate by the elapsed fraction of the run. Each has
+ * a mean of 1 over the whole run, so that all shapes send the same number of requests at one rate.
  */
 public enum Shape {
-    /** The same all along. */
+    /** Constant rate. */
     STEADY {
         @Override
         double raw(double x) {
             return 1;
         }
     },
-    /** A release evening: quiet, a steep climb to four times that, a slow fall. */
+    /** The evening of a release: low, then a steep rise to four times that, then a slow fall. */
     SURGE {
         @Override
         double raw(double x) {
             return x < 0.25 ? 0.5 : x < 0.35 ? 0.5 + (x - 0.25) * 15 : x < 0.55 ? 2 : 2 - (x - 0.55) / 0.45 * 1.5;
         }
     },
-    /** Three days and nights. */
+    /** Sine wave of three periods, as of three days. */
     WAVE {
         @Override
         double raw(double x) {
@@ -32,7 +32,7 @@
 
     abstract double raw(double x);
 
-    /** The factor at this part of the run, 0 to 1. */
+    /** The factor at this fraction of the run, 0 to 1. */
     public double at(double part) {
         return raw(Math.min(1, Math.max(0, part))) / mean;
     }
--- a/src/main/java/cacheproxy/load/SyntheticWorkload.java
+++ b/src/main/java/cacheproxy/load/SyntheticWorkload.java
@@ -7,26 +7,25 @@
 import java.util.SplittableRandom;
 
 /**
- * Traffic that is drawn: arrivals by a rate and a shape, classes by their shares, keys by Zipf's law. The popular keys
- * move on: every {@code keyStaySeconds} the ranks are dealt to other keys, one rank in a hundred of the space. The same
- * seed gives the same requests.
+ * Randomly generated traffic: arrivals by rate and shape, classes by their shares, keys by Zipf's law. Key popularity
+ * drifts: every {@code keyStaySeconds} the ranks shift by 1% of the key space. The same seed gives the same requests.
  */
 public final class SyntheticWorkload implements Workload {
-    /** How arrivals are spaced. */
+    /** Distribution of the time between arrivals. */
     public enum Arrivals {
         POISSON,
         CONSTANT
     }
 
     /**
-     * What arrives when, and for which keys.
+     * The parameters of the traffic.
      *
-     * @param rate mean requests a second, above 0
-     * @param seconds how long, above 0
-     * @param keys in the key space
-     * @param zipf exponent of the keys' popularity; 0 for all alike
-     * @param keyStaySeconds after which time the popular keys move on; 0 for never
-     * @param values how long a write's value is
+     * @param rate mean requests per second, above 0
+     * @param seconds length of the run, above 0
+     * @param keys number of keys
+     * @param zipf Zipf exponent of the keys' popularity; 0 for a uniform distribution
+     * @param keyStaySeconds interval after which key popularity shifts; 0 for never
+     * @param values lengths of written values
      */
     public record Settings(
             double rate,
@@ -51,7 +50,7 @@
         }
     }
 
-    /** In one step of this length the rate counts as constant. */
+    /** Integration step, within which the rate is taken as constant. */
     private static final double STEP_S = 0.01;
 
     private final Settings settings;
@@ -60,7 +59,6 @@
     private final double[] shares;
     private double atS;
 
-    /** Begins at time 0. */
     public SyntheticWorkload(Settings settings) {
         this.settings = settings;
         random = new SplittableRandom(settings.seed());
@@ -89,7 +87,7 @@
                 (long) (atS * 1e9), kind, key, write, write ? settings.values().bytesOf(key) : 0);
     }
 
-    /** Goes on by as much of the rate's integral as lies between two arrivals. */
+    /** Advances to the next arrival by integrating the rate; returns false at the end of the run. */
     private boolean advance() {
         double owed = settings.arrivals() == Arrivals.CONSTANT ? 1 : -Math.log(1 - random.nextDouble());
         while (atS < settings.seconds()) {
--- a/src/main/java/cacheproxy/load/TraceFormat.java
+++ b/src/main/java/cacheproxy/load/TraceFormat.java
@@ -4,11 +4,11 @@
 import cacheproxy.emulator.TrafficClass;
 import java.util.List;
 
-/** How one line of a trace is read. */
+/** The formats of trace lines. */
 public enum TraceFormat {
     /**
-     * The project's own: {@code time_ms,class,key,op,value_bytes}, where {@code op} is {@code read} or {@code write}. A
-     * first line that begins with {@code time_ms} is a header.
+     * This project's format: {@code time_ms,class,key,op,value_bytes}, where {@code op} is {@code read} or
+     * {@code write}. A first line that begins with {@code time_ms} is a header.
      */
     CSV(1e6) {
         @Override
@@ -31,8 +31,8 @@
     },
     /**
      * Twitter's published cache traces (Yang, Yue, Rashmi, OSDI 2020): {@code timestamp,key,key size,value size, client
-     * id,operation,TTL}, the time in whole seconds. {@code get} and {@code gets} are reads, all others writes; they
-     * take the first class of each kind.
+     * id,operation,TTL}, the time in whole seconds. {@code get} and {@code gets} are reads, all others writes; reads
+     * get the first class of reads, writes the first class of writes.
      */
     TWITTER(1e9) {
         @Override
@@ -60,10 +60,10 @@
         this.unitNanos = unitNanos;
     }
 
-    /** What the line's words ask for; an IllegalArgumentException if they make no sense. */
+    /** Parses the fields of a line; throws an IllegalArgumentException if they are invalid. */
     abstract Planned read(String[] words, List<TrafficClass> classes);
 
-    /** The nanoseconds that lie between two times of this format that are next to each other. */
+    /** The time resolution of this format, in nanoseconds. */
     double unitNanos() {
         return unitNanos;
     }
@@ -74,7 +74,7 @@
         if (!(at >= 0 && at < 1e15) || size < 0 || key.isEmpty()) {
             throw new IllegalArgumentException();
         }
-        // Keys of traces hold what the protocol's may not; a hash stands for each, the same one everywhere.
+        // Trace keys may hold characters that the protocol does not allow, so a stable hash replaces them.
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < key.length(); i++) {
             hash = (hash ^ key.charAt(i)) * 0x100000001b3L;
--- a/src/main/java/cacheproxy/load/TraceWorkload.java
+++ b/src/main/java/cacheproxy/load/TraceWorkload.java
@@ -11,14 +11,14 @@
 import java.util.List;
 
 /**
- * Traffic that was recorded, from a file that may be larger than memory: lines are read as they are needed. Times count
- * from the first line's; a line whose time lies before the last one's counts as of that time. Requests of one whole
- * second (or millisecond) are spread over it evenly.
+ * Replays a recorded trace. Lines are read as needed, so that the file may be larger than memory. Times are relative to
+ * the first line; a line earlier than its predecessor gets the predecessor's time. Requests with equal times are spread
+ * evenly over the format's time unit (second or millisecond).
  */
 public final class TraceWorkload implements Workload {
     private static final int FIRST_LINES = 10;
     private static final int MAX_LINE = 64 << 10;
-    /** The most requests of one time unit that are spread; the rest of it follows them without a gap. */
+    /** Maximum number of requests of equal time that are spread together; further ones form a group of their own. */
     private static final int MAX_GROUP = 100_000;
 
     private final BufferedReader in;
@@ -34,7 +34,7 @@
     private long startNanos = -1;
     private long lastNanos;
 
-    /** {@code speed}: 2 replays in half the time; above 0. */
+    /** {@code speed}: replay speed, above 0; 2 replays in half the time. */
     public TraceWorkload(InputStream in, TraceFormat format, List<TrafficClass> classes, double speed) {
         if (!(speed > 0 && speed <= 1e9)) {
             throw new IllegalArgumentException("a speed of " + speed + "; it is above 0 and a billion at most");
@@ -54,7 +54,7 @@
         return given == group.size() ? null : group.get(given++);
     }
 
-    /** Takes all lines of one time. */
+    /** Reads the next lines of equal time and spreads them. */
     private void fill() {
         group.clear();
         given = 0;
--- a/src/main/java/cacheproxy/load/Workload.java
+++ b/src/main/java/cacheproxy/load/Workload.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** What is to be sent, in the order of its times. */
+/** A sequence of scheduled requests, in the order of their times. */
 public interface Workload extends AutoCloseable {
     /** The next request, or null at the end. */
     Planned next();
 
-    /** Lines of a source that could not be read; null where there is no source. */
+    /** Source lines that could not be parsed; null for a workload that is not read from a source. */
     default Unreadable unreadable() {
         return null;
     }
 
-    /** How many lines were of no use, and where the first ones stand. */
+    /** The number of lines that could not be parsed and the line numbers of the first ones. */
     record Unreadable(long lines, List<Long> first) {}
 
     @Override
--- a/src/main/java/cacheproxy/load/Zipf.java
+++ b/src/main/java/cacheproxy/load/Zipf.java
@@ -2,19 +2,19 @@
 
 import java.util.Arrays;
 
-/** Ranks drawn by Zipf's law: rank {@code r} (from 0) with a weight of {@code 1 / (r + 1 + offset)^exponent}. */
+/** Zipf distribution of ranks: rank {@code r} (from 0) has the weight {@code 1 / (r + 1 + offset)^exponent}. */
 public final class Zipf {
-    /** The most ranks; a table of them is 8 MB. */
+    /** Maximum number of ranks, whose table takes 8 MB. */
     public static final int MAX_RANKS = 1_000_000;
 
     private final double[] upTo;
 
-    /** {@code ranks}: 1 to {@link #MAX_RANKS}; {@code exponent}: 0 (all alike) to 5. */
+    /** {@code ranks}: 1 to {@link #MAX_RANKS}; {@code exponent}: 0 (uniform) to 5. */
     public Zipf(int ranks, double exponent) {
         this(ranks, exponent, 0);
     }
 
-    /** {@code offset}: 0 or more; flattens the head, as Mandelbrot's addition to the law does. */
+    /** {@code offset}: 0 or more; flattens the head of the distribution (Zipf-Mandelbrot law). */
     public Zipf(int ranks, double exponent, double offset) {
         if (ranks < 1 || ranks > MAX_RANKS || !(exponent >= 0 && exponent <= 5) || !(offset >= 0)) {
             throw new IllegalArgumentException(ranks + " keys with an exponent of " + exponent
@@ -30,7 +30,7 @@
         }
     }
 
-    /** The rank for a draw from 0 to 1. */
+    /** The rank for a random number from 0 to 1. */
     public int rank(double draw) {
         int at = Arrays.binarySearch(upTo, draw * upTo[upTo.length - 1]);
         return Math.min(upTo.length - 1, at < 0 ? -at - 1 : at);
--- a/src/main/java/cacheproxy/load/package-info.java
+++ b/src/main/java/cacheproxy/load/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The open-loop load generator: when requests are meant to go out and what they ask ({@link cacheproxy.load.Workload}
- * and what it is made of, without I/O), who sends them ({@link cacheproxy.load.Generator}), what is counted
- * ({@link cacheproxy.load.Recorder}) and how it is shown ({@link cacheproxy.load.Report} and its writers).
+ * The open-loop load generator: the schedule of requests ({@link cacheproxy.load.Workload} and its implementations,
+ * without network I/O), the sender ({@link cacheproxy.load.Generator}), the measurements
+ * ({@link cacheproxy.load.Recorder}) and their output ({@link cacheproxy.load.Report} and its writers).
  *
- * <p>A request's latency counts from the time at which it was <em>meant</em> to be sent; nothing that the target does
- * moves that time. May use {@code emulator.meta} and the key space of {@code emulator}, Netty, HdrHistogram and Gson;
- * knows nothing of {@code proxy}, {@code demo} or {@code cli}.
+ * <p>A request's latency is measured from its <em>scheduled</em> send time, which does not depend on the target. May
+ * use {@code emulator.meta} and the key space of {@code emulator}, Netty, HdrHistogram and Gson; must not depend on
+ * {@code proxy}, {@code demo} or {@code cli}.
  */
 package cacheproxy.load;
--- a/src/test/java/cacheproxy/load/GeneratorTest.java
+++ b/src/test/java/cacheproxy/load/GeneratorTest.java
@@ -37,7 +37,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The generator against targets that stall, refuse, reset, lie or say nothing. */
+/** Tests the generator against targets that stall, refuse, reset, send wrong responses or never respond. */
 @Timeout(90)
 class GeneratorTest {
     private static final FleetSpec QUICK =
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Values over 64 KiB are timed by their first bytes, as clients do, and their rest is waited for. */
+    /** For values over 64 KiB the first bytes must meet the deadline; the generator then waits for the rest. */
     @Test
     void aLongAnswerThatHasBegunInTimeIsWaitedFor() throws Exception {
         String value = "x".repeat(100_000);
@@ -82,12 +82,12 @@
         }
     }
 
-    /** A target by a script for each connection. */
+    /** A server that runs the script for each connection. */
     private interface Script {
         void run(Socket socket, BufferedReader in) throws Exception;
     }
 
-    /** Reads to the end, so that nothing is left unread when the socket is closed. */
+    /** Reads to the end, as closing a socket with unread data would send a reset. */
     private static void readAll(BufferedReader in) throws IOException {
         in.transferTo(Writer.nullWriter());
     }
@@ -105,7 +105,7 @@
                                     new BufferedReader(new InputStreamReader(
                                             socket.getInputStream(), StandardCharsets.ISO_8859_1)));
                         } catch (Exception e) {
-                            // the generator has closed it
+                            // closed by the generator
                         }
                     });
                     thread.setDaemon(true);
@@ -134,8 +134,8 @@
     }
 
     /**
-     * A stall of S seconds in a run of T at a constant rate: of all requests, (S - x) / T wait longer than x. The share
-     * can't be lower whatever the machine does; the margin above it is for the machine's own pauses.
+     * With a stall of S seconds in a run of T seconds at a constant rate, (S - x) / T of all requests wait longer than
+     * x. Pauses of the machine can only raise that share; the upper margin allows for them.
      */
     @Test
     void aStallStandsInTheTailAsArithmeticSaysWhereAClosedLoopHidesIt() throws Exception {
@@ -173,7 +173,7 @@
         return h.getCountBetweenValues((long) (seconds * 1e6), h.getMaxValue()) / (double) h.getTotalCount();
     }
 
-    /** One request at a time, each 5 ms after the last one's answer, latency from its sending: what many tools do. */
+    /** Closed-loop client: each request 5 ms after the last response, latency from the actual send time. */
     private static void closedLoop(InetSocketAddress to, List<Double> latencies, CountDownLatch ended) {
         try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
             BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), UTF_8));
@@ -374,7 +374,8 @@
         sums(merged);
         assertThat(merged.requests())
                 .isEqualTo(reports.get(0).requests() + reports.get(1).requests());
-        // A quarter of all waited 400 ms: the joint p90 says so. An average of the two would say some 200 ms.
+        // A quarter of all requests waited 400 ms, so the merged p90 is 400 ms; an average of the two p90s would be 200
+        // ms.
         assertThat(merged.latency().getValueAtPercentile(90)).isBetween(399_000L, 401_000L);
         JsonObject json = merged.json();
         for (String figure : new String[] {"p50", "p90", "p99", "p999", "max"}) {
--- a/src/test/java/cacheproxy/load/WorkloadTest.java
+++ b/src/test/java/cacheproxy/load/WorkloadTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
 
-/** What is planned, in virtual time. */
+/** Tests the schedules of the workloads; sends nothing. */
 class WorkloadTest {
     private static final List<TrafficClass> CLASSES = TrafficClass.SUBTITLES;
 
