--- a/src/main/java/cacheproxy/lab/BadClients.java
+++ b/src/main/java/cacheproxy/lab/BadClients.java
@@ -16,14 +16,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Clients that stop in the middle of a request and stay, say nothing, send a byte now and then, send what can't be
- * read, send much at once, or leave. Those that are owed an error or a close have to get one within three seconds of
- * connecting. They connect to the proxies themselves, one after another on each of some threads.
+ * Misbehaving clients: they stop in the middle of a request, send nothing, send a byte at a time, send malformed
+ * requests, send many requests at once, or disconnect. Those that must be rejected have to get an error or a close
+ * within 3 s of connecting. They connect directly to the proxies, one after another on each of {@link #THREADS}
+ * threads.
  */
 final class BadClients implements AutoCloseable {
     private static final int THREADS = 6;
     private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
-    /** The lab's own machine may be late by so much. */
+    /** Allowance for delays of the machine that runs the lab. */
     private static final long SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     private static final int DRIP_MS = 400;
@@ -31,7 +32,7 @@
     private static final int MANY_READS = 150;
     private static final int MOST_EXAMPLES = 5;
 
-    /** What they do. */
+    /** How a client misbehaves. */
     private enum Behaviour {
         HALF_LINE,
         NO_LINE_END,
@@ -44,7 +45,7 @@
         MANY_THEN_LEAVE,
         LEAVE;
 
-        /** Whether it is owed an error or a close. */
+        /** Whether the proxy must answer it with an error or close its connection. */
         boolean owed() {
             return this != MANY_THEN_LEAVE && this != LEAVE;
         }
@@ -64,7 +65,7 @@
     private volatile long beganNanos;
     private volatile boolean ended;
 
-    /** {@code faults}: while a proxy stands still by one of these, nothing is owed by it. */
+    /** {@code faults}: while a proxy is stopped by one of these, its clients are not counted. */
     BadClients(long seed, String className, List<Fault> faults) {
         this.seed = seed;
         this.className = className;
@@ -97,7 +98,7 @@
                 judge(index, behaviour, id, connected, heard);
             }
         } catch (IOException e) {
-            pause(); // the proxy is away, or has ended the connection, which is an answer
+            pause(); // the proxy is down, or has closed the connection, which is a valid reaction
         }
     }
 
@@ -149,7 +150,7 @@
         return text.toString();
     }
 
-    /** Whether it is told an error, or its connection ends, until then. */
+    /** Whether an error arrives or the connection is closed before the given time. */
     private boolean heard(Socket socket, Behaviour behaviour, long untilNanos) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder line = new StringBuilder();
@@ -184,17 +185,17 @@
         }
     }
 
-    /** Clients that were owed an error or a close. */
+    /** The number of clients that should have got an error or a close. */
     int owed() {
         return owed.get();
     }
 
-    /** Those of them that got neither in time. */
+    /** The number of those clients that got neither in time. */
     int unheard() {
         return unheard.get();
     }
 
-    /** Some of these. */
+    /** Descriptions of the first clients that got neither. */
     List<String> examples() {
         synchronized (examples) {
             return List.copyOf(examples);
--- a/src/main/java/cacheproxy/lab/Companion.java
+++ b/src/main/java/cacheproxy/lab/Companion.java
@@ -4,9 +4,9 @@
 import java.io.IOException;
 import java.util.List;
 
-/** What goes on beside the clients of a scenario, and has a judgement of its own. */
+/** Additional activity during a scenario, with checks of its own. */
 public interface Companion {
-    /** Nothing goes on beside. */
+    /** No additional activity. */
     Companion NONE = new Companion() {
         @Override
         public void begin(List<ProxyProcess> proxies) {}
@@ -15,9 +15,9 @@
         public void end(List<ProxyProcess> proxies) {}
     };
 
-    /** The faults begin. */
+    /** Called when the fault schedule starts. */
     void begin(List<ProxyProcess> proxies) throws IOException;
 
-    /** The last request of the clients is over; the processes still run. */
+    /** Called when the last client request has ended, while the processes still run. */
     void end(List<ProxyProcess> proxies) throws IOException, InterruptedException;
 }
--- a/src/main/java/cacheproxy/lab/Expectation.java
+++ b/src/main/java/cacheproxy/lab/Expectation.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Something that a scenario expects of its outcome. */
+/** An expectation of a scenario about its outcome. */
 public sealed interface Expectation
         permits Expectation.RulesHeld,
                 Expectation.Served,
@@ -12,16 +12,16 @@
                 Expectation.FalseDeaths,
                 ZoneExpectation,
                 RecoveryExpectation {
-    /** What came of it. {@code measured} and {@code bound} are for people. */
+    /** The result of a check; {@code measured} and {@code bound} are text for display. */
     record Result(String name, boolean held, String measured, String bound) {}
 
-    /** Holds it against an outcome. */
+    /** Checks an outcome. */
     Result check(Outcome outcome);
 
-    /** Whether an outcome that breaks it may be the lab's own doing, as its machine was too busy. */
+    /** Whether a failed check may be caused by the lab itself, because its machine was too busy. */
     boolean mayBeTheLabs(Outcome outcome);
 
-    /** None of the rules may be broken. */
+    /** No rule of the oracle may be broken. */
     record RulesHeld() implements Expectation {
         @Override
         public Result check(Outcome o) {
@@ -32,21 +32,21 @@
                     "held");
         }
 
-        /** A pause can make an answer late; it makes no write run twice and no value wrong. */
+        /** A pause can delay a response, but can't cause a duplicate write or a wrong value. */
         @Override
         public boolean mayBeTheLabs(Outcome o) {
             return o.verdict().breaches().keySet().stream().allMatch(r -> r == Oracle.Rule.LOST);
         }
     }
 
-    /** A part of the requests, 0 to 1, has to be served in time. */
+    /** At least this fraction of the requests, 0 to 1, has to be served in time. */
     record Served(double least) implements Expectation {
         @Override
         public Result check(Outcome o) {
             return new Result("served", o.served() >= least, percent(o.served()), "at least " + percent(least));
         }
 
-        /** Requests that left late may have failed for that, and no others. */
+        /** Only requests that were sent late can have failed because of the lab. */
         @Override
         public boolean mayBeTheLabs(Outcome o) {
             return least - o.served() <= o.leftLate();
@@ -57,9 +57,9 @@
         }
     }
 
-    /** After each fault's end the view that the proxies keep has to settle within this time. */
+    /** After the end of each fault the proxies' views of the fleet have to converge within this time. */
     record SettledWithin(double ms) implements Expectation {
-        /** Proxies are looked at this often, and one that is starting is not there yet. */
+        /** Allowance for the interval at which the proxies' views are sampled. */
         private static final double LOOK_MS = 300;
 
         @Override
@@ -82,8 +82,11 @@
                     String.format(Locale.ROOT, "within %.1f s", ms / 1000));
         }
 
-        /** Whether nothing else begins before it is over, or soon after. */
-        @SuppressWarnings("ReferenceEquality") // all but this band, also one like it
+        /**
+         * Whether no other fault that ends at or after this one begins before the time allowed after it, and the run
+         * lasts that long.
+         */
+        @SuppressWarnings("ReferenceEquality") // excludes only this band itself, not equal ones
         private boolean last(Outcome o, Scenario.Band band) {
             return o.scenario().bands().stream()
                             .noneMatch(b -> b != band && b.toMs() >= band.toMs() && b.fromMs() < band.toMs() + ms)
@@ -96,7 +99,7 @@
         }
     }
 
-    /** Proxies that live and can be reached may be given up so often at most, over all of them. */
+    /** Maximum number of times, over all proxies, that a live and reachable proxy is declared dead. */
     record FalseDeaths(long most) implements Expectation {
         @Override
         public Result check(Outcome o) {
--- a/src/main/java/cacheproxy/lab/LabRun.java
+++ b/src/main/java/cacheproxy/lab/LabRun.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 
-/** Plays one scenario from the first process's start to the last one's end; leaves nothing behind. */
+/** Runs one scenario, from starting the processes to stopping them; leaves no processes or files behind. */
 public final class LabRun {
     private static final double LEAD_IN_SHARE = 0.25;
     private static final double ZIPF = 0.95;
@@ -34,12 +34,12 @@
     private final Consumer<String> progress;
     private final Companion beside;
 
-    /** {@code logs}: a folder for the proxies' logs, or null; {@code progress}: takes a line a second. */
+    /** {@code logs}: a folder for the proxies' logs, or null; {@code progress}: receives one line per second. */
     public LabRun(Scenario scenario, long seed, Path logs, Consumer<String> progress) {
         this(scenario, seed, logs, progress, Companion.NONE);
     }
 
-    /** The same with something beside. */
+    /** Creates a run with additional activity. */
     LabRun(Scenario scenario, long seed, Path logs, Consumer<String> progress, Companion beside) {
         this.scenario = scenario;
         this.seed = seed;
@@ -48,12 +48,13 @@
         this.beside = beside;
     }
 
-    /** Plays it; an IOException says what did not start. */
+    /** Runs the scenario; throws an IOException if a process does not start or the run is aborted. */
     public Outcome play() throws IOException, InterruptedException {
         try (ProxiedFleet fleet = new ProxiedFleet(scenario.fleet(), MEMORY_MB, null)) {
             List<TrafficClass> classes = scenario.fleet().classes();
             if (scenario.leadInMs() > 0) {
-                // Another seed, so that the oracle takes none of its requests for one of the run's.
+                // A different seed, so that the request ids of the lead-in don't collide with those of the run at the
+                // oracle.
                 run(fleet, workload(scenario.rate() * LEAD_IN_SHARE, scenario.leadInMs(), classes), ~seed);
             }
             double zeroMs = fleet.fleet().now();
--- a/src/main/java/cacheproxy/lab/Outcome.java
+++ b/src/main/java/cacheproxy/lab/Outcome.java
@@ -9,14 +9,14 @@
 import java.util.stream.Stream;
 
 /**
- * What came of one run of a scenario.
+ * The outcome of one run of a scenario. All times count from the end of the lead-in.
  *
- * @param report of the clients
- * @param verdict on the rules
- * @param rows what each proxy did, second by second from the lead-in's end
- * @param fine what all of them did together, by tenths of a second from the lead-in's end
- * @param looks what the proxies said of the fleet, their times in ms from the lead-in's end
- * @param died the proxy that ended by itself, with the end of its log; null if none did
+ * @param report the load generator's report
+ * @param verdict the oracle's verdict on the rules
+ * @param rows counts per proxy and second
+ * @param fine counts over all proxies per tenth of a second
+ * @param looks samples of the proxies' views of the fleet, with times in ms
+ * @param died the proxy that exited unexpectedly, with the end of its log; null if none did
  */
 public record Outcome(
         Scenario scenario,
@@ -28,29 +28,32 @@
         List<Look> looks,
         String died) {
     /**
-     * What all proxies said of the fleet at one time. {@code open}: for each proxy how far each zone is open to it,
-     * empty for one that is away, decides nothing of zones or hears too little of the fleet. {@code staleDecisions}: so
-     * far.
+     * A sample of all proxies' views of the fleet. {@code open}: for each proxy the share of each zone that is open to
+     * it; empty for a proxy that is down, makes no zone decisions or hears from too few peers. {@code staleDecisions}:
+     * the total so far.
      */
     public record Look(
             double atMs, boolean settled, long refutedDeaths, List<List<Double>> open, long staleDecisions) {}
 
-    /** Longer pauses of the lab's own process make an answer late by themselves: half of what the rules give one. */
+    /**
+     * Fraction of the rules' answer grace that the lab's own pauses may take; longer ones make responses late by
+     * themselves.
+     */
     static final double PAUSE_PART = 0.5;
 
-    /** Whether all held, something was broken, or the machine was too busy to tell. */
+    /** Whether all expectations held, one was broken, or the machine was too busy to judge. */
     public enum Judgement {
         HELD,
         BROKEN,
         TOO_BUSY
     }
 
-    /** The part of the counted requests that was served in time. */
+    /** The fraction of the counted requests that were served in time. */
     public double served() {
         return (double) report.served() / Math.max(1, report.requests());
     }
 
-    /** The part of the requests that left later than they were meant to, by more than a bearable pause. */
+    /** The fraction of the requests that were sent late by more than the tolerated pause. */
     public double leftLate() {
         return 1 - report.lag().getPercentileAtOrBelowValue((long) (bearablePauseMs() * 1e3)) / 100;
     }
@@ -59,12 +62,12 @@
         return PAUSE_PART * scenario.fleet().answerGraceMs();
     }
 
-    /** How often something was seen, over all proxies. */
+    /** Total of a count over all proxies. */
     public long total(What what) {
         return rows.stream().mapToLong(r -> r.counts().getOrDefault(what, 0L)).sum();
     }
 
-    /** How often something was seen from one time until another, over all proxies; to a tenth of a second. */
+    /** Total of a count over all proxies between two times, which are rounded to a tenth of a second. */
     public double sum(What what, double fromMs, double toMs) {
         int from = (int) Math.max(0, Math.round(fromMs / Series.TENTH_MS));
         int to = (int) Math.min(fine.size(), Math.round(toMs / Series.TENTH_MS));
@@ -76,7 +79,8 @@
     }
 
     /**
-     * Milliseconds from a time until a view was seen settled and stayed so until the next fault; infinite for never.
+     * Milliseconds from the given time until the views were converged and stayed so until the next fault; infinite if
+     * they did not.
      */
     public double settledAfter(double fromMs) {
         double next = scenario.bands().stream()
@@ -93,7 +97,7 @@
         return since - fromMs;
     }
 
-    /** Each expectation held against it. */
+    /** The results of all expectations. */
     public List<Expectation.Result> results() {
         Stream<Expectation.Result> more = died == null
                 ? Stream.empty()
@@ -103,7 +107,7 @@
                 .toList();
     }
 
-    /** By which measure the lab's machine was too busy to judge by; null if it was not. */
+    /** Why the machine was too busy for a verdict; null if it was not. */
     public String busy() {
         double pause = report.pauses().getMaxValue() / 1e3;
         double most = bearablePauseMs();
@@ -114,7 +118,7 @@
         return report.keptSchedule() ? null : "requests left later than they were meant to";
     }
 
-    /** The whole of it. */
+    /** The overall judgement. */
     public Judgement judgement() {
         if (died != null) {
             return Judgement.BROKEN;
--- a/src/main/java/cacheproxy/lab/OutcomeText.java
+++ b/src/main/java/cacheproxy/lab/OutcomeText.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 
-/** Outcomes for people and for scripts: a few lines, JSON, and a page with one time line. */
+/** Renders outcomes as text, as JSON, and as an HTML page with a common time axis. */
 public final class OutcomeText {
     private static final String[] COLOURS = {
         "#2b6cb0", "#c05621", "#2f855a", "#6b46c1", "#b7791f", "#9b2c2c", "#319795", "#d53f8c", "#555555", "#38a169",
@@ -23,7 +23,7 @@
 
     private OutcomeText() {}
 
-    /** In some lines. */
+    /** A summary of a few lines. */
     public static String text(Outcome o) {
         StringBuilder s = new StringBuilder();
         s.append(String.format(
@@ -65,7 +65,7 @@
         return s.toString();
     }
 
-    /** All of several outcomes, for scripts. */
+    /** Several outcomes as a JSON array. */
     public static String json(List<Outcome> outcomes) {
         JsonArray all = new JsonArray();
         outcomes.forEach(o -> all.add(json(o)));
@@ -122,9 +122,9 @@
         return j;
     }
 
-    // ---- a page
+    // ---- HTML page
 
-    /** One page for several outcomes: their series on one time line, the faults as bands. */
+    /** One page for several outcomes: their time series on a common time axis, with the faults as bands. */
     public static String html(List<Outcome> outcomes) {
         StringBuilder s =
                 new StringBuilder("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Lab</title>"
--- a/src/main/java/cacheproxy/lab/ProcessUse.java
+++ b/src/main/java/cacheproxy/lab/ProcessUse.java
@@ -6,14 +6,14 @@
 import java.util.stream.Stream;
 
 /**
- * What a process holds, as the system's {@code /proc} tells it.
+ * Resource usage of a process, from {@code /proc}.
  *
- * @param descriptors open ones
- * @param threads that run
- * @param memoryKb resident
+ * @param descriptors number of open file descriptors
+ * @param threads number of threads
+ * @param memoryKb resident memory
  */
 record ProcessUse(int descriptors, int threads, long memoryKb) {
-    /** Of a process that runs. */
+    /** The usage of a running process. */
     static ProcessUse of(long pid) throws IOException {
         Path proc = Path.of("/proc", Long.toString(pid));
         int descriptors;
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Whether this is no more than it was before, but for what a proxy may keep: idle connections to its servers, and
-     * memory of its first use.
+     * Whether the usage is at most what it was before plus what a proxy may keep: idle connections to its servers, and
+     * memory, threads and descriptors allocated on first use.
      */
     boolean backTo(ProcessUse before, int servers) {
         return descriptors <= before.descriptors + DESCRIPTORS_BESIDE + SERVER_CONNECTIONS * servers
--- a/src/main/java/cacheproxy/lab/RecoveryExpectation.java
+++ b/src/main/java/cacheproxy/lab/RecoveryExpectation.java
@@ -6,15 +6,15 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Something that is expected of how a fleet comes back after many of its proxies have gone at once. */
+/** An expectation about how the fleet recovers after many proxies have failed at once. */
 public sealed interface RecoveryExpectation extends Expectation {
-    /** A pause of the lab's own process makes counts come late. */
+    /** A pause of the lab's own process delays the counts. */
     @Override
     default boolean mayBeTheLabs(Outcome o) {
         return o.busy() != null;
     }
 
-    /** When the first fault begins, and when the last has ended, in ms. */
+    /** Begin of the first fault, in ms; {@link #end} is the end of the last one. */
     private static double begin(Outcome o) {
         return o.scenario().bands().stream()
                 .mapToDouble(Scenario.Band::fromMs)
@@ -30,10 +30,10 @@
     }
 
     /**
-     * The fleet has to be back within this time. Back is the start of the first 3 s in which it serves at least 98% of
-     * what it served of what was asked in the 10 s before the first fault, with attempts and fetches a request at most
-     * 1.2 times what they were then. A fetch is rare, so it gets twice the root of its expected number more, for
-     * chance.
+     * The fleet has to be back at full service within this time of the first fault. That is the start of the first 3 s
+     * in which the served share of requests is at least 98% of its value in the 10 s before the first fault, with
+     * attempts and fetches per request at most 1.2 times their values then. As fetches are rare, their limit is raised
+     * by twice the square root of the expected number, to allow for random variation.
      */
     record FullServiceWithin(double ms) implements RecoveryExpectation {
         private static final double BEFORE_MS = 10_000;
@@ -42,14 +42,14 @@
         private static final double SERVED = 0.98;
         private static final double WORK = 1.2;
 
-        /** Milliseconds from the first fault until it is back; infinite for never. */
+        /** Milliseconds from the first fault until full service; infinite if it is not reached. */
         static double measure(Outcome o) {
             double from = begin(o);
             double asked = Math.max(1, o.sum(What.ASKED, from - BEFORE_MS, from));
             double served = o.sum(What.SERVED, from - BEFORE_MS, from) / asked;
             double attempts = o.sum(What.ATTEMPTS, from - BEFORE_MS, from) / asked;
             double fetches = o.sum(What.FETCHES, from - BEFORE_MS, from) / asked;
-            // The window in which the first fault strikes is not before it: what goes down with it was asked earlier.
+            // Windows start at the first fault or later, as requests lost in it were counted as asked before it.
             for (double t = from; t + SPAN_MS <= o.scenario().forMs(); t += STEP_MS) {
                 double wanted = Math.max(1, o.sum(What.ASKED, t, t + SPAN_MS));
                 double mean = fetches * wanted;
@@ -75,7 +75,7 @@
         }
     }
 
-    /** What may happen in any one second from the first fault on, over all proxies. */
+    /** Maximum of a count in any one second after the first fault's begin, over all proxies. */
     record AtMost(What what, long most) implements RecoveryExpectation {
         private static final double SPAN_MS = 1000;
         private static final double STEP_MS = 100;
@@ -94,7 +94,9 @@
         }
     }
 
-    /** What the busiest proxy takes of the requests from some seconds after the last fault on, by the mean. */
+    /**
+     * Maximum ratio of the busiest proxy's requests to the mean, from {@link #SETTLE_MS} after the last fault's end.
+     */
     record BusiestAtMost(double factor) implements RecoveryExpectation {
         private static final double SETTLE_MS = 10_000;
 
@@ -119,7 +121,7 @@
         }
     }
 
-    /** No proxy may decide by what is older than it may be. */
+    /** Maximum number of decisions that proxies base on state older than its maximum age. */
     record StaleDecisions(long most) implements RecoveryExpectation {
         @Override
         public Result check(Outcome o) {
--- a/src/main/java/cacheproxy/lab/Scenario.java
+++ b/src/main/java/cacheproxy/lab/Scenario.java
@@ -6,20 +6,20 @@
 import java.util.List;
 
 /**
- * What a file of the lab says, drawn out for one seed.
+ * A scenario file with its random choices made for one seed.
  *
- * @param name for people
- * @param fleet the stand-ins
- * @param rate requests a second
- * @param leadInMs at a quarter of the rate and not counted; the faults' times count from its end
- * @param forMs how long it lasts from then on
- * @param keys in the key space
- * @param connections of clients, at most
- * @param inTurn these are as many clients, each with its own
- * @param faults in parts of the fleet
- * @param links between them
- * @param expectations all of which have to hold
- * @param bands the faults as people see them
+ * @param name name for display
+ * @param fleet the emulated fleet
+ * @param rate requests per second
+ * @param leadInMs length of the lead-in, at a quarter of the rate and not counted; fault times count from its end
+ * @param forMs length of the run after the lead-in
+ * @param keys number of keys
+ * @param connections maximum number of client connections
+ * @param inTurn whether each connection stands for a client of its own
+ * @param faults faults of processes and servers
+ * @param links faults of the links between them
+ * @param expectations expectations that all have to hold
+ * @param bands the faults as time ranges for display
  */
 public record Scenario(
         String name,
@@ -35,6 +35,6 @@
         List<Expectation> expectations,
         List<Band> bands) {
 
-    /** One fault of the file, one time that it happens: its name, begin and end in ms. */
+    /** One occurrence of a fault in the file: its name, begin and end in ms. */
     public record Band(String name, double fromMs, double toMs) {}
 }
--- a/src/main/java/cacheproxy/lab/ScenarioFile.java
+++ b/src/main/java/cacheproxy/lab/ScenarioFile.java
@@ -33,7 +33,7 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** A scenario as a file of the configuration language: {@code fleet}, {@code fault}s and what to {@code expect}. */
+/** A scenario file in the configuration language, with sections {@code fleet}, {@code fault} and {@code expect}. */
 public final class ScenarioFile {
     private static final int MOST_TIMES = 1000;
     private static final int MOST_FAULTS = 10_000;
@@ -41,7 +41,7 @@
     private static final String LINK = "link";
     private static final String FROM = "from";
     private static final List<String> SHARES = List.of("lose", "double", "reorder", "hold", "reset-answers");
-    /** What is listed as an attribute of its own, with the targets as its value. */
+    /** Actions that are attributes of a fault section, with their targets as the value. */
     private static final List<Fault.Action> ACTIONS = Arrays.stream(Fault.Action.values())
             .filter(a -> a != Fault.Action.DOWN)
             .toList();
@@ -60,9 +60,9 @@
         this.configuration = configuration;
     }
 
-    // ---- what may stand in a file
+    // ---- schema
 
-    /** The sections, with their checks. */
+    /** The schema of scenario files, with its checks. */
     public static Schema schema() {
         Type part = Type.name(60);
         Section fleet = new Section("fleet", Naming.ONCE, "the stand-ins, the proxies before them, and the load")
@@ -273,7 +273,7 @@
         }
     }
 
-    /** Whether it needs to be told how long; what dies is told by {@code again-after}. */
+    /** Whether the action needs a duration; killed or restarted processes use {@code again-after} instead. */
     private static boolean lasts(Fault.Action a) {
         return switch (a) {
             case STALL, FREEZE, SILENCE, SPOIL, STALE, STOP, RETIRE, WATCHES_SILENT, OLDER_LISTS -> true;
@@ -283,17 +283,17 @@
 
     // ---- reading
 
-    /** Reads a file; what is wrong goes to {@code problems}, and the result is of use only if there is none. */
+    /** Reads a file; errors are added to {@code problems}, and the result is valid only if there are none. */
     public static ScenarioFile read(Path file, Problems problems) {
         return new ScenarioFile(file, ConfigFile.read(file, schema(), problems));
     }
 
-    /** The scenario with everything drawn that the file leaves to the seed. */
+    /** The scenario with the random choices of this seed. */
     public Scenario scenario(long seed) {
         return scenario(seed, Set.of());
     }
 
-    /** The same by proxies that run without these parts, to be held against it. */
+    /** The scenario with these features of the proxies turned off, for comparison. */
     public Scenario scenario(long seed, Set<Part> without) {
         FleetSpec whole = fleet(configuration, seed);
         Layout layout = whole.layout();
--- a/src/main/java/cacheproxy/lab/SoakPlan.java
+++ b/src/main/java/cacheproxy/lab/SoakPlan.java
@@ -9,46 +9,46 @@
 import java.util.stream.IntStream;
 
 /**
- * Random, overlapping faults as a scenario's text, the same for the same seed: a quiet beginning, trouble, and a quiet
- * end in which all has to come back to where it was.
+ * Generates the text of a scenario with random, overlapping faults; the same seed gives the same text. No fault starts
+ * in the first part of the run nor in the last, in which the fleet has to recover.
  */
 public final class SoakPlan {
-    /** What may go wrong. */
+    /** The kinds of faults. */
     public enum Kind {
-        /** Proxies are killed, told to end, stopped, upgraded, drained, and given new settings. */
+        /** Proxies are killed, terminated, stopped, upgraded, drained and reconfigured. */
         PROXIES,
-        /** Cache nodes and the origin hang, fall silent, reset, restart cold, drain, leave, and spoil answers. */
+        /** Cache nodes and the origin hang, fall silent, reset, restart cold, drain, leave and corrupt responses. */
         NODES,
-        /** What lies between proxies and nodes is cut, lossy, slow, or breaks answers off. */
+        /** Links between proxies and nodes are cut, slow, hold responses, or reset connections during responses. */
         LINKS,
         /**
-         * Discovery answers nothing, no watches, or older lists, numbers anew, or what lies between it and a proxy is
-         * slow or breaks off.
+         * Discovery does not respond, does not answer watches, sends older lists, restarts its version numbers, or its
+         * links to proxies are slow or reset.
          */
         DISCOVERY,
-        /** Cache nodes drain in waves and are back under their names soon after. */
+        /** Cache nodes drain in waves and restart under the same names soon after. */
         RELEASES,
-        /** Clients stop in the middle of a request, say nothing, leave, or send much at once. */
+        /** Clients stop in the middle of a request, send nothing, disconnect, or send many requests at once. */
         CLIENTS
     }
 
-    /** The shortest run that has room for quiet, trouble and quiet. */
+    /** Minimum length of a run, which leaves time for faults between the two phases without them. */
     public static final double SHORTEST_MS = 15_000;
-    /** For the last faults' ends, drains and restarts. */
+    /** Time without new faults at the end, for the last faults, drains and restarts to complete. */
     private static final double QUIET_END_MS = 9000;
 
     private static final double QUIET_BEGIN_SHARE = 0.15;
     private static final double EVERY_MS = 1800;
     private static final int MOST_LEAVE = 2;
-    /** Of all nodes, so many drain in one wave of a release. */
+    /** Fraction of the nodes that drain in one wave of a release. */
     private static final double WAVE_SHARE = 0.15;
 
     private static final int MOST_WAVES = 4;
-    /** From the begin of a wave until its nodes are restarted: longer than the grace of a drain. */
+    /** Minimum time from the begin of a wave to the restart of its nodes; longer than the drain grace period. */
     private static final int LEAST_DRAIN_MS = 2500;
 
     private static final int MOST_DRAIN_MS = 5000;
-    /** A run this long has outages of discovery that are longer than anything that is kept for some time. */
+    /** From this run length on, outages of discovery may outlast everything that proxies keep for a limited time. */
     private static final double LONG_RUN_MS = 60_000;
 
     private final int proxies;
@@ -66,10 +66,10 @@
     }
 
     /**
-     * A plan in the lab's language.
+     * Generates a plan as the text of a scenario file.
      *
-     * @param proxies 2 to 64
-     * @param forMs how long it lasts, at least {@link #SHORTEST_MS}
+     * @param proxies number of proxies, 2 to 64
+     * @param forMs length of the run, at least {@link #SHORTEST_MS}
      */
     public static String text(int proxies, double forMs, long seed, Set<Kind> kinds) {
         if (proxies < 2 || proxies > 64) {
@@ -93,7 +93,7 @@
                 Math.min(300, 25 * proxies),
                 forMs));
         List<Kind> drawn = new ArrayList<>(kinds.stream().sorted().toList());
-        drawn.remove(Kind.CLIENTS); // they run beside, from the beginning to the end
+        drawn.remove(Kind.CLIENTS); // bad clients run during the whole soak
         double beginMs = QUIET_BEGIN_SHARE * forMs;
         int many = drawn.isEmpty() ? 0 : (int) ((forMs - beginMs - QUIET_END_MS) / EVERY_MS) + 1;
         for (int i = 0; i < many; i++) {
@@ -116,7 +116,7 @@
         text.append("}\n");
     }
 
-    /** As many waves as have come to their end before the quiet end. */
+    /** Adds those waves whose nodes restart before the final phase without faults. */
     private void release(String name, double fromMs) {
         int size = Math.max(1, (int) (WAVE_SHARE * nodes));
         int first = random.nextInt(nodes);
--- a/src/main/java/cacheproxy/lab/SoakRun.java
+++ b/src/main/java/cacheproxy/lab/SoakRun.java
@@ -13,15 +13,16 @@
 import java.util.function.Consumer;
 
 /**
- * Plays one soak: its scenario with bad clients beside, judged by the oracle, by them, and by the proxies themselves.
+ * Runs one soak: its scenario together with bad clients. Checked by the oracle, the bad clients, the proxies' logs and
+ * the proxies' resource usage.
  */
 public final class SoakRun implements Companion {
-    /** Kinds of events that no proxy may log. */
+    /** Events that no proxy may log. */
     private static final List<EventKind> UNEXPECTED_EVENTS =
             List.of(EventKind.RULE_VIOLATION, EventKind.INTERNAL_ERROR);
 
     private static final int MOST_LINES = 5;
-    /** Bad clients of the last moment have been ended by then. */
+    /** Time in which proxies close the connections of the last bad clients. */
     private static final long QUIET_MS = 4000;
 
     private final Scenario scenario;
@@ -37,26 +38,26 @@
     }
 
     /**
-     * What came of a soak.
+     * The result of a soak.
      *
-     * @param outcome of its scenario
-     * @param owed bad clients that were owed an error or a close
-     * @param violations of what the oracle does not see: bad clients unheard, violations and internal errors that
-     *     proxies log, what they hold at the end
+     * @param outcome the outcome of its scenario
+     * @param owed number of bad clients that should have got an error or a close
+     * @param violations violations that the oracle does not see: bad clients that got neither, rule violations and
+     *     internal errors in the proxies' logs, and resources not released at the end
      */
     public record Result(Outcome outcome, int owed, List<String> violations) {
-        /** Whether nothing was broken; a machine that was too busy to judge held nothing. */
+        /** Whether everything held; false if the machine was too busy to judge. */
         public boolean held() {
             return outcome.judgement() == Outcome.Judgement.HELD && violations.isEmpty();
         }
     }
 
     /**
-     * Plays the plan in a file.
+     * Runs the plan in a file.
      *
-     * @param kinds bad clients take part if they are among them
+     * @param kinds bad clients take part if {@link SoakPlan.Kind#CLIENTS} is among these
      * @param logs a folder for the proxies' logs, or null
-     * @param progress takes a line a second
+     * @param progress receives one line per second
      */
     public static Result play(Path plan, long seed, Set<SoakPlan.Kind> kinds, Path logs, Consumer<String> progress)
             throws IOException, InterruptedException {
--- a/src/main/java/cacheproxy/lab/ZoneExpectation.java
+++ b/src/main/java/cacheproxy/lab/ZoneExpectation.java
@@ -8,16 +8,16 @@
 import java.util.Locale;
 
 /**
- * Something that is expected of how the proxies leave zones and return to them. What they hold is looked at four times
- * a second, and only those count that hear most of the fleet.
+ * An expectation about how the proxies fail over from zones and return to them. The proxies' views are sampled four
+ * times a second, and only proxies that hear from most of the fleet count.
  */
 public sealed interface ZoneExpectation extends Expectation {
-    /** Proxies are looked at this often, one after another. */
+    /** Allowance for the sampling interval; the proxies are sampled one after another. */
     double LOOK_MS = 300;
-    /** A step of a share, with room for rounding. */
+    /** One step (1/15) of a zone's open share, with an allowance for rounding. */
     double STEP = 1.0 / 15 + 0.01;
 
-    /** None of them says anything of what a busy machine does to requests; a pause may make a look late. */
+    /** These checks don't depend on request latency, but a pause of the machine may delay a sample. */
     @Override
     default boolean mayBeTheLabs(Outcome o) {
         return o.busy() != null;
@@ -39,7 +39,7 @@
                         .orElse(0);
     }
 
-    /** When a zone was first left by one, and by all, in ms from the first fault's begin; infinite for never. */
+    /** When a zone was first left by any proxy and by all, in ms from the first fault's begin; infinite if never. */
     private static double[] left(Outcome o, int zone) {
         double[] left = {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY};
         double begin = first(o, true);
@@ -63,7 +63,9 @@
         return o.scenario().fleet().layout().zones().size();
     }
 
-    /** All that hear most of the fleet have to have left a zone within this time of the first fault's begin. */
+    /**
+     * All proxies that hear from most of the fleet have to leave a zone within this time of the first fault's begin.
+     */
     record LeftWithin(double ms) implements ZoneExpectation {
         @Override
         public Result check(Outcome o) {
@@ -80,7 +82,7 @@
         }
     }
 
-    /** They may not differ by more than a step for longer than this. */
+    /** The open shares of a zone may not differ between proxies by more than a step for longer than this. */
     record TogetherWithin(double ms) implements ZoneExpectation {
         @Override
         public Result check(Outcome o) {
@@ -112,9 +114,9 @@
     }
 
     /**
-     * All zones have to be open at all proxies within this time of the last fault's end, and stay so. One that did not
-     * answer at a look, as a busy one may not, counts as it was at the one before; one that says nothing for longer
-     * does not.
+     * All zones have to be fully open at all proxies within this time of the last fault's end, and stay so. A proxy
+     * that is missing in a sample, as a busy one may be, keeps its previous state for up to {@link #SILENT_MS}; after
+     * that it counts as not open.
      */
     record WholeWithin(double ms) implements ZoneExpectation {
         private static final double SILENT_MS = 1500;
@@ -142,7 +144,7 @@
         }
     }
 
-    /** Zones may be left so often at most. */
+    /** Maximum number of times that a zone is left by all proxies. */
     record LeavesAtMost(long most) implements ZoneExpectation {
         @Override
         public Result check(Outcome o) {
@@ -162,7 +164,7 @@
         }
     }
 
-    /** What the proxies beyond a zone that is left send there together, a second. */
+    /** Maximum mean rate of attempts that proxies of other zones send to a zone while it is left. */
     record LeftAttemptsAtMost(double most) implements ZoneExpectation {
         @Override
         public Result check(Outcome o) {
@@ -200,7 +202,7 @@
         }
     }
 
-    /** Fetches in every 2 s after the last fault, by their mean before the first. */
+    /** Maximum ratio of the fetches in any 2 s after the last fault to their mean in up to 10 s before the first. */
     record FetchesAtMost(double factor) implements ZoneExpectation {
         private static final int SPAN = 2;
 
--- a/src/main/java/cacheproxy/lab/package-info.java
+++ b/src/main/java/cacheproxy/lab/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The lab: scenarios in which several processes of the program run before stand-ins, are cut apart, stopped, killed and
- * started again, and are judged by the rules and by what a scenario expects. Scenarios are files of the configuration
- * language, kept under {@code lab/}; {@link cacheproxy.lab.ScenarioFile} reads them, {@link cacheproxy.lab.LabRun}
- * plays them, {@link cacheproxy.lab.Outcome} is what came of it. May use {@code demo}, {@code emulator}, {@code load}
- * and {@code config}; meets the program as these do, by protocol, configuration and signals.
+ * Fault-injection scenarios: several proxy processes run in front of an emulated fleet, are partitioned, stopped,
+ * killed and restarted, and are checked against the oracle's rules and the scenario's expectations. Scenarios are files
+ * of the configuration language, kept under {@code lab/}; {@link cacheproxy.lab.ScenarioFile} reads them,
+ * {@link cacheproxy.lab.LabRun} runs them, {@link cacheproxy.lab.Outcome} holds the outcome. May use {@code demo},
+ * {@code emulator}, {@code load} and {@code config}; like these it controls the proxies by protocol, configuration and
+ * signals.
  */
 package cacheproxy.lab;
--- a/src/test/java/cacheproxy/lab/RecoveryExpectationTest.java
+++ b/src/test/java/cacheproxy/lab/RecoveryExpectationTest.java
@@ -11,11 +11,11 @@
 import java.util.function.IntToDoubleFunction;
 import org.junit.jupiter.api.Test;
 
-/** What the lab says of a fleet that comes back, of series whose answer is known. */
+/** Tests the recovery expectations with constructed time series. */
 class RecoveryExpectationTest {
     /**
-     * 40 s at 100 requests a second, all proxies killed at 10 s; {@code served}, {@code tries}: parts of those asked,
-     * by the tenth.
+     * An outcome of 40 s at 100 requests per second with all proxies killed at 10 s; {@code served} and {@code tries}
+     * give the fraction of the requests for each tenth of a second.
      */
     private static Outcome outcome(IntToDoubleFunction served, IntToDoubleFunction tries, List<Series.Row> rows) {
         List<long[]> fine = new ArrayList<>();
@@ -62,7 +62,7 @@
         assertThat(back(t -> 1, t -> t >= 100 && t < 200 ? 1.5 : 1)).isBetween(8000.0, 10_000.0);
     }
 
-    /** What was served before need not be all of it. */
+    /** Full service is relative to the service before the fault, which need not be 100%. */
     @Test
     void itIsHeldAgainstWhatWasBefore() {
         assertThat(back(t -> t >= 100 && t < 120 ? 0 : 0.8, t -> 1)).isEqualTo(2000);
--- a/src/test/java/cacheproxy/lab/SoakPlanTest.java
+++ b/src/test/java/cacheproxy/lab/SoakPlanTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Plans of soaks are scenarios that the lab can play, and the same for the same seed. */
+/** Tests that soak plans are valid scenarios and that the same seed gives the same plan. */
 class SoakPlanTest {
     private static final Set<SoakPlan.Kind> ALL = EnumSet.allOf(SoakPlan.Kind.class);
     private static final double FOR_MS = 60_000;
