--- a/src/main/java/cacheproxy/demo/OracleObserver.java
+++ b/src/main/java/cacheproxy/demo/OracleObserver.java
@@ -12,19 +12,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntUnaryOperator;
 
-/** Tells a fleet's oracle what the generator's clients ask and are answered. */
+/** Reports the generator's requests and responses to a fleet's oracle. */
 public final class OracleObserver implements Observer {
-    /** What an answer's way through the event loops may take after its time was noted. */
+    /** Allowance for passing a response between event loops after its time was taken. */
     private static final long LOOP_MS = 100;
 
     private final EmulatedFleet fleet;
     private final IntUnaryOperator takenBy;
-    /** When open requests were asked, and until when an answer is in time; on the fleet's event loop only. */
+    /** Send times and deadlines of open requests; used only on the fleet's event loop. */
     private final Map<String, double[]> open = new HashMap<>();
 
     /**
-     * For this fleet's oracle; {@code takenBy}: which proxy took the connection from a client's port, negative for
-     * none.
+     * Creates an observer for the fleet's oracle; {@code takenBy} maps a client port to the proxy that accepted the
+     * connection, negative for none.
      */
     public OracleObserver(EmulatedFleet fleet, IntUnaryOperator takenBy) {
         this.fleet = fleet;
@@ -85,12 +85,12 @@
         }
     }
 
-    /** The origin's receipts name the version that the write made. */
+    /** The version that a write created, from the origin's receipt. */
     private static long version(String receipt) {
         return receipt.matches("v\\d{1,18}") ? Long.parseLong(receipt.substring(1)) : -1;
     }
 
-    /** The rules give an answer some time more than its client does, so the oracle is told when that is over. */
+    /** The rules allow a response a grace period beyond the client's deadline, so the oracle is informed after it. */
     @Override
     public void unanswered(String id, int port, long endedNanos, long atNanos) {
         int proxy = takenBy.applyAsInt(port);
--- a/src/main/java/cacheproxy/demo/ProxiedFleet.java
+++ b/src/main/java/cacheproxy/demo/ProxiedFleet.java
@@ -26,16 +26,16 @@
 import java.util.stream.Stream;
 
 /**
- * Stand-ins, real proxies in front of them and a front layer before these, from start to end. Leaves nothing behind:
- * processes and the temporary folder go when it is closed, which the virtual machine's end does too.
+ * An emulated fleet, real proxy processes in front of it and a front layer before these. Closing it, which JVM shutdown
+ * does too, ends the processes and deletes the temporary folder.
  */
 public final class ProxiedFleet implements AutoCloseable {
     private static final long LOOK_MS = 250;
-    /** What a process that stood still needs for what has piled up, beyond its signal's way. */
+    /** Time for a resumed process to work off its backlog, including delivery of the signal. */
     private static final double SETTLE_MS = 500;
-    /** How long a file of no use lies there. */
+    /** How long an invalid configuration file stays in place. */
     private static final double MISFILE_MS = 300;
-    /** A deadline counts as this at most where it bounds how soon SIGKILL follows SIGTERM, in milliseconds. */
+    /** Upper limit, in ms, on the request deadline that determines how soon SIGKILL follows SIGTERM. */
     private static final double LONGEST_DEADLINE_MS = 3000;
 
     private static final double KILL_SLACK_MS = 700;
@@ -43,18 +43,18 @@
     private final EmulatedFleet fleet;
     private final FrontLayer front;
     private final List<ProxyProcess> proxies = new ArrayList<>();
-    /** The front is a machine of its own, and must not wait for the nodes. */
+    /** The front layer has its own event loop, as it must not wait for the emulated nodes. */
     private final MultiThreadIoEventLoopGroup frontGroup = new MultiThreadIoEventLoopGroup(1, Sockets.BEST.io());
 
     private final ProxyWatch watch;
     private final int[] turns;
-    /** Which proxies have been given other settings. */
+    /** Which proxies run with the alternative settings. */
     private final boolean[] retuned;
 
     private final int memoryMb;
     private final Path folder;
     private final ScheduledThreadPoolExecutor helper = executor("proxies");
-    /** Apart from the helper: a process that stands still does not answer. */
+    /** Separate from the helper, as status calls to a stopped process block. */
     private final ScheduledThreadPoolExecutor watcher = executor("watch");
 
     private final Thread hook = new Thread(this::end);
@@ -63,8 +63,8 @@
     /**
      * Starts everything and waits until the proxies are ready.
      *
-     * @param memoryMb what each proxy is told it has
-     * @param edge a file of routes that all proxies read, and read again at {@code hup}; null: none
+     * @param memoryMb memory limit in each proxy's configuration
+     * @param edge a route file that all proxies read, and reload at SIGHUP; null for none
      */
     public ProxiedFleet(FleetSpec spec, int memoryMb, Path edge) throws IOException {
         this.memoryMb = memoryMb;
@@ -110,42 +110,41 @@
         return ProxyConfig.of(fleet, proxy, proxies.get(proxy).listen(), turns[proxy]++, memoryMb, retuned[proxy]);
     }
 
-    /** The stand-ins. */
+    /** The emulated fleet. */
     public EmulatedFleet fleet() {
         return fleet;
     }
 
-    /** Where clients connect. */
+    /** The address that clients connect to. */
     public InetSocketAddress front() {
         return front.address();
     }
 
-    /** The number of the proxy that took the connection from that port of a client's, negative if none did. */
+    /** The index of the proxy that accepted the connection from this client port; negative if none did. */
     public int takenBy(int clientPort) {
         return front.takenBy(clientPort);
     }
 
-    /** How connections are spread now. */
+    /** The current distribution of connections over the proxies. */
     public List<FrontLayer.Share> shares() {
         return frontGroup.next().submit(front::shares).syncUninterruptibly().getNow();
     }
 
-    /** What the proxies' control sockets have told. */
+    /** The status read from the proxies' control sockets. */
     public ProxyWatch watch() {
         return watch;
     }
 
-    /** The proxies. */
     public List<ProxyProcess> proxies() {
         return List.copyOf(proxies);
     }
 
-    /** Lets these faults happen, their times counted from now. */
+    /** Schedules the faults, with times relative to now. */
     public void play(List<Fault> faults) {
         fleet.play(faults, this::apply);
     }
 
-    /** The same with what goes wrong between parts of the fleet. */
+    /** Schedules faults of processes and of links, with times relative to now. */
     public void play(List<Fault> faults, List<LinkFault> links) throws IOException {
         if (faults.stream().anyMatch(f -> f.state() == Fault.State.OLDER)) {
             for (int p = 0; p < proxies.size(); p++) {
@@ -156,9 +155,7 @@
         play(faults);
     }
 
-    /**
-     * The first proxy whose process ended though nothing asked it to, with the end of its log; null if there is none.
-     */
+    /** The first proxy whose process exited unexpectedly, with the end of its log; null if there is none. */
     public String died() throws IOException {
         for (ProxyProcess p : proxies) {
             if (p.died()) {
@@ -204,7 +201,7 @@
                         ask(p, request);
                     }
                     case RECALL -> ask(p, ControlClient.request("drain-cancel"));
-                    case UPGRADE -> new Thread(() -> upgrade(proxy), "upgrade").start(); // it waits
+                    case UPGRADE -> new Thread(() -> upgrade(proxy), "upgrade").start(); // blocks until done
                     case RETUNE -> {
                         retuned[proxy] = !retuned[proxy];
                         write(proxy);
@@ -214,7 +211,7 @@
                         String whole = config(proxy).toString();
                         p.write(whole.substring(0, whole.length() / 2));
                         p.hangUp();
-                        later(MISFILE_MS, () -> mend(proxy)); // or the proxy could not be started again
+                        later(MISFILE_MS, () -> mend(proxy)); // otherwise the proxy could not be restarted
                     }
                     case STOP -> {
                         p.stop();
@@ -235,7 +232,7 @@
         });
     }
 
-    /** SIGKILL may come so long after SIGTERM, and what it finds unanswered is lost. */
+    /** Delay from SIGTERM to SIGKILL, which loses requests that are still unanswered. */
     private double killAfterMs() {
         double longest = fleet.spec().classes().stream()
                 .mapToDouble(TrafficClass::deadlineMs)
@@ -267,7 +264,7 @@
         }
     }
 
-    /** Does to the folder of state of a proxy that is away what a fault says. */
+    /** Applies a fault to the state folder of a proxy that is down. */
     private void treat(int proxy, Fault.State state) {
         try {
             Path other = proxies.get((proxy + 1) % proxies.size()).state();
@@ -308,7 +305,7 @@
         }
     }
 
-    /** Addresses, files and process ids for scripts. */
+    /** Addresses, files and process ids as JSON, for scripts. */
     public JsonObject json() {
         JsonObject o = new JsonObject();
         o.addProperty("front", ProxyConfig.text(front()));
@@ -342,7 +339,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // the virtual machine ends, and has run it or will
+            // the JVM is shutting down and runs the hook itself
         }
     }
 
--- a/src/main/java/cacheproxy/demo/ProxyConfig.java
+++ b/src/main/java/cacheproxy/demo/ProxyConfig.java
@@ -8,7 +8,7 @@
 import com.google.gson.JsonObject;
 import java.net.InetSocketAddress;
 
-/** The configuration that a proxy in front of a fleet of stand-ins is started with. */
+/** Builds the configuration of a proxy in front of an emulated fleet. */
 final class ProxyConfig {
     private static final double CONNECT_TIMEOUT_MS = 500;
     private static final double IDLE_CLOSE_MS = 30_000;
@@ -16,8 +16,8 @@
     private ProxyConfig() {}
 
     /**
-     * {@code turn}: how often the proxy has been started or told anew; seeds and discovery's address hang on it.
-     * {@code retuned}: with a class that nobody uses and one attempt less.
+     * {@code turn}: how many configurations the proxy has had before; its seed and discovery address depend on it.
+     * {@code retuned}: alternative settings, with an additional unused service class and one attempt less.
      */
     static JsonObject of(
             EmulatedFleet fleet, int proxy, InetSocketAddress listen, int turn, int memoryMb, boolean retuned) {
--- a/src/main/java/cacheproxy/demo/ProxyProcess.java
+++ b/src/main/java/cacheproxy/demo/ProxyProcess.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** One real proxy: a process that runs {@code serve} on a configuration of its own. */
+/** A proxy process that runs {@code serve} with its own configuration. */
 public final class ProxyProcess {
     private static final long READY_MS = 30_000;
     private static final int LOG_LINES = 12;
-    /** A JVM's own start, on a busy machine. */
+    /** Time that a JVM may take to install its signal handlers, on a busy machine. */
     private static final long HANDLER_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private final String name;
@@ -36,16 +36,16 @@
     private volatile Process process;
     private volatile long startedNanos;
     private volatile boolean ended;
-    /** Whether the process that runs has been told to end, or has been killed. */
+    /** Whether the current process has been told to end or has been killed. */
     private volatile boolean toEnd;
-    /** How often it has been upgraded: the old and the new process want control sockets of their own. */
+    /** Number of upgrades; the old and the new process need different control sockets. */
     private volatile int upgrades;
-    /** Where the process that was started last is asked for its health, or null where nobody asks. */
+    /** Health check address of the latest process; null if it has none. */
     private InetSocketAddress door;
 
     /**
-     * Nothing is started yet; the address is free at the moment. {@code edge}: its file of routes, or null;
-     * {@code parts}: what it runs with.
+     * Chooses a free address; starts no process yet. {@code edge}: its route file, or null; {@code parts}: the optional
+     * features that it runs with.
      */
     ProxyProcess(String name, InetAddress host, Path parent, Path edge, Set<Part> parts) throws IOException {
         this.name = name;
@@ -57,24 +57,24 @@
         listen = free();
     }
 
-    /** An address that nobody listens at now. */
+    /** An address that is currently free. */
     private InetSocketAddress free() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, host)) {
             return new InetSocketAddress(host, socket.getLocalPort());
         }
     }
 
-    /** Its name in the configuration. */
+    /** The instance name in its configuration. */
     public String name() {
         return name;
     }
 
-    /** Where clients connect. */
+    /** The address that clients connect to. */
     public InetSocketAddress listen() {
         return listen;
     }
 
-    /** The file of its configuration. */
+    /** Its configuration file. */
     public Path config() {
         return config;
     }
@@ -84,12 +84,12 @@
         return folder.resolve(upgrades == 0 ? "control" : "control-" + upgrades);
     }
 
-    /** The process's id. */
+    /** The id of the current process. */
     public long pid() {
         return process.pid();
     }
 
-    /** Whether the process runs. */
+    /** Whether the current process is running. */
     public boolean alive() {
         return process != null && process.isAlive();
     }
@@ -101,14 +101,14 @@
         write(json.toString());
     }
 
-    /** Writes a file of this text, whatever it is worth. */
+    /** Writes this text as the configuration file, valid or not. */
     void write(String text) throws IOException {
         Path next = folder.resolve("config.next");
         Files.writeString(next, text);
         Files.move(next, config, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Starts the process on the configuration that was written last; does nothing once this has been closed. */
+    /** Starts a process with the configuration written last; does nothing after {@link #close}. */
     synchronized void start() throws IOException {
         if (ended) {
             return;
@@ -124,7 +124,7 @@
                 "-Dio.netty.allocator.type=pooled",
                 "-Dio.netty.allocator.numHeapArenas=1",
                 "-Dio.netty.allocator.numDirectArenas=1",
-                "-Dio.netty.allocator.maxOrder=6")); // as in deploy
+                "-Dio.netty.allocator.maxOrder=6")); // same options as in deploy/
         String path = System.getProperty("java.class.path");
         Path archive = Path.of(
                 path.endsWith(".jar") && !path.contains(File.pathSeparator)
@@ -161,35 +161,35 @@
         return words;
     }
 
-    /** Whether its process has ended though nothing asked it to. */
+    /** Whether its process has exited unexpectedly. */
     boolean died() {
         return !ended && !toEnd && process != null && !process.isAlive();
     }
 
-    /** Where what is to outlast a process is kept, if it keeps anything. */
+    /** The state folder, if the proxy keeps state. */
     Path state() throws IOException {
         return Files.createDirectories(folder.resolve("state"));
     }
 
-    /** The file that its processes write to. */
+    /** The log file of all its processes. */
     public Path logFile() {
         return folder.resolve("log");
     }
 
-    /** The process is about to end, by something that it is told elsewhere. */
+    /** Records that the process is about to exit by a command sent elsewhere, such as a drain. */
     void endsSoon() {
         toEnd = true;
     }
 
     /**
-     * Starts a new process beside the one that serves and ends that one once the new one says at its door that it takes
-     * clients; waits for all of it. Nothing happens if none serves.
+     * Starts a successor process and terminates the current one when the successor's health check reports that it
+     * accepts clients; blocks until the old process has exited. Does nothing if no process is running.
      *
-     * @param json the new process's configuration, but for the door
+     * @param json the successor's configuration, without the health check address
      */
     synchronized void upgrade(JsonObject json) throws IOException {
         if (ended || !process.isAlive()) {
-            return; // there is nobody to take over from, and who killed it starts it again
+            return; // no predecessor to take over from; the fault that killed it restarts it
         }
         Process old = process;
         door = free();
@@ -207,7 +207,7 @@
         }
     }
 
-    /** Waits until it answers {@code mn}; an IOException has the end of its log. */
+    /** Waits until it answers {@code mn}; otherwise throws an IOException with the end of its log. */
     void awaitReady() throws IOException {
         awaitAnswer(listen, "mn\r\n", "MN");
     }
@@ -252,7 +252,7 @@
         process.destroyForcibly();
     }
 
-    /** Tells it to end; what comes back kills this process if it has not. */
+    /** Sends SIGTERM; the returned task kills the same process if it is still running. */
     Runnable terminate() {
         toEnd = true;
         Process ending = process;
@@ -260,7 +260,7 @@
         return ending::destroyForcibly;
     }
 
-    /** Not before a JVM can have a handler for it, as it would end by the signal. */
+    /** Sends SIGHUP, but not before the JVM can have installed its handler, as the signal would end it. */
     void hangUp() throws IOException {
         long wait = startedNanos + HANDLER_NANOS - System.nanoTime();
         if (wait > 0) {
@@ -269,7 +269,7 @@
         signal("HUP");
     }
 
-    /** The process stands still until {@link #goOn}. */
+    /** Stops the process by SIGSTOP until {@link #goOn}. */
     void stop() throws IOException {
         signal("STOP");
     }
@@ -282,12 +282,12 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
     }
 
-    /** What is to be done once the process has ended. */
+    /** Runs the task when the current process has exited. */
     void onExit(Runnable then) {
         process.onExit().thenRun(then);
     }
 
-    /** Ends the process for good. */
+    /** Kills the process; it can't be started again. */
     synchronized void close() {
         ended = true;
         if (process != null) {
--- a/src/main/java/cacheproxy/demo/ProxyWatch.java
+++ b/src/main/java/cacheproxy/demo/ProxyWatch.java
@@ -9,22 +9,22 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Looks at the proxies through their control sockets: who answers how much, how a drain goes, and whether its progress
- * ever fell. Used by one thread; what it has seen may be read by any.
+ * Polls the proxies' status through their control sockets: rate of responses, progress of drains and whether it ever
+ * decreased, and the views of the fleet. Polled by one thread; results may be read by any.
  */
 public final class ProxyWatch {
     /**
-     * What a proxy said of the fleet when it was asked last; {@code digest} null while it is away or keeps no view.
-     * {@code open}: how far each zone is open to it, empty where it decides nothing of zones or hears too little to.
+     * A proxy's latest view of the fleet; {@code digest} is null while it is down or keeps no view. {@code open}: the
+     * share of each zone that is open to it; empty if it makes no zone decisions or hears from too few peers.
      */
     public record Sight(String digest, int living, long refutedDeaths, List<Double> open) {}
 
     /**
-     * All proxies' sights at one time, by their numbers; a {@link System#nanoTime()}. {@code staleDecisions}: of all
-     * processes so far, as far as they were asked.
+     * A sample of all proxies' views, by proxy index, at a {@link System#nanoTime()}. {@code staleDecisions}: total of
+     * all processes so far, as of their last successful poll.
      */
     public record Look(long nanos, List<Sight> sights, long staleDecisions) {
-        /** Whether all that answer hold the same, and count just those that answer. */
+        /** Whether the views of all responding proxies are equal and count exactly these proxies as alive. */
         public boolean settled() {
             List<Sight> there = sights.stream().filter(s -> s.digest() != null).toList();
             return !there.isEmpty()
@@ -66,32 +66,32 @@
         proxies.forEach(p -> seen.add(new Seen()));
     }
 
-    /** Each proxy's part of the answers, and its drain where one is under way. */
+    /** One line of text: each proxy's share of the responses and its drain progress, if any. */
     public String text() {
         return text;
     }
 
-    /** How often a drain's progress stood lower than before. */
+    /** How often a drain's progress was lower than at the previous poll. */
     public int backward() {
         return backward;
     }
 
-    /** How often a drain under way was looked at. */
+    /** How often a drain in progress was polled. */
     public int looks() {
         return looks;
     }
 
-    /** How often files were taken at SIGHUP, as far as has been seen. */
+    /** Number of configurations applied at SIGHUP, as of the last polls. */
     public long taken() {
         return taken;
     }
 
-    /** How often they were turned down. */
+    /** Number of configurations rejected at SIGHUP, as of the last polls. */
     public long turnedDown() {
         return turnedDown;
     }
 
-    /** What the proxies said of the fleet at each look. */
+    /** The samples of the proxies' views. */
     public List<Look> views() {
         return List.copyOf(views);
     }
--- a/src/main/java/cacheproxy/demo/StateFolder.java
+++ b/src/main/java/cacheproxy/demo/StateFolder.java
@@ -10,14 +10,16 @@
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
 
-/** A folder in which an instance keeps what outlasts it, and what may become of it while the instance is away. */
+/** An instance's state folder, with the faults that may be applied to it while the instance is down. */
 final class StateFolder {
     private final Path folder;
     private final Path older;
     private final Path other;
     private final SplittableRandom random;
 
-    /** {@code older}: an earlier copy; {@code other}: another instance's folder; {@code seed}: of what is drawn. */
+    /**
+     * {@code older}: an earlier copy; {@code other}: another instance's folder; {@code seed}: seed of random damage.
+     */
     StateFolder(Path folder, Path older, Path other, long seed) {
         this.folder = folder;
         this.older = older;
@@ -25,7 +27,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Does it. */
+    /** Applies the fault. */
     void treat(Fault.State state) throws IOException {
         switch (state) {
             case KEPT -> {}
@@ -61,7 +63,7 @@
         }
     }
 
-    /** Copies all files of a folder, which may not be there, into another. */
+    /** Copies all files of a folder, which need not exist, into another. */
     static void copy(Path from, Path to) throws IOException {
         Files.createDirectories(to);
         for (Path file : Files.isDirectory(from) ? files(from) : List.<Path>of()) {
--- a/src/test/java/cacheproxy/demo/BrokenProxy.java
+++ b/src/test/java/cacheproxy/demo/BrokenProxy.java
@@ -17,11 +17,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A proxy that breaks a rule on purpose, in front of real stand-ins: reads go to the node that the key's hash names,
- * misses and writes to the origin. Honest where it is told to be, so that what the oracle sees is the breach alone.
+ * A proxy that breaks one rule on purpose, in front of an emulated fleet. Reads go to the node selected by the key's
+ * hash, misses and writes to the origin. Apart from the configured breach it is correct, so that the oracle sees only
+ * that.
  */
 final class BrokenProxy implements Closeable {
-    /** What is wrong with it. */
+    /** The rule breach. */
     enum Breach {
         NONE,
         LOSES_ANSWERS,
@@ -62,7 +63,7 @@
             try {
                 task.run();
             } catch (IOException e) {
-                // a socket has been closed
+                // socket closed
             }
         });
         thread.setDaemon(true);
--- a/src/test/java/cacheproxy/demo/OracleCatchesTest.java
+++ b/src/test/java/cacheproxy/demo/OracleCatchesTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The oracle sees each kind of breach when a proxy or a node commits it over real sockets, and none otherwise. */
+/** Tests that the oracle detects each kind of rule breach by a proxy or node over real sockets, and no others. */
 @Timeout(60)
 class OracleCatchesTest {
     private static final List<TrafficClass> CLASSES = TrafficClass.mix("seg-text=3,fix-submit=1:unsafe", 4000);
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Answers that get lost or come twice shift those behind them on the connection, so more than one rule breaks. */
+    /** Lost or duplicate responses shift the later ones on the connection, so that more than one rule is broken. */
     @ParameterizedTest
     @CsvSource({"LOSES_ANSWERS,LOST", "ANSWERS_TWICE,ANSWERED_TWICE"})
     void aProxyThatMiscountsAnswers(Breach breach, Rule rule) throws Exception {
