--- a/src/main/java/cacheproxy/demo/ProxiedFleet.java
+++ b/src/main/java/cacheproxy/demo/ProxiedFleet.java
@@ -188,13 +188,13 @@
                 switch (fault.action()) {
                     case KILL -> {
                         p.onExit(() -> later(fault.forMs(), () -> {
-                            treat(proxy, fault.state());
+                            applyStateFault(proxy, fault.state());
                             restart(proxy);
                         }));
                         p.kill();
                     }
                     case RETIRE -> {
-                        p.endsSoon();
+                        p.expectExit();
                         p.onExit(() -> later(0, () -> restart(proxy)));
                         JsonObject request = ControlClient.request("drain");
                         request.addProperty("deadline_ms", fault.forMs());
@@ -211,11 +211,11 @@
                         String whole = config(proxy).toString();
                         p.write(whole.substring(0, whole.length() / 2));
                         p.hangUp();
-                        later(MISFILE_MS, () -> mend(proxy)); // otherwise the proxy could not be restarted
+                        later(MISFILE_MS, () -> restoreConfig(proxy)); // otherwise the proxy could not be restarted
                     }
                     case STOP -> {
                         p.stop();
-                        later(fault.forMs(), () -> goOn(p));
+                        later(fault.forMs(), () -> resume(p));
                     }
                     case TERM -> {
                         p.onExit(() -> later(0, () -> restart(proxy)));
@@ -265,7 +265,7 @@
     }
 
     /** Applies a fault to the state folder of a proxy that is down. */
-    private void treat(int proxy, Fault.State state) {
+    private void applyStateFault(int proxy, Fault.State state) {
         try {
             Path other = proxies.get((proxy + 1) % proxies.size()).state();
             new StateFolder(
@@ -273,21 +273,21 @@
                             folder.resolve("older-" + proxy),
                             other,
                             fleet.spec().seed() * 31 + proxy)
-                    .treat(state);
+                    .applyStateFault(state);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static void goOn(ProxyProcess p) {
+    private static void resume(ProxyProcess p) {
         try {
-            p.goOn();
+            p.resume();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private void mend(int proxy) {
+    private void restoreConfig(int proxy) {
         try {
             write(proxy);
         } catch (IOException e) {
--- a/src/main/java/cacheproxy/demo/ProxyProcess.java
+++ b/src/main/java/cacheproxy/demo/ProxyProcess.java
@@ -37,11 +37,11 @@
     private volatile long startedNanos;
     private volatile boolean ended;
     /** Whether the current process has been told to end or has been killed. */
-    private volatile boolean toEnd;
+    private volatile boolean exitExpected;
     /** Number of upgrades; the old and the new process need different control sockets. */
     private volatile int upgrades;
     /** Health check address of the latest process; null if it has none. */
-    private InetSocketAddress door;
+    private InetSocketAddress healthAddress;
 
     /**
      * Chooses a free address; starts no process yet. {@code edge}: its route file, or null; {@code parts}: the optional
@@ -95,8 +95,8 @@
     }
 
     void write(JsonObject json) throws IOException {
-        if (door != null) {
-            json.addProperty("operator", ProxyConfig.text(door));
+        if (healthAddress != null) {
+            json.addProperty("operator", ProxyConfig.text(healthAddress));
         }
         write(json.toString());
     }
@@ -145,7 +145,7 @@
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
         builder.environment().put("BALANCER_CONFIG", config.toString());
         builder.environment().put("TMPDIR", folder.toString());
-        toEnd = false;
+        exitExpected = false;
         startedNanos = System.nanoTime();
         process = builder.start();
     }
@@ -163,7 +163,7 @@
 
     /** Whether its process has exited unexpectedly. */
     boolean died() {
-        return !ended && !toEnd && process != null && !process.isAlive();
+        return !ended && !exitExpected && process != null && !process.isAlive();
     }
 
     /** The state folder, if the proxy keeps state. */
@@ -177,8 +177,8 @@
     }
 
     /** Records that the process is about to exit by a command sent elsewhere, such as a drain. */
-    void endsSoon() {
-        toEnd = true;
+    void expectExit() {
+        exitExpected = true;
     }
 
     /**
@@ -192,11 +192,11 @@
             return; // no predecessor to take over from; the fault that killed it restarts it
         }
         Process old = process;
-        door = free();
+        healthAddress = free();
         write(json);
         upgrades++;
         start();
-        awaitAnswer(door, "HEALTH\r\n", "OK");
+        awaitAnswer(healthAddress, "HEALTH\r\n", "OK");
         old.destroy();
         try {
             if (!old.waitFor(READY_MS, TimeUnit.MILLISECONDS)) {
@@ -248,13 +248,13 @@
     }
 
     void kill() {
-        toEnd = true;
+        exitExpected = true;
         process.destroyForcibly();
     }
 
     /** Sends SIGTERM; the returned task kills the same process if it is still running. */
     Runnable terminate() {
-        toEnd = true;
+        exitExpected = true;
         Process ending = process;
         ending.destroy();
         return ending::destroyForcibly;
@@ -269,12 +269,12 @@
         signal("HUP");
     }
 
-    /** Stops the process by SIGSTOP until {@link #goOn}. */
+    /** Stops the process by SIGSTOP until {@link #resume}. */
     void stop() throws IOException {
         signal("STOP");
     }
 
-    void goOn() throws IOException {
+    void resume() throws IOException {
         signal("CONT");
     }
 
--- a/src/main/java/cacheproxy/demo/StateFolder.java
+++ b/src/main/java/cacheproxy/demo/StateFolder.java
@@ -28,7 +28,7 @@
     }
 
     /** Applies the fault. */
-    void treat(Fault.State state) throws IOException {
+    void applyStateFault(Fault.State state) throws IOException {
         switch (state) {
             case KEPT -> {}
             case LOST -> empty();
--- a/src/main/java/cacheproxy/lab/Expectation.java
+++ b/src/main/java/cacheproxy/lab/Expectation.java
@@ -19,7 +19,7 @@
     Result check(Outcome outcome);
 
     /** Whether a failed check may be caused by the lab itself, because its machine was too busy. */
-    boolean mayBeTheLabs(Outcome outcome);
+    boolean mayBeCausedByLab(Outcome outcome);
 
     /** No rule of the oracle may be broken. */
     record RulesHeld() implements Expectation {
@@ -34,7 +34,7 @@
 
         /** A pause can delay a response, but can't cause a duplicate write or a wrong value. */
         @Override
-        public boolean mayBeTheLabs(Outcome o) {
+        public boolean mayBeCausedByLab(Outcome o) {
             return o.verdict().breaches().keySet().stream().allMatch(r -> r == Oracle.Rule.LOST);
         }
     }
@@ -48,7 +48,7 @@
 
         /** Only requests that were sent late can have failed because of the lab. */
         @Override
-        public boolean mayBeTheLabs(Outcome o) {
+        public boolean mayBeCausedByLab(Outcome o) {
             return least - o.served() <= o.leftLate();
         }
 
@@ -94,7 +94,7 @@
         }
 
         @Override
-        public boolean mayBeTheLabs(Outcome o) {
+        public boolean mayBeCausedByLab(Outcome o) {
             return o.busy() != null;
         }
     }
@@ -111,7 +111,7 @@
         }
 
         @Override
-        public boolean mayBeTheLabs(Outcome o) {
+        public boolean mayBeCausedByLab(Outcome o) {
             return o.busy() != null;
         }
     }
--- a/src/main/java/cacheproxy/lab/Outcome.java
+++ b/src/main/java/cacheproxy/lab/Outcome.java
@@ -129,7 +129,7 @@
         if (broken.isEmpty()) {
             return Judgement.HELD;
         }
-        return busy() != null && broken.stream().allMatch(e -> e.mayBeTheLabs(this))
+        return busy() != null && broken.stream().allMatch(e -> e.mayBeCausedByLab(this))
                 ? Judgement.TOO_BUSY
                 : Judgement.BROKEN;
     }
--- a/src/main/java/cacheproxy/lab/RecoveryExpectation.java
+++ b/src/main/java/cacheproxy/lab/RecoveryExpectation.java
@@ -10,7 +10,7 @@
 public sealed interface RecoveryExpectation extends Expectation {
     /** A pause of the lab's own process delays the counts. */
     @Override
-    default boolean mayBeTheLabs(Outcome o) {
+    default boolean mayBeCausedByLab(Outcome o) {
         return o.busy() != null;
     }
 
@@ -133,7 +133,7 @@
         }
 
         @Override
-        public boolean mayBeTheLabs(Outcome o) {
+        public boolean mayBeCausedByLab(Outcome o) {
             return false;
         }
     }
--- a/src/main/java/cacheproxy/lab/ZoneExpectation.java
+++ b/src/main/java/cacheproxy/lab/ZoneExpectation.java
@@ -19,7 +19,7 @@
 
     /** These checks don't depend on request latency, but a pause of the machine may delay a sample. */
     @Override
-    default boolean mayBeTheLabs(Outcome o) {
+    default boolean mayBeCausedByLab(Outcome o) {
         return o.busy() != null;
     }
 
--- a/src/main/java/cacheproxy/load/Connection.java
+++ b/src/main/java/cacheproxy/load/Connection.java
@@ -42,7 +42,7 @@
         this.untilNanos = untilNanos;
     }
 
-    boolean old() {
+    boolean expired() {
         return untilNanos != Long.MAX_VALUE && System.nanoTime() - untilNanos > 0;
     }
 
@@ -80,7 +80,7 @@
     }
 
     /** Whether part of this request's value has arrived; a response that has started by the deadline is in time. */
-    boolean receives(Pending p) {
+    boolean isReceiving(Pending p) {
         return !ended && !broken && pending.peek() == p && decoder.inLongValue();
     }
 
@@ -104,11 +104,11 @@
     /** Whether another request may be sent on it; false while the request at the head has passed its deadline. */
     boolean usable() {
         Pending head = pending.peek();
-        return !ended && !broken && !old() && pending.size() < generator.depth() && (head == null || !head.ended);
+        return !ended && !broken && !expired() && pending.size() < generator.depth() && (head == null || !head.ended);
     }
 
     /** Whether every pending request has ended and the head's response is overdue by more than the limit. */
-    boolean spent() {
+    boolean abandoned() {
         return !pending.isEmpty()
                 && System.nanoTime() - pending.peek().deadlineNanos > OVERDUE_NANOS
                 && pending.stream().allMatch(p -> p.ended);
--- a/src/main/java/cacheproxy/load/Descriptors.java
+++ b/src/main/java/cacheproxy/load/Descriptors.java
@@ -16,20 +16,20 @@
     /**
      * The number of sockets that may still be opened, at least 1; {@link Integer#MAX_VALUE} if the limit is unknown.
      */
-    static int room() {
+    static int available() {
         return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean os
-                ? room(os.getMaxFileDescriptorCount(), os.getOpenFileDescriptorCount())
+                ? available(os.getMaxFileDescriptorCount(), os.getOpenFileDescriptorCount())
                 : Integer.MAX_VALUE;
     }
 
-    static int room(long most, long open) {
+    static int available(long most, long open) {
         return most < 0 || open < 0
                 ? Integer.MAX_VALUE
                 : (int) Math.max(1, Math.min(Integer.MAX_VALUE, most - open - RESERVE));
     }
 
     /** Whether opening a socket failed because the process or the system has reached its file descriptor limit. */
-    static boolean usedUp(Throwable cause) {
+    static boolean exhausted(Throwable cause) {
         for (Throwable t = cause; t != null; t = t.getCause()) {
             String text = String.valueOf(t.getMessage());
             if (text.contains("Too many open files") || text.contains("No file descriptors")) {
--- a/src/main/java/cacheproxy/load/Generator.java
+++ b/src/main/java/cacheproxy/load/Generator.java
@@ -160,13 +160,13 @@
     private long lastSentNanos;
     private long planned;
     private long number;
-    private int held;
+    private int outstanding;
     /** Number of requests whose deadline has passed while their response is being received. */
     private int begun;
 
     private int targetTurn;
     /** Maximum number of open connections: the configured one, or what the file descriptor limit allows. */
-    private int most;
+    private int maxConnections;
 
     private long retryNanos;
     private long secondNanos;
@@ -178,7 +178,7 @@
         this.workload = workload;
         this.observer = observer;
         random = new SplittableRandom(settings.seed());
-        most = settings.connections();
+        maxConnections = settings.connections();
         settings.classes().forEach(c -> open.add(new LinkedHashSet<>()));
         bootstrap = new Bootstrap()
                 .group(loop)
@@ -193,8 +193,8 @@
     /** Opens up to 8 connections, then starts the schedule; the future completes with the report of the whole run. */
     public CompletableFuture<Report> start() {
         loop.execute(() -> {
-            bound(Descriptors.room());
-            for (int i = 0; i < Math.min(most, 8); i++) {
+            limitConnections(Descriptors.available());
+            for (int i = 0; i < Math.min(maxConnections, 8); i++) {
                 connect();
             }
             awaitReady(System.nanoTime() + READY_NANOS);
@@ -221,7 +221,7 @@
     public Progress progress() {
         return loop.submit(() -> new Progress(
                         (System.nanoTime() - startNanos) / 1e9,
-                        held,
+                        outstanding,
                         connections.size(),
                         recorder.lastRow(),
                         recorder.lag.getValueAtPercentile(99.9) / 1e3))
@@ -275,7 +275,7 @@
                 loop.schedule(this::pump, meant - now, TimeUnit.NANOSECONDS);
                 return;
             }
-            if (held >= settings.maxOutstanding()) {
+            if (outstanding >= settings.maxOutstanding()) {
                 recorder.outOfRoom++;
                 loop.schedule(this::pump, TICK_NANOS, TimeUnit.NANOSECONDS);
                 return;
@@ -301,7 +301,7 @@
             lastSentNanos = now;
             recorder.sent(now - meant);
         }
-        held++;
+        outstanding++;
         open.get(p.kind()).add(pending);
         dispatch(pending);
     }
@@ -316,7 +316,7 @@
     }
 
     private Connection pick() {
-        if (settings.inTurn() && connections.size() < most && System.nanoTime() >= retryNanos) {
+        if (settings.inTurn() && connections.size() < maxConnections && System.nanoTime() >= retryNanos) {
             connect(); // one connection per simulated client
         }
         for (Connection c; (c = settings.inTurn() ? idle.pollFirst() : idle.pollLast()) != null; ) {
@@ -324,7 +324,7 @@
                 return c;
             }
         }
-        if (connections.size() < most && System.nanoTime() >= retryNanos) {
+        if (connections.size() < maxConnections && System.nanoTime() >= retryNanos) {
             connect();
             Connection c = idle.pollLast();
             if (c != null) {
@@ -374,7 +374,7 @@
     }
 
     void freed(Connection c) {
-        if (c.old()) {
+        if (c.expired()) {
             c.close();
         } else {
             idle.add(c);
@@ -383,16 +383,16 @@
 
     void connectFailed(Connection c, Throwable cause) {
         recorder.connectErrors++;
-        if (Descriptors.usedUp(cause)) {
-            bound(connections.size() - 1); // descriptors counted as free at the start are in use by others
+        if (Descriptors.exhausted(cause)) {
+            limitConnections(connections.size() - 1); // descriptors counted as free at the start are in use by others
         }
         retryNanos = System.nanoTime() + RETRY_NANOS;
         ended(c, false);
     }
 
-    private void bound(int connections) {
-        most = Math.max(1, Math.min(most, connections));
-        recorder.connectionsShort = (long) settings.connections() - most;
+    private void limitConnections(int connections) {
+        maxConnections = Math.max(1, Math.min(maxConnections, connections));
+        recorder.connectionsShort = (long) settings.connections() - maxConnections;
     }
 
     EventLoop loop() {
@@ -410,7 +410,7 @@
         boolean lost = false;
         for (Pending p; (p = c.poll()) != null; ) {
             if (p.ended) {
-                held--;
+                outstanding--;
             } else if (p.begun) {
                 p.connectionEndedNanos = now;
                 lost = true;
@@ -434,7 +434,7 @@
         for (Pending p; (p = waiting.peek()) != null; ) {
             Connection c = p.ended ? null : pick();
             if (p.ended) {
-                held--;
+                outstanding--;
             } else if (c == null) {
                 return;
             } else {
@@ -445,7 +445,7 @@
     }
 
     void answered(Pending p, MetaAnswer answer, int port) {
-        held--;
+        outstanding--;
         long now = System.nanoTime();
         if (p.ended) {
             observer.late(p.id, answer, port, now);
@@ -503,7 +503,7 @@
             recorder.second((now - warmNanos) / 1e9);
         }
         connections.stream()
-                .filter(c -> c.spent() || (c.depth() == 0 && c.old()))
+                .filter(c -> c.abandoned() || (c.depth() == 0 && c.expired()))
                 .toList()
                 .forEach(Connection::close);
         if (next == null && begun == 0 && open.stream().allMatch(Set::isEmpty)) {
@@ -514,7 +514,7 @@
     }
 
     private void expire(Pending p) {
-        if (p.on != null && p.on.receives(p)) {
+        if (p.on != null && p.on.isReceiving(p)) {
             p.begun = true;
             begun++;
             open.get(p.planned.kind()).remove(p);
@@ -522,7 +522,7 @@
         }
         end(p, p.deadlineNanos);
         if (p.connectionEndedNanos != 0) {
-            held--; // its connection is closed, so no late response can release it
+            outstanding--; // its connection is closed, so no late response can release it
         }
         if (p.counted) {
             recorder.unanswered++;
--- a/src/main/java/cacheproxy/load/Recorder.java
+++ b/src/main/java/cacheproxy/load/Recorder.java
@@ -109,7 +109,7 @@
         span.reset();
         secondsInSpan = 0;
         if (rows.size() >= MAX_ROWS) {
-            thin();
+            mergeRowPairs();
         }
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** Combines rows in pairs and doubles the number of seconds per further row. */
-    private void thin() {
+    private void mergeRowPairs() {
         List<Row> half = new ArrayList<>();
         for (int i = 0; i + 1 < rows.size(); i += 2) {
             half.add(rows.get(i).with(rows.get(i + 1)));
--- a/src/test/java/cacheproxy/demo/StateFolderTest.java
+++ b/src/test/java/cacheproxy/demo/StateFolderTest.java
@@ -27,7 +27,7 @@
         StateFolder.copy(own, older);
         Files.write(own.resolve("log"), NOW);
         Files.writeString(other.resolve("log"), "its");
-        new StateFolder(own, older, other, 1).treat(state);
+        new StateFolder(own, older, other, 1).applyStateFault(state);
         byte[] bytes = state == State.LOST ? null : Files.readAllBytes(own.resolve("log"));
         switch (state) {
             case KEPT -> assertThat(bytes).isEqualTo(NOW);
--- a/src/test/java/cacheproxy/load/GeneratorTest.java
+++ b/src/test/java/cacheproxy/load/GeneratorTest.java
@@ -230,13 +230,13 @@
 
     @Test
     void descriptorsLeaveARoomAndAReserve() {
-        assertThat(Descriptors.room(100, 40)).isEqualTo(100 - 40 - Descriptors.RESERVE);
-        assertThat(Descriptors.room(50, 45)).isEqualTo(1);
-        assertThat(Descriptors.room(-1, 40)).isEqualTo(Integer.MAX_VALUE);
-        assertThat(Descriptors.room(Long.MAX_VALUE, 40)).isEqualTo(Integer.MAX_VALUE);
-        assertThat(Descriptors.usedUp(new IOException("x", new SocketException("Too many open files"))))
+        assertThat(Descriptors.available(100, 40)).isEqualTo(100 - 40 - Descriptors.RESERVE);
+        assertThat(Descriptors.available(50, 45)).isEqualTo(1);
+        assertThat(Descriptors.available(-1, 40)).isEqualTo(Integer.MAX_VALUE);
+        assertThat(Descriptors.available(Long.MAX_VALUE, 40)).isEqualTo(Integer.MAX_VALUE);
+        assertThat(Descriptors.exhausted(new IOException("x", new SocketException("Too many open files"))))
                 .isTrue();
-        assertThat(Descriptors.usedUp(new ConnectException("Connection refused")))
+        assertThat(Descriptors.exhausted(new ConnectException("Connection refused")))
                 .isFalse();
     }
 
