--- a/src/main/java/cacheproxy/cli/FiguresCommand.java
+++ b/src/main/java/cacheproxy/cli/FiguresCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code figures}: what all proxies of a tier have done together, from their logs. */
+/** {@code figures}: sums the metrics of all proxies of a tier from their logs. */
 @Command(
         name = "figures",
         mixinStandardHelpOptions = true,
@@ -35,8 +35,8 @@
         footerHeading = "%nExamples:%n",
         footer = {"  figures logs", "  figures --each p0.log p1.log"})
 final class FiguresCommand implements Callable<Integer> {
-    /** Nodes named of those that turned connections away. */
-    private static final int SHOWN = 10;
+    /** Limit on the listed nodes that rejected connections. */
+    private static final int MAX_NODES_SHOWN = 10;
 
     @Spec
     private CommandSpec spec;
@@ -79,7 +79,7 @@
     }
 
     private static void readFile(Path file, FleetMetrics metrics) throws IOException {
-        // Whatever else stands in a log need not be text; a reader made this way takes any bytes.
+        // other parts of a log may not be valid UTF-8; this reader replaces malformed bytes instead of failing
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(Files.newInputStream(file), StandardCharsets.UTF_8))) {
             in.lines().forEach(metrics::add);
@@ -106,14 +106,14 @@
                     metrics.total(metric) / (double) Math.max(1, requests));
         }
         out.println();
-        line(out, "processor time, ms", metrics, MetricsLine::cpuMs);
-        line(out, "start to first served, ms", metrics, MetricsLine::firstServedMs);
+        printDistribution(out, "processor time, ms", metrics, MetricsLine::cpuMs);
+        printDistribution(out, "start to first served, ms", metrics, MetricsLine::firstServedMs);
         List<Map.Entry<String, Long>> rejected = metrics.rejectedConnections();
         if (!rejected.isEmpty()) {
             out.printf(
                     "%nnodes without a place (of %d the first %d): ",
-                    rejected.size(), Math.min(SHOWN, rejected.size()));
-            rejected.stream().limit(SHOWN).forEach(e -> out.print(" " + e.getKey() + "=" + e.getValue()));
+                    rejected.size(), Math.min(MAX_NODES_SHOWN, rejected.size()));
+            rejected.stream().limit(MAX_NODES_SHOWN).forEach(e -> out.print(" " + e.getKey() + "=" + e.getValue()));
             out.println();
         }
         List<FleetMetrics.Ejection> ejections = metrics.ejections();
@@ -149,15 +149,16 @@
         }
     }
 
-    /** Least, middle and most over all processes that tell it. */
-    private static void line(PrintWriter out, String words, FleetMetrics metrics, ToLongFunction<MetricsLine> of) {
+    /** Prints minimum, median and maximum over all processes that report the value. */
+    private static void printDistribution(
+            PrintWriter out, String label, FleetMetrics metrics, ToLongFunction<MetricsLine> of) {
         long[] all = metrics.processes().stream()
                 .mapToLong(of)
                 .filter(v -> v >= 0)
                 .sorted()
                 .toArray();
         if (all.length > 0) {
-            out.printf("%-28s least %d, middle %d, most %d%n", words, all[0], all[all.length / 2], all[all.length - 1]);
+            out.printf("%-28s least %d, middle %d, most %d%n", label, all[0], all[all.length / 2], all[all.length - 1]);
         }
     }
 }
--- a/src/main/java/cacheproxy/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code fleet}: stand-ins and proxies that stay up, to try things by hand. */
+/** {@code fleet}: emulated nodes and proxies that keep running for manual tests. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -54,7 +54,7 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
-        FleetSpec fleetSpec = values.in(options.spec());
+        FleetSpec fleetSpec = values.applyTo(options.spec());
         List<Fault> faults = options.faults(fleetSpec);
         try (ProxiedFleet fleet = new ProxiedFleet(fleetSpec, options.memoryMb, options.edge)) {
             JsonObject addresses = fleet.json();
--- a/src/main/java/cacheproxy/config/Difference.java
+++ b/src/main/java/cacheproxy/config/Difference.java
@@ -9,16 +9,16 @@
 import java.util.TreeSet;
 
 /**
- * One thing that two configurations do not have alike. Order, layout, includes, units and whether a value is set in
- * place or by default make none.
+ * One semantic difference between two configurations. Order, layout, includes, units, and whether a value is set in
+ * place or by default, do not count.
  *
- * @param kind what has become of it
- * @param before the entry in the first, null if it is new
- * @param after the entry in the second, null if it is gone
- * @param detail what of it changed, a line each; empty for what is new or gone
+ * @param kind how the entry changed
+ * @param before the entry in the first configuration, null if it was added
+ * @param after the entry in the second configuration, null if it was removed
+ * @param detail one line per changed attribute or nested block; empty unless {@code kind} is CHANGED
  */
 public record Difference(Kind kind, Entry before, Entry after, List<String> detail) {
-    /** What has become of an entry. */
+    /** How an entry changed. */
     public enum Kind {
         ADDED,
         REMOVED,
@@ -26,10 +26,10 @@
         RENAMED
     }
 
-    /** All differences, by section and name. */
+    /** All differences, ordered by section and name. */
     public static List<Difference> between(Configuration a, Configuration b) {
-        Map<String, Entry> before = keyed(a);
-        Map<String, Entry> after = keyed(b);
+        Map<String, Entry> before = byKey(a);
+        Map<String, Entry> after = byKey(b);
         List<Difference> all = new ArrayList<>();
         TreeSet<String> keys = new TreeSet<>(before.keySet());
         keys.addAll(after.keySet());
@@ -44,31 +44,31 @@
                 all.add(new Difference(Kind.CHANGED, x, y, changes("", x, y)));
             }
         }
-        return renamed(all);
+        return joinRenames(all);
     }
 
-    /** What differs in its name only is the same entry under another. */
-    private static List<Difference> renamed(List<Difference> all) {
+    /** Merges a removed and an added entry with equal content into one renamed entry. */
+    private static List<Difference> joinRenames(List<Difference> all) {
         List<Difference> joined = new ArrayList<>();
-        List<Difference> gone =
+        List<Difference> removed =
                 new ArrayList<>(all.stream().filter(d -> d.kind == Kind.REMOVED).toList());
-        List<Difference> met = new ArrayList<>();
+        List<Difference> matched = new ArrayList<>();
         for (Difference d : all) {
-            Difference twin = d.kind != Kind.ADDED
+            Difference match = d.kind != Kind.ADDED
                     ? null
-                    : gone.stream()
+                    : removed.stream()
                             .filter(g -> body(g.before).equals(body(d.after)))
                             .findFirst()
                             .orElse(null);
-            if (twin == null) {
+            if (match == null) {
                 joined.add(d);
             } else {
-                gone.remove(twin);
-                met.add(twin);
-                joined.add(new Difference(Kind.RENAMED, twin.before, d.after, List.of()));
+                removed.remove(match);
+                matched.add(match);
+                joined.add(new Difference(Kind.RENAMED, match.before, d.after, List.of()));
             }
         }
-        joined.removeAll(met);
+        joined.removeAll(matched);
         return joined;
     }
 
@@ -76,7 +76,7 @@
         return e.section().name() + e.canonical().substring(e.title().length());
     }
 
-    private static Map<String, Entry> keyed(Configuration c) {
+    private static Map<String, Entry> byKey(Configuration c) {
         Map<String, Entry> all = new TreeMap<>();
         for (Entry e : c.entries()) {
             String key = e.title();
--- a/src/main/java/cacheproxy/config/Names.java
+++ b/src/main/java/cacheproxy/config/Suggestions.java
@@ -4,14 +4,14 @@
 import java.util.Comparator;
 import java.util.Optional;
 
-/** Guesses at what was meant by a name that nobody knows. */
-public final class Names {
-    private static final int LONGEST = 64;
+/** Suggestions for unknown names, based on edit distance. */
+public final class Suggestions {
+    private static final int MAX_LENGTH = 64;
 
-    private Names() {}
+    private Suggestions() {}
 
-    /** "did you mean X?", or what there is to choose from, or null where there is nothing. */
-    public static String fix(String given, Collection<String> known) {
+    /** "did you mean X?", else the list of known names, or null if there are none or more than 12. */
+    public static String suggest(String given, Collection<String> known) {
         Optional<String> near = known.stream()
                 .filter(k -> distance(given, k) <= Math.max(1, Math.min(2, k.length() / 3)))
                 .min(Comparator.<String>comparingInt(k -> distance(given, k)).thenComparing(Comparator.naturalOrder()));
@@ -25,9 +25,9 @@
                         : "one of " + String.join(", ", known.stream().sorted().toList());
     }
 
-    /** Edits from one to the other: a letter more, fewer, another, or two swapped (Damerau, 1964). */
+    /** Damerau-Levenshtein distance (Damerau, 1964): insertions, deletions, substitutions and adjacent swaps. */
     static int distance(String a, String b) {
-        if (a.length() > LONGEST || b.length() > LONGEST) {
+        if (a.length() > MAX_LENGTH || b.length() > MAX_LENGTH) {
             return Integer.MAX_VALUE;
         }
         int[][] d = new int[a.length() + 1][b.length() + 1];
--- a/src/main/java/cacheproxy/emulator/CacheNode.java
+++ b/src/main/java/cacheproxy/emulator/CacheNode.java
@@ -14,11 +14,13 @@
 import java.util.Set;
 
 /**
- * A cache node: the meta commands on its sockets (one for each proxy, so that it can tell who sends), one core's worth
- * of service behind a bounded queue, a memory, and a cold start. Belongs to the fleet's event loop.
+ * An emulated cache node: serves the meta commands on one socket per proxy, to tell the senders apart, with one core
+ * behind a bounded queue, an LRU store and a cold start. Confined to the fleet's event loop.
  */
 final class CacheNode {
-    /** What a new connection costs, and a look-up that finds nothing, as a share of a read's mean work. */
+    /**
+     * The work of accepting a connection, as a share of a read's mean work; below, that of a miss as a share of a hit.
+     */
     private static final double HANDSHAKE_WORK = 0.06;
 
     private static final double MISS_WORK = 0.05;
@@ -29,13 +31,13 @@
     private final Listener listener;
     private final LruStore<String> store;
     private final Service core;
-    private final Set<ResponsePipeline> lines = new HashSet<>();
+    private final Set<ResponsePipeline> pipelines = new HashSet<>();
     private final Random random;
     private ColdStart start;
     private double spoiltShare;
     private boolean keepsStale;
-    private double heldAtStart;
-    private int life;
+    private double cachedShareAtStart;
+    private int incarnation;
 
     CacheNode(EmulatedFleet fleet, String name, double speed, long seed) {
         this.fleet = fleet;
@@ -46,7 +48,7 @@
         store = new LruStore<>(spec.cacheEntries());
         core = new Service(fleet, new ServiceModel<>(1, spec.queue()), () -> speed * start.share(fleet.now()));
         start = new ColdStart(spec.coldStart(), speed, Double.NEGATIVE_INFINITY);
-        heldAtStart = spec.heldAtStart();
+        cachedShareAtStart = spec.heldAtStart();
         listener = new Listener(fleet.loop(), seed, this::accepted);
         for (int p = 0; p < spec.proxies(); p++) {
             listener.bind();
@@ -61,36 +63,36 @@
         return listener;
     }
 
-    // ---- what it holds
+    // ---- store
 
-    /** Keeps a value that the origin gave for a request that missed here. */
+    /** Stores a value that the origin returned for a request that missed here. */
     void fill(String key, long version) {
         if (listener.isOpen()) {
             store.put(key, version);
         }
     }
 
-    /** A write has voided the key. */
+    /** Invalidates a key after a write. */
     void drop(String key) {
         if (!keepsStale) {
             store.drop(key);
         }
     }
 
-    private Long held(String key) {
+    private Long cachedVersion(String key) {
         Long version = store.get(key);
-        if (version == null && heldThen(key)) {
+        if (version == null && cachedAtStart(key)) {
             version = fleet.origin().version(key);
             store.put(key, version);
         }
         return version;
     }
 
-    /** Whether a node that was warm at the start had this key then, if a write has not voided it since. */
-    private boolean heldThen(String key) {
-        return heldAtStart > 0
+    /** Whether this key was cached at the start and has not been written since. */
+    private boolean cachedAtStart(String key) {
+        return cachedShareAtStart > 0
                 && fleet.origin().version(key) == 0
-                && (Keys.mix(key.hashCode() * 31L + name.hashCode()) >>> 11) * 0x1.0p-53 < heldAtStart;
+                && (Keys.mix(key.hashCode() * 31L + name.hashCode()) >>> 11) * 0x1.0p-53 < cachedShareAtStart;
     }
 
     // ---- commands
@@ -102,13 +104,13 @@
         }
         core.offer(() -> {}, fleet.spec().workMs() * HANDSHAKE_WORK);
         fleet.series().count(proxy, Series.What.OPENED);
-        ResponsePipeline line = new ResponsePipeline(channel, listener);
-        lines.add(line);
-        channel.closeFuture().addListener(f -> lines.remove(line));
+        ResponsePipeline pipeline = new ResponsePipeline(channel, listener);
+        pipelines.add(pipeline);
+        channel.closeFuture().addListener(f -> pipelines.remove(pipeline));
         channel.pipeline().addLast(new MetaCommandDecoder(), new SimpleChannelInboundHandler<MetaCommand>() {
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, MetaCommand command) {
-                take(ctx, line, proxy, command);
+                handle(ctx, pipeline, proxy, command);
             }
 
             @Override
@@ -118,46 +120,46 @@
         });
     }
 
-    private void take(ChannelHandlerContext ctx, ResponsePipeline line, int proxy, MetaCommand command) {
+    private void handle(ChannelHandlerContext ctx, ResponsePipeline pipeline, int proxy, MetaCommand command) {
         if (command instanceof MetaCommand.Read read) {
-            read(line, proxy, read);
+            read(pipeline, proxy, read);
         } else if (command instanceof MetaCommand.Write) {
-            line.answer(line.next(), text("CLIENT_ERROR writes go to the origin\r\n"));
+            pipeline.answer(pipeline.next(), text("CLIENT_ERROR writes go to the origin\r\n"));
         } else if (command instanceof MetaCommand.Unusable u && u.fatal()) {
             ctx.writeAndFlush(text("CLIENT_ERROR " + u.why() + "\r\n")).addListener(ChannelFutureListener.CLOSE);
         } else if (command instanceof MetaCommand.Noop) {
-            line.answer(line.next(), text("MN\r\n"));
+            pipeline.answer(pipeline.next(), text("MN\r\n"));
         } else {
-            line.answer(line.next(), text("ERROR\r\n"));
+            pipeline.answer(pipeline.next(), text("ERROR\r\n"));
         }
     }
 
-    private void read(ResponsePipeline line, int proxy, MetaCommand.Read read) {
+    private void read(ResponsePipeline pipeline, int proxy, MetaCommand.Read read) {
         double now = fleet.now();
         fleet.oracle().sent(proxy, name, read.id(), now);
         fleet.series().attempt(proxy, fleet.spec().layout().zoneOf(Parties.number(name)));
-        ResponsePipeline.Slot slot = line.next();
-        boolean hit = held(read.key()) != null;
+        ResponsePipeline.Slot slot = pipeline.next();
+        boolean hit = cachedVersion(read.key()) != null;
         double work = fleet.work(read.id(), read.extras()) * (hit ? 1 : MISS_WORK);
         if (start.pushedOver(now, work)) {
             fleet.pushedOver(this);
             return;
         }
-        int mine = life;
+        int startedIn = incarnation;
         Runnable done = () -> {
-            if (life == mine) {
-                line.answer(slot, answer(read));
+            if (incarnation == startedIn) {
+                pipeline.answer(slot, answer(read));
             }
         };
         if (work == 0) {
             done.run();
         } else if (!core.offer(done, work)) {
-            line.answer(slot, text("SERVER_ERROR busy\r\n"));
+            pipeline.answer(slot, text("SERVER_ERROR busy\r\n"));
         }
     }
 
     private ByteBuf answer(MetaCommand.Read read) {
-        Long version = held(read.key());
+        Long version = cachedVersion(read.key());
         if (version == null) {
             boolean fetched = fleet.missed(read, this);
             return text("EN O" + read.id() + (fetched ? " h0 Z\r\n" : " h0\r\n"));
@@ -196,7 +198,7 @@
     void freeze(boolean on) {
         listener.freeze(on);
         if (!on) {
-            lines.forEach(ResponsePipeline::flush);
+            pipelines.forEach(ResponsePipeline::flush);
         }
     }
 
@@ -211,18 +213,18 @@
         }
     }
 
-    /** The process dies: its memory is lost, its connections are reset, new ones refused. */
-    void die() {
-        life++;
-        listener.shut();
+    /** Emulates a crash: the store is lost, connections are reset and new ones are refused. */
+    void crash() {
+        incarnation++;
+        listener.refuseNew();
         listener.reset();
         core.clear();
         store.clear();
     }
 
-    /** A new process listens where the old one did, empty and cold. */
-    void live(Runnable then) {
-        heldAtStart = 0;
+    /** Emulates a restart: a process with an empty store and cold capacity listens on the same addresses. */
+    void restart(Runnable then) {
+        cachedShareAtStart = 0;
         start = new ColdStart(fleet.spec().coldStart(), speed, fleet.now());
         listener.reopen(then);
     }
--- a/src/main/java/cacheproxy/emulator/DiscoveryServer.java
+++ b/src/main/java/cacheproxy/emulator/DiscoveryServer.java
@@ -27,18 +27,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery: the whole list and a watch on its changes over HTTP/1.1, a socket for each proxy, and outages. It works
- * through its calls in turn at a bounded number of lines a second. Belongs to the fleet's event loop.
+ * Emulated discovery: serves the whole host list and a watch on its changes over HTTP/1.1, with separate sockets for
+ * each proxy, and emulates outages. Requests are served in sequence at a limited number of list entries per second.
+ * Confined to the fleet's event loop.
  */
 final class DiscoveryServer {
-    /** Addresses for each proxy, so that a new configuration can name another. */
+    /** Addresses per proxy; more than one, so that a new configuration can name another. */
     static final int ADDRESSES = 2;
-    /** A call that would wait longer is turned away. */
-    private static final double PATIENCE_MS = 2000;
+    /** A request that would wait longer is rejected with 503. */
+    private static final double MAX_QUEUE_DELAY_MS = 2000;
 
     private static final double MAX_WAIT_MS = 60_000;
     private static final int MAX_WATCHES = 256;
-    /** Where some answers are older lists: so many, and of a list so many versions back. */
+    /** While older lists are served: their share of the responses, and how many versions they lag behind. */
     private static final double OLDER_SHARE = 0.3;
 
     private static final int OLDER_VERSIONS = 5;
@@ -58,13 +59,13 @@
         void end() {
             if (watches.remove(this)) {
                 timeout.cancel(false);
-                answer(proxy, ctx, roster.since(since), false);
+                answer(proxy, ctx, hostList.since(since), false);
             }
         }
     }
 
     private final EmulatedFleet fleet;
-    private final HostList roster;
+    private final HostList hostList;
     private final Listener listener;
     private final List<Watch> watches = new ArrayList<>();
     private final Deque<Version> older = new ArrayDeque<>();
@@ -72,14 +73,14 @@
     private boolean down;
     private boolean watchesSilent;
     private boolean olderLists;
-    private double freeMs;
+    private double idleAtMs;
 
-    /** The whole list as it was once. */
+    /** A snapshot of the whole list. */
     private record Version(long seq, List<HostList.Host> hosts) {}
 
-    DiscoveryServer(EmulatedFleet fleet, HostList roster) {
+    DiscoveryServer(EmulatedFleet fleet, HostList hostList) {
         this.fleet = fleet;
-        this.roster = roster;
+        this.hostList = hostList;
         random = new SplittableRandom(fleet.spec().seed());
         listener = new Listener(fleet.loop(), ~fleet.spec().seed(), this::accepted);
         for (int i = 0; i < fleet.spec().proxies() * ADDRESSES; i++) {
@@ -100,7 +101,7 @@
                         new SimpleChannelInboundHandler<FullHttpRequest>() {
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-                                take(proxy, ctx, new QueryStringDecoder(request.uri()));
+                                handle(proxy, ctx, new QueryStringDecoder(request.uri()));
                             }
 
                             @Override
@@ -115,7 +116,7 @@
                         });
     }
 
-    private void take(int proxy, ChannelHandlerContext ctx, QueryStringDecoder uri) {
+    private void handle(int proxy, ChannelHandlerContext ctx, QueryStringDecoder uri) {
         fleet.series().count(proxy, Series.What.CALLS);
         if (down) {
             ctx.close();
@@ -126,7 +127,7 @@
             return;
         }
         if (!uri.parameters().containsKey("since")) {
-            answer(proxy, ctx, roster.whole(), true);
+            answer(proxy, ctx, hostList.whole(), true);
             return;
         }
         long since;
@@ -148,10 +149,10 @@
         Version old = olderLists && random.nextDouble() < OLDER_SHARE ? older.peekFirst() : null;
         if (old != null) {
             send(ctx, 200, json(proxy, old.seq(), old.hosts(), true).toString());
-        } else if (since > roster.seq() || since == 0) {
-            answer(proxy, ctx, roster.whole(), true);
-        } else if (since < roster.seq() || watches.size() >= MAX_WATCHES) {
-            answer(proxy, ctx, roster.since(since), false);
+        } else if (since > hostList.seq() || since == 0) {
+            answer(proxy, ctx, hostList.whole(), true);
+        } else if (since < hostList.seq() || watches.size() >= MAX_WATCHES) {
+            answer(proxy, ctx, hostList.since(since), false);
         } else {
             Watch watch = new Watch(proxy, ctx, since);
             watch.timeout = fleet.loop().schedule(watch::end, (long) Math.max(0, wait), TimeUnit.MILLISECONDS);
@@ -159,34 +160,34 @@
         }
     }
 
-    /** The list has changed: whoever watches hears of it. */
+    /** Answers all watches after a change of the list. */
     void changed() {
-        older.addLast(new Version(roster.seq(), roster.whole()));
+        older.addLast(new Version(hostList.seq(), hostList.whole()));
         if (older.size() > OLDER_VERSIONS) {
             older.removeFirst();
         }
         List.copyOf(watches).forEach(Watch::end);
     }
 
-    /** Answers no watch, those included that wait. */
+    /** Sets whether watches go unanswered, pending ones included. */
     void watchesSilent(boolean on) {
         watchesSilent = on;
-        forgetWatches();
+        dropWatches();
     }
 
-    /** Some answers are lists of older versions. */
+    /** Sets whether some responses are lists of older versions. */
     void olderLists(boolean on) {
         olderLists = on;
     }
 
-    /** Has lost its memory. */
+    /** Emulates a loss of state: version numbers restart. */
     void renumber() {
-        roster.renumber();
+        hostList.renumber();
         older.clear();
         changed();
     }
 
-    private void forgetWatches() {
+    private void dropWatches() {
         List.copyOf(watches).forEach(w -> w.timeout.cancel(false));
         watches.clear();
     }
@@ -195,40 +196,41 @@
         return down;
     }
 
-    /** While down it answers nothing, and watches end. */
+    /** Sets whether discovery is down: it then answers nothing and drops all watches. */
     void down(boolean on) {
         down = on;
         if (on) {
-            forgetWatches();
+            dropWatches();
             listener.close();
         }
     }
 
     private void answer(int proxy, ChannelHandlerContext ctx, List<HostList.Host> hosts, boolean whole) {
         double now = fleet.now();
-        if (freeMs - now > PATIENCE_MS) {
+        if (idleAtMs - now > MAX_QUEUE_DELAY_MS) {
             send(ctx, 503, "{}");
             return;
         }
-        freeMs = Math.max(now, freeMs) + hosts.size() * 1000.0 / fleet.spec().listLines();
-        String body = json(proxy, roster.seq(), hosts, whole).toString();
+        idleAtMs =
+                Math.max(now, idleAtMs) + hosts.size() * 1000.0 / fleet.spec().listLines();
+        String body = json(proxy, hostList.seq(), hosts, whole).toString();
         fleet.loop()
                 .schedule(
                         () -> {
                             if (!down) {
                                 send(ctx, 200, body).addListener(written -> {
                                     if (written.isSuccess()) {
-                                        told(proxy, hosts);
+                                        recordUpdate(proxy, hosts);
                                     }
                                 });
                             }
                         },
-                        (long) (Math.max(0, freeMs - now) * 1e6),
+                        (long) (Math.max(0, idleAtMs - now) * 1e6),
                         TimeUnit.NANOSECONDS);
     }
 
-    /** Counts from when the last byte is on its way to the proxy, whatever its link did to it before. */
-    private void told(int proxy, List<HostList.Host> hosts) {
+    /** Records the update as of the write of its last byte, after any delay that the emulated link added. */
+    private void recordUpdate(int proxy, List<HostList.Host> hosts) {
         hosts.forEach(h -> fleet.oracle().told(proxy, h.name(), h.health() == HostList.Health.UP, fleet.now()));
     }
 
@@ -243,7 +245,7 @@
         return ctx.writeAndFlush(response);
     }
 
-    /** A list as a proxy is told it, with the addresses that it dials. */
+    /** Encodes a list for a proxy, with the addresses that this proxy connects to. */
     static JsonObject json(int proxy, long seq, List<HostList.Host> hosts, boolean whole) {
         JsonObject list = new JsonObject();
         list.addProperty("seq", seq);
--- a/src/main/java/cacheproxy/emulator/FrontLayer.java
+++ b/src/main/java/cacheproxy/emulator/FrontLayer.java
@@ -30,18 +30,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The plain front layer: deals clients' connections out to the proxy that has fewest, and passes bytes both ways. It
- * asks each proxy whether it serves, and notices late that one has died or drains, and that it serves again; until then
- * it goes on dealing. Belongs to one event loop.
+ * The emulated front layer, a TCP load balancer: assigns each client connection to the proxy with the fewest
+ * connections and relays bytes in both directions. It health-checks each proxy, and reacts with a delay when one dies,
+ * drains or serves again; until then it keeps assigning connections as before. Confined to one event loop.
  */
 public final class FrontLayer implements AutoCloseable {
-    /** In place of a proxy's number: a connection that none took, as the one that it was dealt to was away. */
+    /** In place of a proxy's number: no proxy accepted the connection, as the one it was assigned to was down. */
     public static final int NOBODY = -1;
 
-    private static final int CONNECT_MS = 500;
-    private static final long LOOK_MS = 250;
-    /** A proxy that is asked whether it serves and says nothing for so long does not. */
-    private static final long ANSWER_MS = 2000;
+    private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final long HEALTH_CHECK_INTERVAL_MS = 250;
+    /** Health check timeout; a proxy that does not answer within it is regarded as not serving. */
+    private static final long HEALTH_CHECK_TIMEOUT_MS = 2000;
 
     private static final class Target {
         final InetSocketAddress address;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** What one proxy has been dealt: connections in all, those open now, and whether it is in use. */
+    /** The connections assigned to a proxy in total, those open now, and whether the proxy is in use. */
     public record Share(InetSocketAddress proxy, long dealt, int open, boolean used) {}
 
     private final EventLoop loop;
@@ -64,29 +64,28 @@
     private final List<Target> targets = new ArrayList<>();
     private final Listener listener;
     private final InetSocketAddress address;
-    private final Future<?> looking;
-    private int turn;
-    /**
-     * Which proxy has taken the connection from a client's port, as far as is known; bounded by the ports there are.
-     */
-    private final Map<Integer, Integer> taken = new ConcurrentHashMap<>();
+    private final Future<?> healthChecks;
+    private int nextTarget;
+    /** The proxy that accepted the last connection from each client port; bounded by the number of ports. */
+    private final Map<Integer, Integer> acceptedBy = new ConcurrentHashMap<>();
 
-    /** Opens the front at a free port; not to be called on the event loop. {@code noticeMs}: how late it sees. */
+    /** Listens on a free port; not to be called on the event loop. {@code noticeMs}: the health check delay. */
     public FrontLayer(EventLoop loop, List<InetSocketAddress> proxies, double noticeMs) {
         this.loop = loop;
         this.noticeMs = noticeMs;
         proxies.forEach(p -> targets.add(new Target(p)));
         listener = new Listener(loop, this::accepted);
         address = listener.bind();
-        looking = loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        healthChecks = loop.scheduleWithFixedDelay(
+                this::checkAll, HEALTH_CHECK_INTERVAL_MS, HEALTH_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Where clients connect. */
+    /** The address for clients. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** How connections are spread now; on the event loop only. */
+    /** The current distribution of connections; on the event loop only. */
     public List<Share> shares() {
         return targets.stream()
                 .map(t -> new Share(t.address, t.dealt, t.clients.size(), t.used))
@@ -94,8 +93,8 @@
     }
 
     /**
-     * The process of a proxy is about to be killed: its connections end with a reset, as those of a process that dies
-     * do. On the event loop only.
+     * A proxy is about to be killed: resets its client connections, as the death of a process does. On the event loop
+     * only.
      */
     public void killed(int proxy) {
         for (Channel c : List.copyOf(targets.get(proxy).clients)) {
@@ -106,31 +105,31 @@
         }
     }
 
-    /** Of those in use the one with the fewest connections, in turn where they have as many. */
+    /** The proxy in use with the fewest connections; ties are broken round-robin. */
     private Target pick() {
         Target best = null;
-        turn++;
+        nextTarget++;
         for (int i = 0; i < targets.size(); i++) {
-            Target t = targets.get((turn + i) % targets.size());
+            Target t = targets.get((nextTarget + i) % targets.size());
             if (t.used && (best == null || t.clients.size() < best.clients.size())) {
                 best = t;
             }
         }
-        return best != null ? best : targets.get(turn % targets.size());
+        return best != null ? best : targets.get(nextTarget % targets.size());
     }
 
     /**
-     * The number of the proxy that took the last connection from this port of a client's, {@link #NOBODY} while none
-     * has. May be called from any thread.
+     * The number of the proxy that accepted the last connection from this client port, {@link #NOBODY} while none has.
+     * May be called from any thread.
      */
     public int takenBy(int clientPort) {
-        return taken.getOrDefault(clientPort, NOBODY);
+        return acceptedBy.getOrDefault(clientPort, NOBODY);
     }
 
     private void accepted(Channel client, int socket) {
         Target target = pick();
         int port = ((InetSocketAddress) client.remoteAddress()).getPort();
-        taken.put(port, NOBODY);
+        acceptedBy.put(port, NOBODY);
         target.dealt++;
         target.clients.add(client);
         client.closeFuture().addListener(f -> target.clients.remove(client));
@@ -144,22 +143,22 @@
         });
         up.addListener(f -> {
             if (f.isSuccess()) {
-                taken.put(port, targets.indexOf(target));
+                acceptedBy.put(port, targets.indexOf(target));
                 client.pipeline().addLast(new Relay(up.channel()));
                 client.config().setAutoRead(true);
                 up.channel().closeFuture().addListener(g -> client.close());
                 client.closeFuture().addListener(g -> up.channel().close());
             } else {
-                turnAway(client);
+                closeUnserved(client);
             }
         });
     }
 
     /**
-     * Ends a client's connection for which no proxy was to be had. Closing it with the request unread would send a
-     * reset, which says that somebody may have had it.
+     * Ends a client connection that no proxy accepted. Reads and discards the request first: closing with unread data
+     * would send a reset, from which the client must assume that a proxy may have received it.
      */
-    private static void turnAway(Channel client) {
+    private static void closeUnserved(Channel client) {
         client.pipeline().addLast(new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -188,69 +187,69 @@
                 .channel(Sockets.BEST.client())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(handler)
                 .connect(target.address);
     }
 
-    private void seen(Target target, boolean refusing) {
+    private void recordHealth(Target target, boolean refusing) {
         if (target.refusing != refusing) {
             target.refusing = refusing;
             target.changedMs = System.nanoTime() / 1e6;
         }
     }
 
-    /** Each proxy is asked whether it serves, and believed when it has said the same for the time of the notice. */
-    private void look() {
+    /** Health-checks all proxies; a changed result takes effect once it has been stable for {@link #noticeMs}. */
+    private void checkAll() {
         double now = System.nanoTime() / 1e6;
         for (Target t : targets) {
             if (t.used == t.refusing && now - t.changedMs >= noticeMs) {
                 t.used = !t.refusing;
             }
-            ask(t);
+            check(t);
         }
     }
 
-    private void ask(Target target) {
+    private void check(Target target) {
         connect(target, new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new MetaAnswerDecoder(), new Answer(target));
+                        channel.pipeline().addLast(new MetaAnswerDecoder(), new HealthCheck(target));
                     }
                 })
                 .addListener(f -> {
                     if (!f.isSuccess()) {
-                        seen(target, true);
+                        recordHealth(target, true);
                     }
                 });
     }
 
-    /** A look at a proxy: it is asked {@code mn}, and whatever else comes of that than {@code MN} is no. */
-    private final class Answer extends SimpleChannelInboundHandler<MetaAnswer> {
+    /** A health check: sends {@code mn}; any outcome other than {@code MN} means that the proxy is not serving. */
+    private final class HealthCheck extends SimpleChannelInboundHandler<MetaAnswer> {
         private final Target target;
-        private boolean told;
+        private boolean answered;
 
-        Answer(Target target) {
+        HealthCheck(Target target) {
             this.target = target;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             ctx.writeAndFlush(Unpooled.copiedBuffer("mn\r\n", StandardCharsets.ISO_8859_1));
-            ctx.executor().schedule(() -> ctx.close(), ANSWER_MS, TimeUnit.MILLISECONDS);
+            ctx.executor().schedule(() -> ctx.close(), HEALTH_CHECK_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaAnswer answer) {
-            told = true;
-            seen(target, !(answer instanceof MetaAnswer.Noop));
+            answered = true;
+            recordHealth(target, !(answer instanceof MetaAnswer.Noop));
             ctx.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (!told) {
-                seen(target, true);
+            if (!answered) {
+                recordHealth(target, true);
             }
         }
 
@@ -262,14 +261,14 @@
 
     @Override
     public void close() {
-        looking.cancel(false);
+        healthChecks.cancel(false);
         loop.execute(() -> {
-            listener.shut();
+            listener.refuseNew();
             listener.close();
         });
     }
 
-    /** Passes what comes on to the other side, reads no faster than that takes it, and hands on a half-close. */
+    /** Relays bytes to the other side with backpressure, and propagates a half-close. */
     private static final class Relay extends ChannelInboundHandlerAdapter {
         private final Channel other;
 
@@ -310,7 +309,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (other instanceof SocketChannel s) {
-                s.config().setSoLinger(0); // a reset goes on as a reset
+                s.config().setSoLinger(0); // propagates a reset as a reset
             }
             ctx.close();
         }
--- a/src/main/java/cacheproxy/emulator/LinkHandler.java
+++ b/src/main/java/cacheproxy/emulator/LinkHandler.java
@@ -13,39 +13,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection's link: what it does to the bytes that come and go, before any other handler of the stand-in's sees
- * them. A stream loses nothing and keeps its order; it is late, stands still, or is reset. What is cut is kept back and
- * goes on when the way is whole again, as the system's resends would have it. Belongs to the channel's event loop.
+ * Applies the link conditions to a connection's inbound and outbound bytes, as the first handler of its pipeline. A
+ * stream loses nothing and keeps its order, as over TCP; it is delayed, stalled or reset. During a partition data is
+ * held back, and it is passed on when the partition ends, as retransmissions would deliver it. Confined to the
+ * channel's event loop.
  */
 final class LinkHandler extends ChannelDuplexHandler {
-    /** What a system waits before it sends a lost piece once more, at first; doubled each time. */
-    private static final double RESEND_MS = 200;
+    /** Initial TCP retransmission timeout that is emulated for a lost segment; doubles with each retry. */
+    private static final double RETRANSMISSION_MS = 200;
 
-    private static final int MAX_RESENDS = 5;
+    private static final int MAX_RETRANSMISSIONS = 5;
 
     /** One direction. */
-    private final class Side {
-        private final boolean inward;
+    private final class Direction {
+        private final boolean inbound;
         private final ArrayDeque<Held> held = new ArrayDeque<>();
         private LinkConditions way = LinkConditions.OPEN;
         private double lastDueMs;
-        /** A piece stands still half way, until the way changes. */
-        private boolean still;
+        /** Whether a segment has stalled half way; until the conditions change. */
+        private boolean stalled;
 
         private boolean scheduled;
 
-        Side(boolean inward) {
-            this.inward = inward;
+        Direction(boolean inbound) {
+            this.inbound = inbound;
         }
 
-        void settle(LinkConditions next) {
+        void setConditions(LinkConditions next) {
             way = next;
-            still = false;
+            stalled = false;
             release();
         }
 
         void take(Object message, ChannelPromise promise) {
-            if (!inward && way.reset() > 0 && random.nextDouble() < way.reset()) {
+            if (!inbound && way.reset() > 0 && random.nextDouble() < way.reset()) {
                 ReferenceCountUtil.release(message);
                 promise.tryFailure(new ClosedChannelException());
                 reset(ctx.channel());
@@ -53,46 +54,46 @@
             }
             Object rest = message;
             ChannelPromise last = promise;
-            boolean halts = false;
-            if (!inward
+            boolean stalls = false;
+            if (!inbound
                     && way.hold() > 0
                     && message instanceof ByteBuf b
                     && b.readableBytes() > 1
                     && random.nextDouble() < way.hold()) {
                 ByteBuf half = b.readRetainedSlice(b.readableBytes() / 2);
                 add(half, ctx.newPromise(), false);
-                halts = true;
+                stalls = true;
             }
-            add(rest, last, halts);
+            add(rest, last, stalls);
             release();
         }
 
-        private void add(Object message, ChannelPromise promise, boolean halts) {
-            double due = nowMs() + way.delayMs() + way.jitterMs() * random.nextDouble() + resends();
+        private void add(Object message, ChannelPromise promise, boolean stalls) {
+            double due = nowMs() + way.delayMs() + way.jitterMs() * random.nextDouble() + retransmissionDelay();
             lastDueMs = Math.max(lastDueMs, due);
-            held.add(new Held(message, promise, lastDueMs, halts));
+            held.add(new Held(message, promise, lastDueMs, stalls));
         }
 
-        private double resends() {
+        private double retransmissionDelay() {
             double late = 0;
-            for (int i = 0; i < MAX_RESENDS && way.lose() > 0 && random.nextDouble() < way.lose(); i++) {
-                late += RESEND_MS * (1 << i);
+            for (int i = 0; i < MAX_RETRANSMISSIONS && way.lose() > 0 && random.nextDouble() < way.lose(); i++) {
+                late += RETRANSMISSION_MS * (1 << i);
             }
             return late;
         }
 
-        /** Passes on what is due. */
+        /** Passes on the messages that are due. */
         void release() {
             boolean passed = false;
             double now = nowMs();
-            while (!held.isEmpty() && !way.cut() && !still) {
+            while (!held.isEmpty() && !way.cut() && !stalled) {
                 Held next = held.peek();
                 if (next.dueMs() > now) {
-                    wake(next.dueMs() - now);
+                    scheduleRelease(next.dueMs() - now);
                     break;
                 }
-                if (next.halts()) {
-                    still = true;
+                if (next.stalls()) {
+                    stalled = true;
                     held.poll();
                     held.addFirst(new Held(next.message(), next.promise(), next.dueMs(), false));
                     break;
@@ -101,7 +102,7 @@
                 passed = true;
                 pass(next);
             }
-            if (passed && inward) {
+            if (passed && inbound) {
                 ctx.fireChannelReadComplete();
             } else if (passed) {
                 ctx.flush();
@@ -109,7 +110,7 @@
         }
 
         private void pass(Held next) {
-            if (inward) {
+            if (inbound) {
                 ctx.fireChannelRead(next.message());
             } else if (next.message() == CLOSE) {
                 ctx.close(next.promise());
@@ -118,7 +119,7 @@
             }
         }
 
-        private void wake(double inMs) {
+        private void scheduleRelease(double inMs) {
             if (!scheduled) {
                 scheduled = true;
                 ctx.executor()
@@ -132,9 +133,9 @@
             }
         }
 
-        @SuppressWarnings("ReferenceEquality") // links hand out the constant itself
-        boolean passesAtOnce() {
-            return way == LinkConditions.OPEN && held.isEmpty() && !still;
+        @SuppressWarnings("ReferenceEquality") // Links returns the constant itself for a healthy link
+        boolean isTransparent() {
+            return way == LinkConditions.OPEN && held.isEmpty() && !stalled;
         }
 
         void drop() {
@@ -149,16 +150,16 @@
         }
     }
 
-    private record Held(Object message, ChannelPromise promise, double dueMs, boolean halts) {}
+    private record Held(Object message, ChannelPromise promise, double dueMs, boolean stalls) {}
 
     private static final Object CLOSE = new Object();
 
     private final SplittableRandom random;
-    private final Side in = new Side(true);
-    private final Side out = new Side(false);
+    private final Direction in = new Direction(true);
+    private final Direction out = new Direction(false);
     private ChannelHandlerContext ctx;
 
-    /** With these ways to begin with. */
+    /** Starts with these conditions. */
     LinkHandler(LinkConditions in, LinkConditions out, SplittableRandom random) {
         this.random = random;
         this.in.way = in;
@@ -176,10 +177,10 @@
         channel.unsafe().close(channel.unsafe().voidPromise());
     }
 
-    /** The ways have changed: what waited for that goes on. */
-    void settle(LinkConditions inward, LinkConditions outward) {
-        in.settle(inward);
-        out.settle(outward);
+    /** Applies changed conditions; ends a stall and releases the data that is due. */
+    void setConditions(LinkConditions inbound, LinkConditions outbound) {
+        in.setConditions(inbound);
+        out.setConditions(outbound);
     }
 
     @Override
@@ -195,7 +196,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        if (in.passesAtOnce()) {
+        if (in.isTransparent()) {
             context.fireChannelRead(message);
         } else {
             in.take(message, null);
@@ -204,14 +205,14 @@
 
     @Override
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-        if (out.passesAtOnce()) {
+        if (out.isTransparent()) {
             context.write(message, promise);
         } else {
             out.take(message, promise);
         }
     }
 
-    /** An end goes the same way as the bytes before it. */
+    /** A close is queued behind the bytes written before it. */
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) {
         if (out.held.isEmpty() && !out.way.cut()) {
--- a/src/main/java/cacheproxy/emulator/meta/MetaCommandDecoder.java
+++ b/src/main/java/cacheproxy/emulator/meta/MetaCommandDecoder.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.TooLongFrameException;
 import java.util.List;
 
-/** Turns a client's bytes into {@link MetaCommand}s; a command comes out when its last byte has come. */
+/** Decodes a client's bytes into {@link MetaCommand}s; a command is emitted once all its bytes have arrived. */
 public final class MetaCommandDecoder extends ByteToMessageDecoder {
     private String[] write;
     private int length;
@@ -19,7 +19,7 @@
         }
         String line;
         try {
-            line = MetaLines.take(in);
+            line = MetaLines.readLine(in);
         } catch (TooLongFrameException e) {
             in.skipBytes(in.readableBytes());
             out.add(new MetaCommand.Unusable(e.getMessage(), true));
@@ -61,7 +61,7 @@
         }
         byte[] value = new byte[length];
         in.readBytes(value);
-        boolean ended = MetaLines.ends(in);
+        boolean ended = MetaLines.readLineEnd(in);
         String[] words = write;
         write = null;
         String id = MetaLines.flag(words, 3, 'O');
--- a/src/test/java/cacheproxy/proxy/ClosingTest.java
+++ b/src/test/java/cacheproxy/proxy/ClosingTest.java
@@ -10,77 +10,79 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests that cross the end of a connection or of the listening socket. */
+/** Requests that race with the closing of a connection or of the listening socket. */
 @Timeout(60)
 class ClosingTest {
-    private static Fleet fleet() throws Exception {
-        return new Fleet().node(FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n"));
+    private static ProxyFixture fixture() throws Exception {
+        return new ProxyFixture().node(FakeServer.node(line -> "VA 5 O" + FakeServer.id(line) + " h1\r\nhello\r\n"));
     }
 
     @Test
-    void whatTheSystemHasAcceptedIsServedThoughTheListenerEnds() throws Exception {
-        try (Fleet fleet = fleet().start()) {
-            CountDownLatch go = fleet.still();
-            List<Fleet.Client> waiting = new ArrayList<>();
-            for (int i = 0; i < 40; i++) { // more than one round takes
-                waiting.add(fleet.client().read("w" + i));
+    void connectionsInTheBacklogAreServedThoughTheListenerCloses() throws Exception {
+        try (ProxyFixture fixture = fixture().start()) {
+            CountDownLatch release = fixture.pauseEventLoop();
+            List<ProxyFixture.Client> waiting = new ArrayList<>();
+            for (int i = 0; i < 40; i++) { // more than one event-loop iteration accepts
+                waiting.add(fixture.client().read("w" + i));
             }
-            fleet.proxy.loop().execute(fleet.proxy.clientAcceptor()::stopListening);
-            go.countDown();
+            fixture.proxy.loop().execute(fixture.proxy.clientAcceptor()::stopListening);
+            release.countDown();
             for (int i = 0; i < waiting.size(); i++) {
                 assertThat(waiting.get(i).line()).isEqualTo("VA 5 Ow" + i);
             }
             Await.until(
-                    "the listener ends then",
-                    () -> !fleet.on(() ->
-                            fleet.proxy.clientAcceptor().listeningChannel().isOpen()));
+                    "the listening socket is closed",
+                    () -> !fixture.onEventLoop(() ->
+                            fixture.proxy.clientAcceptor().listeningChannel().isOpen()));
         }
     }
 
-    private static void endIdle(Fleet fleet, double now) {
-        fleet.on(() -> {
-            fleet.proxy.clientAcceptor().closeIdle(3, now);
+    private static void closeIdle(ProxyFixture fixture, double now) {
+        fixture.onEventLoop(() -> {
+            fixture.proxy.clientAcceptor().closeIdle(3, now);
             return null;
         });
     }
 
     @Test
-    void aConnectionThatHasJustComeIsNotEndedBeforeItsRequest() throws Exception {
-        try (Fleet fleet = fleet().start();
-                Fleet.Client used = fleet.client()) {
-            assertThat(used.say("mn\r\n").line()).isEqualTo("MN");
-            double now = fleet.on(() -> fleet.proxy.dispatcher().now());
-            Fleet.Client fresh = fleet.client();
-            Fleet.Client mute = fleet.client();
+    void aNewConnectionIsNotClosedBeforeItsFirstRequest() throws Exception {
+        try (ProxyFixture fixture = fixture().start();
+                ProxyFixture.Client used = fixture.client()) {
+            assertThat(used.send("mn\r\n").line()).isEqualTo("MN");
+            double now = fixture.onEventLoop(() -> fixture.proxy.dispatcher().now());
+            ProxyFixture.Client fresh = fixture.client();
+            ProxyFixture.Client silent = fixture.client();
             Await.until(
-                    "all have come",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().idleConnections()) == 3);
-            endIdle(fleet, now);
-            assertThat(used.ended()).isTrue();
+                    "all clients are connected",
+                    () -> fixture.onEventLoop(
+                                    () -> fixture.proxy.clientAcceptor().idleConnections())
+                            == 3);
+            closeIdle(fixture, now);
+            assertThat(used.isAtEnd()).isTrue();
             assertThat(fresh.read("1").line()).isEqualTo("VA 5 O1");
-            endIdle(fleet, now + 30_000); // it has had its time
-            assertThat(mute.ended()).isTrue();
+            closeIdle(fixture, now + 30_000); // its time to send a first request is over
+            assertThat(silent.isAtEnd()).isTrue();
         }
     }
 
-    /** The one that makes room for another may have sent a request just then; it must be able to read on to its end. */
+    /** A client whose connection is closed to make room may have just sent a request; it must see an orderly close. */
     @Test
-    void whoMakesRoomForAnotherIsEndedInOrder() throws Exception {
+    void aConnectionClosedToMakeRoomIsClosedOrderly() throws Exception {
         JsonObject limits = new JsonObject();
         limits.addProperty("sockets", 96);
-        Fleet setup = fleet();
+        ProxyFixture setup = fixture();
         setup.config.add("limits", limits);
-        try (Fleet fleet = setup.start()) {
-            List<Fleet.Client> all = new ArrayList<>();
-            for (int i = 0; i < 16; i++) { // as many as there are places for
-                all.add(fleet.client());
-                assertThat(all.get(i).say("mn\r\n").line()).isEqualTo("MN");
+        try (ProxyFixture fixture = setup.start()) {
+            List<ProxyFixture.Client> all = new ArrayList<>();
+            for (int i = 0; i < 16; i++) { // as many as the descriptor limit allows
+                all.add(fixture.client());
+                assertThat(all.get(i).send("mn\r\n").line()).isEqualTo("MN");
             }
-            CountDownLatch go = fleet.still();
-            Fleet.Client another = fleet.client();
+            CountDownLatch release = fixture.pauseEventLoop();
+            ProxyFixture.Client another = fixture.client();
             all.get(0).read("crossing");
-            go.countDown();
-            assertThat(all.get(0).line()).isNull(); // its end, and no reset
+            release.countDown();
+            assertThat(all.get(0).line()).isNull(); // an orderly close, not a reset
             assertThat(another.read("1").line()).isEqualTo("VA 5 O1");
             assertThat(all.get(1).read("2").line()).isEqualTo("VA 5 O2");
         }
--- a/src/test/java/cacheproxy/proxy/LifecycleFormsTest.java
+++ b/src/test/java/cacheproxy/proxy/LifecycleFormatsTest.java
@@ -37,11 +37,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What processes of other versions and operators' files rely on: the line that a takeover passes on, the lines of the
- * handover's protocol and the start configuration stay as the recorded texts show them.
+ * Formats that processes of other versions and operators' files depend on: the state line of a takeover, the lines of
+ * the handover protocol and the start configuration match the recorded texts.
  */
 @Timeout(60)
-class LifecycleFormsTest {
+class LifecycleFormatsTest {
     private static final Path FORMS = Path.of("src/test/resources/formats");
 
     @TempDir
@@ -49,7 +49,7 @@
 
     private static TakeoverSnapshot snapshot() {
         JsonArray hosts = new JsonArray();
-        hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
+        hosts.add(ProxyFixture.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
         LearnedState learned = new LearnedState(
                 1,
                 2,
@@ -64,7 +64,7 @@
         records.put(RecordKind.INCARNATION, new StoredRecord(RecordKind.INCARNATION, 1.7e12, new JsonPrimitive(4)));
         records.put(RecordKind.ZONE_STATES, new StoredRecord(RecordKind.ZONE_STATES, 1.7e12, new JsonObject()));
         records.put(RecordKind.OPERATOR_ORDERS, new StoredRecord(RecordKind.OPERATOR_ORDERS, 1.7e12, new JsonObject()));
-        return new TakeoverSnapshot(Fleet.list(43, true, hosts), Map.of("", learned), records);
+        return new TakeoverSnapshot(ProxyFixture.list(43, true, hosts), Map.of("", learned), records);
     }
 
     private static String recorded(String name) throws Exception {
@@ -72,31 +72,31 @@
     }
 
     @Test
-    void whatATakeoverPassesOnIsAsRecorded() throws Exception {
+    void takeoverStateIsWrittenAsRecorded() throws Exception {
         String line = recorded("takeover-state.json");
         assertThat(snapshot().toJson()).isEqualTo(line);
         assertThat(TakeoverSnapshot.parse(line)).isEqualTo(snapshot());
     }
 
-    /** The old process understands the recorded lines, in this order, at the socket of this name. */
+    /** The old process accepts the recorded lines, in this order, on the socket of this name. */
     @Test
-    void theOldProcessTakesTheRecordedLines() throws Exception {
+    void theOldProcessAcceptsTheRecordedLines() throws Exception {
         List<String> lines = recorded("handover-lines.txt").lines().toList();
-        try (Fleet fleet = new Fleet().shared(folder).start();
+        try (ProxyFixture fixture = new ProxyFixture().sharedFolder(folder).start();
                 SocketChannel successor = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             successor.connect(UnixDomainSocketAddress.of(folder.resolve("takeover")));
             BufferedReader answers = new BufferedReader(Channels.newReader(successor, StandardCharsets.UTF_8));
             say(successor, lines.get(0));
             assertThat(answers.readLine()).startsWith("{\"v\":1,\"list\":{");
             say(successor, lines.get(1));
-            awaitPhase(fleet, Phase.SOCKET_PASSED);
+            awaitPhase(fixture, Phase.SOCKET_PASSED);
             say(successor, lines.get(2));
-            awaitPhase(fleet, Phase.SUCCESSOR_SERVES);
+            awaitPhase(fixture, Phase.SUCCESSOR_SERVES);
             assertThat(lines).hasSize(3);
         }
     }
 
-    /** The new process sends the recorded lines; it asks for the socket once it has read the state. */
+    /** The new process sends the recorded lines; it requests the socket once it has read the state. */
     @Test
     void theNewProcessSendsTheRecordedLines() throws Exception {
         List<String> lines = recorded("handover-lines.txt").lines().toList();
@@ -114,7 +114,7 @@
                 }
             });
             oldProcess.start();
-            try (Fleet fleet = new Fleet().shared(folder).start()) {
+            try (ProxyFixture fixture = new ProxyFixture().sharedFolder(folder).start()) {
                 assertThat(received.get(20, TimeUnit.SECONDS)).isEqualTo(lines.subList(0, 2));
             }
             oldProcess.join();
@@ -128,14 +128,14 @@
         }
     }
 
-    private static void awaitPhase(Fleet fleet, Phase phase) {
+    private static void awaitPhase(ProxyFixture fixture, Phase phase) {
         Await.until(
                 "the handover is " + phase,
-                () -> fleet.on(() -> fleet.proxy.status().handoverPhase()) == phase);
+                () -> fixture.onEventLoop(() -> fixture.proxy.status().handoverPhase()) == phase);
     }
 
     @Test
-    void aStartConfigurationInTheOperatorsFormIsReadAsRecorded() throws Exception {
+    void aStartConfigurationInTheOperatorsFormatIsReadAsRecorded() throws Exception {
         JsonObject json = JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
                 .getAsJsonObject();
         json.add("peers", JsonParser.parseString("[\"127.0.0.1:7001\", \"127.0.0.1:7002\"]"));
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void phasesOfADrainAndOfAHandoverHaveTheirWordsInTheStatus() {
+    void phasesOfADrainAndOfAHandoverAreNamedInTheStatus() {
         assertThat(DrainStateMachine.Phase.values())
                 .extracting(DrainStateMachine.Phase::statusName)
                 .containsExactly("serving", "draining", "drained", "expired");
--- a/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
+++ b/src/test/java/cacheproxy/proxy/SyscallFaultsIT.java
@@ -27,9 +27,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The packaged program while system calls on its sockets fail: each request has one final answer, and in time. The
- * faults are injected by a library of the project's own (src/test/c/faults.c) and logged; a run without any proves
- * nothing.
+ * The packaged program while system calls on its sockets fail: each request gets one final answer by its deadline. A
+ * preloaded library (src/test/c/faults.c) injects and logs the faults; the test requires that there were some.
  */
 @Timeout(120)
 class SyscallFaultsIT {
@@ -40,32 +39,39 @@
     @TempDir
     private Path folder;
 
-    private Path shim() throws IOException, InterruptedException {
-        Path shim = folder.resolve("faults.so");
+    private Path faultLibrary() throws IOException, InterruptedException {
+        Path faultLibrary = folder.resolve("faults.so");
         try {
             Process compiler = new ProcessBuilder(
-                            "cc", "-O1", "-shared", "-fPIC", "-o", shim.toString(), "src/test/c/faults.c", "-ldl")
+                            "cc",
+                            "-O1",
+                            "-shared",
+                            "-fPIC",
+                            "-o",
+                            faultLibrary.toString(),
+                            "src/test/c/faults.c",
+                            "-ldl")
                     .inheritIO()
                     .start();
             assertThat(compiler.waitFor()).isZero();
         } catch (IOException e) {
             if (System.getenv("CI") != null) {
-                fail("CI requires a C compiler for the faults of system calls", e);
+                fail("CI requires a C compiler to inject faults into system calls", e);
             }
-            abort("no C compiler: the faults of system calls were not played");
+            abort("no C compiler: system call faults were not injected");
         }
-        return shim;
+        return faultLibrary;
     }
 
     private static String config(int port, FakeServer... nodes) {
-        Fleet fleet = new Fleet();
+        ProxyFixture fixture = new ProxyFixture();
         JsonArray hosts = new JsonArray();
         for (FakeServer node : nodes) {
-            hosts.add(Fleet.host("s-0000000" + hosts.size(), "node-fast", node.dial(), "up"));
+            hosts.add(ProxyFixture.host("s-0000000" + hosts.size(), "node-fast", node.dial(), "up"));
         }
-        fleet.config.add("known", Fleet.list(41, true, hosts));
-        fleet.config.addProperty("listen", "127.0.0.1:" + port);
-        return fleet.config.toString();
+        fixture.config.add("known", ProxyFixture.list(41, true, hosts));
+        fixture.config.addProperty("listen", "127.0.0.1:" + port);
+        return fixture.config.toString();
     }
 
     private ServeProcess start(String config, String faults) throws IOException, InterruptedException {
@@ -75,14 +81,14 @@
                 config,
                 Map.of(
                         "LD_PRELOAD",
-                        shim().toString(),
+                        faultLibrary().toString(),
                         "FAULTS",
                         faults,
                         "FAULTS_LOG",
                         folder.resolve("faults").toString()));
     }
 
-    /** One request on a connection of its own; what was wrong with its answer, or null. */
+    /** Sends one request on a connection of its own; returns what is wrong with its answer, or null. */
     private static String request(int port, String id) throws IOException {
         long sent = System.nanoTime();
         try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
@@ -129,17 +135,17 @@
         return names;
     }
 
-    /** Ends each connection after its answer, so that the proxy makes many. */
+    /** A node that closes each connection after one answer, so that the proxy opens many. */
     private static FakeServer node() throws IOException {
-        return new FakeServer(c -> c.say("VA 5 O" + FakeServer.id(c.command()) + " h1\r\nhello\r\n"));
+        return new FakeServer(c -> c.send("VA 5 O" + FakeServer.id(c.command()) + " h1\r\nhello\r\n"));
     }
 
-    private void holds(String faults, String... calls) throws Exception {
+    private void assertServesDespite(String faults, String... calls) throws Exception {
         FakeServer one = node();
         FakeServer two = node();
         int port = ServeProcess.freePort();
         try (ServeProcess process = start(config(port, one, two), faults + ",after_ms=4000")) {
-            Await.until("it serves", () -> request(port, "ready" + System.nanoTime()) == null);
+            Await.until("the process serves", () -> request(port, "ready" + System.nanoTime()) == null);
             Await.until("faults begin", () -> {
                 request(port, "warm" + System.nanoTime());
                 return Files.exists(folder.resolve("faults")) && Files.size(folder.resolve("faults")) > 0;
@@ -149,7 +155,7 @@
             String injected = Files.readString(folder.resolve("faults"));
             assertThat(injected).contains(calls);
             assertThat(process.log()).doesNotContain("rule_violation: ", "internal_error: ");
-            // Netty's own thread for what belongs to no event loop: nothing of the proxy may run on it.
+            // Netty's thread for tasks without an event loop: no code of the proxy may run on it.
             assertThat(threads(process)).noneMatch(name -> name.startsWith("globalEvent"));
         } finally {
             one.close();
@@ -159,21 +165,22 @@
 
     @Test
     void acceptFails() throws Exception {
-        holds("seed=1,accept=0.3", "accept4 103", "accept4 23", "accept4 105");
+        assertServesDespite("seed=1,accept=0.3", "accept4 103", "accept4 23", "accept4 105");
     }
 
     @Test
     void socketAndConnectFail() throws Exception {
-        holds("seed=2,socket=0.3,connect=0.3", "socket 23", "socket 105", "connect 99", "connect 101");
+        assertServesDespite("seed=2,socket=0.3,connect=0.3", "socket 23", "socket 105", "connect 99", "connect 101");
     }
 
     @Test
     void callsAreInterruptedAndReadsAndWritesAreShort() throws Exception {
-        holds("seed=3,wait=0.2,intr=0.2,short=0.5", "epoll_wait 4", " 4\n", " 0\n");
+        assertServesDespite("seed=3,wait=0.2,intr=0.2,short=0.5", "epoll_wait 4", " 4\n", " 0\n");
     }
 
     @Test
-    void allOfItTogether() throws Exception {
-        holds("seed=4,accept=0.1,socket=0.1,connect=0.1,wait=0.1,intr=0.1,short=0.2", "accept4", "epoll_wait");
+    void allFaultsTogether() throws Exception {
+        assertServesDespite(
+                "seed=4,accept=0.1,socket=0.1,connect=0.1,wait=0.1,intr=0.1,short=0.2", "accept4", "epoll_wait");
     }
 }
--- a/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
+++ b/src/test/java/cacheproxy/proxy/TakeoverSnapshotTest.java
@@ -22,12 +22,12 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** What is passed over comes to be read as it was meant, or not at all. */
+/** A takeover's state is read as it was written, or rejected. */
 class TakeoverSnapshotTest {
     private static JsonObject list() {
         JsonArray hosts = new JsonArray();
-        hosts.add(Fleet.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
-        return Fleet.list(43, true, hosts);
+        hosts.add(ProxyFixture.host("s-0000beef", "node-fast", "127.0.0.1:9", "draining"));
+        return ProxyFixture.list(43, true, hosts);
     }
 
     private static TakeoverSnapshot state() {
@@ -49,7 +49,7 @@
     }
 
     @Property(seed = "1", tries = 300)
-    void whatIsToldIsRead(
+    void stateIsReadAsWritten(
             @ForAll @Size(9) List<@DoubleRange(max = 1e14) Double> f,
             @ForAll @Size(max = 20) List<Long> keys,
             @ForAll @Size(max = 20) List<Integer> ids,
@@ -66,12 +66,12 @@
                 ids.stream()
                         .map(i -> new EndpointHealthRecord(i, f.get(1), count, f.get(0), count))
                         .toList());
-        TakeoverSnapshot told = new TakeoverSnapshot(list(), Map.of("", e, "pool", e), state().records());
-        assertThat(TakeoverSnapshot.parse(told.toJson())).isEqualTo(told);
+        TakeoverSnapshot written = new TakeoverSnapshot(list(), Map.of("", e, "pool", e), state().records());
+        assertThat(TakeoverSnapshot.parse(written.toJson())).isEqualTo(written);
     }
 
     @Example
-    void whatIsCutOffAnywhereIsNotRead() {
+    void truncatedStateIsRejected() {
         String line = state().toJson();
         for (int cut = 0; cut < line.length(); cut++) {
             String part = line.substring(0, cut);
@@ -80,7 +80,7 @@
     }
 
     @Example
-    void figuresThatCannotBeAreNotRead() {
+    void invalidNumbersAreRejected() {
         String line = state().toJson();
         for (String figure : new String[] {"-1.0", "NaN", "1e300", "\"x\"", "null", "[]"}) {
             String wrong = line.replace("\"figures\":[1.0", "\"figures\":[" + figure);
@@ -91,9 +91,9 @@
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
-    /** A process that has been started before this was added tells its list alone. */
+    /** A process of a version before this state was added sends its list only. */
     @Example
-    void aListAloneIsEnough() {
+    void aListAloneIsAccepted() {
         JsonObject state = new JsonObject();
         state.addProperty("v", 1);
         state.add("list", list());
--- a/src/test/java/cacheproxy/proxy/UpgradeTest.java
+++ b/src/test/java/cacheproxy/proxy/UpgradeTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A new process beside the old one, here two proxies in one JVM: the sockets change hands as between processes. */
+/** Takeover by a new process, here two proxies in one JVM: sockets are passed as between processes. */
 @Timeout(120)
 class UpgradeTest {
     @TempDir
@@ -33,20 +33,22 @@
         return FakeServer.node(line -> "VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
     }
 
-    /** The fleet's proxy, at an address of its own so that the next one can be told it. */
-    private Fleet serving(FakeServer node) throws Exception {
-        Fleet fleet = new Fleet().node(node).shared(folder).start();
-        fleet.config.addProperty("listen", "127.0.0.1:" + fleet.proxy.address().getPort());
-        return fleet;
+    /** Starts the proxy at a fixed address, which its successor's configuration can name. */
+    private ProxyFixture serving(FakeServer node) throws Exception {
+        ProxyFixture fixture =
+                new ProxyFixture().node(node).sharedFolder(folder).start();
+        fixture.config.addProperty(
+                "listen", "127.0.0.1:" + fixture.proxy.address().getPort());
+        return fixture;
     }
 
     private Path takeoverSocket() {
         return folder.resolve("takeover");
     }
 
-    private Proxy successor(Fleet fleet) throws Exception {
-        Proxy next = Proxy.start(Config.parse(fleet.config), folder);
-        fleet.parts.add(next::close);
+    private Proxy successor(ProxyFixture fixture) throws Exception {
+        Proxy next = Proxy.start(Config.parse(fixture.config), folder);
+        fixture.parts.add(next::close);
         return next;
     }
 
@@ -70,207 +72,227 @@
         return ending;
     }
 
-    private static void served(Fleet.Client client, String id) throws Exception {
+    private static void served(ProxyFixture.Client client, String id) throws Exception {
         assertThat(client.line()).isEqualTo("VA 2 O" + id);
         assertThat(client.line()).isEqualTo("hi");
     }
 
     @Test
-    void aClientsConnectionOutlivesTheProcessThatTookIt() throws Exception {
-        try (Fleet fleet = serving(node());
-                Fleet.Client client = fleet.client()) {
+    void aClientsConnectionOutlivesTheProcessThatAcceptedIt() throws Exception {
+        try (ProxyFixture fixture = serving(node());
+                ProxyFixture.Client client = fixture.client()) {
             served(client.read("1"), "1");
-            Proxy next = successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+            Proxy next = successor(fixture);
+            Await.until(
+                    "the successor's report that it serves is accepted",
+                    () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
             served(client.read("2"), "2");
-            assertThat(answered(fleet.proxy))
-                    .as("the old one still has its connections")
+            assertThat(answered(fixture.proxy))
+                    .as("the old process still has its connections")
                     .isEqualTo(2);
-            Thread ending = end(fleet.proxy);
+            Thread ending = end(fixture.proxy);
             ending.join();
             served(client.read("3").read("4"), "3");
             served(client, "4");
             assertThat(answered(next)).isEqualTo(2);
-            served(fleet.client().read("5"), "5");
+            served(fixture.client().read("5"), "5");
         }
     }
 
     @Test
-    void whatIsUnderWayIsAnsweredByTheOldProcessAndItsConnectionGoesOver() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void openRequestsAreAnsweredByTheOldProcessAndTheirConnectionsPassedOn() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer slow = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say("VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
+                release.await();
+                c.send("VA 2 O" + FakeServer.id(line) + " h1\r\nhi\r\n");
             }
         });
-        try (Fleet fleet = serving(slow);
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = serving(slow);
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
-            slow.next();
-            Proxy next = successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
-            Thread ending = end(fleet.proxy);
-            client.say("mg 7f3a9c21e0b4d655 v O2 Pc=te"); // half a command keeps the connection where it is
-            go.countDown();
+            slow.nextCommand();
+            Proxy next = successor(fixture);
+            Await.until(
+                    "the successor's report that it serves is accepted",
+                    () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
+            Thread ending = end(fixture.proxy);
+            client.send("mg 7f3a9c21e0b4d655 v O2 Pc=te"); // an incomplete command keeps the connection with the old
+            // process
+            release.countDown();
             served(client, "1");
-            client.say("xt,d=20000\r\n");
+            client.send("xt,d=20000\r\n");
             served(client, "2");
             ending.join();
-            assertThat(answered(fleet.proxy)).isEqualTo(2);
+            assertThat(answered(fixture.proxy)).isEqualTo(2);
             served(client.read("3"), "3");
             assertThat(answered(next)).isEqualTo(1);
         }
     }
 
-    /** What the old process waits for is not begun anew by its successor: three seconds are owed, whoever serves. */
+    /** A takeover does not restart the timeout of a silent client: it gets an error or a close within 3 s in all. */
     @Test
-    void aClientThatSaysNothingHearsOfItInTimeThroughAnUpgrade() throws Exception {
-        try (Fleet fleet = serving(node());
-                Fleet.Client mute = fleet.client()) {
+    void aSilentClientIsNotifiedInTimeThroughAnUpgrade() throws Exception {
+        try (ProxyFixture fixture = serving(node());
+                ProxyFixture.Client mute = fixture.client()) {
             long owedBy = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
             Await.until(
-                    "it has come",
-                    () -> fleet.on(() -> fleet.proxy.clientAcceptor().openConnections()) == 1);
-            successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
-            Thread ending = end(fleet.proxy);
+                    "the client is connected",
+                    () -> fixture.onEventLoop(
+                                    () -> fixture.proxy.clientAcceptor().openConnections())
+                            == 1);
+            successor(fixture);
+            Await.until(
+                    "the successor's report that it serves is accepted",
+                    () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
+            Thread ending = end(fixture.proxy);
             mute.socket.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(owedBy - System.nanoTime()));
-            assertThat(mute.ended()).isTrue();
+            assertThat(mute.isAtEnd()).isTrue();
             ending.join();
         }
     }
 
-    /** Clients that never pause, on old connections and on new ones, through several upgrades. */
+    /** Clients send without pause, on old and on new connections, through several upgrades. */
     @Test
-    void nothingIsTurnedBackUnheard() throws Exception {
+    void noRequestFailsThroughUpgrades() throws Exception {
         AtomicBoolean over = new AtomicBoolean();
-        List<Throwable> troubles = new ArrayList<>();
+        List<Throwable> failures = new ArrayList<>();
         long[] served = new long[8];
-        try (Fleet fleet = serving(node())) {
+        try (ProxyFixture fixture = serving(node())) {
             List<Thread> clients = new ArrayList<>();
             for (int c = 0; c < served.length; c++) {
                 int number = c;
                 Thread thread = new Thread(() -> {
                     try {
-                        Fleet.Client client = new Fleet.Client(fleet.proxy.address(), 0);
+                        ProxyFixture.Client client = new ProxyFixture.Client(fixture.proxy.address(), 0);
                         for (int i = 0; !over.get(); i++) {
                             String id = number + "x" + i;
                             if (number % 2 == 1 && i % 10 == 9) {
                                 client.close();
-                                client = new Fleet.Client(fleet.proxy.address(), 0);
+                                client = new ProxyFixture.Client(fixture.proxy.address(), 0);
                             }
                             served(client.read(id), id);
                             served[number]++;
                         }
                         client.close();
                     } catch (Throwable e) {
-                        synchronized (troubles) {
-                            troubles.add(e);
+                        synchronized (failures) {
+                            failures.add(e);
                         }
                     }
                 });
                 clients.add(thread);
                 thread.start();
             }
-            Proxy old = fleet.proxy;
+            Proxy old = fixture.proxy;
             for (int upgrade = 0; upgrade < 10; upgrade++) {
-                Proxy next = successor(fleet);
+                Proxy next = successor(fixture);
                 Proxy before = old;
-                Await.until("the successor is believed", () -> phase(before) == Phase.SUCCESSOR_SERVES);
+                Await.until(
+                        "the successor's report that it serves is accepted",
+                        () -> phase(before) == Phase.SUCCESSOR_SERVES);
                 end(before).join();
                 before.close();
-                Await.until("clients go on", () -> answered(next) > 20);
+                Await.until("the successor answers clients", () -> answered(next) > 20);
                 old = next;
             }
             over.set(true);
             for (Thread t : clients) {
                 t.join();
             }
-            assertThat(troubles).isEmpty();
+            assertThat(failures).isEmpty();
             assertThat(served).doesNotContain(0);
         }
     }
 
-    /** One of two servers refuses connections, and the old process has found out. */
+    /** One of two servers refuses connections, which the old process has found out and passes on. */
     @Test
-    void whatIsKnownOfServersGoesOver() throws Exception {
-        FakeServer gone = node();
-        String dial = gone.dial();
-        gone.close();
+    void serverStateIsPassedToTheSuccessor() throws Exception {
+        FakeServer unreachable = node();
+        String dial = unreachable.dial();
+        unreachable.close();
         FakeServer up = node();
-        try (Fleet fleet = new Fleet().node(up).node(dial).shared(folder).start();
-                Fleet.Client client = fleet.client()) {
-            fleet.config.addProperty(
-                    "listen", "127.0.0.1:" + fleet.proxy.address().getPort());
-            Await.until("the old one has tried it", () -> {
+        try (ProxyFixture fixture = new ProxyFixture()
+                        .node(up)
+                        .node(dial)
+                        .sharedFolder(folder)
+                        .start();
+                ProxyFixture.Client client = fixture.client()) {
+            fixture.config.addProperty(
+                    "listen", "127.0.0.1:" + fixture.proxy.address().getPort());
+            Await.until("the old process has tried the server", () -> {
                 String key = Long.toHexString(System.nanoTime());
-                client.say("mg " + key + " v O" + key + " Pc=text,d=20000\r\n");
+                client.send("mg " + key + " v O" + key + " Pc=text,d=20000\r\n");
                 served(client, key);
-                return fleet.on(() -> fleet.proxy.status().ejectedNodes())
-                        == 1; // what is only doubted is known of, too
+                return fixture.onEventLoop(() -> fixture.proxy.status().ejectedNodes())
+                        == 1; // suspected servers are included
             });
-            Proxy next = successor(fleet);
+            Proxy next = successor(fixture);
             assertThat(next.loop()
                             .submit(() -> next.status().ejectedNodes())
                             .syncUninterruptibly()
                             .getNow())
-                    .as("before it has sent anything")
+                    .as("before the successor has sent anything")
                     .isEqualTo(1);
         }
     }
 
     @Test
-    void aSuccessorThatGoesGivesTheClientsBack() throws Exception {
-        try (Fleet fleet = serving(node())) {
-            Proxy next = successor(fleet);
-            Await.until("the successor is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+    void aSuccessorThatEndsReturnsTheClients() throws Exception {
+        try (ProxyFixture fixture = serving(node())) {
+            Proxy next = successor(fixture);
+            Await.until(
+                    "the successor's report that it serves is accepted",
+                    () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
             next.close();
-            Await.until("the old one is alone", () -> phase(fleet.proxy) == Phase.NO_SUCCESSOR);
-            served(fleet.client().read("1"), "1");
-            assertThat(answered(fleet.proxy)).isEqualTo(1);
-            successor(fleet);
-            Await.until("the next one finds the old one", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+            Await.until("the old process has no successor", () -> phase(fixture.proxy) == Phase.NO_SUCCESSOR);
+            served(fixture.client().read("1"), "1");
+            assertThat(answered(fixture.proxy)).isEqualTo(1);
+            successor(fixture);
+            Await.until(
+                    "the next successor reaches the old process", () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
         }
     }
 
     @Test
-    void oneThatAsksAndNeverServesHoldsNobodyUp() throws Exception {
-        try (Fleet fleet = serving(node());
-                SocketChannel hung = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-            hung.connect(UnixDomainSocketAddress.of(takeoverSocket()));
-            hung.write(ByteBuffer.wrap("STATE 1\nSOCKET\n".getBytes(StandardCharsets.US_ASCII)));
-            Await.until("it has the socket", () -> phase(fleet.proxy) == Phase.SOCKET_PASSED);
-            served(fleet.client().read("1"), "1");
-            successor(fleet);
-            Await.until("the newer is believed", () -> phase(fleet.proxy) == Phase.SUCCESSOR_SERVES);
+    void aSuccessorThatNeverServesDelaysNobody() throws Exception {
+        try (ProxyFixture fixture = serving(node());
+                SocketChannel hungSuccessor = SocketChannel.open(StandardProtocolFamily.UNIX)) {
+            hungSuccessor.connect(UnixDomainSocketAddress.of(takeoverSocket()));
+            hungSuccessor.write(ByteBuffer.wrap("STATE 1\nSOCKET\n".getBytes(StandardCharsets.US_ASCII)));
+            Await.until("the listening socket is passed", () -> phase(fixture.proxy) == Phase.SOCKET_PASSED);
+            served(fixture.client().read("1"), "1");
+            successor(fixture);
+            Await.until(
+                    "the newer successor's report that it serves is accepted",
+                    () -> phase(fixture.proxy) == Phase.SUCCESSOR_SERVES);
         }
     }
 
     @Test
-    void wordsOutOfTurnEndTheLinkAndNothingElse() throws Exception {
-        try (Fleet fleet = serving(node())) {
-            for (String words :
+    void outOfOrderMessagesCloseOnlyTheHandoverConnection() throws Exception {
+        try (ProxyFixture fixture = serving(node())) {
+            for (String messages :
                     new String[] {"SERVING\n", "SOCKET\n", "STATE 9\n", "x".repeat(200), "STATE 1\nSERVING\n"}) {
                 try (SocketChannel link = SocketChannel.open(StandardProtocolFamily.UNIX)) {
                     link.connect(UnixDomainSocketAddress.of(takeoverSocket()));
-                    link.write(ByteBuffer.wrap(words.getBytes(StandardCharsets.US_ASCII)));
-                    if (words.length() < 100) {
+                    link.write(ByteBuffer.wrap(messages.getBytes(StandardCharsets.US_ASCII)));
+                    if (messages.length() < 100) {
                         ByteBuffer rest = ByteBuffer.allocate(1 << 16);
                         while (link.read(rest) >= 0) {
                             rest.clear();
                         }
                     }
                 }
-                Await.until("the old one is alone", () -> phase(fleet.proxy) == Phase.NO_SUCCESSOR);
+                Await.until("the old process has no successor", () -> phase(fixture.proxy) == Phase.NO_SUCCESSOR);
             }
-            served(fleet.client().read("1"), "1");
+            served(fixture.client().read("1"), "1");
         }
     }
 
-    /** A socket file whose process was killed, one that answers nothing, one that answers nonsense. */
+    /** A socket file of a killed process, one whose process never answers, one whose process answers invalid data. */
     @Test
-    void whereTheOldProcessIsOfNoUseTheNewOneServesAnyway() throws Exception {
+    void theNewProcessServesIfTheOldOneCannotHandOver() throws Exception {
         Path path = takeoverSocket();
         for (String answer : new String[] {null, "", "{\"v\":9}\n", "{\"v\":1,\"li\n", "nonsense\n"}) {
             Files.deleteIfExists(path);
@@ -289,8 +311,8 @@
                     answering.setDaemon(true);
                     answering.start();
                 }
-                try (Fleet fleet = serving(node())) {
-                    served(fleet.client().read("1"), "1");
+                try (ProxyFixture fixture = serving(node())) {
+                    served(fixture.client().read("1"), "1");
                 }
             }
         }
--- a/src/test/java/cacheproxy/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/UpstreamTest.java
@@ -10,26 +10,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Behaviour of cache nodes and the origin that the proxy has to cope with, on loopback sockets. */
+/** How the proxy handles misbehaving cache nodes and origins, on loopback sockets. */
 @Timeout(120)
 class UpstreamTest {
     private static String hit(String command) {
         return "VA 5 O" + FakeServer.id(command) + " h1\r\nhello\r\n";
     }
 
-    /** An origin that answers every request in this way. */
+    /** An origin that gives every request this answer. */
     private static FakeServer origin(int status, String headers, String body) throws Exception {
         return new FakeServer(c -> {
             while (c.request() != null) {
-                c.sayHttp(status, headers, body);
+                c.sendHttp(status, headers, body);
             }
         });
     }
 
-    /** Reads of as many keys, one after the other, all served by a node. */
-    private static void servesReads(Fleet.Client client, int reads) throws Exception {
+    /** Reads this many keys, one at a time, and asserts that each is answered. */
+    private static void servesReads(ProxyFixture.Client client, int reads) throws Exception {
         for (int i = 0; i < reads; i++) {
-            client.say("mg " + Integer.toHexString(0x1000 + 7919 * i) + " v O" + i + " Pc=text,d=20000\r\n");
+            client.send("mg " + Integer.toHexString(0x1000 + 7919 * i) + " v O" + i + " Pc=text,d=20000\r\n");
             assertThat(client.line()).isEqualTo("VA 5 O" + i);
             client.line();
         }
@@ -44,9 +44,11 @@
     @Test
     void aMissIsFetchedFromTheOrigin() throws Exception {
         FakeServer node = FakeServer.node(line -> "EN O" + FakeServer.id(line) + " h0\r\n");
-        try (Fleet fleet =
-                        new Fleet().node(node).origin(origin(200, "", "master")).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture()
+                        .node(node)
+                        .origin(origin(200, "", "master"))
+                        .start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA 6 O1");
             assertThat(client.line()).isEqualTo("master");
@@ -56,8 +58,8 @@
     @Test
     void oneConnectionServesRequestAfterRequest() throws Exception {
         FakeServer node = FakeServer.node(UpstreamTest::hit);
-        try (Fleet fleet = new Fleet().node(node).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 5; i++) {
                 client.read("a" + i);
                 assertThat(client.line()).isEqualTo("VA 5 Oa" + i);
@@ -74,65 +76,66 @@
             busy.incrementAndGet();
             return "SERVER_ERROR busy\r\n";
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(refusingAddress())
                         .node(full)
                         .node(FakeServer.node(UpstreamTest::hit))
                         .origin(origin(200, "", "fetch"))
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             servesReads(client, 30);
             assertThat(busy.get()).isPositive();
         }
     }
 
-    /** Else requests would try in vain, one after the other, to get a connection that other proxies have. */
+    /** Guards against requests that each try in vain to open a connection while other proxies hold all of them. */
     @Test
     void aNodeAtItsConnectionLimitIsReplacedByTheNextRankedForAWhile() throws Exception {
         FakeServer crowded = new FakeServer(c -> {
             c.command();
-            c.say("SERVER_ERROR busy\r\n");
+            c.send("SERVER_ERROR busy\r\n");
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(crowded)
                         .node(FakeServer.node(UpstreamTest::hit))
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             servesReads(client, 60);
             assertThat(crowded.commands).hasSize(1);
-            assertThat(fleet.on(() -> fleet.proxy.status().ejectedNodes())).isZero();
+            assertThat(fixture.onEventLoop(() -> fixture.proxy.status().ejectedNodes()))
+                    .isZero();
         }
     }
 
     /**
-     * An invalid response must not be taken for a connection limit: it is the proxy that closes the connection then.
+     * An invalid response must not be taken for a connection limit: the proxy closes the connection then, not the node.
      */
     @Test
     void aRejectionFollowedByInvalidInputSaysNothingOfConnectionLimits() throws Exception {
         FakeServer noisy = new FakeServer(c -> {
             c.command();
-            c.say("SERVER_ERROR busy\r\nnoise\r\n");
+            c.send("SERVER_ERROR busy\r\nnoise\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(noisy)
                         .node(FakeServer.node(UpstreamTest::hit))
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             servesReads(client, 60);
             assertThat(noisy.commands).hasSizeGreaterThan(10);
         }
     }
 
-    /** A rejection on a connection that stays open holds for that moment only. */
+    /** A rejection on a connection that stays open is no lasting limit: the node is tried again. */
     @Test
     void aNodeWhoseQueueIsFullIsTriedAgain() throws Exception {
         FakeServer full = FakeServer.node(line -> "SERVER_ERROR busy\r\n");
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(full)
                         .node(FakeServer.node(UpstreamTest::hit))
                         .start();
-                Fleet.Client client = fleet.client()) {
+                ProxyFixture.Client client = fixture.client()) {
             servesReads(client, 60);
             assertThat(full.commands).hasSizeGreaterThan(10);
         }
@@ -141,23 +144,25 @@
     @Test
     void aNonIdempotentWriteIsRejectedOnlyIfItWasNotExecuted() throws Exception {
         String write = "ms 7f3a 5 O1 Pc=fix,d=2000\r\nhello\r\n";
-        try (Fleet fleet = new Fleet().origin(origin(500, "", "")).start();
-                Fleet.Client c = fleet.client()) {
-            assertThat(c.say(write).line()).isEqualTo("SERVER_ERROR failed");
+        try (ProxyFixture fixture =
+                        new ProxyFixture().origin(origin(500, "", "")).start();
+                ProxyFixture.Client c = fixture.client()) {
+            assertThat(c.send(write).line()).isEqualTo("SERVER_ERROR failed");
         }
-        try (Fleet fleet = new Fleet().origin(origin(503, "", "")).start();
-                Fleet.Client c = fleet.client()) {
-            assertThat(c.say(write).line()).isEqualTo("SERVER_ERROR failed");
+        try (ProxyFixture fixture =
+                        new ProxyFixture().origin(origin(503, "", "")).start();
+                ProxyFixture.Client c = fixture.client()) {
+            assertThat(c.send(write).line()).isEqualTo("SERVER_ERROR failed");
         }
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .origin(origin(503, "Srv-Declined: 1\r\n", ""))
                         .start();
-                Fleet.Client c = fleet.client()) {
-            assertThat(c.say(write).line()).startsWith("SERVER_ERROR busy");
+                ProxyFixture.Client c = fixture.client()) {
+            assertThat(c.send(write).line()).startsWith("SERVER_ERROR busy");
         }
-        try (Fleet fleet = new Fleet().origin(refusingAddress()).start();
-                Fleet.Client c = fleet.client()) {
-            assertThat(c.say(write).line()).startsWith("SERVER_ERROR busy");
+        try (ProxyFixture fixture = new ProxyFixture().origin(refusingAddress()).start();
+                ProxyFixture.Client c = fixture.client()) {
+            assertThat(c.send(write).line()).startsWith("SERVER_ERROR busy");
         }
     }
 
@@ -167,11 +172,11 @@
             c.request();
             c.reset();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
+            client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
+            assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
             assertThat(origin.commands).hasSize(1);
         }
     }
@@ -182,10 +187,10 @@
             c.request();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a 5 O1 Pc=fix,d=2000\r\nhello\r\n");
-            origin.next();
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
+            client.send("ms 7f3a 5 O1 Pc=fix,d=2000\r\nhello\r\n");
+            origin.nextCommand();
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
         }
     }
@@ -198,15 +203,15 @@
             CountDownLatch ended = new CountDownLatch(1);
             FakeServer node = new FakeServer(c -> {
                 c.command();
-                c.say(garbage);
+                c.send(garbage);
                 c.awaitEnd();
                 ended.countDown();
             });
-            try (Fleet fleet = new Fleet()
+            try (ProxyFixture fixture = new ProxyFixture()
                             .node(node)
                             .origin(origin(200, "", "fetch"))
                             .start();
-                    Fleet.Client client = fleet.client()) {
+                    ProxyFixture.Client client = fixture.client()) {
                 client.read("1");
                 assertThat(client.line()).as(garbage).isEqualTo("VA 5 O1");
                 assertThat(client.line()).isEqualTo("fetch");
@@ -217,25 +222,25 @@
                 new String[] {"what?\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nr1"}) {
             FakeServer broken = new FakeServer(c -> {
                 c.request();
-                c.say(garbage);
+                c.send(garbage);
                 c.awaitEnd();
             });
-            try (Fleet fleet = new Fleet().origin(broken).start();
-                    Fleet.Client client = fleet.client()) {
-                client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+            try (ProxyFixture fixture = new ProxyFixture().origin(broken).start();
+                    ProxyFixture.Client client = fixture.client()) {
+                client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).as(garbage).isEqualTo("SERVER_ERROR failed");
             }
         }
     }
 
-    /** Two reads of one key share a fetch; the second goes to the origin as soon as the first has its answer. */
+    /** Two reads of one key share a fetch; the second goes to the origin once the first is answered. */
     @Test
     void aDuplicateOfAResponseIsNotTakenForTheNextResponse() throws Exception {
         CountDownLatch missed = new CountDownLatch(2);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer node = new FakeServer(c -> {
             for (String line; (line = c.command()) != null; ) {
-                c.say("EN O" + FakeServer.id(line) + " h0\r\n");
+                c.send("EN O" + FakeServer.id(line) + " h0\r\n");
                 missed.countDown();
             }
         });
@@ -243,24 +248,24 @@
         FakeServer origin = new FakeServer(c -> {
             boolean leads = FakeServer.id(c.request()).equals("1");
             if (leads) {
-                go.await();
+                release.await();
             }
-            c.say(leads ? first + first : "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother");
+            c.send(leads ? first + first : "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet()
+        try (ProxyFixture fixture = new ProxyFixture()
                         .node(node)
                         .origin(origin)
                         .set("caps.max-attempts", "2")
                         .start();
-                Fleet.Client one = fleet.client()) {
+                ProxyFixture.Client one = fixture.client()) {
             one.read("1");
-            origin.next();
-            Fleet.Client two = fleet.client().read("2");
+            origin.nextCommand();
+            ProxyFixture.Client two = fixture.client().read("2");
             missed.await();
-            fleet.client().say("mn\r\n").line(); // the event loop has been round
-            fleet.client().say("mn\r\n").line();
-            go.countDown();
+            fixture.client().send("mn\r\n").line(); // the event loop has completed an iteration
+            fixture.client().send("mn\r\n").line();
+            release.countDown();
             assertThat(one.line()).isEqualTo("VA 5 O1");
             assertThat(one.line()).isEqualTo("first");
             assertThat(two.line()).isEqualTo("VA 5 O2");
@@ -273,17 +278,17 @@
         CountDownLatch closed = new CountDownLatch(1);
         FakeServer origin = new FakeServer(c -> {
             c.request();
-            c.sayHttp(200, "", "r1");
+            c.sendHttp(200, "", "r1");
             c.socket.close();
             closed.countDown();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 3; i++) {
-                client.say("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
+                client.send("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
                 closed.await();
-                client.say("mn\r\n").line(); // the event loop has been round
+                client.send("mn\r\n").line(); // the event loop has completed an iteration
             }
         }
     }
@@ -292,13 +297,14 @@
     void closedConnectionsDoNotCountAgainstTheLimit() throws Exception {
         FakeServer origin = new FakeServer(c -> {
             c.request();
-            c.sayHttp(200, "Connection: close\r\n", "r1");
+            c.sendHttp(200, "Connection: close\r\n", "r1");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().origin(origin).set("balancers", "60").start(); // four connections at most
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture =
+                        new ProxyFixture().origin(origin).set("balancers", "60").start(); // four connections at most
+                ProxyFixture.Client client = fixture.client()) {
             for (int i = 0; i < 12; i++) {
-                client.say("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
+                client.send("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
             }
             assertThat(origin.accepted).hasSize(12);
@@ -312,18 +318,18 @@
             String first = c.command();
             String second = c.command();
             gone.await();
-            c.say(hit(first) + hit(second));
+            c.send(hit(first) + hit(second));
             c.awaitEnd();
         });
-        Fleet setup = new Fleet().node(pipelined).set("balancers", "60");
-        try (Fleet fleet = setup.start()) {
-            Fleet.Client leaving = fleet.client();
-            leaving.say("mg 7f3a v Oa Pc=text,d=20000\r\n");
-            pipelined.next();
-            Fleet.Client other = fleet.client().say("mg 7f3b v Ob Pc=text,d=20000\r\n");
-            pipelined.next();
+        ProxyFixture setup = new ProxyFixture().node(pipelined).set("balancers", "60");
+        try (ProxyFixture fixture = setup.start()) {
+            ProxyFixture.Client leaving = fixture.client();
+            leaving.send("mg 7f3a v Oa Pc=text,d=20000\r\n");
+            pipelined.nextCommand();
+            ProxyFixture.Client other = fixture.client().send("mg 7f3b v Ob Pc=text,d=20000\r\n");
+            pipelined.nextCommand();
             leaving.close();
-            fleet.client().say("mn\r\n").line();
+            fixture.client().send("mn\r\n").line();
             gone.countDown();
             assertThat(other.line()).isEqualTo("VA 5 Ob");
         }
@@ -338,11 +344,11 @@
             node[0].stopListening();
             refusing.countDown();
             String second = c.command();
-            c.say(hit(first) + hit(second));
+            c.send(hit(first) + hit(second));
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node[0]).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node[0]).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             refusing.await();
             client.read("2");
@@ -356,25 +362,25 @@
     void aResponseThatStopsInItsMiddleIsNotWaitedFor() throws Exception {
         CountDownLatch ended = new CountDownLatch(2);
         FakeServer node = new FakeServer(c -> {
-            c.say("VA 5 O" + FakeServer.id(c.command()) + " h1\r\nhel");
+            c.send("VA 5 O" + FakeServer.id(c.command()) + " h1\r\nhel");
             c.awaitEnd();
             ended.countDown();
         });
         FakeServer origin = new FakeServer(c -> {
             if (c.request().startsWith("PUT")) {
-                c.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nr");
+                c.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nr");
                 c.awaitEnd();
                 ended.countDown();
             } else {
-                c.sayHttp(200, "", "fetch");
+                c.sendHttp(200, "", "fetch");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().node(node).origin(origin).start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA 5 O1");
             assertThat(client.line()).isEqualTo("fetch");
-            client.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             ended.await();
         }
@@ -384,30 +390,32 @@
     @Test
     void aReadThatCanNoLongerBeInTimeIsRejectedAtOnce() throws Exception {
         FakeServer silent = new FakeServer(FakeServer.Connection::awaitEnd);
-        Fleet setup = new Fleet().node(silent).set("classes.0.late-share", "0").set("classes.0.promise", "300.0");
-        try (Fleet fleet = setup.start();
-                Fleet.Client client = fleet.client()) {
-            client.say("mg 7f3a v O1 Pc=text,d=60000\r\n");
+        ProxyFixture setup =
+                new ProxyFixture().node(silent).set("classes.0.late-share", "0").set("classes.0.promise", "300.0");
+        try (ProxyFixture fixture = setup.start();
+                ProxyFixture.Client client = fixture.client()) {
+            client.send("mg 7f3a v O1 Pc=text,d=60000\r\n");
             assertThat(client.line()).startsWith("SERVER_ERROR busy");
         }
     }
 
     @Test
     void aRejectionSaysWhenToRetry() throws Exception {
-        try (Fleet fleet = new Fleet().start();
-                Fleet.Client client = fleet.client()) {
+        try (ProxyFixture fixture = new ProxyFixture().start();
+                ProxyFixture.Client client = fixture.client()) {
             client.read("1");
-            assertThat(client.line()).isEqualTo("SERVER_ERROR busy 500"); // half of 2.5 s, but no more than is honoured
+            assertThat(client.line())
+                    .isEqualTo("SERVER_ERROR busy 500"); // half of 2.5 s, capped at caps.max-retry-after
         }
     }
 
     /**
-     * Without hedging, an attempt that shares its connection can't be abandoned for another: it is in flight until the
-     * connection ends, and others wait there. The node accepts one connection, so that they share it.
+     * Without hedging, an attempt on a shared connection can't be abandoned for another: it stays in flight until the
+     * connection ends, as other attempts wait there. The node accepts one connection, so that they share it.
      */
     @Test
     void withoutHedgingNoAttemptFollowsOneThatIsInFlight() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         CountDownLatch refusing = new CountDownLatch(1);
         FakeServer[] shared = new FakeServer[1];
         shared[0] = new FakeServer(c -> {
@@ -415,56 +423,59 @@
             shared[0].stopListening();
             refusing.countDown();
             String second = c.command();
-            go.await();
-            c.say(hit(first) + hit(second));
+            release.await();
+            c.send(hit(first) + hit(second));
             c.awaitEnd();
         });
         FakeServer quick = FakeServer.node(UpstreamTest::hit);
         FakeServer mute = new FakeServer(FakeServer.Connection::awaitEnd);
-        // The third stands in for a clock: its request is abandoned after the others would have been.
-        Fleet setup = new Fleet()
+        // The third request serves as a timer: it would be abandoned later than the others.
+        ProxyFixture setup = new ProxyFixture()
                 .node(shared[0])
                 .node(quick)
                 .node(mute)
                 .set("caps.second-copies", "false")
                 .set("classes.0.promise", "4000.0");
-        try (Fleet fleet = setup.start();
-                Fleet.Client one = fleet.client()) {
-            one.say("mg " + Keys.ranked(1, 2, 3) + " v O1 Pc=text,d=20000\r\n");
+        try (ProxyFixture fixture = setup.start();
+                ProxyFixture.Client one = fixture.client()) {
+            one.send("mg " + Keys.ranked(1, 2, 3) + " v O1 Pc=text,d=20000\r\n");
             refusing.await();
-            shared[0].next();
-            Fleet.Client two = fleet.client().say("mg " + Keys.ranked(1, 2, 3) + " v O2 Pc=text,d=20000\r\n");
-            shared[0].next();
-            Fleet.Client clock = fleet.client().say("mg " + Keys.ranked(3, 2, 1) + " v O3 Pc=text,d=20000\r\n");
+            shared[0].nextCommand();
+            ProxyFixture.Client two = fixture.client().send("mg " + Keys.ranked(1, 2, 3) + " v O2 Pc=text,d=20000\r\n");
+            shared[0].nextCommand();
+            ProxyFixture.Client clock =
+                    fixture.client().send("mg " + Keys.ranked(3, 2, 1) + " v O3 Pc=text,d=20000\r\n");
             assertThat(clock.line()).isEqualTo("VA 5 O3");
             assertThat(quick.commands).hasSize(1);
-            go.countDown();
+            release.countDown();
             assertThat(one.line()).isEqualTo("VA 5 O1");
             assertThat(two.line()).isEqualTo("VA 5 O2");
             assertThat(quick.commands).hasSize(1);
         }
     }
 
-    /** As above, each on a connection of its own: an attempt that is abandoned there ends, and another may follow. */
+    /**
+     * As above, with a connection per request: an abandoned attempt ends with its connection, and another may follow.
+     */
     @Test
     void withoutHedgingEachRequestHasItsOwnConnection() throws Exception {
-        int many = 5; // as many attempts as a fresh proxy abandons for another server
+        int many = 5; // the number of attempts that a newly started proxy may abandon for another server
         CountDownLatch ended = new CountDownLatch(many);
         FakeServer mute = new FakeServer(c -> {
             c.command();
             c.awaitEnd();
             ended.countDown();
         });
-        Fleet setup = new Fleet()
+        ProxyFixture setup = new ProxyFixture()
                 .node(mute)
                 .node(FakeServer.node(UpstreamTest::hit))
                 .set("caps.second-copies", "false")
                 .set("classes.0.promise", "4000.0")
                 .set("balancers", "60");
-        try (Fleet fleet = setup.start()) {
-            Fleet.Client[] clients = new Fleet.Client[many];
+        try (ProxyFixture fixture = setup.start()) {
+            ProxyFixture.Client[] clients = new ProxyFixture.Client[many];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = fleet.client().say("mg " + Keys.ranked(1, 2) + " v O" + i + " Pc=text,d=20000\r\n");
+                clients[i] = fixture.client().send("mg " + Keys.ranked(1, 2) + " v O" + i + " Pc=text,d=20000\r\n");
             }
             assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
             for (int i = 0; i < clients.length; i++) {
@@ -474,44 +485,44 @@
     }
 
     /**
-     * A response without a length ends with its connection: if the origin closes it, not if the proxy does or at a
-     * reset.
+     * A response without a length ends with its connection: it is complete if the origin closes it in an orderly way,
+     * not if the proxy closes it or the connection is reset.
      */
     @Test
     void aResponseWithoutLengthIsCompleteOnlyIfItsServerClosesOrderly() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
-        FakeServer whole = new FakeServer(c -> {
+        FakeServer complete = new FakeServer(c -> {
             c.request();
-            c.say(head + "receipt");
+            c.send(head + "receipt");
         });
         CountDownLatch ended = new CountDownLatch(1);
         FakeServer stalled = new FakeServer(c -> {
             c.request();
-            c.say(head + "rec");
+            c.send(head + "rec");
             c.awaitEnd();
             ended.countDown();
         });
         FakeServer reset = new FakeServer(c -> {
             c.request();
-            c.say(head + "rec");
+            c.send(head + "rec");
             c.pause.acquire();
             c.reset();
         });
         String write = "ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n";
-        try (Fleet fleet = new Fleet().origin(whole).start();
-                Fleet.Client client = fleet.client()) {
-            assertThat(client.say(write).line()).isEqualTo("HD O1 creceipt");
+        try (ProxyFixture fixture = new ProxyFixture().origin(complete).start();
+                ProxyFixture.Client client = fixture.client()) {
+            assertThat(client.send(write).line()).isEqualTo("HD O1 creceipt");
         }
-        try (Fleet fleet = new Fleet().origin(stalled).start();
-                Fleet.Client client = fleet.client()) {
-            assertThat(client.say(write).line()).isEqualTo("SERVER_ERROR failed");
+        try (ProxyFixture fixture = new ProxyFixture().origin(stalled).start();
+                ProxyFixture.Client client = fixture.client()) {
+            assertThat(client.send(write).line()).isEqualTo("SERVER_ERROR failed");
             assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
         }
-        try (Fleet fleet = new Fleet().origin(reset).start();
-                Fleet.Client client = fleet.client()) {
-            client.say(write);
-            reset.next();
-            fleet.client().say("mn\r\n").line(); // the event loop has been round
+        try (ProxyFixture fixture = new ProxyFixture().origin(reset).start();
+                ProxyFixture.Client client = fixture.client()) {
+            client.send(write);
+            reset.nextCommand();
+            fixture.client().send("mn\r\n").line(); // the event loop has completed an iteration
             reset.accepted.take().pause.release();
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
         }
