--- a/src/main/java/cacheproxy/model/ViewStudy.java
+++ b/src/main/java/cacheproxy/model/ViewStudy.java
@@ -10,7 +10,7 @@
  *
  * @param instances number of instances in the fleet
  * @param loss share of messages lost, 0 to 1
- * @param milliseconds until all had converged after each event, one row per seed
+ * @param times milliseconds until all had converged after each event, one row per seed
  * @param falseDeaths running instances declared dead, in all seeds together
  * @param quietHours hours observed for them, all seeds together
  * @param quietBytes bytes per second and instance while nothing happened, mean over the seeds
