--- a/src/main/java/cacheproxy/demo/ProxiedFleet.java
+++ b/src/main/java/cacheproxy/demo/ProxiedFleet.java
@@ -135,6 +135,7 @@
         return watch;
     }
 
+    /** The proxy processes, by index. */
     public List<ProxyProcess> proxies() {
         return List.copyOf(proxies);
     }
--- a/src/main/java/cacheproxy/lab/LabRun.java
+++ b/src/main/java/cacheproxy/lab/LabRun.java
@@ -53,8 +53,7 @@
         try (ProxiedFleet fleet = new ProxiedFleet(scenario.fleet(), MEMORY_MB, null)) {
             List<TrafficClass> classes = scenario.fleet().classes();
             if (scenario.leadInMs() > 0) {
-                // A different seed, so that the request ids of the lead-in don't collide with those of the run at the
-                // oracle.
+                // A different seed, so that its request ids don't collide with the run's at the oracle.
                 run(fleet, workload(scenario.rate() * LEAD_IN_SHARE, scenario.leadInMs(), classes), ~seed);
             }
             double zeroMs = fleet.fleet().now();
--- a/src/main/java/cacheproxy/load/HtmlReport.java
+++ b/src/main/java/cacheproxy/load/HtmlReport.java
@@ -12,6 +12,7 @@
 public final class HtmlReport {
     private HtmlReport() {}
 
+    /** Writes the report as an HTML file. */
     public static void write(Report report, String title, Path file) throws IOException {
         Files.writeString(file, page(report, title));
     }
--- a/src/main/java/cacheproxy/load/SyntheticWorkload.java
+++ b/src/main/java/cacheproxy/load/SyntheticWorkload.java
@@ -59,6 +59,7 @@
     private final double[] shares;
     private double atS;
 
+    /** Creates a workload that starts at time 0. */
     public SyntheticWorkload(Settings settings) {
         this.settings = settings;
         random = new SplittableRandom(settings.seed());
